--- a/crates/control/src/reports.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -3,12 +3,12 @@
 //! Orders are derived from the difference between the recorded claims and the newest report, so that a lost
 //! message only costs time.
 
-use crate::jobs::JobIx;
-use crate::ledger::ClaimId;
-use crate::machines::{Claim, ClaimState, Exited, Machine};
-use crate::relay::NOT_SENT;
-use crate::sched::grace;
-use crate::views::TOKEN_BOUND;
+use crate::agents::machine::{Claim, ClaimState, Exited, Machine};
+use crate::agents::relay::NOT_SENT;
+use crate::jobs::job::JobIx;
+use crate::leadership::peer_status::TOKEN_BOUND;
+use crate::scheduling::planning::grace;
+use crate::store::claim_log::ClaimId;
 use crate::{Node, Pending};
 use std::collections::BTreeSet;
 use wire::api::{Cause, Kind, Order, Orders, Redirect, Report, TaskStage};
@@ -817,12 +817,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::part::Part;
+    use crate::store::part::Part;
     use crate::{Dest, Effect, Event, Now, Tuning};
 
     /// An owner with one machine that was last heard long ago, and the serial that its next command has.
     fn owner() -> (Node, usize) {
-        let text = include_str!("../../../deploy/settings-example.json");
+        let text = include_str!("../../../../deploy/settings-example.json");
         let settings = serde_json::from_str(text).expect("the example is accepted");
         let now = Now {
             mono: 1_000_000,
--- a/crates/control/src/machines.rs
+++ b/crates/control/src/agents/machine.rs
@@ -3,7 +3,7 @@
 //! A claim is (task, attempt, machine). It is recorded before its start is sent, and it ends only on proof
 //! that the task is gone and can't come back.
 
-use crate::jobs::JobIx;
+use crate::jobs::job::JobIx;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wire::api::{Cause, TaskStage};
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -5,8 +5,8 @@
 //! A relayed report is the worker's own, with its session and number, and a relayed answer is the owner's own, with
 //! its token: a relay judges, renews and orders nothing. It asks only the owner, so that nothing goes in circles.
 
-use crate::door::peer_answer;
-use crate::reports::Told;
+use crate::agents::heartbeat::Told;
+use crate::jobs::admission::peer_answer;
 use crate::{Dest, Node, Pending};
 use reach::{Caller, Owner, Turn, Ways};
 use serde_bytes::ByteBuf;
--- a/crates/control/src/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -1,12 +1,12 @@
 //! Which controller a worker reports to.
 //!
 //! A small fleet reports to the owner. With more machines than an operator's setting allows, the owner sends its
-//! workers to the other controllers, which hand their reports on in batches ([`crate::relay`]): the owner then serves
+//! workers to the other controllers, which hand their reports on in batches ([`crate::agents::relay`]): the owner then serves
 //! a few connections instead of thousands. Only the way changes. A report that is handed on is the worker's own, and
 //! its answer is the owner's own, with its token.
 
 use crate::Node;
-use crate::budget::Bucket;
+use crate::store::rate_budget::Bucket;
 use reach::{Caller, Owner, Turn, Ways};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use wire::api::Report;
--- a/crates/control/src/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -1,8 +1,8 @@
 //! Which counties are in force, and which of them a job is bound to when it is accepted.
 
+use crate::documents::county_counts::Held;
 use crate::documents::{Doc, Documents, Kind, KindId, refused};
-use crate::tally::Held;
-use crate::{Node, quotas::Quota};
+use crate::{Node, documents::quotas::Quota};
 use county::{Cell, Counties, Job, Known, OTHER, Spec, Unbound, Unread};
 use document::Fault;
 use std::collections::BTreeMap;
--- a/crates/control/src/audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -4,8 +4,8 @@
 //! after that all live records are read, and then all ended ones, since jobs only move that way. What was recorded
 //! later is told apart by its stamp. One audit at a time, page by page, and only with what the owner's other work leaves of its requests.
 
-use crate::part::Part;
-use crate::tally::Held;
+use crate::documents::county_counts::Held;
+use crate::store::part::Part;
 use crate::{Dest, Node, Pending};
 use county::{Cell, Count};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/control/src/tally.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -4,10 +4,10 @@
 //! its own record. So counting costs no write at an acceptance, and at an end none where a log record goes along
 //! anyway. `county::Tally` has the rules; this is what the part adds to them.
 
-use crate::commit::{Draft, Op};
-use crate::election::PART;
-use crate::jobs::{Job, JobIx};
-use crate::part::Part;
+use crate::jobs::job::{Job, JobIx};
+use crate::leadership::election::PART;
+use crate::store::commit::{Draft, Op};
+use crate::store::part::Part;
 use crate::{Dest, Node, Pending};
 use county::{Cell, Count, Delta, Fold, OTHER, Sheet, Tally, Unread};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -42,7 +42,7 @@
     /// The last transaction with ends that is known to stand.
     last_end: u64,
     tenants: HashMap<String, u16>,
-    pub audit: Option<crate::audit::Audit>,
+    pub audit: Option<crate::documents::county_audit::Audit>,
 }
 
 /// Sheets as they come in, page by page.
--- a/crates/control/src/hours.rs
+++ b/crates/control/src/documents/hours.rs
@@ -5,11 +5,11 @@
 //! that writes the job's record anew, with who, when and from what.
 
 use crate::Node;
-use crate::commit::{Draft, Op};
 use crate::documents::{Doc, Documents, Kind, KindId, refused};
-use crate::election::PART;
-use crate::jobs::{Ending, Job, JobIx};
-use crate::part::Part;
+use crate::jobs::job::{Ending, Job, JobIx};
+use crate::leadership::election::PART;
+use crate::store::commit::{Draft, Op};
+use crate::store::part::Part;
 use ::hours::{Around, Spec, TeamAt};
 use document::{Content, Fault};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/control/src/documents.rs
+++ b/crates/control/src/documents/mod.rs
@@ -9,12 +9,20 @@
 //! dies in its midst; what an owner that died had written of parts is in the way of nothing, and is tidied away by
 //! the next.
 
-use crate::commit::{Draft, Op};
-use crate::counties::County;
-use crate::hours::Hours;
+pub(crate) mod counties;
+pub(crate) mod county_audit;
+pub(crate) mod county_counts;
+pub(crate) mod hours;
+pub(crate) mod operator_api;
+pub(crate) mod quotas;
+
+use crate::documents::counties::County;
+use crate::documents::hours::Hours;
+use crate::documents::quotas::Quota;
 use crate::models::Listed;
-use crate::part::{Load, Part};
-use crate::quotas::Quota;
+use crate::store::commit::{Draft, Op};
+use crate::store::part::Part;
+use crate::store::recovery::Load;
 use crate::{Dest, Node, Pending};
 use document::{Content, Fault, Head, Past, SHORT};
 use serde::de::DeserializeOwned;
@@ -51,15 +59,15 @@
     ($id:expr, $K:ident => $what:expr) => {
         match $id {
             $crate::documents::KindId::Quota => {
-                type $K = $crate::quotas::Quota;
+                type $K = $crate::documents::quotas::Quota;
                 $what
             }
             $crate::documents::KindId::Hours => {
-                type $K = $crate::hours::Hours;
+                type $K = $crate::documents::hours::Hours;
                 $what
             }
             $crate::documents::KindId::Counties => {
-                type $K = $crate::counties::County;
+                type $K = $crate::documents::counties::County;
                 $what
             }
             $crate::documents::KindId::Models => {
@@ -653,7 +661,7 @@
             K::edited(&change.edit, &old, &context).map_err(|fault| faulty::<K>(vec![fault]))?;
         let built = Arc::new(spec.build(&context).map_err(faulty::<K>)?);
         K::may_change(self, &built).map_err(faulty::<K>)?;
-        let value = crate::commit::value_limit(self.settings.cluster.state.value_kb);
+        let value = crate::store::commit::value_limit(self.settings.cluster.state.value_kb);
         let parts = document::split(&spec, value).map_err(|e| refused(&e))?;
         let differences = K::Content::differences(&old, &spec, DIFFERENCES);
         let words = differences.first().map_or("nothing", String::as_str);
--- a/crates/control/src/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -1,11 +1,12 @@
 //! The quota tree as a document in force: its bounds are recorded as the part's allotment before anything starts
 //! under them, and a new version comes in one transaction with the allotment that names it.
 
-use crate::commit::{Draft, Op};
 use crate::documents::{Doc, Documents, Kind, KindId};
-use crate::election::PART;
-use crate::part::Part;
-use crate::{Node, documents, standing};
+use crate::leadership::election::PART;
+use crate::scheduling::entitlement;
+use crate::store::commit::{Draft, Op};
+use crate::store::part::Part;
+use crate::{Node, documents};
 use document::{Fault, Head};
 use quota::{Live, Spec, Tree, edit};
 use std::collections::BTreeSet;
@@ -147,7 +148,7 @@
 impl Node {
     /// The tree with the counts of this moment.
     fn counted(&self, tree: &Arc<Tree>) -> Option<Live> {
-        Some(standing::Counted::new(self.part.as_ref()?, tree.clone()).live)
+        Some(entitlement::Counted::new(self.part.as_ref()?, tree.clone()).live)
     }
 
     /// The tree in force; without one, the teams alone.
@@ -186,7 +187,7 @@
         for id in fresh {
             let new = part
                 .claim_mut(&id)
-                .is_some_and(|c| c.state == crate::machines::ClaimState::New && !c.sent);
+                .is_some_and(|c| c.state == crate::agents::machine::ClaimState::New && !c.sent);
             if new {
                 part.drop_claim(&id);
                 jobs.insert(id.job);
--- /dev/null
+++ b/crates/control/src/event.rs
@@ -0,0 +1,73 @@
+//! What goes into a controller and what comes out of it: events, and the effects that its host carries out.
+
+use crate::frontend;
+use std::net::SocketAddr;
+use wire::http::{Request, Response};
+
+/// Milliseconds of this host's steady clock, and of the time of day.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Now {
+    pub mono: u64,
+    pub wall: u64,
+}
+
+/// Who is asked.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub enum Dest {
+    State,
+    Cloud,
+    Peer(usize),
+    Worker(SocketAddr),
+}
+
+#[derive(Debug)]
+pub enum Event {
+    Client {
+        conn: u64,
+        request: Request,
+    },
+    Peer {
+        conn: u64,
+        request: Request,
+    },
+    /// A user's request that has waited for so long that it is refused unread.
+    Late {
+        conn: u64,
+    },
+    Reply {
+        tag: u64,
+        response: Option<Response>,
+    },
+    /// Nothing of it has left this host: there was no socket for it.
+    Unsent {
+        tag: u64,
+    },
+    /// Another door of this process asks for its records.
+    Side {
+        tag: u64,
+        ask: frontend::Ask,
+    },
+    Tick,
+}
+
+#[derive(Debug)]
+pub enum Effect {
+    Respond {
+        conn: u64,
+        response: Response,
+    },
+    Send {
+        tag: u64,
+        to: Dest,
+        method: &'static str,
+        path: String,
+        body: Vec<u8>,
+        timeout_ms: u64,
+        answer_limit: usize,
+    },
+    /// The end of what another door of this process has asked.
+    Side {
+        tag: u64,
+        answer: frontend::Answer,
+    },
+}
--- a/crates/control/src/side.rs
+++ b/crates/control/src/frontend.rs
@@ -4,9 +4,9 @@
 //! Its records stand under [`wire::records::SIDE`] and are written by the owner of the fleet only, under the guard of
 //! its record. They come last: a request is refused at once while the node has little left of what it may ask.
 
-use crate::budget::Bucket;
-use crate::election::PART;
-use crate::wake::Waiter;
+use crate::leadership::election::PART;
+use crate::models::demand::Waiter;
+use crate::store::rate_budget::Bucket;
 use crate::{Dest, Node, Pending};
 use serde_json::Value;
 use std::sync::Arc;
@@ -350,7 +350,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::part::Part;
+    use crate::store::part::Part;
     use crate::{Asker, Now, Tuning};
 
     /// A flood of submissions to the owner: it accepts no more at once than it may write, and claims and ends find a
@@ -375,7 +375,7 @@
         let mut accepted = 0;
         while accepted < 100 && node.has_room_for(Some(1)) {
             let (asker, spec) = (Asker::User(1), Box::new(spec.clone()));
-            let submission = crate::door::Submission {
+            let submission = crate::jobs::admission::Submission {
                 asker,
                 spec,
                 at: now.mono,
--- a/crates/control/src/door.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -1,10 +1,11 @@
 //! Requests of users and peers. Any controller serves them: accepts go straight to the state service, and questions
-//! about jobs to [`crate::lookup`].
+//! about jobs to [`crate::jobs::query`].
 
-use crate::election::PART;
-use crate::hand::Handed;
-use crate::lookup::{Question, Why};
-use crate::{Asker, Dest, Node, Pending, Role};
+use crate::jobs::forwarding::Handed;
+use crate::jobs::query::{Question, Why};
+use crate::leadership::election::PART;
+use crate::leadership::election::Role;
+use crate::{Asker, Dest, Node, Pending};
 use wire::api::{Conflict, ErrorBody, Guard, JobSpec, JobState, Stage, Txn, Write};
 use wire::http::{Request, Response};
 use wire::peer::{self, Answer, Ask};
--- a/crates/control/src/judge.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -3,7 +3,7 @@
 //! documents and by the job's absence: an accepted job is never judged again.
 
 use crate::Node;
-use crate::election::PART;
+use crate::leadership::election::PART;
 use std::collections::BTreeSet;
 use wire::api::{BODY_LIMIT, Catalog, JobSpec, Kind, MachineType};
 use wire::records::JobRec;
@@ -50,7 +50,8 @@
         if over(team.cpus_max, spec.cores) || over(team.gpus_max, spec.gpus) {
             return Err("more than the team's limit");
         }
-        let all = crate::standing::takes(spec.cores * n, spec.gpus * n, spec.mem_gb * n);
+        let all =
+            crate::scheduling::entitlement::takes(spec.cores * n, spec.gpus * n, spec.mem_gb * n);
         if self.above_its_tree(&spec.team, &all) {
             return Err("more than a node above the team may use");
         }
--- a/crates/control/src/hand.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -1,7 +1,7 @@
 //! Handing a user's request to a peer that may be better placed, and choosing which. What nodes say of themselves once
 //! a second only chooses: whoever is asked answers by its own rules.
 
-use crate::door::peer_answer;
+use crate::jobs::admission::peer_answer;
 use crate::{Asker, Dest, Node, Pending};
 use wire::http::Response;
 use wire::peer::{self, Answer, Ask};
--- a/crates/control/src/jobs.rs
+++ b/crates/control/src/jobs/job.rs
@@ -1,6 +1,6 @@
 //! A job in the owner's memory: which tasks are done, claimed or free, and how it ends.
 
-use crate::machines::Need;
+use crate::agents::machine::Need;
 use crate::{Asker, Node};
 use std::collections::{BTreeSet, HashMap};
 use wire::api::{JobSpec, JobState, Kind, Priority, Stage};
@@ -137,7 +137,7 @@
     /// Of a model: how many of its tasks may be there now. Only [`crate::models`] sets it.
     pub replicas: Option<u32>,
     /// By when it is to be released.
-    pub hour: Option<Box<crate::hours::Hour>>,
+    pub hour: Option<Box<crate::documents::hours::Hour>>,
 }
 
 impl Job {
@@ -153,7 +153,7 @@
         job.done = vec![0; spec.tasks.div_ceil(64) as usize];
         job.at_ms = rec.at_ms;
         job.county = rec.county;
-        job.hour = rec.hour.map(crate::hours::Hour::new);
+        job.hour = rec.hour.map(crate::documents::hours::Hour::new);
         job.version = version;
         job.ending = Ending::No;
         job.spec = Some(Box::new(spec));
--- a/crates/control/src/lookup.rs
+++ b/crates/control/src/jobs/query.rs
@@ -1,9 +1,9 @@
 //! Questions about jobs. They are answered from known ends, by the owner while it is sure of its lease, or from a
 //! fresh read of the state service, by this node or by a peer that is served; each step takes what time is left.
 
-use crate::door::peer_answer;
-use crate::hand::Handed;
-use crate::jobs::Job;
+use crate::jobs::admission::peer_answer;
+use crate::jobs::forwarding::Handed;
+use crate::jobs::job::Job;
 use crate::{Asker, Dest, Node, Pending};
 use wire::api::{Item, JobState, Stage};
 use wire::http::Response;
--- a/crates/control/src/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -3,7 +3,7 @@
 //! An owner is *sure* while its own clock, with allowance for drift, says that the lease it last renewed can't
 //! have ended. Only then does it start, cancel or answer for jobs.
 
-use crate::part::Part;
+use crate::store::part::Part;
 use crate::{Dest, Node, Pending};
 use wire::api::{Catalog, Changes, Grant, GrantRequest, Guard, Range, Txn, Write};
 use wire::http::Response;
--- a/crates/control/src/life.rs
+++ b/crates/control/src/leadership/incarnation.rs
@@ -3,7 +3,7 @@
 //! A node that begins knows that the life before it is over, since both would listen on the same addresses. If that life
 //! owned the fleet, nobody needs to wait for its lease to run out. Weighed in docs/safety.md under "A new life".
 //!
-//! Nothing here takes over; [`crate::election`] does, by a transaction that is guarded as any other.
+//! Nothing here takes over; [`crate::leadership::election`] does, by a transaction that is guarded as any other.
 
 use wire::records::OwnerRec;
 
--- a/crates/control/src/renewal.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -7,7 +7,7 @@
 //! Nothing here gives an order or decides who owns.
 
 use crate::Node;
-use crate::election::Role;
+use crate::leadership::election::Role;
 use wire::settings::Workers;
 
 /// Two clocks that drift apart by 0.05% each, doubled.
--- a/crates/control/src/keeper.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -3,10 +3,10 @@
 //!
 //! The owner names it again with each view (once a second), with the machines on which something is that was
 //! cancelled; those are not kept. Of later cancels the keeper hears nothing, so that it stops in time; see
-//! [`crate::renewal`] and docs/safety.md. It writes nothing down: what it was told ends with its process.
+//! [`crate::leadership::lease_bound`] and docs/safety.md. It writes nothing down: what it was told ends with its process.
 
 use crate::Node;
-use crate::renewal::bound_ms;
+use crate::leadership::lease_bound::bound_ms;
 use wire::api::{Orders, Report};
 use wire::peer::Keep;
 
--- /dev/null
+++ b/crates/control/src/leadership/mod.rs
@@ -0,0 +1,8 @@
+//! Leadership: the election of the leader by a lease in the state service, how long it may act, and what the controllers
+//! know of each other.
+
+pub(crate) mod election;
+pub(crate) mod incarnation;
+pub(crate) mod lease_bound;
+pub(crate) mod lease_delegate;
+pub(crate) mod peer_status;
--- a/crates/control/src/views.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -1,8 +1,8 @@
 //! What the nodes tell each other once a second: who owns, whom the state service answers, which tokens are known.
 //!
-//! What it says of reach only chooses who acts. What it says of tokens is proof for [`crate::renewal`].
+//! What it says of reach only chooses who acts. What it says of tokens is proof for [`crate::leadership::lease_bound`].
 
-use crate::door::peer_answer;
+use crate::jobs::admission::peer_answer;
 use crate::{Dest, Node, Pending};
 use wire::http::Response;
 use wire::peer::{self, Answer, Ask, View};
--- a/crates/control/src/wake.rs
+++ b/crates/control/src/models/demand.rs
@@ -5,9 +5,9 @@
 //! follows what stands there. A node that hears of demand for a model that is up tells the owner now and then; where
 //! it can't, it says so in the record, and a sleep that was decided without it fails on its guard.
 
-use crate::door::peer_answer;
+use crate::jobs::admission::peer_answer;
 use crate::models::Known;
-use crate::{Dest, Node, Pending, side};
+use crate::{Dest, Node, Pending, frontend};
 use model::{Asked, Rec, Rule, asked};
 use std::collections::HashMap;
 use wire::admin;
@@ -487,7 +487,9 @@
                 peer::encode(&Answer::Model(Box::new(told.clone()))),
                 None,
             ),
-            Waiter::Side(tag) => self.side_over(tag, side::Answer::Model(Box::new(told.clone()))),
+            Waiter::Side(tag) => {
+                self.side_over(tag, frontend::Answer::Model(Box::new(told.clone())))
+            }
         }
     }
 
@@ -504,8 +506,8 @@
             Waiter::Peer(conn) => {
                 self.respond(conn, 200, peer::encode(&Answer::refused(status, why)), None)
             }
-            Waiter::Side(tag) if status == 503 => self.side_over(tag, side::Answer::Busy),
-            Waiter::Side(tag) => self.side_over(tag, side::Answer::Refused),
+            Waiter::Side(tag) if status == 503 => self.side_over(tag, frontend::Answer::Busy),
+            Waiter::Side(tag) => self.side_over(tag, frontend::Answer::Refused),
         }
     }
 
--- a/crates/control/src/models.rs
+++ b/crates/control/src/models/mod.rs
@@ -1,18 +1,21 @@
 //! Models: standing jobs that give their machines back while nobody asks for them, and come back once.
 //!
 //! A model's record says whether it is asleep and which generation it is in. Any controller begins the next generation,
-//! by one transaction under a guard on the record as it was read ([`crate::wake`]); everything else about it is written
+//! by one transaction under a guard on the record as it was read ([`crate::models::demand`]); everything else about it is written
 //! here, by the owner of the fleet and under the guard of its record too. What is started and stopped follows from the
 //! record, by claims and proofs as for any job: so nothing starts that a record does not want, whoever owns the fleet.
 //!
 //! Without a document nothing is read, watched or written here.
 
+pub(crate) mod demand;
+
 use crate::documents::{self, Doc, Documents, KindId};
-use crate::election::PART;
-use crate::jobs::{Ending, Job, JobIx};
-use crate::part::{Load, Part};
-use crate::sched::grace;
-use crate::wake::Wakes;
+use crate::jobs::job::{Ending, Job, JobIx};
+use crate::leadership::election::PART;
+use crate::models::demand::Wakes;
+use crate::scheduling::planning::grace;
+use crate::store::part::Part;
+use crate::store::recovery::Load;
 use crate::{Dest, Node, Pending};
 use document::Fault;
 use model::{Asked, MAX_NEAR, Phase, Rec, Rule, Seen, Spec, asked};
--- /dev/null
+++ b/crates/control/src/node.rs
@@ -0,0 +1,406 @@
+//! One controller: its state, and the dispatch of events and answers to the modules that own them.
+
+use crate::agents::{relay, routing};
+use crate::documents::for_kind;
+use crate::event::{Dest, Effect, Event, Now};
+use crate::frontend;
+use crate::jobs::{admission, answer_history, forwarding};
+use crate::leadership::election::{Role, Shared};
+use crate::leadership::{election, incarnation, lease_delegate, peer_status};
+use crate::models::{self};
+use crate::outstanding::Pending;
+use crate::overload::{load_shedding, plan_pacing};
+use crate::stats::Stats;
+use crate::store::part::Part;
+use crate::store::rate_budget::Bucket;
+use crate::tuning::Tuning;
+use std::collections::{HashMap, VecDeque};
+use wire::api::Catalog;
+use wire::http::Response;
+use wire::settings::Settings;
+
+/// Largest answer that is read from the state service; watches have no limit of their own.
+const STATE_ANSWER: usize = 8 << 20;
+const SMALL_ANSWER: usize = 128 << 10;
+const PEER_ANSWER: usize = 1 << 20;
+/// One controller.
+pub struct Node {
+    pub(crate) settings: Settings,
+    pub(crate) tuning: Tuning,
+    pub(crate) rng: fastrand::Rng,
+    pub(crate) now: Now,
+    pub(crate) effects: Vec<Effect>,
+    pub(crate) pending: HashMap<u64, Pending>,
+    pub(crate) next_tag: u64,
+    pub(crate) shared: Shared,
+    pub(crate) role: Role,
+    pub(crate) life: incarnation::Life,
+    pub(crate) hint: Option<election::Hint>,
+    pub(crate) epoch: u64,
+    pub(crate) part: Option<Part>,
+    /// Requests to the state service and writes to it that this node may still make.
+    pub(crate) requests: Bucket,
+    pub(crate) writes: Bucket,
+    pub(crate) cloud: Bucket,
+    pub(crate) finals: answer_history::Finals,
+    pub(crate) said: answer_history::Said,
+    /// Accepts that the state service was too busy for, with the time of the next try.
+    pub(crate) retries: VecDeque<(u64, admission::Submission)>,
+    /// When the state service last refused or did not answer us, unless it has answered since.
+    pub(crate) state_bad_at: Option<u64>,
+    /// When it last answered us.
+    pub(crate) state_good_at: Option<u64>,
+    /// What the other nodes say.
+    pub(crate) views: peer_status::Views,
+    /// How they answer what is handed to them.
+    pub(crate) hands: forwarding::Hands,
+    /// What we hand on for them.
+    pub(crate) relay: relay::Relay,
+    /// Which controllers workers report to.
+    pub(crate) routing: routing::Routing,
+    pub(crate) pace: plan_pacing::Pace,
+    pub(crate) shedding: load_shedding::Shedding,
+    /// What the owner has us keep.
+    pub(crate) charge: Option<lease_delegate::Charge>,
+    pub(crate) catalog_at: u64,
+    /// When we last gave the fleet up because most machines could not be heard.
+    pub(crate) stood_back_at: Option<u64>,
+    /// Something may be there to be written. Without it, only ticks look.
+    pub(crate) to_write: bool,
+    /// Another door of this process is open, and has job ids of its own.
+    pub(crate) beside: bool,
+    pub(crate) side: frontend::Side,
+    pub(crate) models: models::Models,
+    pub(crate) stats: Stats,
+}
+
+impl Node {
+    pub fn new(settings: Settings, tuning: Tuning, seed: u64, now: Now) -> Self {
+        let c = &settings.cluster;
+        let nodes = settings.peers.len() as f64 + 1.0;
+        let limits = settings.limits();
+        // About 150 bytes a final state; a tenth of the memory is theirs.
+        let finals = ((limits.mem_mb * 1e5 / 150.0) as usize).clamp(1000, 1_000_000);
+        Node {
+            requests: Bucket::new(c.state.rps * 0.9 / nodes),
+            writes: Bucket::new(c.state.write_rps * election::OTHER_WRITES),
+            cloud: Bucket::new(c.cloud.rps * 0.8),
+            settings,
+            tuning,
+            life: incarnation::Life::begin(seed),
+            rng: fastrand::Rng::with_seed(seed),
+            now,
+            effects: Vec::new(),
+            pending: HashMap::new(),
+            next_tag: 1,
+            shared: Shared::default(),
+            role: Role::Follower { may_stand_at: 0 },
+            hint: None,
+            epoch: 0,
+            part: None,
+            finals: answer_history::Finals::new(finals),
+            said: answer_history::Said::default(),
+            retries: VecDeque::new(),
+            state_bad_at: None,
+            state_good_at: None,
+            views: peer_status::Views::default(),
+            hands: forwarding::Hands::default(),
+            relay: relay::Relay::default(),
+            routing: routing::Routing::new(),
+            pace: plan_pacing::Pace::default(),
+            shedding: load_shedding::Shedding::default(),
+            charge: None,
+            catalog_at: 0,
+            stood_back_at: None,
+            to_write: false,
+            beside: false,
+            side: frontend::Side::new(),
+            models: models::Models::default(),
+            stats: Stats::default(),
+        }
+    }
+
+    /// The same, with a quota tree to begin with. It is put in place only if there has never been one.
+    pub fn with_first_tree(mut self, spec: Option<quota::Spec>) -> Self {
+        self.shared.documents.quota.first = spec;
+        self
+    }
+
+    /// The same, with a calendar of release hours to begin with.
+    pub fn with_first_hours(mut self, spec: Option<::hours::Spec>) -> Self {
+        self.shared.documents.hours.first = spec;
+        self
+    }
+
+    /// The same with counties to begin with.
+    pub fn with_first_counties(mut self, spec: Option<county::Spec>) -> Self {
+        self.shared.documents.counties.first = spec;
+        self
+    }
+
+    /// The same, with a list of models to begin with.
+    pub fn with_first_models(mut self, spec: Option<model::Spec>) -> Self {
+        self.shared.documents.models.first = spec;
+        self
+    }
+
+    /// The same with another door beside it, whose job ids users can't take.
+    pub fn with_door_beside(self) -> Self {
+        Node {
+            beside: true,
+            ..self
+        }
+    }
+
+    pub fn stats(&self) -> &Stats {
+        &self.stats
+    }
+
+    /// Takes one event and returns what is to be done.
+    pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
+        self.now = now;
+        self.to_write |= matches!(event, Event::Tick);
+        match event {
+            Event::Client { conn, request } => self.client(conn, request),
+            Event::Peer { conn, request } => self.peer(conn, &request),
+            Event::Late { conn } => self.refuse(conn, 429, "busy"),
+            Event::Reply { tag, response } => self.reply(tag, response),
+            Event::Unsent { tag } => self.unsent(tag),
+            Event::Side { tag, ask } => self.side_asked(tag, ask),
+            Event::Tick => self.tick(),
+        }
+        self.flush_commit();
+        std::mem::take(&mut self.effects)
+    }
+
+    /// How long the caller may wait until the next tick.
+    pub fn wait_ms(&self) -> u64 {
+        if self.part.is_some() { 50 } else { 100 }
+    }
+
+    pub(crate) fn tick(&mut self) {
+        self.pace.ticked(self.now.mono, self.wait_ms());
+        self.election_tick();
+        self.routing_tick();
+        self.views_tick();
+        self.relay_tick();
+        self.door_tick();
+        self.waiters_tick();
+        self.share_writes();
+        self.documents_tick();
+        if self.shared.catalog.is_none() || self.owns() {
+            self.catalog_tick();
+        }
+        self.load_tick();
+        if self.part.as_ref().is_some_and(|p| p.loaded) {
+            self.fleet_tick();
+            self.machines_tick();
+            self.sched_tick();
+            self.hours_tick();
+            self.tally_tick();
+            self.audit_tick();
+        }
+        self.models_tick();
+    }
+
+    pub(crate) fn owns(&self) -> bool {
+        self.part.is_some()
+    }
+
+    pub(crate) fn catalog(&self) -> Option<&Catalog> {
+        self.shared.catalog.as_ref()
+    }
+
+    pub(crate) fn send(
+        &mut self,
+        to: Dest,
+        method: &'static str,
+        path: String,
+        body: Vec<u8>,
+        timeout_ms: u64,
+        what: Pending,
+    ) {
+        let tag = self.next_tag;
+        self.next_tag += 1;
+        self.pending.insert(tag, what);
+        let answer_limit = match to {
+            _ if wire::admin::kind_of(&path).is_some() => wire::admin::ANSWER_LIMIT,
+            Dest::State | Dest::Cloud => STATE_ANSWER,
+            // Orders for many workers.
+            Dest::Peer(_) => PEER_ANSWER,
+            _ => SMALL_ANSWER,
+        };
+        if to == Dest::State {
+            self.requests.take(self.now.mono, 1.0);
+        }
+        self.effects.push(Effect::Send {
+            tag,
+            to,
+            method,
+            path,
+            body,
+            timeout_ms,
+            answer_limit,
+        });
+    }
+
+    pub(crate) fn respond(
+        &mut self,
+        conn: u64,
+        status: u16,
+        body: Vec<u8>,
+        retry_after_s: Option<u32>,
+    ) {
+        let response = Response {
+            status,
+            body,
+            close: false,
+            retry_after_s,
+        };
+        self.effects.push(Effect::Respond { conn, response });
+    }
+
+    /// Reads a body of somebody else's; an unreadable one is as good as no answer.
+    pub(crate) fn read<T: serde::de::DeserializeOwned>(
+        &mut self,
+        from: &str,
+        response: &Response,
+    ) -> Option<T> {
+        match wire::decode(&response.body) {
+            Ok(v) => Some(v),
+            Err(e) => {
+                self.stats.bad_answers += 1;
+                log::warn!("{from}: {e}");
+                None
+            }
+        }
+    }
+
+    /// What was not sent has no effect later, and says nothing of whom it was for.
+    pub(crate) fn unsent(&mut self, tag: u64) {
+        let epoch = self.epoch;
+        match self.pending.get(&tag) {
+            Some(Pending::Direct {
+                epoch: e,
+                machine,
+                serial,
+                ..
+            }) if *e == epoch => {
+                let (machine, serial) = (*machine, *serial);
+                self.pending.remove(&tag);
+                self.direct_came(machine, serial, Some(relay::not_sent()));
+            }
+            Some(Pending::Show {
+                epoch: e,
+                machine,
+                serial,
+                ..
+            }) if *e == epoch => {
+                let (machine, serial) = (*machine, *serial);
+                self.pending.remove(&tag);
+                self.show_unsent(machine, serial);
+            }
+            Some(Pending::Tell { conn }) => {
+                let conn = *conn;
+                self.pending.remove(&tag);
+                self.tell_unsent(conn);
+            }
+            _ => self.reply(tag, None),
+        }
+    }
+
+    pub(crate) fn reply(&mut self, tag: u64, response: Option<Response>) {
+        let Some(what) = self.pending.remove(&tag) else {
+            return;
+        };
+        let epoch = self.epoch;
+        if what.asks_state() {
+            let bad = response.as_ref().is_none_or(|r| r.status == 503);
+            self.state_bad_at = bad.then_some(self.now.mono);
+            if !bad {
+                self.state_good_at = Some(self.now.mono);
+            }
+            // Looked at again and again until it serves us; the owner's renewals do the same.
+            if bad && self.shared.known && !self.owns() {
+                self.reread_shared(300);
+            }
+        }
+        match what {
+            Pending::SharedRead => self.shared_read(response),
+            Pending::SharedWatch { round } => self.shared_changes(round, response),
+            Pending::Grant { sent } => self.granted(sent, response),
+            Pending::Renew { lease, sent } => self.renewed(lease, sent, response),
+            Pending::Take { lease, token } => self.took(lease, token, response),
+            Pending::Release => {}
+            Pending::View { sent, peer } => self.view_came(sent, peer, response),
+            Pending::Relayed { conns } => self.relayed(conns, response),
+            Pending::Tell { conn } => self.worker_told(conn, response),
+            Pending::Accept {
+                submission,
+                denied,
+                mark,
+            } => self.accepted(submission, denied, mark, response),
+            Pending::ReadLive { question } => self.live_read(question, response),
+            Pending::ReadEnd { question } => self.end_read(question, response),
+            Pending::PeerQuery {
+                question,
+                peer,
+                sent,
+            } => self.peer_queried(question, peer, sent, response),
+            Pending::PeerCancel { conn, job } => self.peer_cancelled(conn, job, response),
+            Pending::Hand {
+                handed,
+                peer,
+                sent,
+                mark,
+            } => self.handed_back(handed, peer, sent, mark, response),
+            Pending::Admin { conn } => self.admin_answered(conn, response),
+            Pending::Side { tag } => self.side_answered(tag, response),
+            Pending::Wake { model, step } => self.wake_came(model, step, response),
+            Pending::WakeForward { waiter } => self.demand_forwarded(waiter, response),
+            Pending::Said { model } => self.said_to_owner(&model, response),
+            Pending::Catalog => self.catalog_came(response),
+            // What belongs to an earlier term of ownership no longer concerns us.
+            Pending::Load { epoch: e, what } if e == epoch => self.load_came(what, response),
+            Pending::Audit { epoch: e, under } if e == epoch => self.audit_came(under, response),
+            Pending::Sheets { epoch: e } if e == epoch => self.sheets_came(response),
+            Pending::Models { epoch: e } if e == epoch => self.models_came(response),
+            Pending::ModelWatch { epoch: e } if e == epoch => self.models_watched(response),
+            Pending::ModelWrite { epoch: e, model } if e == epoch => {
+                self.model_written(model, response)
+            }
+            Pending::Parts { epoch: e, kind } if e == epoch => {
+                for_kind!(kind, K => self.parts_came::<K>(response))
+            }
+            Pending::LiveWatch { epoch: e } if e == epoch => self.live_changes(response),
+            Pending::Commit { epoch: e } if e == epoch => self.committed(response),
+            Pending::Verify { epoch: e } if e == epoch => self.verified(response),
+            Pending::List { epoch: e } if e == epoch => self.list_came(response),
+            Pending::Hire { epoch: e, name } if e == epoch => self.hired(name, response),
+            Pending::Delete { epoch: e, machines } if e == epoch => {
+                self.deleted(machines, response)
+            }
+            Pending::Direct {
+                epoch: e,
+                machine,
+                serial,
+                via,
+            } if e == epoch => self.direct_came(
+                machine,
+                serial,
+                if via { relay::told(response) } else { response },
+            ),
+            Pending::Show {
+                epoch: e,
+                machine,
+                serial,
+                via,
+            } if e == epoch => self.show_came(
+                machine,
+                serial,
+                if via { relay::told(response) } else { response },
+            ),
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/src/outstanding.rs
@@ -0,0 +1,170 @@
+//! Requests of this controller's that are not answered yet, and what each answer belongs to.
+
+use crate::documents::{self, county_audit};
+use crate::jobs::{admission, forwarding, query};
+use crate::models::demand;
+use crate::store::recovery;
+
+/// A user or a peer that waits for an answer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Asker {
+    User(u64),
+    Peer(u64),
+}
+
+/// What an answer that is still out belongs to. `epoch` ties it to one term of ownership.
+pub(crate) enum Pending {
+    SharedRead,
+    SharedWatch {
+        round: u64,
+    },
+    Grant {
+        sent: u64,
+    },
+    Renew {
+        lease: u64,
+        sent: u64,
+    },
+    Take {
+        lease: u64,
+        token: u64,
+    },
+    View {
+        sent: u64,
+        peer: usize,
+    },
+    Relayed {
+        conns: Vec<u64>,
+    },
+    Tell {
+        conn: u64,
+    },
+    Release,
+    Load {
+        epoch: u64,
+        what: recovery::Load,
+    },
+    LiveWatch {
+        epoch: u64,
+    },
+    Commit {
+        epoch: u64,
+    },
+    Verify {
+        epoch: u64,
+    },
+    Accept {
+        submission: admission::Submission,
+        denied: Option<&'static str>,
+        mark: u64,
+    },
+    ReadLive {
+        question: query::Question,
+    },
+    ReadEnd {
+        question: query::Question,
+    },
+    PeerQuery {
+        question: query::Question,
+        peer: usize,
+        sent: u64,
+    },
+    PeerCancel {
+        conn: u64,
+        job: String,
+    },
+    Hand {
+        handed: forwarding::Handed,
+        peer: usize,
+        sent: u64,
+        mark: u64,
+    },
+    Admin {
+        conn: u64,
+    },
+    Side {
+        tag: u64,
+    },
+    Sheets {
+        epoch: u64,
+    },
+    Audit {
+        epoch: u64,
+        under: county_audit::Under,
+    },
+    Models {
+        epoch: u64,
+    },
+    ModelWatch {
+        epoch: u64,
+    },
+    ModelWrite {
+        epoch: u64,
+        model: String,
+    },
+    Wake {
+        model: String,
+        step: demand::Step,
+    },
+    WakeForward {
+        waiter: demand::Waiter,
+    },
+    Said {
+        model: String,
+    },
+    Parts {
+        epoch: u64,
+        kind: documents::KindId,
+    },
+    Catalog,
+    List {
+        epoch: u64,
+    },
+    Hire {
+        epoch: u64,
+        name: String,
+    },
+    Delete {
+        epoch: u64,
+        machines: Vec<usize>,
+    },
+    Direct {
+        epoch: u64,
+        machine: usize,
+        serial: u64,
+        via: bool,
+    },
+    Show {
+        epoch: u64,
+        machine: usize,
+        serial: u64,
+        via: bool,
+    },
+}
+
+impl Pending {
+    /// A question to the state service that is answered at once if it serves us.
+    pub(crate) fn asks_state(&self) -> bool {
+        use Pending::*;
+        matches!(
+            self,
+            SharedRead
+                | Grant { .. }
+                | Renew { .. }
+                | Take { .. }
+                | Load { .. }
+                | Sheets { .. }
+                | Audit { .. }
+                | Parts { .. }
+                | Commit { .. }
+                | Verify { .. }
+                | Accept { .. }
+                | ReadLive { .. }
+                | ReadEnd { .. }
+                | Side { .. }
+                | Models { .. }
+                | ModelWrite { .. }
+                | Wake { .. }
+        )
+    }
+}
--- a/crates/control/src/shedding.rs
+++ b/crates/control/src/overload/load_shedding.rs
@@ -2,7 +2,7 @@
 //! before them, so that an overloaded node is not asked the same again and again in the meantime.
 //!
 //! ```
-//! use control::shedding::Shedding;
+//! use control::overload::load_shedding::Shedding;
 //! let mut shedding = Shedding::default();
 //! assert_eq!(shedding.turn_away(0, 10.0), 1);
 //! (0..50).for_each(|_| { shedding.turn_away(0, 10.0); });
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -1,8 +1,8 @@
 //! The cloud: its catalogue, its late list, rentals and returns.
 
-use crate::election::PART;
-use crate::machines::Machine;
-use crate::part::{Hire, HireState};
+use crate::agents::machine::Machine;
+use crate::leadership::election::PART;
+use crate::store::part::{Hire, HireState};
 use crate::{Dest, Node, Pending};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{Catalog, HireRequest, ListedMachine, MachineList, MachineNames};
--- a/crates/control/src/standing.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -1,9 +1,9 @@
 //! How far guarantees hold each job where quotas nest: its team's own, what its siblings leave of their desk's, what
 //! others leave of the house's, and so on up.
 
-use crate::jobs::{Job, JobIx};
-use crate::part::Part;
-use crate::quotas::Good;
+use crate::documents::quotas::Good;
+use crate::jobs::job::{Job, JobIx};
+use crate::store::part::Part;
 use quota::{Amount, Count, Live, MAX_RESOURCES, NOTHING, Share, TeamId, Tree, amount};
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
--- a/crates/control/src/sched.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -1,11 +1,11 @@
 //! Between the owner's memory and the planner: what it is shown, and what follows from its plan.
 
-use crate::jobs::{Class, Ending, Job, JobIx};
-use crate::ledger::ClaimId;
-use crate::machines::{Claim, Machine, Need};
-use crate::part::{HireState, Part};
-use crate::standing::{self, Holds};
-use crate::urgent;
+use crate::agents::machine::{Claim, Machine, Need};
+use crate::jobs::job::{Class, Ending, Job, JobIx};
+use crate::scheduling::entitlement::{self, Holds};
+use crate::scheduling::urgent;
+use crate::store::claim_log::ClaimId;
+use crate::store::part::{HireState, Part};
 use crate::{Node, Tuning};
 use std::collections::{HashMap, HashSet};
 use wire::api::{Catalog, Cause, JobSpec, Kind, MachineType, Priority};
@@ -66,7 +66,7 @@
 /// A job as the planner sees it, as far as its description says.
 fn shaped(
     spec: &JobSpec,
-    images: &mut crate::part::Names,
+    images: &mut crate::store::part::Names,
     names: &Names<'_>,
     team: u16,
 ) -> plan::Job {
@@ -261,7 +261,7 @@
         job: &Job,
         teams: &HashMap<&str, u16>,
         classes: &std::collections::BTreeMap<String, Class>,
-        images: &mut crate::part::Names,
+        images: &mut crate::store::part::Names,
     ) -> Self {
         let team = teams.get(job.team.as_str()).copied();
         let Some(spec) = &job.spec else {
@@ -511,10 +511,10 @@
         let aims = Aims {
             all: &self.settings.cluster.objectives,
         };
-        let holds = standing::holds(part, &self.settings.cluster.teams, good.as_ref(), &teams);
+        let holds = entitlement::holds(part, &self.settings.cluster.teams, good.as_ref(), &teams);
         let unheld: HashSet<u16> = tree
             .iter()
-            .flat_map(|tree| standing::unheld(tree, &teams))
+            .flat_map(|tree| entitlement::unheld(tree, &teams))
             .collect();
         let names = Names {
             catalog,
@@ -524,7 +524,7 @@
             unheld: &unheld,
         };
         if let (Some(tree), Some((_, counted))) = (&tree, &part.counted) {
-            input.groups = standing::groups(tree, &counted.live);
+            input.groups = entitlement::groups(tree, &counted.live);
         }
         part.jobs
             .iter_mut()
@@ -668,7 +668,7 @@
                     .filter_map(|m| to_plan.get(m).copied())
                     .collect(),
                 tenant: job.tenant,
-                only: crate::tally::zones(job, &zones),
+                only: crate::documents::county_counts::zones(job, &zones),
                 ..shaped(spec, &mut part.images, &names, *team)
             };
             let claimed = staying[ix];
--- a/crates/control/src/urgent.rs
+++ b/crates/control/src/scheduling/urgent.rs
@@ -1,7 +1,7 @@
 //! Work of the highest priority does not wait for the next full plan: a plan for it alone is made as it arrives, and
 //! again while it lacks places, so often as it gets on.
 
-use crate::pace::Pace;
+use crate::overload::plan_pacing::Pace;
 use wire::api::{JobSpec, Kind, Priority};
 
 /// Urgent plans are at least this far apart, in milliseconds.
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -4,8 +4,8 @@
 //! all its claims have ended and all jobs whose results it holds have; so it may name claims that are over, which
 //! costs a new owner a moment's caution and nothing else. Machines stand in racks, many to a record.
 
-use crate::jobs::JobIx;
-use crate::part::Part;
+use crate::jobs::job::JobIx;
+use crate::store::part::Part;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// One claim, for ever: attempts never repeat.
@@ -146,7 +146,7 @@
 
 impl Part {
     /// Puts a claim on a machine, to be recorded.
-    pub fn make_claim(&mut self, id: ClaimId, claim: crate::machines::Claim) {
+    pub fn make_claim(&mut self, id: ClaimId, claim: crate::agents::machine::Claim) {
         if self.job(id.job).is_none() || self.machine(id.machine).is_none() {
             return;
         }
@@ -159,7 +159,7 @@
         self.ledger.fresh.push_back(id);
     }
 
-    pub fn claim_mut(&mut self, id: &ClaimId) -> Option<&mut crate::machines::Claim> {
+    pub fn claim_mut(&mut self, id: &ClaimId) -> Option<&mut crate::agents::machine::Claim> {
         let machine = self.machines.get_mut(id.machine)?.as_mut()?;
         machine
             .claims
@@ -173,10 +173,10 @@
             return;
         };
         match job.ending {
-            crate::jobs::Ending::No if !job.unsaved.is_empty() => {
+            crate::jobs::job::Ending::No if !job.unsaved.is_empty() => {
                 self.ledger.unsaved.insert(ix);
             }
-            crate::jobs::Ending::Wanted(stage) => {
+            crate::jobs::job::Ending::Wanted(stage) => {
                 self.ledger.unsaved.remove(&ix);
                 if !self.ledger.ending.contains(&ix) {
                     // A cancel has somebody waiting for it, and tasks that run for nobody.
--- a/crates/control/src/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -4,12 +4,12 @@
 //! that lands late, or from an earlier owner, changes nothing. Without an answer the same bytes are sent
 //! again: either the first or the second is applied, never both.
 
+use crate::agents::machine::ClaimState;
 use crate::documents::{KindId, for_kind};
-use crate::election::PART;
-use crate::jobs::{Ending, JobIx};
-use crate::ledger::{ClaimId, Segment};
-use crate::machines::ClaimState;
-use crate::part::{HireState, Part};
+use crate::jobs::job::{Ending, JobIx};
+use crate::leadership::election::PART;
+use crate::store::claim_log::{ClaimId, Segment};
+use crate::store::part::{HireState, Part};
 use crate::{Dest, Node, Pending};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{Conflict, Guard, Item, JobState, Revision, Txn, Write};
@@ -33,7 +33,7 @@
     PartOver(KindId, String),
     Head(KindId),
     /// A moved hour, with the time of the move.
-    Hour(crate::hours::Move, u64),
+    Hour(crate::documents::hours::Move, u64),
 }
 
 /// A log record on its way.
@@ -77,7 +77,7 @@
     probe: Option<(String, u64, bool)>,
     size: usize,
     /// Counts of the jobs that it ends, for its log record.
-    pub counts: crate::tally::Counts,
+    pub counts: crate::documents::county_counts::Counts,
 }
 
 impl Draft {
@@ -121,7 +121,7 @@
             return;
         };
         let done = job.done_count;
-        let hour = crate::hours::end_rec(job, wall);
+        let hour = crate::documents::hours::end_rec(job, wall);
         job.ending = Ending::Writing(stage);
         let (id, version) = (job.id.clone(), job.version);
         let county = self.counts.add(part, ix, stage);
@@ -149,7 +149,7 @@
             ended,
         };
         let mut entries: BTreeMap<(JobIx, u64), BTreeMap<usize, BTreeSet<u32>>> = BTreeMap::new();
-        let mut size = 64 + crate::tally::length(&log.ended);
+        let mut size = 64 + crate::documents::county_counts::length(&log.ended);
         let mut grow = |part: &Part, id: &ClaimId| {
             let (Some(job), Some(machine)) = (part.job(id.job), part.machine(id.machine)) else {
                 return false;
@@ -159,7 +159,8 @@
                 + if known {
                     0
                 } else {
-                    ClaimsRec::frame(&job.id, &job.team) + crate::tally::frame(job)
+                    ClaimsRec::frame(&job.id, &job.team)
+                        + crate::documents::county_counts::frame(job)
                 };
             if size + more > value {
                 return false;
@@ -245,7 +246,7 @@
                 mem_gb: job.need.mem_gb,
                 attempt,
                 on: list,
-                county: crate::tally::claims_county(job),
+                county: crate::documents::county_counts::claims_county(job),
                 alone: job.tenant.alone,
             });
         }
@@ -442,7 +443,7 @@
             writes: Vec::new(),
             probe: None,
             size: 0,
-            counts: crate::tally::Counts::new(value),
+            counts: crate::documents::county_counts::Counts::new(value),
         };
         let tidy = now >= part.commit.tidied_at + TIDY_MS;
         // Ends come first, but they do not keep claims waiting for ever.
--- /dev/null
+++ b/crates/control/src/store/live_jobs.rs
@@ -0,0 +1,54 @@
+//! The watch of accepted jobs: any controller accepts, and the leader hears of it here.
+
+use crate::{Dest, Node, Pending};
+use wire::api::Changes;
+use wire::http::Response;
+use wire::records::{self, JobRec};
+
+impl Node {
+    pub(crate) fn watch_live(&mut self) {
+        let epoch = self.epoch;
+        let Some(part) = &mut self.part else { return };
+        part.live_busy = true;
+        let path = format!(
+            "/changes?under={}&from={}&waitMs=5000",
+            records::LIVE,
+            part.live_revision
+        );
+        self.send(
+            Dest::State,
+            "GET",
+            path,
+            Vec::new(),
+            7000,
+            Pending::LiveWatch { epoch },
+        );
+    }
+
+    pub(crate) fn live_changes(&mut self, response: Option<Response>) {
+        let now = self.now.mono;
+        let retry = now + self.rng.u64(100..400);
+        let Some(part) = &mut self.part else { return };
+        part.live_busy = false;
+        part.live_retry_at = retry;
+        let Some(response) = response else { return };
+        match response.status {
+            200 => {}
+            410 => return self.step_down("too many changes were missed; reading everything again"),
+            _ => return,
+        }
+        let Some(changes) = self.read::<Changes<JobRec>>("state service", &response) else {
+            return;
+        };
+        for change in changes.events {
+            if let Some(rec) = change.value {
+                self.writes.take(now, 1.0);
+                self.job_known(rec, change.version);
+            }
+        }
+        if let Some(part) = &mut self.part {
+            part.live_revision = part.live_revision.max(changes.revision);
+        }
+        self.watch_live();
+    }
+}
--- /dev/null
+++ b/crates/control/src/store/mod.rs
@@ -0,0 +1,9 @@
+//! The leader's records in the state service: its compare-and-swap transactions, the log of write-ahead claims, and how
+//! all of it is read back after a failover.
+
+pub(crate) mod claim_log;
+pub(crate) mod commit;
+pub(crate) mod live_jobs;
+pub(crate) mod part;
+pub(crate) mod rate_budget;
+pub(crate) mod recovery;
--- a/crates/control/tests/door.rs
+++ b/crates/control/tests/door.rs
@@ -363,7 +363,7 @@
 /// users filled what an overloaded node could serve.
 #[test]
 fn the_more_are_turned_away_the_later_they_come_back() {
-    use control::shedding::LONGEST_S;
+    use control::overload::load_shedding::LONGEST_S;
     const USERS: u64 = 1000;
     let mut p = Played::new();
     p.learns_with_types("burrow-1");
--- a/crates/control/tests/pace.rs
+++ b/crates/control/tests/pace.rs
@@ -1,6 +1,6 @@
 //! Plans of a node that is short of processor time.
 
-use control::pace::{MOST, Pace};
+use control::overload::plan_pacing::{MOST, Pace};
 
 const TICK_MS: u64 = 50;
 const PLAN_MS: u64 = 1000;
--- a/crates/control/tests/precedence.rs
+++ b/crates/control/tests/precedence.rs
@@ -1,6 +1,8 @@
 //! The order in which a node serves what waits.
 
-use control::precedence::{Backlog, Next, Precedence, QUESTION_WAITS_MS, SUBMISSION_WAITS_MS};
+use control::overload::precedence::{
+    Backlog, Next, Precedence, QUESTION_WAITS_MS, SUBMISSION_WAITS_MS,
+};
 use proptest::prelude::*;
 use wire::http::Request;
 
--- a/crates/gateway/src/book/apps.rs
+++ b/crates/gateway/src/book/apps.rs
@@ -6,7 +6,7 @@
 use crate::{Act, Cx, token};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
-use control::side::CONNS;
+use control::frontend::CONNS;
 use prost::Message;
 use sha2::{Digest, Sha256};
 use wire::api::{JobSpec, JobState, Kind, Stage as JobStage};
--- a/crates/gateway/src/book/mod.rs
+++ b/crates/gateway/src/book/mod.rs
@@ -17,7 +17,7 @@
 use crate::token::{KEY_LIFE_MS, Keys};
 use crate::{Act, Cx};
 use containers::Groups;
-use control::side::{Answer, Ask};
+use control::frontend::{Answer, Ask};
 use masters::Session;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
--- a/crates/gateway/src/book/runners.rs
+++ b/crates/gateway/src/book/runners.rs
@@ -8,7 +8,7 @@
 use crate::{Act, Cx, token};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
-use control::side::{Answer, Ask};
+use control::frontend::{Answer, Ask};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use yarn::error::{Class, Fault};
--- a/crates/gateway/src/book/store.rs
+++ b/crates/gateway/src/book/store.rs
@@ -4,7 +4,7 @@
 use super::Book;
 use crate::records::{self, AppRec, ClusterRec, DrainRec};
 use crate::{Act, Cx};
-use control::side::{self, Answer, Ask, Change};
+use control::frontend::{self, Answer, Ask, Change};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -95,7 +95,7 @@
         let now = cx.now.mono;
         if self.store.flight.is_none() && now >= self.store.retry_at && !self.store.dirty.is_empty()
         {
-            self.store.flight = self.draft(side::writes_at_once(cx.node.settings()), now);
+            self.store.flight = self.draft(frontend::writes_at_once(cx.node.settings()), now);
         }
         let Some(flight) = self
             .store
--- a/crates/gateway/src/book/views.rs
+++ b/crates/gateway/src/book/views.rs
@@ -251,7 +251,7 @@
             .map(|c| c.types.as_slice())
             .unwrap_or_default();
         let of = |name: &str| types.iter().find(|t| t.name == name);
-        let node = |m: control::side::MachineView<'_>| NodeReport {
+        let node = |m: control::frontend::MachineView<'_>| NodeReport {
             node_id: Some(NodeId {
                 host: m.name.to_owned(),
                 port: 0,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -44,7 +44,10 @@
         body: Vec<u8>,
     },
     /// A request for records.
-    Side { tag: u64, ask: control::side::Ask },
+    Side {
+        tag: u64,
+        ask: control::frontend::Ask,
+    },
     /// The reply to a call.
     Answer { call: u64, reply: call::Reply },
 }
--- a/crates/gateway/src/served.rs
+++ b/crates/gateway/src/served.rs
@@ -8,7 +8,7 @@
 use crate::config::Config;
 use crate::conns::{Conns, Did};
 use crate::{Act, Cx};
-use control::side::CONNS;
+use control::frontend::CONNS;
 use control::{Dest, Effect, Event, Node, Now};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
--- a/crates/standins/src/world/processor.rs
+++ b/crates/standins/src/world/processor.rs
@@ -1,10 +1,10 @@
 //! Controllers that are short of processor time: what they handle takes as long as its size and their plans ask for.
-//! What comes meanwhile waits, and is served in the order of [`control::precedence`], as the service's event loop does;
+//! What comes meanwhile waits, and is served in the order of [`control::overload::precedence`], as the service's event loop does;
 //! ticks come in between.
 
 use super::{Ev, Origin, World};
 use control::Event;
-use control::precedence::{Backlog, Next, Precedence};
+use control::overload::precedence::{Backlog, Next, Precedence};
 
 /// Whoever asks has given up after this time, and what he sent is not handed over any more.
 const GIVEN_UP_MS: u64 = 4000;
--- a/crates/stoathatch/src/service.rs
+++ b/crates/stoathatch/src/service.rs
@@ -1,6 +1,6 @@
 //! One process: the network thread that turns sockets into events for the controller, and back.
 
-use control::precedence::{Backlog, Next, Precedence};
+use control::overload::precedence::{Backlog, Next, Precedence};
 use control::{Dest, Effect, Event, Node, Now, Tuning};
 use gateway::served::{Gateway, Out, Raw, Served};
 use net::{ConnId, Door, Net, Outgoing};
