--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -30,7 +30,7 @@
             Ok(r) => r,
             Err(e) => return self.refuse(conn, 400, &e.to_string()),
         };
-        if self.part.is_none() {
+        if self.shard.is_none() {
             if let Some(body) = self.keeps(&report) {
                 return self.respond(conn, 200, body, None);
             }
@@ -61,14 +61,14 @@
 
     /// A report to the owner, from the worker itself or by way of a peer.
     pub(crate) fn take_report(&mut self, report: &Report, via: Option<usize>) -> Told {
-        let Some(part) = &self.part else {
+        let Some(shard) = &self.shard else {
             return Told::Refused("not the owner");
         };
-        if report.token > part.token {
+        if report.token > shard.token {
             return Told::Refused(self.outranked(report.token));
         }
-        let token = part.token;
-        if !part.loaded {
+        let token = shard.token;
+        if !shard.loaded {
             // What runs there may have been cancelled long ago, so its lease is not renewed: the worker drops what
             // has no token, but stays.
             let body = wire::encode(&Orders {
@@ -103,7 +103,7 @@
     /// answers to commands proves nothing about it.
     fn owe(&mut self, m: usize, orders: &[Order]) {
         if orders.iter().any(|o| matches!(o, Order::Start { .. }))
-            && let Some(machine) = self.part.as_mut().and_then(|p| p.machine_mut(m))
+            && let Some(machine) = self.shard.as_mut().and_then(|p| p.machine_mut(m))
         {
             machine.owed = Some(machine.seen);
         }
@@ -112,12 +112,12 @@
     /// A report that a worker has made of itself; true if it is the newest. It waits for no answer to an earlier one
     /// any more, so nothing of that can still be executed.
     fn heard(&mut self, m: usize, report: &Report, via: Option<usize>) -> bool {
-        let Some(part) = &mut self.part else {
+        let Some(shard) = &mut self.shard else {
             return false;
         };
-        let (ours, now) = (part.token, self.now.mono);
-        part.heard_itself |= via.is_none();
-        let Some(machine) = part.machine_mut(m) else {
+        let (ours, now) = (shard.token, self.now.mono);
+        shard.heard_itself |= via.is_none();
+        let Some(machine) = shard.machine_mut(m) else {
             return false;
         };
         if (report.session, report.seq) > machine.seen {
@@ -147,8 +147,8 @@
                 return "that token was never given out";
             }
             self.shared.token = self.shared.token.max(token);
-            if let Some(part) = &mut self.part {
-                part.raise_token = true;
+            if let Some(shard) = &mut self.shard {
+                shard.raise_token = true;
             }
             return "raising the token";
         }
@@ -159,11 +159,11 @@
     /// The machine that a report comes from; one that nobody expected is taken in.
     fn reporter(&mut self, report: &Report) -> Option<usize> {
         let now = self.now;
-        let part = self.part.as_mut()?;
-        if let Some(m) = part.machine_ix.get(&report.machine) {
+        let shard = self.shard.as_mut()?;
+        if let Some(m) = shard.machine_ix.get(&report.machine) {
             return Some(*m);
         }
-        if part.returned.contains_key(&report.machine) || !name_ok(&report.machine) {
+        if shard.returned.contains_key(&report.machine) || !name_ok(&report.machine) {
             return None;
         }
         log::info!("machine {}: reports unexpectedly, taken in", report.machine);
@@ -178,7 +178,7 @@
         );
         machine.hearsay = Some(r.token);
         machine.addr = r.addr.parse().ok();
-        let m = part.add_machine(machine);
+        let m = shard.add_machine(machine);
         self.call(m);
         Some(m)
     }
@@ -187,11 +187,11 @@
     pub(crate) fn absorb(&mut self, m: usize, report: &Report) -> bool {
         let now = self.now.mono;
         let mut changed: BTreeSet<JobIx> = BTreeSet::new();
-        let Some(part) = &mut self.part else {
+        let Some(shard) = &mut self.shard else {
             return false;
         };
-        let token = part.token;
-        let Some(machine) = part.machines.get_mut(m).and_then(Option::as_mut) else {
+        let token = shard.token;
+        let Some(machine) = shard.machines.get_mut(m).and_then(Option::as_mut) else {
             return false;
         };
         if (report.session, report.seq) <= machine.seen {
@@ -207,7 +207,7 @@
         if !machine.up {
             machine.up = true;
             machine.idle_since = now;
-            part.plan_due = true;
+            shard.plan_due = true;
             log::info!("machine {}: up", machine.name);
         }
         if machine
@@ -215,7 +215,7 @@
             .is_some_and(|(t, session)| report.token > t || report.session > session)
         {
             machine.taint = None;
-            part.plan_due = true;
+            shard.plan_due = true;
         }
         // What is not listed now is gone only if nothing that could start it is still under way: no command
         // of an earlier token, no direct command unanswered, no start in an answer that a worker still waits for.
@@ -237,7 +237,7 @@
             let Some((id, task)) = ids::parse_task(&t.task) else {
                 continue;
             };
-            let ix = part.job_ix.get(id).copied();
+            let ix = shard.job_ix.get(id).copied();
             let found = ix.and_then(|ix| {
                 listed.push((ix, task, t.attempt));
                 machine
@@ -290,13 +290,13 @@
                     matches!(s, Some(TaskStage::Running | TaskStage::Saving))
                 };
                 let (ran, run) = (runs(was), runs(Some(t.stage)));
-                if let Some(job) = part.jobs.get_mut(claim.job).and_then(Option::as_mut) {
+                if let Some(job) = shard.jobs.get_mut(claim.job).and_then(Option::as_mut) {
                     job.running = (job.running + u32::from(run && !ran))
                         .saturating_sub(u32::from(ran && !run));
                     if t.stage != TaskStage::Fetching
                         && let Some(spec) = &job.spec
                     {
-                        let image = part.images.get(&spec.image);
+                        let image = shard.images.get(&spec.image);
                         let cache = self.shared.catalog.as_ref().and_then(|c| {
                             c.types
                                 .iter()
@@ -331,7 +331,7 @@
                 } else {
                     // It never got there: the same attempt can be sent again, since nothing was reaped.
                     claim.sent = false;
-                    part.push.insert(m);
+                    shard.push.insert(m);
                 }
             }
         }
@@ -342,11 +342,11 @@
                 task: stray.task,
                 attempt: stray.attempt,
             };
-            part.make_claim(id, stray);
+            shard.make_claim(id, stray);
             changed.insert(id.job);
         }
         for (ix, task) in finished {
-            if let Some(job) = part.job_mut(ix) {
+            if let Some(job) = shard.job_mut(ix) {
                 job.complete(task);
             }
             changed.insert(ix);
@@ -374,14 +374,14 @@
         saved: bool,
     ) -> Option<JobIx> {
         let now = self.now.mono;
-        let part = self.part.as_mut()?;
-        let machine = part.machines.get_mut(m)?.as_mut()?;
+        let shard = self.shard.as_mut()?;
+        let machine = shard.machines.get_mut(m)?.as_mut()?;
         if k >= machine.claims.len() {
             return None;
         }
         let claim = machine.claims.remove(k);
-        part.ledger.ended(claim.segment);
-        let job = part.jobs.get_mut(claim.job)?.as_mut()?;
+        shard.ledger.ended(claim.segment);
+        let job = shard.jobs.get_mut(claim.job)?.as_mut()?;
         log::debug!(
             "task {}/{} attempt {} on {}: ended, {cause:?}",
             job.id,
@@ -402,7 +402,8 @@
                     && job.progress_s == 0.0
                     && !job.is_ending()
                 {
-                    part.classes
+                    shard
+                        .classes
                         .entry(spec.class.clone())
                         .or_default()
                         .learn(ran / spec.estimate_s);
@@ -468,7 +469,7 @@
         if machine.claims.is_empty() {
             machine.idle_since = now;
         }
-        part.plan_due = true;
+        shard.plan_due = true;
         Some(claim.job)
     }
 
@@ -476,15 +477,15 @@
     /// to start elsewhere.
     fn drain_for_notice(&mut self, m: usize) {
         let now = self.now.mono;
-        let Some(part) = &mut self.part else { return };
-        let Some(machine) = part.machine(m) else {
+        let Some(shard) = &mut self.shard else { return };
+        let Some(machine) = shard.machine(m) else {
             return;
         };
         log::info!("machine {}: is about to be taken", machine.name);
         let left = machine.notice_until.unwrap_or(now).saturating_sub(now) as f64 / 1000.0;
         let mut stops: Vec<(JobIx, f64)> = Vec::new();
         for c in &machine.claims {
-            let Some(spec) = part.job(c.job).and_then(|j| j.spec.as_ref()) else {
+            let Some(spec) = shard.job(c.job).and_then(|j| j.spec.as_ref()) else {
                 continue;
             };
             let ran = c
@@ -502,15 +503,15 @@
 
     /// Stops a job's tasks on one machine; a gang's on all, since they end together.
     pub(crate) fn stop_here(&mut self, ix: JobIx, m: usize, grace_s: f64) {
-        let Some(part) = &mut self.part else { return };
-        let Some(job) = part.job(ix) else { return };
+        let Some(shard) = &mut self.shard else { return };
+        let Some(job) = shard.job(ix) else { return };
         let machines: BTreeSet<usize> = if job.kind() == Kind::Gang {
             job.claimed.values().flatten().map(|(m, _)| *m).collect()
         } else {
             BTreeSet::from([m])
         };
         for m in machines {
-            part.stop_job(ix, m, grace_s);
+            shard.stop_job(ix, m, grace_s);
         }
     }
 
@@ -522,10 +523,10 @@
         }
         let now = self.now.mono;
         let silent = self.silent_ms();
-        let Some(part) = &mut self.part else {
+        let Some(shard) = &mut self.shard else {
             return orders;
         };
-        let Some(machine) = part.machines.get_mut(m).and_then(Option::as_mut) else {
+        let Some(machine) = shard.machines.get_mut(m).and_then(Option::as_mut) else {
             return orders;
         };
         // Nothing begins in the last of a lease, or on a machine that goes.
@@ -535,13 +536,13 @@
         if machine.direct.is_some() {
             return orders;
         }
-        part.push.remove(&m);
+        shard.push.remove(&m);
         let mut never_started = Vec::new();
         for (k, c) in machine.claims.iter_mut().enumerate() {
             if c.state != ClaimState::Recorded {
                 continue;
             }
-            let Some(job) = part.jobs.get(c.job).and_then(Option::as_ref) else {
+            let Some(job) = shard.jobs.get(c.job).and_then(Option::as_ref) else {
                 continue;
             };
             if let Some(grace_s) = c.stop {
@@ -578,8 +579,10 @@
         }
         if machine.taint.is_none() {
             for e in &machine.exited {
-                let ix = part.job_ix.get(&e.job).copied();
-                let job = ix.and_then(|ix| part.jobs.get(ix)).and_then(Option::as_ref);
+                let ix = shard.job_ix.get(&e.job).copied();
+                let job = ix
+                    .and_then(|ix| shard.jobs.get(ix))
+                    .and_then(Option::as_ref);
                 let claimed = ix.is_some_and(|ix| {
                     machine
                         .claims
@@ -615,14 +618,14 @@
     /// All that an owner says that is unsure, or that asks: jobs that their users have cancelled here are to stop. Their ends are
     /// never taken back, and no worker is told to live on without it.
     fn last_orders(&self, m: usize) -> Vec<Order> {
-        let Some(part) = &self.part else {
+        let Some(shard) = &self.shard else {
             return Vec::new();
         };
-        let Some(machine) = part.machine(m).filter(|x| x.direct.is_none()) else {
+        let Some(machine) = shard.machine(m).filter(|x| x.direct.is_none()) else {
             return Vec::new();
         };
         let stop = |c: &Claim| {
-            let job = part.job(c.job).filter(|j| c.sent && j.is_unwanted())?;
+            let job = shard.job(c.job).filter(|j| c.sent && j.is_unwanted())?;
             let task = ids::task_name(&job.id, c.task);
             Some(Order::Stop {
                 task,
@@ -638,23 +641,23 @@
         if !self.decides() {
             return;
         }
-        let Some(part) = &self.part else { return };
+        let Some(shard) = &self.shard else { return };
         let ready = |m: &usize| {
-            part.machine(*m).is_some_and(|x| {
+            shard.machine(*m).is_some_and(|x| {
                 x.up && x.addr.is_some() && x.direct.is_none() && x.taint.is_none() && !x.deleting
             })
         };
-        let due: Vec<usize> = part.push.iter().copied().filter(ready).collect();
+        let due: Vec<usize> = shard.push.iter().copied().filter(ready).collect();
         for m in due {
             let orders = self.orders_for(m);
             if orders.iter().all(|o| matches!(o, Order::Reap { .. })) {
                 continue;
             }
             let epoch = self.epoch;
-            let Some(part) = &mut self.part else { return };
-            let serial = part.next_serial();
-            let token = part.token;
-            let Some(machine) = part.machine_mut(m) else {
+            let Some(shard) = &mut self.shard else { return };
+            let serial = shard.next_serial();
+            let token = shard.token;
+            let Some(machine) = shard.machine_mut(m) else {
                 continue;
             };
             let Some(addr) = machine.addr else { continue };
@@ -684,9 +687,9 @@
     pub(crate) fn direct_came(&mut self, m: usize, serial: u64, response: Option<Response>) {
         let unsent = response.as_ref().is_some_and(|r| r.status == NOT_SENT);
         let report = self.command_report(response);
-        let Some(part) = &mut self.part else { return };
-        let token = part.token;
-        let Some(machine) = part.machine_mut(m) else {
+        let Some(shard) = &mut self.shard else { return };
+        let token = shard.token;
+        let Some(machine) = shard.machine_mut(m) else {
             return;
         };
         if machine.direct != Some(serial) {
@@ -705,7 +708,7 @@
                 // that out; until then nothing here is reaped or proved gone, and nothing new is placed.
                 log::info!("machine {}: a command was not answered", machine.name);
                 machine.taint = Some((token, machine.seen.0));
-                part.raise_token = true;
+                shard.raise_token = true;
             }
         }
     }
@@ -716,10 +719,10 @@
     pub(crate) fn call(&mut self, m: usize) {
         let (now, epoch) = (self.now.mono, self.epoch);
         let orders = self.last_orders(m);
-        let Some(part) = &mut self.part else { return };
-        let serial = part.next_serial();
-        let token = part.token;
-        let Some(machine) = part.machine_mut(m) else {
+        let Some(shard) = &mut self.shard else { return };
+        let serial = shard.next_serial();
+        let token = shard.token;
+        let Some(machine) = shard.machine_mut(m) else {
             return;
         };
         let Some(addr) = machine.addr else { return };
@@ -744,7 +747,7 @@
 
     /// The machine was not asked: it will be.
     pub(crate) fn show_unsent(&mut self, m: usize, serial: u64) {
-        let machine = self.part.as_mut().and_then(|p| p.machine_mut(m));
+        let machine = self.shard.as_mut().and_then(|p| p.machine_mut(m));
         if let Some(machine) = machine.filter(|x| x.probe == Some(serial)) {
             machine.probe = None;
         }
@@ -754,7 +757,7 @@
         let report = self.command_report(response);
         let now = self.now.mono;
         let silent = self.silent_ms();
-        let Some(machine) = self.part.as_mut().and_then(|p| p.machine_mut(m)) else {
+        let Some(machine) = self.shard.as_mut().and_then(|p| p.machine_mut(m)) else {
             return;
         };
         if machine.probe != Some(serial) {
@@ -764,8 +767,8 @@
         let direct = machine.via.is_none();
         if let Some(report) = report.filter(|r| r.machine == machine.name) {
             machine.hearsay = None;
-            if let Some(part) = self.part.as_mut().filter(|_| direct) {
-                part.heard_itself = true;
+            if let Some(shard) = self.shard.as_mut().filter(|_| direct) {
+                shard.heard_itself = true;
             }
             self.absorb(m, &report);
             return;
@@ -778,17 +781,17 @@
         // their leases end. Only then is it better to return those that hold tasks, so that these can go on
         // elsewhere.
         self.look_at_zones();
-        let Some(machine) = self.part.as_ref().and_then(|p| p.machine(m)) else {
+        let Some(machine) = self.shard.as_ref().and_then(|p| p.machine(m)) else {
             return;
         };
         let kept = self.kept_ms(&machine.zone, machine.heard_at);
         let lease = (self.settings.cluster.workers.lease_s * 1000.0) as u64 + silent + kept;
-        let Some(part) = &mut self.part else { return };
-        let Some(machine) = part.machines.get_mut(m).and_then(Option::as_mut) else {
+        let Some(shard) = &mut self.shard else { return };
+        let Some(machine) = shard.machines.get_mut(m).and_then(Option::as_mut) else {
             return;
         };
         let patient =
-            part.cut_zones.contains(&machine.zone) || part.detour_zones.contains(&machine.zone);
+            shard.cut_zones.contains(&machine.zone) || shard.detour_zones.contains(&machine.zone);
         if patient && (machine.claims.is_empty() || gap <= lease) {
             return;
         }
@@ -817,7 +820,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::store::part::Part;
+    use crate::store::shard::Shard;
     use crate::{Dest, Effect, Event, Now, Tuning};
 
     /// An owner with one machine that was last heard long ago, and the serial that its next command has.
@@ -829,12 +832,12 @@
             wall: 1_000_000,
         };
         let mut node = Node::new(settings, Tuning::default(), 1, now);
-        let mut part = Part::new(7, 1, 0, 8.0);
+        let mut shard = Shard::new(7, 1, 0, 8.0);
         let mut machine = Machine::unrecorded("host-1", "g8", "a", false, 0, 0);
         machine.addr = Some(([127, 0, 0, 1], 1).into());
         machine.direct = Some(3);
-        let m = part.add_machine(machine);
-        node.part = Some(part);
+        let m = shard.add_machine(machine);
+        node.shard = Some(shard);
         (node, m)
     }
 
@@ -862,11 +865,11 @@
                 },
             );
             node.unsent_or_silent(tag, sent);
-            let part = node.part.as_ref().expect("the owner");
-            let machine = part.machine(m).expect("the machine");
+            let shard = node.shard.as_ref().expect("the owner");
+            let machine = shard.machine(m).expect("the machine");
             assert_eq!(machine.direct, None);
             assert_eq!(
-                (machine.taint.is_some(), part.raise_token),
+                (machine.taint.is_some(), shard.raise_token),
                 (sent, sent),
                 "via a peer: {via}"
             );
@@ -878,7 +881,7 @@
     fn a_machine_that_was_not_asked_is_not_returned() {
         for sent in [false, true] {
             let (mut node, m) = owner();
-            node.part
+            node.shard
                 .as_mut()
                 .and_then(|p| p.machine_mut(m))
                 .expect("the machine")
@@ -894,7 +897,7 @@
             );
             node.unsent_or_silent(tag, sent);
             let machine = node
-                .part
+                .shard
                 .as_ref()
                 .and_then(|p| p.machine(m))
                 .expect("the machine");
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -134,7 +134,7 @@
             self.stats.bad_answers += 1;
             return self.refuse(conn, 400, "reports: from nobody we know, or too many");
         };
-        if self.part.is_none() {
+        if self.shard.is_none() {
             return self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
         }
         let bodies = reports.iter().map(|body| self.handed(peer, body)).collect();
@@ -196,7 +196,7 @@
         timeout: u64,
         what: Pending,
     ) {
-        let machine = self.part.as_ref().and_then(|p| p.machine(m));
+        let machine = self.shard.as_ref().and_then(|p| p.machine(m));
         let via = machine.and_then(|m| Some((m.via?, m.name.clone())));
         match via {
             Some((peer, machine)) => {
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -58,10 +58,10 @@
 
     /// The owner looks at the number of its machines.
     pub(crate) fn routing_tick(&mut self) {
-        let Some(part) = self.part.as_ref().filter(|part| part.loaded) else {
+        let Some(shard) = self.shard.as_ref().filter(|shard| shard.loaded) else {
             return;
         };
-        let machines = part.machine_ix.len() as f64;
+        let machines = shard.machine_ix.len() as f64;
         let most = match self.routing.is_spread {
             true => self.tuning.direct_machines * SPREAD_UNTIL,
             false => self.tuning.direct_machines,
@@ -80,8 +80,8 @@
         if !self.is_spread() || !self.decides() || self.routing.moves.level(now) < 1.0 {
             return None;
         }
-        let part = self.part.as_ref()?;
-        if !part.machine_ix.contains_key(&report.machine) {
+        let shard = self.shard.as_ref()?;
+        if !shard.machine_ix.contains_key(&report.machine) {
             return None;
         }
         let peer = self.relay_for(report)?;
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -116,7 +116,7 @@
     fn live_by_county(&self) -> BTreeMap<String, u64> {
         let mut live: BTreeMap<String, u64> = BTreeMap::new();
         let jobs = self
-            .part
+            .shard
             .iter()
             .flat_map(|p| p.jobs.iter().flatten())
             .filter(|j| !j.is_over());
@@ -133,7 +133,7 @@
         if let Some(old) = &counties.good {
             faults = county::lost(&old.spec, new.spec(), &self.live_by_county());
             // A county that was closed may have been bound to until then.
-            let seen = self.part.as_ref().map_or(0, |p| p.live_revision);
+            let seen = self.shard.as_ref().map_or(0, |p| p.live_revision);
             let drops = old
                 .spec
                 .counties
@@ -159,8 +159,8 @@
     }
 
     fn tally_asked(&mut self, conn: u64, county: Option<&str>) {
-        let Some(part) = &mut self.part else { return };
-        let (revision, rows) = match part.counts() {
+        let Some(shard) = &mut self.shard else { return };
+        let (revision, rows) = match shard.counts() {
             Ok(counts) => counts,
             Err(why) => return self.deny_admin(conn, 503, refused(held(why))),
         };
@@ -189,8 +189,8 @@
     }
 
     fn audit_asked(&mut self, conn: u64, id: &str) {
-        let Some(part) = &mut self.part else { return };
-        match part.audit(id) {
+        let Some(shard) = &mut self.shard else { return };
+        match shard.audit(id) {
             Ok(Some(told)) => self.respond(conn, 200, admin::encode(&told), None),
             Ok(None) => self.deny_admin(conn, 409, refused("another audit is under way")),
             Err(why) => self.deny_admin(conn, 503, refused(held(why))),
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -5,7 +5,7 @@
 //! later is told apart by its stamp. One audit at a time, page by page, and only with what the owner's other work leaves of its requests.
 
 use crate::documents::county_counts::Held;
-use crate::store::part::Part;
+use crate::store::shard::Shard;
 use crate::{Dest, Node, Pending};
 use county::{Cell, Count};
 use std::collections::{BTreeMap, HashMap};
@@ -136,7 +136,7 @@
     }
 }
 
-impl Part {
+impl Shard {
     /// The audit with this id, which is begun if none is running; `None` while another one is.
     pub fn audit(&mut self, id: &str) -> Result<Option<tally::Audit>, Held> {
         match &self.tally.audit {
@@ -177,7 +177,7 @@
     pub(crate) fn audit_tick(&mut self) {
         let epoch = self.epoch;
         let spare = self.requests.level(self.now.mono) > SPARED;
-        let Some(audit) = self.part.as_mut().and_then(|p| p.tally.audit.as_mut()) else {
+        let Some(audit) = self.shard.as_mut().and_then(|p| p.tally.audit.as_mut()) else {
             return;
         };
         if audit.over || audit.busy || !spare {
@@ -212,7 +212,7 @@
                 })
             }),
         });
-        let Some(audit) = self.part.as_mut().and_then(|p| p.tally.audit.as_mut()) else {
+        let Some(audit) = self.shard.as_mut().and_then(|p| p.tally.audit.as_mut()) else {
             return;
         };
         audit.busy = false;
@@ -226,7 +226,7 @@
 
     /// Counts what a page has; true if there is another.
     fn audit_page<T>(&mut self, page: Range<T>, count: impl Fn(&mut Audit, T, &str, u64)) -> bool {
-        let Some(audit) = self.part.as_mut().and_then(|p| p.tally.audit.as_mut()) else {
+        let Some(audit) = self.shard.as_mut().and_then(|p| p.tally.audit.as_mut()) else {
             return false;
         };
         let more = page.more && !page.items.is_empty();
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -5,9 +5,9 @@
 //! anyway. `county::Tally` has the rules; this is what the part adds to them.
 
 use crate::jobs::job::{Job, JobIx};
-use crate::leadership::election::PART;
+use crate::leadership::election::SHARD;
 use crate::store::commit::{Draft, Op};
-use crate::store::part::Part;
+use crate::store::shard::Shard;
 use crate::{Dest, Node, Pending};
 use county::{Cell, Count, Delta, Fold, OTHER, Sheet, Tally, Unread};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -108,8 +108,8 @@
     }
 
     /// Counts a job's end, if it has a county.
-    pub fn add(&mut self, part: &mut Part, ix: JobIx, stage: Stage) -> Option<CountedRec> {
-        let job = part.jobs.get(ix)?.as_ref()?;
+    pub fn add(&mut self, shard: &mut Shard, ix: JobIx, stage: Stage) -> Option<CountedRec> {
+        let job = shard.jobs.get(ix)?.as_ref()?;
         let (county, class) = (
             job.county.as_ref()?.county.clone(),
             job.spec.as_ref()?.class.clone(),
@@ -120,7 +120,7 @@
             cancelled: u64::from(cancelled),
             tasks: u64::from(job.done_count),
         };
-        let cell = part.tally.counts.cell(&county, &class);
+        let cell = shard.tally.counts.cell(&county, &class);
         Delta::add_to(&mut self.deltas, &cell, &count);
         Some(CountedRec {
             county: cell.county,
@@ -222,16 +222,16 @@
 
 impl Draft {
     /// Puts the sheets that have waited longest, as many as there is room for.
-    pub fn fold(&mut self, part: &mut Part, now: u64, room: impl Fn(&Draft) -> bool) {
-        if !part.tally.is_due(now) {
+    pub fn fold(&mut self, shard: &mut Shard, now: u64, room: impl Fn(&Draft) -> bool) {
+        if !shard.tally.is_due(now) {
             return;
         }
-        let most = if part.tally.is_behind() {
+        let most = if shard.tally.is_behind() {
             FOLD_BEHIND
         } else {
             FOLD_SHEETS
         };
-        let Some(fold) = part.tally.counts.fold(most) else {
+        let Some(fold) = shard.tally.counts.fold(most) else {
             return;
         };
         let mut puts = Vec::new();
@@ -240,20 +240,20 @@
                 break;
             }
             self.put(
-                records::tally_key(PART, number),
+                records::tally_key(SHARD, number),
                 stamp,
                 Record::Tally(sheet.clone()),
             );
             puts.push((number, stamp, sheet));
         }
         if !puts.is_empty() {
-            part.tally.folded_at = now;
+            shard.tally.folded_at = now;
             self.ops.push(Op::Fold(Fold { puts }));
         }
     }
 }
 
-impl Part {
+impl Shard {
     /// Sheets are in place: log records that have waited for them alone may go.
     pub fn fold_stands(&mut self, fold: &Fold, revision: u64) {
         let over = self.tally.counts.folded(fold, revision);
@@ -267,13 +267,13 @@
     pub(crate) fn tally_tick(&mut self) {
         let now = self.now.mono;
         let known = self.shared.documents.counties.head.version > 0;
-        let Some(part) = &mut self.part else { return };
-        part.tally.in_use |= known;
-        if !part.tally.wants_reading(now) {
+        let Some(shard) = &mut self.shard else { return };
+        shard.tally.in_use |= known;
+        if !shard.tally.wants_reading(now) {
             return;
         }
-        part.tally.counts.begin_reading();
-        part.tally.reading = Some(Reading {
+        shard.tally.counts.begin_reading();
+        shard.tally.reading = Some(Reading {
             after: None,
             all_good: true,
         });
@@ -282,11 +282,11 @@
 
     fn read_sheets(&mut self) {
         let epoch = self.epoch;
-        let Some(reading) = self.part.as_ref().and_then(|p| p.tally.reading.as_ref()) else {
+        let Some(reading) = self.shard.as_ref().and_then(|p| p.tally.reading.as_ref()) else {
             return;
         };
         // An answer may be 8 MiB.
-        let mut path = format!("/keys?under={}&limit=200", records::tally_prefix(PART));
+        let mut path = format!("/keys?under={}&limit=200", records::tally_prefix(SHARD));
         if let Some(after) = &reading.after {
             path.push_str(&format!("&from={after}"));
         }
@@ -304,8 +304,8 @@
         let now = self.now.mono;
         let page = response.filter(|r| r.status == 200);
         let page = page.and_then(|r| self.read::<Range<serde_json::Value>>("state service", &r));
-        let Some(part) = &mut self.part else { return };
-        let tally = &mut part.tally;
+        let Some(shard) = &mut self.shard else { return };
+        let tally = &mut shard.tally;
         let Some(page) = page else {
             tally.reading = None;
             tally.read_at = now + RETRY_MS;
@@ -314,7 +314,7 @@
         let Some(reading) = &mut tally.reading else {
             return;
         };
-        let prefix = records::tally_prefix(PART);
+        let prefix = records::tally_prefix(SHARD);
         reading.after = page.items.last().map(|i| i.key.clone());
         let more = page.more && !page.items.is_empty();
         for Item {
@@ -339,7 +339,7 @@
         tally.reading = None;
         tally.read_at = now + BAD_MS;
         let over = tally.counts.reading_over(all_good);
-        part.ledger.counted(over);
+        shard.ledger.counted(over);
     }
 }
 
@@ -358,7 +358,7 @@
     Behind,
 }
 
-impl Part {
+impl Shard {
     /// The last revision at which something ended, as far as is known: earlier owners' were before our term.
     pub fn ends_known(&self) -> u64 {
         self.tally.last_end.max(self.owner_version)
--- a/crates/control/src/documents/hours.rs
+++ b/crates/control/src/documents/hours.rs
@@ -7,9 +7,9 @@
 use crate::Node;
 use crate::documents::{Doc, Documents, Kind, KindId, refused};
 use crate::jobs::job::{Ending, Job, JobIx};
-use crate::leadership::election::PART;
+use crate::leadership::election::SHARD;
 use crate::store::commit::{Draft, Op};
-use crate::store::part::Part;
+use crate::store::shard::Shard;
 use ::hours::{Around, Spec, TeamAt};
 use document::{Content, Fault};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -134,7 +134,7 @@
     conn: Option<u64>,
 }
 
-/// The hours of the part's jobs.
+/// The hours of the shard's jobs.
 #[derive(Default)]
 pub(crate) struct Watch {
     /// Jobs that have not ended, by hour: those whose hour is yet to come, and the others.
@@ -320,8 +320,8 @@
         jobs: &[JobIx],
     ) {
         let wall = self.now.wall;
-        let Some(part) = &mut self.part else { return };
-        if part.hours.ahead.is_empty() {
+        let Some(shard) = &mut self.shard else { return };
+        if shard.hours.ahead.is_empty() {
             return;
         }
         let Some(catalog) = &self.shared.catalog else {
@@ -329,7 +329,7 @@
         };
         let mut seen: BTreeMap<JobIx, Seen> = BTreeMap::new();
         for (i, ix) in jobs.iter().enumerate() {
-            if part.jobs[*ix].as_ref().is_some_and(|j| j.hour.is_some()) {
+            if shard.jobs[*ix].as_ref().is_some_and(|j| j.hour.is_some()) {
                 let of = seen.entry(*ix).or_default();
                 of.pending += input.jobs[i].pending;
                 of.like = i;
@@ -340,14 +340,14 @@
                 of.started += start.count;
             }
         }
-        let booting = part
+        let booting = shard
             .machines
             .iter()
             .flatten()
             .any(|m| !m.up && !m.deleting && !m.failed);
         let mut changes = Vec::new();
         for (ix, of) in seen {
-            let Some(job) = &part.jobs[ix] else { continue };
+            let Some(job) = &shard.jobs[ix] else { continue };
             let (Some(hour), Some(spec)) = (&job.hour, &job.spec) else {
                 continue;
             };
@@ -366,7 +366,7 @@
                 + START_S
                 + spec.save_s;
             let risk = (hour.left(wall) < needs).then(|| {
-                let cut = |z: &String| part.cut_zones.contains(z);
+                let cut = |z: &String| shard.cut_zones.contains(z);
                 let all_cut = || self.settings.cluster.zones.iter().all(cut);
                 let full = |g: &u16| {
                     let group = &input.groups[usize::from(*g)];
@@ -398,45 +398,45 @@
                 changes.push((ix, state));
             }
         }
-        part.say_hours(changes, wall);
+        shard.say_hours(changes, wall);
     }
 
     /// Hours that are past.
     pub(crate) fn hours_tick(&mut self) {
         let wall = self.now.wall;
-        let Some(part) = &mut self.part else { return };
+        let Some(shard) = &mut self.shard else { return };
         let mut missed = Vec::new();
-        while let Some(first) = part
+        while let Some(first) = shard
             .hours
             .ahead
             .first()
             .copied()
             .filter(|(due, _)| *due < wall)
         {
-            part.hours.ahead.pop_first();
-            part.hours.past.insert(first);
+            shard.hours.ahead.pop_first();
+            shard.hours.past.insert(first);
             // The end of what has ended meanwhile says whether its hour was kept.
-            if part.job(first.1).is_some_and(|j| !j.is_ending()) {
+            if shard.job(first.1).is_some_and(|j| !j.is_ending()) {
                 missed.push((first.1, State::Missed));
             }
         }
-        part.say_hours(missed, wall);
-        for hour in std::mem::take(&mut part.hours.late) {
+        shard.say_hours(missed, wall);
+        for hour in std::mem::take(&mut shard.hours.late) {
             let why = format!(
                 "{}: it has ended meanwhile, or its record has no room for the move",
                 hour.job
             );
             log::info!("hour of {why}");
             let Some(conn) = hour.conn else { continue };
-            if let Some(part) = &mut self.part {
-                part.hours.waiting.remove(&conn);
+            if let Some(shard) = &mut self.shard {
+                shard.hours.waiting.remove(&conn);
             }
             self.deny_admin(conn, 409, refused(&why));
         }
     }
 }
 
-impl Part {
+impl Shard {
     fn say_hours(&mut self, changes: Vec<(JobIx, State)>, wall: u64) {
         let more = changes.len().saturating_sub(LOGGED);
         for (n, (ix, state)) in changes.into_iter().enumerate() {
@@ -471,7 +471,7 @@
             .as_ref()
             .map(|g| g.built.clone())
             .unwrap_or_default();
-        let Some(part) = &self.part else { return };
+        let Some(shard) = &self.shard else { return };
         let mut all: Vec<Line> = Vec::new();
         let mut more = 0;
         let mut line = |job: &str,
@@ -500,8 +500,8 @@
                 moved: hour.moved.clone(),
             });
         };
-        for (due, ix) in part.hours.past.iter().chain(&part.hours.ahead) {
-            let Some(job) = part.job(*ix) else { continue };
+        for (due, ix) in shard.hours.past.iter().chain(&shard.hours.ahead) {
+            let Some(job) = shard.job(*ix) else { continue };
             let (Some(hour), Some(spec)) = (&job.hour, &job.spec) else {
                 continue;
             };
@@ -509,7 +509,7 @@
                 (hour.said == State::Missed).then(|| (self.now.wall as f64 - *due as f64) / 1000.0);
             line(&job.id, &job.team, &spec.class, &hour.rec, hour.said, late);
         }
-        for e in part.hours.ended.iter().rev() {
+        for e in shard.hours.ended.iter().rev() {
             line(&e.job, &e.team, &e.class, &e.hour, e.state, e.late_s);
         }
         let answer = List { lines: all, more };
@@ -525,11 +525,11 @@
             .as_ref()
             .map(|g| (g.built.clone(), g.version));
         let (calendar, version) = calendar.unwrap_or_default();
-        let Some(part) = &mut self.part else { return };
-        let found = part
+        let Some(shard) = &mut self.shard else { return };
+        let found = shard
             .job_ix
             .get(id)
-            .and_then(|ix| Some((*ix, part.job(*ix)?)));
+            .and_then(|ix| Some((*ix, shard.job(*ix)?)));
         let Some((ix, job)) = found.filter(|(_, j)| j.spec.is_some()) else {
             return self.deny_admin(
                 conn,
@@ -561,13 +561,13 @@
             };
             return self.respond(conn, 200, admin::encode(&answer), None);
         }
-        if part.hours.moves.len() >= MOVES {
+        if shard.hours.moves.len() >= MOVES {
             return self.deny_admin(conn, 503, refused("too many moves are under way"));
         }
         log::info!("hour of {line} by {by:?} is to be written");
-        part.hours.waiting.insert(conn);
+        shard.hours.waiting.insert(conn);
         let by = short(by);
-        part.hours.moves.push_back(Move {
+        shard.hours.moves.push_back(Move {
             ix,
             job: id.to_owned(),
             due_ms,
@@ -590,10 +590,10 @@
                 refused(&format!("{studio:?} is no studio of the calendar")),
             );
         }
-        let Some(part) = &mut self.part else { return };
+        let Some(shard) = &mut self.shard else { return };
         let mut moves: Vec<Move> = Vec::new();
         let mut lines = Vec::new();
-        for (ix, job) in part.jobs.iter().enumerate() {
+        for (ix, job) in shard.jobs.iter().enumerate() {
             let Some(job) = job.as_ref().filter(|j| j.ending == Ending::No) else {
                 continue;
             };
@@ -624,11 +624,11 @@
         }
         let jobs = moves.len();
         if !dry_run {
-            if part.hours.moves.len() + jobs > MOVES {
+            if shard.hours.moves.len() + jobs > MOVES {
                 return self.deny_admin(conn, 503, refused("too many moves are under way"));
             }
             log::info!("hours of {jobs} jobs of {studio} by {by:?} are to be written");
-            part.hours.moves.extend(moves);
+            shard.hours.moves.extend(moves);
             self.to_write = true;
         }
         let answer = Moved {
@@ -666,12 +666,12 @@
     /// Writes the records of jobs whose hours move. Their ends, which come first, are in nobody's way.
     pub fn moves(
         &mut self,
-        part: &mut Part,
+        shard: &mut Shard,
         wall: u64,
         value: usize,
         room: impl Fn(&Draft) -> bool,
     ) {
-        let most = if part.ledger.fresh.is_empty() {
+        let most = if shard.ledger.fresh.is_empty() {
             usize::MAX
         } else {
             MOVES_A_TURN
@@ -680,30 +680,30 @@
             if !room(self) {
                 return;
             }
-            let Some(hour) = part.hours.moves.pop_front() else {
+            let Some(hour) = shard.hours.moves.pop_front() else {
                 return;
             };
-            let job = part
+            let job = shard
                 .job(hour.ix)
                 .filter(|j| j.id == hour.job && j.ending == Ending::No);
             let Some((job, spec)) = job.and_then(|j| Some((j, j.spec.as_ref()?))) else {
-                part.hours.late.push(hour);
+                shard.hours.late.push(hour);
                 continue;
             };
             let key = records::live_key(&job.id);
             if self.writes_to(&key) {
                 // Moved twice: the second follows when the first is in place.
-                part.hours.moves.push_front(hour);
+                shard.hours.moves.push_front(hour);
                 return;
             }
             let rec = JobRec {
                 hour: Some(hour.rec(job, wall)),
                 county: job.county.clone(),
-                ..JobRec::new((**spec).clone(), job.at_ms, PART)
+                ..JobRec::new((**spec).clone(), job.at_ms, SHARD)
             };
             // Counted in another form by the service, which takes somewhat more.
             if wire::encode(&rec).len() as f64 * 1.3 > value as f64 {
-                part.hours.late.push(hour);
+                shard.hours.late.push(hour);
                 continue;
             }
             self.put(key, job.version, Record::Job(Box::new(rec)));
@@ -731,23 +731,23 @@
 impl Node {
     /// The record of a moved hour is in place at this revision.
     pub(crate) fn hour_moved(&mut self, hour: Move, wall: u64, revision: u64) {
-        let Some(part) = &mut self.part else { return };
+        let Some(shard) = &mut self.shard else { return };
         hour.conn.iter().for_each(|c| {
-            part.hours.waiting.remove(c);
+            shard.hours.waiting.remove(c);
         });
-        let Some(job) = part.job_mut(hour.ix) else {
+        let Some(job) = shard.job_mut(hour.ix) else {
             return;
         };
         let rec = hour.rec(job, wall);
         let from = rec.moved.as_ref().map_or(0, |m| m.from_ms);
         job.version = revision;
         job.hour = Some(Hour::new(rec));
-        let job = &part.jobs[hour.ix];
-        part.hours.forget(from, hour.ix);
+        let job = &shard.jobs[hour.ix];
+        shard.hours.forget(from, hour.ix);
         if let Some(job) = job {
-            part.hours.add(job, hour.ix);
+            shard.hours.add(job, hour.ix);
         }
-        part.plan_due = true;
+        shard.plan_due = true;
         let line = format!(
             "{}: from {from} to {} ms by {:?}",
             hour.job, hour.due_ms, hour.by
@@ -764,14 +764,14 @@
     }
 
     /// A term of ownership is over: whether an hour was moved is for the job's record to say.
-    pub(crate) fn hours_let_go(&mut self, mut part: Part) -> Part {
-        for conn in part.hours.unanswered() {
+    pub(crate) fn hours_let_go(&mut self, mut shard: Shard) -> Shard {
+        for conn in shard.hours.unanswered() {
             self.deny_admin(
                 conn,
                 503,
                 refused("the owner changed; the list tells whether the hour was moved"),
             );
         }
-        part
+        shard
     }
 }
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -21,8 +21,8 @@
 use crate::documents::quotas::Quota;
 use crate::models::Listed;
 use crate::store::commit::{Draft, Op};
-use crate::store::part::Part;
 use crate::store::recovery::Load;
+use crate::store::shard::Shard;
 use crate::{Dest, Node, Pending};
 use document::{Content, Fault, Head, Past, SHORT};
 use serde::de::DeserializeOwned;
@@ -129,13 +129,13 @@
     /// Another version has come into force here.
     fn in_force(_node: &mut Node) {}
     /// Whether the head may be written now.
-    fn settled(_part: &Part) -> bool {
+    fn settled(_shard: &Shard) -> bool {
         true
     }
     /// The head goes into the next transaction.
     fn before_head(_node: &mut Node) {}
     /// Writes beside the head, in its transaction.
-    fn with_head(_draft: &mut Draft, _part: &mut Part, _version: u64) {}
+    fn with_head(_draft: &mut Draft, _shard: &mut Shard, _version: u64) {}
     fn record(head: Head) -> Record {
         Record::Document(records::HeadRec { document: head })
     }
@@ -350,9 +350,9 @@
     }
 
     /// The kind whose head may be written now, if the transaction has room for it.
-    fn due(&self, part: &Part, budget: usize) -> Option<KindId> {
+    fn due(&self, shard: &Shard, budget: usize) -> Option<KindId> {
         ALL.into_iter().find(
-            |kind| for_kind!(*kind, K => budget >= K::WRITES && K::doc(self).is_due() && K::settled(part)),
+            |kind| for_kind!(*kind, K => budget >= K::WRITES && K::doc(self).is_due() && K::settled(shard)),
         )
     }
 }
@@ -360,16 +360,16 @@
 /// The owner's writes.
 impl Draft {
     /// The changes that the head takes which is due, if one is.
-    pub fn head_due(all: &Documents, part: &Part, budget: usize) -> Option<(KindId, usize)> {
-        let kind = all.due(part, budget)?;
+    pub fn head_due(all: &Documents, shard: &Shard, budget: usize) -> Option<(KindId, usize)> {
+        let kind = all.due(shard, budget)?;
         Some((kind, for_kind!(kind, K => K::WRITES)))
     }
 
-    pub fn head(&mut self, all: &Documents, part: &mut Part, kind: KindId) {
-        for_kind!(kind, K => self.head_of::<K>(all, part));
+    pub fn head(&mut self, all: &Documents, shard: &mut Shard, kind: KindId) {
+        for_kind!(kind, K => self.head_of::<K>(all, shard));
     }
 
-    fn head_of<K: Kind>(&mut self, all: &Documents, part: &mut Part) {
+    fn head_of<K: Kind>(&mut self, all: &Documents, shard: &mut Shard) {
         let Some(change) = &K::doc(all).changing else {
             return;
         };
@@ -379,7 +379,7 @@
             change.stamp,
             K::record(change.head.clone()),
         );
-        K::with_head(self, part, version);
+        K::with_head(self, shard, version);
         self.ops.push(Op::Head(K::ID));
     }
 
@@ -395,12 +395,12 @@
             return;
         };
         while room(self)
-            && let Some((name, part)) = change.parts.pop_front()
+            && let Some((name, piece)) = change.parts.pop_front()
         {
-            let value = serde_json::to_value(&part).unwrap_or_default();
-            self.part(format!("{}{name}", prefix::<K>()), Record::Other(value));
+            let value = serde_json::to_value(&piece).unwrap_or_default();
+            self.put_part(format!("{}{name}", prefix::<K>()), Record::Other(value));
             change.busy += 1;
-            self.ops.push(Op::Part(K::ID, name));
+            self.ops.push(Op::DocumentPart(K::ID, name));
         }
     }
 
@@ -415,7 +415,7 @@
                     format!("{}{name}", for_kind!(kind, K => prefix::<K>())),
                     stamp,
                 );
-                self.ops.push(Op::PartOver(kind, name));
+                self.ops.push(Op::RemoveDocumentPart(kind, name));
             }
         }
     }
@@ -448,7 +448,7 @@
     /// Reads the parts of a new version, as soon as its head was seen; puts the first one in place.
     fn document_tick<K: Kind>(&mut self) {
         let now = self.now.mono;
-        let owner_loads = self.part.as_ref().is_some_and(|p| !p.loaded);
+        let owner_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
         let doc = K::doc_mut(&mut self.shared.documents);
         if !doc.is_current() && doc.reading.is_none() && now >= doc.retry_at && !owner_loads {
             // Not the owner's budget for claims: once a second at most.
@@ -520,7 +520,7 @@
             .collect();
         let parts = found
             .into_iter()
-            .map(|(name, (_, part))| (name, part))
+            .map(|(name, (_, piece))| (name, piece))
             .collect();
         if !doc.is_current() {
             let spec = document::join(&doc.head, &parts);
@@ -534,7 +534,7 @@
     fn document_read<K: Kind>(&mut self) {
         let doc = K::doc(&self.shared.documents);
         let whole = doc.read_in == self.epoch && doc.is_current();
-        let owner_loads = self.part.as_ref().is_some_and(|p| !p.loaded);
+        let owner_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
         match (owner_loads, whole) {
             (false, _) => K::in_force(self),
             (true, true) => self.load_documents(),
@@ -752,9 +752,9 @@
     /// A head goes into the next transaction.
     pub(crate) fn before_heads(&mut self, budget: usize) {
         let due = self
-            .part
+            .shard
             .as_ref()
-            .and_then(|part| self.shared.documents.due(part, budget));
+            .and_then(|shard| self.shared.documents.due(shard, budget));
         if let Some(kind) = due {
             for_kind!(kind, K => K::before_head(self));
         }
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -1,11 +1,11 @@
-//! The quota tree as a document in force: its bounds are recorded as the part's allotment before anything starts
+//! The quota tree as a document in force: its bounds are recorded as the shard's allotment before anything starts
 //! under them, and a new version comes in one transaction with the allotment that names it.
 
 use crate::documents::{Doc, Documents, Kind, KindId};
-use crate::leadership::election::PART;
+use crate::leadership::election::SHARD;
 use crate::scheduling::entitlement;
 use crate::store::commit::{Draft, Op};
-use crate::store::part::Part;
+use crate::store::shard::Shard;
 use crate::{Node, documents};
 use document::{Fault, Head};
 use quota::{Live, Spec, Tree, edit};
@@ -89,16 +89,16 @@
     fn in_force(node: &mut Node) {
         node.tree_in_force();
     }
-    fn settled(part: &Part) -> bool {
-        part.allot_version > 0 && part.allot_wanted.is_none()
+    fn settled(shard: &Shard) -> bool {
+        shard.allot_version > 0 && shard.allot_wanted.is_none()
     }
     /// What was planned under the old bounds must not be recorded with the new ones.
     fn before_head(node: &mut Node) {
         node.drop_unrecorded();
     }
     /// The allotment that names the tree.
-    fn with_head(draft: &mut Draft, part: &mut Part, version: u64) {
-        let Some(allot) = part.allot.clone() else {
+    fn with_head(draft: &mut Draft, shard: &mut Shard, version: u64) {
+        let Some(allot) = shard.allot.clone() else {
             return;
         };
         let allot = AllotRec {
@@ -106,12 +106,12 @@
             ..allot
         };
         draft.put(
-            records::allot_key(PART),
-            part.allot_version,
+            records::allot_key(SHARD),
+            shard.allot_version,
             Record::Allot(allot.clone()),
         );
-        part.allot = Some(allot);
-        part.allot_version = 0;
+        shard.allot = Some(allot);
+        shard.allot_version = 0;
         draft.ops.push(Op::Allot);
     }
     fn record(head: Head) -> Record {
@@ -148,7 +148,7 @@
 impl Node {
     /// The tree with the counts of this moment.
     fn counted(&self, tree: &Arc<Tree>) -> Option<Live> {
-        Some(entitlement::Counted::new(self.part.as_ref()?, tree.clone()).live)
+        Some(entitlement::Counted::new(self.shard.as_ref()?, tree.clone()).live)
     }
 
     /// The tree in force; without one, the teams alone.
@@ -165,15 +165,15 @@
     pub(crate) fn tree_in_force(&mut self) {
         self.refit_hours();
         let whole = self.whole_allotment();
-        let Some(part) = self.part.as_mut().filter(|p| p.loaded) else {
+        let Some(shard) = self.shard.as_mut().filter(|p| p.loaded) else {
             return;
         };
-        let stands = part.allot.as_ref() == Some(&whole) && part.allot_wanted.is_none();
+        let stands = shard.allot.as_ref() == Some(&whole) && shard.allot_wanted.is_none();
         if stands {
             return;
         }
-        part.allot_wanted = Some(whole);
-        part.plan_due = true;
+        shard.allot_wanted = Some(whole);
+        shard.plan_due = true;
         self.to_write = true;
         // What was planned under the old bounds and not recorded yet is planned anew.
         self.drop_unrecorded();
@@ -181,18 +181,18 @@
 
     /// Takes back all claims of which neither a record nor a start is on its way.
     pub(crate) fn drop_unrecorded(&mut self) {
-        let Some(part) = &mut self.part else { return };
+        let Some(shard) = &mut self.shard else { return };
         let mut jobs = BTreeSet::new();
-        let fresh: Vec<_> = part.ledger.fresh.drain(..).collect();
+        let fresh: Vec<_> = shard.ledger.fresh.drain(..).collect();
         for id in fresh {
-            let new = part
+            let new = shard
                 .claim_mut(&id)
                 .is_some_and(|c| c.state == crate::agents::machine::ClaimState::New && !c.sent);
             if new {
-                part.drop_claim(&id);
+                shard.drop_claim(&id);
                 jobs.insert(id.job);
             } else {
-                part.ledger.fresh.push_back(id);
+                shard.ledger.fresh.push_back(id);
             }
         }
         for ix in jobs {
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -4,7 +4,7 @@
 //! Its records stand under [`wire::records::SIDE`] and are written by the owner of the fleet only, under the guard of
 //! its record. They come last: a request is refused at once while the node has little left of what it may ask.
 
-use crate::leadership::election::PART;
+use crate::leadership::election::SHARD;
 use crate::models::demand::Waiter;
 use crate::store::rate_budget::Bucket;
 use crate::{Dest, Node, Pending};
@@ -115,10 +115,10 @@
         let now = self.now.mono;
         self.side.asked_at = now;
         self.share_writes();
-        let own = self.side.writes.level(now) >= cost.min(self.side.writes.part(0.9));
+        let own = self.side.writes.level(now) >= cost.min(self.side.writes.share_of_second(0.9));
         if own {
             self.side.writes.take(now, cost);
-        } else if self.writes.level(now) >= cost + self.writes.part(LEFT) {
+        } else if self.writes.level(now) >= cost + self.writes.share_of_second(LEFT) {
             self.writes.take(now, cost);
         } else {
             return false;
@@ -152,7 +152,7 @@
 
     /// New jobs that this node can write down in a second, if it does nothing else.
     pub(crate) fn accepts_per_s(&self) -> f64 {
-        let requests = self.requests.part(1.0 - LEFT);
+        let requests = self.requests.share_of_second(1.0 - LEFT);
         requests.min(self.writes.rate())
     }
 
@@ -160,13 +160,14 @@
     pub(crate) fn has_room_for(&mut self, conn: Option<u64>) -> bool {
         let now = self.now.mono;
         if conn.is_some_and(|c| c >= CONNS) {
-            return self.requests.level(now) >= 1.0 + self.requests.part(LEFT) && self.spare(1.0);
+            return self.requests.level(now) >= 1.0 + self.requests.share_of_second(LEFT)
+                && self.spare(1.0);
         }
         // The owner answers questions from memory, and has claims to write.
         let (asks, changes) = if self.owns() {
-            (0.0, self.accepting() + self.writes.part(KEPT))
+            (0.0, self.accepting() + self.writes.share_of_second(KEPT))
         } else {
-            (self.requests.part(LEFT), 0.0)
+            (self.requests.share_of_second(LEFT), 0.0)
         };
         self.requests.level(now) >= 1.0 + asks && self.writes.level(now) >= 1.0 + changes
     }
@@ -194,7 +195,7 @@
             return self.side_over(tag, Answer::Refused);
         }
         let now = self.now.mono;
-        if self.requests.level(now) < 1.0 + self.requests.part(LEFT) {
+        if self.requests.level(now) < 1.0 + self.requests.share_of_second(LEFT) {
             return self.side_over(tag, Answer::Busy);
         }
         match ask {
@@ -219,7 +220,7 @@
 
     fn side_change(&mut self, tag: u64, writes: Vec<Change>) {
         let owner = self
-            .part
+            .shard
             .as_ref()
             .map(|p| p.owner_version)
             .filter(|_| self.decides());
@@ -231,7 +232,7 @@
             writes: Vec::new(),
         };
         txn.guards.push(Guard {
-            key: records::owner_key(PART),
+            key: records::owner_key(SHARD),
             version: owner,
         });
         for Change {
@@ -288,7 +289,7 @@
 
     /// The term in which this node is sure that it owns the fleet; rises with each take-over, of any node.
     pub fn term(&self) -> Option<u64> {
-        self.part
+        self.shard
             .as_ref()
             .filter(|_| self.decides())
             .map(|p| p.token)
@@ -319,12 +320,12 @@
 
     /// How many machines the fleet has.
     pub fn machine_count(&self) -> usize {
-        self.part.as_ref().map_or(0, |p| p.machine_ix.len())
+        self.shard.as_ref().map_or(0, |p| p.machine_ix.len())
     }
 
     /// Machines of the fleet with what their claims take; nothing unless this node owns the fleet.
     pub fn machines(&self) -> impl Iterator<Item = MachineView<'_>> {
-        let all = self.part.iter().flat_map(|p| p.machines.iter().flatten());
+        let all = self.shard.iter().flat_map(|p| p.machines.iter().flatten());
         all.map(|m| MachineView {
             name: &m.name,
             machine_type: &m.machine_type,
@@ -350,7 +351,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::store::part::Part;
+    use crate::store::shard::Shard;
     use crate::{Asker, Now, Tuning};
 
     /// A flood of submissions to the owner: it accepts no more at once than it may write, and claims and ends find a
@@ -364,7 +365,7 @@
             wall: 1_000_000,
         };
         let mut node = Node::new(settings, Tuning::default(), 1, now);
-        node.part = Some(Part::new(7, 1, 0, 8.0));
+        node.shard = Some(Shard::new(7, 1, 0, 8.0));
         node.set_writes(30.0);
         node.writes.level(now.mono);
         let spec = r#"{"nameId":"job-000412","lot":"train","desk":"vision","shape":"array","urgency":"high",
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -3,8 +3,8 @@
 
 use crate::jobs::forwarding::Handed;
 use crate::jobs::query::{Question, Why};
-use crate::leadership::election::PART;
 use crate::leadership::election::Role;
+use crate::leadership::election::SHARD;
 use crate::{Asker, Dest, Node, Pending};
 use wire::api::{Conflict, ErrorBody, Guard, JobSpec, JobState, Stage, Txn, Write};
 use wire::http::{Request, Response};
@@ -138,7 +138,7 @@
             return self.malformed(asker, spec.id, fault);
         }
         // As it is without what is bound to it: a repeat must not be refused for a later document.
-        if !self.is_storable(&JobRec::new(spec.clone(), self.now.wall, PART)) {
+        if !self.is_storable(&JobRec::new(spec.clone(), self.now.wall, SHARD)) {
             return self.malformed(asker, spec.id, Fault::body("too large to be kept"));
         }
         if let Some(state) = self.finals.get(&spec.id) {
@@ -152,8 +152,8 @@
             };
         }
         if self.decides()
-            && let Some(part) = &self.part
-            && part.job_ix.contains_key(&spec.id)
+            && let Some(shard) = &self.shard
+            && shard.job_ix.contains_key(&spec.id)
         {
             return self.query_for(asker, spec.id, Why::Query);
         }
--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -3,7 +3,7 @@
 //! documents and by the job's absence: an accepted job is never judged again.
 
 use crate::Node;
-use crate::leadership::election::PART;
+use crate::leadership::election::SHARD;
 use std::collections::BTreeSet;
 use wire::api::{BODY_LIMIT, Catalog, JobSpec, Kind, MachineType};
 use wire::records::JobRec;
@@ -21,7 +21,7 @@
         let rec = JobRec {
             hour: self.hour_for(spec, wall),
             county,
-            ..JobRec::new(spec.clone(), wall, PART)
+            ..JobRec::new(spec.clone(), wall, SHARD)
         };
         if self.is_storable(&rec) {
             Ok(rec)
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -371,10 +371,10 @@
     pub(crate) fn job_changed(&mut self, ix: JobIx) {
         self.to_write = true;
         self.model_changed(ix);
-        let Some(part) = &mut self.part else { return };
-        part.plan_due = true;
-        part.job_to_write(ix);
-        let Some(job) = part.job_mut(ix) else { return };
+        let Some(shard) = &mut self.shard else { return };
+        shard.plan_due = true;
+        shard.job_to_write(ix);
+        let Some(job) = shard.job_mut(ix) else { return };
         if job.kind() == Kind::Gang && !job.is_ending() {
             let attempts: BTreeSet<u64> = job.claimed.values().flatten().map(|(_, a)| *a).collect();
             let whole = job.claimed.len() == job.tasks as usize && attempts.len() == 1;
@@ -384,11 +384,11 @@
         let machines: BTreeSet<usize> = job.claimed.values().flatten().map(|(m, _)| *m).collect();
         if drop {
             for m in machines {
-                part.stop_job(ix, m, 0.0);
+                shard.stop_job(ix, m, 0.0);
             }
         }
-        part.note_unwanted(ix);
-        part.maybe_forget_job(ix);
+        shard.note_unwanted(ix);
+        shard.maybe_forget_job(ix);
     }
 
     /// A cancel that may be decided here.
@@ -400,11 +400,11 @@
             return self.not_now(asker);
         }
         self.to_write = true;
-        let Some(part) = &mut self.part else { return };
-        let Some(ix) = part.job_ix.get(id).copied() else {
+        let Some(shard) = &mut self.shard else { return };
+        let Some(ix) = shard.job_ix.get(id).copied() else {
             return self.unknown(asker, id);
         };
-        let Some(job) = part.job_mut(ix) else { return };
+        let Some(job) = shard.job_mut(ix) else { return };
         match job.ending {
             // Guards against calling a cancelled job done, of which only tasks on machines are left here.
             Ending::Before => return self.unknown(asker, id),
@@ -424,17 +424,17 @@
             return self.not_now(asker);
         }
         job.waiters.push(asker);
-        part.note_unwanted(ix);
-        part.job_to_write(ix);
+        shard.note_unwanted(ix);
+        shard.job_to_write(ix);
     }
 
     /// A leader that has grown unsure keeps nobody waiting for an end: what is on its way may land, or never does, and
     /// whoever asks again is told by those who know.
     pub(crate) fn waiters_tick(&mut self) {
         let sure = self.sure();
-        let Some(part) = &mut self.part else { return };
-        if std::mem::replace(&mut part.was_sure, sure) && !sure {
-            for asker in part.take_waiters() {
+        let Some(shard) = &mut self.shard else { return };
+        if std::mem::replace(&mut shard.was_sure, sure) && !sure {
+            for asker in shard.take_waiters() {
                 self.not_now(asker);
             }
         }
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -123,16 +123,17 @@
 
     /// Whether the owner has read the job.
     fn holds(&self, id: &str) -> bool {
-        let job = self.part.as_ref().and_then(|p| p.job(*p.job_ix.get(id)?));
+        let job = self.shard.as_ref().and_then(|p| p.job(*p.job_ix.get(id)?));
         job.is_some_and(|j| j.spec.is_some())
     }
 
     /// What the owner knows, while it is sure. Jobs that it has read back are live even before all else has been read:
     /// nobody but itself can end them. One whose end is on its way may have ended: others may have read and told so.
     pub(crate) fn state_here(&self, id: &str) -> Option<JobState> {
-        let part = self.part.as_ref().filter(|_| self.sure())?;
+        let shard = self.shard.as_ref().filter(|_| self.sure())?;
         let known = |j: &&Job| j.spec.is_some() && !j.may_be_over();
-        part.job(*part.job_ix.get(id)?)
+        shard
+            .job(*shard.job_ix.get(id)?)
             .filter(known)
             .map(Job::state)
     }
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -1,9 +1,9 @@
-//! Who owns the part: a key on a lease of the state service, and a token from a counter that only rises.
+//! Who owns the shard: a key on a lease of the state service, and a token from a counter that only rises.
 //!
 //! An owner is *sure* while its own clock, with allowance for drift, says that the lease it last renewed can't
 //! have ended. Only then does it start, cancel or answer for jobs.
 
-use crate::store::part::Part;
+use crate::store::shard::Shard;
 use crate::{Dest, Node, Pending};
 use wire::api::{Catalog, Changes, Grant, GrantRequest, Guard, Range, Txn, Write};
 use wire::http::Response;
@@ -11,7 +11,7 @@
 use wire::records::{self, OwnerRec, Record, SharedRec, TokenRec};
 
 /// The one part of this version.
-pub(crate) const PART: records::Part = 0;
+pub(crate) const SHARD: records::ShardId = 0;
 
 /// Shares of the state service's writes: what the owner may use, accepts by others included, and what each other
 /// node may use for these. Together they are more than all: bursts at several nodes at once are refused by the
@@ -95,7 +95,7 @@
 
     /// Owner, loaded, and sure of it: may decide.
     pub(crate) fn decides(&self) -> bool {
-        self.sure() && self.part.as_ref().is_some_and(|p| p.loaded)
+        self.sure() && self.shard.as_ref().is_some_and(|p| p.loaded)
     }
 
     pub(crate) fn election_tick(&mut self) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Stands if nobody owns the part, or only a former life of this node.
+    /// Stands if nobody owns the shard, or only a former life of this node.
     fn follow(&mut self, may_stand_at: u64) {
         let now = self.now.mono;
         let vacant = self.shared.known && self.replaceable().is_some();
@@ -253,7 +253,7 @@
         for change in changes.events {
             if let (Some(key), Some(value)) = (&change.put, change.value) {
                 self.shared_put(key, value, change.version);
-            } else if change.remove.as_deref() == Some(&records::owner_key(PART)) {
+            } else if change.remove.as_deref() == Some(&records::owner_key(SHARD)) {
                 self.shared.owner = None;
             }
         }
@@ -281,7 +281,7 @@
                 }
                 self.shared.catalog_version = version;
             }
-        } else if key == records::owner_key(PART)
+        } else if key == records::owner_key(SHARD)
             && let (Some(node), Some(token), Some(lease)) = (rec.node, rec.token, rec.lease)
         {
             self.shared.owner = Some(OwnerView {
@@ -373,7 +373,7 @@
         let txn = Txn {
             guards: vec![
                 Guard {
-                    key: records::owner_key(PART),
+                    key: records::owner_key(SHARD),
                     version,
                 },
                 Guard {
@@ -383,7 +383,7 @@
             ],
             writes: vec![
                 Write::Put {
-                    key: records::owner_key(PART),
+                    key: records::owner_key(SHARD),
                     value: Box::new(Record::Owner(owner)),
                     lease: Some(lease),
                 },
@@ -459,7 +459,7 @@
     }
 
     fn become_owner(&mut self, lease: u64, renewed: u64, token: u64, version: u64) {
-        log::info!("owner of part {PART} with token {token}");
+        log::info!("owner of shard {SHARD} with token {token}");
         let now = self.now.mono;
         self.life.owns_now();
         if let Role::Standing {
@@ -484,7 +484,7 @@
         // The owner does most of the writing. What the others write to accept jobs it sees, and leaves room for.
         self.requests.set_rate(c.rps * 0.5);
         self.set_writes(c.write_rps * OWNER_WRITES);
-        self.part = Some(Part::new(token, version, now, c.value_kb));
+        self.shard = Some(Shard::new(token, version, now, c.value_kb));
         self.start_load();
         let body = wire::peer::encode(&Ask::Owns {
             node: self.settings.node.clone(),
@@ -503,11 +503,11 @@
         }
     }
 
-    /// Another node says that it owns the part. An earlier owner that lost the state service hears it here first;
+    /// Another node says that it owns the shard. An earlier owner that lost the state service hears it here first;
     /// its workers would otherwise stay with it, unheard by the new one.
     pub(crate) fn owner_said(&mut self, node: String, token: u64) {
         let until = self.now.mono + HINT_MS;
-        if !self.sure() && self.part.as_ref().is_some_and(|p| p.token < token) {
+        if !self.sure() && self.shard.as_ref().is_some_and(|p| p.token < token) {
             self.step_down("a peer owns the fleet with a higher token");
         }
         let newest = self
@@ -604,9 +604,9 @@
         let c = self.settings.cluster.state.clone();
         self.requests.set_rate(c.rps * 0.4 / (nodes - 1.0).max(1.0));
         self.set_writes(c.write_rps * OTHER_WRITES);
-        if let Some(part) = self.part.take() {
-            let mut part = self.hours_let_go(part);
-            for asker in part.take_waiters() {
+        if let Some(shard) = self.shard.take() {
+            let mut shard = self.hours_let_go(shard);
+            for asker in shard.take_waiters() {
                 self.not_now(asker);
             }
         }
--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -59,29 +59,29 @@
     /// Whether an answer to a worker may renew its lease now.
     pub(crate) fn may_renew(&self) -> bool {
         // What has not been read back yet may have been cancelled long ago.
-        let Some(part) = self.part.as_ref().filter(|p| p.loaded) else {
+        let Some(shard) = self.shard.as_ref().filter(|p| p.loaded) else {
             return false;
         };
         let Role::Owner { renewed, .. } = self.role else {
             return false;
         };
-        let known = part.vouches.at.map_or(renewed, |at| at.max(renewed));
+        let known = shard.vouches.at.map_or(renewed, |at| at.max(renewed));
         self.sure() || self.now.mono < known + bound_ms(&self.settings.cluster.workers)
     }
 
     /// All others are asked now what they know.
     pub(crate) fn ask_for_word(&mut self, now: u64, peers: usize) {
-        if let Some(part) = &mut self.part {
-            part.vouches.ask(now, peers);
+        if let Some(shard) = &mut self.shard {
+            shard.vouches.ask(now, peers);
         }
     }
 
     /// A peer has answered what was sent then: the highest token that it knows of, if it has read the counter.
     pub(crate) fn word_came(&mut self, sent: u64, peer: usize, token: Option<u64>) {
-        if let Some(part) = &mut self.part
-            && token.is_some_and(|t| t <= part.token)
+        if let Some(shard) = &mut self.shard
+            && token.is_some_and(|t| t <= shard.token)
         {
-            part.vouches.answer(sent, peer);
+            shard.vouches.answer(sent, peer);
         }
     }
 }
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -26,23 +26,23 @@
 impl Node {
     /// What the owner lets a peer keep: its zone's machines, but those with something on them that was cancelled.
     pub(crate) fn charge_for(&self, peer: usize) -> Option<Keep> {
-        let part = self
-            .part
+        let shard = self
+            .shard
             .as_ref()
             .filter(|_| self.decides() && self.tuning.keepers > 0.0)?;
         let zone = &self.settings.peers.get(peer)?.zone;
         debug_assert!(
-            part.unwanted_is_right(),
+            shard.unwanted_is_right(),
             "a cancelled job with claims that nobody noted"
         );
-        let jobs = part.unwanted.iter().filter_map(|ix| part.job(*ix));
+        let jobs = shard.unwanted.iter().filter_map(|ix| shard.job(*ix));
         let machines = jobs
             .flat_map(|j| j.claimed.values().flatten())
-            .filter_map(|(m, _)| part.machine(*m));
+            .filter_map(|(m, _)| shard.machine(*m));
         let except = machines.filter(|m| m.zone == *zone).map(|m| m.name.clone());
         let except: std::collections::BTreeSet<String> = except.take(EXCEPT * 8).collect();
         (except.len() <= EXCEPT).then(|| Keep {
-            token: part.token,
+            token: shard.token,
             except: except.into_iter().collect(),
         })
     }
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -55,11 +55,11 @@
             // Until the counter has been read, nothing is known of what this node was before it began.
             token: (self.shared.revision > 0).then(|| self.highest_token()),
             owns: self
-                .part
+                .shard
                 .as_ref()
                 .filter(|_| self.decides())
                 .map(|p| p.token),
-            deaf: self.part.as_ref().is_some_and(|p| p.is_deaf(now)),
+            deaf: self.shard.as_ref().is_some_and(|p| p.is_deaf(now)),
             down: self.state_good_at.is_none() || self.state_down(),
             spreads: self.owns() && self.is_spread(),
             keep: None,
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -165,7 +165,7 @@
         // The owner has read all, and knows of each change that it has not made itself soon enough.
         let here = self.decides().then(|| self.models.known(model)).flatten();
         let job = self
-            .part
+            .shard
             .as_ref()
             .and_then(|p| p.job(*p.job_ix.get(model)?));
         let job = job
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -11,11 +11,11 @@
 
 use crate::documents::{self, Doc, Documents, KindId};
 use crate::jobs::job::{Ending, Job, JobIx};
-use crate::leadership::election::PART;
+use crate::leadership::election::SHARD;
 use crate::models::demand::Wakes;
 use crate::scheduling::planning::grace;
-use crate::store::part::Part;
 use crate::store::recovery::Load;
+use crate::store::shard::Shard;
 use crate::{Dest, Node, Pending};
 use document::Fault;
 use model::{Asked, MAX_NEAR, Phase, Rec, Rule, Seen, Spec, asked};
@@ -261,47 +261,47 @@
         let owned = &mut self.models.owned;
         (owned.read, owned.after) = (Read::All, None);
         self.sort_models();
-        if self.part.as_ref().is_some_and(|p| !p.loaded) {
+        if self.shard.as_ref().is_some_and(|p| !p.loaded) {
             self.load_ended();
         }
     }
 
     /// Which jobs are models, after all of them or the document may have changed.
     fn sort_models(&mut self) {
-        let Some(part) = &self.part else { return };
-        let all: Vec<JobIx> = (0..part.jobs.len())
-            .filter(|ix| part.jobs[*ix].is_some())
+        let Some(shard) = &self.shard else { return };
+        let all: Vec<JobIx> = (0..shard.jobs.len())
+            .filter(|ix| shard.jobs[*ix].is_some())
             .collect();
         for ix in all {
             self.model_came(ix);
         }
-        let Some(part) = &self.part else { return };
+        let Some(shard) = &self.shard else { return };
         let owned = &mut self.models.owned;
-        let gone = owned.recs.keys().filter(|m| !part.job_ix.contains_key(*m));
+        let gone = owned.recs.keys().filter(|m| !shard.job_ix.contains_key(*m));
         owned.over.extend(gone.cloned().collect::<Vec<_>>());
     }
 
     /// A job has come to the owner's memory, or may have become a model.
     pub(crate) fn model_came(&mut self, ix: JobIx) {
-        let Some(part) = &mut self.part else { return };
-        let Some(job) = part.job(ix) else { return };
+        let Some(shard) = &mut self.shard else { return };
+        let Some(job) = shard.job(ix) else { return };
         let rule = job.spec.as_ref().and_then(|spec| self.models.rule(spec));
         if rule.is_none() && job.replicas.is_none() {
             return;
         }
         let id = job.id.clone();
         let Some(rule) = rule else {
-            if let Some(job) = part.job_mut(ix) {
+            if let Some(job) = shard.job_mut(ix) {
                 job.replicas = None;
             }
-            part.plan_due = true;
+            shard.plan_due = true;
             return;
         };
         let known = self.models.known(&id);
         let replicas = known
             .as_ref()
             .map_or(0, |k| k.rec.replicas(&rule, job.tasks));
-        set_replicas(part, ix, replicas);
+        set_replicas(shard, ix, replicas);
         if let Some(known) = known {
             self.models.is_due(&id);
             self.near_weights(ix, &known.rec);
@@ -311,7 +311,7 @@
 
     /// Something about a job has changed; it matters here only if that is a model.
     pub(crate) fn model_changed(&mut self, ix: JobIx) {
-        let Some(job) = self.part.as_ref().and_then(|p| p.job(ix)) else {
+        let Some(job) = self.shard.as_ref().and_then(|p| p.job(ix)) else {
             return;
         };
         if job.replicas.is_none() {
@@ -336,17 +336,17 @@
                     .collect()
             })
             .unwrap_or_default();
-        let Some(part) = &mut self.part else { return };
-        let Some(spec) = part.job(ix).and_then(|j| j.spec.as_deref()) else {
+        let Some(shard) = &mut self.shard else { return };
+        let Some(spec) = shard.job(ix).and_then(|j| j.spec.as_deref()) else {
             return;
         };
         let (image, gb) = (spec.image.clone(), spec.image_gb);
-        let image = part.images.get(&image);
+        let image = shard.images.get(&image);
         for name in rec.near.iter().take(MAX_NEAR) {
-            let Some(m) = part.machine_ix.get(name).copied() else {
+            let Some(m) = shard.machine_ix.get(name).copied() else {
                 continue;
             };
-            let Some(machine) = part.machine_mut(m) else {
+            let Some(machine) = shard.machine_mut(m) else {
                 continue;
             };
             let cache = caches.get(&machine.machine_type).copied().unwrap_or(0.0);
@@ -379,15 +379,15 @@
         }
         owned.recs.insert(model.to_owned(), known.clone());
         owned.due.insert(model.to_owned());
-        let Some(part) = &mut self.part else { return };
-        let Some(ix) = part.job_ix.get(model).copied() else {
+        let Some(shard) = &mut self.shard else { return };
+        let Some(ix) = shard.job_ix.get(model).copied() else {
             return;
         };
-        let Some(job) = part.job(ix) else { return };
+        let Some(job) = shard.job(ix) else { return };
         let Some(rule) = job.spec.as_ref().and_then(|spec| self.models.rule(spec)) else {
             return;
         };
-        set_replicas(part, ix, known.rec.replicas(&rule, job.tasks));
+        set_replicas(shard, ix, known.rec.replicas(&rule, job.tasks));
     }
 
     pub(crate) fn models_tick(&mut self) {
@@ -419,10 +419,10 @@
     /// What the owner sees of a model.
     fn seen(&self, job: &Job) -> Seen {
         let now = self.now.mono;
-        let since = self.part.as_ref().map_or(0, |p| p.since);
+        let since = self.shard.as_ref().map_or(0, |p| p.since);
         let heard = self.models.wakes.heard(&job.id).max(since);
         let near = self
-            .part
+            .shard
             .as_ref()
             .map(|p| machines_near(p, job))
             .unwrap_or_default();
@@ -442,11 +442,13 @@
             }
             return true;
         }
-        let Some(part) = &self.part else { return false };
-        let Some(ix) = part.job_ix.get(model).copied() else {
+        let Some(shard) = &self.shard else {
             return false;
         };
-        let Some(job) = part.job(ix).filter(|j| j.ending == Ending::No) else {
+        let Some(ix) = shard.job_ix.get(model).copied() else {
+            return false;
+        };
+        let Some(job) = shard.job(ix).filter(|j| j.ending == Ending::No) else {
             return false;
         };
         let Some(spec) = job.spec.as_ref() else {
@@ -497,8 +499,8 @@
 
     /// Stops all replicas but the first few.
     fn stop_replicas(&mut self, ix: JobIx, stay: u32) {
-        let Some(part) = &mut self.part else { return };
-        let Some(job) = part.job(ix) else { return };
+        let Some(shard) = &mut self.shard else { return };
+        let Some(job) = shard.job(ix) else { return };
         let grace = job.spec.as_deref().map_or(0.0, grace);
         let mut tasks: Vec<u32> = job.claimed.keys().copied().collect();
         tasks.sort_unstable();
@@ -510,7 +512,7 @@
             .flat_map(|(_, c)| c);
         let machines: BTreeSet<usize> = on.map(|(m, _)| *m).collect();
         for m in machines {
-            let Some(machine) = part.machine_mut(m) else {
+            let Some(machine) = shard.machine_mut(m) else {
                 continue;
             };
             let mut news = false;
@@ -523,7 +525,7 @@
                 claim.stop.get_or_insert(grace);
             }
             if news {
-                part.push.insert(m);
+                shard.push.insert(m);
             }
         }
     }
@@ -531,12 +533,12 @@
     /// One transaction of the owner's about a model: under the guard of its own record, of the model's record as it was
     /// known, and of the job, which must not have ended.
     fn write_model(&mut self, model: &str, rec: Option<Rec>, stamp: u64, job: Option<u64>) {
-        let Some(part) = &self.part else { return };
+        let Some(shard) = &self.shard else { return };
         let key = records::model_key(model);
         let mut guards = vec![
             Guard {
-                key: records::owner_key(PART),
-                version: part.owner_version,
+                key: records::owner_key(SHARD),
+                version: shard.owner_version,
             },
             Guard {
                 key: key.clone(),
@@ -658,15 +660,15 @@
 
     /// Records of jobs that are over go, one at a time.
     fn take_over_records(&mut self) {
-        let Some(part) = &self.part else { return };
+        let Some(shard) = &self.shard else { return };
         let owned = &mut self.models.owned;
         let Some(model) = owned.over.pop_first() else {
             return;
         };
-        let open = part
+        let open = shard
             .job_ix
             .get(&model)
-            .and_then(|ix| part.job(*ix))
+            .and_then(|ix| shard.job(*ix))
             .is_some_and(|j| !j.is_over());
         let Some(stamp) = owned.recs.get(&model).map(|k| k.stamp).filter(|_| !open) else {
             return;
@@ -737,12 +739,12 @@
 
     /// Machines that are kept for the weights that they hold: one a model.
     pub(crate) fn kept_for_models(&self) -> Vec<usize> {
-        let Some(part) = &self.part else {
+        let Some(shard) = &self.shard else {
             return Vec::new();
         };
         let owned = &self.models.owned;
         let first =
-            |names: &Vec<String>| names.iter().find_map(|n| part.machine_ix.get(n).copied());
+            |names: &Vec<String>| names.iter().find_map(|n| shard.machine_ix.get(n).copied());
         owned
             .kept
             .values()
@@ -785,11 +787,11 @@
 
     /// All models, as their owner sees them.
     pub(crate) fn models_standing(&self) -> Vec<Standing> {
-        let Some(part) = &self.part else {
+        let Some(shard) = &self.shard else {
             return Vec::new();
         };
         let mut out = Vec::new();
-        for job in part.jobs.iter().flatten().filter(|j| j.replicas.is_some()) {
+        for job in shard.jobs.iter().flatten().filter(|j| j.replicas.is_some()) {
             let Some(spec) = job.spec.as_ref().filter(|_| !job.is_ending()) else {
                 continue;
             };
@@ -817,20 +819,20 @@
     }
 }
 
-fn set_replicas(part: &mut Part, ix: JobIx, replicas: u32) {
-    if part.job(ix).is_some_and(|j| j.replicas != Some(replicas)) {
-        if let Some(job) = part.job_mut(ix) {
+fn set_replicas(shard: &mut Shard, ix: JobIx, replicas: u32) {
+    if shard.job(ix).is_some_and(|j| j.replicas != Some(replicas)) {
+        if let Some(job) = shard.job_mut(ix) {
             job.replicas = Some(replicas);
         }
-        part.plan_due = true;
+        shard.plan_due = true;
     }
 }
 
 /// Machines on which replicas of a model are, and so its weights.
-fn machines_near(part: &Part, job: &Job) -> Vec<String> {
+fn machines_near(shard: &Shard, job: &Job) -> Vec<String> {
     let on: BTreeSet<usize> = job.claimed.values().flatten().map(|(m, _)| *m).collect();
     on.into_iter()
-        .filter_map(|m| part.machine(m))
+        .filter_map(|m| shard.machine(m))
         .map(|m| m.name.clone())
         .take(MAX_NEAR)
         .collect()
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -11,8 +11,8 @@
 use crate::outstanding::Pending;
 use crate::overload::{load_shedding, plan_pacing};
 use crate::stats::Stats;
-use crate::store::part::Part;
 use crate::store::rate_budget::Bucket;
+use crate::store::shard::Shard;
 use crate::tuning::Tuning;
 use std::collections::{HashMap, VecDeque};
 use wire::api::Catalog;
@@ -37,7 +37,7 @@
     pub(crate) life: incarnation::Life,
     pub(crate) hint: Option<election::Hint>,
     pub(crate) epoch: u64,
-    pub(crate) part: Option<Part>,
+    pub(crate) shard: Option<Shard>,
     /// Requests to the state service and writes to it that this node may still make.
     pub(crate) requests: Bucket,
     pub(crate) writes: Bucket,
@@ -97,7 +97,7 @@
             role: Role::Follower { may_stand_at: 0 },
             hint: None,
             epoch: 0,
-            part: None,
+            shard: None,
             finals: answer_history::Finals::new(finals),
             said: answer_history::Said::default(),
             retries: VecDeque::new(),
@@ -175,7 +175,7 @@
 
     /// How long the caller may wait until the next tick.
     pub fn wait_ms(&self) -> u64 {
-        if self.part.is_some() { 50 } else { 100 }
+        if self.shard.is_some() { 50 } else { 100 }
     }
 
     pub(crate) fn tick(&mut self) {
@@ -192,7 +192,7 @@
             self.catalog_tick();
         }
         self.load_tick();
-        if self.part.as_ref().is_some_and(|p| p.loaded) {
+        if self.shard.as_ref().is_some_and(|p| p.loaded) {
             self.fleet_tick();
             self.machines_tick();
             self.sched_tick();
@@ -204,7 +204,7 @@
     }
 
     pub(crate) fn owns(&self) -> bool {
-        self.part.is_some()
+        self.shard.is_some()
     }
 
     pub(crate) fn catalog(&self) -> Option<&Catalog> {
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -1,8 +1,8 @@
 //! The cloud: its catalogue, its late list, rentals and returns.
 
 use crate::agents::machine::Machine;
-use crate::leadership::election::PART;
-use crate::store::part::{Hire, HireState};
+use crate::leadership::election::SHARD;
+use crate::store::shard::{Hire, HireState};
 use crate::{Dest, Node, Pending};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{Catalog, HireRequest, ListedMachine, MachineList, MachineNames};
@@ -68,9 +68,9 @@
                 .as_ref()
                 .is_some_and(|old| names(old) == names(&catalog));
         self.shared.catalog = Some(catalog);
-        if let Some(part) = &mut self.part {
-            part.catalog_dirty |= !known;
-            part.plan_due = true;
+        if let Some(shard) = &mut self.shard {
+            shard.catalog_dirty |= !known;
+            shard.plan_due = true;
         }
     }
 
@@ -78,16 +78,16 @@
         let now = self.now.mono;
         let epoch = self.epoch;
         let sure = self.sure();
-        let Some(part) = &mut self.part else { return };
-        if !part.live_busy && now >= part.live_retry_at {
+        let Some(shard) = &mut self.shard else { return };
+        if !shard.live_busy && now >= shard.live_retry_at {
             self.watch_live();
         }
         if !sure {
             return;
         }
-        let Some(part) = &mut self.part else { return };
+        let Some(shard) = &mut self.shard else { return };
         // Rentals that are recorded; the same name again until there is an answer.
-        let ready: Vec<(String, HireRec)> = part
+        let ready: Vec<(String, HireRec)> = shard
             .hires
             .iter()
             .filter(|(_, h)| h.state == HireState::Recorded && !h.busy && h.retry_at <= now)
@@ -97,7 +97,7 @@
             if !self.cloud.try_take(now, 1.0) {
                 break;
             }
-            if let Some(hire) = self.part.as_mut().and_then(|p| p.hires.get_mut(&name)) {
+            if let Some(hire) = self.shard.as_mut().and_then(|p| p.hires.get_mut(&name)) {
                 hire.busy = true;
             }
             let body = wire::encode(&HireRequest {
@@ -117,17 +117,17 @@
                 what,
             );
         }
-        let Some(part) = &mut self.part else { return };
-        if !part.delete_busy && now >= part.delete_retry_at {
-            let machines: Vec<usize> = (0..part.machines.len())
-                .filter(|m| part.machine(*m).is_some_and(|x| x.deleting))
+        let Some(shard) = &mut self.shard else { return };
+        if !shard.delete_busy && now >= shard.delete_retry_at {
+            let machines: Vec<usize> = (0..shard.machines.len())
+                .filter(|m| shard.machine(*m).is_some_and(|x| x.deleting))
                 .take(100)
                 .collect();
             if !machines.is_empty() && self.cloud.try_take(now, 1.0) {
-                part.delete_busy = true;
+                shard.delete_busy = true;
                 let names = machines
                     .iter()
-                    .filter_map(|m| part.machine(*m).map(|x| x.name.clone()))
+                    .filter_map(|m| shard.machine(*m).map(|x| x.name.clone()))
                     .collect();
                 let body = wire::encode(&MachineNames { machines: names });
                 let what = Pending::Delete { epoch, machines };
@@ -142,11 +142,11 @@
             }
         }
         let every = (self.settings.cluster.cloud.list_lag_s * 500.0) as u64;
-        let Some(part) = &mut self.part else { return };
-        if !part.list.busy && now >= part.list.next_at && self.cloud.try_take(now, 1.0) {
-            part.list.busy = true;
-            part.list.next_at = now + every.max(1500);
-            let from = part
+        let Some(shard) = &mut self.shard else { return };
+        if !shard.list.busy && now >= shard.list.next_at && self.cloud.try_take(now, 1.0) {
+            shard.list.busy = true;
+            shard.list.next_at = now + every.max(1500);
+            let from = shard
                 .list
                 .after
                 .as_ref()
@@ -169,15 +169,15 @@
             .filter(|r| r.status == 200)
             .and_then(|r| self.read::<MachineList>("cloud", &r));
         self.forget_returned();
-        let Some(part) = &mut self.part else { return };
-        part.list.busy = false;
+        let Some(shard) = &mut self.shard else { return };
+        shard.list.busy = false;
         let Some(list) = list else { return };
-        part.list.after = None;
+        shard.list.after = None;
         if list.more
             && let Some(last) = list.machines.last()
         {
-            part.list.after = Some(last.name.clone());
-            part.list.next_at = self.now.mono;
+            shard.list.after = Some(last.name.clone());
+            shard.list.next_at = self.now.mono;
         }
         for machine in list.machines {
             self.listed(machine);
@@ -186,9 +186,9 @@
 
     fn listed(&mut self, l: ListedMachine) {
         let now = self.now;
-        let Some(part) = &mut self.part else { return };
-        if let Some(m) = part.machine_ix.get(&l.name).copied() {
-            let Some(machine) = part.machine_mut(m) else {
+        let Some(shard) = &mut self.shard else { return };
+        if let Some(m) = shard.machine_ix.get(&l.name).copied() {
+            let Some(machine) = shard.machine_mut(m) else {
                 return;
             };
             if machine.addr.is_none() {
@@ -202,7 +202,7 @@
             }
             return;
         }
-        if part.returned.contains_key(&l.name) {
+        if shard.returned.contains_key(&l.name) {
             return;
         }
         // Machines of a rental whose answer is still out are expected, but take them in all the same.
@@ -215,15 +215,15 @@
         machine.addr = l.addr.parse().ok();
         machine.failed = l.stage == "failed";
         machine.deleting = machine.failed;
-        part.add_machine(machine);
+        shard.add_machine(machine);
     }
 
     /// Writes a rental down; it is sent once the record stands.
     pub(crate) fn hire(&mut self, machine_type: &str, zone: &str, spot: bool, count: u32) {
         let wall = self.now.wall;
-        let Some(part) = &mut self.part else { return };
-        let serial = part.next_serial();
-        let name = format!("r-{PART}-{}-{serial}", part.token);
+        let Some(shard) = &mut self.shard else { return };
+        let serial = shard.next_serial();
+        let name = format!("r-{SHARD}-{}-{serial}", shard.token);
         log::info!("hire {name}: {count} of {machine_type} in {zone}, spot {spot}");
         let rec = HireRec {
             machine_type: machine_type.into(),
@@ -232,7 +232,7 @@
             count: count.min(50),
             at_ms: wall,
         };
-        part.hires.insert(
+        shard.hires.insert(
             name,
             Hire {
                 rec,
@@ -257,8 +257,8 @@
                     .is_ok_and(|e| e.error == "no capacity")
             });
         let wait = self.rng.u64(500..1500);
-        let Some(part) = &mut self.part else { return };
-        let Some(hire) = part.hires.get_mut(&name) else {
+        let Some(shard) = &mut self.shard else { return };
+        let Some(hire) = shard.hires.get_mut(&name) else {
             return;
         };
         self.to_write = true;
@@ -268,56 +268,58 @@
         if let Some(got) = got {
             hire.state = HireState::Over;
             if (got.machines.len() as u32) < rec.count {
-                part.refused.insert(kind, (now.mono + 20_000, 1));
+                shard.refused.insert(kind, (now.mono + 20_000, 1));
             } else {
-                part.refused.remove(&kind);
+                shard.refused.remove(&kind);
             }
             for machine in got.machines {
-                if part.machine_ix.contains_key(&machine) || part.returned.contains_key(&machine) {
+                if shard.machine_ix.contains_key(&machine) || shard.returned.contains_key(&machine)
+                {
                     continue;
                 }
                 let (kind, zone) = (&rec.machine_type, &rec.zone);
-                part.add_machine(Machine::unrecorded(
+                shard.add_machine(Machine::unrecorded(
                     &machine, kind, zone, rec.spot, rec.at_ms, now.mono,
                 ));
             }
         } else if no_capacity || status == Some(400) {
             log::info!("hire {name}: none to be had");
             hire.state = HireState::Over;
-            let times = part.refused.get(&kind).map_or(0, |(_, n)| *n) + 1;
-            part.refused
+            let times = shard.refused.get(&kind).map_or(0, |(_, n)| *n) + 1;
+            shard
+                .refused
                 .insert(kind, (now.mono + 8000 * u64::from(times.min(4)), times));
         } else {
             hire.retry_at = now.mono + wait;
         }
-        part.plan_due = true;
+        shard.plan_due = true;
     }
 
     pub(crate) fn deleted(&mut self, machines: Vec<usize>, response: Option<Response>) {
         let now = self.now.mono;
         let wait = self.rng.u64(500..1500);
-        let Some(part) = &mut self.part else { return };
-        part.delete_busy = false;
+        let Some(shard) = &mut self.shard else { return };
+        shard.delete_busy = false;
         if response.is_none_or(|r| r.status != 200) {
-            part.delete_retry_at = now + wait;
+            shard.delete_retry_at = now + wait;
             return;
         }
         let mut changed = std::collections::BTreeSet::new();
         for m in machines {
-            let Some(part) = &mut self.part else { return };
-            let Some(machine) = part.machine_mut(m) else {
+            let Some(shard) = &mut self.shard else { return };
+            let Some(machine) = shard.machine_mut(m) else {
                 continue;
             };
             log::info!("machine {}: returned", machine.name);
             let name = machine.name.clone();
             let claims = machine.claims.len();
-            part.returned.insert(name, now);
+            shard.returned.insert(name, now);
             // The cloud's word is proof: everything on the machine is gone.
             for k in (0..claims).rev() {
                 changed.extend(self.claim_ended(m, k, None, false));
             }
-            if let Some(part) = &mut self.part {
-                part.remove_machine(m);
+            if let Some(shard) = &mut self.shard {
+                shard.remove_machine(m);
             }
         }
         for ix in changed {
@@ -333,11 +335,11 @@
             return;
         }
         self.call_round();
-        let Some(part) = &mut self.part else { return };
-        if now.mono < part.looked_at + LOOK_MS {
+        let Some(shard) = &mut self.shard else { return };
+        if now.mono < shard.looked_at + LOOK_MS {
             return;
         }
-        part.looked_at = now.mono;
+        shard.looked_at = now.mono;
         let silent = self.silent_ms();
         self.look_at_zones();
         let grace = (self.settings.cluster.workers.report_s * 1000.0) as u64;
@@ -348,14 +350,14 @@
             .unwrap_or_default();
         let patience = self.tuning.boot_patience;
         let can_follow = self.could_be_followed();
-        let Some(part) = &mut self.part else { return };
-        if now.mono < part.since + grace {
+        let Some(shard) = &mut self.shard else { return };
+        if now.mono < shard.since + grace {
             return;
         }
         let mut probes = Vec::new();
         let mut unsent = Vec::new();
         let (mut up, mut quiet) = (0, 0);
-        for (m, machine) in part.machines.iter_mut().enumerate() {
+        for (m, machine) in shard.machines.iter_mut().enumerate() {
             let Some(machine) = machine else { continue };
             let mute = machine.is_mute(now.mono, silent);
             if (mute || machine.deleting) && machine.unsent().next().is_some() {
@@ -411,12 +413,12 @@
             return self.stand_back(15_000);
         }
         for m in unsent {
-            let machine = self.part.as_ref().and_then(|p| p.machine(m));
+            let machine = self.shard.as_ref().and_then(|p| p.machine(m));
             let claims: Vec<usize> = machine.map(|x| x.unsent().collect()).unwrap_or_default();
             self.never_started(m, &claims);
         }
         for m in probes {
-            let Some(machine) = self.part.as_mut().and_then(|p| p.machine_mut(m)) else {
+            let Some(machine) = self.shard.as_mut().and_then(|p| p.machine_mut(m)) else {
                 continue;
             };
             if machine.addr.is_some() {
@@ -438,9 +440,9 @@
         let now = self.now.mono;
         let late = (self.settings.cluster.workers.report_s * 1250.0) as u64 + 1000;
         let is_spread = self.is_spread();
-        let Some(part) = &mut self.part else { return };
+        let Some(shard) = &mut self.shard else { return };
         let mut zones: BTreeMap<&str, (u32, u32, u32)> = BTreeMap::new();
-        for machine in part
+        for machine in shard
             .machines
             .iter()
             .flatten()
@@ -461,22 +463,22 @@
             .iter()
             .filter(|(_, (up, quiet, _))| *up >= 4 && quiet * 3 > *up);
         let cut: BTreeSet<String> = cut.map(|(zone, _)| (*zone).to_owned()).collect();
-        for zone in cut.difference(&part.cut_zones) {
+        for zone in cut.difference(&shard.cut_zones) {
             log::warn!("zone {zone}: many of its machines can't be heard");
         }
-        part.cut_zones = cut;
-        part.detour_zones = detour;
+        shard.cut_zones = cut;
+        shard.detour_zones = detour;
     }
 
     /// After a take-over: asks the machines that have not come by themselves, a few at a time. Their workers may
     /// still be with an earlier owner, and what they say is needed before much can be decided.
     fn call_round(&mut self) {
         let now = self.now.mono;
-        let Some(part) = &mut self.part else { return };
-        if now < part.since + CALL_AFTER_MS || now >= part.since + CALL_UNTIL_MS {
+        let Some(shard) = &mut self.shard else { return };
+        if now < shard.since + CALL_AFTER_MS || now >= shard.since + CALL_UNTIL_MS {
             return;
         }
-        let since = part.since;
+        let since = shard.since;
         let unheard = |m: &Machine| {
             m.heard_at <= since
                 && m.addr.is_some()
@@ -484,7 +486,7 @@
                 && m.probed_at < since
                 && !m.deleting
         };
-        let due = part
+        let due = shard
             .machines
             .iter()
             .enumerate()
--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -3,7 +3,7 @@
 
 use crate::documents::quotas::Good;
 use crate::jobs::job::{Job, JobIx};
-use crate::store::part::Part;
+use crate::store::shard::Shard;
 use quota::{Amount, Count, Live, MAX_RESOURCES, NOTHING, Share, TeamId, Tree, amount};
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -101,16 +101,16 @@
 
 impl Counted {
     /// All jobs, counted anew.
-    pub fn new(part: &Part, tree: Arc<Tree>) -> Self {
+    pub fn new(shard: &Shard, tree: Arc<Tree>) -> Self {
         let mut out = Counted {
             live: Live::new(tree),
             by_job: HashMap::new(),
         };
-        out.follow(part, 0..part.jobs.len());
+        out.follow(shard, 0..shard.jobs.len());
         out
     }
 
-    fn follow(&mut self, part: &Part, touched: impl IntoIterator<Item = JobIx>) {
+    fn follow(&mut self, shard: &Shard, touched: impl IntoIterator<Item = JobIx>) {
         let mut teams: HashMap<TeamId, Count> = HashMap::new();
         let mut shift = |live: &Live, team: TeamId, by: &Count, sign: i64| {
             let count = teams.entry(team).or_insert_with(|| live.team(team));
@@ -118,7 +118,7 @@
             add(&mut count.used, &by.used, sign);
         };
         for ix in touched {
-            let after = part.job(ix).and_then(|job| counts(job, self.live.tree()));
+            let after = shard.job(ix).and_then(|job| counts(job, self.live.tree()));
             let before = match after {
                 Some(after) => self.by_job.insert(ix, after),
                 None => self.by_job.remove(&ix),
@@ -139,8 +139,8 @@
     }
 
     /// Whether counting everything anew gives the same.
-    fn is_right(&self, part: &Part) -> bool {
-        let anew = Counted::new(part, self.live.tree().clone());
+    fn is_right(&self, shard: &Shard) -> bool {
+        let anew = Counted::new(shard, self.live.tree().clone());
         (0..self.live.tree().leaves.len() as u32)
             .map(TeamId)
             .all(|t| anew.live.team(t) == self.live.team(t))
@@ -157,7 +157,7 @@
 
 /// The jobs of teams below some node, each with how far its tasks are held. The earlier accepted come first, and an
 /// array is held task by task.
-fn nested(part: &Part, open: &[(JobIx, &JobSpec)], live: &mut Live) -> HashMap<JobIx, Levels> {
+fn nested(shard: &Shard, open: &[(JobIx, &JobSpec)], live: &mut Live) -> HashMap<JobIx, Levels> {
     let tree = live.tree().clone();
     let mut left: HashMap<TeamId, Vec<Share>> = HashMap::new();
     let mut out = HashMap::new();
@@ -173,7 +173,7 @@
                 .map(|depth| live.entitled(team, depth))
                 .collect()
         });
-        let tasks = part.job(*ix).map_or(0, |job| open_tasks(job, spec));
+        let tasks = shard.job(*ix).map_or(0, |job| open_tasks(job, spec));
         out.insert(
             *ix,
             fit(
@@ -242,9 +242,9 @@
 }
 
 /// Jobs that have not ended, the earlier accepted first.
-fn open_jobs(part: &Part) -> Vec<(JobIx, &JobSpec)> {
+fn open_jobs(shard: &Shard) -> Vec<(JobIx, &JobSpec)> {
     let mut open: Vec<(u64, JobIx, &JobSpec)> = Vec::new();
-    for (ix, job) in part.jobs.iter().enumerate() {
+    for (ix, job) in shard.jobs.iter().enumerate() {
         if let Some(job) = job
             && let Some(spec) = &job.spec
             && !job.is_ending()
@@ -257,7 +257,7 @@
 }
 
 /// Open jobs that fit into their team's guarantee together with the team's earlier ones.
-fn within_guarantee(part: &Part, open: &[(JobIx, &JobSpec)], teams: &[Team]) -> HashSet<JobIx> {
+fn within_guarantee(shard: &Shard, open: &[(JobIx, &JobSpec)], teams: &[Team]) -> HashSet<JobIx> {
     let mut left: HashMap<&str, (&Team, f64, f64)> = teams
         .iter()
         .map(|t| (t.name.as_str(), (t, t.cpus, t.gpus)))
@@ -268,7 +268,8 @@
             continue;
         };
         let n = f64::from(
-            part.job(*ix)
+            shard
+                .job(*ix)
                 .and_then(|j| j.replicas)
                 .map_or(spec.tasks, |n| n.min(spec.tasks)),
         );
@@ -295,45 +296,45 @@
 
 /// How far guarantees hold all open jobs. Brings the tree's counts up to date on the way.
 pub(crate) fn holds(
-    part: &mut Part,
+    shard: &mut Shard,
     teams: &[Team],
     good: Option<&Good>,
     index: &HashMap<&str, u16>,
 ) -> Holds {
-    let touched = part.take_touched();
-    let kept = part.counted.take();
+    let touched = shard.take_touched();
+    let kept = shard.counted.take();
     let flat_only = |flat| Holds {
         flat,
         nested: HashMap::new(),
         fulfilled: HashMap::new(),
     };
     let Some(good) = good else {
-        return flat_only(within_guarantee(part, &open_jobs(part), teams));
+        return flat_only(within_guarantee(shard, &open_jobs(shard), teams));
     };
-    let open = open_jobs(part);
-    let flat = within_guarantee(part, &open, &cut_guarantees(teams, good));
+    let open = open_jobs(shard);
+    let flat = within_guarantee(shard, &open, &cut_guarantees(teams, good));
     let tree = &good.built;
     if tree.nodes.is_empty() {
         return flat_only(flat);
     }
     let mut counted = match kept.filter(|(version, _)| *version == good.version) {
         Some((_, mut counted)) => {
-            counted.follow(part, touched);
+            counted.follow(shard, touched);
             counted
         }
-        None => Counted::new(part, tree.clone()),
+        None => Counted::new(shard, tree.clone()),
     };
     debug_assert!(
-        counted.is_right(part),
+        counted.is_right(shard),
         "a job was changed that plans did not hear of"
     );
-    let nested = nested(part, &open, &mut counted.live);
+    let nested = nested(shard, &open, &mut counted.live);
     let below = tree.leaves.iter().filter(|l| l.parent.is_some());
     let ids = below.filter_map(|l| Some((*index.get(l.name.as_str())?, tree.team(&l.name)?)));
     let fulfilled = ids
         .map(|(t, id)| (t, fulfilled(&counted.live, id)))
         .collect();
-    part.counted = Some((good.version, counted));
+    shard.counted = Some((good.version, counted));
     Holds {
         flat,
         nested,
@@ -462,29 +463,29 @@
         }
         let tree = Arc::new(Tree::build(&spec_of_tree, &teams).expect("good"));
         assert_eq!(tree.levels() + 1, 6);
-        let mut part = Part::new(1, 1, 0, 16.0);
+        let mut shard = Shard::new(1, 1, 0, 16.0);
         for i in 0..100_000u32 {
             let spec = spec(i, &teams[i as usize % 10_000].name, 2, 1.0, 0.0);
-            part.add_job(Job::new(JobRec::new(spec, u64::from(i), 0), 1));
+            shard.add_job(Job::new(JobRec::new(spec, u64::from(i), 0), 1));
         }
-        part.take_touched();
-        let mut counted = Counted::new(&part, tree);
+        shard.take_touched();
+        let mut counted = Counted::new(&shard, tree);
         let all = counted.live.steps;
         for ix in [0, 999, 55_555] {
-            part.job_mut(ix).expect("there").claim(0, 7, 1);
-            let touched = part.take_touched();
+            shard.job_mut(ix).expect("there").claim(0, 7, 1);
+            let touched = shard.take_touched();
             assert_eq!(touched, [ix]);
             let before = counted.live.steps;
-            counted.follow(&part, touched);
+            counted.follow(&shard, touched);
             let steps = counted.live.steps - before;
             assert!(
                 steps <= 2 * 7 && steps * 1000 < all,
                 "job {ix}: {steps} steps of {all}"
             );
         }
-        assert!(counted.is_right(&part));
+        assert!(counted.is_right(&shard));
         assert_eq!(
-            nested(&part, &open_jobs(&part), &mut counted.live).len(),
+            nested(&shard, &open_jobs(&shard), &mut counted.live).len(),
             100_000
         );
     }
@@ -573,7 +574,7 @@
             team("gpus", 0.0, 4.0),
             team("both", 20.0, 4.0),
         ];
-        let mut part = Part::new(1, 1, 0, 16.0);
+        let mut shard = Shard::new(1, 1, 0, 16.0);
         let jobs = [
             ("cpus", 3, 6.0, 1.0, true), // 18 of 20 CPUs, though no GPU is guaranteed.
             ("cpus", 1, 6.0, 0.0, false), // Past them, with the job before.
@@ -585,9 +586,9 @@
         ];
         for (i, (team, tasks, cores, gpus, _)) in jobs.iter().enumerate() {
             let spec = spec(i as u32, team, *tasks, *cores, *gpus);
-            part.add_job(Job::new(JobRec::new(spec, i as u64, 0), 1));
+            shard.add_job(Job::new(JobRec::new(spec, i as u64, 0), 1));
         }
-        let within = within_guarantee(&part, &open_jobs(&part), &teams);
+        let within = within_guarantee(&shard, &open_jobs(&shard), &teams);
         for (i, (team, .., expected)) in jobs.iter().enumerate() {
             assert_eq!(within.contains(&i), *expected, "job {i} of {team}");
         }
@@ -625,17 +626,17 @@
             .collect();
         let mut rng = fastrand::Rng::with_seed(5);
         for _ in 0..200 {
-            let mut part = Part::new(1, 1, 0, 16.0);
+            let mut shard = Shard::new(1, 1, 0, 16.0);
             for i in 0..12 {
                 let team = ["a", "b", "c"][rng.usize(0..3)];
                 let (tasks, cores) = (rng.u32(1..5), [0.1111, 1.0, 6.0][rng.usize(0..3)]);
                 let spec = spec(i, team, tasks, cores, f64::from(rng.u32(0..3)));
-                part.add_job(Job::new(JobRec::new(spec, u64::from(i), 0), 1));
+                shard.add_job(Job::new(JobRec::new(spec, u64::from(i), 0), 1));
             }
-            let without = holds(&mut part, &teams, None, &index);
-            let with = holds(&mut part, &teams, Some(&good), &index);
+            let without = holds(&mut shard, &teams, None, &index);
+            let with = holds(&mut shard, &teams, Some(&good), &index);
             assert_eq!(without.flat, with.flat);
-            assert!(with.nested.is_empty() && with.fulfilled.is_empty() && part.counted.is_none());
+            assert!(with.nested.is_empty() && with.fulfilled.is_empty() && shard.counted.is_none());
         }
     }
 }
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -5,7 +5,7 @@
 use crate::scheduling::entitlement::{self, Holds};
 use crate::scheduling::urgent;
 use crate::store::claim_log::ClaimId;
-use crate::store::part::{HireState, Part};
+use crate::store::shard::{HireState, Shard};
 use crate::{Node, Tuning};
 use std::collections::{HashMap, HashSet};
 use wire::api::{Catalog, Cause, JobSpec, Kind, MachineType, Priority};
@@ -66,7 +66,7 @@
 /// A job as the planner sees it, as far as its description says.
 fn shaped(
     spec: &JobSpec,
-    images: &mut crate::store::part::Names,
+    images: &mut crate::store::shard::Names,
     names: &Names<'_>,
     team: u16,
 ) -> plan::Job {
@@ -118,7 +118,7 @@
 /// Room for the jobs that come while a machine boots and fetches, in classes whose users expect a start within
 /// less than that: by an aim for the class, or for all work within its team's guarantee.
 fn spares(
-    part: &mut Part,
+    shard: &mut Shard,
     aims: &[Objective],
     names: &Names<'_>,
     tuning: &Tuning,
@@ -126,13 +126,13 @@
 ) -> Vec<plan::Spare> {
     let guaranteed = guarantee_aim(aims);
     let mut out: Vec<plan::Spare> = Vec::new();
-    for (class, seen) in &part.classes {
+    for (class, seen) in &shard.classes {
         let Some(spec) = &seen.like else { continue };
         let own = wait_aims(aims, class).map(|within| (within, tuning.spare));
         let Some(team) = names.teams.get(spec.team.as_str()) else {
             continue;
         };
-        let like = shaped(spec, &mut part.images, names, *team);
+        let like = shaped(spec, &mut shard.images, names, *team);
         let lead = |t: &MachineType| t.boot_s + spec.image_gb / t.fetch_gb_per_s.max(0.01);
         let fitting = names
             .catalog
@@ -166,7 +166,7 @@
         let count = (deviation * share).round() as u32;
         let images = seen.images.iter();
         let images = images
-            .map(|(name, gb, share)| (part.images.get(name), *gb, *share))
+            .map(|(name, gb, share)| (shard.images.get(name), *gb, *share))
             .collect();
         if count > 0 {
             out.push(plan::Spare {
@@ -261,7 +261,7 @@
         job: &Job,
         teams: &HashMap<&str, u16>,
         classes: &std::collections::BTreeMap<String, Class>,
-        images: &mut crate::store::part::Names,
+        images: &mut crate::store::shard::Names,
     ) -> Self {
         let team = teams.get(job.team.as_str()).copied();
         let Some(spec) = &job.spec else {
@@ -326,7 +326,7 @@
 }
 
 /// Notes whether urgent work still waits, and whether this plan brought it on.
-fn note_urgent(part: &mut Part, now: u64, input: &plan::Input, output: &plan::Output) {
+fn note_urgent(shard: &mut Shard, now: u64, input: &plan::Input, output: &plan::Output) {
     let is_urgent = |job: usize| {
         let job = &input.jobs[job];
         let may_go_first = input.groups.is_empty() || job.held > 0;
@@ -342,7 +342,7 @@
     };
     let still_waits = (0..input.jobs.len()).any(waits);
     let got_on = !output.preempts.is_empty() || started.keys().any(|job| is_urgent(*job as usize));
-    part.urgent.planned(now, still_waits, got_on);
+    shard.urgent.planned(now, still_waits, got_on);
 }
 
 impl Node {
@@ -354,19 +354,19 @@
         let every = self.pace.apart(self.tuning.every_ms as u64);
         let pace = self.pace;
         let settle = (self.settings.cluster.workers.report_s * 1000.0) as u64;
-        let Some(part) = &mut self.part else { return };
-        let due =
-            (part.plan_due && now >= part.planned_at + every) || now >= part.planned_at + 2 * every;
+        let Some(shard) = &mut self.shard else { return };
+        let due = (shard.plan_due && now >= shard.planned_at + every)
+            || now >= shard.planned_at + 2 * every;
         let scope = match due {
             true => Scope::All,
-            false if part.urgent.is_due(now, &pace) => Scope::Urgent,
+            false if shard.urgent.is_due(now, &pace) => Scope::Urgent,
             false => return,
         };
         if scope == Scope::All {
-            part.plan_due = false;
-            part.planned_at = now;
+            shard.plan_due = false;
+            shard.planned_at = now;
         }
-        let since = part.since;
+        let since = shard.since;
         let Some(catalog) = self.shared.catalog.clone() else {
             return;
         };
@@ -374,10 +374,10 @@
         let (input, map) = self.plan_input(&catalog, scope);
         let output = plan::plan(&input);
         let stopped_at = output.resume.map(|job| map.jobs[job as usize]);
-        if let Some(part) = &mut self.part {
-            note_urgent(part, now, &input, &output);
+        if let Some(shard) = &mut self.shard {
+            note_urgent(shard, now, &input, &output);
             if scope == Scope::All {
-                part.plan_stopped_at = stopped_at;
+                shard.plan_stopped_at = stopped_at;
             }
         }
         self.stats.plans += 1;
@@ -403,10 +403,10 @@
         }
         let mut attempts: HashMap<u32, u64> = HashMap::new();
         for start in &output.starts {
-            let Some(part) = &mut self.part else { return };
+            let Some(shard) = &mut self.shard else { return };
             let attempt = *attempts
                 .entry(start.job)
-                .or_insert_with(|| part.next_attempt());
+                .or_insert_with(|| shard.next_attempt());
             self.start(
                 map.jobs[start.job as usize],
                 map.machines[start.machine as usize],
@@ -443,9 +443,9 @@
     /// one, or with another version in force, there is no room at all.
     fn plan_teams(&self, tree: Option<&quota::Tree>) -> Vec<plan::Team> {
         let version = self.shared.documents.quota.version();
-        let recorded = |p: &&Part| p.allot_version > 0 && p.allot_wanted.is_none();
+        let recorded = |p: &&Shard| p.allot_version > 0 && p.allot_wanted.is_none();
         let allot = self
-            .part
+            .shard
             .as_ref()
             .filter(recorded)
             .and_then(|p| p.allot.as_ref());
@@ -505,13 +505,13 @@
             .map(|g| g.built.clone())
             .filter(|tree| !tree.nodes.is_empty());
         input.teams = self.plan_teams(tree.as_deref());
-        let Some(part) = &mut self.part else {
+        let Some(shard) = &mut self.shard else {
             return (input, map);
         };
         let aims = Aims {
             all: &self.settings.cluster.objectives,
         };
-        let holds = entitlement::holds(part, &self.settings.cluster.teams, good.as_ref(), &teams);
+        let holds = entitlement::holds(shard, &self.settings.cluster.teams, good.as_ref(), &teams);
         let unheld: HashSet<u16> = tree
             .iter()
             .flat_map(|tree| entitlement::unheld(tree, &teams))
@@ -523,28 +523,29 @@
             teams: &teams,
             unheld: &unheld,
         };
-        if let (Some(tree), Some((_, counted))) = (&tree, &part.counted) {
+        if let (Some(tree), Some((_, counted))) = (&tree, &shard.counted) {
             input.groups = entitlement::groups(tree, &counted.live);
         }
-        part.jobs
+        shard
+            .jobs
             .iter_mut()
             .flatten()
             .for_each(|j| j.began |= j.running > 0);
         // Claims of each job that stay: they count as held before what waits.
-        let mut staying: Vec<u32> = vec![0; part.jobs.len()];
-        let (classes, images) = (&part.classes, &mut part.images);
-        let claimed_jobs: Vec<Option<ClaimedJob>> = part
+        let mut staying: Vec<u32> = vec![0; shard.jobs.len()];
+        let (classes, images) = (&shard.classes, &mut shard.images);
+        let claimed_jobs: Vec<Option<ClaimedJob>> = shard
             .jobs
             .iter()
             .map(|job| Some(ClaimedJob::of(job.as_ref()?, &teams, classes, images)))
             .collect();
         let claimed_job = |ix: JobIx| claimed_jobs.get(ix).and_then(Option::as_ref);
         let mut to_plan: HashMap<usize, u32> = HashMap::new();
-        for (m, machine) in part.machines.iter().enumerate() {
+        for (m, machine) in shard.machines.iter().enumerate() {
             let Some(machine) = machine else { continue };
             // All claims count against their team, wherever they are.
             for c in &machine.claims {
-                if let Some(job) = part.jobs.get(c.job).and_then(Option::as_ref)
+                if let Some(job) = shard.jobs.get(c.job).and_then(Option::as_ref)
                     && let Some(t) = claimed_job(c.job).and_then(|known| known.team)
                 {
                     input.teams[usize::from(t)].cores_used += job.need.cores;
@@ -562,7 +563,7 @@
             let mut claims = Vec::new();
             let mut images: Vec<u32> = machine.images.iter().map(|(i, _)| *i).collect();
             for (k, c) in machine.claims.iter().enumerate() {
-                let Some(job) = part.jobs.get(c.job).and_then(Option::as_ref) else {
+                let Some(job) = shard.jobs.get(c.job).and_then(Option::as_ref) else {
                     continue;
                 };
                 // What is on its way out holds no place any more.
@@ -626,13 +627,13 @@
                 fetch_gb_per_s: t.fetch_gb_per_s,
             });
         }
-        let zone_of: Vec<Option<u16>> = part
+        let zone_of: Vec<Option<u16>> = shard
             .machines
             .iter()
             .map(|m| m.as_ref().and_then(|m| zones.get(m.zone.as_str()).copied()))
             .collect();
         let nested = !input.groups.is_empty();
-        for (ix, job) in part.jobs.iter().enumerate() {
+        for (ix, job) in shard.jobs.iter().enumerate() {
             let Some(job) = job else { continue };
             let Some(spec) = &job.spec else { continue };
             if job.ending != Ending::No || job.backoff_until > now.mono {
@@ -656,7 +657,7 @@
                 continue;
             }
             let by_zone = zones_taken(job, &zone_of);
-            let factor = part.classes.get(&spec.class).map_or(1.0, |c| c.factor());
+            let factor = shard.classes.get(&spec.class).map_or(1.0, |c| c.factor());
             let like = plan::Job {
                 arrival: -(now.wall.saturating_sub(job.at_ms) as f64 / 1000.0),
                 estimate: (spec.estimate_s * factor - job.progress_s).max(1.0),
@@ -669,7 +670,7 @@
                     .collect(),
                 tenant: job.tenant,
                 only: crate::documents::county_counts::zones(job, &zones),
-                ..shaped(spec, &mut part.images, &names, *team)
+                ..shaped(spec, &mut shard.images, &names, *team)
             };
             let claimed = staying[ix];
             for (k, (held, pending)) in holds
@@ -697,7 +698,7 @@
             }
         }
         input.spares = spares(
-            part,
+            shard,
             &self.settings.cluster.objectives,
             &names,
             &self.tuning,
@@ -709,12 +710,12 @@
     /// Claims places for a job's tasks; they are sent once recorded. One attempt for all: by it the tasks of a
     /// gang find each other.
     fn start(&mut self, ix: JobIx, m: usize, count: u32, attempt: u64) {
-        let Some(part) = &mut self.part else { return };
+        let Some(shard) = &mut self.shard else { return };
         for _ in 0..count {
-            let Some(task) = part.job_mut(ix).and_then(|j| j.next_task()) else {
+            let Some(task) = shard.job_mut(ix).and_then(|j| j.next_task()) else {
                 return;
             };
-            if let (Some(job), Some(machine)) = (part.job(ix), part.machine(m)) {
+            if let (Some(job), Some(machine)) = (shard.job(ix), shard.machine(m)) {
                 log::debug!(
                     "task {}/{task} attempt {attempt}: to {}",
                     job.id,
@@ -727,10 +728,10 @@
                 task,
                 attempt,
             };
-            part.make_claim(id, Claim::new(ix, task, attempt));
+            shard.make_claim(id, Claim::new(ix, task, attempt));
             self.stats.starts += 1;
         }
-        if let Some(job) = part.job_mut(ix).filter(|j| j.kind() == Kind::Gang) {
+        if let Some(job) = shard.job_mut(ix).filter(|j| j.kind() == Kind::Gang) {
             job.broken = job.claimed.len() != job.tasks as usize;
         }
         self.to_write = true;
@@ -738,7 +739,7 @@
 
     /// Stops a gang that runs beyond its team's guarantee, with the time to save.
     fn recall(&mut self, ix: JobIx) {
-        let Some(job) = self.part.as_ref().and_then(|p| p.job(ix)) else {
+        let Some(job) = self.shard.as_ref().and_then(|p| p.job(ix)) else {
             return;
         };
         let Some(spec) = &job.spec else { return };
@@ -752,25 +753,25 @@
     }
 
     fn preempt(&mut self, m: usize, k: usize) {
-        let Some(part) = &mut self.part else { return };
-        let Some(machine) = part.machine(m) else {
+        let Some(shard) = &mut self.shard else { return };
+        let Some(machine) = shard.machine(m) else {
             return;
         };
         let Some(claim) = machine.claims.get(k) else {
             return;
         };
         let (ix, task) = (claim.job, claim.task);
-        let Some(job) = part.job(ix) else { return };
+        let Some(job) = shard.job(ix) else { return };
         let grace = job.spec.as_deref().map_or(0.0, grace);
         log::info!(
             "task {}/{task} on {}: stopped to make room",
             job.id,
             machine.name
         );
-        if let Some(claim) = part.machine_mut(m).and_then(|x| x.claims.get_mut(k)) {
+        if let Some(claim) = shard.machine_mut(m).and_then(|x| x.claims.get_mut(k)) {
             claim.stop = Some(grace);
         }
-        part.push.insert(m);
+        shard.push.insert(m);
         self.stats.preempts += 1;
     }
 
@@ -778,12 +779,13 @@
         let now = self.now;
         let zones = index(self.settings.cluster.zones.iter());
         let horizon = self.tuning.horizon_s;
-        let Some(part) = &mut self.part else { return };
+        let Some(shard) = &mut self.shard else { return };
         // Records first: what is still to be written down would be hired twice.
-        if now.mono < part.hire_check_at || part.hires.values().any(|h| h.state == HireState::New) {
+        if now.mono < shard.hire_check_at || shard.hires.values().any(|h| h.state == HireState::New)
+        {
             return;
         }
-        part.hire_check_at = now.mono + 1000;
+        shard.hire_check_at = now.mono + 1000;
         let mut offers = Vec::new();
         let mut names = Vec::new();
         for (i, t) in catalog.types.iter().enumerate() {
@@ -811,7 +813,7 @@
             }
         }
         let mut coming: Vec<(plan::MachineOffer, u32)> = Vec::new();
-        for machine in part
+        for machine in shard
             .machines
             .iter()
             .flatten()
@@ -826,7 +828,7 @@
                 coming.push((offers[i].clone(), 1));
             }
         }
-        for hire in part
+        for hire in shard
             .hires
             .values()
             .filter(|h| h.state == HireState::Recorded)
@@ -842,17 +844,18 @@
         }
         // The zone with fewest machines first, so that one zone's loss takes the least.
         let mut load: HashMap<&str, u32> = HashMap::new();
-        for machine in part.machines.iter().flatten() {
+        for machine in shard.machines.iter().flatten() {
             *load.entry(machine.zone.as_str()).or_default() += 1;
         }
         let mut order: Vec<usize> = (0..names.len())
             .filter(|i| {
-                part.refused
+                shard
+                    .refused
                     .get(&names[*i])
                     .is_none_or(|(until, _)| *until <= now.mono)
             })
             // A new machine in a zone that can't be heard is paid for nothing.
-            .filter(|i| !part.cut_zones.contains(&names[*i].1))
+            .filter(|i| !shard.cut_zones.contains(&names[*i].1))
             .collect();
         order.sort_by_key(|i| load.get(names[*i].1.as_str()).copied().unwrap_or(0));
         let open: Vec<plan::MachineOffer> = order.iter().map(|i| offers[*i].clone()).collect();
@@ -882,10 +885,10 @@
     fn return_idle(&mut self, kept: &[usize]) {
         let now = self.now.mono;
         let idle_ms = (self.tuning.idle_s * 1000.0) as u64;
-        let Some(part) = &mut self.part else { return };
+        let Some(shard) = &mut self.shard else { return };
         // Also while tasks wait: a machine that is idle all the same is none that they may use, and it may
         // stand in the way of one.
-        let (jobs, job_ix) = (&part.jobs, &part.job_ix);
+        let (jobs, job_ix) = (&shard.jobs, &shard.job_ix);
         // With the machine, a result that is recorded nowhere would be gone, were this owner to end too.
         let owes = |machine: &Machine| {
             machine
@@ -900,7 +903,7 @@
                     job.is_some_and(|j| !j.recorded(e.task))
                 })
         };
-        for (m, machine) in part.machines.iter_mut().enumerate() {
+        for (m, machine) in shard.machines.iter_mut().enumerate() {
             let Some(machine) = machine else { continue };
             let idle = machine.up
                 && !kept.contains(&m)
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -1,11 +1,11 @@
-//! What stands of the part in the state service, and what is still to be written there.
+//! What stands of the shard in the state service, and what is still to be written there.
 //!
 //! Claims and results go into a log: one record a turn, whatever the number of machines. A record is removed when
 //! all its claims have ended and all jobs whose results it holds have; so it may name claims that are over, which
 //! costs a new owner a moment's caution and nothing else. Machines stand in racks, many to a record.
 
 use crate::jobs::job::JobIx;
-use crate::store::part::Part;
+use crate::store::shard::Shard;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// One claim, for ever: attempts never repeat.
@@ -144,7 +144,7 @@
     }
 }
 
-impl Part {
+impl Shard {
     /// Puts a claim on a machine, to be recorded.
     pub fn make_claim(&mut self, id: ClaimId, claim: crate::agents::machine::Claim) {
         if self.job(id.job).is_none() || self.machine(id.machine).is_none() {
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -7,9 +7,9 @@
 use crate::agents::machine::ClaimState;
 use crate::documents::{KindId, for_kind};
 use crate::jobs::job::{Ending, JobIx};
-use crate::leadership::election::PART;
+use crate::leadership::election::SHARD;
 use crate::store::claim_log::{ClaimId, Segment};
-use crate::store::part::{HireState, Part};
+use crate::store::shard::{HireState, Shard};
 use crate::{Dest, Node, Pending};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{Conflict, Guard, Item, JobState, Revision, Txn, Write};
@@ -29,8 +29,8 @@
     Catalog,
     Allot,
     /// A document's part, its removal, its head.
-    Part(KindId, String),
-    PartOver(KindId, String),
+    DocumentPart(KindId, String),
+    RemoveDocumentPart(KindId, String),
     Head(KindId),
     /// A moved hour, with the time of the move.
     Hour(crate::documents::hours::Move, u64),
@@ -100,7 +100,7 @@
     }
     /// Writes what is named by its own digest: whatever stands there already is the same. So it can't tell whether
     /// this transaction was applied, and has no guard but the owner's.
-    pub fn part(&mut self, key: String, record: Record) {
+    pub fn put_part(&mut self, key: String, record: Record) {
         self.size += wire::encode(&record).len() + key.len();
         self.writes.push(Write::put(key, record));
     }
@@ -115,8 +115,8 @@
         self.writes.push(Write::Remove { key });
     }
 
-    fn end(&mut self, part: &mut Part, ix: JobIx, wall: u64) {
-        let Some(job) = part.job_mut(ix) else { return };
+    fn end(&mut self, shard: &mut Shard, ix: JobIx, wall: u64) {
+        let Some(job) = shard.job_mut(ix) else { return };
         let Ending::Wanted(stage) = job.ending else {
             return;
         };
@@ -124,7 +124,7 @@
         let hour = crate::documents::hours::end_rec(job, wall);
         job.ending = Ending::Writing(stage);
         let (id, version) = (job.id.clone(), job.version);
-        let county = self.counts.add(part, ix, stage);
+        let county = self.counts.add(shard, ix, stage);
         self.put(
             records::end_key(&id),
             0,
@@ -140,18 +140,18 @@
     }
 
     /// One log record: claims as far as they fit, then results, then what is moved out of the oldest record.
-    fn log(&mut self, part: &mut Part, value: usize, max_guards: usize) {
+    fn log(&mut self, shard: &mut Shard, value: usize, max_guards: usize) {
         let ended = self.counts.take();
         let mut log = Log {
-            number: part.next_log(),
+            number: shard.next_log(),
             claims: Vec::new(),
             done: Vec::new(),
             ended,
         };
         let mut entries: BTreeMap<(JobIx, u64), BTreeMap<usize, BTreeSet<u32>>> = BTreeMap::new();
         let mut size = 64 + crate::documents::county_counts::length(&log.ended);
-        let mut grow = |part: &Part, id: &ClaimId| {
-            let (Some(job), Some(machine)) = (part.job(id.job), part.machine(id.machine)) else {
+        let mut grow = |shard: &Shard, id: &ClaimId| {
+            let (Some(job), Some(machine)) = (shard.job(id.job), shard.machine(id.machine)) else {
                 return false;
             };
             let known = entries.contains_key(&(id.job, id.attempt));
@@ -170,18 +170,18 @@
             on.entry(id.machine).or_default().insert(id.task);
             true
         };
-        while let Some(id) = part.ledger.fresh.front().copied() {
-            let Some(claim) = part.claim_mut(&id).filter(|c| c.state == ClaimState::New) else {
-                part.ledger.fresh.pop_front();
+        while let Some(id) = shard.ledger.fresh.front().copied() {
+            let Some(claim) = shard.claim_mut(&id).filter(|c| c.state == ClaimState::New) else {
+                shard.ledger.fresh.pop_front();
                 continue;
             };
             let sent = claim.sent;
-            let Some(job) = part.job(id.job) else { return };
+            let Some(job) = shard.job(id.job) else { return };
             // What was planned for a job that has ended meanwhile is dropped: nothing was sent, and a guard on
             // the job's record would fail the whole transaction.
             if job.is_ending() && !sent {
-                part.ledger.fresh.pop_front();
-                part.drop_claim(&id);
+                shard.ledger.fresh.pop_front();
+                shard.drop_claim(&id);
                 continue;
             }
             // The claims' jobs are guarded too: a claim must not come after its job's end.
@@ -191,32 +191,32 @@
                 break;
             }
             let version = job.version;
-            if !grow(part, &id) {
+            if !grow(shard, &id) {
                 break;
             }
             if !guarded {
                 self.guards.push(Guard { key, version });
             }
-            if let Some(claim) = part.claim_mut(&id) {
+            if let Some(claim) = shard.claim_mut(&id) {
                 claim.state = ClaimState::Writing;
             }
-            part.ledger.fresh.pop_front();
+            shard.ledger.fresh.pop_front();
             log.claims.push(id);
         }
         // The oldest record's claims that still hold, where there are too many records.
-        let old = part
+        let old = shard
             .ledger
             .segments
             .iter()
             .find(|(_, s)| s.holds())
             .map(|(n, _)| *n);
-        let old = old.filter(|_| part.ledger.segments.len() > SEGMENTS);
-        let moving = old.and_then(|n| part.ledger.segments.get(&n));
+        let old = old.filter(|_| shard.ledger.segments.len() > SEGMENTS);
+        let moving = old.and_then(|n| shard.ledger.segments.get(&n));
         for id in moving.map(|s| s.claims.clone()).unwrap_or_default() {
-            let holds = part
+            let holds = shard
                 .claim_mut(&id)
                 .is_some_and(|c| c.state == ClaimState::Recorded && Some(c.segment) == old);
-            if holds && grow(part, &id) {
+            if holds && grow(shard, &id) {
                 log.claims.push(id);
             }
         }
@@ -225,10 +225,10 @@
             ..LogRec::default()
         };
         for ((ix, attempt), on) in entries {
-            let Some(job) = part.job(ix) else { continue };
+            let Some(job) = shard.job(ix) else { continue };
             let mut list = Vec::new();
             for (m, tasks) in on {
-                let Some(machine) = part.machine(m) else {
+                let Some(machine) = shard.machine(m) else {
                     continue;
                 };
                 let tasks = records::ranges(tasks);
@@ -251,17 +251,17 @@
             });
         }
         let moved: Vec<JobIx> = old
-            .and_then(|n| part.ledger.segments.get(&n))
+            .and_then(|n| shard.ledger.segments.get(&n))
             .map(|s| s.jobs.iter().copied().collect())
             .unwrap_or_default();
-        let unsaved: Vec<JobIx> = part.ledger.unsaved.iter().copied().collect();
+        let unsaved: Vec<JobIx> = shard.ledger.unsaved.iter().copied().collect();
         let results = unsaved
             .into_iter()
             .map(|ix| (ix, false))
             .chain(moved.into_iter().map(|ix| (ix, true)));
         for (ix, all) in results {
-            let Some(job) = part.job(ix).filter(|j| j.ending == Ending::No) else {
-                part.ledger.unsaved.remove(&ix);
+            let Some(job) = shard.job(ix).filter(|j| j.ending == Ending::No) else {
+                shard.ledger.unsaved.remove(&ix);
                 continue;
             };
             let mut tasks: Vec<u32> = if all {
@@ -280,10 +280,10 @@
                 let most = records::unrange(&list).count();
                 tasks.truncate(most);
             } else if !all {
-                part.ledger.unsaved.remove(&ix);
+                shard.ledger.unsaved.remove(&ix);
             }
             size = frame + list.len() * DoneRec::ENTRY;
-            let id = part.job(ix).map(|j| j.id.clone()).unwrap_or_default();
+            let id = shard.job(ix).map(|j| j.id.clone()).unwrap_or_default();
             rec.done.push(DoneRec {
                 job: id,
                 tasks: list,
@@ -293,29 +293,29 @@
         if rec.claims.is_empty() && rec.done.is_empty() && rec.ended.is_empty() {
             return;
         }
-        self.put(records::log_key(PART, log.number), 0, Record::Log(rec));
+        self.put(records::log_key(SHARD, log.number), 0, Record::Log(rec));
         self.ops.push(Op::Log(log));
     }
 
     /// Writes a rack as it stands now, or removes it.
-    fn rack(&mut self, part: &mut Part, number: u64) {
-        part.ledger.gone_from.remove(&number);
-        let Some(rack) = part.ledger.racks.get(&number) else {
+    fn rack(&mut self, shard: &mut Shard, number: u64) {
+        shard.ledger.gone_from.remove(&number);
+        let Some(rack) = shard.ledger.racks.get(&number) else {
             return;
         };
-        let key = records::rack_key(PART, number);
+        let key = records::rack_key(SHARD, number);
         if rack.machines.is_empty() {
             let version = rack.version;
             // Its number is not used again in this term. A late copy of the transaction that first wrote it finds
             // no rack of other machines in its place, and is taken for none.
-            part.ledger.racks.remove(&number);
+            shard.ledger.racks.remove(&number);
             if version > 0 {
                 self.remove(key, version);
             }
             return;
         }
         let mut rec = RackRec::default();
-        for machine in rack.machines.iter().filter_map(|m| part.machine(*m)) {
+        for machine in rack.machines.iter().filter_map(|m| shard.machine(*m)) {
             let same = |k: &&mut KindRec| {
                 k.machine_type == machine.machine_type
                     && k.zone == machine.zone
@@ -353,7 +353,7 @@
 /// Whether a transaction failed since our owner record no longer stands, or for reasons that can't be read.
 fn owner_failed(response: Option<&Response>) -> bool {
     let conflict = response.and_then(|r| wire::decode::<Conflict>(&r.body).ok());
-    conflict.is_none_or(|c| c.failed.contains(&records::owner_key(PART)))
+    conflict.is_none_or(|c| c.failed.contains(&records::owner_key(SHARD)))
 }
 
 /// What a value may take, with some distance to the service's own count.
@@ -366,18 +366,18 @@
         let now = self.now.mono;
         let epoch = self.epoch;
         let sure = self.decides();
-        let Some(part) = &mut self.part else { return };
-        if part.commit.in_flight || now < part.commit.retry_at {
+        let Some(shard) = &mut self.shard else { return };
+        if shard.commit.in_flight || now < shard.commit.retry_at {
             return;
         }
-        if !part.commit.body.is_empty() {
+        if !shard.commit.body.is_empty() {
             // The last transaction again, as it was.
             if self.requests.level(now) < 1.0 {
                 return;
             }
-            self.writes.take(now, part.commit.writes as f64);
-            part.commit.in_flight = true;
-            let body = part.commit.body.clone();
+            self.writes.take(now, shard.commit.writes as f64);
+            shard.commit.in_flight = true;
+            let body = shard.commit.body.clone();
             return self.send(
                 Dest::State,
                 "POST",
@@ -400,18 +400,18 @@
         let Some(draft) = self.draft(budget) else {
             return;
         };
-        let Some(part) = &mut self.part else { return };
+        let Some(shard) = &mut self.shard else { return };
         let writes = draft.writes.len();
         let body = wire::encode(&Txn {
             guards: draft.guards,
             writes: draft.writes,
         });
-        part.commit.ops = draft.ops;
-        part.commit.probe = draft.probe;
-        part.commit.body = body.clone();
-        part.commit.unsure = false;
-        part.commit.in_flight = true;
-        part.commit.writes = writes;
+        shard.commit.ops = draft.ops;
+        shard.commit.probe = draft.probe;
+        shard.commit.body = body.clone();
+        shard.commit.unsure = false;
+        shard.commit.in_flight = true;
+        shard.commit.writes = writes;
         self.writes.take(now, writes as f64);
         self.send(
             Dest::State,
@@ -433,35 +433,35 @@
         let catalog = self.shared.catalog.as_ref();
         let catalog_version = self.shared.catalog_version;
         let documents = &mut self.shared.documents;
-        let part = self.part.as_mut()?;
+        let shard = self.shard.as_mut()?;
         let mut d = Draft {
             ops: Vec::new(),
             guards: vec![Guard {
-                key: records::owner_key(PART),
-                version: part.owner_version,
+                key: records::owner_key(SHARD),
+                version: shard.owner_version,
             }],
             writes: Vec::new(),
             probe: None,
             size: 0,
             counts: crate::documents::county_counts::Counts::new(value),
         };
-        let tidy = now >= part.commit.tidied_at + TIDY_MS;
+        let tidy = now >= shard.commit.tidied_at + TIDY_MS;
         // Ends come first, but they do not keep claims waiting for ever.
         // So does a document's head, with what is written beside it. What is counted needs a log record in the same
         // transaction; one for claims does for both.
-        let head = Draft::head_due(documents, part, budget);
-        let log = part.tally.keeps(budget);
-        let for_claims = || usize::from(budget > 2 && !part.ledger.fresh.is_empty()).max(log);
+        let head = Draft::head_due(documents, shard, budget);
+        let log = shard.tally.keeps(budget);
+        let for_claims = || usize::from(budget > 2 && !shard.ledger.fresh.is_empty()).max(log);
         let kept = head.map_or_else(for_claims, |(_, writes)| writes + log);
         let for_ends = budget.saturating_sub(kept);
         while d.writes.len() + 2 <= for_ends
             && d.guards.len() + 2 < max_guards
             && !d.counts.is_full()
         {
-            let Some(ix) = part.ledger.ending.pop_front() else {
+            let Some(ix) = shard.ledger.ending.pop_front() else {
                 break;
             };
-            d.end(part, ix, wall);
+            d.end(shard, ix, wall);
         }
         let room = |d: &Draft| {
             d.writes.len() + d.counts.owed() < budget
@@ -469,58 +469,62 @@
                 && d.guards.len() + 2 < max_guards
         };
         if room(&d)
-            && let Some(whole) = part.allot_wanted.take()
+            && let Some(whole) = shard.allot_wanted.take()
         {
             d.put(
-                records::allot_key(PART),
-                part.allot_version,
+                records::allot_key(SHARD),
+                shard.allot_version,
                 Record::Allot(whole.clone()),
             );
-            part.allot = Some(whole);
-            part.allot_version = 0;
+            shard.allot = Some(whole);
+            shard.allot_version = 0;
             d.ops.push(Op::Allot);
         }
         if let Some((kind, _)) = head {
-            d.head(documents, part, kind);
+            d.head(documents, shard, kind);
         }
-        if part.raise_token && now >= part.commit.raised_at + 3000 && room(&d) {
-            let token = shared_token.0.max(part.token) + 1;
+        if shard.raise_token && now >= shard.commit.raised_at + 3000 && room(&d) {
+            let token = shared_token.0.max(shard.token) + 1;
             d.put(
                 records::TOKEN.into(),
                 shared_token.1,
                 Record::Token(TokenRec { token }),
             );
             d.ops.push(Op::Token(token));
-            part.commit.raised_at = now;
+            shard.commit.raised_at = now;
         }
-        for (name, hire) in part.hires.iter().filter(|(_, h)| h.state == HireState::New) {
+        for (name, hire) in shard
+            .hires
+            .iter()
+            .filter(|(_, h)| h.state == HireState::New)
+        {
             if !room(&d) {
                 break;
             }
-            let key = format!("{}{name}", records::hires_prefix(PART));
+            let key = format!("{}{name}", records::hires_prefix(SHARD));
             d.put(key, 0, Record::Hire(hire.rec.clone()));
             d.ops.push(Op::Hire(name.clone()));
         }
-        d.moves(part, wall, value, room);
+        d.moves(shard, wall, value, room);
         if d.counts.owed() > 0 {
-            d.log(part, value, max_guards);
+            d.log(shard, value, max_guards);
         }
         // Claims, with the results that have gathered. Room is left for the guards on the claims' jobs.
         while room(&d)
-            && (!part.ledger.fresh.is_empty() || (tidy && !part.ledger.unsaved.is_empty()))
+            && (!shard.ledger.fresh.is_empty() || (tidy && !shard.ledger.unsaved.is_empty()))
         {
             let before = d.ops.len();
-            d.log(part, value, max_guards);
+            d.log(shard, value, max_guards);
             if d.ops.len() == before {
                 break;
             }
         }
         while room(&d)
-            && let Some(n) = part.ledger.new_in.pop_first()
+            && let Some(n) = shard.ledger.new_in.pop_first()
         {
-            d.rack(part, n);
+            d.rack(shard, n);
         }
-        let over: Vec<(String, u64)> = part
+        let over: Vec<(String, u64)> = shard
             .hires
             .iter()
             .filter(|(_, h)| h.state == HireState::Over)
@@ -528,17 +532,17 @@
             .collect();
         // A hire goes only together with, or after, the record of its machines.
         for (name, version) in over {
-            if !part.ledger.new_in.is_empty() || !room(&d) {
+            if !shard.ledger.new_in.is_empty() || !room(&d) {
                 break;
             }
-            d.remove(format!("{}{name}", records::hires_prefix(PART)), version);
+            d.remove(format!("{}{name}", records::hires_prefix(SHARD)), version);
             d.ops.push(Op::HireOver(name));
         }
-        if part.catalog_dirty
+        if shard.catalog_dirty
             && room(&d)
             && let Some(c) = catalog
         {
-            part.catalog_dirty = false;
+            shard.catalog_dirty = false;
             if wire::encode(c).len() as f64 * 1.3 < self.settings.cluster.state.value_kb * 1024.0 {
                 d.put(
                     records::CATALOG.into(),
@@ -550,21 +554,21 @@
         }
         d.parts(documents, room);
         if tidy {
-            part.commit.tidied_at = now;
-            d.fold(part, now, room);
+            shard.commit.tidied_at = now;
+            d.fold(shard, now, room);
             d.parts_over(documents, room);
             while room(&d)
-                && let Some(n) = part.ledger.gone_from.pop_first()
+                && let Some(n) = shard.ledger.gone_from.pop_first()
             {
-                d.rack(part, n);
+                d.rack(shard, n);
             }
             while room(&d)
-                && let Some(n) = part.ledger.garbage.pop_first()
+                && let Some(n) = shard.ledger.garbage.pop_first()
             {
-                let Some(segment) = part.ledger.segments.get(&n) else {
+                let Some(segment) = shard.ledger.segments.get(&n) else {
                     continue;
                 };
-                d.remove(records::log_key(PART, n), segment.version);
+                d.remove(records::log_key(SHARD, n), segment.version);
                 d.ops.push(Op::LogOver(n));
             }
         }
@@ -575,8 +579,8 @@
         let now = self.now.mono;
         let epoch = self.epoch;
         let backoff = self.rng.u64(50..250);
-        let Some(part) = &mut self.part else { return };
-        part.commit.in_flight = false;
+        let Some(shard) = &mut self.shard else { return };
+        shard.commit.in_flight = false;
         // Whatever has gathered meanwhile.
         self.to_write = true;
         let status = response.as_ref().map(|r| r.status);
@@ -585,16 +589,16 @@
                 Some(Ok(r)) => self.apply(r.revision),
                 _ => self.step_down("an unreadable answer to a transaction"),
             },
-            Some(409) if part.commit.unsure && owner_failed(response.as_ref()) => {
+            Some(409) if shard.commit.unsure && owner_failed(response.as_ref()) => {
                 // A later owner may have written the same keys: what stands there says nothing of our own tries.
                 self.step_down("another owner, or none, stands in the state service");
             }
-            Some(409) if part.commit.unsure => {
+            Some(409) if shard.commit.unsure => {
                 // Only this term's transactions write these keys, so an earlier try is what makes this one fail.
-                let Some((key, _, _)) = part.commit.probe.clone() else {
+                let Some((key, _, _)) = shard.commit.probe.clone() else {
                     return self.step_down("a transaction without keys");
                 };
-                part.commit.in_flight = true;
+                shard.commit.in_flight = true;
                 self.send(
                     Dest::State,
                     "GET",
@@ -604,10 +608,10 @@
                     Pending::Verify { epoch },
                 );
             }
-            Some(429 | 503) => part.commit.retry_at = now + backoff,
+            Some(429 | 503) => shard.commit.retry_at = now + backoff,
             None => {
-                part.commit.unsure = true;
-                part.commit.retry_at = now + backoff;
+                shard.commit.unsure = true;
+                shard.commit.retry_at = now + backoff;
                 self.ends_may_stand();
             }
             Some(other) => {
@@ -622,8 +626,8 @@
     /// Ends that were not answered may be recorded, and others may read them and tell of them before we hear: from then
     /// on the tasks of what was cancelled have to go.
     fn ends_may_stand(&mut self) {
-        let Some(part) = &self.part else { return };
-        let ends = part.commit.ops.iter().filter_map(|op| {
+        let Some(shard) = &self.shard else { return };
+        let ends = shard.commit.ops.iter().filter_map(|op| {
             if let Op::End(ix) = op {
                 Some(*ix)
             } else {
@@ -636,9 +640,9 @@
     }
 
     pub(crate) fn verified(&mut self, response: Option<Response>) {
-        let Some(part) = &mut self.part else { return };
-        part.commit.in_flight = false;
-        let Some((_, before, removed)) = part.commit.probe.clone() else {
+        let Some(shard) = &mut self.shard else { return };
+        shard.commit.in_flight = false;
+        let Some((_, before, removed)) = shard.commit.probe.clone() else {
             return;
         };
         match response {
@@ -655,16 +659,16 @@
                 self.step_down("a transaction failed though nothing stood against it")
             }
             // Asked again by way of the next try of the transaction.
-            _ => part.commit.retry_at = self.now.mono + 200,
+            _ => shard.commit.retry_at = self.now.mono + 200,
         }
     }
 
     /// The transaction is in place at this revision.
     fn apply(&mut self, revision: u64) {
-        let Some(part) = &mut self.part else { return };
-        part.commit.body.clear();
-        part.commit.unsure = false;
-        let ops = std::mem::take(&mut part.commit.ops);
+        let Some(shard) = &mut self.shard else { return };
+        shard.commit.body.clear();
+        shard.commit.unsure = false;
+        let ops = std::mem::take(&mut shard.commit.ops);
         let mut changed: BTreeSet<JobIx> = BTreeSet::new();
         let mut told = Vec::new();
         let mut heads = Vec::new();
@@ -672,7 +676,7 @@
         for op in ops {
             match op {
                 Op::End(ix) => {
-                    let Some(job) = part.job_mut(ix) else {
+                    let Some(job) = shard.job_mut(ix) else {
                         continue;
                     };
                     if let Ending::Writing(stage) = job.ending {
@@ -683,56 +687,58 @@
                         self.finals.put(&job.id, stage, job.done_count);
                         told.extend(waiters.into_iter().map(|w| (w, state.clone())));
                         let segments = std::mem::take(&mut job.segments);
-                        if let Some(job) = &part.jobs[ix] {
-                            part.hours.ended(job, ix, stage);
+                        if let Some(job) = &shard.jobs[ix] {
+                            shard.hours.ended(job, ix, stage);
                         }
-                        part.ledger.results_over(ix, segments);
+                        shard.ledger.results_over(ix, segments);
                     }
                     changed.insert(ix);
                 }
                 Op::Token(token) => {
                     log::info!("token raised to {token}");
-                    part.token = token;
-                    part.raise_token = false;
+                    shard.token = token;
+                    shard.raise_token = false;
                     self.shared.token = token;
                     self.shared.highest = self.shared.highest.max(token);
                     self.shared.token_version = self.shared.token_version.max(revision);
-                    for (m, machine) in part.machines.iter().enumerate() {
+                    for (m, machine) in shard.machines.iter().enumerate() {
                         if machine.as_ref().is_some_and(|x| x.taint.is_some()) {
-                            part.push.insert(m);
+                            shard.push.insert(m);
                         }
                     }
                 }
                 Op::Hire(name) => {
-                    if let Some(hire) = part.hires.get_mut(&name) {
+                    if let Some(hire) = shard.hires.get_mut(&name) {
                         hire.state = HireState::Recorded;
                         hire.version = revision;
                     }
                 }
                 Op::HireOver(name) => {
-                    part.hires.remove(&name);
+                    shard.hires.remove(&name);
                 }
-                Op::Log(log) => part.log_stands(log, revision),
-                Op::Fold(fold) => part.fold_stands(&fold, revision),
+                Op::Log(log) => shard.log_stands(log, revision),
+                Op::Fold(fold) => shard.fold_stands(&fold, revision),
                 Op::LogOver(n) => {
-                    part.ledger.segments.remove(&n);
+                    shard.ledger.segments.remove(&n);
                 }
                 Op::Rack(n, machines) => {
-                    if let Some(rack) = part.ledger.racks.get_mut(&n) {
+                    if let Some(rack) = shard.ledger.racks.get_mut(&n) {
                         rack.version = revision;
                     }
                     for name in machines {
-                        let m = part.machine_ix.get(&name).copied();
+                        let m = shard.machine_ix.get(&name).copied();
                         if let Some(machine) =
-                            m.and_then(|m| part.machine_mut(m)).filter(|x| x.rack == n)
+                            m.and_then(|m| shard.machine_mut(m)).filter(|x| x.rack == n)
                         {
-                            part.plan_due |= !std::mem::replace(&mut machine.recorded, true);
+                            shard.plan_due |= !std::mem::replace(&mut machine.recorded, true);
                         }
                     }
                 }
-                Op::Allot => part.allot_version = revision,
-                Op::Part(kind, name) => self.shared.documents.part_written(kind, name, revision),
-                Op::PartOver(kind, name) => self.shared.documents.part_over(kind, &name),
+                Op::Allot => shard.allot_version = revision,
+                Op::DocumentPart(kind, name) => {
+                    self.shared.documents.part_written(kind, name, revision)
+                }
+                Op::RemoveDocumentPart(kind, name) => self.shared.documents.part_over(kind, &name),
                 Op::Head(kind) => heads.push(kind),
                 Op::Hour(hour, wall) => moved.push((hour, wall)),
                 Op::Catalog => {
@@ -756,7 +762,7 @@
     }
 }
 
-impl Part {
+impl Shard {
     /// A log record is in place: its claims may be sent, its results reaped.
     fn log_stands(&mut self, log: Log, revision: u64) {
         let mut segment = Segment {
--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -8,12 +8,12 @@
 impl Node {
     pub(crate) fn watch_live(&mut self) {
         let epoch = self.epoch;
-        let Some(part) = &mut self.part else { return };
-        part.live_busy = true;
+        let Some(shard) = &mut self.shard else { return };
+        shard.live_busy = true;
         let path = format!(
             "/changes?under={}&from={}&waitMs=5000",
             records::LIVE,
-            part.live_revision
+            shard.live_revision
         );
         self.send(
             Dest::State,
@@ -28,9 +28,9 @@
     pub(crate) fn live_changes(&mut self, response: Option<Response>) {
         let now = self.now.mono;
         let retry = now + self.rng.u64(100..400);
-        let Some(part) = &mut self.part else { return };
-        part.live_busy = false;
-        part.live_retry_at = retry;
+        let Some(shard) = &mut self.shard else { return };
+        shard.live_busy = false;
+        shard.live_retry_at = retry;
         let Some(response) = response else { return };
         match response.status {
             200 => {}
@@ -46,8 +46,8 @@
                 self.job_known(rec, change.version);
             }
         }
-        if let Some(part) = &mut self.part {
-            part.live_revision = part.live_revision.max(changes.revision);
+        if let Some(shard) = &mut self.shard {
+            shard.live_revision = shard.live_revision.max(changes.revision);
         }
         self.watch_live();
     }
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -4,6 +4,6 @@
 pub(crate) mod claim_log;
 pub(crate) mod commit;
 pub(crate) mod live_jobs;
-pub(crate) mod part;
 pub(crate) mod rate_budget;
 pub(crate) mod recovery;
+pub(crate) mod shard;
--- a/crates/control/src/store/rate_budget.rs
+++ b/crates/control/src/store/rate_budget.rs
@@ -25,7 +25,7 @@
     }
 
     /// What `share` of a second's worth is.
-    pub fn part(&self, share: f64) -> f64 {
+    pub fn share_of_second(&self, share: f64) -> f64 {
         self.rate * share
     }
 
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -2,10 +2,10 @@
 
 use crate::agents::machine::{Claim, ClaimState, Machine, Need};
 use crate::jobs::job::{Job, JobIx};
-use crate::leadership::election::PART;
+use crate::leadership::election::SHARD;
 use crate::store::claim_log::{ClaimId, Rack, Segment};
 use crate::store::commit::value_limit;
-use crate::store::part::{Hire, HireState, Part};
+use crate::store::shard::{Hire, HireState, Shard};
 use crate::{Dest, Node, Pending};
 use std::ops;
 use wire::api::{Item, Range};
@@ -27,7 +27,7 @@
 /// After how long what could not be read is read again.
 const LOAD_AGAIN_MS: ops::Range<u64> = 100..400;
 
-impl Part {
+impl Shard {
     /// Takes in a log record of earlier owners.
     fn load_segment(&mut self, number: u64, version: u64, rec: LogRec) {
         let mut segment = Segment {
@@ -130,18 +130,18 @@
     }
 
     pub(crate) fn load(&mut self, what: Load) {
-        let Some(part) = &self.part else { return };
+        let Some(shard) = &self.shard else { return };
         let prefix = match what {
             Load::Jobs => records::LIVE.to_owned(),
-            Load::Racks => records::racks_prefix(PART),
-            Load::Log => records::log_prefix(PART),
-            Load::Hires => records::hires_prefix(PART),
-            Load::Allot => records::allot_key(PART),
+            Load::Racks => records::racks_prefix(SHARD),
+            Load::Log => records::log_prefix(SHARD),
+            Load::Hires => records::hires_prefix(SHARD),
+            Load::Allot => records::allot_key(SHARD),
             Load::Heads => records::SHARED.to_owned(),
             Load::Models => return self.read_models(),
         };
         let mut path = format!("/keys?under={prefix}&limit=1000");
-        if let Some(after) = &part.load_after {
+        if let Some(after) = &shard.load_after {
             path.push_str(&format!("&from={after}"));
         }
         let what = Pending::Load {
@@ -155,15 +155,15 @@
     /// of the state service. An owner that can't read keeps its lease or loses it.
     pub(crate) fn load_later(&mut self, what: Load) {
         let at = self.now.mono + self.rng.u64(LOAD_AGAIN_MS);
-        if let Some(part) = &mut self.part {
-            part.load_again = Some((what, at));
+        if let Some(shard) = &mut self.shard {
+            shard.load_again = Some((what, at));
         }
     }
 
     pub(crate) fn load_tick(&mut self) {
         let now = self.now.mono;
         let due = |(_, at): &mut (Load, u64)| *at <= now;
-        if let Some((what, _)) = self.part.as_mut().and_then(|p| p.load_again.take_if(due)) {
+        if let Some((what, _)) = self.shard.as_mut().and_then(|p| p.load_again.take_if(due)) {
             self.load(what);
         }
     }
@@ -190,8 +190,8 @@
         if more {
             return self.load(what);
         }
-        if let Some(part) = &mut self.part {
-            part.load_after = None;
+        if let Some(shard) = &mut self.shard {
+            shard.load_after = None;
         }
         match what {
             Load::Jobs => self.load(Load::Racks),
@@ -206,12 +206,12 @@
 
     /// Notes where the next page goes on; true if there is one.
     fn page_end<T>(&mut self, range: &Range<T>) -> bool {
-        if let Some(part) = &mut self.part {
-            if part.live_revision == 0 {
-                part.live_revision = range.revision;
+        if let Some(shard) = &mut self.shard {
+            if shard.live_revision == 0 {
+                shard.live_revision = range.revision;
             }
             if let Some(last) = range.items.last() {
-                part.load_after = Some(last.key.clone());
+                shard.load_after = Some(last.key.clone());
             }
         }
         range.more && !range.items.is_empty()
@@ -227,9 +227,9 @@
 
     fn load_racks(&mut self, range: Range<RackRec>) -> bool {
         let more = self.page_end(&range);
-        let prefix = records::racks_prefix(PART);
+        let prefix = records::racks_prefix(SHARD);
         let now = self.now;
-        let Some(part) = &mut self.part else {
+        let Some(shard) = &mut self.shard else {
             return false;
         };
         for Item {
@@ -253,18 +253,18 @@
                     machine.rack = number;
                     machine.heard_at = now.mono;
                     rack.size += machine.size;
-                    rack.machines.insert(part.insert_machine(machine));
+                    rack.machines.insert(shard.insert_machine(machine));
                 }
             }
-            part.ledger.load_rack(number, rack);
+            shard.ledger.load_rack(number, rack);
         }
         more
     }
 
     fn load_log(&mut self, range: Range<LogRec>) -> bool {
         let more = self.page_end(&range);
-        let prefix = records::log_prefix(PART);
-        let Some(part) = &mut self.part else {
+        let prefix = records::log_prefix(SHARD);
+        let Some(shard) = &mut self.shard else {
             return false;
         };
         for Item {
@@ -277,7 +277,7 @@
                 .strip_prefix(&prefix)
                 .and_then(|n| u64::from_str_radix(n, 16).ok());
             if let Some(number) = number {
-                part.load_segment(number, version, value);
+                shard.load_segment(number, version, value);
             }
         }
         more
@@ -285,8 +285,8 @@
 
     fn load_hires(&mut self, range: Range<HireRec>) -> bool {
         let more = self.page_end(&range);
-        let prefix = records::hires_prefix(PART);
-        let Some(part) = &mut self.part else {
+        let prefix = records::hires_prefix(SHARD);
+        let Some(shard) = &mut self.shard else {
             return false;
         };
         for Item {
@@ -303,23 +303,23 @@
                     retry_at: 0,
                     state: HireState::Recorded,
                 };
-                part.hires.insert(name.to_owned(), hire);
+                shard.hires.insert(name.to_owned(), hire);
             }
         }
         more
     }
 
     fn load_allot(&mut self, range: Range<AllotRec>) -> bool {
-        let Some(part) = &mut self.part else {
+        let Some(shard) = &mut self.shard else {
             return false;
         };
         if let Some(item) = range
             .items
             .into_iter()
-            .find(|i| i.key == records::allot_key(PART))
+            .find(|i| i.key == records::allot_key(SHARD))
         {
-            part.allot = Some(item.value);
-            part.allot_version = item.version;
+            shard.allot = Some(item.value);
+            shard.allot_version = item.version;
         }
         false
     }
@@ -336,7 +336,7 @@
             .collect();
         // While no version can be acted on, the one that was recorded stays, and nothing starts.
         let recorded = self
-            .part
+            .shard
             .as_ref()
             .and_then(|p| p.allot.as_ref())
             .map_or(0, |a| a.tree);
@@ -355,24 +355,24 @@
         let now = self.now.mono;
         let whole = self.whole_allotment();
         self.refit_hours();
-        let Some(part) = &mut self.part else { return };
-        part.allot_wanted = (part.allot.as_ref() != Some(&whole)).then_some(whole);
-        part.loaded = true;
-        part.since = now;
-        for machine in part.machines.iter_mut().flatten() {
+        let Some(shard) = &mut self.shard else { return };
+        shard.allot_wanted = (shard.allot.as_ref() != Some(&whole)).then_some(whole);
+        shard.loaded = true;
+        shard.since = now;
+        for machine in shard.machines.iter_mut().flatten() {
             (machine.heard_at, machine.reported_at) = (now, now);
         }
-        part.drop_overtaken();
+        shard.drop_overtaken();
         log::info!(
             "token {}: read {} jobs, {} machines, {} hires",
-            part.token,
-            part.jobs.iter().flatten().count(),
-            part.machine_ix.len(),
-            part.hires.len()
+            shard.token,
+            shard.jobs.iter().flatten().count(),
+            shard.machine_ix.len(),
+            shard.hires.len()
         );
         // A job may have been left with all tasks done but not ended, or with a gang half claimed.
-        let all: Vec<JobIx> = (0..part.jobs.len())
-            .filter(|ix| part.jobs[*ix].is_some())
+        let all: Vec<JobIx> = (0..shard.jobs.len())
+            .filter(|ix| shard.jobs[*ix].is_some())
             .collect();
         for ix in all {
             self.job_changed(ix);
@@ -385,8 +385,8 @@
         if self.finals.get(&rec.spec.id).is_some() {
             return;
         }
-        let Some(part) = &mut self.part else { return };
-        if part.job_ix.contains_key(&rec.spec.id) {
+        let Some(shard) = &mut self.shard else { return };
+        if shard.job_ix.contains_key(&rec.spec.id) {
             return;
         }
         let spec = &rec.spec;
@@ -397,13 +397,14 @@
             spec.class,
             spec.team
         );
-        part.classes
+        shard
+            .classes
             .entry(rec.spec.class.clone())
             .or_default()
             .arrived(&rec.spec, rec.at_ms);
-        part.urgent.arrived(&rec.spec);
-        let ix = part.add_job(Job::new(rec, version));
-        part.plan_due = true;
+        shard.urgent.arrived(&rec.spec);
+        let ix = shard.add_job(Job::new(rec, version));
+        shard.plan_due = true;
         self.model_came(ix);
     }
 }
--- a/crates/control/src/store/part.rs
+++ b/crates/control/src/store/shard.rs
@@ -1,4 +1,4 @@
-//! What the owner of a part holds in memory.
+//! What the owner of a shard holds in memory.
 
 use crate::agents::machine::Machine;
 use crate::jobs::job::{Class, Job, JobIx};
@@ -51,7 +51,7 @@
 const DEAF_MACHINES: usize = 4;
 const DEAF_MS: u64 = 2000;
 
-pub(crate) struct Part {
+pub(crate) struct Shard {
     pub token: u64,
     /// Version of our owner record: every write is guarded by it.
     pub owner_version: u64,
@@ -124,9 +124,9 @@
     pub tally: crate::documents::county_counts::Tallies,
 }
 
-impl Part {
+impl Shard {
     pub fn new(token: u64, owner_version: u64, now: u64, value_kb: f64) -> Self {
-        Part {
+        Shard {
             token,
             owner_version,
             loaded: false,
@@ -346,8 +346,8 @@
     /// Keeps only what later lists may still need.
     pub(crate) fn forget_returned(&mut self) {
         let now = self.now.mono;
-        if let Some(part) = &mut self.part {
-            part.returned.retain(|_, at| *at + RETURNED_MS > now);
+        if let Some(shard) = &mut self.shard {
+            shard.returned.retain(|_, at| *at + RETURNED_MS > now);
         }
     }
 }
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -17,7 +17,7 @@
 //! | in the model | in the code |
 //! | --- | --- |
 //! | `Node::highest`, `has_read` | `Node::highest_token` (`election`), and `shared.revision > 0`, which is the same as to have read the counter in this life |
-//! | `Role`, `token`, `loaded` | `election::Role`, `Part::token`, `Part::loaded` |
+//! | `Role`, `token`, `loaded` | `election::Role`, `Shard::token`, `Shard::loaded` |
 //! | `renewed` | `Role::Owner::renewed`, or `Role::Standing::sent` |
 //! | `known` | the later of `renewed` and `Vouches::at`, in `Node::may_renew` (`renewal`) |
 //! | `ask`, `answered` | `Vouches::asked`, `Vouches::answered` |
@@ -999,7 +999,7 @@
         true
     }
 
-    /// `part::start_load` to `load_ended`: all is read back, after the own record stood.
+    /// `shard::start_load` to `load_ended`: all is read back, after the own record stood.
     fn load(&mut self, n: u8) -> bool {
         let ended = self.ended;
         let out = self.out;
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -1,11 +1,11 @@
-//! What controllers keep in the state service. All records of a part carry its number in their keys,
-//! so that a split into several parts needs no new layout.
+//! What controllers keep in the state service. All records of a shard carry its number in their keys,
+//! so that a split into several shards needs no new layout.
 
 use crate::api::{Catalog, JobSpec, Stage};
 use serde::{Deserialize, Serialize};
 
-/// The part of the fleet that one controller owns.
-pub type Part = u32;
+/// The shard of the fleet that one controller owns.
+pub type ShardId = u32;
 
 /// Everything that every controller follows: owners, tokens, the catalogue.
 pub const SHARED: &str = "sys/";
@@ -32,8 +32,8 @@
 pub fn parts_prefix(kind: &str) -> String {
     format!("{kind}/part/")
 }
-pub fn owner_key(part: Part) -> String {
-    format!("sys/owner/{part}")
+pub fn owner_key(shard: ShardId) -> String {
+    format!("sys/owner/{shard}")
 }
 pub fn live_key(job: &str) -> String {
     format!("live/{job}")
@@ -42,33 +42,33 @@
     format!("end/{job}")
 }
 /// Sixteen digits, so that the order of the keys is that of the numbers.
-pub fn log_key(part: Part, number: u64) -> String {
-    format!("{}{number:016x}", log_prefix(part))
+pub fn log_key(shard: ShardId, number: u64) -> String {
+    format!("{}{number:016x}", log_prefix(shard))
 }
-pub fn log_prefix(part: Part) -> String {
-    format!("part/{part}/log/")
+pub fn log_prefix(shard: ShardId) -> String {
+    format!("part/{shard}/log/")
 }
-pub fn rack_key(part: Part, number: u64) -> String {
-    format!("{}{number}", racks_prefix(part))
+pub fn rack_key(shard: ShardId, number: u64) -> String {
+    format!("{}{number}", racks_prefix(shard))
 }
-pub fn racks_prefix(part: Part) -> String {
-    format!("part/{part}/rack/")
+pub fn racks_prefix(shard: ShardId) -> String {
+    format!("part/{shard}/rack/")
 }
-pub fn allot_key(part: Part) -> String {
-    format!("part/{part}/allot")
+pub fn allot_key(shard: ShardId) -> String {
+    format!("part/{shard}/allot")
 }
 /// Sheets of counts by county.
-pub fn tally_key(part: Part, number: u32) -> String {
-    format!("{}{number}", tally_prefix(part))
+pub fn tally_key(shard: ShardId, number: u32) -> String {
+    format!("{}{number}", tally_prefix(shard))
 }
-pub fn tally_prefix(part: Part) -> String {
-    format!("part/{part}/tally/")
+pub fn tally_prefix(shard: ShardId) -> String {
+    format!("part/{shard}/tally/")
 }
-pub fn hires_prefix(part: Part) -> String {
-    format!("part/{part}/hire/")
+pub fn hires_prefix(shard: ShardId) -> String {
+    format!("part/{shard}/hire/")
 }
 
-/// Who owns a part. Attached to the owner's lease, so that it goes when the owner does.
+/// Who owns a shard. Attached to the owner's lease, so that it goes when the owner does.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OwnerRec {
     pub node: String,
@@ -80,14 +80,14 @@
     pub life: u64,
 }
 
-/// The room that a part may give each team; the parts' allotments add up to the team's limit at most.
+/// The room that a shard may give each team; the shards' allotments add up to the team's limit at most.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AllotRec {
     pub teams: Vec<AllotedTeam>,
-    /// Where a list of all teams would be too large: a digest of it. The part has the whole of each limit.
+    /// Where a list of all teams would be too large: a digest of it. The shard has the whole of each limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub whole: Option<String>,
-    /// The version of the quota tree whose bounds the part keeps, all of them being its own as long as it is the only
+    /// The version of the quota tree whose bounds the shard keeps, all of them being its own as long as it is the only
     /// one; 0 without a tree. Nothing starts under a version that does not stand here.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub tree: u64,
@@ -139,7 +139,8 @@
     pub spec: JobSpec,
     /// Time of day of the acceptance; good within the clock error of the settings.
     pub at_ms: u64,
-    pub part: Part,
+    #[serde(rename = "part")]
+    pub shard: ShardId,
     /// What was agreed for it when it was accepted. Read from here, never worked out again.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hour: Option<HourRec>,
@@ -149,11 +150,11 @@
 
 impl JobRec {
     /// One that nothing was agreed for.
-    pub fn new(spec: JobSpec, at_ms: u64, part: Part) -> Self {
+    pub fn new(spec: JobSpec, at_ms: u64, shard: ShardId) -> Self {
         JobRec {
             spec,
             at_ms,
-            part,
+            shard,
             hour: None,
             county: None,
         }
