--- a/crates/standins/tests/late_writes.rs
+++ b/crates/standins/tests/late_writes.rs
@@ -27,7 +27,7 @@
     let back_ms = [60, 300, 2500][rng.usize(0..3)];
     match kind {
         "owner crashes" => Some(Trouble::Crash {
-            who: Who::Owner,
+            who: Who::Leader,
             back_ms,
         }),
         "all crash" => Some(Trouble::Crash {
@@ -35,7 +35,7 @@
             back_ms,
         }),
         "refused" => Some(Trouble::Refused {
-            who: Who::Owner,
+            who: Who::Leader,
             ms: rng.u64(2000..9000),
         }),
         "outages" => Some(Trouble::StateOut {
@@ -45,11 +45,11 @@
             machines: rng.usize(1..4),
         }),
         "freezes" => Some(Trouble::Freeze {
-            who: Who::Owner,
+            who: Who::Leader,
             ms: rng.u64(1000..6000),
         }),
         "cut off" => Some(Trouble::CutOff {
-            who: Who::Owner,
+            who: Who::Leader,
             ms: rng.u64(3000..12_000),
         }),
         _ => None,
@@ -268,19 +268,19 @@
     scene
 }
 
-/// Who owns the fleet while writes are held.
+/// Who leads the fleet while writes are held.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Owners {
+enum Leaders {
     Change,
-    /// One term from before the first until after the last has landed: its owner record fails none of them.
+    /// One term from before the first until after the last has landed: its leader record fails none of them.
     Stay,
 }
 
 /// Holds the first copy of each transaction that has a change of the kind, while newer ones pass, and lands them all a
-/// minute later; then the owner ends, and the next reads what there is.
+/// minute later; then the leader ends, and the next reads what there is.
 fn held_for_a_minute(
     kind: &'static str,
-    owners: Owners,
+    leaders: Leaders,
     unguarded: &[&'static str],
     seed: u64,
     nodes: usize,
@@ -296,12 +296,12 @@
         world.run_for(10_000);
         // Owners change, by an end and by steps down, so that there is something of each kind.
         match k {
-            1 if owners == Owners::Change => world.bring(&Trouble::Refused {
-                who: Who::Owner,
+            1 if leaders == Leaders::Change => world.bring(&Trouble::Refused {
+                who: Who::Leader,
                 ms: 7000,
             }),
-            3 if owners == Owners::Change => world.bring(&Trouble::Crash {
-                who: Who::Owner,
+            3 if leaders == Leaders::Change => world.bring(&Trouble::Crash {
+                who: Who::Leader,
                 back_ms: 300,
             }),
             k => {
@@ -320,7 +320,7 @@
     let landed = world.land_held();
     world.run_for(5000);
     world.bring(&Trouble::Crash {
-        who: Who::Owner,
+        who: Who::Leader,
         back_ms: 300,
     });
     world.run_for(110_000);
@@ -357,13 +357,13 @@
 ];
 
 #[test]
-fn each_kind_of_write_may_land_a_minute_late_under_later_owners() {
-    each_kind_lands_late(Owners::Change);
+fn each_kind_of_write_may_land_a_minute_late_under_later_leaders() {
+    each_kind_lands_late(Leaders::Change);
 }
 
 #[test]
 fn each_kind_of_write_may_land_a_minute_late_in_its_own_term() {
-    let anew = each_kind_lands_late(Owners::Stay);
+    let anew = each_kind_lands_late(Leaders::Stay);
     assert!(
         anew["put part/0/hire/"] > 0,
         "no record of a rental was put anew: {anew:?}"
@@ -371,19 +371,19 @@
 }
 
 /// How many transactions of each kind changed something.
-fn each_kind_lands_late(owners: Owners) -> BTreeMap<&'static str, usize> {
+fn each_kind_lands_late(leaders: Leaders) -> BTreeMap<&'static str, usize> {
     let mut anew: BTreeMap<&str, usize> = BTreeMap::new();
     for (i, (kind, may_change)) in KINDS.into_iter().enumerate() {
         let (seed, nodes) = (40 + i as u64, [3, 5, 7][i % 3]);
-        let what = format!("{kind}, owners {owners:?}, seed {seed}, {nodes} nodes");
-        let (mut world, landed) = held_for_a_minute(kind, owners, &[], seed, nodes);
+        let what = format!("{kind}, owners {leaders:?}, seed {seed}, {nodes} nodes");
+        let (mut world, landed) = held_for_a_minute(kind, leaders, &[], seed, nodes);
         let of_terms = [
             "put sys/owner/",
             "put sys/token",
             "DELETE /grants/",
             "POST /grants/",
         ];
-        let none = owners == Owners::Stay && of_terms.contains(&kind);
+        let none = leaders == Leaders::Stay && of_terms.contains(&kind);
         assert!(none || !landed.is_empty(), "{what}: none was held");
         let changed: Vec<_> = landed.iter().filter(|(_, changed)| *changed).collect();
         assert!(may_change || changed.is_empty(), "{what}: {changed:?}");
@@ -394,7 +394,7 @@
         kept(&world, &what);
         assert_eq!(left_running(&world), Vec::<String>::new(), "{what}");
         assert_eq!(numbers_used_again(&world), Vec::<String>::new(), "{what}");
-        // A new owner has tidied away what came anew.
+        // A new leader has tidied away what came anew.
         let logs = world
             .state
             .keys
@@ -403,7 +403,7 @@
             .count();
         assert!(logs < 5, "{what}: {logs} log records are left");
     }
-    println!("{owners:?}: {anew:?}");
+    println!("{leaders:?}: {anew:?}");
     anew
 }
 
@@ -450,8 +450,8 @@
     assert!(held > 20, "only {held} removals were held");
 }
 
-/// A renewal, or the end of a lease, that comes long after its owner has stepped down finds nothing on that lease, also
-/// where the same node owns the fleet again.
+/// A renewal, or the end of a lease, that comes long after its leader has stepped down finds nothing on that lease, also
+/// where the same node leads the fleet again.
 #[test]
 fn what_comes_late_of_a_lease_touches_no_later_record() {
     let mut ended = 0;
@@ -461,12 +461,12 @@
         world.run_for(25_000);
         for _ in 0..4 {
             // All the others are refused when it comes to an election, so that the same node wins it.
-            let owner = world.owner_at().expect("some node owns the fleet");
+            let leader = world.leader_at().expect("some node owns the fleet");
             world.bring(&Trouble::Refused {
-                who: Who::Owner,
+                who: Who::Leader,
                 ms: 2600,
             });
-            (0..nodes).filter(|n| *n != owner).for_each(|n| {
+            (0..nodes).filter(|n| *n != leader).for_each(|n| {
                 world.bring(&Trouble::Refused {
                     who: Who::Node(n),
                     ms: 6000,
@@ -474,8 +474,8 @@
             });
             world.run_for(5500);
             assert_eq!(
-                world.owner_at(),
-                Some(owner),
+                world.leader_at(),
+                Some(leader),
                 "seed {seed}: the same owner again"
             );
             let record = |w: &World| {
@@ -500,7 +500,7 @@
 /// What a held write and a sweep of days show where the state service ignores the guards on some keys: the rules that
 /// break, and whether something landed that must not.
 fn seen_without(
-    owners: Owners,
+    leaders: Leaders,
     unguarded: &[&'static str],
     kinds: &[&'static str],
     days: u64,
@@ -510,7 +510,7 @@
         // Whether a held write still fits where it lands is the world's luck.
         for seed in 0..HELD_TRIES {
             let (world, landed) =
-                held_for_a_minute(kind, owners, unguarded, 40 + i as u64 + seed, 3);
+                held_for_a_minute(kind, leaders, unguarded, 40 + i as u64 + seed, 3);
             seen.extend(world.rules.broken.keys().map(|r| (*r).to_string()));
             if landed.iter().any(|(_, changed)| *changed) {
                 seen.insert("landed".into());
@@ -543,8 +543,8 @@
 /// Guards ignored by the state service, one kind after the other: what each is there for.
 #[test]
 fn every_guard_is_there_for_something() {
-    let seen = GUARDS.map(|(guards, owners, kinds, days)| {
-        (guards, kinds, seen_without(owners, guards, kinds, days))
+    let seen = GUARDS.map(|(guards, leaders, kinds, days)| {
+        (guards, kinds, seen_without(leaders, guards, kinds, days))
     });
     seen.iter()
         .for_each(|(guards, kinds, seen)| println!("| {guards:?} | {kinds:?}: {seen:?} |"));
@@ -553,41 +553,41 @@
 }
 
 /// The keys whose guards are ignored, the writes that are held then, and days that are played.
-const GUARDS: [(&[&str], Owners, &[&str], u64); 12] = [
-    (&[""], Owners::Change, &[], 24),
+const GUARDS: [(&[&str], Leaders, &[&str], u64); 12] = [
+    (&[""], Leaders::Change, &[], 24),
     (
         &["sys/owner/"],
-        Owners::Change,
+        Leaders::Change,
         &["put part/0/log/", "put part/0/rack/", "put part/0/hire/"],
         0,
     ),
-    (&["live/", "end/"], Owners::Change, &["put live/"], 0),
-    (&["live/", "end/"], Owners::Stay, &["put end/"], 0),
-    (&["end/"], Owners::Change, &["put live/"], 0),
-    (&["live/"], Owners::Stay, &["put part/0/log/"], 0),
-    (&["part/0/log/"], Owners::Stay, &["put part/0/log/"], 0),
+    (&["live/", "end/"], Leaders::Change, &["put live/"], 0),
+    (&["live/", "end/"], Leaders::Stay, &["put end/"], 0),
+    (&["end/"], Leaders::Change, &["put live/"], 0),
+    (&["live/"], Leaders::Stay, &["put part/0/log/"], 0),
+    (&["part/0/log/"], Leaders::Stay, &["put part/0/log/"], 0),
     (
         &["part/0/rack/", "part/0/hire/", "live/"],
-        Owners::Stay,
+        Leaders::Stay,
         &["put part/0/rack/"],
         0,
     ),
     (
         &["sys/quota", "part/0/allot"],
-        Owners::Stay,
+        Leaders::Stay,
         &["put sys/quota"],
         0,
     ),
-    (&["model/"], Owners::Stay, &["put model/"], 0),
-    (&["part/0/tally/"], Owners::Stay, &["put part/0/tally/"], 0),
-    (&["part/0/hire/"], Owners::Stay, &["put part/0/hire/"], 0),
+    (&["model/"], Leaders::Stay, &["put model/"], 0),
+    (&["part/0/tally/"], Leaders::Stay, &["put part/0/tally/"], 0),
+    (&["part/0/hire/"], Leaders::Stay, &["put part/0/hire/"], 0),
 ];
 
 /// What was seen once is seen again.
 #[test]
 fn held_writes_repeat() {
     let seen = || {
-        let (world, landed) = held_for_a_minute("put part/0/log/", Owners::Change, &[], 41, 3);
+        let (world, landed) = held_for_a_minute("put part/0/log/", Leaders::Change, &[], 41, 3);
         format!("{landed:?} {:?}", world.state.history(0))
     };
     assert!(seen() == seen());
--- a/crates/standins/tests/machine_meetings.rs
+++ b/crates/standins/tests/machine_meetings.rs
@@ -66,15 +66,15 @@
 fn change(round: u64) -> Trouble {
     match round % 4 {
         0 => Trouble::Crash {
-            who: Who::Owner,
+            who: Who::Leader,
             back_ms: 80,
         },
         1 => Trouble::Crash {
-            who: Who::Owner,
+            who: Who::Leader,
             back_ms: 20_000,
         },
         2 => Trouble::Refused {
-            who: Who::Owner,
+            who: Who::Leader,
             ms: 6000,
         },
         _ => Trouble::Crash {
@@ -148,7 +148,7 @@
         });
         if round == 1 {
             world.bring(&Trouble::Crash {
-                who: Who::Owner,
+                who: Who::Leader,
                 back_ms: 5000,
             });
         }
--- a/crates/standins/tests/machine_troubles.rs
+++ b/crates/standins/tests/machine_troubles.rs
@@ -76,7 +76,7 @@
             "{next:?}"
         );
         world.bring(&Trouble::Crash {
-            who: Who::Owner,
+            who: Who::Leader,
             back_ms: 5000,
         });
         world.run_for(12_000);
@@ -102,7 +102,7 @@
         });
         world.run_for(5000);
         world.bring(&Trouble::Crash {
-            who: Who::Owner,
+            who: Who::Leader,
             back_ms: 100,
         });
         world.run_for(20_000);
--- a/crates/standins/tests/models.rs
+++ b/crates/standins/tests/models.rs
@@ -122,7 +122,7 @@
     );
     w.run_for(30_000);
     assert_eq!(
-        w.owner().expect("owner").node().machine_count(),
+        w.leader().expect("owner").node().machine_count(),
         0,
         "all machines are given back"
     );
@@ -159,7 +159,7 @@
     }
 }
 
-/// The owner is lost before, in and after each write of a wake and of a sleep, with one restart or all controllers at
+/// The leader is lost before, in and after each write of a wake and of a sleep, with one restart or all controllers at
 /// once and back within 0.2 s: one generation, whoever goes on with it.
 #[test]
 fn whoever_dies_at_each_write_the_generation_goes_on() {
@@ -171,12 +171,12 @@
             (1..3).for_each(|n| w.demand(&id(n), None));
             w.run_for([2, 20, 60, 200, 400, 900, 2500, 7000][step as usize % 8]);
             match step / 8 {
-                0 => w.doom_owner(),
+                0 => w.doom_leader(),
                 1 => w.crash_all_for(100, 200),
                 _ => {
-                    let owner = w.owner_at().unwrap_or(0);
-                    w.crash_node(owner);
-                    w.crash_node((owner + 1) % nodes);
+                    let leader = w.leader_at().unwrap_or(0);
+                    w.crash_node(leader);
+                    w.crash_node((leader + 1) % nodes);
                 }
             }
             // Whoever asked a node that died was not answered, and asks again once all are back.
@@ -191,7 +191,7 @@
             );
             // And in the midst of going to sleep.
             w.run_for(step * 50);
-            w.doom_owner();
+            w.doom_leader();
             w.run_for(45_000);
             is_whole(&w);
             assert_eq!(
@@ -203,21 +203,21 @@
     }
 }
 
-/// Demand at both sides of a cut is one generation; a node that can't reach the owner keeps the model awake by its
+/// Demand at both sides of a cut is one generation; a node that can't reach the leader keeps the model awake by its
 /// record, or wakes the next generation after a sleep.
 #[test]
 fn demand_at_two_sides_of_a_cut_is_one_generation() {
     for seed in 0..6 {
         let mut w = world(200 + seed, 5, scene(1..2, 4, rule()));
         w.run_for(20_000);
-        let owner = w.owner_at().expect("an owner");
-        let far = (owner + 1) % 5;
+        let leader = w.leader_at().expect("an owner");
+        let far = (leader + 1) % 5;
         w.cut(Cut::between(Side::Node(far), Side::Nodes, w.now(), 200_000));
         w.demand(&id(1), Some(far));
-        w.demand(&id(1), Some(owner));
+        w.demand(&id(1), Some(leader));
         until_awake(&mut w, 1);
         assert_eq!(rec(&w, 1), (Phase::Awake, 1));
-        // Only the node that the owner does not hear goes on asking.
+        // Only the node that the leader does not hear goes on asking.
         for _ in 0..20 {
             w.demand(&id(1), Some(far));
             w.run_for(4000);
--- a/crates/standins/tests/odd_requests.rs
+++ b/crates/standins/tests/odd_requests.rs
@@ -148,13 +148,13 @@
         world.run_for(2000);
         let before = judge(&std::mem::take(&mut world.odd), "before");
         assert_eq!(before, asked, "seed {seed}");
-        let leader = world.owner_at().expect("somebody leads");
+        let leader = world.leader_at().expect("somebody leads");
         world.crash_node(leader);
         send_all(&mut world);
         world.run_for(6000);
         let meanwhile = judge(&std::mem::take(&mut world.odd), "meanwhile");
         assert!(meanwhile * 2 > asked, "seed {seed}: {meanwhile} of {asked}");
-        assert_ne!(world.owner_at(), None);
+        assert_ne!(world.leader_at(), None);
         send_all(&mut world);
         world.run_for(2000);
         assert_eq!(
@@ -182,7 +182,7 @@
 fn a_refused_node_s_users_hear_the_same() {
     let mut world = three(7);
     world.run_for(BEGIN);
-    world.refuse_owner(20_000);
+    world.refuse_leader(20_000);
     world.run_for(4000);
     send_all(&mut world);
     world.run_for(3000);
--- a/crates/standins/tests/old_reports.rs
+++ b/crates/standins/tests/old_reports.rs
@@ -46,13 +46,13 @@
 /// everything: it hears the old ones first.
 fn first_heard(world: &mut World, copies: &[Report]) {
     world.come_back_after(100);
-    let owner = world.owner_at().expect("some node owns the fleet");
-    world.crash_node(owner);
+    let leader = world.leader_at().expect("some node owns the fleet");
+    world.crash_node(leader);
     let end = world.now() + 3000;
     while world.now() < end && world.rules.broken.is_empty() {
         pass(world, 10);
-        if let Some(owner) = world.owner_at() {
-            copies.iter().for_each(|c| world.copy(c, owner));
+        if let Some(leader) = world.leader_at() {
+            copies.iter().for_each(|c| world.copy(c, leader));
         }
     }
 }
@@ -233,8 +233,8 @@
         copies.retain(|c| !world.is_rented(&c.machine));
         assert!(!copies.is_empty(), "{what}: none is returned");
         if same_term {
-            let owner = world.owner_at().expect("some node owns the fleet");
-            copies.iter().for_each(|c| world.copy(c, owner));
+            let leader = world.leader_at().expect("some node owns the fleet");
+            copies.iter().for_each(|c| world.copy(c, leader));
         } else {
             first_heard(&mut world, &copies);
         }
@@ -291,10 +291,10 @@
                 world.run_for(100);
                 *took += 100;
                 if copied == 1
-                    && let Some(owner) = world.owner_at()
+                    && let Some(leader) = world.leader_at()
                 {
                     let n = *took as usize / 100 % said.len();
-                    world.copy(&said[n], owner);
+                    world.copy(&said[n], leader);
                 }
             }
             assert!(*took < 60_000, "{what}: never given up");
@@ -306,7 +306,7 @@
     }
 }
 
-/// Copies of any reports at any time, to any node, most of them to a leader that has just begun; beside them owners
+/// Copies of any reports at any time, to any node, most of them to a leader that has just begun; beside them leaders
 /// that end, machines that die, hang and are cut off, so that sessions and attempts are many.
 #[test]
 fn rules_hold_whatever_comes_again() {
@@ -346,8 +346,8 @@
             match rng.u32(0..8) {
                 0 | 1 => {
                     world.come_back_after(rng.u64(50..2500));
-                    let owner = world.owner_at();
-                    owner.into_iter().for_each(|n| world.crash_node(n));
+                    let leader = world.leader_at();
+                    leader.into_iter().for_each(|n| world.crash_node(n));
                 }
                 2 => machine(&world, &mut rng)
                     .into_iter()
@@ -382,7 +382,7 @@
                     all.len().saturating_sub(200)
                 };
                 let copy = all[rng.usize(from..all.len())].clone();
-                let to = world.owner_at().filter(|_| rng.u32(0..4) > 0);
+                let to = world.leader_at().filter(|_| rng.u32(0..4) > 0);
                 let to = to.unwrap_or_else(|| rng.usize(0..nodes));
                 world.copy(&copy, to);
             }
--- a/crates/standins/tests/one_task_flood.rs
+++ b/crates/standins/tests/one_task_flood.rs
@@ -82,8 +82,8 @@
     world.run_for(BEGIN_MS);
     let before = world.state.counts;
     world.run_for(FLOOD_MS / 2);
-    if let Some(owner) = world.owner_at().filter(|_| crash) {
-        world.crash_node(owner);
+    if let Some(leader) = world.leader_at().filter(|_| crash) {
+        world.crash_node(leader);
     }
     world.run_for(FLOOD_MS / 2);
     let counts = world.state.counts;
--- a/crates/standins/tests/placement.rs
+++ b/crates/standins/tests/placement.rs
@@ -453,9 +453,9 @@
     assert_eq!(bound, [Some("b".to_owned())]);
 }
 
-/// The owner is replaced: the master is told to register again, and keeps the containers that run.
+/// The leader is replaced: the master is told to register again, and keeps the containers that run.
 #[test]
-fn masters_register_again_with_the_next_owner() {
+fn masters_register_again_with_the_next_leader() {
     let mut world = ready(6);
     let mut c = Caller {
         world: &mut world,
@@ -506,7 +506,7 @@
 enum Model {
     /// Nobody has registered for it.
     Accepted,
-    /// Its master has, and whether the owner of the fleet knows him.
+    /// Its master has, and whether the leader of the fleet knows him.
     Running(bool),
     Over(ApplicationState, FinalStatus),
 }
@@ -521,7 +521,7 @@
     }
 }
 
-/// Generated calls, in any order and with owners lost between them, against the reference: each answer, and what is
+/// Generated calls, in any order and with leaders lost between them, against the reference: each answer, and what is
 /// shown afterwards.
 #[test]
 fn applications_follow_their_reference() {
@@ -677,7 +677,7 @@
     }
     world.run_for(30_000);
     // Those that were begun and not ended are gone, and whoever comes now is served.
-    assert_eq!(world.owner().map(|o| o.connections().1), Some(0));
+    assert_eq!(world.leader().map(|o| o.connections().1), Some(0));
     let mut c = Caller {
         world: &mut world,
         user: "ann",
--- a/crates/standins/tests/quick.rs
+++ b/crates/standins/tests/quick.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use wire::api::{JobSpec, Kind, Priority};
 
-/// No owner for longer than this after a quick restart, outside of an outage.
+/// No leader for longer than this after a quick restart, outside of an outage.
 const VACANT_MS: u64 = 1500;
 
 /// A dozen machines: long tasks on most of them, short ones beside these, and some that are cancelled.
@@ -49,7 +49,7 @@
     assert_all_ended(world, what);
 }
 
-/// Node, token, life and lease of the owner record.
+/// Node, token, life and lease of the leader record.
 fn record(world: &World) -> Option<(String, u64, u64, u64)> {
     let rec = &world.state.keys.get("sys/owner/0")?.value;
     let number = |k: &str| rec[k].as_u64().unwrap_or(0);
@@ -61,11 +61,11 @@
     ))
 }
 
-/// A life that is shorter than this need not come to own the fleet.
+/// A life that is shorter than this need not come to lead the fleet.
 const TAKES_MS: u64 = 400;
 const STEP_MS: u64 = 10;
 
-/// Plays on, and adds up for how long nobody owns the fleet: the longest time in one piece.
+/// Plays on, and adds up for how long nobody leads the fleet: the longest time in one piece.
 struct Watched {
     vacant: u64,
     longest: u64,
@@ -92,7 +92,7 @@
             } else {
                 STEP_MS
             };
-            self.vacant = if world.owner().is_some() {
+            self.vacant = if world.leader().is_some() {
                 0
             } else {
                 self.vacant + world.now() - before
@@ -106,23 +106,23 @@
 /// Which nodes crash.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Who {
-    Owner,
+    Leader,
     Two,
     All,
 }
 
 fn crash(world: &mut World, who: Who, nodes: usize, last: &mut usize) {
-    let owner = world.owner_at().unwrap_or(*last);
-    *last = owner;
+    let leader = world.leader_at().unwrap_or(*last);
+    *last = leader;
     let many = match who {
-        Who::Owner => 1,
+        Who::Leader => 1,
         Who::Two => 2,
         Who::All => nodes,
     };
-    (0..many).for_each(|i| world.crash_node((owner + i) % nodes));
+    (0..many).for_each(|i| world.crash_node((leader + i) % nodes));
 }
 
-/// Nobody owned the fleet as long as processes came back faster than a lease ends, and workers' leases ran out.
+/// Nobody led the fleet as long as processes came back faster than a lease ends, and workers' leases ran out.
 #[test]
 fn crash_loops_leave_the_fleet_owned() {
     // How often they crash, for how long, and after how long they come back.
@@ -135,7 +135,7 @@
     ];
     for (nodes, often) in [(3, &often[..]), (5, &often[1..3])] {
         for (i, (every, back, loops_ms)) in often.iter().copied().enumerate() {
-            for who in [Who::Owner, Who::Two, Who::All] {
+            for who in [Who::Leader, Who::Two, Who::All] {
                 let what = format!("{nodes} nodes, {who:?} every {every} ms");
                 let mut world = world(i as u64, nodes, 0);
                 world.run_for(40_000);
@@ -175,10 +175,10 @@
             let mut world = world(u64::from(step), nodes, 0);
             world.run_for(40_000);
             world.come_back_after(150);
-            let owner = world.owner_at().expect("some node owns the fleet");
+            let leader = world.leader_at().expect("some node owns the fleet");
             for _ in 0..3 {
-                world.crash_node(owner);
-                world.dies_asking(owner, step);
+                world.crash_node(leader);
+                world.dies_asking(leader, step);
                 let mut watched = Watched::new();
                 watched.run_for(&mut world, 4000);
                 assert!(
@@ -206,11 +206,11 @@
         // A token stands for one term of one life, and none is followed by a lower one.
         let mut terms: BTreeMap<u64, u64> = BTreeMap::new();
         for round in 0..12 {
-            if let Some(owner) = world.owner_at() {
-                world.doom(owner, held);
+            if let Some(leader) = world.leader_at() {
+                world.doom(leader, held);
                 // Every third time the next life's take-over is what comes late.
                 if round % 3 == 0 {
-                    world.crash_node(owner);
+                    world.crash_node(leader);
                 }
             }
             for _ in 0..15 {
@@ -269,10 +269,10 @@
 /// A little less than the stand-ins' machines take from one report to the next at most, a quarter late.
 const REPORT_MS: u64 = 1200;
 
-/// An owner that has just begun sees free room only on machines that it has heard, and stopped tasks for room that lay
+/// A leader that has just begun sees free room only on machines that it has heard, and stopped tasks for room that lay
 /// free elsewhere.
 #[test]
-fn nothing_is_stopped_for_room_that_a_new_owner_does_not_see_yet() {
+fn nothing_is_stopped_for_room_that_a_new_leader_does_not_see_yet() {
     for seed in 0..32u64 {
         // Without crashes nothing has to be stopped, so there is room for all.
         for crashes in [false, true] {
@@ -285,10 +285,10 @@
                 world.come_back_after(rng.u64(100..300));
                 let before = world.stopped;
                 if crashes {
-                    crash(&mut world, Who::Owner, 3, &mut last);
+                    crash(&mut world, Who::Leader, 3, &mut last);
                 }
                 let (begun, mut step) = (world.now(), STEP_MS);
-                while world.owner().is_none() && world.now() + step < begun + VACANT_MS {
+                while world.leader().is_none() && world.now() + step < begun + VACANT_MS {
                     let at = world.now();
                     world.run_for(step);
                     // Nothing happened yet.
@@ -298,7 +298,7 @@
                         STEP_MS
                     };
                 }
-                assert!(world.owner().is_some(), "{what}: no owner");
+                assert!(world.leader().is_some(), "{what}: no owner");
                 world.run_for(REPORT_MS);
                 assert_eq!(world.stopped - before, 0, "{what}: stopped to make room");
                 world.run_for(rng.u64(1000..2500));
@@ -324,7 +324,7 @@
     }
 }
 
-/// Two processes go by one name. Each takes over from the other once at most, so that the fleet has a lasting owner.
+/// Two processes go by one name. Each takes over from the other once at most, so that the fleet has a lasting leader.
 #[test]
 fn two_processes_of_one_name_do_not_take_turns() {
     for seed in 0..10 {
@@ -332,13 +332,13 @@
         let mut world = world(seed, 3, 0);
         world.run_for(40_000);
         world.come_back_after(100);
-        let owner = world.owner_at().expect("some node owns the fleet");
-        let twin = (owner + 1) % 3;
-        world.rename(twin, owner);
+        let leader = world.leader_at().expect("some node owns the fleet");
+        let twin = (leader + 1) % 3;
+        world.rename(twin, leader);
         world.crash_node(twin);
         world.run_for(2000);
         let (name, _, life, _) = record(&world).expect("an owner");
-        assert_eq!(name, format!("burrow-{owner}"), "{what}");
+        assert_eq!(name, format!("burrow-{leader}"), "{what}");
         let mut changes = 0;
         let mut last = life;
         for _ in 0..300 {
--- a/crates/standins/tests/quotas.rs
+++ b/crates/standins/tests/quotas.rs
@@ -229,7 +229,7 @@
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
 
-/// A tree of many records, and a change of it whose owner crashes at each step: the old or the new version is whole,
+/// A tree of many records, and a change of it whose leader crashes at each step: the old or the new version is whole,
 /// the operator who asks again is told of one change, and nothing is left over.
 #[test]
 fn a_mover_that_dies_at_any_step_leaves_one_whole_tree() {
@@ -249,7 +249,7 @@
                 .tree(20_000, "large", &large);
             let mut world = world(step, nodes, scene.clone());
             world.run_for(20_000 + step * 2);
-            world.doom_owner();
+            world.doom_leader();
             world.run_for(500);
             deaths += usize::from(!world.changes.contains_key("large"));
             world.run_for(60_000);
@@ -392,7 +392,7 @@
 }
 
 /// One desk floods the queue with work that runs for minutes, of the highest urgency. Its siblings and the other house
-/// have what they are guaranteed within a minute of asking for it, also when the owner is lost just then.
+/// have what they are guaranteed within a minute of asking for it, also when the leader is lost just then.
 #[test]
 fn a_flood_does_not_starve_the_neighbours() {
     let mut scene = scene().tree(1000, "first", &houses());
@@ -419,7 +419,7 @@
         assert!(flood >= 11, "the flood has what it may: {flood}");
         world.run_for(2000);
         if nodes == 7 {
-            world.doom_owner();
+            world.doom_leader();
         }
         world.run_for(59_000);
         let has = ["red", "blue", "amber"].map(|t| uses(&world, t));
@@ -433,7 +433,7 @@
 }
 
 /// A head from a later program, or with a part that is missing: the last good tree stays in force as long as somebody
-/// has it; an owner that has none starts nothing, until an operator puts a good one in its place.
+/// has it; a leader that has none starts nothing, until an operator puts a good one in its place.
 #[test]
 fn a_tree_that_does_not_check_out_is_refused() {
     for (format, parts) in [
@@ -468,7 +468,7 @@
             uses(&world, "red") > 0 && uses(&world, "red") <= 10,
             "the last good one stays in force"
         );
-        world.doom_owner();
+        world.doom_leader();
         world.run_for(20_000);
         let before = world.rules.starts;
         world.run_for(10_000);
--- a/crates/standins/tests/refusals.rs
+++ b/crates/standins/tests/refusals.rs
@@ -46,8 +46,8 @@
     ))
 }
 
-fn owner(world: &World) -> usize {
-    world.owner_at().expect("some node owns the fleet")
+fn leader(world: &World) -> usize {
+    world.leader_at().expect("some node owns the fleet")
 }
 
 /// Cancels come one after the other, this often, each at another node, while all nodes are asked about all of them.
@@ -96,19 +96,19 @@
             let every = [40, 160, 420][step as usize / 2 % 3];
             if step % 2 == 0 {
                 world.bring(&Trouble::Refused {
-                    who: Who::Owner,
+                    who: Who::Leader,
                     ms: 14_000,
                 });
                 cancel_and_ask(&mut world, nodes, every);
             } else {
                 // The refusal comes in the midst of it.
-                let owner = owner(&world);
+                let leader = leader(&world);
                 world.bring(&Trouble::StateSlow { ms: 4000 });
                 world.run_for(every);
                 (0..3).for_each(|i| world.cancel_at(i as usize % nodes, &long(i)));
                 world.run_for(step * 3);
                 world.bring(&Trouble::Refused {
-                    who: Who::Node(owner),
+                    who: Who::Node(leader),
                     ms: 14_000,
                 });
                 cancel_and_ask(&mut world, nodes, every);
@@ -122,7 +122,7 @@
     }
 }
 
-/// Answers take up to half a second and the owner is refused, stands still or crashes in the midst of them, so that
+/// Answers take up to half a second and the leader is refused, stands still or crashes in the midst of them, so that
 /// they come when its lease has ended.
 #[test]
 fn slow_answers_that_come_after_the_lease_has_ended() {
@@ -134,7 +134,7 @@
             world.bring(&Trouble::StateSlow { ms: 40_000 });
             for round in 0..4u32 {
                 world.run_for(2000);
-                let before = owner_or(&world, 0);
+                let before = leader_or(&world, 0);
                 (0..3).for_each(|i| world.cancel_at(before, &long(round * 3 + i)));
                 // From the cancel to its record and the answer, and beyond.
                 world.run_for(step * 31);
@@ -161,8 +161,8 @@
     }
 }
 
-fn owner_or(world: &World, node: usize) -> usize {
-    world.owner_at().unwrap_or(node)
+fn leader_or(world: &World, node: usize) -> usize {
+    world.leader_at().unwrap_or(node)
 }
 
 /// A leader without the state service and the other controllers, whose workers and users reach it, and whose last
@@ -174,7 +174,7 @@
             let what = format!("{nodes} nodes, step {step}");
             let mut world = world(200 + step, nodes);
             world.run_for(BEGIN + step * 17);
-            let old = owner(&world);
+            let old = leader(&world);
             let ms = 7000 + step * 61;
             let how = [How::Reset, How::Hold][usize::from(step % 4 == 3)];
             for from in [Side::State, Side::Nodes] {
@@ -212,7 +212,7 @@
             let what = format!("{nodes} nodes, seed {seed}");
             let mut world = world(400 + seed, nodes);
             world.run_for(BEGIN);
-            let leader = owner(&world);
+            let leader = leader(&world);
             world.bring(&Trouble::Cut {
                 who: Who::Node(leader),
                 from: Side::Nodes,
@@ -256,7 +256,7 @@
             .team("red", 24.0, 0.0);
             let mut world = World::new(Plan::of_scene(seed, nodes, scene, 0, 600_000));
             world.run_for(BEGIN);
-            let old = owner(&world);
+            let old = leader(&world);
             for from in [Side::State, Side::Nodes, Side::Machines, Side::Cloud] {
                 world.bring(&Trouble::Cut {
                     who: Who::Node(old),
@@ -288,7 +288,7 @@
         let mut world = world(300, nodes);
         world.run_for(BEGIN);
         world.bring(&Trouble::CutOff {
-            who: Who::Owner,
+            who: Who::Leader,
             ms,
         });
         cancel_and_ask(&mut world, nodes, 900);
--- a/crates/standins/tests/rules.rs
+++ b/crates/standins/tests/rules.rs
@@ -173,12 +173,12 @@
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
 
-/// Workers stayed with an owner that had lost only the state service, and the next one heard no machine.
+/// Workers stayed with a leader that had lost only the state service, and the next one heard no machine.
 #[test]
-fn a_new_owner_reaches_the_machines_of_one_that_was_refused() {
+fn a_new_leader_reaches_the_machines_of_one_that_was_refused() {
     let mut world = calm_and_large();
     world.run_for(30_000);
-    world.refuse_owner(25_000);
+    world.refuse_leader(25_000);
     world.run_for(7000);
     let before = world.rules.starts;
     world.run_for(5000);
--- a/crates/standins/tests/search.rs
+++ b/crates/standins/tests/search.rs
@@ -23,11 +23,11 @@
 const APART_MS: u64 = 1300;
 const JOB: &str = "job-000001";
 
-/// What may come at a moment. `Old` is the node that owned the fleet at first, `New` whoever owns it now, or the next.
+/// What may come at a moment. `Old` is the node that led the fleet at first, `New` whoever owns it now, or the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Trouble {
     Nothing,
-    /// The state service begins to refuse the old owner, or ends to.
+    /// The state service begins to refuse the old leader, or ends to.
     Refuse,
     /// It goes out for all, or comes back.
     Out,
@@ -43,7 +43,7 @@
     Trouble::NewEnds,
 ];
 
-/// What passes between the old owner and the others.
+/// What passes between the old leader and the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Peers {
     All,
@@ -182,7 +182,7 @@
         play
     }
 
-    /// One machine and one job, whose task an earlier owner has started there.
+    /// One machine and one job, whose task an earlier leader has started there.
     fn records(&mut self) {
         let spec = json!({
             "nameId": JOB, "lot": "c", "desk": "effects", "shape": "array", "urgency": "normal", "pieces": 1,
@@ -422,8 +422,8 @@
         }
     }
 
-    /// The newest owner by the record, whoever knows of it.
-    fn owner(&self) -> Option<usize> {
+    /// The newest leader by the record, whoever knows of it.
+    fn leader(&self) -> Option<usize> {
         let rec = self.state.keys.get("sys/owner/0")?;
         (0..NODES).find(|n| rec.value["node"] == name(*n))
     }
@@ -441,7 +441,7 @@
             Trouble::OldEnds => self.end(self.old),
             Trouble::NewEnds => {
                 let new = self
-                    .owner()
+                    .leader()
                     .filter(|n| *n != self.old)
                     .unwrap_or((self.old + 1) % NODES);
                 self.end(new);
@@ -514,9 +514,9 @@
 
     /// Plays it all; the longest that the task lived after the cancel was told.
     fn play(mut self) -> Ended {
-        // An owner stands, has read everything, and serves the worker.
+        // A leader stands, has read everything, and serves the worker.
         self.run(3000, false);
-        self.old = self.owner().expect("somebody owns the fleet");
+        self.old = self.leader().expect("somebody owns the fleet");
         assert_eq!(
             (self.worker.at, self.worker.obeys),
             (self.old, 2),
@@ -563,7 +563,7 @@
     all
 }
 
-/// Guards against an owner that goes on renewing when another may have told of a cancel. Seen to fail without the bound
+/// Guards against a leader that goes on renewing when another may have told of a cancel. Seen to fail without the bound
 /// in `renewal::may_renew`.
 #[test]
 fn no_short_history_lets_a_cancelled_task_outlive_its_time() {
--- a/crates/standins/tests/spread_reports.rs
+++ b/crates/standins/tests/spread_reports.rs
@@ -54,13 +54,13 @@
 }
 
 #[test]
-fn a_small_fleet_reports_to_the_owner() {
+fn a_small_fleet_reports_to_the_leader() {
     let mut world = world(1, 3, "2000");
     world.run_for(SETTLED_MS);
     assert_eq!(relayed_in(&mut world, 60_000), 0);
 }
 
-/// The next owner is not met by the whole fleet, and the reports of one that is gone find another way.
+/// The next leader is not met by the whole fleet, and the reports of one that is gone find another way.
 #[test]
 fn any_controller_may_end() {
     for nodes in [3, 5] {
@@ -68,10 +68,10 @@
             let what = format!("{nodes} nodes, seed {seed}");
             let mut world = world(seed, nodes, "3");
             world.run_for(SETTLED_MS);
-            let owner = world.owner_at().expect("an owner");
+            let leader = world.leader_at().expect("an owner");
             let ends = match seed % 2 {
-                0 => owner,
-                _ => (owner + 1) % nodes,
+                0 => leader,
+                _ => (leader + 1) % nodes,
             };
             world.crash_node(ends);
             world.run_for(SETTLED_MS);
@@ -83,18 +83,18 @@
     }
 }
 
-/// Workers that come back, since they can't reach the controller that they were sent to, stay with the owner, but for
+/// Workers that come back, since they can't reach the controller that they were sent to, stay with the leader, but for
 /// one of a zone now and then. Were they sent there again each time, all their leases would end.
 #[test]
 fn who_comes_back_is_not_sent_again_at_once() {
     const CUT_MS: u64 = 250_000;
-    /// All have found the owner by then.
+    /// All have found the leader by then.
     const FOUND_MS: u64 = 40_000;
     for how in [How::Hold, How::Reset] {
         let mut world = world(1, 3, "3");
         world.run_for(SETTLED_MS);
-        let owner = world.owner_at().expect("an owner");
-        for node in (0..3).filter(|node| *node != owner) {
+        let leader = world.leader_at().expect("an owner");
+        for node in (0..3).filter(|node| *node != leader) {
             world.cut(Cut {
                 how,
                 ..Cut::between(Side::Machines, Side::Node(node), world.now(), CUT_MS)
@@ -111,7 +111,7 @@
     }
 }
 
-/// Any links cut at any time, owners and machines that end: the rules hold, and all work is done.
+/// Any links cut at any time, leaders and machines that end: the rules hold, and all work is done.
 #[test]
 fn any_troubles_with_reports_spread() {
     for nodes in NODES {
--- a/crates/standins/tests/troubles.rs
+++ b/crates/standins/tests/troubles.rs
@@ -134,34 +134,34 @@
     }
 }
 
-/// Another node owns the fleet while the one cut off goes on answering users; it loses no lease.
+/// Another node leads the fleet while the one cut off goes on answering users; it loses no lease.
 #[test]
 fn a_node_cut_off_loses_the_fleet_and_keeps_its_workers() {
     let mut world = world(7);
-    let owner = world.owner_at().expect("some node owns the fleet");
+    let leader = world.leader_at().expect("some node owns the fleet");
     let before = world.sessions_lost();
     world.bring(&Trouble::CutOff {
-        who: Who::Owner,
+        who: Who::Leader,
         ms: 20_000,
     });
     world.run_for(12_000);
     assert!(
-        world.owner_at().is_some_and(|n| n != owner),
+        world.leader_at().is_some_and(|n| n != leader),
         "{:?}",
-        world.owner_at()
+        world.leader_at()
     );
     world.run_for(40_000);
     assert_eq!(world.sessions_lost(), before);
     kept(&world);
 }
 
-/// A trouble brought about by hand and one of a day are the same; `Who::Owner` is whoever owns the fleet now.
+/// A trouble brought about by hand and one of a day are the same; `Who::Leader` is whoever leads the fleet now.
 #[test]
-fn the_owner_is_whoever_owns_the_fleet_now() {
+fn the_leader_is_whoever_leads_the_fleet_now() {
     let mut world = world(8);
-    let first = world.owner_at().expect("some node owns the fleet");
+    let first = world.leader_at().expect("some node owns the fleet");
     world.bring(&Trouble::Freeze {
-        who: Who::Owner,
+        who: Who::Leader,
         ms: 30_000,
     });
     world.run_for(15_000);
@@ -171,13 +171,13 @@
         back_ms: 60_000,
     });
     world.run_for(5000);
-    let next = world.owner_at().expect("another node owns the fleet");
+    let next = world.leader_at().expect("another node owns the fleet");
     assert_ne!(next, first);
     world.bring(&Trouble::Refused {
-        who: Who::Owner,
+        who: Who::Leader,
         ms: 8000,
     });
     world.run_for(8000);
-    assert!(world.owner_at().is_some_and(|n| n != next));
+    assert!(world.leader_at().is_some_and(|n| n != next));
     kept(&world);
 }
--- a/crates/standins/tests/ways.rs
+++ b/crates/standins/tests/ways.rs
@@ -30,11 +30,11 @@
     ["a", "b"][node % 2]
 }
 
-fn owner(world: &World) -> usize {
-    world.owner_at().expect("some node owns the fleet")
+fn leader(world: &World) -> usize {
+    world.leader_at().expect("some node owns the fleet")
 }
 
-/// An owner in a cut zone went on answering its workers for as long as the cut lasted, while the next one, outside,
+/// A leader in a cut zone went on answering its workers for as long as the cut lasted, while the next one, outside,
 /// told users that their jobs were cancelled and could prove nothing, since the cloud was out too. Seen to fail
 /// without the bound in `renewal`.
 #[test]
@@ -43,7 +43,7 @@
         for seed in 0..20 {
             let mut world = world(seed, nodes, 400_000);
             world.run_for(30_000);
-            let inside = owner(&world);
+            let inside = leader(&world);
             world.cut_off(zone_of(inside), 150_000);
             world.cloud_out(150_000);
             world.run_for(4000 + seed * 1000);
@@ -54,15 +54,15 @@
     }
 }
 
-/// The same with several owners in a row, each of them cut off in its turn.
+/// The same with several leaders in a row, each of them cut off in its turn.
 #[test]
-fn several_owners_cut_off_in_a_row_renew_for_a_bounded_time() {
+fn several_leaders_cut_off_in_a_row_renew_for_a_bounded_time() {
     for seed in 0..20 {
         let mut world = world(seed, 5, 400_000);
         world.run_for(30_000);
         world.cloud_out(200_000);
         for _ in 0..3 {
-            let node = owner(&world);
+            let node = leader(&world);
             // It goes on hearing its workers, and they it.
             for side in [Side::State, Side::Nodes, Side::Users, Side::Cloud] {
                 world.cut(Cut::between(Side::Node(node), side, world.now(), 150_000));
@@ -90,14 +90,14 @@
     }
 }
 
-/// A node that began in the outage may have been the owner before it ended: its word does not count, and leases end.
+/// A node that began in the outage may have been the leader before it ended: its word does not count, and leases end.
 #[test]
 fn a_node_that_knows_nothing_vouches_for_nobody() {
     let mut world = world(1, 3, 400_000);
     world.run_for(30_000);
     let before = world.sessions_lost();
     world.state_out(120_000);
-    let other = (owner(&world) + 1) % 3;
+    let other = (leader(&world) + 1) % 3;
     world.crash_node(other);
     world.run_for(100_000);
     assert!(
@@ -107,14 +107,14 @@
     assert_rules_kept(&world, "outage");
 }
 
-/// An owner that hears its workers and reaches its peers, but not the state service; the next one reaches neither the
-/// machines nor the earlier owner. Its word is asked for, and must not be given: it has told users of cancels.
+/// A leader that hears its workers and reaches its peers, but not the state service; the next one reaches neither the
+/// machines nor the earlier leader. Its word is asked for, and must not be given: it has told users of cancels.
 #[test]
-fn a_later_owner_does_not_vouch_for_an_earlier_one() {
+fn a_later_leader_does_not_vouch_for_an_earlier_one() {
     for seed in 0..10 {
         let mut world = world(seed, 3, 400_000);
         world.run_for(30_000);
-        let old = owner(&world);
+        let old = leader(&world);
         world.cloud_out(200_000);
         world.cut(Cut::between(
             Side::Node(old),
@@ -143,10 +143,10 @@
     }
 }
 
-/// Cancelled just before the state service goes out, with the machines out of reach for the moment in which their owner
+/// Cancelled just before the state service goes out, with the machines out of reach for the moment in which their leader
 /// was still sure. It goes on renewing through the outage, and its answers must say that those tasks are to end.
 #[test]
-fn an_unsure_owner_still_stops_what_it_has_cancelled() {
+fn an_unsure_leader_still_stops_what_it_has_cancelled() {
     for seed in 0..10 {
         let mut world = world(seed, 3, 400_000);
         world.run_for(30_000);
@@ -194,7 +194,7 @@
 
 /// Nobody has both ways: all but one node lose the state service, the last one loses the machines.
 fn no_node_has_both(world: &mut World, nodes: usize, how: How, ms: u64) {
-    let blind = (owner(world) + 1) % nodes;
+    let blind = (leader(world) + 1) % nodes;
     let now = world.now();
     for n in 0..nodes {
         let lost = if n == blind {
@@ -347,7 +347,7 @@
             let what = format!("{nodes} nodes, seed {seed}");
             let mut world = world(seed, nodes, 400_000);
             world.run_for(30_000);
-            let zone = zone_of(owner(&world) + 1);
+            let zone = zone_of(leader(&world) + 1);
             let lost = world.sessions_lost();
             world.cut_off(zone, 27_000);
             world.run_for(45_000);
@@ -362,14 +362,14 @@
     }
 }
 
-/// What the owner outside cancels, before the cut or in it, is not kept alive inside for longer than cancels may take.
+/// What the leader outside cancels, before the cut or in it, is not kept alive inside for longer than cancels may take.
 #[test]
 fn a_keeper_keeps_nothing_cancelled_alive() {
     for nodes in [3, 5, 7] {
         for seed in 0..20u64 {
             let mut world = world(seed, nodes, 400_000);
             world.run_for(30_000);
-            let zone = zone_of(owner(&world) + 1);
+            let zone = zone_of(leader(&world) + 1);
             // Half of the jobs just before, with commands refused, so that no stop arrives; the others in the cut.
             let machines =
                 Cut::between(Side::Any, Side::MachinesIn(zone.into()), world.now(), 5500);
@@ -389,7 +389,7 @@
     }
 }
 
-/// As workers found the way by a peer, some were late still. Their zone did not count as cut any more, the owner could
+/// As workers found the way by a peer, some were late still. Their zone did not count as cut any more, the leader could
 /// not reach them itself, and hundreds of sound machines were returned with their tasks.
 #[test]
 fn machines_on_their_way_to_a_peer_are_not_returned() {
@@ -412,7 +412,7 @@
         ..plan(5, 3, scene.team("red", 2000.0, 0.0))
     });
     world.run_for(50_000);
-    let node = owner(&world);
+    let node = leader(&world);
     world.cut(Cut::between(
         Side::Node(node),
         Side::Machines,
--- a/crates/standins/tests/yarn.rs
+++ b/crates/standins/tests/yarn.rs
@@ -84,9 +84,9 @@
     }
 }
 
-/// The two-stage tally of a hundred containers, with a machine lost and the owner replaced in its midst.
+/// The two-stage tally of a hundred containers, with a machine lost and the leader replaced in its midst.
 #[test]
-fn a_tally_of_two_stages_ends_though_machines_and_owners_go() {
+fn a_tally_of_two_stages_ends_though_machines_and_leaders_go() {
     for moment in 0..12 {
         let client = Client::new("ann", "red", 2000, tally(&[100, 20]));
         let mut world = World::new(plan(2 + moment, 3, scene(vec![client])));
@@ -101,7 +101,7 @@
         world.lose(&machine);
         // Each time another moment of the containers that end then.
         world.run_for(10_000 + moment * 230);
-        world.doom_owner();
+        world.doom_leader();
         through(&mut world, 400_000);
         let c = &world.yarn.clients[0];
         assert_eq!(
@@ -262,7 +262,7 @@
     }
 }
 
-/// The owner is lost at each step of a submission, of a kill during it, and of its repeat; its last transaction lands
+/// The leader is lost at each step of a submission, of a kill during it, and of its repeat; its last transaction lands
 /// late. Whoever was told "yes" finds his application, and whoever was not may find it or not, but never half of it.
 #[test]
 fn crashes_at_each_step_leave_one_placement_or_none() {
@@ -279,7 +279,7 @@
         scene.records_ms = 700;
         let mut world = World::new(plan(100 + step, 3, scene));
         world.run_for(2000 + step * 500);
-        world.doom_owner();
+        world.doom_leader();
         through(&mut world, 200_000);
         nothing_left(&mut world, &format!("step {step}"));
         assert_eq!(
@@ -306,7 +306,7 @@
         twin.id = world.yarn.clients[0].id;
         world.yarn.clients.push(twin);
         world.run_for(250);
-        world.refuse_owner(10_000);
+        world.refuse_leader(10_000);
         through(&mut world, 200_000);
         assert!(
             world
@@ -320,10 +320,10 @@
     }
 }
 
-/// A drain that was answered holds, whoever owns the fleet: nothing that comes later is taken, what runs may end, and
+/// A drain that was answered holds, whoever leads the fleet: nothing that comes later is taken, what runs may end, and
 /// what is left at the deadline is ended.
 #[test]
-fn drains_outlive_owners_and_end_what_is_left() {
+fn drains_outlive_leaders_and_end_what_is_left() {
     for seed in 0..8 {
         let long = Tally {
             run_ms: 500_000,
@@ -351,7 +351,7 @@
         scene.clients.push(Client::new("bob", "red", 120_000, TOOL));
         let mut world = World::new(plan(300 + seed, 3, scene));
         world.run_for(9000 + seed * 150);
-        world.doom_owner();
+        world.doom_leader();
         through(&mut world, 300_000);
         let states: Vec<_> = world.yarn.clients.iter().map(|c| c.state).collect();
         assert_eq!(
@@ -464,7 +464,7 @@
     assert!(fenced > 0, "some predecessor came back");
 }
 
-/// Transactions of an owner that has died land after its successor has read, written and answered: they change nothing.
+/// Transactions of a leader that has died land after its successor has read, written and answered: they change nothing.
 #[test]
 fn what_lands_late_changes_nothing() {
     for seed in 0..25 {
@@ -484,7 +484,7 @@
         let mut world = World::new(plan(500 + seed, 3, scene));
         for _ in 0..8 {
             world.run_for(6000);
-            world.doom_owner();
+            world.doom_leader();
         }
         through(&mut world, 400_000);
         nothing_left(&mut world, &format!("seed {seed}"));
@@ -663,10 +663,10 @@
     panic!("moment {moment}: on no seed do sixty hold at once");
 }
 
-/// Guards against a container that is lost for ever: its machine dies, its task begins again elsewhere, and the owner
-/// dies before the master has heard of the loss. The next owner can learn it from that task's runner only.
+/// Guards against a container that is lost for ever: its machine dies, its task begins again elsewhere, and the leader
+/// dies before the master has heard of the loss. The next leader can learn it from that task's runner only.
 #[test]
-fn losses_are_told_though_the_owner_dies_first() {
+fn losses_are_told_though_the_leader_dies_first() {
     for moment in 0..14 {
         let mut world = sixty_at_once(moment);
         let master = world.machines_of("job-900000000010000000");
--- a/crates/stoathatch/src/tally.rs
+++ b/crates/stoathatch/src/tally.rs
@@ -70,7 +70,7 @@
     )
 }
 
-/// Asks until the audit is through. An owner that is lost takes it along; the next begins it anew.
+/// Asks until the audit is through. A leader that is lost takes it along; the next begins it anew.
 fn audit(asked: &Asked) -> Result<String, End> {
     let question = Question::Audit {
         id: format!("{:016x}", fastrand::u64(..)),
--- a/crates/stoathatch/tests/e2e/jobs.rs
+++ b/crates/stoathatch/tests/e2e/jobs.rs
@@ -55,10 +55,10 @@
     until("it runs", || {
         (!world.on_machines().is_empty()).then_some(())
     });
-    let owner = until("an owner", || world.owner());
+    let owner = until("an owner", || world.leader());
     let n: usize = owner.trim_start_matches("burrow-").parse().expect("a node");
     c.kill(n);
-    until("another owner", || world.owner().filter(|o| *o != owner));
+    until("another owner", || world.leader().filter(|o| *o != owner));
     until("second done", || {
         (c.stage("job-000003")? == Stage::Done).then_some(())
     });
--- a/crates/stoathatch/tests/e2e/quota.rs
+++ b/crates/stoathatch/tests/e2e/quota.rs
@@ -216,9 +216,9 @@
     }
 
     // The next owner has the same tree before its first start.
-    let owner = until("an owner", || world.owner());
+    let owner = until("an owner", || world.leader());
     c.kill(owner.trim_start_matches("burrow-").parse().expect("a node"));
-    until("another owner", || world.owner().filter(|o| *o != owner));
+    until("another owner", || world.leader().filter(|o| *o != owner));
     assert_eq!(json_of(&["show", "--json", "--node", &nodes])["version"], 3);
     assert_eq!(world.ran_twice(), None);
     let checked = quota(&[
--- a/crates/stoathatch/tests/e2e/yarn.rs
+++ b/crates/stoathatch/tests/e2e/yarn.rs
@@ -91,9 +91,9 @@
 
     let out = yarn(&c, &["drain", "default", "--containers"]);
     assert_eq!(out.status.code(), Some(0), "{}", text(&out.stderr));
-    let owner = until("an owner", || world.owner());
+    let owner = until("an owner", || world.leader());
     c.kill(owner.trim_start_matches("burrow-").parse().expect("a node"));
-    until("another owner", || world.owner().filter(|o| *o != owner));
+    until("another owner", || world.leader().filter(|o| *o != owner));
     let out = yarn(&c, &["submit", bundle]);
     assert_eq!(out.status.code(), Some(1), "{}", text(&out.stdout));
     assert!(
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -9,7 +9,7 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Ask {
-    /// The state of a job, from its owner.
+    /// The state of a job, from its leader.
     Query { job: String },
     /// Cancel a job for a user.
     Cancel { job: String },
@@ -18,16 +18,18 @@
     /// The state of a job, from a node that can read it, or has its end in memory.
     Lookup {
         job: String,
-        /// The owner asks, or has been asked.
+        /// The leader asks, or has been asked.
         #[serde(default)]
-        past_owner: bool,
+        #[serde(rename = "past_owner")]
+        past_leader: bool,
     },
-    /// The asker has become the owner. Nothing is decided by it: it only saves those who can't read the state
+    /// The asker has become the leader. Nothing is decided by it: it only saves those who can't read the state
     /// service from sending workers the wrong way.
-    Owns { node: String, token: u64 },
+    #[serde(rename = "Owns")]
+    Leads { node: String, token: u64 },
     /// What the asker sees, for what the other sees.
     View(View),
-    /// Reports of workers that can't reach the owner, as they came.
+    /// Reports of workers that can't reach the leader, as they came.
     Reports { node: String, reports: Vec<ByteBuf> },
     /// A command for a worker that the other serves, as the worker is to get it.
     Tell {
@@ -35,8 +37,12 @@
         addr: String,
         body: ByteBuf,
     },
-    /// A model is wanted. For the owner alone: it is to know of it, so that it does not put the model to sleep.
-    Wake { model: String, owner: bool },
+    /// A model is wanted. For the leader alone: it is to know of it, so that it does not put the model to sleep.
+    Wake {
+        model: String,
+        #[serde(rename = "owner")]
+        leader: bool,
+    },
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -51,9 +57,9 @@
         #[serde(default, skip_serializing_if = "String::is_empty")]
         why: String,
     },
-    /// The owner does not know the job: look into the state service.
+    /// The leader does not know the job: look into the state service.
     Unknown,
-    /// Not the owner, or not sure of it.
+    /// Not the leader, or not sure of it.
     NotNow,
     View(View),
     /// The answers to reports, in their order; an empty one refuses.
@@ -93,23 +99,24 @@
     /// The highest token that it knows of, if it has read the counter since it began: up to now, it has told nobody of
     /// anything under a higher one.
     pub token: Option<u64>,
-    /// Its token, if it owns the fleet and is sure of it.
-    pub owns: Option<u64>,
-    /// It owns the fleet, and no worker has come to it by itself since.
+    /// Its token, if it leads the fleet and is sure of it.
+    #[serde(rename = "owns")]
+    pub leads: Option<u64>,
+    /// It leads the fleet, and no worker has come to it by itself since.
     #[serde(default)]
     pub deaf: bool,
     /// The state service refuses it, or does not answer.
     #[serde(default)]
     pub down: bool,
-    /// It owns the fleet, and has workers report by way of all controllers.
+    /// It leads the fleet, and has workers report by way of all controllers.
     #[serde(default)]
     pub spreads: bool,
-    /// From the owner, in an answer: what the asker may keep alive for it in its own zone.
+    /// From the leader, in an answer: what the asker may keep alive for it in its own zone.
     #[serde(default)]
     pub keep: Option<Keep>,
 }
 
-/// The owner's token, and the machines whose leases must not be renewed under it by another.
+/// The leader's token, and the machines whose leases must not be renewed under it by another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Keep {
     pub token: u64,
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -7,7 +7,7 @@
 /// The shard of the fleet that one controller owns.
 pub type ShardId = u32;
 
-/// Everything that every controller follows: owners, tokens, the catalogue.
+/// Everything that every controller follows: leaders, tokens, the catalogue.
 pub const SHARED: &str = "sys/";
 pub const TOKEN: &str = "sys/token";
 pub const CATALOG: &str = "sys/catalog";
@@ -32,7 +32,7 @@
 pub fn parts_prefix(kind: &str) -> String {
     format!("{kind}/part/")
 }
-pub fn owner_key(shard: ShardId) -> String {
+pub fn leader_key(shard: ShardId) -> String {
     format!("sys/owner/{shard}")
 }
 pub fn live_key(job: &str) -> String {
@@ -68,9 +68,9 @@
     format!("part/{shard}/hire/")
 }
 
-/// Who owns a shard. Attached to the owner's lease, so that it goes when the owner does.
+/// Who leads a shard. Attached to the leader's lease, so that it goes when the leader does.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct OwnerRec {
+pub struct LeaderRecord {
     pub node: String,
     pub token: u64,
     /// Tells a lost answer to our own take-over from somebody else's.
@@ -351,7 +351,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Record {
-    Owner(OwnerRec),
+    Leader(LeaderRecord),
     Token(TokenRec),
     Job(Box<JobRec>),
     End(EndRec),
