--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -65,7 +65,7 @@
         lease: Option<u64>,
         sent: u64,
         give_up_at: u64,
-        /// The lease of the former life whose record is to be replaced.
+        /// The lease of the former incarnation whose record is to be replaced.
         former: Option<u64>,
     },
     Leader {
@@ -86,8 +86,8 @@
     pub(crate) fn sure(&self) -> bool {
         match self.role {
             Role::Leader { renewed, .. } => {
-                let life = self.ttl() * 997 / 1000;
-                self.now.mono < renewed + life.saturating_sub(life / 20)
+                let incarnation = self.ttl() * 997 / 1000;
+                self.now.mono < renewed + incarnation.saturating_sub(incarnation / 20)
             }
             _ => false,
         }
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Stands if nobody leads the shard, or only a former life of this node.
+    /// Stands if nobody leads the shard, or only a former incarnation of this node.
     fn follow(&mut self, may_campaign_at: u64) {
         let now = self.now.mono;
         let vacant = self.shared.known && self.replaceable().is_some();
@@ -183,7 +183,7 @@
         let heir = self.tuning.heir > 0.0;
         match &self.shared.leader {
             None => Some((0, None)),
-            Some(o) if heir && self.life.is_heir_of(&o.rec, &self.settings.node) => {
+            Some(o) if heir && self.incarnation.succeeds(&o.rec, &self.settings.node) => {
                 Some((o.version, Some(o.rec.lease)))
             }
             Some(_) => None,
@@ -289,7 +289,7 @@
                     node,
                     token,
                     lease,
-                    life: rec.life,
+                    incarnation: rec.incarnation,
                 },
                 version,
             });
@@ -313,7 +313,7 @@
                     .shared
                     .leader
                     .as_ref()
-                    .is_some_and(|o| self.life.is_namesakes(&o.rec, &node))
+                    .is_some_and(|o| self.incarnation.is_other_process_of(&o.rec, &node))
                 {
                     log::error!(
                         "another process lives under the name {node}; only one of them can serve"
@@ -454,14 +454,14 @@
             node: self.settings.node.clone(),
             token,
             lease,
-            life: self.life.mark(),
+            incarnation: self.incarnation.mark(),
         }
     }
 
     fn become_leader(&mut self, lease: u64, renewed: u64, token: u64, version: u64) {
         log::info!("owner of shard {SHARD} with token {token}");
         let now = self.now.mono;
-        self.life.leads_now();
+        self.incarnation.leads_now();
         if let Role::Candidate {
             former: Some(former),
             ..
--- a/crates/control/src/leadership/incarnation.rs
+++ b/crates/control/src/leadership/incarnation.rs
@@ -1,13 +1,13 @@
-//! One life of a node: from the start of its process to its end.
+//! One incarnation of a node: from the start of its process to its end.
 //!
-//! A node that begins knows that the life before it is over, since both would listen on the same addresses. If that life
+//! A node that begins knows that the incarnation before it is over, since both would listen on the same addresses. If that life
 //! led the fleet, nobody needs to wait for its lease to run out. Weighed in docs/safety.md under "A new life".
 //!
 //! Nothing here takes over; [`crate::leadership::election`] does, by a transaction that is guarded as any other.
 
 use wire::records::LeaderRecord;
 
-pub(crate) struct Life {
+pub(crate) struct Incarnation {
     /// Drawn anew by each process; never 0, which stands in records of before.
     mark: u64,
     /// This life has led the fleet. From then on a record of another life under our name is one of a process that
@@ -15,10 +15,10 @@
     has_owned: bool,
 }
 
-impl Life {
+impl Incarnation {
     pub fn begin(seed: u64) -> Self {
         // Numbers that any reader of the records can hold exactly.
-        Life {
+        Incarnation {
             mark: fastrand::Rng::with_seed(!seed).u64(1..1 << 53),
             has_owned: false,
         }
@@ -33,13 +33,13 @@
     }
 
     /// Whether another life under this node's name wrote it.
-    pub fn is_namesakes(&self, rec: &LeaderRecord, node: &str) -> bool {
-        rec.node == node && rec.life != self.mark
+    pub fn is_other_process_of(&self, rec: &LeaderRecord, node: &str) -> bool {
+        rec.node == node && rec.incarnation != self.mark
     }
 
     /// Whether the leader that wrote it can only have ended. Two processes of one name take over from each other once
     /// at most: who has led the fleet waits like everybody else.
-    pub fn is_heir_of(&self, rec: &LeaderRecord, node: &str) -> bool {
-        self.is_namesakes(rec, node) && !self.has_owned
+    pub fn succeeds(&self, rec: &LeaderRecord, node: &str) -> bool {
+        self.is_other_process_of(rec, node) && !self.has_owned
     }
 }
--- a/crates/control/tests/door.rs
+++ b/crates/control/tests/door.rs
@@ -294,7 +294,7 @@
 }
 
 /// A take-over that lands after its node has given up on it is waited out like anybody's: a process takes the place of
-/// a former life only, never of itself.
+/// a former incarnation only, never of itself.
 #[test]
 fn one_s_own_late_take_over_is_waited_out() {
     let mut p = Played::new();
@@ -311,7 +311,7 @@
         .as_array()
         .and_then(|w| w.iter().find(|w| w["write"] == OWNER))
         .expect("its record");
-    for life in [mine["v"]["life"].as_u64(), Some(77)] {
+    for incarnation in [mine["v"]["life"].as_u64(), Some(77)] {
         p.silence(4500);
         while !p
             .sent
@@ -320,7 +320,7 @@
         {
             p.silence(100);
         }
-        let rec = json!({"node": "burrow-0", "token": 4, "lease": 7, "life": life});
+        let rec = json!({"node": "burrow-0", "token": 4, "lease": 7, "life": incarnation});
         let token = json!({"key": "sys/token", "v": {"token": 4}, "stamp": 12});
         p.page(
             "sys/",
@@ -329,7 +329,7 @@
         p.silence(1500);
         // Of another life under its name it knows that it is over.
         let stands = p.sent.iter().any(|s| s.path == "/grants");
-        assert_eq!(stands, life == Some(77), "{life:?}");
+        assert_eq!(stands, incarnation == Some(77), "{incarnation:?}");
     }
 }
 
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -22,10 +22,10 @@
 //! | `known` | the later of `renewed` and `Vouches::at`, in `Node::may_renew` (`renewal`) |
 //! | `ask`, `answered` | `Vouches::asked`, `Vouches::answered` |
 //! | `knows` | the job is `Job::is_unwanted` (`jobs`): wanted, on its way, recorded, or ended before |
-//! | `owned` | `Life::has_owned` |
+//! | `owned` | `Incarnation::has_owned` |
 //! | `Charge` | `keeper::Charge`; `except` is whether the worker's machine is in `Keep::except` |
 //! | `Rec`, `counter` | the leader record with its lease, and the token record (`wire::records`) |
-//! | `Rec::own_life` | the record's `life` is the mark of its node's present life (`life`) |
+//! | `Rec::own_life` | the record's `incarnation` is the mark of its node's present life (`incarnation`) |
 //! | `ended` | the `EndRec` of the job stands |
 //! | `Out` | an answer that a worker waits for, its leader's own or by way of a peer (`relay`): it outlives who gave it |
 //!
@@ -207,8 +207,8 @@
 
     /// `election::sure`.
     fn sure(&self, b: &Bounds) -> bool {
-        let life = b.lengths.ttl + u8::from(b.planted == Planted::SureTooLong);
-        self.role == Role::Leader && self.renewed < life
+        let incarnation = b.lengths.ttl + u8::from(b.planted == Planted::SureTooLong);
+        self.role == Role::Leader && self.renewed < incarnation
     }
 
     /// `election::decides`.
@@ -839,7 +839,7 @@
         if self.out || !room || !node.has_read || node.role != Role::Follower {
             return false;
         }
-        // `election::replaceable` and `Life::is_heir_of`.
+        // `election::replaceable` and `Incarnation::succeeds`.
         let mark = |r: &Rec| !r.own_life && !node.owned || b.planted == Planted::NoMark;
         let heir = self.rec.is_some_and(|r| r.node == n && mark(&r));
         if self.rec.is_some() && !heir {
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -130,7 +130,7 @@
     },
     Peer {
         node: usize,
-        life: u64,
+        incarnation: u64,
         tag: u64,
     },
     Operator {
@@ -169,7 +169,7 @@
 
 struct Call {
     node: usize,
-    life: u64,
+    incarnation: u64,
     tag: u64,
     to: Dest,
     method: &'static str,
@@ -211,13 +211,13 @@
 struct Wire {
     who: Who,
     node: usize,
-    life: u64,
+    incarnation: u64,
     exchange: Exchange,
 }
 
 struct Host {
     node: Option<Served>,
-    life: u64,
+    incarnation: u64,
     /// The state service refuses this node until then.
     refused_until: u64,
     /// It stands still until then.
@@ -523,10 +523,10 @@
     fn begin(&mut self) {
         for n in 0..self.plan.nodes {
             let drift = 1.0 + self.rng.f64() * 0.0005;
-            let life = 0;
+            let incarnation = 0;
             self.hosts.push(Host {
                 node: None,
-                life,
+                incarnation,
                 refused_until: 0,
                 frozen_until: 0,
                 processor: Default::default(),
@@ -1079,7 +1079,7 @@
                 let limit = self.limit() * raised;
                 let seed = self.rng.u64(..);
                 let now = self.node_now(n);
-                self.hosts[n].life += 1;
+                self.hosts[n].incarnation += 1;
                 let report_s = self.report_ms() as f64 / 1000.0;
                 let mut settings = settings(n, &self.plan, limit, self.state.limits, report_s);
                 settings.node = format!("burrow-{}", self.hosts[n].name);
@@ -1089,19 +1089,19 @@
                 let config = self.plan.scene.as_ref().and_then(|s| s.yarn.clone());
                 let gateway = config.map(|c| Gateway::new(c, [seed as u8; 32]));
                 self.hosts[n].node = Some(Served::new(node, gateway));
-                let life = self.hosts[n].life;
-                self.at(self.now, Ev::Tick(n, life));
+                let incarnation = self.hosts[n].incarnation;
+                self.at(self.now, Ev::Tick(n, incarnation));
             }
-            Ev::Tick(n, life) => {
-                if self.hosts[n].life == life && self.hosts[n].node.is_some() {
+            Ev::Tick(n, incarnation) => {
+                if self.hosts[n].incarnation == incarnation && self.hosts[n].node.is_some() {
                     self.feed(n, Event::Tick);
-                    self.at(self.now + 50, Ev::Tick(n, life));
+                    self.at(self.now + 50, Ev::Tick(n, incarnation));
                 }
             }
             Ev::Arrive(call) => self.arrive(call),
-            Ev::Reply(n, life, tag, response) => {
-                if self.open.remove(&(n, life, tag))
-                    && self.hosts[n].life == life
+            Ev::Reply(n, incarnation, tag, response) => {
+                if self.open.remove(&(n, incarnation, tag))
+                    && self.hosts[n].incarnation == incarnation
                     && self.hosts[n].node.is_some()
                 {
                     self.feed(n, Event::Reply { tag, response });
@@ -1188,7 +1188,7 @@
     }
 
     fn carry_out(&mut self, n: usize, outs: Vec<Out>) {
-        let life = self.hosts[n].life;
+        let incarnation = self.hosts[n].incarnation;
         let mut dies = None;
         for out in outs {
             let effect = match out {
@@ -1244,14 +1244,14 @@
                         dies = Some(BACK_MS);
                     }
                     dies = self.burns(n, to).or(dies);
-                    self.open.insert((n, life, tag));
-                    self.at(self.now + timeout_ms, Ev::Reply(n, life, tag, None));
+                    self.open.insert((n, incarnation, tag));
+                    self.at(self.now + timeout_ms, Ev::Reply(n, incarnation, tag, None));
                     let mut delay = self.rng.u64(1..8);
                     let faulty = self.now < START + self.plan.faults_until;
                     // A cut holds what was sent and delivers it late; now and then a message is slow anyway.
                     if let Some((until, how)) = self.sending_is_cut(n, to) {
                         if how == How::Reset {
-                            self.at(self.now + 2, Ev::Reply(n, life, tag, None));
+                            self.at(self.now + 2, Ev::Reply(n, incarnation, tag, None));
                             continue;
                         }
                         delay += until - self.now;
@@ -1270,7 +1270,7 @@
                         self.now + delay + late.unwrap_or(0),
                         Ev::Arrive(Call {
                             node: n,
-                            life,
+                            incarnation,
                             tag,
                             to,
                             method,
@@ -1346,7 +1346,7 @@
                 self.rng.u64(1..8)
             };
         at += self.reply_lateness(c);
-        self.at(at, Ev::Reply(c.node, c.life, c.tag, Some(response)));
+        self.at(at, Ev::Reply(c.node, c.incarnation, c.tag, Some(response)));
     }
 
     fn arrive(&mut self, c: Call) {
@@ -1393,7 +1393,7 @@
                             self.hits.late_refused += 1;
                         }
                     }
-                    Outcome::Wait(w) => self.watches.push((w, c.node, c.life, c.tag)),
+                    Outcome::Wait(w) => self.watches.push((w, c.node, c.incarnation, c.tag)),
                 }
                 self.fire_watches();
             }
@@ -1425,7 +1425,7 @@
                 };
                 let origin = Origin::Peer {
                     node: c.node,
-                    life: c.life,
+                    incarnation: c.incarnation,
                     tag: c.tag,
                 };
                 self.step(Ev::Request(to, origin, request, true));
@@ -1471,7 +1471,7 @@
 
     fn fire_watches(&mut self) {
         let waiting = std::mem::take(&mut self.watches);
-        for (w, node, life, tag) in waiting {
+        for (w, node, incarnation, tag) in waiting {
             let silent = self.outage_until > self.now || self.hosts[node].refused_until > self.now;
             let found = if silent {
                 None
@@ -1486,7 +1486,7 @@
                 Some(body) => {
                     let call = Call {
                         node,
-                        life,
+                        incarnation,
                         tag,
                         to: Dest::State,
                         method: "GET",
@@ -1496,16 +1496,20 @@
                     };
                     self.reply(&call, 200, &body);
                 }
-                None => self.watches.push((w, node, life, tag)),
+                None => self.watches.push((w, node, incarnation, tag)),
             }
         }
     }
 
     fn answer(&mut self, origin: Origin, response: Option<Response>) {
         match origin {
-            Origin::Peer { node, life, tag } => {
+            Origin::Peer {
+                node,
+                incarnation,
+                tag,
+            } => {
                 let at = self.now + 1;
-                self.at(at, Ev::Reply(node, life, tag, response));
+                self.at(at, Ev::Reply(node, incarnation, tag, response));
             }
             Origin::Operator { change } => self.operated(change, response),
             Origin::Probe { node, asked } => self.probed(node, asked, response),
@@ -2095,7 +2099,7 @@
             broken
                 .into_iter()
                 .for_each(|conn| self.at(self.now + 5, Ev::RawOver(conn)));
-            self.hosts[n].life += 1;
+            self.hosts[n].incarnation += 1;
             let back = self.back_ms.unwrap_or(back);
             self.at(self.now + back, Ev::Restart(n));
         }
--- a/crates/standins/src/world/bed.rs
+++ b/crates/standins/src/world/bed.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy)]
 struct Conn {
     node: usize,
-    life: u64,
+    incarnation: u64,
 }
 
 /// A question that is out: on which connection, if one was found, and since when.
@@ -157,8 +157,9 @@
             bed.checks.asks(now, &job, kind == Ask::Cancel);
             bed.first.entry((job.clone(), kind)).or_insert(now);
         }
-        let alive =
-            |c: &Conn| self.hosts[c.node].life == c.life && self.hosts[c.node].node.is_some();
+        let alive = |c: &Conn| {
+            self.hosts[c.node].incarnation == c.incarnation && self.hosts[c.node].node.is_some()
+        };
         let kept = bed.kept.remove(&job).filter(alive);
         let (conn, delay) = kept.map_or_else(|| self.connect(), |c| (Some(c), 0));
         let Some(bed) = self.bed.as_mut() else { return };
@@ -213,7 +214,7 @@
                 return (
                     Some(Conn {
                         node: n,
-                        life: host.life,
+                        incarnation: host.incarnation,
                     }),
                     took,
                 );
--- a/crates/standins/src/world/troubles.rs
+++ b/crates/standins/src/world/troubles.rs
@@ -100,7 +100,7 @@
             }
             Trouble::Late { who, for_ms, ms } => {
                 for n in whom(who) {
-                    self.troubles.late[n] = (self.hosts[n].life, now + for_ms, ms);
+                    self.troubles.late[n] = (self.hosts[n].incarnation, now + for_ms, ms);
                 }
             }
             Trouble::Zone { zone, ms } => self.cut_off(zone, ms),
@@ -243,8 +243,8 @@
 
     /// How much later comes what a node sends.
     pub(super) fn lateness(&mut self, n: usize) -> u64 {
-        let (life, until, ms) = self.troubles.late[n];
-        let late = self.now < until && self.hosts[n].life == life;
+        let (incarnation, until, ms) = self.troubles.late[n];
+        let late = self.now < until && self.hosts[n].incarnation == incarnation;
         if late { self.rng.u64(0..ms) } else { 0 }
     }
 }
--- a/crates/standins/src/world/wires.rs
+++ b/crates/standins/src/world/wires.rs
@@ -38,13 +38,13 @@
         let node = self.rng.usize(0..self.plan.nodes);
         let conn = self.next_conn;
         self.next_conn += 1;
-        let life = self.hosts[node].life;
+        let incarnation = self.hosts[node].incarnation;
         self.wires.insert(
             conn,
             Wire {
                 who,
                 node,
-                life,
+                incarnation,
                 exchange,
             },
         );
@@ -130,14 +130,18 @@
         let Some(wire) = self.wires.get(&conn) else {
             return;
         };
-        let (n, life) = (wire.node, wire.life);
+        let (n, incarnation) = (wire.node, wire.incarnation);
         let now = self.node_now(n);
         let cut = self
             .links
             .blocked(self.now, Place::Users, Place::Node(n))
             .is_some();
         let host = &mut self.hosts[n];
-        let Some(node) = host.node.as_mut().filter(|_| host.life == life && !cut) else {
+        let Some(node) = host
+            .node
+            .as_mut()
+            .filter(|_| host.incarnation == incarnation && !cut)
+        else {
             return;
         };
         let (leads, begun) = (node.node().term().is_some(), std::time::Instant::now());
@@ -175,7 +179,11 @@
     fn raw_gone(&mut self, conn: u64, wire: &Wire) {
         let now = self.node_now(wire.node);
         let host = &mut self.hosts[wire.node];
-        if let Some(node) = host.node.as_mut().filter(|_| host.life == wire.life) {
+        if let Some(node) = host
+            .node
+            .as_mut()
+            .filter(|_| host.incarnation == wire.incarnation)
+        {
             let outs = node.raw(now, conn, Raw::Closed);
             self.carry_out(wire.node, outs);
         }
--- a/crates/standins/tests/hand_over.rs
+++ b/crates/standins/tests/hand_over.rs
@@ -63,14 +63,14 @@
             world.run_for(step);
             // Nothing happened yet.
             step = if world.now() == before { step + 10 } else { 10 };
-            let Some((token, life)) = record(world) else {
+            let Some((token, incarnation)) = record(world) else {
                 continue;
             };
             let highest = self.0.last_key_value().map_or(0, |(token, _)| *token);
             assert!(token >= highest, "{what}: token {token} after {highest}");
             assert_eq!(
-                *self.0.entry(token).or_insert(life),
-                life,
+                *self.0.entry(token).or_insert(incarnation),
+                incarnation,
                 "{what}: two lives with token {token}"
             );
         }
--- a/crates/standins/tests/quick.rs
+++ b/crates/standins/tests/quick.rs
@@ -192,7 +192,7 @@
     }
 }
 
-/// What a former life had on its way lands after the next one has taken over: its claims, its ends of jobs, and its own
+/// What a former incarnation had on its way lands after the next one has taken over: its claims, its ends of jobs, and its own
 /// take-over. Nothing of it may count.
 #[test]
 fn what_a_former_life_had_on_its_way_changes_nothing() {
@@ -215,14 +215,14 @@
             }
             for _ in 0..15 {
                 world.run_for(200);
-                let Some((_, token, life, _)) = record(&world) else {
+                let Some((_, token, incarnation, _)) = record(&world) else {
                     continue;
                 };
                 let highest = terms.last_key_value().map_or(0, |(token, _)| *token);
                 assert!(token >= highest, "{what}: token {token} after {highest}");
                 assert_eq!(
-                    *terms.entry(token).or_insert(life),
-                    life,
+                    *terms.entry(token).or_insert(incarnation),
+                    incarnation,
                     "{what}: two lives with token {token}"
                 );
             }
@@ -337,13 +337,13 @@
         world.rename(twin, leader);
         world.crash_node(twin);
         world.run_for(2000);
-        let (name, _, life, _) = record(&world).expect("an owner");
+        let (name, _, incarnation, _) = record(&world).expect("an owner");
         assert_eq!(name, format!("burrow-{leader}"), "{what}");
         let mut changes = 0;
-        let mut last = life;
+        let mut last = incarnation;
         for _ in 0..300 {
             world.run_for(100);
-            let now = record(&world).map_or(last, |(_, _, life, _)| life);
+            let now = record(&world).map_or(last, |(_, _, incarnation, _)| incarnation);
             changes += u32::from(now != last);
             last = now;
         }
--- a/crates/standins/tests/search.rs
+++ b/crates/standins/tests/search.rs
@@ -82,7 +82,11 @@
 enum Conn {
     User,
     Worker,
-    Peer { node: usize, life: u64, tag: u64 },
+    Peer {
+        node: usize,
+        incarnation: u64,
+        tag: u64,
+    },
 }
 
 struct Play {
@@ -127,7 +131,7 @@
     (0..NODES).filter(|p| *p != n).nth(index).expect("a peer")
 }
 
-fn a_node(n: usize, life: u64, now: u64) -> Node {
+fn a_node(n: usize, incarnation: u64, now: u64) -> Node {
     let mut tuning = Tuning::default();
     tuning
         .set("owner", "ttl_ms", &TTL_MS.to_string())
@@ -135,7 +139,7 @@
     Node::new(
         settings(n),
         tuning,
-        life * 10 + n as u64,
+        incarnation * 10 + n as u64,
         Now {
             mono: now,
             wall: now,
@@ -222,7 +226,7 @@
     }
 
     fn reply(&mut self, after: u64, to: (usize, u64, u64), answer: Option<(u16, Vec<u8>)>) {
-        let (node, life, tag) = to;
+        let (node, incarnation, tag) = to;
         let response = answer.map(|(status, body)| Response {
             status,
             body,
@@ -231,7 +235,7 @@
         });
         self.mail(
             after,
-            Message::Node(node, life, Event::Reply { tag, response }),
+            Message::Node(node, incarnation, Event::Reply { tag, response }),
         );
     }
 
@@ -240,7 +244,7 @@
             mono: self.now,
             wall: self.now,
         };
-        let life = self.nodes[n].1;
+        let incarnation = self.nodes[n].1;
         for effect in self.nodes[n].0.handle(now, event) {
             match effect {
                 Effect::Send {
@@ -252,7 +256,7 @@
                     timeout_ms,
                     ..
                 } => {
-                    self.send((n, life, tag), to, method, &path, body, timeout_ms);
+                    self.send((n, incarnation, tag), to, method, &path, body, timeout_ms);
                 }
                 Effect::Respond { conn, response } => self.responded(n, conn, response),
                 Effect::Side { .. } => {}
@@ -307,15 +311,15 @@
                 }
                 let conn = self.connect(Conn::Peer {
                     node: n,
-                    life: from.1,
+                    incarnation: from.1,
                     tag: from.2,
                 });
                 let event = Event::Peer {
                     conn,
                     request: post(path, body),
                 };
-                let life = self.nodes[peer].1;
-                self.mail(5, Message::Node(peer, life, event));
+                let incarnation = self.nodes[peer].1;
+                self.mail(5, Message::Node(peer, incarnation, event));
                 self.reply(wait, from, None);
             }
         }
@@ -329,9 +333,11 @@
 
     fn responded(&mut self, n: usize, conn: u64, r: Response) {
         match self.conns.remove(&conn) {
-            Some(Conn::Peer { node, life, tag }) => {
-                self.reply(5, (node, life, tag), Some((r.status, r.body)))
-            }
+            Some(Conn::Peer {
+                node,
+                incarnation,
+                tag,
+            }) => self.reply(5, (node, incarnation, tag), Some((r.status, r.body))),
             Some(Conn::User) if r.status == 200 => {
                 let stage = wire::decode::<Value>(&r.body)
                     .ok()
@@ -450,8 +456,8 @@
     }
 
     fn end(&mut self, n: usize) {
-        let life = self.nodes[n].1 + 1;
-        self.nodes[n] = (a_node(n, life, self.now), life);
+        let incarnation = self.nodes[n].1 + 1;
+        self.nodes[n] = (a_node(n, incarnation, self.now), incarnation);
         self.watches.retain(|_, (node, ..)| *node != n);
         if self.worker.at == n && self.worker.out.take().is_some() {
             self.worker.next = self.now + 1000;
@@ -481,14 +487,20 @@
     fn deliver(&mut self) {
         while let Some(entry) = self.mail.first_entry().filter(|e| e.key().0 <= self.now) {
             match entry.remove() {
-                Message::Node(n, life, event) if self.nodes[n].1 == life => self.handle(n, event),
+                Message::Node(n, incarnation, event) if self.nodes[n].1 == incarnation => {
+                    self.handle(n, event)
+                }
                 Message::Node(..) => {}
                 Message::WatchOver(id) => {
-                    let Some((n, life, tag, _)) = self.watches.remove(&id) else {
+                    let Some((n, incarnation, tag, _)) = self.watches.remove(&id) else {
                         continue;
                     };
                     let nothing = json!({"ledger": self.state.revision, "log": []});
-                    self.reply(5, (n, life, tag), Some((200, wire::encode(&nothing))));
+                    self.reply(
+                        5,
+                        (n, incarnation, tag),
+                        Some((200, wire::encode(&nothing))),
+                    );
                 }
             }
         }
@@ -506,9 +518,13 @@
             .filter(|(_, (n, ..))| !(refused && *n == old))
             .find_map(|(id, (.., w))| Some((*id, self.state.changes(&w.prefix, w.from)?)));
         if let Some((id, changes)) = due
-            && let Some((n, life, tag, _)) = self.watches.remove(&id)
+            && let Some((n, incarnation, tag, _)) = self.watches.remove(&id)
         {
-            self.reply(5, (n, life, tag), Some((200, wire::encode(&changes))));
+            self.reply(
+                5,
+                (n, incarnation, tag),
+                Some((200, wire::encode(&changes))),
+            );
         }
     }
 
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -75,9 +75,10 @@
     pub token: u64,
     /// Tells a lost answer to our own take-over from somebody else's.
     pub lease: u64,
-    /// Which life of the node wrote it; 0 in records of before.
+    /// Which incarnation of the node wrote it; 0 in records of before.
     #[serde(default, skip_serializing_if = "is_zero")]
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 /// The room that a shard may give each team; the shards' allotments add up to the team's limit at most.
@@ -378,7 +379,8 @@
     #[serde(default)]
     pub lease: Option<u64>,
     #[serde(default)]
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The head of a document; the key tells which.
     #[serde(default, alias = "quota")]
     pub document: Option<document::Head>,
