--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -81,8 +81,8 @@
     pub zone: String,
     pub spot: bool,
     pub hired_ms: u64,
-    /// The rack that it stands in, and what it adds to its record's length.
-    pub rack: u64,
+    /// The inventory shard that it stands in, and what it adds to its record's length.
+    pub inventory_shard: u64,
     pub size: usize,
     pub recorded: bool,
     pub addr: Option<SocketAddr>,
@@ -130,7 +130,7 @@
             zone: zone.to_owned(),
             spot,
             hired_ms,
-            rack: 0,
+            inventory_shard: 0,
             size: KindRec::entry(name, machine_type, zone),
             recorded: false,
             addr: None,
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -2,7 +2,7 @@
 //!
 //! Claims and results go into a log: one record a turn, whatever the number of machines. A record is removed when
 //! all its claims have ended and all jobs whose results it holds have; so it may name claims that are over, which
-//! costs a new leader a moment's caution and nothing else. Machines stand in racks, many to a record.
+//! costs a new leader a moment's caution and nothing else. Machines stand in inventory shards, many to a record.
 
 use crate::jobs::job::JobIx;
 use crate::store::shard::Shard;
@@ -42,7 +42,7 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Rack {
+pub(crate) struct InventoryShard {
     /// 0 until it is recorded.
     pub version: u64,
     pub machines: BTreeSet<usize>,
@@ -61,11 +61,11 @@
     pub unsaved: BTreeSet<JobIx>,
     /// Jobs whose end is to be recorded, cancelled ones first.
     pub ending: VecDeque<JobIx>,
-    pub racks: BTreeMap<u64, Rack>,
+    pub inventory: BTreeMap<u64, InventoryShard>,
     /// Racks to be written: those with machines that are new, and those that only lost some.
     pub new_in: BTreeSet<u64>,
     pub gone_from: BTreeSet<u64>,
-    next_rack: u64,
+    next_inventory_shard: u64,
 }
 
 impl Ledger {
@@ -110,35 +110,35 @@
         self.segments.insert(number, segment);
     }
 
-    /// The rack for a machine that adds so much to a record of at most `limit`.
-    pub fn rack_for(&mut self, machine: usize, size: usize, limit: usize) -> u64 {
-        // The last one, or a new one: racks that lost machines shrink until they are gone.
+    /// The inventory shard for a machine that adds so much to a record of at most `limit`.
+    pub fn inventory_shard_for(&mut self, machine: usize, size: usize, limit: usize) -> u64 {
+        // The last one, or a new one: inventory shards that lost machines shrink until they are gone.
         let open = self
-            .racks
+            .inventory
             .iter()
             .next_back()
             .filter(|(_, r)| r.size + size <= limit)
             .map(|(n, _)| *n);
-        let number = open.unwrap_or(self.next_rack);
-        self.next_rack = self.next_rack.max(number + 1);
-        let rack = self.racks.entry(number).or_default();
-        rack.machines.insert(machine);
-        rack.size += size;
+        let number = open.unwrap_or(self.next_inventory_shard);
+        self.next_inventory_shard = self.next_inventory_shard.max(number + 1);
+        let inventory_shard = self.inventory.entry(number).or_default();
+        inventory_shard.machines.insert(machine);
+        inventory_shard.size += size;
         self.new_in.insert(number);
         number
     }
 
-    /// A rack as it was read back.
-    pub fn load_rack(&mut self, number: u64, rack: Rack) {
-        self.next_rack = self.next_rack.max(number + 1);
-        self.racks.insert(number, rack);
+    /// A inventory shard as it was read back.
+    pub fn load_inventory_shard(&mut self, number: u64, inventory_shard: InventoryShard) {
+        self.next_inventory_shard = self.next_inventory_shard.max(number + 1);
+        self.inventory.insert(number, inventory_shard);
     }
 
-    pub fn leave_rack(&mut self, number: u64, machine: usize, size: usize) {
-        if let Some(rack) = self.racks.get_mut(&number)
-            && rack.machines.remove(&machine)
+    pub fn leave_inventory_shard(&mut self, number: u64, machine: usize, size: usize) {
+        if let Some(inventory_shard) = self.inventory.get_mut(&number)
+            && inventory_shard.machines.remove(&machine)
         {
-            rack.size = rack.size.saturating_sub(size);
+            inventory_shard.size = inventory_shard.size.saturating_sub(size);
             self.gone_from.insert(number);
         }
     }
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -14,7 +14,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{Conflict, Guard, Item, JobState, Revision, Txn, Write};
 use wire::http::Response;
-use wire::records::{self, ClaimsRec, DoneRec, EndRec, KindRec, LogRec, RackRec, Record, TokenRec};
+use wire::records::{
+    self, ClaimsRec, DoneRec, EndRec, InventoryRecord, KindRec, LogRec, Record, TokenRec,
+};
 
 pub(crate) enum Op {
     End(JobIx),
@@ -24,8 +26,8 @@
     Log(Log),
     LogOver(u64),
     Fold(county::Fold),
-    /// A rack with the names of its machines: by the time that it stands, a place in memory may be another one's.
-    Rack(u64, Vec<String>),
+    /// A inventory shard with the names of its machines: by the time that it stands, a place in memory may be another one's.
+    InventoryShard(u64, Vec<String>),
     Catalog,
     Allot,
     /// A document's part, its removal, its head.
@@ -297,25 +299,29 @@
         self.ops.push(Op::Log(log));
     }
 
-    /// Writes a rack as it stands now, or removes it.
-    fn rack(&mut self, shard: &mut Shard, number: u64) {
+    /// Writes a inventory shard as it stands now, or removes it.
+    fn inventory_shard(&mut self, shard: &mut Shard, number: u64) {
         shard.ledger.gone_from.remove(&number);
-        let Some(rack) = shard.ledger.racks.get(&number) else {
+        let Some(inventory_shard) = shard.ledger.inventory.get(&number) else {
             return;
         };
-        let key = records::rack_key(SHARD, number);
-        if rack.machines.is_empty() {
-            let version = rack.version;
+        let key = records::inventory_key(SHARD, number);
+        if inventory_shard.machines.is_empty() {
+            let version = inventory_shard.version;
             // Its number is not used again in this term. A late copy of the transaction that first wrote it finds
-            // no rack of other machines in its place, and is taken for none.
-            shard.ledger.racks.remove(&number);
+            // no inventory shard of other machines in its place, and is taken for none.
+            shard.ledger.inventory.remove(&number);
             if version > 0 {
                 self.remove(key, version);
             }
             return;
         }
-        let mut rec = RackRec::default();
-        for machine in rack.machines.iter().filter_map(|m| shard.machine(*m)) {
+        let mut rec = InventoryRecord::default();
+        for machine in inventory_shard
+            .machines
+            .iter()
+            .filter_map(|m| shard.machine(*m))
+        {
             let same = |k: &&mut KindRec| {
                 k.machine_type == machine.machine_type
                     && k.zone == machine.zone
@@ -338,8 +344,8 @@
             .flat_map(|k| &k.machines)
             .map(|(name, _)| name.clone())
             .collect();
-        self.put(key, rack.version, Record::Rack(rec));
-        self.ops.push(Op::Rack(number, names));
+        self.put(key, inventory_shard.version, Record::InventoryShard(rec));
+        self.ops.push(Op::InventoryShard(number, names));
     }
 }
 
@@ -522,7 +528,7 @@
         while room(&d)
             && let Some(n) = shard.ledger.new_in.pop_first()
         {
-            d.rack(shard, n);
+            d.inventory_shard(shard, n);
         }
         let over: Vec<(String, u64)> = shard
             .hires
@@ -560,7 +566,7 @@
             while room(&d)
                 && let Some(n) = shard.ledger.gone_from.pop_first()
             {
-                d.rack(shard, n);
+                d.inventory_shard(shard, n);
             }
             while room(&d)
                 && let Some(n) = shard.ledger.garbage.pop_first()
@@ -721,14 +727,15 @@
                 Op::LogOver(n) => {
                     shard.ledger.segments.remove(&n);
                 }
-                Op::Rack(n, machines) => {
-                    if let Some(rack) = shard.ledger.racks.get_mut(&n) {
-                        rack.version = revision;
+                Op::InventoryShard(n, machines) => {
+                    if let Some(inventory_shard) = shard.ledger.inventory.get_mut(&n) {
+                        inventory_shard.version = revision;
                     }
                     for name in machines {
                         let m = shard.machine_ix.get(&name).copied();
-                        if let Some(machine) =
-                            m.and_then(|m| shard.machine_mut(m)).filter(|x| x.rack == n)
+                        if let Some(machine) = m
+                            .and_then(|m| shard.machine_mut(m))
+                            .filter(|x| x.inventory_shard == n)
                         {
                             shard.plan_due |= !std::mem::replace(&mut machine.recorded, true);
                         }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -3,20 +3,20 @@
 use crate::agents::machine::{Claim, ClaimState, Machine, Need};
 use crate::jobs::job::{Job, JobIx};
 use crate::leadership::election::SHARD;
-use crate::store::claim_log::{ClaimId, Rack, Segment};
+use crate::store::claim_log::{ClaimId, InventoryShard, Segment};
 use crate::store::commit::value_limit;
 use crate::store::shard::{Hire, HireState, Shard};
 use crate::{Dest, Node, Pending};
 use std::ops;
 use wire::api::{Item, Range};
 use wire::http::Response;
-use wire::records::{self, AllotRec, AllotedTeam, HireRec, JobRec, LogRec, RackRec};
+use wire::records::{self, AllotRec, AllotedTeam, HireRec, InventoryRecord, JobRec, LogRec};
 
 /// What is read one after the other after a take-over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Load {
     Jobs,
-    Racks,
+    Inventory,
     Log,
     Hires,
     Allot,
@@ -43,7 +43,7 @@
             };
             let attempt = group.attempt;
             for (name, first, n) in group.on {
-                // A machine in no rack is gone, and all that was on it.
+                // A machine in no inventory shard is gone, and all that was on it.
                 let Some(machine) = self.machine_ix.get(&name).copied() else {
                     continue;
                 };
@@ -133,7 +133,7 @@
         let Some(shard) = &self.shard else { return };
         let prefix = match what {
             Load::Jobs => records::LIVE.to_owned(),
-            Load::Racks => records::racks_prefix(SHARD),
+            Load::Inventory => records::inventory_prefix(SHARD),
             Load::Log => records::log_prefix(SHARD),
             Load::Hires => records::hires_prefix(SHARD),
             Load::Allot => records::allot_key(SHARD),
@@ -173,7 +173,9 @@
             .filter(|r| r.status == 200)
             .and_then(|r| match what {
                 Load::Jobs => self.read("state service", &r).map(|p| self.load_jobs(p)),
-                Load::Racks => self.read("state service", &r).map(|p| self.load_racks(p)),
+                Load::Inventory => self
+                    .read("state service", &r)
+                    .map(|p| self.load_inventory(p)),
                 Load::Log => self.read("state service", &r).map(|p| self.load_log(p)),
                 Load::Hires => self.read("state service", &r).map(|p| self.load_hires(p)),
                 Load::Allot => self.read("state service", &r).map(|p| self.load_allot(p)),
@@ -194,8 +196,8 @@
             shard.load_after = None;
         }
         match what {
-            Load::Jobs => self.load(Load::Racks),
-            Load::Racks => self.load(Load::Log),
+            Load::Jobs => self.load(Load::Inventory),
+            Load::Inventory => self.load(Load::Log),
             Load::Log => self.load(Load::Hires),
             Load::Hires => self.load(Load::Allot),
             Load::Allot => self.load(Load::Heads),
@@ -225,9 +227,9 @@
         more
     }
 
-    fn load_racks(&mut self, range: Range<RackRec>) -> bool {
+    fn load_inventory(&mut self, range: Range<InventoryRecord>) -> bool {
         let more = self.page_end(&range);
-        let prefix = records::racks_prefix(SHARD);
+        let prefix = records::inventory_prefix(SHARD);
         let now = self.now;
         let Some(shard) = &mut self.shard else {
             return false;
@@ -241,22 +243,24 @@
             let Some(number) = key.strip_prefix(&prefix).and_then(|n| n.parse().ok()) else {
                 continue;
             };
-            let mut rack = Rack {
+            let mut inventory_shard = InventoryShard {
                 version,
-                ..Rack::default()
+                ..InventoryShard::default()
             };
             for kind in value.kinds {
                 for (name, hired_ms) in kind.machines {
                     let mut machine =
                         Machine::new(&name, &kind.machine_type, &kind.zone, kind.spot, hired_ms);
                     machine.recorded = true;
-                    machine.rack = number;
+                    machine.inventory_shard = number;
                     machine.heard_at = now.mono;
-                    rack.size += machine.size;
-                    rack.machines.insert(shard.insert_machine(machine));
+                    inventory_shard.size += machine.size;
+                    inventory_shard
+                        .machines
+                        .insert(shard.insert_machine(machine));
                 }
             }
-            shard.ledger.load_rack(number, rack);
+            shard.ledger.load_inventory_shard(number, inventory_shard);
         }
         more
     }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -250,9 +250,9 @@
     pub fn add_machine(&mut self, machine: Machine) -> usize {
         let size = machine.size;
         let m = self.insert_machine(machine);
-        let rack = self.ledger.rack_for(m, size, self.value_limit);
+        let inventory_shard = self.ledger.inventory_shard_for(m, size, self.value_limit);
         if let Some(machine) = self.machine_mut(m) {
-            machine.rack = rack;
+            machine.inventory_shard = inventory_shard;
         }
         m
     }
@@ -275,7 +275,8 @@
         self.machine_ix.remove(&machine.name);
         self.free_machines.push(m);
         self.push.remove(&m);
-        self.ledger.leave_rack(machine.rack, m, machine.size);
+        self.ledger
+            .leave_inventory_shard(machine.inventory_shard, m, machine.size);
     }
 
     /// Takes a claim back of which nothing was sent.
--- a/crates/control/tests/machines.rs
+++ b/crates/control/tests/machines.rs
@@ -186,14 +186,14 @@
     assert!((5..=30).contains(&asked), "{asked} times in 3 s");
 }
 
-/// A machine went while its rack was being written, and another one took its place in memory: that one was taken to
+/// A machine went while its inventory shard was being written, and another one took its place in memory: that one was taken to
 /// stand in the record, and got tasks which the next leader would not have known of.
 #[test]
 fn a_machine_in_another_one_s_place_is_not_recorded_yet() {
     let mut p = Played::new();
     p.leads();
     Worker::new("host-000001").reports(&mut p);
-    let rack = p.finds("its rack", |s| s.changes("part/0/rack/"));
+    let inventory_shard = p.finds("its rack", |s| s.changes("part/0/rack/"));
     let list = p.finds("the machines", |s| s.path.starts_with("/machines?"));
     let failed = json!({"nameId": "host-000001", "addr": "10.1.0.1:9000", "build": "g8", "hall": "a", "loaners": false,
         "stage": "failed", "ageS": 9.0});
@@ -206,7 +206,7 @@
     for i in 2..140 {
         p.arrives(&format!("job-{i:06}"));
     }
-    p.reply(&rack, 200, json!({"ledger": 500}));
+    p.reply(&inventory_shard, 200, json!({"ledger": 500}));
     second.reports(&mut p);
     let (mut recorded, mut early) = (false, Vec::new());
     p.live(6000, &mut |s| {
--- a/crates/standins/tests/late_writes.rs
+++ b/crates/standins/tests/late_writes.rs
@@ -407,7 +407,7 @@
     anew
 }
 
-/// The removal of an empty rack was not answered, and a machine that came meanwhile was written under its number: a late
+/// The removal of an empty inventory shard was not answered, and a machine that came meanwhile was written under its number: a late
 /// copy of the first put under that number was then taken for its record, and the machine stood in none.
 #[test]
 fn a_rack_s_number_is_not_used_again() {
--- a/crates/standins/tests/old_reports.rs
+++ b/crates/standins/tests/old_reports.rs
@@ -250,14 +250,14 @@
         world.run_for(30_000);
         assert_rules_kept(&world, &what);
         assert_all_ended(&world, &what);
-        let racks = world
+        let inventory = world
             .state
             .keys
             .iter()
             .filter(|(k, _)| k.starts_with("part/0/rack"));
-        let racks: String = racks.map(|(_, e)| e.value.to_string()).collect();
+        let inventory: String = inventory.map(|(_, e)| e.value.to_string()).collect();
         assert!(
-            gone.iter().all(|m| !racks.contains(m.as_str())),
+            gone.iter().all(|m| !inventory.contains(m.as_str())),
             "{what}: they stay in the records"
         );
     }
--- a/crates/standins/tests/search.rs
+++ b/crates/standins/tests/search.rs
@@ -195,7 +195,7 @@
             "dueS": null
         });
         let kind = json!({"label": "g8", "cpus": 64.0, "cores": 64.0, "gpus": 8.0, "ramGb": 512.0, "halls": ["a"]});
-        let rack = json!({"machine_type": "g8", "zone": "a", "spot": false, "machines": [["host-000001", 1]]});
+        let inventory_shard = json!({"machine_type": "g8", "zone": "a", "spot": false, "machines": [["host-000001", 1]]});
         let claim = json!({"job": JOB, "team": "effects", "cores": 2.0, "gpus": 1.0, "mem_gb": 4.0, "attempt": 7,
             "on": [["host-000001", 0, 1]]});
         let records = [
@@ -205,7 +205,7 @@
                 "live/job-000001",
                 json!({"spec": spec, "at_ms": 5, "part": 0}),
             ),
-            ("part/0/rack/1", json!({"kinds": [rack]})),
+            ("part/0/rack/1", json!({"kinds": [inventory_shard]})),
             ("part/0/log/0000000000000001", json!({"claims": [claim]})),
         ];
         let writes: Vec<Value> = records
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -48,10 +48,10 @@
 pub fn log_prefix(shard: ShardId) -> String {
     format!("part/{shard}/log/")
 }
-pub fn rack_key(shard: ShardId, number: u64) -> String {
-    format!("{}{number}", racks_prefix(shard))
+pub fn inventory_key(shard: ShardId, number: u64) -> String {
+    format!("{}{number}", inventory_prefix(shard))
 }
-pub fn racks_prefix(shard: ShardId) -> String {
+pub fn inventory_prefix(shard: ShardId) -> String {
     format!("part/{shard}/rack/")
 }
 pub fn allot_key(shard: ShardId) -> String {
@@ -224,10 +224,10 @@
     pub class: String,
 }
 
-/// Machines that may exist: one leaves its rack only when the cloud has said that it is gone. What a log record
-/// says of a machine that stands in no rack is void.
+/// Machines that may exist: one leaves its inventory shard only when the cloud has said that it is gone. What a log record
+/// says of a machine that stands in no inventory shard is void.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct RackRec {
+pub struct InventoryRecord {
     pub kinds: Vec<KindRec>,
 }
 
@@ -307,7 +307,7 @@
 }
 
 impl KindRec {
-    /// Bounds what a machine adds to its rack's length, its kind included.
+    /// Bounds what a machine adds to its inventory shard's length, its kind included.
     pub fn entry(machine: &str, machine_type: &str, zone: &str) -> usize {
         machine.len() + NUMBER + 8 + (machine_type.len() + zone.len()) * 6 + 64
     }
@@ -357,7 +357,7 @@
     Job(Box<JobRec>),
     End(EndRec),
     Log(LogRec),
-    Rack(RackRec),
+    InventoryShard(InventoryRecord),
     Hire(HireRec),
     Tally(county::Sheet),
     Catalog(Catalog),
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use wire::api::*;
 use wire::http::{self, Bad};
-use wire::records::{ClaimsRec, DoneRec, KindRec, LogRec, RackRec, ranges, unrange};
+use wire::records::{ClaimsRec, DoneRec, InventoryRecord, KindRec, LogRec, ranges, unrange};
 use wire::{ids, peer};
 
 fn spec() -> impl Strategy<Value = JobSpec> {
@@ -191,7 +191,7 @@
         let kinds = on.iter().map(|_| KindRec { machine_type: kind.clone(), zone: kind.clone(), spot: false,
             machines: vec![(name.clone(), attempt)] }).collect();
         let bound = 16 + on.len() * KindRec::entry(&name, &kind, &kind);
-        let long = serde_json::to_vec(&RackRec { kinds }).expect("JSON").len();
+        let long = serde_json::to_vec(&InventoryRecord { kinds }).expect("JSON").len();
         prop_assert!(long <= bound);
     }
 
