--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -421,7 +421,7 @@
                     );
                 };
                 let view = peer::View {
-                    keep: self.charge_for(peer),
+                    delegation: self.delegation_for(peer),
                     ..self.view()
                 };
                 self.respond(conn, 200, peer::encode(&Answer::View(view)), None);
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -62,7 +62,7 @@
             deaf: self.shard.as_ref().is_some_and(|p| p.is_deaf(now)),
             down: self.state_good_at.is_none() || self.state_down(),
             spreads: self.leads() && self.is_spread(),
-            keep: None,
+            delegation: None,
         }
     }
 
@@ -90,11 +90,14 @@
             return;
         };
         // Nobody but the leader has anything to keep, and only under its own token.
-        let keep = view.keep.clone().filter(|k| view.leads == Some(k.token));
+        let delegation = view
+            .delegation
+            .clone()
+            .filter(|k| view.leads == Some(k.token));
         let token = view.token;
         if self.view_seen(view) == Some(peer) {
             self.word_came(sent, peer, token);
-            self.charged(sent, keep);
+            self.note_delegation(sent, delegation);
         }
     }
 
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -61,7 +61,7 @@
     pub(crate) pace: plan_pacing::Pace,
     pub(crate) shedding: load_shedding::Shedding,
     /// What the leader has us keep.
-    pub(crate) charge: Option<lease_delegate::Charge>,
+    pub(crate) delegation: Option<lease_delegate::Delegation>,
     pub(crate) catalog_at: u64,
     /// When we last gave the fleet up because most machines could not be heard.
     pub(crate) stood_back_at: Option<u64>,
@@ -109,7 +109,7 @@
             routing: routing::Routing::new(),
             pace: plan_pacing::Pace::default(),
             shedding: load_shedding::Shedding::default(),
-            charge: None,
+            delegation: None,
             catalog_at: 0,
             stood_back_at: None,
             to_write: false,
--- a/crates/control/tests/peers.rs
+++ b/crates/control/tests/peers.rs
@@ -54,7 +54,7 @@
         deaf: false,
         spreads: false,
         down: false,
-        keep: None,
+        delegation: None,
     }
 }
 
--- a/crates/control/tests/played/mod.rs
+++ b/crates/control/tests/played/mod.rs
@@ -233,7 +233,7 @@
             deaf: false,
             spreads: false,
             down,
-            keep: None,
+            delegation: None,
         };
         self.asked(&Ask::View(view));
     }
--- a/crates/control/tests/search.rs
+++ b/crates/control/tests/search.rs
@@ -282,7 +282,7 @@
 }
 
 /// What other guards cover: all worlds without it are seen, and nothing breaks in them. The leader record's guard is
-/// covered by the token's, and not the other way round; a keeper that knows of a later leader by its own bound; the
+/// covered by the token's, and not the other way round; a lease delegate that knows of a later leader by its own bound; the
 /// life's mark by both guards.
 #[test]
 fn some_guards_are_covered_by_others() {
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -1,4 +1,4 @@
-//! Ownership, take-over, vouching, keepers and one cancel as a model of small numbers, for `search.rs`.
+//! Ownership, take-over, vouching, lease delegates and one cancel as a model of small numbers, for `search.rs`.
 //!
 //! The controllers themselves can't be searched: a `control::Node` has neither a copy nor a hash, and one second of
 //! its time takes some hundred events. So this is a model, and each of its steps names what it stands for in
@@ -23,7 +23,7 @@
 //! | `ask`, `answered` | `Vouches::asked`, `Vouches::answered` |
 //! | `knows` | the job is `Job::is_unwanted` (`jobs`): wanted, on its way, recorded, or ended before |
 //! | `owned` | `Incarnation::has_owned` |
-//! | `Charge` | `keeper::Charge`; `except` is whether the worker's machine is in `Keep::except` |
+//! | `Delegation` | `lease delegate::Delegation`; `except` is whether the worker's machine is in `LeaseDelegation::except` |
 //! | `Rec`, `counter` | the leader record with its lease, and the token record (`wire::records`) |
 //! | `Rec::own_life` | the record's `incarnation` is the mark of its node's present life (`incarnation`) |
 //! | `ended` | the `EndRec` of the job stands |
@@ -54,7 +54,7 @@
     }
 }
 
-/// A keeper's first answer: a quarter of `lease_s`.
+/// A lease delegate's first answer: a quarter of `lease_s`.
 const KEEP_FROM: u8 = 1;
 /// Workers wait 4 s for an answer.
 const PATIENCE: u8 = 1;
@@ -83,11 +83,11 @@
     VouchesFromArrival,
     /// `keeps` without its bound.
     KeeperNoBound,
-    /// A keeper's time runs from when the leader's word came.
+    /// A lease delegate's time runs from when the leader's word came.
     KeeperFromArrival,
     /// Machines with something cancelled are kept too.
     KeepsCancelled,
-    /// A node names keepers by its record, though it is no longer sure of its lease.
+    /// A node names lease delegates by its record, though it is no longer sure of its lease.
     UnsureCharges,
     /// A new life writes its record under the former token.
     HeirKeepsToken,
@@ -109,7 +109,7 @@
     NoStops,
     /// A sure leader stops what was cancelled only once it has heard that the end is recorded: others may read it before.
     WaitsForAnswer,
-    /// A keeper does not mind that it, or its worker, knows a higher token.
+    /// A lease delegate does not mind that it, or its worker, knows a higher token.
     KeepsBelow,
     /// A life takes over from its own record too.
     NoMark,
@@ -126,7 +126,7 @@
     pub outages: u8,
     /// The highest token that may be given out.
     pub tokens: u8,
-    /// Answers to workers, answers to renewals and words to keepers may be under way while all else goes on, and
+    /// Answers to workers, answers to renewals and words to lease delegates may be under way while all else goes on, and
     /// transactions may come twice. Without it they come in the step in which they are given, or never; transactions
     /// may be late all the same.
     pub late: bool,
@@ -143,7 +143,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Charge {
+pub struct Delegation {
     asked: u8,
     token: u8,
     except: bool,
@@ -166,7 +166,7 @@
     /// It has heard that the end stands (looked at with `Planted::WaitsForAnswer` alone).
     heard: bool,
     owned: bool,
-    charge: Option<Charge>,
+    delegation: Option<Delegation>,
 }
 
 impl Node {
@@ -184,7 +184,7 @@
         knows: false,
         heard: false,
         owned: false,
-        charge: None,
+        delegation: None,
     };
 
     /// `election::step_down`, of what the node itself remembers.
@@ -193,14 +193,14 @@
             has_read,
             highest,
             owned,
-            charge,
+            delegation,
             ..
         } = *self;
         *self = Node {
             has_read,
             highest,
             owned,
-            charge,
+            delegation,
             ..Node::NEW
         };
     }
@@ -233,7 +233,7 @@
             .is_some_and(|t| t <= token || b.planted == Planted::VouchesForAnyToken)
     }
 
-    /// `keeper::charge_for`.
+    /// `lease delegate::delegation_for`.
     fn charges(&self, b: &Bounds) -> bool {
         match b.planted {
             Planted::UnsureCharges => self.role == Role::Leader && self.loaded,
@@ -289,11 +289,11 @@
     token: u8,
 }
 
-/// The word of a leader on its way to a keeper.
+/// The word of a leader on its way to a lease delegate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Word {
     to: u8,
-    charge: Charge,
+    delegation: Delegation,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -339,7 +339,7 @@
     Ask(u8),
     Vouch(u8, u8),
     Leads(u8, u8),
-    Charge(u8, u8),
+    Delegation(u8, u8),
     ChargeLate(u8, u8),
     ChargeComes,
     Report(u8),
@@ -456,7 +456,12 @@
                 ReportLate(n),
             ]);
             for to in (0..nodes).filter(|to| *to != n) {
-                all.extend([Vouch(n, to), Leads(n, to), Charge(n, to), ChargeLate(n, to)]);
+                all.extend([
+                    Vouch(n, to),
+                    Leads(n, to),
+                    Delegation(n, to),
+                    ChargeLate(n, to),
+                ]);
             }
         }
         all
@@ -487,8 +492,8 @@
             Step::Ask(n) => w.ask(n, b),
             Step::Vouch(n, peer) => w.vouch(n, peer, b),
             Step::Leads(n, peer) => w.leads(n, peer, b),
-            Step::Charge(n, peer) => w.charge(n, peer, false, b),
-            Step::ChargeLate(n, peer) => b.late && w.charge(n, peer, true, b),
+            Step::Delegation(n, peer) => w.delegation(n, peer, false, b),
+            Step::ChargeLate(n, peer) => b.late && w.delegation(n, peer, true, b),
             Step::ChargeComes => w.charge_comes(b),
             Step::Report(n) => w.report(n, false, b),
             Step::ReportLate(n) => b.late && w.report(n, true, b),
@@ -574,7 +579,7 @@
     /// Makes worlds alike that can't differ in what follows, and takes at once what only helps a task to live.
     ///
     /// A renewal of the worker's lease under the token that it obeys already, the word of all peers, and a charge that
-    /// is newer than the keeper's under the same token change nothing but how long answers may go on. Whatever can come
+    /// is newer than the lease delegate's under the same token change nothing but how long answers may go on. Whatever can come
     /// of a world without them can come of the one with them, so the latter alone is looked at, and a task that lives
     /// too long is found all the same; `Bounds::literal` looks at both.
     fn tidy(&mut self, b: &Bounds) {
@@ -592,14 +597,14 @@
             {
                 (node.ask, node.answered) = (NEVER, 0);
             }
-            let useless = |c: &Charge| c.except && b.planted != Planted::KeepsCancelled;
+            let useless = |c: &Delegation| c.except && b.planted != Planted::KeepsCancelled;
             let highest = if b.planted == Planted::KeepsBelow {
                 self.obeys
             } else {
                 self.obeys.max(node.highest)
             };
-            let overtaken = |c: &Charge| c.token < highest;
-            node.charge = node.charge.filter(|c| !useless(c) && !overtaken(c));
+            let overtaken = |c: &Delegation| c.token < highest;
+            node.delegation = node.delegation.filter(|c| !useless(c) && !overtaken(c));
         }
         if !b.literal && (0..b.nodes as u8).any(|n| self.answers(n, b) == Some(self.obeys)) {
             self.lease = 0;
@@ -641,9 +646,9 @@
             return;
         }
         for (p, peer) in self.nodes.iter_mut().enumerate().take(b.nodes) {
-            let older = peer.charge.is_none_or(|c| c.token == leader.token);
+            let older = peer.delegation.is_none_or(|c| c.token == leader.token);
             if p != n && older && peer.highest == leader.token {
-                peer.charge = Some(Charge {
+                peer.delegation = Some(Delegation {
                     asked: 0,
                     token: leader.token,
                     except: false,
@@ -710,23 +715,24 @@
             if n.ask == NEVER {
                 n.answered = 0;
             }
-            if let Some(c) = &mut n.charge {
+            if let Some(c) = &mut n.delegation {
                 c.asked += 1;
                 if c.asked >= b.lengths.bound() {
                     c.asked = b.lengths.bound();
                     if b.planted != Planted::KeeperNoBound {
-                        n.charge = None;
+                        n.delegation = None;
                     }
                 }
             }
         }
         if let Some(word) = &mut self.word {
-            word.charge.asked += 1;
-            if word.charge.asked >= b.lengths.bound() && b.planted != Planted::KeeperFromArrival {
+            word.delegation.asked += 1;
+            if word.delegation.asked >= b.lengths.bound() && b.planted != Planted::KeeperFromArrival
+            {
                 self.word = None;
             }
         }
-        if self.word.is_some_and(|w| w.charge.asked >= NEVER) {
+        if self.word.is_some_and(|w| w.delegation.asked >= NEVER) {
             self.word = None;
         }
         if let Some(answer) = &mut self.answer {
@@ -1106,44 +1112,47 @@
         true
     }
 
-    /// A peer's view is answered by the leader: `keeper::charge_for` and `charged`, at once or on its way.
-    fn charge(&mut self, n: u8, peer: u8, late: bool, b: &Bounds) -> bool {
+    /// A peer's view is answered by the leader: `lease delegate::delegation_for` and `note_delegation`, at once or on its way.
+    fn delegation(&mut self, n: u8, peer: u8, late: bool, b: &Bounds) -> bool {
         let leader = *self.node(n);
         if !leader.charges(b) || late && self.word.is_some() {
             return false;
         }
-        let charge = Charge {
+        let delegation = Delegation {
             asked: 0,
             token: leader.token,
             except: leader.knows,
         };
         if late {
-            self.word = Some(Word { to: peer, charge });
+            self.word = Some(Word {
+                to: peer,
+                delegation,
+            });
             return true;
         }
-        self.charged(peer, charge, b)
+        self.note_delegation(peer, delegation, b)
     }
 
     /// `views::view_came`: who owns is heard with it.
-    fn charged(&mut self, peer: u8, charge: Charge, b: &Bounds) -> bool {
+    fn note_delegation(&mut self, peer: u8, delegation: Delegation, b: &Bounds) -> bool {
         let node = self.node(peer);
         let before = *node;
-        node.charge = Some(charge);
-        node.highest = node.highest.max(charge.token);
-        if node.role == Role::Leader && node.token < charge.token && !node.sure(b) {
+        node.delegation = Some(delegation);
+        node.highest = node.highest.max(delegation.token);
+        if node.role == Role::Leader && node.token < delegation.token && !node.sure(b) {
             self.step_down(peer);
         }
         *self.node(peer) != before
     }
 
     fn charge_comes(&mut self, b: &Bounds) -> bool {
-        let Some(Word { to, mut charge }) = self.word.take() else {
+        let Some(Word { to, mut delegation }) = self.word.take() else {
             return false;
         };
         if b.planted == Planted::KeeperFromArrival {
-            charge.asked = 0;
+            delegation.asked = 0;
         }
-        self.charged(to, charge, b)
+        self.note_delegation(to, delegation, b)
     }
 
     /// `reports::hello` and `take_report`: the token of the answer, or of none. An answer with a stop ends the task, so
@@ -1159,18 +1168,18 @@
             };
             return (self.obeys <= node.token && node.may_renew(b) && !stops).then_some(node.token);
         }
-        // `keeper::keeps`.
-        let charge = node.charge?;
+        // `lease delegate::keeps`.
+        let delegation = node.delegation?;
         let bound = if b.planted == Planted::KeeperNoBound {
             NEVER
         } else {
             b.lengths.bound()
         };
-        let in_time = (KEEP_FROM..bound).contains(&charge.asked);
-        let except = charge.except && b.planted != Planted::KeepsCancelled;
+        let in_time = (KEEP_FROM..bound).contains(&delegation.asked);
+        let except = delegation.except && b.planted != Planted::KeepsCancelled;
         let highest = self.obeys.max(node.highest);
-        let below = highest > charge.token && b.planted != Planted::KeepsBelow;
-        (in_time && !except && !below).then_some(charge.token)
+        let below = highest > delegation.token && b.planted != Planted::KeepsBelow;
+        (in_time && !except && !below).then_some(delegation.token)
     }
 
     /// A report is answered; the answer comes in the same tick, or later.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -113,12 +113,13 @@
     pub spreads: bool,
     /// From the leader, in an answer: what the asker may keep alive for it in its own zone.
     #[serde(default)]
-    pub keep: Option<Keep>,
+    #[serde(rename = "keep")]
+    pub delegation: Option<LeaseDelegation>,
 }
 
 /// The leader's token, and the machines whose leases must not be renewed under it by another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Keep {
+pub struct LeaseDelegation {
     pub token: u64,
     pub except: Vec<String>,
 }
