--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -24,7 +24,7 @@
 
 /// What the other nodes have said since this one became unsure.
 #[derive(Debug, Default)]
-pub(crate) struct Vouches {
+pub(crate) struct Attestations {
     /// When the question was sent that all have answered.
     at: Option<u64>,
     /// When the last question was sent, and which peers have answered it.
@@ -32,7 +32,7 @@
     answered: Vec<bool>,
 }
 
-impl Vouches {
+impl Attestations {
     fn ask(&mut self, now: u64, peers: usize) {
         self.asked = now;
         self.answered = vec![false; peers];
@@ -65,14 +65,14 @@
         let Role::Leader { renewed, .. } = self.role else {
             return false;
         };
-        let known = shard.vouches.at.map_or(renewed, |at| at.max(renewed));
+        let known = shard.attestations.at.map_or(renewed, |at| at.max(renewed));
         self.sure() || self.now.mono < known + bound_ms(&self.settings.cluster.workers)
     }
 
     /// All others are asked now what they know.
     pub(crate) fn ask_for_word(&mut self, now: u64, peers: usize) {
         if let Some(shard) = &mut self.shard {
-            shard.vouches.ask(now, peers);
+            shard.attestations.ask(now, peers);
         }
     }
 
@@ -81,7 +81,7 @@
         if let Some(shard) = &mut self.shard
             && token.is_some_and(|t| t <= shard.token)
         {
-            shard.vouches.answer(sent, peer);
+            shard.attestations.answer(sent, peer);
         }
     }
 }
@@ -119,7 +119,7 @@
     /// A word counts only if all have given it, for the same question.
     #[test]
     fn one_silent_peer_is_enough_to_end_it() {
-        let mut v = Vouches::default();
+        let mut v = Attestations::default();
         v.ask(1000, 2);
         v.answer(1000, 0);
         v.ask(2000, 2);
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -59,7 +59,7 @@
     /// The leader was sure of its lease at the last tick.
     pub was_sure: bool,
     /// What the other nodes say while we are unsure.
-    pub vouches: crate::leadership::lease_bound::Vouches,
+    pub attestations: crate::leadership::lease_bound::Attestations,
     /// Some worker has reported or answered without a peer in between.
     pub heard_itself: bool,
     /// When this term began.
@@ -131,7 +131,7 @@
             leader_version,
             loaded: false,
             was_sure: false,
-            vouches: crate::leadership::lease_bound::Vouches::default(),
+            attestations: crate::leadership::lease_bound::Attestations::default(),
             heard_itself: false,
             since: now,
             load_after: None,
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -19,8 +19,8 @@
 //! | `Node::highest`, `has_read` | `Node::highest_token` (`election`), and `shared.revision > 0`, which is the same as to have read the counter in this life |
 //! | `Role`, `token`, `loaded` | `election::Role`, `Shard::token`, `Shard::loaded` |
 //! | `renewed` | `Role::Leader::renewed`, or `Role::Candidate::sent` |
-//! | `known` | the later of `renewed` and `Vouches::at`, in `Node::may_renew` (`renewal`) |
-//! | `ask`, `answered` | `Vouches::asked`, `Vouches::answered` |
+//! | `known` | the later of `renewed` and `Attestations::at`, in `Node::may_renew` (`renewal`) |
+//! | `ask`, `answered` | `Attestations::asked`, `Attestations::answered` |
 //! | `knows` | the job is `Job::is_unwanted` (`jobs`): wanted, on its way, recorded, or ended before |
 //! | `owned` | `Incarnation::has_owned` |
 //! | `Delegation` | `lease delegate::Delegation`; `except` is whether the worker's machine is in `LeaseDelegation::except` |
@@ -73,9 +73,9 @@
     LongBound,
     /// More than half of the nodes vouch, instead of all.
     Majority,
-    /// Who has read nothing vouches too.
+    /// Who has read nothing attestations too.
     CountsUnread,
-    /// Who has not read the counter, but was told of a token, vouches by that.
+    /// Who has not read the counter, but was told of a token, attestations by that.
     CountsHearsay,
     /// Peers vouch whatever token they know.
     VouchesForAnyToken,
@@ -357,7 +357,7 @@
     Broken(&'static str),
 }
 
-/// `Vouches::note`: how many peers have to vouch.
+/// `Attestations::note`: how many peers have to vouch.
 fn vouches_needed(b: &Bounds) -> usize {
     if b.planted == Planted::Majority {
         b.nodes / 2
@@ -1073,14 +1073,14 @@
         true
     }
 
-    /// A peer answers `Ask::View`: `views::view`, then `view_came`, `word_came` and `Vouches::note`.
+    /// A peer answers `Ask::View`: `views::view`, then `view_came`, `word_came` and `Attestations::note`.
     fn vouch(&mut self, n: u8, peer: u8, b: &Bounds) -> bool {
         let token = self.node(n).token;
-        let vouches = self.node(peer).vouches_for(token, b);
+        let attestations = self.node(peer).vouches_for(token, b);
         let node = self.node(n);
         if node.role != Role::Leader
             || node.ask == NEVER
-            || !vouches
+            || !attestations
             || node.answered >> peer & 1 == 1
         {
             return false;
