--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -412,19 +412,24 @@
                 self.leader_asserted(node, token);
                 self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
             }
-            Some(Ask::View(view)) => {
-                let Some(peer) = self.view_seen(view) else {
+            Some(Ask::PeerStatus(peer_status)) => {
+                let Some(peer) = self.peer_status_seen(peer_status) else {
                     return self.refuse(
                         conn,
                         400,
                         "view: from nobody we know, or a token that can't be",
                     );
                 };
-                let view = peer::View {
+                let peer_status = peer::PeerStatus {
                     delegation: self.delegation_for(peer),
-                    ..self.view()
+                    ..self.peer_status()
                 };
-                self.respond(conn, 200, peer::encode(&Answer::View(view)), None);
+                self.respond(
+                    conn,
+                    200,
+                    peer::encode(&Answer::PeerStatus(peer_status)),
+                    None,
+                );
             }
             Some(Ask::Reports { node, reports }) => self.reports_handed(conn, &node, reports),
             Some(Ask::Tell {
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -77,7 +77,7 @@
         let peers = self.settings.peers.iter().enumerate();
         let stood = peers
             .filter(|(_, p)| p.zone == zone)
-            .any(|(i, _)| self.last_view(i) + TOGETHER_MS > heard_at);
+            .any(|(i, _)| self.last_peer_status(i) + TOGETHER_MS > heard_at);
         if stood && self.tuning.keepers > 0.0 {
             bound_ms(&self.settings.cluster.workers)
         } else {
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -5,7 +5,7 @@
 use crate::jobs::admission::peer_answer;
 use crate::{Dest, Node, Pending};
 use wire::http::Response;
-use wire::peer::{self, Answer, Ask, View};
+use wire::peer::{self, Answer, Ask, PeerStatus};
 
 /// Nodes ask each other this often; an answer that takes longer is none.
 const EVERY_MS: u64 = 1000;
@@ -18,24 +18,24 @@
 
 /// The newest view of each peer, with its time.
 #[derive(Debug, Default)]
-pub(crate) struct Views {
+pub(crate) struct PeerStatusTable {
     asked: u64,
-    of: Vec<Option<(u64, View)>>,
+    of: Vec<Option<(u64, PeerStatus)>>,
 }
 
 impl Node {
-    pub(crate) fn views_tick(&mut self) {
+    pub(crate) fn peer_status_tick(&mut self) {
         let now = self.now.mono;
         let peers = self.settings.peers.len();
-        if now < self.views.asked + EVERY_MS {
+        if now < self.peer_statuses.asked + EVERY_MS {
             return;
         }
-        self.views.asked = now;
-        self.views.of.resize_with(peers, || None);
+        self.peer_statuses.asked = now;
+        self.peer_statuses.of.resize_with(peers, || None);
         self.ask_for_word(now, peers);
-        let body = peer::encode(&Ask::View(self.view()));
+        let body = peer::encode(&Ask::PeerStatus(self.peer_status()));
         for peer in 0..peers {
-            let what = Pending::View { sent: now, peer };
+            let what = Pending::PeerStatus { sent: now, peer };
             self.send(
                 Dest::Peer(peer),
                 "POST",
@@ -47,9 +47,9 @@
         }
     }
 
-    pub(crate) fn view(&self) -> View {
+    pub(crate) fn peer_status(&self) -> PeerStatus {
         let now = self.now.mono;
-        View {
+        PeerStatus {
             node: self.settings.node.clone(),
             state_ms: self.state_good_at.map(|at| now.saturating_sub(at)),
             // Until the counter has been read, nothing is known of what this node was before it began.
@@ -67,35 +67,44 @@
     }
 
     /// A peer's view, as it asked or answered. A name or a token that can't be is refused.
-    pub(crate) fn view_seen(&mut self, view: View) -> Option<usize> {
-        let peer = self.peer_named(&view.node)?;
-        if view.leads.max(view.token).is_some_and(|t| t >= TOKEN_BOUND) {
+    pub(crate) fn peer_status_seen(&mut self, peer_status: PeerStatus) -> Option<usize> {
+        let peer = self.peer_named(&peer_status.node)?;
+        if peer_status
+            .leads
+            .max(peer_status.token)
+            .is_some_and(|t| t >= TOKEN_BOUND)
+        {
             self.stats.bad_answers += 1;
             return None;
         }
-        if let Some(token) = view.leads {
-            self.spread_heard(view.spreads);
-            self.leader_asserted(view.node.clone(), token);
+        if let Some(token) = peer_status.leads {
+            self.spread_heard(peer_status.spreads);
+            self.leader_asserted(peer_status.node.clone(), token);
         }
         let now = self.now.mono;
-        self.views
+        self.peer_statuses
             .of
             .resize_with(self.settings.peers.len(), || None);
-        self.views.of[peer] = Some((now, view));
+        self.peer_statuses.of[peer] = Some((now, peer_status));
         Some(peer)
     }
 
-    pub(crate) fn view_came(&mut self, sent: u64, peer: usize, response: Option<Response>) {
-        let Some(Answer::View(view)) = peer_answer(response) else {
+    pub(crate) fn peer_status_received(
+        &mut self,
+        sent: u64,
+        peer: usize,
+        response: Option<Response>,
+    ) {
+        let Some(Answer::PeerStatus(peer_status)) = peer_answer(response) else {
             return;
         };
         // Nobody but the leader has anything to keep, and only under its own token.
-        let delegation = view
+        let delegation = peer_status
             .delegation
             .clone()
-            .filter(|k| view.leads == Some(k.token));
-        let token = view.token;
-        if self.view_seen(view) == Some(peer) {
+            .filter(|k| peer_status.leads == Some(k.token));
+        let token = peer_status.token;
+        if self.peer_status_seen(peer_status) == Some(peer) {
             self.word_came(sent, peer, token);
             self.note_delegation(sent, delegation);
         }
@@ -103,17 +112,18 @@
 
     /// Whether a peer says that it leads the fleet and hears no worker.
     pub(crate) fn is_deaf(&self, peer: usize) -> bool {
-        self.fresh_view(peer).is_some_and(|view| view.deaf)
+        self.fresh_status(peer)
+            .is_some_and(|peer_status| peer_status.deaf)
     }
 
     /// Whether a peer says that the state service does not serve it; nothing if it has not said anything lately.
     pub(crate) fn says_down(&self, peer: usize) -> Option<bool> {
-        self.fresh_view(peer).map(|view| view.down)
+        self.fresh_status(peer).map(|peer_status| peer_status.down)
     }
 
     /// When a peer was last heard; 0 for never.
-    pub(crate) fn last_view(&self, peer: usize) -> u64 {
-        self.views
+    pub(crate) fn last_peer_status(&self, peer: usize) -> u64 {
+        self.peer_statuses
             .of
             .get(peer)
             .and_then(Option::as_ref)
@@ -122,32 +132,32 @@
 
     /// Whether a peer was heard lately.
     pub(crate) fn is_heard(&self, peer: usize) -> bool {
-        self.fresh_view(peer).is_some()
+        self.fresh_status(peer).is_some()
     }
 
-    fn fresh_view(&self, peer: usize) -> Option<&View> {
-        let (at, view) = self.views.of.get(peer)?.as_ref()?;
-        (self.now.mono < at + FRESH_MS).then_some(view)
+    fn fresh_status(&self, peer: usize) -> Option<&PeerStatus> {
+        let (at, peer_status) = self.peer_statuses.of.get(peer)?.as_ref()?;
+        (self.now.mono < at + FRESH_MS).then_some(peer_status)
     }
 
-    fn fresh_views(&self) -> impl Iterator<Item = (u64, &View)> {
+    fn fresh_statuses(&self) -> impl Iterator<Item = (u64, &PeerStatus)> {
         let now = self.now.mono;
         let fresh = self
-            .views
+            .peer_statuses
             .of
             .iter()
             .flatten()
             .filter(move |(at, _)| now < at + FRESH_MS);
-        fresh.map(move |(at, view)| (now - at, view))
+        fresh.map(move |(at, peer_status)| (now - at, peer_status))
     }
 
     /// Whether another node could lead the fleet in this one's place, as far as anybody can say: one that the state
     /// service answers, or, while no peer says anything, perhaps any.
     pub(crate) fn could_be_followed(&self) -> bool {
-        let state = |(age, v): (u64, &View)| {
+        let state = |(age, v): (u64, &PeerStatus)| {
             v.state_ms
                 .is_some_and(|ms| ms.saturating_add(age) < STATE_MS)
         };
-        self.fresh_views().next().is_none() || self.fresh_views().any(state)
+        self.fresh_statuses().next().is_none() || self.fresh_statuses().any(state)
     }
 }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -51,7 +51,7 @@
     /// When it last answered us.
     pub(crate) state_good_at: Option<u64>,
     /// What the other nodes say.
-    pub(crate) views: peer_status::Views,
+    pub(crate) peer_statuses: peer_status::PeerStatusTable,
     /// How they answer what is handed to them.
     pub(crate) hands: forwarding::Hands,
     /// What we hand on for them.
@@ -103,7 +103,7 @@
             retries: VecDeque::new(),
             state_bad_at: None,
             state_good_at: None,
-            views: peer_status::Views::default(),
+            peer_statuses: peer_status::PeerStatusTable::default(),
             hands: forwarding::Hands::default(),
             relay: relay::Relay::default(),
             routing: routing::Routing::new(),
@@ -182,7 +182,7 @@
         self.pace.ticked(self.now.mono, self.wait_ms());
         self.election_tick();
         self.routing_tick();
-        self.views_tick();
+        self.peer_status_tick();
         self.relay_tick();
         self.door_tick();
         self.waiters_tick();
@@ -332,7 +332,7 @@
             Pending::Renew { lease, sent } => self.renewed(lease, sent, response),
             Pending::Take { lease, token } => self.took(lease, token, response),
             Pending::Release => {}
-            Pending::View { sent, peer } => self.view_came(sent, peer, response),
+            Pending::PeerStatus { sent, peer } => self.peer_status_received(sent, peer, response),
             Pending::Relayed { conns } => self.relayed(conns, response),
             Pending::Tell { conn } => self.worker_told(conn, response),
             Pending::Accept {
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -29,7 +29,7 @@
         lease: u64,
         token: u64,
     },
-    View {
+    PeerStatus {
         sent: u64,
         peer: usize,
     },
--- a/crates/control/tests/door.rs
+++ b/crates/control/tests/door.rs
@@ -40,13 +40,13 @@
 #[test]
 fn where_nobody_is_served_nobody_is_asked() {
     let mut p = Played::new();
-    p.view("burrow-1", true);
-    p.view("burrow-2", true);
+    p.peer_status("burrow-1", true);
+    p.peer_status("burrow-2", true);
     p.ask(1, "POST", "/work", wire::encode(&job()));
     assert_eq!(p.status(1), Some(503));
     assert!(p.questions().is_empty());
     // One that is served again gets all of it.
-    p.view("burrow-2", false);
+    p.peer_status("burrow-2", false);
     p.ask(2, "POST", "/work", wire::encode(&job()));
     assert!(
         matches!(&p.questions()[..], [(Dest::Peer(1), Ask::Submit { .. })]),
@@ -410,8 +410,8 @@
 #[test]
 fn trouble_elsewhere_sends_nobody_away_for_long() {
     let mut p = Played::new();
-    p.view("burrow-1", true);
-    p.view("burrow-2", true);
+    p.peer_status("burrow-1", true);
+    p.peer_status("burrow-2", true);
     for conn in 1..=1000 {
         p.ask(conn, "POST", "/work", wire::encode(&job()));
     }
--- a/crates/control/tests/peers.rs
+++ b/crates/control/tests/peers.rs
@@ -3,7 +3,7 @@
 use control::{Effect, Event, Node, Now, Tuning};
 use serde_bytes::ByteBuf;
 use wire::http::{Request, Response};
-use wire::peer::{Answer, Ask, View, decode, encode};
+use wire::peer::{Answer, Ask, PeerStatus, decode, encode};
 
 const NOW: Now = Now {
     mono: 1000,
@@ -44,9 +44,9 @@
     (response.status, decode(&response.body).ok())
 }
 
-fn view(name: &str) -> View {
+fn peer_status(name: &str) -> PeerStatus {
     let node = name.to_owned();
-    View {
+    PeerStatus {
         node,
         state_ms: Some(10),
         token: Some(3),
@@ -62,10 +62,13 @@
 fn a_view_is_taken_from_peers_alone() {
     let mut node = node();
     assert!(matches!(
-        ask(&mut node, &Ask::View(view(&peer()))),
-        (200, Some(Answer::View(_)))
+        ask(&mut node, &Ask::PeerStatus(peer_status(&peer()))),
+        (200, Some(Answer::PeerStatus(_)))
     ));
-    assert_eq!(ask(&mut node, &Ask::View(view("nobody"))).0, 400);
+    assert_eq!(
+        ask(&mut node, &Ask::PeerStatus(peer_status("nobody"))).0,
+        400
+    );
     assert_eq!(post(&mut node, b"\xff\x00nothing".to_vec()).status, 400);
 }
 
@@ -77,9 +80,9 @@
         assert_eq!(
             ask(
                 &mut node,
-                &Ask::View(View {
+                &Ask::PeerStatus(PeerStatus {
                     leads: Some(token),
-                    ..view(&peer())
+                    ..peer_status(&peer())
                 })
             )
             .0,
@@ -88,9 +91,9 @@
         assert_eq!(
             ask(
                 &mut node,
-                &Ask::View(View {
+                &Ask::PeerStatus(PeerStatus {
                     token: Some(token),
-                    ..view(&peer())
+                    ..peer_status(&peer())
                 })
             )
             .0,
@@ -98,8 +101,8 @@
         );
     }
     assert_eq!(node.stats().bad_answers, 4);
-    let (_, answer) = ask(&mut node, &Ask::View(view(&peer())));
-    let Some(Answer::View(seen)) = answer else {
+    let (_, answer) = ask(&mut node, &Ask::PeerStatus(peer_status(&peer())));
+    let Some(Answer::PeerStatus(seen)) = answer else {
         panic!("not a view: {answer:?}")
     };
     assert_eq!(
@@ -113,13 +116,13 @@
 #[test]
 fn an_absurd_time_does_no_harm() {
     let mut node = node();
-    let ages = View {
+    let ages = PeerStatus {
         state_ms: Some(u64::MAX),
         deaf: true,
         spreads: false,
-        ..view(&peer())
+        ..peer_status(&peer())
     };
-    assert_eq!(ask(&mut node, &Ask::View(ages)).0, 200);
+    assert_eq!(ask(&mut node, &Ask::PeerStatus(ages)).0, 200);
     node.handle(
         Now {
             mono: 5000,
@@ -186,8 +189,8 @@
         });
         node.handle(now, Event::Reply { tag, response });
     };
-    let known = |node: &mut Node| match ask(node, &Ask::View(view(&peer()))).1 {
-        Some(Answer::View(view)) => view.token,
+    let known = |node: &mut Node| match ask(node, &Ask::PeerStatus(peer_status(&peer()))).1 {
+        Some(Answer::PeerStatus(peer_status)) => peer_status.token,
         answer => panic!("not a view: {answer:?}"),
     };
     read(&mut node, 2000, 7);
--- a/crates/control/tests/played/mod.rs
+++ b/crates/control/tests/played/mod.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use wire::http::{Request, Response};
-use wire::peer::{Ask, View, decode, encode};
+use wire::peer::{Ask, PeerStatus, decode, encode};
 use wire::settings::Settings;
 
 /// A node, its time, and what it has sent that nobody has answered yet.
@@ -35,7 +35,7 @@
     }
     pub fn is_question(&self) -> bool {
         self.ask()
-            .is_some_and(|a| !matches!(a, Ask::View(_) | Ask::Leads { .. }))
+            .is_some_and(|a| !matches!(a, Ask::PeerStatus(_) | Ask::Leads { .. }))
     }
 }
 
@@ -223,9 +223,9 @@
     }
 
     /// A peer says how it is served.
-    pub fn view(&mut self, node: &str, down: bool) {
+    pub fn peer_status(&mut self, node: &str, down: bool) {
         let (state_ms, token) = (Some(10), Some(3));
-        let view = View {
+        let peer_status = PeerStatus {
             node: node.into(),
             state_ms,
             token,
@@ -235,7 +235,7 @@
             down,
             delegation: None,
         };
-        self.asked(&Ask::View(view));
+        self.asked(&Ask::PeerStatus(peer_status));
     }
 
     pub fn status(&self, conn: u64) -> Option<u16> {
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -241,7 +241,7 @@
         }
     }
 
-    /// `View::token` in `views::view`: what a node says of tokens, if it may say anything.
+    /// `PeerStatus::token` in `peer_statuses::peer_status`: what a node says of tokens, if it may say anything.
     fn word(&self, b: &Bounds) -> Option<u8> {
         let may = match b.planted {
             Planted::CountsUnread => true,
@@ -1061,7 +1061,7 @@
         may
     }
 
-    /// `views_tick` and `ask_for_word`.
+    /// `peer_status_tick` and `ask_for_word`.
     fn ask(&mut self, n: u8, b: &Bounds) -> bool {
         let node = self.node(n);
         // With one peer the question and its answer may as well come at once.
@@ -1073,7 +1073,7 @@
         true
     }
 
-    /// A peer answers `Ask::View`: `views::view`, then `view_came`, `word_came` and `Attestations::note`.
+    /// A peer answers `Ask::PeerStatus`: `peer_statuses::peer_status`, then `peer_status_received`, `word_came` and `Attestations::note`.
     fn vouch(&mut self, n: u8, peer: u8, b: &Bounds) -> bool {
         let token = self.node(n).token;
         let attestations = self.node(peer).vouches_for(token, b);
@@ -1133,7 +1133,7 @@
         self.note_delegation(peer, delegation, b)
     }
 
-    /// `views::view_came`: who owns is heard with it.
+    /// `peer_statuses::peer_status_received`: who owns is heard with it.
     fn note_delegation(&mut self, peer: u8, delegation: Delegation, b: &Bounds) -> bool {
         let node = self.node(peer);
         let before = *node;
--- a/crates/standins/tests/answers.rs
+++ b/crates/standins/tests/answers.rs
@@ -149,7 +149,10 @@
             }
             Dest::Peer(_) => {
                 let ask = peer::decode(&self.body).expect("nodes speak so");
-                !matches!(ask, Ask::View(_) | Ask::Leads { .. } | Ask::Reports { .. })
+                !matches!(
+                    ask,
+                    Ask::PeerStatus(_) | Ask::Leads { .. } | Ask::Reports { .. }
+                )
             }
             _ => false,
         }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -28,7 +28,8 @@
     #[serde(rename = "Owns")]
     Leads { node: String, token: u64 },
     /// What the asker sees, for what the other sees.
-    View(View),
+    #[serde(rename = "View")]
+    PeerStatus(PeerStatus),
     /// Reports of workers that can't reach the leader, as they came.
     Reports { node: String, reports: Vec<ByteBuf> },
     /// A command for a worker that the other serves, as the worker is to get it.
@@ -61,7 +62,8 @@
     Unknown,
     /// Not the leader, or not sure of it.
     NotNow,
-    View(View),
+    #[serde(rename = "View")]
+    PeerStatus(PeerStatus),
     /// The answers to reports, in their order; an empty one refuses.
     Orders(Vec<ByteBuf>),
     /// What the worker answered.
@@ -92,7 +94,7 @@
 
 /// What a node sees of the others, and knows itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct View {
+pub struct PeerStatus {
     pub node: String,
     /// How long ago the state service has answered it, in milliseconds.
     pub state_ms: Option<u64>,
