--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -653,7 +653,7 @@
             if orders.iter().all(|o| matches!(o, Order::Reap { .. })) {
                 continue;
             }
-            let epoch = self.epoch;
+            let term = self.term;
             let Some(shard) = &mut self.shard else { return };
             let serial = shard.next_serial();
             let token = shard.token;
@@ -669,7 +669,7 @@
                 orders,
             });
             let what = Pending::Direct {
-                epoch,
+                term,
                 machine: m,
                 serial,
                 via,
@@ -717,7 +717,7 @@
     /// All that it orders are stops of what was cancelled, so that it can be executed at any time without harm, and a
     /// machine that hung hears of them first.
     pub(crate) fn call(&mut self, m: usize) {
-        let (now, epoch) = (self.now.mono, self.epoch);
+        let (now, term) = (self.now.mono, self.term);
         let orders = self.last_orders(m);
         let Some(shard) = &mut self.shard else { return };
         let serial = shard.next_serial();
@@ -737,7 +737,7 @@
             orders,
         });
         let what = Pending::Show {
-            epoch,
+            term,
             machine: m,
             serial,
             via,
@@ -858,7 +858,7 @@
             let tag = tag(
                 &mut node,
                 Pending::Direct {
-                    epoch: 0,
+                    term: 0,
                     machine: m,
                     serial: 3,
                     via,
@@ -889,7 +889,7 @@
             let tag = tag(
                 &mut node,
                 Pending::Show {
-                    epoch: 0,
+                    term: 0,
                     machine: m,
                     serial: 3,
                     via: false,
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -175,7 +175,7 @@
 impl Node {
     /// The next page, if there is room for it.
     pub(crate) fn audit_tick(&mut self) {
-        let epoch = self.epoch;
+        let term = self.term;
         let spare = self.requests.level(self.now.mono) > SPARED;
         let Some(audit) = self.shard.as_mut().and_then(|p| p.tally.audit.as_mut()) else {
             return;
@@ -194,7 +194,7 @@
             path.push_str(&format!("&from={after}"));
         }
         let what = Pending::Audit {
-            epoch,
+            term,
             under: audit.under,
         };
         self.send(Dest::State, "GET", path, Vec::new(), 3000, what);
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -281,7 +281,7 @@
     }
 
     fn read_sheets(&mut self) {
-        let epoch = self.epoch;
+        let term = self.term;
         let Some(reading) = self.shard.as_ref().and_then(|p| p.tally.reading.as_ref()) else {
             return;
         };
@@ -296,7 +296,7 @@
             path,
             Vec::new(),
             3000,
-            Pending::Sheets { epoch },
+            Pending::Sheets { term },
         );
     }
 
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -477,7 +477,7 @@
             path.push_str(&format!("&from={after}"));
         }
         let what = Pending::Parts {
-            epoch: self.epoch,
+            term: self.term,
             kind: K::ID,
         };
         self.send(Dest::State, "GET", path, Vec::new(), 3000, what);
@@ -488,7 +488,7 @@
             .filter(|r| r.status == 200)
             .and_then(|r| self.read::<Range<PartOf<K>>>("state service", &r));
         let context = K::context(self);
-        let epoch = self.epoch;
+        let term = self.term;
         let doc = K::doc_mut(&mut self.shared.documents);
         let Some(page) = page else {
             doc.reading = None;
@@ -513,7 +513,7 @@
             return self.read_page::<K>();
         }
         let found = doc.reading.take().map(|r| r.found).unwrap_or_default();
-        doc.read_in = epoch;
+        doc.read_in = term;
         doc.parts = found
             .iter()
             .map(|(name, (stamp, _))| (name.clone(), *stamp))
@@ -533,7 +533,7 @@
     /// A document was read, or could not be.
     fn document_read<K: Kind>(&mut self) {
         let doc = K::doc(&self.shared.documents);
-        let whole = doc.read_in == self.epoch && doc.is_current();
+        let whole = doc.read_in == self.term && doc.is_current();
         let leader_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
         match (leader_loads, whole) {
             (false, _) => K::in_force(self),
@@ -561,7 +561,7 @@
         for kind in ALL {
             let lacks = for_kind!(kind, K => {
                 let doc = K::doc(&self.shared.documents);
-                doc.head.version > 0 && (doc.read_in != self.epoch || !doc.is_current())
+                doc.head.version > 0 && (doc.read_in != self.term || !doc.is_current())
             });
             if lacks {
                 return for_kind!(kind, K => self.read_parts::<K>());
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -477,7 +477,7 @@
             next_renewal: now,
             busy: false,
         };
-        self.epoch += 1;
+        self.term += 1;
         self.shared.documents.forget_readings();
         let c = self.settings.cluster.state.clone();
         // The leader does most of the writing; the others keep enough to accept jobs.
@@ -598,7 +598,7 @@
             self.end_lease(lease);
         }
         self.role = Role::Follower { may_campaign_at: 0 };
-        self.epoch += 1;
+        self.term += 1;
         self.documents_let_go();
         let nodes = self.settings.peers.len() as f64 + 1.0;
         let c = self.settings.cluster.state.clone();
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -101,7 +101,7 @@
 #[derive(Default)]
 struct Owned {
     /// The term that it is of.
-    epoch: u64,
+    term: u64,
     read: Read,
     after: Option<String>,
     recs: HashMap<String, Known>,
@@ -197,10 +197,10 @@
         if !self.models.in_force() {
             return false;
         }
-        let epoch = self.epoch;
-        if self.models.owned.epoch != epoch {
+        let term = self.term;
+        if self.models.owned.term != term {
             self.models.owned = Owned {
-                epoch,
+                term,
                 ..Owned::default()
             };
         }
@@ -223,7 +223,7 @@
             path,
             Vec::new(),
             3000,
-            Pending::Models { epoch: self.epoch },
+            Pending::Models { term: self.term },
         );
     }
 
@@ -573,13 +573,13 @@
         if self.requests.level(now) < 1.0 || self.writes.level(now) < 1.0 {
             return;
         }
-        let epoch = self.epoch;
+        let term = self.term;
         let Some(out) = self.models.owned.out.get_mut(model) else {
             return;
         };
         out.busy = true;
         let what = Pending::ModelWrite {
-            epoch,
+            term,
             model: model.to_owned(),
         };
         if out.unsure {
@@ -682,7 +682,7 @@
     }
 
     fn watch_models(&mut self) {
-        let epoch = self.epoch;
+        let term = self.term;
         self.models.owned.watching = true;
         let from = self.models.owned.revision;
         let path = format!("/changes?under={}&from={from}&waitMs=5000", records::MODELS);
@@ -692,7 +692,7 @@
             path,
             Vec::new(),
             7000,
-            Pending::ModelWatch { epoch },
+            Pending::ModelWatch { term },
         );
     }
 
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -36,7 +36,7 @@
     pub(crate) role: Role,
     pub(crate) incarnation: incarnation::Incarnation,
     pub(crate) hint: Option<election::Hint>,
-    pub(crate) epoch: u64,
+    pub(crate) term: u64,
     pub(crate) shard: Option<Shard>,
     /// Requests to the state service and writes to it that this node may still make.
     pub(crate) requests: Bucket,
@@ -96,7 +96,7 @@
             shared: Shared::default(),
             role: Role::Follower { may_campaign_at: 0 },
             hint: None,
-            epoch: 0,
+            term: 0,
             shard: None,
             finals: answer_history::Finals::new(finals),
             said: answer_history::Said::default(),
@@ -278,24 +278,24 @@
 
     /// What was not sent has no effect later, and says nothing of whom it was for.
     pub(crate) fn unsent(&mut self, tag: u64) {
-        let epoch = self.epoch;
+        let term = self.term;
         match self.pending.get(&tag) {
             Some(Pending::Direct {
-                epoch: e,
+                term: e,
                 machine,
                 serial,
                 ..
-            }) if *e == epoch => {
+            }) if *e == term => {
                 let (machine, serial) = (*machine, *serial);
                 self.pending.remove(&tag);
                 self.direct_came(machine, serial, Some(relay::not_sent()));
             }
             Some(Pending::Show {
-                epoch: e,
+                term: e,
                 machine,
                 serial,
                 ..
-            }) if *e == epoch => {
+            }) if *e == term => {
                 let (machine, serial) = (*machine, *serial);
                 self.pending.remove(&tag);
                 self.show_unsent(machine, serial);
@@ -313,7 +313,7 @@
         let Some(what) = self.pending.remove(&tag) else {
             return;
         };
-        let epoch = self.epoch;
+        let term = self.term;
         if what.asks_state() {
             let bad = response.as_ref().is_none_or(|r| r.status == 503);
             self.state_bad_at = bad.then_some(self.now.mono);
@@ -361,41 +361,39 @@
             Pending::Said { model } => self.leader_notified(&model, response),
             Pending::Catalog => self.catalog_came(response),
             // What belongs to an earlier term of leadership no longer concerns us.
-            Pending::Load { epoch: e, what } if e == epoch => self.load_came(what, response),
-            Pending::Audit { epoch: e, under } if e == epoch => self.audit_came(under, response),
-            Pending::Sheets { epoch: e } if e == epoch => self.sheets_came(response),
-            Pending::Models { epoch: e } if e == epoch => self.models_came(response),
-            Pending::ModelWatch { epoch: e } if e == epoch => self.models_watched(response),
-            Pending::ModelWrite { epoch: e, model } if e == epoch => {
+            Pending::Load { term: e, what } if e == term => self.load_came(what, response),
+            Pending::Audit { term: e, under } if e == term => self.audit_came(under, response),
+            Pending::Sheets { term: e } if e == term => self.sheets_came(response),
+            Pending::Models { term: e } if e == term => self.models_came(response),
+            Pending::ModelWatch { term: e } if e == term => self.models_watched(response),
+            Pending::ModelWrite { term: e, model } if e == term => {
                 self.model_written(model, response)
             }
-            Pending::Parts { epoch: e, kind } if e == epoch => {
+            Pending::Parts { term: e, kind } if e == term => {
                 for_kind!(kind, K => self.parts_came::<K>(response))
             }
-            Pending::LiveWatch { epoch: e } if e == epoch => self.live_changes(response),
-            Pending::Commit { epoch: e } if e == epoch => self.committed(response),
-            Pending::Verify { epoch: e } if e == epoch => self.verified(response),
-            Pending::List { epoch: e } if e == epoch => self.list_came(response),
-            Pending::Hire { epoch: e, name } if e == epoch => self.hired(name, response),
-            Pending::Delete { epoch: e, machines } if e == epoch => {
-                self.deleted(machines, response)
-            }
+            Pending::LiveWatch { term: e } if e == term => self.live_changes(response),
+            Pending::Commit { term: e } if e == term => self.committed(response),
+            Pending::Verify { term: e } if e == term => self.verified(response),
+            Pending::List { term: e } if e == term => self.list_came(response),
+            Pending::Hire { term: e, name } if e == term => self.hired(name, response),
+            Pending::Delete { term: e, machines } if e == term => self.deleted(machines, response),
             Pending::Direct {
-                epoch: e,
+                term: e,
                 machine,
                 serial,
                 via,
-            } if e == epoch => self.direct_came(
+            } if e == term => self.direct_came(
                 machine,
                 serial,
                 if via { relay::told(response) } else { response },
             ),
             Pending::Show {
-                epoch: e,
+                term: e,
                 machine,
                 serial,
                 via,
-            } if e == epoch => self.show_came(
+            } if e == term => self.show_came(
                 machine,
                 serial,
                 if via { relay::told(response) } else { response },
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -12,7 +12,7 @@
     Peer(u64),
 }
 
-/// What an answer that is still out belongs to. `epoch` ties it to one term of leadership.
+/// What an answer that is still out belongs to. `term` ties it to one term of leadership.
 pub(crate) enum Pending {
     SharedRead,
     SharedWatch {
@@ -41,17 +41,17 @@
     },
     Release,
     Load {
-        epoch: u64,
+        term: u64,
         what: recovery::Load,
     },
     LiveWatch {
-        epoch: u64,
+        term: u64,
     },
     Commit {
-        epoch: u64,
+        term: u64,
     },
     Verify {
-        epoch: u64,
+        term: u64,
     },
     Accept {
         submission: admission::Submission,
@@ -86,20 +86,20 @@
         tag: u64,
     },
     Sheets {
-        epoch: u64,
+        term: u64,
     },
     Audit {
-        epoch: u64,
+        term: u64,
         under: county_audit::Under,
     },
     Models {
-        epoch: u64,
+        term: u64,
     },
     ModelWatch {
-        epoch: u64,
+        term: u64,
     },
     ModelWrite {
-        epoch: u64,
+        term: u64,
         model: String,
     },
     Wake {
@@ -113,29 +113,29 @@
         model: String,
     },
     Parts {
-        epoch: u64,
+        term: u64,
         kind: documents::KindId,
     },
     Catalog,
     List {
-        epoch: u64,
+        term: u64,
     },
     Hire {
-        epoch: u64,
+        term: u64,
         name: String,
     },
     Delete {
-        epoch: u64,
+        term: u64,
         machines: Vec<usize>,
     },
     Direct {
-        epoch: u64,
+        term: u64,
         machine: usize,
         serial: u64,
         via: bool,
     },
     Show {
-        epoch: u64,
+        term: u64,
         machine: usize,
         serial: u64,
         via: bool,
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -76,7 +76,7 @@
 
     pub(crate) fn fleet_tick(&mut self) {
         let now = self.now.mono;
-        let epoch = self.epoch;
+        let term = self.term;
         let sure = self.sure();
         let Some(shard) = &mut self.shard else { return };
         if !shard.live_busy && now >= shard.live_retry_at {
@@ -107,7 +107,7 @@
                 spot: rec.spot,
                 count: rec.count,
             });
-            let what = Pending::Hire { epoch, name };
+            let what = Pending::Hire { term, name };
             self.send(
                 Dest::Cloud,
                 "POST",
@@ -130,7 +130,7 @@
                     .filter_map(|m| shard.machine(*m).map(|x| x.name.clone()))
                     .collect();
                 let body = wire::encode(&MachineNames { machines: names });
-                let what = Pending::Delete { epoch, machines };
+                let what = Pending::Delete { term, machines };
                 self.send(
                     Dest::Cloud,
                     "POST",
@@ -159,7 +159,7 @@
                 path,
                 Vec::new(),
                 CLOUD_TIMEOUT_MS,
-                Pending::List { epoch },
+                Pending::List { term },
             );
         }
     }
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -370,7 +370,7 @@
 impl Node {
     pub(crate) fn flush_commit(&mut self) {
         let now = self.now.mono;
-        let epoch = self.epoch;
+        let term = self.term;
         let sure = self.decides();
         let Some(shard) = &mut self.shard else { return };
         if shard.commit.in_flight || now < shard.commit.retry_at {
@@ -390,7 +390,7 @@
                 "/txn".into(),
                 body,
                 2000,
-                Pending::Commit { epoch },
+                Pending::Commit { term },
             );
         }
         if !sure || !self.to_write {
@@ -425,7 +425,7 @@
             "/txn".into(),
             body,
             2000,
-            Pending::Commit { epoch },
+            Pending::Commit { term },
         );
     }
 
@@ -583,7 +583,7 @@
 
     pub(crate) fn committed(&mut self, response: Option<Response>) {
         let now = self.now.mono;
-        let epoch = self.epoch;
+        let term = self.term;
         let backoff = self.rng.u64(50..250);
         let Some(shard) = &mut self.shard else { return };
         shard.commit.in_flight = false;
@@ -611,7 +611,7 @@
                     format!("/keys/{key}"),
                     Vec::new(),
                     2000,
-                    Pending::Verify { epoch },
+                    Pending::Verify { term },
                 );
             }
             Some(429 | 503) => shard.commit.retry_at = now + backoff,
--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -7,7 +7,7 @@
 
 impl Node {
     pub(crate) fn watch_live(&mut self) {
-        let epoch = self.epoch;
+        let term = self.term;
         let Some(shard) = &mut self.shard else { return };
         shard.live_busy = true;
         let path = format!(
@@ -21,7 +21,7 @@
             path,
             Vec::new(),
             7000,
-            Pending::LiveWatch { epoch },
+            Pending::LiveWatch { term },
         );
     }
 
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -145,7 +145,7 @@
             path.push_str(&format!("&from={after}"));
         }
         let what = Pending::Load {
-            epoch: self.epoch,
+            term: self.term,
             what,
         };
         self.send(Dest::State, "GET", path, Vec::new(), 3000, what);
