--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -80,7 +80,7 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub hired_ms: u64,
+    pub rented_ms: u64,
     /// The inventory shard that it stands in, and what it adds to its record's length.
     pub inventory_shard: u64,
     pub size: usize,
@@ -123,13 +123,13 @@
 }
 
 impl Machine {
-    pub fn new(name: &str, machine_type: &str, zone: &str, spot: bool, hired_ms: u64) -> Self {
+    pub fn new(name: &str, machine_type: &str, zone: &str, spot: bool, rented_ms: u64) -> Self {
         Machine {
             name: name.to_owned(),
             machine_type: machine_type.to_owned(),
             zone: zone.to_owned(),
             spot,
-            hired_ms,
+            rented_ms,
             inventory_shard: 0,
             size: KindRec::entry(name, machine_type, zone),
             recorded: false,
@@ -165,10 +165,10 @@
         machine_type: &str,
         zone: &str,
         spot: bool,
-        hired_ms: u64,
+        rented_ms: u64,
         now: u64,
     ) -> Self {
-        let mut machine = Machine::new(name, machine_type, zone, spot, hired_ms);
+        let mut machine = Machine::new(name, machine_type, zone, spot, rented_ms);
         machine.heard_at = now;
         machine.idle_since = now;
         machine
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -376,7 +376,7 @@
             Pending::Commit { term: e } if e == term => self.committed(response),
             Pending::Verify { term: e } if e == term => self.verified(response),
             Pending::List { term: e } if e == term => self.list_came(response),
-            Pending::Hire { term: e, name } if e == term => self.hired(name, response),
+            Pending::Rental { term: e, name } if e == term => self.rental_answered(name, response),
             Pending::Delete { term: e, machines } if e == term => self.deleted(machines, response),
             Pending::Direct {
                 term: e,
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -120,7 +120,7 @@
     List {
         term: u64,
     },
-    Hire {
+    Rental {
         term: u64,
         name: String,
     },
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -2,12 +2,12 @@
 
 use crate::agents::machine::Machine;
 use crate::leadership::election::SHARD;
-use crate::store::shard::{Hire, HireState};
+use crate::store::shard::{Rental, RentalState};
 use crate::{Dest, Node, Pending};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{Catalog, HireRequest, ListedMachine, MachineList, MachineNames};
 use wire::http::Response;
-use wire::records::HireRec;
+use wire::records::RentalRec;
 
 const CLOUD_TIMEOUT_MS: u64 = 5000;
 const STAND_BACK_MEMORY_MS: u64 = 180_000;
@@ -87,18 +87,18 @@
         }
         let Some(shard) = &mut self.shard else { return };
         // Rentals that are recorded; the same name again until there is an answer.
-        let ready: Vec<(String, HireRec)> = shard
-            .hires
+        let ready: Vec<(String, RentalRec)> = shard
+            .rentals
             .iter()
-            .filter(|(_, h)| h.state == HireState::Recorded && !h.busy && h.retry_at <= now)
+            .filter(|(_, h)| h.state == RentalState::Recorded && !h.busy && h.retry_at <= now)
             .map(|(n, h)| (n.clone(), h.rec.clone()))
             .collect();
         for (name, rec) in ready {
             if !self.cloud.try_take(now, 1.0) {
                 break;
             }
-            if let Some(hire) = self.shard.as_mut().and_then(|p| p.hires.get_mut(&name)) {
-                hire.busy = true;
+            if let Some(rental) = self.shard.as_mut().and_then(|p| p.rentals.get_mut(&name)) {
+                rental.busy = true;
             }
             let body = wire::encode(&HireRequest {
                 request: name.clone(),
@@ -107,7 +107,7 @@
                 spot: rec.spot,
                 count: rec.count,
             });
-            let what = Pending::Hire { term, name };
+            let what = Pending::Rental { term, name };
             self.send(
                 Dest::Cloud,
                 "POST",
@@ -207,11 +207,17 @@
         }
         // Machines of a rental whose answer is still out are expected, but take them in all the same.
         log::info!("machine {}: listed, taken in", l.name);
-        let hired = now
+        let rental_answered = now
             .wall
             .saturating_sub((l.age_s.clamp(0.0, 1e6) * 1000.0) as u64);
-        let mut machine =
-            Machine::unrecorded(&l.name, &l.machine_type, &l.zone, l.spot, hired, now.mono);
+        let mut machine = Machine::unrecorded(
+            &l.name,
+            &l.machine_type,
+            &l.zone,
+            l.spot,
+            rental_answered,
+            now.mono,
+        );
         machine.addr = l.addr.parse().ok();
         machine.failed = l.stage == "failed";
         machine.deleting = machine.failed;
@@ -219,32 +225,32 @@
     }
 
     /// Writes a rental down; it is sent once the record stands.
-    pub(crate) fn hire(&mut self, machine_type: &str, zone: &str, spot: bool, count: u32) {
+    pub(crate) fn rental(&mut self, machine_type: &str, zone: &str, spot: bool, count: u32) {
         let wall = self.now.wall;
         let Some(shard) = &mut self.shard else { return };
         let serial = shard.next_serial();
         let name = format!("r-{SHARD}-{}-{serial}", shard.token);
-        log::info!("hire {name}: {count} of {machine_type} in {zone}, spot {spot}");
-        let rec = HireRec {
+        log::info!("rental {name}: {count} of {machine_type} in {zone}, spot {spot}");
+        let rec = RentalRec {
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
             count: count.min(50),
             at_ms: wall,
         };
-        shard.hires.insert(
+        shard.rentals.insert(
             name,
-            Hire {
+            Rental {
                 rec,
                 version: 0,
                 busy: false,
                 retry_at: 0,
-                state: HireState::New,
+                state: RentalState::New,
             },
         );
     }
 
-    pub(crate) fn hired(&mut self, name: String, response: Option<Response>) {
+    pub(crate) fn rental_answered(&mut self, name: String, response: Option<Response>) {
         let now = self.now;
         let status = response.as_ref().map(|r| r.status);
         let got = response
@@ -258,15 +264,15 @@
             });
         let wait = self.rng.u64(500..1500);
         let Some(shard) = &mut self.shard else { return };
-        let Some(hire) = shard.hires.get_mut(&name) else {
+        let Some(rental) = shard.rentals.get_mut(&name) else {
             return;
         };
         self.to_write = true;
-        hire.busy = false;
-        let rec = hire.rec.clone();
+        rental.busy = false;
+        let rec = rental.rec.clone();
         let kind = (rec.machine_type.clone(), rec.zone.clone(), rec.spot);
         if let Some(got) = got {
-            hire.state = HireState::Over;
+            rental.state = RentalState::Over;
             if (got.machines.len() as u32) < rec.count {
                 shard.refused.insert(kind, (now.mono + 20_000, 1));
             } else {
@@ -283,14 +289,14 @@
                 ));
             }
         } else if no_capacity || status == Some(400) {
-            log::info!("hire {name}: none to be had");
-            hire.state = HireState::Over;
+            log::info!("rental {name}: none to be had");
+            rental.state = RentalState::Over;
             let times = shard.refused.get(&kind).map_or(0, |(_, n)| *n) + 1;
             shard
                 .refused
                 .insert(kind, (now.mono + 8000 * u64::from(times.min(4)), times));
         } else {
-            hire.retry_at = now.mono + wait;
+            rental.retry_at = now.mono + wait;
         }
         shard.plan_due = true;
     }
@@ -387,7 +393,7 @@
                     .iter()
                     .find(|(n, _)| *n == machine.machine_type)
                     .map_or(60.0, |(_, b)| *b);
-                let age = now.wall.saturating_sub(machine.hired_ms) as f64 / 1000.0;
+                let age = now.wall.saturating_sub(machine.rented_ms) as f64 / 1000.0;
                 // After a take-over a machine that is up has to find us first.
                 if age > boot * patience && gap as f64 > boot * 500.0 {
                     log::info!("machine {}: did not come up", machine.name);
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -5,7 +5,7 @@
 use crate::scheduling::entitlement::{self, Holds};
 use crate::scheduling::urgent;
 use crate::store::claim_log::ClaimId;
-use crate::store::shard::{HireState, Shard};
+use crate::store::shard::{RentalState, Shard};
 use crate::{Node, Tuning};
 use std::collections::{HashMap, HashSet};
 use wire::api::{Catalog, Cause, JobSpec, Kind, MachineType, Priority};
@@ -185,7 +185,7 @@
     if machine.up || machine.deleting || machine.failed {
         return f64::INFINITY;
     }
-    let age = wall.saturating_sub(machine.hired_ms) as f64 / 1000.0;
+    let age = wall.saturating_sub(machine.rented_ms) as f64 / 1000.0;
     if age < boot_s {
         boot_s - age + 1.0
     } else {
@@ -428,7 +428,7 @@
             }
         }
         if scope == Scope::All && now >= since + 2 * settle {
-            self.hire_for(&input, &output, &catalog);
+            self.rent_for(&input, &output, &catalog);
             let mut kept: Vec<usize> = output
                 .kept
                 .iter()
@@ -775,17 +775,18 @@
         self.stats.preempts += 1;
     }
 
-    fn hire_for(&mut self, input: &plan::Input, output: &plan::Output, catalog: &Catalog) {
+    fn rent_for(&mut self, input: &plan::Input, output: &plan::Output, catalog: &Catalog) {
         let now = self.now;
         let zones = index(self.settings.cluster.zones.iter());
         let horizon = self.tuning.horizon_s;
         let Some(shard) = &mut self.shard else { return };
         // Records first: what is still to be written down would be hired twice.
-        if now.mono < shard.hire_check_at || shard.hires.values().any(|h| h.state == HireState::New)
+        if now.mono < shard.rental_check_at
+            || shard.rentals.values().any(|h| h.state == RentalState::New)
         {
             return;
         }
-        shard.hire_check_at = now.mono + 1000;
+        shard.rental_check_at = now.mono + 1000;
         let mut offers = Vec::new();
         let mut names = Vec::new();
         for (i, t) in catalog.types.iter().enumerate() {
@@ -828,18 +829,18 @@
                 coming.push((offers[i].clone(), 1));
             }
         }
-        for hire in shard
-            .hires
+        for rental in shard
+            .rentals
             .values()
-            .filter(|h| h.state == HireState::Recorded)
+            .filter(|h| h.state == RentalState::Recorded)
         {
             let kind = (
-                hire.rec.machine_type.clone(),
-                hire.rec.zone.clone(),
-                hire.rec.spot,
+                rental.rec.machine_type.clone(),
+                rental.rec.zone.clone(),
+                rental.rec.spot,
             );
             if let Some(i) = names.iter().position(|n| *n == kind) {
-                coming.push((offers[i].clone(), hire.rec.count));
+                coming.push((offers[i].clone(), rental.rec.count));
             }
         }
         // The zone with fewest machines first, so that one zone's loss takes the least.
@@ -875,7 +876,7 @@
             let mut left = wish.count.min(calls * MOST_A_CALL);
             while left > 0 {
                 let count = left.min(MOST_A_CALL);
-                self.hire(&machine_type, &zone, spot, count);
+                self.rental(&machine_type, &zone, spot, count);
                 left -= count;
             }
         }
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -9,7 +9,7 @@
 use crate::jobs::job::{Ending, JobIx};
 use crate::leadership::election::SHARD;
 use crate::store::claim_log::{ClaimId, Segment};
-use crate::store::shard::{HireState, Shard};
+use crate::store::shard::{RentalState, Shard};
 use crate::{Dest, Node, Pending};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{Conflict, Guard, Item, JobState, Revision, Txn, Write};
@@ -21,8 +21,8 @@
 pub(crate) enum Op {
     End(JobIx),
     Token(u64),
-    Hire(String),
-    HireOver(String),
+    Rental(String),
+    RemoveRental(String),
     Log(Log),
     LogOver(u64),
     Fold(county::Fold),
@@ -327,7 +327,7 @@
                     && k.zone == machine.zone
                     && k.spot == machine.spot
             };
-            let entry = (machine.name.clone(), machine.hired_ms);
+            let entry = (machine.name.clone(), machine.rented_ms);
             match rec.kinds.iter_mut().find(same) {
                 Some(kind) => kind.machines.push(entry),
                 None => rec.kinds.push(KindRec {
@@ -499,17 +499,17 @@
             d.ops.push(Op::Token(token));
             shard.commit.raised_at = now;
         }
-        for (name, hire) in shard
-            .hires
+        for (name, rental) in shard
+            .rentals
             .iter()
-            .filter(|(_, h)| h.state == HireState::New)
+            .filter(|(_, h)| h.state == RentalState::New)
         {
             if !room(&d) {
                 break;
             }
-            let key = format!("{}{name}", records::hires_prefix(SHARD));
-            d.put(key, 0, Record::Hire(hire.rec.clone()));
-            d.ops.push(Op::Hire(name.clone()));
+            let key = format!("{}{name}", records::rentals_prefix(SHARD));
+            d.put(key, 0, Record::Rental(rental.rec.clone()));
+            d.ops.push(Op::Rental(name.clone()));
         }
         d.moves(shard, wall, value, room);
         if d.counts.owed() > 0 {
@@ -531,18 +531,18 @@
             d.inventory_shard(shard, n);
         }
         let over: Vec<(String, u64)> = shard
-            .hires
+            .rentals
             .iter()
-            .filter(|(_, h)| h.state == HireState::Over)
+            .filter(|(_, h)| h.state == RentalState::Over)
             .map(|(n, h)| (n.clone(), h.version))
             .collect();
-        // A hire goes only together with, or after, the record of its machines.
+        // A rental goes only together with, or after, the record of its machines.
         for (name, version) in over {
             if !shard.ledger.new_in.is_empty() || !room(&d) {
                 break;
             }
-            d.remove(format!("{}{name}", records::hires_prefix(SHARD)), version);
-            d.ops.push(Op::HireOver(name));
+            d.remove(format!("{}{name}", records::rentals_prefix(SHARD)), version);
+            d.ops.push(Op::RemoveRental(name));
         }
         if shard.catalog_dirty
             && room(&d)
@@ -713,14 +713,14 @@
                         }
                     }
                 }
-                Op::Hire(name) => {
-                    if let Some(hire) = shard.hires.get_mut(&name) {
-                        hire.state = HireState::Recorded;
-                        hire.version = revision;
+                Op::Rental(name) => {
+                    if let Some(rental) = shard.rentals.get_mut(&name) {
+                        rental.state = RentalState::Recorded;
+                        rental.version = revision;
                     }
                 }
-                Op::HireOver(name) => {
-                    shard.hires.remove(&name);
+                Op::RemoveRental(name) => {
+                    shard.rentals.remove(&name);
                 }
                 Op::Log(log) => shard.log_stands(log, revision),
                 Op::Fold(fold) => shard.fold_stands(&fold, revision),
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -5,12 +5,12 @@
 use crate::leadership::election::SHARD;
 use crate::store::claim_log::{ClaimId, InventoryShard, Segment};
 use crate::store::commit::value_limit;
-use crate::store::shard::{Hire, HireState, Shard};
+use crate::store::shard::{Rental, RentalState, Shard};
 use crate::{Dest, Node, Pending};
 use std::ops;
 use wire::api::{Item, Range};
 use wire::http::Response;
-use wire::records::{self, AllotRec, AllotedTeam, HireRec, InventoryRecord, JobRec, LogRec};
+use wire::records::{self, AllotRec, AllotedTeam, InventoryRecord, JobRec, LogRec, RentalRec};
 
 /// What is read one after the other after a take-over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     Jobs,
     Inventory,
     Log,
-    Hires,
+    Rentals,
     Allot,
     Heads,
     Models,
@@ -135,7 +135,7 @@
             Load::Jobs => records::LIVE.to_owned(),
             Load::Inventory => records::inventory_prefix(SHARD),
             Load::Log => records::log_prefix(SHARD),
-            Load::Hires => records::hires_prefix(SHARD),
+            Load::Rentals => records::rentals_prefix(SHARD),
             Load::Allot => records::allot_key(SHARD),
             Load::Heads => records::SHARED.to_owned(),
             Load::Models => return self.read_models(),
@@ -177,7 +177,7 @@
                     .read("state service", &r)
                     .map(|p| self.load_inventory(p)),
                 Load::Log => self.read("state service", &r).map(|p| self.load_log(p)),
-                Load::Hires => self.read("state service", &r).map(|p| self.load_hires(p)),
+                Load::Rentals => self.read("state service", &r).map(|p| self.load_rentals(p)),
                 Load::Allot => self.read("state service", &r).map(|p| self.load_allot(p)),
                 Load::Heads => self.read("state service", &r).map(|p| {
                     self.load_heads(p);
@@ -198,8 +198,8 @@
         match what {
             Load::Jobs => self.load(Load::Inventory),
             Load::Inventory => self.load(Load::Log),
-            Load::Log => self.load(Load::Hires),
-            Load::Hires => self.load(Load::Allot),
+            Load::Log => self.load(Load::Rentals),
+            Load::Rentals => self.load(Load::Allot),
             Load::Allot => self.load(Load::Heads),
             Load::Heads => self.load_documents(),
             Load::Models => {}
@@ -248,9 +248,9 @@
                 ..InventoryShard::default()
             };
             for kind in value.kinds {
-                for (name, hired_ms) in kind.machines {
+                for (name, rented_ms) in kind.machines {
                     let mut machine =
-                        Machine::new(&name, &kind.machine_type, &kind.zone, kind.spot, hired_ms);
+                        Machine::new(&name, &kind.machine_type, &kind.zone, kind.spot, rented_ms);
                     machine.recorded = true;
                     machine.inventory_shard = number;
                     machine.heard_at = now.mono;
@@ -287,9 +287,9 @@
         more
     }
 
-    fn load_hires(&mut self, range: Range<HireRec>) -> bool {
+    fn load_rentals(&mut self, range: Range<RentalRec>) -> bool {
         let more = self.page_end(&range);
-        let prefix = records::hires_prefix(SHARD);
+        let prefix = records::rentals_prefix(SHARD);
         let Some(shard) = &mut self.shard else {
             return false;
         };
@@ -300,14 +300,14 @@
         } in range.items
         {
             if let Some(name) = key.strip_prefix(&prefix) {
-                let hire = Hire {
+                let rental = Rental {
                     rec: value,
                     version,
                     busy: false,
                     retry_at: 0,
-                    state: HireState::Recorded,
+                    state: RentalState::Recorded,
                 };
-                shard.hires.insert(name.to_owned(), hire);
+                shard.rentals.insert(name.to_owned(), rental);
             }
         }
         more
@@ -368,11 +368,11 @@
         }
         shard.drop_overtaken();
         log::info!(
-            "token {}: read {} jobs, {} machines, {} hires",
+            "token {}: read {} jobs, {} machines, {} rentals",
             shard.token,
             shard.jobs.iter().flatten().count(),
             shard.machine_ix.len(),
-            shard.hires.len()
+            shard.rentals.len()
         );
         // A job may have been left with all tasks done but not ended, or with a gang half claimed.
         let all: Vec<JobIx> = (0..shard.jobs.len())
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -7,20 +7,20 @@
 use crate::store::recovery::Load;
 use crate::{Asker, Node};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use wire::records::{AllotRec, HireRec};
+use wire::records::{AllotRec, RentalRec};
 
-pub(crate) struct Hire {
-    pub rec: HireRec,
+pub(crate) struct Rental {
+    pub rec: RentalRec,
     pub version: u64,
     /// The request is out.
     pub busy: bool,
     pub retry_at: u64,
     /// Not yet in the state service, or to be taken out of it again.
-    pub state: HireState,
+    pub state: RentalState,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum HireState {
+pub(crate) enum RentalState {
     New,
     Recorded,
     Over,
@@ -76,7 +76,7 @@
     pub machines: Vec<Option<Machine>>,
     pub free_machines: Vec<usize>,
     pub machine_ix: HashMap<String, usize>,
-    pub hires: BTreeMap<String, Hire>,
+    pub rentals: BTreeMap<String, Rental>,
     pub serial: u64,
     pub commit: Commit,
     pub ledger: Ledger,
@@ -100,7 +100,7 @@
     pub list: crate::provisioning::fleet::Listing,
     pub delete_busy: bool,
     pub delete_retry_at: u64,
-    pub hire_check_at: u64,
+    pub rental_check_at: u64,
     pub plan_due: bool,
     pub urgent: crate::scheduling::urgent::Urgent,
     pub planned_at: u64,
@@ -145,7 +145,7 @@
             machines: Vec::new(),
             free_machines: Vec::new(),
             machine_ix: HashMap::new(),
-            hires: BTreeMap::new(),
+            rentals: BTreeMap::new(),
             serial: 0,
             commit: Commit::default(),
             ledger: Ledger::default(),
@@ -162,7 +162,7 @@
             list: crate::provisioning::fleet::Listing::default(),
             delete_busy: false,
             delete_retry_at: 0,
-            hire_check_at: 0,
+            rental_check_at: 0,
             urgent: crate::scheduling::urgent::Urgent::default(),
             plan_due: true,
             planned_at: 0,
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -64,7 +64,7 @@
 pub fn tally_prefix(shard: ShardId) -> String {
     format!("part/{shard}/tally/")
 }
-pub fn hires_prefix(shard: ShardId) -> String {
+pub fn rentals_prefix(shard: ShardId) -> String {
     format!("part/{shard}/hire/")
 }
 
@@ -335,7 +335,7 @@
 
 /// A rental request whose answer has not been recorded yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HireRec {
+pub struct RentalRec {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
@@ -358,7 +358,7 @@
     End(EndRec),
     Log(LogRec),
     InventoryShard(InventoryRecord),
-    Hire(HireRec),
+    Rental(RentalRec),
     Tally(county::Sheet),
     Catalog(Catalog),
     Allot(AllotRec),
