--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use wire::admin::{self, Edit, Question};
-use wire::records::{self, AllotRec, Record};
+use wire::records::{self, AllotmentRec, Record};
 use wire::tree::HeadRec;
 
 pub(crate) struct Quota;
@@ -90,7 +90,7 @@
         node.tree_in_force();
     }
     fn settled(shard: &Shard) -> bool {
-        shard.allot_version > 0 && shard.allot_wanted.is_none()
+        shard.allotment_version > 0 && shard.allotment_wanted.is_none()
     }
     /// What was planned under the old bounds must not be recorded with the new ones.
     fn before_head(node: &mut Node) {
@@ -98,21 +98,21 @@
     }
     /// The allotment that names the tree.
     fn with_head(draft: &mut Draft, shard: &mut Shard, version: u64) {
-        let Some(allot) = shard.allot.clone() else {
+        let Some(allotment) = shard.allotment.clone() else {
             return;
         };
-        let allot = AllotRec {
+        let allotment = AllotmentRec {
             tree: version,
-            ..allot
+            ..allotment
         };
         draft.put(
-            records::allot_key(SHARD),
-            shard.allot_version,
-            Record::Allot(allot.clone()),
+            records::allotment_key(SHARD),
+            shard.allotment_version,
+            Record::Allotment(allotment.clone()),
         );
-        shard.allot = Some(allot);
-        shard.allot_version = 0;
-        draft.ops.push(Op::Allot);
+        shard.allotment = Some(allotment);
+        shard.allotment_version = 0;
+        draft.ops.push(Op::Allotment);
     }
     fn record(head: Head) -> Record {
         Record::Quota(HeadRec { quota: head })
@@ -168,11 +168,11 @@
         let Some(shard) = self.shard.as_mut().filter(|p| p.loaded) else {
             return;
         };
-        let stands = shard.allot.as_ref() == Some(&whole) && shard.allot_wanted.is_none();
+        let stands = shard.allotment.as_ref() == Some(&whole) && shard.allotment_wanted.is_none();
         if stands {
             return;
         }
-        shard.allot_wanted = Some(whole);
+        shard.allotment_wanted = Some(whole);
         shard.plan_due = true;
         self.to_write = true;
         // What was planned under the old bounds and not recorded yet is planned anew.
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -9,7 +9,7 @@
 use crate::{Node, Tuning};
 use std::collections::{HashMap, HashSet};
 use wire::api::{Catalog, Cause, JobSpec, Kind, MachineType, Priority};
-use wire::records::AllotedTeam;
+use wire::records::TeamAllotment;
 use wire::settings::{Objective, Team};
 
 /// The most that the cloud rents out in one call.
@@ -443,19 +443,19 @@
     /// one, or with another version in force, there is no room at all.
     fn plan_teams(&self, tree: Option<&quota::Tree>) -> Vec<plan::Team> {
         let version = self.shared.documents.quota.version();
-        let recorded = |p: &&Shard| p.allot_version > 0 && p.allot_wanted.is_none();
-        let allot = self
+        let recorded = |p: &&Shard| p.allotment_version > 0 && p.allotment_wanted.is_none();
+        let allotment = self
             .shard
             .as_ref()
             .filter(recorded)
-            .and_then(|p| p.allot.as_ref());
-        let allot = allot.filter(|a| Some(a.tree) == version);
-        let listed: HashMap<&str, &AllotedTeam> = allot
+            .and_then(|p| p.allotment.as_ref());
+        let allotment = allotment.filter(|a| Some(a.tree) == version);
+        let listed: HashMap<&str, &TeamAllotment> = allotment
             .iter()
             .flat_map(|a| &a.teams)
             .map(|t| (t.name.as_str(), t))
             .collect();
-        let whole = allot.is_some_and(|a| a.whole.is_some());
+        let whole = allotment.is_some_and(|a| a.whole.is_some());
         let max = |m: f64| if m == 0.0 { f64::INFINITY } else { m.max(0.0) };
         let team = |t: &Team| {
             let path = tree
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -29,7 +29,7 @@
     /// A inventory shard with the names of its machines: by the time that it stands, a place in memory may be another one's.
     InventoryShard(u64, Vec<String>),
     Catalog,
-    Allot,
+    Allotment,
     /// A document's part, its removal, its head.
     DocumentPart(KindId, String),
     RemoveDocumentPart(KindId, String),
@@ -475,16 +475,16 @@
                 && d.guards.len() + 2 < max_guards
         };
         if room(&d)
-            && let Some(whole) = shard.allot_wanted.take()
+            && let Some(whole) = shard.allotment_wanted.take()
         {
             d.put(
-                records::allot_key(SHARD),
-                shard.allot_version,
-                Record::Allot(whole.clone()),
+                records::allotment_key(SHARD),
+                shard.allotment_version,
+                Record::Allotment(whole.clone()),
             );
-            shard.allot = Some(whole);
-            shard.allot_version = 0;
-            d.ops.push(Op::Allot);
+            shard.allotment = Some(whole);
+            shard.allotment_version = 0;
+            d.ops.push(Op::Allotment);
         }
         if let Some((kind, _)) = head {
             d.head(documents, shard, kind);
@@ -741,7 +741,7 @@
                         }
                     }
                 }
-                Op::Allot => shard.allot_version = revision,
+                Op::Allotment => shard.allotment_version = revision,
                 Op::DocumentPart(kind, name) => {
                     self.shared.documents.part_written(kind, name, revision)
                 }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -10,7 +10,9 @@
 use std::ops;
 use wire::api::{Item, Range};
 use wire::http::Response;
-use wire::records::{self, AllotRec, AllotedTeam, InventoryRecord, JobRec, LogRec, RentalRec};
+use wire::records::{
+    self, AllotmentRec, InventoryRecord, JobRec, LogRec, RentalRec, TeamAllotment,
+};
 
 /// What is read one after the other after a take-over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,7 +21,7 @@
     Inventory,
     Log,
     Rentals,
-    Allot,
+    Allotment,
     Heads,
     Models,
 }
@@ -136,7 +138,7 @@
             Load::Inventory => records::inventory_prefix(SHARD),
             Load::Log => records::log_prefix(SHARD),
             Load::Rentals => records::rentals_prefix(SHARD),
-            Load::Allot => records::allot_key(SHARD),
+            Load::Allotment => records::allotment_key(SHARD),
             Load::Heads => records::SHARED.to_owned(),
             Load::Models => return self.read_models(),
         };
@@ -178,7 +180,9 @@
                     .map(|p| self.load_inventory(p)),
                 Load::Log => self.read("state service", &r).map(|p| self.load_log(p)),
                 Load::Rentals => self.read("state service", &r).map(|p| self.load_rentals(p)),
-                Load::Allot => self.read("state service", &r).map(|p| self.load_allot(p)),
+                Load::Allotment => self
+                    .read("state service", &r)
+                    .map(|p| self.load_allotment(p)),
                 Load::Heads => self.read("state service", &r).map(|p| {
                     self.load_heads(p);
                     false
@@ -199,8 +203,8 @@
             Load::Jobs => self.load(Load::Inventory),
             Load::Inventory => self.load(Load::Log),
             Load::Log => self.load(Load::Rentals),
-            Load::Rentals => self.load(Load::Allot),
-            Load::Allot => self.load(Load::Heads),
+            Load::Rentals => self.load(Load::Allotment),
+            Load::Allotment => self.load(Load::Heads),
             Load::Heads => self.load_documents(),
             Load::Models => {}
         }
@@ -313,26 +317,26 @@
         more
     }
 
-    fn load_allot(&mut self, range: Range<AllotRec>) -> bool {
+    fn load_allotment(&mut self, range: Range<AllotmentRec>) -> bool {
         let Some(shard) = &mut self.shard else {
             return false;
         };
         if let Some(item) = range
             .items
             .into_iter()
-            .find(|i| i.key == records::allot_key(SHARD))
+            .find(|i| i.key == records::allotment_key(SHARD))
         {
-            shard.allot = Some(item.value);
-            shard.allot_version = item.version;
+            shard.allotment = Some(item.value);
+            shard.allotment_version = item.version;
         }
         false
     }
 
     /// The only part has all of every team's limit. Written down all the same: limits are kept by the record.
-    pub(crate) fn whole_allotment(&self) -> AllotRec {
+    pub(crate) fn whole_allotment(&self) -> AllotmentRec {
         let teams = self.settings.cluster.teams.iter();
         let teams = teams
-            .map(|t| AllotedTeam {
+            .map(|t| TeamAllotment {
                 name: t.name.clone(),
                 cpus_max: t.cpus_max,
                 gpus_max: t.gpus_max,
@@ -342,10 +346,10 @@
         let recorded = self
             .shard
             .as_ref()
-            .and_then(|p| p.allot.as_ref())
+            .and_then(|p| p.allotment.as_ref())
             .map_or(0, |a| a.tree);
         let value = value_limit(self.settings.cluster.state.value_kb);
-        AllotRec::whole(
+        AllotmentRec::whole(
             teams,
             self.shared.documents.quota.version().unwrap_or(recorded),
             value,
@@ -360,7 +364,7 @@
         let whole = self.whole_allotment();
         self.refit_hours();
         let Some(shard) = &mut self.shard else { return };
-        shard.allot_wanted = (shard.allot.as_ref() != Some(&whole)).then_some(whole);
+        shard.allotment_wanted = (shard.allotment.as_ref() != Some(&whole)).then_some(whole);
         shard.loaded = true;
         shard.since = now;
         for machine in shard.machines.iter_mut().flatten() {
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -7,7 +7,7 @@
 use crate::store::recovery::Load;
 use crate::{Asker, Node};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use wire::records::{AllotRec, RentalRec};
+use wire::records::{AllotmentRec, RentalRec};
 
 pub(crate) struct Rental {
     pub rec: RentalRec,
@@ -108,10 +108,10 @@
     pub plan_stopped_at: Option<JobIx>,
     pub catalog_dirty: bool,
     /// What our teams may use, as recorded, and its version; nothing is started before it is known.
-    pub allot: Option<AllotRec>,
-    pub allot_version: u64,
+    pub allotment: Option<AllotmentRec>,
+    pub allotment_version: u64,
     /// The allotment that is to be written down instead.
-    pub allot_wanted: Option<AllotRec>,
+    pub allotment_wanted: Option<AllotmentRec>,
     /// Jobs that may have changed since the last plan.
     touched: Vec<JobIx>,
     /// Jobs that are not wanted any more and still have claims.
@@ -168,9 +168,9 @@
             planned_at: 0,
             plan_stopped_at: None,
             catalog_dirty: false,
-            allot: None,
-            allot_version: 0,
-            allot_wanted: None,
+            allotment: None,
+            allotment_version: 0,
+            allotment_wanted: None,
             touched: Vec::new(),
             unwanted: BTreeSet::new(),
             counted: None,
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -54,7 +54,7 @@
 pub fn inventory_prefix(shard: ShardId) -> String {
     format!("part/{shard}/rack/")
 }
-pub fn allot_key(shard: ShardId) -> String {
+pub fn allotment_key(shard: ShardId) -> String {
     format!("part/{shard}/allot")
 }
 /// Sheets of counts by county.
@@ -83,8 +83,8 @@
 
 /// The room that a shard may give each team; the shards' allotments add up to the team's limit at most.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct AllotRec {
-    pub teams: Vec<AllotedTeam>,
+pub struct AllotmentRec {
+    pub teams: Vec<TeamAllotment>,
     /// Where a list of all teams would be too large: a digest of it. The shard has the whole of each limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub whole: Option<String>,
@@ -94,10 +94,10 @@
     pub tree: u64,
 }
 
-impl AllotRec {
+impl AllotmentRec {
     /// All limits whole, in a record of at most `value` bytes.
-    pub fn whole(teams: Vec<AllotedTeam>, tree: u64, value: usize) -> Self {
-        let list = AllotRec {
+    pub fn whole(teams: Vec<TeamAllotment>, tree: u64, value: usize) -> Self {
+        let list = AllotmentRec {
             teams,
             whole: None,
             tree,
@@ -105,7 +105,7 @@
         if document::text(&list).len() <= value {
             return list;
         }
-        AllotRec {
+        AllotmentRec {
             teams: Vec::new(),
             whole: Some(document::digest(&list.teams)),
             tree,
@@ -122,7 +122,7 @@
 
 /// A limit of 0 means none, as in the settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct AllotedTeam {
+pub struct TeamAllotment {
     pub name: String,
     pub cpus_max: f64,
     pub gpus_max: f64,
@@ -361,7 +361,7 @@
     Rental(RentalRec),
     Tally(county::Sheet),
     Catalog(Catalog),
-    Allot(AllotRec),
+    Allotment(AllotmentRec),
     Quota(crate::tree::HeadRec),
     Document(HeadRec),
     Model(model::Rec),
