--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wire::api::{Cause, TaskStage};
-use wire::records::KindRec;
+use wire::records::KindRecord;
 
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct Need {
@@ -131,7 +131,7 @@
             spot,
             rented_ms,
             inventory_shard: 0,
-            size: KindRec::entry(name, machine_type, zone),
+            size: KindRecord::entry(name, machine_type, zone),
             recorded: false,
             addr: None,
             via: None,
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use wire::admin::{self, Whole};
 use wire::api::JobSpec;
-use wire::records::CountyRec;
+use wire::records::CountyRecord;
 use wire::tally::{Counts, Line, Question};
 
 pub(crate) struct County;
@@ -77,7 +77,7 @@
 
 impl Node {
     /// The county that a job accepted now belongs to; none without a document.
-    pub(crate) fn county_for(&self, spec: &JobSpec) -> Result<Option<CountyRec>, &'static str> {
+    pub(crate) fn county_for(&self, spec: &JobSpec) -> Result<Option<CountyRecord>, &'static str> {
         let Some(good) = &self.shared.documents.counties.good else {
             return Ok(None);
         };
@@ -105,7 +105,7 @@
         };
         let bound = good.built.bind(&job).map_err(why)?;
         let (county, version) = (bound.county, good.version);
-        Ok(Some(CountyRec {
+        Ok(Some(CountyRecord {
             county,
             version,
             alone: bound.alone,
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, HashMap};
 use wire::api::{Item, Range, Stage};
 use wire::http::Response;
-use wire::records::{self, EndRec, JobRec};
+use wire::records::{self, EndRecord, JobRecord};
 use wire::tally::{self, DIFFERENCES};
 
 /// Requests that an audit leaves to others.
@@ -48,7 +48,7 @@
         }
     }
 
-    fn live_found(&mut self, rec: &JobRec, stamp: u64) {
+    fn live_found(&mut self, rec: &JobRecord, stamp: u64) {
         let Some(county) = &rec.county else { return };
         match self.live.remove(&rec.spec.id) {
             Some(known) if known == county.county => {}
@@ -64,7 +64,7 @@
         }
     }
 
-    fn end_found(&mut self, job: &str, rec: &EndRec, stamp: u64) {
+    fn end_found(&mut self, job: &str, rec: &EndRecord, stamp: u64) {
         let Some(counted) = &rec.county else { return };
         if stamp > self.revision {
             // It lived then, if it was there.
@@ -203,11 +203,11 @@
     pub(crate) fn audit_came(&mut self, under: Under, response: Option<Response>) {
         let response = response.filter(|r| r.status == 200);
         let page = response.and_then(|r| match under {
-            Under::Live => self
-                .read("state service", &r)
-                .map(|p| self.audit_page(p, |a, job: JobRec, _, stamp| a.live_found(&job, stamp))),
+            Under::Live => self.read("state service", &r).map(|p| {
+                self.audit_page(p, |a, job: JobRecord, _, stamp| a.live_found(&job, stamp))
+            }),
             Under::Ended => self.read("state service", &r).map(|p| {
-                self.audit_page(p, |a, end: EndRec, key, stamp| {
+                self.audit_page(p, |a, end: EndRecord, key, stamp| {
                     a.end_found(key, &end, stamp)
                 })
             }),
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use wire::api::{Item, Range, Stage};
 use wire::http::Response;
-use wire::records::{self, ClaimsRec, CountedRec, CountyRec, Record};
+use wire::records::{self, ClaimsRecord, CountedRecord, CountyRecord, Record};
 
 /// Sheets are folded so often, so many at a time, and no longer than this. With more log records than this waiting
 /// for them, they are folded with each tidying, and more at a time.
@@ -67,8 +67,8 @@
 }
 
 /// The county of a job that only has claims left.
-pub(crate) fn claimed(county: &Option<String>, alone: bool) -> Option<CountyRec> {
-    county.as_ref().map(|c| CountyRec {
+pub(crate) fn claimed(county: &Option<String>, alone: bool) -> Option<CountyRecord> {
+    county.as_ref().map(|c| CountyRecord {
         county: c.clone(),
         version: 0,
         alone,
@@ -80,7 +80,7 @@
 pub(crate) fn frame(job: &Job) -> usize {
     job.county
         .as_ref()
-        .map_or(0, |c| ClaimsRec::county(&c.county))
+        .map_or(0, |c| ClaimsRecord::county(&c.county))
 }
 
 /// The same of counts.
@@ -108,7 +108,7 @@
     }
 
     /// Counts a job's end, if it has a county.
-    pub fn add(&mut self, shard: &mut Shard, ix: JobIx, stage: Stage) -> Option<CountedRec> {
+    pub fn add(&mut self, shard: &mut Shard, ix: JobIx, stage: Stage) -> Option<CountedRecord> {
         let job = shard.jobs.get(ix)?.as_ref()?;
         let (county, class) = (
             job.county.as_ref()?.county.clone(),
@@ -122,7 +122,7 @@
         };
         let cell = shard.tally.counts.cell(&county, &class);
         Delta::add_to(&mut self.deltas, &cell, &count);
-        Some(CountedRec {
+        Some(CountedRecord {
             county: cell.county,
             class: cell.class,
         })
@@ -160,7 +160,7 @@
     }
 
     /// Whose work a job is, for the planner; numbers hold for this term.
-    pub fn tenant(&mut self, county: Option<&CountyRec>) -> plan::Tenant {
+    pub fn tenant(&mut self, county: Option<&CountyRecord>) -> plan::Tenant {
         let Some(c) = county else {
             return plan::Tenant::default();
         };
--- a/crates/control/src/documents/hours.rs
+++ b/crates/control/src/documents/hours.rs
@@ -17,7 +17,7 @@
 use wire::admin::{self, Whole};
 use wire::api::{Catalog, JobSpec, Kind as Shape, Stage};
 use wire::hours::{Ask, Line, List, Moved, Risk, State};
-use wire::records::{self, EndHourRec, HourRec, JobRec, MovedRec, Record};
+use wire::records::{self, EndHourRecord, HourRecord, JobRecord, MovedRecord, Record};
 
 /// Ended jobs that are remembered for lists.
 const ENDED: usize = 10_000;
@@ -97,7 +97,7 @@
 /// A job's hour in the leader's memory.
 #[derive(Debug, Clone)]
 pub(crate) struct Hour {
-    pub rec: HourRec,
+    pub rec: HourRecord,
     /// What was last said of it.
     said: State,
     /// When its job's end was written.
@@ -105,7 +105,7 @@
 }
 
 impl Hour {
-    pub fn new(rec: HourRec) -> Box<Hour> {
+    pub fn new(rec: HourRecord) -> Box<Hour> {
         Box::new(Hour {
             rec,
             said: State::Due,
@@ -118,7 +118,7 @@
     job: String,
     team: String,
     class: String,
-    hour: HourRec,
+    hour: HourRecord,
     state: State,
     late_s: Option<f64>,
 }
@@ -209,10 +209,10 @@
 }
 
 /// What the end of a job with an hour says of it.
-pub(crate) fn end_rec(job: &mut Job, ended_ms: u64) -> Option<EndHourRec> {
+pub(crate) fn end_rec(job: &mut Job, ended_ms: u64) -> Option<EndHourRecord> {
     let hour = job.hour.as_mut()?;
     hour.ended_ms = ended_ms;
-    Some(EndHourRec {
+    Some(EndHourRecord {
         due_ms: hour.rec.due_ms,
         ended_ms,
     })
@@ -220,7 +220,7 @@
 
 impl Node {
     /// The hour of a job that is accepted now, by the calendar in force. Services have none: they do not end.
-    pub(crate) fn hour_for(&self, spec: &JobSpec, accepted_ms: u64) -> Option<HourRec> {
+    pub(crate) fn hour_for(&self, spec: &JobSpec, accepted_ms: u64) -> Option<HourRecord> {
         let good = self.shared.documents.hours.good.as_ref()?;
         if spec.kind == Shape::Service {
             return None;
@@ -228,7 +228,7 @@
         let due = good
             .built
             .due(&spec.team, &spec.class, &spec.id, accepted_ms)?;
-        Some(HourRec {
+        Some(HourRecord {
             due_ms: due.at_ms,
             version: good.version,
             moved: None,
@@ -477,7 +477,7 @@
         let mut line = |job: &str,
                         team: &str,
                         class: &str,
-                        hour: &HourRec,
+                        hour: &HourRecord,
                         state: State,
                         late_s: Option<f64>| {
             let of = calendar.studio_of(team);
@@ -696,10 +696,10 @@
                 shard.hours.moves.push_front(hour);
                 return;
             }
-            let rec = JobRec {
+            let rec = JobRecord {
                 hour: Some(hour.rec(job, wall)),
                 county: job.county.clone(),
-                ..JobRec::new((**spec).clone(), job.at_ms, SHARD)
+                ..JobRecord::new((**spec).clone(), job.at_ms, SHARD)
             };
             // Counted in another form by the service, which takes somewhat more.
             if wire::encode(&rec).len() as f64 * 1.3 > value as f64 {
@@ -713,14 +713,14 @@
 }
 
 impl Move {
-    fn rec(&self, job: &Job, at_ms: u64) -> HourRec {
+    fn rec(&self, job: &Job, at_ms: u64) -> HourRecord {
         let from_ms = job.hour.as_ref().map_or(0, |h| h.rec.due_ms);
-        let moved = MovedRec {
+        let moved = MovedRecord {
             by: self.by.clone(),
             at_ms,
             from_ms,
         };
-        HourRec {
+        HourRecord {
             due_ms: self.due_ms,
             version: self.version,
             moved: Some(moved),
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -31,7 +31,7 @@
 use wire::admin::{self, ChangeOf, Changed, Refused, Shown};
 use wire::api::{Guard, Item, Range};
 use wire::http::Response;
-use wire::records::{self, Record, SharedRec};
+use wire::records::{self, Record, SharedRecord};
 
 /// What the watch of the heads has not said for so long may be otherwise: it is asked every five seconds.
 const STALE_MS: u64 = 6000;
@@ -137,7 +137,7 @@
     /// Writes beside the head, in its transaction.
     fn with_head(_draft: &mut Draft, _shard: &mut Shard, _version: u64) {}
     fn record(head: Head) -> Record {
-        Record::Document(records::HeadRec { document: head })
+        Record::Document(records::HeadRecord { document: head })
     }
 }
 
@@ -335,7 +335,7 @@
 
 impl Documents {
     /// A head that was read or watched.
-    pub fn head_seen(&mut self, key: &str, rec: &SharedRec, stamp: u64) {
+    pub fn head_seen(&mut self, key: &str, rec: &SharedRecord, stamp: u64) {
         let kind = key.strip_prefix(records::SHARED).and_then(KindId::named);
         if let (Some(kind), Some(head)) = (kind, &rec.document) {
             for_kind!(kind, K => K::doc_mut(self).head_seen(head.clone(), stamp));
@@ -544,7 +544,7 @@
     }
 
     /// The heads that a leader reads before its first start.
-    pub(crate) fn load_heads(&mut self, range: Range<SharedRec>) {
+    pub(crate) fn load_heads(&mut self, range: Range<SharedRecord>) {
         let all = &mut self.shared.documents;
         for item in &range.items {
             all.head_seen(&item.key, &item.value, item.version);
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -12,8 +12,8 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use wire::admin::{self, Edit, Question};
-use wire::records::{self, AllotmentRec, Record};
-use wire::tree::HeadRec;
+use wire::records::{self, AllotmentRecord, Record};
+use wire::tree::HeadRecord;
 
 pub(crate) struct Quota;
 
@@ -101,7 +101,7 @@
         let Some(allotment) = shard.allotment.clone() else {
             return;
         };
-        let allotment = AllotmentRec {
+        let allotment = AllotmentRecord {
             tree: version,
             ..allotment
         };
@@ -115,7 +115,7 @@
         draft.ops.push(Op::Allotment);
     }
     fn record(head: Head) -> Record {
-        Record::Quota(HeadRec { quota: head })
+        Record::Quota(HeadRecord { quota: head })
     }
 }
 
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -9,7 +9,7 @@
 use wire::api::{Conflict, ErrorBody, Guard, JobSpec, JobState, Stage, Txn, Write};
 use wire::http::{Request, Response};
 use wire::peer::{self, Answer, Ask};
-use wire::records::{self, JobRec, Record};
+use wire::records::{self, JobRecord, Record};
 use wire::submission::{self, Fault, Malformed};
 
 const CANCEL_TIMEOUT_MS: u64 = 3500;
@@ -138,7 +138,7 @@
             return self.malformed(asker, spec.id, fault);
         }
         // As it is without what is bound to it: a repeat must not be refused for a later document.
-        if !self.is_storable(&JobRec::new(spec.clone(), self.now.wall, SHARD)) {
+        if !self.is_storable(&JobRecord::new(spec.clone(), self.now.wall, SHARD)) {
             return self.malformed(asker, spec.id, Fault::body("too large to be kept"));
         }
         if let Some(state) = self.finals.get(&spec.id) {
--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -6,22 +6,22 @@
 use crate::leadership::election::SHARD;
 use std::collections::BTreeSet;
 use wire::api::{BODY_LIMIT, Catalog, JobSpec, Kind, MachineType};
-use wire::records::JobRec;
+use wire::records::JobRecord;
 
 /// Amounts that differ by less are equal, as for the planner.
 const EPS: f64 = 1e-6;
 
 impl Node {
     /// The record of a job accepted now, with all that is agreed for it from then on; or why it can never run.
-    pub(crate) fn judged(&self, spec: &JobSpec, wall: u64) -> Result<JobRec, &'static str> {
+    pub(crate) fn judged(&self, spec: &JobSpec, wall: u64) -> Result<JobRecord, &'static str> {
         self.within_limits(spec)?;
         let county = self.county_for(spec)?;
         let catalog = self.catalog().ok_or("machine types not known yet")?;
         has_places(spec, catalog, county.as_ref().map_or(&[], |c| &c.zones))?;
-        let rec = JobRec {
+        let rec = JobRecord {
             hour: self.hour_for(spec, wall),
             county,
-            ..JobRec::new(spec.clone(), wall, SHARD)
+            ..JobRecord::new(spec.clone(), wall, SHARD)
         };
         if self.is_storable(&rec) {
             Ok(rec)
@@ -31,7 +31,7 @@
     }
 
     /// Whether the state service takes the record. It counts in another form, which takes somewhat more.
-    pub(crate) fn is_storable(&self, rec: &JobRec) -> bool {
+    pub(crate) fn is_storable(&self, rec: &JobRecord) -> bool {
         let limit = (self.settings.cluster.state.value_kb * 1024.0).min(BODY_LIMIT as f64);
         wire::encode(rec).len() as f64 * 1.3 <= limit
     }
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -4,7 +4,7 @@
 use crate::{Asker, Node};
 use std::collections::{BTreeSet, HashMap};
 use wire::api::{JobSpec, JobState, Kind, Priority, Stage};
-use wire::records::{CountyRec, JobRec};
+use wire::records::{CountyRecord, JobRecord};
 
 pub(crate) type JobIx = usize;
 
@@ -103,7 +103,7 @@
     pub team: String,
     pub need: Need,
     /// Bound when it was accepted, or as its claims say.
-    pub county: Option<CountyRec>,
+    pub county: Option<CountyRecord>,
     /// The same for the planner.
     pub tenant: plan::Tenant,
     pub at_ms: u64,
@@ -141,7 +141,7 @@
 }
 
 impl Job {
-    pub fn new(rec: JobRec, version: u64) -> Self {
+    pub fn new(rec: JobRecord, version: u64) -> Self {
         let spec = rec.spec;
         let need = Need {
             cores: spec.cores,
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -8,7 +8,7 @@
 use wire::api::{Item, JobState, Stage};
 use wire::http::Response;
 use wire::peer::{self, Answer, Ask};
-use wire::records::{self, EndRec};
+use wire::records::{self, EndRecord};
 use wire::submission::Fault;
 
 /// Why a job's state is looked up.
@@ -219,10 +219,10 @@
             r => return self.unread(q, r.map(|r| r.status)),
         };
         if r.status == 200 {
-            let Some(item) = self.read::<Item<EndRec>>("state service", &r) else {
+            let Some(item) = self.read::<Item<EndRecord>>("state service", &r) else {
                 return self.unanswered(&q, "unreadable record");
             };
-            let EndRec { stage, done, .. } = item.value;
+            let EndRecord { stage, done, .. } = item.value;
             return self.tell(
                 q.asker,
                 JobState {
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -8,7 +8,7 @@
 use wire::api::{Catalog, Changes, Grant, GrantRequest, Guard, Range, Txn, Write};
 use wire::http::Response;
 use wire::peer::Ask;
-use wire::records::{self, LeaderRecord, Record, SharedRec, TokenRec};
+use wire::records::{self, LeaderRecord, Record, SharedRecord, TokenRecord};
 
 /// The one part of this version.
 pub(crate) const SHARD: records::ShardId = 0;
@@ -214,7 +214,7 @@
         self.shared.busy = false;
         let range = response
             .filter(|r| r.status == 200)
-            .and_then(|r| self.read::<Range<SharedRec>>("state service", &r));
+            .and_then(|r| self.read::<Range<SharedRecord>>("state service", &r));
         let Some(range) = range else {
             self.shared.retry_at = self.now.mono + self.rng.u64(200..500);
             return;
@@ -247,7 +247,7 @@
             self.shared.retry_at = self.now.mono + self.rng.u64(200..500);
             return;
         }
-        let Some(changes) = self.read::<Changes<SharedRec>>("state service", &response) else {
+        let Some(changes) = self.read::<Changes<SharedRecord>>("state service", &response) else {
             return self.reread_shared(1000);
         };
         for change in changes.events {
@@ -262,7 +262,7 @@
         self.leader_observed();
     }
 
-    fn shared_put(&mut self, key: &str, rec: SharedRec, version: u64) {
+    fn shared_put(&mut self, key: &str, rec: SharedRecord, version: u64) {
         if rec.document.is_some() {
             self.shared.documents.head_seen(key, &rec, version);
         } else if key == records::TOKEN {
@@ -387,7 +387,7 @@
                     value: Box::new(Record::Leader(leader)),
                     lease: Some(lease),
                 },
-                Write::put(records::TOKEN.into(), Record::Token(TokenRec { token })),
+                Write::put(records::TOKEN.into(), Record::Token(TokenRecord { token })),
             ],
         };
         self.writes.take(self.now.mono, 2.0);
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -15,7 +15,7 @@
 use wire::http::{Request, Response};
 use wire::models::{DEMAND, Demand, Told};
 use wire::peer::{self, Answer, Ask};
-use wire::records::{self, JobRec, Record};
+use wire::records::{self, JobRecord, Record};
 
 const TIMEOUT_MS: u64 = 900;
 const FORWARD_TIMEOUT_MS: u64 = 3000;
@@ -218,7 +218,7 @@
         let status = response.as_ref().map(|r| r.status);
         match (step, status) {
             (Step::Job, Some(200)) => {
-                let item = response.and_then(|r| self.read::<Item<JobRec>>("state service", &r));
+                let item = response.and_then(|r| self.read::<Item<JobRecord>>("state service", &r));
                 let Some(item) = item else {
                     return self.flight_fails(&model, 503, "unreadable record");
                 };
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{Catalog, HireRequest, ListedMachine, MachineList, MachineNames};
 use wire::http::Response;
-use wire::records::RentalRec;
+use wire::records::RentalRecord;
 
 const CLOUD_TIMEOUT_MS: u64 = 5000;
 const STAND_BACK_MEMORY_MS: u64 = 180_000;
@@ -87,7 +87,7 @@
         }
         let Some(shard) = &mut self.shard else { return };
         // Rentals that are recorded; the same name again until there is an answer.
-        let ready: Vec<(String, RentalRec)> = shard
+        let ready: Vec<(String, RentalRecord)> = shard
             .rentals
             .iter()
             .filter(|(_, h)| h.state == RentalState::Recorded && !h.busy && h.retry_at <= now)
@@ -231,7 +231,7 @@
         let serial = shard.next_serial();
         let name = format!("r-{SHARD}-{}-{serial}", shard.token);
         log::info!("rental {name}: {count} of {machine_type} in {zone}, spot {spot}");
-        let rec = RentalRec {
+        let rec = RentalRecord {
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -400,7 +400,7 @@
 mod tests {
     use super::*;
     use wire::api::Priority;
-    use wire::records::JobRec;
+    use wire::records::JobRecord;
 
     fn spec(id: u32, team: &str, tasks: u32, cores: f64, gpus: f64) -> JobSpec {
         JobSpec {
@@ -466,7 +466,7 @@
         let mut shard = Shard::new(1, 1, 0, 16.0);
         for i in 0..100_000u32 {
             let spec = spec(i, &teams[i as usize % 10_000].name, 2, 1.0, 0.0);
-            shard.add_job(Job::new(JobRec::new(spec, u64::from(i), 0), 1));
+            shard.add_job(Job::new(JobRecord::new(spec, u64::from(i), 0), 1));
         }
         shard.take_touched();
         let mut counted = Counted::new(&shard, tree);
@@ -586,7 +586,7 @@
         ];
         for (i, (team, tasks, cores, gpus, _)) in jobs.iter().enumerate() {
             let spec = spec(i as u32, team, *tasks, *cores, *gpus);
-            shard.add_job(Job::new(JobRec::new(spec, i as u64, 0), 1));
+            shard.add_job(Job::new(JobRecord::new(spec, i as u64, 0), 1));
         }
         let within = within_guarantee(&shard, &open_jobs(&shard), &teams);
         for (i, (team, .., expected)) in jobs.iter().enumerate() {
@@ -631,7 +631,7 @@
                 let team = ["a", "b", "c"][rng.usize(0..3)];
                 let (tasks, cores) = (rng.u32(1..5), [0.1111, 1.0, 6.0][rng.usize(0..3)]);
                 let spec = spec(i, team, tasks, cores, f64::from(rng.u32(0..3)));
-                shard.add_job(Job::new(JobRec::new(spec, u64::from(i), 0), 1));
+                shard.add_job(Job::new(JobRecord::new(spec, u64::from(i), 0), 1));
             }
             let without = holds(&mut shard, &teams, None, &index);
             let with = holds(&mut shard, &teams, Some(&good), &index);
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -15,7 +15,8 @@
 use wire::api::{Conflict, Guard, Item, JobState, Revision, Txn, Write};
 use wire::http::Response;
 use wire::records::{
-    self, ClaimsRec, DoneRec, EndRec, InventoryRecord, KindRec, LogRec, Record, TokenRec,
+    self, ClaimsRecord, DoneRecord, EndRecord, InventoryRecord, KindRecord, LogRecord, Record,
+    TokenRecord,
 };
 
 pub(crate) enum Op {
@@ -130,7 +131,7 @@
         self.put(
             records::end_key(&id),
             0,
-            Record::End(EndRec {
+            Record::End(EndRecord {
                 stage,
                 done,
                 hour,
@@ -157,11 +158,11 @@
                 return false;
             };
             let known = entries.contains_key(&(id.job, id.attempt));
-            let more = ClaimsRec::entry(&machine.name)
+            let more = ClaimsRecord::entry(&machine.name)
                 + if known {
                     0
                 } else {
-                    ClaimsRec::frame(&job.id, &job.team)
+                    ClaimsRecord::frame(&job.id, &job.team)
                         + crate::documents::county_counts::frame(job)
                 };
             if size + more > value {
@@ -222,9 +223,9 @@
                 log.claims.push(id);
             }
         }
-        let mut rec = LogRec {
+        let mut rec = LogRecord {
             ended: log.ended.clone(),
-            ..LogRec::default()
+            ..LogRecord::default()
         };
         for ((ix, attempt), on) in entries {
             let Some(job) = shard.job(ix) else { continue };
@@ -240,7 +241,7 @@
                         .map(|(first, n)| (machine.name.clone(), first, n)),
                 );
             }
-            rec.claims.push(ClaimsRec {
+            rec.claims.push(ClaimsRecord {
                 job: job.id.clone(),
                 team: job.team.clone(),
                 cores: job.need.cores,
@@ -272,8 +273,8 @@
                 job.unsaved.iter().copied().collect()
             };
             let mut list = records::ranges(tasks.iter().copied());
-            let frame = size + DoneRec::frame(&job.id);
-            let fits = value.saturating_sub(frame) / DoneRec::ENTRY;
+            let frame = size + DoneRecord::frame(&job.id);
+            let fits = value.saturating_sub(frame) / DoneRecord::ENTRY;
             if fits == 0 || (all && list.len() > fits) {
                 continue;
             }
@@ -284,9 +285,9 @@
             } else if !all {
                 shard.ledger.unsaved.remove(&ix);
             }
-            size = frame + list.len() * DoneRec::ENTRY;
+            size = frame + list.len() * DoneRecord::ENTRY;
             let id = shard.job(ix).map(|j| j.id.clone()).unwrap_or_default();
-            rec.done.push(DoneRec {
+            rec.done.push(DoneRecord {
                 job: id,
                 tasks: list,
             });
@@ -322,7 +323,7 @@
             .iter()
             .filter_map(|m| shard.machine(*m))
         {
-            let same = |k: &&mut KindRec| {
+            let same = |k: &&mut KindRecord| {
                 k.machine_type == machine.machine_type
                     && k.zone == machine.zone
                     && k.spot == machine.spot
@@ -330,7 +331,7 @@
             let entry = (machine.name.clone(), machine.rented_ms);
             match rec.kinds.iter_mut().find(same) {
                 Some(kind) => kind.machines.push(entry),
-                None => rec.kinds.push(KindRec {
+                None => rec.kinds.push(KindRecord {
                     machine_type: machine.machine_type.clone(),
                     zone: machine.zone.clone(),
                     spot: machine.spot,
@@ -494,7 +495,7 @@
             d.put(
                 records::TOKEN.into(),
                 shared_token.1,
-                Record::Token(TokenRec { token }),
+                Record::Token(TokenRecord { token }),
             );
             d.ops.push(Op::Token(token));
             shard.commit.raised_at = now;
--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -3,7 +3,7 @@
 use crate::{Dest, Node, Pending};
 use wire::api::Changes;
 use wire::http::Response;
-use wire::records::{self, JobRec};
+use wire::records::{self, JobRecord};
 
 impl Node {
     pub(crate) fn watch_live(&mut self) {
@@ -37,7 +37,7 @@
             410 => return self.step_down("too many changes were missed; reading everything again"),
             _ => return,
         }
-        let Some(changes) = self.read::<Changes<JobRec>>("state service", &response) else {
+        let Some(changes) = self.read::<Changes<JobRecord>>("state service", &response) else {
             return;
         };
         for change in changes.events {
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -11,7 +11,7 @@
 use wire::api::{Item, Range};
 use wire::http::Response;
 use wire::records::{
-    self, AllotmentRec, InventoryRecord, JobRec, LogRec, RentalRec, TeamAllotment,
+    self, AllotmentRecord, InventoryRecord, JobRecord, LogRecord, RentalRecord, TeamAllotment,
 };
 
 /// What is read one after the other after a take-over.
@@ -31,7 +31,7 @@
 
 impl Shard {
     /// Takes in a log record of earlier leaders.
-    fn load_segment(&mut self, number: u64, version: u64, rec: LogRec) {
+    fn load_segment(&mut self, number: u64, version: u64, rec: LogRecord) {
         let mut segment = Segment {
             version,
             ..Segment::default()
@@ -223,7 +223,7 @@
         range.more && !range.items.is_empty()
     }
 
-    fn load_jobs(&mut self, range: Range<JobRec>) -> bool {
+    fn load_jobs(&mut self, range: Range<JobRecord>) -> bool {
         let more = self.page_end(&range);
         for Item { value, version, .. } in range.items {
             self.job_known(value, version);
@@ -269,7 +269,7 @@
         more
     }
 
-    fn load_log(&mut self, range: Range<LogRec>) -> bool {
+    fn load_log(&mut self, range: Range<LogRecord>) -> bool {
         let more = self.page_end(&range);
         let prefix = records::log_prefix(SHARD);
         let Some(shard) = &mut self.shard else {
@@ -291,7 +291,7 @@
         more
     }
 
-    fn load_rentals(&mut self, range: Range<RentalRec>) -> bool {
+    fn load_rentals(&mut self, range: Range<RentalRecord>) -> bool {
         let more = self.page_end(&range);
         let prefix = records::rentals_prefix(SHARD);
         let Some(shard) = &mut self.shard else {
@@ -317,7 +317,7 @@
         more
     }
 
-    fn load_allotment(&mut self, range: Range<AllotmentRec>) -> bool {
+    fn load_allotment(&mut self, range: Range<AllotmentRecord>) -> bool {
         let Some(shard) = &mut self.shard else {
             return false;
         };
@@ -333,7 +333,7 @@
     }
 
     /// The only part has all of every team's limit. Written down all the same: limits are kept by the record.
-    pub(crate) fn whole_allotment(&self) -> AllotmentRec {
+    pub(crate) fn whole_allotment(&self) -> AllotmentRecord {
         let teams = self.settings.cluster.teams.iter();
         let teams = teams
             .map(|t| TeamAllotment {
@@ -349,7 +349,7 @@
             .and_then(|p| p.allotment.as_ref())
             .map_or(0, |a| a.tree);
         let value = value_limit(self.settings.cluster.state.value_kb);
-        AllotmentRec::whole(
+        AllotmentRecord::whole(
             teams,
             self.shared.documents.quota.version().unwrap_or(recorded),
             value,
@@ -388,7 +388,7 @@
         self.watch_live();
     }
 
-    pub(crate) fn job_known(&mut self, rec: JobRec, version: u64) {
+    pub(crate) fn job_known(&mut self, rec: JobRecord, version: u64) {
         // The watch may lag behind our own end of the job.
         if self.finals.get(&rec.spec.id).is_some() {
             return;
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -7,10 +7,10 @@
 use crate::store::recovery::Load;
 use crate::{Asker, Node};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use wire::records::{AllotmentRec, RentalRec};
+use wire::records::{AllotmentRecord, RentalRecord};
 
 pub(crate) struct Rental {
-    pub rec: RentalRec,
+    pub rec: RentalRecord,
     pub version: u64,
     /// The request is out.
     pub busy: bool,
@@ -108,10 +108,10 @@
     pub plan_stopped_at: Option<JobIx>,
     pub catalog_dirty: bool,
     /// What our teams may use, as recorded, and its version; nothing is started before it is known.
-    pub allotment: Option<AllotmentRec>,
+    pub allotment: Option<AllotmentRecord>,
     pub allotment_version: u64,
     /// The allotment that is to be written down instead.
-    pub allotment_wanted: Option<AllotmentRec>,
+    pub allotment_wanted: Option<AllotmentRecord>,
     /// Jobs that may have changed since the last plan.
     touched: Vec<JobIx>,
     /// Jobs that are not wanted any more and still have claims.
--- a/crates/control/tests/odd_requests.rs
+++ b/crates/control/tests/odd_requests.rs
@@ -383,7 +383,7 @@
         history: Vec::new(),
     };
     let item = |key: String, v: Value| json!({"key": key, "v": v, "stamp": 30 + version});
-    let stored = |(name, shard): (String, wire::tree::PartRec)| {
+    let stored = |(name, shard): (String, wire::tree::PartRecord)| {
         item(
             format!("{}{name}", wire::records::QUOTA_PARTS),
             serde_json::to_value(shard).expect("JSON"),
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -26,7 +26,7 @@
 //! | `Delegation` | `lease delegate::Delegation`; `except` is whether the worker's machine is in `LeaseDelegation::except` |
 //! | `Rec`, `counter` | the leader record with its lease, and the token record (`wire::records`) |
 //! | `Rec::own_life` | the record's `incarnation` is the mark of its node's present life (`incarnation`) |
-//! | `ended` | the `EndRec` of the job stands |
+//! | `ended` | the `EndRecord` of the job stands |
 //! | `Out` | an answer that a worker waits for, its leader's own or by way of a peer (`relay`): it outlives who gave it |
 //!
 //! Left out: starts, reaps and proofs of absence (no task runs twice by other rules, played in `standins`); zones, so
--- a/crates/gateway/src/book/apps.rs
+++ b/crates/gateway/src/book/apps.rs
@@ -2,7 +2,7 @@
 
 use super::{App, Asked, Book, Groups, Native, Surface, Told, Waiter, Want};
 use crate::queues::Queue;
-use crate::records::{self, AppRec, Ending, Stage, cut};
+use crate::records::{self, AppRecord, Ending, Stage, cut};
 use crate::{Act, Cx, token};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -129,7 +129,7 @@
 }
 
 impl App {
-    pub(super) fn new(rec: AppRec, parts: Vec<String>) -> App {
+    pub(super) fn new(rec: AppRecord, parts: Vec<String>) -> App {
         App {
             described: rec.parts,
             rec,
@@ -171,7 +171,7 @@
 }
 
 /// The job of tasks of one size.
-pub(super) fn task(cx: Cx<'_>, rec: &AppRec, size: Size, group: u32, tasks: u32) -> JobSpec {
+pub(super) fn task(cx: Cx<'_>, rec: &AppRecord, size: Size, group: u32, tasks: u32) -> JobSpec {
     let work = &cx.config.work;
     JobSpec {
         id: job_id(rec.id, group),
@@ -352,7 +352,7 @@
             .node_label_expression
             .clone()
             .filter(|l| !l.is_empty());
-        let rec = AppRec {
+        let rec = AppRecord {
             id,
             user: user.to_owned(),
             name: text(&context.application_name, "N/A", records::SHORT),
@@ -835,7 +835,7 @@
     // ---- going out ----
 
     /// Who may change an application: its user, and those who administer its queue.
-    pub(super) fn may_change(&self, cx: Cx<'_>, user: &str, rec: &AppRec) -> Result<(), Fault> {
+    pub(super) fn may_change(&self, cx: Cx<'_>, user: &str, rec: &AppRecord) -> Result<(), Fault> {
         let administers = |q: &Queue| self.queues.may_administer(cx.config, q, user);
         if rec.user == user
             || cx.config.admins.contains(user)
--- a/crates/gateway/src/book/clients.rs
+++ b/crates/gateway/src/book/clients.rs
@@ -453,7 +453,7 @@
     })
 }
 
-fn web_reply(form: Form, told: Told, id: &str, rec: &crate::records::AppRec) -> Reply {
+fn web_reply(form: Form, told: Told, id: &str, rec: &crate::records::AppRecord) -> Reply {
     let state = super::views::state_name(rec.stage.proto());
     match told {
         Told::Submitted => {
--- a/crates/gateway/src/book/containers.rs
+++ b/crates/gateway/src/book/containers.rs
@@ -12,7 +12,7 @@
 use super::apps::{Size, job_id, task};
 use super::{App, Asked, Book, Want};
 use crate::Cx;
-use crate::records::AppRec;
+use crate::records::AppRecord;
 use roaring::RoaringBitmap;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::api::JobSpec;
@@ -205,7 +205,7 @@
     }
 
     /// The job of a group.
-    pub fn job(&self, cx: Cx<'_>, rec: &AppRec, group: u32) -> Option<JobSpec> {
+    pub fn job(&self, cx: Cx<'_>, rec: &AppRecord, group: u32) -> Option<JobSpec> {
         let g = self.all.get(&group)?;
         let spec = task(cx, rec, g.shape.size, group, g.tasks);
         Some(JobSpec {
--- a/crates/gateway/src/book/drains.rs
+++ b/crates/gateway/src/book/drains.rs
@@ -4,7 +4,7 @@
 use super::{Book, Key, Told, Waiter};
 use crate::Cx;
 use crate::queues::{Queue, ROOT};
-use crate::records::{self, Drain, DrainRec};
+use crate::records::{self, Drain, DrainRecord};
 use std::collections::BTreeMap;
 use yarn::error::{Class, Fault};
 
@@ -91,7 +91,7 @@
         Some(drain.until_ms.is_some_and(|t| cx.now.wall >= t))
     }
 
-    pub(super) fn drain_saved(&mut self, rec: DrainRec) {
+    pub(super) fn drain_saved(&mut self, rec: DrainRecord) {
         self.drained = rec;
         for waiter in std::mem::take(&mut self.drain_waiters) {
             debug_assert_eq!(waiter.told, Told::Drained);
--- a/crates/gateway/src/book/mod.rs
+++ b/crates/gateway/src/book/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::call::{Call, Reply, What};
 use crate::queues::Queues;
-use crate::records::{self, AppRec, ClusterRec, DrainRec};
+use crate::records::{self, AppRecord, ClusterRecord, DrainRecord};
 use crate::token::{KEY_LIFE_MS, Keys};
 use crate::{Act, Cx};
 use containers::Groups;
@@ -67,9 +67,9 @@
 }
 
 pub(crate) struct App {
-    rec: AppRec,
+    rec: AppRecord,
     /// What is recorded; none yet for a new one.
-    saved: Option<AppRec>,
+    saved: Option<AppRecord>,
     version: u64,
     /// Parts of the description that are not written yet.
     parts: Vec<String>,
@@ -136,11 +136,11 @@
 pub struct Book {
     term: u64,
     phase: Phase,
-    cluster: ClusterRec,
+    cluster: ClusterRecord,
     cluster_version: u64,
-    drain: DrainRec,
+    drain: DrainRecord,
     /// What of the drains is recorded.
-    drained: DrainRec,
+    drained: DrainRecord,
     drain_version: u64,
     drain_waiters: Vec<Waiter>,
     /// Deadlines of drains up to this time of day were looked at.
@@ -181,10 +181,10 @@
                 tag: None,
                 again_at: 0,
             },
-            cluster: ClusterRec::default(),
+            cluster: ClusterRecord::default(),
             cluster_version: 0,
-            drain: DrainRec::default(),
-            drained: DrainRec::default(),
+            drain: DrainRecord::default(),
+            drained: DrainRecord::default(),
             drain_version: 0,
             drain_waiters: Vec::new(),
             deadlines_at: 0,
@@ -398,21 +398,21 @@
                 Err(e) => damaged(e),
             }
         } else if key == records::DRAIN {
-            match serde_json::from_value::<DrainRec>(value) {
+            match serde_json::from_value::<DrainRecord>(value) {
                 Ok(rec) => {
                     (self.drain, self.drained, self.drain_version) = (rec.clone(), rec, version)
                 }
                 Err(e) => damaged(e),
             }
         } else if key.starts_with(records::APPS) {
-            match serde_json::from_value::<AppRec>(value) {
+            match serde_json::from_value::<AppRecord>(value) {
                 Ok(rec) => self.app_loaded(rec, version),
                 Err(e) => damaged(e),
             }
         }
     }
 
-    fn app_loaded(&mut self, rec: AppRec, version: u64) {
+    fn app_loaded(&mut self, rec: AppRecord, version: u64) {
         let id = rec.id;
         if !rec.stage.is_final() {
             self.live += 1;
@@ -464,7 +464,7 @@
         self.flush(cx);
     }
 
-    fn cluster_saved(&mut self, cx: Cx<'_>, rec: &ClusterRec) {
+    fn cluster_saved(&mut self, cx: Cx<'_>, rec: &ClusterRecord) {
         self.granted = self.granted.max(rec.given);
         for waiter in std::mem::take(&mut self.id_waiters) {
             self.new_id(cx, waiter);
--- a/crates/gateway/src/book/store.rs
+++ b/crates/gateway/src/book/store.rs
@@ -2,7 +2,7 @@
 //! changes are sent again until one is known to have been applied; a conflict has the book read anew.
 
 use super::Book;
-use crate::records::{self, AppRec, ClusterRec, DrainRec};
+use crate::records::{self, AppRecord, ClusterRecord, DrainRecord};
 use crate::{Act, Cx};
 use control::frontend::{self, Answer, Ask, Change};
 use serde::Serialize;
@@ -21,9 +21,9 @@
 
 /// What a record held when it was sent.
 enum Sent {
-    Cluster(Box<ClusterRec>),
-    Drain(DrainRec),
-    App(u32, Box<AppRec>),
+    Cluster(Box<ClusterRecord>),
+    Drain(DrainRecord),
+    App(u32, Box<AppRecord>),
     /// Parts of an application's description, the first so many.
     Parts(u32, usize),
     /// The last so many of them are taken away.
--- a/crates/gateway/src/book/views.rs
+++ b/crates/gateway/src/book/views.rs
@@ -2,7 +2,7 @@
 
 use super::{App, Book};
 use crate::queues::{Queue, ROOT};
-use crate::records::{AppRec, Stage};
+use crate::records::{AppRecord, Stage};
 use crate::{Cx, token};
 use std::collections::HashMap;
 use yarn::proto::*;
@@ -45,7 +45,7 @@
 
 impl App {
     /// What is recorded; what is about to be, for one that is not yet.
-    pub(super) fn shown(&self) -> &AppRec {
+    pub(super) fn shown(&self) -> &AppRecord {
         self.saved.as_ref().unwrap_or(&self.rec)
     }
 
@@ -63,7 +63,7 @@
 }
 
 impl Book {
-    pub(super) fn attempt_id(&self, rec: &AppRec, attempt: u32) -> ApplicationAttemptId {
+    pub(super) fn attempt_id(&self, rec: &AppRecord, attempt: u32) -> ApplicationAttemptId {
         token::attempt_id(self.cluster.stamp, rec.id, attempt)
     }
 
--- a/crates/gateway/src/records.rs
+++ b/crates/gateway/src/records.rs
@@ -33,7 +33,7 @@
 
 /// The deployment as its clients know it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct ClusterRec {
+pub struct ClusterRecord {
     /// Milliseconds since 1970 of the first start; part of every id.
     pub stamp: i64,
     /// Ids up to this one may have been given.
@@ -45,7 +45,7 @@
 
 /// What takes no new work.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct DrainRec {
+pub struct DrainRecord {
     /// Queue path (`root` is the whole service) to what was asked.
     pub queues: BTreeMap<String, Drain>,
     /// Machines that get no further containers.
@@ -91,7 +91,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct AppRec {
+pub struct AppRecord {
     pub id: u32,
     pub user: String,
     pub name: String,
--- a/crates/standins/src/counties.rs
+++ b/crates/standins/src/counties.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 use wire::api::Stage;
-use wire::records::{CountyRec, EndRec, JobRec, LogRec};
+use wire::records::{CountyRecord, EndRecord, JobRecord, LogRecord};
 
 /// Done jobs, cancelled jobs, done tasks.
 type Sums = BTreeMap<(String, String), [u64; 3]>;
@@ -17,7 +17,7 @@
     /// Changes that were looked at.
     at: usize,
     /// Jobs with their first binding and their class.
-    pub bound: BTreeMap<String, (CountyRec, String)>,
+    pub bound: BTreeMap<String, (CountyRecord, String)>,
     pub ended: BTreeMap<String, (Stage, u32)>,
     sums: Sums,
     /// The version in force, and whether it has counties.
@@ -83,7 +83,7 @@
         // Nearly all puts have nothing to do with counties.
         let of_county = |job: &str| self.bound.contains_key(job) || value.get("county").is_some();
         if let Some(job) = key.strip_prefix("live/").filter(|j| of_county(j)) {
-            let rec = JobRec::deserialize_from(value).map_err(read)?;
+            let rec = JobRecord::deserialize_from(value).map_err(read)?;
             if let Some(county) = rec.county {
                 let new = (county, rec.spec.class);
                 let old = self
@@ -95,7 +95,7 @@
                 }
             }
         } else if let Some(job) = key.strip_prefix("end/").filter(|j| of_county(j)) {
-            let rec = EndRec::deserialize_from(value).map_err(read)?;
+            let rec = EndRecord::deserialize_from(value).map_err(read)?;
             self.ended.insert(job.to_owned(), (rec.stage, rec.done));
             let bound = self
                 .bound
@@ -118,7 +118,7 @@
         } else if key.starts_with("part/0/tally/") {
             self.folds += 1;
         } else if key.starts_with("part/0/log/") && value.get("ended").is_some() {
-            let rec = LogRec::deserialize_from(value).map_err(read)?;
+            let rec = LogRecord::deserialize_from(value).map_err(read)?;
             self.only_counts += u64::from(rec.claims.is_empty() && rec.done.is_empty());
         }
         Ok(())
@@ -207,7 +207,7 @@
             .next()
             .and_then(|n| u64::from_str_radix(n, 16).ok())
             .unwrap_or(0);
-        let Ok(rec) = LogRec::deserialize_from(&entry.value) else {
+        let Ok(rec) = LogRecord::deserialize_from(&entry.value) else {
             continue;
         };
         for (cell, more) in rec
--- a/crates/standins/src/hours.rs
+++ b/crates/standins/src/hours.rs
@@ -5,7 +5,7 @@
 use hours::{Around, Calendar, Spec};
 use serde_json::Value;
 use std::collections::BTreeMap;
-use wire::records::{EndRec, HourRec, JobRec, SharedRec};
+use wire::records::{EndRecord, HourRecord, JobRecord, SharedRecord};
 
 /// The first calendar has reached all nodes after this time, and what was sent before has landed.
 const UNHEARD_MS: u64 = 20_000;
@@ -21,7 +21,7 @@
     /// When the first came.
     since: u64,
     /// The last hour of each job that was accepted.
-    pub hours: BTreeMap<String, Option<HourRec>>,
+    pub hours: BTreeMap<String, Option<HourRecord>>,
     pub moves: usize,
     /// Ended jobs, and whether their hour was kept.
     pub kept: BTreeMap<String, bool>,
@@ -47,7 +47,9 @@
         if let Some(name) = key.strip_prefix("hours/part/") {
             self.parts.insert(name.to_owned(), read(key, value)?);
         } else if key == "sys/hours" {
-            let head = read::<SharedRec>(key, value)?.document.ok_or("no head")?;
+            let head = read::<SharedRecord>(key, value)?
+                .document
+                .ok_or("no head")?;
             let spec: Spec = document::join(&head, &self.parts)?;
             let built = Calendar::build(&spec, &Around::default()).map_err(|f| f[0].to_string())?;
             self.calendars.insert(head.version, built);
@@ -60,7 +62,7 @@
             let Some(Some(hour)) = self.hours.get(job) else {
                 return Ok(());
             };
-            let end = read::<EndRec>(key, value)?
+            let end = read::<EndRecord>(key, value)?
                 .hour
                 .ok_or(format!("{job} ended without its hour"))?;
             if end.due_ms != hour.due_ms {
@@ -74,13 +76,13 @@
         Ok(())
     }
 
-    fn job(&mut self, job: &str, rec: JobRec, now: u64) -> Result<(), String> {
+    fn job(&mut self, job: &str, rec: JobRecord, now: u64) -> Result<(), String> {
         let Some(old) = self.hours.insert(job.to_owned(), rec.hour.clone()) else {
             let (version, calendar) = self.calendars.last_key_value().ok_or("no calendar")?;
             let spec = &rec.spec;
             let due = calendar.due(&spec.team, &spec.class, job, rec.at_ms);
             let due = due.filter(|_| spec.kind != wire::api::Kind::Service);
-            let hour = due.map(|d| HourRec {
+            let hour = due.map(|d| HourRecord {
                 due_ms: d.at_ms,
                 version: *version,
                 moved: None,
--- a/crates/standins/src/loopback.rs
+++ b/crates/standins/src/loopback.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use wire::api::{Catalog, Cause, JobSpec, Kind, Orders, Redirect, TaskStage};
 use wire::http::{self, Response};
-use wire::records::{EndRec, JobRec};
+use wire::records::{EndRecord, JobRecord};
 
 /// One request, one answer, one connection. `None` if none came.
 pub fn ask(
@@ -198,7 +198,7 @@
                 let Some(live) = i.state.keys.get(&wire::records::live_key(job)) else {
                     continue;
                 };
-                let rec = serde_json::from_value::<JobRec>(live.value.clone());
+                let rec = serde_json::from_value::<JobRecord>(live.value.clone());
                 if let Some(rec) = rec.ok().filter(|_| wire::ids::reserved_job_id(job)) {
                     out.push((rec.spec, task, t.attempt, w.name.clone(), w.zone.clone()));
                 }
@@ -252,7 +252,7 @@
         Some(leader)
     }
 
-    pub fn end_of(&self, job: &str) -> Option<EndRec> {
+    pub fn end_of(&self, job: &str) -> Option<EndRecord> {
         serde_json::from_value(
             self.lock()
                 .state
@@ -337,7 +337,7 @@
     /// What workers know of submitted jobs: fetch and run time.
     fn runs(&self, state: &State, has_runners: bool) -> BTreeMap<String, (u64, u64)> {
         let live = state.keys.iter().filter(|(k, _)| k.starts_with("live/"));
-        live.filter_map(|(_, e)| serde_json::from_value::<JobRec>(e.value.clone()).ok())
+        live.filter_map(|(_, e)| serde_json::from_value::<JobRecord>(e.value.clone()).ok())
             .map(|r| {
                 // Services run on, and so does what a runner stands on, if there are any here.
                 let on = r.spec.kind == Kind::Service
--- a/crates/standins/src/scene.rs
+++ b/crates/standins/src/scene.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use wire::admin::{Change, Edit};
 use wire::api::{JobSpec, Kind, Priority};
-use wire::tree::{Head, HeadRec, PartRec};
+use wire::tree::{Head, HeadRecord, PartRecord};
 
 /// A team of the settings: GPUs that it is guaranteed, and may use at most (0 for any number).
 #[derive(Debug, Clone)]
@@ -100,14 +100,14 @@
     /// The tree that stands in the state service; if its bounds were raised by sabotage, as it should be.
     pub fn tree_in(&self, state: &State, raised: bool) -> Result<(u64, Tree), String> {
         let read =
-            |v: &Value| serde_json::from_value::<HeadRec>(v.clone()).map_err(|e| e.to_string());
+            |v: &Value| serde_json::from_value::<HeadRecord>(v.clone()).map_err(|e| e.to_string());
         let entry = state.keys.get(wire::records::QUOTA);
         let head = entry.map_or(Ok(Head::default()), |e| read(&e.value).map(|r| r.quota))?;
         let parts = state.keys.iter().filter_map(|(k, e)| {
             let name = k.strip_prefix(wire::records::QUOTA_PARTS)?;
             Some((
                 name.to_owned(),
-                serde_json::from_value::<PartRec>(e.value.clone()).ok()?,
+                serde_json::from_value::<PartRecord>(e.value.clone()).ok()?,
             ))
         });
         let mut spec = wire::tree::join(&head, &parts.collect())?;
--- a/crates/standins/src/world/wires.rs
+++ b/crates/standins/src/world/wires.rs
@@ -201,7 +201,7 @@
             if !wire::ids::reserved_job_id(job) {
                 continue;
             }
-            let Ok(rec) = serde_json::from_value::<wire::records::JobRec>(w["v"].clone()) else {
+            let Ok(rec) = serde_json::from_value::<wire::records::JobRecord>(w["v"].clone()) else {
                 continue;
             };
             self.yarn.checks.accepted(job);
--- a/crates/standins/tests/hours.rs
+++ b/crates/standins/tests/hours.rs
@@ -6,7 +6,7 @@
 use standins::scene::{Scene, Timed, array};
 use standins::world::{Plan, World};
 use wire::api::{Kind, Write};
-use wire::records::{HourRec, JobRec, Record};
+use wire::records::{HourRecord, JobRecord, Record};
 
 const PATH: &str = "/admin/hours";
 
@@ -172,9 +172,9 @@
     let mut world = World::new(Plan::of_scene(1, 3, scene, 0, 300_000));
     world.run_for(60_000);
     let live = &world.state.keys["live/job-001000"].value;
-    let mut rec: JobRec = serde_json::from_value(live.clone()).expect("a job");
+    let mut rec: JobRecord = serde_json::from_value(live.clone()).expect("a job");
     let hour = rec.hour.clone().expect("an hour");
-    rec.hour = Some(HourRec {
+    rec.hour = Some(HourRecord {
         due_ms: hour.due_ms + 60_000,
         ..hour
     });
--- a/crates/standins/tests/quotas.rs
+++ b/crates/standins/tests/quotas.rs
@@ -461,7 +461,7 @@
             parts,
             history: vec![],
         };
-        let bad = wire::records::Record::Quota(wire::tree::HeadRec { quota });
+        let bad = wire::records::Record::Quota(wire::tree::HeadRecord { quota });
         world.write(wire::api::Write::put(wire::records::QUOTA.into(), bad));
         world.run_for(30_000);
         assert!(
--- a/crates/wire/src/hours.rs
+++ b/crates/wire/src/hours.rs
@@ -1,6 +1,6 @@
 //! What operators ask of release hours beside the calendar itself, and what they are told.
 
-use crate::records::MovedRec;
+use crate::records::MovedRecord;
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub late_s: Option<f64>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub moved: Option<MovedRec>,
+    pub moved: Option<MovedRecord>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -83,7 +83,7 @@
 
 /// The room that a shard may give each team; the shards' allotments add up to the team's limit at most.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct AllotmentRec {
+pub struct AllotmentRecord {
     pub teams: Vec<TeamAllotment>,
     /// Where a list of all teams would be too large: a digest of it. The shard has the whole of each limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -94,10 +94,10 @@
     pub tree: u64,
 }
 
-impl AllotmentRec {
+impl AllotmentRecord {
     /// All limits whole, in a record of at most `value` bytes.
     pub fn whole(teams: Vec<TeamAllotment>, tree: u64, value: usize) -> Self {
-        let list = AllotmentRec {
+        let list = AllotmentRecord {
             teams,
             whole: None,
             tree,
@@ -105,7 +105,7 @@
         if document::text(&list).len() <= value {
             return list;
         }
-        AllotmentRec {
+        AllotmentRecord {
             teams: Vec::new(),
             whole: Some(document::digest(&list.teams)),
             tree,
@@ -130,13 +130,13 @@
 
 /// The one counter that all tokens come from; it only rises.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TokenRec {
+pub struct TokenRecord {
     pub token: u64,
 }
 
 /// A job that was accepted and has not ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct JobRec {
+pub struct JobRecord {
     pub spec: JobSpec,
     /// Time of day of the acceptance; good within the clock error of the settings.
     pub at_ms: u64,
@@ -144,15 +144,15 @@
     pub shard: ShardId,
     /// What was agreed for it when it was accepted. Read from here, never worked out again.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub hour: Option<HourRec>,
+    pub hour: Option<HourRecord>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub county: Option<CountyRec>,
+    pub county: Option<CountyRecord>,
 }
 
-impl JobRec {
+impl JobRecord {
     /// One that nothing was agreed for.
     pub fn new(spec: JobSpec, at_ms: u64, shard: ShardId) -> Self {
-        JobRec {
+        JobRecord {
             spec,
             at_ms,
             shard,
@@ -164,18 +164,18 @@
 
 /// The hour by which a job is to be released.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HourRec {
+pub struct HourRecord {
     /// Time of day, in milliseconds.
     pub due_ms: u64,
     /// The version of the calendar that said so.
     pub version: u64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub moved: Option<MovedRec>,
+    pub moved: Option<MovedRecord>,
 }
 
 /// An operator's last move of an hour.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct MovedRec {
+pub struct MovedRecord {
     pub by: String,
     pub at_ms: u64,
     /// 0 if it had none.
@@ -184,7 +184,7 @@
 
 /// The county that a job counts for.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct CountyRec {
+pub struct CountyRecord {
     /// Its stable id.
     pub county: String,
     /// The version that bound it.
@@ -199,27 +199,27 @@
 
 /// The final state of a job. Kept for ever.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct EndRec {
+pub struct EndRecord {
     pub stage: Stage,
     pub done: u32,
     /// By when it was to end, and when it did.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub hour: Option<EndHourRec>,
+    pub hour: Option<EndHourRecord>,
     /// Where it was counted, so that counts can be made again from the records.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub county: Option<CountedRec>,
+    pub county: Option<CountedRecord>,
 }
 
 /// What became of a job's hour: times of day, in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct EndHourRec {
+pub struct EndHourRecord {
     pub due_ms: u64,
     pub ended_ms: u64,
 }
 
 /// The county and the class that an ended job is counted in.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct CountedRec {
+pub struct CountedRecord {
     pub county: String,
     pub class: String,
 }
@@ -228,12 +228,12 @@
 /// says of a machine that stands in no inventory shard is void.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct InventoryRecord {
-    pub kinds: Vec<KindRec>,
+    pub kinds: Vec<KindRecord>,
 }
 
 /// Machines of one type and zone, with the time of day of their rental.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct KindRec {
+pub struct KindRecord {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
@@ -243,11 +243,11 @@
 /// What changed in one turn: claims that were made, on any number of machines, and results. A record is removed
 /// once all that it says has been overtaken; until then it may also name claims that have ended.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct LogRec {
+pub struct LogRecord {
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub claims: Vec<ClaimsRec>,
+    pub claims: Vec<ClaimsRecord>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub done: Vec<DoneRec>,
+    pub done: Vec<DoneRecord>,
     /// What ended in the same transaction, by county and class. The record stays until that is in their sheets.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub ended: Vec<county::Delta>,
@@ -256,7 +256,7 @@
 /// Claims on tasks of one job by one attempt. What a task takes stands here too, so that it counts against the
 /// team's limit until it is gone, also when the job itself has ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ClaimsRec {
+pub struct ClaimsRecord {
     pub job: String,
     pub team: String,
     pub cores: f64,
@@ -275,7 +275,7 @@
 
 /// Completed tasks of a job that has not ended: the first, and how many from there on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct DoneRec {
+pub struct DoneRecord {
     pub job: String,
     pub tasks: Vec<(u32, u32)>,
 }
@@ -283,7 +283,7 @@
 /// Digits of the longest number that a record holds, with what stands between two numbers.
 const NUMBER: usize = 24;
 
-impl ClaimsRec {
+impl ClaimsRecord {
     /// Bounds the length in the form that limits are counted in, without its entries.
     pub fn frame(job: &str, team: &str) -> usize {
         // JSON escapes at most six bytes for one; our own names are plain, teams are not ours.
@@ -299,14 +299,14 @@
     }
 }
 
-impl DoneRec {
+impl DoneRecord {
     pub fn frame(job: &str) -> usize {
         job.len() + 32
     }
     pub const ENTRY: usize = 2 * 7 + 4;
 }
 
-impl KindRec {
+impl KindRecord {
     /// Bounds what a machine adds to its inventory shard's length, its kind included.
     pub fn entry(machine: &str, machine_type: &str, zone: &str) -> usize {
         machine.len() + NUMBER + 8 + (machine_type.len() + zone.len()) * 6 + 64
@@ -335,7 +335,7 @@
 
 /// A rental request whose answer has not been recorded yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RentalRec {
+pub struct RentalRecord {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
@@ -345,7 +345,7 @@
 
 /// The head of a document other than the quota tree.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HeadRec {
+pub struct HeadRecord {
     pub document: document::Head,
 }
 
@@ -353,17 +353,17 @@
 #[serde(untagged)]
 pub enum Record {
     Leader(LeaderRecord),
-    Token(TokenRec),
-    Job(Box<JobRec>),
-    End(EndRec),
-    Log(LogRec),
+    Token(TokenRecord),
+    Job(Box<JobRecord>),
+    End(EndRecord),
+    Log(LogRecord),
     InventoryShard(InventoryRecord),
-    Rental(RentalRec),
+    Rental(RentalRecord),
     Tally(county::Sheet),
     Catalog(Catalog),
-    Allotment(AllotmentRec),
-    Quota(crate::tree::HeadRec),
-    Document(HeadRec),
+    Allotment(AllotmentRecord),
+    Quota(crate::tree::HeadRecord),
+    Document(HeadRecord),
     Model(model::Rec),
     /// A part of a document, in its kind's form; or what a door beside the users' own keeps, in that door's.
     Other(serde_json::Value),
@@ -371,7 +371,7 @@
 
 /// What stands under [`SHARED`], read without knowing beforehand which.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct SharedRec {
+pub struct SharedRecord {
     #[serde(default)]
     pub node: Option<String>,
     #[serde(default)]
--- a/crates/wire/src/tree.rs
+++ b/crates/wire/src/tree.rs
@@ -2,7 +2,7 @@
 
 use document::Content;
 pub use document::{HISTORY, Head, Past, SHORT};
-pub use quota::Part as PartRec;
+pub use quota::Part as PartRecord;
 use quota::Spec;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -11,16 +11,16 @@
 pub const FORMAT: u32 = Spec::FORMAT;
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HeadRec {
+pub struct HeadRecord {
     pub quota: Head,
 }
 
 /// Cuts a tree into parts of at most `value` bytes.
-pub fn split(spec: &Spec, value: usize) -> Result<Vec<(String, PartRec)>, String> {
+pub fn split(spec: &Spec, value: usize) -> Result<Vec<(String, PartRecord)>, String> {
     document::split(spec, value)
 }
 
 /// Puts a tree together again. The error names what is missing or damaged.
-pub fn join(head: &Head, parts: &BTreeMap<String, PartRec>) -> Result<Spec, String> {
+pub fn join(head: &Head, parts: &BTreeMap<String, PartRecord>) -> Result<Spec, String> {
     document::join(head, parts)
 }
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeSet;
 use wire::api::*;
 use wire::http::{self, Bad};
-use wire::records::{ClaimsRec, DoneRec, InventoryRecord, KindRec, LogRec, ranges, unrange};
+use wire::records::{
+    ClaimsRecord, DoneRecord, InventoryRecord, KindRecord, LogRecord, ranges, unrange,
+};
 use wire::{ids, peer};
 
 fn spec() -> impl Strategy<Value = JobSpec> {
@@ -177,20 +179,20 @@
                                   amounts in any::<(f64, f64, f64)>()) {
         let job = format!("job-{job:018}");
         let finite = |x: f64| if x.is_finite() { x } else { 1e300 };
-        let claims = ClaimsRec { job: job.clone(), team: team.clone(), cores: finite(amounts.0), gpus: finite(amounts.1),
+        let claims = ClaimsRecord { job: job.clone(), team: team.clone(), cores: finite(amounts.0), gpus: finite(amounts.1),
             mem_gb: finite(amounts.2), attempt, on: on.iter().map(|(t, n)| (name.clone(), *t, *n)).collect(),
             county: Some(name.clone()), alone: true };
-        let done = DoneRec { job: job.clone(), tasks: on.iter().map(|(t, n)| (t % 100_000, n % 100_001)).collect() };
+        let done = DoneRecord { job: job.clone(), tasks: on.iter().map(|(t, n)| (t % 100_000, n % 100_001)).collect() };
         let (most, county) = (u64::MAX, name.clone());
         let ended = county::Delta { county, class: team.clone(), done: most, cancelled: most, tasks: most };
-        let log = LogRec { claims: vec![claims], done: vec![done], ended: vec![ended] };
-        let bound = 64 + county::Delta::frame(&name, &team) + ClaimsRec::county(&name) + ClaimsRec::frame(&job, &team) + on.len() * ClaimsRec::entry(&name)
-            + DoneRec::frame(&job) + on.len() * DoneRec::ENTRY;
+        let log = LogRecord { claims: vec![claims], done: vec![done], ended: vec![ended] };
+        let bound = 64 + county::Delta::frame(&name, &team) + ClaimsRecord::county(&name) + ClaimsRecord::frame(&job, &team) + on.len() * ClaimsRecord::entry(&name)
+            + DoneRecord::frame(&job) + on.len() * DoneRecord::ENTRY;
         let long = serde_json::to_vec(&log).expect("JSON").len();
         prop_assert!(long <= bound);
-        let kinds = on.iter().map(|_| KindRec { machine_type: kind.clone(), zone: kind.clone(), spot: false,
+        let kinds = on.iter().map(|_| KindRecord { machine_type: kind.clone(), zone: kind.clone(), spot: false,
             machines: vec![(name.clone(), attempt)] }).collect();
-        let bound = 16 + on.len() * KindRec::entry(&name, &kind, &kind);
+        let bound = 16 + on.len() * KindRecord::entry(&name, &kind, &kind);
         let long = serde_json::to_vec(&InventoryRecord { kinds }).expect("JSON").len();
         prop_assert!(long <= bound);
     }
@@ -405,7 +407,7 @@
     use proptest::prelude::*;
     use quota::{Amounts, NodeSpec, Spec, TeamSpec};
     use std::collections::BTreeMap;
-    use wire::tree::{FORMAT, HISTORY, Head, HeadRec, Past, join, split};
+    use wire::tree::{FORMAT, HISTORY, Head, HeadRecord, Past, join, split};
 
     prop_compose! {
         fn tree()(nodes in prop::collection::vec(("[a-zé\"]{1,40}", 0.0f64..1e6), 0..60), teams in prop::collection::vec("[a-z]{1,40}", 0..60)) -> Spec {
@@ -452,7 +454,7 @@
             for (i, what) in words.iter().enumerate() {
                 let past = Past::new(i as u64 + 1, &format!("id-{i}"), 0, what, what);
                 head = head.next(parts.clone(), past, bytes).expect("fits");
-                let size = serde_json::to_vec(&HeadRec { quota: head.clone() }).expect("written").len();
+                let size = serde_json::to_vec(&HeadRecord { quota: head.clone() }).expect("written").len();
                 prop_assert!(size <= bytes, "{} of {}", size, bytes);
                 prop_assert_eq!(head.version, i as u64 + 1);
                 let id = format!("id-{i}");
--- a/crates/wire/tests/recorded.rs
+++ b/crates/wire/tests/recorded.rs
@@ -2,8 +2,8 @@
 
 use document::{Content, Past};
 use quota::{Amounts, NodeSpec, Over, Spec, TeamSpec};
-use wire::records::{Record, SharedRec};
-use wire::tree::{HeadRec, PartRec, join, split};
+use wire::records::{Record, SharedRecord};
+use wire::tree::{HeadRecord, PartRecord, join, split};
 
 /// A tree as the version before the other documents wrote it: its head, and its parts by name.
 const HEAD: &str = "81a571756f746184a6666f726d617401a776657273696f6e01a5706172747392b8623237373061326337643166393238326366643638623730b8393364393734333833313532366531336261373430313832a7686973746f72799185a776657273696f6e01a66368616e6765b030313233343536373839616263646566a561745f6d73cf000001a0c4506c7ba26279a3696461a477686174d92a6e6f6465206e6f7274683a206e65772c2062656c6f772074686520726f6f7420616e642033206d6f7265";
@@ -47,7 +47,7 @@
 
 #[test]
 fn an_old_tree_is_read() {
-    let rec: SharedRec = wire::decode(&bytes(HEAD)).expect("read");
+    let rec: SharedRecord = wire::decode(&bytes(HEAD)).expect("read");
     let head = rec.document.expect("a head");
     assert_eq!((head.format, head.version), (Spec::FORMAT, 1));
     let what = "node north: new, below the root and 3 more";
@@ -64,13 +64,13 @@
     let part = |(name, hex): (&str, &str)| {
         (
             name.to_owned(),
-            wire::decode::<PartRec>(&bytes(hex)).expect("read"),
+            wire::decode::<PartRecord>(&bytes(hex)).expect("read"),
         )
     };
     assert_eq!(join(&head, &PARTS.map(part).into()), Ok(tree()));
     // And an old program reads what is written now.
     assert_eq!(
-        wire::encode(&Record::Quota(HeadRec { quota: head })),
+        wire::encode(&Record::Quota(HeadRecord { quota: head })),
         bytes(HEAD)
     );
     let names: Vec<String> = split(&tree(), 200)
