--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -1,4 +1,4 @@
-//! Reports that come to a node which does not lead the fleet, from workers that can't reach the one that does: handed to
+//! Reports that come to a node which does not lead the fleet, from workers that can't reach the one that does: forwarded to
 //! the leader, many to a message, and its orders handed back within the time that a worker waits. Commands to such
 //! workers go the same way.
 //!
@@ -22,7 +22,7 @@
 const OUT: usize = 16;
 /// A worker waits 4 s for its answer.
 const REPORTS_TIMEOUT_MS: u64 = 2500;
-/// A leader that does not take what is handed to it is left alone for so long.
+/// A leader that does not take what is forwarded to it is left alone for so long.
 const REST_MS: u64 = 1000;
 /// Shorter than a leader waits for the answer to a command.
 const TELL_TIMEOUT_MS: u64 = 1500;
@@ -45,7 +45,7 @@
         self.tuning.relays > 0.0
     }
 
-    /// A report to a node that does not lead the fleet: true if it is handed on.
+    /// A report to a node that does not lead the fleet: true if it is forwarded.
     pub(crate) fn takes(&mut self, conn: u64, report: &Report, body: &[u8]) -> bool {
         let now = self.now.mono;
         let leader = self.leader_peer().zip(self.leader_token());
@@ -69,18 +69,18 @@
         self.relay.bytes += body.len();
         self.relay.queue.push((conn, ByteBuf::from(body)));
         if self.relay.queue.len() >= BATCH || self.relay.bytes >= BATCH_BYTES {
-            self.hand_on();
+            self.send_batch();
         }
         true
     }
 
     pub(crate) fn relay_tick(&mut self) {
         if !self.relay.queue.is_empty() {
-            self.hand_on();
+            self.send_batch();
         }
     }
 
-    fn hand_on(&mut self) {
+    fn send_batch(&mut self) {
         let Some(peer) = self.leader_peer().filter(|_| self.relay.out < OUT) else {
             return self.refuse_queue();
         };
@@ -128,7 +128,12 @@
     }
 
     /// Reports that a peer hands on. What can't be taken is refused one by one, and nothing else is lost.
-    pub(crate) fn reports_handed(&mut self, conn: u64, node: &str, reports: Vec<ByteBuf>) {
+    pub(crate) fn relayed_reports_received(
+        &mut self,
+        conn: u64,
+        node: &str,
+        reports: Vec<ByteBuf>,
+    ) {
         let peer = self.peer_named(node).filter(|_| reports.len() <= BATCH);
         let Some(peer) = peer else {
             self.stats.bad_answers += 1;
@@ -137,11 +142,14 @@
         if self.shard.is_none() {
             return self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
         }
-        let bodies = reports.iter().map(|body| self.handed(peer, body)).collect();
+        let bodies = reports
+            .iter()
+            .map(|body| self.forwarded(peer, body))
+            .collect();
         self.respond(conn, 200, peer::encode(&Answer::Orders(bodies)), None);
     }
 
-    fn handed(&mut self, peer: usize, body: &[u8]) -> ByteBuf {
+    fn forwarded(&mut self, peer: usize, body: &[u8]) -> ByteBuf {
         let Ok(report) = wire::decode::<Report>(body) else {
             self.stats.bad_answers += 1;
             return ByteBuf::new();
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -2,7 +2,7 @@
 //!
 //! A small fleet reports to the leader. With more machines than an operator's setting allows, the leader sends its
 //! workers to the other controllers, which hand their reports on in batches ([`crate::agents::relay`]): the leader then serves
-//! a few connections instead of thousands. Only the way changes. A report that is handed on is the worker's own, and
+//! a few connections instead of thousands. Only the way changes. A report that is forwarded is the worker's own, and
 //! its answer is the leader's own, with its token.
 
 use crate::Node;
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -1,7 +1,7 @@
 //! Requests of users and peers. Any controller serves them: accepts go straight to the state service, and questions
 //! about jobs to [`crate::jobs::query`].
 
-use crate::jobs::forwarding::Handed;
+use crate::jobs::forwarding::ForwardedRequest;
 use crate::jobs::query::{Question, Why};
 use crate::leadership::election::Role;
 use crate::leadership::election::SHARD;
@@ -147,7 +147,7 @@
         if self.catalog().is_none() {
             // It has only begun; another may know them.
             return match asker {
-                Asker::User(conn) => self.hand_submit(conn, Box::new(spec)),
+                Asker::User(conn) => self.forward_submission(conn, Box::new(spec)),
                 Asker::Peer(_) => self.deny(asker, 503, "machine types not known yet"),
             };
         }
@@ -161,7 +161,7 @@
         if self.state_down()
             && let Asker::User(conn) = asker
         {
-            return self.hand_submit(conn, Box::new(spec));
+            return self.forward_submission(conn, Box::new(spec));
         }
         let conn = if let Asker::User(conn) = asker {
             Some(conn)
@@ -202,7 +202,7 @@
             // A peer has read what this node has not yet.
             return match asker {
                 Asker::User(conn) if self.shared.revision == 0 => {
-                    self.hand_submit(*conn, submission.spec)
+                    self.forward_submission(*conn, submission.spec)
                 }
                 _ => self.accept_later(submission),
             };
@@ -276,7 +276,7 @@
             // Only this node may be refused, or not heard: another may take the job at once. Should our own try
             // have gone through, it will find the job known.
             (None | Some(503), _) if let Asker::User(conn) = asker => {
-                self.hand_submit(conn, submission.spec)
+                self.forward_submission(conn, submission.spec)
             }
             // The denial is as old as its transaction: what this node has told since is newer.
             (Some(200), Some(_)) if self.said.since(&submission.spec.id, mark) => {
@@ -309,9 +309,9 @@
         }
     }
 
-    fn hand_submit(&mut self, conn: u64, spec: Box<JobSpec>) {
+    fn forward_submission(&mut self, conn: u64, spec: Box<JobSpec>) {
         let until = self.now.mono + SUBMIT_WAITS_MS;
-        self.hand(Handed {
+        self.forward(ForwardedRequest {
             conn,
             ask: Box::new(Ask::Submit { spec }),
             until,
@@ -431,7 +431,9 @@
                     None,
                 );
             }
-            Some(Ask::Reports { node, reports }) => self.reports_handed(conn, &node, reports),
+            Some(Ask::Reports { node, reports }) => {
+                self.relayed_reports_received(conn, &node, reports)
+            }
             Some(Ask::Tell {
                 machine,
                 addr,
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -1,4 +1,4 @@
-//! Handing a user's request to a peer that may be better placed, and choosing which. What nodes say of themselves once
+//! Forwarding a user's request to a peer that may be better placed, and choosing which. What nodes say of themselves once
 //! a second only chooses: whoever is asked answers by its own rules.
 
 use crate::jobs::admission::peer_answer;
@@ -18,12 +18,12 @@
 
 /// How peers have answered what they were asked for users.
 #[derive(Debug, Default)]
-pub(crate) struct Hands {
+pub(crate) struct PeerResponsiveness {
     /// By peer: when it last answered, and until when it is passed over.
     of: Vec<(u64, u64)>,
 }
 
-impl Hands {
+impl PeerResponsiveness {
     fn of(&mut self, peer: usize) -> &mut (u64, u64) {
         if self.of.len() <= peer {
             self.of.resize(peer + 1, (0, 0));
@@ -47,7 +47,7 @@
 }
 
 /// A user's request that a peer is to answer.
-pub(crate) struct Handed {
+pub(crate) struct ForwardedRequest {
     pub conn: u64,
     pub ask: Box<Ask>,
     /// Whoever asks waits until then.
@@ -56,7 +56,7 @@
     pub fault: Option<Fault>,
 }
 
-impl Handed {
+impl ForwardedRequest {
     fn job(&self) -> Option<&str> {
         match &*self.ask {
             Ask::Submit { spec } => Some(&spec.id),
@@ -68,7 +68,8 @@
 
 impl Node {
     pub(crate) fn peer_heard(&mut self, peer: usize, sent: u64, answered: bool) {
-        self.hands.heard(peer, sent, answered, self.now.mono);
+        self.responsiveness
+            .heard(peer, sent, answered, self.now.mono);
     }
 
     /// Whether the state service seems not to serve this node now; others may be served.
@@ -77,12 +78,14 @@
             .is_some_and(|at| self.now.mono < at + STATE_BAD_MS)
     }
 
-    /// Whom a request is handed to: the leader, or another that says it is served, or one that says nothing. If all say
+    /// Whom a request is forwarded to: the leader, or another that says it is served, or one that says nothing. If all say
     /// that they are not served, only a job's end may still be known, best to the leader.
     fn helper(&mut self, ask: &Ask) -> Option<usize> {
         let now = self.now.mono;
         let peers = 0..self.settings.peers.len();
-        let able: Vec<usize> = peers.filter(|p| !self.hands.rests(*p, now)).collect();
+        let able: Vec<usize> = peers
+            .filter(|p| !self.responsiveness.rests(*p, now))
+            .collect();
         let served = |down| {
             able.iter()
                 .copied()
@@ -110,23 +113,23 @@
         Some(any[self.rng.usize(0..any.len())])
     }
 
-    /// Hands a user's request on.
-    pub(crate) fn hand(&mut self, handed: Handed) {
+    /// Forwards a user's request on.
+    pub(crate) fn forward(&mut self, forwarded: ForwardedRequest) {
         let now = self.now.mono;
-        let helper = if handed.until < now + LEAST_MS {
+        let helper = if forwarded.until < now + LEAST_MS {
             None
         } else {
-            self.helper(&handed.ask)
+            self.helper(&forwarded.ask)
         };
         let Some(peer) = helper else {
-            self.stats.unanswered += u64::from(matches!(*handed.ask, Ask::Lookup { .. }));
-            return self.refuse(handed.conn, 503, "state service not available");
+            self.stats.unanswered += u64::from(matches!(*forwarded.ask, Ask::Lookup { .. }));
+            return self.refuse(forwarded.conn, 503, "state service not available");
         };
-        self.stats.handed += 1;
-        let body = peer::encode(&*handed.ask);
-        let timeout = (handed.until - now).min(HAND_TIMEOUT_MS);
-        let what = Pending::Hand {
-            handed,
+        self.stats.forwarded += 1;
+        let body = peer::encode(&*forwarded.ask);
+        let timeout = (forwarded.until - now).min(HAND_TIMEOUT_MS);
+        let what = Pending::Forward {
+            forwarded,
             peer,
             sent: now,
             mark: self.said.mark(),
@@ -141,25 +144,25 @@
         );
     }
 
-    /// A peer's answer to what was handed to it. One that gives none rests, so another is asked while there is time.
-    pub(crate) fn handed_back(
+    /// A peer's answer to what was forwarded to it. One that gives none rests, so another is asked while there is time.
+    pub(crate) fn forward_answered(
         &mut self,
-        handed: Handed,
+        forwarded: ForwardedRequest,
         peer: usize,
         sent: u64,
         mark: u64,
         r: Option<Response>,
     ) {
         self.peer_heard(peer, sent, r.is_some());
-        if r.is_none() && self.hands.rests(peer, self.now.mono) {
-            return self.hand(handed);
+        if r.is_none() && self.responsiveness.rests(peer, self.now.mono) {
+            return self.forward(forwarded);
         }
-        let conn = handed.conn;
+        let conn = forwarded.conn;
         match peer_answer(r) {
             Some(Answer::State(state)) => self.tell(Asker::User(conn), state),
             Some(Answer::Accepted(state)) => self.tell_accepted(Asker::User(conn), state),
             Some(Answer::Refused { status, why }) => {
-                self.refused_by_peer(&handed, mark, status, &why)
+                self.refused_by_peer(&forwarded, mark, status, &why)
             }
             _ => self.refuse(conn, 503, "state service not available"),
         }
@@ -167,14 +170,17 @@
 
     /// The user hears the peer's reason as if he had asked there. A denial is as old as the peer's reads: what this node
     /// has told since is newer.
-    fn refused_by_peer(&mut self, handed: &Handed, mark: u64, status: u16, why: &str) {
-        let conn = handed.conn;
+    fn refused_by_peer(&mut self, forwarded: &ForwardedRequest, mark: u64, status: u16, why: &str) {
+        let conn = forwarded.conn;
         let why = if why.is_empty() {
             "refused by a peer"
         } else {
             peer::bounded(why)
         };
-        if let Some(job) = handed.job().filter(|_| matches!(status, 400 | 404 | 422)) {
+        if let Some(job) = forwarded
+            .job()
+            .filter(|_| matches!(status, 400 | 404 | 422))
+        {
             if let Some(state) = self.finals.get(job) {
                 return self.tell(Asker::User(conn), state);
             }
@@ -182,7 +188,7 @@
                 return self.refuse(conn, 503, "undecided");
             }
         }
-        match (status, handed.fault) {
+        match (status, forwarded.fault) {
             // Never accepted, so that what is wrong with it counts.
             (404, Some(fault)) => self.refuse(conn, 400, &fault.to_string()),
             (400 | 404 | 422 | 429, _) => self.refuse(conn, status, why),
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -2,7 +2,7 @@
 //! fresh read of the state service, by this node or by a peer that is served; each step takes what time is left.
 
 use crate::jobs::admission::peer_answer;
-use crate::jobs::forwarding::Handed;
+use crate::jobs::forwarding::ForwardedRequest;
 use crate::jobs::job::Job;
 use crate::{Asker, Dest, Node, Pending};
 use wire::api::{Item, JobState, Stage};
@@ -93,7 +93,7 @@
         let now = self.now.mono;
         match self
             .leader_peer()
-            .filter(|p| !q.past_leader && !self.hands.rests(*p, now))
+            .filter(|p| !q.past_leader && !self.responsiveness.rests(*p, now))
         {
             Some(peer) => {
                 let body = peer::encode(&Ask::Query { job: q.job.clone() });
@@ -282,7 +282,7 @@
         } else {
             None
         };
-        self.hand(Handed {
+        self.forward(ForwardedRequest {
             conn,
             ask: Box::new(ask),
             until: q.until,
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -145,8 +145,8 @@
             return self.deny_demand(waiter, 503, "too many models are asked for at once");
         }
         // A node that the state service does not serve hands it on, once.
-        let handed = matches!(waiter, Waiter::Peer(_));
-        if self.state_down() && !handed && !self.settings.peers.is_empty() {
+        let forwarded = matches!(waiter, Waiter::Peer(_));
+        if self.state_down() && !forwarded && !self.settings.peers.is_empty() {
             return self.forward_demand(model, waiter);
         }
         if self.requests.level(now) < 1.0 {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -52,8 +52,8 @@
     pub(crate) state_good_at: Option<u64>,
     /// What the other nodes say.
     pub(crate) peer_statuses: peer_status::PeerStatusTable,
-    /// How they answer what is handed to them.
-    pub(crate) hands: forwarding::Hands,
+    /// How they answer what is forwarded to them.
+    pub(crate) responsiveness: forwarding::PeerResponsiveness,
     /// What we hand on for them.
     pub(crate) relay: relay::Relay,
     /// Which controllers workers report to.
@@ -104,7 +104,7 @@
             state_bad_at: None,
             state_good_at: None,
             peer_statuses: peer_status::PeerStatusTable::default(),
-            hands: forwarding::Hands::default(),
+            responsiveness: forwarding::PeerResponsiveness::default(),
             relay: relay::Relay::default(),
             routing: routing::Routing::new(),
             pace: plan_pacing::Pace::default(),
@@ -348,12 +348,12 @@
                 sent,
             } => self.peer_queried(question, peer, sent, response),
             Pending::PeerCancel { conn, job } => self.peer_cancelled(conn, job, response),
-            Pending::Hand {
-                handed,
+            Pending::Forward {
+                forwarded,
                 peer,
                 sent,
                 mark,
-            } => self.handed_back(handed, peer, sent, mark, response),
+            } => self.forward_answered(forwarded, peer, sent, mark, response),
             Pending::Admin { conn } => self.admin_answered(conn, response),
             Pending::Side { tag } => self.side_answered(tag, response),
             Pending::Wake { model, step } => self.wake_came(model, step, response),
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -73,8 +73,8 @@
         conn: u64,
         job: String,
     },
-    Hand {
-        handed: forwarding::Handed,
+    Forward {
+        forwarded: forwarding::ForwardedRequest,
         peer: usize,
         sent: u64,
         mark: u64,
--- a/crates/control/src/stats.rs
+++ b/crates/control/src/stats.rs
@@ -5,8 +5,8 @@
 pub struct Stats {
     pub accepted: u64,
     pub shed: u64,
-    /// Users' requests that were handed to a peer.
-    pub handed: u64,
+    /// Users' requests that were forwarded to a peer.
+    pub forwarded: u64,
     /// Questions about jobs that nobody could answer.
     pub unanswered: u64,
     pub bad_answers: u64,
