--- a/crates/control/src/documents/hours.rs
+++ b/crates/control/src/documents/hours.rs
@@ -99,7 +99,7 @@
 pub(crate) struct Hour {
     pub rec: HourRecord,
     /// What was last said of it.
-    said: State,
+    answer_history: State,
     /// When its job's end was written.
     ended_ms: u64,
 }
@@ -108,7 +108,7 @@
     pub fn new(rec: HourRecord) -> Box<Hour> {
         Box::new(Hour {
             rec,
-            said: State::Due,
+            answer_history: State::Due,
             ended_ms: 0,
         })
     }
@@ -351,7 +351,7 @@
             let (Some(hour), Some(spec)) = (&job.hour, &job.spec) else {
                 continue;
             };
-            if hour.said == State::Missed || job.is_ending() {
+            if hour.answer_history == State::Missed || job.is_ending() {
                 continue;
             }
             let planned = &input.jobs[of.like];
@@ -394,7 +394,7 @@
                 }
             });
             let state = risk.map_or(State::Due, State::AtRisk);
-            if state != hour.said {
+            if state != hour.answer_history {
                 changes.push((ix, state));
             }
         }
@@ -444,7 +444,7 @@
                 continue;
             };
             let Some(hour) = &mut job.hour else { continue };
-            hour.said = state;
+            hour.answer_history = state;
             if n < LOGGED {
                 log::info!(
                     "job {}: its hour, {:.0} s from now, is {}",
@@ -505,9 +505,16 @@
             let (Some(hour), Some(spec)) = (&job.hour, &job.spec) else {
                 continue;
             };
-            let late =
-                (hour.said == State::Missed).then(|| (self.now.wall as f64 - *due as f64) / 1000.0);
-            line(&job.id, &job.team, &spec.class, &hour.rec, hour.said, late);
+            let late = (hour.answer_history == State::Missed)
+                .then(|| (self.now.wall as f64 - *due as f64) / 1000.0);
+            line(
+                &job.id,
+                &job.team,
+                &spec.class,
+                &hour.rec,
+                hour.answer_history,
+                late,
+            );
         }
         for e in shard.hours.ended.iter().rev() {
             line(&e.job, &e.team, &e.class, &e.hour, e.state, e.late_s);
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -141,7 +141,7 @@
         if !self.is_storable(&JobRecord::new(spec.clone(), self.now.wall, SHARD)) {
             return self.malformed(asker, spec.id, Fault::body("too large to be kept"));
         }
-        if let Some(state) = self.finals.get(&spec.id) {
+        if let Some(state) = self.final_states.get(&spec.id) {
             return self.tell(asker, state);
         }
         if self.catalog().is_none() {
@@ -232,7 +232,7 @@
         let what = Pending::Accept {
             submission,
             denied,
-            mark: self.said.mark(),
+            mark: self.answer_history.mark(),
         };
         self.send(
             Dest::State,
@@ -279,7 +279,7 @@
                 self.forward_submission(conn, submission.spec)
             }
             // The denial is as old as its transaction: what this node has told since is newer.
-            (Some(200), Some(_)) if self.said.since(&submission.spec.id, mark) => {
+            (Some(200), Some(_)) if self.answer_history.since(&submission.spec.id, mark) => {
                 self.query_for(asker, submission.spec.id, Why::Known)
             }
             (Some(200), Some(why)) => {
@@ -349,7 +349,7 @@
         if self.leads() {
             return self.cancel(&id, Asker::User(conn));
         }
-        if let Some(state) = self.finals.get(&id) {
+        if let Some(state) = self.final_states.get(&id) {
             return self.tell(Asker::User(conn), state);
         }
         let Some(peer) = self.leader_peer() else {
@@ -458,10 +458,10 @@
     /// gives way to.
     pub(crate) fn tell(&mut self, asker: Asker, state: JobState) {
         if state.stage.is_final() {
-            self.finals.put(&state.id, state.stage, state.done);
+            self.final_states.put(&state.id, state.stage, state.done);
         }
-        self.said.note(&state.id);
-        let state = self.finals.get(&state.id).unwrap_or(state);
+        self.answer_history.note(&state.id);
+        let state = self.final_states.get(&state.id).unwrap_or(state);
         match asker {
             Asker::User(conn) => self.respond(conn, 200, wire::encode(&state), None),
             Asker::Peer(conn) => self.respond(conn, 200, peer::encode(&Answer::State(state)), None),
@@ -470,10 +470,10 @@
 
     /// Tells that a job has been accepted just now. That may have taken longer than its life.
     pub(crate) fn tell_accepted(&mut self, asker: Asker, state: JobState) {
-        if self.finals.get(&state.id).is_some() {
+        if self.final_states.get(&state.id).is_some() {
             return self.tell(asker, state);
         }
-        self.said.note(&state.id);
+        self.answer_history.note(&state.id);
         match asker {
             Asker::User(conn) => self.respond(conn, 201, wire::encode(&state), None),
             Asker::Peer(conn) => {
--- a/crates/control/src/jobs/answer_history.rs
+++ b/crates/control/src/jobs/answer_history.rs
@@ -6,15 +6,15 @@
 
 /// Final states that were seen: they never change, so any copy is as good as the record. What is dropped is read again;
 /// there is room for far more ends than can come while one answer is under way.
-pub(crate) struct Finals {
+pub(crate) struct FinalStates {
     known: HashMap<String, (Stage, u32)>,
     order: VecDeque<String>,
     cap: usize,
 }
 
-impl Finals {
+impl FinalStates {
     pub fn new(cap: usize) -> Self {
-        Finals {
+        FinalStates {
             known: HashMap::new(),
             order: VecDeque::new(),
             cap,
@@ -53,7 +53,7 @@
 /// Which jobs were lately said to be there. It only speaks against a denial that was under way meanwhile, and gives no
 /// answer itself: what it says is read anew.
 #[derive(Default)]
-pub(crate) struct Said {
+pub(crate) struct AnswerHistory {
     /// The last word on each job, by the count of all words.
     last: HashMap<String, u64>,
     order: VecDeque<(u64, String)>,
@@ -62,7 +62,7 @@
     dropped: u64,
 }
 
-impl Said {
+impl AnswerHistory {
     /// How much has been said so far.
     pub fn mark(&self) -> u64 {
         self.count
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -132,7 +132,7 @@
             forwarded,
             peer,
             sent: now,
-            mark: self.said.mark(),
+            mark: self.answer_history.mark(),
         };
         self.send(
             Dest::Peer(peer),
@@ -181,10 +181,10 @@
             .job()
             .filter(|_| matches!(status, 400 | 404 | 422))
         {
-            if let Some(state) = self.finals.get(job) {
+            if let Some(state) = self.final_states.get(job) {
                 return self.tell(Asker::User(conn), state);
             }
-            if self.said.since(job, mark) {
+            if self.answer_history.since(job, mark) {
                 return self.refuse(conn, 503, "undecided");
             }
         }
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -393,7 +393,7 @@
 
     /// A cancel that may be decided here.
     pub(crate) fn cancel(&mut self, id: &str, asker: Asker) {
-        if let Some(state) = self.finals.get(id) {
+        if let Some(state) = self.final_states.get(id) {
             return self.tell(asker, state);
         }
         if !self.decides() {
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -118,7 +118,7 @@
 
     /// What is known without asking anybody.
     fn known_here(&self, id: &str) -> Option<JobState> {
-        self.finals.get(id).or_else(|| self.state_here(id))
+        self.final_states.get(id).or_else(|| self.state_here(id))
     }
 
     /// Whether the leader has read the job.
@@ -159,7 +159,7 @@
     /// move that way; a job that is in neither was never accepted.
     pub(crate) fn read_job(&mut self, mut q: Question) {
         let now = self.now.mono;
-        q.mark = self.said.mark();
+        q.mark = self.answer_history.mark();
         // A node that is not served, or has asked for all that it may, leaves it to another.
         if let Some(conn) = q.user()
             && (self.state_down() || self.requests.level(now) < 1.0)
@@ -244,7 +244,7 @@
         if let Some(state) = self.known_here(&q.job) {
             return self.tell(q.asker, state);
         }
-        if self.holds(&q.job) || self.said.since(&q.job, q.mark) {
+        if self.holds(&q.job) || self.answer_history.since(&q.job, q.mark) {
             return self.read_again(q);
         }
         match q.why {
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -412,7 +412,7 @@
             model: model.to_owned(),
             leader: true,
         });
-        let what = Pending::Said {
+        let what = Pending::LeaderNotified {
             model: model.to_owned(),
         };
         self.send(
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -42,8 +42,8 @@
     pub(crate) requests: Bucket,
     pub(crate) writes: Bucket,
     pub(crate) cloud: Bucket,
-    pub(crate) finals: answer_history::Finals,
-    pub(crate) said: answer_history::Said,
+    pub(crate) final_states: answer_history::FinalStates,
+    pub(crate) answer_history: answer_history::AnswerHistory,
     /// Accepts that the state service was too busy for, with the time of the next try.
     pub(crate) retries: VecDeque<(u64, admission::Submission)>,
     /// When the state service last refused or did not answer us, unless it has answered since.
@@ -80,7 +80,7 @@
         let nodes = settings.peers.len() as f64 + 1.0;
         let limits = settings.limits();
         // About 150 bytes a final state; a tenth of the memory is theirs.
-        let finals = ((limits.mem_mb * 1e5 / 150.0) as usize).clamp(1000, 1_000_000);
+        let final_states = ((limits.mem_mb * 1e5 / 150.0) as usize).clamp(1000, 1_000_000);
         Node {
             requests: Bucket::new(c.state.rps * 0.9 / nodes),
             writes: Bucket::new(c.state.write_rps * election::OTHER_WRITES),
@@ -98,8 +98,8 @@
             hint: None,
             term: 0,
             shard: None,
-            finals: answer_history::Finals::new(finals),
-            said: answer_history::Said::default(),
+            final_states: answer_history::FinalStates::new(final_states),
+            answer_history: answer_history::AnswerHistory::default(),
             retries: VecDeque::new(),
             state_bad_at: None,
             state_good_at: None,
@@ -358,7 +358,7 @@
             Pending::Side { tag } => self.side_answered(tag, response),
             Pending::Wake { model, step } => self.wake_came(model, step, response),
             Pending::WakeForward { waiter } => self.demand_forwarded(waiter, response),
-            Pending::Said { model } => self.leader_notified(&model, response),
+            Pending::LeaderNotified { model } => self.leader_notified(&model, response),
             Pending::Catalog => self.catalog_came(response),
             // What belongs to an earlier term of leadership no longer concerns us.
             Pending::Load { term: e, what } if e == term => self.load_came(what, response),
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -109,7 +109,7 @@
     WakeForward {
         waiter: demand::Waiter,
     },
-    Said {
+    LeaderNotified {
         model: String,
     },
     Parts {
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -691,7 +691,7 @@
                         log::info!("job {}: {stage:?}", job.id);
                         let state: JobState = job.state();
                         let waiters = std::mem::take(&mut job.waiters);
-                        self.finals.put(&job.id, stage, job.done_count);
+                        self.final_states.put(&job.id, stage, job.done_count);
                         told.extend(waiters.into_iter().map(|w| (w, state.clone())));
                         let segments = std::mem::take(&mut job.segments);
                         if let Some(job) = &shard.jobs[ix] {
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -390,7 +390,7 @@
 
     pub(crate) fn job_known(&mut self, rec: JobRecord, version: u64) {
         // The watch may lag behind our own end of the job.
-        if self.finals.get(&rec.spec.id).is_some() {
+        if self.final_states.get(&rec.spec.id).is_some() {
             return;
         }
         let Some(shard) = &mut self.shard else { return };
