--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -18,7 +18,7 @@
 const DIRECT_TIMEOUT_MS: u64 = 2000;
 
 /// What a report is answered.
-pub(crate) enum Told {
+pub(crate) enum HeartbeatReply {
     /// The body of a 200.
     Orders(Vec<u8>),
     Refused(&'static str),
@@ -54,18 +54,18 @@
             return self.respond(conn, 421, body, None);
         }
         match self.take_report(&report, None) {
-            Told::Orders(body) => self.respond(conn, 200, body, None),
-            Told::Refused(why) => self.refuse(conn, 503, why),
+            HeartbeatReply::Orders(body) => self.respond(conn, 200, body, None),
+            HeartbeatReply::Refused(why) => self.refuse(conn, 503, why),
         }
     }
 
     /// A report to the leader, from the worker itself or by way of a peer.
-    pub(crate) fn take_report(&mut self, report: &Report, via: Option<usize>) -> Told {
+    pub(crate) fn take_report(&mut self, report: &Report, via: Option<usize>) -> HeartbeatReply {
         let Some(shard) = &self.shard else {
-            return Told::Refused("not the owner");
+            return HeartbeatReply::Refused("not the owner");
         };
         if report.token > shard.token {
-            return Told::Refused(self.outranked(report.token));
+            return HeartbeatReply::Refused(self.outranked(report.token));
         }
         let token = shard.token;
         if !shard.loaded {
@@ -76,10 +76,10 @@
                 session: None,
                 orders: Vec::new(),
             });
-            return Told::Orders(body);
+            return HeartbeatReply::Orders(body);
         }
         if !self.may_renew() {
-            return Told::Refused("not sure for too long");
+            return HeartbeatReply::Refused("not sure for too long");
         }
         let orders = match self.reporter(report) {
             Some(m) if self.heard(m, report, via) => {
@@ -92,7 +92,7 @@
             Some(m) => self.last_orders(m),
             None => Vec::new(),
         };
-        Told::Orders(wire::encode(&Orders {
+        HeartbeatReply::Orders(wire::encode(&Orders {
             token,
             session: None,
             orders,
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -5,7 +5,7 @@
 //! A relayed report is the worker's own, with its session and number, and a relayed answer is the leader's own, with
 //! its token: a relay judges, renews and orders nothing. It asks only the leader, so that nothing goes in circles.
 
-use crate::agents::heartbeat::Told;
+use crate::agents::heartbeat::HeartbeatReply;
 use crate::jobs::admission::peer_answer;
 use crate::{Dest, Node, Pending};
 use reach::{Caller, Leader, Turn, Ways};
@@ -156,8 +156,8 @@
         };
         self.stats.relayed += 1;
         match self.take_report(&report, Some(peer)) {
-            Told::Orders(body) => ByteBuf::from(body),
-            Told::Refused(_) => ByteBuf::new(),
+            HeartbeatReply::Orders(body) => ByteBuf::from(body),
+            HeartbeatReply::Refused(_) => ByteBuf::new(),
         }
     }
 
