--- a/crates/control/src/event.rs
+++ b/crates/control/src/event.rs
@@ -42,8 +42,8 @@
     Unsent {
         tag: u64,
     },
-    /// Another door of this process asks for its records.
-    Side {
+    /// Another front end of this process asks for its records.
+    Frontend {
         tag: u64,
         ask: frontend::Ask,
     },
@@ -65,8 +65,8 @@
         timeout_ms: u64,
         answer_limit: usize,
     },
-    /// The end of what another door of this process has asked.
-    Side {
+    /// The end of what another front end of this process has asked.
+    Frontend {
         tag: u64,
         answer: frontend::Answer,
     },
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -1,4 +1,4 @@
-//! What another door of the same process may ask: its own records in the state service, and a look at the deployment.
+//! What another front end of the same process may ask: its own records in the state service, and a look at the deployment.
 //!
 //! Such a door submits, asks and cancels as users do, by [`Event::Client`] with connection numbers from [`CONNS`] on.
 //! Its records stand under [`wire::records::SIDE`] and are written by the leader of the fleet only, under the guard of
@@ -33,16 +33,16 @@
 const MOST_WRITES: usize = 16;
 
 /// What this node allows a door beside.
-pub(crate) struct Side {
+pub(crate) struct Frontend {
     writes: Bucket,
     /// It has a share now.
     shares: bool,
     asked_at: u64,
 }
 
-impl Side {
+impl Frontend {
     pub fn new() -> Self {
-        Side {
+        Frontend {
             writes: Bucket::new(0.0),
             shares: false,
             asked_at: 0,
@@ -113,11 +113,12 @@
     /// while it asks, or of what users leave. Theirs are never driven into debt by it.
     fn spare(&mut self, cost: f64) -> bool {
         let now = self.now.mono;
-        self.side.asked_at = now;
+        self.frontend.asked_at = now;
         self.share_writes();
-        let own = self.side.writes.level(now) >= cost.min(self.side.writes.share_of_second(0.9));
+        let own =
+            self.frontend.writes.level(now) >= cost.min(self.frontend.writes.share_of_second(0.9));
         if own {
-            self.side.writes.take(now, cost);
+            self.frontend.writes.take(now, cost);
         } else if self.writes.level(now) >= cost + self.writes.share_of_second(LEFT) {
             self.writes.take(now, cost);
         } else {
@@ -128,25 +129,25 @@
 
     /// A door beside has a share of this node's changes while it asks for any.
     pub(crate) fn share_writes(&mut self) {
-        let asks = self.beside && self.now.mono < self.side.asked_at + ASKS_MS;
-        if asks == self.side.shares {
+        let asks = self.beside && self.now.mono < self.frontend.asked_at + ASKS_MS;
+        if asks == self.frontend.shares {
             return;
         }
-        self.side.shares = asks;
-        let (own, all) = (self.side.writes.rate(), self.writes.rate());
+        self.frontend.shares = asks;
+        let (own, all) = (self.frontend.writes.rate(), self.writes.rate());
         if asks {
-            self.side.writes.set_rate(all * SHARE);
+            self.frontend.writes.set_rate(all * SHARE);
             self.writes.set_rate(all * (1.0 - SHARE));
         } else {
-            self.side.writes.set_rate(0.0);
+            self.frontend.writes.set_rate(0.0);
             self.writes.set_rate(all + own);
         }
     }
 
     /// This node may make another number of changes from now on: whatever a door beside had of them is its own again.
     pub(crate) fn set_writes(&mut self, rate: f64) {
-        self.side.shares = false;
-        self.side.writes.set_rate(0.0);
+        self.frontend.shares = false;
+        self.frontend.writes.set_rate(0.0);
         self.writes.set_rate(rate);
     }
 
@@ -180,7 +181,7 @@
             .count() as f64
     }
 
-    pub(crate) fn side_asked(&mut self, tag: u64, ask: Ask) {
+    pub(crate) fn frontend_asked(&mut self, tag: u64, ask: Ask) {
         let own = |key: &str| key.starts_with(records::SIDE);
         let refused = match &ask {
             Ask::Page { under, .. } => !own(under),
@@ -192,11 +193,11 @@
             Ask::Demand { .. } => false,
         };
         if refused {
-            return self.side_over(tag, Answer::Refused);
+            return self.frontend_over(tag, Answer::Refused);
         }
         let now = self.now.mono;
         if self.requests.level(now) < 1.0 + self.requests.share_of_second(LEFT) {
-            return self.side_over(tag, Answer::Busy);
+            return self.frontend_over(tag, Answer::Busy);
         }
         match ask {
             Ask::Page { under, after } => {
@@ -210,22 +211,22 @@
                     path,
                     Vec::new(),
                     2 * TIMEOUT_MS,
-                    Pending::Side { tag },
+                    Pending::Frontend { tag },
                 );
             }
-            Ask::Change { writes } => self.side_change(tag, writes),
-            Ask::Demand { model } => self.demand(&model, Waiter::Side(tag)),
+            Ask::Change { writes } => self.frontend_change(tag, writes),
+            Ask::Demand { model } => self.demand(&model, Waiter::Frontend(tag)),
         }
     }
 
-    fn side_change(&mut self, tag: u64, writes: Vec<Change>) {
+    fn frontend_change(&mut self, tag: u64, writes: Vec<Change>) {
         let leader = self
             .shard
             .as_ref()
             .map(|p| p.leader_version)
             .filter(|_| self.decides());
         let Some(leader) = leader.filter(|_| self.spare(writes.len() as f64)) else {
-            return self.side_over(tag, Answer::Busy);
+            return self.frontend_over(tag, Answer::Busy);
         };
         let mut txn = Txn {
             guards: Vec::new(),
@@ -257,11 +258,11 @@
             "/txn".into(),
             body,
             TIMEOUT_MS,
-            Pending::Side { tag },
+            Pending::Frontend { tag },
         );
     }
 
-    pub(crate) fn side_answered(&mut self, tag: u64, response: Option<Response>) {
+    pub(crate) fn frontend_answered(&mut self, tag: u64, response: Option<Response>) {
         let answer = match response {
             Some(r) if r.status == 200 => {
                 let changed = |r: Revision| Answer::Changed {
@@ -280,11 +281,11 @@
             Some(r) if r.status == 400 => Answer::Refused,
             _ => Answer::Unknown,
         };
-        self.side_over(tag, answer);
+        self.frontend_over(tag, answer);
     }
 
-    pub(crate) fn side_over(&mut self, tag: u64, answer: Answer) {
-        self.effects.push(crate::Effect::Side { tag, answer });
+    pub(crate) fn frontend_over(&mut self, tag: u64, answer: Answer) {
+        self.effects.push(crate::Effect::Frontend { tag, answer });
     }
 
     /// The term in which this node is sure that it leads the fleet; rises with each take-over, of any node.
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -34,7 +34,7 @@
 pub(crate) enum Waiter {
     Door(u64),
     Peer(u64),
-    Side(u64),
+    Frontend(u64),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -487,8 +487,8 @@
                 peer::encode(&Answer::Model(Box::new(told.clone()))),
                 None,
             ),
-            Waiter::Side(tag) => {
-                self.side_over(tag, frontend::Answer::Model(Box::new(told.clone())))
+            Waiter::Frontend(tag) => {
+                self.frontend_over(tag, frontend::Answer::Model(Box::new(told.clone())))
             }
         }
     }
@@ -506,8 +506,10 @@
             Waiter::Peer(conn) => {
                 self.respond(conn, 200, peer::encode(&Answer::refused(status, why)), None)
             }
-            Waiter::Side(tag) if status == 503 => self.side_over(tag, frontend::Answer::Busy),
-            Waiter::Side(tag) => self.side_over(tag, frontend::Answer::Refused),
+            Waiter::Frontend(tag) if status == 503 => {
+                self.frontend_over(tag, frontend::Answer::Busy)
+            }
+            Waiter::Frontend(tag) => self.frontend_over(tag, frontend::Answer::Refused),
         }
     }
 
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -67,9 +67,9 @@
     pub(crate) stood_back_at: Option<u64>,
     /// Something may be there to be written. Without it, only ticks look.
     pub(crate) to_write: bool,
-    /// Another door of this process is open, and has job ids of its own.
+    /// Another front end of this process is open, and has job ids of its own.
     pub(crate) beside: bool,
-    pub(crate) side: frontend::Side,
+    pub(crate) frontend: frontend::Frontend,
     pub(crate) models: models::Models,
     pub(crate) stats: Stats,
 }
@@ -114,7 +114,7 @@
             stood_back_at: None,
             to_write: false,
             beside: false,
-            side: frontend::Side::new(),
+            frontend: frontend::Frontend::new(),
             models: models::Models::default(),
             stats: Stats::default(),
         }
@@ -166,7 +166,7 @@
             Event::Late { conn } => self.refuse(conn, 429, "busy"),
             Event::Reply { tag, response } => self.reply(tag, response),
             Event::Unsent { tag } => self.unsent(tag),
-            Event::Side { tag, ask } => self.side_asked(tag, ask),
+            Event::Frontend { tag, ask } => self.frontend_asked(tag, ask),
             Event::Tick => self.tick(),
         }
         self.flush_commit();
@@ -355,7 +355,7 @@
                 mark,
             } => self.forward_answered(forwarded, peer, sent, mark, response),
             Pending::Admin { conn } => self.admin_answered(conn, response),
-            Pending::Side { tag } => self.side_answered(tag, response),
+            Pending::Frontend { tag } => self.frontend_answered(tag, response),
             Pending::Wake { model, step } => self.wake_came(model, step, response),
             Pending::WakeForward { waiter } => self.demand_forwarded(waiter, response),
             Pending::LeaderNotified { model } => self.leader_notified(&model, response),
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -82,7 +82,7 @@
     Admin {
         conn: u64,
     },
-    Side {
+    Frontend {
         tag: u64,
     },
     Sheets {
@@ -161,7 +161,7 @@
                 | Accept { .. }
                 | ReadLive { .. }
                 | ReadEnd { .. }
-                | Side { .. }
+                | Frontend { .. }
                 | Models { .. }
                 | ModelWrite { .. }
                 | Wake { .. }
--- a/crates/control/src/overload/precedence.rs
+++ b/crates/control/src/overload/precedence.rs
@@ -35,7 +35,7 @@
 
     pub fn of(event: &Event) -> Self {
         match event {
-            Event::Tick | Event::Reply { .. } | Event::Unsent { .. } | Event::Side { .. } => {
+            Event::Tick | Event::Reply { .. } | Event::Unsent { .. } | Event::Frontend { .. } => {
                 Precedence::Own
             }
             Event::Peer { .. } | Event::Late { .. } => Precedence::Peer,
--- a/crates/control/tests/played/mod.rs
+++ b/crates/control/tests/played/mod.rs
@@ -98,7 +98,7 @@
                         due: self.now + timeout_ms,
                     });
                 }
-                Effect::Side { .. } => {}
+                Effect::Frontend { .. } => {}
             }
         }
     }
--- a/crates/control/tests/scripted/mod.rs
+++ b/crates/control/tests/scripted/mod.rs
@@ -125,7 +125,7 @@
                         seen: false,
                     });
                 }
-                Effect::Side { .. } => {}
+                Effect::Frontend { .. } => {}
             }
         }
     }
--- a/crates/gateway/src/book/mod.rs
+++ b/crates/gateway/src/book/mod.rs
@@ -343,11 +343,11 @@
             under: records::PREFIX.into(),
             after: after.clone(),
         };
-        self.acts.push(Act::Side { tag, ask });
+        self.acts.push(Act::Frontend { tag, ask });
     }
 
     /// An answer about records. False if the book has to be read anew.
-    pub fn side_answered(&mut self, cx: Cx<'_>, tag: u64, answer: Answer) -> bool {
+    pub fn frontend_answered(&mut self, cx: Cx<'_>, tag: u64, answer: Answer) -> bool {
         if self.writing == Some(tag) {
             self.writing = None;
             let good = self.written(cx, answer);
--- a/crates/gateway/src/book/runners.rs
+++ b/crates/gateway/src/book/runners.rs
@@ -235,7 +235,7 @@
         let key = records::part_key(read.app, &read.print, 0);
         let under = key.trim_end_matches("0000").to_owned();
         let tag = self.number();
-        self.acts.push(Act::Side {
+        self.acts.push(Act::Frontend {
             tag,
             ask: Ask::Page {
                 under,
--- a/crates/gateway/src/book/store.rs
+++ b/crates/gateway/src/book/store.rs
@@ -111,7 +111,7 @@
         };
         let tag = self.number();
         self.writing = Some(tag);
-        self.acts.push(Act::Side { tag, ask });
+        self.acts.push(Act::Frontend { tag, ask });
     }
 
     fn draft(&mut self, most: usize, now: u64) -> Option<Flight> {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -44,7 +44,7 @@
         body: Vec<u8>,
     },
     /// A request for records.
-    Side {
+    Frontend {
         tag: u64,
         ask: control::frontend::Ask,
     },
--- a/crates/gateway/src/records.rs
+++ b/crates/gateway/src/records.rs
@@ -1,4 +1,4 @@
-//! What the gateway keeps in the state service, under `side/yarn/`: one record for the deployment, one for drains, one
+//! What the gateway keeps in the state service, under `frontend/yarn/`: one record for the deployment, one for drains, one
 //! for each application, and the launch descriptions of applications in parts beside them.
 
 use crate::token::Keys;
--- a/crates/gateway/src/served.rs
+++ b/crates/gateway/src/served.rs
@@ -165,9 +165,9 @@
                 Effect::Respond { conn, response } if conn >= CONNS => {
                     self.with_book(now, |book, cx| book.native_answered(cx, conn, &response));
                 }
-                Effect::Side { tag, answer } => {
+                Effect::Frontend { tag, answer } => {
                     let good = self
-                        .with_book(now, |book, cx| book.side_answered(cx, tag, answer))
+                        .with_book(now, |book, cx| book.frontend_answered(cx, tag, answer))
                         .unwrap_or(true);
                     if !good {
                         log::warn!(
@@ -221,7 +221,7 @@
                         };
                         self.feed(now, Event::Client { conn: ask, request });
                     }
-                    Act::Side { tag, ask } => self.feed(now, Event::Side { tag, ask }),
+                    Act::Frontend { tag, ask } => self.feed(now, Event::Frontend { tag, ask }),
                     Act::Answer { call, reply } => self.answer(now, call, reply),
                 }
             }
--- a/crates/standins/examples/region.rs
+++ b/crates/standins/examples/region.rs
@@ -5,7 +5,7 @@
 //! a rule is broken.
 
 use serde_json::{Value, json};
-use standins::links::{Cut, How, Side};
+use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
 use standins::state::Limits;
 use standins::world::{Plan, World};
@@ -80,7 +80,10 @@
     let leader = world.leader_at().unwrap_or(0);
     let number = if with_leader { leader } else { leader + 1 };
     let region = REGIONS[number % REGIONS.len()];
-    let (inside, outside) = (Side::Zone(region.into()), Side::Outside(region.into()));
+    let (inside, outside) = (
+        Frontend::Zone(region.into()),
+        Frontend::Outside(region.into()),
+    );
     world.cut(Cut {
         how: How::Hold,
         ..Cut::between(inside, outside, world.now(), HOUR_MS)
--- a/crates/standins/examples/ways.rs
+++ b/crates/standins/examples/ways.rs
@@ -5,7 +5,7 @@
 //! cuts after `--` play these alone.
 
 use serde_json::json;
-use standins::links::{Cut, How, Side};
+use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
 use standins::state::Limits;
 use standins::world::{Plan, World};
@@ -16,47 +16,52 @@
 const AFTER_MS: u64 = 60_000;
 
 /// What a cut is made of, given the leader and the two others.
-type Sides = fn(usize, usize, usize) -> Vec<(Side, Side)>;
+type Sides = fn(usize, usize, usize) -> Vec<(Frontend, Frontend)>;
 
 const CUTS: [(&str, &str, Sides); 13] = [
     ("none", "nothing is cut", |_, _, _| vec![]),
     (
         "owner-state",
         "the owner loses the state service",
-        |o, _, _| vec![(Side::Node(o), Side::State)],
+        |o, _, _| vec![(Frontend::Node(o), Frontend::State)],
     ),
     ("owner-workers", "the owner loses the workers", |o, _, _| {
-        vec![(Side::Node(o), Side::Machines)]
+        vec![(Frontend::Node(o), Frontend::Machines)]
     }),
     ("owner-peers", "the owner loses its peers", |o, _, _| {
-        vec![(Side::Node(o), Side::Nodes)]
+        vec![(Frontend::Node(o), Frontend::Nodes)]
     }),
     ("owner-users", "the owner loses the users", |o, _, _| {
-        vec![(Side::Node(o), Side::Users)]
+        vec![(Frontend::Node(o), Frontend::Users)]
     }),
     ("owner-cloud", "the owner loses the cloud", |o, _, _| {
-        vec![(Side::Node(o), Side::Cloud)]
+        vec![(Frontend::Node(o), Frontend::Cloud)]
     }),
     (
         "other-state",
         "another loses the state service",
-        |_, a, _| vec![(Side::Node(a), Side::State)],
+        |_, a, _| vec![(Frontend::Node(a), Frontend::State)],
     ),
     ("other-workers", "another loses the workers", |_, a, _| {
-        vec![(Side::Node(a), Side::Machines)]
+        vec![(Frontend::Node(a), Frontend::Machines)]
     }),
     (
         "owner-state+peers",
         "the owner loses the state service and its peers",
-        |o, _, _| vec![(Side::Node(o), Side::State), (Side::Node(o), Side::Nodes)],
+        |o, _, _| {
+            vec![
+                (Frontend::Node(o), Frontend::State),
+                (Frontend::Node(o), Frontend::Nodes),
+            ]
+        },
     ),
     (
         "owner-workers+peers",
         "the owner loses the workers and its peers",
         |o, _, _| {
             vec![
-                (Side::Node(o), Side::Machines),
-                (Side::Node(o), Side::Nodes),
+                (Frontend::Node(o), Frontend::Machines),
+                (Frontend::Node(o), Frontend::Nodes),
             ]
         },
     ),
@@ -65,8 +70,8 @@
         "the owner loses the state service, another the workers",
         |o, a, _| {
             vec![
-                (Side::Node(o), Side::State),
-                (Side::Node(a), Side::Machines),
+                (Frontend::Node(o), Frontend::State),
+                (Frontend::Node(a), Frontend::Machines),
             ]
         },
     ),
@@ -75,9 +80,9 @@
         "two lose the state service, the third the workers",
         |o, a, b| {
             vec![
-                (Side::Node(o), Side::State),
-                (Side::Node(a), Side::State),
-                (Side::Node(b), Side::Machines),
+                (Frontend::Node(o), Frontend::State),
+                (Frontend::Node(a), Frontend::State),
+                (Frontend::Node(b), Frontend::Machines),
             ]
         },
     ),
@@ -86,7 +91,7 @@
         "a zone with a controller is cut off, the owner is outside",
         |o, _, _| {
             let zone = ["b", "a"][o % 2];
-            vec![(Side::Zone(zone.into()), Side::Outside(zone.into()))]
+            vec![(Frontend::Zone(zone.into()), Frontend::Outside(zone.into()))]
         },
     ),
 ];
--- a/crates/standins/src/days.rs
+++ b/crates/standins/src/days.rs
@@ -1,7 +1,7 @@
 //! Days of the operators' own kind: troubles at their times, drawn from a seed, for any number of controllers and for
 //! fleets of a dozen or of over a thousand machines.
 
-use crate::links::{How, Side};
+use crate::links::{Frontend, How};
 use crate::scene::{Scene, Timed, array};
 use crate::state::Limits;
 use crate::world::Plan;
@@ -49,7 +49,7 @@
     /// Cut off from some hosts.
     Cut {
         who: Who,
-        from: Side,
+        from: Frontend,
         how: How,
         ms: u64,
     },
@@ -379,7 +379,7 @@
                     at,
                     Trouble::Cut {
                         who: Who::All,
-                        from: Side::State,
+                        from: Frontend::State,
                         how: How::Hold,
                         ms: 7000,
                     },
@@ -433,7 +433,7 @@
                     at,
                     Trouble::Cut {
                         who: Who::Leader,
-                        from: Side::State,
+                        from: Frontend::State,
                         how: How::Hold,
                         ms: 15_000,
                     },
@@ -442,7 +442,7 @@
                     at,
                     Trouble::Cut {
                         who: Who::All,
-                        from: Side::Nodes,
+                        from: Frontend::Nodes,
                         how: How::Reset,
                         ms: 20_000,
                     },
@@ -490,8 +490,12 @@
             d.every(5000, |d, at| {
                 // What is under way is held until after its sender is back, and comes to the new life.
                 let (who, back_ms) = (d.node(), d.rng.u64(50..300));
-                let from = [Side::State, Side::Nodes, Side::Machines, Side::Users]
-                    [d.rng.usize(0..4)]
+                let from = [
+                    Frontend::State,
+                    Frontend::Nodes,
+                    Frontend::Machines,
+                    Frontend::Users,
+                ][d.rng.usize(0..4)]
                 .clone();
                 d.add(
                     at,
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -13,7 +13,7 @@
 
 /// The hosts at one end of a cut.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Side {
+pub enum Frontend {
     Any,
     Node(usize),
     Nodes,
@@ -38,8 +38,8 @@
 
 #[derive(Debug, Clone)]
 pub struct Cut {
-    pub from: Side,
-    pub to: Side,
+    pub from: Frontend,
+    pub to: Frontend,
     /// The other direction too.
     pub both: bool,
     pub how: How,
@@ -51,7 +51,7 @@
 
 impl Cut {
     /// A cut in both directions that holds what is sent, from now on.
-    pub fn between(from: Side, to: Side, now: u64, ms: u64) -> Self {
+    pub fn between(from: Frontend, to: Frontend, now: u64, ms: u64) -> Self {
         Cut {
             from,
             to,
@@ -95,24 +95,24 @@
         self.cuts.iter().all(|c| c.ends(now).is_none())
     }
 
-    fn is_at(&self, side: &Side, place: Place<'_>) -> bool {
+    fn is_at(&self, frontend: &Frontend, place: Place<'_>) -> bool {
         let zone = match place {
             Place::Node(n) => self.node_zones.get(n).map(String::as_str),
             Place::Machine { zone, .. } => Some(zone),
             _ => None,
         };
-        match (side, place) {
-            (Side::Any, _)
-            | (Side::Nodes, Place::Node(_))
-            | (Side::State, Place::State)
-            | (Side::Cloud, Place::Cloud)
-            | (Side::Users, Place::Users)
-            | (Side::Machines, Place::Machine { .. }) => true,
-            (Side::Node(a), Place::Node(b)) => *a == b,
-            (Side::Machine(a), Place::Machine { name, .. }) => a == name,
-            (Side::MachinesIn(z), Place::Machine { zone, .. }) => z == zone,
-            (Side::Zone(z), _) => zone == Some(z),
-            (Side::Outside(z), _) => zone != Some(z),
+        match (frontend, place) {
+            (Frontend::Any, _)
+            | (Frontend::Nodes, Place::Node(_))
+            | (Frontend::State, Place::State)
+            | (Frontend::Cloud, Place::Cloud)
+            | (Frontend::Users, Place::Users)
+            | (Frontend::Machines, Place::Machine { .. }) => true,
+            (Frontend::Node(a), Place::Node(b)) => *a == b,
+            (Frontend::Machine(a), Place::Machine { name, .. }) => a == name,
+            (Frontend::MachinesIn(z), Place::Machine { zone, .. }) => z == zone,
+            (Frontend::Zone(z), _) => zone == Some(z),
+            (Frontend::Outside(z), _) => zone != Some(z),
             _ => false,
         }
     }
@@ -156,8 +156,8 @@
             ..Links::default()
         };
         links.cut(Cut::between(
-            Side::Zone("a".into()),
-            Side::Outside("a".into()),
+            Frontend::Zone("a".into()),
+            Frontend::Outside("a".into()),
             100,
             50,
         ));
@@ -174,7 +174,7 @@
             node_zones: vec!["a".into()],
             ..Links::default()
         };
-        let cut = Cut::between(Side::Node(0), Side::Machines, 0, 100);
+        let cut = Cut::between(Frontend::Node(0), Frontend::Machines, 0, 100);
         links.cut(Cut {
             both: false,
             how: How::Reset,
--- a/crates/standins/src/meetings.rs
+++ b/crates/standins/src/meetings.rs
@@ -8,7 +8,7 @@
 use crate::checks::Verdict;
 use crate::checks::starts::AfterCancel;
 use crate::days::{BEGIN, Day, Machines, NextLeader, Trouble, Who};
-use crate::links::{How, Side};
+use crate::links::{Frontend, How};
 use crate::scene::{Scene, Timed, array};
 use crate::state::Limits;
 use crate::world::{Plan, Sabotage, World};
@@ -111,7 +111,7 @@
         }
     }
 
-    fn cut(&mut self, from: Side) -> Trouble {
+    fn cut(&mut self, from: Frontend) -> Trouble {
         Trouble::Cut {
             who: self.one(),
             from,
@@ -147,9 +147,9 @@
         who: d.one(),
         ms: d.ms(1000..20_000),
     }),
-    ("cut-state", |d| d.cut(Side::State)),
-    ("cut-peers", |d| d.cut(Side::Nodes)),
-    ("cut-machines", |d| d.cut(Side::Machines)),
+    ("cut-state", |d| d.cut(Frontend::State)),
+    ("cut-peers", |d| d.cut(Frontend::Nodes)),
+    ("cut-machines", |d| d.cut(Frontend::Machines)),
     ("late", |d| Trouble::Late {
         who: d.one(),
         for_ms: d.ms(300..5000),
@@ -310,7 +310,7 @@
                 at + apart,
                 Trouble::Cut {
                     who: Who::Leader,
-                    from: Side::Machines,
+                    from: Frontend::Machines,
                     how: How::Hold,
                     ms,
                 },
@@ -326,7 +326,7 @@
             d.add(at, Trouble::Deaf { machines, ms });
             let (cut, apart, back_ms) = (d.ms(3000..15_000), d.ms(0..6000), d.back());
             if d.rng.bool() {
-                let (from, how) = (Side::MachinesIn(zone.into()), d.how());
+                let (from, how) = (Frontend::MachinesIn(zone.into()), d.how());
                 d.add(
                     at,
                     Trouble::Cut {
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -18,7 +18,7 @@
 pub use users::Asides;
 
 use crate::cloud::{Cloud, name_at};
-use crate::links::{Cut, How, Links, Place, Side};
+use crate::links::{Cut, Frontend, How, Links, Place};
 use crate::models::{Answer, Models};
 use crate::rules::{OnMachine, Rules};
 use crate::scene::Scene;
@@ -845,8 +845,8 @@
     /// Cuts the machines of a zone off from everything; their names.
     pub fn cut_zone(&mut self, zone: &str, ms: u64) -> Vec<String> {
         self.cut(Cut::between(
-            Side::MachinesIn(zone.to_owned()),
-            Side::Any,
+            Frontend::MachinesIn(zone.to_owned()),
+            Frontend::Any,
             self.now,
             ms,
         ));
@@ -875,7 +875,10 @@
 
     /// Cuts a zone off with the nodes and machines in it.
     pub fn cut_off(&mut self, zone: &str, ms: u64) {
-        let (inside, outside) = (Side::Zone(zone.to_owned()), Side::Outside(zone.to_owned()));
+        let (inside, outside) = (
+            Frontend::Zone(zone.to_owned()),
+            Frontend::Outside(zone.to_owned()),
+        );
         self.cut(Cut::between(inside, outside, self.now, ms));
     }
 
@@ -1229,7 +1232,7 @@
                     }
                 }
                 // Kept between the node and its gateway.
-                Effect::Side { .. } => {}
+                Effect::Frontend { .. } => {}
                 Effect::Send {
                     tag,
                     to,
@@ -2000,7 +2003,7 @@
             2 => (0..self.plan.nodes).for_each(|n| self.crash(n, 3000)),
             3 => self.outage_until = self.outage_until.max(now + long.min(12_000)),
             4 => self.hosts[n].refused_until = now + long,
-            5 => self.cut(Cut::between(Side::Node(n), Side::Any, now, long)),
+            5 => self.cut(Cut::between(Frontend::Node(n), Frontend::Any, now, long)),
             6 => self.cloud_out_until = now + long,
             7 => self.state.forgotten = self.state.revision,
             8 => {
--- a/crates/standins/src/world/machines.rs
+++ b/crates/standins/src/world/machines.rs
@@ -4,7 +4,7 @@
 use super::World;
 use crate::checks::room::{Free, Up};
 use crate::days::Machines;
-use crate::links::{Cut, How, Side};
+use crate::links::{Cut, Frontend, How};
 use crate::worker::Worker;
 use wire::api::TaskStage;
 
@@ -16,15 +16,15 @@
     pub(super) fn mute(&mut self, machines: Machines, ms: u64) {
         let sides = match machines {
             // Those too that come up meanwhile.
-            Machines::Zone(zone) => vec![Side::MachinesIn(zone.to_owned())],
+            Machines::Zone(zone) => vec![Frontend::MachinesIn(zone.to_owned())],
             some => self
                 .draw_machines(some)
                 .into_iter()
-                .map(Side::Machine)
+                .map(Frontend::Machine)
                 .collect(),
         };
-        for side in sides {
-            let both_ways = Cut::between(side, Side::Nodes, self.now, ms);
+        for frontend in sides {
+            let both_ways = Cut::between(frontend, Frontend::Nodes, self.now, ms);
             self.cut(Cut {
                 both: false,
                 how: How::Reset,
--- a/crates/standins/src/world/troubles.rs
+++ b/crates/standins/src/world/troubles.rs
@@ -2,7 +2,7 @@
 
 use super::{Call, Ev, Origin, World};
 use crate::days::{LATE_REPORT_MS, LATE_WRITE_MS, Machines, NextLeader, Trouble, Who};
-use crate::links::{Cut, Side};
+use crate::links::{Cut, Frontend};
 use std::collections::BTreeMap;
 use wire::http::Request;
 
@@ -94,7 +94,7 @@
                 for n in whom(who) {
                     self.cut(Cut {
                         how,
-                        ..Cut::between(Side::Node(n), from.clone(), now, ms)
+                        ..Cut::between(Frontend::Node(n), from.clone(), now, ms)
                     });
                 }
             }
@@ -146,8 +146,8 @@
             | Trouble::OddRequests { .. } => self.bring_users(trouble),
             Trouble::CutOff { who, ms } => {
                 for n in whom(who) {
-                    self.cut(Cut::between(Side::Node(n), Side::State, now, ms));
-                    self.cut(Cut::between(Side::Node(n), Side::Nodes, now, ms));
+                    self.cut(Cut::between(Frontend::Node(n), Frontend::State, now, ms));
+                    self.cut(Cut::between(Frontend::Node(n), Frontend::Nodes, now, ms));
                 }
             }
             Trouble::Mute { machines, ms } => self.mute(machines, ms),
--- a/crates/standins/tests/answers.rs
+++ b/crates/standins/tests/answers.rs
@@ -271,7 +271,7 @@
                         self.at_once.push_back(Mail::There(letter));
                     }
                 }
-                Effect::Side { .. } => {}
+                Effect::Frontend { .. } => {}
             }
         }
     }
--- a/crates/standins/tests/bound_to_zones.rs
+++ b/crates/standins/tests/bound_to_zones.rs
@@ -1,6 +1,6 @@
 //! Jobs that are bound to one zone, arrays too, lose machines: on a restart the old tasks still stand where they stood.
 
-use standins::links::{Cut, Side};
+use standins::links::{Cut, Frontend};
 use standins::scene::{Scene, Timed, array};
 use standins::world::{Plan, World};
 use wire::api::{JobSpec, Kind};
@@ -61,9 +61,9 @@
         (0 | 1, Some(machine)) => world.lose(machine),
         (2, Some(machine)) => world.hang(machine, rng.u64(3000..14_000)),
         _ => {
-            let zone = Side::MachinesIn(["a", "b"][rng.usize(0..2)].into());
+            let zone = Frontend::MachinesIn(["a", "b"][rng.usize(0..2)].into());
             world.cut(Cut::between(
-                Side::Any,
+                Frontend::Any,
                 zone,
                 world.now(),
                 rng.u64(2000..18_000),
--- a/crates/standins/tests/changes_of_leader.rs
+++ b/crates/standins/tests/changes_of_leader.rs
@@ -1,7 +1,7 @@
 //! The leader changes while tasks run: jobs whose tasks end far apart, machines out of reach, machines that do not hear
 //! the next leader.
 
-use standins::links::{Cut, How, Side};
+use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
 use standins::world::{LEASE_MS, Plan, World};
@@ -244,16 +244,16 @@
 
 fn away(world: &mut World, how: Away, zone: &str, ms: u64) {
     let now = world.now();
-    let machines = Side::MachinesIn(zone.into());
+    let machines = Frontend::MachinesIn(zone.into());
     match how {
-        Away::Held => world.cut(Cut::between(Side::Any, machines, now, ms)),
+        Away::Held => world.cut(Cut::between(Frontend::Any, machines, now, ms)),
         Away::Refused => world.cut(Cut {
             how: How::Reset,
-            ..Cut::between(Side::Any, machines, now, ms)
+            ..Cut::between(Frontend::Any, machines, now, ms)
         }),
         Away::Unhearing => world.cut(Cut {
             both: false,
-            ..Cut::between(Side::Nodes, machines, now, ms)
+            ..Cut::between(Frontend::Nodes, machines, now, ms)
         }),
         Away::Hung => world.machines().iter().for_each(|m| world.hang(m, ms)),
     }
@@ -316,7 +316,7 @@
             let mut world = World::new(Plan::of_scene(step, nodes, scene, 0, 600_000));
             world.run_for(30_000);
             // Stops are lost until all have ended; reports find nobody who may answer.
-            let unheard = Cut::between(Side::Nodes, Side::Machines, world.now(), 1000);
+            let unheard = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 1000);
             world.cut(Cut {
                 how: How::Reset,
                 ..unheard
--- a/crates/standins/tests/gap.rs
+++ b/crates/standins/tests/gap.rs
@@ -9,7 +9,7 @@
 
 use fastrand::Rng;
 use standins::days::{Trouble, Who};
-use standins::links::{Cut, How, Side};
+use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
 use standins::world::{Plan, TakeOver, World};
 
@@ -272,7 +272,7 @@
 const FOR_LONG: u64 = 300_000;
 
 impl Day {
-    fn one_way(&self, world: &mut World, from: Side, to: Side) {
+    fn one_way(&self, world: &mut World, from: Frontend, to: Frontend) {
         let cut = Cut::between(from, to, world.now(), FOR_LONG);
         world.cut(Cut {
             both: false,
@@ -281,7 +281,7 @@
         });
     }
 
-    fn both_ways(&self, world: &mut World, from: Side, to: Side) {
+    fn both_ways(&self, world: &mut World, from: Frontend, to: Frontend) {
         let cut = Cut::between(from, to, world.now(), FOR_LONG);
         world.cut(Cut {
             how: self.how,
@@ -292,13 +292,13 @@
     fn cut_peers(&self, world: &mut World, old: usize, rng: &mut Rng) {
         match self.peers {
             Peers::All | Peers::OldAndNext => {}
-            Peers::None => self.both_ways(world, Side::Nodes, Side::Nodes),
-            Peers::OldDeaf => self.one_way(world, Side::Nodes, Side::Node(old)),
-            Peers::OldMute => self.one_way(world, Side::Node(old), Side::Nodes),
+            Peers::None => self.both_ways(world, Frontend::Nodes, Frontend::Nodes),
+            Peers::OldDeaf => self.one_way(world, Frontend::Nodes, Frontend::Node(old)),
+            Peers::OldMute => self.one_way(world, Frontend::Node(old), Frontend::Nodes),
             Peers::Any => {
                 for (a, b) in (0..self.nodes).flat_map(|a| (0..self.nodes).map(move |b| (a, b))) {
                     if a != b && rng.bool() {
-                        self.one_way(world, Side::Node(a), Side::Node(b));
+                        self.one_way(world, Frontend::Node(a), Frontend::Node(b));
                     }
                 }
             }
@@ -310,12 +310,12 @@
         for n in others {
             match self.reach {
                 Reach::All | Reach::Zone => {}
-                Reach::Old => self.both_ways(world, Side::Node(n), Side::Machines),
-                Reach::Reports => self.one_way(world, Side::Node(n), Side::Machines),
+                Reach::Old => self.both_ways(world, Frontend::Node(n), Frontend::Machines),
+                Reach::Reports => self.one_way(world, Frontend::Node(n), Frontend::Machines),
                 Reach::Any => match rng.u32(0..4) {
-                    0 => self.both_ways(world, Side::Node(n), Side::Machines),
-                    1 => self.one_way(world, Side::Node(n), Side::Machines),
-                    2 => self.one_way(world, Side::Machines, Side::Node(n)),
+                    0 => self.both_ways(world, Frontend::Node(n), Frontend::Machines),
+                    1 => self.one_way(world, Frontend::Node(n), Frontend::Machines),
+                    2 => self.one_way(world, Frontend::Machines, Frontend::Node(n)),
                     _ => {}
                 },
             }
@@ -347,8 +347,8 @@
         self.cut_peers(&mut world, old, &mut rng);
         if self.unheard_ms > 0 {
             let cut = Cut::between(
-                Side::State,
-                Side::Node(old),
+                Frontend::State,
+                Frontend::Node(old),
                 world.now(),
                 self.refused_at + self.unheard_ms,
             );
@@ -419,7 +419,7 @@
         self.cancel(world, JOBS / 4..JOBS - 3, 0);
         let next = record(world).map_or((old + 1) % self.nodes, |(n, _)| n);
         if self.peers == Peers::OldAndNext && next != old {
-            self.both_ways(world, Side::Node(old), Side::Node(next));
+            self.both_ways(world, Frontend::Node(old), Frontend::Node(next));
         }
         match from {
             From::Refusal | From::Stands => {}
@@ -499,7 +499,7 @@
         world.run_for(18_000);
         let old = world.leader_at().expect("some node owns the fleet");
         for n in (0..3).filter(|n| *n != old) {
-            let cut = Cut::between(Side::Node(n), Side::Node(old), world.now(), 100_000);
+            let cut = Cut::between(Frontend::Node(n), Frontend::Node(old), world.now(), 100_000);
             world.cut(Cut {
                 how: How::Reset,
                 ..cut
--- a/crates/standins/tests/hand_over.rs
+++ b/crates/standins/tests/hand_over.rs
@@ -2,7 +2,7 @@
 //! moment of it, and submit again much later at whatever node.
 
 use standins::days::{Trouble, Who};
-use standins::links::{Cut, How, Side};
+use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
 use standins::world::{Plan, World};
@@ -259,7 +259,7 @@
             let mut world = world(300 + step, nodes);
             world.run_for(BEGIN);
             let first = world.leader_at().expect("some node owns the fleet");
-            let unheard = Cut::between(Side::Nodes, Side::Machines, world.now(), 6000);
+            let unheard = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 6000);
             world.cut(Cut {
                 how: How::Reset,
                 ..unheard
--- a/crates/standins/tests/late_commands.rs
+++ b/crates/standins/tests/late_commands.rs
@@ -1,6 +1,6 @@
 //! Commands to machines, or the answers to their reports, come late, and the machines then go on.
 
-use standins::links::{Cut, How, Side};
+use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
 use standins::world::{Plan, World};
@@ -97,7 +97,7 @@
             let nodes = [3, 5, 7][step as usize % 3];
             let what = format!("{nodes} nodes, answers {slow} ms late, step {step}");
             let mut world = idle(slow + step, nodes);
-            let refused = Cut::between(Side::Nodes, Side::Machines, world.now(), 400);
+            let refused = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 400);
             world.cut(Cut {
                 both: false,
                 how: How::Reset,
--- a/crates/standins/tests/models.rs
+++ b/crates/standins/tests/models.rs
@@ -1,7 +1,7 @@
 //! Models in virtual time: woken once whoever asks and whoever dies, asleep by proof, and back again.
 
 use model::{Begin, Phase, Rule, Spec};
-use standins::links::{Cut, Side};
+use standins::links::{Cut, Frontend};
 use standins::scene::{Scene, Timed, array};
 use standins::world::{Plan, World};
 use wire::api::{JobSpec, Kind};
@@ -212,7 +212,12 @@
         w.run_for(20_000);
         let leader = w.leader_at().expect("an owner");
         let far = (leader + 1) % 5;
-        w.cut(Cut::between(Side::Node(far), Side::Nodes, w.now(), 200_000));
+        w.cut(Cut::between(
+            Frontend::Node(far),
+            Frontend::Nodes,
+            w.now(),
+            200_000,
+        ));
         w.demand(&id(1), Some(far));
         w.demand(&id(1), Some(leader));
         until_awake(&mut w, 1);
--- a/crates/standins/tests/old_reports.rs
+++ b/crates/standins/tests/old_reports.rs
@@ -1,7 +1,7 @@
 //! Copies of old reports come after newer ones: of an earlier session or attempt, to the next leader before any other,
 //! for machines that are long gone, and at nodes that only hand them on.
 
-use standins::links::{Cut, How, Side};
+use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
 use standins::world::{Plan, World};
@@ -95,7 +95,7 @@
         world.run_for(IDLE_MS - 1);
         // Commands arrive; their answers are lost, and reports are refused.
         for how in [How::Hold, How::Reset] {
-            let unheard = Cut::between(Side::Machines, Side::Nodes, world.now(), 17_000);
+            let unheard = Cut::between(Frontend::Machines, Frontend::Nodes, world.now(), 17_000);
             world.cut(Cut {
                 both: false,
                 how,
@@ -359,8 +359,8 @@
                     let (now, ms) = (world.now(), rng.u64(1000..25_000));
                     let how = [How::Hold, How::Reset][rng.usize(0..2)];
                     let m = machine(&world, &mut rng)
-                        .map_or(Side::MachinesIn("a".into()), Side::Machine);
-                    let cut = Cut::between(m, Side::Nodes, now, ms);
+                        .map_or(Frontend::MachinesIn("a".into()), Frontend::Machine);
+                    let cut = Cut::between(m, Frontend::Nodes, now, ms);
                     world.cut(Cut {
                         how,
                         both: rng.bool(),
--- a/crates/standins/tests/refusals.rs
+++ b/crates/standins/tests/refusals.rs
@@ -4,7 +4,7 @@
 //! Beside the rules, what users are told is held against what stands in the state service at that moment.
 
 use standins::days::{Trouble, Who};
-use standins::links::{How, Side};
+use standins::links::{Frontend, How};
 use standins::scene::{Scene, Timed, array};
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
 use standins::world::{Plan, World};
@@ -177,7 +177,7 @@
             let old = leader(&world);
             let ms = 7000 + step * 61;
             let how = [How::Reset, How::Hold][usize::from(step % 4 == 3)];
-            for from in [Side::State, Side::Nodes] {
+            for from in [Frontend::State, Frontend::Nodes] {
                 world.bring(&Trouble::Cut {
                     who: Who::Node(old),
                     from,
@@ -215,7 +215,7 @@
             let leader = leader(&world);
             world.bring(&Trouble::Cut {
                 who: Who::Node(leader),
-                from: Side::Nodes,
+                from: Frontend::Nodes,
                 how: How::Reset,
                 ms: 9000,
             });
@@ -257,7 +257,12 @@
             let mut world = World::new(Plan::of_scene(seed, nodes, scene, 0, 600_000));
             world.run_for(BEGIN);
             let old = leader(&world);
-            for from in [Side::State, Side::Nodes, Side::Machines, Side::Cloud] {
+            for from in [
+                Frontend::State,
+                Frontend::Nodes,
+                Frontend::Machines,
+                Frontend::Cloud,
+            ] {
                 world.bring(&Trouble::Cut {
                     who: Who::Node(old),
                     from,
--- a/crates/standins/tests/search.rs
+++ b/crates/standins/tests/search.rs
@@ -259,7 +259,7 @@
                     self.send((n, incarnation, tag), to, method, &path, body, timeout_ms);
                 }
                 Effect::Respond { conn, response } => self.responded(n, conn, response),
-                Effect::Side { .. } => {}
+                Effect::Frontend { .. } => {}
             }
         }
     }
--- a/crates/standins/tests/spread_reports.rs
+++ b/crates/standins/tests/spread_reports.rs
@@ -1,6 +1,6 @@
 //! Reports of a large fleet, which go by way of all controllers.
 
-use standins::links::{Cut, How, Side};
+use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
 use standins::world::{Plan, World};
@@ -97,7 +97,12 @@
         for node in (0..3).filter(|node| *node != leader) {
             world.cut(Cut {
                 how,
-                ..Cut::between(Side::Machines, Side::Node(node), world.now(), CUT_MS)
+                ..Cut::between(
+                    Frontend::Machines,
+                    Frontend::Node(node),
+                    world.now(),
+                    CUT_MS,
+                )
             });
         }
         world.run_for(FOUND_MS);
@@ -160,11 +165,11 @@
     world
 }
 
-fn any_side(rng: &mut fastrand::Rng, nodes: usize) -> Side {
+fn any_side(rng: &mut fastrand::Rng, nodes: usize) -> Frontend {
     match rng.u32(0..5) {
-        0 | 1 => Side::Node(rng.usize(0..nodes)),
-        2 => Side::State,
-        3 => Side::Machines,
-        _ => Side::MachinesIn(["a", "b"][rng.usize(0..2)].to_owned()),
+        0 | 1 => Frontend::Node(rng.usize(0..nodes)),
+        2 => Frontend::State,
+        3 => Frontend::Machines,
+        _ => Frontend::MachinesIn(["a", "b"][rng.usize(0..2)].to_owned()),
     }
 }
--- a/crates/standins/tests/ways.rs
+++ b/crates/standins/tests/ways.rs
@@ -1,6 +1,6 @@
 //! Cuts that leave some links up, with machines that fail beside them.
 
-use standins::links::{Cut, How, Side};
+use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
 use standins::world::{Plan, World};
@@ -64,8 +64,18 @@
         for _ in 0..3 {
             let node = leader(&world);
             // It goes on hearing its workers, and they it.
-            for side in [Side::State, Side::Nodes, Side::Users, Side::Cloud] {
-                world.cut(Cut::between(Side::Node(node), side, world.now(), 150_000));
+            for frontend in [
+                Frontend::State,
+                Frontend::Nodes,
+                Frontend::Users,
+                Frontend::Cloud,
+            ] {
+                world.cut(Cut::between(
+                    Frontend::Node(node),
+                    frontend,
+                    world.now(),
+                    150_000,
+                ));
             }
             world.run_for(6000);
         }
@@ -117,21 +127,26 @@
         let old = leader(&world);
         world.cloud_out(200_000);
         world.cut(Cut::between(
-            Side::Node(old),
-            Side::State,
+            Frontend::Node(old),
+            Frontend::State,
             world.now(),
             150_000,
         ));
         for other in (0..3).filter(|n| *n != old) {
-            let unheard = Cut::between(Side::Node(other), Side::Node(old), world.now(), 150_000);
+            let unheard = Cut::between(
+                Frontend::Node(other),
+                Frontend::Node(old),
+                world.now(),
+                150_000,
+            );
             world.cut(Cut {
                 both: false,
                 how: How::Reset,
                 ..unheard
             });
             world.cut(Cut::between(
-                Side::Node(other),
-                Side::Machines,
+                Frontend::Node(other),
+                Frontend::Machines,
                 world.now(),
                 150_000,
             ));
@@ -150,7 +165,7 @@
     for seed in 0..10 {
         let mut world = world(seed, 3, 400_000);
         world.run_for(30_000);
-        let unheard = Cut::between(Side::Nodes, Side::Machines, world.now(), 4000);
+        let unheard = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 4000);
         // Refused, since a command that is held would come through afterwards.
         world.cut(Cut {
             how: How::Reset,
@@ -198,13 +213,13 @@
     let now = world.now();
     for n in 0..nodes {
         let lost = if n == blind {
-            Side::Machines
+            Frontend::Machines
         } else {
-            Side::State
+            Frontend::State
         };
         world.cut(Cut {
             how,
-            ..Cut::between(Side::Node(n), lost, now, ms)
+            ..Cut::between(Frontend::Node(n), lost, now, ms)
         });
     }
 }
@@ -256,16 +271,22 @@
     }
 }
 
-fn any_side(rng: &mut fastrand::Rng, nodes: usize) -> Side {
+fn any_side(rng: &mut fastrand::Rng, nodes: usize) -> Frontend {
     let zone = ["a", "b"][rng.usize(0..2)].to_owned();
     match rng.u32(0..9) {
-        0..3 => Side::Node(rng.usize(0..nodes)),
-        3 => Side::Nodes,
-        4 => Side::State,
-        5 => Side::Machines,
-        6 => Side::MachinesIn(zone),
-        7 => Side::Zone(zone),
-        _ => [Side::Any, Side::Outside(zone), Side::Cloud, Side::Users][rng.usize(0..4)].clone(),
+        0..3 => Frontend::Node(rng.usize(0..nodes)),
+        3 => Frontend::Nodes,
+        4 => Frontend::State,
+        5 => Frontend::Machines,
+        6 => Frontend::MachinesIn(zone),
+        7 => Frontend::Zone(zone),
+        _ => [
+            Frontend::Any,
+            Frontend::Outside(zone),
+            Frontend::Cloud,
+            Frontend::Users,
+        ][rng.usize(0..4)]
+        .clone(),
     }
 }
 
@@ -371,8 +392,12 @@
             world.run_for(30_000);
             let zone = zone_of(leader(&world) + 1);
             // Half of the jobs just before, with commands refused, so that no stop arrives; the others in the cut.
-            let machines =
-                Cut::between(Side::Any, Side::MachinesIn(zone.into()), world.now(), 5500);
+            let machines = Cut::between(
+                Frontend::Any,
+                Frontend::MachinesIn(zone.into()),
+                world.now(),
+                5500,
+            );
             world.cut(Cut {
                 how: How::Reset,
                 ..machines
@@ -414,8 +439,8 @@
     world.run_for(50_000);
     let node = leader(&world);
     world.cut(Cut::between(
-        Side::Node(node),
-        Side::Machines,
+        Frontend::Node(node),
+        Frontend::Machines,
         world.now(),
         40_000,
     ));
--- a/crates/standins/tests/yarn.rs
+++ b/crates/standins/tests/yarn.rs
@@ -493,7 +493,7 @@
 
 /// Guards against containers of one application being taken for those of another: their numbers are the same.
 #[test]
-fn tallies_side_by_side_do_not_meet() {
+fn tallies_frontend_by_frontend_do_not_meet() {
     let clients = (0..4).map(|i| Client::new("ann", "red", 2000 + i, tally(&[20, 10])));
     let mut world = World::new(plan(6, 3, scene(clients.collect())));
     through(&mut world, 200_000);
--- a/crates/stoathatch/src/service.rs
+++ b/crates/stoathatch/src/service.rs
@@ -324,7 +324,7 @@
                 });
             }
             // The gateway's own requests have ended with it.
-            Effect::Side { .. } => {}
+            Effect::Frontend { .. } => {}
         }
     }
 }
