--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -84,7 +84,7 @@
         let orders = match self.reporter(report) {
             Some(m) if self.heard(m, report, via) => {
                 let orders = self.orders_for(m);
-                self.owe(m, &orders);
+                self.note_unacknowledged_start(m, &orders);
                 orders
             }
             // Its worker may wait for the answer all the same, and its lease is renewed by it: not without the stops of
@@ -101,11 +101,11 @@
 
     /// A start in the answer to a report may overtake a command, or be overtaken: until the next report, what a worker
     /// answers to commands proves nothing about it.
-    fn owe(&mut self, m: usize, orders: &[Order]) {
+    fn note_unacknowledged_start(&mut self, m: usize, orders: &[Order]) {
         if orders.iter().any(|o| matches!(o, Order::Start { .. }))
             && let Some(machine) = self.shard.as_mut().and_then(|p| p.machine_mut(m))
         {
-            machine.owed = Some(machine.seen);
+            machine.unacknowledged_start = Some(machine.seen);
         }
     }
 
@@ -124,14 +124,16 @@
             machine.via = via;
             machine.reported_at = now;
             // It has heard of us after that first report, if it obeys a token now that it did not know then.
-            machine.hearsay = machine
-                .hearsay
+            machine.unconfirmed_token = machine
+                .unconfirmed_token
                 .filter(|token| *token >= ours || report.token < ours);
             if machine
-                .owed
-                .is_some_and(|owed| owed < (report.session, report.seq))
+                .unacknowledged_start
+                .is_some_and(|unacknowledged_start| {
+                    unacknowledged_start < (report.session, report.seq)
+                })
             {
-                machine.owed = None;
+                machine.unacknowledged_start = None;
             }
         }
         self.absorb(m, report)
@@ -176,7 +178,7 @@
             now.wall,
             now.mono,
         );
-        machine.hearsay = Some(r.token);
+        machine.unconfirmed_token = Some(r.token);
         machine.addr = r.addr.parse().ok();
         let m = shard.add_machine(machine);
         self.call(m);
@@ -200,8 +202,8 @@
         machine.seen = (report.session, report.seq);
         machine.heard_at = now;
         // Answers to reports of an earlier session are dropped. A worker that answers commands alone says no more of it.
-        machine.owed = machine
-            .owed
+        machine.unacknowledged_start = machine
+            .unacknowledged_start
             .filter(|(session, _)| *session >= report.session);
         machine.addr = report.addr.parse().ok().or(machine.addr);
         if !machine.up {
@@ -211,15 +213,17 @@
             log::info!("machine {}: up", machine.name);
         }
         if machine
-            .taint
+            .unanswered_command
             .is_some_and(|(t, session)| report.token > t || report.session > session)
         {
-            machine.taint = None;
+            machine.unanswered_command = None;
             shard.plan_due = true;
         }
         // What is not listed now is gone only if nothing that could start it is still under way: no command
         // of an earlier token, no direct command unanswered, no start in an answer that a worker still waits for.
-        let quiet = machine.direct.is_none() && machine.owed.is_none() && machine.taint.is_none();
+        let quiet = machine.direct.is_none()
+            && machine.unacknowledged_start.is_none()
+            && machine.unanswered_command.is_none();
         let proof = report.token >= token && quiet;
         let noticed = report
             .notice_s
@@ -530,8 +534,9 @@
             return orders;
         };
         // Nothing begins in the last of a lease, or on a machine that goes.
-        let may_start =
-            machine.taint.is_none() && !machine.deleting && !machine.is_mute(now, silent);
+        let may_start = machine.unanswered_command.is_none()
+            && !machine.deleting
+            && !machine.is_heartbeat_overdue(now, silent);
         // Two ways at once would make an absence in a report prove nothing.
         if machine.direct.is_some() {
             return orders;
@@ -577,7 +582,7 @@
                 });
             }
         }
-        if machine.taint.is_none() {
+        if machine.unanswered_command.is_none() {
             for e in &machine.exited {
                 let ix = shard.job_ix.get(&e.job).copied();
                 let job = ix
@@ -644,7 +649,10 @@
         let Some(shard) = &self.shard else { return };
         let ready = |m: &usize| {
             shard.machine(*m).is_some_and(|x| {
-                x.up && x.addr.is_some() && x.direct.is_none() && x.taint.is_none() && !x.deleting
+                x.up && x.addr.is_some()
+                    && x.direct.is_none()
+                    && x.unanswered_command.is_none()
+                    && !x.deleting
             })
         };
         let due: Vec<usize> = shard.push.iter().copied().filter(ready).collect();
@@ -698,7 +706,7 @@
         machine.direct = None;
         match report {
             Some(report) if report.machine == machine.name => {
-                machine.hearsay = None;
+                machine.unconfirmed_token = None;
                 self.absorb(m, &report);
             }
             // Nothing of it can ever be executed; its next report brings what is missing to light.
@@ -707,7 +715,7 @@
                 // It may be executed minutes from now. Only a higher token, once the worker has seen it, rules
                 // that out; until then nothing here is reaped or proved gone, and nothing new is placed.
                 log::info!("machine {}: a command was not answered", machine.name);
-                machine.taint = Some((token, machine.seen.0));
+                machine.unanswered_command = Some((token, machine.seen.0));
                 shard.raise_token = true;
             }
         }
@@ -766,7 +774,7 @@
         machine.probe = None;
         let direct = machine.via.is_none();
         if let Some(report) = report.filter(|r| r.machine == machine.name) {
-            machine.hearsay = None;
+            machine.unconfirmed_token = None;
             if let Some(shard) = self.shard.as_mut().filter(|_| direct) {
                 shard.heard_itself = true;
             }
@@ -869,7 +877,7 @@
             let machine = shard.machine(m).expect("the machine");
             assert_eq!(machine.direct, None);
             assert_eq!(
-                (machine.taint.is_some(), shard.raise_token),
+                (machine.unanswered_command.is_some(), shard.raise_token),
                 (sent, sent),
                 "via a peer: {via}"
             );
--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -89,12 +89,12 @@
     /// The peer by way of which its worker reports, if not by itself.
     pub via: Option<usize>,
     /// A report whose answer carried a start, which may still be on its way to the worker.
-    pub owed: Option<(u64, u64)>,
+    pub unacknowledged_start: Option<(u64, u64)>,
     /// Its worker has reported to us.
     pub up: bool,
     /// All that speaks for it is a report, made under this token, which may be a copy of one that is long past: it gets
     /// no tasks until its worker has answered us.
-    pub hearsay: Option<u64>,
+    pub unconfirmed_token: Option<u64>,
     pub heard_at: u64,
     /// When its worker last reported, by itself or by way of a peer. Answers to commands renew no lease.
     pub reported_at: u64,
@@ -107,7 +107,7 @@
     pub direct: Option<u64>,
     /// A direct command was not answered: it may still be executed, until the worker has seen a token
     /// above this one or has begun a later session.
-    pub taint: Option<(u64, u64)>,
+    pub unanswered_command: Option<(u64, u64)>,
     pub probe: Option<u64>,
     pub probed_at: u64,
     pub deleting: bool,
@@ -135,9 +135,9 @@
             recorded: false,
             addr: None,
             via: None,
-            owed: None,
+            unacknowledged_start: None,
             up: false,
-            hearsay: None,
+            unconfirmed_token: None,
             heard_at: 0,
             reported_at: 0,
             seen: (0, 0),
@@ -145,7 +145,7 @@
             claims: Vec::new(),
             exited: Vec::new(),
             direct: None,
-            taint: None,
+            unanswered_command: None,
             probe: None,
             probed_at: 0,
             deleting: false,
@@ -177,14 +177,14 @@
     /// May be given new tasks.
     pub fn usable(&self, now: u64) -> bool {
         self.up
-            && self.hearsay.is_none()
+            && self.unconfirmed_token.is_none()
             && self.recorded
             && !self.deleting
             && !self.failed
             && !self.sick
             && self.notice_until.is_none()
             && self.rest_until <= now
-            && self.taint.is_none()
+            && self.unanswered_command.is_none()
     }
 
     /// It has reported to us, or to an earlier leader who gave it tasks.
@@ -193,7 +193,7 @@
     }
 
     /// Its worker may have told nobody for so long that its lease is ending, though it answers commands.
-    pub fn is_mute(&self, now: u64, silent_ms: u64) -> bool {
+    pub fn is_heartbeat_overdue(&self, now: u64, silent_ms: u64) -> bool {
         now.saturating_sub(self.reported_at) > silent_ms
     }
 
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -56,7 +56,7 @@
         let leader = Leader {
             node,
             token,
-            avoided: self.is_deaf(node) || self.is_spread(),
+            avoided: self.hears_no_agents(node) || self.is_spread(),
         };
         let caller = Caller {
             machine: &report.machine,
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -138,7 +138,7 @@
     }
 
     /// Writes that the transaction still needs for them.
-    pub fn owed(&self) -> usize {
+    pub fn unacknowledged_start(&self) -> usize {
         usize::from(!self.deltas.is_empty())
     }
 }
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -59,7 +59,7 @@
                 .as_ref()
                 .filter(|_| self.decides())
                 .map(|p| p.token),
-            deaf: self.shard.as_ref().is_some_and(|p| p.is_deaf(now)),
+            hears_no_agents: self.shard.as_ref().is_some_and(|p| p.hears_no_agents(now)),
             down: self.state_good_at.is_none() || self.state_down(),
             spreads: self.leads() && self.is_spread(),
             delegation: None,
@@ -111,9 +111,9 @@
     }
 
     /// Whether a peer says that it leads the fleet and hears no worker.
-    pub(crate) fn is_deaf(&self, peer: usize) -> bool {
+    pub(crate) fn hears_no_agents(&self, peer: usize) -> bool {
         self.fresh_status(peer)
-            .is_some_and(|peer_status| peer_status.deaf)
+            .is_some_and(|peer_status| peer_status.hears_no_agents)
     }
 
     /// Whether a peer says that the state service does not serve it; nothing if it has not said anything lately.
--- a/crates/control/src/overload/load_shedding.rs
+++ b/crates/control/src/overload/load_shedding.rs
@@ -17,7 +17,7 @@
 /// Requests that were turned away and are still to be served.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Shedding {
-    owed: f64,
+    unacknowledged_start: f64,
     /// Milliseconds of the node's steady clock.
     at: u64,
 }
@@ -29,8 +29,8 @@
         let served = now.saturating_sub(self.at) as f64 / 1000.0 * served_per_s;
         self.at = self.at.max(now);
         let most = served_per_s * f64::from(LONGEST_S);
-        self.owed = ((self.owed - served).max(0.0) + 1.0).min(most);
-        let wait_s = 1.0 + self.owed / served_per_s;
+        self.unacknowledged_start = ((self.unacknowledged_start - served).max(0.0) + 1.0).min(most);
+        let wait_s = 1.0 + self.unacknowledged_start / served_per_s;
         (wait_s as u32).min(LONGEST_S)
     }
 }
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -365,8 +365,8 @@
         let (mut up, mut quiet) = (0, 0);
         for (m, machine) in shard.machines.iter_mut().enumerate() {
             let Some(machine) = machine else { continue };
-            let mute = machine.is_mute(now.mono, silent);
-            if (mute || machine.deleting) && machine.unsent().next().is_some() {
+            let heartbeat_overdue = machine.is_heartbeat_overdue(now.mono, silent);
+            if (heartbeat_overdue || machine.deleting) && machine.unsent().next().is_some() {
                 unsent.push(m);
             }
             if machine.deleting {
@@ -378,7 +378,10 @@
                 // Only who was asked and has not answered can't be heard: mute machines are as late, all at a time.
                 let asked = machine.probed_at > machine.heard_at || machine.addr.is_none();
                 quiet += u32::from(gap > silent && asked);
-                let every = match (gap > silent, mute && !machine.claims.is_empty()) {
+                let every = match (
+                    gap > silent,
+                    heartbeat_overdue && !machine.claims.is_empty(),
+                ) {
                     (true, _) => Some(1000),
                     (false, true) => Some(MUTE_MS),
                     (false, false) => None,
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -614,7 +614,7 @@
                 machine_type: *kind,
                 zone: *zone,
                 spot: machine.spot,
-                usable: machine.usable(now.mono) && !machine.is_mute(now.mono, silent),
+                usable: machine.usable(now.mono) && !machine.is_heartbeat_overdue(now.mono, silent),
                 ready: ready_in(machine, t.boot_s, now.wall),
                 total: plan::Res {
                     cores: t.cores,
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -471,7 +471,7 @@
             d.end(shard, ix, wall);
         }
         let room = |d: &Draft| {
-            d.writes.len() + d.counts.owed() < budget
+            d.writes.len() + d.counts.unacknowledged_start() < budget
                 && d.size < SIZE
                 && d.guards.len() + 2 < max_guards
         };
@@ -513,7 +513,7 @@
             d.ops.push(Op::Rental(name.clone()));
         }
         d.moves(shard, wall, value, room);
-        if d.counts.owed() > 0 {
+        if d.counts.unacknowledged_start() > 0 {
             d.log(shard, value, max_guards);
         }
         // Claims, with the results that have gathered. Room is left for the guards on the claims' jobs.
@@ -709,7 +709,10 @@
                     self.shared.highest = self.shared.highest.max(token);
                     self.shared.token_version = self.shared.token_version.max(revision);
                     for (m, machine) in shard.machines.iter().enumerate() {
-                        if machine.as_ref().is_some_and(|x| x.taint.is_some()) {
+                        if machine
+                            .as_ref()
+                            .is_some_and(|x| x.unanswered_command.is_some())
+                        {
                             shard.push.insert(m);
                         }
                     }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -180,7 +180,7 @@
     }
 
     /// Whether a fleet should have been heard by now, and nobody was.
-    pub fn is_deaf(&self, now: u64) -> bool {
+    pub fn hears_no_agents(&self, now: u64) -> bool {
         self.loaded
             && !self.heard_itself
             && self.machine_ix.len() >= DEAF_MACHINES
--- a/crates/control/tests/peers.rs
+++ b/crates/control/tests/peers.rs
@@ -51,7 +51,7 @@
         state_ms: Some(10),
         token: Some(3),
         leads: None,
-        deaf: false,
+        hears_no_agents: false,
         spreads: false,
         down: false,
         delegation: None,
@@ -118,7 +118,7 @@
     let mut node = node();
     let ages = PeerStatus {
         state_ms: Some(u64::MAX),
-        deaf: true,
+        hears_no_agents: true,
         spreads: false,
         ..peer_status(&peer())
     };
--- a/crates/control/tests/played/mod.rs
+++ b/crates/control/tests/played/mod.rs
@@ -230,7 +230,7 @@
             state_ms,
             token,
             leads: None,
-            deaf: false,
+            hears_no_agents: false,
             spreads: false,
             down,
             delegation: None,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -106,7 +106,8 @@
     pub leads: Option<u64>,
     /// It leads the fleet, and no worker has come to it by itself since.
     #[serde(default)]
-    pub deaf: bool,
+    #[serde(rename = "deaf")]
+    pub hears_no_agents: bool,
     /// The state service refuses it, or does not answer.
     #[serde(default)]
     pub down: bool,
