--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -99,7 +99,7 @@
     /// Counts one more who is turned away, and says when to come back.
     fn turn_away(&mut self) -> u32 {
         let served_per_s = self.accepts_per_s();
-        self.shedding.turn_away(self.now.mono, served_per_s)
+        self.load_shedding.turn_away(self.now.mono, served_per_s)
     }
 
     /// What a user sent as a submission.
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -58,8 +58,8 @@
     pub(crate) relay: relay::Relay,
     /// Which controllers workers report to.
     pub(crate) routing: routing::Routing,
-    pub(crate) pace: plan_pacing::Pace,
-    pub(crate) shedding: load_shedding::Shedding,
+    pub(crate) plan_pacing: plan_pacing::PlanPacing,
+    pub(crate) load_shedding: load_shedding::LoadShedding,
     /// What the leader has us keep.
     pub(crate) delegation: Option<lease_delegate::Delegation>,
     pub(crate) catalog_at: u64,
@@ -107,8 +107,8 @@
             responsiveness: forwarding::PeerResponsiveness::default(),
             relay: relay::Relay::default(),
             routing: routing::Routing::new(),
-            pace: plan_pacing::Pace::default(),
-            shedding: load_shedding::Shedding::default(),
+            plan_pacing: plan_pacing::PlanPacing::default(),
+            load_shedding: load_shedding::LoadShedding::default(),
             delegation: None,
             catalog_at: 0,
             stood_back_at: None,
@@ -179,7 +179,7 @@
     }
 
     pub(crate) fn tick(&mut self) {
-        self.pace.ticked(self.now.mono, self.wait_ms());
+        self.plan_pacing.ticked(self.now.mono, self.wait_ms());
         self.election_tick();
         self.routing_tick();
         self.peer_status_tick();
--- a/crates/control/src/overload/load_shedding.rs
+++ b/crates/control/src/overload/load_shedding.rs
@@ -16,13 +16,13 @@
 
 /// Requests that were turned away and are still to be served.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Shedding {
+pub struct LoadShedding {
     unacknowledged_start: f64,
     /// Milliseconds of the node's steady clock.
     at: u64,
 }
 
-impl Shedding {
+impl LoadShedding {
     /// One more is turned away, by a node that serves so many a second. Returns the seconds after which to come back.
     pub fn turn_away(&mut self, now: u64, served_per_s: f64) -> u32 {
         let served_per_s = served_per_s.max(1.0);
--- a/crates/control/src/overload/plan_pacing.rs
+++ b/crates/control/src/overload/plan_pacing.rs
@@ -16,16 +16,16 @@
 
 /// A node's pace. Times are milliseconds of its steady clock.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
+pub struct PlanPacing {
     ticked_at: Option<u64>,
     /// Part of the latest time by which ticks were late.
     late: f64,
     factor: f64,
 }
 
-impl Default for Pace {
+impl Default for PlanPacing {
     fn default() -> Self {
-        Pace {
+        PlanPacing {
             ticked_at: None,
             late: 0.0,
             factor: 1.0,
@@ -33,7 +33,7 @@
     }
 }
 
-impl Pace {
+impl PlanPacing {
     /// A tick that was due so long after the one before.
     pub fn ticked(&mut self, now: u64, due_after: u64) {
         let Some(before) = self.ticked_at.replace(now) else {
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -351,15 +351,15 @@
         if !self.decides() {
             return;
         }
-        let every = self.pace.apart(self.tuning.every_ms as u64);
-        let pace = self.pace;
+        let every = self.plan_pacing.apart(self.tuning.every_ms as u64);
+        let plan_pacing = self.plan_pacing;
         let settle = (self.settings.cluster.workers.report_s * 1000.0) as u64;
         let Some(shard) = &mut self.shard else { return };
         let due = (shard.plan_due && now >= shard.planned_at + every)
             || now >= shard.planned_at + 2 * every;
         let scope = match due {
             true => Scope::All,
-            false if shard.urgent.is_due(now, &pace) => Scope::Urgent,
+            false if shard.urgent.is_due(now, &plan_pacing) => Scope::Urgent,
             false => return,
         };
         if scope == Scope::All {
@@ -370,7 +370,7 @@
         let Some(catalog) = self.shared.catalog.clone() else {
             return;
         };
-        self.pace.planned();
+        self.plan_pacing.planned();
         let (input, map) = self.plan_input(&catalog, scope);
         let output = plan::plan(&input);
         let stopped_at = output.resume.map(|job| map.jobs[job as usize]);
--- a/crates/control/src/scheduling/urgent.rs
+++ b/crates/control/src/scheduling/urgent.rs
@@ -1,7 +1,7 @@
 //! Work of the highest priority does not wait for the next full plan: a plan for it alone is made as it arrives, and
 //! again while it lacks places, so often as it gets on.
 
-use crate::overload::plan_pacing::Pace;
+use crate::overload::plan_pacing::PlanPacing;
 use wire::api::{JobSpec, Kind, Priority};
 
 /// Urgent plans are at least this far apart, in milliseconds.
@@ -42,8 +42,8 @@
     }
 
     /// Whether a plan is due, of a node that keeps this pace.
-    pub fn is_due(&self, now: u64, pace: &Pace) -> bool {
-        self.waits && now >= self.planned_at + pace.apart(self.pause_ms)
+    pub fn is_due(&self, now: u64, plan_pacing: &PlanPacing) -> bool {
+        self.waits && now >= self.planned_at + plan_pacing.apart(self.pause_ms)
     }
 
     /// A plan that had urgent work in it, or none: whether some still waits, and whether it got on. Plans that bring
--- a/crates/control/tests/pace.rs
+++ b/crates/control/tests/pace.rs
@@ -1,21 +1,21 @@
 //! Plans of a node that is short of processor time.
 
-use control::overload::plan_pacing::{MOST, Pace};
+use control::overload::plan_pacing::{MOST, PlanPacing};
 
 const TICK_MS: u64 = 50;
 const PLAN_MS: u64 = 1000;
 
 /// Plays a node whose plans and other work take so long, and returns how far apart its plans are at the end.
 fn distance(plan_takes: u64, tick_takes: u64) -> u64 {
-    let mut pace = Pace::default();
+    let mut plan_pacing = PlanPacing::default();
     let (mut now, mut planned_at, mut apart) = (0, 0, 0);
     for _ in 0..4000 {
-        pace.ticked(now, TICK_MS);
+        plan_pacing.ticked(now, TICK_MS);
         let mut takes = tick_takes;
-        if now >= planned_at + pace.apart(PLAN_MS) {
+        if now >= planned_at + plan_pacing.apart(PLAN_MS) {
             apart = now - planned_at;
             planned_at = now;
-            pace.planned();
+            plan_pacing.planned();
             takes += plan_takes;
         }
         now += takes.max(TICK_MS);
@@ -52,32 +52,32 @@
 
 #[test]
 fn a_node_that_has_caught_up_plans_as_before() {
-    let mut pace = Pace::default();
+    let mut plan_pacing = PlanPacing::default();
     let mut now = 0;
     for _ in 0..100 {
-        pace.ticked(now, TICK_MS);
-        pace.planned();
+        plan_pacing.ticked(now, TICK_MS);
+        plan_pacing.planned();
         now += 10 * TICK_MS;
     }
-    assert_eq!(pace.apart(PLAN_MS), (PLAN_MS as f64 * MOST) as u64);
+    assert_eq!(plan_pacing.apart(PLAN_MS), (PLAN_MS as f64 * MOST) as u64);
     for _ in 0..200 {
-        pace.ticked(now, TICK_MS);
+        plan_pacing.ticked(now, TICK_MS);
         now += TICK_MS;
     }
-    (0..4).for_each(|_| pace.planned());
-    assert_eq!(pace.apart(PLAN_MS), PLAN_MS);
+    (0..4).for_each(|_| plan_pacing.planned());
+    assert_eq!(plan_pacing.apart(PLAN_MS), PLAN_MS);
 }
 
 /// A process that stood still for a while plans on as before.
 #[test]
 fn one_long_pause_puts_no_plan_off() {
-    let mut pace = Pace::default();
+    let mut plan_pacing = PlanPacing::default();
     let mut now = 0;
     for _ in 0..100 {
-        pace.ticked(now, TICK_MS);
+        plan_pacing.ticked(now, TICK_MS);
         now += TICK_MS;
     }
-    pace.ticked(now + 30_000, TICK_MS);
-    pace.planned();
-    assert_eq!(pace.apart(PLAN_MS), PLAN_MS);
+    plan_pacing.ticked(now + 30_000, TICK_MS);
+    plan_pacing.planned();
+    assert_eq!(plan_pacing.apart(PLAN_MS), PLAN_MS);
 }
