--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -384,7 +384,7 @@
             return None;
         }
         let claim = machine.claims.remove(k);
-        shard.ledger.ended(claim.segment);
+        shard.claim_log.ended(claim.segment);
         let job = shard.jobs.get_mut(claim.job)?.as_mut()?;
         log::debug!(
             "task {}/{} attempt {} on {}: ended, {cause:?}",
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -6,7 +6,7 @@
 
 use crate::jobs::job::{Job, JobIx};
 use crate::leadership::election::SHARD;
-use crate::store::commit::{Draft, Op};
+use crate::store::commit::{PendingWrite, TransactionDraft};
 use crate::store::shard::Shard;
 use crate::{Dest, Node, Pending};
 use county::{Cell, Count, Delta, Fold, OTHER, Sheet, Tally, Unread};
@@ -220,9 +220,9 @@
     }
 }
 
-impl Draft {
+impl TransactionDraft {
     /// Puts the sheets that have waited longest, as many as there is room for.
-    pub fn fold(&mut self, shard: &mut Shard, now: u64, room: impl Fn(&Draft) -> bool) {
+    pub fn fold(&mut self, shard: &mut Shard, now: u64, room: impl Fn(&TransactionDraft) -> bool) {
         if !shard.tally.is_due(now) {
             return;
         }
@@ -248,7 +248,7 @@
         }
         if !puts.is_empty() {
             shard.tally.folded_at = now;
-            self.ops.push(Op::Fold(Fold { puts }));
+            self.ops.push(PendingWrite::Fold(Fold { puts }));
         }
     }
 }
@@ -257,7 +257,7 @@
     /// Sheets are in place: log records that have waited for them alone may go.
     pub fn fold_stands(&mut self, fold: &Fold, revision: u64) {
         let over = self.tally.counts.folded(fold, revision);
-        self.ledger.counted(over);
+        self.claim_log.counted(over);
     }
 }
 
@@ -339,7 +339,7 @@
         tally.reading = None;
         tally.read_at = now + BAD_MS;
         let over = tally.counts.reading_over(all_good);
-        shard.ledger.counted(over);
+        shard.claim_log.counted(over);
     }
 }
 
--- a/crates/control/src/documents/hours.rs
+++ b/crates/control/src/documents/hours.rs
@@ -8,7 +8,7 @@
 use crate::documents::{Doc, Documents, Kind, KindId, refused};
 use crate::jobs::job::{Ending, Job, JobIx};
 use crate::leadership::election::SHARD;
-use crate::store::commit::{Draft, Op};
+use crate::store::commit::{PendingWrite, TransactionDraft};
 use crate::store::shard::Shard;
 use ::hours::{Around, Spec, TeamAt};
 use document::{Content, Fault};
@@ -669,16 +669,16 @@
 }
 
 /// Moves on their way.
-impl Draft {
+impl TransactionDraft {
     /// Writes the records of jobs whose hours move. Their ends, which come first, are in nobody's way.
     pub fn moves(
         &mut self,
         shard: &mut Shard,
         wall: u64,
         value: usize,
-        room: impl Fn(&Draft) -> bool,
+        room: impl Fn(&TransactionDraft) -> bool,
     ) {
-        let most = if shard.ledger.fresh.is_empty() {
+        let most = if shard.claim_log.fresh.is_empty() {
             usize::MAX
         } else {
             MOVES_A_TURN
@@ -714,7 +714,7 @@
                 continue;
             }
             self.put(key, job.version, Record::Job(Box::new(rec)));
-            self.ops.push(Op::Hour(hour, wall));
+            self.ops.push(PendingWrite::Hour(hour, wall));
         }
     }
 }
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -20,7 +20,7 @@
 use crate::documents::hours::Hours;
 use crate::documents::quotas::Quota;
 use crate::models::Listed;
-use crate::store::commit::{Draft, Op};
+use crate::store::commit::{PendingWrite, TransactionDraft};
 use crate::store::recovery::Load;
 use crate::store::shard::Shard;
 use crate::{Dest, Node, Pending};
@@ -135,7 +135,7 @@
     /// The head goes into the next transaction.
     fn before_head(_node: &mut Node) {}
     /// Writes beside the head, in its transaction.
-    fn with_head(_draft: &mut Draft, _shard: &mut Shard, _version: u64) {}
+    fn with_head(_draft: &mut TransactionDraft, _shard: &mut Shard, _version: u64) {}
     fn record(head: Head) -> Record {
         Record::Document(records::HeadRecord { document: head })
     }
@@ -358,7 +358,7 @@
 }
 
 /// The leader's writes.
-impl Draft {
+impl TransactionDraft {
     /// The changes that the head takes which is due, if one is.
     pub fn head_due(all: &Documents, shard: &Shard, budget: usize) -> Option<(KindId, usize)> {
         let kind = all.due(shard, budget)?;
@@ -380,17 +380,17 @@
             K::record(change.head.clone()),
         );
         K::with_head(self, shard, version);
-        self.ops.push(Op::Head(K::ID));
+        self.ops.push(PendingWrite::Head(K::ID));
     }
 
     /// Parts of versions to come, as far as there is room.
-    pub fn parts(&mut self, all: &mut Documents, room: impl Fn(&Draft) -> bool) {
+    pub fn parts(&mut self, all: &mut Documents, room: impl Fn(&TransactionDraft) -> bool) {
         for kind in ALL {
             for_kind!(kind, K => self.parts_of::<K>(K::doc_mut(all), &room));
         }
     }
 
-    fn parts_of<K: Kind>(&mut self, doc: &mut Doc<K>, room: impl Fn(&Draft) -> bool) {
+    fn parts_of<K: Kind>(&mut self, doc: &mut Doc<K>, room: impl Fn(&TransactionDraft) -> bool) {
         let Some(change) = &mut doc.changing else {
             return;
         };
@@ -400,12 +400,12 @@
             let value = serde_json::to_value(&piece).unwrap_or_default();
             self.put_part(format!("{}{name}", prefix::<K>()), Record::Other(value));
             change.busy += 1;
-            self.ops.push(Op::DocumentPart(K::ID, name));
+            self.ops.push(PendingWrite::DocumentPart(K::ID, name));
         }
     }
 
     /// Takes away what no version names.
-    pub fn parts_over(&mut self, all: &Documents, room: impl Fn(&Draft) -> bool) {
+    pub fn parts_over(&mut self, all: &Documents, room: impl Fn(&TransactionDraft) -> bool) {
         for kind in ALL {
             for (name, stamp) in for_kind!(kind, K => K::doc(all).over()) {
                 if !room(self) {
@@ -415,7 +415,7 @@
                     format!("{}{name}", for_kind!(kind, K => prefix::<K>())),
                     stamp,
                 );
-                self.ops.push(Op::RemoveDocumentPart(kind, name));
+                self.ops.push(PendingWrite::RemoveDocumentPart(kind, name));
             }
         }
     }
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -4,7 +4,7 @@
 use crate::documents::{Doc, Documents, Kind, KindId};
 use crate::leadership::election::SHARD;
 use crate::scheduling::entitlement;
-use crate::store::commit::{Draft, Op};
+use crate::store::commit::{PendingWrite, TransactionDraft};
 use crate::store::shard::Shard;
 use crate::{Node, documents};
 use document::{Fault, Head};
@@ -97,7 +97,7 @@
         node.drop_unrecorded();
     }
     /// The allotment that names the tree.
-    fn with_head(draft: &mut Draft, shard: &mut Shard, version: u64) {
+    fn with_head(draft: &mut TransactionDraft, shard: &mut Shard, version: u64) {
         let Some(allotment) = shard.allotment.clone() else {
             return;
         };
@@ -112,7 +112,7 @@
         );
         shard.allotment = Some(allotment);
         shard.allotment_version = 0;
-        draft.ops.push(Op::Allotment);
+        draft.ops.push(PendingWrite::Allotment);
     }
     fn record(head: Head) -> Record {
         Record::Quota(HeadRecord { quota: head })
@@ -183,7 +183,7 @@
     pub(crate) fn drop_unrecorded(&mut self) {
         let Some(shard) = &mut self.shard else { return };
         let mut jobs = BTreeSet::new();
-        let fresh: Vec<_> = shard.ledger.fresh.drain(..).collect();
+        let fresh: Vec<_> = shard.claim_log.fresh.drain(..).collect();
         for id in fresh {
             let new = shard
                 .claim_mut(&id)
@@ -192,7 +192,7 @@
                 shard.drop_claim(&id);
                 jobs.insert(id.job);
             } else {
-                shard.ledger.fresh.push_back(id);
+                shard.claim_log.fresh.push_back(id);
             }
         }
         for ix in jobs {
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -51,7 +51,7 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Ledger {
+pub(crate) struct ClaimLog {
     pub segments: BTreeMap<u64, Segment>,
     /// Segments that say nothing any more.
     pub garbage: BTreeSet<u64>,
@@ -68,7 +68,7 @@
     next_inventory_shard: u64,
 }
 
-impl Ledger {
+impl ClaimLog {
     /// A claim of this segment has ended.
     pub fn ended(&mut self, segment: u64) {
         if let Some(s) = self.segments.get_mut(&segment) {
@@ -156,7 +156,7 @@
         if let Some(machine) = self.machine_mut(id.machine) {
             machine.claims.push(claim);
         }
-        self.ledger.fresh.push_back(id);
+        self.claim_log.fresh.push_back(id);
     }
 
     pub fn claim_mut(&mut self, id: &ClaimId) -> Option<&mut crate::agents::machine::Claim> {
@@ -174,16 +174,16 @@
         };
         match job.ending {
             crate::jobs::job::Ending::No if !job.unsaved.is_empty() => {
-                self.ledger.unsaved.insert(ix);
+                self.claim_log.unsaved.insert(ix);
             }
             crate::jobs::job::Ending::Wanted(stage) => {
-                self.ledger.unsaved.remove(&ix);
-                if !self.ledger.ending.contains(&ix) {
+                self.claim_log.unsaved.remove(&ix);
+                if !self.claim_log.ending.contains(&ix) {
                     // A cancel has somebody waiting for it, and tasks that run for nobody.
                     if stage == wire::api::Stage::Cancelled {
-                        self.ledger.ending.push_front(ix);
+                        self.claim_log.ending.push_front(ix);
                     } else {
-                        self.ledger.ending.push_back(ix);
+                        self.claim_log.ending.push_back(ix);
                     }
                 }
             }
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -19,7 +19,7 @@
     TokenRecord,
 };
 
-pub(crate) enum Op {
+pub(crate) enum PendingWrite {
     End(JobIx),
     Token(u64),
     Rental(String),
@@ -50,7 +50,7 @@
 
 #[derive(Default)]
 pub(crate) struct Commit {
-    ops: Vec<Op>,
+    ops: Vec<PendingWrite>,
     body: Vec<u8>,
     /// A key that the transaction changes, its version before, and whether it is removed.
     probe: Option<(String, u64, bool)>,
@@ -73,8 +73,8 @@
 /// its 64 KiB.
 const SIZE: usize = 24 * 1024;
 
-pub(crate) struct Draft {
-    pub ops: Vec<Op>,
+pub(crate) struct TransactionDraft {
+    pub ops: Vec<PendingWrite>,
     guards: Vec<Guard>,
     writes: Vec<Write>,
     probe: Option<(String, u64, bool)>,
@@ -83,7 +83,7 @@
     pub counts: crate::documents::county_counts::Counts,
 }
 
-impl Draft {
+impl TransactionDraft {
     pub fn put(&mut self, key: String, version: u64, record: Record) {
         self.size += wire::encode(&record).len() + key.len();
         // A record that is put also tells at which revision; guards against versions taken from a removal,
@@ -139,7 +139,7 @@
             }),
         );
         self.remove(records::live_key(&id), version);
-        self.ops.push(Op::End(ix));
+        self.ops.push(PendingWrite::End(ix));
     }
 
     /// One log record: claims as far as they fit, then results, then what is moved out of the oldest record.
@@ -173,9 +173,9 @@
             on.entry(id.machine).or_default().insert(id.task);
             true
         };
-        while let Some(id) = shard.ledger.fresh.front().copied() {
+        while let Some(id) = shard.claim_log.fresh.front().copied() {
             let Some(claim) = shard.claim_mut(&id).filter(|c| c.state == ClaimState::New) else {
-                shard.ledger.fresh.pop_front();
+                shard.claim_log.fresh.pop_front();
                 continue;
             };
             let sent = claim.sent;
@@ -183,7 +183,7 @@
             // What was planned for a job that has ended meanwhile is dropped: nothing was sent, and a guard on
             // the job's record would fail the whole transaction.
             if job.is_ending() && !sent {
-                shard.ledger.fresh.pop_front();
+                shard.claim_log.fresh.pop_front();
                 shard.drop_claim(&id);
                 continue;
             }
@@ -203,18 +203,18 @@
             if let Some(claim) = shard.claim_mut(&id) {
                 claim.state = ClaimState::Writing;
             }
-            shard.ledger.fresh.pop_front();
+            shard.claim_log.fresh.pop_front();
             log.claims.push(id);
         }
         // The oldest record's claims that still hold, where there are too many records.
         let old = shard
-            .ledger
+            .claim_log
             .segments
             .iter()
             .find(|(_, s)| s.holds())
             .map(|(n, _)| *n);
-        let old = old.filter(|_| shard.ledger.segments.len() > SEGMENTS);
-        let moving = old.and_then(|n| shard.ledger.segments.get(&n));
+        let old = old.filter(|_| shard.claim_log.segments.len() > SEGMENTS);
+        let moving = old.and_then(|n| shard.claim_log.segments.get(&n));
         for id in moving.map(|s| s.claims.clone()).unwrap_or_default() {
             let holds = shard
                 .claim_mut(&id)
@@ -254,17 +254,17 @@
             });
         }
         let moved: Vec<JobIx> = old
-            .and_then(|n| shard.ledger.segments.get(&n))
+            .and_then(|n| shard.claim_log.segments.get(&n))
             .map(|s| s.jobs.iter().copied().collect())
             .unwrap_or_default();
-        let unsaved: Vec<JobIx> = shard.ledger.unsaved.iter().copied().collect();
+        let unsaved: Vec<JobIx> = shard.claim_log.unsaved.iter().copied().collect();
         let results = unsaved
             .into_iter()
             .map(|ix| (ix, false))
             .chain(moved.into_iter().map(|ix| (ix, true)));
         for (ix, all) in results {
             let Some(job) = shard.job(ix).filter(|j| j.ending == Ending::No) else {
-                shard.ledger.unsaved.remove(&ix);
+                shard.claim_log.unsaved.remove(&ix);
                 continue;
             };
             let mut tasks: Vec<u32> = if all {
@@ -283,7 +283,7 @@
                 let most = records::unrange(&list).count();
                 tasks.truncate(most);
             } else if !all {
-                shard.ledger.unsaved.remove(&ix);
+                shard.claim_log.unsaved.remove(&ix);
             }
             size = frame + list.len() * DoneRecord::ENTRY;
             let id = shard.job(ix).map(|j| j.id.clone()).unwrap_or_default();
@@ -297,13 +297,13 @@
             return;
         }
         self.put(records::log_key(SHARD, log.number), 0, Record::Log(rec));
-        self.ops.push(Op::Log(log));
+        self.ops.push(PendingWrite::Log(log));
     }
 
     /// Writes a inventory shard as it stands now, or removes it.
     fn inventory_shard(&mut self, shard: &mut Shard, number: u64) {
-        shard.ledger.gone_from.remove(&number);
-        let Some(inventory_shard) = shard.ledger.inventory.get(&number) else {
+        shard.claim_log.gone_from.remove(&number);
+        let Some(inventory_shard) = shard.claim_log.inventory.get(&number) else {
             return;
         };
         let key = records::inventory_key(SHARD, number);
@@ -311,7 +311,7 @@
             let version = inventory_shard.version;
             // Its number is not used again in this term. A late copy of the transaction that first wrote it finds
             // no inventory shard of other machines in its place, and is taken for none.
-            shard.ledger.inventory.remove(&number);
+            shard.claim_log.inventory.remove(&number);
             if version > 0 {
                 self.remove(key, version);
             }
@@ -346,7 +346,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         self.put(key, inventory_shard.version, Record::InventoryShard(rec));
-        self.ops.push(Op::InventoryShard(number, names));
+        self.ops.push(PendingWrite::InventoryShard(number, names));
     }
 }
 
@@ -431,7 +431,7 @@
     }
 
     /// Gathers what is to be written, most urgent first.
-    fn draft(&mut self, budget: usize) -> Option<Draft> {
+    fn draft(&mut self, budget: usize) -> Option<TransactionDraft> {
         let (now, wall) = (self.now.mono, self.now.wall);
         let limits = &self.settings.cluster.state;
         let max_guards = limits.txn_ops * 4;
@@ -441,7 +441,7 @@
         let catalog_version = self.shared.catalog_version;
         let documents = &mut self.shared.documents;
         let shard = self.shard.as_mut()?;
-        let mut d = Draft {
+        let mut d = TransactionDraft {
             ops: Vec::new(),
             guards: vec![Guard {
                 key: records::leader_key(SHARD),
@@ -456,21 +456,21 @@
         // Ends come first, but they do not keep claims waiting for ever.
         // So does a document's head, with what is written beside it. What is counted needs a log record in the same
         // transaction; one for claims does for both.
-        let head = Draft::head_due(documents, shard, budget);
+        let head = TransactionDraft::head_due(documents, shard, budget);
         let log = shard.tally.keeps(budget);
-        let for_claims = || usize::from(budget > 2 && !shard.ledger.fresh.is_empty()).max(log);
+        let for_claims = || usize::from(budget > 2 && !shard.claim_log.fresh.is_empty()).max(log);
         let kept = head.map_or_else(for_claims, |(_, writes)| writes + log);
         let for_ends = budget.saturating_sub(kept);
         while d.writes.len() + 2 <= for_ends
             && d.guards.len() + 2 < max_guards
             && !d.counts.is_full()
         {
-            let Some(ix) = shard.ledger.ending.pop_front() else {
+            let Some(ix) = shard.claim_log.ending.pop_front() else {
                 break;
             };
             d.end(shard, ix, wall);
         }
-        let room = |d: &Draft| {
+        let room = |d: &TransactionDraft| {
             d.writes.len() + d.counts.unacknowledged_start() < budget
                 && d.size < SIZE
                 && d.guards.len() + 2 < max_guards
@@ -485,7 +485,7 @@
             );
             shard.allotment = Some(whole);
             shard.allotment_version = 0;
-            d.ops.push(Op::Allotment);
+            d.ops.push(PendingWrite::Allotment);
         }
         if let Some((kind, _)) = head {
             d.head(documents, shard, kind);
@@ -497,7 +497,7 @@
                 shared_token.1,
                 Record::Token(TokenRecord { token }),
             );
-            d.ops.push(Op::Token(token));
+            d.ops.push(PendingWrite::Token(token));
             shard.commit.raised_at = now;
         }
         for (name, rental) in shard
@@ -510,7 +510,7 @@
             }
             let key = format!("{}{name}", records::rentals_prefix(SHARD));
             d.put(key, 0, Record::Rental(rental.rec.clone()));
-            d.ops.push(Op::Rental(name.clone()));
+            d.ops.push(PendingWrite::Rental(name.clone()));
         }
         d.moves(shard, wall, value, room);
         if d.counts.unacknowledged_start() > 0 {
@@ -518,7 +518,7 @@
         }
         // Claims, with the results that have gathered. Room is left for the guards on the claims' jobs.
         while room(&d)
-            && (!shard.ledger.fresh.is_empty() || (tidy && !shard.ledger.unsaved.is_empty()))
+            && (!shard.claim_log.fresh.is_empty() || (tidy && !shard.claim_log.unsaved.is_empty()))
         {
             let before = d.ops.len();
             d.log(shard, value, max_guards);
@@ -527,7 +527,7 @@
             }
         }
         while room(&d)
-            && let Some(n) = shard.ledger.new_in.pop_first()
+            && let Some(n) = shard.claim_log.new_in.pop_first()
         {
             d.inventory_shard(shard, n);
         }
@@ -539,11 +539,11 @@
             .collect();
         // A rental goes only together with, or after, the record of its machines.
         for (name, version) in over {
-            if !shard.ledger.new_in.is_empty() || !room(&d) {
+            if !shard.claim_log.new_in.is_empty() || !room(&d) {
                 break;
             }
             d.remove(format!("{}{name}", records::rentals_prefix(SHARD)), version);
-            d.ops.push(Op::RemoveRental(name));
+            d.ops.push(PendingWrite::RemoveRental(name));
         }
         if shard.catalog_dirty
             && room(&d)
@@ -556,7 +556,7 @@
                     catalog_version,
                     Record::Catalog(c.clone()),
                 );
-                d.ops.push(Op::Catalog);
+                d.ops.push(PendingWrite::Catalog);
             }
         }
         d.parts(documents, room);
@@ -565,18 +565,18 @@
             d.fold(shard, now, room);
             d.parts_over(documents, room);
             while room(&d)
-                && let Some(n) = shard.ledger.gone_from.pop_first()
+                && let Some(n) = shard.claim_log.gone_from.pop_first()
             {
                 d.inventory_shard(shard, n);
             }
             while room(&d)
-                && let Some(n) = shard.ledger.garbage.pop_first()
+                && let Some(n) = shard.claim_log.garbage.pop_first()
             {
-                let Some(segment) = shard.ledger.segments.get(&n) else {
+                let Some(segment) = shard.claim_log.segments.get(&n) else {
                     continue;
                 };
                 d.remove(records::log_key(SHARD, n), segment.version);
-                d.ops.push(Op::LogOver(n));
+                d.ops.push(PendingWrite::LogOver(n));
             }
         }
         (!d.writes.is_empty()).then_some(d)
@@ -635,7 +635,7 @@
     fn ends_may_stand(&mut self) {
         let Some(shard) = &self.shard else { return };
         let ends = shard.commit.ops.iter().filter_map(|op| {
-            if let Op::End(ix) = op {
+            if let PendingWrite::End(ix) = op {
                 Some(*ix)
             } else {
                 None
@@ -682,7 +682,7 @@
         let mut moved = Vec::new();
         for op in ops {
             match op {
-                Op::End(ix) => {
+                PendingWrite::End(ix) => {
                     let Some(job) = shard.job_mut(ix) else {
                         continue;
                     };
@@ -697,11 +697,11 @@
                         if let Some(job) = &shard.jobs[ix] {
                             shard.hours.ended(job, ix, stage);
                         }
-                        shard.ledger.results_over(ix, segments);
+                        shard.claim_log.results_over(ix, segments);
                     }
                     changed.insert(ix);
                 }
-                Op::Token(token) => {
+                PendingWrite::Token(token) => {
                     log::info!("token raised to {token}");
                     shard.token = token;
                     shard.raise_token = false;
@@ -717,22 +717,22 @@
                         }
                     }
                 }
-                Op::Rental(name) => {
+                PendingWrite::Rental(name) => {
                     if let Some(rental) = shard.rentals.get_mut(&name) {
                         rental.state = RentalState::Recorded;
                         rental.version = revision;
                     }
                 }
-                Op::RemoveRental(name) => {
+                PendingWrite::RemoveRental(name) => {
                     shard.rentals.remove(&name);
                 }
-                Op::Log(log) => shard.log_stands(log, revision),
-                Op::Fold(fold) => shard.fold_stands(&fold, revision),
-                Op::LogOver(n) => {
-                    shard.ledger.segments.remove(&n);
+                PendingWrite::Log(log) => shard.log_stands(log, revision),
+                PendingWrite::Fold(fold) => shard.fold_stands(&fold, revision),
+                PendingWrite::LogOver(n) => {
+                    shard.claim_log.segments.remove(&n);
                 }
-                Op::InventoryShard(n, machines) => {
-                    if let Some(inventory_shard) = shard.ledger.inventory.get_mut(&n) {
+                PendingWrite::InventoryShard(n, machines) => {
+                    if let Some(inventory_shard) = shard.claim_log.inventory.get_mut(&n) {
                         inventory_shard.version = revision;
                     }
                     for name in machines {
@@ -745,14 +745,16 @@
                         }
                     }
                 }
-                Op::Allotment => shard.allotment_version = revision,
-                Op::DocumentPart(kind, name) => {
+                PendingWrite::Allotment => shard.allotment_version = revision,
+                PendingWrite::DocumentPart(kind, name) => {
                     self.shared.documents.part_written(kind, name, revision)
                 }
-                Op::RemoveDocumentPart(kind, name) => self.shared.documents.part_over(kind, &name),
-                Op::Head(kind) => heads.push(kind),
-                Op::Hour(hour, wall) => moved.push((hour, wall)),
-                Op::Catalog => {
+                PendingWrite::RemoveDocumentPart(kind, name) => {
+                    self.shared.documents.part_over(kind, &name)
+                }
+                PendingWrite::Head(kind) => heads.push(kind),
+                PendingWrite::Hour(hour, wall) => moved.push((hour, wall)),
+                PendingWrite::Catalog => {
                     self.shared.catalog_version = self.shared.catalog_version.max(revision);
                 }
             }
@@ -794,7 +796,7 @@
             if first {
                 self.push.insert(id.machine);
             } else {
-                self.ledger.ended(from);
+                self.claim_log.ended(from);
             }
         }
         for (ix, tasks, all) in log.done {
@@ -804,7 +806,7 @@
             if all {
                 let old = std::mem::take(&mut job.segments);
                 job.segments.insert(log.number);
-                self.ledger.results_over(ix, old);
+                self.claim_log.results_over(ix, old);
             } else {
                 for t in tasks {
                     job.unsaved.remove(&t);
@@ -813,6 +815,6 @@
             }
             segment.jobs.insert(ix);
         }
-        self.ledger.add_segment(log.number, segment);
+        self.claim_log.add_segment(log.number, segment);
     }
 }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -97,7 +97,7 @@
             job.segments.insert(number);
             segment.jobs.insert(ix);
         }
-        self.ledger.add_segment(number, segment);
+        self.claim_log.add_segment(number, segment);
     }
 
     /// An attempt is made only once all earlier ones of its task were proved gone: where the log holds several,
@@ -121,7 +121,7 @@
         for id in over {
             let segment = self.claim_mut(&id).map(|c| c.segment);
             self.drop_claim(&id);
-            self.ledger.ended(segment.unwrap_or(0));
+            self.claim_log.ended(segment.unwrap_or(0));
         }
     }
 }
@@ -264,7 +264,9 @@
                         .insert(shard.insert_machine(machine));
                 }
             }
-            shard.ledger.load_inventory_shard(number, inventory_shard);
+            shard
+                .claim_log
+                .load_inventory_shard(number, inventory_shard);
         }
         more
     }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -2,7 +2,7 @@
 
 use crate::agents::machine::Machine;
 use crate::jobs::job::{Class, Job, JobIx};
-use crate::store::claim_log::{ClaimId, Ledger};
+use crate::store::claim_log::{ClaimId, ClaimLog};
 use crate::store::commit::{Commit, value_limit};
 use crate::store::recovery::Load;
 use crate::{Asker, Node};
@@ -79,7 +79,7 @@
     pub rentals: BTreeMap<String, Rental>,
     pub serial: u64,
     pub commit: Commit,
-    pub ledger: Ledger,
+    pub claim_log: ClaimLog,
     /// What a record may take.
     value_limit: usize,
     /// Machines whose workers are to be told something at once.
@@ -148,7 +148,7 @@
             rentals: BTreeMap::new(),
             serial: 0,
             commit: Commit::default(),
-            ledger: Ledger::default(),
+            claim_log: ClaimLog::default(),
             value_limit: value_limit(value_kb),
             push: BTreeSet::new(),
             raise_token: false,
@@ -250,7 +250,9 @@
     pub fn add_machine(&mut self, machine: Machine) -> usize {
         let size = machine.size;
         let m = self.insert_machine(machine);
-        let inventory_shard = self.ledger.inventory_shard_for(m, size, self.value_limit);
+        let inventory_shard = self
+            .claim_log
+            .inventory_shard_for(m, size, self.value_limit);
         if let Some(machine) = self.machine_mut(m) {
             machine.inventory_shard = inventory_shard;
         }
@@ -275,7 +277,7 @@
         self.machine_ix.remove(&machine.name);
         self.free_machines.push(m);
         self.push.remove(&m);
-        self.ledger
+        self.claim_log
             .leave_inventory_shard(machine.inventory_shard, m, machine.size);
     }
 
