--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -143,7 +143,7 @@
     /// we go above it; otherwise there is a new leader.
     fn outranked(&mut self, token: u64) -> &'static str {
         log::warn!("a worker obeys token {token}, above ours");
-        if self.sure() {
+        if self.has_valid_lease() {
             // One worker's absurd number must neither use up the counter nor unseat a rightful leader.
             if token >= TOKEN_BOUND {
                 return "that token was never given out";
@@ -522,7 +522,7 @@
     /// What the worker is to do now. Only a leader that is sure of its lease gives orders.
     pub(crate) fn orders_for(&mut self, m: usize) -> Vec<Order> {
         let mut orders = Vec::new();
-        if !self.decides() {
+        if !self.may_decide() {
             return self.last_orders(m);
         }
         let now = self.now.mono;
@@ -643,7 +643,7 @@
 
     /// Tells workers at once what they would otherwise hear with their next report.
     pub(crate) fn push_orders(&mut self) {
-        if !self.decides() {
+        if !self.may_decide() {
             return;
         }
         let Some(shard) = &self.shard else { return };
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -77,7 +77,7 @@
     /// with the leader, and others of its zone too until one of them got there.
     pub(crate) fn moved_to(&mut self, report: &Report) -> Option<String> {
         let now = self.now.mono;
-        if !self.is_spread() || !self.decides() || self.routing.moves.level(now) < 1.0 {
+        if !self.is_spread() || !self.may_decide() || self.routing.moves.level(now) < 1.0 {
             return None;
         }
         let shard = self.shard.as_ref()?;
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -722,7 +722,7 @@
         {
             return;
         }
-        if !self.decides() {
+        if !self.may_decide() {
             return;
         }
         let Some(spec) = K::doc_mut(&mut self.shared.documents).first.take() else {
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -20,7 +20,7 @@
             self.deny_admin(conn, 405, refused("method not allowed"));
         } else if !self.leads() {
             self.forward_admin(conn, request);
-        } else if !self.decides() {
+        } else if !self.may_decide() {
             self.deny_admin(conn, 503, refused("the owner is not sure of itself now"));
         } else {
             for_kind!(kind, K => self.serve::<K>(conn, &request.body));
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -224,7 +224,7 @@
             .shard
             .as_ref()
             .map(|p| p.leader_version)
-            .filter(|_| self.decides());
+            .filter(|_| self.may_decide());
         let Some(leader) = leader.filter(|_| self.spare(writes.len() as f64)) else {
             return self.frontend_over(tag, Answer::Busy);
         };
@@ -292,7 +292,7 @@
     pub fn term(&self) -> Option<u64> {
         self.shard
             .as_ref()
-            .filter(|_| self.decides())
+            .filter(|_| self.may_decide())
             .map(|p| p.token)
     }
 
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -151,7 +151,7 @@
                 Asker::Peer(_) => self.deny(asker, 503, "machine types not known yet"),
             };
         }
-        if self.decides()
+        if self.may_decide()
             && let Some(shard) = &self.shard
             && shard.job_ix.contains_key(&spec.id)
         {
@@ -389,7 +389,7 @@
         };
         match ask {
             Some(Ask::Query { job }) => {
-                let unknown = if self.decides() {
+                let unknown = if self.may_decide() {
                     Answer::Unknown
                 } else {
                     Answer::NotNow
@@ -503,7 +503,7 @@
     /// For the log: what this node is.
     pub fn role_name(&self) -> &'static str {
         match self.role {
-            Role::Leader { .. } if self.sure() => "owner",
+            Role::Leader { .. } if self.has_valid_lease() => "owner",
             Role::Leader { .. } => "owner, unsure",
             Role::Candidate { .. } => "candidate",
             Role::Follower { .. } => "follower",
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -396,7 +396,7 @@
         if let Some(state) = self.final_states.get(id) {
             return self.tell(asker, state);
         }
-        if !self.decides() {
+        if !self.may_decide() {
             return self.not_now(asker);
         }
         self.to_write = true;
@@ -431,9 +431,9 @@
     /// A leader that has grown unsure keeps nobody waiting for an end: what is on its way may land, or never does, and
     /// whoever asks again is told by those who know.
     pub(crate) fn waiters_tick(&mut self) {
-        let sure = self.sure();
+        let has_valid_lease = self.has_valid_lease();
         let Some(shard) = &mut self.shard else { return };
-        if std::mem::replace(&mut shard.was_sure, sure) && !sure {
+        if std::mem::replace(&mut shard.had_valid_lease, has_valid_lease) && !has_valid_lease {
             for asker in shard.take_waiters() {
                 self.not_now(asker);
             }
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -130,7 +130,7 @@
     /// What the leader knows, while it is sure. Jobs that it has read back are live even before all else has been read:
     /// nobody but itself can end them. One whose end is on its way may have ended: others may have read and told so.
     pub(crate) fn state_here(&self, id: &str) -> Option<JobState> {
-        let shard = self.shard.as_ref().filter(|_| self.sure())?;
+        let shard = self.shard.as_ref().filter(|_| self.has_valid_lease())?;
         let known = |j: &&Job| j.spec.is_some() && !j.may_be_over();
         shard
             .job(*shard.job_ix.get(id)?)
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -83,7 +83,7 @@
     }
 
     /// The lease can't have ended: drift is below 0.05% on either side, and the service is never early.
-    pub(crate) fn sure(&self) -> bool {
+    pub(crate) fn has_valid_lease(&self) -> bool {
         match self.role {
             Role::Leader { renewed, .. } => {
                 let incarnation = self.ttl() * 997 / 1000;
@@ -94,8 +94,8 @@
     }
 
     /// Leader, loaded, and sure of it: may decide.
-    pub(crate) fn decides(&self) -> bool {
-        self.sure() && self.shard.as_ref().is_some_and(|p| p.loaded)
+    pub(crate) fn may_decide(&self) -> bool {
+        self.has_valid_lease() && self.shard.as_ref().is_some_and(|p| p.loaded)
     }
 
     pub(crate) fn election_tick(&mut self) {
@@ -507,7 +507,7 @@
     /// its workers would otherwise stay with it, unheard by the new one.
     pub(crate) fn leader_asserted(&mut self, node: String, token: u64) {
         let until = self.now.mono + HINT_MS;
-        if !self.sure() && self.shard.as_ref().is_some_and(|p| p.token < token) {
+        if !self.has_valid_lease() && self.shard.as_ref().is_some_and(|p| p.token < token) {
             self.step_down("a peer leads the fleet with a higher token");
         }
         let newest = self
--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -66,7 +66,7 @@
             return false;
         };
         let known = shard.attestations.at.map_or(renewed, |at| at.max(renewed));
-        self.sure() || self.now.mono < known + bound_ms(&self.settings.cluster.workers)
+        self.has_valid_lease() || self.now.mono < known + bound_ms(&self.settings.cluster.workers)
     }
 
     /// All others are asked now what they know.
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -29,7 +29,7 @@
         let shard = self
             .shard
             .as_ref()
-            .filter(|_| self.decides() && self.tuning.keepers > 0.0)?;
+            .filter(|_| self.may_decide() && self.tuning.keepers > 0.0)?;
         let zone = &self.settings.peers.get(peer)?.zone;
         debug_assert!(
             shard.unwanted_is_right(),
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -57,7 +57,7 @@
             leads: self
                 .shard
                 .as_ref()
-                .filter(|_| self.decides())
+                .filter(|_| self.may_decide())
                 .map(|p| p.token),
             hears_no_agents: self.shard.as_ref().is_some_and(|p| p.hears_no_agents(now)),
             down: self.state_good_at.is_none() || self.state_down(),
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -114,7 +114,7 @@
 
     /// The same from a peer.
     pub(crate) fn demand_of_peer(&mut self, conn: u64, model: &str, leader: bool) {
-        if leader && !self.decides() {
+        if leader && !self.may_decide() {
             return self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
         }
         self.demand(model, Waiter::Peer(conn));
@@ -163,7 +163,10 @@
     fn take_off(&mut self, model: &str, flight: Flight) {
         self.models.wakes.flights.insert(model.to_owned(), flight);
         // The leader has read all, and knows of each change that it has not made itself soon enough.
-        let here = self.decides().then(|| self.models.known(model)).flatten();
+        let here = self
+            .may_decide()
+            .then(|| self.models.known(model))
+            .flatten();
         let job = self
             .shard
             .as_ref()
@@ -258,7 +261,7 @@
                 if rec.phase == model::Phase::Waking {
                     log::info!("model {model}: generation {} begins", rec.generation);
                 }
-                if self.decides() {
+                if self.may_decide() {
                     self.model_stands(
                         &model,
                         Known {
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -134,7 +134,7 @@
     retry_at: u64,
     body: Vec<u8>,
     /// A try was not answered: what stands there has to be read before anything else is written.
-    unsure: bool,
+    outcome_unknown: bool,
 }
 
 impl Models {
@@ -392,7 +392,7 @@
 
     pub(crate) fn models_tick(&mut self) {
         self.wakes_tick();
-        if !self.models.in_force() || !self.decides() || self.models_to_read() {
+        if !self.models.in_force() || !self.may_decide() || self.models_to_read() {
             return;
         }
         let now = self.now.mono;
@@ -562,7 +562,7 @@
             busy: false,
             retry_at: 0,
             body,
-            unsure: false,
+            outcome_unknown: false,
         };
         self.models.owned.out.insert(model.to_owned(), out);
         self.send_model(model);
@@ -582,7 +582,7 @@
             term,
             model: model.to_owned(),
         };
-        if out.unsure {
+        if out.outcome_unknown {
             let path = format!("/keys/{}", records::model_key(model));
             return self.send(Dest::State, "GET", path, Vec::new(), TIMEOUT_MS, what);
         }
@@ -601,11 +601,11 @@
         };
         out.busy = false;
         out.retry_at = now + wait;
-        match (out.unsure, status) {
+        match (out.outcome_unknown, status) {
             (false, Some(200)) => {
                 let revision = response.and_then(|r| wire::decode::<Revision>(&r.body).ok());
                 let Some(Revision { revision }) = revision else {
-                    out.unsure = true;
+                    out.outcome_unknown = true;
                     return;
                 };
                 let rec = out.rec.clone();
@@ -630,7 +630,7 @@
             }
             // Another node has written it meanwhile, or the job has ended: what stands there is read.
             (false, Some(429 | 503)) => {}
-            (false, _) => out.unsure = true,
+            (false, _) => out.outcome_unknown = true,
             (true, Some(200)) => {
                 let item = response.and_then(|r| wire::decode::<Item<Rec>>(&r.body).ok());
                 let Some(item) = item else { return };
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -77,12 +77,12 @@
     pub(crate) fn fleet_tick(&mut self) {
         let now = self.now.mono;
         let term = self.term;
-        let sure = self.sure();
+        let has_valid_lease = self.has_valid_lease();
         let Some(shard) = &mut self.shard else { return };
         if !shard.live_busy && now >= shard.live_retry_at {
             self.watch_live();
         }
-        if !sure {
+        if !has_valid_lease {
             return;
         }
         let Some(shard) = &mut self.shard else { return };
@@ -337,7 +337,7 @@
     pub(crate) fn machines_tick(&mut self) {
         self.push_orders();
         let now = self.now;
-        if !self.decides() {
+        if !self.may_decide() {
             return;
         }
         self.call_round();
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -348,7 +348,7 @@
 impl Node {
     pub(crate) fn sched_tick(&mut self) {
         let now = self.now.mono;
-        if !self.decides() {
+        if !self.may_decide() {
             return;
         }
         let every = self.plan_pacing.apart(self.tuning.every_ms as u64);
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -56,7 +56,7 @@
     probe: Option<(String, u64, bool)>,
     in_flight: bool,
     /// A try was not answered: it may have been applied, or may yet be.
-    unsure: bool,
+    outcome_unknown: bool,
     retry_at: u64,
     raised_at: u64,
     writes: usize,
@@ -372,7 +372,7 @@
     pub(crate) fn flush_commit(&mut self) {
         let now = self.now.mono;
         let term = self.term;
-        let sure = self.decides();
+        let has_valid_lease = self.may_decide();
         let Some(shard) = &mut self.shard else { return };
         if shard.commit.in_flight || now < shard.commit.retry_at {
             return;
@@ -394,7 +394,7 @@
                 Pending::Commit { term },
             );
         }
-        if !sure || !self.to_write {
+        if !has_valid_lease || !self.to_write {
             return;
         }
         let budget = (self.writes.level(now).floor().max(0.0) as usize)
@@ -416,7 +416,7 @@
         shard.commit.ops = draft.ops;
         shard.commit.probe = draft.probe;
         shard.commit.body = body.clone();
-        shard.commit.unsure = false;
+        shard.commit.outcome_unknown = false;
         shard.commit.in_flight = true;
         shard.commit.writes = writes;
         self.writes.take(now, writes as f64);
@@ -596,11 +596,11 @@
                 Some(Ok(r)) => self.apply(r.revision),
                 _ => self.step_down("an unreadable answer to a transaction"),
             },
-            Some(409) if shard.commit.unsure && leadership_lost(response.as_ref()) => {
+            Some(409) if shard.commit.outcome_unknown && leadership_lost(response.as_ref()) => {
                 // A later leader may have written the same keys: what stands there says nothing of our own tries.
                 self.step_down("another leader, or none, stands in the state service");
             }
-            Some(409) if shard.commit.unsure => {
+            Some(409) if shard.commit.outcome_unknown => {
                 // Only this term's transactions write these keys, so an earlier try is what makes this one fail.
                 let Some((key, _, _)) = shard.commit.probe.clone() else {
                     return self.step_down("a transaction without keys");
@@ -617,7 +617,7 @@
             }
             Some(429 | 503) => shard.commit.retry_at = now + backoff,
             None => {
-                shard.commit.unsure = true;
+                shard.commit.outcome_unknown = true;
                 shard.commit.retry_at = now + backoff;
                 self.ends_may_stand();
             }
@@ -674,7 +674,7 @@
     fn apply(&mut self, revision: u64) {
         let Some(shard) = &mut self.shard else { return };
         shard.commit.body.clear();
-        shard.commit.unsure = false;
+        shard.commit.outcome_unknown = false;
         let ops = std::mem::take(&mut shard.commit.ops);
         let mut changed: BTreeSet<JobIx> = BTreeSet::new();
         let mut told = Vec::new();
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -57,7 +57,7 @@
     pub leader_version: u64,
     pub loaded: bool,
     /// The leader was sure of its lease at the last tick.
-    pub was_sure: bool,
+    pub had_valid_lease: bool,
     /// What the other nodes say while we are unsure.
     pub attestations: crate::leadership::lease_bound::Attestations,
     /// Some worker has reported or answered without a peer in between.
@@ -130,7 +130,7 @@
             token,
             leader_version,
             loaded: false,
-            was_sure: false,
+            had_valid_lease: false,
             attestations: crate::leadership::lease_bound::Attestations::default(),
             heard_itself: false,
             since: now,
--- a/crates/gateway/src/book/store.rs
+++ b/crates/gateway/src/book/store.rs
@@ -35,7 +35,7 @@
     changes: Vec<Change>,
     sent: Vec<Sent>,
     /// A try was not answered: it may have been applied, or may yet be.
-    unsure: bool,
+    outcome_unknown: bool,
     out: bool,
     retry_at: u64,
 }
@@ -131,7 +131,7 @@
         (!changes.is_empty()).then_some(Flight {
             changes,
             sent,
-            unsure: false,
+            outcome_unknown: false,
             out: false,
             retry_at: now,
         })
@@ -230,7 +230,7 @@
                 }
                 true
             }
-            Answer::Busy if !flight.unsure => {
+            Answer::Busy if !flight.outcome_unknown => {
                 let flight = self.store.flight.take();
                 self.store.retry_at = now + AGAIN_MS;
                 for sent in flight.into_iter().flat_map(|f| f.sent) {
@@ -239,7 +239,7 @@
                 true
             }
             Answer::Busy | Answer::Unknown => {
-                flight.unsure = true;
+                flight.outcome_unknown = true;
                 flight.retry_at = now + AGAIN_MS;
                 true
             }
