--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -692,7 +692,7 @@
         self.read("worker", &response)
     }
 
-    pub(crate) fn direct_came(&mut self, m: usize, serial: u64, response: Option<Response>) {
+    pub(crate) fn direct_received(&mut self, m: usize, serial: u64, response: Option<Response>) {
         let unsent = response.as_ref().is_some_and(|r| r.status == NOT_SENT);
         let report = self.command_report(response);
         let Some(shard) = &mut self.shard else { return };
@@ -761,7 +761,7 @@
         }
     }
 
-    pub(crate) fn show_came(&mut self, m: usize, serial: u64, response: Option<Response>) {
+    pub(crate) fn show_received(&mut self, m: usize, serial: u64, response: Option<Response>) {
         let report = self.command_report(response);
         let now = self.now.mono;
         let silent = self.silent_ms();
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -200,7 +200,7 @@
         self.send(Dest::State, "GET", path, Vec::new(), 3000, what);
     }
 
-    pub(crate) fn audit_came(&mut self, under: Under, response: Option<Response>) {
+    pub(crate) fn audit_received(&mut self, under: Under, response: Option<Response>) {
         let response = response.filter(|r| r.status == 200);
         let page = response.and_then(|r| match under {
             Under::Live => self.read("state service", &r).map(|p| {
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -300,7 +300,7 @@
         );
     }
 
-    pub(crate) fn sheets_came(&mut self, response: Option<Response>) {
+    pub(crate) fn sheets_received(&mut self, response: Option<Response>) {
         let now = self.now.mono;
         let page = response.filter(|r| r.status == 200);
         let page = page.and_then(|r| self.read::<Range<serde_json::Value>>("state service", &r));
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -483,7 +483,7 @@
         self.send(Dest::State, "GET", path, Vec::new(), 3000, what);
     }
 
-    pub(crate) fn parts_came<K: Kind>(&mut self, response: Option<Response>) {
+    pub(crate) fn parts_received<K: Kind>(&mut self, response: Option<Response>) {
         let page = response
             .filter(|r| r.status == 200)
             .and_then(|r| self.read::<Range<PartOf<K>>>("state service", &r));
--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -77,7 +77,7 @@
     }
 
     /// A peer has answered what was sent then: the highest token that it knows of, if it has read the counter.
-    pub(crate) fn word_came(&mut self, sent: u64, peer: usize, token: Option<u64>) {
+    pub(crate) fn word_received(&mut self, sent: u64, peer: usize, token: Option<u64>) {
         if let Some(shard) = &mut self.shard
             && token.is_some_and(|t| t <= shard.token)
         {
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -105,7 +105,7 @@
             .filter(|k| peer_status.leads == Some(k.token));
         let token = peer_status.token;
         if self.peer_status_seen(peer_status) == Some(peer) {
-            self.word_came(sent, peer, token);
+            self.word_received(sent, peer, token);
             self.note_delegation(sent, delegation);
         }
     }
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -214,7 +214,7 @@
         false
     }
 
-    pub(crate) fn wake_came(&mut self, model: String, step: Step, response: Option<Response>) {
+    pub(crate) fn wake_received(&mut self, model: String, step: Step, response: Option<Response>) {
         if !self.models.wakes.flights.contains_key(&model) {
             return;
         }
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -227,7 +227,7 @@
         );
     }
 
-    pub(crate) fn models_came(&mut self, response: Option<Response>) {
+    pub(crate) fn models_received(&mut self, response: Option<Response>) {
         let page = response.filter(|r| r.status == 200);
         let page = page.and_then(|r| self.read::<Range<Rec>>("state service", &r));
         let Some(page) = page else {
@@ -273,7 +273,7 @@
             .filter(|ix| shard.jobs[*ix].is_some())
             .collect();
         for ix in all {
-            self.model_came(ix);
+            self.model_received(ix);
         }
         let Some(shard) = &self.shard else { return };
         let owned = &mut self.models.owned;
@@ -282,7 +282,7 @@
     }
 
     /// A job has come to the leader's memory, or may have become a model.
-    pub(crate) fn model_came(&mut self, ix: JobIx) {
+    pub(crate) fn model_received(&mut self, ix: JobIx) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
         let rule = job.spec.as_ref().and_then(|spec| self.models.rule(spec));
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -288,7 +288,7 @@
             }) if *e == term => {
                 let (machine, serial) = (*machine, *serial);
                 self.pending.remove(&tag);
-                self.direct_came(machine, serial, Some(relay::not_sent()));
+                self.direct_received(machine, serial, Some(relay::not_sent()));
             }
             Some(Pending::Show {
                 term: e,
@@ -356,26 +356,26 @@
             } => self.forward_answered(forwarded, peer, sent, mark, response),
             Pending::Admin { conn } => self.admin_answered(conn, response),
             Pending::Frontend { tag } => self.frontend_answered(tag, response),
-            Pending::Wake { model, step } => self.wake_came(model, step, response),
+            Pending::Wake { model, step } => self.wake_received(model, step, response),
             Pending::WakeForward { waiter } => self.demand_forwarded(waiter, response),
             Pending::LeaderNotified { model } => self.leader_notified(&model, response),
-            Pending::Catalog => self.catalog_came(response),
+            Pending::Catalog => self.catalog_received(response),
             // What belongs to an earlier term of leadership no longer concerns us.
-            Pending::Load { term: e, what } if e == term => self.load_came(what, response),
-            Pending::Audit { term: e, under } if e == term => self.audit_came(under, response),
-            Pending::Sheets { term: e } if e == term => self.sheets_came(response),
-            Pending::Models { term: e } if e == term => self.models_came(response),
+            Pending::Load { term: e, what } if e == term => self.load_received(what, response),
+            Pending::Audit { term: e, under } if e == term => self.audit_received(under, response),
+            Pending::Sheets { term: e } if e == term => self.sheets_received(response),
+            Pending::Models { term: e } if e == term => self.models_received(response),
             Pending::ModelWatch { term: e } if e == term => self.models_watched(response),
             Pending::ModelWrite { term: e, model } if e == term => {
                 self.model_written(model, response)
             }
             Pending::Parts { term: e, kind } if e == term => {
-                for_kind!(kind, K => self.parts_came::<K>(response))
+                for_kind!(kind, K => self.parts_received::<K>(response))
             }
             Pending::LiveWatch { term: e } if e == term => self.live_changes(response),
             Pending::Commit { term: e } if e == term => self.committed(response),
             Pending::Verify { term: e } if e == term => self.verified(response),
-            Pending::List { term: e } if e == term => self.list_came(response),
+            Pending::List { term: e } if e == term => self.list_received(response),
             Pending::Rental { term: e, name } if e == term => self.rental_answered(name, response),
             Pending::Delete { term: e, machines } if e == term => self.deleted(machines, response),
             Pending::Direct {
@@ -383,7 +383,7 @@
                 machine,
                 serial,
                 via,
-            } if e == term => self.direct_came(
+            } if e == term => self.direct_received(
                 machine,
                 serial,
                 if via { relay::told(response) } else { response },
@@ -393,7 +393,7 @@
                 machine,
                 serial,
                 via,
-            } if e == term => self.show_came(
+            } if e == term => self.show_received(
                 machine,
                 serial,
                 if via { relay::told(response) } else { response },
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -45,7 +45,7 @@
         );
     }
 
-    pub(crate) fn catalog_came(&mut self, response: Option<Response>) {
+    pub(crate) fn catalog_received(&mut self, response: Option<Response>) {
         let catalog = response
             .filter(|r| r.status == 200)
             .and_then(|r| self.read::<Catalog>("cloud", &r));
@@ -164,7 +164,7 @@
         }
     }
 
-    pub(crate) fn list_came(&mut self, response: Option<Response>) {
+    pub(crate) fn list_received(&mut self, response: Option<Response>) {
         let list = response
             .filter(|r| r.status == 200)
             .and_then(|r| self.read::<MachineList>("cloud", &r));
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -170,7 +170,7 @@
         }
     }
 
-    pub(crate) fn load_came(&mut self, what: Load, response: Option<Response>) {
+    pub(crate) fn load_received(&mut self, what: Load, response: Option<Response>) {
         let page = response
             .filter(|r| r.status == 200)
             .and_then(|r| match what {
@@ -187,7 +187,7 @@
                     self.load_heads(p);
                     false
                 }),
-                // Their pages come to [`Node::models_came`].
+                // Their pages come to [`Node::models_received`].
                 Load::Models => None,
             });
         let Some(more) = page else {
@@ -415,6 +415,6 @@
         shard.urgent.arrived(&rec.spec);
         let ix = shard.add_job(Job::new(rec, version));
         shard.plan_due = true;
-        self.model_came(ix);
+        self.model_received(ix);
     }
 }
