--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -5,7 +5,7 @@
 
 use crate::agents::machine::{Claim, ClaimState, Exited, Machine};
 use crate::agents::relay::NOT_SENT;
-use crate::jobs::job::JobIx;
+use crate::jobs::job::JobIndex;
 use crate::leadership::peer_status::TOKEN_BOUND;
 use crate::scheduling::planning::grace;
 use crate::store::claim_log::ClaimId;
@@ -162,7 +162,7 @@
     fn reporter(&mut self, report: &Report) -> Option<usize> {
         let now = self.now;
         let shard = self.shard.as_mut()?;
-        if let Some(m) = shard.machine_ix.get(&report.machine) {
+        if let Some(m) = shard.machine_index.get(&report.machine) {
             return Some(*m);
         }
         if shard.returned.contains_key(&report.machine) || !name_ok(&report.machine) {
@@ -188,7 +188,7 @@
     /// Takes in a report, unless a newer one was seen. True if it is the newest.
     pub(crate) fn absorb(&mut self, m: usize, report: &Report) -> bool {
         let now = self.now.mono;
-        let mut changed: BTreeSet<JobIx> = BTreeSet::new();
+        let mut changed: BTreeSet<JobIndex> = BTreeSet::new();
         let Some(shard) = &mut self.shard else {
             return false;
         };
@@ -232,16 +232,16 @@
         let new_notice = noticed.is_some() && machine.notice_until.is_none();
         machine.notice_until = noticed.or(machine.notice_until);
 
-        let mut listed: Vec<(JobIx, u32, u64)> = Vec::with_capacity(report.tasks.len());
+        let mut listed: Vec<(JobIndex, u32, u64)> = Vec::with_capacity(report.tasks.len());
         let mut exited = Vec::new();
         let mut ends: Vec<(usize, Option<Cause>, bool)> = Vec::new();
         let mut strays: Vec<Claim> = Vec::new();
-        let mut finished: Vec<(JobIx, u32)> = Vec::new();
+        let mut finished: Vec<(JobIndex, u32)> = Vec::new();
         for t in &report.tasks {
             let Some((id, task)) = ids::parse_task(&t.task) else {
                 continue;
             };
-            let ix = shard.job_ix.get(id).copied();
+            let ix = shard.job_index.get(id).copied();
             let found = ix.and_then(|ix| {
                 listed.push((ix, task, t.attempt));
                 machine
@@ -376,7 +376,7 @@
         k: usize,
         cause: Option<Cause>,
         saved: bool,
-    ) -> Option<JobIx> {
+    ) -> Option<JobIndex> {
         let now = self.now.mono;
         let shard = self.shard.as_mut()?;
         let machine = shard.machines.get_mut(m)?.as_mut()?;
@@ -487,7 +487,7 @@
         };
         log::info!("machine {}: is about to be taken", machine.name);
         let left = machine.notice_until.unwrap_or(now).saturating_sub(now) as f64 / 1000.0;
-        let mut stops: Vec<(JobIx, f64)> = Vec::new();
+        let mut stops: Vec<(JobIndex, f64)> = Vec::new();
         for c in &machine.claims {
             let Some(spec) = shard.job(c.job).and_then(|j| j.spec.as_ref()) else {
                 continue;
@@ -506,7 +506,7 @@
     }
 
     /// Stops a job's tasks on one machine; a gang's on all, since they end together.
-    pub(crate) fn stop_here(&mut self, ix: JobIx, m: usize, grace_s: f64) {
+    pub(crate) fn stop_here(&mut self, ix: JobIndex, m: usize, grace_s: f64) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
         let machines: BTreeSet<usize> = if job.kind() == Kind::Gang {
@@ -584,7 +584,7 @@
         }
         if machine.unanswered_command.is_none() {
             for e in &machine.exited {
-                let ix = shard.job_ix.get(&e.job).copied();
+                let ix = shard.job_index.get(&e.job).copied();
                 let job = ix
                     .and_then(|ix| shard.jobs.get(ix))
                     .and_then(Option::as_ref);
--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -3,7 +3,7 @@
 //! A claim is (task, attempt, machine). It is recorded before its start is sent, and it ends only on proof
 //! that the task is gone and can't come back.
 
-use crate::jobs::job::JobIx;
+use crate::jobs::job::JobIndex;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wire::api::{Cause, TaskStage};
@@ -27,7 +27,7 @@
 
 #[derive(Debug, Clone)]
 pub(crate) struct Claim {
-    pub job: JobIx,
+    pub job: JobIndex,
     pub task: u32,
     pub attempt: u64,
     pub state: ClaimState,
@@ -48,7 +48,7 @@
 }
 
 impl Claim {
-    pub fn new(job: JobIx, task: u32, attempt: u64) -> Self {
+    pub fn new(job: JobIndex, task: u32, attempt: u64) -> Self {
         Claim {
             job,
             task,
@@ -116,7 +116,7 @@
     /// Images that its tasks have fetched, newest last.
     pub images: Vec<(u32, f64)>,
     pub errors: u32,
-    pub error_jobs: BTreeMap<JobIx, u32>,
+    pub error_jobs: BTreeMap<JobIndex, u32>,
     /// Set aside: fails its tasks.
     pub sick: bool,
     pub rest_until: u64,
@@ -208,7 +208,7 @@
     }
 
     /// Marks all tasks of a job as to be stopped; true if the worker is to be told.
-    pub fn stop_job(&mut self, job: JobIx, grace_s: f64) -> bool {
+    pub fn stop_job(&mut self, job: JobIndex, grace_s: f64) -> bool {
         let mut news = false;
         for claim in self.claims.iter_mut().filter(|c| c.job == job) {
             if claim.stop.is_none_or(|g| grace_s < g) {
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -61,7 +61,7 @@
         let Some(shard) = self.shard.as_ref().filter(|shard| shard.loaded) else {
             return;
         };
-        let machines = shard.machine_ix.len() as f64;
+        let machines = shard.machine_index.len() as f64;
         let most = match self.routing.is_spread {
             true => self.tuning.direct_machines * SPREAD_UNTIL,
             false => self.tuning.direct_machines,
@@ -81,7 +81,7 @@
             return None;
         }
         let shard = self.shard.as_ref()?;
-        if !shard.machine_ix.contains_key(&report.machine) {
+        if !shard.machine_index.contains_key(&report.machine) {
             return None;
         }
         let peer = self.relay_for(report)?;
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -4,7 +4,7 @@
 //! its own record. So counting costs no write at an acceptance, and at an end none where a log record goes along
 //! anyway. `county::Tally` has the rules; this is what the part adds to them.
 
-use crate::jobs::job::{Job, JobIx};
+use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::store::commit::{PendingWrite, TransactionDraft};
 use crate::store::shard::Shard;
@@ -108,7 +108,7 @@
     }
 
     /// Counts a job's end, if it has a county.
-    pub fn add(&mut self, shard: &mut Shard, ix: JobIx, stage: Stage) -> Option<CountedRecord> {
+    pub fn add(&mut self, shard: &mut Shard, ix: JobIndex, stage: Stage) -> Option<CountedRecord> {
         let job = shard.jobs.get(ix)?.as_ref()?;
         let (county, class) = (
             job.county.as_ref()?.county.clone(),
--- a/crates/control/src/documents/hours.rs
+++ b/crates/control/src/documents/hours.rs
@@ -6,7 +6,7 @@
 
 use crate::Node;
 use crate::documents::{Doc, Documents, Kind, KindId, refused};
-use crate::jobs::job::{Ending, Job, JobIx};
+use crate::jobs::job::{Ending, Job, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::store::commit::{PendingWrite, TransactionDraft};
 use crate::store::shard::Shard;
@@ -125,7 +125,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Move {
-    ix: JobIx,
+    ix: JobIndex,
     job: String,
     due_ms: u64,
     version: u64,
@@ -138,8 +138,8 @@
 #[derive(Default)]
 pub(crate) struct Watch {
     /// Jobs that have not ended, by hour: those whose hour is yet to come, and the others.
-    ahead: BTreeSet<(u64, JobIx)>,
-    past: BTreeSet<(u64, JobIx)>,
+    ahead: BTreeSet<(u64, JobIndex)>,
+    past: BTreeSet<(u64, JobIndex)>,
     ended: VecDeque<Ended>,
     moves: VecDeque<Move>,
     /// Moves of jobs that have ended meanwhile.
@@ -149,19 +149,19 @@
 }
 
 impl Watch {
-    pub fn add(&mut self, job: &Job, ix: JobIx) {
+    pub fn add(&mut self, job: &Job, ix: JobIndex) {
         if let Some(hour) = &job.hour {
             self.ahead.insert((hour.rec.due_ms, ix));
         }
     }
 
-    fn forget(&mut self, due_ms: u64, ix: JobIx) {
+    fn forget(&mut self, due_ms: u64, ix: JobIndex) {
         self.ahead.remove(&(due_ms, ix));
         self.past.remove(&(due_ms, ix));
     }
 
     /// A job's end is recorded.
-    pub fn ended(&mut self, job: &Job, ix: JobIx, stage: Stage) {
+    pub fn ended(&mut self, job: &Job, ix: JobIndex, stage: Stage) {
         let Some(hour) = &job.hour else { return };
         let due = hour.rec.due_ms;
         self.forget(due, ix);
@@ -317,7 +317,7 @@
         &mut self,
         input: &plan::Input,
         output: &plan::Output,
-        jobs: &[JobIx],
+        jobs: &[JobIndex],
     ) {
         let wall = self.now.wall;
         let Some(shard) = &mut self.shard else { return };
@@ -327,7 +327,7 @@
         let Some(catalog) = &self.shared.catalog else {
             return;
         };
-        let mut seen: BTreeMap<JobIx, Seen> = BTreeMap::new();
+        let mut seen: BTreeMap<JobIndex, Seen> = BTreeMap::new();
         for (i, ix) in jobs.iter().enumerate() {
             if shard.jobs[*ix].as_ref().is_some_and(|j| j.hour.is_some()) {
                 let of = seen.entry(*ix).or_default();
@@ -437,7 +437,7 @@
 }
 
 impl Shard {
-    fn say_hours(&mut self, changes: Vec<(JobIx, State)>, wall: u64) {
+    fn say_hours(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
         let more = changes.len().saturating_sub(LOGGED);
         for (n, (ix, state)) in changes.into_iter().enumerate() {
             let Some(job) = self.jobs.get_mut(ix).and_then(Option::as_mut) else {
@@ -534,7 +534,7 @@
         let (calendar, version) = calendar.unwrap_or_default();
         let Some(shard) = &mut self.shard else { return };
         let found = shard
-            .job_ix
+            .job_index
             .get(id)
             .and_then(|ix| Some((*ix, shard.job(*ix)?)));
         let Some((ix, job)) = found.filter(|(_, j)| j.spec.is_some()) else {
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -153,7 +153,7 @@
         }
         if self.may_decide()
             && let Some(shard) = &self.shard
-            && shard.job_ix.contains_key(&spec.id)
+            && shard.job_index.contains_key(&spec.id)
         {
             return self.query_for(asker, spec.id, Why::Query);
         }
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -6,7 +6,7 @@
 use wire::api::{JobSpec, JobState, Kind, Priority, Stage};
 use wire::records::{CountyRecord, JobRecord};
 
-pub(crate) type JobIx = usize;
+pub(crate) type JobIndex = usize;
 
 /// How far the end of a job has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -368,7 +368,7 @@
 
 impl Node {
     /// Follows up on a change of a job: what is left of a broken gang goes, an ended job is forgotten.
-    pub(crate) fn job_changed(&mut self, ix: JobIx) {
+    pub(crate) fn job_changed(&mut self, ix: JobIndex) {
         self.to_write = true;
         self.model_changed(ix);
         let Some(shard) = &mut self.shard else { return };
@@ -401,7 +401,7 @@
         }
         self.to_write = true;
         let Some(shard) = &mut self.shard else { return };
-        let Some(ix) = shard.job_ix.get(id).copied() else {
+        let Some(ix) = shard.job_index.get(id).copied() else {
             return self.unknown(asker, id);
         };
         let Some(job) = shard.job_mut(ix) else { return };
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -123,7 +123,10 @@
 
     /// Whether the leader has read the job.
     fn holds(&self, id: &str) -> bool {
-        let job = self.shard.as_ref().and_then(|p| p.job(*p.job_ix.get(id)?));
+        let job = self
+            .shard
+            .as_ref()
+            .and_then(|p| p.job(*p.job_index.get(id)?));
         job.is_some_and(|j| j.spec.is_some())
     }
 
@@ -133,7 +136,7 @@
         let shard = self.shard.as_ref().filter(|_| self.has_valid_lease())?;
         let known = |j: &&Job| j.spec.is_some() && !j.may_be_over();
         shard
-            .job(*shard.job_ix.get(id)?)
+            .job(*shard.job_index.get(id)?)
             .filter(known)
             .map(Job::state)
     }
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -170,7 +170,7 @@
         let job = self
             .shard
             .as_ref()
-            .and_then(|p| p.job(*p.job_ix.get(model)?));
+            .and_then(|p| p.job(*p.job_index.get(model)?));
         let job = job
             .filter(|j| !j.is_ending())
             .and_then(|j| Some((j.spec.clone()?, j.version)));
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -10,7 +10,7 @@
 pub(crate) mod demand;
 
 use crate::documents::{self, Doc, Documents, KindId};
-use crate::jobs::job::{Ending, Job, JobIx};
+use crate::jobs::job::{Ending, Job, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::models::demand::Wakes;
 use crate::scheduling::planning::grace;
@@ -269,7 +269,7 @@
     /// Which jobs are models, after all of them or the document may have changed.
     fn sort_models(&mut self) {
         let Some(shard) = &self.shard else { return };
-        let all: Vec<JobIx> = (0..shard.jobs.len())
+        let all: Vec<JobIndex> = (0..shard.jobs.len())
             .filter(|ix| shard.jobs[*ix].is_some())
             .collect();
         for ix in all {
@@ -277,12 +277,15 @@
         }
         let Some(shard) = &self.shard else { return };
         let owned = &mut self.models.owned;
-        let gone = owned.recs.keys().filter(|m| !shard.job_ix.contains_key(*m));
+        let gone = owned
+            .recs
+            .keys()
+            .filter(|m| !shard.job_index.contains_key(*m));
         owned.over.extend(gone.cloned().collect::<Vec<_>>());
     }
 
     /// A job has come to the leader's memory, or may have become a model.
-    pub(crate) fn model_received(&mut self, ix: JobIx) {
+    pub(crate) fn model_received(&mut self, ix: JobIndex) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
         let rule = job.spec.as_ref().and_then(|spec| self.models.rule(spec));
@@ -310,7 +313,7 @@
     }
 
     /// Something about a job has changed; it matters here only if that is a model.
-    pub(crate) fn model_changed(&mut self, ix: JobIx) {
+    pub(crate) fn model_changed(&mut self, ix: JobIndex) {
         let Some(job) = self.shard.as_ref().and_then(|p| p.job(ix)) else {
             return;
         };
@@ -326,7 +329,7 @@
     }
 
     /// What the record says of machines with the weights, for a leader that has not seen that itself.
-    fn near_weights(&mut self, ix: JobIx, rec: &Rec) {
+    fn near_weights(&mut self, ix: JobIndex, rec: &Rec) {
         let caches: HashMap<String, f64> = self
             .catalog()
             .map(|c| {
@@ -343,7 +346,7 @@
         let (image, gb) = (spec.image.clone(), spec.image_gb);
         let image = shard.images.get(&image);
         for name in rec.near.iter().take(MAX_NEAR) {
-            let Some(m) = shard.machine_ix.get(name).copied() else {
+            let Some(m) = shard.machine_index.get(name).copied() else {
                 continue;
             };
             let Some(machine) = shard.machine_mut(m) else {
@@ -380,7 +383,7 @@
         owned.recs.insert(model.to_owned(), known.clone());
         owned.due.insert(model.to_owned());
         let Some(shard) = &mut self.shard else { return };
-        let Some(ix) = shard.job_ix.get(model).copied() else {
+        let Some(ix) = shard.job_index.get(model).copied() else {
             return;
         };
         let Some(job) = shard.job(ix) else { return };
@@ -445,7 +448,7 @@
         let Some(shard) = &self.shard else {
             return false;
         };
-        let Some(ix) = shard.job_ix.get(model).copied() else {
+        let Some(ix) = shard.job_index.get(model).copied() else {
             return false;
         };
         let Some(job) = shard.job(ix).filter(|j| j.ending == Ending::No) else {
@@ -498,7 +501,7 @@
     }
 
     /// Stops all replicas but the first few.
-    fn stop_replicas(&mut self, ix: JobIx, stay: u32) {
+    fn stop_replicas(&mut self, ix: JobIndex, stay: u32) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
         let grace = job.spec.as_deref().map_or(0.0, grace);
@@ -666,7 +669,7 @@
             return;
         };
         let open = shard
-            .job_ix
+            .job_index
             .get(&model)
             .and_then(|ix| shard.job(*ix))
             .is_some_and(|j| !j.is_over());
@@ -743,8 +746,11 @@
             return Vec::new();
         };
         let owned = &self.models.owned;
-        let first =
-            |names: &Vec<String>| names.iter().find_map(|n| shard.machine_ix.get(n).copied());
+        let first = |names: &Vec<String>| {
+            names
+                .iter()
+                .find_map(|n| shard.machine_index.get(n).copied())
+        };
         owned
             .kept
             .values()
@@ -819,7 +825,7 @@
     }
 }
 
-fn set_replicas(shard: &mut Shard, ix: JobIx, replicas: u32) {
+fn set_replicas(shard: &mut Shard, ix: JobIndex, replicas: u32) {
     if shard.job(ix).is_some_and(|j| j.replicas != Some(replicas)) {
         if let Some(job) = shard.job_mut(ix) {
             job.replicas = Some(replicas);
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -187,7 +187,7 @@
     fn listed(&mut self, l: ListedMachine) {
         let now = self.now;
         let Some(shard) = &mut self.shard else { return };
-        if let Some(m) = shard.machine_ix.get(&l.name).copied() {
+        if let Some(m) = shard.machine_index.get(&l.name).copied() {
             let Some(machine) = shard.machine_mut(m) else {
                 return;
             };
@@ -279,7 +279,8 @@
                 shard.refused.remove(&kind);
             }
             for machine in got.machines {
-                if shard.machine_ix.contains_key(&machine) || shard.returned.contains_key(&machine)
+                if shard.machine_index.contains_key(&machine)
+                    || shard.returned.contains_key(&machine)
                 {
                     continue;
                 }
--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -2,7 +2,7 @@
 //! others leave of the house's, and so on up.
 
 use crate::documents::quotas::Good;
-use crate::jobs::job::{Job, JobIx};
+use crate::jobs::job::{Job, JobIndex};
 use crate::store::shard::Shard;
 use quota::{Amount, Count, Live, MAX_RESOURCES, NOTHING, Share, TeamId, Tree, amount};
 use std::collections::{HashMap, HashSet};
@@ -12,20 +12,20 @@
 
 /// How far guarantees hold what there is: by the team's own alone, or by those of the nodes above it too.
 pub(crate) struct Holds {
-    flat: HashSet<JobIx>,
-    nested: HashMap<JobIx, Levels>,
+    flat: HashSet<JobIndex>,
+    nested: HashMap<JobIndex, Levels>,
     /// By team, as far as quotas nest: how much of what its nodes are due is used.
     pub fulfilled: HashMap<u16, f64>,
 }
 
 impl Holds {
     /// Whether a job's team hangs below a node.
-    pub fn is_nested(&self, job: JobIx) -> bool {
+    pub fn is_nested(&self, job: JobIndex) -> bool {
         self.nested.contains_key(&job)
     }
 
     /// Levels that hold the task that is the `k`th of a job.
-    pub fn held(&self, job: JobIx, k: u32) -> u8 {
+    pub fn held(&self, job: JobIndex, k: u32) -> u8 {
         match self.nested.get(&job) {
             Some(levels) => held(levels, k),
             None => u8::from(self.flat.contains(&job)),
@@ -34,7 +34,13 @@
 
     /// The job's waiting tasks by the levels that hold them, when so many are claimed; one entry for all that must
     /// not be parted.
-    pub fn waiting(&self, ix: JobIx, spec: &JobSpec, claimed: u32, pending: u32) -> Vec<(u8, u32)> {
+    pub fn waiting(
+        &self,
+        ix: JobIndex,
+        spec: &JobSpec,
+        claimed: u32,
+        pending: u32,
+    ) -> Vec<(u8, u32)> {
         let parted = spec.kind == Kind::Array && !spec.spread && !spec.one_zone;
         if !parted || !self.nested.contains_key(&ix) {
             return vec![(self.held(ix, claimed), pending)];
@@ -96,7 +102,7 @@
 /// A tree with what its teams want and have. It is brought up to date by the jobs that changed, and no others.
 pub(crate) struct Counted {
     pub live: Live,
-    by_job: HashMap<JobIx, (TeamId, Count)>,
+    by_job: HashMap<JobIndex, (TeamId, Count)>,
 }
 
 impl Counted {
@@ -110,7 +116,7 @@
         out
     }
 
-    fn follow(&mut self, shard: &Shard, touched: impl IntoIterator<Item = JobIx>) {
+    fn follow(&mut self, shard: &Shard, touched: impl IntoIterator<Item = JobIndex>) {
         let mut teams: HashMap<TeamId, Count> = HashMap::new();
         let mut shift = |live: &Live, team: TeamId, by: &Count, sign: i64| {
             let count = teams.entry(team).or_insert_with(|| live.team(team));
@@ -157,7 +163,11 @@
 
 /// The jobs of teams below some node, each with how far its tasks are held. The earlier accepted come first, and an
 /// array is held task by task.
-fn nested(shard: &Shard, open: &[(JobIx, &JobSpec)], live: &mut Live) -> HashMap<JobIx, Levels> {
+fn nested(
+    shard: &Shard,
+    open: &[(JobIndex, &JobSpec)],
+    live: &mut Live,
+) -> HashMap<JobIndex, Levels> {
     let tree = live.tree().clone();
     let mut left: HashMap<TeamId, Vec<Share>> = HashMap::new();
     let mut out = HashMap::new();
@@ -242,8 +252,8 @@
 }
 
 /// Jobs that have not ended, the earlier accepted first.
-fn open_jobs(shard: &Shard) -> Vec<(JobIx, &JobSpec)> {
-    let mut open: Vec<(u64, JobIx, &JobSpec)> = Vec::new();
+fn open_jobs(shard: &Shard) -> Vec<(JobIndex, &JobSpec)> {
+    let mut open: Vec<(u64, JobIndex, &JobSpec)> = Vec::new();
     for (ix, job) in shard.jobs.iter().enumerate() {
         if let Some(job) = job
             && let Some(spec) = &job.spec
@@ -257,7 +267,11 @@
 }
 
 /// Open jobs that fit into their team's guarantee together with the team's earlier ones.
-fn within_guarantee(shard: &Shard, open: &[(JobIx, &JobSpec)], teams: &[Team]) -> HashSet<JobIx> {
+fn within_guarantee(
+    shard: &Shard,
+    open: &[(JobIndex, &JobSpec)],
+    teams: &[Team],
+) -> HashSet<JobIndex> {
     let mut left: HashMap<&str, (&Team, f64, f64)> = teams
         .iter()
         .map(|t| (t.name.as_str(), (t, t.cpus, t.gpus)))
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -1,7 +1,7 @@
 //! Between the leader's memory and the planner: what it is shown, and what follows from its plan.
 
 use crate::agents::machine::{Claim, Machine, Need};
-use crate::jobs::job::{Class, Ending, Job, JobIx};
+use crate::jobs::job::{Class, Ending, Job, JobIndex};
 use crate::scheduling::entitlement::{self, Holds};
 use crate::scheduling::urgent;
 use crate::store::claim_log::ClaimId;
@@ -30,7 +30,7 @@
 /// The planner's indices and ours.
 struct Map {
     machines: Vec<usize>,
-    jobs: Vec<JobIx>,
+    jobs: Vec<JobIndex>,
     /// For each machine of the input, the claims behind its running tasks.
     claims: Vec<Vec<usize>>,
 }
@@ -217,7 +217,13 @@
 impl Aims<'_> {
     /// What users were told to expect is a deadline too: the first that can still be kept. Who is furthest below what
     /// it is due by the tree has the earliest of those alike.
-    fn with_deadline(&self, job: plan::Job, spec: &JobSpec, holds: &Holds, ix: JobIx) -> plan::Job {
+    fn with_deadline(
+        &self,
+        job: plan::Job,
+        spec: &JobSpec,
+        holds: &Holds,
+        ix: JobIndex,
+    ) -> plan::Job {
         let share = holds.fulfilled.get(&job.team).copied().unwrap_or(1.0);
         let promise = guarantee_aim(self.all)
             .filter(|_| job.held > 0)
@@ -424,7 +430,7 @@
                 );
             }
             for gang in &output.recalls {
-                self.recall(*gang as JobIx);
+                self.recall(*gang as JobIndex);
             }
         }
         if scope == Scope::All && now >= since + 2 * settle {
@@ -539,7 +545,7 @@
             .iter()
             .map(|job| Some(ClaimedJob::of(job.as_ref()?, &teams, classes, images)))
             .collect();
-        let claimed_job = |ix: JobIx| claimed_jobs.get(ix).and_then(Option::as_ref);
+        let claimed_job = |ix: JobIndex| claimed_jobs.get(ix).and_then(Option::as_ref);
         let mut to_plan: HashMap<usize, u32> = HashMap::new();
         for (m, machine) in shard.machines.iter().enumerate() {
             let Some(machine) = machine else { continue };
@@ -709,7 +715,7 @@
 
     /// Claims places for a job's tasks; they are sent once recorded. One attempt for all: by it the tasks of a
     /// gang find each other.
-    fn start(&mut self, ix: JobIx, m: usize, count: u32, attempt: u64) {
+    fn start(&mut self, ix: JobIndex, m: usize, count: u32, attempt: u64) {
         let Some(shard) = &mut self.shard else { return };
         for _ in 0..count {
             let Some(task) = shard.job_mut(ix).and_then(|j| j.next_task()) else {
@@ -738,7 +744,7 @@
     }
 
     /// Stops a gang that runs beyond its team's guarantee, with the time to save.
-    fn recall(&mut self, ix: JobIx) {
+    fn recall(&mut self, ix: JobIndex) {
         let Some(job) = self.shard.as_ref().and_then(|p| p.job(ix)) else {
             return;
         };
@@ -889,7 +895,7 @@
         let Some(shard) = &mut self.shard else { return };
         // Also while tasks wait: a machine that is idle all the same is none that they may use, and it may
         // stand in the way of one.
-        let (jobs, job_ix) = (&shard.jobs, &shard.job_ix);
+        let (jobs, job_index) = (&shard.jobs, &shard.job_index);
         // With the machine, a result that is recorded nowhere would be gone, were this leader to end too.
         let owes = |machine: &Machine| {
             machine
@@ -897,7 +903,7 @@
                 .iter()
                 .filter(|e| e.cause == Some(Cause::Done))
                 .any(|e| {
-                    let job = job_ix
+                    let job = job_index
                         .get(&e.job)
                         .and_then(|ix| jobs.get(*ix))
                         .and_then(Option::as_ref);
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -4,7 +4,7 @@
 //! all its claims have ended and all jobs whose results it holds have; so it may name claims that are over, which
 //! costs a new leader a moment's caution and nothing else. Machines stand in inventory shards, many to a record.
 
-use crate::jobs::job::JobIx;
+use crate::jobs::job::JobIndex;
 use crate::store::shard::Shard;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ClaimId {
     pub machine: usize,
-    pub job: JobIx,
+    pub job: JobIndex,
     pub task: u32,
     pub attempt: u64,
 }
@@ -24,7 +24,7 @@
     /// Claims in it that hold.
     pub live: u32,
     /// Jobs that have not ended and whose results it holds.
-    pub jobs: BTreeSet<JobIx>,
+    pub jobs: BTreeSet<JobIndex>,
     /// All its claims, for moving those that still hold.
     pub claims: Vec<ClaimId>,
     /// It has counts that are not in their sheets yet.
@@ -58,9 +58,9 @@
     /// Claims to be recorded, most urgent first.
     pub fresh: VecDeque<ClaimId>,
     /// Jobs with results to be recorded.
-    pub unsaved: BTreeSet<JobIx>,
+    pub unsaved: BTreeSet<JobIndex>,
     /// Jobs whose end is to be recorded, cancelled ones first.
-    pub ending: VecDeque<JobIx>,
+    pub ending: VecDeque<JobIndex>,
     pub inventory: BTreeMap<u64, InventoryShard>,
     /// Racks to be written: those with machines that are new, and those that only lost some.
     pub new_in: BTreeSet<u64>,
@@ -80,7 +80,7 @@
     }
 
     /// A job's results need no longer stand in these segments.
-    pub fn results_over(&mut self, job: JobIx, segments: impl IntoIterator<Item = u64>) {
+    pub fn results_over(&mut self, job: JobIndex, segments: impl IntoIterator<Item = u64>) {
         for n in segments {
             if let Some(s) = self.segments.get_mut(&n) {
                 s.jobs.remove(&job);
@@ -168,7 +168,7 @@
     }
 
     /// Notes that results of a job, or its end, are to be recorded.
-    pub fn job_to_write(&mut self, ix: JobIx) {
+    pub fn job_to_write(&mut self, ix: JobIndex) {
         let Some(job) = self.jobs.get(ix).and_then(Option::as_ref) else {
             return;
         };
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -6,7 +6,7 @@
 
 use crate::agents::machine::ClaimState;
 use crate::documents::{KindId, for_kind};
-use crate::jobs::job::{Ending, JobIx};
+use crate::jobs::job::{Ending, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::store::claim_log::{ClaimId, Segment};
 use crate::store::shard::{RentalState, Shard};
@@ -20,7 +20,7 @@
 };
 
 pub(crate) enum PendingWrite {
-    End(JobIx),
+    End(JobIndex),
     Token(u64),
     Rental(String),
     RemoveRental(String),
@@ -44,7 +44,7 @@
     number: u64,
     claims: Vec<ClaimId>,
     /// Results, and whether they are all that the job has.
-    done: Vec<(JobIx, Vec<u32>, bool)>,
+    done: Vec<(JobIndex, Vec<u32>, bool)>,
     ended: Vec<county::Delta>,
 }
 
@@ -118,7 +118,7 @@
         self.writes.push(Write::Remove { key });
     }
 
-    fn end(&mut self, shard: &mut Shard, ix: JobIx, wall: u64) {
+    fn end(&mut self, shard: &mut Shard, ix: JobIndex, wall: u64) {
         let Some(job) = shard.job_mut(ix) else { return };
         let Ending::Wanted(stage) = job.ending else {
             return;
@@ -151,7 +151,8 @@
             done: Vec::new(),
             ended,
         };
-        let mut entries: BTreeMap<(JobIx, u64), BTreeMap<usize, BTreeSet<u32>>> = BTreeMap::new();
+        let mut entries: BTreeMap<(JobIndex, u64), BTreeMap<usize, BTreeSet<u32>>> =
+            BTreeMap::new();
         let mut size = 64 + crate::documents::county_counts::length(&log.ended);
         let mut grow = |shard: &Shard, id: &ClaimId| {
             let (Some(job), Some(machine)) = (shard.job(id.job), shard.machine(id.machine)) else {
@@ -253,11 +254,11 @@
                 alone: job.tenant.alone,
             });
         }
-        let moved: Vec<JobIx> = old
+        let moved: Vec<JobIndex> = old
             .and_then(|n| shard.claim_log.segments.get(&n))
             .map(|s| s.jobs.iter().copied().collect())
             .unwrap_or_default();
-        let unsaved: Vec<JobIx> = shard.claim_log.unsaved.iter().copied().collect();
+        let unsaved: Vec<JobIndex> = shard.claim_log.unsaved.iter().copied().collect();
         let results = unsaved
             .into_iter()
             .map(|ix| (ix, false))
@@ -641,7 +642,7 @@
                 None
             }
         });
-        for ix in ends.collect::<Vec<JobIx>>() {
+        for ix in ends.collect::<Vec<JobIndex>>() {
             self.job_changed(ix);
         }
     }
@@ -676,7 +677,7 @@
         shard.commit.body.clear();
         shard.commit.outcome_unknown = false;
         let ops = std::mem::take(&mut shard.commit.ops);
-        let mut changed: BTreeSet<JobIx> = BTreeSet::new();
+        let mut changed: BTreeSet<JobIndex> = BTreeSet::new();
         let mut told = Vec::new();
         let mut heads = Vec::new();
         let mut moved = Vec::new();
@@ -736,7 +737,7 @@
                         inventory_shard.version = revision;
                     }
                     for name in machines {
-                        let m = shard.machine_ix.get(&name).copied();
+                        let m = shard.machine_index.get(&name).copied();
                         if let Some(machine) = m
                             .and_then(|m| shard.machine_mut(m))
                             .filter(|x| x.inventory_shard == n)
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -1,7 +1,7 @@
 //! Reading the shard's records back after a failover, before its new leader decides anything.
 
 use crate::agents::machine::{Claim, ClaimState, Machine, Need};
-use crate::jobs::job::{Job, JobIx};
+use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::store::claim_log::{ClaimId, InventoryShard, Segment};
 use crate::store::commit::value_limit;
@@ -46,10 +46,10 @@
             let attempt = group.attempt;
             for (name, first, n) in group.on {
                 // A machine in no inventory shard is gone, and all that was on it.
-                let Some(machine) = self.machine_ix.get(&name).copied() else {
+                let Some(machine) = self.machine_index.get(&name).copied() else {
                     continue;
                 };
-                let job = match self.job_ix.get(&group.job) {
+                let job = match self.job_index.get(&group.job) {
                     Some(ix) => *ix,
                     // Ended, but its tasks may still be there: they count until they are proved gone.
                     None => {
@@ -87,7 +87,7 @@
             }
         }
         for done in rec.done {
-            let Some(ix) = self.job_ix.get(&done.job).copied() else {
+            let Some(ix) = self.job_index.get(&done.job).copied() else {
                 continue;
             };
             let Some(job) = self.job_mut(ix).filter(|j| j.spec.is_some()) else {
@@ -377,11 +377,11 @@
             "token {}: read {} jobs, {} machines, {} rentals",
             shard.token,
             shard.jobs.iter().flatten().count(),
-            shard.machine_ix.len(),
+            shard.machine_index.len(),
             shard.rentals.len()
         );
         // A job may have been left with all tasks done but not ended, or with a gang half claimed.
-        let all: Vec<JobIx> = (0..shard.jobs.len())
+        let all: Vec<JobIndex> = (0..shard.jobs.len())
             .filter(|ix| shard.jobs[*ix].is_some())
             .collect();
         for ix in all {
@@ -396,7 +396,7 @@
             return;
         }
         let Some(shard) = &mut self.shard else { return };
-        if shard.job_ix.contains_key(&rec.spec.id) {
+        if shard.job_index.contains_key(&rec.spec.id) {
             return;
         }
         let spec = &rec.spec;
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -1,7 +1,7 @@
 //! What the leader of a shard holds in memory.
 
 use crate::agents::machine::Machine;
-use crate::jobs::job::{Class, Job, JobIx};
+use crate::jobs::job::{Class, Job, JobIndex};
 use crate::store::claim_log::{ClaimId, ClaimLog};
 use crate::store::commit::{Commit, value_limit};
 use crate::store::recovery::Load;
@@ -71,11 +71,11 @@
     pub live_busy: bool,
     pub live_retry_at: u64,
     pub jobs: Vec<Option<Job>>,
-    pub free_jobs: Vec<JobIx>,
-    pub job_ix: HashMap<String, JobIx>,
+    pub free_jobs: Vec<JobIndex>,
+    pub job_index: HashMap<String, JobIndex>,
     pub machines: Vec<Option<Machine>>,
     pub free_machines: Vec<usize>,
-    pub machine_ix: HashMap<String, usize>,
+    pub machine_index: HashMap<String, usize>,
     pub rentals: BTreeMap<String, Rental>,
     pub serial: u64,
     pub commit: Commit,
@@ -105,7 +105,7 @@
     pub urgent: crate::scheduling::urgent::Urgent,
     pub planned_at: u64,
     /// The job at which the last plan was stopped by its bound of steps.
-    pub plan_stopped_at: Option<JobIx>,
+    pub plan_stopped_at: Option<JobIndex>,
     pub catalog_dirty: bool,
     /// What our teams may use, as recorded, and its version; nothing is started before it is known.
     pub allotment: Option<AllotmentRecord>,
@@ -113,9 +113,9 @@
     /// The allotment that is to be written down instead.
     pub allotment_wanted: Option<AllotmentRecord>,
     /// Jobs that may have changed since the last plan.
-    touched: Vec<JobIx>,
+    touched: Vec<JobIndex>,
     /// Jobs that are not wanted any more and still have claims.
-    pub unwanted: BTreeSet<JobIx>,
+    pub unwanted: BTreeSet<JobIndex>,
     /// The tree's counts, by the version that they belong to.
     pub counted: Option<(u64, crate::scheduling::entitlement::Counted)>,
     /// Release hours of its jobs.
@@ -141,10 +141,10 @@
             live_retry_at: 0,
             jobs: Vec::new(),
             free_jobs: Vec::new(),
-            job_ix: HashMap::new(),
+            job_index: HashMap::new(),
             machines: Vec::new(),
             free_machines: Vec::new(),
-            machine_ix: HashMap::new(),
+            machine_index: HashMap::new(),
             rentals: BTreeMap::new(),
             serial: 0,
             commit: Commit::default(),
@@ -183,7 +183,7 @@
     pub fn hears_no_agents(&self, now: u64) -> bool {
         self.loaded
             && !self.heard_itself
-            && self.machine_ix.len() >= DEAF_MACHINES
+            && self.machine_index.len() >= DEAF_MACHINES
             && now >= self.since + DEAF_MS
     }
 
@@ -204,11 +204,11 @@
         self.next_attempt()
     }
 
-    pub fn job(&self, ix: JobIx) -> Option<&Job> {
+    pub fn job(&self, ix: JobIndex) -> Option<&Job> {
         self.jobs.get(ix).and_then(Option::as_ref)
     }
     /// Whoever changes a job gets it here, so that plans know which ones changed.
-    pub fn job_mut(&mut self, ix: JobIx) -> Option<&mut Job> {
+    pub fn job_mut(&mut self, ix: JobIndex) -> Option<&mut Job> {
         let job = self.jobs.get_mut(ix)?.as_mut()?;
         if !std::mem::replace(&mut job.touched, true) {
             self.touched.push(ix);
@@ -217,7 +217,7 @@
     }
 
     /// The jobs that may have changed, come or gone since this was asked last; some perhaps twice.
-    pub fn take_touched(&mut self) -> Vec<JobIx> {
+    pub fn take_touched(&mut self) -> Vec<JobIndex> {
         let all = std::mem::take(&mut self.touched);
         for ix in &all {
             if let Some(Some(job)) = self.jobs.get_mut(*ix) {
@@ -233,13 +233,13 @@
         self.machines.get_mut(m).and_then(Option::as_mut)
     }
 
-    pub fn add_job(&mut self, mut job: Job) -> JobIx {
+    pub fn add_job(&mut self, mut job: Job) -> JobIndex {
         job.tenant = self.tally.tenant(job.county.as_ref());
         let ix = self.free_jobs.pop().unwrap_or_else(|| {
             self.jobs.push(None);
             self.jobs.len() - 1
         });
-        self.job_ix.insert(job.id.clone(), ix);
+        self.job_index.insert(job.id.clone(), ix);
         self.hours.add(&job, ix);
         self.jobs[ix] = Some(job);
         self.touched.push(ix);
@@ -264,7 +264,7 @@
             self.machines.push(None);
             self.machines.len() - 1
         });
-        self.machine_ix.insert(machine.name.clone(), m);
+        self.machine_index.insert(machine.name.clone(), m);
         self.machines[m] = Some(machine);
         m
     }
@@ -274,7 +274,7 @@
         let Some(machine) = self.machines.get_mut(m).and_then(Option::take) else {
             return;
         };
-        self.machine_ix.remove(&machine.name);
+        self.machine_index.remove(&machine.name);
         self.free_machines.push(m);
         self.push.remove(&m);
         self.claim_log
@@ -294,7 +294,7 @@
     }
 
     /// Marks a job's tasks on one machine as to be stopped.
-    pub fn stop_job(&mut self, ix: JobIx, m: usize, grace_s: f64) {
+    pub fn stop_job(&mut self, ix: JobIndex, m: usize, grace_s: f64) {
         if self
             .machine_mut(m)
             .is_some_and(|machine| machine.stop_job(ix, grace_s))
@@ -304,7 +304,7 @@
     }
 
     /// Notes whether a job is one that is not wanted any more and still has claims.
-    pub fn note_unwanted(&mut self, ix: JobIx) {
+    pub fn note_unwanted(&mut self, ix: JobIndex) {
         if self
             .job(ix)
             .is_some_and(|j| j.is_unwanted() && !j.claimed.is_empty())
@@ -323,12 +323,12 @@
     }
 
     /// Forgets an ended job once nothing of it is on any machine.
-    pub fn maybe_forget_job(&mut self, ix: JobIx) {
+    pub fn maybe_forget_job(&mut self, ix: JobIndex) {
         let gone = self
             .job(ix)
             .is_some_and(|j| j.is_over() && j.claimed.is_empty());
         if gone && let Some(job) = self.jobs[ix].take() {
-            self.job_ix.remove(&job.id);
+            self.job_index.remove(&job.id);
             self.unwanted.remove(&ix);
             self.free_jobs.push(ix);
             self.touched.push(ix);
