--- a/crates/capacity/src/hosts.rs
+++ b/crates/capacity/src/hosts.rs
@@ -32,13 +32,13 @@
 
 /// Who is to be answered: a connection, and the controller at its other end.
 #[derive(Debug, Clone, Copy)]
-pub struct Asker {
+pub struct Requester {
     pub conn: ConnId,
     pub node: usize,
 }
 
 /// An answer: status and body.
-pub type Answer = (Asker, u16, Vec<u8>);
+pub type Answer = (Requester, u16, Vec<u8>);
 
 /// What was asked of the state service.
 #[derive(Debug, Clone, Default, Serialize)]
@@ -55,7 +55,7 @@
 /// The state service with its open watches.
 pub struct StateHost {
     state: State,
-    watches: Vec<(Watch, Asker)>,
+    watches: Vec<(Watch, Requester)>,
     seen: u64,
     kinds: BTreeMap<&'static str, Messages>,
 }
@@ -87,7 +87,7 @@
     }
 
     /// Takes a request; what can be answered now is.
-    pub fn handle(&mut self, now: Millis, asker: Asker, request: &Request) -> Vec<Answer> {
+    pub fn handle(&mut self, now: Millis, requester: Requester, request: &Request) -> Vec<Answer> {
         let kind = kind_of(request);
         self.state.expire(now);
         let outcome = self
@@ -99,9 +99,9 @@
             Outcome::Now(status, body) => {
                 let body = wire::encode(&body);
                 size += body.len();
-                answers.push((asker, status, body));
+                answers.push((requester, status, body));
             }
-            Outcome::Wait(watch) => self.watches.push((watch, asker)),
+            Outcome::Wait(watch) => self.watches.push((watch, requester)),
         }
         self.kinds.entry(kind).or_default().add(size);
         answers.extend(self.wake(now));
@@ -115,7 +115,7 @@
         self.seen = self.state.revision;
         let mut answers = Vec::new();
         let state = &self.state;
-        self.watches.retain(|(watch, asker)| {
+        self.watches.retain(|(watch, requester)| {
             let changes = if has_changed {
                 state.changes(&watch.prefix, watch.from)
             } else {
@@ -125,7 +125,7 @@
             let Some(body) = changes.or_else(|| (now >= watch.until).then(over)) else {
                 return true;
             };
-            answers.push((*asker, 200, wire::encode(&body)));
+            answers.push((*requester, 200, wire::encode(&body)));
             false
         });
         for (_, _, body) in &answers {
--- a/crates/capacity/src/run.rs
+++ b/crates/capacity/src/run.rs
@@ -9,7 +9,7 @@
 use crate::cluster::{self, Endpoints};
 use crate::controllers::{Controllers, Program};
 use crate::gangs::{Gangs, Notice};
-use crate::hosts::{Asker, Booted, CloudHost, Messages, StateHost};
+use crate::hosts::{Booted, CloudHost, Messages, Requester, StateHost};
 use crate::messages::{Change, Controller, Counts, FromWorkers, TaskChange, ToWorkers};
 use crate::network::{Network, Place};
 use crate::operator::{Operator, Probe};
@@ -391,9 +391,9 @@
     ) -> Result<(), String> {
         match link {
             Link::State(node) => {
-                let asker = Asker { conn, node };
+                let requester = Requester { conn, node };
                 self.count(node, "state", request.body.len());
-                let answers = self.state.handle(now, asker, &request);
+                let answers = self.state.handle(now, requester, &request);
                 self.answer_state(now, answers);
             }
             Link::Cloud(node) => {
@@ -415,13 +415,16 @@
     }
 
     fn answer_state(&mut self, now: Millis, answers: Vec<crate::hosts::Answer>) {
-        for (asker, status, body) in answers {
-            let due = now + self.network.delay(Place::Outside, self.place(asker.node));
+        for (requester, status, body) in answers {
+            let due = now
+                + self
+                    .network
+                    .delay(Place::Outside, self.place(requester.node));
             self.timers.add(
                 due,
                 Due::Respond {
-                    conn: asker.conn,
-                    node: asker.node,
+                    conn: requester.conn,
+                    node: requester.node,
                     response: response(status, body),
                 },
             );
--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -829,7 +829,7 @@
 mod tests {
     use super::*;
     use crate::store::shard::Shard;
-    use crate::{Dest, Effect, Event, Now, Tuning};
+    use crate::{Destination, Effect, Event, Now, Tuning};
 
     /// A leader with one machine that was last heard long ago, and the serial that its next command has.
     fn leader() -> (Node, usize) {
@@ -850,7 +850,7 @@
     }
 
     fn tag(node: &mut Node, what: Pending) -> u64 {
-        let to = Dest::Worker(([127, 0, 0, 1], 1).into());
+        let to = Destination::Worker(([127, 0, 0, 1], 1).into());
         node.send(to, "POST", "/commands".into(), Vec::new(), 1000, what);
         let Some(Effect::Send { tag, .. }) = node.effects.pop() else {
             panic!("nothing is sent")
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -7,7 +7,7 @@
 
 use crate::agents::heartbeat::HeartbeatReply;
 use crate::jobs::admission::peer_answer;
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use reach::{Caller, Leader, Turn, Ways};
 use serde_bytes::ByteBuf;
 use std::net::SocketAddr;
@@ -91,7 +91,7 @@
             node: self.settings.node.clone(),
             reports,
         });
-        let to = Dest::Peer(peer);
+        let to = Destination::Peer(peer);
         self.send(
             to,
             "POST",
@@ -173,7 +173,7 @@
         };
         let what = Pending::Tell { conn };
         self.send(
-            Dest::Worker(addr),
+            Destination::Worker(addr),
             "POST",
             "/commands".into(),
             body,
@@ -214,7 +214,7 @@
                     body: body.into(),
                 };
                 self.send(
-                    Dest::Peer(peer),
+                    Destination::Peer(peer),
                     "POST",
                     peer::PATH.into(),
                     peer::encode(&ask),
@@ -223,7 +223,7 @@
                 );
             }
             None => self.send(
-                Dest::Worker(addr),
+                Destination::Worker(addr),
                 "POST",
                 "/commands".into(),
                 body,
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -6,7 +6,7 @@
 
 use crate::documents::county_counts::Held;
 use crate::store::shard::Shard;
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use county::{Cell, Count};
 use std::collections::{BTreeMap, HashMap};
 use wire::api::{Item, Range, Stage};
@@ -197,7 +197,7 @@
             term,
             under: audit.under,
         };
-        self.send(Dest::State, "GET", path, Vec::new(), 3000, what);
+        self.send(Destination::State, "GET", path, Vec::new(), 3000, what);
     }
 
     pub(crate) fn audit_received(&mut self, under: Under, response: Option<Response>) {
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -8,7 +8,7 @@
 use crate::leadership::election::SHARD;
 use crate::store::commit::{PendingWrite, TransactionDraft};
 use crate::store::shard::Shard;
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use county::{Cell, Count, Delta, Fold, OTHER, Sheet, Tally, Unread};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use wire::api::{Item, Range, Stage};
@@ -291,7 +291,7 @@
             path.push_str(&format!("&from={after}"));
         }
         self.send(
-            Dest::State,
+            Destination::State,
             "GET",
             path,
             Vec::new(),
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -23,7 +23,7 @@
 use crate::store::commit::{PendingWrite, TransactionDraft};
 use crate::store::recovery::Load;
 use crate::store::shard::Shard;
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use document::{Content, Fault, Head, Past, SHORT};
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, VecDeque};
@@ -480,7 +480,7 @@
             term: self.term,
             kind: K::ID,
         };
-        self.send(Dest::State, "GET", path, Vec::new(), 3000, what);
+        self.send(Destination::State, "GET", path, Vec::new(), 3000, what);
     }
 
     pub(crate) fn parts_received<K: Kind>(&mut self, response: Option<Response>) {
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -2,7 +2,7 @@
 //! kind alone can be asked. Any controller takes a request; the leader answers it.
 
 use crate::documents::{Kind, KindId, for_kind, refused};
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use wire::admin::{self, AskOf, Refused};
 use wire::http::{Request, Response};
 
@@ -48,7 +48,14 @@
         };
         let what = Pending::Admin { conn };
         let (path, body) = (request.path.clone(), request.body.clone());
-        self.send(Dest::Peer(peer), "POST", path, body, FORWARD_MS, what);
+        self.send(
+            Destination::Peer(peer),
+            "POST",
+            path,
+            body,
+            FORWARD_MS,
+            what,
+        );
     }
 
     pub(crate) fn admin_answered(&mut self, conn: u64, response: Option<Response>) {
--- a/crates/control/src/event.rs
+++ b/crates/control/src/event.rs
@@ -13,7 +13,7 @@
 
 /// Who is asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Dest {
+pub enum Destination {
     State,
     Cloud,
     Peer(usize),
@@ -58,7 +58,7 @@
     },
     Send {
         tag: u64,
-        to: Dest,
+        to: Destination,
         method: &'static str,
         path: String,
         body: Vec<u8>,
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -7,7 +7,7 @@
 use crate::leadership::election::SHARD;
 use crate::models::demand::Waiter;
 use crate::store::rate_budget::Bucket;
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use serde_json::Value;
 use std::sync::Arc;
 use wire::api::{Catalog, Guard, Item, Range, Revision, Txn, Write};
@@ -206,7 +206,7 @@
                     path.push_str(&format!("&from={after}"));
                 }
                 self.send(
-                    Dest::State,
+                    Destination::State,
                     "GET",
                     path,
                     Vec::new(),
@@ -253,7 +253,7 @@
         }
         let body = wire::encode(&txn);
         self.send(
-            Dest::State,
+            Destination::State,
             "POST",
             "/txn".into(),
             body,
@@ -357,7 +357,7 @@
 mod tests {
     use super::*;
     use crate::store::shard::Shard;
-    use crate::{Asker, Now, Tuning};
+    use crate::{Now, Requester, Tuning};
 
     /// A flood of submissions to the leader: it accepts no more at once than it may write, and claims and ends find a
     /// part of the second's changes left. Its watch has counted none of them yet.
@@ -380,9 +380,9 @@
         let spec: wire::api::JobSpec = serde_json::from_str(spec).expect("a job");
         let mut accepted = 0;
         while accepted < 100 && node.has_room_for(Some(1)) {
-            let (asker, spec) = (Asker::User(1), Box::new(spec.clone()));
+            let (requester, spec) = (Requester::User(1), Box::new(spec.clone()));
             let submission = crate::jobs::admission::Submission {
-                asker,
+                requester,
                 spec,
                 at: now.mono,
                 tries: 0,
@@ -392,7 +392,14 @@
                 denied: None,
                 mark: 0,
             };
-            node.send(Dest::State, "POST", "/txn".into(), Vec::new(), 700, what);
+            node.send(
+                Destination::State,
+                "POST",
+                "/txn".into(),
+                Vec::new(),
+                700,
+                what,
+            );
             accepted += 1;
         }
         assert_eq!(accepted, 27);
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -5,7 +5,7 @@
 use crate::jobs::query::{Question, Why};
 use crate::leadership::election::Role;
 use crate::leadership::election::SHARD;
-use crate::{Asker, Dest, Node, Pending};
+use crate::{Destination, Node, Pending, Requester};
 use wire::api::{Conflict, ErrorBody, Guard, JobSpec, JobState, Stage, Txn, Write};
 use wire::http::{Request, Response};
 use wire::peer::{self, Answer, Ask};
@@ -22,7 +22,7 @@
 
 /// A submission that is being accepted, since when, and how often that was tried before.
 pub(crate) struct Submission {
-    pub asker: Asker,
+    pub requester: Requester,
     pub spec: Box<JobSpec>,
     pub at: u64,
     pub tries: u32,
@@ -53,7 +53,7 @@
             ("GET", "/ready", _) => self.ready(conn),
             ("GET", _, Some(id)) if !id.contains('/') => {
                 let id = id.to_owned();
-                self.query_for(Asker::User(conn), id, Why::Query)
+                self.query_for(Requester::User(conn), id, Why::Query)
             }
             ("POST", _, Some(rest)) if let Some(id) = rest.strip_suffix("/cancel") => {
                 let id = id.to_owned();
@@ -116,54 +116,54 @@
             return self.refuse(conn, 400, &fault.to_string());
         }
         match read {
-            Ok(spec) => self.submit(Asker::User(conn), spec),
+            Ok(spec) => self.submit(Requester::User(conn), spec),
             Err(Malformed {
                 fault,
                 id: Some(id),
-            }) => self.malformed(Asker::User(conn), id, fault),
+            }) => self.malformed(Requester::User(conn), id, fault),
             Err(Malformed { fault, id: None }) => self.refuse(conn, 400, &fault.to_string()),
         }
     }
 
     /// A submission with a fault. A repeat of an accepted job is told its state whatever came with its id.
-    fn malformed(&mut self, asker: Asker, id: String, fault: Fault) {
+    fn malformed(&mut self, requester: Requester, id: String, fault: Fault) {
         if !wire::ids::valid_job_id(&id) {
-            return self.deny(asker, 400, &fault.to_string());
+            return self.deny(requester, 400, &fault.to_string());
         }
-        self.query_for(asker, id, Why::Malformed(fault));
+        self.query_for(requester, id, Why::Malformed(fault));
     }
 
-    fn submit(&mut self, asker: Asker, spec: JobSpec) {
+    fn submit(&mut self, requester: Requester, spec: JobSpec) {
         if let Err(fault) = spec.check() {
-            return self.malformed(asker, spec.id, fault);
+            return self.malformed(requester, spec.id, fault);
         }
         // As it is without what is bound to it: a repeat must not be refused for a later document.
         if !self.is_storable(&JobRecord::new(spec.clone(), self.now.wall, SHARD)) {
-            return self.malformed(asker, spec.id, Fault::body("too large to be kept"));
+            return self.malformed(requester, spec.id, Fault::body("too large to be kept"));
         }
         if let Some(state) = self.final_states.get(&spec.id) {
-            return self.tell(asker, state);
+            return self.tell(requester, state);
         }
         if self.catalog().is_none() {
             // It has only begun; another may know them.
-            return match asker {
-                Asker::User(conn) => self.forward_submission(conn, Box::new(spec)),
-                Asker::Peer(_) => self.deny(asker, 503, "machine types not known yet"),
+            return match requester {
+                Requester::User(conn) => self.forward_submission(conn, Box::new(spec)),
+                Requester::Peer(_) => self.deny(requester, 503, "machine types not known yet"),
             };
         }
         if self.may_decide()
             && let Some(shard) = &self.shard
             && shard.job_index.contains_key(&spec.id)
         {
-            return self.query_for(asker, spec.id, Why::Query);
+            return self.query_for(requester, spec.id, Why::Query);
         }
         let now = self.now.mono;
         if self.state_down()
-            && let Asker::User(conn) = asker
+            && let Requester::User(conn) = requester
         {
             return self.forward_submission(conn, Box::new(spec));
         }
-        let conn = if let Asker::User(conn) = asker {
+        let conn = if let Requester::User(conn) = requester {
             Some(conn)
         } else {
             None
@@ -176,13 +176,13 @@
             self.requests.level(now) >= 1.0
         };
         if !room {
-            return self.deny(asker, 429, "busy");
+            return self.deny(requester, 429, "busy");
         }
         // The leader sees all accepts, its own too, and counts them when they have been made.
         self.writes
             .take(now, if writes && !self.leads() { 1.0 } else { 0.0 });
         self.accept(Submission {
-            asker,
+            requester,
             spec: Box::new(spec),
             at: now,
             tries: 0,
@@ -193,15 +193,18 @@
     /// and the documents that it was judged by are in force.
     fn accept(&mut self, submission: Submission) {
         let Submission {
-            asker, spec, at, ..
+            requester,
+            spec,
+            at,
+            ..
         } = &submission;
         // The acceptance counts from the first try.
         let wall = self.now.wall - (self.now.mono - at);
         // What can be bound, and to what, is for the versions in force to say.
         let Some(mut guards) = self.head_guards() else {
             // A peer has read what this node has not yet.
-            return match asker {
-                Asker::User(conn) if self.shared.revision == 0 => {
+            return match requester {
+                Requester::User(conn) if self.shared.revision == 0 => {
                     self.forward_submission(*conn, submission.spec)
                 }
                 _ => self.accept_later(submission),
@@ -235,7 +238,7 @@
             mark: self.answer_history.mark(),
         };
         self.send(
-            Dest::State,
+            Destination::State,
             "POST",
             "/txn".into(),
             body,
@@ -248,11 +251,14 @@
     fn accept_later(&mut self, submission: Submission) {
         let now = self.now.mono;
         let Submission {
-            asker, at, tries, ..
+            requester,
+            at,
+            tries,
+            ..
         } = submission;
         if tries >= 3 || now >= at + 700 {
             // It may be accepted all the same: the retry will be told.
-            return self.deny(asker, 503, "state service not available");
+            return self.deny(requester, 503, "state service not available");
         }
         let again = now + self.rng.u64(60..200);
         self.retries.push_back((
@@ -271,20 +277,20 @@
         mark: u64,
         r: Option<Response>,
     ) {
-        let asker = submission.asker;
+        let requester = submission.requester;
         match (r.as_ref().map(|r| r.status), denied) {
             // Only this node may be refused, or not heard: another may take the job at once. Should our own try
             // have gone through, it will find the job known.
-            (None | Some(503), _) if let Asker::User(conn) = asker => {
+            (None | Some(503), _) if let Requester::User(conn) = requester => {
                 self.forward_submission(conn, submission.spec)
             }
             // The denial is as old as its transaction: what this node has told since is newer.
             (Some(200), Some(_)) if self.answer_history.since(&submission.spec.id, mark) => {
-                self.query_for(asker, submission.spec.id, Why::Known)
+                self.query_for(requester, submission.spec.id, Why::Known)
             }
             (Some(200), Some(why)) => {
                 log::debug!("job {}: can never run: {why}", submission.spec.id);
-                self.deny(asker, 422, &format!("can never run: {why}"))
+                self.deny(requester, 422, &format!("can never run: {why}"))
             }
             (Some(200), None) => {
                 self.stats.accepted += 1;
@@ -295,17 +301,17 @@
                     done: 0,
                     running: 0,
                 };
-                self.tell_accepted(asker, state)
+                self.tell_accepted(requester, state)
             }
             // Judged and bound by a version that is no longer in force, and neither accepted nor refused.
             (Some(409), _) if r.is_some_and(|r| only_heads_failed(&r)) => {
                 self.reread_shared(0);
                 self.accept_later(submission)
             }
-            (Some(409), _) => self.query_for(asker, submission.spec.id, Why::Known),
+            (Some(409), _) => self.query_for(requester, submission.spec.id, Why::Known),
             (Some(429 | 503), _) => self.accept_later(submission),
             // It may be accepted all the same: the retry will be told.
-            _ => self.deny(asker, 503, "state service not available"),
+            _ => self.deny(requester, 503, "state service not available"),
         }
     }
 
@@ -347,10 +353,10 @@
             return self.refuse(conn, 404, "no such job");
         }
         if self.leads() {
-            return self.cancel(&id, Asker::User(conn));
+            return self.cancel(&id, Requester::User(conn));
         }
         if let Some(state) = self.final_states.get(&id) {
-            return self.tell(Asker::User(conn), state);
+            return self.tell(Requester::User(conn), state);
         }
         let Some(peer) = self.leader_peer() else {
             return self.refuse(conn, 503, "no owner now");
@@ -358,7 +364,7 @@
         let body = peer::encode(&Ask::Cancel { job: id.clone() });
         let what = Pending::PeerCancel { conn, job: id };
         self.send(
-            Dest::Peer(peer),
+            Destination::Peer(peer),
             "POST",
             peer::PATH.into(),
             body,
@@ -369,9 +375,11 @@
 
     pub(crate) fn peer_cancelled(&mut self, conn: u64, job: String, r: Option<Response>) {
         match peer_answer(r) {
-            Some(Answer::State(state)) if state.id == job => self.tell(Asker::User(conn), state),
+            Some(Answer::State(state)) if state.id == job => {
+                self.tell(Requester::User(conn), state)
+            }
             Some(Answer::Unknown) => {
-                let question = self.question(Asker::User(conn), job, Why::Cancel);
+                let question = self.question(Requester::User(conn), job, Why::Cancel);
                 self.read_job(question)
             }
             _ => self.refuse(conn, 503, "the owner does not answer"),
@@ -395,14 +403,14 @@
                     Answer::NotNow
                 };
                 match self.state_here(&job) {
-                    Some(state) => self.tell(Asker::Peer(conn), state),
+                    Some(state) => self.tell(Requester::Peer(conn), state),
                     None => self.respond(conn, 200, peer::encode(&unknown), None),
                 }
             }
-            Some(Ask::Cancel { job }) => self.cancel(&job, Asker::Peer(conn)),
-            Some(Ask::Submit { spec }) => self.submit(Asker::Peer(conn), *spec),
+            Some(Ask::Cancel { job }) => self.cancel(&job, Requester::Peer(conn)),
+            Some(Ask::Submit { spec }) => self.submit(Requester::Peer(conn), *spec),
             Some(Ask::Lookup { job, past_leader }) => {
-                let question = self.question(Asker::Peer(conn), job, Why::Query);
+                let question = self.question(Requester::Peer(conn), job, Why::Query);
                 self.query(Question {
                     past_leader,
                     ..question
@@ -445,10 +453,10 @@
     }
 
     /// An error for an asker, as [`Node::refuse`] says it to a user.
-    pub(crate) fn deny(&mut self, asker: Asker, status: u16, why: &str) {
-        match asker {
-            Asker::User(conn) => self.refuse(conn, status, why),
-            Asker::Peer(conn) => {
+    pub(crate) fn deny(&mut self, requester: Requester, status: u16, why: &str) {
+        match requester {
+            Requester::User(conn) => self.refuse(conn, status, why),
+            Requester::Peer(conn) => {
                 self.respond(conn, 200, peer::encode(&Answer::refused(status, why)), None)
             }
         }
@@ -456,47 +464,49 @@
 
     /// Gives an asker the state of a job. It may have been under way while this node heard of the job's end, which it
     /// gives way to.
-    pub(crate) fn tell(&mut self, asker: Asker, state: JobState) {
+    pub(crate) fn tell(&mut self, requester: Requester, state: JobState) {
         if state.stage.is_final() {
             self.final_states.put(&state.id, state.stage, state.done);
         }
         self.answer_history.note(&state.id);
         let state = self.final_states.get(&state.id).unwrap_or(state);
-        match asker {
-            Asker::User(conn) => self.respond(conn, 200, wire::encode(&state), None),
-            Asker::Peer(conn) => self.respond(conn, 200, peer::encode(&Answer::State(state)), None),
+        match requester {
+            Requester::User(conn) => self.respond(conn, 200, wire::encode(&state), None),
+            Requester::Peer(conn) => {
+                self.respond(conn, 200, peer::encode(&Answer::State(state)), None)
+            }
         }
     }
 
     /// Tells that a job has been accepted just now. That may have taken longer than its life.
-    pub(crate) fn tell_accepted(&mut self, asker: Asker, state: JobState) {
+    pub(crate) fn tell_accepted(&mut self, requester: Requester, state: JobState) {
         if self.final_states.get(&state.id).is_some() {
-            return self.tell(asker, state);
+            return self.tell(requester, state);
         }
         self.answer_history.note(&state.id);
-        match asker {
-            Asker::User(conn) => self.respond(conn, 201, wire::encode(&state), None),
-            Asker::Peer(conn) => {
+        match requester {
+            Requester::User(conn) => self.respond(conn, 201, wire::encode(&state), None),
+            Requester::Peer(conn) => {
                 self.respond(conn, 200, peer::encode(&Answer::Accepted(state)), None)
             }
         }
     }
 
     /// A cancel of a job that the leader has not in memory: its record decides.
-    pub(crate) fn unknown(&mut self, asker: Asker, job: &str) {
-        match asker {
-            Asker::User(_) => {
-                let question = self.question(asker, job.to_owned(), Why::Cancel);
+    pub(crate) fn unknown(&mut self, requester: Requester, job: &str) {
+        match requester {
+            Requester::User(_) => {
+                let question = self.question(requester, job.to_owned(), Why::Cancel);
                 self.read_job(question)
             }
-            Asker::Peer(conn) => self.respond(conn, 200, peer::encode(&Answer::Unknown), None),
+            Requester::Peer(conn) => self.respond(conn, 200, peer::encode(&Answer::Unknown), None),
         }
     }
 
-    pub(crate) fn not_now(&mut self, asker: Asker) {
-        match asker {
-            Asker::User(conn) => self.refuse(conn, 503, "not sure now"),
-            Asker::Peer(conn) => self.respond(conn, 200, peer::encode(&Answer::NotNow), None),
+    pub(crate) fn not_now(&mut self, requester: Requester) {
+        match requester {
+            Requester::User(conn) => self.refuse(conn, 503, "not sure now"),
+            Requester::Peer(conn) => self.respond(conn, 200, peer::encode(&Answer::NotNow), None),
         }
     }
 
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -2,7 +2,7 @@
 //! a second only chooses: whoever is asked answers by its own rules.
 
 use crate::jobs::admission::peer_answer;
-use crate::{Asker, Dest, Node, Pending};
+use crate::{Destination, Node, Pending, Requester};
 use wire::http::Response;
 use wire::peer::{self, Answer, Ask};
 use wire::submission::Fault;
@@ -135,7 +135,7 @@
             mark: self.answer_history.mark(),
         };
         self.send(
-            Dest::Peer(peer),
+            Destination::Peer(peer),
             "POST",
             peer::PATH.into(),
             body,
@@ -159,8 +159,8 @@
         }
         let conn = forwarded.conn;
         match peer_answer(r) {
-            Some(Answer::State(state)) => self.tell(Asker::User(conn), state),
-            Some(Answer::Accepted(state)) => self.tell_accepted(Asker::User(conn), state),
+            Some(Answer::State(state)) => self.tell(Requester::User(conn), state),
+            Some(Answer::Accepted(state)) => self.tell_accepted(Requester::User(conn), state),
             Some(Answer::Refused { status, why }) => {
                 self.refused_by_peer(&forwarded, mark, status, &why)
             }
@@ -182,7 +182,7 @@
             .filter(|_| matches!(status, 400 | 404 | 422))
         {
             if let Some(state) = self.final_states.get(job) {
-                return self.tell(Asker::User(conn), state);
+                return self.tell(Requester::User(conn), state);
             }
             if self.answer_history.since(job, mark) {
                 return self.refuse(conn, 503, "undecided");
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -1,7 +1,7 @@
 //! A job in the leader's memory: which tasks are done, claimed or free, and how it ends.
 
 use crate::agents::machine::Need;
-use crate::{Asker, Node};
+use crate::{Node, Requester};
 use std::collections::{BTreeSet, HashMap};
 use wire::api::{JobSpec, JobState, Kind, Priority, Stage};
 use wire::records::{CountyRecord, JobRecord};
@@ -122,7 +122,7 @@
     /// Log records with results of this job.
     pub segments: BTreeSet<u64>,
     pub ending: Ending,
-    pub waiters: Vec<Asker>,
+    pub waiters: Vec<Requester>,
     /// The gang is being taken apart after the loss of a task.
     pub broken: bool,
     pub progress_s: f64,
@@ -392,38 +392,38 @@
     }
 
     /// A cancel that may be decided here.
-    pub(crate) fn cancel(&mut self, id: &str, asker: Asker) {
+    pub(crate) fn cancel(&mut self, id: &str, requester: Requester) {
         if let Some(state) = self.final_states.get(id) {
-            return self.tell(asker, state);
+            return self.tell(requester, state);
         }
         if !self.may_decide() {
-            return self.not_now(asker);
+            return self.not_now(requester);
         }
         self.to_write = true;
         let Some(shard) = &mut self.shard else { return };
         let Some(ix) = shard.job_index.get(id).copied() else {
-            return self.unknown(asker, id);
+            return self.unknown(requester, id);
         };
         let Some(job) = shard.job_mut(ix) else { return };
         match job.ending {
             // Guards against calling a cancelled job done, of which only tasks on machines are left here.
-            Ending::Before => return self.unknown(asker, id),
+            Ending::Before => return self.unknown(requester, id),
             Ending::Recorded(_) => {
                 let state = job.state();
-                return self.tell(asker, state);
+                return self.tell(requester, state);
             }
             Ending::No => {
                 log::info!("job {}: cancelled by its user", job.id);
                 job.ending = Ending::Wanted(Stage::Cancelled);
                 job.unsaved.clear();
             }
-            // Whatever end is recorded, the asker is told.
+            // Whatever end is recorded, the requester is told.
             _ => {}
         }
         if job.waiters.len() >= 16 {
-            return self.not_now(asker);
+            return self.not_now(requester);
         }
-        job.waiters.push(asker);
+        job.waiters.push(requester);
         shard.note_unwanted(ix);
         shard.job_to_write(ix);
     }
@@ -434,8 +434,8 @@
         let has_valid_lease = self.has_valid_lease();
         let Some(shard) = &mut self.shard else { return };
         if std::mem::replace(&mut shard.had_valid_lease, has_valid_lease) && !has_valid_lease {
-            for asker in shard.take_waiters() {
-                self.not_now(asker);
+            for requester in shard.take_waiters() {
+                self.not_now(requester);
             }
         }
     }
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -4,7 +4,7 @@
 use crate::jobs::admission::peer_answer;
 use crate::jobs::forwarding::ForwardedRequest;
 use crate::jobs::job::Job;
-use crate::{Asker, Dest, Node, Pending};
+use crate::{Destination, Node, Pending, Requester};
 use wire::api::{Item, JobState, Stage};
 use wire::http::Response;
 use wire::peer::{self, Answer, Ask};
@@ -27,7 +27,7 @@
 /// A question that is still to be answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Question {
-    pub asker: Asker,
+    pub requester: Requester,
     pub job: String,
     pub why: Why,
     /// Whoever asks waits until then.
@@ -53,22 +53,22 @@
 
     /// The user that another node may answer as well as this one.
     fn user(&self) -> Option<u64> {
-        match self.asker {
-            Asker::User(conn) if !matches!(self.why, Why::Cancel) => Some(conn),
+        match self.requester {
+            Requester::User(conn) if !matches!(self.why, Why::Cancel) => Some(conn),
             _ => None,
         }
     }
 }
 
 impl Node {
-    pub(crate) fn question(&self, asker: Asker, job: String, why: Why) -> Question {
-        let waits = if matches!(asker, Asker::User(_)) {
+    pub(crate) fn question(&self, requester: Requester, job: String, why: Why) -> Question {
+        let waits = if matches!(requester, Requester::User(_)) {
             USER_WAITS_MS
         } else {
             PEER_WAITS_MS
         };
         Question {
-            asker,
+            requester,
             job,
             why,
             until: self.now.mono + waits,
@@ -77,17 +77,17 @@
         }
     }
 
-    pub(crate) fn query_for(&mut self, asker: Asker, id: String, why: Why) {
-        let question = self.question(asker, id, why);
+    pub(crate) fn query_for(&mut self, requester: Requester, id: String, why: Why) {
+        let question = self.question(requester, id, why);
         self.query(question);
     }
 
     pub(crate) fn query(&mut self, mut q: Question) {
         if !wire::ids::valid_job_id(&q.job) {
-            return self.deny(q.asker, 404, "no such job");
+            return self.deny(q.requester, 404, "no such job");
         }
         if let Some(state) = self.known_here(&q.job) {
-            return self.tell(q.asker, state);
+            return self.tell(q.requester, state);
         }
         q.past_leader |= self.leads();
         let now = self.now.mono;
@@ -104,7 +104,7 @@
                     sent: now,
                 };
                 self.send(
-                    Dest::Peer(peer),
+                    Destination::Peer(peer),
                     "POST",
                     peer::PATH.into(),
                     body,
@@ -150,7 +150,7 @@
     ) {
         self.peer_heard(peer, sent, r.is_some());
         match peer_answer(r) {
-            Some(Answer::State(state)) if state.id == q.job => self.tell(q.asker, state),
+            Some(Answer::State(state)) if state.id == q.job => self.tell(q.requester, state),
             _ => {
                 q.past_leader = true;
                 self.read_job(q)
@@ -175,7 +175,7 @@
         let path = format!("/keys/{}", records::live_key(&q.job));
         let timeout = q.timeout(now, READ_TIMEOUT_MS);
         self.send(
-            Dest::State,
+            Destination::State,
             "GET",
             path,
             Vec::new(),
@@ -186,9 +186,11 @@
 
     pub(crate) fn live_read(&mut self, q: Question, r: Option<Response>) {
         match r.map(|r| r.status) {
-            Some(200) if q.why == Why::Cancel && self.holds(&q.job) => self.cancel(&q.job, q.asker),
+            Some(200) if q.why == Why::Cancel && self.holds(&q.job) => {
+                self.cancel(&q.job, q.requester)
+            }
             Some(200) if q.why == Why::Cancel => {
-                self.deny(q.asker, 503, "the owner does not know the job yet")
+                self.deny(q.requester, 503, "the owner does not know the job yet")
             }
             Some(200) => {
                 let read = || JobState {
@@ -198,13 +200,13 @@
                     running: 0,
                 };
                 let state = self.known_here(&q.job).unwrap_or_else(read);
-                self.tell(q.asker, state);
+                self.tell(q.requester, state);
             }
             Some(404) => {
                 let path = format!("/keys/{}", records::end_key(&q.job));
                 let timeout = q.timeout(self.now.mono, READ_TIMEOUT_MS);
                 self.send(
-                    Dest::State,
+                    Destination::State,
                     "GET",
                     path,
                     Vec::new(),
@@ -227,7 +229,7 @@
             };
             let EndRecord { stage, done, .. } = item.value;
             return self.tell(
-                q.asker,
+                q.requester,
                 JobState {
                     id: q.job,
                     stage,
@@ -242,19 +244,19 @@
     /// A job was in neither place. What this node has learned since it began to look is newer.
     fn not_found(&mut self, q: Question) {
         if q.why == Why::Cancel && self.holds(&q.job) {
-            return self.cancel(&q.job, q.asker);
+            return self.cancel(&q.job, q.requester);
         }
         if let Some(state) = self.known_here(&q.job) {
-            return self.tell(q.asker, state);
+            return self.tell(q.requester, state);
         }
         if self.holds(&q.job) || self.answer_history.since(&q.job, q.mark) {
             return self.read_again(q);
         }
         match q.why {
-            Why::Malformed(fault) => self.deny(q.asker, 400, &fault.to_string()),
+            Why::Malformed(fault) => self.deny(q.requester, 400, &fault.to_string()),
             // Its record was in the way a moment ago; the user's retry will find out.
-            Why::Known => self.deny(q.asker, 503, "undecided"),
-            Why::Query | Why::Cancel => self.deny(q.asker, 404, "no such job"),
+            Why::Known => self.deny(q.requester, 503, "undecided"),
+            Why::Query | Why::Cancel => self.deny(q.requester, 404, "no such job"),
         }
     }
 
@@ -295,6 +297,6 @@
 
     fn unanswered(&mut self, q: &Question, why: &str) {
         self.stats.unanswered += 1;
-        self.deny(q.asker, 503, why);
+        self.deny(q.requester, 503, why);
     }
 }
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -4,7 +4,7 @@
 //! have ended. Only then does it start, cancel or answer for jobs.
 
 use crate::store::shard::Shard;
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use wire::api::{Catalog, Changes, Grant, GrantRequest, Guard, Range, Txn, Write};
 use wire::http::Response;
 use wire::peer::Ask;
@@ -107,7 +107,7 @@
             } else {
                 let path = format!("/keys?under={}&limit=1000", records::SHARED);
                 self.send(
-                    Dest::State,
+                    Destination::State,
                     "GET",
                     path,
                     Vec::new(),
@@ -141,7 +141,14 @@
                     let path = format!("/grants/{lease}/renew");
                     let what = Pending::Renew { lease, sent: now };
                     // In an outage the answer is slow to come; a late one is as good as its sending time.
-                    self.send(Dest::State, "POST", path, Vec::new(), self.ttl() / 2, what);
+                    self.send(
+                        Destination::State,
+                        "POST",
+                        path,
+                        Vec::new(),
+                        self.ttl() / 2,
+                        what,
+                    );
                 }
             }
         }
@@ -166,7 +173,7 @@
             };
             let body = wire::encode(&GrantRequest { ttl_ms: self.ttl() });
             self.send(
-                Dest::State,
+                Destination::State,
                 "POST",
                 "/grants".into(),
                 body,
@@ -200,7 +207,7 @@
         let what = Pending::SharedWatch {
             round: self.shared.round,
         };
-        self.send(Dest::State, "GET", path, Vec::new(), 7000, what);
+        self.send(Destination::State, "GET", path, Vec::new(), 7000, what);
     }
 
     pub(crate) fn reread_shared(&mut self, wait: u64) {
@@ -392,7 +399,7 @@
         };
         self.writes.take(self.now.mono, 2.0);
         self.send(
-            Dest::State,
+            Destination::State,
             "POST",
             "/txn".into(),
             wire::encode(&txn),
@@ -491,7 +498,7 @@
             token,
         });
         for i in 0..self.settings.peers.len() {
-            let to = Dest::Peer(i);
+            let to = Destination::Peer(i);
             self.send(
                 to,
                 "POST",
@@ -582,7 +589,7 @@
 
     fn end_lease(&mut self, lease: u64) {
         self.send(
-            Dest::State,
+            Destination::State,
             "DELETE",
             format!("/grants/{lease}"),
             Vec::new(),
@@ -606,8 +613,8 @@
         self.set_writes(c.write_rps * OTHER_WRITES);
         if let Some(shard) = self.shard.take() {
             let mut shard = self.hours_let_go(shard);
-            for asker in shard.take_waiters() {
-                self.not_now(asker);
+            for requester in shard.take_waiters() {
+                self.not_now(requester);
             }
         }
         self.reread_shared(0);
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -3,7 +3,7 @@
 //! What it says of reach only chooses who acts. What it says of tokens is proof for [`crate::leadership::lease_bound`].
 
 use crate::jobs::admission::peer_answer;
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use wire::http::Response;
 use wire::peer::{self, Answer, Ask, PeerStatus};
 
@@ -37,7 +37,7 @@
         for peer in 0..peers {
             let what = Pending::PeerStatus { sent: now, peer };
             self.send(
-                Dest::Peer(peer),
+                Destination::Peer(peer),
                 "POST",
                 peer::PATH.into(),
                 body.clone(),
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -19,8 +19,8 @@
 mod store;
 mod tuning;
 
-pub use event::{Dest, Effect, Event, Now};
+pub use event::{Destination, Effect, Event, Now};
 pub use node::Node;
-pub(crate) use outstanding::{Asker, Pending};
+pub(crate) use outstanding::{Pending, Requester};
 pub use stats::Stats;
 pub use tuning::Tuning;
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -7,7 +7,7 @@
 
 use crate::jobs::admission::peer_answer;
 use crate::models::Known;
-use crate::{Dest, Node, Pending, frontend};
+use crate::{Destination, Node, Pending, frontend};
 use model::{Asked, Rec, Rule, asked};
 use std::collections::HashMap;
 use wire::admin;
@@ -194,7 +194,7 @@
             step,
         };
         self.send(
-            Dest::State,
+            Destination::State,
             "GET",
             format!("/keys/{key}"),
             Vec::new(),
@@ -336,7 +336,14 @@
             model: model.to_owned(),
             step: Step::Write,
         };
-        self.send(Dest::State, "POST", "/txn".into(), body, TIMEOUT_MS, what);
+        self.send(
+            Destination::State,
+            "POST",
+            "/txn".into(),
+            body,
+            TIMEOUT_MS,
+            what,
+        );
     }
 
     fn flight_over(&mut self, model: &str) -> Option<Flight> {
@@ -419,7 +426,7 @@
             model: model.to_owned(),
         };
         self.send(
-            Dest::Peer(leader),
+            Destination::Peer(leader),
             "POST",
             peer::PATH.into(),
             body,
@@ -456,7 +463,7 @@
 
     fn forward_demand(&mut self, model: &str, waiter: Waiter) {
         let any = self.rng.usize(0..self.settings.peers.len());
-        let to = Dest::Peer(self.leader_peer().unwrap_or(any));
+        let to = Destination::Peer(self.leader_peer().unwrap_or(any));
         let body = peer::encode(&Ask::Wake {
             model: model.to_owned(),
             leader: false,
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -16,7 +16,7 @@
 use crate::scheduling::planning::grace;
 use crate::store::recovery::Load;
 use crate::store::shard::Shard;
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use document::Fault;
 use model::{Asked, MAX_NEAR, Phase, Rec, Rule, Seen, Spec, asked};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -218,7 +218,7 @@
             path.push_str(&format!("&from={after}"));
         }
         self.send(
-            Dest::State,
+            Destination::State,
             "GET",
             path,
             Vec::new(),
@@ -587,11 +587,25 @@
         };
         if out.outcome_unknown {
             let path = format!("/keys/{}", records::model_key(model));
-            return self.send(Dest::State, "GET", path, Vec::new(), TIMEOUT_MS, what);
+            return self.send(
+                Destination::State,
+                "GET",
+                path,
+                Vec::new(),
+                TIMEOUT_MS,
+                what,
+            );
         }
         let body = out.body.clone();
         self.writes.take(now, 1.0);
-        self.send(Dest::State, "POST", "/txn".into(), body, TIMEOUT_MS, what);
+        self.send(
+            Destination::State,
+            "POST",
+            "/txn".into(),
+            body,
+            TIMEOUT_MS,
+            what,
+        );
     }
 
     /// The end of a transaction, or of the read that follows one whose end is not known.
@@ -690,7 +704,7 @@
         let from = self.models.owned.revision;
         let path = format!("/changes?under={}&from={from}&waitMs=5000", records::MODELS);
         self.send(
-            Dest::State,
+            Destination::State,
             "GET",
             path,
             Vec::new(),
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -2,7 +2,7 @@
 
 use crate::agents::{relay, routing};
 use crate::documents::for_kind;
-use crate::event::{Dest, Effect, Event, Now};
+use crate::event::{Destination, Effect, Event, Now};
 use crate::frontend;
 use crate::jobs::{admission, answer_history, forwarding};
 use crate::leadership::election::{Role, Shared};
@@ -213,7 +213,7 @@
 
     pub(crate) fn send(
         &mut self,
-        to: Dest,
+        to: Destination,
         method: &'static str,
         path: String,
         body: Vec<u8>,
@@ -225,12 +225,12 @@
         self.pending.insert(tag, what);
         let answer_limit = match to {
             _ if wire::admin::kind_of(&path).is_some() => wire::admin::ANSWER_LIMIT,
-            Dest::State | Dest::Cloud => STATE_ANSWER,
+            Destination::State | Destination::Cloud => STATE_ANSWER,
             // Orders for many workers.
-            Dest::Peer(_) => PEER_ANSWER,
+            Destination::Peer(_) => PEER_ANSWER,
             _ => SMALL_ANSWER,
         };
-        if to == Dest::State {
+        if to == Destination::State {
             self.requests.take(self.now.mono, 1.0);
         }
         self.effects.push(Effect::Send {
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -7,7 +7,7 @@
 
 /// A user or a peer that waits for an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Asker {
+pub(crate) enum Requester {
     User(u64),
     Peer(u64),
 }
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -3,7 +3,7 @@
 use crate::agents::machine::Machine;
 use crate::leadership::election::SHARD;
 use crate::store::shard::{Rental, RentalState};
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{Catalog, HireRequest, ListedMachine, MachineList, MachineNames};
 use wire::http::Response;
@@ -36,7 +36,7 @@
         }
         self.catalog_at = now + CATALOG_EVERY_MS;
         self.send(
-            Dest::Cloud,
+            Destination::Cloud,
             "GET",
             "/catalog".into(),
             Vec::new(),
@@ -109,7 +109,7 @@
             });
             let what = Pending::Rental { term, name };
             self.send(
-                Dest::Cloud,
+                Destination::Cloud,
                 "POST",
                 "/machines".into(),
                 body,
@@ -132,7 +132,7 @@
                 let body = wire::encode(&MachineNames { machines: names });
                 let what = Pending::Delete { term, machines };
                 self.send(
-                    Dest::Cloud,
+                    Destination::Cloud,
                     "POST",
                     "/machines/delete".into(),
                     body,
@@ -154,7 +154,7 @@
                 .unwrap_or_default();
             let path = format!("/machines?{from}limit=500");
             self.send(
-                Dest::Cloud,
+                Destination::Cloud,
                 "GET",
                 path,
                 Vec::new(),
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -10,7 +10,7 @@
 use crate::leadership::election::SHARD;
 use crate::store::claim_log::{ClaimId, Segment};
 use crate::store::shard::{RentalState, Shard};
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{Conflict, Guard, Item, JobState, Revision, Txn, Write};
 use wire::http::Response;
@@ -387,7 +387,7 @@
             shard.commit.in_flight = true;
             let body = shard.commit.body.clone();
             return self.send(
-                Dest::State,
+                Destination::State,
                 "POST",
                 "/txn".into(),
                 body,
@@ -422,7 +422,7 @@
         shard.commit.writes = writes;
         self.writes.take(now, writes as f64);
         self.send(
-            Dest::State,
+            Destination::State,
             "POST",
             "/txn".into(),
             body,
@@ -608,7 +608,7 @@
                 };
                 shard.commit.in_flight = true;
                 self.send(
-                    Dest::State,
+                    Destination::State,
                     "GET",
                     format!("/keys/{key}"),
                     Vec::new(),
@@ -766,8 +766,8 @@
         for kind in heads {
             for_kind!(kind, K => self.head_written::<K>(revision));
         }
-        for (asker, state) in told {
-            self.tell(asker, state);
+        for (requester, state) in told {
+            self.tell(requester, state);
         }
         for ix in changed {
             self.job_changed(ix);
--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -1,6 +1,6 @@
 //! The watch of accepted jobs: any controller accepts, and the leader hears of it here.
 
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use wire::api::Changes;
 use wire::http::Response;
 use wire::records::{self, JobRecord};
@@ -16,7 +16,7 @@
             shard.live_revision
         );
         self.send(
-            Dest::State,
+            Destination::State,
             "GET",
             path,
             Vec::new(),
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -6,7 +6,7 @@
 use crate::store::claim_log::{ClaimId, InventoryShard, Segment};
 use crate::store::commit::value_limit;
 use crate::store::shard::{Rental, RentalState, Shard};
-use crate::{Dest, Node, Pending};
+use crate::{Destination, Node, Pending};
 use std::ops;
 use wire::api::{Item, Range};
 use wire::http::Response;
@@ -150,7 +150,7 @@
             term: self.term,
             what,
         };
-        self.send(Dest::State, "GET", path, Vec::new(), 3000, what);
+        self.send(Destination::State, "GET", path, Vec::new(), 3000, what);
     }
 
     /// From the same place again, after a while: who reads back must not use up what renewals and others' accepts need
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -5,7 +5,7 @@
 use crate::store::claim_log::{ClaimId, ClaimLog};
 use crate::store::commit::{Commit, value_limit};
 use crate::store::recovery::Load;
-use crate::{Asker, Node};
+use crate::{Node, Requester};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::records::{AllotmentRecord, RentalRecord};
 
@@ -336,7 +336,7 @@
     }
 
     /// All who wait for the end of a job. None of them waits any longer.
-    pub fn take_waiters(&mut self) -> Vec<Asker> {
+    pub fn take_waiters(&mut self) -> Vec<Requester> {
         self.jobs
             .iter_mut()
             .flatten()
--- a/crates/control/tests/door.rs
+++ b/crates/control/tests/door.rs
@@ -3,7 +3,7 @@
 
 mod played;
 
-use control::{Dest, Event};
+use control::{Destination, Event};
 use played::{END, LIVE, OWNER, Played, Sent, job, leader_of_one_job};
 use serde_json::{Value, json};
 use wire::peer::{Answer, Ask, decode, encode};
@@ -49,7 +49,10 @@
     p.peer_status("burrow-2", false);
     p.ask(2, "POST", "/work", wire::encode(&job()));
     assert!(
-        matches!(&p.questions()[..], [(Dest::Peer(1), Ask::Submit { .. })]),
+        matches!(
+            &p.questions()[..],
+            [(Destination::Peer(1), Ask::Submit { .. })]
+        ),
         "{:?}",
         p.questions()
     );
@@ -94,7 +97,7 @@
         matches!(
             &asked[..],
             [(
-                Dest::Peer(1),
+                Destination::Peer(1),
                 Ask::Lookup {
                     past_leader: true,
                     ..
@@ -140,7 +143,7 @@
     });
     assert!(matches!(
         &p.questions()[..],
-        [(Dest::Peer(0), Ask::Query { .. })]
+        [(Destination::Peer(0), Ask::Query { .. })]
     ));
 }
 
--- a/crates/control/tests/late_answers.rs
+++ b/crates/control/tests/late_answers.rs
@@ -2,7 +2,7 @@
 
 mod scripted;
 
-use control::Dest;
+use control::Destination;
 use scripted::{Played, Sent};
 use serde_json::json;
 use wire::peer::Ask;
@@ -78,7 +78,7 @@
     let said: Vec<Ask> = p
         .sent
         .iter()
-        .filter(|s| matches!(s.to, Dest::Peer(_)))
+        .filter(|s| matches!(s.to, Destination::Peer(_)))
         .filter_map(|s| wire::peer::decode(&s.body).ok())
         .collect();
     assert!(
--- a/crates/control/tests/played/mod.rs
+++ b/crates/control/tests/played/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use control::{Dest, Effect, Event, Node, Now, Tuning};
+use control::{Destination, Effect, Event, Node, Now, Tuning};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use wire::http::{Request, Response};
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone)]
 pub struct Sent {
     pub tag: u64,
-    pub to: Dest,
+    pub to: Destination,
     pub path: String,
     pub body: Vec<u8>,
     pub due: u64,
@@ -31,7 +31,7 @@
 
 impl Sent {
     pub fn ask(&self) -> Option<Ask> {
-        matches!(self.to, Dest::Peer(_)).then(|| decode(&self.body).expect("peers speak so"))
+        matches!(self.to, Destination::Peer(_)).then(|| decode(&self.body).expect("peers speak so"))
     }
     pub fn is_question(&self) -> bool {
         self.ask()
@@ -242,7 +242,7 @@
         self.told.iter().find(|t| t.0 == conn).map(|t| t.1)
     }
 
-    pub fn questions(&self) -> Vec<(Dest, Ask)> {
+    pub fn questions(&self) -> Vec<(Destination, Ask)> {
         self.sent
             .iter()
             .filter(|s| s.is_question())
--- a/crates/control/tests/scripted/mod.rs
+++ b/crates/control/tests/scripted/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
-use control::{Dest, Effect, Event, Node, Now, Tuning};
+use control::{Destination, Effect, Event, Node, Now, Tuning};
 use serde_json::{Value, json};
 use wire::http::{Request, Response};
 
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub struct Sent {
     pub tag: u64,
-    pub to: Dest,
+    pub to: Destination,
     pub method: &'static str,
     pub path: String,
     pub body: Vec<u8>,
@@ -39,13 +39,13 @@
 
     /// Of a command to a worker: what it says.
     pub fn orders(&self) -> Option<Value> {
-        matches!(self.to, Dest::Worker(_))
+        matches!(self.to, Destination::Worker(_))
             .then(|| wire::decode(&self.body).expect("commands are such data"))
     }
 
     pub fn is_to(&self, machine: &str) -> bool {
         let n = machine.trim_start_matches("host-").trim_start_matches('0');
-        matches!(self.to, Dest::Worker(addr) if addr.to_string() == format!("10.1.0.{n}:9000"))
+        matches!(self.to, Destination::Worker(addr) if addr.to_string() == format!("10.1.0.{n}:9000"))
     }
 
     /// How many orders of a kind it has.
--- a/crates/gateway/src/served.rs
+++ b/crates/gateway/src/served.rs
@@ -9,7 +9,7 @@
 use crate::conns::{Conns, Did};
 use crate::{Act, Cx};
 use control::frontend::CONNS;
-use control::{Dest, Effect, Event, Node, Now};
+use control::{Destination, Effect, Event, Node, Now};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -44,13 +44,13 @@
 
 /// Who waits for a reply.
 #[derive(Debug, Clone, Copy)]
-enum Asker {
+enum Requester {
     Conn { conn: u64, serial: u64 },
     Peer { conn: u64 },
 }
 
 struct Waiting {
-    asker: Asker,
+    requester: Requester,
     until: u64,
     /// Another node was asked, under the call's own number.
     handed: bool,
@@ -297,17 +297,17 @@
             match d {
                 Did::Write(bytes) => self.out.push(Out::Write { conn, bytes }),
                 Did::Close => self.out.push(Out::Close { conn }),
-                Did::Call(serial, call) => self.route(now, Asker::Conn { conn, serial }, call),
+                Did::Call(serial, call) => self.route(now, Requester::Conn { conn, serial }, call),
             }
         }
     }
 
     /// Has a call answered where the fleet is owned.
-    fn route(&mut self, now: Now, asker: Asker, call: Call) {
+    fn route(&mut self, now: Now, requester: Requester, call: Call) {
         let Some(g) = &mut self.gateway else { return };
         let number = g.next;
         g.next += 1;
-        let from_peer = matches!(asker, Asker::Peer { .. });
+        let from_peer = matches!(requester, Requester::Peer { .. });
         let until = now.mono
             + if from_peer {
                 PEER_PATIENCE_MS
@@ -318,7 +318,7 @@
         g.waiting.insert(
             number,
             Waiting {
-                asker,
+                requester,
                 until,
                 handed: false,
             },
@@ -344,7 +344,7 @@
         }
         self.out.push(Out::Node(Effect::Send {
             tag: TAGS | number,
-            to: Dest::Peer(peer),
+            to: Destination::Peer(peer),
             method: "POST",
             path: PEER_PATH.into(),
             body: wire::peer::encode(&call),
@@ -358,12 +358,12 @@
         let Some(waiting) = g.waiting.remove(&call) else {
             return;
         };
-        match waiting.asker {
-            Asker::Conn { conn, serial } => {
+        match waiting.requester {
+            Requester::Conn { conn, serial } => {
                 let did = g.conns.reply(now.mono, conn, serial, reply);
                 self.did(now, conn, did);
             }
-            Asker::Peer { conn } => {
+            Requester::Peer { conn } => {
                 let body = wire::peer::encode(&reply);
                 let response = Response {
                     status: 200,
@@ -378,7 +378,7 @@
 
     fn peer_call(&mut self, now: Now, conn: u64, request: &Request) {
         match wire::peer::decode::<Call>(&request.body) {
-            Ok(call) => self.route(now, Asker::Peer { conn }, call),
+            Ok(call) => self.route(now, Requester::Peer { conn }, call),
             Err(e) => {
                 log::warn!("yarn: a peer's call can't be read: {e}");
                 let response = Response {
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -25,7 +25,7 @@
 use crate::state::{Limits, Outcome, State, Watch};
 use crate::worker::Worker;
 use crate::yarn::{Drain, Exchange, Stage as YarnStage, Who};
-use control::{Dest, Effect, Event, Node, Now, Tuning};
+use control::{Destination, Effect, Event, Node, Now, Tuning};
 use gateway::served::{Gateway, Out, Raw, Served};
 use serde_json::{Value, json};
 use std::cmp::Reverse;
@@ -141,7 +141,7 @@
         node: usize,
         asked: u64,
     },
-    Asker {
+    Requester {
         path: String,
         ask: Value,
     },
@@ -171,7 +171,7 @@
     node: usize,
     incarnation: u64,
     tag: u64,
-    to: Dest,
+    to: Destination,
     method: &'static str,
     path: String,
     body: Vec<u8>,
@@ -640,7 +640,12 @@
             close: false,
         };
         let n = self.rng.usize(0..self.plan.nodes);
-        self.step(Ev::Request(n, Origin::Asker { path, ask }, request, true));
+        self.step(Ev::Request(
+            n,
+            Origin::Requester { path, ask },
+            request,
+            true,
+        ));
     }
 
     fn inquired(&mut self, path: String, ask: Value, response: Option<Response>) {
@@ -943,7 +948,7 @@
     }
 
     /// What stands between a node and whom it asks, if anything.
-    fn sending_is_cut(&self, n: usize, to: Dest) -> Option<(u64, How)> {
+    fn sending_is_cut(&self, n: usize, to: Destination) -> Option<(u64, How)> {
         if self.links.are_whole(self.now) {
             return None;
         }
@@ -963,12 +968,12 @@
         })
     }
 
-    fn place(&self, n: usize, to: Dest) -> Option<Place<'_>> {
+    fn place(&self, n: usize, to: Destination) -> Option<Place<'_>> {
         Some(match to {
-            Dest::State => Place::State,
-            Dest::Cloud => Place::Cloud,
-            Dest::Peer(i) => Place::Node(self.peer_of(n, i)),
-            Dest::Worker(addr) => {
+            Destination::State => Place::State,
+            Destination::Cloud => Place::Cloud,
+            Destination::Peer(i) => Place::Node(self.peer_of(n, i)),
+            Destination::Worker(addr) => {
                 let w = self.worker_at(addr)?;
                 Place::Machine {
                     name: &w.name,
@@ -985,7 +990,7 @@
             | Origin::Aside { .. }
             | Origin::Odd { .. }
             | Origin::Operator { .. }
-            | Origin::Asker { .. }
+            | Origin::Requester { .. }
             | Origin::Demand { .. }
             | Origin::Probe { .. } => Place::Users,
             Origin::Nobody => return None,
@@ -1266,7 +1271,7 @@
                     }
                     delay += self.lateness(n) + self.send_lateness(n, to);
                     let late = self.take_over_lateness(&path, &body);
-                    if matches!(to, Dest::Worker(_)) {
+                    if matches!(to, Destination::Worker(_)) {
                         delay += self.late.command(self.now);
                     }
                     self.at(
@@ -1304,8 +1309,8 @@
     }
 
     /// A node asks; if it crashes as its question is on its way, how soon it is back.
-    fn burns(&mut self, n: usize, to: Dest) -> Option<u64> {
-        let burning = to == Dest::State && self.now < self.quiet_from();
+    fn burns(&mut self, n: usize, to: Destination) -> Option<u64> {
+        let burning = to == Destination::State && self.now < self.quiet_from();
         let (left, back) = self.fuses.get_mut(&n).filter(|_| burning)?;
         *left = left.saturating_sub(1);
         let burnt = (*left == 0).then_some(*back);
@@ -1341,7 +1346,7 @@
         if (faulty && self.rng.u32(0..200) == 0) || cut {
             return;
         }
-        let slow = c.to == Dest::State && self.slow_until > self.now;
+        let slow = c.to == Destination::State && self.slow_until > self.now;
         let mut at = self.now
             + if slow {
                 self.rng.u64(20..500)
@@ -1354,7 +1359,7 @@
 
     fn arrive(&mut self, c: Call) {
         match c.to {
-            Dest::State => {
+            Destination::State => {
                 // A late one was taken before: nothing but an outage keeps it.
                 if c.late && self.outage_until > self.now {
                     return self.at(self.outage_until + 100, Ev::Arrive(c));
@@ -1400,7 +1405,7 @@
                 }
                 self.fire_watches();
             }
-            Dest::Cloud => {
+            Destination::Cloud => {
                 if self.cloud_out_until > self.now {
                     return self.reply(&c, 503, &json!({"error": "trouble"}));
                 }
@@ -1418,7 +1423,7 @@
                 }
                 self.reply(&c, status, &body);
             }
-            Dest::Peer(i) => {
+            Destination::Peer(i) => {
                 let to = self.peer_of(c.node, i);
                 let request = Request {
                     method: c.method.into(),
@@ -1433,7 +1438,7 @@
                 };
                 self.step(Ev::Request(to, origin, request, true));
             }
-            Dest::Worker(addr) => {
+            Destination::Worker(addr) => {
                 let name = name_at(addr).filter(|n| self.workers.contains_key(n));
                 let Some(name) = name.filter(|n| !self.misses_command(n)) else {
                     return;
@@ -1491,7 +1496,7 @@
                         node,
                         incarnation,
                         tag,
-                        to: Dest::State,
+                        to: Destination::State,
                         method: "GET",
                         path: String::new(),
                         body: Vec::new(),
@@ -1520,7 +1525,7 @@
             Origin::User { job, kind, asked } if self.bed.is_some() => {
                 self.answer_balanced(job, kind, asked, response)
             }
-            Origin::Asker { path, ask } => self.inquired(path, ask, response),
+            Origin::Requester { path, ask } => self.inquired(path, ask, response),
             Origin::Demand { model, node, asked } => {
                 let status = response.as_ref().map_or(0, |r| r.status);
                 let told = response.and_then(|r| admin::decode(&r.body).ok());
--- a/crates/standins/src/world/slow.rs
+++ b/crates/standins/src/world/slow.rs
@@ -3,7 +3,7 @@
 
 use super::{Call, Origin, World};
 use crate::cloud::name_at;
-use control::Dest;
+use control::Destination;
 use std::collections::BTreeMap;
 
 /// The slowest message of such a spell, drawn for each, takes this long one way; the quickest a quarter of it.
@@ -35,17 +35,17 @@
         self.now < self.slow.until || !self.slow.last.is_empty()
     }
 
-    fn host(&self, n: usize, to: Dest) -> Option<Host> {
+    fn host(&self, n: usize, to: Destination) -> Option<Host> {
         Some(match to {
-            Dest::State => Host::State,
-            Dest::Cloud => Host::Cloud,
-            Dest::Peer(i) => Host::Node(self.peer_of(n, i)),
-            Dest::Worker(addr) => Host::Machine(name_at(addr)?),
+            Destination::State => Host::State,
+            Destination::Cloud => Host::Cloud,
+            Destination::Peer(i) => Host::Node(self.peer_of(n, i)),
+            Destination::Worker(addr) => Host::Machine(name_at(addr)?),
         })
     }
 
     /// How much later comes what a node sends.
-    pub(super) fn send_lateness(&mut self, n: usize, to: Dest) -> u64 {
+    pub(super) fn send_lateness(&mut self, n: usize, to: Destination) -> u64 {
         let to = self.links_are_slow().then(|| self.host(n, to)).flatten();
         to.map_or(0, |to| self.link_lateness(Host::Node(n), to))
     }
@@ -56,7 +56,7 @@
             .links_are_slow()
             .then(|| self.host(c.node, c.to))
             .flatten();
-        let rental = if c.to == Dest::Cloud {
+        let rental = if c.to == Destination::Cloud {
             self.rental_lateness(&c.path)
         } else {
             0
--- a/crates/standins/src/world/users.rs
+++ b/crates/standins/src/world/users.rs
@@ -6,7 +6,7 @@
 use crate::days::Trouble;
 use crate::links::{How, Place};
 use crate::scene::array;
-use control::{Dest, Effect};
+use control::{Destination, Effect};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{JobSpec, JobState, Kind, Order, Orders, Stage, TaskStage};
@@ -510,12 +510,12 @@
                 }
             }
             Effect::Send {
-                to: Dest::Worker(_),
+                to: Destination::Worker(_),
                 body,
                 ..
             } => vec![body.clone()],
             Effect::Send {
-                to: Dest::Peer(_),
+                to: Destination::Peer(_),
                 body,
                 ..
             } => match peer::decode(body) {
--- a/crates/standins/tests/answers.rs
+++ b/crates/standins/tests/answers.rs
@@ -4,7 +4,7 @@
 //! All that concerns the jobs (questions, submissions, cancels, what nodes ask each other and the state service for them,
 //! the leader's watch) waits until the history delivers it, late, twice or never; all else goes at once.
 
-use control::{Dest, Effect, Event, Node, Now, Tuning};
+use control::{Destination, Effect, Event, Node, Now, Tuning};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use serde_json::{Value, json};
@@ -52,7 +52,7 @@
 struct Letter {
     from: usize,
     tag: u64,
-    to: Dest,
+    to: Destination,
     method: &'static str,
     path: String,
     body: Vec<u8>,
@@ -139,15 +139,15 @@
 impl Letter {
     fn concerns_jobs(&self) -> bool {
         match self.to {
-            Dest::State if self.path == "/txn" => {
+            Destination::State if self.path == "/txn" => {
                 let txn: Value = wire::decode(&self.body).unwrap_or_default();
                 let mut guards = txn["guards"].as_array().into_iter().flatten();
                 guards.any(|g| g["key"].as_str().is_some_and(|k| k.starts_with("live/")))
             }
-            Dest::State => {
+            Destination::State => {
                 self.path.starts_with("/keys/live/") || self.path.starts_with("/keys/end/")
             }
-            Dest::Peer(_) => {
+            Destination::Peer(_) => {
                 let ask = peer::decode(&self.body).expect("nodes speak so");
                 !matches!(
                     ask,
@@ -198,7 +198,7 @@
             Step::Unheard(i) => {
                 let i = i % self.mail.len();
                 if let Mail::There(letter) = &self.mail[i]
-                    && letter.to == Dest::State
+                    && letter.to == Destination::State
                     && !self.refused[letter.from]
                 {
                     let Mail::There(l) = self.mail.remove(i) else {
@@ -305,7 +305,7 @@
             body,
         } = letter;
         match to {
-            Dest::State if self.refused[from] && !path.starts_with("/changes") => {
+            Destination::State if self.refused[from] && !path.starts_with("/changes") => {
                 self.back(
                     from,
                     tag,
@@ -313,7 +313,7 @@
                     response(503, &json!({"error": "trouble"})),
                 );
             }
-            Dest::State => {
+            Destination::State => {
                 match self.state.handle(self.now, method, &path, &body) {
                     Outcome::Now(status, value) => {
                         self.back(from, tag, waits, response(status, &value))
@@ -322,11 +322,13 @@
                 }
                 self.fire_watches();
             }
-            Dest::Cloud if path == "/catalog" => {
+            Destination::Cloud if path == "/catalog" => {
                 self.back(from, tag, false, response(200, &catalog()))
             }
-            Dest::Cloud | Dest::Worker(_) => self.back(from, tag, false, response(503, &json!({}))),
-            Dest::Peer(p) => {
+            Destination::Cloud | Destination::Worker(_) => {
+                self.back(from, tag, false, response(503, &json!({})))
+            }
+            Destination::Peer(p) => {
                 self.conns += 1;
                 self.peers.insert(self.conns, (from, tag, waits));
                 let to = if p < from { p } else { p + 1 };
--- a/crates/standins/tests/search.rs
+++ b/crates/standins/tests/search.rs
@@ -5,7 +5,7 @@
 //! `crates/control/tests/search.rs` looks at every order of every step, in a model. This looks at fewer histories, by
 //! the code itself.
 
-use control::{Dest, Effect, Event, Node, Now, Tuning};
+use control::{Destination, Effect, Event, Node, Now, Tuning};
 use serde_json::{Value, json};
 use standins::state::{Outcome, State, Watch};
 use std::collections::{BTreeMap, HashMap};
@@ -267,7 +267,7 @@
     fn send(
         &mut self,
         from: (usize, u64, u64),
-        to: Dest,
+        to: Destination,
         method: &str,
         path: &str,
         body: Vec<u8>,
@@ -275,10 +275,10 @@
     ) {
         let n = from.0;
         match to {
-            Dest::State if self.out || self.refused && n == self.old => {
+            Destination::State if self.out || self.refused && n == self.old => {
                 self.reply(5, from, Some((503, Vec::new())));
             }
-            Dest::State => match self.state.handle(self.now, method, path, &body) {
+            Destination::State => match self.state.handle(self.now, method, path, &body) {
                 Outcome::Now(status, v) => self.reply(5, from, Some((status, wire::encode(&v)))),
                 Outcome::Wait(watch) => {
                     self.sent += 1;
@@ -289,7 +289,7 @@
                 }
             },
             // The cloud takes no machine back, so that nothing ends the task but a stop or its lease.
-            Dest::Cloud if method == "GET" => {
+            Destination::Cloud if method == "GET" => {
                 let kind = json!({"label": "g8", "cores": 64.0, "gpus": 8.0, "ramGb": 512.0, "localGb": 200.0,
                     "fetchGbPerS": 1.0, "hourly": 12.0, "lowPrice": 4.5, "startupS": 45.0, "halls": ["a"]});
                 let machine = json!({"nameId": "host-000001", "addr": "10.1.0.1:9000", "build": "g8", "hall": "a",
@@ -297,9 +297,9 @@
                 let all = json!({"builds": [kind], "burrows": [machine], "more": false});
                 self.reply(5, from, Some((200, wire::encode(&all))));
             }
-            Dest::Cloud => self.reply(5, from, Some((503, Vec::new()))),
-            Dest::Worker(_) => self.reply(wait, from, None),
-            Dest::Peer(index) => {
+            Destination::Cloud => self.reply(5, from, Some((503, Vec::new()))),
+            Destination::Worker(_) => self.reply(wait, from, None),
+            Destination::Peer(index) => {
                 let peer = peer_of(n, index);
                 let passes = match self.history.peers {
                     Peers::All => true,
--- a/crates/stoathatch/src/service.rs
+++ b/crates/stoathatch/src/service.rs
@@ -1,7 +1,7 @@
 //! One process: the network thread that turns sockets into events for the controller, and back.
 
 use control::overload::precedence::{Backlog, Next, Precedence};
-use control::{Dest, Effect, Event, Node, Now, Tuning};
+use control::{Destination, Effect, Event, Node, Now, Tuning};
 use gateway::served::{Gateway, Out, Raw, Served};
 use net::{ConnId, Door, Net, Outgoing};
 use std::collections::HashMap;
@@ -304,10 +304,10 @@
             } => {
                 // A worker is told something now and then; the others are always being asked.
                 let (to, keep) = match to {
-                    Dest::State => (self.state, net::KEEP),
-                    Dest::Cloud => (self.cloud, net::KEEP),
-                    Dest::Peer(i) => (self.peers[i], net::KEEP),
-                    Dest::Worker(addr) => (addr, net::KEEP_SHORT),
+                    Destination::State => (self.state, net::KEEP),
+                    Destination::Cloud => (self.cloud, net::KEEP),
+                    Destination::Peer(i) => (self.peers[i], net::KEEP),
+                    Destination::Worker(addr) => (addr, net::KEEP_SHORT),
                 };
                 let timeout = Duration::from_millis(timeout_ms);
                 let (path, body) = (path.as_str(), body.as_slice());
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -23,11 +23,11 @@
         #[serde(rename = "past_owner")]
         past_leader: bool,
     },
-    /// The asker has become the leader. Nothing is decided by it: it only saves those who can't read the state
+    /// The requester has become the leader. Nothing is decided by it: it only saves those who can't read the state
     /// service from sending workers the wrong way.
     #[serde(rename = "Owns")]
     Leads { node: String, token: u64 },
-    /// What the asker sees, for what the other sees.
+    /// What the requester sees, for what the other sees.
     #[serde(rename = "View")]
     PeerStatus(PeerStatus),
     /// Reports of workers that can't reach the leader, as they came.
@@ -114,7 +114,7 @@
     /// It leads the fleet, and has workers report by way of all controllers.
     #[serde(default)]
     pub spreads: bool,
-    /// From the leader, in an answer: what the asker may keep alive for it in its own zone.
+    /// From the leader, in an answer: what the requester may keep alive for it in its own zone.
     #[serde(default)]
     #[serde(rename = "keep")]
     pub delegation: Option<LeaseDelegation>,
