--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -181,7 +181,7 @@
         machine.unconfirmed_token = Some(r.token);
         machine.addr = r.addr.parse().ok();
         let m = shard.add_machine(machine);
-        self.call(m);
+        self.probe_machine(m);
         Some(m)
     }
 
@@ -724,7 +724,7 @@
     /// Asks a worker for its report, by a command: it also shows our token to a worker that still obeys an earlier one.
     /// All that it orders are stops of what was cancelled, so that it can be executed at any time without harm, and a
     /// machine that hung hears of them first.
-    pub(crate) fn call(&mut self, m: usize) {
+    pub(crate) fn probe_machine(&mut self, m: usize) {
         let (now, term) = (self.now.mono, self.term);
         let orders = self.last_orders(m);
         let Some(shard) = &mut self.shard else { return };
@@ -744,7 +744,7 @@
             session,
             orders,
         });
-        let what = Pending::Show {
+        let what = Pending::Probe {
             term,
             machine: m,
             serial,
@@ -754,7 +754,7 @@
     }
 
     /// The machine was not asked: it will be.
-    pub(crate) fn show_unsent(&mut self, m: usize, serial: u64) {
+    pub(crate) fn probe_unsent(&mut self, m: usize, serial: u64) {
         let machine = self.shard.as_mut().and_then(|p| p.machine_mut(m));
         if let Some(machine) = machine.filter(|x| x.probe == Some(serial)) {
             machine.probe = None;
@@ -896,7 +896,7 @@
                 .probe = Some(3);
             let tag = tag(
                 &mut node,
-                Pending::Show {
+                Pending::Probe {
                     term: 0,
                     machine: m,
                     serial: 3,
--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -33,7 +33,7 @@
     pub state: ClaimState,
     /// The log record that it stands in, once it is recorded.
     pub segment: u64,
-    /// Read back after a take-over: it may have ended long ago.
+    /// Read back after a failover: it may have ended long ago.
     pub loaded: bool,
     /// A start may have been sent, by us or by an earlier leader.
     pub sent: bool,
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -169,7 +169,7 @@
             None
         };
         // What can never run writes nothing.
-        let writes = self.judged(&spec, self.now.wall).is_ok();
+        let writes = self.validated(&spec, self.now.wall).is_ok();
         let room = if writes {
             self.has_room_for(conn)
         } else {
@@ -221,7 +221,7 @@
             },
         ]);
         // Judged each time: between two tries another version may have come into force.
-        let (writes, denied) = match self.judged(spec, wall) {
+        let (writes, denied) = match self.validated(spec, wall) {
             Ok(rec) => (
                 vec![Write::put(
                     records::live_key(&spec.id),
--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -13,7 +13,7 @@
 
 impl Node {
     /// The record of a job accepted now, with all that is agreed for it from then on; or why it can never run.
-    pub(crate) fn judged(&self, spec: &JobSpec, wall: u64) -> Result<JobRecord, &'static str> {
+    pub(crate) fn validated(&self, spec: &JobSpec, wall: u64) -> Result<JobRecord, &'static str> {
         self.within_limits(spec)?;
         let county = self.county_for(spec)?;
         let catalog = self.catalog().ok_or("machine types not known yet")?;
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -621,7 +621,7 @@
     }
 
     /// Stays out of the next election, so that a better placed node can win it.
-    pub(crate) fn stand_back(&mut self, ms: u64) {
+    pub(crate) fn stand_aside(&mut self, ms: u64) {
         self.role = Role::Follower {
             may_campaign_at: self.now.mono + ms,
         };
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -34,7 +34,7 @@
 const MOST_OUT: usize = 32;
 /// Machines that are kept for their weights at once.
 const MOST_KEPT: usize = 256;
-/// Records that are read after a take-over, a page each.
+/// Records that are read after a failover, a page each.
 const PAGE: usize = 500;
 
 /// The kind of document.
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -64,7 +64,7 @@
     pub(crate) delegation: Option<lease_delegate::Delegation>,
     pub(crate) catalog_at: u64,
     /// When we last gave the fleet up because most machines could not be heard.
-    pub(crate) stood_back_at: Option<u64>,
+    pub(crate) stood_aside_at: Option<u64>,
     /// Something may be there to be written. Without it, only ticks look.
     pub(crate) to_write: bool,
     /// Another front end of this process is open, and has job ids of its own.
@@ -111,7 +111,7 @@
             load_shedding: load_shedding::LoadShedding::default(),
             delegation: None,
             catalog_at: 0,
-            stood_back_at: None,
+            stood_aside_at: None,
             to_write: false,
             beside: false,
             frontend: frontend::Frontend::new(),
@@ -290,7 +290,7 @@
                 self.pending.remove(&tag);
                 self.direct_received(machine, serial, Some(relay::not_sent()));
             }
-            Some(Pending::Show {
+            Some(Pending::Probe {
                 term: e,
                 machine,
                 serial,
@@ -298,7 +298,7 @@
             }) if *e == term => {
                 let (machine, serial) = (*machine, *serial);
                 self.pending.remove(&tag);
-                self.show_unsent(machine, serial);
+                self.probe_unsent(machine, serial);
             }
             Some(Pending::Tell { conn }) => {
                 let conn = *conn;
@@ -388,7 +388,7 @@
                 serial,
                 if via { relay::told(response) } else { response },
             ),
-            Pending::Show {
+            Pending::Probe {
                 term: e,
                 machine,
                 serial,
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -134,7 +134,7 @@
         serial: u64,
         via: bool,
     },
-    Show {
+    Probe {
         term: u64,
         machine: usize,
         serial: u64,
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -341,7 +341,7 @@
         if !self.may_decide() {
             return;
         }
-        self.call_round();
+        self.probe_round();
         let Some(shard) = &mut self.shard else { return };
         if now.mono < shard.looked_at + LOOK_MS {
             return;
@@ -398,7 +398,7 @@
                     .find(|(n, _)| *n == machine.machine_type)
                     .map_or(60.0, |(_, b)| *b);
                 let age = now.wall.saturating_sub(machine.rented_ms) as f64 / 1000.0;
-                // After a take-over a machine that is up has to find us first.
+                // After a failover a machine that is up has to find us first.
                 if age > boot * patience && gap as f64 > boot * 500.0 {
                     log::info!("machine {}: did not come up", machine.name);
                     machine.deleting = true;
@@ -412,15 +412,15 @@
             && quiet * 2 > up
             && can_follow
             && self
-                .stood_back_at
+                .stood_aside_at
                 .is_none_or(|at| now.mono > at + STAND_BACK_MEMORY_MS)
         {
             // That many seldom fail at once: more likely we are cut off from them, and another node is not.
             // Only once in a while, though: where they did fail, every node would hand them on for ever and
             // none would return them.
-            self.stood_back_at = Some(now.mono);
+            self.stood_aside_at = Some(now.mono);
             self.step_down("most machines can't be heard here");
-            return self.stand_back(15_000);
+            return self.stand_aside(15_000);
         }
         for m in unsent {
             let machine = self.shard.as_ref().and_then(|p| p.machine(m));
@@ -432,7 +432,7 @@
                 continue;
             };
             if machine.addr.is_some() {
-                self.call(m);
+                self.probe_machine(m);
             } else if now.mono.saturating_sub(machine.heard_at) > lease {
                 // Neither its worker nor the cloud's list has told where it is.
                 log::warn!(
@@ -480,9 +480,9 @@
         shard.detour_zones = detour;
     }
 
-    /// After a take-over: asks the machines that have not come by themselves, a few at a time. Their workers may
+    /// After a failover: asks the machines that have not come by themselves, a few at a time. Their workers may
     /// still be with an earlier leader, and what they say is needed before much can be decided.
-    fn call_round(&mut self) {
+    fn probe_round(&mut self) {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
         if now < shard.since + CALL_AFTER_MS || now >= shard.since + CALL_UNTIL_MS {
@@ -503,7 +503,7 @@
             .filter(|(_, m)| m.as_ref().is_some_and(unheard));
         let due: Vec<usize> = due.map(|(m, _)| m).take(CALLS_A_TICK).collect();
         for m in due {
-            self.call(m);
+            self.probe_machine(m);
         }
     }
 }
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -420,7 +420,7 @@
                 attempt,
             );
         }
-        // Right after a take-over most machines have not been heard of yet, and the room on them is not seen. Reports
+        // Right after a failover most machines have not been heard of yet, and the room on them is not seen. Reports
         // come a quarter late at times.
         if now >= since + settle * 5 / 4 {
             for p in &output.preempts {
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -14,7 +14,7 @@
     self, AllotmentRecord, InventoryRecord, JobRecord, LogRecord, RentalRecord, TeamAllotment,
 };
 
-/// What is read one after the other after a take-over.
+/// What is read one after the other after a failover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Load {
     Jobs,
