--- /dev/null
+++ b/crates/wire/tests/production.rs
@@ -0,0 +1,205 @@
+//! The bytes that the version in production writes, and reads.
+//!
+//! Each file below `production/` was written once by that version: one per kind of record in the state service, per
+//! message between controllers, and per message to or from workers, users, the cloud, the state service and
+//! operators; with optional fields left out (`-least`) and present (`-full`). For each, the decoder has to give the
+//! value of its case, and the encoder the very same bytes. `production/newer.txt` says what the decoders make of
+//! messages of other versions: with an unknown field, without a field, with an unknown word or variant.
+//!
+//! Controllers of two versions run side by side during an upgrade, and records stay for ever. So a renamed Rust type or
+//! field changes the Rust names in these cases and never a file. A file that no longer fits is an incompatible change.
+//!
+//! To add a case: put it into the table of its module, remove `production/newer.txt`, and run
+//! `cargo test -p wire --test production -- --ignored`. That writes the files that are missing and leaves all others as
+//! they are. The difference of `newer.txt` may then only add lines, unless an incompatible change is meant.
+
+#[path = "production/documents.rs"]
+mod documents;
+#[path = "production/messages.rs"]
+mod messages;
+#[path = "production/operators.rs"]
+mod operators;
+#[path = "production/peers.rs"]
+mod peers;
+#[path = "production/records.rs"]
+mod records;
+#[path = "production/variations.rs"]
+mod variations;
+
+use serde::{Serialize, de::DeserializeOwned};
+use std::collections::BTreeSet;
+use std::fmt::Debug;
+use std::fs;
+use std::io::{ErrorKind, Write as _};
+use std::path::PathBuf;
+
+/// What a decoder makes of some bytes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Reading {
+    /// The value of the case.
+    Same,
+    /// Another value.
+    Different,
+    Refused,
+}
+
+/// A decoder that compares with the value of its case.
+pub type Read = dyn Fn(&[u8]) -> Reading;
+
+/// A file, with what the encoder writes for its value and a decoder that compares with that value.
+pub struct Case {
+    pub file: &'static str,
+    pub encoded: Vec<u8>,
+    pub read: Box<Read>,
+    /// Whether the decoder is a controller's own, so that it matters what it makes of other versions' messages.
+    pub is_read_by_us: bool,
+}
+
+/// A message that controllers write and read, or that only one of both sides is ours of.
+pub fn message<T>(file: &'static str, value: T) -> Case
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug + 'static,
+{
+    let encoded = encode(file, &value);
+    encoded_as(file, encoded, value)
+}
+
+/// Bytes that were encoded from another type than they are read as.
+pub fn encoded_as<T>(file: &'static str, encoded: Vec<u8>, value: T) -> Case
+where
+    T: DeserializeOwned + PartialEq + 'static,
+{
+    let read = move |bytes: &[u8]| match decode::<T>(file, bytes) {
+        Some(v) if v == value => Reading::Same,
+        Some(_) => Reading::Different,
+        None => Reading::Refused,
+    };
+    Case {
+        file,
+        encoded,
+        read: Box::new(read),
+        is_read_by_us: true,
+    }
+}
+
+/// A message that controllers only write; `content` is what anybody reads in it.
+pub fn sent<T: Serialize>(file: &'static str, value: &T, content: serde_json::Value) -> Case {
+    Case {
+        is_read_by_us: false,
+        ..encoded_as(file, encode(file, value), content)
+    }
+}
+
+fn format(file: &str) -> &str {
+    file.rsplit_once('.').expect("an extension").1
+}
+
+/// As controllers encode messages of a file's format.
+pub fn encode<T: Serialize>(file: &str, value: &T) -> Vec<u8> {
+    match format(file) {
+        "msgpack" => wire::encode(value),
+        "cbor" => wire::peer::encode(value),
+        "json" => wire::admin::encode(value),
+        other => panic!("{file}: {other} is no format of ours"),
+    }
+}
+
+/// As controllers decode messages of a file's format.
+pub fn decode<T: DeserializeOwned>(file: &str, bytes: &[u8]) -> Option<T> {
+    match format(file) {
+        "msgpack" => wire::decode(bytes).ok(),
+        "cbor" => wire::peer::decode(bytes).ok(),
+        "json" => wire::admin::decode(bytes).ok(),
+        other => panic!("{file}: {other} is no format of ours"),
+    }
+}
+
+const VARIATIONS: &str = "newer.txt";
+
+fn path(file: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/production")
+        .join(file)
+}
+
+pub fn bytes_of(file: &str) -> Vec<u8> {
+    fs::read(path(file)).unwrap_or_else(|e| panic!("{file}: {e}"))
+}
+
+fn cases() -> Vec<Case> {
+    let mut all = records::cases();
+    all.extend(documents::cases());
+    all.extend(peers::cases());
+    all.extend(messages::cases());
+    all.extend(operators::cases());
+    all
+}
+
+#[test]
+fn the_files_are_read_as_their_values() {
+    for case in cases() {
+        let reading = (case.read)(&bytes_of(case.file));
+        assert_eq!(reading, Reading::Same, "{}", case.file);
+    }
+}
+
+#[test]
+fn the_values_are_written_as_in_their_files() {
+    for case in cases() {
+        let recorded = bytes_of(case.file);
+        assert!(
+            case.encoded == recorded,
+            "{}: recorded {:?}, now {:?}",
+            case.file,
+            String::from_utf8_lossy(&recorded),
+            String::from_utf8_lossy(&case.encoded)
+        );
+    }
+}
+
+#[test]
+fn each_file_has_one_case() {
+    let all = cases();
+    let named: BTreeSet<String> = all.iter().map(|c| c.file.to_owned()).collect();
+    assert_eq!(named.len(), all.len(), "two cases have the same file");
+    let there: BTreeSet<String> = fs::read_dir(path(""))
+        .expect("the directory")
+        .map(|entry| entry.expect("an entry").file_name().into_string())
+        .map(|name| name.expect("a plain name"))
+        .filter(|name| name != VARIATIONS && !name.ends_with(".rs"))
+        .collect();
+    assert_eq!(named, there);
+}
+
+#[test]
+fn other_versions_messages_are_read_or_refused_as_recorded() {
+    let recorded = String::from_utf8(bytes_of(VARIATIONS)).expect("text");
+    let now = variations::describe(&cases());
+    let pairs = recorded.lines().zip(now.lines());
+    for (n, (was, is)) in pairs.enumerate() {
+        assert_eq!(was, is, "{VARIATIONS}, line {}", n + 1);
+    }
+    assert_eq!(recorded, now);
+}
+
+#[test]
+#[ignore = "writes the files of new cases, and none that is there"]
+fn missing_files_are_written() {
+    let all = cases();
+    for case in &all {
+        write_new(case.file, &case.encoded);
+    }
+    write_new(VARIATIONS, variations::describe(&all).as_bytes());
+}
+
+fn write_new(file: &str, bytes: &[u8]) {
+    let new = fs::File::options()
+        .write(true)
+        .create_new(true)
+        .open(path(file));
+    match new {
+        Ok(mut f) => f.write_all(bytes).expect("written"),
+        Err(e) if e.kind() == ErrorKind::AlreadyExists => {}
+        Err(e) => panic!("{file}: {e}"),
+    }
+}
--- /dev/null
+++ b/crates/wire/tests/production/peers.rs
@@ -0,0 +1,242 @@
+//! What controllers ask and tell each other.
+
+use crate::messages::{orders_full, orders_least, report_least};
+use crate::records::{spec_full, spec_least};
+use crate::{Case, Reading, bytes_of, encode, message};
+use serde_bytes::ByteBuf;
+use wire::api::{JobState, Stage};
+use wire::models::Told;
+use wire::peer::{Answer, Ask, LeaseDelegation, PeerStatus};
+
+fn job() -> String {
+    "job-000412".to_owned()
+}
+
+pub fn cases() -> Vec<Case> {
+    let mut all = asks();
+    all.extend(answers());
+    all
+}
+
+/// A question, whose file begins with its variant's name. A new variant needs a case.
+fn ask(file: &'static str, value: Ask) -> Case {
+    let name = match value {
+        Ask::Query { .. } => "ask-query",
+        Ask::Cancel { .. } => "ask-cancel",
+        Ask::Submit { .. } => "ask-submit",
+        Ask::Lookup { .. } => "ask-lookup",
+        Ask::Leads { .. } => "ask-owns",
+        Ask::PeerStatus(_) => "ask-view",
+        Ask::Reports { .. } => "ask-reports",
+        Ask::Tell { .. } => "ask-tell",
+        Ask::Wake { .. } => "ask-wake",
+    };
+    assert!(file.starts_with(name), "{file}");
+    message(file, value)
+}
+
+/// An answer, whose file begins with its variant's name. A new variant needs a case.
+fn answer(file: &'static str, value: Answer) -> Case {
+    let name = match value {
+        Answer::State(_) => "answer-state",
+        Answer::Accepted(_) => "answer-accepted",
+        Answer::Refused { .. } => "answer-refused",
+        Answer::Unknown => "answer-unknown",
+        Answer::NotNow => "answer-not-now",
+        Answer::PeerStatus(_) => "answer-view",
+        Answer::Orders(_) => "answer-orders",
+        Answer::Told { .. } => "answer-told",
+        Answer::Model(_) => "answer-model",
+    };
+    assert!(file.starts_with(name), "{file}");
+    message(file, value)
+}
+
+fn asks() -> Vec<Case> {
+    let submit = |spec| Ask::Submit {
+        spec: Box::new(spec),
+    };
+    let wake = |leader| Ask::Wake {
+        model: "job-9".to_owned(),
+        leader,
+    };
+    let lookup = |past_leader| Ask::Lookup {
+        job: job(),
+        past_leader,
+    };
+    let reports = |reports| Ask::Reports {
+        node: "b".to_owned(),
+        reports,
+    };
+    let report = ByteBuf::from(wire::encode(&report_least()));
+    vec![
+        ask("ask-query.cbor", Ask::Query { job: job() }),
+        ask("ask-cancel.cbor", Ask::Cancel { job: job() }),
+        ask("ask-submit-least.cbor", submit(spec_least())),
+        ask("ask-submit-full.cbor", submit(spec_full())),
+        ask("ask-lookup.cbor", lookup(false)),
+        ask("ask-lookup-past-owner.cbor", lookup(true)),
+        ask(
+            "ask-owns.cbor",
+            Ask::Leads {
+                node: "a".to_owned(),
+                token: 70_000,
+            },
+        ),
+        ask("ask-view-least.cbor", Ask::PeerStatus(view_least())),
+        ask("ask-view-full.cbor", Ask::PeerStatus(view_full(None))),
+        ask("ask-reports-none.cbor", reports(Vec::new())),
+        ask(
+            "ask-reports.cbor",
+            reports(vec![report, ByteBuf::from([0x00, 0xff])]),
+        ),
+        ask(
+            "ask-tell.cbor",
+            Ask::Tell {
+                machine: "m-1".to_owned(),
+                addr: "10.0.0.7:4000".to_owned(),
+                body: ByteBuf::from(wire::encode(&orders_full())),
+            },
+        ),
+        ask("ask-wake.cbor", wake(false)),
+        ask("ask-wake-owner.cbor", wake(true)),
+    ]
+}
+
+fn answers() -> Vec<Case> {
+    let delegation = |except| LeaseDelegation { token: 17, except };
+    let except = vec!["m-1".to_owned(), "m-2".to_owned()];
+    let told = |status, body| Answer::Told { status, body };
+    let orders = ByteBuf::from(wire::encode(&orders_least()));
+    let model = |told| Answer::Model(Box::new(told));
+    vec![
+        answer("answer-state.cbor", Answer::State(state())),
+        answer("answer-accepted.cbor", Answer::Accepted(state_least())),
+        answer("answer-refused-least.cbor", Answer::refused(503, "")),
+        answer(
+            "answer-refused-full.cbor",
+            Answer::refused(422, "invalid: pieces: missing"),
+        ),
+        answer("answer-unknown.cbor", Answer::Unknown),
+        answer("answer-not-now.cbor", Answer::NotNow),
+        answer("answer-view-least.cbor", Answer::PeerStatus(view_least())),
+        answer(
+            "answer-view-full.cbor",
+            Answer::PeerStatus(view_full(Some(delegation(except)))),
+        ),
+        answer(
+            "answer-view-keep-all.cbor",
+            Answer::PeerStatus(view_full(Some(delegation(Vec::new())))),
+        ),
+        answer("answer-orders-none.cbor", Answer::Orders(Vec::new())),
+        answer(
+            "answer-orders.cbor",
+            Answer::Orders(vec![orders, ByteBuf::new()]),
+        ),
+        answer("answer-told-least.cbor", told(503, ByteBuf::new())),
+        answer(
+            "answer-told-full.cbor",
+            told(200, ByteBuf::from([0x80, 0xff])),
+        ),
+        answer("answer-model-least.cbor", model(told_least())),
+        answer("answer-model-full.cbor", model(told_full())),
+    ]
+}
+
+pub fn state_least() -> JobState {
+    JobState {
+        id: job(),
+        stage: Stage::Pending,
+        done: 0,
+        running: 0,
+    }
+}
+
+pub fn state() -> JobState {
+    JobState {
+        id: job(),
+        stage: Stage::Running,
+        done: 300,
+        running: 70_000,
+    }
+}
+
+fn view_least() -> PeerStatus {
+    PeerStatus {
+        node: "a".to_owned(),
+        state_ms: None,
+        token: None,
+        leads: None,
+        hears_no_agents: false,
+        down: false,
+        spreads: false,
+        delegation: None,
+    }
+}
+
+fn view_full(delegation: Option<LeaseDelegation>) -> PeerStatus {
+    PeerStatus {
+        node: "b".to_owned(),
+        state_ms: Some(250),
+        token: Some(18),
+        leads: Some(17),
+        hears_no_agents: true,
+        down: true,
+        spreads: true,
+        delegation,
+    }
+}
+
+pub fn told_least() -> Told {
+    Told {
+        model: "job-9".to_owned(),
+        phase: model::Phase::Awake,
+        generation: 1,
+        since_ms: 1_790_000_000_123,
+        due_ms: None,
+        why: None,
+        not_before_ms: None,
+    }
+}
+
+pub fn told_full() -> Told {
+    Told {
+        model: "job-9".to_owned(),
+        phase: model::Phase::Asleep,
+        generation: 300,
+        since_ms: 1_790_000_000_123,
+        due_ms: Some(1_790_000_090_000),
+        why: Some(model::Why::Backoff { failed: 2 }),
+        not_before_ms: Some(1_790_000_120_123),
+    }
+}
+
+/// An old node answers a question that it does not know with a refusal, and does not take it for another one.
+#[test]
+fn unknown_questions_and_answers_are_refused() {
+    let newer = [
+        serde_json::json!({"Newer": {"job": "job-1"}}),
+        serde_json::json!({"Newer": null}),
+        serde_json::json!("Newer"),
+    ];
+    for unknown in newer {
+        let bytes = encode("ask.cbor", &unknown);
+        assert!(wire::peer::decode::<Ask>(&bytes).is_err(), "{unknown}");
+        assert!(wire::peer::decode::<Answer>(&bytes).is_err(), "{unknown}");
+    }
+}
+
+/// Unlike MessagePack bodies. A newer version may so far put something behind a message.
+#[test]
+fn what_follows_a_message_is_not_looked_at() {
+    for case in cases() {
+        let mut bytes = bytes_of(case.file);
+        bytes.push(0xf6);
+        assert_eq!((case.read)(&bytes), Reading::Same, "{}", case.file);
+    }
+}
+
+#[test]
+fn peers_are_asked_at_this_path() {
+    assert_eq!(wire::peer::PATH, "/peer");
+}
