--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -17,7 +17,7 @@
 /// Steps of a plan that a whole core may spend; with a share of a core it is that share.
 const STEPS_A_CORE: f64 = 4e6;
 /// No more than this is on its way at once.
-const MOST_COMING: usize = 2000;
+const MOST_COMING: usize = 8000;
 
 /// Whom a plan is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
