--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -66,8 +66,14 @@
 
 /// Results and returned machines wait this long for something to travel with.
 const TIDY_MS: u64 = 1000;
-/// With more log records than this, the oldest are moved into new ones.
+/// With more log records than this, or than one for so many machines, the oldest are moved into new ones.
 const SEGMENTS: usize = 400;
+const MACHINES_A_SEGMENT: usize = 5;
+
+/// Log records that a fleet of so many machines may have before the oldest are moved.
+fn most_segments(machines: usize) -> usize {
+    SEGMENTS.max(machines / MACHINES_A_SEGMENT)
+}
 
 /// Larger transactions are cut: one more record, and the longer form that the service counts in, still stay below
 /// its 64 KiB.
@@ -214,7 +220,8 @@
             .iter()
             .find(|(_, s)| s.holds())
             .map(|(n, _)| *n);
-        let old = old.filter(|_| shard.claim_log.segments.len() > SEGMENTS);
+        let most = most_segments(shard.machine_index.len());
+        let old = old.filter(|_| shard.claim_log.segments.len() > most);
         let moving = old.and_then(|n| shard.claim_log.segments.get(&n));
         for id in moving.map(|s| s.claims.clone()).unwrap_or_default() {
             let holds = shard
