--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -15,10 +15,12 @@
 const LOOK_MS: u64 = 500;
 /// Machines that answer commands and heartbeat nothing are asked this often what became of their tasks.
 const MUTE_MS: u64 = 2000;
-/// When a new leader asks machines that it has not heard of, and how many at a time.
+/// When a new leader asks machines that it has not heard of, and how many at a time: at least so many, and a part of
+/// the fleet by which all have been asked once before the time is over, its ticks being 50 ms apart.
 const CALL_AFTER_MS: u64 = 500;
 const CALL_UNTIL_MS: u64 = 8000;
 const CALLS_A_TICK: usize = 12;
+const TICKS_TO_CALL_ALL: usize = 150;
 const CATALOG_EVERY_MS: u64 = 60_000;
 
 #[derive(Default)]
@@ -501,7 +503,8 @@
             .iter()
             .enumerate()
             .filter(|(_, m)| m.as_ref().is_some_and(unheard));
-        let due: Vec<usize> = due.map(|(m, _)| m).take(CALLS_A_TICK).collect();
+        let most = CALLS_A_TICK.max(shard.machine_index.len().div_ceil(TICKS_TO_CALL_ALL));
+        let due: Vec<usize> = due.map(|(m, _)| m).take(most).collect();
         for m in due {
             self.probe_machine(m);
         }
