--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -11,8 +11,10 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use wire::api::Heartbeat;
 
-/// Workers that the leader sends to another controller in a second, so that they don't all arrive at once.
+/// Workers that the leader sends to another controller in a second, so that they don't all arrive at once: at least so
+/// many, and as many as send all of them away in so many seconds.
 const MOVES_PER_S: f64 = 50.0;
+const MOVED_WITHIN_S: f64 = 40.0;
 /// To [`reach`], the other controllers are one host, which never changes and whose token no worker has seen: all that
 /// it judges by is who was sent there and comes back.
 const OTHERS: Leader = Leader {
@@ -67,6 +69,8 @@
             false => self.tuning.direct_machines,
         };
         let is_spread = machines > most && !self.settings.peers.is_empty();
+        let moves_per_s = (machines / MOVED_WITHIN_S).max(MOVES_PER_S);
+        self.routing.moves.set_rate(moves_per_s);
         if is_spread != self.routing.is_spread {
             log::info!(
                 "heartbeats by way of all controllers: {is_spread}, for {machines} machines"
