--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -37,6 +37,9 @@
             if self.takes(conn, &heartbeat, body) {
                 return;
             }
+            if self.leader_is_slow() {
+                return self.refuse(conn, 503, "the owner does not answer");
+            }
             return match self.leader_name().filter(|o| *o != self.settings.node) {
                 Some(node) => {
                     let body = wire::encode(&Redirect {
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -74,6 +74,15 @@
         true
     }
 
+    /// Whether the leader is slow and not cut off: heartbeats are spread, it is heard, and has let a batch time out just
+    /// now. Workers that were redirected to it then would all connect to it at once and add to what slows it.
+    pub(crate) fn leader_is_slow(&self) -> bool {
+        let is_heard = |peer| self.is_heard(peer);
+        self.is_spread()
+            && self.now.mono < self.relay.rests_until
+            && self.leader_peer().is_some_and(is_heard)
+    }
+
     pub(crate) fn relay_tick(&mut self) {
         if !self.relay.queue.is_empty() {
             self.send_batch();
