--- a/crates/control/tests/relay.rs
+++ b/crates/control/tests/relay.rs
@@ -19,7 +19,7 @@
         state_ms: Some(10),
         token: Some(5),
         leads: Some(5),
-        deaf: false,
+        hears_no_agents: false,
         down: false,
         spreads: true,
         delegation: None,
