--- /dev/null
+++ b/crates/control/tests/commands.rs
@@ -0,0 +1,211 @@
+//! Commands to a worker that never leave this host, and those that are not answered: what a leader makes of each.
+
+mod scripted;
+
+use control::{Destination, Effect, Event};
+use scripted::{Played, Sent, Worker};
+use serde_json::{Value, json};
+use wire::http::Response;
+use wire::peer::{self, Answer, Ask};
+
+/// The connection on which a peer forwards heartbeats.
+const PEER: u64 = 901;
+const SILENT_MS: u64 = 7000;
+
+/// How a worker's heartbeats and commands travel.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Path {
+    Direct,
+    ByPeer,
+}
+
+impl Path {
+    fn heartbeat(self, p: &mut Played, worker: &mut Worker) -> Value {
+        if self == Path::Direct {
+            return worker.reports(p);
+        }
+        let body = wire::encode(&worker.report());
+        let ask = Ask::Reports {
+            node: p.node_of_a_peer(),
+            reports: vec![body.into()],
+        };
+        let answer = p.ask_as_peer(&ask);
+        let Answer::Orders(bodies) = answer else {
+            panic!("a forwarded heartbeat is answered by orders: {answer:?}");
+        };
+        let orders: Value = wire::decode(&bodies[0]).expect("orders are such data");
+        worker.obeys(&orders);
+        orders
+    }
+
+    /// The orders of a command that travels this way.
+    fn command(self, sent: &Sent) -> Option<Value> {
+        match (self, sent.to) {
+            (Path::Direct, Destination::Worker(_)) => sent.orders(),
+            (Path::ByPeer, Destination::Peer(_)) => match peer::decode(&sent.body) {
+                Ok(Ask::Tell { body, .. }) => wire::decode(&body).ok(),
+                _ => None,
+            },
+            _ => None,
+        }
+    }
+
+    fn starts(self, sent: &Sent) -> bool {
+        self.command(sent)
+            .is_some_and(|orders| count(&orders, "start") > 0)
+    }
+}
+
+trait Peers {
+    fn node_of_a_peer(&self) -> String;
+    fn ask_as_peer(&mut self, ask: &Ask) -> Answer;
+}
+
+impl Peers for Played {
+    fn node_of_a_peer(&self) -> String {
+        let text = include_str!("../../../deploy/settings-example.json");
+        let settings: wire::settings::Settings =
+            serde_json::from_str(text).expect("the example is accepted");
+        settings.peers[0].node.clone()
+    }
+
+    fn ask_as_peer(&mut self, ask: &Ask) -> Answer {
+        let request = wire::http::Request {
+            method: "POST".into(),
+            path: peer::PATH.into(),
+            body: peer::encode(ask),
+            close: false,
+        };
+        let now = control::Now {
+            mono: self.now,
+            wall: self.now,
+        };
+        let mut answer = None;
+        let mut writes = Vec::new();
+        for effect in self.node.handle(
+            now,
+            Event::Peer {
+                conn: PEER,
+                request,
+            },
+        ) {
+            match effect {
+                Effect::Respond {
+                    conn: PEER,
+                    response,
+                } => {
+                    answer = peer::decode(&response.body).ok();
+                }
+                Effect::Send { tag, path, .. } if path == "/txn" => writes.push(tag),
+                // A probe of a machine that nobody expected stays unanswered.
+                Effect::Send {
+                    to: Destination::Worker(_),
+                    ..
+                } => {}
+                other => panic!("not expected: {other:?}"),
+            }
+        }
+        for tag in writes {
+            let response = Response {
+                status: 200,
+                body: wire::encode(&json!({"ledger": 500})),
+                close: false,
+                retry_after_s: None,
+            };
+            self.step(Event::Reply {
+                tag,
+                response: Some(response),
+            });
+        }
+        answer.expect("a peer is answered")
+    }
+}
+
+fn count(orders: &Value, verb: &str) -> usize {
+    let orders = orders["orders"].as_array().into_iter().flatten();
+    orders.filter(|order| order["verb"] == verb).count()
+}
+
+/// A transaction that raises the leader's token.
+fn raises_token(sent: &Sent) -> bool {
+    sent.changes("sys/token")
+}
+
+/// Without a socket nothing was sent, so nothing can be executed later: no token need be raised for it, and the starts
+/// go with the next heartbeat's answer. A command that was sent and not answered leaves both open.
+#[test]
+fn a_command_that_was_not_sent_casts_no_doubt() {
+    for (path, sent) in [
+        (Path::Direct, false),
+        (Path::ByPeer, false),
+        (Path::Direct, true),
+    ] {
+        let mut p = Played::new();
+        p.leads();
+        let mut worker = Worker::new("host-000001");
+        path.heartbeat(&mut p, &mut worker);
+        p.live(1000, &mut |_| None);
+        path.heartbeat(&mut p, &mut worker);
+        let command = p.finds("the first starts", |s| path.starts(s));
+        p.sent.retain(|s| !raises_token(s));
+        let answer = path.heartbeat(&mut p, &mut worker);
+        assert_eq!(
+            count(&answer, "start"),
+            0,
+            "while the command is out: {path:?}"
+        );
+        if sent {
+            p.is_silent(&command);
+        } else {
+            p.step(Event::Unsent { tag: command.tag });
+        }
+        let answer = path.heartbeat(&mut p, &mut worker);
+        assert_eq!(
+            count(&answer, "start") > 0,
+            !sent,
+            "what is placed is sent again at once: {path:?}, {answer}"
+        );
+        let mut raised = p.sent.iter().any(raises_token);
+        p.live(1000, &mut |s| {
+            raised |= raises_token(s);
+            None
+        });
+        assert_eq!(raised, sent, "a higher token: {path:?}");
+        if sent {
+            // The command is no longer out: once the worker has seen the higher token, it gets its orders.
+            path.heartbeat(&mut p, &mut worker);
+            let answer = path.heartbeat(&mut p, &mut worker);
+            assert!(count(&answer, "start") > 0, "{path:?}: {answer}");
+        }
+    }
+}
+
+/// A machine that could not be asked for want of a socket has not failed to answer: it is asked again, and stays. One
+/// that was asked and does not answer is returned.
+#[test]
+fn a_machine_that_was_not_asked_is_not_returned() {
+    for sent in [false, true] {
+        let mut p = Played::new();
+        let worker = p.leads_with_machine();
+        let mut asked = 0;
+        let mut returned = false;
+        let end = p.now + 3 * SILENT_MS;
+        while p.now < end {
+            p.live(50, &mut |s| {
+                returned |= s.path == "/machines/delete";
+                None
+            });
+            while let Some(i) = p.sent.iter().position(|s| s.is_to(&worker.name)) {
+                let command = p.sent.remove(i);
+                asked += 1;
+                if sent {
+                    p.is_silent(&command);
+                } else {
+                    p.step(Event::Unsent { tag: command.tag });
+                }
+            }
+        }
+        assert!(asked > 1, "it is asked again: {asked} times");
+        assert_eq!(returned, sent, "returned, after {asked} commands");
+    }
+}
