--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -64,6 +64,26 @@
             stop_sent: None,
         }
     }
+
+    /// A claim for a task that is there without one: it counts, and is to be stopped at once.
+    pub fn stray(job: JobIndex, task: u32, attempt: u64) -> Self {
+        Claim {
+            sent: true,
+            stop: Some(0.0),
+            ..Claim::new(job, task, attempt)
+        }
+    }
+
+    /// Whether it is the claim of this attempt.
+    pub fn is_for(&self, job: JobIndex, task: u32, attempt: u64) -> bool {
+        self.job == job && self.task == task && self.attempt == attempt
+    }
+
+    /// Seconds for which its task has been seen running, if it has.
+    pub fn ran_s(&self, now: u64) -> Option<f64> {
+        self.running_since
+            .map(|since| now.saturating_sub(since) as f64 / 1000.0)
+    }
 }
 
 /// An exited task that the worker still lists.
@@ -197,6 +217,13 @@
         now.saturating_sub(self.heartbeat_at) > silent_ms
     }
 
+    /// Where the claim of an attempt is in its list.
+    pub fn claim_position(&self, job: JobIndex, task: u32, attempt: u64) -> Option<usize> {
+        self.claims
+            .iter()
+            .position(|claim| claim.is_for(job, task, attempt))
+    }
+
     /// Claims whose start was never sent, nor will be by an earlier leader.
     pub fn unsent(&self) -> impl Iterator<Item = usize> + '_ {
         let unsent = |c: &Claim| c.state == ClaimState::Recorded && !c.sent;
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -4,29 +4,73 @@
 //! is under way that could still start the task.
 
 use crate::Node;
-use crate::agents::machine::{Claim, ClaimState, Exited};
-use crate::jobs::job::JobIndex;
+use crate::agents::machine::{Claim, ClaimState, Exited, Machine};
+use crate::jobs::job::{Job, JobIndex};
 use crate::scheduling::planning::grace;
 use crate::store::claim_log::ClaimId;
+use crate::store::shard::Shard;
 use std::collections::BTreeSet;
-use wire::api::{Cause, Heartbeat, Kind, TaskStage};
+use wire::api::{Catalog, Cause, Heartbeat, Kind, TaskStage, TaskStatus};
 use wire::ids;
 
-impl Node {
-    /// Takes in a heartbeat, unless a newer one was seen. True if it is the newest.
-    pub(crate) fn absorb(&mut self, m: usize, heartbeat: &Heartbeat) -> bool {
-        let now = self.now.mono;
-        let mut changed: BTreeSet<JobIndex> = BTreeSet::new();
-        let Some(shard) = &mut self.shard else {
-            return false;
-        };
-        let token = shard.token;
-        let Some(machine) = shard.machines.get_mut(m).and_then(Option::as_mut) else {
-            return false;
-        };
-        if (heartbeat.session, heartbeat.seq) <= machine.seen {
-            return false;
+/// A job that has failed on so many machines, and succeeded nowhere, is at fault itself.
+const BAD_JOB_MACHINES: usize = 3;
+/// Such a job waits for so long, doubled by each failure up to so many.
+const BAD_JOB_BACKOFF_MS: u64 = 1000;
+const BAD_JOB_DOUBLINGS: u32 = 5;
+const LONGEST_BACKOFF_MS: u64 = 30_000;
+/// After an error that may be the machine's, its job waits for so long, and the machine gets nothing for longer.
+const ERROR_BACKOFF_MS: u64 = 200;
+const ERROR_REST_MS: u64 = 3000;
+/// After a refusal the machine gets nothing for so long; a job that its worker does not know yet waits too.
+const REFUSAL_REST_MS: u64 = 2000;
+const UNKNOWN_BACKOFF_MS: u64 = 1000;
+
+/// A claim whose task is proved gone, by its position among its machine's claims.
+pub(crate) struct EndedClaim {
+    pub position: usize,
+    /// What the worker says of the end; `None` if only the task's absence proves it.
+    pub cause: Option<Cause>,
+    /// Whether the task's progress was saved before it ended.
+    pub saved: bool,
+}
+
+impl EndedClaim {
+    /// A claim that ended without a word of the worker's.
+    pub fn unexplained(position: usize) -> Self {
+        EndedClaim {
+            position,
+            cause: None,
+            saved: false,
         }
+    }
+}
+
+/// A task as it is listed: job, task and attempt.
+type ListedTask = (JobIndex, u32, u64);
+
+/// What comparing a heartbeat with the recorded claims has brought to light.
+#[derive(Default)]
+struct Listing {
+    listed: Vec<ListedTask>,
+    ended: Vec<EndedClaim>,
+    /// Tasks that are there without a claim.
+    strays: Vec<Claim>,
+    /// Results of tasks whose claims an earlier leader has struck off already.
+    finished: Vec<(JobIndex, u32)>,
+}
+
+/// Whether a task in this stage takes part in its job's count of running tasks.
+fn is_running(stage: Option<TaskStage>) -> bool {
+    matches!(stage, Some(TaskStage::Running | TaskStage::Saving))
+}
+
+impl Shard {
+    /// The machine has been heard of: what is known of it by that alone.
+    fn note_contact(&mut self, m: usize, heartbeat: &Heartbeat, now: u64) {
+        let Some(machine) = self.machines.get_mut(m).and_then(Option::as_mut) else {
+            return;
+        };
         machine.seen = (heartbeat.session, heartbeat.seq);
         machine.heard_at = now;
         // Answers to heartbeats of an earlier session are dropped. A worker that answers commands alone says no more of it.
@@ -37,7 +81,7 @@
         if !machine.up {
             machine.up = true;
             machine.idle_since = now;
-            shard.plan_due = true;
+            self.plan_due = true;
             log::info!("machine {}: up", machine.name);
         }
         if machine
@@ -45,128 +89,155 @@
             .is_some_and(|(t, session)| heartbeat.token > t || heartbeat.session > session)
         {
             machine.unanswered_command = None;
-            shard.plan_due = true;
+            self.plan_due = true;
         }
-        // What is not listed now is gone only if nothing that could start it is still under way: no command
-        // of an earlier token, no direct command unanswered, no start in an answer that a worker still waits for.
-        let quiet = machine.direct.is_none()
-            && machine.unacknowledged_start.is_none()
-            && machine.unanswered_command.is_none();
-        let proof = heartbeat.token >= token && quiet;
+    }
+
+    /// Whether what is not listed now is gone: only if nothing that could start it is still under way, that is no command
+    /// of an earlier token, no direct command unanswered, no start in an answer that a worker still waits for.
+    fn proves_absence(&self, m: usize, heartbeat: &Heartbeat) -> bool {
+        self.machine(m).is_some_and(|machine| {
+            heartbeat.token >= self.token
+                && machine.direct.is_none()
+                && machine.unacknowledged_start.is_none()
+                && machine.unanswered_command.is_none()
+        })
+    }
+
+    /// Notes when the cloud takes the machine away, if the heartbeat says so. True if that is news.
+    fn note_notice(&mut self, m: usize, heartbeat: &Heartbeat, now: u64) -> bool {
+        let Some(machine) = self.machine_mut(m) else {
+            return false;
+        };
         let noticed = heartbeat
             .notice_s
             .filter(|n| n.is_finite() && *n >= 0.0)
             .map(|n| now + (n * 1000.0) as u64);
-        let new_notice = noticed.is_some() && machine.notice_until.is_none();
+        let is_new = noticed.is_some() && machine.notice_until.is_none();
         machine.notice_until = noticed.or(machine.notice_until);
+        is_new
+    }
 
-        let mut listed: Vec<(JobIndex, u32, u64)> = Vec::with_capacity(heartbeat.tasks.len());
+    /// Compares what the worker lists with the claims on its machine, and brings these up to date.
+    fn compare_listed(
+        &mut self,
+        m: usize,
+        heartbeat: &Heartbeat,
+        catalog: Option<&Catalog>,
+        now: u64,
+    ) -> Listing {
+        let mut listing = Listing {
+            listed: Vec::with_capacity(heartbeat.tasks.len()),
+            ..Listing::default()
+        };
         let mut exited = Vec::new();
-        let mut ends: Vec<(usize, Option<Cause>, bool)> = Vec::new();
-        let mut strays: Vec<Claim> = Vec::new();
-        let mut finished: Vec<(JobIndex, u32)> = Vec::new();
-        for t in &heartbeat.tasks {
-            let Some((id, task)) = ids::parse_task(&t.task) else {
+        for status in &heartbeat.tasks {
+            let Some((id, task)) = ids::parse_task(&status.task) else {
                 continue;
             };
-            let ix = shard.job_index.get(id).copied();
-            let found = ix.and_then(|ix| {
-                listed.push((ix, task, t.attempt));
-                machine
-                    .claims
-                    .iter()
-                    .position(|c| c.job == ix && c.task == task && c.attempt == t.attempt)
+            let ix = self.job_index.get(id).copied();
+            let position = ix.and_then(|ix| {
+                listing.listed.push((ix, task, status.attempt));
+                self.machine(m)?.claim_position(ix, task, status.attempt)
             });
-            if t.stage == TaskStage::Exited {
-                exited.push(Exited {
-                    job: id.to_owned(),
-                    task,
-                    attempt: t.attempt,
-                    cause: t.cause,
-                });
-                match found {
-                    Some(k) => ends.push((k, t.cause, t.saved.unwrap_or(false))),
-                    // The result of a task whose claim an earlier leader has struck off already.
-                    None if t.cause == Some(Cause::Done) => {
-                        finished.extend(ix.map(|ix| (ix, task)))
-                    }
-                    _ => {}
+            match position {
+                _ if status.stage == TaskStage::Exited => {
+                    exited.push(Exited {
+                        job: id.to_owned(),
+                        task,
+                        attempt: status.attempt,
+                        cause: status.cause,
+                    });
+                    listing.note_exited(ix, task, position, status);
                 }
-                continue;
-            }
-            let Some(k) = found else {
+                Some(position) => self.note_stage(m, position, status.stage, catalog, now),
                 // A heartbeat from before our time may be a copy of one that was overtaken long ago.
-                if heartbeat.token < token {
-                    continue;
-                }
-                // Not expected to happen; it counts and is stopped all the same.
-                log::warn!(
-                    "machine {}: task {} attempt {} without a claim",
-                    machine.name,
-                    t.task,
-                    t.attempt
-                );
-                if let Some(ix) = ix {
-                    let mut stray = Claim::new(ix, task, t.attempt);
-                    stray.sent = true;
-                    stray.stop = Some(0.0);
-                    strays.push(stray);
-                }
-                continue;
-            };
-            let claim = &mut machine.claims[k];
-            claim.sent = true;
-            let was = claim.stage.replace(t.stage);
-            if was != Some(t.stage) {
-                let runs = |s: Option<TaskStage>| {
-                    matches!(s, Some(TaskStage::Running | TaskStage::Saving))
-                };
-                let (ran, run) = (runs(was), runs(Some(t.stage)));
-                if let Some(job) = shard.jobs.get_mut(claim.job).and_then(Option::as_mut) {
-                    job.running = (job.running + u32::from(run && !ran))
-                        .saturating_sub(u32::from(ran && !run));
-                    if t.stage != TaskStage::Fetching
-                        && let Some(spec) = &job.spec
-                    {
-                        let image = shard.images.get(&spec.image);
-                        let cache = self.shared.catalog.as_ref().and_then(|c| {
-                            c.types
-                                .iter()
-                                .find(|t| t.name == machine.machine_type)
-                                .map(|t| t.cache_gb)
-                        });
-                        let gb = spec.image_gb;
-                        machine.has_image(image, gb, cache.unwrap_or(0.0));
-                    }
-                }
-                let claim = &mut machine.claims[k];
-                if run && claim.running_since.is_none() {
-                    claim.running_since = Some(now);
+                None if heartbeat.token < self.token => {}
+                None => {
+                    // Not expected to happen; it counts and is stopped all the same.
+                    log::warn!(
+                        "machine {}: task {} attempt {} without a claim",
+                        heartbeat.machine,
+                        status.task,
+                        status.attempt
+                    );
+                    listing
+                        .strays
+                        .extend(ix.map(|ix| Claim::stray(ix, task, status.attempt)));
                 }
             }
         }
-        machine.exited = exited;
-        if proof {
-            for (k, claim) in machine.claims.iter_mut().enumerate() {
-                if claim.state != ClaimState::Recorded || !claim.sent {
-                    continue;
-                }
-                if listed.contains(&(claim.job, claim.task, claim.attempt)) {
-                    continue;
-                }
-                // One that was read back may have ended and been reaped before our time.
-                // Nor is an attempt begun in two sessions: what it came to in the first would be taken for its end in
-                // the second, where a copy of an old heartbeat comes to a later leader.
-                let earlier = claim.session < heartbeat.session;
-                if claim.stage.is_some() || claim.stop.is_some() || claim.loaded || earlier {
-                    ends.push((k, None, false));
-                } else {
-                    // It never got there: the same attempt can be sent again, since nothing was reaped.
-                    claim.sent = false;
-                    shard.push.insert(m);
-                }
+        if let Some(machine) = self.machine_mut(m) {
+            machine.exited = exited;
+        }
+        listing
+    }
+
+    /// A claimed task is listed, and has not exited.
+    fn note_stage(
+        &mut self,
+        m: usize,
+        position: usize,
+        stage: TaskStage,
+        catalog: Option<&Catalog>,
+        now: u64,
+    ) {
+        let Some(machine) = self.machines.get_mut(m).and_then(Option::as_mut) else {
+            return;
+        };
+        let claim = &mut machine.claims[position];
+        claim.sent = true;
+        let earlier = claim.stage.replace(stage);
+        if earlier == Some(stage) {
+            return;
+        }
+        let (was_running, runs) = (is_running(earlier), is_running(Some(stage)));
+        if runs && claim.running_since.is_none() {
+            claim.running_since = Some(now);
+        }
+        let Some(job) = self.jobs.get_mut(claim.job).and_then(Option::as_mut) else {
+            return;
+        };
+        job.running = (job.running + u32::from(runs && !was_running))
+            .saturating_sub(u32::from(was_running && !runs));
+        if stage != TaskStage::Fetching
+            && let Some(spec) = &job.spec
+        {
+            let image = self.images.get(&spec.image);
+            let cache_gb = catalog.and_then(|catalog| cache_of(catalog, &machine.machine_type));
+            machine.has_image(image, spec.image_gb, cache_gb.unwrap_or(0.0));
+        }
+    }
+
+    /// Claims whose tasks are not listed, by a heartbeat that proves their absence.
+    fn find_absent(&mut self, m: usize, session: u64, listing: &mut Listing) {
+        let Some(machine) = self.machines.get_mut(m).and_then(Option::as_mut) else {
+            return;
+        };
+        for (position, claim) in machine.claims.iter_mut().enumerate() {
+            let is_listed = listing
+                .listed
+                .contains(&(claim.job, claim.task, claim.attempt));
+            if claim.state != ClaimState::Recorded || !claim.sent || is_listed {
+                continue;
+            }
+            // One that was read back may have ended and been reaped before our time.
+            // Nor is an attempt begun in two sessions: what it came to in the first would be taken for its end in
+            // the second, where a copy of an old heartbeat comes to a later leader.
+            let is_earlier = claim.session < session;
+            if claim.stage.is_some() || claim.stop.is_some() || claim.loaded || is_earlier {
+                listing.ended.push(EndedClaim::unexplained(position));
+            } else {
+                // It never got there: the same attempt can be sent again, since nothing was reaped.
+                claim.sent = false;
+                self.push.insert(m);
             }
         }
+    }
+
+    /// Records claims for tasks that have none. Returns their jobs.
+    fn take_in_strays(&mut self, m: usize, strays: Vec<Claim>) -> BTreeSet<JobIndex> {
+        let mut jobs = BTreeSet::new();
         for stray in strays {
             let id = ClaimId {
                 machine: m,
@@ -174,21 +245,142 @@
                 task: stray.task,
                 attempt: stray.attempt,
             };
-            shard.make_claim(id, stray);
-            changed.insert(id.job);
+            self.make_claim(id, stray);
+            jobs.insert(id.job);
         }
+        jobs
+    }
+
+    /// Notes results of tasks without a claim. Returns their jobs.
+    fn complete_finished(&mut self, finished: Vec<(JobIndex, u32)>) -> BTreeSet<JobIndex> {
+        let mut jobs = BTreeSet::new();
         for (ix, task) in finished {
-            if let Some(job) = shard.job_mut(ix) {
+            if let Some(job) = self.job_mut(ix) {
                 job.complete(task);
             }
-            changed.insert(ix);
+            jobs.insert(ix);
         }
-        // From the last to the first, since each leaves the list.
-        ends.sort_unstable_by_key(|(k, _, _)| std::cmp::Reverse(*k));
-        for (k, cause, saved) in ends {
-            changed.extend(self.claim_ended(m, k, cause, saved));
+        jobs
+    }
+}
+
+impl Listing {
+    /// An exited task: the end of its claim, or a result that counts without one.
+    fn note_exited(
+        &mut self,
+        ix: Option<JobIndex>,
+        task: u32,
+        position: Option<usize>,
+        status: &TaskStatus,
+    ) {
+        match position {
+            Some(position) => self.ended.push(EndedClaim {
+                position,
+                cause: status.cause,
+                saved: status.saved.unwrap_or(false),
+            }),
+            None if status.cause == Some(Cause::Done) => {
+                self.finished.extend(ix.map(|ix| (ix, task)));
+            }
+            None => {}
         }
-        if new_notice {
+    }
+}
+
+fn cache_of(catalog: &Catalog, machine_type: &str) -> Option<f64> {
+    let known = catalog.types.iter().find(|t| t.name == machine_type);
+    known.map(|t| t.cache_gb)
+}
+
+/// The class of a job, and how long its task ran against the estimate, if that says something of later tasks.
+fn measured_ratio(job: &Job, claim: &Claim, now: u64) -> Option<(String, f64)> {
+    let spec = job.spec.as_ref()?;
+    let ran_s = claim.ran_s(now)?;
+    let is_whole_run = job.progress_s == 0.0 && !job.is_ending();
+    (spec.estimate_s > 0.0 && is_whole_run).then(|| (spec.class.clone(), ran_s / spec.estimate_s))
+}
+
+/// A task failed. Where a job failed on several machines and succeeded nowhere, the fault is its own.
+fn task_failed(job: &mut Job, machine: &mut Machine, m: usize, claim: &Claim, now: u64) {
+    job.failures += 1;
+    job.failed_on.insert(m);
+    if job.failed_on.len() >= BAD_JOB_MACHINES && !job.succeeded {
+        let backoff = BAD_JOB_BACKOFF_MS << job.failures.min(BAD_JOB_DOUBLINGS);
+        job.backoff_until = now + backoff.min(LONGEST_BACKOFF_MS);
+        return;
+    }
+    job.backoff_until = now + ERROR_BACKOFF_MS;
+    machine.errors += 1;
+    *machine.error_jobs.entry(claim.job).or_default() += 1;
+    // One job alone proves nothing against a machine, unless it succeeds elsewhere.
+    let several = machine.error_jobs.len() >= 2;
+    if several || (job.succeeded && machine.errors >= 2) {
+        log::warn!(
+            "machine {}: set aside after {} errors",
+            machine.name,
+            machine.errors
+        );
+        machine.sick = true;
+    } else {
+        machine.rest_until = now + ERROR_REST_MS;
+    }
+}
+
+/// A worker did not begin a task, for want of room or since it does not know the job yet.
+fn task_refused(job: &mut Job, machine: &mut Machine, claim: &Claim, cause: Cause, now: u64) {
+    log::warn!(
+        "task {}/{} refused by {}: {:?}",
+        job.id,
+        claim.task,
+        machine.name,
+        Some(cause)
+    );
+    machine.rest_until = now + REFUSAL_REST_MS;
+    if cause == Cause::Unknown {
+        job.backoff_until = now + UNKNOWN_BACKOFF_MS;
+    }
+}
+
+/// A task was stopped or lost: what it had saved by then counts for the next attempt.
+fn note_progress(job: &mut Job, claim: &Claim, saved: bool, now: u64) {
+    let (Some(ran_s), Some(spec)) = (claim.ran_s(now), &job.spec) else {
+        return;
+    };
+    if spec.checkpoint_s > 0.0 {
+        let whole = job.progress_s + ran_s;
+        job.progress_s = if saved {
+            whole
+        } else {
+            (whole / spec.checkpoint_s).floor() * spec.checkpoint_s
+        };
+    }
+}
+
+impl Node {
+    /// Takes in a heartbeat, unless a newer one was seen. True if it is the newest.
+    pub(crate) fn absorb(&mut self, m: usize, heartbeat: &Heartbeat) -> bool {
+        let now = self.now.mono;
+        let catalog = self.shared.catalog.as_ref();
+        let Some(shard) = &mut self.shard else {
+            return false;
+        };
+        let Some(machine) = shard.machine_mut(m) else {
+            return false;
+        };
+        if (heartbeat.session, heartbeat.seq) <= machine.seen {
+            return false;
+        }
+        shard.note_contact(m, heartbeat, now);
+        let proves_absence = shard.proves_absence(m, heartbeat);
+        let has_new_notice = shard.note_notice(m, heartbeat, now);
+        let mut listing = shard.compare_listed(m, heartbeat, catalog, now);
+        if proves_absence {
+            shard.find_absent(m, heartbeat.session, &mut listing);
+        }
+        let mut changed = shard.take_in_strays(m, listing.strays);
+        changed.extend(shard.complete_finished(listing.finished));
+        changed.extend(self.end_claims(m, listing.ended));
+        if has_new_notice {
             self.drain_for_notice(m);
         }
         for ix in changed {
@@ -197,105 +389,56 @@
         true
     }
 
-    /// A task is proved gone. Returns its job.
-    pub(crate) fn claim_ended(
+    /// Ends several claims of a machine. Returns their jobs.
+    pub(crate) fn end_claims(
         &mut self,
         m: usize,
-        k: usize,
-        cause: Option<Cause>,
-        saved: bool,
-    ) -> Option<JobIndex> {
+        mut ended: Vec<EndedClaim>,
+    ) -> BTreeSet<JobIndex> {
+        // From the last to the first, since each leaves the list.
+        ended.sort_unstable_by_key(|end| std::cmp::Reverse(end.position));
+        ended
+            .into_iter()
+            .filter_map(|end| self.claim_ended(m, end))
+            .collect()
+    }
+
+    /// A task is proved gone. Returns its job.
+    fn claim_ended(&mut self, m: usize, end: EndedClaim) -> Option<JobIndex> {
         let now = self.now.mono;
         let shard = self.shard.as_mut()?;
         let machine = shard.machines.get_mut(m)?.as_mut()?;
-        if k >= machine.claims.len() {
+        if end.position >= machine.claims.len() {
             return None;
         }
-        let claim = machine.claims.remove(k);
+        let claim = machine.claims.remove(end.position);
         shard.claim_log.ended(claim.segment);
         let job = shard.jobs.get_mut(claim.job)?.as_mut()?;
         log::debug!(
-            "task {}/{} attempt {} on {}: ended, {cause:?}",
+            "task {}/{} attempt {} on {}: ended, {:?}",
             job.id,
             claim.task,
             claim.attempt,
-            machine.name
+            machine.name,
+            end.cause
         );
-        if matches!(claim.stage, Some(TaskStage::Running | TaskStage::Saving)) {
+        if is_running(claim.stage) {
             job.running = job.running.saturating_sub(1);
         }
-        let ran = claim
-            .running_since
-            .map(|t| now.saturating_sub(t) as f64 / 1000.0);
-        match cause {
+        match end.cause {
             Some(Cause::Done) => {
-                if let (Some(ran), Some(spec)) = (ran, &job.spec)
-                    && spec.estimate_s > 0.0
-                    && job.progress_s == 0.0
-                    && !job.is_ending()
-                {
-                    shard
-                        .classes
-                        .entry(spec.class.clone())
-                        .or_default()
-                        .learn(ran / spec.estimate_s);
+                if let Some((class, ratio)) = measured_ratio(job, &claim, now) {
+                    shard.classes.entry(class).or_default().learn(ratio);
                 }
                 job.complete(claim.task);
                 machine.errors = 0;
                 machine.error_jobs.clear();
             }
-            Some(Cause::Error) => {
-                job.failures += 1;
-                job.failed_on.insert(m);
-                // Where a job failed on several machines and succeeded nowhere, the fault is its own.
-                let job_is_bad = job.failed_on.len() >= 3 && !job.succeeded;
-                let backoff = if job_is_bad {
-                    (1000u64 << job.failures.min(5)).min(30_000)
-                } else {
-                    200
-                };
-                job.backoff_until = now + backoff;
-                if !job_is_bad {
-                    machine.errors += 1;
-                    *machine.error_jobs.entry(claim.job).or_default() += 1;
-                    // One job alone proves nothing against a machine, unless it succeeds elsewhere.
-                    let several = machine.error_jobs.len() >= 2;
-                    if several || (job.succeeded && machine.errors >= 2) {
-                        log::warn!(
-                            "machine {}: set aside after {} errors",
-                            machine.name,
-                            machine.errors
-                        );
-                        machine.sick = true;
-                    } else {
-                        machine.rest_until = now + 3000;
-                    }
-                }
-            }
-            Some(Cause::NoRoom | Cause::Busy | Cause::Unknown) => {
-                log::warn!(
-                    "task {}/{} refused by {}: {cause:?}",
-                    job.id,
-                    claim.task,
-                    machine.name
-                );
-                machine.rest_until = now + 2000;
-                if cause == Some(Cause::Unknown) {
-                    job.backoff_until = now + 1000;
-                }
-            }
-            _ => {
-                if let (Some(ran), Some(spec)) = (ran, &job.spec)
-                    && spec.checkpoint_s > 0.0
-                {
-                    let whole = job.progress_s + ran;
-                    job.progress_s = if saved {
-                        whole
-                    } else {
-                        (whole / spec.checkpoint_s).floor() * spec.checkpoint_s
-                    };
-                }
+            Some(Cause::Error) => task_failed(job, machine, m, &claim, now),
+            Some(cause @ (Cause::NoRoom | Cause::Busy | Cause::Unknown)) => {
+                task_refused(job, machine, &claim, cause, now);
             }
+            _ => note_progress(job, &claim, end.saved, now),
         }
         job.unclaim(claim.task, m, claim.attempt);
         if machine.claims.is_empty() {
@@ -307,11 +450,8 @@
 
     /// Claims of which nothing was sent are over at once: no proof is needed.
     pub(crate) fn never_started(&mut self, m: usize, claims: &[usize]) {
-        let mut changed = BTreeSet::new();
-        for k in claims.iter().rev() {
-            changed.extend(self.claim_ended(m, *k, None, false));
-        }
-        for ix in changed {
+        let ended = claims.iter().copied().map(EndedClaim::unexplained);
+        for ix in self.end_claims(m, ended.collect()) {
             self.job_changed(ix);
         }
     }
@@ -331,9 +471,7 @@
             let Some(spec) = shard.job(c.job).and_then(|j| j.spec.as_ref()) else {
                 continue;
             };
-            let ran = c
-                .running_since
-                .map_or(0.0, |t| now.saturating_sub(t) as f64 / 1000.0);
+            let ran = c.ran_s(now).unwrap_or(0.0);
             if spec.checkpoint_s > 0.0 || c.running_since.is_none() || spec.estimate_s - ran > left
             {
                 stops.push((c.job, grace(spec)));
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -1,6 +1,7 @@
 //! The cloud: its catalogue, its late list, rentals and returns.
 
 use crate::agents::machine::Machine;
+use crate::agents::reconciliation::EndedClaim;
 use crate::leadership::election::SHARD;
 use crate::store::shard::{Rental, RentalState};
 use crate::{Destination, Node, Pending};
@@ -322,9 +323,8 @@
             let claims = machine.claims.len();
             shard.returned.insert(name, now);
             // The cloud's word is proof: everything on the machine is gone.
-            for k in (0..claims).rev() {
-                changed.extend(self.claim_ended(m, k, None, false));
-            }
+            let ended = (0..claims).map(EndedClaim::unexplained);
+            changed.extend(self.end_claims(m, ended.collect()));
             if let Some(shard) = &mut self.shard {
                 shard.remove_machine(m);
             }
