--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -5,6 +5,8 @@
 use crate::leadership::peer_status::TOKEN_BOUND;
 use wire::api::{Heartbeat, Order, Orders, Redirect};
 
+const LONGEST_NAME: usize = 100;
+
 /// What a heartbeat is answered.
 pub(crate) enum HeartbeatReply {
     /// The body of a 200.
@@ -13,33 +15,17 @@
 }
 
 impl Node {
+    /// A worker's heartbeat. A node that leads no fleet forwards it, or names the leader.
     pub(crate) fn heartbeat_received(&mut self, conn: u64, body: &[u8]) {
         let heartbeat: Heartbeat = match wire::decode(body) {
-            Ok(r) => r,
+            Ok(heartbeat) => heartbeat,
             Err(e) => return self.refuse(conn, 400, &e.to_string()),
         };
-        if self.shard.is_none() {
-            if let Some(body) = self.keeps(&heartbeat) {
-                return self.respond(conn, 200, body, None);
-            }
-            if self.takes(conn, &heartbeat, body) {
-                return;
-            }
-            return match self.leader_name().filter(|o| *o != self.settings.node) {
-                Some(node) => {
-                    let body = wire::encode(&Redirect {
-                        report_to: Some(node),
-                    });
-                    self.respond(conn, 421, body, None)
-                }
-                None => self.refuse(conn, 503, "no owner yet"),
-            };
+        if !self.leads() {
+            return self.heartbeat_for_leader(conn, &heartbeat, body);
         }
         if let Some(node) = self.moved_to(&heartbeat) {
-            let body = wire::encode(&Redirect {
-                report_to: Some(node),
-            });
-            return self.respond(conn, 421, body, None);
+            return self.redirect(conn, node);
         }
         match self.take_heartbeat(&heartbeat, None) {
             HeartbeatReply::Orders(body) => self.respond(conn, 200, body, None),
@@ -47,6 +33,28 @@
         }
     }
 
+    /// A heartbeat to a node that does not lead the fleet: kept alive on the leader's behalf, forwarded, or sent on.
+    fn heartbeat_for_leader(&mut self, conn: u64, heartbeat: &Heartbeat, body: &[u8]) {
+        if let Some(body) = self.keeps(heartbeat) {
+            return self.respond(conn, 200, body, None);
+        }
+        if self.takes(conn, heartbeat, body) {
+            return;
+        }
+        match self.leader_name().filter(|o| *o != self.settings.node) {
+            Some(node) => self.redirect(conn, node),
+            None => self.refuse(conn, 503, "no owner yet"),
+        }
+    }
+
+    /// Sends a worker to another controller.
+    fn redirect(&mut self, conn: u64, node: String) {
+        let body = wire::encode(&Redirect {
+            report_to: Some(node),
+        });
+        self.respond(conn, 421, body, None);
+    }
+
     /// A heartbeat to the leader, from the worker itself or by way of a peer.
     pub(crate) fn take_heartbeat(
         &mut self,
@@ -112,21 +120,17 @@
         let Some(machine) = shard.machine_mut(m) else {
             return false;
         };
-        if (heartbeat.session, heartbeat.seq) > machine.seen {
+        let number = (heartbeat.session, heartbeat.seq);
+        if number > machine.seen {
             machine.via = via;
             machine.heartbeat_at = now;
             // It has heard of us after that first heartbeat, if it obeys a token now that it did not know then.
             machine.unconfirmed_token = machine
                 .unconfirmed_token
                 .filter(|token| *token >= ours || heartbeat.token < ours);
-            if machine
+            machine.unacknowledged_start = machine
                 .unacknowledged_start
-                .is_some_and(|unacknowledged_start| {
-                    unacknowledged_start < (heartbeat.session, heartbeat.seq)
-                })
-            {
-                machine.unacknowledged_start = None;
-            }
+                .filter(|start| *start >= number);
         }
         self.absorb(m, heartbeat)
     }
@@ -157,33 +161,33 @@
         if let Some(m) = shard.machine_index.get(&heartbeat.machine) {
             return Some(*m);
         }
-        if shard.returned.contains_key(&heartbeat.machine) || !name_ok(&heartbeat.machine) {
+        if shard.returned.contains_key(&heartbeat.machine) || !is_valid_name(&heartbeat.machine) {
             return None;
         }
         log::info!(
             "machine {}: heartbeats unexpectedly, taken in",
             heartbeat.machine
         );
-        let r = heartbeat;
         let mut machine = Machine::unrecorded(
-            &r.machine,
-            &r.machine_type,
-            &r.zone,
-            r.spot,
+            &heartbeat.machine,
+            &heartbeat.machine_type,
+            &heartbeat.zone,
+            heartbeat.spot,
             now.wall,
             now.mono,
         );
-        machine.unconfirmed_token = Some(r.token);
-        machine.addr = r.addr.parse().ok();
+        machine.unconfirmed_token = Some(heartbeat.token);
+        machine.addr = heartbeat.addr.parse().ok();
         let m = shard.add_machine(machine);
         self.probe_machine(m);
         Some(m)
     }
 }
 
-fn name_ok(name: &str) -> bool {
+/// Whether a machine may be called so.
+fn is_valid_name(name: &str) -> bool {
     !name.is_empty()
-        && name.len() <= 100
+        && name.len() <= LONGEST_NAME
         && name
             .bytes()
             .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
--- a/crates/control/src/agents/orders.rs
+++ b/crates/control/src/agents/orders.rs
@@ -4,103 +4,137 @@
 //! only costs time.
 
 use crate::Node;
-use crate::agents::machine::{Claim, ClaimState};
+use crate::agents::machine::{Claim, ClaimState, Exited};
+use crate::jobs::job::Job;
+use crate::store::shard::Shard;
 use wire::api::{Cause, Kind, Order, TaskStage};
 use wire::ids;
 
+/// Orders that one machine is given at a time.
+const MOST_ORDERS: usize = 400;
+/// A stop that shows no effect is repeated after so long; one without grace sooner, also while its task saves.
+const STOP_AGAIN_MS: u64 = 1500;
+const STOP_AT_ONCE_AGAIN_MS: u64 = 500;
+
+/// Whether a claimed task may be started now. A gang starts only when all its claims stand.
+fn is_startable(claim: &Claim, job: &Job) -> bool {
+    let is_whole = !job.broken && job.claimed.len() == job.tasks as usize;
+    let is_unstarted = claim.stage.is_none() && !claim.sent;
+    is_unstarted && !job.is_ending() && (job.kind() != Kind::Gang || is_whole)
+}
+
+/// The start of a claimed task, which is noted as sent.
+fn start(claim: &mut Claim, job: &Job, session: u64) -> Order {
+    claim.sent = true;
+    claim.session = session;
+    Order::Start {
+        task: ids::task_name(&job.id, claim.task),
+        attempt: claim.attempt,
+    }
+}
+
+fn stop(claim: &Claim, job: &Job, grace_s: f64) -> Order {
+    Order::Stop {
+        task: ids::task_name(&job.id, claim.task),
+        attempt: claim.attempt,
+        grace_s,
+    }
+}
+
+/// The stop of a started task, unless its worker has been told. Saving takes its time: told once, unless it is to end
+/// at once.
+fn stop_if_due(claim: &mut Claim, job: &Job, grace_s: f64, now: u64) -> Option<Order> {
+    let is_told = claim
+        .stop_sent
+        .is_some_and(|at| claim.stage == Some(TaskStage::Saving) || at + STOP_AGAIN_MS > now);
+    let is_urgent = grace_s == 0.0
+        && claim
+            .stop_sent
+            .is_none_or(|at| at + STOP_AT_ONCE_AGAIN_MS <= now);
+    if is_told && !is_urgent {
+        return None;
+    }
+    claim.stop_sent = Some(now);
+    Some(stop(claim, job, grace_s))
+}
+
+impl Shard {
+    /// Exited tasks that the worker may forget: those without a claim whose result is safe.
+    fn reaps(&self, m: usize) -> Vec<Order> {
+        let Some(machine) = self.machine(m) else {
+            return Vec::new();
+        };
+        let may_reap = |exited: &&Exited| {
+            let ix = self.job_index.get(&exited.job).copied();
+            let job = ix.and_then(|ix| self.job(ix));
+            let is_claimed = ix.is_some_and(|ix| {
+                machine
+                    .claim_position(ix, exited.task, exited.attempt)
+                    .is_some()
+            });
+            // The result first, then the reaping.
+            let is_safe = exited.cause != Some(Cause::Done)
+                || job.is_none_or(|job| job.recorded(exited.task));
+            !is_claimed && is_safe
+        };
+        let reap = |exited: &Exited| Order::Reap {
+            task: ids::task_name(&exited.job, exited.task),
+            attempt: exited.attempt,
+        };
+        machine.exited.iter().filter(may_reap).map(reap).collect()
+    }
+}
+
 impl Node {
     /// What the worker is to do now. Only a leader that is sure of its lease gives orders.
     pub(crate) fn orders_for(&mut self, m: usize) -> Vec<Order> {
-        let mut orders = Vec::new();
         if !self.may_decide() {
             return self.last_orders(m);
         }
         let now = self.now.mono;
         let silent = self.silent_ms();
         let Some(shard) = &mut self.shard else {
-            return orders;
+            return Vec::new();
         };
         let Some(machine) = shard.machines.get_mut(m).and_then(Option::as_mut) else {
-            return orders;
+            return Vec::new();
         };
-        // Nothing begins in the last of a lease, or on a machine that goes.
-        let may_start = machine.unanswered_command.is_none()
-            && !machine.deleting
-            && !machine.is_heartbeat_overdue(now, silent);
         // Two ways at once would make an absence in a heartbeat prove nothing.
         if machine.direct.is_some() {
-            return orders;
+            return Vec::new();
         }
         shard.push.remove(&m);
+        let has_doubt = machine.unanswered_command.is_some();
+        // Nothing begins in the last of a lease, or on a machine that goes.
+        let may_start =
+            !has_doubt && !machine.deleting && !machine.is_heartbeat_overdue(now, silent);
+        let session = machine.seen.0;
+        let mut orders = Vec::new();
         let mut never_started = Vec::new();
-        for (k, c) in machine.claims.iter_mut().enumerate() {
-            if c.state != ClaimState::Recorded {
-                continue;
-            }
-            let Some(job) = shard.jobs.get(c.job).and_then(Option::as_ref) else {
+        for (position, claim) in machine.claims.iter_mut().enumerate() {
+            let job = shard.jobs.get(claim.job).and_then(Option::as_ref);
+            let Some(job) = job.filter(|_| claim.state == ClaimState::Recorded) else {
                 continue;
             };
-            if let Some(grace_s) = c.stop {
-                if !c.sent {
-                    never_started.push(k);
-                    continue;
+            match claim.stop {
+                Some(_) if !claim.sent => never_started.push(position),
+                Some(grace_s) => orders.extend(stop_if_due(claim, job, grace_s, now)),
+                None if may_start && is_startable(claim, job) => {
+                    orders.push(start(claim, job, session));
                 }
-                // Saving takes its time: told once, unless it is to end at once.
-                let told = c
-                    .stop_sent
-                    .is_some_and(|at| c.stage == Some(TaskStage::Saving) || at + 1500 > now);
-                if !told || (grace_s == 0.0 && c.stop_sent.is_none_or(|at| at + 500 <= now)) {
-                    c.stop_sent = Some(now);
-                    orders.push(Order::Stop {
-                        task: ids::task_name(&job.id, c.task),
-                        attempt: c.attempt,
-                        grace_s,
-                    });
-                }
-            } else if c.stage.is_none() && !c.sent && !job.is_ending() && may_start {
-                // A gang starts only when all its claims stand.
-                if job.kind() == Kind::Gang
-                    && (job.broken || job.claimed.len() != job.tasks as usize)
-                {
-                    continue;
-                }
-                c.sent = true;
-                c.session = machine.seen.0;
-                orders.push(Order::Start {
-                    task: ids::task_name(&job.id, c.task),
-                    attempt: c.attempt,
-                });
+                None => {}
             }
         }
-        if machine.unanswered_command.is_none() {
-            for e in &machine.exited {
-                let ix = shard.job_index.get(&e.job).copied();
-                let job = ix
-                    .and_then(|ix| shard.jobs.get(ix))
-                    .and_then(Option::as_ref);
-                let claimed = ix.is_some_and(|ix| {
-                    machine
-                        .claims
-                        .iter()
-                        .any(|c| c.job == ix && c.task == e.task && c.attempt == e.attempt)
-                });
-                // The result first, then the reaping.
-                let safe = e.cause != Some(Cause::Done) || job.is_none_or(|j| j.recorded(e.task));
-                if !claimed && safe {
-                    orders.push(Order::Reap {
-                        task: ids::task_name(&e.job, e.task),
-                        attempt: e.attempt,
-                    });
-                }
-            }
+        if !has_doubt {
+            orders.extend(shard.reaps(m));
         }
         self.never_started(m, &never_started);
-        orders.truncate(400);
+        orders.truncate(MOST_ORDERS);
         orders
     }
 
-    /// All that a leader says that is unsure, or that asks: jobs that their users have cancelled here are to stop. Their ends are
-    /// never taken back, and no worker is told to live on without it.
+    /// All that a leader says that is unsure, or that asks: jobs that their users have cancelled here are to stop. Their
+    /// ends are never taken back, and no worker is told to live on without it.
     pub(crate) fn last_orders(&self, m: usize) -> Vec<Order> {
         let Some(shard) = &self.shard else {
             return Vec::new();
@@ -108,15 +142,11 @@
         let Some(machine) = shard.machine(m).filter(|x| x.direct.is_none()) else {
             return Vec::new();
         };
-        let stop = |c: &Claim| {
-            let job = shard.job(c.job).filter(|j| c.sent && j.is_unwanted())?;
-            let task = ids::task_name(&job.id, c.task);
-            Some(Order::Stop {
-                task,
-                attempt: c.attempt,
-                grace_s: 0.0,
-            })
+        let stop_if_unwanted = |claim: &Claim| {
+            let job = shard.job(claim.job);
+            let job = job.filter(|job| claim.sent && job.is_unwanted())?;
+            Some(stop(claim, job, 0.0))
         };
-        machine.claims.iter().filter_map(stop).collect()
+        machine.claims.iter().filter_map(stop_if_unwanted).collect()
     }
 }
