--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -3,6 +3,7 @@
 use crate::Node;
 use crate::agents::machine::Machine;
 use crate::leadership::peer_status::TOKEN_BOUND;
+use std::fmt;
 use wire::api::{Heartbeat, Order, Orders, Redirect};
 
 const LONGEST_NAME: usize = 100;
@@ -11,7 +12,33 @@
 pub(crate) enum HeartbeatReply {
     /// The body of a 200.
     Orders(Vec<u8>),
-    Refused(&'static str),
+    Refused(HeartbeatRefusal),
+}
+
+/// Why a heartbeat is not taken. Its sender reads the text.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum HeartbeatRefusal {
+    NotLeader,
+    /// The leader's lease may have run out, for longer than it may renew the leases of others.
+    UnsureForLong,
+    /// The worker obeys a token that no leader can have had.
+    ImpossibleToken,
+    /// The worker obeys a higher token, and the leader goes above it.
+    RaisingToken,
+    /// The worker obeys a later leader.
+    SteppedDown,
+}
+
+impl fmt::Display for HeartbeatRefusal {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            HeartbeatRefusal::NotLeader => "not the owner",
+            HeartbeatRefusal::UnsureForLong => "not sure for too long",
+            HeartbeatRefusal::ImpossibleToken => "that token was never given out",
+            HeartbeatRefusal::RaisingToken => "raising the token",
+            HeartbeatRefusal::SteppedDown => "not the owner any more",
+        })
+    }
 }
 
 impl Node {
@@ -29,7 +56,7 @@
         }
         match self.take_heartbeat(&heartbeat, None) {
             HeartbeatReply::Orders(body) => self.respond(conn, 200, body, None),
-            HeartbeatReply::Refused(why) => self.refuse(conn, 503, why),
+            HeartbeatReply::Refused(why) => self.refuse(conn, 503, &why.to_string()),
         }
     }
 
@@ -62,7 +89,7 @@
         via: Option<usize>,
     ) -> HeartbeatReply {
         let Some(shard) = &self.shard else {
-            return HeartbeatReply::Refused("not the owner");
+            return HeartbeatReply::Refused(HeartbeatRefusal::NotLeader);
         };
         if heartbeat.token > shard.token {
             return HeartbeatReply::Refused(self.outranked(heartbeat.token));
@@ -79,7 +106,7 @@
             return HeartbeatReply::Orders(body);
         }
         if !self.may_renew() {
-            return HeartbeatReply::Refused("not sure for too long");
+            return HeartbeatReply::Refused(HeartbeatRefusal::UnsureForLong);
         }
         let orders = match self.sender_of(heartbeat) {
             Some(m) if self.heard(m, heartbeat, via) => {
@@ -137,21 +164,21 @@
 
     /// Its worker obeys a higher token than ours. While sure of our lease that can only be a stray number, and
     /// we go above it; otherwise there is a new leader.
-    fn outranked(&mut self, token: u64) -> &'static str {
+    fn outranked(&mut self, token: u64) -> HeartbeatRefusal {
         log::warn!("a worker obeys token {token}, above ours");
         if self.has_valid_lease() {
             // One worker's absurd number must neither use up the counter nor unseat a rightful leader.
             if token >= TOKEN_BOUND {
-                return "that token was never given out";
+                return HeartbeatRefusal::ImpossibleToken;
             }
             self.shared.token = self.shared.token.max(token);
             if let Some(shard) = &mut self.shard {
                 shard.raise_token = true;
             }
-            return "raising the token";
+            return HeartbeatRefusal::RaisingToken;
         }
         self.step_down("workers obey a higher token");
-        "not the owner any more"
+        HeartbeatRefusal::SteppedDown
     }
 
     /// The machine that a heartbeat comes from; one that nobody expected is taken in.
--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -207,6 +207,15 @@
             && self.unanswered_command.is_none()
     }
 
+    /// May be sent a direct command: no other is out or in doubt.
+    pub fn takes_commands(&self) -> bool {
+        self.up
+            && self.addr.is_some()
+            && self.direct.is_none()
+            && self.unanswered_command.is_none()
+            && !self.deleting
+    }
+
     /// It has reported to us, or to an earlier leader who gave it tasks.
     pub fn is_known_up(&self) -> bool {
         self.up || !self.claims.is_empty()
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -51,7 +51,7 @@
 
 /// What comparing a heartbeat with the recorded claims has brought to light.
 #[derive(Default)]
-struct Listing {
+struct Comparison {
     listed: Vec<ListedTask>,
     ended: Vec<EndedClaim>,
     /// Tasks that are there without a claim.
@@ -125,10 +125,10 @@
         heartbeat: &Heartbeat,
         catalog: Option<&Catalog>,
         now: u64,
-    ) -> Listing {
-        let mut listing = Listing {
+    ) -> Comparison {
+        let mut comparison = Comparison {
             listed: Vec::with_capacity(heartbeat.tasks.len()),
-            ..Listing::default()
+            ..Comparison::default()
         };
         let mut exited = Vec::new();
         for status in &heartbeat.tasks {
@@ -137,7 +137,7 @@
             };
             let ix = self.job_index.get(id).copied();
             let position = ix.and_then(|ix| {
-                listing.listed.push((ix, task, status.attempt));
+                comparison.listed.push((ix, task, status.attempt));
                 self.machine(m)?.claim_position(ix, task, status.attempt)
             });
             match position {
@@ -148,7 +148,7 @@
                         attempt: status.attempt,
                         cause: status.cause,
                     });
-                    listing.note_exited(ix, task, position, status);
+                    comparison.note_exited(ix, task, position, status);
                 }
                 Some(position) => self.note_stage(m, position, status.stage, catalog, now),
                 // A heartbeat from before our time may be a copy of one that was overtaken long ago.
@@ -161,7 +161,7 @@
                         status.task,
                         status.attempt
                     );
-                    listing
+                    comparison
                         .strays
                         .extend(ix.map(|ix| Claim::stray(ix, task, status.attempt)));
                 }
@@ -170,7 +170,7 @@
         if let Some(machine) = self.machine_mut(m) {
             machine.exited = exited;
         }
-        listing
+        comparison
     }
 
     /// A claimed task is listed, and has not exited.
@@ -210,12 +210,12 @@
     }
 
     /// Claims whose tasks are not listed, by a heartbeat that proves their absence.
-    fn find_absent(&mut self, m: usize, session: u64, listing: &mut Listing) {
+    fn find_absent(&mut self, m: usize, session: u64, comparison: &mut Comparison) {
         let Some(machine) = self.machines.get_mut(m).and_then(Option::as_mut) else {
             return;
         };
         for (position, claim) in machine.claims.iter_mut().enumerate() {
-            let is_listed = listing
+            let is_listed = comparison
                 .listed
                 .contains(&(claim.job, claim.task, claim.attempt));
             if claim.state != ClaimState::Recorded || !claim.sent || is_listed {
@@ -226,7 +226,7 @@
             // the second, where a copy of an old heartbeat comes to a later leader.
             let is_earlier = claim.session < session;
             if claim.stage.is_some() || claim.stop.is_some() || claim.loaded || is_earlier {
-                listing.ended.push(EndedClaim::unexplained(position));
+                comparison.ended.push(EndedClaim::unexplained(position));
             } else {
                 // It never got there: the same attempt can be sent again, since nothing was reaped.
                 claim.sent = false;
@@ -264,7 +264,7 @@
     }
 }
 
-impl Listing {
+impl Comparison {
     /// An exited task: the end of its claim, or a result that counts without one.
     fn note_exited(
         &mut self,
@@ -373,13 +373,13 @@
         shard.note_contact(m, heartbeat, now);
         let proves_absence = shard.proves_absence(m, heartbeat);
         let has_new_notice = shard.note_notice(m, heartbeat, now);
-        let mut listing = shard.compare_listed(m, heartbeat, catalog, now);
+        let mut comparison = shard.compare_listed(m, heartbeat, catalog, now);
         if proves_absence {
-            shard.find_absent(m, heartbeat.session, &mut listing);
+            shard.find_absent(m, heartbeat.session, &mut comparison);
         }
-        let mut changed = shard.take_in_strays(m, listing.strays);
-        changed.extend(shard.complete_finished(listing.finished));
-        changed.extend(self.end_claims(m, listing.ended));
+        let mut changed = shard.take_in_strays(m, comparison.strays);
+        changed.extend(shard.complete_finished(comparison.finished));
+        changed.extend(self.end_claims(m, comparison.ended));
         if has_new_notice {
             self.drain_for_notice(m);
         }
