--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -377,7 +377,9 @@
             Pending::Verify { term: e } if e == term => self.verified(response),
             Pending::List { term: e } if e == term => self.list_received(response),
             Pending::Rental { term: e, name } if e == term => self.rental_answered(name, response),
-            Pending::Delete { term: e, machines } if e == term => self.deleted(machines, response),
+            Pending::Delete { term: e, machines } if e == term => {
+                self.returns_received(machines, response)
+            }
             Pending::Direct {
                 term: e,
                 machine,
@@ -393,7 +395,7 @@
                 machine,
                 serial,
                 via,
-            } if e == term => self.show_received(
+            } if e == term => self.probe_received(
                 machine,
                 serial,
                 if via { relay::told(response) } else { response },
--- /dev/null
+++ b/crates/control/src/provisioning/catalog.rs
@@ -0,0 +1,57 @@
+//! The cloud's catalogue of machine types: read anew every minute, by the leader, or by whoever has none yet.
+
+use crate::provisioning::REQUEST;
+use crate::{Node, Pending};
+use std::ops::Range;
+use wire::api::Catalog;
+use wire::http::Response;
+
+const CATALOG_EVERY_MS: u64 = 60_000;
+/// After a failure it is read again within this time.
+const RETRY_MS: Range<u64> = 1000..2500;
+/// Machine types beyond these are not looked at.
+const MOST_TYPES: usize = 64;
+
+impl Node {
+    /// Reads the catalogue where that is due.
+    pub(crate) fn catalog_tick(&mut self) {
+        let now = self.now.mono;
+        if now < self.catalog_at || !self.cloud.try_take(now, REQUEST) {
+            return;
+        }
+        self.catalog_at = now + CATALOG_EVERY_MS;
+        self.ask_cloud("GET", "/catalog".into(), Vec::new(), Pending::Catalog);
+    }
+
+    pub(crate) fn catalog_received(&mut self, response: Option<Response>) {
+        let catalog = response
+            .filter(|r| r.status == 200)
+            .and_then(|r| self.read::<Catalog>("cloud", &r));
+        let Some(mut catalog) = catalog else {
+            self.catalog_at = self.now.mono + self.rng.u64(RETRY_MS);
+            return;
+        };
+        catalog.types.truncate(MOST_TYPES);
+        let is_recorded = self.shared.catalog_version > 0
+            && self
+                .shared
+                .catalog
+                .as_ref()
+                .is_some_and(|recorded| has_same_types(recorded, &catalog));
+        self.shared.catalog = Some(catalog);
+        if let Some(shard) = &mut self.shard {
+            shard.catalog_dirty |= !is_recorded;
+            shard.plan_due = true;
+        }
+    }
+}
+
+/// Whether two catalogues name the same types in the same zones. Prices move all the time; the record is for those who
+/// start without the cloud.
+fn has_same_types(a: &Catalog, b: &Catalog) -> bool {
+    let names = |catalog: &Catalog| -> Vec<(String, Vec<String>)> {
+        let types = catalog.types.iter();
+        types.map(|t| (t.name.clone(), t.zones.clone())).collect()
+    };
+    names(a) == names(b)
+}
--- /dev/null
+++ b/crates/control/src/provisioning/rentals.rs
@@ -0,0 +1,170 @@
+//! Scaling out: rentals, which are recorded before they are requested from the cloud.
+
+use crate::agents::machine::Machine;
+use crate::leadership::election::SHARD;
+use crate::provisioning::REQUEST;
+use crate::store::shard::{Rental, RentalState, Shard};
+use crate::{Node, Pending};
+use std::ops::Range;
+use wire::api::{ErrorBody, HireRequest, MachineNames};
+use wire::http::Response;
+use wire::records::RentalRecord;
+
+/// Machines in one rental.
+const MOST_RENTED: u32 = 50;
+/// After no answer a rental is requested again within this time.
+const RETRY_MS: Range<u64> = 500..1500;
+/// A kind of machine of which there were fewer than asked for is left alone for so long.
+const SHORTAGE_MS: u64 = 20_000;
+/// One of which there was none is left alone for so long, times the refusals in a row up to so many.
+const REFUSAL_MS: u64 = 8000;
+const MOST_REFUSALS: u32 = 4;
+/// How the cloud says that there is none.
+const NO_CAPACITY: &str = "no capacity";
+
+/// What a request for machines came to.
+enum RentalAnswer {
+    Granted(Vec<String>),
+    NoneToBeHad,
+    /// Not known: it is requested again, under the same name.
+    Unknown,
+}
+
+impl Node {
+    /// Writes a rental down; it is sent once the record stands.
+    pub(crate) fn rental(&mut self, machine_type: &str, zone: &str, spot: bool, count: u32) {
+        let wall = self.now.wall;
+        let Some(shard) = &mut self.shard else { return };
+        let serial = shard.next_serial();
+        let name = format!("r-{SHARD}-{}-{serial}", shard.token);
+        log::info!("rental {name}: {count} of {machine_type} in {zone}, spot {spot}");
+        let rec = RentalRecord {
+            machine_type: machine_type.into(),
+            zone: zone.into(),
+            spot,
+            count: count.min(MOST_RENTED),
+            at_ms: wall,
+        };
+        shard.rentals.insert(
+            name,
+            Rental {
+                rec,
+                version: 0,
+                busy: false,
+                retry_at: 0,
+                state: RentalState::New,
+            },
+        );
+    }
+
+    /// Requests rentals that are recorded; the same name again until there is an answer.
+    pub(super) fn send_rentals(&mut self) {
+        let (now, term) = (self.now.mono, self.term);
+        let Some(shard) = &self.shard else { return };
+        let is_due = |rental: &Rental| {
+            rental.state == RentalState::Recorded && !rental.busy && rental.retry_at <= now
+        };
+        let due: Vec<(String, RentalRecord)> = shard
+            .rentals
+            .iter()
+            .filter(|(_, rental)| is_due(rental))
+            .map(|(name, rental)| (name.clone(), rental.rec.clone()))
+            .collect();
+        for (name, rec) in due {
+            if !self.cloud.try_take(now, REQUEST) {
+                break;
+            }
+            if let Some(rental) = self.shard.as_mut().and_then(|p| p.rentals.get_mut(&name)) {
+                rental.busy = true;
+            }
+            let body = wire::encode(&HireRequest {
+                request: name.clone(),
+                machine_type: rec.machine_type,
+                zone: rec.zone,
+                spot: rec.spot,
+                count: rec.count,
+            });
+            let what = Pending::Rental { term, name };
+            self.ask_cloud("POST", "/machines".into(), body, what);
+        }
+    }
+
+    /// A rental was answered, or not.
+    pub(crate) fn rental_answered(&mut self, name: String, response: Option<Response>) {
+        let now = self.now.mono;
+        let answer = self.rental_answer(response);
+        let wait = self.rng.u64(RETRY_MS);
+        let Some(shard) = &mut self.shard else { return };
+        let Some(rental) = shard.rentals.get_mut(&name) else {
+            return;
+        };
+        self.to_write = true;
+        rental.busy = false;
+        let rec = rental.rec.clone();
+        match answer {
+            RentalAnswer::Granted(machines) => {
+                rental.state = RentalState::Over;
+                shard.rental_granted(&rec, machines, now);
+            }
+            RentalAnswer::NoneToBeHad => {
+                log::info!("rental {name}: none to be had");
+                rental.state = RentalState::Over;
+                shard.rental_refused(&rec, now);
+            }
+            RentalAnswer::Unknown => rental.retry_at = now + wait,
+        }
+        shard.plan_due = true;
+    }
+
+    fn rental_answer(&mut self, response: Option<Response>) -> RentalAnswer {
+        let Some(response) = response else {
+            return RentalAnswer::Unknown;
+        };
+        let has_no_capacity = || {
+            wire::decode::<ErrorBody>(&response.body).is_ok_and(|body| body.error == NO_CAPACITY)
+        };
+        match response.status {
+            200 => self
+                .read::<MachineNames>("cloud", &response)
+                .map_or(RentalAnswer::Unknown, |got| {
+                    RentalAnswer::Granted(got.machines)
+                }),
+            400 => RentalAnswer::NoneToBeHad,
+            503 if has_no_capacity() => RentalAnswer::NoneToBeHad,
+            _ => RentalAnswer::Unknown,
+        }
+    }
+}
+
+impl Shard {
+    /// Takes in the machines of a rental, unless they are known from elsewhere.
+    fn rental_granted(&mut self, rec: &RentalRecord, machines: Vec<String>, now: u64) {
+        let kind = kind_of(rec);
+        if (machines.len() as u32) < rec.count {
+            self.refused.insert(kind, (now + SHORTAGE_MS, 1));
+        } else {
+            self.refused.remove(&kind);
+        }
+        for name in machines {
+            if self.machine_index.contains_key(&name) || self.returned.contains_key(&name) {
+                continue;
+            }
+            let (machine_type, zone) = (&rec.machine_type, &rec.zone);
+            let machine = Machine::unrecorded(&name, machine_type, zone, rec.spot, rec.at_ms, now);
+            self.add_machine(machine);
+        }
+    }
+
+    /// Leaves a kind of machine alone for a while, longer with each refusal in a row.
+    fn rental_refused(&mut self, rec: &RentalRecord, now: u64) {
+        let kind = kind_of(rec);
+        let times = self.refused.get(&kind).map_or(0, |(_, times)| *times) + 1;
+        let until = now + REFUSAL_MS * u64::from(times.min(MOST_REFUSALS));
+        self.refused.insert(kind, (until, times));
+    }
+}
+
+/// Type, zone and whether it is spot capacity: what the cloud may have none of.
+fn kind_of(rec: &RentalRecord) -> (String, String, bool) {
+    (rec.machine_type.clone(), rec.zone.clone(), rec.spot)
+}
--- /dev/null
+++ b/crates/control/src/provisioning/returns.rs
@@ -0,0 +1,81 @@
+//! Scaling in: machines that are given back to the cloud.
+
+use crate::agents::reconciliation::EndedClaim;
+use crate::jobs::job::JobIndex;
+use crate::provisioning::REQUEST;
+use crate::{Node, Pending};
+use std::collections::BTreeSet;
+use std::ops::Range;
+use wire::api::MachineNames;
+use wire::http::Response;
+
+/// Machines that are returned in one request.
+const MOST_RETURNED: usize = 100;
+/// After a failure they are returned again within this time.
+const RETRY_MS: Range<u64> = 500..1500;
+
+impl Node {
+    /// Gives back machines that are to go, some at a time.
+    pub(super) fn send_returns(&mut self) {
+        let (now, term) = (self.now.mono, self.term);
+        let Some(shard) = &mut self.shard else { return };
+        if shard.delete_busy || now < shard.delete_retry_at {
+            return;
+        }
+        let machines: Vec<usize> = (0..shard.machines.len())
+            .filter(|m| shard.machine(*m).is_some_and(|machine| machine.deleting))
+            .take(MOST_RETURNED)
+            .collect();
+        if machines.is_empty() || !self.cloud.try_take(now, REQUEST) {
+            return;
+        }
+        shard.delete_busy = true;
+        let names = machines
+            .iter()
+            .filter_map(|m| Some(shard.machine(*m)?.name.clone()))
+            .collect();
+        let body = wire::encode(&MachineNames { machines: names });
+        let what = Pending::Delete { term, machines };
+        self.ask_cloud("POST", "/machines/delete".into(), body, what);
+    }
+
+    /// Machines were returned, or not.
+    pub(crate) fn returns_received(&mut self, machines: Vec<usize>, response: Option<Response>) {
+        let now = self.now.mono;
+        let wait = self.rng.u64(RETRY_MS);
+        let Some(shard) = &mut self.shard else { return };
+        shard.delete_busy = false;
+        if response.is_none_or(|r| r.status != 200) {
+            shard.delete_retry_at = now + wait;
+            return;
+        }
+        let mut changed = BTreeSet::new();
+        for m in machines {
+            changed.extend(self.machine_returned(m));
+        }
+        for ix in changed {
+            self.job_changed(ix);
+        }
+    }
+
+    /// The cloud's word is proof: everything on the machine is gone. Returns the jobs that had claims there.
+    fn machine_returned(&mut self, m: usize) -> BTreeSet<JobIndex> {
+        let now = self.now.mono;
+        let Some(shard) = &mut self.shard else {
+            return BTreeSet::new();
+        };
+        let Some(machine) = shard.machine(m) else {
+            return BTreeSet::new();
+        };
+        log::info!("machine {}: returned", machine.name);
+        let name = machine.name.clone();
+        let ended = (0..machine.claims.len()).map(EndedClaim::unexplained);
+        let ended = ended.collect();
+        shard.returned.insert(name, now);
+        let changed = self.end_claims(m, ended);
+        if let Some(shard) = &mut self.shard {
+            shard.remove_machine(m);
+        }
+        changed
+    }
+}
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -97,7 +97,7 @@
     pub cut_zones: BTreeSet<String>,
     /// Zones some of whose machines are heard by way of a peer.
     pub detour_zones: BTreeSet<String>,
-    pub list: crate::provisioning::fleet::Listing,
+    pub list: crate::provisioning::listing::Listing,
     pub delete_busy: bool,
     pub delete_retry_at: u64,
     pub rental_check_at: u64,
@@ -159,7 +159,7 @@
             looked_at: 0,
             cut_zones: BTreeSet::new(),
             detour_zones: BTreeSet::new(),
-            list: crate::provisioning::fleet::Listing::default(),
+            list: crate::provisioning::listing::Listing::default(),
             delete_busy: false,
             delete_retry_at: 0,
             rental_check_at: 0,
