--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -4,7 +4,7 @@
 use crate::jobs::feasibility::Infeasible;
 use crate::jobs::forwarding::ForwardedRequest;
 pub(crate) use crate::jobs::peer_requests::peer_answer;
-use crate::jobs::query::Why;
+use crate::jobs::query::Purpose;
 use crate::leadership::election::SHARD;
 use crate::{Destination, Node, Pending, Requester};
 use std::ops::Range;
@@ -73,7 +73,7 @@
         if !wire::ids::valid_job_id(&id) {
             return self.deny(requester, 400, &fault.to_string());
         }
-        self.query_for(requester, id, Why::Malformed(fault));
+        self.query_for(requester, id, Purpose::Malformed(fault));
     }
 
     /// A submission of a user, or one that a peer forwards for its user.
@@ -88,7 +88,7 @@
             return self.submit_without_catalog(requester, spec);
         }
         if self.leads_and_knows(&spec.id) {
-            return self.query_for(requester, spec.id, Why::Query);
+            return self.query_for(requester, spec.id, Purpose::Query);
         }
         if self.state_down()
             && let Requester::User(conn) = requester
@@ -237,7 +237,7 @@
             }
             // The denial is as old as its transaction: what this node has told since is newer.
             (Some(200), Some(_)) if self.answer_history.since(&submission.spec.id, mark) => {
-                self.query_for(requester, submission.spec.id, Why::Known)
+                self.query_for(requester, submission.spec.id, Purpose::Known)
             }
             (Some(200), Some(why)) => {
                 log::debug!("job {}: can never run: {why}", submission.spec.id);
@@ -259,7 +259,7 @@
                 self.reread_shared(0);
                 self.accept_later(submission)
             }
-            (Some(409), _) => self.query_for(requester, submission.spec.id, Why::Known),
+            (Some(409), _) => self.query_for(requester, submission.spec.id, Purpose::Known),
             (Some(429 | 503), _) => self.accept_later(submission),
             // It may be accepted all the same: the retry will be told.
             _ => self.deny(requester, 503, "state service not available"),
--- a/crates/control/src/jobs/answers.rs
+++ b/crates/control/src/jobs/answers.rs
@@ -1,6 +1,6 @@
 //! Answers to whoever asked, a user or a peer, within the session guarantees of [`crate::jobs::answer_history`].
 
-use crate::jobs::query::Why;
+use crate::jobs::query::Purpose;
 use crate::{Node, Requester};
 use wire::api::JobState;
 use wire::peer::Answer;
@@ -44,7 +44,7 @@
     pub(crate) fn unknown(&mut self, requester: Requester, job: &str) {
         match requester {
             Requester::User(_) => {
-                let question = self.question(requester, job.to_owned(), Why::Cancel);
+                let question = self.question(requester, job.to_owned(), Purpose::Cancel);
                 self.read_job(question)
             }
             Requester::Peer(conn) => self.answer_peer(conn, &Answer::Unknown),
--- a/crates/control/src/jobs/api.rs
+++ b/crates/control/src/jobs/api.rs
@@ -1,6 +1,6 @@
 //! Routing of users' requests: which path is served by what, and refusals with the time to come back.
 
-use crate::jobs::query::Why;
+use crate::jobs::query::Purpose;
 use crate::{Node, Requester};
 use wire::api::ErrorBody;
 use wire::http::Request;
@@ -19,7 +19,7 @@
             ("GET", "/ready", _) => self.ready(conn),
             ("GET", _, Some(id)) if !id.contains('/') => {
                 let id = id.to_owned();
-                self.query_for(Requester::User(conn), id, Why::Query)
+                self.query_for(Requester::User(conn), id, Purpose::Query)
             }
             ("POST", _, Some(rest)) if let Some(id) = rest.strip_suffix("/cancel") => {
                 let id = id.to_owned();
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -2,7 +2,7 @@
 
 use crate::jobs::job::{Ending, JobIndex};
 use crate::jobs::peer_requests::peer_answer;
-use crate::jobs::query::Why;
+use crate::jobs::query::Purpose;
 use crate::{Destination, Node, Pending, Requester};
 use wire::api::{Kind, Stage};
 use wire::http::Response;
@@ -47,7 +47,7 @@
                 self.tell(Requester::User(conn), state)
             }
             Some(Answer::Unknown) => {
-                let question = self.question(Requester::User(conn), job, Why::Cancel);
+                let question = self.question(Requester::User(conn), job, Purpose::Cancel);
                 self.read_job(question)
             }
             _ => self.refuse(conn, 503, "the owner does not answer"),
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -1,6 +1,6 @@
 //! Peers' requests. What a peer forwards for a user goes no further than to the leader and the state service.
 
-use crate::jobs::query::{Question, Why};
+use crate::jobs::query::{Purpose, Question};
 use crate::{Node, Requester};
 use wire::http::{Request, Response};
 use wire::peer::{self, Answer, Ask, PeerStatus};
@@ -31,7 +31,7 @@
             Ask::Cancel { job } => self.cancel(&job, Requester::Peer(conn)),
             Ask::Submit { spec } => self.submit(Requester::Peer(conn), *spec),
             Ask::Lookup { job, past_leader } => {
-                let question = self.question(Requester::Peer(conn), job, Why::Query);
+                let question = self.question(Requester::Peer(conn), job, Purpose::Query);
                 self.query(Question {
                     past_leader,
                     ..question
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -11,9 +11,9 @@
 use wire::records::{self, EndRecord};
 use wire::submission::Fault;
 
-/// Why a job's state is looked up.
+/// Purpose a job's state is looked up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Why {
+pub(crate) enum Purpose {
     /// A user asks.
     Query,
     /// A repeated submission, to be answered with the current state.
@@ -29,7 +29,7 @@
 pub(crate) struct Question {
     pub requester: Requester,
     pub job: String,
-    pub why: Why,
+    pub purpose: Purpose,
     /// Whoever asks waits until then.
     pub until: u64,
     /// The leader has been asked, or need not be.
@@ -54,14 +54,14 @@
     /// The user that another node may answer as well as this one.
     fn user(&self) -> Option<u64> {
         match self.requester {
-            Requester::User(conn) if !matches!(self.why, Why::Cancel) => Some(conn),
+            Requester::User(conn) if !matches!(self.purpose, Purpose::Cancel) => Some(conn),
             _ => None,
         }
     }
 }
 
 impl Node {
-    pub(crate) fn question(&self, requester: Requester, job: String, why: Why) -> Question {
+    pub(crate) fn question(&self, requester: Requester, job: String, purpose: Purpose) -> Question {
         let waits = if matches!(requester, Requester::User(_)) {
             USER_WAITS_MS
         } else {
@@ -70,15 +70,15 @@
         Question {
             requester,
             job,
-            why,
+            purpose,
             until: self.now.mono + waits,
             past_leader: false,
             mark: 0,
         }
     }
 
-    pub(crate) fn query_for(&mut self, requester: Requester, id: String, why: Why) {
-        let question = self.question(requester, id, why);
+    pub(crate) fn query_for(&mut self, requester: Requester, id: String, purpose: Purpose) {
+        let question = self.question(requester, id, purpose);
         self.query(question);
     }
 
@@ -186,10 +186,10 @@
 
     pub(crate) fn live_read(&mut self, q: Question, r: Option<Response>) {
         match r.map(|r| r.status) {
-            Some(200) if q.why == Why::Cancel && self.holds(&q.job) => {
+            Some(200) if q.purpose == Purpose::Cancel && self.holds(&q.job) => {
                 self.cancel(&q.job, q.requester)
             }
-            Some(200) if q.why == Why::Cancel => {
+            Some(200) if q.purpose == Purpose::Cancel => {
                 self.deny(q.requester, 503, "the owner does not know the job yet")
             }
             Some(200) => {
@@ -243,7 +243,7 @@
 
     /// A job was in neither place. What this node has learned since it began to look is newer.
     fn not_found(&mut self, q: Question) {
-        if q.why == Why::Cancel && self.holds(&q.job) {
+        if q.purpose == Purpose::Cancel && self.holds(&q.job) {
             return self.cancel(&q.job, q.requester);
         }
         if let Some(state) = self.known_here(&q.job) {
@@ -252,11 +252,11 @@
         if self.holds(&q.job) || self.answer_history.since(&q.job, q.mark) {
             return self.read_again(q);
         }
-        match q.why {
-            Why::Malformed(fault) => self.deny(q.requester, 400, &fault.to_string()),
+        match q.purpose {
+            Purpose::Malformed(fault) => self.deny(q.requester, 400, &fault.to_string()),
             // Its record was in the way a moment ago; the user's retry will find out.
-            Why::Known => self.deny(q.requester, 503, "undecided"),
-            Why::Query | Why::Cancel => self.deny(q.requester, 404, "no such job"),
+            Purpose::Known => self.deny(q.requester, 503, "undecided"),
+            Purpose::Query | Purpose::Cancel => self.deny(q.requester, 404, "no such job"),
         }
     }
 
@@ -282,7 +282,7 @@
             job: q.job,
             past_leader: q.past_leader,
         };
-        let fault = if let Why::Malformed(fault) = q.why {
+        let fault = if let Purpose::Malformed(fault) = q.purpose {
             Some(fault)
         } else {
             None
