--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -267,11 +267,11 @@
     }
 
     fn forward_submission(&mut self, conn: u64, spec: Box<JobSpec>) {
-        let until = self.now.mono + SUBMIT_WAITS_MS;
+        let deadline = self.now.mono + SUBMIT_WAITS_MS;
         self.forward(ForwardedRequest {
             conn,
             ask: Box::new(Ask::Submit { spec }),
-            until,
+            deadline,
             fault: None,
         });
     }
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -50,8 +50,8 @@
 pub(crate) struct ForwardedRequest {
     pub conn: u64,
     pub ask: Box<Ask>,
-    /// Whoever asks waits until then.
-    pub until: u64,
+    /// Whoever asks waits no longer.
+    pub deadline: u64,
     /// A malformed submission is only looked up: what is wrong with it, for a job that was never accepted.
     pub fault: Option<Fault>,
 }
@@ -125,7 +125,7 @@
     /// Forwards a user's request on.
     pub(crate) fn forward(&mut self, forwarded: ForwardedRequest) {
         let now = self.now.mono;
-        let helper = if forwarded.until < now + LEAST_MS {
+        let helper = if forwarded.deadline < now + LEAST_MS {
             None
         } else {
             self.helper(&forwarded.ask)
@@ -136,7 +136,7 @@
         };
         self.stats.forwarded += 1;
         let body = peer::encode(&*forwarded.ask);
-        let timeout = (forwarded.until - now).min(HAND_TIMEOUT_MS);
+        let timeout = (forwarded.deadline - now).min(HAND_TIMEOUT_MS);
         let what = Pending::Forward {
             forwarded,
             peer,
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -30,8 +30,8 @@
     pub requester: Requester,
     pub job: String,
     pub purpose: Purpose,
-    /// Whoever asks waits until then.
-    pub until: u64,
+    /// Whoever asks waits no longer.
+    pub deadline: u64,
     /// The leader has been asked, or need not be.
     pub past_leader: bool,
     /// What had been said here when its reads began.
@@ -48,7 +48,7 @@
 
 impl Question {
     fn timeout(&self, now: u64, most: u64) -> u64 {
-        self.until.saturating_sub(now).clamp(LEAST_MS, most)
+        self.deadline.saturating_sub(now).clamp(LEAST_MS, most)
     }
 
     /// The user that another node may answer as well as this one.
@@ -71,7 +71,7 @@
             requester,
             job,
             purpose,
-            until: self.now.mono + waits,
+            deadline: self.now.mono + waits,
             past_leader: false,
             mark: 0,
         }
@@ -262,7 +262,7 @@
 
     /// Once more, if whoever asks still waits for that long.
     fn read_again(&mut self, q: Question) {
-        if self.now.mono + LEAST_MS < q.until {
+        if self.now.mono + LEAST_MS < q.deadline {
             self.read_job(q)
         } else {
             self.unanswered(&q, "undecided")
@@ -290,7 +290,7 @@
         self.forward(ForwardedRequest {
             conn,
             ask: Box::new(ask),
-            until: q.until,
+            deadline: q.deadline,
             fault,
         });
     }
