--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -221,7 +221,7 @@
     }
 
     /// The state service has answered a transaction of [`Node::accept`], or not.
-    pub(crate) fn accepted(
+    pub(crate) fn accept_answered(
         &mut self,
         submission: Submission,
         denied: Option<Infeasible>,
--- a/crates/control/src/jobs/answers.rs
+++ b/crates/control/src/jobs/answers.rs
@@ -41,7 +41,7 @@
     }
 
     /// A cancel of a job that the leader has not in memory: its record decides.
-    pub(crate) fn unknown(&mut self, requester: Requester, job: &str) {
+    pub(crate) fn cancel_unknown(&mut self, requester: Requester, job: &str) {
         match requester {
             Requester::User(_) => {
                 let question = self.question(requester, job.to_owned(), Purpose::Cancel);
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -41,7 +41,7 @@
     }
 
     /// The leader's answer to a forwarded cancel. A job that it has not in memory may have ended: its record decides.
-    pub(crate) fn peer_cancelled(&mut self, conn: u64, job: String, response: Option<Response>) {
+    pub(crate) fn cancel_answered(&mut self, conn: u64, job: String, response: Option<Response>) {
         match peer_answer(response) {
             Some(Answer::State(state)) if state.id == job => {
                 self.tell(Requester::User(conn), state)
@@ -85,12 +85,12 @@
         self.to_write = true;
         let Some(shard) = &mut self.shard else { return };
         let Some(ix) = shard.job_index.get(id).copied() else {
-            return self.unknown(requester, id);
+            return self.cancel_unknown(requester, id);
         };
         let Some(job) = shard.job_mut(ix) else { return };
         match job.ending {
             // Guards against calling a cancelled job done, of which only tasks on machines are left here.
-            Ending::Before => return self.unknown(requester, id),
+            Ending::Before => return self.cancel_unknown(requester, id),
             Ending::Recorded(_) => {
                 let state = job.state();
                 return self.tell(requester, state);
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -8,7 +8,7 @@
 use wire::submission::Fault;
 
 /// A peer has this long to answer for us.
-const HAND_TIMEOUT_MS: u64 = 1500;
+const FORWARD_TIMEOUT_MS: u64 = 1500;
 /// A peer that has left something unanswered is not asked for so long, unless it says something.
 const REST_MS: u64 = 1000;
 /// After a refusal, or silence, the state service is taken to be out of reach for so long.
@@ -89,7 +89,7 @@
 
     /// Whom a request is forwarded to: the leader, or another that says it is served, or one that says nothing. If all say
     /// that they are not served, only a job's end may still be known, best to the leader.
-    fn helper(&mut self, ask: &Ask) -> Option<usize> {
+    fn target(&mut self, ask: &Ask) -> Option<usize> {
         let now = self.now.mono;
         let peers = 0..self.settings.peers.len();
         let able: Vec<usize> = peers
@@ -125,18 +125,18 @@
     /// Forwards a user's request on.
     pub(crate) fn forward(&mut self, forwarded: ForwardedRequest) {
         let now = self.now.mono;
-        let helper = if forwarded.deadline < now + LEAST_MS {
+        let target = if forwarded.deadline < now + LEAST_MS {
             None
         } else {
-            self.helper(&forwarded.ask)
+            self.target(&forwarded.ask)
         };
-        let Some(peer) = helper else {
+        let Some(peer) = target else {
             self.stats.unanswered += u64::from(matches!(*forwarded.ask, Ask::Lookup { .. }));
             return self.refuse(forwarded.conn, 503, "state service not available");
         };
         self.stats.forwarded += 1;
         let body = peer::encode(&*forwarded.ask);
-        let timeout = (forwarded.deadline - now).min(HAND_TIMEOUT_MS);
+        let timeout = (forwarded.deadline - now).min(FORWARD_TIMEOUT_MS);
         let what = Pending::Forward {
             forwarded,
             peer,
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -42,7 +42,7 @@
 const USER_WAITS_MS: u64 = 1800;
 const PEER_WAITS_MS: u64 = 1000;
 const READ_TIMEOUT_MS: u64 = 900;
-const OWNER_TIMEOUT_MS: u64 = 700;
+const LEADER_TIMEOUT_MS: u64 = 700;
 /// With less time left than this, nobody else is asked.
 const LEAST_MS: u64 = 50;
 
@@ -97,7 +97,7 @@
         {
             Some(peer) => {
                 let body = peer::encode(&Ask::Query { job: q.job.clone() });
-                let timeout = q.timeout(now, OWNER_TIMEOUT_MS);
+                let timeout = q.timeout(now, LEADER_TIMEOUT_MS);
                 let what = Pending::PeerQuery {
                     question: q,
                     peer,
@@ -122,7 +122,7 @@
     }
 
     /// Whether the leader has read the job.
-    fn holds(&self, id: &str) -> bool {
+    fn has_read(&self, id: &str) -> bool {
         let job = self
             .shard
             .as_ref()
@@ -141,7 +141,7 @@
             .map(Job::state)
     }
 
-    pub(crate) fn peer_queried(
+    pub(crate) fn query_answered(
         &mut self,
         mut q: Question,
         peer: usize,
@@ -167,7 +167,7 @@
         if let Some(conn) = q.user()
             && (self.state_down() || self.requests.level(now) < 1.0)
         {
-            return self.look_elsewhere(conn, q);
+            return self.forward_lookup(conn, q);
         }
         if self.requests.level(now) < 1.0 {
             return self.unanswered(&q, "busy");
@@ -184,9 +184,9 @@
         );
     }
 
-    pub(crate) fn live_read(&mut self, q: Question, r: Option<Response>) {
+    pub(crate) fn live_record_received(&mut self, q: Question, r: Option<Response>) {
         match r.map(|r| r.status) {
-            Some(200) if q.purpose == Purpose::Cancel && self.holds(&q.job) => {
+            Some(200) if q.purpose == Purpose::Cancel && self.has_read(&q.job) => {
                 self.cancel(&q.job, q.requester)
             }
             Some(200) if q.purpose == Purpose::Cancel => {
@@ -214,14 +214,14 @@
                     Pending::ReadEnd { question: q },
                 );
             }
-            status => self.unread(q, status),
+            status => self.read_failed(q, status),
         }
     }
 
-    pub(crate) fn end_read(&mut self, q: Question, r: Option<Response>) {
+    pub(crate) fn end_record_received(&mut self, q: Question, r: Option<Response>) {
         let r = match r {
             Some(r) if r.status == 200 || r.status == 404 => r,
-            r => return self.unread(q, r.map(|r| r.status)),
+            r => return self.read_failed(q, r.map(|r| r.status)),
         };
         if r.status == 200 {
             let Some(item) = self.read::<Item<EndRecord>>("state service", &r) else {
@@ -243,13 +243,13 @@
 
     /// A job was in neither place. What this node has learned since it began to look is newer.
     fn not_found(&mut self, q: Question) {
-        if q.purpose == Purpose::Cancel && self.holds(&q.job) {
+        if q.purpose == Purpose::Cancel && self.has_read(&q.job) {
             return self.cancel(&q.job, q.requester);
         }
         if let Some(state) = self.known_here(&q.job) {
             return self.tell(q.requester, state);
         }
-        if self.holds(&q.job) || self.answer_history.since(&q.job, q.mark) {
+        if self.has_read(&q.job) || self.answer_history.since(&q.job, q.mark) {
             return self.read_again(q);
         }
         match q.purpose {
@@ -270,14 +270,14 @@
     }
 
     /// The state service did not answer. Only this node may be refused, or not heard.
-    fn unread(&mut self, q: Question, status: Option<u16>) {
+    fn read_failed(&mut self, q: Question, status: Option<u16>) {
         match q.user().filter(|_| matches!(status, None | Some(503))) {
-            Some(conn) => self.look_elsewhere(conn, q),
+            Some(conn) => self.forward_lookup(conn, q),
             None => self.unanswered(&q, "state service not available"),
         }
     }
 
-    fn look_elsewhere(&mut self, conn: u64, q: Question) {
+    fn forward_lookup(&mut self, conn: u64, q: Question) {
         let ask = Ask::Lookup {
             job: q.job,
             past_leader: q.past_leader,
