--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -15,7 +15,7 @@
 /// The state service counts values in another form, which takes somewhat more.
 const STORED_FORM: f64 = 1.3;
 
-/// Purpose a job can never run. Its user reads the text.
+/// Why a job can never run. Its user reads the text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Infeasible {
     UnknownTeam,
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -11,7 +11,7 @@
 use wire::records::{self, EndRecord};
 use wire::submission::Fault;
 
-/// Purpose a job's state is looked up.
+/// For what a job's state is looked up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Purpose {
     /// A user asks.
