--- a/crates/control/src/agents/commands.rs
+++ b/crates/control/src/agents/commands.rs
@@ -41,7 +41,7 @@
         let via = machine.via.is_some();
         let body = wire::encode(&Orders {
             token,
-            session: Some(machine.seen.0),
+            agent_epoch: Some(machine.seen.0),
             orders,
         });
         let what = Pending::Direct {
@@ -106,8 +106,8 @@
         let via = machine.via.is_some();
         let body = wire::encode(&Orders {
             token,
-            // Most have never lost their lease; otherwise the refusal tells the session.
-            session: Some(machine.seen.0.max(1)),
+            // Most have never lost their lease; otherwise the refusal tells the agent epoch.
+            agent_epoch: Some(machine.seen.0.max(1)),
             orders,
         });
         let what = Pending::Probe {
--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -100,7 +100,7 @@
             // has no token, but stays.
             let body = wire::encode(&Orders {
                 token: 0,
-                session: None,
+                agent_epoch: None,
                 orders: Vec::new(),
             });
             return HeartbeatReply::Orders(body);
@@ -121,7 +121,7 @@
         };
         HeartbeatReply::Orders(wire::encode(&Orders {
             token,
-            session: None,
+            agent_epoch: None,
             orders,
         }))
     }
@@ -147,7 +147,7 @@
         let Some(machine) = shard.machine_mut(m) else {
             return false;
         };
-        let number = (heartbeat.session, heartbeat.seq);
+        let number = (heartbeat.agent_epoch, heartbeat.seq);
         if number > machine.seen {
             machine.via = via;
             machine.heartbeat_at = now;
--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -37,8 +37,8 @@
     pub loaded: bool,
     /// A start may have been sent, by us or by an earlier leader.
     pub sent: bool,
-    /// The worker's session that our last start was for; in a later one it is never executed.
-    pub session: u64,
+    /// The worker's agent epoch that our last start was for; in a later one it is never executed.
+    pub agent_epoch: u64,
     pub stage: Option<TaskStage>,
     /// When it was first seen running.
     pub running_since: Option<u64>,
@@ -57,7 +57,7 @@
             segment: 0,
             loaded: false,
             sent: false,
-            session: 0,
+            agent_epoch: 0,
             stage: None,
             running_since: None,
             stop: None,
@@ -118,7 +118,7 @@
     pub heard_at: u64,
     /// When its worker last reported, by itself or by way of a peer. Answers to commands renew no lease.
     pub heartbeat_at: u64,
-    /// Session and number of the newest message.
+    /// Agent epoch and number of the newest message.
     pub seen: (u64, u64),
     pub notice_until: Option<u64>,
     pub claims: Vec<Claim>,
@@ -126,7 +126,7 @@
     /// Serial of the direct command that is out.
     pub direct: Option<u64>,
     /// A direct command was not answered: it may still be executed, until the worker has seen a token
-    /// above this one or has begun a later session.
+    /// above this one or has begun a later agent epoch.
     pub unanswered_command: Option<(u64, u64)>,
     pub probe: Option<u64>,
     pub probed_at: u64,
--- a/crates/control/src/agents/orders.rs
+++ b/crates/control/src/agents/orders.rs
@@ -24,9 +24,9 @@
 }
 
 /// The start of a claimed task, which is noted as sent.
-fn start(claim: &mut Claim, job: &Job, session: u64) -> Order {
+fn start(claim: &mut Claim, job: &Job, agent_epoch: u64) -> Order {
     claim.sent = true;
-    claim.session = session;
+    claim.agent_epoch = agent_epoch;
     Order::Start {
         task: ids::task_name(&job.id, claim.task),
         attempt: claim.attempt,
@@ -108,7 +108,7 @@
         // Nothing begins in the last of a lease, or on a machine that goes.
         let may_start =
             !has_doubt && !machine.deleting && !machine.is_heartbeat_overdue(now, silent);
-        let session = machine.seen.0;
+        let agent_epoch = machine.seen.0;
         let mut orders = Vec::new();
         let mut never_started = Vec::new();
         for (position, claim) in machine.claims.iter_mut().enumerate() {
@@ -120,7 +120,7 @@
                 Some(_) if !claim.sent => never_started.push(position),
                 Some(grace_s) => orders.extend(stop_if_due(claim, job, grace_s, now)),
                 None if may_start && is_startable(claim, job) => {
-                    orders.push(start(claim, job, session));
+                    orders.push(start(claim, job, agent_epoch));
                 }
                 None => {}
             }
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -71,12 +71,12 @@
         let Some(machine) = self.machines.get_mut(m).and_then(Option::as_mut) else {
             return;
         };
-        machine.seen = (heartbeat.session, heartbeat.seq);
+        machine.seen = (heartbeat.agent_epoch, heartbeat.seq);
         machine.heard_at = now;
-        // Answers to heartbeats of an earlier session are dropped. A worker that answers commands alone says no more of it.
+        // Answers to heartbeats of an earlier agent epoch are dropped. A worker that answers commands alone says no more of it.
         machine.unacknowledged_start = machine
             .unacknowledged_start
-            .filter(|(session, _)| *session >= heartbeat.session);
+            .filter(|(agent_epoch, _)| *agent_epoch >= heartbeat.agent_epoch);
         machine.addr = heartbeat.addr.parse().ok().or(machine.addr);
         if !machine.up {
             machine.up = true;
@@ -84,10 +84,9 @@
             self.plan_due = true;
             log::info!("machine {}: up", machine.name);
         }
-        if machine
-            .unanswered_command
-            .is_some_and(|(t, session)| heartbeat.token > t || heartbeat.session > session)
-        {
+        if machine.unanswered_command.is_some_and(|(t, agent_epoch)| {
+            heartbeat.token > t || heartbeat.agent_epoch > agent_epoch
+        }) {
             machine.unanswered_command = None;
             self.plan_due = true;
         }
@@ -210,7 +209,7 @@
     }
 
     /// Claims whose tasks are not listed, by a heartbeat that proves their absence.
-    fn find_absent(&mut self, m: usize, session: u64, comparison: &mut Comparison) {
+    fn find_absent(&mut self, m: usize, agent_epoch: u64, comparison: &mut Comparison) {
         let Some(machine) = self.machines.get_mut(m).and_then(Option::as_mut) else {
             return;
         };
@@ -222,9 +221,9 @@
                 continue;
             }
             // One that was read back may have ended and been reaped before our time.
-            // Nor is an attempt begun in two sessions: what it came to in the first would be taken for its end in
+            // Nor is an attempt begun in two agent epochs: what it came to in the first would be taken for its end in
             // the second, where a copy of an old heartbeat comes to a later leader.
-            let is_earlier = claim.session < session;
+            let is_earlier = claim.agent_epoch < agent_epoch;
             if claim.stage.is_some() || claim.stop.is_some() || claim.loaded || is_earlier {
                 comparison.ended.push(EndedClaim::unexplained(position));
             } else {
@@ -367,7 +366,7 @@
         let Some(machine) = shard.machine_mut(m) else {
             return false;
         };
-        if (heartbeat.session, heartbeat.seq) <= machine.seen {
+        if (heartbeat.agent_epoch, heartbeat.seq) <= machine.seen {
             return false;
         }
         shard.note_contact(m, heartbeat, now);
@@ -375,7 +374,7 @@
         let has_new_notice = shard.note_notice(m, heartbeat, now);
         let mut comparison = shard.compare_listed(m, heartbeat, catalog, now);
         if proves_absence {
-            shard.find_absent(m, heartbeat.session, &mut comparison);
+            shard.find_absent(m, heartbeat.agent_epoch, &mut comparison);
         }
         let mut changed = shard.take_in_strays(m, comparison.strays);
         changed.extend(shard.complete_finished(comparison.finished));
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -2,7 +2,7 @@
 //! the leader, many to a message, and its orders handed back within the time that a worker waits. Commands to such
 //! workers go the same way.
 //!
-//! A relayed heartbeat is the worker's own, with its session and number, and a relayed answer is the leader's own, with
+//! A relayed heartbeat is the worker's own, with its agent epoch and number, and a relayed answer is the leader's own, with
 //! its token: a relay judges, renews and orders nothing. It asks only the leader, so that nothing goes in circles.
 
 use crate::agents::heartbeat::HeartbeatReply;
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -66,7 +66,7 @@
         kept.then(|| {
             wire::encode(&Orders {
                 token: delegation.token,
-                session: None,
+                agent_epoch: None,
                 orders: Vec::new(),
             })
         })
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -92,7 +92,7 @@
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
+            agent_epoch: self.session,
             seq: self.seq,
             token: self.token,
             notice_s: self
@@ -166,7 +166,7 @@
         new: impl FnMut(&str) -> Option<(u64, u64)>,
         now: u64,
     ) -> u16 {
-        if orders.session != Some(self.session) || !self.take_token(orders.token) {
+        if orders.agent_epoch != Some(self.session) || !self.take_token(orders.token) {
             return 409;
         }
         self.execute(&orders.orders, new, now);
--- a/crates/standins/tests/old_reports.rs
+++ b/crates/standins/tests/old_reports.rs
@@ -105,7 +105,7 @@
         world.run_for(17_000);
         let task = "job-000002/0";
         let ended = last(&world, |r| {
-            r.session == 1 && lists(r, task, TaskStage::Exited)
+            r.agent_epoch == 1 && lists(r, task, TaskStage::Exited)
         });
         let ended = ended.unwrap_or_else(|| panic!("{what}: it ends in the first session"));
         let mut waited = 0;
--- a/crates/wire/src/api.rs
+++ b/crates/wire/src/api.rs
@@ -245,7 +245,7 @@
     #[serde(rename = "loaners")]
     pub spot: bool,
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub agent_epoch: u64,
     #[serde(rename = "tick")]
     pub seq: u64,
     #[serde(rename = "baton")]
@@ -286,7 +286,7 @@
     #[serde(rename = "baton")]
     pub token: u64,
     #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
-    pub session: Option<u64>,
+    pub agent_epoch: Option<u64>,
     pub orders: Vec<Order>,
 }
 
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -110,7 +110,7 @@
             machine_type: "g8".into(),
             zone: "a".into(),
             spot: true,
-            session,
+            agent_epoch: session,
             seq,
             token,
             notice_s,
