--- a/crates/control/src/agents/commands.rs
+++ b/crates/control/src/agents/commands.rs
@@ -37,7 +37,7 @@
             return;
         };
         let Some(addr) = machine.addr else { return };
-        machine.direct = Some(serial);
+        machine.command_in_flight = Some(serial);
         let via = machine.via.is_some();
         let body = wire::encode(&Orders {
             token,
@@ -68,10 +68,10 @@
         let Some(machine) = shard.machine_mut(m) else {
             return;
         };
-        if machine.direct != Some(serial) {
+        if machine.command_in_flight != Some(serial) {
             return;
         }
-        machine.direct = None;
+        machine.command_in_flight = None;
         match heartbeat {
             Some(heartbeat) if heartbeat.machine == machine.name => {
                 machine.unconfirmed_token = None;
@@ -101,7 +101,7 @@
             return;
         };
         let Some(addr) = machine.addr else { return };
-        machine.probe = Some(serial);
+        machine.probe_in_flight = Some(serial);
         machine.probed_at = now;
         let via = machine.via.is_some();
         let body = wire::encode(&Orders {
@@ -122,8 +122,8 @@
     /// The machine was not asked: it will be.
     pub(crate) fn probe_unsent(&mut self, m: usize, serial: u64) {
         let machine = self.shard.as_mut().and_then(|p| p.machine_mut(m));
-        if let Some(machine) = machine.filter(|x| x.probe == Some(serial)) {
-            machine.probe = None;
+        if let Some(machine) = machine.filter(|x| x.probe_in_flight == Some(serial)) {
+            machine.probe_in_flight = None;
         }
     }
 
@@ -134,10 +134,10 @@
         let Some(machine) = shard.machine_mut(m) else {
             return;
         };
-        if machine.probe != Some(serial) {
+        if machine.probe_in_flight != Some(serial) {
             return;
         }
-        machine.probe = None;
+        machine.probe_in_flight = None;
         let direct = machine.via.is_none();
         match heartbeat.filter(|heartbeat| heartbeat.machine == machine.name) {
             Some(heartbeat) => {
--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -124,11 +124,11 @@
     pub claims: Vec<Claim>,
     pub exited: Vec<Exited>,
     /// Serial of the direct command that is out.
-    pub direct: Option<u64>,
+    pub command_in_flight: Option<u64>,
     /// A direct command was not answered: it may still be executed, until the worker has seen a token
     /// above this one or has begun a later agent epoch.
     pub unanswered_command: Option<(u64, u64)>,
-    pub probe: Option<u64>,
+    pub probe_in_flight: Option<u64>,
     pub probed_at: u64,
     pub deleting: bool,
     pub failed: bool,
@@ -164,9 +164,9 @@
             notice_until: None,
             claims: Vec::new(),
             exited: Vec::new(),
-            direct: None,
+            command_in_flight: None,
             unanswered_command: None,
-            probe: None,
+            probe_in_flight: None,
             probed_at: 0,
             deleting: false,
             failed: false,
@@ -211,7 +211,7 @@
     pub fn takes_commands(&self) -> bool {
         self.up
             && self.addr.is_some()
-            && self.direct.is_none()
+            && self.command_in_flight.is_none()
             && self.unanswered_command.is_none()
             && !self.deleting
     }
--- a/crates/control/src/agents/orders.rs
+++ b/crates/control/src/agents/orders.rs
@@ -100,7 +100,7 @@
             return Vec::new();
         };
         // Two ways at once would make an absence in a heartbeat prove nothing.
-        if machine.direct.is_some() {
+        if machine.command_in_flight.is_some() {
             return Vec::new();
         }
         shard.push.remove(&m);
@@ -139,7 +139,7 @@
         let Some(shard) = &self.shard else {
             return Vec::new();
         };
-        let Some(machine) = shard.machine(m).filter(|x| x.direct.is_none()) else {
+        let Some(machine) = shard.machine(m).filter(|x| x.command_in_flight.is_none()) else {
             return Vec::new();
         };
         let stop_if_unwanted = |claim: &Claim| {
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -97,7 +97,7 @@
     fn proves_absence(&self, m: usize, heartbeat: &Heartbeat) -> bool {
         self.machine(m).is_some_and(|machine| {
             heartbeat.token >= self.token
-                && machine.direct.is_none()
+                && machine.command_in_flight.is_none()
                 && machine.unacknowledged_start.is_none()
                 && machine.unanswered_command.is_none()
         })
--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -51,7 +51,7 @@
         } else {
             return;
         };
-        if now >= machine.probed_at + interval && machine.probe.is_none() {
+        if now >= machine.probed_at + interval && machine.probe_in_flight.is_none() {
             self.to_probe.push(m);
         }
     }
@@ -228,7 +228,7 @@
         let unheard = |m: &Machine| {
             m.heard_at <= since
                 && m.addr.is_some()
-                && m.probe.is_none()
+                && m.probe_in_flight.is_none()
                 && m.probed_at < since
                 && !m.deleting
         };
