--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -137,8 +137,8 @@
     pub images: Vec<(u32, f64)>,
     pub errors: u32,
     pub error_jobs: BTreeMap<JobIndex, u32>,
-    /// Set aside: fails its tasks.
-    pub sick: bool,
+    /// Cordoned: it fails its tasks, gets no more, and is returned once it is empty.
+    pub cordoned: bool,
     pub rest_until: u64,
 }
 
@@ -174,7 +174,7 @@
             images: Vec::new(),
             errors: 0,
             error_jobs: BTreeMap::new(),
-            sick: false,
+            cordoned: false,
             rest_until: 0,
         }
     }
@@ -201,7 +201,7 @@
             && self.recorded
             && !self.deleting
             && !self.failed
-            && !self.sick
+            && !self.cordoned
             && self.notice_until.is_none()
             && self.rest_until <= now
             && self.unanswered_command.is_none()
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -315,11 +315,11 @@
     let several = machine.error_jobs.len() >= 2;
     if several || (job.succeeded && machine.errors >= 2) {
         log::warn!(
-            "machine {}: set aside after {} errors",
+            "machine {}: cordoned after {} errors",
             machine.name,
             machine.errors
         );
-        machine.sick = true;
+        machine.cordoned = true;
     } else {
         machine.rest_until = now + ERROR_REST_MS;
     }
--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -133,7 +133,7 @@
                 log::info!("machine {}: did not come up", machine.name);
                 machine.deleting = true;
             }
-            if machine.sick && machine.claims.is_empty() {
+            if machine.cordoned && machine.claims.is_empty() {
                 machine.deleting = true;
             }
         }
