--- a/crates/control/src/agents/commands.rs
+++ b/crates/control/src/agents/commands.rs
@@ -50,7 +50,7 @@
             serial,
             via,
         };
-        self.command(m, addr, body, DIRECT_TIMEOUT_MS, what);
+        self.send_command(m, addr, body, DIRECT_TIMEOUT_MS, what);
     }
 
     /// The heartbeat that answers a command, executed or not.
@@ -116,7 +116,7 @@
             serial,
             via,
         };
-        self.command(m, addr, body, DIRECT_TIMEOUT_MS, what);
+        self.send_command(m, addr, body, DIRECT_TIMEOUT_MS, what);
     }
 
     /// The machine was not asked: it will be.
--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -51,7 +51,7 @@
         if !self.leads() {
             return self.heartbeat_for_leader(conn, &heartbeat, body);
         }
-        if let Some(node) = self.moved_to(&heartbeat) {
+        if let Some(node) = self.redirect_target(&heartbeat) {
             return self.redirect(conn, node);
         }
         match self.take_heartbeat(&heartbeat, None) {
@@ -65,7 +65,7 @@
         if let Some(body) = self.keeps(heartbeat) {
             return self.respond(conn, 200, body, None);
         }
-        if self.takes(conn, heartbeat, body) {
+        if self.forward_heartbeat(conn, heartbeat, body) {
             return;
         }
         match self.leader_name().filter(|o| *o != self.settings.node) {
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -17,15 +17,15 @@
 
 /// Heartbeats in a message, their bytes, and messages that are out at once. What is beyond is refused: relays are the
 /// first thing that overload sheds.
-const BATCH: usize = 32;
-const BATCH_BYTES: usize = 256 << 10;
-const OUT: usize = 16;
+const MOST_HEARTBEATS: usize = 32;
+const MOST_BYTES: usize = 256 << 10;
+const MOST_MESSAGES: usize = 16;
 /// A worker waits 4 s for its answer.
-const REPORTS_TIMEOUT_MS: u64 = 2500;
+const HEARTBEATS_TIMEOUT_MS: u64 = 2500;
 /// A leader that does not take what is forwarded to it is left alone for so long.
 const REST_MS: u64 = 1000;
 /// Shorter than a leader waits for the answer to a command.
-const TELL_TIMEOUT_MS: u64 = 1500;
+const COMMAND_TIMEOUT_MS: u64 = 1500;
 
 /// What the end of a command is called that a peer has not sent, since it does not serve that worker.
 pub(crate) const NOT_SENT: u16 = 421;
@@ -46,7 +46,12 @@
     }
 
     /// A heartbeat to a node that does not lead the fleet: true if it is forwarded.
-    pub(crate) fn takes(&mut self, conn: u64, heartbeat: &Heartbeat, body: &[u8]) -> bool {
+    pub(crate) fn forward_heartbeat(
+        &mut self,
+        conn: u64,
+        heartbeat: &Heartbeat,
+        body: &[u8],
+    ) -> bool {
         let now = self.now.mono;
         let leader = self.leader_peer().zip(self.leader_token());
         let Some((node, token)) = leader.filter(|_| self.relays() && now >= self.relay.rests_until)
@@ -68,7 +73,7 @@
         }
         self.relay.bytes += body.len();
         self.relay.queue.push((conn, ByteBuf::from(body)));
-        if self.relay.queue.len() >= BATCH || self.relay.bytes >= BATCH_BYTES {
+        if self.relay.queue.len() >= MOST_HEARTBEATS || self.relay.bytes >= MOST_BYTES {
             self.send_batch();
         }
         true
@@ -81,7 +86,10 @@
     }
 
     fn send_batch(&mut self) {
-        let Some(peer) = self.leader_peer().filter(|_| self.relay.out < OUT) else {
+        let Some(peer) = self
+            .leader_peer()
+            .filter(|_| self.relay.out < MOST_MESSAGES)
+        else {
             return self.refuse_queue();
         };
         self.relay.bytes = 0;
@@ -97,7 +105,7 @@
             "POST",
             peer::PATH.into(),
             body,
-            REPORTS_TIMEOUT_MS,
+            HEARTBEATS_TIMEOUT_MS,
             Pending::Relayed { conns },
         );
     }
@@ -109,7 +117,11 @@
         }
     }
 
-    pub(crate) fn relayed(&mut self, conns: Vec<u64>, response: Option<Response>) {
+    pub(crate) fn relayed_heartbeats_answered(
+        &mut self,
+        conns: Vec<u64>,
+        response: Option<Response>,
+    ) {
         self.relay.out = self.relay.out.saturating_sub(1);
         let bodies = match peer_answer(response) {
             Some(Answer::Orders(bodies)) if bodies.len() == conns.len() => bodies,
@@ -134,7 +146,9 @@
         node: &str,
         heartbeats: Vec<ByteBuf>,
     ) {
-        let peer = self.peer_named(node).filter(|_| heartbeats.len() <= BATCH);
+        let peer = self
+            .peer_named(node)
+            .filter(|_| heartbeats.len() <= MOST_HEARTBEATS);
         let Some(peer) = peer else {
             self.stats.bad_answers += 1;
             return self.refuse(conn, 400, "reports: from nobody we know, or too many");
@@ -144,12 +158,12 @@
         }
         let bodies = heartbeats
             .iter()
-            .map(|body| self.forwarded(peer, body))
+            .map(|body| self.take_relayed_heartbeat(peer, body))
             .collect();
         self.answer_peer(conn, &Answer::Orders(bodies));
     }
 
-    fn forwarded(&mut self, peer: usize, body: &[u8]) -> ByteBuf {
+    fn take_relayed_heartbeat(&mut self, peer: usize, body: &[u8]) -> ByteBuf {
         let Ok(heartbeat) = wire::decode::<Heartbeat>(body) else {
             self.stats.bad_answers += 1;
             return ByteBuf::new();
@@ -162,14 +176,14 @@
     }
 
     /// The leader has something to say to a worker that is served here.
-    pub(crate) fn tell_asked(&mut self, conn: u64, machine: &str, addr: &str, body: Vec<u8>) {
+    pub(crate) fn relay_command(&mut self, conn: u64, machine: &str, addr: &str, body: Vec<u8>) {
         let known = self.relay.ways.serves(self.now.mono, machine);
         let Some(addr) = addr
             .parse::<SocketAddr>()
             .ok()
             .filter(|_| known && self.relays())
         else {
-            return self.tell_unsent(conn);
+            return self.relayed_command_unsent(conn);
         };
         let what = Pending::Tell { conn };
         self.send(
@@ -177,16 +191,16 @@
             "POST",
             "/commands".into(),
             body,
-            TELL_TIMEOUT_MS,
+            COMMAND_TIMEOUT_MS,
             what,
         );
     }
 
-    pub(crate) fn tell_unsent(&mut self, conn: u64) {
+    pub(crate) fn relayed_command_unsent(&mut self, conn: u64) {
         self.answer_peer(conn, &Answer::refused(NOT_SENT, ""));
     }
 
-    pub(crate) fn worker_told(&mut self, conn: u64, response: Option<Response>) {
+    pub(crate) fn relayed_command_answered(&mut self, conn: u64, response: Option<Response>) {
         let answer = response.map_or(Answer::NotNow, |r| Answer::Told {
             status: r.status,
             body: r.body.into(),
@@ -195,7 +209,7 @@
     }
 
     /// A command to a worker, by way of the node that it heartbeats to.
-    pub(crate) fn command(
+    pub(crate) fn send_command(
         &mut self,
         m: usize,
         addr: SocketAddr,
@@ -244,7 +258,7 @@
 }
 
 /// What a worker answered, where a peer tells it. A peer's own answer that is none is as good as silence.
-pub(crate) fn told(response: Option<Response>) -> Option<Response> {
+pub(crate) fn relayed_answer(response: Option<Response>) -> Option<Response> {
     let as_worker = |status, body| Response {
         status,
         body,
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -77,7 +77,7 @@
 
     /// The controller that a worker which heartbeats to the leader should rather heartbeat to. One that comes back is left
     /// with the leader, and others of its zone too until one of them got there.
-    pub(crate) fn moved_to(&mut self, heartbeat: &Heartbeat) -> Option<String> {
+    pub(crate) fn redirect_target(&mut self, heartbeat: &Heartbeat) -> Option<String> {
         let now = self.now.mono;
         if !self.is_spread() || !self.may_decide() || self.routing.moves.level(now) < 1.0 {
             return None;
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -49,7 +49,7 @@
                 machine,
                 addr,
                 body,
-            } => self.tell_asked(conn, &machine, &addr, body.into_vec()),
+            } => self.relay_command(conn, &machine, &addr, body.into_vec()),
             Ask::Wake { model, leader } => self.demand_of_peer(conn, &model, leader),
         }
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -303,7 +303,7 @@
             Some(Pending::Tell { conn }) => {
                 let conn = *conn;
                 self.pending.remove(&tag);
-                self.tell_unsent(conn);
+                self.relayed_command_unsent(conn);
             }
             _ => self.reply(tag, None),
         }
@@ -333,8 +333,8 @@
             Pending::Take { lease, token } => self.took(lease, token, response),
             Pending::Release => {}
             Pending::PeerStatus { sent, peer } => self.peer_status_received(sent, peer, response),
-            Pending::Relayed { conns } => self.relayed(conns, response),
-            Pending::Tell { conn } => self.worker_told(conn, response),
+            Pending::Relayed { conns } => self.relayed_heartbeats_answered(conns, response),
+            Pending::Tell { conn } => self.relayed_command_answered(conn, response),
             Pending::Accept {
                 submission,
                 denied,
@@ -388,7 +388,11 @@
             } if e == term => self.direct_received(
                 machine,
                 serial,
-                if via { relay::told(response) } else { response },
+                if via {
+                    relay::relayed_answer(response)
+                } else {
+                    response
+                },
             ),
             Pending::Probe {
                 term: e,
@@ -398,7 +402,11 @@
             } if e == term => self.probe_received(
                 machine,
                 serial,
-                if via { relay::told(response) } else { response },
+                if via {
+                    relay::relayed_answer(response)
+                } else {
+                    response
+                },
             ),
             _ => {}
         }
