--- a/crates/control/tests/commands.rs
+++ b/crates/control/tests/commands.rs
@@ -187,7 +187,7 @@
     for sent in [false, true] {
         let mut p = Played::new();
         let worker = p.leads_with_machine();
-        let mut asked = 0;
+        let mut probes = 0;
         let mut returned = false;
         let end = p.now + 3 * SILENT_MS;
         while p.now < end {
@@ -197,7 +197,8 @@
             });
             while let Some(i) = p.sent.iter().position(|s| s.is_to(&worker.name)) {
                 let command = p.sent.remove(i);
-                asked += 1;
+                let orders = command.orders().expect("a command");
+                probes += u32::from(orders["orders"] == json!([]));
                 if sent {
                     p.is_silent(&command);
                 } else {
@@ -205,7 +206,8 @@
                 }
             }
         }
-        assert!(asked > 1, "it is asked again: {asked} times");
-        assert_eq!(returned, sent, "returned, after {asked} commands");
+        assert_eq!(returned, sent, "returned, after {probes} probes");
+        let least = if sent { 1 } else { 5 };
+        assert!(probes >= least, "asked again and again: {probes} times");
     }
 }
