--- a/crates/control/src/scheduling/mod.rs
+++ b/crates/control/src/scheduling/mod.rs
@@ -1,5 +1,10 @@
 //! Scheduling: the planner's input, what follows from its plan, urgent placement and quota entitlement.
 
+mod apply_plan;
 pub(crate) mod entitlement;
+mod objectives;
+mod plan_input;
 pub(crate) mod planning;
+mod reservations;
+mod scaling;
 pub(crate) mod urgent;
