--- /dev/null
+++ b/crates/control/src/scheduling/fair_share.rs
@@ -0,0 +1,61 @@
+//! Fair share in the quota tree: how much of what a team is due it has, and the tree as the planner sees it.
+
+use quota::{Amount, Live, MAX_RESOURCES, NOTHING, TeamId, Tree};
+use std::collections::HashMap;
+
+/// How much of what the nodes above a team are entitled to is used: that of the node furthest below, at most 1. The
+/// wait that a guarantee allows shrinks with it, so that who is furthest below has the earliest deadline.
+pub(super) fn fulfilled(live: &Live, team: TeamId) -> f64 {
+    let tree = live.tree();
+    let node = |n: &quota::NodeId| {
+        let guarantee = tree.nodes[n.0 as usize].guarantee;
+        let (used, wanted) = (live.used(*n), live.wanted(*n));
+        let due: Amount = std::array::from_fn(|r| guarantee[r].min(wanted[r]));
+        let shares = (0..MAX_RESOURCES).filter(|r| due[*r] > 0);
+        shares
+            .map(|r| used[r] as f64 / due[r] as f64)
+            .fold(None, |a: Option<f64>, b| Some(a.map_or(b, |a| a.max(b))))
+    };
+    tree.path(team).iter().filter_map(node).fold(1.0, f64::min)
+}
+
+/// Whether something on a team's path is guaranteed anything.
+fn may_be_held(tree: &Tree, team: TeamId) -> bool {
+    let leaf = &tree.leaves[team.0 as usize];
+    let path = tree.path(team);
+    path.is_empty()
+        || leaf.guarantee != NOTHING
+        || tree.nodes[path[0].0 as usize].guarantee != NOTHING
+}
+
+/// Teams on whose path nothing is guaranteed.
+pub(super) fn unheld(tree: &quota::Tree, teams: &HashMap<&str, u16>) -> Vec<u16> {
+    let none = |name: &str| tree.team(name).is_some_and(|t| !may_be_held(tree, t));
+    teams
+        .iter()
+        .filter(|(name, _)| none(name))
+        .map(|(_, t)| *t)
+        .collect()
+}
+
+/// The tree's nodes as the planner knows them; all claims below one count against its bound.
+pub(super) fn groups(tree: &quota::Tree, live: &quota::Live) -> Vec<plan::Group> {
+    let units = |v: i64| {
+        if v == quota::UNBOUNDED {
+            f64::INFINITY
+        } else {
+            v as f64 / 1000.0
+        }
+    };
+    let res = |a: &quota::Amount| plan::Res {
+        cores: units(a[quota::CPUS]),
+        gpus: units(a[quota::GPUS]),
+        mem: units(a[quota::MEM]),
+    };
+    let group = |(i, node): (usize, &quota::Node)| plan::Group {
+        used: res(&live.used(quota::NodeId(i as u32))),
+        max: res(&node.max),
+        sheds: node.over == quota::Over::Reclaim,
+    };
+    tree.nodes.iter().enumerate().map(group).collect()
+}
--- a/crates/control/src/scheduling/mod.rs
+++ b/crates/control/src/scheduling/mod.rs
@@ -2,9 +2,11 @@
 
 mod apply_plan;
 pub(crate) mod entitlement;
+mod fair_share;
 mod objectives;
 mod plan_input;
 pub(crate) mod planning;
+mod quota_usage;
 mod reservations;
 mod scaling;
 pub(crate) mod urgent;
--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -5,8 +5,8 @@
 use crate::Node;
 use crate::agents::machine::{Machine, Need};
 use crate::jobs::job::{Class, Ending, Job, JobIndex};
-use crate::scheduling::entitlement;
 use crate::scheduling::urgent;
+use crate::scheduling::{entitlement, fair_share};
 use crate::store::shard::Shard;
 use std::collections::{HashMap, HashSet};
 use wire::api::{Catalog, JobSpec, Kind};
@@ -266,7 +266,7 @@
         let holds = entitlement::holds(shard, &self.settings.cluster.teams, good.as_ref(), &teams);
         let unheld: HashSet<u16> = tree
             .iter()
-            .flat_map(|tree| entitlement::unheld(tree, &teams))
+            .flat_map(|tree| fair_share::unheld(tree, &teams))
             .collect();
         let names = Names {
             catalog,
@@ -276,7 +276,7 @@
             unheld: &unheld,
         };
         if let (Some(tree), Some((_, counted))) = (&tree, &shard.counted) {
-            input.groups = entitlement::groups(tree, &counted.live);
+            input.groups = fair_share::groups(tree, &counted.live);
         }
         shard
             .jobs
--- /dev/null
+++ b/crates/control/src/scheduling/quota_usage.rs
@@ -0,0 +1,99 @@
+//! What jobs use and ask for, counted per team in the quota tree.
+
+use crate::jobs::job::{Job, JobIndex};
+use crate::store::shard::Shard;
+use quota::{Amount, Count, Live, TeamId, Tree, amount};
+use std::collections::HashMap;
+use std::sync::Arc;
+use wire::api::{JobSpec, Kind};
+
+/// What tasks take, in the tree's resources.
+pub(crate) fn takes(cores: f64, gpus: f64, mem_gb: f64) -> Amount {
+    amount(&[("cpus", cores), ("gpus", gpus), ("mem_gb", mem_gb)])
+}
+
+fn add(to: &mut Amount, need: &Amount, n: i64) {
+    to.iter_mut()
+        .zip(need)
+        .for_each(|(a, b)| *a = a.saturating_add(b.saturating_mul(n)));
+}
+
+/// Tasks of a job that are not done, a gang's always all.
+pub(super) fn open_tasks(job: &Job, spec: &JobSpec) -> u32 {
+    if spec.kind == Kind::Array {
+        return spec.tasks - job.done_count.min(spec.tasks);
+    }
+    // Nothing is held for a model that is asleep.
+    job.replicas.map_or(spec.tasks, |n| n.min(spec.tasks))
+}
+
+/// What a job adds to its team's counts: all open tasks, and all claims, wherever they are.
+fn counts(job: &Job, tree: &Tree) -> Option<(TeamId, Count)> {
+    let team = tree.team(&job.team)?;
+    let need = takes(job.need.cores, job.need.gpus, job.need.mem_gb);
+    let claims: usize = job.claimed.values().map(Vec::len).sum();
+    let open = job
+        .spec
+        .as_deref()
+        .filter(|_| !job.is_ending())
+        .map_or(0, |spec| open_tasks(job, spec));
+    let mut count = Count::default();
+    add(&mut count.used, &need, claims as i64);
+    // What still runs of an ended job is wanted too, until it is gone.
+    add(&mut count.demand, &need, i64::from(open).max(claims as i64));
+    Some((team, count))
+}
+
+/// A tree with what its teams want and have. It is brought up to date by the jobs that changed, and no others.
+pub(crate) struct Counted {
+    pub live: Live,
+    by_job: HashMap<JobIndex, (TeamId, Count)>,
+}
+
+impl Counted {
+    /// All jobs, counted anew.
+    pub fn new(shard: &Shard, tree: Arc<Tree>) -> Self {
+        let mut out = Counted {
+            live: Live::new(tree),
+            by_job: HashMap::new(),
+        };
+        out.follow(shard, 0..shard.jobs.len());
+        out
+    }
+
+    pub(super) fn follow(&mut self, shard: &Shard, touched: impl IntoIterator<Item = JobIndex>) {
+        let mut teams: HashMap<TeamId, Count> = HashMap::new();
+        let mut shift = |live: &Live, team: TeamId, by: &Count, sign: i64| {
+            let count = teams.entry(team).or_insert_with(|| live.team(team));
+            add(&mut count.demand, &by.demand, sign);
+            add(&mut count.used, &by.used, sign);
+        };
+        for ix in touched {
+            let after = shard.job(ix).and_then(|job| counts(job, self.live.tree()));
+            let before = match after {
+                Some(after) => self.by_job.insert(ix, after),
+                None => self.by_job.remove(&ix),
+            };
+            if before != after {
+                before
+                    .iter()
+                    .for_each(|(team, count)| shift(&self.live, *team, count, -1));
+                after
+                    .iter()
+                    .for_each(|(team, count)| shift(&self.live, *team, count, 1));
+            }
+        }
+        for (team, count) in teams {
+            self.live.set_demand(team, count.demand);
+            self.live.set_used(team, count.used);
+        }
+    }
+
+    /// Whether counting everything anew gives the same.
+    pub(super) fn is_right(&self, shard: &Shard) -> bool {
+        let anew = Counted::new(shard, self.live.tree().clone());
+        (0..self.live.tree().leaves.len() as u32)
+            .map(TeamId)
+            .all(|t| anew.live.team(t) == self.live.team(t))
+    }
+}
