--- a/crates/control/src/scheduling/mod.rs
+++ b/crates/control/src/scheduling/mod.rs
@@ -5,6 +5,8 @@
 mod fair_share;
 mod objectives;
 mod plan_input;
+mod plan_jobs;
+mod plan_machines;
 pub(crate) mod planning;
 mod quota_usage;
 mod reservations;
--- /dev/null
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -0,0 +1,171 @@
+//! Waiting jobs of the planner's input.
+
+use super::objectives::Objectives;
+use super::plan_input::{InputBuilder, NameIndex, Scope};
+use crate::documents::county_counts;
+use crate::jobs::job::{Class, Ending, Job, JobIndex};
+use crate::scheduling::urgent;
+use crate::store::shard;
+use wire::api::{JobSpec, Kind};
+
+impl InputBuilder<'_> {
+    pub(super) fn add_jobs(&mut self, scope: Scope) {
+        let zone_of = self.zones_by_machine();
+        for ix in 0..self.shard.jobs.len() {
+            self.add_job(ix, scope, &zone_of);
+        }
+    }
+
+    /// By machine, the zone that it is in.
+    fn zones_by_machine(&self) -> Vec<Option<u16>> {
+        let zone = |name: &str| self.names.zones.get(name).copied();
+        self.shard
+            .machines
+            .iter()
+            .map(|machine| zone(&machine.as_ref()?.zone))
+            .collect()
+    }
+
+    /// Adds a job's waiting tasks, if it has any in this scope: one planner's job for each level of guarantee.
+    fn add_job(&mut self, ix: JobIndex, scope: Scope, zone_of: &[Option<u16>]) {
+        let now = self.now;
+        let shard = &mut *self.shard;
+        let Some(job) = &shard.jobs[ix] else { return };
+        let Some(spec) = &job.spec else { return };
+        if job.ending != Ending::No || job.backoff_until > now.mono {
+            return;
+        }
+        let age_s = now.wall.saturating_sub(job.at_ms) as f64 / 1000.0;
+        let is_old = age_s >= self.input.waits.old;
+        let goes_first = urgent::is_urgent(spec) || is_old && spec.kind != Kind::Service;
+        if scope == Scope::Urgent && !goes_first {
+            return;
+        }
+        let Some(team) = self.names.teams.get(spec.team.as_str()) else {
+            return;
+        };
+        let pending = startable_tasks(job, spec);
+        if pending == 0 {
+            return;
+        }
+        let factor = shard.classes.get(&spec.class).map_or(1.0, Class::factor);
+        let like = plan::Job {
+            arrival: -age_s,
+            estimate: (spec.estimate_s * factor - job.progress_s).max(1.0),
+            zones: tasks_by_zone(job, zone_of),
+            waits: job.waits(),
+            avoid: job
+                .failed_on
+                .iter()
+                .filter_map(|m| self.machine_index.get(m).copied())
+                .collect(),
+            tenant: job.tenant,
+            only: county_counts::zones(job, &self.names.zones),
+            ..planner_job(spec, &mut shard.images, &self.names, *team)
+        };
+        let objectives = Objectives {
+            all: self.objectives,
+        };
+        let nested = !self.input.groups.is_empty();
+        let parts = self
+            .entitlement
+            .waiting(ix, spec, self.staying[ix], pending);
+        for (k, (held, pending)) in parts.into_iter().enumerate() {
+            // Where quotas nest, what is borrowed has its turn after all that is held, also if it is urgent.
+            let is_due = held > 0 || !nested || is_old;
+            if scope == Scope::Urgent && !is_due {
+                continue;
+            }
+            let part = plan::Job {
+                pending,
+                held,
+                waits: like.waits && k == 0,
+                ..like.clone()
+            };
+            let part = objectives.with_deadline(part, spec, &self.entitlement, ix);
+            self.index.jobs.push(ix);
+            self.input.jobs.push(match &job.hour {
+                Some(hour) => hour.cap(part, spec, self.names.catalog, now.wall),
+                None => part,
+            });
+        }
+    }
+}
+
+/// A job as the planner sees it, as far as its description says.
+pub(super) fn planner_job(
+    spec: &JobSpec,
+    images: &mut shard::Names,
+    names: &NameIndex<'_>,
+    team: u16,
+) -> plan::Job {
+    let zone_index = |name: &String| names.zones.get(name.as_str()).copied().unwrap_or(u16::MAX);
+    plan::Job {
+        shape: match spec.kind {
+            Kind::Array => plan::Shape::Array,
+            Kind::Gang => plan::Shape::Gang,
+            Kind::Service => plan::Shape::Service,
+        },
+        priority: spec.priority as u8,
+        arrival: 0.0,
+        estimate: spec.estimate_s,
+        tasks: spec.tasks,
+        pending: spec.tasks,
+        need: plan::Res {
+            cores: spec.cores,
+            gpus: spec.gpus,
+            mem: spec.mem_gb,
+        },
+        types: allowed_types(spec, names),
+        zone: spec.zone.as_ref().map(zone_index),
+        one_zone: spec.one_zone,
+        spread: spec.spread,
+        spot: spec.spot,
+        image: images.get(&spec.image),
+        image_gb: spec.image_gb,
+        team,
+        due: None,
+        waits: false,
+        promised: false,
+        held: 0,
+        zones: Vec::new(),
+        avoid: Vec::new(),
+        tenant: plan::Tenant::default(),
+        only: Vec::new(),
+    }
+}
+
+/// Machine types that a job may use, a bit each.
+fn allowed_types(spec: &JobSpec, names: &NameIndex<'_>) -> u64 {
+    match &spec.types {
+        Some(list) => list
+            .iter()
+            .filter_map(|name| names.types.get(name.as_str()))
+            .fold(0, |bits, i| bits | 1 << i),
+        None => (0..names.catalog.types.len()).fold(0, |bits, i| bits | 1 << i),
+    }
+}
+
+/// Tasks that may start now. A gang starts whole, once nothing of its last attempt is left.
+fn startable_tasks(job: &Job, spec: &JobSpec) -> u32 {
+    if spec.kind == Kind::Gang && !job.claimed.is_empty() {
+        0
+    } else {
+        job.pending()
+    }
+}
+
+/// Tasks of a job that hold a place now, by zone.
+fn tasks_by_zone(job: &Job, zone_of: &[Option<u16>]) -> Vec<(u16, u32)> {
+    let mut by_zone: Vec<(u16, u32)> = Vec::new();
+    for (m, _) in job.claimed.values().flatten() {
+        let Some(Some(zone)) = zone_of.get(*m) else {
+            continue;
+        };
+        match by_zone.iter_mut().find(|(z, _)| z == zone) {
+            Some((_, count)) => *count += 1,
+            None => by_zone.push((*zone, 1)),
+        }
+    }
+    by_zone
+}
--- /dev/null
+++ b/crates/control/src/scheduling/plan_machines.rs
@@ -0,0 +1,152 @@
+//! Machines of the planner's input, with the tasks that run on them.
+
+use super::plan_input::{ClaimedJob, InputBuilder, total_of};
+use crate::agents::machine::{Claim, Machine};
+use crate::jobs::job::Job;
+use wire::api::Kind;
+
+/// A machine or a task that is late is expected after this part of the time by which it is late, and [`LATE_S`] more.
+const LATE_SHARE: f64 = 0.5;
+/// The least further time that something late is expected to take, in seconds.
+const LATE_S: f64 = 5.0;
+/// A task that was told to stop is expected to be gone after so many seconds.
+const STOPPING_S: f64 = 1.0;
+/// A task that saves loses at most so many seconds of its run when it is stopped.
+const SAVED_LOSS_S: f64 = 2.0;
+
+impl InputBuilder<'_> {
+    /// Counts all claims against their teams, wherever they are.
+    pub(super) fn count_team_usage(&mut self) {
+        let claims = self.shard.machines.iter().flatten().flat_map(|m| &m.claims);
+        for claim in claims {
+            let Some(job) = self.shard.jobs.get(claim.job).and_then(Option::as_ref) else {
+                continue;
+            };
+            let known = self.claimed_jobs[claim.job].as_ref();
+            if let Some(team) = known.and_then(|known| known.team) {
+                let team = &mut self.input.teams[usize::from(team)];
+                team.cores_used += job.need.cores;
+                team.gpus_used += job.need.gpus;
+            }
+        }
+    }
+
+    pub(super) fn add_machines(&mut self) {
+        for m in 0..self.shard.machines.len() {
+            let Some((machine, claims)) = self.planner_machine(m) else {
+                continue;
+            };
+            self.machine_index
+                .insert(m, self.input.machines.len() as u32);
+            self.index.machines.push(m);
+            self.index.claims.push(claims);
+            self.input.machines.push(machine);
+        }
+    }
+
+    /// A machine as the planner sees it, with the claims behind its running tasks. None if its type or zone is unknown.
+    fn planner_machine(&mut self, m: usize) -> Option<(plan::Machine, Vec<usize>)> {
+        let now = self.now;
+        let machine = self.shard.machines[m].as_ref()?;
+        let type_index = *self.names.types.get(machine.machine_type.as_str())?;
+        let machine_type = &self.names.catalog.types[usize::from(type_index)];
+        let zone = *self.names.zones.get(machine.zone.as_str())?;
+        let mut running = Vec::new();
+        let mut claims = Vec::new();
+        let mut images: Vec<u32> = machine.images.iter().map(|(image, _)| *image).collect();
+        for (k, claim) in machine.claims.iter().enumerate() {
+            let job = self.shard.jobs.get(claim.job).and_then(Option::as_ref);
+            let known = self.claimed_jobs.get(claim.job).and_then(Option::as_ref);
+            let (Some(job), Some(known)) = (job, known) else {
+                continue;
+            };
+            let mut task = running_task(claim, job, known, now.mono);
+            // What is on its way out holds no place any more.
+            if !task.leaving {
+                let nth = &mut self.staying[claim.job];
+                task.held = self.entitlement.held(claim.job, *nth);
+                task.spared = is_spared(job, *nth, &self.input.waits, now.wall);
+                *nth += 1;
+            }
+            images.extend(known.image.filter(|image| !images.contains(image)));
+            running.push(task);
+            claims.push(k);
+        }
+        let is_silent = machine.is_heartbeat_overdue(now.mono, self.silent_ms);
+        let planner_machine = plan::Machine {
+            machine_type: type_index,
+            zone,
+            spot: machine.spot,
+            usable: machine.usable(now.mono) && !is_silent,
+            ready: ready_in(machine, machine_type.boot_s, now.wall),
+            total: total_of(machine_type),
+            slots: self.max_claims.saturating_sub(running.len() as u32),
+            running,
+            images,
+            fetch_gb_per_s: machine_type.fetch_gb_per_s,
+        };
+        Some((planner_machine, claims))
+    }
+}
+
+/// A claim as the planner sees it, held by no guarantee.
+fn running_task(claim: &Claim, job: &Job, known: &ClaimedJob, now_ms: u64) -> plan::Running {
+    let is_leaving = claim.stop.is_some();
+    let ran_s = claim
+        .running_since
+        .map_or(0.0, |since| now_ms.saturating_sub(since) as f64 / 1000.0);
+    plan::Running {
+        need: job.need.into(),
+        ends: if is_leaving {
+            STOPPING_S
+        } else {
+            remaining_s(ran_s, known.expected_s)
+        },
+        priority: job.priority() as u8,
+        lost: if known.checkpoint_s > 0.0 {
+            ran_s.min(SAVED_LOSS_S)
+        } else {
+            ran_s
+        },
+        stoppable: !is_leaving && job.kind() != Kind::Gang && job.kind() != Kind::Service,
+        leaving: is_leaving,
+        team: known.team.unwrap_or(u16::MAX),
+        held: 0,
+        spared: false,
+        gang: (job.kind() == Kind::Gang).then_some(claim.job as u32),
+        tenant: job.tenant,
+    }
+}
+
+/// How long a task is expected to run on. One that is overdue is expected to run for a while yet.
+fn remaining_s(ran_s: f64, expected_s: f64) -> f64 {
+    if ran_s < expected_s {
+        expected_s - ran_s
+    } else {
+        (ran_s - expected_s) * LATE_SHARE + LATE_S
+    }
+}
+
+/// When a machine that boots is expected to take tasks. One that is late is expected a while from now.
+fn ready_in(machine: &Machine, boot_s: f64, wall: u64) -> f64 {
+    if machine.up || machine.deleting || machine.failed {
+        return f64::INFINITY;
+    }
+    let age_s = wall.saturating_sub(machine.rented_ms) as f64 / 1000.0;
+    if age_s < boot_s {
+        boot_s - age_s + 1.0
+    } else {
+        (age_s - boot_s) * LATE_SHARE + LATE_S
+    }
+}
+
+/// Whether the `nth` claim of a job is not stopped for urgency alone: of an old array a first share until some of it is
+/// done, of one that has waited as long as any may all.
+fn is_spared(job: &Job, nth: u32, waits: &plan::Waits, wall: u64) -> bool {
+    let Some(spec) = job.spec.as_deref().filter(|s| s.kind == Kind::Array) else {
+        return false;
+    };
+    let age_s = wall.saturating_sub(job.at_ms) as f64 / 1000.0;
+    let is_first = job.done_count == 0 && nth < plan::first_share(plan::Shape::Array, spec.tasks);
+    age_s >= waits.latest || is_first && age_s >= waits.old
+}
--- a/crates/control/src/scheduling/reservations.rs
+++ b/crates/control/src/scheduling/reservations.rs
@@ -1,73 +1,121 @@
-//! Expected arrivals as reservations of capacity, for work that may not wait for a machine to boot.
+//! Expected arrivals as reservations of capacity, for jobs that should start sooner than a rented machine boots.
 
-use super::objectives::{guarantee_aim, wait_aims};
-use super::plan_input::{Names, shaped};
+use super::objectives::{guarantee_objective, wait_objectives};
+use super::plan_input::NameIndex;
+use super::plan_jobs::planner_job;
 use crate::Tuning;
-use crate::store::shard::Shard;
-use wire::api::{Kind, MachineType, Priority};
+use crate::jobs::job::Class;
+use crate::store::shard::{self, Shard};
+use wire::api::{JobSpec, Kind, MachineType, Priority};
 use wire::settings::Objective;
 
-/// Room for the jobs that come while a machine boots and fetches, in classes whose users expect a start within
-/// less than that: by an aim for the class, or for all work within its team's guarantee.
-pub(super) fn spares(
+/// Images are taken to come no slower than this, in GB a second.
+const SLOWEST_FETCH: f64 = 0.01;
+/// No more than this is expected of the square of a class's tasks per job.
+const MAX_TASKS_SQUARED: f64 = 40_000.0;
+
+/// Reserved capacity for the jobs that arrive while a machine boots and fetches, in classes whose users expect a start
+/// within less than that: by an objective for the class, or for all work within its team's guarantee.
+pub(super) fn reservations(
     shard: &mut Shard,
-    aims: &[Objective],
-    names: &Names<'_>,
+    objectives: &[Objective],
+    names: &NameIndex<'_>,
     tuning: &Tuning,
     wall: u64,
 ) -> Vec<plan::Spare> {
-    let guaranteed = guarantee_aim(aims);
-    let mut out: Vec<plan::Spare> = Vec::new();
-    for (class, seen) in &shard.classes {
-        let Some(spec) = &seen.like else { continue };
-        let own = wait_aims(aims, class).map(|within| (within, tuning.spare));
-        let Some(team) = names.teams.get(spec.team.as_str()) else {
-            continue;
-        };
-        let like = shaped(spec, &mut shard.images, names, *team);
-        let lead = |t: &MachineType| t.boot_s + spec.image_gb / t.fetch_gb_per_s.max(0.01);
-        let fitting = names
+    let expected = Expected {
+        objectives,
+        names,
+        tuning,
+        wall,
+    };
+    let Shard {
+        classes, images, ..
+    } = shard;
+    let mut reservations: Vec<plan::Spare> = classes
+        .iter()
+        .filter_map(|(name, class)| expected.reservation(name, class, images))
+        .collect();
+    reservations.sort_by_key(|r| (std::cmp::Reverse(r.like.priority), r.like.image));
+    reservations
+}
+
+/// What reservations are computed from, besides the classes of jobs.
+struct Expected<'a> {
+    objectives: &'a [Objective],
+    names: &'a NameIndex<'a>,
+    tuning: &'a Tuning,
+    wall: u64,
+}
+
+impl Expected<'_> {
+    /// The capacity to reserve for a class, if any.
+    fn reservation(
+        &self,
+        name: &str,
+        class: &Class,
+        images: &mut shard::Names,
+    ) -> Option<plan::Spare> {
+        let spec = class.like.as_ref()?;
+        let team = *self.names.teams.get(spec.team.as_str())?;
+        let like = planner_job(spec, images, self.names, team);
+        let lead_s = self.lead_s(spec, like.types)?;
+        let share = self.share(name, spec, team, lead_s)?;
+        // Machines that end their work make room for as many jobs as come; what is reserved is for the difference
+        // between the two, which has the deviation of the arrivals in the time that a new machine takes.
+        let tasks_squared = class.tasks_squared.clamp(1.0, MAX_TASKS_SQUARED);
+        let deviation = (class.rate(self.wall) * lead_s * tasks_squared).sqrt();
+        let count = (deviation * share).round() as u32;
+        let images = class
+            .images
+            .iter()
+            .map(|(name, gb, share)| (images.get(name), *gb, *share))
+            .collect();
+        (count > 0).then_some(plan::Spare {
+            like,
+            count,
+            images,
+        })
+    }
+
+    /// The least time until a rented machine of these types runs a task, in seconds.
+    fn lead_s(&self, spec: &JobSpec, types: u64) -> Option<f64> {
+        let lead = |t: &MachineType| t.boot_s + spec.image_gb / t.fetch_gb_per_s.max(SLOWEST_FETCH);
+        self.names
             .catalog
             .types
             .iter()
             .enumerate()
-            .filter(|(i, _)| like.types >> i & 1 == 1);
-        let Some(lead) = fitting.map(|(_, t)| lead(t)).reduce(f64::min) else {
-            continue;
-        };
-        // What is of low urgency waits for a machine to boot. A gang that lacks one place has none, while an array
-        // starts with what there is. Who may wait for a while needs room only for what comes in the rest of the time.
-        let may_hold = spec.priority > Priority::Low && !names.unheld.contains(team);
-        let promised = guaranteed
-            .filter(|_| may_hold)
-            .map(|within| match spec.kind {
-                Kind::Gang => (within, tuning.spare),
-                _ => (
-                    within,
-                    tuning.spare_guaranteed * (1.0 - within / lead).max(0.0).sqrt(),
-                ),
-            });
-        // A class may have a patient aim of its own and yet do work that is guaranteed to start soon.
-        let hasty = own.chain(promised).filter(|(within, _)| *within < lead);
-        let Some(share) = hasty.map(|(_, share)| share).reduce(f64::max) else {
-            continue;
-        };
-        // Machines that end their work make room for as many jobs as come; what is kept is for the difference
-        // between the two, which has the deviation of the arrivals in the time that a new machine takes.
-        let deviation = (seen.rate(wall) * lead * seen.tasks_squared.clamp(1.0, 40_000.0)).sqrt();
-        let count = (deviation * share).round() as u32;
-        let images = seen.images.iter();
-        let images = images
-            .map(|(name, gb, share)| (shard.images.get(name), *gb, *share))
-            .collect();
-        if count > 0 {
-            out.push(plan::Spare {
-                like,
-                count,
-                images,
-            });
+            .filter(|(i, _)| types >> i & 1 == 1)
+            .map(|(_, machine_type)| lead(machine_type))
+            .reduce(f64::min)
+    }
+
+    /// The part of the arrivals' deviation to reserve for a class; none if all of it may wait for a rented machine.
+    /// A class may have a patient objective of its own and yet do work that is guaranteed to start soon.
+    fn share(&self, name: &str, spec: &JobSpec, team: u16, lead_s: f64) -> Option<f64> {
+        let own =
+            wait_objectives(self.objectives, name).map(|within_s| (within_s, self.tuning.spare));
+        let guaranteed = self.guaranteed_share(spec, team, lead_s);
+        own.chain(guaranteed)
+            .filter(|(within_s, _)| *within_s < lead_s)
+            .map(|(_, share)| share)
+            .reduce(f64::max)
+    }
+
+    /// How soon work within the team's guarantee should start, and the share to reserve for that.
+    fn guaranteed_share(&self, spec: &JobSpec, team: u16, lead_s: f64) -> Option<(f64, f64)> {
+        // What is of low urgency waits for a machine to boot.
+        if spec.priority <= Priority::Low || self.names.unguaranteed_teams.contains(&team) {
+            return None;
         }
+        let within_s = guarantee_objective(self.objectives)?;
+        // A gang that lacks one place has none, while an array starts with what there is. Who may wait for a while
+        // needs room only for what comes in the rest of the time.
+        let share = match spec.kind {
+            Kind::Gang => self.tuning.spare,
+            _ => self.tuning.spare_guaranteed * (1.0 - within_s / lead_s).max(0.0).sqrt(),
+        };
+        Some((within_s, share))
     }
-    out.sort_by_key(|s| (std::cmp::Reverse(s.like.priority), s.like.image));
-    out
 }
--- a/crates/control/src/scheduling/scaling.rs
+++ b/crates/control/src/scheduling/scaling.rs
@@ -1,165 +1,225 @@
 //! Scaling of the fleet after a plan: which machines to rent and which to return.
 
-use super::plan_input::index;
+use super::plan_input::{Scope, index, total_of};
+use super::planning::Planned;
 use crate::Node;
 use crate::agents::machine::Machine;
-use crate::store::shard::RentalState;
+use crate::store::shard::{RentalState, Shard};
 use std::collections::HashMap;
-use wire::api::{Catalog, Cause};
+use wire::api::{Catalog, Cause, MachineType};
 
-/// The most that the cloud rents out in one call.
-const MOST_A_CALL: u32 = 50;
+/// The most machines that the cloud rents out in one call.
+const MAX_PER_CALL: u32 = 50;
+/// No more machines than this are on their way at once.
+const MAX_COMING: usize = 2000;
+/// Rentals are decided on at least this far apart, in milliseconds.
+const RENTAL_INTERVAL_MS: u64 = 1000;
 
-/// No more than this is on its way at once.
-const MOST_COMING: usize = 2000;
+/// Machine type, zone, and whether it is a spot machine.
+type OfferName = (String, String, bool);
 
-impl Node {
-    pub(super) fn rent_for(
-        &mut self,
-        input: &plan::Input,
-        output: &plan::Output,
-        catalog: &Catalog,
-    ) {
-        let now = self.now;
-        let zones = index(self.settings.cluster.zones.iter());
-        let horizon = self.tuning.horizon_s;
-        let Some(shard) = &mut self.shard else { return };
-        // Records first: what is still to be written down would be hired twice.
-        if now.mono < shard.rental_check_at
-            || shard.rentals.values().any(|h| h.state == RentalState::New)
-        {
-            return;
-        }
-        shard.rental_check_at = now.mono + 1000;
-        let mut offers = Vec::new();
-        let mut names = Vec::new();
-        for (i, t) in catalog.types.iter().enumerate() {
-            for zone in &t.zones {
-                let Some(z) = zones.get(zone.as_str()) else {
+/// What the cloud rents out, as the planner has it and by its names; one offer has the same place in both.
+struct Offers {
+    offers: Vec<plan::MachineOffer>,
+    names: Vec<OfferName>,
+}
+
+impl Offers {
+    /// Every machine type in every zone, spot before ordinary.
+    fn of(catalog: &Catalog, zones: &HashMap<&str, u16>) -> Self {
+        let mut all = Offers {
+            offers: Vec::new(),
+            names: Vec::new(),
+        };
+        for (i, machine_type) in catalog.types.iter().enumerate() {
+            for zone in &machine_type.zones {
+                let Some(zone_index) = zones.get(zone.as_str()) else {
                     continue;
                 };
                 for spot in [true, false] {
-                    let offer = plan::MachineOffer {
-                        machine_type: i as u16,
-                        zone: *z,
-                        spot,
-                        total: plan::Res {
-                            cores: t.cores,
-                            gpus: t.gpus,
-                            mem: t.mem_gb,
-                        },
-                        price: if spot { t.spot_price } else { t.price },
-                        boot: t.boot_s,
-                        fetch_gb_per_s: t.fetch_gb_per_s,
-                    };
-                    names.push((t.name.clone(), zone.clone(), spot));
-                    offers.push(offer);
+                    let offer = machine_offer(machine_type, i as u16, *zone_index, spot);
+                    all.offers.push(offer);
+                    all.names
+                        .push((machine_type.name.clone(), zone.clone(), spot));
                 }
             }
         }
-        let mut coming: Vec<(plan::MachineOffer, u32)> = Vec::new();
-        for machine in shard
+        all
+    }
+
+    fn find(&self, name: &OfferName) -> Option<&plan::MachineOffer> {
+        let at = self.names.iter().position(|n| n == name)?;
+        Some(&self.offers[at])
+    }
+
+    /// Machines that boot, and those that are rented but not listed yet.
+    fn coming(&self, shard: &Shard) -> Vec<(plan::MachineOffer, u32)> {
+        let booting = shard
             .machines
             .iter()
             .flatten()
             .filter(|m| !m.up && !m.deleting && !m.failed)
-        {
-            let kind = (
-                machine.machine_type.clone(),
-                machine.zone.clone(),
-                machine.spot,
-            );
-            if let Some(i) = names.iter().position(|n| *n == kind) {
-                coming.push((offers[i].clone(), 1));
-            }
-        }
-        for rental in shard
+            .map(|m| ((m.machine_type.clone(), m.zone.clone(), m.spot), 1));
+        let rented = shard
             .rentals
             .values()
-            .filter(|h| h.state == RentalState::Recorded)
-        {
-            let kind = (
-                rental.rec.machine_type.clone(),
-                rental.rec.zone.clone(),
-                rental.rec.spot,
-            );
-            if let Some(i) = names.iter().position(|n| *n == kind) {
-                coming.push((offers[i].clone(), rental.rec.count));
-            }
-        }
-        // The zone with fewest machines first, so that one zone's loss takes the least.
-        let mut load: HashMap<&str, u32> = HashMap::new();
+            .filter(|rental| rental.state == RentalState::Recorded)
+            .map(|rental| &rental.rec)
+            .map(|rec| {
+                let name = (rec.machine_type.clone(), rec.zone.clone(), rec.spot);
+                (name, rec.count)
+            });
+        booting
+            .chain(rented)
+            .filter_map(|(name, count)| Some((self.find(&name)?.clone(), count)))
+            .collect()
+    }
+
+    /// Offers that may be rented now. The zone with fewest machines comes first, so that one zone's loss takes the
+    /// least.
+    fn open(&self, shard: &Shard, now: u64) -> Vec<usize> {
+        let mut machines_in: HashMap<&str, u32> = HashMap::new();
         for machine in shard.machines.iter().flatten() {
-            *load.entry(machine.zone.as_str()).or_default() += 1;
+            *machines_in.entry(machine.zone.as_str()).or_default() += 1;
         }
-        let mut order: Vec<usize> = (0..names.len())
-            .filter(|i| {
-                shard
-                    .refused
-                    .get(&names[*i])
-                    .is_none_or(|(until, _)| *until <= now.mono)
-            })
-            // A new machine in a zone that can't be heard is paid for nothing.
-            .filter(|i| !shard.cut_zones.contains(&names[*i].1))
+        let is_refused = |name: &OfferName| {
+            let refused = shard.refused.get(name);
+            refused.is_some_and(|(until, _)| *until > now)
+        };
+        // A new machine in a zone that can't be heard is paid for nothing.
+        let is_cut_off = |name: &OfferName| shard.cut_zones.contains(&name.1);
+        let mut open: Vec<usize> = (0..self.names.len())
+            .filter(|i| !is_refused(&self.names[*i]) && !is_cut_off(&self.names[*i]))
             .collect();
-        order.sort_by_key(|i| load.get(names[*i].1.as_str()).copied().unwrap_or(0));
-        let open: Vec<plan::MachineOffer> = order.iter().map(|i| offers[*i].clone()).collect();
-        let most = MOST_COMING;
+        open.sort_by_key(|i| {
+            let zone = self.names[*i].1.as_str();
+            machines_in.get(zone).copied().unwrap_or(0)
+        });
+        open
+    }
+}
+
+fn machine_offer(
+    machine_type: &MachineType,
+    type_index: u16,
+    zone: u16,
+    spot: bool,
+) -> plan::MachineOffer {
+    plan::MachineOffer {
+        machine_type: type_index,
+        zone,
+        spot,
+        total: total_of(machine_type),
+        price: if spot {
+            machine_type.spot_price
+        } else {
+            machine_type.price
+        },
+        boot: machine_type.boot_s,
+        fetch_gb_per_s: machine_type.fetch_gb_per_s,
+    }
+}
+
+impl Node {
+    /// Rents and returns machines after a full plan, once a new leader has heard from those that there are.
+    pub(super) fn scale(&mut self, planned: &Planned, catalog: &Catalog) {
+        let Some(shard) = &self.shard else { return };
+        let is_settled = self.now.mono >= shard.since + 2 * self.heartbeat_interval_ms();
+        if planned.scope != Scope::All || !is_settled {
+            return;
+        }
+        self.scale_out(planned, catalog);
+        self.return_idle(planned);
+    }
+
+    /// Rents the machines that waiting tasks and reservations lack.
+    fn scale_out(&mut self, planned: &Planned, catalog: &Catalog) {
+        let now = self.now.mono;
+        let zones = index(self.settings.cluster.zones.iter());
+        let Some(shard) = &mut self.shard else { return };
+        // Records first: what is still to be written down would be rented twice.
+        let mut rentals = shard.rentals.values();
+        if now < shard.rental_check_at || rentals.any(|r| r.state == RentalState::New) {
+            return;
+        }
+        shard.rental_check_at = now + RENTAL_INTERVAL_MS;
+        let offers = Offers::of(catalog, &zones);
+        let coming = offers.coming(shard);
+        let open = offers.open(shard, now);
+        let open_offers: Vec<plan::MachineOffer> =
+            open.iter().map(|i| offers.offers[*i].clone()).collect();
         let wishes = plan::wishes(&plan::HireInput {
-            input,
-            output,
-            offers: &open,
+            input: &planned.input,
+            output: &planned.output,
+            offers: &open_offers,
             coming: &coming,
-            horizon,
-            most,
+            horizon: self.tuning.horizon_s,
+            most: MAX_COMING,
         });
         for wish in wishes {
-            let (machine_type, zone, spot) = names[order[wish.offer]].clone();
-            // As many calls as half a second's budget allows; the rest is wished for again.
-            let calls = (self.settings.cluster.cloud.rps / 2.0).ceil() as u32;
-            let mut left = wish.count.min(calls * MOST_A_CALL);
-            while left > 0 {
-                let count = left.min(MOST_A_CALL);
-                self.rental(&machine_type, &zone, spot, count);
-                left -= count;
-            }
+            self.rent(&offers.names[open[wish.offer]], wish.count);
+        }
+    }
+
+    /// Rents machines in as many calls as half a second's budget allows; the rest is wished for again.
+    fn rent(&mut self, (machine_type, zone, spot): &OfferName, count: u32) {
+        let calls = (self.settings.cluster.cloud.rps / 2.0).ceil() as u32;
+        let mut left = count.min(calls * MAX_PER_CALL);
+        while left > 0 {
+            let count = left.min(MAX_PER_CALL);
+            self.rental(machine_type, zone, *spot, count);
+            left -= count;
         }
     }
 
-    /// Returns machines that have had nothing to do for a while, the dearest first.
-    pub(super) fn return_idle(&mut self, kept: &[usize]) {
+    /// Returns machines that have had nothing to do for a while, but for those that the plan or models keep. Also
+    /// while tasks wait: a machine that is idle all the same is none that they may use, and it may stand in the way
+    /// of one.
+    fn return_idle(&mut self, planned: &Planned) {
+        let kept_by_plan = planned.output.kept.iter();
+        let mut kept: Vec<usize> = kept_by_plan
+            .map(|m| planned.index.machines[*m as usize])
+            .collect();
+        kept.extend(self.kept_for_models());
         let now = self.now.mono;
         let idle_ms = (self.tuning.idle_s * 1000.0) as u64;
         let Some(shard) = &mut self.shard else { return };
-        // Also while tasks wait: a machine that is idle all the same is none that they may use, and it may
-        // stand in the way of one.
-        let (jobs, job_index) = (&shard.jobs, &shard.job_index);
-        // With the machine, a result that is recorded nowhere would be gone, were this leader to end too.
-        let owes = |machine: &Machine| {
-            machine
-                .exited
-                .iter()
-                .filter(|e| e.cause == Some(Cause::Done))
-                .any(|e| {
-                    let job = job_index
-                        .get(&e.job)
-                        .and_then(|ix| jobs.get(*ix))
-                        .and_then(Option::as_ref);
-                    job.is_some_and(|j| !j.recorded(e.task))
-                })
-        };
-        for (m, machine) in shard.machines.iter_mut().enumerate() {
-            let Some(machine) = machine else { continue };
-            let idle = machine.up
-                && !kept.contains(&m)
-                && machine.claims.is_empty()
-                && !owes(machine)
-                && !machine.deleting
-                && machine.idle_since + idle_ms < now;
-            if idle {
+        let returned: Vec<usize> = (0..shard.machines.len())
+            .filter(|m| !kept.contains(m))
+            .filter(|m| is_idle(shard, *m, now, idle_ms))
+            .collect();
+        for m in returned {
+            if let Some(machine) = &mut shard.machines[m] {
                 log::info!("machine {}: idle, to be returned", machine.name);
                 machine.deleting = true;
             }
         }
     }
 }
+
+/// Whether a machine has had nothing to do for so long.
+fn is_idle(shard: &Shard, m: usize, now: u64, idle_ms: u64) -> bool {
+    shard.machines[m].as_ref().is_some_and(|machine| {
+        machine.up
+            && machine.claims.is_empty()
+            && !has_unrecorded_result(shard, machine)
+            && !machine.deleting
+            && machine.idle_since + idle_ms < now
+    })
+}
+
+/// Whether a result is known to this machine and leader alone: were this leader to end too, it would be gone with the
+/// machine.
+fn has_unrecorded_result(shard: &Shard, machine: &Machine) -> bool {
+    let mut results = machine
+        .exited
+        .iter()
+        .filter(|exited| exited.cause == Some(Cause::Done));
+    results.any(|exited| {
+        let job = shard
+            .job_index
+            .get(&exited.job)
+            .and_then(|job_index| shard.job(*job_index));
+        job.is_some_and(|job| !job.recorded(exited.task))
+    })
+}
