--- a/crates/plan/src/apart.rs
+++ b/crates/plan/src/anti_affinity.rs
@@ -1,53 +1,11 @@
-//! Work that must not share a machine. What holds a machine for its county is all that is on it until that is proved
-//! gone; a job of another county that finds no machine free of others' work has one promised, so that it does not
-//! wait for ever while work of theirs comes and goes.
+//! Anti-affinity between tenants: work that must not share a machine. What holds a machine for its tenant is all that is
+//! on it until that is proved gone; a job of another tenant that finds no machine free of others' work has one
+//! promised, so that it does not wait for ever while work of theirs comes and goes.
 
-use crate::pass::Pass;
+use crate::state::PlanState;
 use crate::{Job, Secs};
 
-/// Whose work something is: a county as a number, 0 for none, and whether it shares no machine with others.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub struct Tenant {
-    pub county: u16,
-    pub alone: bool,
-}
-
-impl Tenant {
-    /// The two may not be on one machine at the same time.
-    pub fn bars(&self, other: &Tenant) -> bool {
-        self.county != other.county && (self.alone || other.alone)
-    }
-}
-
-/// All that is on a machine, as far as it matters to who wants to join.
-#[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Tenants {
-    county: Option<u16>,
-    mixed: bool,
-    alone: bool,
-}
-
-impl Tenants {
-    pub fn of<'a>(all: impl IntoIterator<Item = &'a Tenant>) -> Self {
-        let mut out = Tenants::default();
-        all.into_iter().for_each(|t| out.add(t));
-        out
-    }
-    pub fn take(&self, new: &Tenant) -> bool {
-        match self.county {
-            None => true,
-            Some(county) if !self.mixed && county == new.county => true,
-            Some(_) => !self.alone && !new.alone,
-        }
-    }
-    pub fn add(&mut self, new: &Tenant) {
-        self.mixed |= self.county.is_some_and(|c| c != new.county);
-        self.county = Some(new.county);
-        self.alone |= new.alone;
-    }
-}
-
-impl Pass<'_> {
+impl PlanState<'_> {
     /// When the last work that a job may not share this machine with is expected to end.
     pub(crate) fn free_of_others(&self, job: &Job, m: usize) -> Secs {
         if self.tenants[m].take(&job.tenant) {
--- a/crates/plan/src/fill.rs
+++ b/crates/plan/src/backfill.rs
@@ -1,12 +1,12 @@
 //! Places for tasks that need no gang.
 
-use crate::blocked::Search;
 use crate::candidates::Wanted;
-use crate::fit::Look;
-use crate::pass::Pass;
+use crate::failed_searches::Search;
+use crate::placement::Look;
+use crate::state::PlanState;
 use crate::{Job, count_in};
 
-impl Pass<'_> {
+impl PlanState<'_> {
     /// Starts up to `want` tasks of a job that needs no gang; returns how many.
     pub(crate) fn fill(&mut self, i: usize, want: u32, keep_holds: bool) -> u32 {
         let job = &self.input.jobs[i];
@@ -47,13 +47,13 @@
         let mut chosen = Vec::new();
         let mut left = want;
         let mut by_zone: Vec<(u16, u32)> = Vec::new();
-        self.look(&Wanted { job, zone }, |pass, _, m| {
-            if keep_holds && !pass.may_borrow(job, m) {
+        self.look(&Wanted { job, zone }, |state, _, m| {
+            if keep_holds && !state.may_borrow(job, m) {
                 return Look::On;
             }
-            let there = count_in(&mut by_zone, pass.input.machines[m].zone);
-            let bound = pass.zone_room(i, pass.input.machines[m].zone);
-            let n = pass.room(job, m, left).min(bound.saturating_sub(*there));
+            let there = count_in(&mut by_zone, state.input.machines[m].zone);
+            let bound = state.zone_room(i, state.input.machines[m].zone);
+            let n = state.room(job, m, left).min(bound.saturating_sub(*there));
             if n > 0 {
                 chosen.push((m, n));
                 *there += n;
@@ -80,12 +80,12 @@
             return Some(*zone);
         }
         let mut room: Vec<(u16, u32)> = Vec::new();
-        self.look(&Wanted { job, zone: None }, |pass, _, m| {
-            if keep_holds && !pass.may_borrow(job, m) {
+        self.look(&Wanted { job, zone: None }, |state, _, m| {
+            if keep_holds && !state.may_borrow(job, m) {
                 return Look::On;
             }
-            let n = pass.free[m].count(&job.need, pass.slots[m]);
-            let there = count_in(&mut room, pass.input.machines[m].zone);
+            let n = state.free[m].count(&job.need, state.slots[m]);
+            let there = count_in(&mut room, state.input.machines[m].zone);
             *there = there.saturating_add(n);
             Look::On
         });
--- /dev/null
+++ b/crates/plan/src/clearing.rs
@@ -0,0 +1,36 @@
+//! Machines that can be cleared for a task, by cost.
+
+use crate::{Res, Secs};
+
+/// A machine that can be had for a task.
+#[derive(Clone)]
+pub(crate) struct Clearing {
+    pub machine: usize,
+    /// When it is free by itself.
+    pub at: Secs,
+    /// Machine-seconds that are lost: work of the stopped, and the time that the image takes.
+    pub cost: f64,
+    /// Tasks that have to be stopped.
+    pub stops: Vec<usize>,
+    /// Its room when this was found out.
+    pub free: Res,
+}
+
+/// What can be had for tasks of a kind, cheapest first: a list for each zone where all must be in one, else one list.
+pub(crate) struct Clearings {
+    pub lists: Vec<Vec<Clearing>>,
+}
+
+/// Takes out what stands at these places, given in their order.
+pub(crate) fn drop_at(list: &mut Vec<Clearing>, places: &[usize]) {
+    let Some(last) = places.last() else {
+        return;
+    };
+    let kept: Vec<Clearing> = list
+        .drain(..=*last)
+        .enumerate()
+        .filter(|(at, _)| places.binary_search(at).is_err())
+        .map(|(_, option)| option)
+        .collect();
+    list.splice(0..0, kept);
+}
--- a/crates/plan/src/blocked.rs
+++ b/crates/plan/src/failed_searches.rs
@@ -2,7 +2,7 @@
 //! plan is made.
 
 use crate::Job;
-use crate::room::Wide;
+use crate::job_kind::Wide;
 use std::collections::HashMap;
 
 /// Ways to look for places; each has machines that it passes over.
--- a/crates/plan/src/gang.rs
+++ b/crates/plan/src/gang.rs
@@ -1,9 +1,9 @@
 //! Places for gangs: all tasks or none.
 
-use crate::blocked::Search;
 use crate::candidates::Wanted;
-use crate::fit::Look;
-use crate::pass::Pass;
+use crate::failed_searches::Search;
+use crate::placement::Look;
+use crate::state::PlanState;
 use crate::{EPS, Secs, count_in};
 
 /// How long it takes until a stopped task has gone and the next plan is made.
@@ -17,7 +17,7 @@
     found: u32,
 }
 
-impl Pass<'_> {
+impl PlanState<'_> {
     /// Starts all `want` tasks of a gang or none.
     pub(crate) fn gang(&mut self, i: usize, want: u32) -> bool {
         let job = &self.input.jobs[i];
@@ -57,17 +57,17 @@
             found: 0,
         };
         let mut by_zone: Vec<(u16, u32)> = Vec::new();
-        self.look(&Wanted { job, zone }, |pass, score, m| {
-            if pass.held[m].is_some() {
+        self.look(&Wanted { job, zone }, |state, score, m| {
+            if state.held[m].is_some() {
                 return Look::On;
             }
             if limit.is_some_and(|limit| score >= limit) {
                 return Look::Enough;
             }
-            let z = pass.input.machines[m].zone;
+            let z = state.input.machines[m].zone;
             let there = count_in(&mut by_zone, z);
-            let bound = pass.zone_room(i, z).saturating_sub(*there);
-            let n = pass.room(job, m, want - places.found).min(bound);
+            let bound = state.zone_room(i, z).saturating_sub(*there);
+            let n = state.room(job, m, want - places.found).min(bound);
             if n > 0 {
                 places.chosen.push((m, n));
                 places.cost = places.cost.max(score);
--- /dev/null
+++ b/crates/plan/src/job_kind.rs
@@ -0,0 +1,37 @@
+//! What jobs alike have in common, so that what is found for one serves the others.
+
+use crate::{Job, Tenant};
+
+/// What jobs have in common that can use the same machines.
+#[derive(Clone, PartialEq, Eq, Hash)]
+pub(crate) struct Wide {
+    need: [u64; 3],
+    priority: u8,
+    types: u64,
+    zone: Option<u16>,
+    one_zone: bool,
+    spot: bool,
+    image: u32,
+    tenant: Tenant,
+    only: Vec<u16>,
+}
+
+impl Wide {
+    pub fn of(job: &Job) -> Self {
+        Wide {
+            need: [
+                job.need.cores.to_bits(),
+                job.need.gpus.to_bits(),
+                job.need.mem.to_bits(),
+            ],
+            priority: job.priority,
+            types: job.types,
+            zone: job.zone,
+            one_zone: job.one_zone,
+            spot: job.spot,
+            image: job.image,
+            tenant: job.tenant,
+            only: job.only.clone(),
+        }
+    }
+}
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,28 +1,33 @@
 //! The planner: pure functions from jobs, machines and the time to starts, preemptions and hires.
 //! No I/O, clock or randomness. The design and its sources are in `docs/design.md`.
 
-mod aged;
-mod apart;
-mod blocked;
+mod anti_affinity;
+mod backfill;
 mod candidates;
-mod fill;
-mod fit;
+mod clearing;
+mod failed_searches;
 mod gang;
-mod hire;
-mod pass;
-mod recall;
-mod room;
-mod shed;
+mod job_kind;
+mod limit_enforcement;
+mod placement;
+mod planner;
+mod priority_preemption;
+mod promises;
+mod quota_preemption;
+mod reservations;
+mod scale_out;
 mod sizes;
-mod spares;
+mod starvation_aging;
+mod state;
 mod stretch;
+mod tenant;
 mod timeline;
 
-pub use aged::{Waits, first_share};
-pub use apart::Tenant;
-pub use hire::{HireInput, MachineOffer, Wish, wishes};
-pub use pass::plan;
+pub use planner::plan;
+pub use scale_out::{HireInput, MachineOffer, Wish, wishes};
+pub use starvation_aging::{Waits, first_share};
 pub use stretch::{Sized, smallest_stretch};
+pub use tenant::Tenant;
 
 /// Work of this priority is placed as it arrives.
 pub const URGENT: u8 = 3;
@@ -40,6 +45,9 @@
 
 const EPS: f64 = 1e-6;
 
+/// Run times of a job's tasks differ from each other and from the estimate: a round is planned this much longer.
+pub(crate) const RUN_TIME_SLACK: f64 = 1.25;
+
 impl Res {
     pub fn fits(&self, need: &Res) -> bool {
         need.cores <= self.cores + EPS && need.gpus <= self.gpus + EPS && need.mem <= self.mem + EPS
--- a/crates/plan/src/shed.rs
+++ b/crates/plan/src/limit_enforcement.rs
@@ -1,7 +1,7 @@
 //! What runs above a bound that has shrunk is stopped: with the time to save, the least held and least urgent first,
 //! and no more than the excess.
 
-use crate::pass::Pass;
+use crate::state::PlanState;
 use crate::{EPS, Preempt, Res, Running, Secs};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
     takes: Res,
 }
 
-impl Pass<'_> {
+impl PlanState<'_> {
     /// Brings each group back to its bound. Deeper ones first: what they stop counts for those above.
     pub(crate) fn shed(&mut self) {
         let input = self.input;
--- a/crates/plan/src/fit.rs
+++ b/crates/plan/src/placement.rs
@@ -1,10 +1,10 @@
 //! Whether, and how well, a task fits on a machine, and what taking a place changes.
 
 use crate::candidates::Wanted;
-use crate::pass::Pass;
+use crate::state::PlanState;
 use crate::{Job, Secs, Start, count_in};
 
-impl Pass<'_> {
+impl PlanState<'_> {
     pub(crate) fn allowed(&self, job: &Job, m: usize) -> bool {
         let machine = &self.input.machines[m];
         machine.usable
--- a/crates/plan/src/room.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -1,83 +1,20 @@
-//! Room for those that find none: machines that are free soon are held, and the less urgent are stopped.
+//! Preemption by priority: for jobs that find no room, machines that are free soon are held, and tasks of lower priority
+//! are stopped.
 
-use crate::blocked::Search;
-use crate::pass::Pass;
-use crate::{Job, Preempt, Res, Secs, Tenant, URGENT, count_in};
+use crate::clearing::{Clearing, Clearings, drop_at};
+use crate::failed_searches::Search;
+use crate::job_kind::Wide;
+use crate::state::PlanState;
+use crate::{Job, Preempt, Secs, URGENT, count_in};
 use std::collections::BTreeMap;
 
 /// An urgent job waits this long for room that falls free by itself.
 const URGENT_PATIENCE: Secs = 0.3;
+
 /// Tasks of one urgent array that machines are cleared for in one plan.
 const MOST_CLEARED: u32 = 64;
 
-/// A machine that can be had for a task.
-#[derive(Clone)]
-pub(crate) struct Clearing {
-    machine: usize,
-    /// When it is free by itself.
-    at: Secs,
-    /// Machine-seconds that are lost: work of the stopped, and the time that the image takes.
-    cost: f64,
-    /// Tasks that have to be stopped.
-    stops: Vec<usize>,
-    /// Its room when this was found out.
-    free: Res,
-}
-
-/// What can be had for tasks of a kind, cheapest first: a list for each zone where all must be in one, else one list.
-pub(crate) struct Clearings {
-    lists: Vec<Vec<Clearing>>,
-}
-
-/// Takes out what stands at these places, given in their order.
-fn drop_at(list: &mut Vec<Clearing>, places: &[usize]) {
-    let Some(last) = places.last() else {
-        return;
-    };
-    let kept: Vec<Clearing> = list
-        .drain(..=*last)
-        .enumerate()
-        .filter(|(at, _)| places.binary_search(at).is_err())
-        .map(|(_, option)| option)
-        .collect();
-    list.splice(0..0, kept);
-}
-
-/// What jobs have in common that can use the same machines.
-#[derive(Clone, PartialEq, Eq, Hash)]
-pub(crate) struct Wide {
-    need: [u64; 3],
-    priority: u8,
-    types: u64,
-    zone: Option<u16>,
-    one_zone: bool,
-    spot: bool,
-    image: u32,
-    tenant: Tenant,
-    only: Vec<u16>,
-}
-
-impl Wide {
-    pub fn of(job: &Job) -> Self {
-        Wide {
-            need: [
-                job.need.cores.to_bits(),
-                job.need.gpus.to_bits(),
-                job.need.mem.to_bits(),
-            ],
-            priority: job.priority,
-            types: job.types,
-            zone: job.zone,
-            one_zone: job.one_zone,
-            spot: job.spot,
-            image: job.image,
-            tenant: job.tenant,
-            only: job.only.clone(),
-        }
-    }
-}
-
-impl Pass<'_> {
+impl PlanState<'_> {
     /// A gang that finds no room has it gathered: the machines that are free for it first are held, and tasks of
     /// lower priority are stopped where waiting would take longer than the patience. False if that does not do.
     pub(crate) fn make_room(&mut self, i: usize, want: u32) -> bool {
--- a/crates/plan/src/recall.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -3,7 +3,7 @@
 //! Where quotas nest, those that are nearest in the tree give back first: what a sibling has borrowed from the same
 //! desk goes before what another desk has, and that before other members'.
 
-use crate::pass::Pass;
+use crate::state::PlanState;
 use crate::{Job, Preempt, Res, Secs, Shape};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashSet};
@@ -39,7 +39,7 @@
     places: Vec<(usize, u32)>,
 }
 
-impl Pass<'_> {
+impl PlanState<'_> {
     /// Stops for a job within a guarantee what other teams run beyond theirs, and holds the room. A gang needs all its
     /// places, an array takes what there is. False if that does not make enough.
     pub(crate) fn recall(&mut self, i: usize, want: u32) -> bool {
--- a/crates/plan/src/spares.rs
+++ b/crates/plan/src/reservations.rs
@@ -1,12 +1,12 @@
 //! Room that is kept for jobs that are expected.
 
-use crate::pass::Pass;
+use crate::state::PlanState;
 use crate::{EPS, Job, Secs, Shape, Spare};
 
 /// Whoever has waited for so long with nothing running gets a place also where room is kept for what is expected.
 const BESIDE_SPARES: Secs = 45.0;
 
-impl Pass<'_> {
+impl PlanState<'_> {
     /// Keeps the rest from machines with room for jobs that are expected: for each image as many as its share that have
     /// it, so that what comes need not fetch.
     pub(crate) fn keep_spares(&mut self) {
--- a/crates/plan/src/hire.rs
+++ b/crates/plan/src/scale_out.rs
@@ -1,7 +1,7 @@
 //! What to rent: enough for the tasks that found no room, where renting is worth its price.
 
-use crate::apart::Tenants;
-use crate::pass::SLACK;
+use crate::RUN_TIME_SLACK;
+use crate::tenant::Tenants;
 use crate::{EPS, Input, Job, Output, Res, Secs, Shape, count_in};
 
 /// A kind of machine that can be rented now.
@@ -116,7 +116,9 @@
                     .map(lead)
                     .fold(0.0, f64::max);
                 let time = job.due.map_or(h.horizon, |due| h.horizon.min(due - lead));
-                let rounds = (time / (job.estimate.max(1.0) * SLACK)).floor().max(1.0);
+                let rounds = (time / (job.estimate.max(1.0) * RUN_TIME_SLACK))
+                    .floor()
+                    .max(1.0);
                 (f64::from(n) / rounds).ceil() as u32
             }
             _ => n,
--- a/crates/plan/src/aged.rs
+++ b/crates/plan/src/starvation_aging.rs
@@ -4,7 +4,7 @@
 //! precedence at all. This is the bound to both: a promised start at the latest. Nothing is stopped for it that would
 //! not be stopped without it.
 
-use crate::pass::Pass;
+use crate::state::PlanState;
 use crate::{Job, Secs, Shape};
 use std::cmp::Reverse;
 
@@ -51,7 +51,7 @@
     }
 }
 
-impl Pass<'_> {
+impl PlanState<'_> {
     /// Whether a job's age counts. That of a gang does only before what is more urgent: among its own, whole machines for
     /// who is late already would make others late too.
     pub(crate) fn is_old(&self, job: &Job) -> bool {
--- /dev/null
+++ b/crates/plan/src/state.rs
@@ -0,0 +1,145 @@
+//! The state of one plan while it is made: what is known of the fleet, and what has been decided so far.
+//!
+//! The modules that decide add methods to [`PlanState`]; this one imports none of them.
+
+use crate::candidates::Candidates;
+use crate::clearing::Clearings;
+use crate::failed_searches::Blocked;
+use crate::job_kind::Wide;
+use crate::tenant::Tenants;
+use crate::timeline::{Line, RoomsToCome};
+use crate::{Group, Input, Job, Machine, Output, Res, Search, Secs, Team};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+/// What is known of the fleet while a plan is made.
+pub(crate) struct PlanState<'a> {
+    pub input: &'a Input,
+    pub free: Vec<Res>,
+    pub slots: Vec<u32>,
+    pub lines: Vec<Line>,
+    /// Until when a machine's whole room is kept: for the expected, or for a gang that others make room for.
+    pub held: Vec<Option<Secs>>,
+    pub images: Vec<Vec<u32>>,
+    /// Machines that take tasks, by what places are chosen by.
+    pub candidates: Candidates,
+    /// Kinds of jobs that found no place, so that others alike need not look.
+    pub blocked: Blocked,
+    /// Machines of each zone.
+    pub in_zone: BTreeMap<u16, Vec<usize>>,
+    /// Machines whose room has changed, in order, once for each change.
+    pub changed: Vec<u32>,
+    /// Room to come for jobs of a kind, once it was asked for.
+    pub rooms_to_come: HashMap<Wide, RoomsToCome>,
+    pub tenants: Vec<Tenants>,
+    /// Some work shares no machine, and the counties that were promised one for that.
+    pub apart: bool,
+    pub waits: BTreeSet<u16>,
+    /// The highest urgency that waits.
+    pub most_urgent: u8,
+    pub teams: Vec<Team>,
+    pub groups: Vec<Group>,
+    /// Of each job, tasks that hold a place by zone.
+    pub zones: Vec<Vec<(u16, u32)>>,
+    /// What can be cleared for tasks of a kind, once it was asked for.
+    pub clearable: HashMap<Wide, Clearings>,
+    pub out: Output,
+}
+
+impl<'a> PlanState<'a> {
+    pub fn new(input: &'a Input) -> Self {
+        let machines = &input.machines;
+        let running = machines.iter().flat_map(|m| &m.running);
+        let mut tenants = input
+            .jobs
+            .iter()
+            .map(|j| &j.tenant)
+            .chain(running.map(|r| &r.tenant));
+        let mut in_zone: BTreeMap<u16, Vec<usize>> = BTreeMap::new();
+        for (m, machine) in machines.iter().enumerate() {
+            in_zone.entry(machine.zone).or_default().push(m);
+        }
+        let mut state = PlanState {
+            input,
+            free: machines.iter().map(Machine::free).collect(),
+            slots: machines.iter().map(|m| m.slots).collect(),
+            lines: vec![Line::default(); machines.len()],
+            held: vec![None; machines.len()],
+            most_urgent: input.jobs.iter().map(|j| j.priority).max().unwrap_or(0),
+            images: machines.iter().map(|m| m.images.clone()).collect(),
+            candidates: Candidates::new(machines, input.jobs.iter().map(|j| j.image)),
+            blocked: Blocked::default(),
+            in_zone,
+            changed: Vec::new(),
+            rooms_to_come: HashMap::new(),
+            tenants: machines
+                .iter()
+                .map(|m| Tenants::of(m.running.iter().map(|r| &r.tenant)))
+                .collect(),
+            apart: tenants.any(|t| t.alone),
+            waits: BTreeSet::new(),
+            teams: input.teams.clone(),
+            groups: input.groups.clone(),
+            zones: input.jobs.iter().map(|j| j.zones.clone()).collect(),
+            clearable: HashMap::new(),
+            out: Output::default(),
+        };
+        state.index_all();
+        state
+    }
+
+    fn index_all(&mut self) {
+        for m in 0..self.input.machines.len() {
+            if self.input.machines[m].usable {
+                self.index(m);
+            }
+        }
+        self.out.steps += self.input.machines.len() as u64;
+    }
+
+    /// Puts a machine where the index has it by its room.
+    pub fn index(&mut self, m: usize) {
+        self.candidates
+            .put(m, &self.free[m], self.slots[m], &self.images[m]);
+    }
+
+    pub fn is_plain(&self) -> bool {
+        self.input.search == Search::Plain
+    }
+
+    /// Past this nothing is cleared or promised any more.
+    pub fn is_tired(&self) -> bool {
+        self.out.steps > self.input.max_steps
+    }
+
+    /// Past this what is left waits for the next plan.
+    pub fn is_over(&self) -> bool {
+        self.out.steps > 2 * self.input.max_steps
+    }
+
+    /// How many more of a job's tasks, at most `cap`, its team's limit and all above it allow.
+    pub fn allows(&self, job: &Job, cap: u32) -> u32 {
+        let team = &self.teams[job.team as usize];
+        let above = team.path.iter().map(|g| &self.groups[*g as usize]);
+        above.fold(team.allows(&job.need, cap), |n, g| {
+            let mut room = g.max;
+            room.add(&g.used, -1.0);
+            room.count(&job.need, n)
+        })
+    }
+
+    /// Machines of a zone, or all.
+    pub fn machines_in(&self, zone: Option<u16>) -> Vec<usize> {
+        match zone {
+            Some(zone) => self.in_zone.get(&zone).cloned().unwrap_or_default(),
+            None => (0..self.input.machines.len()).collect(),
+        }
+    }
+
+    /// Zones to be tried one by one where all tasks share one; else all at once.
+    pub fn zones_for(&self, job: &Job) -> Vec<Option<u16>> {
+        if !job.one_zone {
+            return vec![None];
+        }
+        self.in_zone.keys().copied().map(Some).collect()
+    }
+}
--- /dev/null
+++ b/crates/plan/src/tenant.rs
@@ -0,0 +1,43 @@
+//! Whose work a task is, and what of that is on a machine.
+
+/// Whose work something is: a county as a number, 0 for none, and whether it shares no machine with others.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
+pub struct Tenant {
+    pub county: u16,
+    pub alone: bool,
+}
+
+impl Tenant {
+    /// The two may not be on one machine at the same time.
+    pub fn bars(&self, other: &Tenant) -> bool {
+        self.county != other.county && (self.alone || other.alone)
+    }
+}
+
+/// All that is on a machine, as far as it matters to who wants to join.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct Tenants {
+    county: Option<u16>,
+    mixed: bool,
+    alone: bool,
+}
+
+impl Tenants {
+    pub fn of<'a>(all: impl IntoIterator<Item = &'a Tenant>) -> Self {
+        let mut out = Tenants::default();
+        all.into_iter().for_each(|t| out.add(t));
+        out
+    }
+    pub fn take(&self, new: &Tenant) -> bool {
+        match self.county {
+            None => true,
+            Some(county) if !self.mixed && county == new.county => true,
+            Some(_) => !self.alone && !new.alone,
+        }
+    }
+    pub fn add(&mut self, new: &Tenant) {
+        self.mixed |= self.county.is_some_and(|c| c != new.county);
+        self.county = Some(new.county);
+        self.alone |= new.alone;
+    }
+}
--- a/crates/plan/src/timeline.rs
+++ b/crates/plan/src/timeline.rs
@@ -1,13 +1,6 @@
-//! Rooms to come: when what runs now is expected to end, and what of that is promised to gangs.
-//!
-//! This is MoldableEDF's "earliest free time" for jobs that must start whole. A gang that finds no room now is
-//! planned for the earliest moment at which one zone has it, and its places are promised from then on. Jobs that
-//! come later in the order move no promise: they take what ends in time, or what is left beside it.
+//! Room to come: when what runs now is expected to end, and what of that is promised to gangs.
 
-use crate::blocked::Search;
-use crate::pass::Pass;
-use crate::room::Wide;
-use crate::{Job, Res, Secs, Tenant, count_in};
+use crate::{Res, Secs, Tenant};
 use std::collections::{BTreeMap, HashMap};
 
 /// What is known of a machine's room beyond this moment.
@@ -19,46 +12,36 @@
     pub promised: Vec<(Secs, Res, Tenant)>,
 }
 
-/// More places on one machine are not counted.
-const MOST_PLACES: u32 = 100_000;
-
 /// Places that fall free on a machine at a time.
 #[derive(Clone, Copy)]
-struct Opening {
-    at: Secs,
-    machine: usize,
-    count: u32,
-}
-
-/// The first time at which a gang has all its places, and in which list.
-#[derive(Clone, Copy)]
-struct First {
-    at: Secs,
-    list: usize,
+pub(crate) struct Opening {
+    pub at: Secs,
+    pub machine: usize,
+    pub count: u32,
 }
 
 /// Places by the time at which they fall free, in one zone or in all.
-struct Openings {
-    zone: Option<u16>,
+pub(crate) struct Openings {
+    pub zone: Option<u16>,
     /// Times are 0 or more, so their bits have their order.
-    by_time: BTreeMap<(u64, usize), u32>,
-    of_machine: HashMap<usize, Vec<u64>>,
+    pub by_time: BTreeMap<(u64, usize), u32>,
+    pub of_machine: HashMap<usize, Vec<u64>>,
 }
 
 impl Openings {
-    fn add(&mut self, at: Secs, machine: usize, count: u32) {
+    pub fn add(&mut self, at: Secs, machine: usize, count: u32) {
         let bits = at.max(0.0).to_bits();
         self.by_time.insert((bits, machine), count);
         self.of_machine.entry(machine).or_default().push(bits);
     }
 
-    fn forget(&mut self, machine: usize) {
+    pub fn forget(&mut self, machine: usize) {
         for bits in self.of_machine.remove(&machine).unwrap_or_default() {
             self.by_time.remove(&(bits, machine));
         }
     }
 
-    fn openings(&self) -> impl Iterator<Item = Opening> + '_ {
+    pub fn openings(&self) -> impl Iterator<Item = Opening> + '_ {
         let all = self.by_time.iter();
         all.map(|((bits, machine), count)| Opening {
             at: f64::from_bits(*bits),
@@ -70,13 +53,13 @@
 
 /// What falls free for tasks of a kind: a list for each zone where all must be in one, else one list.
 pub(crate) struct RoomsToCome {
-    lists: Vec<Openings>,
+    pub lists: Vec<Openings>,
     /// Changes of room that were looked at.
-    seen: usize,
+    pub seen: usize,
 }
 
 impl RoomsToCome {
-    fn new(zones: &[Option<u16>]) -> Self {
+    pub fn new(zones: &[Option<u16>]) -> Self {
         let list = |zone: &Option<u16>| Openings {
             zone: *zone,
             by_time: BTreeMap::new(),
@@ -88,254 +71,3 @@
         }
     }
 }
-
-impl Pass<'_> {
-    /// What is free on a machine at a time, without what is promised from no later than `until`.
-    pub(crate) fn room_at(&self, m: usize, at: Secs, until: Secs) -> Res {
-        let mut room = self.free[m];
-        let running = self.input.machines[m]
-            .running
-            .iter()
-            .map(|r| (r.ends, &r.need));
-        let started = self.lines[m].ends.iter().map(|(end, need, _)| (*end, need));
-        for (_, need) in running.chain(started).filter(|(end, _)| *end <= at) {
-            room.add(need, 1.0);
-        }
-        for (_, need, _) in self.lines[m]
-            .promised
-            .iter()
-            .filter(|(from, _, _)| *from <= until)
-        {
-            room.add(need, -1.0);
-        }
-        room
-    }
-
-    /// How many tasks of a job, at most `cap`, a machine takes now without breaking a promise.
-    pub(crate) fn room(&self, job: &Job, m: usize, cap: u32) -> u32 {
-        let mut n = self.free[m].count(&job.need, cap.min(self.slots[m]));
-        let ends = self.length(job, m);
-        for (from, _, tenant) in &self.lines[m].promised {
-            if n == 0 {
-                break;
-            }
-            if *from < ends && tenant.bars(&job.tenant) {
-                n = 0;
-            } else if *from < ends {
-                n = self.room_at(m, *from, *from).count(&job.need, n);
-            }
-        }
-        n
-    }
-
-    /// The same where it is not known how long they would stay.
-    pub(crate) fn unpromised(&self, job: &Job, m: usize) -> u32 {
-        if self.is_promised_to_others(job, m) {
-            return 0;
-        }
-        self.room_at(m, 0.0, f64::INFINITY)
-            .count(&job.need, self.slots[m])
-    }
-
-    /// Until when a task that starts on this machine now is expected to stay.
-    fn length(&self, job: &Job, m: usize) -> Secs {
-        self.fetch(job, m) + job.estimate
-    }
-
-    /// Notes that tasks start on a machine.
-    pub(crate) fn note_start(&mut self, job: &Job, m: usize, n: u32) {
-        let end = self.length(job, m);
-        self.lines[m]
-            .ends
-            .push((end, job.need.times(n), job.tenant));
-    }
-
-    /// Plans a gang for later: in the room that others must give back to its team's guarantee, or in the first that
-    /// falls free by itself.
-    pub(crate) fn wait(&mut self, i: usize, want: u32) {
-        let job = &self.input.jobs[i];
-        if !self.is_plain() && self.blocked.is_hopeless(job, Search::Promise, want) {
-            if job.promised {
-                self.recall(i, want);
-            }
-            return;
-        }
-        let rooms = self.rooms_to_come(job);
-        let first = self.earliest(i, want, &rooms);
-        if first.is_none() {
-            self.blocked.add(job, Search::Promise, want - 1);
-        }
-        let soon = first.is_some_and(|first| first.at <= self.input.patience);
-        let is_made = job.promised && !soon && self.recall(i, want);
-        if let Some(first) = first.filter(|_| !is_made) {
-            self.promise(i, want, &rooms, first);
-        }
-        self.remember(job, rooms);
-    }
-
-    /// Promises a job its first places that fall free by themselves.
-    pub(crate) fn promise_first(&mut self, i: usize, want: u32) {
-        let job = &self.input.jobs[i];
-        let rooms = self.rooms_to_come(job);
-        if let Some(first) = self.earliest(i, want, &rooms) {
-            self.promise(i, want, &rooms, first);
-        }
-        self.remember(job, rooms);
-    }
-
-    /// When, and in which list of places, a gang can first have all its places.
-    fn earliest(&mut self, i: usize, want: u32, rooms: &RoomsToCome) -> Option<First> {
-        let mut best: Option<First> = None;
-        for (number, list) in rooms.lists.iter().enumerate() {
-            let mut left = want;
-            let mut taken: Vec<(u16, u32)> = Vec::new();
-            for opening in list.openings() {
-                self.out.steps += 1;
-                if best.as_ref().is_some_and(|best| opening.at >= best.at) {
-                    break;
-                }
-                left -= self.usable_part(i, &opening, &mut taken).min(left);
-                if left == 0 {
-                    best = Some(First {
-                        at: opening.at,
-                        list: number,
-                    });
-                    break;
-                }
-            }
-        }
-        best
-    }
-
-    /// Promises a gang its places from a time on.
-    fn promise(&mut self, i: usize, want: u32, rooms: &RoomsToCome, first: First) {
-        let job = &self.input.jobs[i];
-        // Of all that is free by then, the places that suit it best; if it is old, the first, so that what is
-        // free already stays its own however wrong the rest was expected.
-        let is_old = self.is_old(job);
-        let rank = |o: &Opening| {
-            if is_old {
-                o.at
-            } else {
-                self.score(job, o.machine)
-            }
-        };
-        let openings = rooms.lists[first.list].openings();
-        let mut chosen: Vec<(Secs, Opening)> = openings
-            .take_while(|o| o.at <= first.at)
-            .map(|o| (rank(&o), o))
-            .collect();
-        self.out.steps += chosen.len() as u64;
-        chosen.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.machine.cmp(&b.1.machine)));
-        let mut left = want;
-        let mut taken: Vec<(u16, u32)> = Vec::new();
-        for (_, opening) in chosen {
-            let n = self.usable_part(i, &opening, &mut taken).min(left);
-            if n == 0 {
-                continue;
-            }
-            self.hold(job, opening.machine, n, first.at);
-            left -= n;
-            if left == 0 {
-                break;
-            }
-        }
-    }
-
-    /// Keeps room on a machine for tasks of a job from a time on.
-    pub(crate) fn hold(&mut self, job: &Job, m: usize, n: u32, at: Secs) {
-        self.lines[m]
-            .promised
-            .push((at, job.need.times(n), job.tenant));
-        self.changed.push(m as u32);
-        self.out.kept.push(m as u32);
-    }
-
-    /// How much of an opening the gang may use, given what it takes elsewhere.
-    fn usable_part(&self, i: usize, opening: &Opening, taken: &mut Vec<(u16, u32)>) -> u32 {
-        let zone = self.input.machines[opening.machine].zone;
-        let there = count_in(taken, zone);
-        let room = self.zone_room(i, zone).saturating_sub(*there);
-        let n = opening.count.min(room);
-        *there += n;
-        n
-    }
-
-    /// All places that a job's tasks could have, now or later. What was found for a job alike is brought up to date
-    /// where room has changed since.
-    fn rooms_to_come(&mut self, job: &Job) -> RoomsToCome {
-        let known = if can_share(job) && !self.is_plain() {
-            self.rooms_to_come.remove(&Wide::of(job))
-        } else {
-            None
-        };
-        let since = known.as_ref().map(|rooms| rooms.seen);
-        let mut rooms = known.unwrap_or_else(|| {
-            let zones = self.zones_for(job);
-            RoomsToCome::new(&zones)
-        });
-        let mut stale: Vec<usize> = match since {
-            Some(seen) => self.changed[seen..].iter().map(|m| *m as usize).collect(),
-            None => (0..self.input.machines.len()).collect(),
-        };
-        stale.sort_unstable();
-        stale.dedup();
-        for m in stale {
-            self.renew(job, &mut rooms, m);
-        }
-        rooms.seen = self.changed.len();
-        rooms
-    }
-
-    fn remember(&mut self, job: &Job, rooms: RoomsToCome) {
-        if can_share(job) && !self.is_plain() {
-            self.rooms_to_come.insert(Wide::of(job), rooms);
-        }
-    }
-
-    /// Finds out anew what falls free on a machine.
-    fn renew(&mut self, job: &Job, rooms: &mut RoomsToCome, m: usize) {
-        self.out.steps += 1;
-        let zone = self.input.machines[m].zone;
-        let Some(list) = rooms
-            .lists
-            .iter_mut()
-            .find(|l| l.zone.is_none_or(|z| z == zone))
-        else {
-            return;
-        };
-        list.forget(m);
-        let machine = &self.input.machines[m];
-        let from = if machine.usable { 0.0 } else { machine.ready };
-        if !from.is_finite() || !self.suits(job, m) || self.held[m].is_some() {
-            return;
-        }
-        if self.is_promised_to_others(job, m) {
-            return;
-        }
-        let from = from.max(self.free_of_others(job, m));
-        let running = machine.running.iter().map(|r| r.ends);
-        let started = self.lines[m].ends.iter().map(|e| e.0);
-        let mut times: Vec<Secs> = running
-            .chain(started)
-            .filter(|t| *t > from)
-            .chain([from])
-            .collect();
-        times.sort_by(f64::total_cmp);
-        self.out.steps += times.len() as u64;
-        let mut before = 0;
-        for at in times {
-            let room = self.room_at(m, at, f64::INFINITY);
-            let n = room.count(&job.need, MOST_PLACES);
-            if n > before {
-                list.add(at, m, n - before);
-                before = n;
-            }
-        }
-    }
-}
-
-/// Whether other jobs alike may use what is found for this one.
-fn can_share(job: &Job) -> bool {
-    job.avoid.is_empty()
-}
