--- a/crates/control/src/documents/hours.rs
+++ b/crates/control/src/documents/hours.rs
@@ -370,7 +370,7 @@
                 let all_cut = || self.settings.cluster.zones.iter().all(cut);
                 let full = |g: &u16| {
                     let group = &input.groups[usize::from(*g)];
-                    let free = plan::Res {
+                    let free = plan::Resources {
                         cores: group.max.cores - group.used.cores,
                         gpus: group.max.gpus - group.used.gpus,
                         mem: group.max.mem - group.used.mem,
--- a/crates/control/src/scheduling/fair_share.rs
+++ b/crates/control/src/scheduling/fair_share.rs
@@ -47,7 +47,7 @@
             v as f64 / 1000.0
         }
     };
-    let res = |a: &quota::Amount| plan::Res {
+    let res = |a: &quota::Amount| plan::Resources {
         cores: units(a[quota::CPUS]),
         gpus: units(a[quota::GPUS]),
         mem: units(a[quota::MEM]),
--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -39,9 +39,9 @@
     pub claims: Vec<Vec<usize>>,
 }
 
-impl From<Need> for plan::Res {
+impl From<Need> for plan::Resources {
     fn from(need: Need) -> Self {
-        plan::Res {
+        plan::Resources {
             cores: need.cores,
             gpus: need.gpus,
             mem: need.mem_gb,
@@ -50,8 +50,8 @@
 }
 
 /// All that a machine of this type has.
-pub(super) fn total_of(machine_type: &MachineType) -> plan::Res {
-    plan::Res {
+pub(super) fn total_of(machine_type: &MachineType) -> plan::Resources {
+    plan::Resources {
         cores: machine_type.cores,
         gpus: machine_type.gpus,
         mem: machine_type.mem_gb,
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -111,7 +111,7 @@
         estimate: spec.estimate_s,
         tasks: spec.tasks,
         pending: spec.tasks,
-        need: plan::Res {
+        need: plan::Resources {
             cores: spec.cores,
             gpus: spec.gpus,
             mem: spec.mem_gb,
--- a/crates/plan/src/candidates.rs
+++ b/crates/plan/src/candidates.rs
@@ -4,7 +4,7 @@
 //! is full is never looked at. The order is that of a walk over all machines sorted by score, which
 //! [`Search::Plain`](crate::Search) still makes as the reference.
 
-use crate::{Job, Machine, Res, Secs};
+use crate::{Job, Machine, Resources, Secs};
 use std::cmp::Reverse;
 use std::collections::btree_set::Iter;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -23,7 +23,7 @@
     machine_type: u16,
     pub zone: u16,
     spot: bool,
-    total: Res,
+    total: Resources,
     fetch_gb_per_s: f64,
 }
 
@@ -52,7 +52,7 @@
     }
 
     /// Lower is better: spot before ordinary, then the tightest fit.
-    pub fn place_score(&self, job: &Job, free: &Res) -> Secs {
+    pub fn place_score(&self, job: &Job, free: &Resources) -> Secs {
         let used = 1.0 - free.gpus / self.total.gpus.max(crate::EPS);
         let left = 1.0 - self.total.share(&job.need) - used;
         let dear = if self.spot { 0.0 } else { ORDINARY };
@@ -128,7 +128,7 @@
     }
 
     /// Puts a machine where its free room says. One without a slot takes no task and is left out.
-    pub fn put(&mut self, machine: usize, free: &Res, slots: u32, images: &[u32]) {
+    pub fn put(&mut self, machine: usize, free: &Resources, slots: u32, images: &[u32]) {
         let group = (slots > 0).then(|| Group {
             class: self.class_of[machine],
             gpus: grains(free.gpus),
@@ -167,9 +167,9 @@
                 if group.class != number || group.cores < least_cores {
                     continue;
                 }
-                let free = Res {
+                let free = Resources {
                     gpus: group.gpus as f64 / GRAIN,
-                    ..Res::default()
+                    ..Resources::default()
                 };
                 let score = class.place_score(job, &free);
                 let cached = with_image.and_then(|all| all.get(group));
--- a/crates/plan/src/clearing.rs
+++ b/crates/plan/src/clearing.rs
@@ -1,6 +1,6 @@
 //! Machines that can be cleared for a task, by cost.
 
-use crate::{Res, Secs};
+use crate::{Resources, Secs};
 
 /// A machine that can be had for a task.
 #[derive(Clone)]
@@ -13,7 +13,7 @@
     /// Tasks that have to be stopped.
     pub stops: Vec<usize>,
     /// Its room when this was found out.
-    pub free: Res,
+    pub free: Resources,
 }
 
 /// What can be had for tasks of a kind, cheapest first: a list for each zone where all must be in one, else one list.
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -37,7 +37,7 @@
 
 /// What a task takes, or a machine has.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Res {
+pub struct Resources {
     pub cores: f64,
     pub gpus: f64,
     pub mem: f64,
@@ -48,23 +48,23 @@
 /// Run times of a job's tasks differ from each other and from the estimate: a round is planned this much longer.
 pub(crate) const RUN_TIME_SLACK: f64 = 1.25;
 
-impl Res {
-    pub fn fits(&self, need: &Res) -> bool {
+impl Resources {
+    pub fn fits(&self, need: &Resources) -> bool {
         need.cores <= self.cores + EPS && need.gpus <= self.gpus + EPS && need.mem <= self.mem + EPS
     }
-    pub fn add(&mut self, o: &Res, n: f64) {
+    pub fn add(&mut self, o: &Resources, n: f64) {
         self.cores += o.cores * n;
         self.gpus += o.gpus * n;
         self.mem += o.mem * n;
     }
     /// What `n` such tasks take.
-    pub(crate) fn times(&self, n: u32) -> Res {
-        let mut all = Res::default();
+    pub(crate) fn times(&self, n: u32) -> Resources {
+        let mut all = Resources::default();
         all.add(self, f64::from(n));
         all
     }
     /// How many tasks of `need` fit in, at most `cap`.
-    pub fn count(&self, need: &Res, cap: u32) -> u32 {
+    pub fn count(&self, need: &Resources, cap: u32) -> u32 {
         let per = |have: f64, want: f64| {
             if want <= EPS {
                 f64::INFINITY
@@ -82,7 +82,7 @@
         }
     }
     /// The share of `self` that `need` takes in its scarcest resource.
-    pub fn share(&self, need: &Res) -> f64 {
+    pub fn share(&self, need: &Resources) -> f64 {
         let part = |have: f64, want: f64| {
             if want <= EPS {
                 0.0
@@ -99,7 +99,7 @@
 /// A task that is on a machine, or may be.
 #[derive(Debug, Clone)]
 pub struct Running {
-    pub need: Res,
+    pub need: Resources,
     /// When it is expected to end.
     pub ends: Secs,
     pub priority: u8,
@@ -129,7 +129,7 @@
     pub usable: bool,
     /// One that does not, when it is expected to; infinity if it is not.
     pub ready: Secs,
-    pub total: Res,
+    pub total: Resources,
     pub running: Vec<Running>,
     /// Images that are or will soon be on it.
     pub images: Vec<u32>,
@@ -139,7 +139,7 @@
 }
 
 impl Machine {
-    pub fn free(&self) -> Res {
+    pub fn free(&self) -> Resources {
         let mut free = self.total;
         for r in &self.running {
             free.add(&r.need, -1.0);
@@ -166,7 +166,7 @@
     pub tasks: u32,
     /// Tasks that wait for a machine.
     pub pending: u32,
-    pub need: Res,
+    pub need: Resources,
     /// Allowed machine types, a bit each.
     pub types: u64,
     pub zone: Option<u16>,
@@ -198,9 +198,9 @@
 /// Teams that share a bound: a node of the quota tree. All claims below it count.
 #[derive(Debug, Clone)]
 pub struct Group {
-    pub used: Res,
+    pub used: Resources,
     /// Infinity where there is none.
-    pub max: Res,
+    pub max: Resources,
     /// What is above the bound is stopped; otherwise it may run to its end.
     pub sheds: bool,
 }
@@ -218,15 +218,15 @@
 
 impl Team {
     /// How many more tasks of `need` the limit allows, at most `cap`.
-    pub fn allows(&self, need: &Res, cap: u32) -> u32 {
-        let room = Res {
+    pub fn allows(&self, need: &Resources, cap: u32) -> u32 {
+        let room = Resources {
             cores: self.cores_max - self.cores_used,
             gpus: self.gpus_max - self.gpus_used,
             mem: 0.0,
         };
-        room.count(&Res { mem: 0.0, ..*need }, cap)
+        room.count(&Resources { mem: 0.0, ..*need }, cap)
     }
-    fn take(&mut self, need: &Res, n: u32) {
+    fn take(&mut self, need: &Resources, n: u32) {
         self.cores_used += need.cores * f64::from(n);
         self.gpus_used += need.gpus * f64::from(n);
     }
--- a/crates/plan/src/limit_enforcement.rs
+++ b/crates/plan/src/limit_enforcement.rs
@@ -2,7 +2,7 @@
 //! and no more than the excess.
 
 use crate::state::PlanState;
-use crate::{EPS, Preempt, Res, Running, Secs};
+use crate::{EPS, Preempt, Resources, Running, Secs};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What stops together: one task, or a whole gang.
@@ -12,7 +12,7 @@
     lost: Secs,
     gang: Option<u32>,
     tasks: Vec<(usize, usize)>,
-    takes: Res,
+    takes: Resources,
 }
 
 impl PlanState<'_> {
@@ -76,7 +76,7 @@
                     lost: 0.0,
                     gang: r.gang,
                     tasks: Vec::new(),
-                    takes: Res::default(),
+                    takes: Resources::default(),
                 };
                 let mut one = None;
                 let at = match r.gang {
@@ -111,7 +111,7 @@
 }
 
 /// Whether ending this brings the use nearer to a bound that it is above.
-fn helps(max: &Res, used: &Res, takes: &Res) -> bool {
+fn helps(max: &Resources, used: &Resources, takes: &Resources) -> bool {
     let over = |max: f64, used: f64, takes: f64| used > max + EPS && takes > EPS;
     over(max.cores, used.cores, takes.cores)
         || over(max.gpus, used.gpus, takes.gpus)
--- a/crates/plan/src/promises.rs
+++ b/crates/plan/src/promises.rs
@@ -8,7 +8,7 @@
 use crate::job_kind::Wide;
 use crate::state::PlanState;
 use crate::timeline::{Opening, RoomsToCome};
-use crate::{Job, Res, Secs, count_in};
+use crate::{Job, Resources, Secs, count_in};
 
 /// More places on one machine are not counted.
 const MOST_PLACES: u32 = 100_000;
@@ -22,7 +22,7 @@
 
 impl PlanState<'_> {
     /// What is free on a machine at a time, without what is promised from no later than `until`.
-    pub(crate) fn room_at(&self, m: usize, at: Secs, until: Secs) -> Res {
+    pub(crate) fn room_at(&self, m: usize, at: Secs, until: Secs) -> Resources {
         let mut room = self.free[m];
         let running = self.input.machines[m]
             .running
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -4,7 +4,7 @@
 //! desk goes before what another desk has, and that before other members'.
 
 use crate::state::PlanState;
-use crate::{Job, Preempt, Res, Secs, Shape};
+use crate::{Job, Preempt, Resources, Secs, Shape};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashSet};
 
@@ -80,7 +80,7 @@
 
     fn recall_in(&mut self, i: usize, want: u32, zone: Option<u16>) -> Option<Recall> {
         let job = &self.input.jobs[i];
-        let mut rooms: BTreeMap<usize, Res> = BTreeMap::new();
+        let mut rooms: BTreeMap<usize, Resources> = BTreeMap::new();
         for m in self.machines_in(zone) {
             let machine = &self.input.machines[m];
             if !self.allowed(job, m) || self.held[m].is_some() {
@@ -98,7 +98,7 @@
             rooms.insert(m, room);
         }
         let mut victims = self.victims(job, &rooms);
-        let count = |rooms: &BTreeMap<usize, Res>| {
+        let count = |rooms: &BTreeMap<usize, Resources>| {
             rooms
                 .values()
                 .map(|room| room.count(&job.need, want))
@@ -158,10 +158,10 @@
     }
 
     /// Places that a victim's end brings nearer: whole ones count most, parts of one a little.
-    fn gain(&self, job: &Job, victim: &Victim, rooms: &BTreeMap<usize, Res>) -> f64 {
+    fn gain(&self, job: &Job, victim: &Victim, rooms: &BTreeMap<usize, Resources>) -> f64 {
         let mut gain = 0.0;
         let mut seen = usize::MAX;
-        let mut after = Res::default();
+        let mut after = Resources::default();
         for (m, k) in &victim.tasks {
             let Some(room) = rooms.get(m) else { continue };
             if *m != seen {
@@ -181,7 +181,7 @@
         gain
     }
 
-    fn give_back(&self, victim: &Victim, rooms: &mut BTreeMap<usize, Res>, times: f64) {
+    fn give_back(&self, victim: &Victim, rooms: &mut BTreeMap<usize, Resources>, times: f64) {
         for (m, k) in &victim.tasks {
             if let Some(room) = rooms.get_mut(m) {
                 room.add(&self.input.machines[*m].running[*k].need, times);
@@ -190,7 +190,7 @@
     }
 
     /// All that may be stopped for a job on these machines, with what that loses.
-    fn victims(&self, job: &Job, rooms: &BTreeMap<usize, Res>) -> Vec<Victim> {
+    fn victims(&self, job: &Job, rooms: &BTreeMap<usize, Resources>) -> Vec<Victim> {
         let mut out = Vec::new();
         let mut gangs: BTreeMap<u32, Victim> = BTreeMap::new();
         let preempts = self.out.preempts.iter();
--- a/crates/plan/src/scale_out.rs
+++ b/crates/plan/src/scale_out.rs
@@ -2,7 +2,7 @@
 
 use crate::RUN_TIME_SLACK;
 use crate::tenant::Tenants;
-use crate::{EPS, Input, Job, Output, Res, Secs, Shape, count_in};
+use crate::{EPS, Input, Job, Output, Resources, Secs, Shape, count_in};
 
 /// A kind of machine that can be rented now.
 #[derive(Debug, Clone)]
@@ -10,7 +10,7 @@
     pub machine_type: u16,
     pub zone: u16,
     pub spot: bool,
-    pub total: Res,
+    pub total: Resources,
     pub price: f64,
     pub boot: Secs,
     pub fetch_gb_per_s: f64,
@@ -37,7 +37,7 @@
 
 struct Virtual {
     offer: MachineOffer,
-    free: Res,
+    free: Resources,
     new: Option<usize>,
     tenants: Tenants,
 }
--- a/crates/plan/src/sizes.rs
+++ b/crates/plan/src/sizes.rs
@@ -1,18 +1,18 @@
 //! Jobs as the search of the stretch sees them.
 
-use crate::{Job, Machine, Res, stretch};
+use crate::{Job, Machine, Resources, stretch};
 
 /// Tasks of one machine that are counted at most.
 const MOST_TASKS: u32 = 10_000;
 
 /// The fleet's machines by size, so that slots are counted once for each size.
 pub(crate) struct Slots {
-    sizes: Vec<(Res, u32)>,
+    sizes: Vec<(Resources, u32)>,
 }
 
 impl Slots {
     pub fn of(machines: &[Machine]) -> Self {
-        let mut sizes: Vec<(Res, u32)> = Vec::new();
+        let mut sizes: Vec<(Resources, u32)> = Vec::new();
         for machine in machines {
             match sizes.iter_mut().find(|(total, _)| *total == machine.total) {
                 Some((_, count)) => *count += 1,
@@ -24,7 +24,7 @@
 
     /// A job against the slots that it would have alone.
     pub fn size(&self, job: &Job) -> stretch::Sized {
-        let tasks = |(total, count): &(Res, u32)| {
+        let tasks = |(total, count): &(Resources, u32)| {
             f64::from(total.count(&job.need, MOST_TASKS)) * f64::from(*count)
         };
         let slots: f64 = self.sizes.iter().map(tasks).sum();
--- a/crates/plan/src/state.rs
+++ b/crates/plan/src/state.rs
@@ -8,13 +8,13 @@
 use crate::job_kind::Wide;
 use crate::tenant::Tenants;
 use crate::timeline::{Line, RoomsToCome};
-use crate::{Group, Input, Job, Machine, Output, Res, Search, Secs, Team};
+use crate::{Group, Input, Job, Machine, Output, Resources, Search, Secs, Team};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What is known of the fleet while a plan is made.
 pub(crate) struct PlanState<'a> {
     pub input: &'a Input,
-    pub free: Vec<Res>,
+    pub free: Vec<Resources>,
     pub slots: Vec<u32>,
     pub lines: Vec<Line>,
     /// Until when a machine's whole room is kept: for the expected, or for a gang that others make room for.
--- a/crates/plan/src/timeline.rs
+++ b/crates/plan/src/timeline.rs
@@ -1,15 +1,15 @@
 //! Room to come: when what runs now is expected to end, and what of that is promised to gangs.
 
-use crate::{Res, Secs, Tenant};
+use crate::{Resources, Secs, Tenant};
 use std::collections::{BTreeMap, HashMap};
 
 /// What is known of a machine's room beyond this moment.
 #[derive(Clone, Default)]
 pub(crate) struct Line {
     /// Ends of the tasks that this plan starts.
-    pub ends: Vec<(Secs, Res, Tenant)>,
+    pub ends: Vec<(Secs, Resources, Tenant)>,
     /// Room that belongs to a gang from a time on.
-    pub promised: Vec<(Secs, Res, Tenant)>,
+    pub promised: Vec<(Secs, Resources, Tenant)>,
 }
 
 /// Places that fall free on a machine at a time.
--- a/crates/plan/tests/apart.rs
+++ b/crates/plan/tests/apart.rs
@@ -1,11 +1,11 @@
 //! Work that shares no machine gets one, however busy the fleet is with work that comes and goes.
 
 use plan::{
-    HireInput, Input, Job, Machine, MachineOffer, Output, Res, Running, Shape, Start, Team, Tenant,
-    plan, wishes,
+    HireInput, Input, Job, Machine, MachineOffer, Output, Resources, Running, Shape, Start, Team,
+    Tenant, plan, wishes,
 };
 
-const GPU: Res = Res {
+const GPU: Resources = Resources {
     cores: 1.0,
     gpus: 1.0,
     mem: 1.0,
@@ -56,7 +56,7 @@
         spot: false,
         usable: true,
         ready: f64::INFINITY,
-        total: Res {
+        total: Resources {
             cores: 4.0,
             gpus: 4.0,
             mem: 64.0,
--- a/crates/plan/tests/fleets/mod.rs
+++ b/crates/plan/tests/fleets/mod.rs
@@ -1,7 +1,7 @@
 //! Generated fleets of any size, for tests and the scale example: machines in zones, most of them busy, with waiting
 //! gangs and arrays of many teams.
 
-use plan::{Input, Job, Machine, Res, Running, Shape, Team, Tenant};
+use plan::{Input, Job, Machine, Resources, Running, Shape, Team, Tenant};
 
 pub const ZONES: u16 = 12;
 pub const TEAMS: u16 = 86;
@@ -12,8 +12,8 @@
 const PRIORITIES: [u8; 3] = [0, 1, 2];
 
 /// So much of a machine as this many GPUs have.
-pub fn part(gpus: f64) -> Res {
-    Res {
+pub fn part(gpus: f64) -> Resources {
+    Resources {
         cores: gpus * 6.0,
         gpus,
         mem: gpus * 36.0,
@@ -81,7 +81,7 @@
     };
     // Arrays differ in what they need, as users' do.
     let vary = if is_gang { 1.0 } else { 0.6 + rng.f64() * 0.8 };
-    let need = Res {
+    let need = Resources {
         cores: (part(gpus).cores * vary).round(),
         ..part(gpus)
     };
--- a/crates/plan/tests/floods.rs
+++ b/crates/plan/tests/floods.rs
@@ -1,7 +1,7 @@
 //! Floods of urgent work played in plan turns: who waits long begins, and nothing is stopped for it against its urgency.
 
 use plan::{
-    Input, Job, Machine, Output, Res, Running, Shape, Spare, Team, Waits, first_share, plan,
+    Input, Job, Machine, Output, Resources, Running, Shape, Spare, Team, Waits, first_share, plan,
 };
 use proptest::prelude::*;
 
@@ -12,8 +12,8 @@
 };
 const PLACES: u32 = 4;
 
-fn task() -> Res {
-    Res {
+fn task() -> Resources {
+    Resources {
         cores: 1.0,
         gpus: 1.0,
         mem: 1.0,
@@ -23,7 +23,7 @@
 fn job(shape: Shape, priority: u8, tasks: u32) -> Job {
     // A task of an urgent gang takes a whole machine.
     let places = if shape == Shape::Gang { PLACES } else { 1 };
-    let mut need = Res::default();
+    let mut need = Resources::default();
     need.add(&task(), f64::from(places));
     Job {
         shape,
@@ -60,7 +60,7 @@
         spot: false,
         usable: true,
         ready: 0.0,
-        total: Res {
+        total: Resources {
             cores: 4.0,
             gpus: 4.0,
             mem: 4.0,
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -1,8 +1,8 @@
 //! Plans of generated fleets: nothing overlaps, limits and places hold, the stretch is the smallest.
 
 use plan::{
-    Group, HireInput, Input, Job, Machine, MachineOffer, Res, Running, Shape, Sized, Team, Tenant,
-    Wish, plan, smallest_stretch, wishes,
+    Group, HireInput, Input, Job, Machine, MachineOffer, Resources, Running, Shape, Sized, Team,
+    Tenant, Wish, plan, smallest_stretch, wishes,
 };
 use proptest::prelude::*;
 
@@ -14,8 +14,8 @@
     }
 }
 
-fn res(cores: f64, gpus: f64, mem: f64) -> Res {
-    Res { cores, gpus, mem }
+fn res(cores: f64, gpus: f64, mem: f64) -> Resources {
+    Resources { cores, gpus, mem }
 }
 
 prop_compose! {
@@ -60,7 +60,7 @@
     #[test]
     fn plans_are_feasible(input in input()) {
         let out = plan(&input);
-        let mut free: Vec<Res> = input.machines.iter().map(Machine::free).collect();
+        let mut free: Vec<Resources> = input.machines.iter().map(Machine::free).collect();
         let mut used = vec![0.0; input.teams.len()];
         let mut started = vec![0u32; input.jobs.len()];
         let mut zones = vec![[0u32; 2]; input.jobs.len()];
--- a/crates/plan/tests/zones.rs
+++ b/crates/plan/tests/zones.rs
@@ -1,12 +1,12 @@
 //! Jobs whose tasks share a zone, and lose machines: nothing is rented, stopped or held where they can't go.
 
 use plan::{
-    Group, HireInput, Input, Job, Machine, MachineOffer, Res, Running, Shape, Team, Wish, plan,
-    wishes,
+    Group, HireInput, Input, Job, Machine, MachineOffer, Resources, Running, Shape, Team, Wish,
+    plan, wishes,
 };
 
-fn res(gpus: f64) -> Res {
-    Res {
+fn res(gpus: f64) -> Resources {
+    Resources {
         cores: 2.0 * gpus,
         gpus,
         mem: 4.0 * gpus,
@@ -79,7 +79,7 @@
         cores_max: f64::INFINITY,
         gpus_max: f64::INFINITY,
     };
-    let none = Res {
+    let none = Resources {
         cores: f64::INFINITY,
         gpus: f64::INFINITY,
         mem: f64::INFINITY,
