--- a/crates/plan/src/backfill.rs
+++ b/crates/plan/src/backfill.rs
@@ -19,13 +19,13 @@
         } else {
             Search::Service
         };
-        if !self.is_plain() && self.blocked.is_hopeless(job, search, 1) {
+        if !self.is_plain() && self.failed_searches.is_hopeless(job, search, 1) {
             return 0;
         }
         let zone = self.shared_zone(i, keep_holds);
         let chosen = self.choose(i, granted, zone, keep_holds);
         if chosen.is_empty() && zone.is_none() {
-            self.blocked.add(job, search, 0);
+            self.failed_searches.add(job, search, 0);
         }
         let mut started = 0;
         for (m, n) in chosen {
--- a/crates/plan/src/failed_searches.rs
+++ b/crates/plan/src/failed_searches.rs
@@ -2,7 +2,7 @@
 //! plan is made.
 
 use crate::Job;
-use crate::job_kind::Wide;
+use crate::job_kind::JobKind;
 use std::collections::HashMap;
 
 /// Ways to look for places; each has machines that it passes over.
@@ -27,23 +27,23 @@
 
 /// Searches that failed in this plan.
 #[derive(Default)]
-pub(crate) struct Blocked {
-    failed: HashMap<(Wide, Search), Vec<Failed>>,
+pub(crate) struct FailedSearches {
+    failed: HashMap<(JobKind, Search), Vec<Failed>>,
 }
 
-/// Jobs whose places depend on nothing but what [`Wide`] says.
+/// Jobs whose places depend on nothing but what [`JobKind`] says.
 fn is_plain(job: &Job) -> bool {
     let has_zone = job.one_zone && job.zones.iter().any(|(_, n)| *n > 0);
     job.avoid.is_empty() && !job.spread && !has_zone
 }
 
-impl Blocked {
+impl FailedSearches {
     /// A job has found only so many places.
     pub fn add(&mut self, job: &Job, search: Search, found: u32) {
         if !is_plain(job) {
             return;
         }
-        let all = self.failed.entry((Wide::of(job), search)).or_default();
+        let all = self.failed.entry((JobKind::of(job), search)).or_default();
         // What says less than the new one is not needed any more.
         all.retain(|old| old.estimate < job.estimate || old.found < found);
         all.push(Failed {
@@ -54,7 +54,7 @@
 
     /// Whether a job is known to find fewer than `want` places.
     pub fn is_hopeless(&self, job: &Job, search: Search, want: u32) -> bool {
-        let Some(all) = self.failed.get(&(Wide::of(job), search)) else {
+        let Some(all) = self.failed.get(&(JobKind::of(job), search)) else {
             return false;
         };
         is_plain(job)
--- a/crates/plan/src/gang.rs
+++ b/crates/plan/src/gang.rs
@@ -21,7 +21,7 @@
     /// Starts all `want` tasks of a gang or none.
     pub(crate) fn gang(&mut self, i: usize, want: u32) -> bool {
         let job = &self.input.jobs[i];
-        if !self.is_plain() && self.blocked.is_hopeless(job, Search::Gang, want) {
+        if !self.is_plain() && self.failed_searches.is_hopeless(job, Search::Gang, want) {
             return false;
         }
         let mut best: Option<Places> = None;
@@ -36,7 +36,7 @@
             }
         }
         let Some(best) = best else {
-            self.blocked.add(job, Search::Gang, most);
+            self.failed_searches.add(job, Search::Gang, most);
             return false;
         };
         if self.is_clearing_better(i, want, &best.chosen) {
--- a/crates/plan/src/job_kind.rs
+++ b/crates/plan/src/job_kind.rs
@@ -4,7 +4,7 @@
 
 /// What jobs have in common that can use the same machines.
 #[derive(Clone, PartialEq, Eq, Hash)]
-pub(crate) struct Wide {
+pub(crate) struct JobKind {
     need: [u64; 3],
     priority: u8,
     types: u64,
@@ -16,9 +16,9 @@
     only: Vec<u16>,
 }
 
-impl Wide {
+impl JobKind {
     pub fn of(job: &Job) -> Self {
-        Wide {
+        JobKind {
             need: [
                 job.need.cores.to_bits(),
                 job.need.gpus.to_bits(),
--- a/crates/plan/src/priority_preemption.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -3,7 +3,7 @@
 
 use crate::clearing::{Clearing, Clearings, drop_at};
 use crate::failed_searches::Search;
-use crate::job_kind::Wide;
+use crate::job_kind::JobKind;
 use crate::state::PlanState;
 use crate::{Job, Preempt, Secs, URGENT, count_in};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
             return;
         }
         let want = want.min(MOST_CLEARED);
-        let key = Wide::of(job);
+        let key = JobKind::of(job);
         let known = self.clearable.remove(&key);
         let mut options = known.unwrap_or_else(|| self.options(job));
         let mut left = want;
@@ -76,10 +76,10 @@
     pub(crate) fn cheapest(&mut self, i: usize, want: u32) -> Option<(f64, Vec<Clearing>)> {
         let input = self.input;
         let job = &input.jobs[i];
-        if !self.is_plain() && self.blocked.is_hopeless(job, Search::Clear, want) {
+        if !self.is_plain() && self.failed_searches.is_hopeless(job, Search::Clear, want) {
             return None;
         }
-        let key = Wide::of(job);
+        let key = JobKind::of(job);
         let known = self.clearable.remove(&key);
         let mut options = known.unwrap_or_else(|| self.options(job));
         // Per zone where all must be in one; what takes the least of waiting and of lost work is taken.
@@ -94,7 +94,7 @@
             }
         }
         if best.is_none() {
-            self.blocked.add(job, Search::Clear, most);
+            self.failed_searches.add(job, Search::Clear, most);
         }
         self.clearable.insert(key, options);
         best
--- a/crates/plan/src/promises.rs
+++ b/crates/plan/src/promises.rs
@@ -5,7 +5,7 @@
 //! come later in the order move no promise: they take what ends in time, or what is left beside it.
 
 use crate::failed_searches::Search;
-use crate::job_kind::Wide;
+use crate::job_kind::JobKind;
 use crate::state::PlanState;
 use crate::timeline::{Opening, RoomsToCome};
 use crate::{Job, Resources, Secs, count_in};
@@ -85,7 +85,7 @@
     /// falls free by itself.
     pub(crate) fn wait(&mut self, i: usize, want: u32) {
         let job = &self.input.jobs[i];
-        if !self.is_plain() && self.blocked.is_hopeless(job, Search::Promise, want) {
+        if !self.is_plain() && self.failed_searches.is_hopeless(job, Search::Promise, want) {
             if job.promised {
                 self.recall(i, want);
             }
@@ -94,7 +94,7 @@
         let rooms = self.rooms_to_come(job);
         let first = self.earliest(i, want, &rooms);
         if first.is_none() {
-            self.blocked.add(job, Search::Promise, want - 1);
+            self.failed_searches.add(job, Search::Promise, want - 1);
         }
         let soon = first.is_some_and(|first| first.at <= self.input.patience);
         let is_made = job.promised && !soon && self.recall(i, want);
@@ -196,7 +196,7 @@
     /// where room has changed since.
     fn rooms_to_come(&mut self, job: &Job) -> RoomsToCome {
         let known = if can_share(job) && !self.is_plain() {
-            self.rooms_to_come.remove(&Wide::of(job))
+            self.rooms_to_come.remove(&JobKind::of(job))
         } else {
             None
         };
@@ -220,7 +220,7 @@
 
     fn remember(&mut self, job: &Job, rooms: RoomsToCome) {
         if can_share(job) && !self.is_plain() {
-            self.rooms_to_come.insert(Wide::of(job), rooms);
+            self.rooms_to_come.insert(JobKind::of(job), rooms);
         }
     }
 
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -95,9 +95,9 @@
     pub(crate) fn fill_from_spares(&mut self, i: usize) -> u32 {
         let kept = self.out.kept.clone();
         kept.iter().for_each(|m| self.held[*m as usize] = None);
-        self.blocked.forget();
+        self.failed_searches.forget();
         let started = self.fill(i, 1, true);
-        self.blocked.forget();
+        self.failed_searches.forget();
         kept.iter().for_each(|m| self.held[*m as usize] = Some(0.0));
         started
     }
--- a/crates/plan/src/state.rs
+++ b/crates/plan/src/state.rs
@@ -4,8 +4,8 @@
 
 use crate::candidates::Candidates;
 use crate::clearing::Clearings;
-use crate::failed_searches::Blocked;
-use crate::job_kind::Wide;
+use crate::failed_searches::FailedSearches;
+use crate::job_kind::JobKind;
 use crate::tenant::Tenants;
 use crate::timeline::{Line, RoomsToCome};
 use crate::{Group, Input, Job, Machine, Output, Resources, Search, Secs, Team};
@@ -23,13 +23,13 @@
     /// Machines that take tasks, by what places are chosen by.
     pub candidates: Candidates,
     /// Kinds of jobs that found no place, so that others alike need not look.
-    pub blocked: Blocked,
+    pub failed_searches: FailedSearches,
     /// Machines of each zone.
     pub in_zone: BTreeMap<u16, Vec<usize>>,
     /// Machines whose room has changed, in order, once for each change.
     pub changed: Vec<u32>,
     /// Room to come for jobs of a kind, once it was asked for.
-    pub rooms_to_come: HashMap<Wide, RoomsToCome>,
+    pub rooms_to_come: HashMap<JobKind, RoomsToCome>,
     pub tenants: Vec<Tenants>,
     /// Some work shares no machine, and the counties that were promised one for that.
     pub apart: bool,
@@ -41,7 +41,7 @@
     /// Of each job, tasks that hold a place by zone.
     pub zones: Vec<Vec<(u16, u32)>>,
     /// What can be cleared for tasks of a kind, once it was asked for.
-    pub clearable: HashMap<Wide, Clearings>,
+    pub clearable: HashMap<JobKind, Clearings>,
     pub out: Output,
 }
 
@@ -67,7 +67,7 @@
             most_urgent: input.jobs.iter().map(|j| j.priority).max().unwrap_or(0),
             images: machines.iter().map(|m| m.images.clone()).collect(),
             candidates: Candidates::new(machines, input.jobs.iter().map(|j| j.image)),
-            blocked: Blocked::default(),
+            failed_searches: FailedSearches::default(),
             in_zone,
             changed: Vec::new(),
             rooms_to_come: HashMap::new(),
