--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -157,7 +157,7 @@
     }
 
     fn add_reservations(&mut self, tuning: &Tuning) {
-        self.input.spares = reservations(
+        self.input.reservations = reservations(
             self.shard,
             self.objectives,
             &self.names,
--- a/crates/control/src/scheduling/reservations.rs
+++ b/crates/control/src/scheduling/reservations.rs
@@ -22,7 +22,7 @@
     names: &NameIndex<'_>,
     tuning: &Tuning,
     wall: u64,
-) -> Vec<plan::Spare> {
+) -> Vec<plan::Reservation> {
     let expected = Expected {
         objectives,
         names,
@@ -32,7 +32,7 @@
     let Shard {
         classes, images, ..
     } = shard;
-    let mut reservations: Vec<plan::Spare> = classes
+    let mut reservations: Vec<plan::Reservation> = classes
         .iter()
         .filter_map(|(name, class)| expected.reservation(name, class, images))
         .collect();
@@ -55,7 +55,7 @@
         name: &str,
         class: &Class,
         images: &mut shard::Names,
-    ) -> Option<plan::Spare> {
+    ) -> Option<plan::Reservation> {
         let spec = class.like.as_ref()?;
         let team = *self.names.teams.get(spec.team.as_str())?;
         let like = planner_job(spec, images, self.names, team);
@@ -71,7 +71,7 @@
             .iter()
             .map(|(name, gb, share)| (images.get(name), *gb, *share))
             .collect();
-        (count > 0).then_some(plan::Spare {
+        (count > 0).then_some(plan::Reservation {
             like,
             count,
             images,
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -234,7 +234,7 @@
 
 /// Room that is kept free for jobs that are expected soon and may not wait for a machine to boot.
 #[derive(Debug, Clone)]
-pub struct Spare {
+pub struct Reservation {
     /// What one of the expected tasks looks like.
     pub like: Job,
     pub count: u32,
@@ -248,7 +248,7 @@
     pub jobs: Vec<Job>,
     pub teams: Vec<Team>,
     pub groups: Vec<Group>,
-    pub spares: Vec<Spare>,
+    pub reservations: Vec<Reservation>,
     /// The online factor: the smallest stretch is relaxed by it.
     pub online_factor: f64,
     /// A job of higher priority waits this long for room before others are stopped for it.
@@ -295,9 +295,9 @@
     pub recalls: Vec<u32>,
     /// Tasks that found no room now though their team's limit allows them: job and count.
     pub waiting: Vec<(u32, u32)>,
-    /// Machines whose free room is kept, for the expected or for a gang that gathers room, and how much of each spare found no room.
+    /// Machines whose free room is kept, for the expected or for a gang that gathers room, and how much of each reservation found no room.
     pub kept: Vec<u32>,
-    pub spare_short: Vec<u32>,
+    pub reservations_short: Vec<u32>,
     /// The smallest stretch found.
     pub stretch: f64,
     /// The first job that the bound of steps left for the next plan.
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -118,16 +118,20 @@
             next += 1;
         }
         if !kept {
-            self.keep_spares();
+            self.keep_reservations();
         }
     }
 
     /// Serves a job, once room is kept for what is expected and more urgent.
     fn serve_one(&mut self, ranked: &Ranked, left: &mut [u32], kept: &mut bool) {
-        let spares = &self.input.spares;
-        if !*kept && spares.iter().all(|s| s.like.priority > ranked.priority) {
+        let reservations = &self.input.reservations;
+        if !*kept
+            && reservations
+                .iter()
+                .all(|s| s.like.priority > ranked.priority)
+        {
             *kept = true;
-            self.keep_spares();
+            self.keep_reservations();
         }
         match self.input.jobs[ranked.job].shape {
             Shape::Gang => self.serve_gang(ranked.job, left),
@@ -193,8 +197,8 @@
         }
         for ranked in order {
             let i = ranked.job;
-            if left[i] > 0 && !self.is_over() && self.waits_beside_spares(i) {
-                left[i] -= self.fill_from_spares(i);
+            if left[i] > 0 && !self.is_over() && self.waits_beside_reservations(i) {
+                left[i] -= self.fill_from_reservations(i);
             }
         }
     }
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -1,30 +1,30 @@
 //! Room that is kept for jobs that are expected.
 
 use crate::state::PlanState;
-use crate::{EPS, Job, Secs, Shape, Spare};
+use crate::{EPS, Job, Reservation, Secs, Shape};
 
 /// Whoever has waited for so long with nothing running gets a place also where room is kept for what is expected.
-const BESIDE_SPARES: Secs = 45.0;
+const BESIDE_RESERVATIONS: Secs = 45.0;
 
 impl PlanState<'_> {
     /// Keeps the rest from machines with room for jobs that are expected: for each image as many as its share that have
     /// it, so that what comes need not fetch.
-    pub(crate) fn keep_spares(&mut self) {
+    pub(crate) fn keep_reservations(&mut self) {
         let input = self.input;
-        for spare in &input.spares {
-            let short = self.keep_spare(spare);
-            self.out.spare_short.push(short);
+        for reservation in &input.reservations {
+            let short = self.keep_reservation(reservation);
+            self.out.reservations_short.push(short);
         }
     }
 
     /// How much of it finds no room.
-    fn keep_spare(&mut self, spare: &Spare) -> u32 {
-        let job = &spare.like;
-        let order = self.machines_for(spare);
-        let mut left = spare.count;
-        let all: f64 = spare.images.iter().map(|(_, _, share)| share).sum();
-        for (image, _, share) in &spare.images {
-            let wanted = (f64::from(spare.count) * share / all.max(EPS)).round() as u32;
+    fn keep_reservation(&mut self, reservation: &Reservation) -> u32 {
+        let job = &reservation.like;
+        let order = self.machines_for(reservation);
+        let mut left = reservation.count;
+        let all: f64 = reservation.images.iter().map(|(_, _, share)| share).sum();
+        for (image, _, share) in &reservation.images {
+            let wanted = (f64::from(reservation.count) * share / all.max(EPS)).round() as u32;
             let mut wanted = wanted.min(left);
             for m in &order {
                 if wanted == 0 {
@@ -49,12 +49,12 @@
     }
 
     /// Machines with room for it, those first where what is expected is soonest.
-    fn machines_for(&mut self, spare: &Spare) -> Vec<usize> {
+    fn machines_for(&mut self, reservation: &Reservation) -> Vec<usize> {
         let input = self.input;
-        let job = &spare.like;
+        let job = &reservation.like;
         // The time that all expected images together, by their shares, take to come here.
         let missing = |m: usize| {
-            let away = spare
+            let away = reservation
                 .images
                 .iter()
                 .filter(|(image, _, _)| !self.images[m].contains(image));
@@ -81,18 +81,18 @@
     }
 
     /// An array that has waited for long and has no task on any machine.
-    pub(crate) fn waits_beside_spares(&self, i: usize) -> bool {
+    pub(crate) fn waits_beside_reservations(&self, i: usize) -> bool {
         let job = &self.input.jobs[i];
         let none = self.zones[i].iter().all(|(_, n)| *n == 0);
         job.shape == Shape::Array
-            && -job.arrival >= BESIDE_SPARES
+            && -job.arrival >= BESIDE_RESERVATIONS
             && none
             && !self.out.kept.is_empty()
     }
 
     /// A first task where room is kept for jobs that are only expected: nobody waits for ever beside it. The rest of it
     /// stays kept, so that it goes task by task.
-    pub(crate) fn fill_from_spares(&mut self, i: usize) -> u32 {
+    pub(crate) fn fill_from_reservations(&mut self, i: usize) -> u32 {
         let kept = self.out.kept.clone();
         kept.iter().for_each(|m| self.held[*m as usize] = None);
         self.failed_searches.forget();
--- a/crates/plan/src/scale_out.rs
+++ b/crates/plan/src/scale_out.rs
@@ -94,8 +94,12 @@
         .map(|(j, n)| (&jobs[*j as usize], *n))
         .collect();
     order.sort_by_key(|(job, _)| std::cmp::Reverse(job.priority));
-    let short = h.input.spares.iter().zip(&h.output.spare_short);
-    order.extend(short.map(|(spare, n)| (&spare.like, *n)));
+    let short = h
+        .input
+        .reservations
+        .iter()
+        .zip(&h.output.reservations_short);
+    order.extend(short.map(|(reservation, n)| (&reservation.like, *n)));
     for (job, n) in order {
         let fits = |o: &MachineOffer| {
             job.types >> o.machine_type & 1 == 1
--- a/crates/plan/tests/floods.rs
+++ b/crates/plan/tests/floods.rs
@@ -1,7 +1,8 @@
 //! Floods of urgent work played in plan turns: who waits long begins, and nothing is stopped for it against its urgency.
 
 use plan::{
-    Input, Job, Machine, Output, Resources, Running, Shape, Spare, Team, Waits, first_share, plan,
+    Input, Job, Machine, Output, Reservation, Resources, Running, Shape, Team, Waits, first_share,
+    plan,
 };
 use proptest::prelude::*;
 
@@ -330,7 +331,7 @@
             cores_max: 1e9,
             gpus_max: 1e9,
         }],
-        spares: vec![Spare {
+        reservations: vec![Reservation {
             like,
             count: 1,
             images: vec![(0, 0.0, 1.0)],
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -50,7 +50,7 @@
     fn input()(machines in prop::collection::vec(machine(), 0..8), jobs in prop::collection::vec(job(), 0..10),
                limit in 1.0f64..30.0, online_factor in 1.0f64..3.0) -> Input {
         let team = |max| Team { path: vec![], cores_used: 0.0, gpus_used: 0.0, cores_max: f64::INFINITY, gpus_max: max };
-        Input { machines, jobs, teams: vec![team(limit), team(f64::INFINITY)], groups: vec![], spares: vec![], online_factor, patience: 2.0, waits: plan::Waits::default(), max_steps: u64::MAX / 4, ..Input::default() }
+        Input { machines, jobs, teams: vec![team(limit), team(f64::INFINITY)], groups: vec![], reservations: vec![], online_factor, patience: 2.0, waits: plan::Waits::default(), max_steps: u64::MAX / 4, ..Input::default() }
     }
 }
 
@@ -113,7 +113,7 @@
                         need: res(1.0, 1.0, 1.0), types: 1, zone: None, one_zone: false, spread: false, spot: true, image: 0,
                         image_gb: 1.0, team: 0, due: None, waits: false, promised: false, held: 0, zones: vec![], avoid: vec![], tenant: Default::default(), only: vec![] };
         let team = unbounded(&[]);
-        let input = Input { machines: vec![machine; n], jobs: vec![job], teams: vec![team], groups: vec![], spares: vec![], online_factor: 1.0, patience: 1.0, waits: plan::Waits::default(), max_steps: u64::MAX / 4, ..Input::default() };
+        let input = Input { machines: vec![machine; n], jobs: vec![job], teams: vec![team], groups: vec![], reservations: vec![], online_factor: 1.0, patience: 1.0, waits: plan::Waits::default(), max_steps: u64::MAX / 4, ..Input::default() };
         let out = plan(&input);
         let started: u32 = out.starts.iter().map(|s| s.count).sum();
         prop_assert_eq!(started, tasks.min(4 * n as u32));
@@ -216,7 +216,7 @@
         jobs,
         teams: vec![team],
         groups: vec![],
-        spares: vec![],
+        reservations: vec![],
         online_factor: 1.0,
         patience: 3.0,
         waits: plan::Waits::default(),
--- a/crates/plan/tests/search.rs
+++ b/crates/plan/tests/search.rs
@@ -16,7 +16,7 @@
     })
 }
 
-/// A fleet with much that is seldom: guarantees, spares, work that shares no machine, zones and machines that are
+/// A fleet with much that is seldom: guarantees, reservations, work that shares no machine, zones and machines that are
 /// avoided, jobs with tasks on machines, services, machines that boot.
 fn mixed(seed: u64, machines: u32, jobs: usize) -> Input {
     let mut input = fleets::input(seed, machines, jobs);
@@ -48,7 +48,7 @@
         let like = fleets::job(&mut rng);
         let images = (0..fleets::IMAGES)
             .map(|image| (image, fleets::IMAGE_GB, 1.0 / f64::from(fleets::IMAGES)));
-        input.spares.push(plan::Spare {
+        input.reservations.push(plan::Reservation {
             like,
             count: rng.u32(1..6),
             images: images.collect(),
@@ -119,7 +119,7 @@
         prop_assert_eq!(indexed.preempts, walked.preempts);
         prop_assert_eq!(indexed.recalls, walked.recalls);
         prop_assert_eq!(indexed.kept, walked.kept);
-        prop_assert_eq!(indexed.spare_short, walked.spare_short);
+        prop_assert_eq!(indexed.reservations_short, walked.reservations_short);
         prop_assert_eq!(indexed.waiting, walked.waiting);
         prop_assert!(indexed.stretch <= walked.stretch);
     }
--- a/crates/plan/tests/zones.rs
+++ b/crates/plan/tests/zones.rs
@@ -93,7 +93,7 @@
             max: none,
             sheds: true,
         }],
-        spares: vec![],
+        reservations: vec![],
         online_factor: 1.0,
         patience: 3.0,
         waits: plan::Waits::default(),
