--- a/crates/control/src/scheduling/apply_plan.rs
+++ b/crates/control/src/scheduling/apply_plan.rs
@@ -49,7 +49,7 @@
             let claim = planned.index.claims[machine][preempt.task as usize];
             self.preempt(planned.index.machines[machine], claim);
         }
-        for gang in &planned.output.recalls {
+        for gang in &planned.output.preempted_gangs {
             self.preempt_gang(*gang as JobIndex);
         }
     }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -292,7 +292,7 @@
     pub starts: Vec<Start>,
     pub preempts: Vec<Preempt>,
     /// Gangs to be stopped whole.
-    pub recalls: Vec<u32>,
+    pub preempted_gangs: Vec<u32>,
     /// Tasks that found no room now though their team's limit allows them: job and count.
     pub waiting: Vec<(u32, u32)>,
     /// Machines whose free room is kept, for the expected or for a gang that gathers room, and how much of each reservation found no room.
--- a/crates/plan/src/limit_enforcement.rs
+++ b/crates/plan/src/limit_enforcement.rs
@@ -55,7 +55,7 @@
             .iter()
             .map(|p| (p.machine, p.task))
             .collect();
-        let recalled: BTreeSet<u32> = self.out.recalls.iter().copied().collect();
+        let preempted_gangs: BTreeSet<u32> = self.out.preempted_gangs.iter().copied().collect();
         for (m, machine) in input.machines.iter().enumerate() {
             self.out.steps += 1 + machine.running.len() as u64;
             for (k, r) in machine
@@ -65,7 +65,7 @@
                 .filter(|(_, r)| self.below(r, group))
             {
                 // On its way out already, or stopped by this plan.
-                let goes = r.leaving || r.gang.is_some_and(|g| recalled.contains(&g));
+                let goes = r.leaving || r.gang.is_some_and(|g| preempted_gangs.contains(&g));
                 if goes || stopping.contains(&(m as u32, k as u32)) {
                     used.add(&r.need, -1.0);
                     continue;
@@ -97,7 +97,7 @@
             }
             used.add(&e.takes, -1.0);
             match e.gang {
-                Some(gang) => self.out.recalls.push(gang),
+                Some(gang) => self.out.preempted_gangs.push(gang),
                 None => self
                     .out
                     .preempts
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -171,7 +171,7 @@
             left[i] -= self.fill(i, left[i], true);
             let want = self.allows(job, left[i]);
             if want > 0 {
-                self.recall(i, want);
+                self.preempt_for_quota(i, want);
             }
         }
     }
--- a/crates/plan/src/promises.rs
+++ b/crates/plan/src/promises.rs
@@ -87,7 +87,7 @@
         let job = &self.input.jobs[i];
         if !self.is_plain() && self.failed_searches.is_hopeless(job, Search::Promise, want) {
             if job.promised {
-                self.recall(i, want);
+                self.preempt_for_quota(i, want);
             }
             return;
         }
@@ -97,7 +97,7 @@
             self.failed_searches.add(job, Search::Promise, want - 1);
         }
         let soon = first.is_some_and(|first| first.at <= self.input.patience);
-        let is_made = job.promised && !soon && self.recall(i, want);
+        let is_made = job.promised && !soon && self.preempt_for_quota(i, want);
         if let Some(first) = first.filter(|_| !is_made) {
             self.promise(i, want, &rooms, first);
         }
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -31,7 +31,7 @@
 }
 
 /// What is to be stopped, with the loss, and the room on each machine then.
-struct Recall {
+struct QuotaPreemption {
     /// Places that an array still lacks.
     missing: u32,
     cost: Secs,
@@ -42,13 +42,15 @@
 impl PlanState<'_> {
     /// Stops for a job within a guarantee what other teams run beyond theirs, and holds the room. A gang needs all its
     /// places, an array takes what there is. False if that does not make enough.
-    pub(crate) fn recall(&mut self, i: usize, want: u32) -> bool {
+    pub(crate) fn preempt_for_quota(&mut self, i: usize, want: u32) -> bool {
         let job = &self.input.jobs[i];
         let zones = self.zones_for(job);
-        let mut best: Option<Recall> = None;
+        let mut best: Option<QuotaPreemption> = None;
         for zone in zones {
-            let found = self.recall_in(i, want, zone);
-            let better = |a: &Recall, b: &Recall| (a.missing, a.cost) < (b.missing, b.cost);
+            let found = self.quota_preemption_in(i, want, zone);
+            let better = |a: &QuotaPreemption, b: &QuotaPreemption| {
+                (a.missing, a.cost) < (b.missing, b.cost)
+            };
             if let Some(found) = found
                 && best.as_ref().is_none_or(|b| better(&found, b))
             {
@@ -58,7 +60,7 @@
         let Some(best) = best else { return false };
         for victim in best.victims {
             if let Some(gang) = victim.gang {
-                self.out.recalls.push(gang);
+                self.out.preempted_gangs.push(gang);
                 continue;
             }
             let stops = victim.tasks.iter().map(|(m, k)| Preempt {
@@ -78,7 +80,12 @@
         true
     }
 
-    fn recall_in(&mut self, i: usize, want: u32, zone: Option<u16>) -> Option<Recall> {
+    fn quota_preemption_in(
+        &mut self,
+        i: usize,
+        want: u32,
+        zone: Option<u16>,
+    ) -> Option<QuotaPreemption> {
         let job = &self.input.jobs[i];
         let mut rooms: BTreeMap<usize, Resources> = BTreeMap::new();
         for m in self.machines_in(zone) {
@@ -149,7 +156,7 @@
             .iter()
             .map(|(m, room)| (*m, room.count(&job.need, want)))
             .collect();
-        Some(Recall {
+        Some(QuotaPreemption {
             missing: want - enough,
             cost,
             victims: chosen,
@@ -195,11 +202,11 @@
         let mut gangs: BTreeMap<u32, Victim> = BTreeMap::new();
         let preempts = self.out.preempts.iter();
         let stopped: HashSet<(u32, u32)> = preempts.map(|p| (p.machine, p.task)).collect();
-        let recalled: HashSet<u32> = self.out.recalls.iter().copied().collect();
+        let preempted_gangs: HashSet<u32> = self.out.preempted_gangs.iter().copied().collect();
         for (m, machine) in self.input.machines.iter().enumerate() {
             for (k, r) in machine.running.iter().enumerate() {
                 let stopping = stopped.contains(&(m as u32, k as u32))
-                    || r.gang.is_some_and(|g| recalled.contains(&g));
+                    || r.gang.is_some_and(|g| preempted_gangs.contains(&g));
                 if !self.input.owes(r, job) || r.leaving || r.ends < NEARLY_OVER || stopping {
                     continue;
                 }
--- a/crates/plan/tests/floods.rs
+++ b/crates/plan/tests/floods.rs
@@ -184,7 +184,7 @@
         let (input, map, on) = self.input(now);
         let out: Output = plan(&input);
         prop_assert_eq!(
-            &out.recalls,
+            &out.preempted_gangs,
             &Vec::<u32>::new(),
             "no guarantee, so no gang stops"
         );
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -96,7 +96,7 @@
             prop_assert!(victim.gang.is_none() && out.waiting.iter().any(|(j, _)| waits(&input.jobs[*j as usize])));
         }
         // Gangs stop whole, and only for the guarantee of another team.
-        for g in &out.recalls {
+        for g in &out.preempted_gangs {
             let mut of_it = input.machines.iter().flat_map(|m| &m.running).filter(|r| r.gang == Some(*g));
             prop_assert!(of_it.any(|r| r.held == 0 && r.team == 1));
             prop_assert!(out.waiting.iter().any(|(j, _)| input.jobs[*j as usize].promised && input.jobs[*j as usize].team == 0));
@@ -423,11 +423,11 @@
     ];
     let out = plan(&crowded(machines.clone(), vec![wide.clone()]));
     let stopped: Vec<u32> = out.preempts.iter().map(|p| p.machine).collect();
-    assert_eq!((stopped, out.recalls.len()), (vec![0, 1], 0));
+    assert_eq!((stopped, out.preempted_gangs.len()), (vec![0, 1], 0));
     assert!(out.kept.contains(&0) && out.kept.contains(&1));
     // Where only the gang does, it stops whole.
     let out = plan(&crowded(machines[1..].to_vec(), vec![wide.clone()]));
-    assert_eq!((out.preempts.len(), out.recalls), (0, vec![7]));
+    assert_eq!((out.preempts.len(), out.preempted_gangs), (0, vec![7]));
     // Never for a gang without the promise, nor the work of its own team, nor what leaves already.
     let late = Job {
         promised: false,
@@ -450,7 +450,7 @@
     };
     for input in [input, owned, leaving] {
         let out = plan(&input);
-        assert!(out.preempts.is_empty() && out.recalls.is_empty());
+        assert!(out.preempts.is_empty() && out.preempted_gangs.is_empty());
     }
 }
 
--- a/crates/plan/tests/search.rs
+++ b/crates/plan/tests/search.rs
@@ -117,7 +117,7 @@
         let walked = played(&input, Search::Plain);
         prop_assert_eq!(indexed.starts, walked.starts);
         prop_assert_eq!(indexed.preempts, walked.preempts);
-        prop_assert_eq!(indexed.recalls, walked.recalls);
+        prop_assert_eq!(indexed.preempted_gangs, walked.preempted_gangs);
         prop_assert_eq!(indexed.kept, walked.kept);
         prop_assert_eq!(indexed.reservations_short, walked.reservations_short);
         prop_assert_eq!(indexed.waiting, walked.waiting);
