--- a/crates/control/src/scheduling/fair_share.rs
+++ b/crates/control/src/scheduling/fair_share.rs
@@ -55,7 +55,7 @@
     let group = |(i, node): (usize, &quota::Node)| plan::Group {
         used: res(&live.used(quota::NodeId(i as u32))),
         max: res(&node.max),
-        sheds: node.over == quota::Over::Reclaim,
+        preempts_excess: node.over == quota::Over::Reclaim,
     };
     tree.nodes.iter().enumerate().map(group).collect()
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -202,7 +202,7 @@
     /// Infinity where there is none.
     pub max: Resources,
     /// What is above the bound is stopped; otherwise it may run to its end.
-    pub sheds: bool,
+    pub preempts_excess: bool,
 }
 
 /// A team's use and bounds; bounds of infinity where there is none.
--- a/crates/plan/src/limit_enforcement.rs
+++ b/crates/plan/src/limit_enforcement.rs
@@ -17,13 +17,13 @@
 
 impl PlanState<'_> {
     /// Brings each group back to its bound. Deeper ones first: what they stop counts for those above.
-    pub(crate) fn shed(&mut self) {
+    pub(crate) fn enforce_limits(&mut self) {
         let input = self.input;
         let depth = |g: usize| {
             let at = |t: &crate::Team| t.path.iter().position(|p| usize::from(*p) == g);
             input.teams.iter().find_map(at).unwrap_or(0)
         };
-        let over = |g: &crate::Group| g.sheds && !g.max.fits(&g.used);
+        let over = |g: &crate::Group| g.preempts_excess && !g.max.fits(&g.used);
         let mut groups: Vec<usize> = (0..input.groups.len())
             .filter(|g| over(&input.groups[*g]))
             .collect();
@@ -32,7 +32,7 @@
         }
         groups.sort_by_key(|g| std::cmp::Reverse(depth(*g)));
         for g in groups {
-            self.shed_group(g as u16);
+            self.enforce_group_limit(g as u16);
         }
     }
 
@@ -43,7 +43,7 @@
             .is_some_and(|t| t.path.contains(&group))
     }
 
-    fn shed_group(&mut self, group: u16) {
+    fn enforce_group_limit(&mut self, group: u16) {
         let input = self.input;
         let bound = &input.groups[usize::from(group)];
         let mut used = bound.used;
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -24,7 +24,7 @@
 
 impl PlanState<'_> {
     fn run(&mut self) {
-        self.shed();
+        self.enforce_limits();
         let mut left: Vec<u32> = self.input.jobs.iter().map(|j| j.pending).collect();
         self.start_services(&mut left);
         let order = self.rank(&left);
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -490,7 +490,7 @@
             Group {
                 used: res(0.0, 0.0, 0.0),
                 max: none,
-                sheds: true
+                preempts_excess: true
             };
             4
         ],
@@ -664,6 +664,9 @@
     );
     input.machines[2].running[0].leaving = true;
     assert_eq!(stopped(&input), [3], "not a second time");
-    input.groups.iter_mut().for_each(|g| g.sheds = false);
+    input
+        .groups
+        .iter_mut()
+        .for_each(|g| g.preempts_excess = false);
     assert_eq!(stopped(&input), [] as [u32; 0]);
 }
--- a/crates/plan/tests/zones.rs
+++ b/crates/plan/tests/zones.rs
@@ -91,7 +91,7 @@
         groups: vec![Group {
             used: res(0.0),
             max: none,
-            sheds: true,
+            preempts_excess: true,
         }],
         reservations: vec![],
         online_factor: 1.0,
