--- a/crates/control/src/scheduling/scaling.rs
+++ b/crates/control/src/scheduling/scaling.rs
@@ -148,7 +148,7 @@
         let open = offers.open(shard, now);
         let open_offers: Vec<plan::MachineOffer> =
             open.iter().map(|i| offers.offers[*i].clone()).collect();
-        let wishes = plan::wishes(&plan::HireInput {
+        let requests = plan::scale_out(&plan::ScaleOutInput {
             input: &planned.input,
             output: &planned.output,
             offers: &open_offers,
@@ -156,12 +156,12 @@
             horizon: self.tuning.horizon_s,
             most: MAX_COMING,
         });
-        for wish in wishes {
-            self.rent(&offers.names[open[wish.offer]], wish.count);
+        for request in requests {
+            self.rent(&offers.names[open[request.offer]], request.count);
         }
     }
 
-    /// Rents machines in as many calls as half a second's budget allows; the rest is wished for again.
+    /// Rents machines in as many calls as half a second's budget allows; the rest is asked for again.
     fn rent(&mut self, (machine_type, zone, spot): &OfferName, count: u32) {
         let calls = (self.settings.cluster.cloud.rps / 2.0).ceil() as u32;
         let mut left = count.min(calls * MAX_PER_CALL);
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -24,7 +24,7 @@
 mod timeline;
 
 pub use planner::plan;
-pub use scale_out::{HireInput, MachineOffer, Wish, wishes};
+pub use scale_out::{MachineOffer, RentalRequest, ScaleOutInput, scale_out};
 pub use starvation_aging::{Waits, first_share};
 pub use stretch::{Sized, smallest_stretch};
 pub use tenant::Tenant;
--- a/crates/plan/src/scale_out.rs
+++ b/crates/plan/src/scale_out.rs
@@ -16,7 +16,7 @@
     pub fetch_gb_per_s: f64,
 }
 
-pub struct HireInput<'a> {
+pub struct ScaleOutInput<'a> {
     pub input: &'a Input,
     pub output: &'a Output,
     pub offers: &'a [MachineOffer],
@@ -29,7 +29,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wish {
+pub struct RentalRequest {
     /// Index into the offers.
     pub offer: usize,
     pub count: u32,
@@ -73,7 +73,7 @@
 }
 
 /// The machines to rent now, cheapest kind that the job allows first.
-pub fn wishes(h: &HireInput<'_>) -> Vec<Wish> {
+pub fn scale_out(h: &ScaleOutInput<'_>) -> Vec<RentalRequest> {
     let mut fleet: Vec<Virtual> = Vec::new();
     let mut full: Vec<usize> = Vec::new();
     for (offer, n) in h.coming {
@@ -205,14 +205,14 @@
             fleet.truncate(rented);
         }
     }
-    let mut out: Vec<Wish> = Vec::new();
+    let mut out: Vec<RentalRequest> = Vec::new();
     for offer in full
         .into_iter()
         .chain(fleet.into_iter().filter_map(|v| v.new))
     {
         match out.iter_mut().find(|w| w.offer == offer) {
             Some(w) => w.count += 1,
-            None => out.push(Wish { offer, count: 1 }),
+            None => out.push(RentalRequest { offer, count: 1 }),
         }
     }
     out
--- a/crates/plan/tests/apart.rs
+++ b/crates/plan/tests/apart.rs
@@ -1,8 +1,8 @@
 //! Work that shares no machine gets one, however busy the fleet is with work that comes and goes.
 
 use plan::{
-    HireInput, Input, Job, Machine, MachineOffer, Output, Resources, Running, Shape, Start, Team,
-    Tenant, plan, wishes,
+    Input, Job, Machine, MachineOffer, Output, Resources, Running, ScaleOutInput, Shape, Start,
+    Team, Tenant, plan, scale_out,
 };
 
 const GPU: Resources = Resources {
@@ -189,7 +189,7 @@
         fetch_gb_per_s: 1.0,
     };
     let (offers, coming) = ([offer.clone()], [(offer, 1)]);
-    let hire = HireInput {
+    let hire = ScaleOutInput {
         input: &input,
         output: &output,
         offers: &offers,
@@ -197,14 +197,14 @@
         horizon: 60.0,
         most: 50,
     };
-    assert_eq!(wishes(&hire).iter().map(|w| w.count).sum::<u32>(), 2);
+    assert_eq!(scale_out(&hire).iter().map(|w| w.count).sum::<u32>(), 2);
     let mut input = input.clone();
     input
         .jobs
         .iter_mut()
         .for_each(|j| j.tenant = Tenant::default());
     assert_eq!(
-        wishes(&HireInput {
+        scale_out(&ScaleOutInput {
             input: &input,
             ..hire
         })
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -1,8 +1,8 @@
 //! Plans of generated fleets: nothing overlaps, limits and places hold, the stretch is the smallest.
 
 use plan::{
-    Group, HireInput, Input, Job, Machine, MachineOffer, Resources, Running, Shape, Sized, Team,
-    Tenant, Wish, plan, smallest_stretch, wishes,
+    Group, Input, Job, Machine, MachineOffer, RentalRequest, Resources, Running, ScaleOutInput,
+    Shape, Sized, Team, Tenant, plan, scale_out, smallest_stretch,
 };
 use proptest::prelude::*;
 
@@ -291,7 +291,7 @@
         let input = crowded(vec![], vec![job]);
         let output = plan(&input);
         let (input, output) = (&input, &output);
-        wishes(&HireInput {
+        scale_out(&ScaleOutInput {
             input,
             output,
             offers: &offers,
@@ -306,12 +306,15 @@
     };
     assert_eq!(
         wished(gang(5, false)),
-        [Wish { offer: 0, count: 5 }],
+        [RentalRequest { offer: 0, count: 5 }],
         "where it is cheapest"
     );
     assert_eq!(
         wished(spread.clone()),
-        [Wish { offer: 0, count: 3 }, Wish { offer: 1, count: 2 }]
+        [
+            RentalRequest { offer: 0, count: 3 },
+            RentalRequest { offer: 1, count: 2 }
+        ]
     );
     assert!(
         wished(Job {
--- a/crates/plan/tests/zones.rs
+++ b/crates/plan/tests/zones.rs
@@ -1,8 +1,8 @@
 //! Jobs whose tasks share a zone, and lose machines: nothing is rented, stopped or held where they can't go.
 
 use plan::{
-    Group, HireInput, Input, Job, Machine, MachineOffer, Resources, Running, Shape, Team, Wish,
-    plan, wishes,
+    Group, Input, Job, Machine, MachineOffer, RentalRequest, Resources, Running, ScaleOutInput,
+    Shape, Team, plan, scale_out,
 };
 
 fn res(gpus: f64) -> Resources {
@@ -114,10 +114,10 @@
     }
 }
 
-fn wished(job: Job, offers: &[MachineOffer], coming: &[(MachineOffer, u32)]) -> Vec<Wish> {
+fn wished(job: Job, offers: &[MachineOffer], coming: &[(MachineOffer, u32)]) -> Vec<RentalRequest> {
     let input = input(vec![], vec![job]);
     let output = plan(&input);
-    wishes(&HireInput {
+    scale_out(&ScaleOutInput {
         input: &input,
         output: &output,
         offers,
@@ -134,16 +134,16 @@
     let offers = [offer(0, 1.0), offer(1, 1.0)];
     assert_eq!(
         wished(array(8, &[]), &offers, &[]),
-        [Wish { offer: 0, count: 2 }],
+        [RentalRequest { offer: 0, count: 2 }],
         "any zone will do"
     );
     assert_eq!(
         wished(array(8, &[(1, 3)]), &offers, &[]),
-        [Wish { offer: 1, count: 2 }]
+        [RentalRequest { offer: 1, count: 2 }]
     );
     assert_eq!(
         wished(array(8, &[(0, 0), (1, 1)]), &offers, &[]),
-        [Wish { offer: 1, count: 2 }],
+        [RentalRequest { offer: 1, count: 2 }],
         "none is left in 0"
     );
     assert_eq!(
@@ -165,7 +165,7 @@
         let coming = [(offer(1, 1.0), 1)];
         assert_eq!(
             wished(job.clone(), &offers, &coming),
-            [Wish { offer: 1, count: 1 }],
+            [RentalRequest { offer: 1, count: 1 }],
             "the rest beside it"
         );
         assert_eq!(
@@ -176,7 +176,7 @@
         // Where no more can be had beside it, all of it goes elsewhere.
         assert_eq!(
             wished(job, &offers[..1], &coming),
-            [Wish { offer: 0, count: 2 }]
+            [RentalRequest { offer: 0, count: 2 }]
         );
     }
 }
