--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -231,7 +231,7 @@
         plan::Input {
             online_factor: self.tuning.online_factor,
             patience: self.tuning.patience_s,
-            waits: plan::Waits {
+            aging: plan::AgingThresholds {
                 old: self.tuning.wait_s,
                 latest: self.tuning.latest_s,
             },
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -36,7 +36,7 @@
             return;
         }
         let age_s = now.wall.saturating_sub(job.at_ms) as f64 / 1000.0;
-        let is_old = age_s >= self.input.waits.old;
+        let is_old = age_s >= self.input.aging.old;
         let goes_first = urgent::is_urgent(spec) || is_old && spec.kind != Kind::Service;
         if scope == Scope::Urgent && !goes_first {
             return;
--- a/crates/control/src/scheduling/plan_machines.rs
+++ b/crates/control/src/scheduling/plan_machines.rs
@@ -65,7 +65,7 @@
             if !task.leaving {
                 let nth = &mut self.staying[claim.job];
                 task.held = self.entitlement.held(claim.job, *nth);
-                task.spared = is_spared(job, *nth, &self.input.waits, now.wall);
+                task.spared = is_spared(job, *nth, &self.input.aging, now.wall);
                 *nth += 1;
             }
             images.extend(known.image.filter(|image| !images.contains(image)));
@@ -142,11 +142,11 @@
 
 /// Whether the `nth` claim of a job is not stopped for urgency alone: of an old array a first share until some of it is
 /// done, of one that has waited as long as any may all.
-fn is_spared(job: &Job, nth: u32, waits: &plan::Waits, wall: u64) -> bool {
+fn is_spared(job: &Job, nth: u32, aging: &plan::AgingThresholds, wall: u64) -> bool {
     let Some(spec) = job.spec.as_deref().filter(|s| s.kind == Kind::Array) else {
         return false;
     };
     let age_s = wall.saturating_sub(job.at_ms) as f64 / 1000.0;
     let is_first = job.done_count == 0 && nth < plan::first_share(plan::Shape::Array, spec.tasks);
-    age_s >= waits.latest || is_first && age_s >= waits.old
+    age_s >= aging.latest || is_first && age_s >= aging.old
 }
--- a/crates/plan/examples/scale.rs
+++ b/crates/plan/examples/scale.rs
@@ -52,7 +52,7 @@
         let some = played(&input, Search::Indexed, BOUND);
         let walk = |max_steps| {
             let is_played = machines <= WALKED || max_steps == BOUND;
-            is_played.then(|| played(&input, Search::Plain, max_steps))
+            is_played.then(|| played(&input, Search::Linear, max_steps))
         };
         let shown = |output: Option<Output>| output.as_ref().map_or("not played".to_owned(), show);
         println!(
--- a/crates/plan/src/anti_affinity.rs
+++ b/crates/plan/src/anti_affinity.rs
@@ -8,38 +8,43 @@
 impl PlanState<'_> {
     /// When the last work that a job may not share this machine with is expected to end.
     pub(crate) fn free_of_others(&self, job: &Job, m: usize) -> Secs {
-        if self.tenants[m].take(&job.tenant) {
+        if self.tenants[m].admits(&job.tenant) {
             return 0.0;
         }
         let running = self.input.machines[m]
             .running
             .iter()
             .map(|r| (r.ends, &r.tenant));
-        let started = self.lines[m]
+        let started = self.timelines[m]
             .ends
             .iter()
             .map(|(end, _, tenant)| (*end, tenant));
-        let barred = running.chain(started).filter(|(_, t)| t.bars(&job.tenant));
+        let barred = running
+            .chain(started)
+            .filter(|(_, t)| t.conflicts_with(&job.tenant));
         barred.map(|(end, _)| end).fold(0.0, f64::max)
     }
 
     /// Whether a promise on this machine is to a job that this one may not share it with.
     pub(crate) fn is_promised_to_others(&self, job: &Job, m: usize) -> bool {
-        self.lines[m]
+        self.timelines[m]
             .promised
             .iter()
-            .any(|(_, _, tenant)| tenant.bars(&job.tenant))
+            .any(|(_, _, tenant)| tenant.conflicts_with(&job.tenant))
     }
 
     /// Promises one place to a job none of whose tasks runs or finds a machine free of others' work: the first that
     /// will be. One for each county and plan, so that what is kept free for them is bounded.
     pub(crate) fn wait_for_others(&mut self, i: usize) {
         let job = &self.input.jobs[i];
-        if !self.apart || job.zones.iter().any(|(_, n)| *n > 0) || self.is_tired() {
+        if !self.has_isolated_tenants
+            || job.zones.iter().any(|(_, n)| *n > 0)
+            || self.is_past_soft_limit()
+        {
             return;
         }
         self.out.steps += self.input.machines.len() as u64;
-        let barred = |m: usize| self.suits(job, m) && !self.tenants[m].take(&job.tenant);
+        let barred = |m: usize| self.suits(job, m) && !self.tenants[m].admits(&job.tenant);
         let any = (0..self.input.machines.len()).any(barred);
         if any && self.waits.insert(job.tenant.county) {
             self.promise_first(i, 1);
--- a/crates/plan/src/backfill.rs
+++ b/crates/plan/src/backfill.rs
@@ -19,7 +19,7 @@
         } else {
             Search::Service
         };
-        if !self.is_plain() && self.failed_searches.is_hopeless(job, search, 1) {
+        if !self.is_linear_search() && self.failed_searches.is_hopeless(job, search, 1) {
             return 0;
         }
         let zone = self.shared_zone(i, keep_holds);
@@ -66,7 +66,7 @@
 
     /// Whether a machine whose room is kept is free again before that.
     fn may_borrow(&self, job: &Job, m: usize) -> bool {
-        self.held[m].is_none_or(|until| job.estimate <= until)
+        self.reserved_until[m].is_none_or(|until| job.estimate <= until)
     }
 
     /// Where all tasks share a zone, that of the tasks it has; else the one with most room, chosen before anything is
--- a/crates/plan/src/candidates.rs
+++ b/crates/plan/src/candidates.rs
@@ -2,7 +2,7 @@
 //!
 //! A job that looks for places gets machines best first, one after the other, and stops at the last that it needs; what
 //! is full is never looked at. The order is that of a walk over all machines sorted by score, which
-//! [`Search::Plain`](crate::Search) still makes as the reference.
+//! [`Search::Linear`](crate::Search) still makes as the reference.
 
 use crate::{Job, Machine, Resources, Secs};
 use std::cmp::Reverse;
--- a/crates/plan/src/gang.rs
+++ b/crates/plan/src/gang.rs
@@ -21,7 +21,7 @@
     /// Starts all `want` tasks of a gang or none.
     pub(crate) fn gang(&mut self, i: usize, want: u32) -> bool {
         let job = &self.input.jobs[i];
-        if !self.is_plain() && self.failed_searches.is_hopeless(job, Search::Gang, want) {
+        if !self.is_linear_search() && self.failed_searches.is_hopeless(job, Search::Gang, want) {
             return false;
         }
         let mut best: Option<Places> = None;
@@ -58,7 +58,7 @@
         };
         let mut by_zone: Vec<(u16, u32)> = Vec::new();
         self.look(&Wanted { job, zone }, |state, score, m| {
-            if state.held[m].is_some() {
+            if state.reserved_until[m].is_some() {
                 return Look::On;
             }
             if limit.is_some_and(|limit| score >= limit) {
@@ -90,7 +90,7 @@
         let share = |m: usize| self.input.machines[m].total.share(&job.need);
         let idle = |(m, n): &(usize, u32)| self.fetch(job, *m) * share(*m) * f64::from(*n);
         let idle: f64 = chosen.iter().map(idle).sum();
-        if idle <= EPS || self.is_tired() {
+        if idle <= EPS || self.is_past_soft_limit() {
             return false;
         }
         let wait = share(chosen[0].0) * f64::from(want) * CLEARING;
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -25,7 +25,7 @@
 
 pub use planner::plan;
 pub use scale_out::{MachineOffer, RentalRequest, ScaleOutInput, scale_out};
-pub use starvation_aging::{Waits, first_share};
+pub use starvation_aging::{AgingThresholds, first_share};
 pub use stretch::{Sized, smallest_stretch};
 pub use tenant::Tenant;
 
@@ -253,7 +253,7 @@
     pub online_factor: f64,
     /// A job of higher priority waits this long for room before others are stopped for it.
     pub patience: Secs,
-    pub waits: Waits,
+    pub aging: AgingThresholds,
     /// Past so many steps nothing is cleared any more, and past twice as many the rest waits for the next plan.
     pub max_steps: u64,
     /// The job at which the plan before this one was stopped by that bound.
@@ -270,7 +270,7 @@
     #[default]
     Indexed,
     /// By a walk over all machines for each job: the reference that the index is tested against.
-    Plain,
+    Linear,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -308,7 +308,7 @@
 
 impl Input {
     /// Groups that two teams have in common.
-    pub fn kin(&self, a: u16, b: u16) -> u8 {
+    pub fn common_groups(&self, a: u16, b: u16) -> u8 {
         let path = |t: u16| {
             self.teams
                 .get(usize::from(t))
@@ -323,17 +323,17 @@
 
     /// Whether a running task has its place beyond the guarantees that a job may call on: the job's side of the
     /// tree is held at the level where the two part, and the task's is not.
-    pub fn owes(&self, r: &Running, job: &Job) -> bool {
-        let kin = self.kin(r.team, job.team);
-        r.team != job.team && r.held <= kin && job.held > kin
+    pub fn may_be_reclaimed_for(&self, r: &Running, job: &Job) -> bool {
+        let common_groups = self.common_groups(r.team, job.team);
+        r.team != job.team && r.held <= common_groups && job.held > common_groups
     }
 
     /// Whether a task may be stopped for a more urgent job. Not the first share of an old one. Where quotas nest, urgency of what is borrowed does not
     /// count against what is held.
-    pub fn yields(&self, r: &Running, job: &Job) -> bool {
+    pub fn may_be_preempted_for(&self, r: &Running, job: &Job) -> bool {
         let borrows = || {
-            let kin = self.kin(r.team, job.team);
-            r.team != job.team && r.held > kin && job.held <= kin
+            let common_groups = self.common_groups(r.team, job.team);
+            r.team != job.team && r.held > common_groups && job.held <= common_groups
         };
         r.priority < job.priority && !r.spared && (self.groups.is_empty() || !borrows())
     }
--- a/crates/plan/src/placement.rs
+++ b/crates/plan/src/placement.rs
@@ -10,7 +10,7 @@
         machine.usable
             && self.slots[m] > 0
             && self.suits(job, m)
-            && self.tenants[m].take(&job.tenant)
+            && self.tenants[m].admits(&job.tenant)
     }
 
     /// Whether a job may use a machine at all.
@@ -61,7 +61,7 @@
         mut take: impl FnMut(&Self, Secs, usize) -> Look,
     ) {
         let mut steps = 0;
-        if self.is_plain() {
+        if self.is_linear_search() {
             let order = self.walk(wanted);
             steps += self.input.machines.len() as u64;
             for (score, m) in order {
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -28,7 +28,7 @@
         let mut left: Vec<u32> = self.input.jobs.iter().map(|j| j.pending).collect();
         self.start_services(&mut left);
         let order = self.rank(&left);
-        self.serve_old(&mut left);
+        self.serve_aged(&mut left);
         self.serve(&order, &mut left);
         self.fill_leftovers(&order, &mut left);
         self.tell_waiting(&left);
@@ -103,14 +103,14 @@
         let mut next = 0;
         while let Some(ranked) = order.get(next) {
             // The head has had its half, or more if one job of it took more.
-            let goes_on = self.is_tired() && resume.is_some_and(|at| at >= next);
+            let goes_on = self.is_past_soft_limit() && resume.is_some_and(|at| at >= next);
             if goes_on && let Some(at) = resume.take() {
                 next = at;
                 self.serve_one(&order[next], left, &mut kept);
                 next += 1;
                 continue;
             }
-            if self.is_over() {
+            if self.is_past_hard_limit() {
                 self.out.resume = Some(ranked.job as u32);
                 break;
             }
@@ -161,13 +161,13 @@
         if started == 0 && left[i] > 0 {
             self.wait_for_others(i);
         }
-        if job.priority >= URGENT && left[i] > 0 && !self.is_tired() {
+        if job.priority >= URGENT && left[i] > 0 && !self.is_past_soft_limit() {
             self.make_room_for_tasks(i, left);
         }
         // What a nested guarantee holds is due at once, whatever the width; others give it back.
         let nested = !self.input.groups.is_empty();
         let due_back = nested && job.promised && -job.arrival > self.input.patience;
-        if due_back && left[i] > 0 && !self.is_tired() {
+        if due_back && left[i] > 0 && !self.is_past_soft_limit() {
             left[i] -= self.fill(i, left[i], true);
             let want = self.allows(job, left[i]);
             if want > 0 {
@@ -191,13 +191,13 @@
         for ranked in order {
             let i = ranked.job;
             let is_array = self.input.jobs[i].shape == Shape::Array;
-            if is_array && left[i] > 0 && !self.is_over() {
+            if is_array && left[i] > 0 && !self.is_past_hard_limit() {
                 left[i] -= self.fill(i, left[i], true);
             }
         }
         for ranked in order {
             let i = ranked.job;
-            if left[i] > 0 && !self.is_over() && self.waits_beside_reservations(i) {
+            if left[i] > 0 && !self.is_past_hard_limit() && self.waits_beside_reservations(i) {
                 left[i] -= self.fill_from_reservations(i);
             }
         }
@@ -220,7 +220,7 @@
         }
         if self.gang(i, want) {
             left[i] = 0;
-        } else if !self.is_tired() && !self.make_room(i, want) {
+        } else if !self.is_past_soft_limit() && !self.make_room(i, want) {
             self.wait(i, want);
         }
     }
--- a/crates/plan/src/priority_preemption.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -61,7 +61,7 @@
     fn clear(&mut self, chosen: Vec<Clearing>) {
         for option in chosen {
             let m = option.machine;
-            self.held[m] = Some(option.at);
+            self.reserved_until[m] = Some(option.at);
             self.changed.push(m as u32);
             self.out.kept.push(m as u32);
             let stops = option.stops.iter().map(|t| Preempt {
@@ -76,7 +76,7 @@
     pub(crate) fn cheapest(&mut self, i: usize, want: u32) -> Option<(f64, Vec<Clearing>)> {
         let input = self.input;
         let job = &input.jobs[i];
-        if !self.is_plain() && self.failed_searches.is_hopeless(job, Search::Clear, want) {
+        if !self.is_linear_search() && self.failed_searches.is_hopeless(job, Search::Clear, want) {
             return None;
         }
         let key = JobKind::of(job);
@@ -116,7 +116,7 @@
         for (at, option) in list.iter().enumerate() {
             self.out.steps += 1;
             let m = option.machine;
-            if self.held[m].is_some() || self.free[m] != option.free {
+            if self.reserved_until[m].is_some() || self.free[m] != option.free {
                 stale.push(at);
                 continue;
             }
@@ -211,7 +211,7 @@
         let mut victims: Vec<usize> = (0..machine.running.len())
             .filter(|k| {
                 let r = &machine.running[*k];
-                r.stoppable && !r.leaving && self.input.yields(r, job)
+                r.stoppable && !r.leaving && self.input.may_be_preempted_for(r, job)
             })
             .collect();
         let cost =
--- a/crates/plan/src/promises.rs
+++ b/crates/plan/src/promises.rs
@@ -28,11 +28,14 @@
             .running
             .iter()
             .map(|r| (r.ends, &r.need));
-        let started = self.lines[m].ends.iter().map(|(end, need, _)| (*end, need));
+        let started = self.timelines[m]
+            .ends
+            .iter()
+            .map(|(end, need, _)| (*end, need));
         for (_, need) in running.chain(started).filter(|(end, _)| *end <= at) {
             room.add(need, 1.0);
         }
-        for (_, need, _) in self.lines[m]
+        for (_, need, _) in self.timelines[m]
             .promised
             .iter()
             .filter(|(from, _, _)| *from <= until)
@@ -46,11 +49,11 @@
     pub(crate) fn room(&self, job: &Job, m: usize, cap: u32) -> u32 {
         let mut n = self.free[m].count(&job.need, cap.min(self.slots[m]));
         let ends = self.length(job, m);
-        for (from, _, tenant) in &self.lines[m].promised {
+        for (from, _, tenant) in &self.timelines[m].promised {
             if n == 0 {
                 break;
             }
-            if *from < ends && tenant.bars(&job.tenant) {
+            if *from < ends && tenant.conflicts_with(&job.tenant) {
                 n = 0;
             } else if *from < ends {
                 n = self.room_at(m, *from, *from).count(&job.need, n);
@@ -76,7 +79,7 @@
     /// Notes that tasks start on a machine.
     pub(crate) fn note_start(&mut self, job: &Job, m: usize, n: u32) {
         let end = self.length(job, m);
-        self.lines[m]
+        self.timelines[m]
             .ends
             .push((end, job.need.times(n), job.tenant));
     }
@@ -85,7 +88,8 @@
     /// falls free by itself.
     pub(crate) fn wait(&mut self, i: usize, want: u32) {
         let job = &self.input.jobs[i];
-        if !self.is_plain() && self.failed_searches.is_hopeless(job, Search::Promise, want) {
+        if !self.is_linear_search() && self.failed_searches.is_hopeless(job, Search::Promise, want)
+        {
             if job.promised {
                 self.preempt_for_quota(i, want);
             }
@@ -175,7 +179,7 @@
 
     /// Keeps room on a machine for tasks of a job from a time on.
     pub(crate) fn hold(&mut self, job: &Job, m: usize, n: u32, at: Secs) {
-        self.lines[m]
+        self.timelines[m]
             .promised
             .push((at, job.need.times(n), job.tenant));
         self.changed.push(m as u32);
@@ -195,7 +199,7 @@
     /// All places that a job's tasks could have, now or later. What was found for a job alike is brought up to date
     /// where room has changed since.
     fn rooms_to_come(&mut self, job: &Job) -> RoomsToCome {
-        let known = if can_share(job) && !self.is_plain() {
+        let known = if can_share(job) && !self.is_linear_search() {
             self.rooms_to_come.remove(&JobKind::of(job))
         } else {
             None
@@ -219,7 +223,7 @@
     }
 
     fn remember(&mut self, job: &Job, rooms: RoomsToCome) {
-        if can_share(job) && !self.is_plain() {
+        if can_share(job) && !self.is_linear_search() {
             self.rooms_to_come.insert(JobKind::of(job), rooms);
         }
     }
@@ -238,7 +242,7 @@
         list.forget(m);
         let machine = &self.input.machines[m];
         let from = if machine.usable { 0.0 } else { machine.ready };
-        if !from.is_finite() || !self.suits(job, m) || self.held[m].is_some() {
+        if !from.is_finite() || !self.suits(job, m) || self.reserved_until[m].is_some() {
             return;
         }
         if self.is_promised_to_others(job, m) {
@@ -246,7 +250,7 @@
         }
         let from = from.max(self.free_of_others(job, m));
         let running = machine.running.iter().map(|r| r.ends);
-        let started = self.lines[m].ends.iter().map(|e| e.0);
+        let started = self.timelines[m].ends.iter().map(|e| e.0);
         let mut times: Vec<Secs> = running
             .chain(started)
             .filter(|t| *t > from)
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -27,7 +27,7 @@
     tasks: Vec<(usize, usize)>,
     cost: Secs,
     /// Groups that it has in common with the job.
-    kin: u8,
+    common_groups: u8,
 }
 
 /// What is to be stopped, with the loss, and the room on each machine then.
@@ -90,7 +90,7 @@
         let mut rooms: BTreeMap<usize, Resources> = BTreeMap::new();
         for m in self.machines_in(zone) {
             let machine = &self.input.machines[m];
-            if !self.allowed(job, m) || self.held[m].is_some() {
+            if !self.allowed(job, m) || self.reserved_until[m].is_some() {
                 continue;
             }
             // Room where the job may have no more tasks would be made in vain, and held.
@@ -116,7 +116,7 @@
         while have < want {
             // Clearing has its bound of steps, as elsewhere.
             self.out.steps += rooms.len() as u64;
-            if self.is_tired() {
+            if self.is_past_soft_limit() {
                 break;
             }
             // The nearest in the tree first, then the least loss for each place that is gained. What gains none by
@@ -125,9 +125,9 @@
             for (k, victim) in victims.iter().enumerate() {
                 self.out.steps += victim.tasks.len() as u64;
                 let gain = self.gain(job, victim, &rooms).min(f64::from(want - have));
-                let (kin, loss) = (Reverse(victim.kin), victim.cost / gain);
-                if gain > 0.0 && best.is_none_or(|(k, l, _)| (kin, loss) < (k, l)) {
-                    best = Some((kin, loss, k));
+                let (common_groups, loss) = (Reverse(victim.common_groups), victim.cost / gain);
+                if gain > 0.0 && best.is_none_or(|(k, l, _)| (common_groups, loss) < (k, l)) {
+                    best = Some((common_groups, loss, k));
                 }
             }
             let Some((_, _, k)) = best else { break };
@@ -207,10 +207,14 @@
             for (k, r) in machine.running.iter().enumerate() {
                 let stopping = stopped.contains(&(m as u32, k as u32))
                     || r.gang.is_some_and(|g| preempted_gangs.contains(&g));
-                if !self.input.owes(r, job) || r.leaving || r.ends < NEARLY_OVER || stopping {
+                if !self.input.may_be_reclaimed_for(r, job)
+                    || r.leaving
+                    || r.ends < NEARLY_OVER
+                    || stopping
+                {
                     continue;
                 }
-                let kin = self.input.kin(r.team, job.team);
+                let common_groups = self.input.common_groups(r.team, job.team);
                 match r.gang {
                     // All of a gang stops, also where that makes no room for the job.
                     Some(gang) => {
@@ -218,7 +222,7 @@
                             gang: Some(gang),
                             tasks: Vec::new(),
                             cost: 0.0,
-                            kin,
+                            common_groups,
                         });
                         victim.tasks.push((m, k));
                         victim.cost += r.lost + GANG_LOSS;
@@ -230,7 +234,7 @@
                             gang: None,
                             tasks: vec![(m, k)],
                             cost,
-                            kin,
+                            common_groups,
                         });
                     }
                     None => {}
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -30,7 +30,7 @@
                 if wanted == 0 {
                     break;
                 }
-                if self.held[*m].is_none() && self.images[*m].contains(image) {
+                if self.reserved_until[*m].is_none() && self.images[*m].contains(image) {
                     let n = self.keep(job, *m);
                     wanted = wanted.saturating_sub(n);
                     left = left.saturating_sub(n);
@@ -41,7 +41,7 @@
             if left == 0 {
                 break;
             }
-            if self.held[m].is_none() {
+            if self.reserved_until[m].is_none() {
                 left = left.saturating_sub(self.keep(job, m));
             }
         }
@@ -62,7 +62,9 @@
             gb / input.machines[m].fetch_gb_per_s.max(0.01)
         };
         let has_room = |m: &usize| {
-            self.allowed(job, *m) && self.held[*m].is_none() && self.unpromised(job, *m) > 0
+            self.allowed(job, *m)
+                && self.reserved_until[*m].is_none()
+                && self.unpromised(job, *m) > 0
         };
         let mut order: Vec<(f64, usize)> = (0..input.machines.len())
             .filter(has_room)
@@ -74,7 +76,7 @@
     }
 
     fn keep(&mut self, job: &Job, m: usize) -> u32 {
-        self.held[m] = Some(0.0);
+        self.reserved_until[m] = Some(0.0);
         self.changed.push(m as u32);
         self.out.kept.push(m as u32);
         self.unpromised(job, m)
@@ -94,11 +96,13 @@
     /// stays kept, so that it goes task by task.
     pub(crate) fn fill_from_reservations(&mut self, i: usize) -> u32 {
         let kept = self.out.kept.clone();
-        kept.iter().for_each(|m| self.held[*m as usize] = None);
+        kept.iter()
+            .for_each(|m| self.reserved_until[*m as usize] = None);
         self.failed_searches.forget();
         let started = self.fill(i, 1, true);
         self.failed_searches.forget();
-        kept.iter().for_each(|m| self.held[*m as usize] = Some(0.0));
+        kept.iter()
+            .for_each(|m| self.reserved_until[*m as usize] = Some(0.0));
         started
     }
 }
--- a/crates/plan/src/scale_out.rs
+++ b/crates/plan/src/scale_out.rs
@@ -57,7 +57,7 @@
     let mut coming: Vec<(u16, u32)> = Vec::new();
     for v in fleet
         .iter()
-        .filter(|v| fits(&v.offer) && v.tenants.take(&job.tenant))
+        .filter(|v| fits(&v.offer) && v.tenants.admits(&job.tenant))
     {
         let there = count_in(&mut coming, v.offer.zone);
         *there = there.saturating_add(v.free.count(&job.need, places));
@@ -145,7 +145,7 @@
         while left > 0 && k < fleet.len() {
             let v = &mut fleet[k];
             let in_reach = !job.one_zone || home == Some(v.offer.zone);
-            if fits(&v.offer) && in_reach && v.tenants.take(&job.tenant) {
+            if fits(&v.offer) && in_reach && v.tenants.admits(&job.tenant) {
                 let there = count_in(&mut zones, v.offer.zone);
                 let n = v
                     .free
--- a/crates/plan/src/starvation_aging.rs
+++ b/crates/plan/src/starvation_aging.rs
@@ -13,16 +13,16 @@
 
 /// How long jobs wait before their age counts.
 #[derive(Debug, Clone, Copy)]
-pub struct Waits {
+pub struct AgingThresholds {
     /// From then on a job goes before younger ones of its urgency, and with a first share before all others.
     pub old: Secs,
     /// From then on all of it goes before others.
     pub latest: Secs,
 }
 
-impl Default for Waits {
+impl Default for AgingThresholds {
     fn default() -> Self {
-        Waits {
+        AgingThresholds {
             old: Secs::INFINITY,
             latest: Secs::INFINITY,
         }
@@ -38,7 +38,7 @@
     }
 }
 
-impl Waits {
+impl AgingThresholds {
     /// How many of a job's waiting tasks go before all others.
     fn before_all(&self, job: &Job) -> u32 {
         if job.shape == Shape::Gang || -job.arrival >= self.latest {
@@ -60,12 +60,12 @@
             Shape::Gang => job.priority < self.most_urgent,
             Shape::Service => false,
         };
-        counts && job.waits && -job.arrival >= self.input.waits.old
+        counts && job.waits && -job.arrival >= self.input.aging.old
     }
 
     /// Serves the old, the longest wait first.
-    pub(crate) fn serve_old(&mut self, left: &mut [u32]) {
-        let (jobs, waits) = (&self.input.jobs, &self.input.waits);
+    pub(crate) fn serve_aged(&mut self, left: &mut [u32]) {
+        let (jobs, aging) = (&self.input.jobs, &self.input.aging);
         let mut order: Vec<usize> = (0..jobs.len()).filter(|i| self.is_old(&jobs[*i])).collect();
         // What a tree entitles to would call its places back.
         let nested = !self.input.groups.is_empty();
@@ -78,14 +78,14 @@
                 .then(a.cmp(b))
         });
         for i in order {
-            if self.is_tired() {
+            if self.is_past_soft_limit() {
                 break;
             }
             let job = &jobs[i];
             if job.shape == Shape::Gang {
                 self.start_or_wait(i, left);
             } else {
-                let want = waits.before_all(job).min(left[i]);
+                let want = aging.before_all(job).min(left[i]);
                 left[i] -= self.fill(i, want, true);
             }
         }
--- a/crates/plan/src/state.rs
+++ b/crates/plan/src/state.rs
@@ -7,7 +7,7 @@
 use crate::failed_searches::FailedSearches;
 use crate::job_kind::JobKind;
 use crate::tenant::Tenants;
-use crate::timeline::{Line, RoomsToCome};
+use crate::timeline::{RoomsToCome, Timeline};
 use crate::{Group, Input, Job, Machine, Output, Resources, Search, Secs, Team};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -16,9 +16,9 @@
     pub input: &'a Input,
     pub free: Vec<Resources>,
     pub slots: Vec<u32>,
-    pub lines: Vec<Line>,
+    pub timelines: Vec<Timeline>,
     /// Until when a machine's whole room is kept: for the expected, or for a gang that others make room for.
-    pub held: Vec<Option<Secs>>,
+    pub reserved_until: Vec<Option<Secs>>,
     pub images: Vec<Vec<u32>>,
     /// Machines that take tasks, by what places are chosen by.
     pub candidates: Candidates,
@@ -32,7 +32,7 @@
     pub rooms_to_come: HashMap<JobKind, RoomsToCome>,
     pub tenants: Vec<Tenants>,
     /// Some work shares no machine, and the counties that were promised one for that.
-    pub apart: bool,
+    pub has_isolated_tenants: bool,
     pub waits: BTreeSet<u16>,
     /// The highest urgency that waits.
     pub most_urgent: u8,
@@ -62,8 +62,8 @@
             input,
             free: machines.iter().map(Machine::free).collect(),
             slots: machines.iter().map(|m| m.slots).collect(),
-            lines: vec![Line::default(); machines.len()],
-            held: vec![None; machines.len()],
+            timelines: vec![Timeline::default(); machines.len()],
+            reserved_until: vec![None; machines.len()],
             most_urgent: input.jobs.iter().map(|j| j.priority).max().unwrap_or(0),
             images: machines.iter().map(|m| m.images.clone()).collect(),
             candidates: Candidates::new(machines, input.jobs.iter().map(|j| j.image)),
@@ -75,7 +75,7 @@
                 .iter()
                 .map(|m| Tenants::of(m.running.iter().map(|r| &r.tenant)))
                 .collect(),
-            apart: tenants.any(|t| t.alone),
+            has_isolated_tenants: tenants.any(|t| t.alone),
             waits: BTreeSet::new(),
             teams: input.teams.clone(),
             groups: input.groups.clone(),
@@ -102,17 +102,17 @@
             .put(m, &self.free[m], self.slots[m], &self.images[m]);
     }
 
-    pub fn is_plain(&self) -> bool {
-        self.input.search == Search::Plain
+    pub fn is_linear_search(&self) -> bool {
+        self.input.search == Search::Linear
     }
 
     /// Past this nothing is cleared or promised any more.
-    pub fn is_tired(&self) -> bool {
+    pub fn is_past_soft_limit(&self) -> bool {
         self.out.steps > self.input.max_steps
     }
 
     /// Past this what is left waits for the next plan.
-    pub fn is_over(&self) -> bool {
+    pub fn is_past_hard_limit(&self) -> bool {
         self.out.steps > 2 * self.input.max_steps
     }
 
--- a/crates/plan/src/tenant.rs
+++ b/crates/plan/src/tenant.rs
@@ -9,7 +9,7 @@
 
 impl Tenant {
     /// The two may not be on one machine at the same time.
-    pub fn bars(&self, other: &Tenant) -> bool {
+    pub fn conflicts_with(&self, other: &Tenant) -> bool {
         self.county != other.county && (self.alone || other.alone)
     }
 }
@@ -28,7 +28,7 @@
         all.into_iter().for_each(|t| out.add(t));
         out
     }
-    pub fn take(&self, new: &Tenant) -> bool {
+    pub fn admits(&self, new: &Tenant) -> bool {
         match self.county {
             None => true,
             Some(county) if !self.mixed && county == new.county => true,
--- a/crates/plan/src/timeline.rs
+++ b/crates/plan/src/timeline.rs
@@ -5,7 +5,7 @@
 
 /// What is known of a machine's room beyond this moment.
 #[derive(Clone, Default)]
-pub(crate) struct Line {
+pub(crate) struct Timeline {
     /// Ends of the tasks that this plan starts.
     pub ends: Vec<(Secs, Resources, Tenant)>,
     /// Room that belongs to a gang from a time on.
--- a/crates/plan/tests/floods.rs
+++ b/crates/plan/tests/floods.rs
@@ -1,13 +1,13 @@
 //! Floods of urgent work played in plan turns: who waits long begins, and nothing is stopped for it against its urgency.
 
 use plan::{
-    Input, Job, Machine, Output, Reservation, Resources, Running, Shape, Team, Waits, first_share,
-    plan,
+    AgingThresholds, Input, Job, Machine, Output, Reservation, Resources, Running, Shape, Team,
+    first_share, plan,
 };
 use proptest::prelude::*;
 
 /// In turns.
-const WAITS: Waits = Waits {
+const AGING: AgingThresholds = AgingThresholds {
     old: 20.0,
     latest: 30.0,
 };
@@ -114,7 +114,11 @@
             online_factor: 1.5,
             patience: 3.0,
             max_steps: u64::MAX / 4,
-            waits: if self.bound { WAITS } else { Waits::default() },
+            aging: if self.bound {
+                AGING
+            } else {
+                AgingThresholds::default()
+            },
             ..Input::default()
         };
         input.teams = vec![Team {
@@ -131,7 +135,7 @@
             let (array, first) = (job.shape == Shape::Array, first_share(job.shape, job.tasks));
             let age = f64::from(now - self.jobs[p.job].0);
             let share = self.done[p.job] == 0 && claims[p.job] < first;
-            let spared = self.bound && array && (age >= WAITS.latest || share && age >= WAITS.old);
+            let spared = self.bound && array && (age >= AGING.latest || share && age >= AGING.old);
             claims[p.job] += 1;
             on[p.machine].push(k);
             input.machines[p.machine].running.push(Running {
@@ -268,7 +272,7 @@
         for (k, (began, (at, shape, tasks))) in fleet.began.iter().zip(&large).enumerate() {
             let before = large.iter().enumerate().filter(|(o, l)| *o != k && l.0 <= *at);
             let loads: u32 = before.map(|(_, (_, s, n))| if *s == Shape::Array { n.div_ceil(PLACES) } else { *n }).sum();
-            let bound = WAITS.old as i32 + 12 + (loads * 6).div_ceil(machines as u32) as i32;
+            let bound = AGING.old as i32 + 12 + (loads * 6).div_ceil(machines as u32) as i32;
             let waited = began.map(|b| b - at);
             prop_assert!(waited.is_some_and(|w| w <= bound), "{shape:?} of {tasks}: {waited:?}, {bound}");
         }
@@ -297,7 +301,7 @@
         let (mut input, _, _) = fleet.input(0);
         let young = plan(&input);
         // Alone of its urgency, it has nobody to go before there.
-        input.jobs[0].arrival = -WAITS.old;
+        input.jobs[0].arrival = -AGING.old;
         let old = plan(&input);
         let sums = |out: &Output| {
             let mut sums = std::collections::BTreeMap::new();
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -50,7 +50,7 @@
     fn input()(machines in prop::collection::vec(machine(), 0..8), jobs in prop::collection::vec(job(), 0..10),
                limit in 1.0f64..30.0, online_factor in 1.0f64..3.0) -> Input {
         let team = |max| Team { path: vec![], cores_used: 0.0, gpus_used: 0.0, cores_max: f64::INFINITY, gpus_max: max };
-        Input { machines, jobs, teams: vec![team(limit), team(f64::INFINITY)], groups: vec![], reservations: vec![], online_factor, patience: 2.0, waits: plan::Waits::default(), max_steps: u64::MAX / 4, ..Input::default() }
+        Input { machines, jobs, teams: vec![team(limit), team(f64::INFINITY)], groups: vec![], reservations: vec![], online_factor, patience: 2.0, aging: plan::AgingThresholds::default(), max_steps: u64::MAX / 4, ..Input::default() }
     }
 }
 
@@ -71,7 +71,7 @@
             prop_assert!(j.only.is_empty() || j.only.contains(&m.zone), "outside its county's zones");
             let there = m.running.iter().map(|r| r.tenant);
             let with = out.starts.iter().filter(|o| o.machine == s.machine).map(|o| input.jobs[o.job as usize].tenant);
-            prop_assert!(!there.chain(with).any(|t| t.bars(&j.tenant)), "two counties on a machine");
+            prop_assert!(!there.chain(with).any(|t| t.conflicts_with(&j.tenant)), "two counties on a machine");
             free[s.machine as usize].add(&j.need, -f64::from(s.count));
             used[j.team as usize] += j.need.gpus * f64::from(s.count);
             started[s.job as usize] += s.count;
@@ -113,7 +113,7 @@
                         need: res(1.0, 1.0, 1.0), types: 1, zone: None, one_zone: false, spread: false, spot: true, image: 0,
                         image_gb: 1.0, team: 0, due: None, waits: false, promised: false, held: 0, zones: vec![], avoid: vec![], tenant: Default::default(), only: vec![] };
         let team = unbounded(&[]);
-        let input = Input { machines: vec![machine; n], jobs: vec![job], teams: vec![team], groups: vec![], reservations: vec![], online_factor: 1.0, patience: 1.0, waits: plan::Waits::default(), max_steps: u64::MAX / 4, ..Input::default() };
+        let input = Input { machines: vec![machine; n], jobs: vec![job], teams: vec![team], groups: vec![], reservations: vec![], online_factor: 1.0, patience: 1.0, aging: plan::AgingThresholds::default(), max_steps: u64::MAX / 4, ..Input::default() };
         let out = plan(&input);
         let started: u32 = out.starts.iter().map(|s| s.count).sum();
         prop_assert_eq!(started, tasks.min(4 * n as u32));
@@ -219,7 +219,7 @@
         reservations: vec![],
         online_factor: 1.0,
         patience: 3.0,
-        waits: plan::Waits::default(),
+        aging: plan::AgingThresholds::default(),
         max_steps: u64::MAX / 4,
         ..Input::default()
     }
--- a/crates/plan/tests/search.rs
+++ b/crates/plan/tests/search.rs
@@ -54,7 +54,7 @@
             images: images.collect(),
         });
     }
-    input.waits = plan::Waits {
+    input.aging = plan::AgingThresholds {
         old: 40.0,
         latest: 55.0,
     };
@@ -114,7 +114,7 @@
     fn the_index_plans_as_the_walk_does(seed in 0u64..1_000_000, machines in 1u32..600, jobs in 0usize..150) {
         let input = mixed(seed, machines, jobs);
         let indexed = played(&input, Search::Indexed);
-        let walked = played(&input, Search::Plain);
+        let walked = played(&input, Search::Linear);
         prop_assert_eq!(indexed.starts, walked.starts);
         prop_assert_eq!(indexed.preempts, walked.preempts);
         prop_assert_eq!(indexed.preempted_gangs, walked.preempted_gangs);
@@ -183,7 +183,7 @@
     input.jobs = vec![input.jobs[0].clone(); 200];
     let many = plan(&input).steps;
     assert!(many < 4 * few, "{many} steps for 200 jobs, {few} for 2");
-    let walked = played(&input, Search::Plain).steps;
+    let walked = played(&input, Search::Linear).steps;
     assert!(
         walked > 20 * many,
         "the walk takes {walked}: the test shows nothing"
@@ -210,7 +210,7 @@
     let mut young = old.clone();
     (young.arrival, young.tasks, young.pending) = (0.0, 5, 5);
     input.jobs = vec![old, young];
-    input.waits = plan::Waits {
+    input.aging = plan::AgingThresholds {
         old: 90.0,
         latest: 900.0,
     };
--- a/crates/plan/tests/zones.rs
+++ b/crates/plan/tests/zones.rs
@@ -96,7 +96,7 @@
         reservations: vec![],
         online_factor: 1.0,
         patience: 3.0,
-        waits: plan::Waits::default(),
+        aging: plan::AgingThresholds::default(),
         max_steps: u64::MAX / 4,
         ..Input::default()
     }
