--- a/crates/plan/src/failed_searches.rs
+++ b/crates/plan/src/failed_searches.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Search {
     Service,
-    Fill,
+    Tasks,
     Gang,
     /// Machines that can be cleared.
     Clear,
--- a/crates/plan/src/backfill.rs
+++ b/crates/plan/src/independent_tasks.rs
@@ -1,4 +1,4 @@
-//! Places for tasks that need no gang.
+//! Starts of tasks that need no gang: those of arrays and services, each by itself.
 
 use crate::candidates::Wanted;
 use crate::failed_searches::Search;
@@ -8,22 +8,22 @@
 
 impl PlanState<'_> {
     /// Starts up to `want` tasks of a job that needs no gang; returns how many.
-    pub(crate) fn fill(&mut self, i: usize, want: u32, keep_holds: bool) -> u32 {
+    pub(crate) fn start_tasks(&mut self, i: usize, want: u32, respect_reservations: bool) -> u32 {
         let job = &self.input.jobs[i];
         let granted = self.allows(job, want);
         if granted == 0 {
             return 0;
         }
-        let search = if keep_holds {
-            Search::Fill
+        let search = if respect_reservations {
+            Search::Tasks
         } else {
             Search::Service
         };
         if !self.is_linear_search() && self.failed_searches.is_hopeless(job, search, 1) {
             return 0;
         }
-        let zone = self.shared_zone(i, keep_holds);
-        let chosen = self.choose(i, granted, zone, keep_holds);
+        let zone = self.shared_zone(i, respect_reservations);
+        let chosen = self.choose(i, granted, zone, respect_reservations);
         if chosen.is_empty() && zone.is_none() {
             self.failed_searches.add(job, search, 0);
         }
@@ -41,14 +41,14 @@
         i: usize,
         want: u32,
         zone: Option<u16>,
-        keep_holds: bool,
+        respect_reservations: bool,
     ) -> Vec<(usize, u32)> {
         let job = &self.input.jobs[i];
         let mut chosen = Vec::new();
         let mut left = want;
         let mut by_zone: Vec<(u16, u32)> = Vec::new();
         self.look(&Wanted { job, zone }, |state, _, m| {
-            if keep_holds && !state.may_borrow(job, m) {
+            if respect_reservations && !state.may_use_until_reserved(job, m) {
                 return Look::On;
             }
             let there = count_in(&mut by_zone, state.input.machines[m].zone);
@@ -65,13 +65,13 @@
     }
 
     /// Whether a machine whose room is kept is free again before that.
-    fn may_borrow(&self, job: &Job, m: usize) -> bool {
+    fn may_use_until_reserved(&self, job: &Job, m: usize) -> bool {
         self.reserved_until[m].is_none_or(|until| job.estimate <= until)
     }
 
     /// Where all tasks share a zone, that of the tasks it has; else the one with most room, chosen before anything is
     /// placed.
-    fn shared_zone(&mut self, i: usize, keep_holds: bool) -> Option<u16> {
+    fn shared_zone(&mut self, i: usize, respect_reservations: bool) -> Option<u16> {
         let job = &self.input.jobs[i];
         if !job.one_zone {
             return None;
@@ -81,7 +81,7 @@
         }
         let mut room: Vec<(u16, u32)> = Vec::new();
         self.look(&Wanted { job, zone: None }, |state, _, m| {
-            if keep_holds && !state.may_borrow(job, m) {
+            if respect_reservations && !state.may_use_until_reserved(job, m) {
                 return Look::On;
             }
             let n = state.free[m].count(&job.need, state.slots[m]);
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -2,11 +2,11 @@
 //! No I/O, clock or randomness. The design and its sources are in `docs/design.md`.
 
 mod anti_affinity;
-mod backfill;
 mod candidates;
 mod clearing;
 mod failed_searches;
 mod gang;
+mod independent_tasks;
 mod job_kind;
 mod limit_enforcement;
 mod placement;
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -30,7 +30,7 @@
         let order = self.rank(&left);
         self.serve_aged(&mut left);
         self.serve(&order, &mut left);
-        self.fill_leftovers(&order, &mut left);
+        self.backfill(&order, &mut left);
         self.tell_waiting(&left);
     }
 
@@ -40,7 +40,7 @@
             if job.shape != Shape::Service {
                 continue;
             }
-            left[i] -= self.fill(i, left[i], false);
+            left[i] -= self.start_tasks(i, left[i], false);
             if left[i] > 0 {
                 self.wait_for_others(i);
             }
@@ -156,7 +156,7 @@
             .floor()
             .max(1.0);
         let width = (f64::from(left[i]) / rounds).ceil() as u32;
-        let started = self.fill(i, width.min(left[i]), true);
+        let started = self.start_tasks(i, width.min(left[i]), true);
         left[i] -= started;
         if started == 0 && left[i] > 0 {
             self.wait_for_others(i);
@@ -168,7 +168,7 @@
         let nested = !self.input.groups.is_empty();
         let due_back = nested && job.promised && -job.arrival > self.input.patience;
         if due_back && left[i] > 0 && !self.is_past_soft_limit() {
-            left[i] -= self.fill(i, left[i], true);
+            left[i] -= self.start_tasks(i, left[i], true);
             let want = self.allows(job, left[i]);
             if want > 0 {
                 self.preempt_for_quota(i, want);
@@ -178,7 +178,7 @@
 
     /// Urgent tasks take all room there is, and what is less urgent is stopped for the rest.
     fn make_room_for_tasks(&mut self, i: usize, left: &mut [u32]) {
-        left[i] -= self.fill(i, left[i], true);
+        left[i] -= self.start_tasks(i, left[i], true);
         let want = self.allows(&self.input.jobs[i], left[i]);
         if want > 0 {
             self.clear_for_tasks(i, want);
@@ -187,18 +187,18 @@
 
     /// Arrays also fill room that no planned job needs within one task estimate, and a first task of those that have
     /// waited for long goes where room is kept.
-    fn fill_leftovers(&mut self, order: &[Ranked], left: &mut [u32]) {
+    fn backfill(&mut self, order: &[Ranked], left: &mut [u32]) {
         for ranked in order {
             let i = ranked.job;
             let is_array = self.input.jobs[i].shape == Shape::Array;
             if is_array && left[i] > 0 && !self.is_past_hard_limit() {
-                left[i] -= self.fill(i, left[i], true);
+                left[i] -= self.start_tasks(i, left[i], true);
             }
         }
         for ranked in order {
             let i = ranked.job;
             if left[i] > 0 && !self.is_past_hard_limit() && self.waits_beside_reservations(i) {
-                left[i] -= self.fill_from_reservations(i);
+                left[i] -= self.start_from_reservations(i);
             }
         }
     }
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -94,12 +94,12 @@
 
     /// A first task where room is kept for jobs that are only expected: nobody waits for ever beside it. The rest of it
     /// stays kept, so that it goes task by task.
-    pub(crate) fn fill_from_reservations(&mut self, i: usize) -> u32 {
+    pub(crate) fn start_from_reservations(&mut self, i: usize) -> u32 {
         let kept = self.out.kept.clone();
         kept.iter()
             .for_each(|m| self.reserved_until[*m as usize] = None);
         self.failed_searches.forget();
-        let started = self.fill(i, 1, true);
+        let started = self.start_tasks(i, 1, true);
         self.failed_searches.forget();
         kept.iter()
             .for_each(|m| self.reserved_until[*m as usize] = Some(0.0));
--- a/crates/plan/src/starvation_aging.rs
+++ b/crates/plan/src/starvation_aging.rs
@@ -86,7 +86,7 @@
                 self.start_or_wait(i, left);
             } else {
                 let want = aging.before_all(job).min(left[i]);
-                left[i] -= self.fill(i, want, true);
+                left[i] -= self.start_tasks(i, want, true);
             }
         }
     }
