--- a/crates/plan/src/gang.rs
+++ b/crates/plan/src/gang.rs
@@ -2,7 +2,7 @@
 
 use crate::candidates::Wanted;
 use crate::failed_searches::Search;
-use crate::placement::Look;
+use crate::placement::Visit;
 use crate::state::PlanState;
 use crate::{EPS, Secs, count_in};
 
@@ -19,7 +19,7 @@
 
 impl PlanState<'_> {
     /// Starts all `want` tasks of a gang or none.
-    pub(crate) fn gang(&mut self, i: usize, want: u32) -> bool {
+    pub(crate) fn start_gang(&mut self, i: usize, want: u32) -> bool {
         let job = &self.input.jobs[i];
         if !self.is_linear_search() && self.failed_searches.is_hopeless(job, Search::Gang, want) {
             return false;
@@ -43,7 +43,7 @@
             return false;
         }
         for (m, n) in best.chosen {
-            self.take(i, m, n);
+            self.start_on(i, m, n);
         }
         true
     }
@@ -57,17 +57,17 @@
             found: 0,
         };
         let mut by_zone: Vec<(u16, u32)> = Vec::new();
-        self.look(&Wanted { job, zone }, |state, score, m| {
+        self.visit_machines(&Wanted { job, zone }, |state, score, m| {
             if state.reserved_until[m].is_some() {
-                return Look::On;
+                return Visit::Continue;
             }
             if limit.is_some_and(|limit| score >= limit) {
-                return Look::Enough;
+                return Visit::Stop;
             }
             let z = state.input.machines[m].zone;
             let there = count_in(&mut by_zone, z);
             let bound = state.zone_room(i, z).saturating_sub(*there);
-            let n = state.room(job, m, want - places.found).min(bound);
+            let n = state.free_places(job, m, want - places.found).min(bound);
             if n > 0 {
                 places.chosen.push((m, n));
                 places.cost = places.cost.max(score);
@@ -75,9 +75,9 @@
                 *there += n;
             }
             if places.found == want {
-                Look::Enough
+                Visit::Stop
             } else {
-                Look::On
+                Visit::Continue
             }
         });
         places
--- a/crates/plan/src/independent_tasks.rs
+++ b/crates/plan/src/independent_tasks.rs
@@ -2,7 +2,7 @@
 
 use crate::candidates::Wanted;
 use crate::failed_searches::Search;
-use crate::placement::Look;
+use crate::placement::Visit;
 use crate::state::PlanState;
 use crate::{Job, count_in};
 
@@ -29,7 +29,7 @@
         }
         let mut started = 0;
         for (m, n) in chosen {
-            self.take(i, m, n);
+            self.start_on(i, m, n);
             started += n;
         }
         started
@@ -47,19 +47,25 @@
         let mut chosen = Vec::new();
         let mut left = want;
         let mut by_zone: Vec<(u16, u32)> = Vec::new();
-        self.look(&Wanted { job, zone }, |state, _, m| {
+        self.visit_machines(&Wanted { job, zone }, |state, _, m| {
             if respect_reservations && !state.may_use_until_reserved(job, m) {
-                return Look::On;
+                return Visit::Continue;
             }
             let there = count_in(&mut by_zone, state.input.machines[m].zone);
             let bound = state.zone_room(i, state.input.machines[m].zone);
-            let n = state.room(job, m, left).min(bound.saturating_sub(*there));
+            let n = state
+                .free_places(job, m, left)
+                .min(bound.saturating_sub(*there));
             if n > 0 {
                 chosen.push((m, n));
                 *there += n;
                 left -= n;
             }
-            if left == 0 { Look::Enough } else { Look::On }
+            if left == 0 {
+                Visit::Stop
+            } else {
+                Visit::Continue
+            }
         });
         chosen
     }
@@ -80,14 +86,14 @@
             return Some(*zone);
         }
         let mut room: Vec<(u16, u32)> = Vec::new();
-        self.look(&Wanted { job, zone: None }, |state, _, m| {
+        self.visit_machines(&Wanted { job, zone: None }, |state, _, m| {
             if respect_reservations && !state.may_use_until_reserved(job, m) {
-                return Look::On;
+                return Visit::Continue;
             }
             let n = state.free[m].count(&job.need, state.slots[m]);
             let there = count_in(&mut room, state.input.machines[m].zone);
             *there = there.saturating_add(n);
-            Look::On
+            Visit::Continue
         });
         // With equal room the zone of the best machine wins, since it came first.
         let most = room.iter().map(|(_, n)| (*n).min(job.pending)).max()?;
--- a/crates/plan/src/placement.rs
+++ b/crates/plan/src/placement.rs
@@ -54,18 +54,18 @@
         self.candidates.class(m).place_score(job, &self.free[m])
     }
 
-    /// Machines where a task of the job fits now, best first, until `take` has enough. Steps are counted.
-    pub(crate) fn look(
+    /// Machines where a task of the job fits now, best first, until `visit` has enough. Steps are counted.
+    pub(crate) fn visit_machines(
         &mut self,
         wanted: &Wanted<'_>,
-        mut take: impl FnMut(&Self, Secs, usize) -> Look,
+        mut visit: impl FnMut(&Self, Secs, usize) -> Visit,
     ) {
         let mut steps = 0;
         if self.is_linear_search() {
-            let order = self.walk(wanted);
+            let order = self.walk_all(wanted);
             steps += self.input.machines.len() as u64;
             for (score, m) in order {
-                if take(self, score, m) == Look::Enough {
+                if visit(self, score, m) == Visit::Stop {
                     break;
                 }
             }
@@ -73,7 +73,7 @@
             for (score, m) in self.candidates.best_first(wanted, &mut steps) {
                 steps += 1;
                 let fits = self.allowed(wanted.job, m) && self.free[m].fits(&wanted.job.need);
-                if fits && take(self, score, m) == Look::Enough {
+                if fits && visit(self, score, m) == Visit::Stop {
                     break;
                 }
             }
@@ -82,7 +82,7 @@
     }
 
     /// The same by a walk over all machines.
-    fn walk(&self, wanted: &Wanted<'_>) -> Vec<(Secs, usize)> {
+    fn walk_all(&self, wanted: &Wanted<'_>) -> Vec<(Secs, usize)> {
         let job = wanted.job;
         let machines = &self.input.machines;
         let mut order: Vec<(Secs, usize)> = (0..machines.len())
@@ -95,7 +95,7 @@
     }
 
     /// Notes that `n` tasks of a job start on a machine.
-    pub(crate) fn take(&mut self, i: usize, m: usize, n: u32) {
+    pub(crate) fn start_on(&mut self, i: usize, m: usize, n: u32) {
         let input = self.input;
         let job = &input.jobs[i];
         let zone = input.machines[m].zone;
@@ -123,7 +123,7 @@
 
 /// Whether a search goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Look {
-    On,
-    Enough,
+pub(crate) enum Visit {
+    Continue,
+    Stop,
 }
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -31,7 +31,7 @@
         self.serve_aged(&mut left);
         self.serve(&order, &mut left);
         self.backfill(&order, &mut left);
-        self.tell_waiting(&left);
+        self.report_waiting(&left);
     }
 
     /// Services go at once, outside the plan; their room is busy for everybody else.
@@ -203,7 +203,7 @@
         }
     }
 
-    fn tell_waiting(&mut self, left: &[u32]) {
+    fn report_waiting(&mut self, left: &[u32]) {
         for (i, job) in self.input.jobs.iter().enumerate() {
             let n = self.allows(job, left[i]);
             if n > 0 && (job.shape != Shape::Gang || n == left[i]) {
@@ -218,10 +218,10 @@
         if want == 0 || self.allows(&self.input.jobs[i], want) < want {
             return;
         }
-        if self.gang(i, want) {
+        if self.start_gang(i, want) {
             left[i] = 0;
-        } else if !self.is_past_soft_limit() && !self.make_room(i, want) {
-            self.wait(i, want);
+        } else if !self.is_past_soft_limit() && !self.gather_room(i, want) {
+            self.wait_for_room(i, want);
         }
     }
 }
--- a/crates/plan/src/priority_preemption.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -17,7 +17,7 @@
 impl PlanState<'_> {
     /// A gang that finds no room has it gathered: the machines that are free for it first are held, and tasks of
     /// lower priority are stopped where waiting would take longer than the patience. False if that does not do.
-    pub(crate) fn make_room(&mut self, i: usize, want: u32) -> bool {
+    pub(crate) fn gather_room(&mut self, i: usize, want: u32) -> bool {
         let Some((_, chosen)) = self.cheapest(i, want) else {
             return false;
         };
--- a/crates/plan/src/promises.rs
+++ b/crates/plan/src/promises.rs
@@ -46,7 +46,7 @@
     }
 
     /// How many tasks of a job, at most `cap`, a machine takes now without breaking a promise.
-    pub(crate) fn room(&self, job: &Job, m: usize, cap: u32) -> u32 {
+    pub(crate) fn free_places(&self, job: &Job, m: usize, cap: u32) -> u32 {
         let mut n = self.free[m].count(&job.need, cap.min(self.slots[m]));
         let ends = self.length(job, m);
         for (from, _, tenant) in &self.timelines[m].promised {
@@ -63,7 +63,7 @@
     }
 
     /// The same where it is not known how long they would stay.
-    pub(crate) fn unpromised(&self, job: &Job, m: usize) -> u32 {
+    pub(crate) fn unpromised_places(&self, job: &Job, m: usize) -> u32 {
         if self.is_promised_to_others(job, m) {
             return 0;
         }
@@ -86,7 +86,7 @@
 
     /// Plans a gang for later: in the room that others must give back to its team's guarantee, or in the first that
     /// falls free by itself.
-    pub(crate) fn wait(&mut self, i: usize, want: u32) {
+    pub(crate) fn wait_for_room(&mut self, i: usize, want: u32) {
         let job = &self.input.jobs[i];
         if !self.is_linear_search() && self.failed_searches.is_hopeless(job, Search::Promise, want)
         {
@@ -216,7 +216,7 @@
         stale.sort_unstable();
         stale.dedup();
         for m in stale {
-            self.renew(job, &mut rooms, m);
+            self.update_openings(job, &mut rooms, m);
         }
         rooms.seen = self.changed.len();
         rooms
@@ -229,7 +229,7 @@
     }
 
     /// Finds out anew what falls free on a machine.
-    fn renew(&mut self, job: &Job, rooms: &mut RoomsToCome, m: usize) {
+    fn update_openings(&mut self, job: &Job, rooms: &mut RoomsToCome, m: usize) {
         self.out.steps += 1;
         let zone = self.input.machines[m].zone;
         let Some(list) = rooms
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -31,7 +31,7 @@
                     break;
                 }
                 if self.reserved_until[*m].is_none() && self.images[*m].contains(image) {
-                    let n = self.keep(job, *m);
+                    let n = self.reserve_on(job, *m);
                     wanted = wanted.saturating_sub(n);
                     left = left.saturating_sub(n);
                 }
@@ -42,7 +42,7 @@
                 break;
             }
             if self.reserved_until[m].is_none() {
-                left = left.saturating_sub(self.keep(job, m));
+                left = left.saturating_sub(self.reserve_on(job, m));
             }
         }
         left
@@ -64,7 +64,7 @@
         let has_room = |m: &usize| {
             self.allowed(job, *m)
                 && self.reserved_until[*m].is_none()
-                && self.unpromised(job, *m) > 0
+                && self.unpromised_places(job, *m) > 0
         };
         let mut order: Vec<(f64, usize)> = (0..input.machines.len())
             .filter(has_room)
@@ -75,11 +75,11 @@
         order.into_iter().map(|(_, m)| m).collect()
     }
 
-    fn keep(&mut self, job: &Job, m: usize) -> u32 {
+    fn reserve_on(&mut self, job: &Job, m: usize) -> u32 {
         self.reserved_until[m] = Some(0.0);
         self.changed.push(m as u32);
         self.out.kept.push(m as u32);
-        self.unpromised(job, m)
+        self.unpromised_places(job, m)
     }
 
     /// An array that has waited for long and has no task on any machine.
