--- a/crates/control/src/scheduling/scaling.rs
+++ b/crates/control/src/scheduling/scaling.rs
@@ -154,7 +154,7 @@
             offers: &open_offers,
             coming: &coming,
             horizon: self.tuning.horizon_s,
-            most: MAX_COMING,
+            max_machines: MAX_COMING,
         });
         for request in requests {
             self.rent(&offers.names[open[request.offer]], request.count);
--- a/crates/plan/tests/apart.rs
+++ b/crates/plan/tests/apart.rs
@@ -195,7 +195,7 @@
         offers: &offers,
         coming: &coming,
         horizon: 60.0,
-        most: 50,
+        max_machines: 50,
     };
     assert_eq!(scale_out(&hire).iter().map(|w| w.count).sum::<u32>(), 2);
     let mut input = input.clone();
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -297,7 +297,7 @@
             offers: &offers,
             coming: &[],
             horizon: 100.0,
-            most: 100,
+            max_machines: 100,
         })
     };
     let spread = Job {
--- a/crates/plan/tests/zones.rs
+++ b/crates/plan/tests/zones.rs
@@ -123,7 +123,7 @@
         offers,
         coming,
         horizon: 10.0,
-        most: 100,
+        max_machines: 100,
     })
 }
 
