--- a/crates/control/src/overload/load_shedding.rs
+++ b/crates/control/src/overload/load_shedding.rs
@@ -2,8 +2,8 @@
 //! before them, so that an overloaded node is not asked the same again and again in the meantime.
 //!
 //! ```
-//! use control::overload::load_shedding::Shedding;
-//! let mut shedding = Shedding::default();
+//! use control::overload::load_shedding::LoadShedding;
+//! let mut shedding = LoadShedding::default();
 //! assert_eq!(shedding.turn_away(0, 10.0), 1);
 //! (0..50).for_each(|_| { shedding.turn_away(0, 10.0); });
 //! assert_eq!(shedding.turn_away(0, 10.0), 6);
@@ -17,7 +17,7 @@
 /// Requests that were turned away and are still to be served.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LoadShedding {
-    unacknowledged_start: f64,
+    queued: f64,
     /// Milliseconds of the node's steady clock.
     at: u64,
 }
@@ -29,8 +29,8 @@
         let served = now.saturating_sub(self.at) as f64 / 1000.0 * served_per_s;
         self.at = self.at.max(now);
         let most = served_per_s * f64::from(LONGEST_S);
-        self.unacknowledged_start = ((self.unacknowledged_start - served).max(0.0) + 1.0).min(most);
-        let wait_s = 1.0 + self.unacknowledged_start / served_per_s;
+        self.queued = ((self.queued - served).max(0.0) + 1.0).min(most);
+        let wait_s = 1.0 + self.queued / served_per_s;
         (wait_s as u32).min(LONGEST_S)
     }
 }
--- a/crates/control/src/overload/plan_pacing.rs
+++ b/crates/control/src/overload/plan_pacing.rs
@@ -4,15 +4,15 @@
 //! they come; plans are what can wait, so they are made less often until half of the time is left for the rest.
 
 /// Plans are at most this many times as far apart as in a node that keeps its time.
-pub const MOST: f64 = 5.0;
+pub const MAX_FACTOR: f64 = 5.0;
 /// Part of the time that ticks may be late before plans give way.
-const ALLOWED: f64 = 0.5;
+const ALLOWED_LATENESS: f64 = 0.5;
 /// The distance changes by at most this factor from one plan to the next.
-const STEP: f64 = 2.0;
+const MAX_CHANGE: f64 = 2.0;
 /// Lateness is looked at over about this time, in milliseconds.
 const WINDOW_MS: f64 = 3000.0;
 /// No work takes so long: the process stood still, and is not short of time when it goes on.
-const STOOD_STILL_MS: f64 = 5000.0;
+const SUSPENDED_MS: f64 = 5000.0;
 
 /// A node's pace. Times are milliseconds of its steady clock.
 #[derive(Debug, Clone, Copy)]
@@ -41,7 +41,7 @@
         };
         let passed = now.saturating_sub(before) as f64;
         let late = now.saturating_sub(before + due_after) as f64;
-        if passed > 0.0 && passed < STOOD_STILL_MS {
+        if passed > 0.0 && passed < SUSPENDED_MS {
             let weight = (passed / WINDOW_MS).min(1.0);
             self.late += (late / passed - self.late) * weight;
         }
@@ -49,12 +49,12 @@
 
     /// A plan has been made: the next one is sooner or later by how late ticks are.
     pub fn planned(&mut self) {
-        let change = (self.late / ALLOWED).clamp(1.0 / STEP, STEP);
-        self.factor = (self.factor * change).clamp(1.0, MOST);
+        let change = (self.late / ALLOWED_LATENESS).clamp(1.0 / MAX_CHANGE, MAX_CHANGE);
+        self.factor = (self.factor * change).clamp(1.0, MAX_FACTOR);
     }
 
     /// A time between two plans, as this node keeps it now.
-    pub fn apart(&self, usual: u64) -> u64 {
-        (usual as f64 * self.factor) as u64
+    pub fn interval(&self, usual_ms: u64) -> u64 {
+        (usual_ms as f64 * self.factor) as u64
     }
 }
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -39,7 +39,7 @@
     /// The jobs for which a plan is due, if any. Notes that a full plan is made.
     fn due_scope(&mut self) -> Option<Scope> {
         let now = self.now.mono;
-        let interval = self.plan_pacing.apart(self.tuning.every_ms as u64);
+        let interval = self.plan_pacing.interval(self.tuning.every_ms as u64);
         let shard = self.shard.as_mut()?;
         let is_changed = shard.plan_due && now >= shard.planned_at + interval;
         let is_overdue = now >= shard.planned_at + 2 * interval;
--- a/crates/control/src/scheduling/urgent.rs
+++ b/crates/control/src/scheduling/urgent.rs
@@ -5,9 +5,9 @@
 use wire::api::{JobSpec, Kind, Priority};
 
 /// Urgent plans are at least this far apart, in milliseconds.
-const SOONEST_MS: u64 = 150;
+const MIN_PAUSE_MS: u64 = 150;
 /// While they bring nothing, up to this far.
-const LATEST_MS: u64 = 1000;
+const MAX_PAUSE_MS: u64 = 1000;
 
 /// Whether a job is placed as it arrives. Services run for long, and can wait for a full plan.
 pub(crate) fn is_urgent(spec: &JobSpec) -> bool {
@@ -27,7 +27,7 @@
         Urgent {
             waits: false,
             planned_at: 0,
-            pause_ms: SOONEST_MS,
+            pause_ms: MIN_PAUSE_MS,
         }
     }
 }
@@ -37,24 +37,24 @@
     pub fn arrived(&mut self, spec: &JobSpec) {
         if is_urgent(spec) {
             self.waits = true;
-            self.pause_ms = SOONEST_MS;
+            self.pause_ms = MIN_PAUSE_MS;
         }
     }
 
     /// Whether a plan is due, of a node that keeps this pace.
     pub fn is_due(&self, now: u64, plan_pacing: &PlanPacing) -> bool {
-        self.waits && now >= self.planned_at + plan_pacing.apart(self.pause_ms)
+        self.waits && now >= self.planned_at + plan_pacing.interval(self.pause_ms)
     }
 
-    /// A plan that had urgent work in it, or none: whether some still waits, and whether it got on. Plans that bring
+    /// A plan that had urgent work in it, or none: whether some still waits, and whether it made progress. Plans that bring
     /// nothing come ever less often, so that what fits nowhere takes no time from others.
-    pub fn planned(&mut self, now: u64, still_waits: bool, got_on: bool) {
+    pub fn planned(&mut self, now: u64, still_waits: bool, made_progress: bool) {
         self.planned_at = now;
         self.waits = still_waits;
-        self.pause_ms = if got_on {
-            SOONEST_MS
+        self.pause_ms = if made_progress {
+            MIN_PAUSE_MS
         } else {
-            (self.pause_ms * 2).min(LATEST_MS)
+            (self.pause_ms * 2).min(MAX_PAUSE_MS)
         };
     }
 }
--- a/crates/control/tests/pace.rs
+++ b/crates/control/tests/pace.rs
@@ -1,6 +1,6 @@
 //! Plans of a node that is short of processor time.
 
-use control::overload::plan_pacing::{MOST, PlanPacing};
+use control::overload::plan_pacing::{MAX_FACTOR, PlanPacing};
 
 const TICK_MS: u64 = 50;
 const PLAN_MS: u64 = 1000;
@@ -12,7 +12,7 @@
     for _ in 0..4000 {
         plan_pacing.ticked(now, TICK_MS);
         let mut takes = tick_takes;
-        if now >= planned_at + plan_pacing.apart(PLAN_MS) {
+        if now >= planned_at + plan_pacing.interval(PLAN_MS) {
             apart = now - planned_at;
             planned_at = now;
             plan_pacing.planned();
@@ -42,7 +42,7 @@
 
 #[test]
 fn plans_are_put_off_but_not_given_up() {
-    let longest = PLAN_MS as f64 * MOST;
+    let longest = PLAN_MS as f64 * MAX_FACTOR;
     for tick_takes in [200, 400] {
         let apart = distance(0, tick_takes) as f64;
         assert!(apart >= longest, "{tick_takes}: {apart}");
@@ -59,13 +59,16 @@
         plan_pacing.planned();
         now += 10 * TICK_MS;
     }
-    assert_eq!(plan_pacing.apart(PLAN_MS), (PLAN_MS as f64 * MOST) as u64);
+    assert_eq!(
+        plan_pacing.interval(PLAN_MS),
+        (PLAN_MS as f64 * MAX_FACTOR) as u64
+    );
     for _ in 0..200 {
         plan_pacing.ticked(now, TICK_MS);
         now += TICK_MS;
     }
     (0..4).for_each(|_| plan_pacing.planned());
-    assert_eq!(plan_pacing.apart(PLAN_MS), PLAN_MS);
+    assert_eq!(plan_pacing.interval(PLAN_MS), PLAN_MS);
 }
 
 /// A process that stood still for a while plans on as before.
@@ -79,5 +82,5 @@
     }
     plan_pacing.ticked(now + 30_000, TICK_MS);
     plan_pacing.planned();
-    assert_eq!(plan_pacing.apart(PLAN_MS), PLAN_MS);
+    assert_eq!(plan_pacing.interval(PLAN_MS), PLAN_MS);
 }
