--- a/crates/plan/src/limit_enforcement.rs
+++ b/crates/plan/src/limit_enforcement.rs
@@ -1,4 +1,4 @@
-//! What runs above a bound that has shrunk is stopped: with the time to save, the least held and least urgent first,
+//! Enforcement of limits: what runs above a bound that has shrunk is stopped: with the time to save, the least held and least urgent first,
 //! and no more than the excess.
 
 use crate::state::PlanState;
@@ -15,6 +15,26 @@
     takes: Resources,
 }
 
+impl Excess {
+    /// Nothing yet of what stops with this task.
+    fn new(task: &Running) -> Self {
+        let is_service = !task.stoppable && task.gang.is_none();
+        Excess {
+            rank: (is_service, task.held, task.priority),
+            lost: 0.0,
+            gang: task.gang,
+            tasks: Vec::new(),
+            takes: Resources::default(),
+        }
+    }
+
+    fn add(&mut self, machine: usize, index: usize, task: &Running) {
+        self.lost += task.lost;
+        self.tasks.push((machine, index));
+        self.takes.add(&task.need, 1.0);
+    }
+}
+
 impl PlanState<'_> {
     /// Brings each group back to its bound. Deeper ones first: what they stop counts for those above.
     pub(crate) fn enforce_limits(&mut self) {
@@ -43,70 +63,69 @@
             .is_some_and(|t| t.path.contains(&group))
     }
 
+    /// Preempts tasks and gangs below a group until its use is within its bound.
     fn enforce_group_limit(&mut self, group: u16) {
-        let input = self.input;
-        let bound = &input.groups[usize::from(group)];
+        let bound = &self.input.groups[usize::from(group)];
         let mut used = bound.used;
+        let mut candidates = self.preemptible_below(group, &mut used);
+        candidates.sort_by(|a, b| a.rank.cmp(&b.rank).then(a.lost.total_cmp(&b.lost)));
+        for candidate in candidates {
+            if helps(&bound.max, &used, &candidate.takes) {
+                used.add(&candidate.takes, -1.0);
+                self.preempt_excess(&candidate);
+            }
+        }
+    }
+
+    /// All below a group that may be stopped. What is on its way out already, or stopped by this plan, is taken off
+    /// the use instead.
+    fn preemptible_below(&mut self, group: u16, used: &mut Resources) -> Vec<Excess> {
+        let input = self.input;
         let mut found: Vec<Excess> = Vec::new();
         let mut gangs: BTreeMap<u32, Excess> = BTreeMap::new();
-        let stopping: BTreeSet<(u32, u32)> = self
-            .out
-            .preempts
-            .iter()
-            .map(|p| (p.machine, p.task))
-            .collect();
+        let preempts = self.out.preempts.iter();
+        let preempted: BTreeSet<(u32, u32)> = preempts.map(|p| (p.machine, p.task)).collect();
         let preempted_gangs: BTreeSet<u32> = self.out.preempted_gangs.iter().copied().collect();
         for (m, machine) in input.machines.iter().enumerate() {
             self.out.steps += 1 + machine.running.len() as u64;
-            for (k, r) in machine
-                .running
-                .iter()
-                .enumerate()
-                .filter(|(_, r)| self.below(r, group))
-            {
-                // On its way out already, or stopped by this plan.
-                let goes = r.leaving || r.gang.is_some_and(|g| preempted_gangs.contains(&g));
-                if goes || stopping.contains(&(m as u32, k as u32)) {
-                    used.add(&r.need, -1.0);
+            let tasks = machine.running.iter().enumerate();
+            for (k, task) in tasks.filter(|(_, task)| self.below(task, group)) {
+                let is_leaving = task.leaving
+                    || task
+                        .gang
+                        .is_some_and(|gang| preempted_gangs.contains(&gang))
+                    || preempted.contains(&(m as u32, k as u32));
+                if is_leaving {
+                    used.add(&task.need, -1.0);
                     continue;
                 }
-                let service = !r.stoppable && r.gang.is_none();
-                let new = Excess {
-                    rank: (service, r.held, r.priority),
-                    lost: 0.0,
-                    gang: r.gang,
-                    tasks: Vec::new(),
-                    takes: Resources::default(),
-                };
-                let mut one = None;
-                let at = match r.gang {
-                    Some(gang) => gangs.entry(gang).or_insert(new),
-                    None => one.insert(new),
-                };
-                at.lost += r.lost;
-                at.tasks.push((m, k));
-                at.takes.add(&r.need, 1.0);
-                found.extend(one);
+                match task.gang {
+                    Some(gang) => gangs
+                        .entry(gang)
+                        .or_insert_with(|| Excess::new(task))
+                        .add(m, k, task),
+                    None => {
+                        let mut alone = Excess::new(task);
+                        alone.add(m, k, task);
+                        found.push(alone);
+                    }
+                }
             }
         }
         found.extend(gangs.into_values());
-        found.sort_by(|a, b| a.rank.cmp(&b.rank).then(a.lost.total_cmp(&b.lost)));
-        for e in found {
-            if !helps(&bound.max, &used, &e.takes) {
-                continue;
-            }
-            used.add(&e.takes, -1.0);
-            match e.gang {
-                Some(gang) => self.out.preempted_gangs.push(gang),
-                None => self
-                    .out
-                    .preempts
-                    .extend(e.tasks.iter().map(|(m, k)| Preempt {
-                        machine: *m as u32,
-                        task: *k as u32,
-                    })),
-            }
+        found
+    }
+
+    fn preempt_excess(&mut self, excess: &Excess) {
+        if let Some(gang) = excess.gang {
+            self.out.preempted_gangs.push(gang);
+            return;
         }
+        let preempts = excess.tasks.iter().map(|(m, k)| Preempt {
+            machine: *m as u32,
+            task: *k as u32,
+        });
+        self.out.preempts.extend(preempts);
     }
 }
 
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -39,6 +39,14 @@
     places: Vec<(usize, u32)>,
 }
 
+/// Room by machine.
+type Rooms = BTreeMap<usize, Resources>;
+
+/// Places for tasks of a job, at most `cap` on each machine.
+fn count_places(job: &Job, cap: u32, rooms: &Rooms) -> u32 {
+    rooms.values().map(|room| room.count(&job.need, cap)).sum()
+}
+
 impl PlanState<'_> {
     /// Stops for a job within a guarantee what other teams run beyond theirs, and holds the room. A gang needs all its
     /// places, an array takes what there is. False if that does not make enough.
@@ -80,6 +88,7 @@
         true
     }
 
+    /// What would be stopped in a zone, or in all; none for a gang that would still lack places.
     fn quota_preemption_in(
         &mut self,
         i: usize,
@@ -87,7 +96,30 @@
         zone: Option<u16>,
     ) -> Option<QuotaPreemption> {
         let job = &self.input.jobs[i];
-        let mut rooms: BTreeMap<usize, Resources> = BTreeMap::new();
+        let mut rooms = self.rooms_with_leaving(i, zone);
+        let mut victims = self.choose_victims(job, want, &mut rooms);
+        let places = count_places(job, want, &rooms);
+        if places < want && job.shape == Shape::Gang {
+            return None;
+        }
+        let enough = places.min(want);
+        self.drop_needless_victims(job, want, enough, &mut victims, &mut rooms);
+        let places = rooms
+            .iter()
+            .map(|(m, room)| (*m, room.count(&job.need, want)))
+            .collect();
+        Some(QuotaPreemption {
+            missing: want - enough,
+            cost: victims.iter().map(|v| v.cost).sum(),
+            victims,
+            places,
+        })
+    }
+
+    /// Room on the machines that a job may use, once what is on its way out has gone.
+    fn rooms_with_leaving(&mut self, i: usize, zone: Option<u16>) -> Rooms {
+        let job = &self.input.jobs[i];
+        let mut rooms = Rooms::new();
         for m in self.machines_in(zone) {
             let machine = &self.input.machines[m];
             if !self.allowed(job, m) || self.reserved_until[m].is_some() {
@@ -99,73 +131,79 @@
             }
             self.out.steps += 1 + machine.running.len() as u64;
             let mut room = self.room_at(m, 0.0, f64::INFINITY);
-            for r in machine.running.iter().filter(|r| r.leaving) {
-                room.add(&r.need, 1.0);
+            for task in machine.running.iter().filter(|task| task.leaving) {
+                room.add(&task.need, 1.0);
             }
             rooms.insert(m, room);
         }
-        let mut victims = self.victims(job, &rooms);
-        let count = |rooms: &BTreeMap<usize, Resources>| {
-            rooms
-                .values()
-                .map(|room| room.count(&job.need, want))
-                .sum::<u32>()
-        };
-        let mut chosen: Vec<Victim> = Vec::new();
-        let mut have = count(&rooms);
+        rooms
+    }
+
+    /// Takes victims until a job has the places that it wants, or none is left that brings it nearer, and adds their
+    /// room.
+    fn choose_victims(&mut self, job: &Job, want: u32, rooms: &mut Rooms) -> Vec<Victim> {
+        let mut victims = self.victims(job, rooms);
+        let mut chosen = Vec::new();
+        let mut have = count_places(job, want, rooms);
         while have < want {
             // Clearing has its bound of steps, as elsewhere.
             self.out.steps += rooms.len() as u64;
             if self.is_past_soft_limit() {
                 break;
             }
-            // The nearest in the tree first, then the least loss for each place that is gained. What gains none by
-            // itself may do so with another.
-            let mut best: Option<(Reverse<u8>, f64, usize)> = None;
-            for (k, victim) in victims.iter().enumerate() {
-                self.out.steps += victim.tasks.len() as u64;
-                let gain = self.gain(job, victim, &rooms).min(f64::from(want - have));
-                let (common_groups, loss) = (Reverse(victim.common_groups), victim.cost / gain);
-                if gain > 0.0 && best.is_none_or(|(k, l, _)| (common_groups, loss) < (k, l)) {
-                    best = Some((common_groups, loss, k));
-                }
-            }
-            let Some((_, _, k)) = best else { break };
-            let victim = victims.swap_remove(k);
-            self.give_back(&victim, &mut rooms, 1.0);
+            let Some(best) = self.best_victim(job, want - have, &victims, rooms) else {
+                break;
+            };
+            let victim = victims.swap_remove(best);
+            self.give_back(&victim, rooms, 1.0);
             chosen.push(victim);
-            have = count(&rooms);
+            have = count_places(job, want, rooms);
         }
-        if have < want && job.shape == Shape::Gang {
-            return None;
+        chosen
+    }
+
+    /// The victim that is nearest in the tree, and of those the one with the least loss for each place that is gained.
+    /// What gains none by itself may do so with another.
+    fn best_victim(
+        &mut self,
+        job: &Job,
+        missing: u32,
+        victims: &[Victim],
+        rooms: &Rooms,
+    ) -> Option<usize> {
+        let mut best: Option<((Reverse<u8>, f64), usize)> = None;
+        for (at, victim) in victims.iter().enumerate() {
+            self.out.steps += victim.tasks.len() as u64;
+            let gain = self.gain(job, victim, rooms).min(f64::from(missing));
+            let rank = (Reverse(victim.common_groups), victim.cost / gain);
+            if gain > 0.0 && best.is_none_or(|(best_rank, _)| rank < best_rank) {
+                best = Some((rank, at));
+            }
         }
-        // What turned out not to be needed stays.
-        let enough = have.min(want);
-        let mut k = chosen.len();
-        while k > 0 {
-            k -= 1;
-            self.give_back(&chosen[k], &mut rooms, -1.0);
-            if count(&rooms) >= enough {
+        best.map(|(_, at)| at)
+    }
+
+    /// What turned out not to be needed for `enough` places stays.
+    fn drop_needless_victims(
+        &self,
+        job: &Job,
+        want: u32,
+        enough: u32,
+        chosen: &mut Vec<Victim>,
+        rooms: &mut Rooms,
+    ) {
+        for k in (0..chosen.len()).rev() {
+            self.give_back(&chosen[k], rooms, -1.0);
+            if count_places(job, want, rooms) >= enough {
                 chosen.remove(k);
             } else {
-                self.give_back(&chosen[k], &mut rooms, 1.0);
+                self.give_back(&chosen[k], rooms, 1.0);
             }
         }
-        let cost = chosen.iter().map(|v| v.cost).sum();
-        let places = rooms
-            .iter()
-            .map(|(m, room)| (*m, room.count(&job.need, want)))
-            .collect();
-        Some(QuotaPreemption {
-            missing: want - enough,
-            cost,
-            victims: chosen,
-            places,
-        })
     }
 
     /// Places that a victim's end brings nearer: whole ones count most, parts of one a little.
-    fn gain(&self, job: &Job, victim: &Victim, rooms: &BTreeMap<usize, Resources>) -> f64 {
+    fn gain(&self, job: &Job, victim: &Victim, rooms: &Rooms) -> f64 {
         let mut gain = 0.0;
         let mut seen = usize::MAX;
         let mut after = Resources::default();
@@ -188,7 +226,7 @@
         gain
     }
 
-    fn give_back(&self, victim: &Victim, rooms: &mut BTreeMap<usize, Resources>, times: f64) {
+    fn give_back(&self, victim: &Victim, rooms: &mut Rooms, times: f64) {
         for (m, k) in &victim.tasks {
             if let Some(room) = rooms.get_mut(m) {
                 room.add(&self.input.machines[*m].running[*k].need, times);
@@ -197,7 +235,7 @@
     }
 
     /// All that may be stopped for a job on these machines, with what that loses.
-    fn victims(&self, job: &Job, rooms: &BTreeMap<usize, Resources>) -> Vec<Victim> {
+    fn victims(&self, job: &Job, rooms: &Rooms) -> Vec<Victim> {
         let mut out = Vec::new();
         let mut gangs: BTreeMap<u32, Victim> = BTreeMap::new();
         let preempts = self.out.preempts.iter();
