--- a/crates/plan/tests/apart.rs
+++ b/crates/plan/tests/anti_affinity.rs
@@ -1,5 +1,7 @@
 //! Work that shares no machine gets one, however busy the fleet is with work that comes and goes.
 
+mod defaults;
+
 use plan::{
     Input, Job, Machine, MachineOffer, Output, Resources, Running, ScaleOutInput, Shape, Start,
     Team, Tenant, plan, scale_out,
@@ -20,51 +22,25 @@
         tasks,
         pending: tasks,
         need: GPU,
-        types: 1,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        image: 0,
         image_gb: 0.0,
-        team: 0,
-        due: None,
-        waits: false,
-        promised: false,
-        held: 0,
-        zones: vec![],
-        avoid: vec![],
         tenant,
-        only: vec![],
+        ..defaults::job()
     }
 }
 
 fn team() -> Team {
-    Team {
-        path: vec![],
-        cores_used: 0.0,
-        gpus_used: 0.0,
-        cores_max: f64::INFINITY,
-        gpus_max: f64::INFINITY,
-    }
+    defaults::team()
 }
 
 fn machine() -> Machine {
     Machine {
-        machine_type: 0,
-        zone: 0,
-        spot: false,
-        usable: true,
-        ready: f64::INFINITY,
         total: Resources {
             cores: 4.0,
             gpus: 4.0,
             mem: 64.0,
         },
-        running: vec![],
         images: vec![0],
-        fetch_gb_per_s: 1.0,
-        slots: 20,
+        ..defaults::machine()
     }
 }
 
@@ -108,15 +84,8 @@
                 machines[s.machine as usize].running.push(Running {
                     need: GPU,
                     ends,
-                    priority: 1,
-                    lost: 0.0,
-                    stoppable: false,
-                    leaving: false,
-                    team: 0,
-                    held: 0,
-                    spared: false,
-                    gang: None,
                     tenant: j.tenant,
+                    ..defaults::running()
                 });
             }
         }
--- a/crates/plan/tests/floods.rs
+++ b/crates/plan/tests/floods.rs
@@ -1,5 +1,7 @@
 //! Floods of urgent work played in plan turns: who waits long begins, and nothing is stopped for it against its urgency.
 
+mod defaults;
+
 use plan::{
     AgingThresholds, Input, Job, Machine, Output, Reservation, Resources, Running, Shape, Team,
     first_share, plan,
@@ -34,42 +36,24 @@
         tasks,
         pending: tasks,
         need,
-        types: 1,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        image: 0,
         image_gb: 0.0,
-        team: 0,
         waits: true,
-        due: None,
-        promised: false,
-        held: 0,
-        zones: vec![],
-        avoid: vec![],
-        tenant: Default::default(),
-        only: vec![],
+        ..defaults::job()
     }
 }
 
 /// One with [`PLACES`] places.
 fn machine() -> Machine {
     Machine {
-        machine_type: 0,
-        zone: 0,
-        spot: false,
-        usable: true,
         ready: 0.0,
         total: Resources {
             cores: 4.0,
             gpus: 4.0,
             mem: 4.0,
         },
-        running: vec![],
         images: vec![0],
-        fetch_gb_per_s: 1.0,
         slots: 10,
+        ..defaults::machine()
     }
 }
 
@@ -121,13 +105,7 @@
             },
             ..Input::default()
         };
-        input.teams = vec![Team {
-            path: vec![],
-            cores_used: 0.0,
-            gpus_used: 0.0,
-            cores_max: f64::INFINITY,
-            gpus_max: f64::INFINITY,
-        }];
+        input.teams = vec![defaults::team()];
         let mut on: Vec<Vec<usize>> = vec![vec![]; self.machines];
         let mut claims = vec![0u32; self.jobs.len()];
         for (k, p) in self.placed.iter().enumerate() {
@@ -144,12 +122,9 @@
                 priority: job.priority,
                 lost: f64::from(now - p.began),
                 stoppable: array,
-                leaving: false,
-                team: 0,
-                held: 0,
                 spared,
                 gang: (!array).then_some(p.job as u32),
-                tenant: Default::default(),
+                ..defaults::running()
             });
         }
         let mut map = Vec::new();
@@ -329,11 +304,9 @@
         machines: vec![machine()],
         jobs: vec![array],
         teams: vec![Team {
-            path: vec![],
-            cores_used: 0.0,
-            gpus_used: 0.0,
             cores_max: 1e9,
             gpus_max: 1e9,
+            ..defaults::team()
         }],
         reservations: vec![Reservation {
             like,
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -1,5 +1,7 @@
 //! Plans of generated fleets: nothing overlaps, limits and places hold, the stretch is the smallest.
 
+mod defaults;
+
 use plan::{
     Group, Input, Job, Machine, MachineOffer, RentalRequest, Resources, Running, ScaleOutInput,
     Shape, Sized, Team, Tenant, plan, scale_out, smallest_stretch,
@@ -23,10 +25,8 @@
                  running in prop::collection::vec((1u32..4, 0.0f64..60.0, 0u8..3, any::<bool>(), prop::option::of(0u32..3), 0u16..3), 0..3),
                  images in prop::collection::vec(0u32..3, 0..2)) -> Machine {
         let total = res(32.0, f64::from(kind + 1) * 4.0, 128.0);
-         let running = running.into_iter().map(|(g, ends, priority, beyond, gang, county)| Running {
-            need: res(2.0 * f64::from(g), f64::from(g), 8.0), ends, priority, lost: 5.0, stoppable: gang.is_none(), leaving: false, team: 1, held: u8::from(!beyond), spared: false, gang, tenant: of(county),
-        }).collect();
-        let mut m = Machine { machine_type: kind, zone, spot, usable, ready: 20.0, total, running, images, fetch_gb_per_s: 1.0, slots: 20 };
+         let running = running.into_iter().map(|(g, ends, priority, beyond, gang, county)| Running { need: res(2.0 * f64::from(g), f64::from(g), 8.0), ends, priority, lost: 5.0, stoppable: gang.is_none(), team: 1, held: u8::from(!beyond), gang, tenant: of(county), ..defaults::running() }).collect();
+        let mut m = Machine { machine_type: kind, zone, spot, usable, ready: 20.0, total, running, images, ..defaults::machine() };
         while m.free().gpus < 0.0 {
             m.running.pop();
         }
@@ -40,17 +40,15 @@
              flags in (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>()), image in 0u32..3, team in 0u16..2, county in 0u16..4,
              only in prop::collection::vec(0u16..2, 0..2)) -> Job {
         let shape = [Shape::Array, Shape::Gang, Shape::Service][shape as usize];
-        Job { shape, priority, arrival, estimate, tasks, pending: tasks, need: res(4.0, f64::from(gpus), 16.0), types,
-              zone, one_zone: flags.0, spread: flags.1 && !flags.0, spot: flags.2, image, image_gb: 4.0, team, due: None, waits: false, promised: flags.3, held: u8::from(flags.3),
-              zones: Vec::new(), avoid: Vec::new(), tenant: of(county), only }
+        Job { shape, priority, arrival, estimate, tasks, pending: tasks, need: res(4.0, f64::from(gpus), 16.0), types, zone, one_zone: flags.0, spread: flags.1 && !flags.0, spot: flags.2, image, image_gb: 4.0, team, promised: flags.3, held: u8::from(flags.3), tenant: of(county), only, ..defaults::job() }
     }
 }
 
 prop_compose! {
     fn input()(machines in prop::collection::vec(machine(), 0..8), jobs in prop::collection::vec(job(), 0..10),
                limit in 1.0f64..30.0, online_factor in 1.0f64..3.0) -> Input {
-        let team = |max| Team { path: vec![], cores_used: 0.0, gpus_used: 0.0, cores_max: f64::INFINITY, gpus_max: max };
-        Input { machines, jobs, teams: vec![team(limit), team(f64::INFINITY)], groups: vec![], reservations: vec![], online_factor, patience: 2.0, aging: plan::AgingThresholds::default(), max_steps: u64::MAX / 4, ..Input::default() }
+        let team = |max| Team { gpus_max: max, ..defaults::team() };
+        Input { machines, jobs, teams: vec![team(limit), team(f64::INFINITY)], online_factor, patience: 2.0, max_steps: u64::MAX / 4, ..Input::default() }
     }
 }
 
@@ -107,13 +105,10 @@
     #[test]
     fn room_is_used(tasks in 1u32..20, n in 1usize..6) {
         let total = res(32.0, 4.0, 128.0);
-        let machine = Machine { machine_type: 0, zone: 0, spot: false, usable: true, ready: 0.0, total, running: vec![], images: vec![],
-                                fetch_gb_per_s: 1.0, slots: 50 };
-        let job = Job { shape: Shape::Array, priority: 1, arrival: 0.0, estimate: 10.0, tasks, pending: tasks,
-                        need: res(1.0, 1.0, 1.0), types: 1, zone: None, one_zone: false, spread: false, spot: true, image: 0,
-                        image_gb: 1.0, team: 0, due: None, waits: false, promised: false, held: 0, zones: vec![], avoid: vec![], tenant: Default::default(), only: vec![] };
+        let machine = Machine { ready: 0.0, total, slots: 50, ..defaults::machine() };
+        let job = Job { shape: Shape::Array, priority: 1, arrival: 0.0, estimate: 10.0, tasks, pending: tasks, need: res(1.0, 1.0, 1.0), image_gb: 1.0, ..defaults::job() };
         let team = unbounded(&[]);
-        let input = Input { machines: vec![machine; n], jobs: vec![job], teams: vec![team], groups: vec![], reservations: vec![], online_factor: 1.0, patience: 1.0, aging: plan::AgingThresholds::default(), max_steps: u64::MAX / 4, ..Input::default() };
+        let input = Input { machines: vec![machine; n], jobs: vec![job], teams: vec![team], online_factor: 1.0, patience: 1.0, max_steps: u64::MAX / 4, ..Input::default() };
         let out = plan(&input);
         let started: u32 = out.starts.iter().map(|s| s.count).sum();
         prop_assert_eq!(started, tasks.min(4 * n as u32));
@@ -148,24 +143,17 @@
         priority,
         lost,
         stoppable: true,
-        leaving: false,
         team: 1,
         held: 1,
-        spared: false,
-        gang: None,
-        tenant: Default::default(),
+        ..defaults::running()
     };
     Machine {
-        machine_type: 0,
         zone,
-        spot: false,
-        usable: true,
         ready: 0.0,
         total: res(32.0, 4.0, 128.0),
         running: vec![running],
-        images: vec![],
-        fetch_gb_per_s: 1.0,
         slots: 10,
+        ..defaults::machine()
     }
 }
 
@@ -179,22 +167,9 @@
         tasks,
         pending: tasks,
         need: res(8.0, 4.0, 8.0),
-        types: 1,
-        zone: None,
         one_zone,
-        spread: false,
-        spot: true,
-        image: 0,
         image_gb: 1.0,
-        team: 0,
-        due: None,
-        waits: false,
-        promised: false,
-        held: 0,
-        zones: vec![],
-        avoid: vec![],
-        tenant: Default::default(),
-        only: vec![],
+        ..defaults::job()
     }
 }
 
@@ -202,10 +177,7 @@
     let path = path.to_vec();
     Team {
         path,
-        cores_used: 0.0,
-        gpus_used: 0.0,
-        cores_max: f64::INFINITY,
-        gpus_max: f64::INFINITY,
+        ..defaults::team()
     }
 }
 
@@ -215,11 +187,8 @@
         machines,
         jobs,
         teams: vec![team],
-        groups: vec![],
-        reservations: vec![],
         online_factor: 1.0,
         patience: 3.0,
-        aging: plan::AgingThresholds::default(),
         max_steps: u64::MAX / 4,
         ..Input::default()
     }
--- a/crates/plan/tests/zones.rs
+++ b/crates/plan/tests/zones.rs
@@ -1,5 +1,7 @@
 //! Jobs whose tasks share a zone, and lose machines: nothing is rented, stopped or held where they can't go.
 
+mod defaults;
+
 use plan::{
     Group, Input, Job, Machine, MachineOffer, RentalRequest, Resources, Running, ScaleOutInput,
     Shape, Team, plan, scale_out,
@@ -23,22 +25,10 @@
         tasks: 20,
         pending,
         need: res(1.0),
-        types: 1,
-        zone: None,
         one_zone: true,
-        spread: false,
-        spot: true,
-        image: 0,
         image_gb: 1.0,
-        team: 0,
-        due: None,
-        waits: false,
-        promised: false,
-        held: 0,
         zones: zones.to_vec(),
-        avoid: vec![],
-        tenant: Default::default(),
-        only: vec![],
+        ..defaults::job()
     }
 }
 
@@ -50,34 +40,23 @@
         priority: 2,
         lost: 1.0,
         stoppable: true,
-        leaving: false,
         team: 1,
-        held: 0,
-        spared: false,
-        gang: None,
-        tenant: Default::default(),
+        ..defaults::running()
     };
     Machine {
-        machine_type: 0,
         zone,
-        spot: false,
-        usable: true,
         ready: 0.0,
         total: res(4.0),
         running: vec![running; busy],
-        images: vec![],
-        fetch_gb_per_s: 1.0,
         slots: 10,
+        ..defaults::machine()
     }
 }
 
 fn input(machines: Vec<Machine>, jobs: Vec<Job>) -> Input {
     let team = |path: &[u16]| Team {
         path: path.to_vec(),
-        cores_used: 0.0,
-        gpus_used: 0.0,
-        cores_max: f64::INFINITY,
-        gpus_max: f64::INFINITY,
+        ..defaults::team()
     };
     let none = Resources {
         cores: f64::INFINITY,
@@ -93,10 +72,8 @@
             max: none,
             preempts_excess: true,
         }],
-        reservations: vec![],
         online_factor: 1.0,
         patience: 3.0,
-        aging: plan::AgingThresholds::default(),
         max_steps: u64::MAX / 4,
         ..Input::default()
     }
