--- /dev/null
+++ b/crates/plan/src/resources.rs
@@ -0,0 +1,65 @@
+//! Amounts of resources: what tasks take and machines have.
+
+/// What a task takes, or a machine has.
+#[derive(Debug, Clone, Copy, PartialEq, Default)]
+pub struct Resources {
+    /// Processor cores.
+    pub cores: f64,
+    /// GPUs.
+    pub gpus: f64,
+    /// Memory in GB.
+    pub mem: f64,
+}
+
+/// Differences below this are rounding errors.
+pub(crate) const EPS: f64 = 1e-6;
+
+impl Resources {
+    /// Whether a task that takes `need` fits in.
+    pub fn fits(&self, need: &Resources) -> bool {
+        need.cores <= self.cores + EPS && need.gpus <= self.gpus + EPS && need.mem <= self.mem + EPS
+    }
+    /// Adds `n` times `o`.
+    pub fn add(&mut self, o: &Resources, n: f64) {
+        self.cores += o.cores * n;
+        self.gpus += o.gpus * n;
+        self.mem += o.mem * n;
+    }
+    /// What `n` such tasks take.
+    pub(crate) fn times(&self, n: u32) -> Resources {
+        let mut all = Resources::default();
+        all.add(self, f64::from(n));
+        all
+    }
+    /// How many tasks of `need` fit in, at most `cap`.
+    pub fn count(&self, need: &Resources, cap: u32) -> u32 {
+        let per = |have: f64, want: f64| {
+            if want <= EPS {
+                f64::INFINITY
+            } else {
+                ((have + EPS) / want).floor()
+            }
+        };
+        let n = per(self.cores, need.cores)
+            .min(per(self.gpus, need.gpus))
+            .min(per(self.mem, need.mem));
+        if n >= f64::from(cap) {
+            cap
+        } else {
+            n.max(0.0) as u32
+        }
+    }
+    /// The share of `self` that `need` takes in its scarcest resource.
+    pub fn share(&self, need: &Resources) -> f64 {
+        let part = |have: f64, want: f64| {
+            if want <= EPS {
+                0.0
+            } else {
+                want / have.max(EPS)
+            }
+        };
+        part(self.cores, need.cores)
+            .max(part(self.gpus, need.gpus))
+            .max(part(self.mem, need.mem))
+    }
+}
--- a/crates/plan/src/scale_out.rs
+++ b/crates/plan/src/scale_out.rs
@@ -1,26 +1,35 @@
-//! What to rent: enough for the tasks that found no room, where renting is worth its price.
+//! Scale out, what to rent: enough for the tasks that found no room, where renting is worth its price.
 
-use crate::RUN_TIME_SLACK;
 use crate::tenant::Tenants;
-use crate::{EPS, Input, Job, Output, Resources, Secs, Shape, count_in};
+use crate::{EPS, Input, Job, Output, RUN_TIME_SLACK, Resources, Secs, Shape, count_in};
 use std::cmp::Reverse;
 
 /// A kind of machine that can be rented now.
 #[derive(Debug, Clone)]
 pub struct MachineOffer {
+    /// Its type, as an index.
     pub machine_type: u16,
+    /// Its zone, as an index.
     pub zone: u16,
+    /// The cloud may take it back at any time.
     pub spot: bool,
+    /// All that such a machine has.
     pub total: Resources,
+    /// What it costs, in any unit that all offers share.
     pub price: f64,
+    /// Time from the order until it takes tasks.
     pub boot: Secs,
+    /// How fast it fetches images.
     pub fetch_gb_per_s: f64,
 }
 
 /// What is decided on: a plan, and what the cloud offers.
 pub struct ScaleOutInput<'a> {
+    /// What the plan was made from.
     pub input: &'a Input,
+    /// The plan.
     pub output: &'a Output,
+    /// What can be rented.
     pub offers: &'a [MachineOffer],
     /// Machines that are on their way, as indices into `offers`' kinds: type, zone, spot and how many.
     pub coming: &'a [(MachineOffer, u32)],
@@ -35,6 +44,7 @@
 pub struct RentalRequest {
     /// Index into the offers.
     pub offer: usize,
+    /// How many machines.
     pub count: u32,
 }
 
--- a/crates/plan/src/stretch.rs
+++ b/crates/plan/src/stretch.rs
@@ -5,6 +5,7 @@
 /// A job as the search sees it: when it came and its work on one slot, in slot-seconds of the whole fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Sized {
+    /// When it was submitted, 0 or less.
     pub arrival: Secs,
     /// p: one-slot work, which the stretch is measured in.
     pub work: Secs,
--- a/crates/plan/src/tenant.rs
+++ b/crates/plan/src/tenant.rs
@@ -3,7 +3,9 @@
 /// Whose work something is: a county as a number, 0 for none, and whether it shares no machine with others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Tenant {
+    /// The tenant as a number, 0 for none.
     pub county: u16,
+    /// Its work shares no machine with that of others.
     pub alone: bool,
 }
 
