--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -1,12 +1,12 @@
 //! Entitlement: how far guarantees hold each job. Where quotas nest, a job may be held by its team's own guarantee, by what
 //! its siblings leave of their common parent's, by what others leave of the root's, and so on up.
 
-use super::fair_share::fulfilled;
+use super::fair_share::fulfilled_share;
 use super::quota_usage::open_tasks;
 use crate::documents::quotas::Good;
 use crate::jobs::job::JobIndex;
 use crate::store::shard::Shard;
-use quota::{Amount, Live, MAX_RESOURCES, Share, TeamId};
+use quota::{Amount, Live, MAX_RESOURCES, Share, TeamId, Tree};
 use std::collections::{HashMap, HashSet};
 use wire::api::{JobSpec, Kind};
 use wire::settings::Team;
@@ -17,14 +17,23 @@
 mod tests;
 
 /// How far guarantees hold what there is: by the team's own alone, or by those of the nodes above it too.
-pub(crate) struct Holds {
+pub(crate) struct Entitlement {
     flat: HashSet<JobIndex>,
     nested: HashMap<JobIndex, Levels>,
     /// By team, as far as quotas nest: how much of what its nodes are due is used.
     pub fulfilled: HashMap<u16, f64>,
 }
 
-impl Holds {
+impl Entitlement {
+    /// Guarantees of the teams alone.
+    fn flat(flat: HashSet<JobIndex>) -> Self {
+        Entitlement {
+            flat,
+            nested: HashMap::new(),
+            fulfilled: HashMap::new(),
+        }
+    }
+
     /// Whether a job's team hangs below a node.
     pub fn is_nested(&self, job: JobIndex) -> bool {
         self.nested.contains_key(&job)
@@ -33,7 +42,7 @@
     /// Levels that hold the task that is the `k`th of a job.
     pub fn held(&self, job: JobIndex, k: u32) -> u8 {
         match self.nested.get(&job) {
-            Some(levels) => held(levels, k),
+            Some(levels) => levels_holding(levels, k),
             None => u8::from(self.flat.contains(&job)),
         }
     }
@@ -42,18 +51,18 @@
     /// not be parted.
     pub fn waiting(
         &self,
-        ix: JobIndex,
+        job_index: JobIndex,
         spec: &JobSpec,
         claimed: u32,
         pending: u32,
     ) -> Vec<(u8, u32)> {
         let parted = spec.kind == Kind::Array && !spec.spread && !spec.one_zone;
-        if !parted || !self.nested.contains_key(&ix) {
-            return vec![(self.held(ix, claimed), pending)];
+        if !parted || !self.nested.contains_key(&job_index) {
+            return vec![(self.held(job_index, claimed), pending)];
         }
         let mut out: Vec<(u8, u32)> = Vec::new();
         for k in claimed..claimed + pending {
-            let held = self.held(ix, k);
+            let held = self.held(job_index, k);
             match out.last_mut() {
                 Some((same, n)) if *same == held => *n += 1,
                 // What is held least comes last: the rest is all alike.
@@ -72,13 +81,13 @@
 type Levels = Vec<u32>;
 
 /// How many levels hold the task that is the `k`th of its job, those that run first.
-fn held(levels: &Levels, k: u32) -> u8 {
+fn levels_holding(levels: &Levels, k: u32) -> u8 {
     levels.iter().take_while(|n| **n > k).count() as u8
 }
 
 /// The jobs of teams below some node, each with how far its tasks are held. The earlier accepted come first, and an
 /// array is held task by task.
-fn nested(
+fn nested_levels(
     shard: &Shard,
     open: &[(JobIndex, &JobSpec)],
     live: &mut Live,
@@ -86,7 +95,7 @@
     let tree = live.tree().clone();
     let mut left: HashMap<TeamId, Vec<Share>> = HashMap::new();
     let mut out = HashMap::new();
-    for (ix, spec) in open {
+    for (job_index, spec) in open {
         let Some(team) = tree.team(&spec.team) else {
             continue;
         };
@@ -98,10 +107,10 @@
                 .map(|depth| live.entitled(team, depth))
                 .collect()
         });
-        let tasks = shard.job(*ix).map_or(0, |job| open_tasks(job, spec));
+        let tasks = shard.job(*job_index).map_or(0, |job| open_tasks(job, spec));
         out.insert(
-            *ix,
-            fit(
+            *job_index,
+            take_levels(
                 left,
                 &takes(spec.cores, spec.gpus, spec.mem_gb),
                 tasks,
@@ -113,7 +122,7 @@
 }
 
 /// Takes a job's tasks out of what its team is entitled to on each level, as far as they fit.
-fn fit(left: &mut [Share], need: &Amount, tasks: u32, kind: Kind) -> Levels {
+fn take_levels(left: &mut [Share], need: &Amount, tasks: u32, kind: Kind) -> Levels {
     let mut levels = vec![0; left.len()];
     let mut deeper = 0;
     for (at, share) in left.iter_mut().enumerate().rev() {
@@ -144,106 +153,126 @@
 /// Jobs that have not ended, the earlier accepted first.
 fn open_jobs(shard: &Shard) -> Vec<(JobIndex, &JobSpec)> {
     let mut open: Vec<(u64, JobIndex, &JobSpec)> = Vec::new();
-    for (ix, job) in shard.jobs.iter().enumerate() {
+    for (job_index, job) in shard.jobs.iter().enumerate() {
         if let Some(job) = job
             && let Some(spec) = &job.spec
             && !job.is_ending()
         {
-            open.push((job.at_ms, ix, spec));
+            open.push((job.at_ms, job_index, spec));
         }
     }
-    open.sort_unstable_by_key(|(at, ix, _)| (*at, *ix));
-    open.into_iter().map(|(_, ix, spec)| (ix, spec)).collect()
+    open.sort_unstable_by_key(|(at, job_index, _)| (*at, *job_index));
+    open.into_iter()
+        .map(|(_, job_index, spec)| (job_index, spec))
+        .collect()
+}
+
+/// What is left of a team's own guarantee.
+struct GuaranteeLeft<'a> {
+    team: &'a Team,
+    cpus: f64,
+    gpus: f64,
+}
+
+impl GuaranteeLeft<'_> {
+    /// Takes so many tasks out of the guarantee, also beyond it; whether they fitted.
+    fn take(&mut self, spec: &JobSpec, tasks: f64) -> bool {
+        self.cpus -= spec.cores * tasks;
+        self.gpus -= spec.gpus * tasks;
+        // A team that has one resource guaranteed has its jobs counted by that one, whatever else they take; one
+        // that takes none of what is guaranteed has no guarantee.
+        let is_counted = |guaranteed: f64, need: f64| guaranteed > 0.0 && need > 0.0;
+        let by_cpus = is_counted(self.team.cpus, spec.cores);
+        let by_gpus = is_counted(self.team.gpus, spec.gpus);
+        let is_over = by_cpus && self.cpus < -ROUNDING || by_gpus && self.gpus < -ROUNDING;
+        (by_cpus || by_gpus) && !is_over
+    }
 }
 
+/// Sums of amounts are off by no more than this.
+const ROUNDING: f64 = 1e-6;
+
 /// Open jobs that fit into their team's guarantee together with the team's earlier ones.
 fn within_guarantee(
     shard: &Shard,
     open: &[(JobIndex, &JobSpec)],
     teams: &[Team],
 ) -> HashSet<JobIndex> {
-    let mut left: HashMap<&str, (&Team, f64, f64)> = teams
+    let all_left = |team| GuaranteeLeft {
+        team,
+        cpus: team.cpus,
+        gpus: team.gpus,
+    };
+    let mut left: HashMap<&str, GuaranteeLeft<'_>> = teams
         .iter()
-        .map(|t| (t.name.as_str(), (t, t.cpus, t.gpus)))
+        .map(|team| (team.name.as_str(), all_left(team)))
         .collect();
-    let mut out = HashSet::new();
-    for (ix, spec) in open {
-        let Some((team, cpus, gpus)) = left.get_mut(spec.team.as_str()) else {
+    let mut within = HashSet::new();
+    for (job_index, spec) in open {
+        let Some(left) = left.get_mut(spec.team.as_str()) else {
             continue;
         };
-        let n = f64::from(
-            shard
-                .job(*ix)
-                .and_then(|j| j.replicas)
-                .map_or(spec.tasks, |n| n.min(spec.tasks)),
-        );
-        if n == 0.0 {
-            continue;
-        }
-        *cpus -= spec.cores * n;
-        *gpus -= spec.gpus * n;
-        // A team that has one resource guaranteed has its jobs counted by that one, whatever else they take; one
-        // that takes none of what is guaranteed has no guarantee.
-        let counted = |guaranteed: f64, need: f64| guaranteed > 0.0 && need > 0.0;
-        let (by_cpus, by_gpus) = (
-            counted(team.cpus, spec.cores),
-            counted(team.gpus, spec.gpus),
-        );
-        let fits =
-            (by_cpus || by_gpus) && !(by_cpus && *cpus < -1e-6) && !(by_gpus && *gpus < -1e-6);
-        if fits {
-            out.insert(*ix);
+        let replicas = shard.job(*job_index).and_then(|job| job.replicas);
+        let tasks = replicas.map_or(spec.tasks, |replicas| replicas.min(spec.tasks));
+        if tasks > 0 && left.take(spec, f64::from(tasks)) {
+            within.insert(*job_index);
         }
     }
-    out
+    within
 }
 
 /// How far guarantees hold all open jobs. Brings the tree's counts up to date on the way.
-pub(crate) fn holds(
+pub(super) fn entitlement(
     shard: &mut Shard,
     teams: &[Team],
     good: Option<&Good>,
-    index: &HashMap<&str, u16>,
-) -> Holds {
+    team_index: &HashMap<&str, u16>,
+) -> Entitlement {
     let touched = shard.take_touched();
     let kept = shard.counted.take();
-    let flat_only = |flat| Holds {
-        flat,
-        nested: HashMap::new(),
-        fulfilled: HashMap::new(),
-    };
     let Some(good) = good else {
-        return flat_only(within_guarantee(shard, &open_jobs(shard), teams));
+        return Entitlement::flat(within_guarantee(shard, &open_jobs(shard), teams));
     };
-    let open = open_jobs(shard);
-    let flat = within_guarantee(shard, &open, &cut_guarantees(teams, good));
     let tree = &good.built;
+    let guarantees = cut_guarantees(teams, good);
     if tree.nodes.is_empty() {
-        return flat_only(flat);
+        return Entitlement::flat(within_guarantee(shard, &open_jobs(shard), &guarantees));
     }
     let mut counted = match kept.filter(|(version, _)| *version == good.version) {
         Some((_, mut counted)) => {
-            counted.follow(shard, touched);
+            counted.update(shard, touched);
             counted
         }
         None => Counted::new(shard, tree.clone()),
     };
     debug_assert!(
-        counted.is_right(shard),
+        counted.is_consistent(shard),
         "a job was changed that plans did not hear of"
     );
-    let nested = nested(shard, &open, &mut counted.live);
-    let below = tree.leaves.iter().filter(|l| l.parent.is_some());
-    let ids = below.filter_map(|l| Some((*index.get(l.name.as_str())?, tree.team(&l.name)?)));
-    let fulfilled = ids
-        .map(|(t, id)| (t, fulfilled(&counted.live, id)))
-        .collect();
+    let open = open_jobs(shard);
+    let entitlement = Entitlement {
+        flat: within_guarantee(shard, &open, &guarantees),
+        nested: nested_levels(shard, &open, &mut counted.live),
+        fulfilled: fulfilled_by_team(tree, &counted.live, team_index),
+    };
     shard.counted = Some((good.version, counted));
-    Holds {
-        flat,
-        nested,
-        fulfilled,
-    }
+    entitlement
+}
+
+/// Of each team below a node, how much of what its nodes are due is used.
+fn fulfilled_by_team(
+    tree: &Tree,
+    live: &Live,
+    team_index: &HashMap<&str, u16>,
+) -> HashMap<u16, f64> {
+    tree.leaves
+        .iter()
+        .filter(|leaf| leaf.parent.is_some())
+        .filter_map(|leaf| {
+            let index = *team_index.get(leaf.name.as_str())?;
+            Some((index, fulfilled_share(live, tree.team(&leaf.name)?)))
+        })
+        .collect()
 }
 
 /// The teams of the settings, with the smaller guarantees that a tree may give them.
--- a/crates/control/src/scheduling/entitlement/tests.rs
+++ b/crates/control/src/scheduling/entitlement/tests.rs
@@ -80,16 +80,16 @@
         let touched = shard.take_touched();
         assert_eq!(touched, [ix]);
         let before = counted.live.steps;
-        counted.follow(&shard, touched);
+        counted.update(&shard, touched);
         let steps = counted.live.steps - before;
         assert!(
             steps <= 2 * 7 && steps * 1000 < all,
             "job {ix}: {steps} steps of {all}"
         );
     }
-    assert!(counted.is_right(&shard));
+    assert!(counted.is_consistent(&shard));
     assert_eq!(
-        nested(&shard, &open_jobs(&shard), &mut counted.live).len(),
+        nested_levels(&shard, &open_jobs(&shard), &mut counted.live).len(),
         100_000
     );
 }
@@ -123,14 +123,14 @@
     }
     // Desk a has 2 of 10, desk b 8 of 10, the house 10 of 20.
     assert_eq!(
-        [0, 1, 2].map(|t| fulfilled(&live, TeamId(t))),
+        [0, 1, 2].map(|t| fulfilled_share(&live, TeamId(t))),
         [0.2, 0.5, 1.0]
     );
     live.set_used(TeamId(0), at(30.0));
-    assert_eq!(fulfilled(&live, TeamId(0)), 1.0, "never more");
+    assert_eq!(fulfilled_share(&live, TeamId(0)), 1.0, "never more");
     live.set_demand(TeamId(0), at(0.0));
     live.set_demand(TeamId(1), at(0.0));
-    assert_eq!(fulfilled(&live, TeamId(1)), 1.0, "nothing is due");
+    assert_eq!(fulfilled_share(&live, TeamId(1)), 1.0, "nothing is due");
 }
 
 /// An array is held task by task, a gang whole or not at all, and what is held below is held above.
@@ -138,24 +138,26 @@
 fn tasks_are_held_as_far_as_they_fit() {
     let mut left = [share(10), share(6), share(3)];
     let two = takes(1.0, 2.0, 1.0);
-    assert_eq!(fit(&mut left, &two, 4, Kind::Array), [4, 3, 1]);
+    assert_eq!(take_levels(&mut left, &two, 4, Kind::Array), [4, 3, 1]);
     // 2, 0 and 1 GPUs are left.
     assert_eq!(
-        fit(&mut left, &takes(0.0, 1.0, 0.0), 2, Kind::Gang),
+        take_levels(&mut left, &takes(0.0, 1.0, 0.0), 2, Kind::Gang),
         [2, 0, 0]
     );
     assert_eq!(
-        fit(&mut left, &takes(0.0, 1.0, 0.0), 1, Kind::Service),
+        take_levels(&mut left, &takes(0.0, 1.0, 0.0), 1, Kind::Service),
         [1, 1, 1]
     );
     assert_eq!(
-        fit(&mut left, &takes(8.0, 0.0, 1.0), 9, Kind::Array),
+        take_levels(&mut left, &takes(8.0, 0.0, 1.0), 9, Kind::Array),
         [0, 0, 0],
         "nothing of it is guaranteed"
     );
     let levels = vec![4, 3, 1];
     assert_eq!(
-        (0..5).map(|k| held(&levels, k)).collect::<Vec<_>>(),
+        (0..5)
+            .map(|k| levels_holding(&levels, k))
+            .collect::<Vec<_>>(),
         [3, 2, 2, 1, 0]
     );
 }
@@ -237,8 +239,8 @@
             let spec = spec(i, team, tasks, cores, f64::from(rng.u32(0..3)));
             shard.add_job(Job::new(JobRecord::new(spec, u64::from(i), 0), 1));
         }
-        let without = holds(&mut shard, &teams, None, &index);
-        let with = holds(&mut shard, &teams, Some(&good), &index);
+        let without = entitlement(&mut shard, &teams, None, &index);
+        let with = entitlement(&mut shard, &teams, Some(&good), &index);
         assert_eq!(without.flat, with.flat);
         assert!(with.nested.is_empty() && with.fulfilled.is_empty() && shard.counted.is_none());
     }
--- a/crates/control/src/scheduling/fair_share.rs
+++ b/crates/control/src/scheduling/fair_share.rs
@@ -5,7 +5,7 @@
 
 /// How much of what the nodes above a team are entitled to is used: that of the node furthest below, at most 1. The
 /// wait that a guarantee allows shrinks with it, so that who is furthest below has the earliest deadline.
-pub(super) fn fulfilled(live: &Live, team: TeamId) -> f64 {
+pub(super) fn fulfilled_share(live: &Live, team: TeamId) -> f64 {
     let tree = live.tree();
     let node = |n: &quota::NodeId| {
         let guarantee = tree.nodes[n.0 as usize].guarantee;
@@ -29,7 +29,7 @@
 }
 
 /// Teams on whose path nothing is guaranteed.
-pub(super) fn unheld(tree: &quota::Tree, teams: &HashMap<&str, u16>) -> Vec<u16> {
+pub(super) fn unguaranteed_teams(tree: &quota::Tree, teams: &HashMap<&str, u16>) -> Vec<u16> {
     let none = |name: &str| tree.team(name).is_some_and(|t| !may_be_held(tree, t));
     teams
         .iter()
@@ -39,7 +39,7 @@
 }
 
 /// The tree's nodes as the planner knows them; all claims below one count against its bound.
-pub(super) fn groups(tree: &quota::Tree, live: &quota::Live) -> Vec<plan::Group> {
+pub(super) fn planner_groups(tree: &quota::Tree, live: &quota::Live) -> Vec<plan::Group> {
     let units = |v: i64| {
         if v == quota::UNBOUNDED {
             f64::INFINITY
--- a/crates/control/src/scheduling/objectives.rs
+++ b/crates/control/src/scheduling/objectives.rs
@@ -1,7 +1,7 @@
 //! Service-level objectives as deadlines of the jobs that they cover.
 
 use crate::jobs::job::JobIndex;
-use crate::scheduling::entitlement::Holds;
+use crate::scheduling::entitlement::Entitlement;
 use wire::api::{JobSpec, Kind};
 use wire::settings::Objective;
 
@@ -53,7 +53,7 @@
         &self,
         job: plan::Job,
         spec: &JobSpec,
-        entitlement: &Holds,
+        entitlement: &Entitlement,
         job_index: JobIndex,
     ) -> plan::Job {
         let share = entitlement.fulfilled.get(&job.team).copied().unwrap_or(1.0);
--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -4,7 +4,7 @@
 use super::reservations::reservations;
 use crate::agents::machine::Need;
 use crate::jobs::job::{Class, Job, JobIndex};
-use crate::scheduling::entitlement::Holds;
+use crate::scheduling::entitlement::Entitlement;
 use crate::scheduling::{entitlement, fair_share};
 use crate::store::shard::{self, Shard};
 use crate::{Node, Now, Tuning};
@@ -118,7 +118,7 @@
     pub shard: &'a mut Shard,
     pub names: NameIndex<'a>,
     pub objectives: &'a [Objective],
-    pub entitlement: Holds,
+    pub entitlement: Entitlement,
     /// Machines whose last heartbeat is older take no tasks.
     pub silent_ms: u64,
     /// Claims that fit into a machine's record.
@@ -187,13 +187,13 @@
             return (input, PlanIndex::default());
         };
         let teams = index(cluster.teams.iter().map(|team| &team.name));
-        let entitlement = entitlement::holds(shard, &cluster.teams, good.as_ref(), &teams);
+        let entitlement = entitlement::entitlement(shard, &cluster.teams, good.as_ref(), &teams);
         if let (Some(tree), Some((_, counted))) = (&tree, &shard.counted) {
-            input.groups = fair_share::groups(tree, &counted.live);
+            input.groups = fair_share::planner_groups(tree, &counted.live);
         }
         let unguaranteed_teams = tree
             .iter()
-            .flat_map(|tree| fair_share::unheld(tree, &teams))
+            .flat_map(|tree| fair_share::unguaranteed_teams(tree, &teams))
             .collect();
         let names = NameIndex {
             catalog,
--- a/crates/control/src/scheduling/quota_usage.rs
+++ b/crates/control/src/scheduling/quota_usage.rs
@@ -57,22 +57,24 @@
             live: Live::new(tree),
             by_job: HashMap::new(),
         };
-        out.follow(shard, 0..shard.jobs.len());
+        out.update(shard, 0..shard.jobs.len());
         out
     }
 
-    pub(super) fn follow(&mut self, shard: &Shard, touched: impl IntoIterator<Item = JobIndex>) {
+    pub(super) fn update(&mut self, shard: &Shard, touched: impl IntoIterator<Item = JobIndex>) {
         let mut teams: HashMap<TeamId, Count> = HashMap::new();
         let mut shift = |live: &Live, team: TeamId, by: &Count, sign: i64| {
             let count = teams.entry(team).or_insert_with(|| live.team(team));
             add(&mut count.demand, &by.demand, sign);
             add(&mut count.used, &by.used, sign);
         };
-        for ix in touched {
-            let after = shard.job(ix).and_then(|job| counts(job, self.live.tree()));
+        for job_index in touched {
+            let after = shard
+                .job(job_index)
+                .and_then(|job| counts(job, self.live.tree()));
             let before = match after {
-                Some(after) => self.by_job.insert(ix, after),
-                None => self.by_job.remove(&ix),
+                Some(after) => self.by_job.insert(job_index, after),
+                None => self.by_job.remove(&job_index),
             };
             if before != after {
                 before
@@ -90,7 +92,7 @@
     }
 
     /// Whether counting everything anew gives the same.
-    pub(super) fn is_right(&self, shard: &Shard) -> bool {
+    pub(super) fn is_consistent(&self, shard: &Shard) -> bool {
         let anew = Counted::new(shard, self.live.tree().clone());
         (0..self.live.tree().leaves.len() as u32)
             .map(TeamId)
