--- a/crates/control/src/overload/precedence.rs
+++ b/crates/control/src/overload/precedence.rs
@@ -16,13 +16,16 @@
     Peer,
     /// Reports, which renew workers' leases and tell of ends.
     Worker,
+    /// Cancels of users, which free capacity.
     Cancel,
+    /// Reads.
     Question,
+    /// New work.
     Submission,
 }
 
 impl Precedence {
-    /// Of a request by the users' and workers' door.
+    /// Of a request to the interface of users and workers.
     pub fn of_client(request: &Request) -> Self {
         let path = request.path.split('?').next().unwrap_or("");
         match (request.method.as_str(), path) {
@@ -33,6 +36,7 @@
         }
     }
 
+    /// Of an event, by who has caused it.
     pub fn of(event: &Event) -> Self {
         match event {
             Event::Tick | Event::Reply { .. } | Event::Unsent { .. } | Event::Frontend { .. } => {
@@ -52,6 +56,7 @@
 /// What is to be done with something that has waited.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Next<T> {
+    /// It is its turn.
     Serve(T),
     /// It has waited for too long: it is to be refused at once.
     Refuse(T),
@@ -64,6 +69,7 @@
     queues: [VecDeque<(u64, T)>; PRECEDENCES],
 }
 
+/// How many precedences there are.
 const PRECEDENCES: usize = Precedence::Submission as usize + 1;
 
 impl<T> Default for Backlog<T> {
@@ -75,10 +81,12 @@
 }
 
 impl<T> Backlog<T> {
+    /// Adds what has come in at this time.
     pub fn push(&mut self, now: u64, precedence: Precedence, item: T) {
         self.queues[precedence as usize].push_back((now, item));
     }
 
+    /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.queues.iter().all(VecDeque::is_empty)
     }
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -1,7 +1,7 @@
-//! Giving a team its guarantee: what other teams run beyond theirs is stopped, of any urgency.
+//! Preemption for quota: to give a team its guarantee, what other teams run beyond theirs is stopped, of any priority.
 //!
-//! Where quotas nest, those that are nearest in the tree give back first: what a sibling has borrowed from the same
-//! desk goes before what another desk has, and that before other members'.
+//! Where quotas nest, those that are nearest in the tree give back first: what a sibling has borrowed within the same
+//! group goes before what the next group has, and so on up.
 
 use crate::state::PlanState;
 use crate::{Job, Preempt, Resources, Secs, Shape};
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -1,4 +1,4 @@
-//! Room that is kept for jobs that are expected.
+//! Reservations: room that is kept for jobs that are expected.
 
 use crate::state::PlanState;
 use crate::{EPS, Job, Reservation, Secs, Shape};
