--- a/crates/plan/src/anti_affinity.rs
+++ b/crates/plan/src/anti_affinity.rs
@@ -43,10 +43,10 @@
         {
             return;
         }
-        self.out.steps += self.input.machines.len() as u64;
+        self.output.steps += self.input.machines.len() as u64;
         let barred = |m: usize| self.suits(job, m) && !self.tenants[m].admits(&job.tenant);
         let any = (0..self.input.machines.len()).any(barred);
-        if any && self.waits.insert(job.tenant.county) {
+        if any && self.tenants_promised.insert(job.tenant.county) {
             self.promise_first(i, 1);
         }
     }
--- a/crates/plan/src/independent_tasks.rs
+++ b/crates/plan/src/independent_tasks.rs
@@ -82,7 +82,7 @@
         if !job.one_zone {
             return None;
         }
-        if let Some((zone, _)) = self.zones[i].iter().find(|(_, n)| *n > 0) {
+        if let Some((zone, _)) = self.tasks_by_zone[i].iter().find(|(_, n)| *n > 0) {
             return Some(*zone);
         }
         let mut room: Vec<(u16, u32)> = Vec::new();
--- a/crates/plan/src/limit_enforcement.rs
+++ b/crates/plan/src/limit_enforcement.rs
@@ -83,11 +83,11 @@
         let input = self.input;
         let mut found: Vec<Excess> = Vec::new();
         let mut gangs: BTreeMap<u32, Excess> = BTreeMap::new();
-        let preempts = self.out.preempts.iter();
+        let preempts = self.output.preempts.iter();
         let preempted: BTreeSet<(u32, u32)> = preempts.map(|p| (p.machine, p.task)).collect();
-        let preempted_gangs: BTreeSet<u32> = self.out.preempted_gangs.iter().copied().collect();
+        let preempted_gangs: BTreeSet<u32> = self.output.preempted_gangs.iter().copied().collect();
         for (m, machine) in input.machines.iter().enumerate() {
-            self.out.steps += 1 + machine.running.len() as u64;
+            self.output.steps += 1 + machine.running.len() as u64;
             let tasks = machine.running.iter().enumerate();
             for (k, task) in tasks.filter(|(_, task)| self.below(task, group)) {
                 let is_leaving = task.leaving
@@ -118,14 +118,14 @@
 
     fn preempt_excess(&mut self, excess: &Excess) {
         if let Some(gang) = excess.gang {
-            self.out.preempted_gangs.push(gang);
+            self.output.preempted_gangs.push(gang);
             return;
         }
         let preempts = excess.tasks.iter().map(|(m, k)| Preempt {
             machine: *m as u32,
             task: *k as u32,
         });
-        self.out.preempts.extend(preempts);
+        self.output.preempts.extend(preempts);
     }
 }
 
--- a/crates/plan/src/placement.rs
+++ b/crates/plan/src/placement.rs
@@ -22,12 +22,16 @@
     pub(crate) fn zone_room(&self, i: usize, zone: u16) -> u32 {
         let job = &self.input.jobs[i];
         let there = |z: u16| {
-            self.zones[i]
+            self.tasks_by_zone[i]
                 .iter()
                 .find(|(id, _)| *id == z)
                 .map_or(0, |(_, n)| *n)
         };
-        if job.one_zone && self.zones[i].iter().any(|(z, n)| *z != zone && *n > 0) {
+        if job.one_zone
+            && self.tasks_by_zone[i]
+                .iter()
+                .any(|(z, n)| *z != zone && *n > 0)
+        {
             return 0;
         }
         if job.spread {
@@ -78,7 +82,7 @@
                 }
             }
         }
-        self.out.steps += steps;
+        self.output.steps += steps;
     }
 
     /// The same by a walk over all machines.
@@ -107,13 +111,13 @@
         for g in &input.teams[job.team as usize].path {
             self.groups[*g as usize].used.add(&job.need, f64::from(n));
         }
-        *count_in(&mut self.zones[i], zone) += n;
+        *count_in(&mut self.tasks_by_zone[i], zone) += n;
         if !self.images[m].contains(&job.image) {
             self.images[m].push(job.image);
         }
         self.index(m);
         self.changed.push(m as u32);
-        self.out.starts.push(Start {
+        self.output.starts.push(Start {
             job: i as u32,
             machine: m as u32,
             count: n,
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -19,7 +19,7 @@
 pub fn plan(input: &Input) -> Output {
     let mut state = PlanState::new(input);
     state.run();
-    state.out
+    state.output
 }
 
 impl PlanState<'_> {
@@ -62,8 +62,8 @@
             .collect();
         let slots = sizes::Slots::of(&input.machines);
         let sized: Vec<stretch::Sized> = planned.iter().map(|i| slots.size(&jobs[*i])).collect();
-        let s = stretch::smallest_stretch(&sized, &mut self.out.steps);
-        self.out.stretch = s;
+        let s = stretch::smallest_stretch(&sized, &mut self.output.steps);
+        self.output.stretch = s;
         let s = s * input.online_factor.max(1.0);
         let nested = !input.groups.is_empty();
         let ranked = planned.iter().zip(&sized).map(|(i, size)| {
@@ -111,7 +111,7 @@
                 continue;
             }
             if self.is_past_hard_limit() {
-                self.out.resume = Some(ranked.job as u32);
+                self.output.resume = Some(ranked.job as u32);
                 break;
             }
             self.serve_one(ranked, left, &mut kept);
@@ -207,7 +207,7 @@
         for (i, job) in self.input.jobs.iter().enumerate() {
             let n = self.allows(job, left[i]);
             if n > 0 && (job.shape != Shape::Gang || n == left[i]) {
-                self.out.waiting.push((i as u32, n));
+                self.output.waiting.push((i as u32, n));
             }
         }
     }
--- a/crates/plan/src/priority_preemption.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -63,12 +63,12 @@
             let m = option.machine;
             self.reserved_until[m] = Some(option.at);
             self.changed.push(m as u32);
-            self.out.kept.push(m as u32);
+            self.output.kept.push(m as u32);
             let stops = option.stops.iter().map(|t| Preempt {
                 machine: m as u32,
                 task: *t as u32,
             });
-            self.out.preempts.extend(stops);
+            self.output.preempts.extend(stops);
         }
     }
 
@@ -114,7 +114,7 @@
         let mut taken: Vec<(u16, u32)> = Vec::new();
         let mut stale = Vec::new();
         for (at, option) in list.iter().enumerate() {
-            self.out.steps += 1;
+            self.output.steps += 1;
             let m = option.machine;
             if self.reserved_until[m].is_some() || self.free[m] != option.free {
                 stale.push(at);
@@ -148,7 +148,7 @@
             if !self.allowed(job, m) || !machine.total.fits(&job.need) {
                 continue;
             }
-            self.out.steps += 1 + machine.running.len() as u64;
+            self.output.steps += 1 + machine.running.len() as u64;
             let before = self.free[m];
             let mut free = before;
             let mut ends: Vec<(Secs, usize)> = machine
--- a/crates/plan/src/promises.rs
+++ b/crates/plan/src/promises.rs
@@ -125,7 +125,7 @@
             let mut left = want;
             let mut taken: Vec<(u16, u32)> = Vec::new();
             for opening in list.openings() {
-                self.out.steps += 1;
+                self.output.steps += 1;
                 if best.as_ref().is_some_and(|best| opening.at >= best.at) {
                     break;
                 }
@@ -160,7 +160,7 @@
             .take_while(|o| o.at <= first.at)
             .map(|o| (rank(&o), o))
             .collect();
-        self.out.steps += chosen.len() as u64;
+        self.output.steps += chosen.len() as u64;
         chosen.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.machine.cmp(&b.1.machine)));
         let mut left = want;
         let mut taken: Vec<(u16, u32)> = Vec::new();
@@ -183,7 +183,7 @@
             .promised
             .push((at, job.need.times(n), job.tenant));
         self.changed.push(m as u32);
-        self.out.kept.push(m as u32);
+        self.output.kept.push(m as u32);
     }
 
     /// How much of an opening the gang may use, given what it takes elsewhere.
@@ -230,7 +230,7 @@
 
     /// Finds out anew what falls free on a machine.
     fn update_openings(&mut self, job: &Job, rooms: &mut RoomsToCome, m: usize) {
-        self.out.steps += 1;
+        self.output.steps += 1;
         let zone = self.input.machines[m].zone;
         let Some(list) = rooms
             .lists
@@ -257,7 +257,7 @@
             .chain([from])
             .collect();
         times.sort_by(f64::total_cmp);
-        self.out.steps += times.len() as u64;
+        self.output.steps += times.len() as u64;
         let mut before = 0;
         for at in times {
             let room = self.room_at(m, at, f64::INFINITY);
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -68,14 +68,14 @@
         let Some(best) = best else { return false };
         for victim in best.victims {
             if let Some(gang) = victim.gang {
-                self.out.preempted_gangs.push(gang);
+                self.output.preempted_gangs.push(gang);
                 continue;
             }
             let stops = victim.tasks.iter().map(|(m, k)| Preempt {
                 machine: *m as u32,
                 task: *k as u32,
             });
-            self.out.preempts.extend(stops);
+            self.output.preempts.extend(stops);
         }
         let mut left = want;
         for (m, n) in best.places {
@@ -129,7 +129,7 @@
             if self.is_promised_to_others(job, m) || self.zone_room(i, machine.zone) == 0 {
                 continue;
             }
-            self.out.steps += 1 + machine.running.len() as u64;
+            self.output.steps += 1 + machine.running.len() as u64;
             let mut room = self.room_at(m, 0.0, f64::INFINITY);
             for task in machine.running.iter().filter(|task| task.leaving) {
                 room.add(&task.need, 1.0);
@@ -147,7 +147,7 @@
         let mut have = count_places(job, want, rooms);
         while have < want {
             // Clearing has its bound of steps, as elsewhere.
-            self.out.steps += rooms.len() as u64;
+            self.output.steps += rooms.len() as u64;
             if self.is_past_soft_limit() {
                 break;
             }
@@ -173,7 +173,7 @@
     ) -> Option<usize> {
         let mut best: Option<((Reverse<u8>, f64), usize)> = None;
         for (at, victim) in victims.iter().enumerate() {
-            self.out.steps += victim.tasks.len() as u64;
+            self.output.steps += victim.tasks.len() as u64;
             let gain = self.gain(job, victim, rooms).min(f64::from(missing));
             let rank = (Reverse(victim.common_groups), victim.cost / gain);
             if gain > 0.0 && best.is_none_or(|(best_rank, _)| rank < best_rank) {
@@ -238,9 +238,9 @@
     fn victims(&self, job: &Job, rooms: &Rooms) -> Vec<Victim> {
         let mut out = Vec::new();
         let mut gangs: BTreeMap<u32, Victim> = BTreeMap::new();
-        let preempts = self.out.preempts.iter();
+        let preempts = self.output.preempts.iter();
         let stopped: HashSet<(u32, u32)> = preempts.map(|p| (p.machine, p.task)).collect();
-        let preempted_gangs: HashSet<u32> = self.out.preempted_gangs.iter().copied().collect();
+        let preempted_gangs: HashSet<u32> = self.output.preempted_gangs.iter().copied().collect();
         for (m, machine) in self.input.machines.iter().enumerate() {
             for (k, r) in machine.running.iter().enumerate() {
                 let stopping = stopped.contains(&(m as u32, k as u32))
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -13,7 +13,7 @@
         let input = self.input;
         for reservation in &input.reservations {
             let short = self.keep_reservation(reservation);
-            self.out.reservations_short.push(short);
+            self.output.reservations_short.push(short);
         }
     }
 
@@ -71,31 +71,31 @@
             .map(|m| (missing(m) + self.place_score(job, m), m))
             .collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        self.out.steps += input.machines.len() as u64;
+        self.output.steps += input.machines.len() as u64;
         order.into_iter().map(|(_, m)| m).collect()
     }
 
     fn reserve_on(&mut self, job: &Job, m: usize) -> u32 {
         self.reserved_until[m] = Some(0.0);
         self.changed.push(m as u32);
-        self.out.kept.push(m as u32);
+        self.output.kept.push(m as u32);
         self.unpromised_places(job, m)
     }
 
     /// An array that has waited for long and has no task on any machine.
     pub(crate) fn waits_beside_reservations(&self, i: usize) -> bool {
         let job = &self.input.jobs[i];
-        let none = self.zones[i].iter().all(|(_, n)| *n == 0);
+        let none = self.tasks_by_zone[i].iter().all(|(_, n)| *n == 0);
         job.shape == Shape::Array
             && -job.arrival >= BESIDE_RESERVATIONS
             && none
-            && !self.out.kept.is_empty()
+            && !self.output.kept.is_empty()
     }
 
     /// A first task where room is kept for jobs that are only expected: nobody waits for ever beside it. The rest of it
     /// stays kept, so that it goes task by task.
     pub(crate) fn start_from_reservations(&mut self, i: usize) -> u32 {
-        let kept = self.out.kept.clone();
+        let kept = self.output.kept.clone();
         kept.iter()
             .for_each(|m| self.reserved_until[*m as usize] = None);
         self.failed_searches.forget();
--- a/crates/plan/src/state.rs
+++ b/crates/plan/src/state.rs
@@ -13,36 +13,46 @@
 
 /// What is known of the fleet while a plan is made.
 pub(crate) struct PlanState<'a> {
+    /// What the plan is made from.
     pub input: &'a Input,
+    /// Of each machine, what is free now.
     pub free: Vec<Resources>,
+    /// Of each machine, tasks that may still be added.
     pub slots: Vec<u32>,
+    /// Of each machine, what is known of its room beyond this moment.
     pub timelines: Vec<Timeline>,
     /// Until when a machine's whole room is kept: for the expected, or for a gang that others make room for.
     pub reserved_until: Vec<Option<Secs>>,
+    /// Of each machine, the images that are or will soon be on it.
     pub images: Vec<Vec<u32>>,
     /// Machines that take tasks, by what places are chosen by.
     pub candidates: Candidates,
     /// Kinds of jobs that found no place, so that others alike need not look.
     pub failed_searches: FailedSearches,
     /// Machines of each zone.
-    pub in_zone: BTreeMap<u16, Vec<usize>>,
+    pub machines_by_zone: BTreeMap<u16, Vec<usize>>,
     /// Machines whose room has changed, in order, once for each change.
     pub changed: Vec<u32>,
     /// Room to come for jobs of a kind, once it was asked for.
     pub rooms_to_come: HashMap<JobKind, RoomsToCome>,
+    /// Of each machine, whose work is on it.
     pub tenants: Vec<Tenants>,
-    /// Some work shares no machine, and the counties that were promised one for that.
+    /// Some work shares no machine with that of others.
     pub has_isolated_tenants: bool,
-    pub waits: BTreeSet<u16>,
+    /// Tenants that were promised a machine free of others' work.
+    pub tenants_promised: BTreeSet<u16>,
     /// The highest urgency that waits.
     pub most_urgent: u8,
+    /// Teams with what they use after this plan's starts.
     pub teams: Vec<Team>,
+    /// Groups with what they use after this plan's starts.
     pub groups: Vec<Group>,
     /// Of each job, tasks that hold a place by zone.
-    pub zones: Vec<Vec<(u16, u32)>>,
+    pub tasks_by_zone: Vec<Vec<(u16, u32)>>,
     /// What can be cleared for tasks of a kind, once it was asked for.
     pub clearable: HashMap<JobKind, Clearings>,
-    pub out: Output,
+    /// What has been decided.
+    pub output: Output,
 }
 
 impl<'a> PlanState<'a> {
@@ -54,9 +64,9 @@
             .iter()
             .map(|j| &j.tenant)
             .chain(running.map(|r| &r.tenant));
-        let mut in_zone: BTreeMap<u16, Vec<usize>> = BTreeMap::new();
+        let mut machines_by_zone: BTreeMap<u16, Vec<usize>> = BTreeMap::new();
         for (m, machine) in machines.iter().enumerate() {
-            in_zone.entry(machine.zone).or_default().push(m);
+            machines_by_zone.entry(machine.zone).or_default().push(m);
         }
         let mut state = PlanState {
             input,
@@ -68,7 +78,7 @@
             images: machines.iter().map(|m| m.images.clone()).collect(),
             candidates: Candidates::new(machines, input.jobs.iter().map(|j| j.image)),
             failed_searches: FailedSearches::default(),
-            in_zone,
+            machines_by_zone,
             changed: Vec::new(),
             rooms_to_come: HashMap::new(),
             tenants: machines
@@ -76,12 +86,12 @@
                 .map(|m| Tenants::of(m.running.iter().map(|r| &r.tenant)))
                 .collect(),
             has_isolated_tenants: tenants.any(|t| t.alone),
-            waits: BTreeSet::new(),
+            tenants_promised: BTreeSet::new(),
             teams: input.teams.clone(),
             groups: input.groups.clone(),
-            zones: input.jobs.iter().map(|j| j.zones.clone()).collect(),
+            tasks_by_zone: input.jobs.iter().map(|j| j.zones.clone()).collect(),
             clearable: HashMap::new(),
-            out: Output::default(),
+            output: Output::default(),
         };
         state.index_all();
         state
@@ -93,7 +103,7 @@
                 self.index(m);
             }
         }
-        self.out.steps += self.input.machines.len() as u64;
+        self.output.steps += self.input.machines.len() as u64;
     }
 
     /// Puts a machine where the index has it by its room.
@@ -108,12 +118,12 @@
 
     /// Past this nothing is cleared or promised any more.
     pub fn is_past_soft_limit(&self) -> bool {
-        self.out.steps > self.input.max_steps
+        self.output.steps > self.input.max_steps
     }
 
     /// Past this what is left waits for the next plan.
     pub fn is_past_hard_limit(&self) -> bool {
-        self.out.steps > 2 * self.input.max_steps
+        self.output.steps > 2 * self.input.max_steps
     }
 
     /// How many more of a job's tasks, at most `cap`, its team's limit and all above it allow.
@@ -130,7 +140,11 @@
     /// Machines of a zone, or all.
     pub fn machines_in(&self, zone: Option<u16>) -> Vec<usize> {
         match zone {
-            Some(zone) => self.in_zone.get(&zone).cloned().unwrap_or_default(),
+            Some(zone) => self
+                .machines_by_zone
+                .get(&zone)
+                .cloned()
+                .unwrap_or_default(),
             None => (0..self.input.machines.len()).collect(),
         }
     }
@@ -140,6 +154,6 @@
         if !job.one_zone {
             return vec![None];
         }
-        self.in_zone.keys().copied().map(Some).collect()
+        self.machines_by_zone.keys().copied().map(Some).collect()
     }
 }
