--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -6,8 +6,8 @@
 
 use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::election::SHARD;
-use crate::store::commit::{PendingWrite, TransactionDraft};
 use crate::store::shard::Shard;
+use crate::store::transaction::{PendingWrite, TransactionDraft};
 use crate::{Destination, Node, Pending};
 use county::{Cell, Count, Delta, Fold, OTHER, Sheet, Tally, Unread};
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -4,8 +4,8 @@
 use crate::documents::{Doc, Documents, Kind, KindId};
 use crate::leadership::election::SHARD;
 use crate::scheduling::entitlement;
-use crate::store::commit::{PendingWrite, TransactionDraft};
 use crate::store::shard::Shard;
+use crate::store::transaction::{PendingWrite, TransactionDraft};
 use crate::{Node, documents};
 use document::{Fault, Head};
 use quota::{Live, Spec, Tree, edit};
--- /dev/null
+++ b/crates/control/src/store/apply.rs
@@ -0,0 +1,195 @@
+//! What a committed transaction changes in memory.
+
+use crate::Node;
+use crate::Requester;
+use crate::agents::machine::ClaimState;
+use crate::documents::{KindId, for_kind, hours};
+use crate::jobs::job::{Ending, JobIndex};
+use crate::store::claim_log::Segment;
+use crate::store::claim_records::{PendingLog, PendingResults, Scope};
+use crate::store::shard::{RentalState, Shard};
+use crate::store::transaction::PendingWrite;
+use std::collections::BTreeSet;
+use wire::api::JobState;
+
+/// What follows once all writes of a transaction are applied: it may look at any of them.
+#[derive(Default)]
+struct Aftermath {
+    changed: BTreeSet<JobIndex>,
+    answers: Vec<(Requester, JobState)>,
+    heads: Vec<KindId>,
+    moved: Vec<(hours::Move, u64)>,
+}
+
+impl Node {
+    /// The transaction is in place at this revision.
+    pub(super) fn apply(&mut self, revision: u64) {
+        let Some(shard) = &mut self.shard else { return };
+        let mut aftermath = Aftermath::default();
+        for write in shard.commit.take_applied() {
+            self.apply_write(write, revision, &mut aftermath);
+        }
+        for (hour, wall) in aftermath.moved {
+            self.hour_moved(hour, wall, revision);
+        }
+        for kind in aftermath.heads {
+            for_kind!(kind, K => self.head_written::<K>(revision));
+        }
+        for (requester, state) in aftermath.answers {
+            self.tell(requester, state);
+        }
+        for job in aftermath.changed {
+            self.job_changed(job);
+        }
+        self.push_orders();
+    }
+
+    fn apply_write(&mut self, write: PendingWrite, revision: u64, aftermath: &mut Aftermath) {
+        let Some(shard) = &mut self.shard else { return };
+        match write {
+            PendingWrite::End(job) => self.end_recorded(job, aftermath),
+            PendingWrite::Token(token) => self.token_raised(token, revision),
+            PendingWrite::Rental(name) => shard.rental_recorded(&name, revision),
+            PendingWrite::RemoveRental(name) => {
+                shard.rentals.remove(&name);
+            }
+            PendingWrite::Log(log) => shard.log_recorded(log, revision),
+            PendingWrite::Fold(fold) => shard.fold_stands(&fold, revision),
+            PendingWrite::LogOver(number) => {
+                shard.claim_log.segments.remove(&number);
+            }
+            PendingWrite::InventoryShard(number, machines) => {
+                shard.inventory_recorded(number, &machines, revision)
+            }
+            PendingWrite::Allotment => shard.allotment_version = revision,
+            PendingWrite::DocumentPart(kind, name) => {
+                self.shared.documents.part_written(kind, name, revision)
+            }
+            PendingWrite::RemoveDocumentPart(kind, name) => {
+                self.shared.documents.part_over(kind, &name)
+            }
+            PendingWrite::Head(kind) => aftermath.heads.push(kind),
+            PendingWrite::Hour(hour, wall) => aftermath.moved.push((hour, wall)),
+            PendingWrite::Catalog => {
+                self.shared.catalog_version = self.shared.catalog_version.max(revision);
+            }
+        }
+    }
+
+    fn end_recorded(&mut self, index: JobIndex, aftermath: &mut Aftermath) {
+        let Some(shard) = &mut self.shard else { return };
+        let Some(job) = shard.job_mut(index) else {
+            return;
+        };
+        aftermath.changed.insert(index);
+        let Ending::Writing(stage) = job.ending else {
+            return;
+        };
+        job.ending = Ending::Recorded(stage);
+        log::info!("job {}: {stage:?}", job.id);
+        let state: JobState = job.state();
+        let waiters = std::mem::take(&mut job.waiters);
+        self.final_states.put(&job.id, stage, job.done_count);
+        let answers = waiters.into_iter().map(|w| (w, state.clone()));
+        aftermath.answers.extend(answers);
+        let segments = std::mem::take(&mut job.segments);
+        if let Some(job) = &shard.jobs[index] {
+            shard.hours.ended(job, index, stage);
+        }
+        shard.claim_log.results_over(index, segments);
+    }
+
+    fn token_raised(&mut self, token: u64, revision: u64) {
+        let Some(shard) = &mut self.shard else { return };
+        log::info!("token raised to {token}");
+        shard.token = token;
+        shard.raise_token = false;
+        self.shared.token = token;
+        self.shared.highest = self.shared.highest.max(token);
+        self.shared.token_version = self.shared.token_version.max(revision);
+        for (m, machine) in shard.machines.iter().enumerate() {
+            if machine
+                .as_ref()
+                .is_some_and(|x| x.unanswered_command.is_some())
+            {
+                shard.push.insert(m);
+            }
+        }
+    }
+}
+
+impl Shard {
+    fn rental_recorded(&mut self, name: &str, revision: u64) {
+        if let Some(rental) = self.rentals.get_mut(name) {
+            rental.state = RentalState::Recorded;
+            rental.version = revision;
+        }
+    }
+
+    fn inventory_recorded(&mut self, number: u64, machines: &[String], revision: u64) {
+        if let Some(inventory_shard) = self.claim_log.inventory.get_mut(&number) {
+            inventory_shard.version = revision;
+        }
+        for name in machines {
+            let index = self.machine_index.get(name).copied();
+            let machine = index.and_then(|m| self.machine_mut(m));
+            if let Some(machine) = machine.filter(|m| m.inventory_shard == number) {
+                let was_recorded = std::mem::replace(&mut machine.recorded, true);
+                self.plan_due |= !was_recorded;
+            }
+        }
+    }
+
+    /// A log record is in place: its claims may be sent, its results reaped.
+    fn log_recorded(&mut self, log: PendingLog, revision: u64) {
+        let mut segment = Segment {
+            version: revision,
+            counts: self.tally.stands(log.number, log.ended, revision),
+            ..Segment::default()
+        };
+        for id in log.claims {
+            // What has ended meanwhile stands in the record all the same, as in any that is older.
+            let Some(claim) = self.claim_mut(&id) else {
+                continue;
+            };
+            let from = std::mem::replace(&mut claim.segment, log.number);
+            let first = claim.state == ClaimState::Writing;
+            claim.state = ClaimState::Recorded;
+            segment.live += 1;
+            segment.claims.push(id);
+            if first {
+                self.push.insert(id.machine);
+            } else {
+                self.claim_log.ended(from);
+            }
+        }
+        for results in log.results {
+            let job = results.job;
+            if self.results_recorded(results, log.number) {
+                segment.jobs.insert(job);
+            }
+        }
+        self.claim_log.add_segment(log.number, segment);
+    }
+
+    /// Whether the job still needs them to stand there.
+    fn results_recorded(&mut self, results: PendingResults, segment: u64) -> bool {
+        let index = results.job;
+        let Some(job) = self.job_mut(index).filter(|j| j.ending == Ending::No) else {
+            return false;
+        };
+        match results.scope {
+            Scope::All => {
+                let old = std::mem::replace(&mut job.segments, BTreeSet::from([segment]));
+                self.claim_log.results_over(index, old);
+            }
+            Scope::Unsaved => {
+                for task in results.tasks {
+                    job.unsaved.remove(&task);
+                }
+                job.segments.insert(segment);
+            }
+        }
+        true
+    }
+}
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -1,9 +1,12 @@
 //! The leader's records in the state service: its compare-and-swap transactions, the log of write-ahead claims, and how
 //! all of it is read back after a failover.
 
+pub(crate) mod apply;
 pub(crate) mod claim_log;
+pub(crate) mod claim_records;
 pub(crate) mod commit;
 pub(crate) mod live_jobs;
 pub(crate) mod rate_budget;
 pub(crate) mod recovery;
 pub(crate) mod shard;
+pub(crate) mod transaction;
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -3,8 +3,9 @@
 use crate::agents::machine::Machine;
 use crate::jobs::job::{Class, Job, JobIndex};
 use crate::store::claim_log::{ClaimId, ClaimLog};
-use crate::store::commit::{Commit, value_limit};
+use crate::store::commit::Commit;
 use crate::store::recovery::Load;
+use crate::store::transaction::value_limit;
 use crate::{Node, Requester};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::records::{AllotmentRecord, RentalRecord};
--- /dev/null
+++ b/crates/control/src/store/transaction.rs
@@ -0,0 +1,376 @@
+//! What one transaction of the leader's carries, and how it is filled: most urgent first, as far as there is room.
+
+use crate::documents::county_counts::Counts;
+use crate::documents::{KindId, hours};
+use crate::event::Now;
+use crate::jobs::job::{Ending, JobIndex};
+use crate::leadership::election::{SHARD, Shared};
+use crate::store::claim_records::PendingLog;
+use crate::store::shard::{RentalState, Shard};
+use wire::api::{Guard, Write};
+use wire::records::{self, EndRecord, Record, TokenRecord};
+use wire::settings::StateLimits;
+
+/// Results and returned machines wait this long for something to travel with.
+const TIDY_MS: u64 = 1000;
+
+/// Larger transactions are cut: one more record, and the longer form that the service counts in, still stay below
+/// its 64 KiB.
+const MAX_SIZE: usize = 24 * 1024;
+
+/// Guards that a transaction may have for each of its writes.
+const GUARDS_PER_WRITE: usize = 4;
+
+/// A token that did not rise is tried again after this time.
+const RAISE_TOKEN_AGAIN_MS: u64 = 3000;
+
+/// The state service's own form of a value takes up to so many times our own.
+const SERVICE_FORM: f64 = 1.3;
+
+/// Share of a value's limit that we use: the service counts in its own way.
+const VALUE_SHARE: f64 = 0.95;
+
+/// What a value may take, with some distance to the service's own count.
+pub(crate) fn value_limit(value_kb: f64) -> usize {
+    (value_kb * 1024.0 * VALUE_SHARE) as usize
+}
+
+/// A write of a transaction, as what it changes in memory once it is in place.
+pub(crate) enum PendingWrite {
+    End(JobIndex),
+    Token(u64),
+    Rental(String),
+    RemoveRental(String),
+    Log(PendingLog),
+    LogOver(u64),
+    Fold(county::Fold),
+    /// An inventory shard with the names of its machines: by the time that it stands, a place in memory may be
+    /// another one's.
+    InventoryShard(u64, Vec<String>),
+    Catalog,
+    Allotment,
+    /// A document's part, its removal, its head.
+    DocumentPart(KindId, String),
+    RemoveDocumentPart(KindId, String),
+    Head(KindId),
+    /// A moved hour, with the time of the move.
+    Hour(hours::Move, u64),
+}
+
+/// A key that tells whether a transaction whose answer was lost is in place.
+#[derive(Clone)]
+pub(crate) struct Probe {
+    pub key: String,
+    pub version_before: u64,
+    /// The transaction removes the key.
+    pub removed: bool,
+}
+
+/// Bounds of one transaction.
+#[derive(Clone, Copy)]
+struct Limits {
+    writes: usize,
+    guards: usize,
+    /// What a record may take.
+    value: usize,
+}
+
+/// A transaction that is being filled.
+pub(crate) struct TransactionDraft {
+    pub ops: Vec<PendingWrite>,
+    pub(super) guards: Vec<Guard>,
+    pub(super) writes: Vec<Write>,
+    pub(super) probe: Option<Probe>,
+    size: usize,
+    limits: Limits,
+    /// Counts of the jobs that it ends, for its log record.
+    pub counts: Counts,
+}
+
+impl TransactionDraft {
+    /// Gathers what is to be written. `None` if there is nothing.
+    pub fn fill(
+        shard: &mut Shard,
+        shared: &mut Shared,
+        state: &StateLimits,
+        budget: usize,
+        now: Now,
+    ) -> Option<Self> {
+        let mut draft = TransactionDraft::new(shard.leader_version, state, budget);
+        let tidies = now.mono >= shard.commit.tidied_at + TIDY_MS;
+        let head = TransactionDraft::head_due(&shared.documents, shard, budget);
+        draft.put_ends(shard, head.map(|(_, writes)| writes), now.wall);
+        draft.put_allotment(shard);
+        if let Some((kind, _)) = head {
+            draft.head(&shared.documents, shard, kind);
+        }
+        draft.put_token(shard, shared, now.mono);
+        draft.put_new_rentals(shard);
+        draft.moves(shard, now.wall, draft.limits.value, Self::has_room);
+        draft.put_logs(shard, tidies);
+        draft.put_grown_inventory(shard);
+        draft.remove_rentals(shard);
+        draft.put_catalog(shard, shared, state.value_kb);
+        draft.parts(&mut shared.documents, Self::has_room);
+        if tidies {
+            shard.commit.tidied_at = now.mono;
+            draft.fold(shard, now.mono, Self::has_room);
+            draft.parts_over(&shared.documents, Self::has_room);
+            draft.put_shrunk_inventory(shard);
+            draft.remove_segments(shard);
+        }
+        (!draft.writes.is_empty()).then_some(draft)
+    }
+
+    fn new(leader_version: u64, state: &StateLimits, budget: usize) -> Self {
+        let value = value_limit(state.value_kb);
+        TransactionDraft {
+            ops: Vec::new(),
+            guards: vec![Guard {
+                key: records::leader_key(SHARD),
+                version: leader_version,
+            }],
+            writes: Vec::new(),
+            probe: None,
+            size: 0,
+            limits: Limits {
+                writes: budget,
+                guards: state.txn_ops * GUARDS_PER_WRITE,
+                value,
+            },
+            counts: Counts::new(value),
+        }
+    }
+
+    /// Puts a record in the place of the version that is known; 0 for none.
+    pub fn put(&mut self, key: String, version: u64, record: Record) {
+        self.size += wire::encode(&record).len() + key.len();
+        // A record that is put also tells at which revision; guards against versions taken from a removal,
+        // which has none.
+        if self.probe.as_ref().is_none_or(|p| p.removed) {
+            self.probe = Some(Probe {
+                key: key.clone(),
+                version_before: version,
+                removed: false,
+            });
+        }
+        self.guard(key.clone(), version);
+        self.writes.push(Write::put(key, record));
+    }
+
+    /// Writes what is named by its own digest: whatever stands there already is the same. So it can't tell whether
+    /// this transaction was applied, and has no guard but the leader's.
+    pub fn put_part(&mut self, key: String, record: Record) {
+        self.size += wire::encode(&record).len() + key.len();
+        self.writes.push(Write::put(key, record));
+    }
+
+    /// Removes a record of which this version is known.
+    pub fn remove(&mut self, key: String, version: u64) {
+        if self.probe.is_none() {
+            self.probe = Some(Probe {
+                key: key.clone(),
+                version_before: version,
+                removed: true,
+            });
+        }
+        self.guard(key.clone(), version);
+        self.writes.push(Write::Remove { key });
+    }
+
+    /// Lets the transaction fail unless this version of the key stands.
+    pub(super) fn guard(&mut self, key: String, version: u64) {
+        self.guards.push(Guard { key, version });
+    }
+
+    /// Whether it changes this key already.
+    pub fn writes_to(&self, key: &str) -> bool {
+        self.guards.iter().any(|g| g.key == key)
+    }
+
+    /// What a record may take.
+    pub(super) fn value_limit(&self) -> usize {
+        self.limits.value
+    }
+
+    pub(super) fn has_room_for_guards(&self) -> bool {
+        self.guards.len() + 2 < self.limits.guards
+    }
+
+    fn has_room(&self) -> bool {
+        self.writes.len() + self.counts.unacknowledged_start() < self.limits.writes
+            && self.size < MAX_SIZE
+            && self.has_room_for_guards()
+    }
+
+    /// Ends come first, but they do not keep claims waiting for ever. So does a document's head, with what is written
+    /// beside it: `head_writes` in all.
+    fn put_ends(&mut self, shard: &mut Shard, head_writes: Option<usize>, wall: u64) {
+        let most = self.writes_for_ends(shard, head_writes);
+        while self.writes.len() + 2 <= most && self.has_room_for_guards() && !self.counts.is_full()
+        {
+            let Some(job) = shard.claim_log.ending.pop_front() else {
+                return;
+            };
+            self.put_end(shard, job, wall);
+        }
+    }
+
+    /// What is counted needs a log record in the same transaction; one for claims does for both.
+    fn writes_for_ends(&self, shard: &Shard, head_writes: Option<usize>) -> usize {
+        let budget = self.limits.writes;
+        let for_counts = shard.tally.keeps(budget);
+        let for_claims = usize::from(budget > 2 && !shard.claim_log.fresh.is_empty());
+        let kept = match head_writes {
+            Some(writes) => writes + for_counts,
+            None => for_claims.max(for_counts),
+        };
+        budget.saturating_sub(kept)
+    }
+
+    fn put_end(&mut self, shard: &mut Shard, index: JobIndex, wall: u64) {
+        let Some(job) = shard.job_mut(index) else {
+            return;
+        };
+        let Ending::Wanted(stage) = job.ending else {
+            return;
+        };
+        let done = job.done_count;
+        let hour = hours::end_rec(job, wall);
+        job.ending = Ending::Writing(stage);
+        let (id, version) = (job.id.clone(), job.version);
+        let county = self.counts.add(shard, index, stage);
+        let end = EndRecord {
+            stage,
+            done,
+            hour,
+            county,
+        };
+        self.put(records::end_key(&id), 0, Record::End(end));
+        self.remove(records::live_key(&id), version);
+        self.ops.push(PendingWrite::End(index));
+    }
+
+    fn put_allotment(&mut self, shard: &mut Shard) {
+        if !self.has_room() {
+            return;
+        }
+        let Some(whole) = shard.allotment_wanted.take() else {
+            return;
+        };
+        self.put(
+            records::allotment_key(SHARD),
+            shard.allotment_version,
+            Record::Allotment(whole.clone()),
+        );
+        shard.allotment = Some(whole);
+        shard.allotment_version = 0;
+        self.ops.push(PendingWrite::Allotment);
+    }
+
+    fn put_token(&mut self, shard: &mut Shard, shared: &Shared, now: u64) {
+        let due = shard.raise_token && now >= shard.commit.raised_at + RAISE_TOKEN_AGAIN_MS;
+        if !due || !self.has_room() {
+            return;
+        }
+        let token = shared.token.max(shard.token) + 1;
+        self.put(
+            records::TOKEN.into(),
+            shared.token_version,
+            Record::Token(TokenRecord { token }),
+        );
+        self.ops.push(PendingWrite::Token(token));
+        shard.commit.raised_at = now;
+    }
+
+    fn put_new_rentals(&mut self, shard: &Shard) {
+        let is_new = |state: RentalState| state == RentalState::New;
+        for (name, rental) in shard.rentals.iter().filter(|(_, r)| is_new(r.state)) {
+            if !self.has_room() {
+                return;
+            }
+            self.put(rental_key(name), 0, Record::Rental(rental.rec.clone()));
+            self.ops.push(PendingWrite::Rental(name.clone()));
+        }
+    }
+
+    /// Claims, with the results that have gathered. Room is left for the guards on the claims' jobs.
+    fn put_logs(&mut self, shard: &mut Shard, tidies: bool) {
+        if self.counts.unacknowledged_start() > 0 {
+            self.put_log(shard);
+        }
+        while self.has_room()
+            && (!shard.claim_log.fresh.is_empty()
+                || (tidies && !shard.claim_log.unsaved.is_empty()))
+        {
+            let before = self.ops.len();
+            self.put_log(shard);
+            if self.ops.len() == before {
+                return;
+            }
+        }
+    }
+
+    fn put_grown_inventory(&mut self, shard: &mut Shard) {
+        while self.has_room()
+            && let Some(number) = shard.claim_log.new_in.pop_first()
+        {
+            self.put_inventory_shard(shard, number);
+        }
+    }
+
+    fn put_shrunk_inventory(&mut self, shard: &mut Shard) {
+        while self.has_room()
+            && let Some(number) = shard.claim_log.gone_from.pop_first()
+        {
+            self.put_inventory_shard(shard, number);
+        }
+    }
+
+    /// A rental goes only together with, or after, the record of its machines.
+    fn remove_rentals(&mut self, shard: &Shard) {
+        let is_over = |state: RentalState| state == RentalState::Over;
+        for (name, rental) in shard.rentals.iter().filter(|(_, r)| is_over(r.state)) {
+            if !shard.claim_log.new_in.is_empty() || !self.has_room() {
+                return;
+            }
+            self.remove(rental_key(name), rental.version);
+            self.ops.push(PendingWrite::RemoveRental(name.clone()));
+        }
+    }
+
+    fn put_catalog(&mut self, shard: &mut Shard, shared: &Shared, value_kb: f64) {
+        if !shard.catalog_dirty || !self.has_room() {
+            return;
+        }
+        let Some(catalog) = &shared.catalog else {
+            return;
+        };
+        shard.catalog_dirty = false;
+        if wire::encode(catalog).len() as f64 * SERVICE_FORM >= value_kb * 1024.0 {
+            return;
+        }
+        self.put(
+            records::CATALOG.into(),
+            shared.catalog_version,
+            Record::Catalog(catalog.clone()),
+        );
+        self.ops.push(PendingWrite::Catalog);
+    }
+
+    fn remove_segments(&mut self, shard: &mut Shard) {
+        while self.has_room()
+            && let Some(number) = shard.claim_log.garbage.pop_first()
+        {
+            let Some(segment) = shard.claim_log.segments.get(&number) else {
+                continue;
+            };
+            self.remove(records::log_key(SHARD, number), segment.version);
+            self.ops.push(PendingWrite::LogOver(number));
+        }
+    }
+}
+
+fn rental_key(name: &str) -> String {
+    format!("{}{name}", records::rentals_prefix(SHARD))
+}
