--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -3,8 +3,8 @@
 
 use crate::jobs::forwarding::ForwardedRequest;
 use crate::jobs::query::{Question, Why};
-use crate::leadership::election::Role;
 use crate::leadership::election::SHARD;
+use crate::leadership::role::Role;
 use crate::{Destination, Node, Pending, Requester};
 use wire::api::{Conflict, ErrorBody, Guard, JobSpec, JobState, Stage, Txn, Write};
 use wire::http::{Request, Response};
--- /dev/null
+++ b/crates/control/src/leadership/lease.rs
@@ -0,0 +1,116 @@
+//! The leader's lease: how it is renewed, and how long it can be relied on.
+
+use crate::leadership::role::{HeldLease, Role};
+use crate::{Destination, Node, Pending};
+use std::ops;
+use wire::http::Response;
+
+/// After how long a renewal that failed is tried again.
+const RENEW_AGAIN_MS: ops::Range<u64> = 50..200;
+
+/// Renewals in one life of a lease.
+const RENEWALS_PER_TTL: u64 = 4;
+
+/// An answer to the end of a lease that takes longer is none; nobody waits for it.
+const END_ANSWER_MS: u64 = 2000;
+
+impl HeldLease {
+    /// A lease that was granted when asked for at `sent`, to be renewed at once.
+    pub fn new(id: u64, sent: u64, now: u64) -> Self {
+        HeldLease {
+            id,
+            renewed: sent,
+            next_renewal: now,
+            busy: false,
+        }
+    }
+
+    /// The lease can't have ended: drift is below 0.05% on either side, and the service is never early.
+    fn is_valid(&self, ttl: u64, now: u64) -> bool {
+        let lifetime = ttl * 997 / 1000;
+        now < self.renewed + lifetime.saturating_sub(lifetime / 20)
+    }
+}
+
+impl Node {
+    pub(super) fn ttl(&self) -> u64 {
+        self.tuning.ttl_ms as u64
+    }
+
+    /// Whether this node leads, and its own clock says that its lease can't have ended.
+    pub(crate) fn has_valid_lease(&self) -> bool {
+        match &self.role {
+            Role::Leader(lease) => lease.is_valid(self.ttl(), self.now.mono),
+            _ => false,
+        }
+    }
+
+    /// Leader, loaded, and sure of it: may decide.
+    pub(crate) fn may_decide(&self) -> bool {
+        self.has_valid_lease() && self.shard.as_ref().is_some_and(|p| p.loaded)
+    }
+
+    /// Renews the lease when it is time.
+    pub(super) fn renew_lease(&mut self, lease: HeldLease) {
+        let now = self.now.mono;
+        if lease.busy || now < lease.next_renewal {
+            return;
+        }
+        self.role = Role::Leader(HeldLease {
+            busy: true,
+            ..lease
+        });
+        let what = Pending::Renew {
+            lease: lease.id,
+            sent: now,
+        };
+        // In an outage the answer is slow to come; a late one is as good as its sending time.
+        self.send(
+            Destination::State,
+            "POST",
+            format!("/grants/{}/renew", lease.id),
+            Vec::new(),
+            self.ttl() / 2,
+            what,
+        );
+    }
+
+    /// The answer to a renewal of the lease `asked`, sent at `sent`.
+    pub(crate) fn renewed(&mut self, asked: u64, sent: u64, response: Option<Response>) {
+        let Role::Leader(lease) = self.role else {
+            return;
+        };
+        if lease.id != asked {
+            return;
+        }
+        match response.map(|r| r.status) {
+            Some(200) => {
+                self.role = Role::Leader(HeldLease {
+                    id: asked,
+                    renewed: sent,
+                    next_renewal: sent + self.ttl() / RENEWALS_PER_TTL,
+                    busy: false,
+                });
+            }
+            Some(404) => self.step_down("the lease has ended"),
+            _ => {
+                self.role = Role::Leader(HeldLease {
+                    next_renewal: self.now.mono + self.rng.u64(RENEW_AGAIN_MS),
+                    busy: false,
+                    ..lease
+                });
+            }
+        }
+    }
+
+    pub(super) fn end_lease(&mut self, lease: u64) {
+        self.send(
+            Destination::State,
+            "DELETE",
+            format!("/grants/{lease}"),
+            Vec::new(),
+            END_ANSWER_MS,
+            Pending::Release,
+        );
+    }
+}
--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -7,7 +7,7 @@
 //! Nothing here gives an order or decides who owns.
 
 use crate::Node;
-use crate::leadership::election::Role;
+use crate::leadership::role::Role;
 use wire::settings::Workers;
 
 /// Two clocks that drift apart by 0.05% each, doubled.
@@ -62,10 +62,13 @@
         let Some(shard) = self.shard.as_ref().filter(|p| p.loaded) else {
             return false;
         };
-        let Role::Leader { renewed, .. } = self.role else {
+        let Role::Leader(lease) = self.role else {
             return false;
         };
-        let known = shard.attestations.at.map_or(renewed, |at| at.max(renewed));
+        let known = shard
+            .attestations
+            .at
+            .map_or(lease.renewed, |at| at.max(lease.renewed));
         self.has_valid_lease() || self.now.mono < known + bound_ms(&self.settings.cluster.workers)
     }
 
--- a/crates/control/src/leadership/mod.rs
+++ b/crates/control/src/leadership/mod.rs
@@ -3,6 +3,9 @@
 
 pub(crate) mod election;
 pub(crate) mod incarnation;
+pub(crate) mod lease;
 pub(crate) mod lease_bound;
 pub(crate) mod lease_delegate;
 pub(crate) mod peer_status;
+pub(crate) mod role;
+pub(crate) mod shared_state;
--- /dev/null
+++ b/crates/control/src/leadership/shared_state.rs
@@ -0,0 +1,279 @@
+//! What all controllers follow by a watch: the leader record, the token, the catalog of machine types and the heads of
+//! documents. Beside it, what a peer has said of its leadership.
+
+use crate::documents::Documents;
+use crate::leadership::election::SHARD;
+use crate::{Destination, Node, Pending};
+use std::ops;
+use wire::api::{Catalog, Changes, Range};
+use wire::http::Response;
+use wire::records::{self, LeaderRecord, SharedRecord};
+
+/// An announcement is forgotten after this time; by then whoever can read the state service knows better.
+const ANNOUNCED_MS: u64 = 10_000;
+
+/// An answer to a read that takes longer is none.
+const READ_ANSWER_MS: u64 = 2000;
+
+/// The service answers a watch without changes after 5 s; one that says nothing for so long is cut off.
+const WATCH_ANSWER_MS: u64 = 7000;
+
+/// After how long a read or a watch that was refused is tried again.
+const RETRY_MS: ops::Range<u64> = 200..500;
+
+/// After how long all is read anew once a watch was cut off.
+const REREAD_MS: ops::Range<u64> = 100..300;
+
+/// After how long all is read anew once a watch said what can't be read.
+const REREAD_UNREADABLE_MS: u64 = 1000;
+
+/// The leader record, as it was read last.
+#[derive(Debug, Clone, PartialEq)]
+pub(crate) struct ObservedLeader {
+    pub rec: LeaderRecord,
+    pub version: u64,
+}
+
+impl ObservedLeader {
+    /// Whether this node wrote it, on this lease.
+    pub(super) fn is_ours(&self, lease: u64, node: &str) -> bool {
+        self.rec.node == node && self.rec.lease == lease
+    }
+}
+
+/// What every controller knows of the whole, by a watch.
+#[derive(Default)]
+pub(crate) struct Shared {
+    pub known: bool,
+    pub revision: u64,
+    pub leader: Option<ObservedLeader>,
+    pub token: u64,
+    pub token_version: u64,
+    /// The highest token ever read or given out here. It never falls, as `token` may with a read that comes late.
+    pub highest: u64,
+    pub catalog: Option<Catalog>,
+    pub catalog_version: u64,
+    pub documents: Documents,
+    /// When the state service last said how all this stands.
+    pub heard_at: u64,
+    /// A read or a watch is out, and when to try again if not.
+    busy: bool,
+    round: u64,
+    retry_at: u64,
+}
+
+/// A peer that said that it had become the leader.
+pub(crate) struct AnnouncedLeader {
+    node: String,
+    token: u64,
+    until: u64,
+}
+
+impl Shared {
+    fn leader_removed(&mut self) {
+        self.leader = None;
+    }
+
+    fn token_put(&mut self, token: u64, version: u64) {
+        self.highest = self.highest.max(token);
+        if version >= self.token_version {
+            self.token = token;
+            self.token_version = version;
+        }
+    }
+
+    /// Prices move: a leader that has fetched them itself knows better.
+    fn catalog_put(&mut self, catalog: Catalog, version: u64, leads: bool) {
+        if version < self.catalog_version {
+            return;
+        }
+        if !leads || self.catalog.is_none() {
+            self.catalog = Some(catalog);
+        }
+        self.catalog_version = version;
+    }
+
+    fn leader_put(&mut self, rec: SharedRecord, version: u64) {
+        if let (Some(node), Some(token), Some(lease)) = (rec.node, rec.token, rec.lease) {
+            let rec = LeaderRecord {
+                node,
+                token,
+                lease,
+                incarnation: rec.incarnation,
+            };
+            self.leader = Some(ObservedLeader { rec, version });
+        }
+    }
+}
+
+impl Node {
+    /// Reads or watches, if neither is out and it is time.
+    pub(super) fn follow_shared_state(&mut self) {
+        if self.shared.busy || self.now.mono < self.shared.retry_at {
+            return;
+        }
+        self.shared.busy = true;
+        if self.shared.known {
+            self.watch_shared();
+        } else {
+            self.read_shared();
+        }
+    }
+
+    fn read_shared(&mut self) {
+        self.send(
+            Destination::State,
+            "GET",
+            format!("/keys?under={}&limit=1000", records::SHARED),
+            Vec::new(),
+            READ_ANSWER_MS,
+            Pending::SharedRead,
+        );
+    }
+
+    fn watch_shared(&mut self) {
+        self.shared.round += 1;
+        let path = format!(
+            "/changes?under={}&from={}&waitMs=5000",
+            records::SHARED,
+            self.shared.revision
+        );
+        let what = Pending::SharedWatch {
+            round: self.shared.round,
+        };
+        self.send(
+            Destination::State,
+            "GET",
+            path,
+            Vec::new(),
+            WATCH_ANSWER_MS,
+            what,
+        );
+    }
+
+    /// Reads everything anew, after `wait` milliseconds.
+    pub(crate) fn reread_shared(&mut self, wait: u64) {
+        self.shared.known = false;
+        self.shared.busy = false;
+        self.shared.round += 1;
+        self.shared.retry_at = self.now.mono + wait;
+    }
+
+    fn retry_shared(&mut self) {
+        self.shared.retry_at = self.now.mono + self.rng.u64(RETRY_MS);
+    }
+
+    /// The answer to a read of everything.
+    pub(crate) fn shared_read(&mut self, response: Option<Response>) {
+        self.shared.busy = false;
+        let range = response
+            .filter(|r| r.status == 200)
+            .and_then(|r| self.read::<Range<SharedRecord>>("state service", &r));
+        let Some(range) = range else {
+            return self.retry_shared();
+        };
+        self.shared.leader_removed();
+        self.shared.token_version = 0;
+        for item in range.items {
+            self.shared_put(&item.key, item.value, item.version);
+        }
+        self.shared.revision = range.revision;
+        self.shared.known = true;
+        self.shared.heard_at = self.now.mono;
+        self.leader_observed();
+    }
+
+    /// The answer to a watch, or that there is none.
+    pub(crate) fn shared_changes(&mut self, round: u64, response: Option<Response>) {
+        if round != self.shared.round {
+            return;
+        }
+        self.shared.busy = false;
+        let Some(response) = response else {
+            // Cut off or in an outage: what we know may be old, so read it anew.
+            let wait = self.rng.u64(REREAD_MS);
+            return self.reread_shared(wait);
+        };
+        match response.status {
+            200 => {}
+            410 => return self.reread_shared(0),
+            _ => return self.retry_shared(),
+        }
+        let Some(changes) = self.read::<Changes<SharedRecord>>("state service", &response) else {
+            return self.reread_shared(REREAD_UNREADABLE_MS);
+        };
+        for change in changes.events {
+            if let (Some(key), Some(value)) = (&change.put, change.value) {
+                self.shared_put(key, value, change.version);
+            } else if change.remove.as_deref() == Some(&records::leader_key(SHARD)) {
+                self.shared.leader_removed();
+            }
+        }
+        self.shared.revision = self.shared.revision.max(changes.revision);
+        self.shared.heard_at = self.now.mono;
+        self.leader_observed();
+    }
+
+    fn shared_put(&mut self, key: &str, rec: SharedRecord, version: u64) {
+        let leads = self.leads();
+        if rec.document.is_some() {
+            self.shared.documents.head_seen(key, &rec, version);
+        } else if key == records::TOKEN {
+            self.shared.token_put(rec.token.unwrap_or(0), version);
+        } else if key == records::CATALOG {
+            if let Some(types) = rec.types {
+                self.shared.catalog_put(Catalog { types }, version, leads);
+            }
+        } else if key == records::leader_key(SHARD) {
+            self.shared.leader_put(rec, version);
+        }
+    }
+
+    /// Another node says that it leads the shard. An earlier leader that lost the state service hears it here first;
+    /// its workers would otherwise stay with it, unheard by the new one.
+    pub(crate) fn leader_asserted(&mut self, node: String, token: u64) {
+        if !self.has_valid_lease() && self.shard.as_ref().is_some_and(|p| p.token < token) {
+            self.step_down("a peer leads the fleet with a higher token");
+        }
+        let now = self.now.mono;
+        let newest = self
+            .announced
+            .as_ref()
+            .is_none_or(|a| a.token <= token || a.until <= now);
+        if newest && self.settings.peers.iter().any(|p| p.node == node) {
+            self.announced = Some(AnnouncedLeader {
+                node,
+                token,
+                until: now + ANNOUNCED_MS,
+            });
+        }
+    }
+
+    /// The highest token that this node knows of, by itself or from whoever named one as its own last.
+    pub(crate) fn highest_token(&self) -> u64 {
+        let announced = self.announced.as_ref().map_or(0, |a| a.token);
+        self.shared.highest.max(announced)
+    }
+
+    /// The node that workers should heartbeat to.
+    pub(crate) fn leader_name(&self) -> Option<String> {
+        self.newest_leader().map(|(_, node)| node.to_owned())
+    }
+
+    /// The token of the node that workers should heartbeat to.
+    pub(crate) fn leader_token(&self) -> Option<u64> {
+        self.newest_leader().map(|(token, _)| token)
+    }
+
+    fn newest_leader(&self) -> Option<(u64, &str)> {
+        let observed = self.shared.leader.as_ref();
+        let observed = observed.map(|o| (o.rec.token, o.rec.node.as_str()));
+        let announced = self
+            .announced
+            .as_ref()
+            .filter(|a| a.until > self.now.mono)
+            .map(|a| (a.token, a.node.as_str()));
+        let both = observed.into_iter().chain(announced);
+        both.max_by_key(|(token, _)| *token)
+    }
+}
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -5,7 +5,8 @@
 use crate::event::{Destination, Effect, Event, Now};
 use crate::frontend;
 use crate::jobs::{admission, answer_history, forwarding};
-use crate::leadership::election::{Role, Shared};
+use crate::leadership::role::Role;
+use crate::leadership::shared_state::{AnnouncedLeader, Shared};
 use crate::leadership::{election, incarnation, lease_delegate, peer_status};
 use crate::models::{self};
 use crate::outstanding::Pending;
@@ -35,7 +36,7 @@
     pub(crate) shared: Shared,
     pub(crate) role: Role,
     pub(crate) incarnation: incarnation::Incarnation,
-    pub(crate) hint: Option<election::Hint>,
+    pub(crate) announced: Option<AnnouncedLeader>,
     pub(crate) term: u64,
     pub(crate) shard: Option<Shard>,
     /// Requests to the state service and writes to it that this node may still make.
@@ -94,8 +95,8 @@
             pending: HashMap::new(),
             next_tag: 1,
             shared: Shared::default(),
-            role: Role::Follower { may_campaign_at: 0 },
-            hint: None,
+            role: Role::FOLLOWER,
+            announced: None,
             term: 0,
             shard: None,
             final_states: answer_history::FinalStates::new(final_states),
