--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -1,17 +1,20 @@
 //! Reading the shard's records back after a failover, before its new leader decides anything.
 
 use crate::agents::machine::{Claim, ClaimState, Machine, Need};
+use crate::documents::county_counts;
 use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::store::claim_log::{ClaimId, InventoryShard, Segment};
-use crate::store::shard::{Rental, RentalState, Shard};
+use crate::store::shard::{Rental, Shard};
 use crate::store::transaction::value_limit;
 use crate::{Destination, Node, Pending};
+use serde::de::DeserializeOwned;
 use std::ops;
 use wire::api::{Item, Range};
 use wire::http::Response;
 use wire::records::{
-    self, AllotmentRecord, InventoryRecord, JobRecord, LogRecord, RentalRecord, TeamAllotment,
+    self, AllotmentRecord, ClaimsRecord, DoneRecord, InventoryRecord, JobRecord, LogRecord,
+    RentalRecord, TeamAllotment,
 };
 
 /// What is read one after the other after a failover.
@@ -29,100 +32,154 @@
 /// After how long what could not be read is read again.
 const LOAD_AGAIN_MS: ops::Range<u64> = 100..400;
 
+/// An answer to a read that takes longer is none.
+const LOAD_ANSWER_MS: u64 = 3000;
+
+/// Whether there are more pages of a kind.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Page {
+    More,
+    Last,
+}
+
 impl Shard {
     /// Takes in a log record of earlier leaders.
     fn load_segment(&mut self, number: u64, version: u64, rec: LogRecord) {
         let mut segment = Segment {
             version,
+            counts: self.tally.stands(number, rec.ended, 0),
             ..Segment::default()
         };
-        segment.counts = self.tally.stands(number, rec.ended, 0);
         for group in rec.claims {
-            let need = Need {
-                cores: group.cores,
-                gpus: group.gpus,
-                mem_gb: group.mem_gb,
+            self.load_claims(number, &mut segment, group);
+        }
+        for done in rec.done {
+            if let Some(job) = self.load_results(number, done) {
+                segment.jobs.insert(job);
+            }
+        }
+        self.claim_log.add_segment(number, segment);
+    }
+
+    fn load_claims(&mut self, number: u64, segment: &mut Segment, group: ClaimsRecord) {
+        for (name, first, n) in &group.on {
+            // A machine in no inventory shard is gone, and all that was on it.
+            let Some(machine) = self.machine_index.get(name).copied() else {
+                continue;
             };
-            let attempt = group.attempt;
-            for (name, first, n) in group.on {
-                // A machine in no inventory shard is gone, and all that was on it.
-                let Some(machine) = self.machine_index.get(&name).copied() else {
-                    continue;
+            let job = self.claimed_job(&group);
+            for task in records::unrange(&[(*first, *n)]) {
+                let id = ClaimId {
+                    machine,
+                    job,
+                    task,
+                    attempt: group.attempt,
                 };
-                let job = match self.job_index.get(&group.job) {
-                    Some(ix) => *ix,
-                    // Ended, but its tasks may still be there: they count until they are proved gone.
-                    None => {
-                        let mut job = Job::ended(&group.job, &group.team, need);
-                        job.county =
-                            crate::documents::county_counts::claimed(&group.county, group.alone);
-                        self.add_job(job)
-                    }
-                };
-                for task in records::unrange(&[(first, n)]) {
-                    let id = ClaimId {
-                        machine,
-                        job,
-                        task,
-                        attempt,
-                    };
-                    // A claim that was moved may stand in two records.
-                    if self.claim_mut(&id).is_some() {
-                        continue;
-                    }
-                    let mut claim = Claim::new(job, task, attempt);
-                    claim.state = ClaimState::Recorded;
-                    claim.segment = number;
-                    claim.loaded = true;
-                    claim.sent = true;
-                    if let Some(job) = self.job_mut(job) {
-                        job.claim(task, machine, attempt);
-                    }
-                    if let Some(machine) = self.machine_mut(machine) {
-                        machine.claims.push(claim);
-                    }
+                if self.load_claim(number, &id) {
                     segment.live += 1;
                     segment.claims.push(id);
                 }
             }
         }
-        for done in rec.done {
-            let Some(ix) = self.job_index.get(&done.job).copied() else {
-                continue;
-            };
-            let Some(job) = self.job_mut(ix).filter(|j| j.spec.is_some()) else {
-                continue;
-            };
-            job.load_done(records::unrange(&done.tasks));
-            job.segments.insert(number);
-            segment.jobs.insert(ix);
+    }
+
+    /// The job that claims are for. One that has ended may still have tasks there: they count until they are proved
+    /// gone.
+    fn claimed_job(&mut self, group: &ClaimsRecord) -> JobIndex {
+        if let Some(index) = self.job_index.get(&group.job) {
+            return *index;
         }
-        self.claim_log.add_segment(number, segment);
+        let need = Need {
+            cores: group.cores,
+            gpus: group.gpus,
+            mem_gb: group.mem_gb,
+        };
+        let mut job = Job::ended(&group.job, &group.team, need);
+        job.county = county_counts::claimed(&group.county, group.alone);
+        self.add_job(job)
+    }
+
+    /// False if it is known already: a claim that was moved may stand in two records.
+    fn load_claim(&mut self, segment: u64, id: &ClaimId) -> bool {
+        if self.claim_mut(id).is_some() {
+            return false;
+        }
+        let mut claim = Claim::new(id.job, id.task, id.attempt);
+        claim.state = ClaimState::Recorded;
+        claim.segment = segment;
+        claim.loaded = true;
+        claim.sent = true;
+        if let Some(job) = self.job_mut(id.job) {
+            job.claim(id.task, id.machine, id.attempt);
+        }
+        if let Some(machine) = self.machine_mut(id.machine) {
+            machine.claims.push(claim);
+        }
+        true
+    }
+
+    /// The job whose results they are, if it has not ended.
+    fn load_results(&mut self, segment: u64, done: DoneRecord) -> Option<JobIndex> {
+        let index = self.job_index.get(&done.job).copied()?;
+        let job = self.job_mut(index).filter(|j| j.spec.is_some())?;
+        job.load_done(records::unrange(&done.tasks));
+        job.segments.insert(segment);
+        Some(index)
+    }
+
+    /// Takes in an inventory shard of earlier leaders.
+    fn load_inventory_shard(
+        &mut self,
+        number: u64,
+        version: u64,
+        rec: InventoryRecord,
+        heard_at: u64,
+    ) {
+        let mut inventory_shard = InventoryShard {
+            version,
+            ..InventoryShard::default()
+        };
+        for kind in rec.kinds {
+            for (name, rented_ms) in kind.machines {
+                let mut machine =
+                    Machine::new(&name, &kind.machine_type, &kind.zone, kind.spot, rented_ms);
+                machine.recorded = true;
+                machine.inventory_shard = number;
+                machine.heard_at = heard_at;
+                inventory_shard.size += machine.size;
+                let index = self.insert_machine(machine);
+                inventory_shard.machines.insert(index);
+            }
+        }
+        self.claim_log.load_inventory_shard(number, inventory_shard);
     }
 
     /// An attempt is made only once all earlier ones of its task were proved gone: where the log holds several,
     /// the last alone can still be there.
     fn drop_overtaken(&mut self) {
-        let mut over = Vec::new();
-        for (ix, job) in self.jobs.iter().enumerate() {
+        for id in self.overtaken_claims() {
+            let segment = self.claim_mut(&id).map(|c| c.segment);
+            self.drop_claim(&id);
+            self.claim_log.ended(segment.unwrap_or(0));
+        }
+    }
+
+    fn overtaken_claims(&self) -> Vec<ClaimId> {
+        let mut overtaken = Vec::new();
+        for (index, job) in self.jobs.iter().enumerate() {
             let Some(job) = job else { continue };
             for (task, claims) in job.claimed.iter().filter(|(_, c)| c.len() > 1) {
                 let last = claims.iter().map(|(_, a)| *a).max().unwrap_or(0);
-                for (machine, attempt) in claims.iter().filter(|(_, a)| *a != last) {
-                    over.push(ClaimId {
-                        machine: *machine,
-                        job: ix,
-                        task: *task,
-                        attempt: *attempt,
-                    });
-                }
+                let earlier = claims.iter().filter(|(_, a)| *a != last);
+                overtaken.extend(earlier.map(|(machine, attempt)| ClaimId {
+                    machine: *machine,
+                    job: index,
+                    task: *task,
+                    attempt: *attempt,
+                }));
             }
         }
-        for id in over {
-            let segment = self.claim_mut(&id).map(|c| c.segment);
-            self.drop_claim(&id);
-            self.claim_log.ended(segment.unwrap_or(0));
-        }
+        overtaken
     }
 }
 
@@ -150,7 +207,14 @@
             term: self.term,
             what,
         };
-        self.send(Destination::State, "GET", path, Vec::new(), 3000, what);
+        self.send(
+            Destination::State,
+            "GET",
+            path,
+            Vec::new(),
+            LOAD_ANSWER_MS,
+            what,
+        );
     }
 
     /// From the same place again, after a while: who reads back must not use up what renewals and others' accepts need
@@ -170,32 +234,41 @@
         }
     }
 
+    /// The answer to a read, or that there is none.
     pub(crate) fn load_received(&mut self, what: Load, response: Option<Response>) {
         let page = response
             .filter(|r| r.status == 200)
-            .and_then(|r| match what {
-                Load::Jobs => self.read("state service", &r).map(|p| self.load_jobs(p)),
-                Load::Inventory => self
-                    .read("state service", &r)
-                    .map(|p| self.load_inventory(p)),
-                Load::Log => self.read("state service", &r).map(|p| self.load_log(p)),
-                Load::Rentals => self.read("state service", &r).map(|p| self.load_rentals(p)),
-                Load::Allotment => self
-                    .read("state service", &r)
-                    .map(|p| self.load_allotment(p)),
-                Load::Heads => self.read("state service", &r).map(|p| {
-                    self.load_heads(p);
-                    false
-                }),
-                // Their pages come to [`Node::models_received`].
-                Load::Models => None,
-            });
-        let Some(more) = page else {
-            return self.load_later(what);
-        };
-        if more {
-            return self.load(what);
+            .and_then(|r| self.load_page(what, &r));
+        match page {
+            None => self.load_later(what),
+            Some(Page::More) => self.load(what),
+            Some(Page::Last) => self.load_next(what),
+        }
+    }
+
+    fn load_page(&mut self, what: Load, response: &Response) -> Option<Page> {
+        match what {
+            Load::Jobs => self.load_items(response, Self::load_job),
+            Load::Inventory => self.load_items(response, Self::load_inventory),
+            Load::Log => self.load_items(response, Self::load_log),
+            Load::Rentals => self.load_items(response, Self::load_rental),
+            Load::Allotment => {
+                let range = self.read("state service", response)?;
+                self.load_allotment(range);
+                Some(Page::Last)
+            }
+            Load::Heads => {
+                let range = self.read("state service", response)?;
+                self.load_heads(range);
+                Some(Page::Last)
+            }
+            // Their pages come to [`Node::models_received`].
+            Load::Models => None,
         }
+    }
+
+    /// Goes on with the next kind.
+    fn load_next(&mut self, what: Load) {
         if let Some(shard) = &mut self.shard {
             shard.load_after = None;
         }
@@ -210,8 +283,22 @@
         }
     }
 
-    /// Notes where the next page goes on; true if there is one.
-    fn page_end<T>(&mut self, range: &Range<T>) -> bool {
+    /// Takes in each item of a page. `None` if the page can't be read.
+    fn load_items<T: DeserializeOwned>(
+        &mut self,
+        response: &Response,
+        load: impl Fn(&mut Self, Item<T>),
+    ) -> Option<Page> {
+        let range: Range<T> = self.read("state service", response)?;
+        let page = self.page_end(&range);
+        for item in range.items {
+            load(self, item);
+        }
+        Some(page)
+    }
+
+    /// Notes where the next page goes on.
+    fn page_end<T>(&mut self, range: &Range<T>) -> Page {
         if let Some(shard) = &mut self.shard {
             if shard.live_revision == 0 {
                 shard.live_revision = range.revision;
@@ -220,118 +307,49 @@
                 shard.load_after = Some(last.key.clone());
             }
         }
-        range.more && !range.items.is_empty()
+        if range.more && !range.items.is_empty() {
+            Page::More
+        } else {
+            Page::Last
+        }
     }
 
-    fn load_jobs(&mut self, range: Range<JobRecord>) -> bool {
-        let more = self.page_end(&range);
-        for Item { value, version, .. } in range.items {
-            self.job_known(value, version);
-        }
-        more
+    fn load_job(&mut self, item: Item<JobRecord>) {
+        self.job_known(item.value, item.version);
     }
 
-    fn load_inventory(&mut self, range: Range<InventoryRecord>) -> bool {
-        let more = self.page_end(&range);
-        let prefix = records::inventory_prefix(SHARD);
-        let now = self.now;
-        let Some(shard) = &mut self.shard else {
-            return false;
-        };
-        for Item {
-            key,
-            value,
-            version,
-        } in range.items
-        {
-            let Some(number) = key.strip_prefix(&prefix).and_then(|n| n.parse().ok()) else {
-                continue;
-            };
-            let mut inventory_shard = InventoryShard {
-                version,
-                ..InventoryShard::default()
-            };
-            for kind in value.kinds {
-                for (name, rented_ms) in kind.machines {
-                    let mut machine =
-                        Machine::new(&name, &kind.machine_type, &kind.zone, kind.spot, rented_ms);
-                    machine.recorded = true;
-                    machine.inventory_shard = number;
-                    machine.heard_at = now.mono;
-                    inventory_shard.size += machine.size;
-                    inventory_shard
-                        .machines
-                        .insert(shard.insert_machine(machine));
-                }
-            }
-            shard
-                .claim_log
-                .load_inventory_shard(number, inventory_shard);
+    fn load_inventory(&mut self, item: Item<InventoryRecord>) {
+        let now = self.now.mono;
+        let Some(shard) = &mut self.shard else { return };
+        let number = item.key.strip_prefix(&records::inventory_prefix(SHARD));
+        if let Some(number) = number.and_then(|n| n.parse().ok()) {
+            shard.load_inventory_shard(number, item.version, item.value, now);
         }
-        more
     }
 
-    fn load_log(&mut self, range: Range<LogRecord>) -> bool {
-        let more = self.page_end(&range);
-        let prefix = records::log_prefix(SHARD);
-        let Some(shard) = &mut self.shard else {
-            return false;
-        };
-        for Item {
-            key,
-            value,
-            version,
-        } in range.items
-        {
-            let number = key
-                .strip_prefix(&prefix)
-                .and_then(|n| u64::from_str_radix(n, 16).ok());
-            if let Some(number) = number {
-                shard.load_segment(number, version, value);
-            }
+    fn load_log(&mut self, item: Item<LogRecord>) {
+        let Some(shard) = &mut self.shard else { return };
+        let number = item.key.strip_prefix(&records::log_prefix(SHARD));
+        if let Some(number) = number.and_then(|n| u64::from_str_radix(n, 16).ok()) {
+            shard.load_segment(number, item.version, item.value);
         }
-        more
     }
 
-    fn load_rentals(&mut self, range: Range<RentalRecord>) -> bool {
-        let more = self.page_end(&range);
-        let prefix = records::rentals_prefix(SHARD);
-        let Some(shard) = &mut self.shard else {
-            return false;
-        };
-        for Item {
-            key,
-            value,
-            version,
-        } in range.items
-        {
-            if let Some(name) = key.strip_prefix(&prefix) {
-                let rental = Rental {
-                    rec: value,
-                    version,
-                    busy: false,
-                    retry_at: 0,
-                    state: RentalState::Recorded,
-                };
-                shard.rentals.insert(name.to_owned(), rental);
-            }
+    fn load_rental(&mut self, item: Item<RentalRecord>) {
+        let Some(shard) = &mut self.shard else { return };
+        if let Some(name) = item.key.strip_prefix(&records::rentals_prefix(SHARD)) {
+            let rental = Rental::recorded(item.value, item.version);
+            shard.rentals.insert(name.to_owned(), rental);
         }
-        more
     }
 
-    fn load_allotment(&mut self, range: Range<AllotmentRecord>) -> bool {
-        let Some(shard) = &mut self.shard else {
-            return false;
-        };
-        if let Some(item) = range
-            .items
-            .into_iter()
-            .find(|i| i.key == records::allotment_key(SHARD))
-        {
+    fn load_allotment(&mut self, range: Range<AllotmentRecord>) {
+        let Some(shard) = &mut self.shard else { return };
+        let key = records::allotment_key(SHARD);
+        if let Some(item) = range.items.into_iter().find(|i| i.key == key) {
             shard.allotment = Some(item.value);
             shard.allotment_version = item.version;
         }
-        false
     }
 
     /// The only part has all of every team's limit. Written down all the same: limits are kept by the record.
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -20,6 +20,19 @@
     pub state: RentalState,
 }
 
+impl Rental {
+    /// One that was read back.
+    pub fn recorded(rec: RentalRecord, version: u64) -> Self {
+        Rental {
+            rec,
+            version,
+            busy: false,
+            retry_at: 0,
+            state: RentalState::Recorded,
+        }
+    }
+}
+
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RentalState {
     New,
