--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -133,7 +133,7 @@
         if let Some(old) = &counties.good {
             faults = county::lost(&old.spec, new.spec(), &self.live_by_county());
             // A county that was closed may have been bound to until then.
-            let seen = self.shard.as_ref().map_or(0, |p| p.live_revision);
+            let seen = self.shard.as_ref().map_or(0, |p| p.live_watch.revision());
             let drops = old
                 .spec
                 .counties
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -155,7 +155,7 @@
         let audit = Audit {
             id: id.to_owned(),
             revision,
-            seen: self.live_revision,
+            seen: self.live_watch.revision(),
             counts,
             live,
             again: BTreeMap::new(),
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -373,7 +373,7 @@
         } else {
             u64::MAX
         };
-        let at = self.live_revision.min(known);
+        let at = self.live_watch.revision().min(known);
         let ended = self.tally.ended().map_err(Held::Unread)?;
         if self.tally.forgotten > at {
             return Err(Held::Behind);
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -79,7 +79,7 @@
         let term = self.term;
         let has_valid_lease = self.has_valid_lease();
         let Some(shard) = &mut self.shard else { return };
-        if !shard.live_busy && now >= shard.live_retry_at {
+        if shard.live_watch.is_due(now) {
             self.watch_live();
         }
         if !has_valid_lease {
--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -1,36 +1,82 @@
 //! The watch of accepted jobs: any controller accepts, and the leader hears of it here.
 
 use crate::{Destination, Node, Pending};
+use std::ops;
 use wire::api::Changes;
 use wire::http::Response;
 use wire::records::{self, JobRecord};
 
+/// The service answers a watch without changes after 5 s; one that says nothing for so long is cut off.
+const WATCH_ANSWER_MS: u64 = 7000;
+
+/// After how long a watch that ended badly is begun again.
+const RETRY_MS: ops::Range<u64> = 100..400;
+
+/// How far the watch has come, and whether it is out.
+#[derive(Debug, Default)]
+pub(crate) struct LiveWatch {
+    revision: u64,
+    busy: bool,
+    retry_at: u64,
+}
+
+impl LiveWatch {
+    /// The revision up to which all changes are known.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Whether it is to be begun again.
+    pub fn is_due(&self, now: u64) -> bool {
+        !self.busy && now >= self.retry_at
+    }
+
+    /// Everything was read as of this revision or later; the first page says it.
+    pub fn start_from(&mut self, revision: u64) {
+        if self.revision == 0 {
+            self.revision = revision;
+        }
+    }
+
+    fn begin(&mut self) {
+        self.busy = true;
+    }
+
+    fn ended(&mut self, retry_at: u64) {
+        self.busy = false;
+        self.retry_at = retry_at;
+    }
+
+    fn reached(&mut self, revision: u64) {
+        self.revision = self.revision.max(revision);
+    }
+}
+
 impl Node {
     pub(crate) fn watch_live(&mut self) {
         let term = self.term;
         let Some(shard) = &mut self.shard else { return };
-        shard.live_busy = true;
+        shard.live_watch.begin();
         let path = format!(
             "/changes?under={}&from={}&waitMs=5000",
             records::LIVE,
-            shard.live_revision
+            shard.live_watch.revision()
         );
         self.send(
             Destination::State,
             "GET",
             path,
             Vec::new(),
-            7000,
+            WATCH_ANSWER_MS,
             Pending::LiveWatch { term },
         );
     }
 
     pub(crate) fn live_changes(&mut self, response: Option<Response>) {
         let now = self.now.mono;
-        let retry = now + self.rng.u64(100..400);
+        let retry = now + self.rng.u64(RETRY_MS);
         let Some(shard) = &mut self.shard else { return };
-        shard.live_busy = false;
-        shard.live_retry_at = retry;
+        shard.live_watch.ended(retry);
         let Some(response) = response else { return };
         match response.status {
             200 => {}
@@ -47,7 +93,7 @@
             }
         }
         if let Some(shard) = &mut self.shard {
-            shard.live_revision = shard.live_revision.max(changes.revision);
+            shard.live_watch.reached(changes.revision);
         }
         self.watch_live();
     }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -35,6 +35,22 @@
 /// An answer to a read that takes longer is none.
 const LOAD_ANSWER_MS: u64 = 3000;
 
+/// How far the reading has come.
+#[derive(Debug, Default)]
+pub(crate) struct RecoveryProgress {
+    /// The last key of the pages that were read of a kind.
+    after: Option<String>,
+    /// What could not be read, and when it is tried again.
+    again: Option<(Load, u64)>,
+}
+
+impl RecoveryProgress {
+    fn take_due(&mut self, now: u64) -> Option<Load> {
+        let (what, _) = self.again.take_if(|(_, at)| *at <= now)?;
+        Some(what)
+    }
+}
+
 /// Whether there are more pages of a kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Page {
@@ -200,7 +216,7 @@
             Load::Models => return self.read_models(),
         };
         let mut path = format!("/keys?under={prefix}&limit=1000");
-        if let Some(after) = &shard.load_after {
+        if let Some(after) = &shard.recovery.after {
             path.push_str(&format!("&from={after}"));
         }
         let what = Pending::Load {
@@ -222,14 +238,14 @@
     pub(crate) fn load_later(&mut self, what: Load) {
         let at = self.now.mono + self.rng.u64(LOAD_AGAIN_MS);
         if let Some(shard) = &mut self.shard {
-            shard.load_again = Some((what, at));
+            shard.recovery.again = Some((what, at));
         }
     }
 
     pub(crate) fn load_tick(&mut self) {
         let now = self.now.mono;
-        let due = |(_, at): &mut (Load, u64)| *at <= now;
-        if let Some((what, _)) = self.shard.as_mut().and_then(|p| p.load_again.take_if(due)) {
+        let shard = self.shard.as_mut();
+        if let Some(what) = shard.and_then(|s| s.recovery.take_due(now)) {
             self.load(what);
         }
     }
@@ -270,7 +286,7 @@
     /// Goes on with the next kind.
     fn load_next(&mut self, what: Load) {
         if let Some(shard) = &mut self.shard {
-            shard.load_after = None;
+            shard.recovery.after = None;
         }
         match what {
             Load::Jobs => self.load(Load::Inventory),
@@ -300,11 +316,9 @@
     /// Notes where the next page goes on.
     fn page_end<T>(&mut self, range: &Range<T>) -> Page {
         if let Some(shard) = &mut self.shard {
-            if shard.live_revision == 0 {
-                shard.live_revision = range.revision;
-            }
+            shard.live_watch.start_from(range.revision);
             if let Some(last) = range.items.last() {
-                shard.load_after = Some(last.key.clone());
+                shard.recovery.after = Some(last.key.clone());
             }
         }
         if range.more && !range.items.is_empty() {
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -4,7 +4,8 @@
 use crate::jobs::job::{Class, Job, JobIndex};
 use crate::store::claim_log::{ClaimId, ClaimLog};
 use crate::store::commit::Commit;
-use crate::store::recovery::Load;
+use crate::store::live_jobs::LiveWatch;
+use crate::store::recovery::RecoveryProgress;
 use crate::store::transaction::value_limit;
 use crate::{Node, Requester};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -78,12 +79,8 @@
     pub heard_itself: bool,
     /// When this term began.
     pub since: u64,
-    pub load_after: Option<String>,
-    /// What could not be read, and when it is tried again.
-    pub load_again: Option<(Load, u64)>,
-    pub live_revision: u64,
-    pub live_busy: bool,
-    pub live_retry_at: u64,
+    pub recovery: RecoveryProgress,
+    pub live_watch: LiveWatch,
     pub jobs: Vec<Option<Job>>,
     pub free_jobs: Vec<JobIndex>,
     pub job_index: HashMap<String, JobIndex>,
@@ -148,11 +145,8 @@
             attestations: crate::leadership::lease_bound::Attestations::default(),
             heard_itself: false,
             since: now,
-            load_after: None,
-            load_again: None,
-            live_revision: 0,
-            live_busy: false,
-            live_retry_at: 0,
+            recovery: RecoveryProgress::default(),
+            live_watch: LiveWatch::default(),
             jobs: Vec::new(),
             free_jobs: Vec::new(),
             job_index: HashMap::new(),
