--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -2,17 +2,16 @@
 //! under them, and a new version comes in one transaction with the allotment that names it.
 
 use crate::documents::{Doc, Documents, Kind, KindId};
-use crate::leadership::election::SHARD;
 use crate::scheduling::entitlement;
 use crate::store::shard::Shard;
-use crate::store::transaction::{PendingWrite, TransactionDraft};
+use crate::store::transaction::TransactionDraft;
 use crate::{Node, documents};
 use document::{Fault, Head};
 use quota::{Live, Spec, Tree, edit};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use wire::admin::{self, Edit, Question};
-use wire::records::{self, AllotmentRecord, Record};
+use wire::records::{AllotmentRecord, Record};
 use wire::tree::HeadRecord;
 
 pub(crate) struct Quota;
@@ -90,7 +89,7 @@
         node.tree_in_force();
     }
     fn settled(shard: &Shard) -> bool {
-        shard.allotment_version > 0 && shard.allotment_wanted.is_none()
+        shard.allotment.is_settled()
     }
     /// What was planned under the old bounds must not be recorded with the new ones.
     fn before_head(node: &mut Node) {
@@ -98,21 +97,14 @@
     }
     /// The allotment that names the tree.
     fn with_head(draft: &mut TransactionDraft, shard: &mut Shard, version: u64) {
-        let Some(allotment) = shard.allotment.clone() else {
+        let Some(allotment) = shard.allotment.current().cloned() else {
             return;
         };
         let allotment = AllotmentRecord {
             tree: version,
             ..allotment
         };
-        draft.put(
-            records::allotment_key(SHARD),
-            shard.allotment_version,
-            Record::Allotment(allotment.clone()),
-        );
-        shard.allotment = Some(allotment);
-        shard.allotment_version = 0;
-        draft.ops.push(PendingWrite::Allotment);
+        shard.allotment.write(draft, allotment);
     }
     fn record(head: Head) -> Record {
         Record::Quota(HeadRecord { quota: head })
@@ -168,11 +160,10 @@
         let Some(shard) = self.shard.as_mut().filter(|p| p.loaded) else {
             return;
         };
-        let stands = shard.allotment.as_ref() == Some(&whole) && shard.allotment_wanted.is_none();
-        if stands {
+        if shard.allotment.is_settled_on(&whole) {
             return;
         }
-        shard.allotment_wanted = Some(whole);
+        shard.allotment.want(whole);
         shard.plan_due = true;
         self.to_write = true;
         // What was planned under the old bounds and not recorded yet is planned anew.
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -449,12 +449,12 @@
     /// one, or with another version in force, there is no room at all.
     fn plan_teams(&self, tree: Option<&quota::Tree>) -> Vec<plan::Team> {
         let version = self.shared.documents.quota.version();
-        let recorded = |p: &&Shard| p.allotment_version > 0 && p.allotment_wanted.is_none();
+        let recorded = |p: &&Shard| p.allotment.is_settled();
         let allotment = self
             .shard
             .as_ref()
             .filter(recorded)
-            .and_then(|p| p.allotment.as_ref());
+            .and_then(|p| p.allotment.current());
         let allotment = allotment.filter(|a| Some(a.tree) == version);
         let listed: HashMap<&str, &TeamAllotment> = allotment
             .iter()
--- /dev/null
+++ b/crates/control/src/store/allotment.rs
@@ -0,0 +1,70 @@
+//! What the teams may use of the shard: the allotment that is recorded, and the one that is to be.
+
+use crate::leadership::election::SHARD;
+use crate::store::transaction::{PendingWrite, TransactionDraft};
+use wire::records::{self, AllotmentRecord, Record};
+
+/// Nothing is started before an allotment is recorded.
+#[derive(Debug, Default)]
+pub(crate) struct AllotmentState {
+    /// What was read or written last.
+    current: Option<AllotmentRecord>,
+    /// Its version in the state service; 0 while it is being written, and where there is none.
+    version: u64,
+    /// The allotment that is to be written down instead.
+    wanted: Option<AllotmentRecord>,
+}
+
+impl AllotmentState {
+    /// What was read or written last, whether or not it is recorded yet.
+    pub fn current(&self) -> Option<&AllotmentRecord> {
+        self.current.as_ref()
+    }
+
+    /// Whether one is recorded, and none is to take its place.
+    pub fn is_settled(&self) -> bool {
+        self.version > 0 && self.wanted.is_none()
+    }
+
+    /// Whether this one is current, and none is to take its place.
+    pub fn is_settled_on(&self, allotment: &AllotmentRecord) -> bool {
+        self.current.as_ref() == Some(allotment) && self.wanted.is_none()
+    }
+
+    /// The one in the state service, as it was read back.
+    pub fn load(&mut self, allotment: AllotmentRecord, version: u64) {
+        self.current = Some(allotment);
+        self.version = version;
+    }
+
+    /// This one is to be written down.
+    pub fn want(&mut self, allotment: AllotmentRecord) {
+        self.wanted = Some(allotment);
+    }
+
+    /// This one is to be written down unless it is current.
+    pub fn want_if_other(&mut self, allotment: AllotmentRecord) {
+        self.wanted = (self.current.as_ref() != Some(&allotment)).then_some(allotment);
+    }
+
+    pub fn take_wanted(&mut self) -> Option<AllotmentRecord> {
+        self.wanted.take()
+    }
+
+    /// Puts an allotment in the place of the one that is recorded.
+    pub fn write(&mut self, draft: &mut TransactionDraft, allotment: AllotmentRecord) {
+        draft.put(
+            records::allotment_key(SHARD),
+            self.version,
+            Record::Allotment(allotment.clone()),
+        );
+        self.current = Some(allotment);
+        self.version = 0;
+        draft.ops.push(PendingWrite::Allotment);
+    }
+
+    /// What was written is in place at this revision.
+    pub fn recorded(&mut self, revision: u64) {
+        self.version = revision;
+    }
+}
--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -61,7 +61,7 @@
             PendingWrite::InventoryShard(number, machines) => {
                 shard.inventory_recorded(number, &machines, revision)
             }
-            PendingWrite::Allotment => shard.allotment_version = revision,
+            PendingWrite::Allotment => shard.allotment.recorded(revision),
             PendingWrite::DocumentPart(kind, name) => {
                 self.shared.documents.part_written(kind, name, revision)
             }
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -1,6 +1,7 @@
 //! The leader's records in the state service: its compare-and-swap transactions, the log of write-ahead claims, and how
 //! all of it is read back after a failover.
 
+pub(crate) mod allotment;
 pub(crate) mod apply;
 pub(crate) mod claim_log;
 pub(crate) mod claim_records;
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -361,8 +361,7 @@
         let Some(shard) = &mut self.shard else { return };
         let key = records::allotment_key(SHARD);
         if let Some(item) = range.items.into_iter().find(|i| i.key == key) {
-            shard.allotment = Some(item.value);
-            shard.allotment_version = item.version;
+            shard.allotment.load(item.value, item.version);
         }
     }
 
@@ -380,7 +379,7 @@
         let recorded = self
             .shard
             .as_ref()
-            .and_then(|p| p.allotment.as_ref())
+            .and_then(|p| p.allotment.current())
             .map_or(0, |a| a.tree);
         let value = value_limit(self.settings.cluster.state.value_kb);
         AllotmentRecord::whole(
@@ -398,7 +397,7 @@
         let whole = self.whole_allotment();
         self.refit_hours();
         let Some(shard) = &mut self.shard else { return };
-        shard.allotment_wanted = (shard.allotment.as_ref() != Some(&whole)).then_some(whole);
+        shard.allotment.want_if_other(whole);
         shard.loaded = true;
         shard.since = now;
         for machine in shard.machines.iter_mut().flatten() {
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -2,6 +2,7 @@
 
 use crate::agents::machine::Machine;
 use crate::jobs::job::{Class, Job, JobIndex};
+use crate::store::allotment::AllotmentState;
 use crate::store::claim_log::{ClaimId, ClaimLog};
 use crate::store::commit::Commit;
 use crate::store::live_jobs::LiveWatch;
@@ -9,7 +10,7 @@
 use crate::store::transaction::value_limit;
 use crate::{Node, Requester};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use wire::records::{AllotmentRecord, RentalRecord};
+use wire::records::RentalRecord;
 
 pub(crate) struct Rental {
     pub rec: RentalRecord,
@@ -118,11 +119,7 @@
     /// The job at which the last plan was stopped by its bound of steps.
     pub plan_stopped_at: Option<JobIndex>,
     pub catalog_dirty: bool,
-    /// What our teams may use, as recorded, and its version; nothing is started before it is known.
-    pub allotment: Option<AllotmentRecord>,
-    pub allotment_version: u64,
-    /// The allotment that is to be written down instead.
-    pub allotment_wanted: Option<AllotmentRecord>,
+    pub allotment: AllotmentState,
     /// Jobs that may have changed since the last plan.
     touched: Vec<JobIndex>,
     /// Jobs that are not wanted any more and still have claims.
@@ -176,9 +173,7 @@
             planned_at: 0,
             plan_stopped_at: None,
             catalog_dirty: false,
-            allotment: None,
-            allotment_version: 0,
-            allotment_wanted: None,
+            allotment: AllotmentState::default(),
             touched: Vec::new(),
             unwanted: BTreeSet::new(),
             counted: None,
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -256,17 +256,9 @@
         if !self.has_room() {
             return;
         }
-        let Some(whole) = shard.allotment_wanted.take() else {
-            return;
-        };
-        self.put(
-            records::allotment_key(SHARD),
-            shard.allotment_version,
-            Record::Allotment(whole.clone()),
-        );
-        shard.allotment = Some(whole);
-        shard.allotment_version = 0;
-        self.ops.push(PendingWrite::Allotment);
+        if let Some(allotment) = shard.allotment.take_wanted() {
+            shard.allotment.write(self, allotment);
+        }
     }
 
     fn put_token(&mut self, shard: &mut Shard, shared: &Shared, now: u64) {
