--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -216,7 +216,7 @@
         if !machine.up {
             machine.up = true;
             machine.idle_since = now;
-            shard.plan_due = true;
+            shard.plan_triggers.request();
             log::info!("machine {}: up", machine.name);
         }
         if machine
@@ -224,7 +224,7 @@
             .is_some_and(|(t, session)| heartbeat.token > t || heartbeat.session > session)
         {
             machine.unanswered_command = None;
-            shard.plan_due = true;
+            shard.plan_triggers.request();
         }
         // What is not listed now is gone only if nothing that could start it is still under way: no command
         // of an earlier token, no direct command unanswered, no start in an answer that a worker still waits for.
@@ -480,7 +480,7 @@
         if machine.claims.is_empty() {
             machine.idle_since = now;
         }
-        shard.plan_due = true;
+        shard.plan_triggers.request();
         Some(claim.job)
     }
 
--- a/crates/control/src/documents/hours.rs
+++ b/crates/control/src/documents/hours.rs
@@ -754,7 +754,7 @@
         if let Some(job) = job {
             shard.hours.add(job, hour.ix);
         }
-        shard.plan_due = true;
+        shard.plan_triggers.request();
         let line = format!(
             "{}: from {from} to {} ms by {:?}",
             hour.job, hour.due_ms, hour.by
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -164,7 +164,7 @@
             return;
         }
         shard.allotment.want(whole);
-        shard.plan_due = true;
+        shard.plan_triggers.request();
         self.to_write = true;
         // What was planned under the old bounds and not recorded yet is planned anew.
         self.drop_unrecorded();
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -372,7 +372,7 @@
         self.to_write = true;
         self.model_changed(ix);
         let Some(shard) = &mut self.shard else { return };
-        shard.plan_due = true;
+        shard.plan_triggers.request();
         shard.job_to_write(ix);
         let Some(job) = shard.job_mut(ix) else { return };
         if job.kind() == Kind::Gang && !job.is_ending() {
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -297,7 +297,7 @@
             if let Some(job) = shard.job_mut(ix) {
                 job.replicas = None;
             }
-            shard.plan_due = true;
+            shard.plan_triggers.request();
             return;
         };
         let known = self.models.known(&id);
@@ -844,7 +844,7 @@
         if let Some(job) = shard.job_mut(ix) {
             job.replicas = Some(replicas);
         }
-        shard.plan_due = true;
+        shard.plan_triggers.request();
     }
 }
 
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -70,7 +70,7 @@
         self.shared.catalog = Some(catalog);
         if let Some(shard) = &mut self.shard {
             shard.catalog_dirty |= !known;
-            shard.plan_due = true;
+            shard.plan_triggers.request();
         }
     }
 
@@ -299,7 +299,7 @@
         } else {
             rental.retry_at = now.mono + wait;
         }
-        shard.plan_due = true;
+        shard.plan_triggers.request();
     }
 
     pub(crate) fn deleted(&mut self, machines: Vec<usize>, response: Option<Response>) {
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -348,7 +348,7 @@
     };
     let still_waits = (0..input.jobs.len()).any(waits);
     let got_on = !output.preempts.is_empty() || started.keys().any(|job| is_urgent(*job as usize));
-    shard.urgent.planned(now, still_waits, got_on);
+    shard.plan_triggers.urgent.planned(now, still_waits, got_on);
 }
 
 impl Node {
@@ -361,16 +361,14 @@
         let plan_pacing = self.plan_pacing;
         let settle = (self.settings.cluster.workers.report_s * 1000.0) as u64;
         let Some(shard) = &mut self.shard else { return };
-        let due = (shard.plan_due && now >= shard.planned_at + every)
-            || now >= shard.planned_at + 2 * every;
+        let due = shard.plan_triggers.is_due(now, every);
         let scope = match due {
             true => Scope::All,
-            false if shard.urgent.is_due(now, &plan_pacing) => Scope::Urgent,
+            false if shard.plan_triggers.urgent.is_due(now, &plan_pacing) => Scope::Urgent,
             false => return,
         };
         if scope == Scope::All {
-            shard.plan_due = false;
-            shard.planned_at = now;
+            shard.plan_triggers.planned(now);
         }
         let since = shard.since;
         let Some(catalog) = self.shared.catalog.clone() else {
@@ -383,7 +381,7 @@
         if let Some(shard) = &mut self.shard {
             note_urgent(shard, now, &input, &output);
             if scope == Scope::All {
-                shard.plan_stopped_at = stopped_at;
+                shard.plan_triggers.stopped_at = stopped_at;
             }
         }
         self.stats.plans += 1;
@@ -787,12 +785,12 @@
         let horizon = self.tuning.horizon_s;
         let Some(shard) = &mut self.shard else { return };
         // Records first: what is still to be written down would be hired twice.
-        if now.mono < shard.rental_check_at
+        if !shard.plan_triggers.rentals_due(now.mono)
             || shard.rentals.values().any(|h| h.state == RentalState::New)
         {
             return;
         }
-        shard.rental_check_at = now.mono + 1000;
+        shard.plan_triggers.rentals_considered(now.mono);
         let mut offers = Vec::new();
         let mut names = Vec::new();
         for (i, t) in catalog.types.iter().enumerate() {
--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -135,7 +135,9 @@
             let machine = index.and_then(|m| self.machine_mut(m));
             if let Some(machine) = machine.filter(|m| m.inventory_shard == number) {
                 let was_recorded = std::mem::replace(&mut machine.recorded, true);
-                self.plan_due |= !was_recorded;
+                if !was_recorded {
+                    self.plan_triggers.request();
+                }
             }
         }
     }
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -7,6 +7,7 @@
 pub(crate) mod claim_records;
 pub(crate) mod commit;
 pub(crate) mod live_jobs;
+pub(crate) mod plan_triggers;
 pub(crate) mod rate_budget;
 pub(crate) mod recovery;
 pub(crate) mod shard;
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -443,9 +443,9 @@
             .entry(rec.spec.class.clone())
             .or_default()
             .arrived(&rec.spec, rec.at_ms);
-        shard.urgent.arrived(&rec.spec);
+        shard.plan_triggers.urgent.arrived(&rec.spec);
         let ix = shard.add_job(Job::new(rec, version));
-        shard.plan_due = true;
+        shard.plan_triggers.request();
         self.model_received(ix);
     }
 }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -6,6 +6,7 @@
 use crate::store::claim_log::{ClaimId, ClaimLog};
 use crate::store::commit::Commit;
 use crate::store::live_jobs::LiveWatch;
+use crate::store::plan_triggers::PlanTriggers;
 use crate::store::recovery::RecoveryProgress;
 use crate::store::transaction::value_limit;
 use crate::{Node, Requester};
@@ -112,12 +113,7 @@
     pub list: crate::provisioning::fleet::Listing,
     pub delete_busy: bool,
     pub delete_retry_at: u64,
-    pub rental_check_at: u64,
-    pub plan_due: bool,
-    pub urgent: crate::scheduling::urgent::Urgent,
-    pub planned_at: u64,
-    /// The job at which the last plan was stopped by its bound of steps.
-    pub plan_stopped_at: Option<JobIndex>,
+    pub plan_triggers: PlanTriggers,
     pub catalog_dirty: bool,
     pub allotment: AllotmentState,
     /// Jobs that may have changed since the last plan.
@@ -167,11 +163,7 @@
             list: crate::provisioning::fleet::Listing::default(),
             delete_busy: false,
             delete_retry_at: 0,
-            rental_check_at: 0,
-            urgent: crate::scheduling::urgent::Urgent::default(),
-            plan_due: true,
-            planned_at: 0,
-            plan_stopped_at: None,
+            plan_triggers: PlanTriggers::default(),
             catalog_dirty: false,
             allotment: AllotmentState::default(),
             touched: Vec::new(),
