--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -69,7 +69,7 @@
                 .is_some_and(|old| names(old) == names(&catalog));
         self.shared.catalog = Some(catalog);
         if let Some(shard) = &mut self.shard {
-            shard.catalog_dirty |= !known;
+            shard.cloud_calls.catalog_dirty |= !known;
             shard.plan_triggers.request();
         }
     }
@@ -118,13 +118,13 @@
             );
         }
         let Some(shard) = &mut self.shard else { return };
-        if !shard.delete_busy && now >= shard.delete_retry_at {
+        if shard.cloud_calls.may_delete(now) {
             let machines: Vec<usize> = (0..shard.machines.len())
                 .filter(|m| shard.machine(*m).is_some_and(|x| x.deleting))
                 .take(100)
                 .collect();
             if !machines.is_empty() && self.cloud.try_take(now, 1.0) {
-                shard.delete_busy = true;
+                shard.cloud_calls.deletion_sent();
                 let names = machines
                     .iter()
                     .filter_map(|m| shard.machine(*m).map(|x| x.name.clone()))
@@ -143,11 +143,15 @@
         }
         let every = (self.settings.cluster.cloud.list_lag_s * 500.0) as u64;
         let Some(shard) = &mut self.shard else { return };
-        if !shard.list.busy && now >= shard.list.next_at && self.cloud.try_take(now, 1.0) {
-            shard.list.busy = true;
-            shard.list.next_at = now + every.max(1500);
+        if !shard.cloud_calls.listing.busy
+            && now >= shard.cloud_calls.listing.next_at
+            && self.cloud.try_take(now, 1.0)
+        {
+            shard.cloud_calls.listing.busy = true;
+            shard.cloud_calls.listing.next_at = now + every.max(1500);
             let from = shard
-                .list
+                .cloud_calls
+                .listing
                 .after
                 .as_ref()
                 .map(|a| format!("from={a}&"))
@@ -170,14 +174,14 @@
             .and_then(|r| self.read::<MachineList>("cloud", &r));
         self.forget_returned();
         let Some(shard) = &mut self.shard else { return };
-        shard.list.busy = false;
+        shard.cloud_calls.listing.busy = false;
         let Some(list) = list else { return };
-        shard.list.after = None;
+        shard.cloud_calls.listing.after = None;
         if list.more
             && let Some(last) = list.machines.last()
         {
-            shard.list.after = Some(last.name.clone());
-            shard.list.next_at = self.now.mono;
+            shard.cloud_calls.listing.after = Some(last.name.clone());
+            shard.cloud_calls.listing.next_at = self.now.mono;
         }
         for machine in list.machines {
             self.listed(machine);
@@ -274,9 +278,9 @@
         if let Some(got) = got {
             rental.state = RentalState::Over;
             if (got.machines.len() as u32) < rec.count {
-                shard.refused.insert(kind, (now.mono + 20_000, 1));
+                shard.cloud_calls.partly_refused(kind, now.mono);
             } else {
-                shard.refused.remove(&kind);
+                shard.cloud_calls.supplied(&kind);
             }
             for machine in got.machines {
                 if shard.machine_index.contains_key(&machine)
@@ -292,10 +296,7 @@
         } else if no_capacity || status == Some(400) {
             log::info!("rental {name}: none to be had");
             rental.state = RentalState::Over;
-            let times = shard.refused.get(&kind).map_or(0, |(_, n)| *n) + 1;
-            shard
-                .refused
-                .insert(kind, (now.mono + 8000 * u64::from(times.min(4)), times));
+            shard.cloud_calls.refused(kind, now.mono);
         } else {
             rental.retry_at = now.mono + wait;
         }
@@ -306,9 +307,9 @@
         let now = self.now.mono;
         let wait = self.rng.u64(500..1500);
         let Some(shard) = &mut self.shard else { return };
-        shard.delete_busy = false;
+        shard.cloud_calls.deletion_ended();
         if response.is_none_or(|r| r.status != 200) {
-            shard.delete_retry_at = now + wait;
+            shard.cloud_calls.delete_again_at(now + wait);
             return;
         }
         let mut changed = std::collections::BTreeSet::new();
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -853,12 +853,7 @@
             *load.entry(machine.zone.as_str()).or_default() += 1;
         }
         let mut order: Vec<usize> = (0..names.len())
-            .filter(|i| {
-                shard
-                    .refused
-                    .get(&names[*i])
-                    .is_none_or(|(until, _)| *until <= now.mono)
-            })
+            .filter(|i| !shard.cloud_calls.is_refused(&names[*i], now.mono))
             // A new machine in a zone that can't be heard is paid for nothing.
             .filter(|i| !shard.cut_zones.contains(&names[*i].1))
             .collect();
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -5,6 +5,7 @@
 pub(crate) mod apply;
 pub(crate) mod claim_log;
 pub(crate) mod claim_records;
+pub(crate) mod cloud_calls;
 pub(crate) mod commit;
 pub(crate) mod live_jobs;
 pub(crate) mod plan_triggers;
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -4,6 +4,7 @@
 use crate::jobs::job::{Class, Job, JobIndex};
 use crate::store::allotment::AllotmentState;
 use crate::store::claim_log::{ClaimId, ClaimLog};
+use crate::store::cloud_calls::CloudCalls;
 use crate::store::commit::Commit;
 use crate::store::live_jobs::LiveWatch;
 use crate::store::plan_triggers::PlanTriggers;
@@ -102,19 +103,14 @@
     pub images: Names,
     /// Machines that were returned, with the time: old lists and reports may still name them.
     pub returned: HashMap<String, u64>,
-    /// Kinds of machines that the cloud had none of, until when, and how often in a row.
-    pub refused: HashMap<(String, String, bool), (u64, u32)>,
     /// When silent machines were last looked for.
     pub looked_at: u64,
     /// Zones most of whose machines can't be heard: rather the network than the machines.
     pub cut_zones: BTreeSet<String>,
     /// Zones some of whose machines are heard by way of a peer.
     pub detour_zones: BTreeSet<String>,
-    pub list: crate::provisioning::fleet::Listing,
-    pub delete_busy: bool,
-    pub delete_retry_at: u64,
+    pub cloud_calls: CloudCalls,
     pub plan_triggers: PlanTriggers,
-    pub catalog_dirty: bool,
     pub allotment: AllotmentState,
     /// Jobs that may have changed since the last plan.
     touched: Vec<JobIndex>,
@@ -156,15 +152,11 @@
             classes: BTreeMap::new(),
             images: Names::default(),
             returned: HashMap::new(),
-            refused: HashMap::new(),
             looked_at: 0,
             cut_zones: BTreeSet::new(),
             detour_zones: BTreeSet::new(),
-            list: crate::provisioning::fleet::Listing::default(),
-            delete_busy: false,
-            delete_retry_at: 0,
+            cloud_calls: CloudCalls::default(),
             plan_triggers: PlanTriggers::default(),
-            catalog_dirty: false,
             allotment: AllotmentState::default(),
             touched: Vec::new(),
             unwanted: BTreeSet::new(),
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -333,13 +333,13 @@
     }
 
     fn put_catalog(&mut self, shard: &mut Shard, shared: &Shared, value_kb: f64) {
-        if !shard.catalog_dirty || !self.has_room() {
+        if !shard.cloud_calls.catalog_dirty || !self.has_room() {
             return;
         }
         let Some(catalog) = &shared.catalog else {
             return;
         };
-        shard.catalog_dirty = false;
+        shard.cloud_calls.catalog_dirty = false;
         if wire::encode(catalog).len() as f64 * SERVICE_FORM >= value_kb * 1024.0 {
             return;
         }
