--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -166,8 +166,8 @@
     fn sender_of(&mut self, heartbeat: &Heartbeat) -> Option<usize> {
         let now = self.now;
         let shard = self.shard.as_mut()?;
-        if let Some(m) = shard.machine_index.get(&heartbeat.machine) {
-            return Some(*m);
+        if let Some(m) = shard.machines.index_of(&heartbeat.machine) {
+            return Some(m);
         }
         if shard.returned.contains_key(&heartbeat.machine) || !name_ok(&heartbeat.machine) {
             return None;
@@ -200,7 +200,7 @@
             return false;
         };
         let token = shard.token;
-        let Some(machine) = shard.machines.get_mut(m).and_then(Option::as_mut) else {
+        let Some(machine) = shard.machines.get_mut(m) else {
             return false;
         };
         if (heartbeat.session, heartbeat.seq) <= machine.seen {
@@ -248,7 +248,7 @@
             let Some((id, task)) = ids::parse_task(&t.task) else {
                 continue;
             };
-            let ix = shard.job_index.get(id).copied();
+            let ix = shard.jobs.index_of(id);
             let found = ix.and_then(|ix| {
                 listed.push((ix, task, t.attempt));
                 machine
@@ -301,7 +301,7 @@
                     matches!(s, Some(TaskStage::Running | TaskStage::Saving))
                 };
                 let (ran, run) = (runs(was), runs(Some(t.stage)));
-                if let Some(job) = shard.jobs.get_mut(claim.job).and_then(Option::as_mut) {
+                if let Some(job) = shard.jobs.get_mut(claim.job) {
                     job.running = (job.running + u32::from(run && !ran))
                         .saturating_sub(u32::from(ran && !run));
                     if t.stage != TaskStage::Fetching
@@ -386,13 +386,13 @@
     ) -> Option<JobIndex> {
         let now = self.now.mono;
         let shard = self.shard.as_mut()?;
-        let machine = shard.machines.get_mut(m)?.as_mut()?;
+        let machine = shard.machines.get_mut(m)?;
         if k >= machine.claims.len() {
             return None;
         }
         let claim = machine.claims.remove(k);
         shard.claim_log.ended(claim.segment);
-        let job = shard.jobs.get_mut(claim.job)?.as_mut()?;
+        let job = shard.jobs.get_mut(claim.job)?;
         log::debug!(
             "task {}/{} attempt {} on {}: ended, {cause:?}",
             job.id,
@@ -537,7 +537,7 @@
         let Some(shard) = &mut self.shard else {
             return orders;
         };
-        let Some(machine) = shard.machines.get_mut(m).and_then(Option::as_mut) else {
+        let Some(machine) = shard.machines.get_mut(m) else {
             return orders;
         };
         // Nothing begins in the last of a lease, or on a machine that goes.
@@ -554,7 +554,7 @@
             if c.state != ClaimState::Recorded {
                 continue;
             }
-            let Some(job) = shard.jobs.get(c.job).and_then(Option::as_ref) else {
+            let Some(job) = shard.jobs.get(c.job) else {
                 continue;
             };
             if let Some(grace_s) = c.stop {
@@ -591,10 +591,8 @@
         }
         if machine.unanswered_command.is_none() {
             for e in &machine.exited {
-                let ix = shard.job_index.get(&e.job).copied();
-                let job = ix
-                    .and_then(|ix| shard.jobs.get(ix))
-                    .and_then(Option::as_ref);
+                let ix = shard.jobs.index_of(&e.job);
+                let job = ix.and_then(|ix| shard.jobs.get(ix));
                 let claimed = ix.is_some_and(|ix| {
                     machine
                         .claims
@@ -802,7 +800,7 @@
         let kept = self.kept_ms(&machine.zone, machine.heard_at);
         let lease = (self.settings.cluster.workers.lease_s * 1000.0) as u64 + silent + kept;
         let Some(shard) = &mut self.shard else { return };
-        let Some(machine) = shard.machines.get_mut(m).and_then(Option::as_mut) else {
+        let Some(machine) = shard.machines.get_mut(m) else {
             return;
         };
         let patient =
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -61,7 +61,7 @@
         let Some(shard) = self.shard.as_ref().filter(|shard| shard.loaded) else {
             return;
         };
-        let machines = shard.machine_index.len() as f64;
+        let machines = shard.machines.count() as f64;
         let most = match self.routing.is_spread {
             true => self.tuning.direct_machines * SPREAD_UNTIL,
             false => self.tuning.direct_machines,
@@ -83,7 +83,7 @@
             return None;
         }
         let shard = self.shard.as_ref()?;
-        if !shard.machine_index.contains_key(&heartbeat.machine) {
+        if !shard.machines.contains(&heartbeat.machine) {
             return None;
         }
         let peer = self.relay_for(heartbeat)?;
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -109,7 +109,7 @@
 
     /// Counts a job's end, if it has a county.
     pub fn add(&mut self, shard: &mut Shard, ix: JobIndex, stage: Stage) -> Option<CountedRecord> {
-        let job = shard.jobs.get(ix)?.as_ref()?;
+        let job = shard.jobs.get(ix)?;
         let (county, class) = (
             job.county.as_ref()?.county.clone(),
             job.spec.as_ref()?.class.clone(),
--- a/crates/control/src/documents/hours.rs
+++ b/crates/control/src/documents/hours.rs
@@ -329,7 +329,7 @@
         };
         let mut seen: BTreeMap<JobIndex, Seen> = BTreeMap::new();
         for (i, ix) in jobs.iter().enumerate() {
-            if shard.jobs[*ix].as_ref().is_some_and(|j| j.hour.is_some()) {
+            if shard.job(*ix).is_some_and(|j| j.hour.is_some()) {
                 let of = seen.entry(*ix).or_default();
                 of.pending += input.jobs[i].pending;
                 of.like = i;
@@ -347,7 +347,9 @@
             .any(|m| !m.up && !m.deleting && !m.failed);
         let mut changes = Vec::new();
         for (ix, of) in seen {
-            let Some(job) = &shard.jobs[ix] else { continue };
+            let Some(job) = shard.jobs.get(ix) else {
+                continue;
+            };
             let (Some(hour), Some(spec)) = (&job.hour, &job.spec) else {
                 continue;
             };
@@ -440,7 +442,7 @@
     fn say_hours(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
         let more = changes.len().saturating_sub(LOGGED);
         for (n, (ix, state)) in changes.into_iter().enumerate() {
-            let Some(job) = self.jobs.get_mut(ix).and_then(Option::as_mut) else {
+            let Some(job) = self.jobs.get_mut(ix) else {
                 continue;
             };
             let Some(hour) = &mut job.hour else { continue };
@@ -534,9 +536,9 @@
         let (calendar, version) = calendar.unwrap_or_default();
         let Some(shard) = &mut self.shard else { return };
         let found = shard
-            .job_index
-            .get(id)
-            .and_then(|ix| Some((*ix, shard.job(*ix)?)));
+            .jobs
+            .index_of(id)
+            .and_then(|ix| Some((ix, shard.job(ix)?)));
         let Some((ix, job)) = found.filter(|(_, j)| j.spec.is_some()) else {
             return self.deny_admin(
                 conn,
@@ -749,7 +751,7 @@
         let from = rec.moved.as_ref().map_or(0, |m| m.from_ms);
         job.version = revision;
         job.hour = Some(Hour::new(rec));
-        let job = &shard.jobs[hour.ix];
+        let job = shard.jobs.get(hour.ix);
         shard.hours.forget(from, hour.ix);
         if let Some(job) = job {
             shard.hours.add(job, hour.ix);
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -325,7 +325,7 @@
 
     /// How many machines the fleet has.
     pub fn machine_count(&self) -> usize {
-        self.shard.as_ref().map_or(0, |p| p.machine_index.len())
+        self.shard.as_ref().map_or(0, |p| p.machines.count())
     }
 
     /// Machines of the fleet with what their claims take; nothing unless this node leads the fleet.
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -153,7 +153,7 @@
         }
         if self.may_decide()
             && let Some(shard) = &self.shard
-            && shard.job_index.contains_key(&spec.id)
+            && shard.jobs.contains(&spec.id)
         {
             return self.query_for(requester, spec.id, Why::Query);
         }
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -401,7 +401,7 @@
         }
         self.to_write = true;
         let Some(shard) = &mut self.shard else { return };
-        let Some(ix) = shard.job_index.get(id).copied() else {
+        let Some(ix) = shard.jobs.index_of(id) else {
             return self.unknown(requester, id);
         };
         let Some(job) = shard.job_mut(ix) else { return };
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -123,10 +123,7 @@
 
     /// Whether the leader has read the job.
     fn holds(&self, id: &str) -> bool {
-        let job = self
-            .shard
-            .as_ref()
-            .and_then(|p| p.job(*p.job_index.get(id)?));
+        let job = self.shard.as_ref().and_then(|p| p.jobs.named(id));
         job.is_some_and(|j| j.spec.is_some())
     }
 
@@ -135,10 +132,7 @@
     pub(crate) fn state_here(&self, id: &str) -> Option<JobState> {
         let shard = self.shard.as_ref().filter(|_| self.has_valid_lease())?;
         let known = |j: &&Job| j.spec.is_some() && !j.may_be_over();
-        shard
-            .job(*shard.job_index.get(id)?)
-            .filter(known)
-            .map(Job::state)
+        shard.jobs.named(id).filter(known).map(Job::state)
     }
 
     pub(crate) fn peer_queried(
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -167,10 +167,7 @@
             .may_decide()
             .then(|| self.models.known(model))
             .flatten();
-        let job = self
-            .shard
-            .as_ref()
-            .and_then(|p| p.job(*p.job_index.get(model)?));
+        let job = self.shard.as_ref().and_then(|p| p.jobs.named(model));
         let job = job
             .filter(|j| !j.is_ending())
             .and_then(|j| Some((j.spec.clone()?, j.version)));
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -269,18 +269,15 @@
     /// Which jobs are models, after all of them or the document may have changed.
     fn sort_models(&mut self) {
         let Some(shard) = &self.shard else { return };
-        let all: Vec<JobIndex> = (0..shard.jobs.len())
-            .filter(|ix| shard.jobs[*ix].is_some())
+        let all: Vec<JobIndex> = (0..shard.jobs.slots())
+            .filter(|ix| shard.job(*ix).is_some())
             .collect();
         for ix in all {
             self.model_received(ix);
         }
         let Some(shard) = &self.shard else { return };
         let owned = &mut self.models.owned;
-        let gone = owned
-            .recs
-            .keys()
-            .filter(|m| !shard.job_index.contains_key(*m));
+        let gone = owned.recs.keys().filter(|m| !shard.jobs.contains(*m));
         owned.over.extend(gone.cloned().collect::<Vec<_>>());
     }
 
@@ -346,7 +343,7 @@
         let (image, gb) = (spec.image.clone(), spec.image_gb);
         let image = shard.images.get(&image);
         for name in rec.near.iter().take(MAX_NEAR) {
-            let Some(m) = shard.machine_index.get(name).copied() else {
+            let Some(m) = shard.machines.index_of(name) else {
                 continue;
             };
             let Some(machine) = shard.machine_mut(m) else {
@@ -383,7 +380,7 @@
         owned.recs.insert(model.to_owned(), known.clone());
         owned.due.insert(model.to_owned());
         let Some(shard) = &mut self.shard else { return };
-        let Some(ix) = shard.job_index.get(model).copied() else {
+        let Some(ix) = shard.jobs.index_of(model) else {
             return;
         };
         let Some(job) = shard.job(ix) else { return };
@@ -448,7 +445,7 @@
         let Some(shard) = &self.shard else {
             return false;
         };
-        let Some(ix) = shard.job_index.get(model).copied() else {
+        let Some(ix) = shard.jobs.index_of(model) else {
             return false;
         };
         let Some(job) = shard.job(ix).filter(|j| j.ending == Ending::No) else {
@@ -682,11 +679,7 @@
         let Some(model) = owned.over.pop_first() else {
             return;
         };
-        let open = shard
-            .job_index
-            .get(&model)
-            .and_then(|ix| shard.job(*ix))
-            .is_some_and(|j| !j.is_over());
+        let open = shard.jobs.named(&model).is_some_and(|j| !j.is_over());
         let Some(stamp) = owned.recs.get(&model).map(|k| k.stamp).filter(|_| !open) else {
             return;
         };
@@ -760,11 +753,7 @@
             return Vec::new();
         };
         let owned = &self.models.owned;
-        let first = |names: &Vec<String>| {
-            names
-                .iter()
-                .find_map(|n| shard.machine_index.get(n).copied())
-        };
+        let first = |names: &Vec<String>| names.iter().find_map(|n| shard.machines.index_of(n));
         owned
             .kept
             .values()
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -119,7 +119,7 @@
         }
         let Some(shard) = &mut self.shard else { return };
         if shard.cloud_calls.may_delete(now) {
-            let machines: Vec<usize> = (0..shard.machines.len())
+            let machines: Vec<usize> = (0..shard.machines.slots())
                 .filter(|m| shard.machine(*m).is_some_and(|x| x.deleting))
                 .take(100)
                 .collect();
@@ -191,7 +191,7 @@
     fn listed(&mut self, l: ListedMachine) {
         let now = self.now;
         let Some(shard) = &mut self.shard else { return };
-        if let Some(m) = shard.machine_index.get(&l.name).copied() {
+        if let Some(m) = shard.machines.index_of(&l.name) {
             let Some(machine) = shard.machine_mut(m) else {
                 return;
             };
@@ -283,9 +283,7 @@
                 shard.cloud_calls.supplied(&kind);
             }
             for machine in got.machines {
-                if shard.machine_index.contains_key(&machine)
-                    || shard.returned.contains_key(&machine)
-                {
+                if shard.machines.contains(&machine) || shard.returned.contains_key(&machine) {
                     continue;
                 }
                 let (kind, zone) = (&rec.machine_type, &rec.zone);
@@ -501,7 +499,7 @@
             .machines
             .iter()
             .enumerate()
-            .filter(|(_, m)| m.as_ref().is_some_and(unheard));
+            .filter(|(_, m)| m.is_some_and(unheard));
         let due: Vec<usize> = due.map(|(m, _)| m).take(CALLS_A_TICK).collect();
         for m in due {
             self.probe_machine(m);
--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -112,7 +112,7 @@
             live: Live::new(tree),
             by_job: HashMap::new(),
         };
-        out.follow(shard, 0..shard.jobs.len());
+        out.follow(shard, 0..shard.jobs.slots());
         out
     }
 
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -536,7 +536,7 @@
             .flatten()
             .for_each(|j| j.began |= j.running > 0);
         // Claims of each job that stay: they count as held before what waits.
-        let mut staying: Vec<u32> = vec![0; shard.jobs.len()];
+        let mut staying: Vec<u32> = vec![0; shard.jobs.slots()];
         let (classes, images) = (&shard.classes, &mut shard.images);
         let claimed_jobs: Vec<Option<ClaimedJob>> = shard
             .jobs
@@ -549,7 +549,7 @@
             let Some(machine) = machine else { continue };
             // All claims count against their team, wherever they are.
             for c in &machine.claims {
-                if let Some(job) = shard.jobs.get(c.job).and_then(Option::as_ref)
+                if let Some(job) = shard.jobs.get(c.job)
                     && let Some(t) = claimed_job(c.job).and_then(|known| known.team)
                 {
                     input.teams[usize::from(t)].cores_used += job.need.cores;
@@ -567,7 +567,7 @@
             let mut claims = Vec::new();
             let mut images: Vec<u32> = machine.images.iter().map(|(i, _)| *i).collect();
             for (k, c) in machine.claims.iter().enumerate() {
-                let Some(job) = shard.jobs.get(c.job).and_then(Option::as_ref) else {
+                let Some(job) = shard.jobs.get(c.job) else {
                     continue;
                 };
                 // What is on its way out holds no place any more.
@@ -888,20 +888,14 @@
         let Some(shard) = &mut self.shard else { return };
         // Also while tasks wait: a machine that is idle all the same is none that they may use, and it may
         // stand in the way of one.
-        let (jobs, job_index) = (&shard.jobs, &shard.job_index);
+        let jobs = &shard.jobs;
         // With the machine, a result that is recorded nowhere would be gone, were this leader to end too.
         let owes = |machine: &Machine| {
             machine
                 .exited
                 .iter()
                 .filter(|e| e.cause == Some(Cause::Done))
-                .any(|e| {
-                    let job = job_index
-                        .get(&e.job)
-                        .and_then(|ix| jobs.get(*ix))
-                        .and_then(Option::as_ref);
-                    job.is_some_and(|j| !j.recorded(e.task))
-                })
+                .any(|e| jobs.named(&e.job).is_some_and(|j| !j.recorded(e.task)))
         };
         for (m, machine) in shard.machines.iter_mut().enumerate() {
             let Some(machine) = machine else { continue };
--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -93,7 +93,7 @@
         let answers = waiters.into_iter().map(|w| (w, state.clone()));
         aftermath.answers.extend(answers);
         let segments = std::mem::take(&mut job.segments);
-        if let Some(job) = &shard.jobs[index] {
+        if let Some(job) = shard.jobs.get(index) {
             shard.hours.ended(job, index, stage);
         }
         shard.claim_log.results_over(index, segments);
@@ -131,7 +131,7 @@
             inventory_shard.version = revision;
         }
         for name in machines {
-            let index = self.machine_index.get(name).copied();
+            let index = self.machines.index_of(name);
             let machine = index.and_then(|m| self.machine_mut(m));
             if let Some(machine) = machine.filter(|m| m.inventory_shard == number) {
                 let was_recorded = std::mem::replace(&mut machine.recorded, true);
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -160,7 +160,7 @@
     }
 
     pub fn claim_mut(&mut self, id: &ClaimId) -> Option<&mut crate::agents::machine::Claim> {
-        let machine = self.machines.get_mut(id.machine)?.as_mut()?;
+        let machine = self.machines.get_mut(id.machine)?;
         machine
             .claims
             .iter_mut()
@@ -169,7 +169,7 @@
 
     /// Notes that results of a job, or its end, are to be recorded.
     pub fn job_to_write(&mut self, ix: JobIndex) {
-        let Some(job) = self.jobs.get(ix).and_then(Option::as_ref) else {
+        let Some(job) = self.jobs.get(ix) else {
             return;
         };
         match job.ending {
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -12,4 +12,5 @@
 pub(crate) mod rate_budget;
 pub(crate) mod recovery;
 pub(crate) mod shard;
+pub(crate) mod table;
 pub(crate) mod transaction;
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -80,7 +80,7 @@
     fn load_claims(&mut self, number: u64, segment: &mut Segment, group: ClaimsRecord) {
         for (name, first, n) in &group.on {
             // A machine in no inventory shard is gone, and all that was on it.
-            let Some(machine) = self.machine_index.get(name).copied() else {
+            let Some(machine) = self.machines.index_of(name) else {
                 continue;
             };
             let job = self.claimed_job(&group);
@@ -102,8 +102,8 @@
     /// The job that claims are for. One that has ended may still have tasks there: they count until they are proved
     /// gone.
     fn claimed_job(&mut self, group: &ClaimsRecord) -> JobIndex {
-        if let Some(index) = self.job_index.get(&group.job) {
-            return *index;
+        if let Some(index) = self.jobs.index_of(&group.job) {
+            return index;
         }
         let need = Need {
             cores: group.cores,
@@ -136,7 +136,7 @@
 
     /// The job whose results they are, if it has not ended.
     fn load_results(&mut self, segment: u64, done: DoneRecord) -> Option<JobIndex> {
-        let index = self.job_index.get(&done.job).copied()?;
+        let index = self.jobs.index_of(&done.job)?;
         let job = self.job_mut(index).filter(|j| j.spec.is_some())?;
         job.load_done(records::unrange(&done.tasks));
         job.segments.insert(segment);
@@ -408,12 +408,12 @@
             "token {}: read {} jobs, {} machines, {} rentals",
             shard.token,
             shard.jobs.iter().flatten().count(),
-            shard.machine_index.len(),
+            shard.machines.count(),
             shard.rentals.len()
         );
         // A job may have been left with all tasks done but not ended, or with a gang half claimed.
-        let all: Vec<JobIndex> = (0..shard.jobs.len())
-            .filter(|ix| shard.jobs[*ix].is_some())
+        let all: Vec<JobIndex> = (0..shard.jobs.slots())
+            .filter(|ix| shard.job(*ix).is_some())
             .collect();
         for ix in all {
             self.job_changed(ix);
@@ -427,7 +427,7 @@
             return;
         }
         let Some(shard) = &mut self.shard else { return };
-        if shard.job_index.contains_key(&rec.spec.id) {
+        if shard.jobs.contains(&rec.spec.id) {
             return;
         }
         let spec = &rec.spec;
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -9,6 +9,7 @@
 use crate::store::live_jobs::LiveWatch;
 use crate::store::plan_triggers::PlanTriggers;
 use crate::store::recovery::RecoveryProgress;
+use crate::store::table::Table;
 use crate::store::transaction::value_limit;
 use crate::{Node, Requester};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -84,12 +85,8 @@
     pub since: u64,
     pub recovery: RecoveryProgress,
     pub live_watch: LiveWatch,
-    pub jobs: Vec<Option<Job>>,
-    pub free_jobs: Vec<JobIndex>,
-    pub job_index: HashMap<String, JobIndex>,
-    pub machines: Vec<Option<Machine>>,
-    pub free_machines: Vec<usize>,
-    pub machine_index: HashMap<String, usize>,
+    pub jobs: Table<Job>,
+    pub machines: Table<Machine>,
     pub rentals: BTreeMap<String, Rental>,
     pub serial: u64,
     pub commit: Commit,
@@ -136,12 +133,8 @@
             since: now,
             recovery: RecoveryProgress::default(),
             live_watch: LiveWatch::default(),
-            jobs: Vec::new(),
-            free_jobs: Vec::new(),
-            job_index: HashMap::new(),
-            machines: Vec::new(),
-            free_machines: Vec::new(),
-            machine_index: HashMap::new(),
+            jobs: Table::default(),
+            machines: Table::default(),
             rentals: BTreeMap::new(),
             serial: 0,
             commit: Commit::default(),
@@ -170,7 +163,7 @@
     pub fn hears_no_agents(&self, now: u64) -> bool {
         self.loaded
             && !self.heard_itself
-            && self.machine_index.len() >= DEAF_MACHINES
+            && self.machines.count() >= DEAF_MACHINES
             && now >= self.since + DEAF_MS
     }
 
@@ -192,11 +185,11 @@
     }
 
     pub fn job(&self, ix: JobIndex) -> Option<&Job> {
-        self.jobs.get(ix).and_then(Option::as_ref)
+        self.jobs.get(ix)
     }
     /// Whoever changes a job gets it here, so that plans know which ones changed.
     pub fn job_mut(&mut self, ix: JobIndex) -> Option<&mut Job> {
-        let job = self.jobs.get_mut(ix)?.as_mut()?;
+        let job = self.jobs.get_mut(ix)?;
         if !std::mem::replace(&mut job.touched, true) {
             self.touched.push(ix);
         }
@@ -207,28 +200,25 @@
     pub fn take_touched(&mut self) -> Vec<JobIndex> {
         let all = std::mem::take(&mut self.touched);
         for ix in &all {
-            if let Some(Some(job)) = self.jobs.get_mut(*ix) {
+            if let Some(job) = self.jobs.get_mut(*ix) {
                 job.touched = false;
             }
         }
         all
     }
     pub fn machine(&self, m: usize) -> Option<&Machine> {
-        self.machines.get(m).and_then(Option::as_ref)
+        self.machines.get(m)
     }
     pub fn machine_mut(&mut self, m: usize) -> Option<&mut Machine> {
-        self.machines.get_mut(m).and_then(Option::as_mut)
+        self.machines.get_mut(m)
     }
 
     pub fn add_job(&mut self, mut job: Job) -> JobIndex {
         job.tenant = self.tally.tenant(job.county.as_ref());
-        let ix = self.free_jobs.pop().unwrap_or_else(|| {
-            self.jobs.push(None);
-            self.jobs.len() - 1
-        });
-        self.job_index.insert(job.id.clone(), ix);
-        self.hours.add(&job, ix);
-        self.jobs[ix] = Some(job);
+        let ix = self.jobs.insert(job.id.clone(), job);
+        if let Some(job) = self.jobs.get(ix) {
+            self.hours.add(job, ix);
+        }
         self.touched.push(ix);
         ix
     }
@@ -247,22 +237,14 @@
     }
 
     pub fn insert_machine(&mut self, machine: Machine) -> usize {
-        let m = self.free_machines.pop().unwrap_or_else(|| {
-            self.machines.push(None);
-            self.machines.len() - 1
-        });
-        self.machine_index.insert(machine.name.clone(), m);
-        self.machines[m] = Some(machine);
-        m
+        self.machines.insert(machine.name.clone(), machine)
     }
 
     /// Forgets a machine that is proved gone and has no claims left.
     pub fn remove_machine(&mut self, m: usize) {
-        let Some(machine) = self.machines.get_mut(m).and_then(Option::take) else {
+        let Some(machine) = self.machines.remove(m, |machine| &machine.name) else {
             return;
         };
-        self.machine_index.remove(&machine.name);
-        self.free_machines.push(m);
         self.push.remove(&m);
         self.claim_log
             .leave_inventory_shard(machine.inventory_shard, m, machine.size);
@@ -305,7 +287,7 @@
     /// Whether looking at all jobs finds none that is missing.
     pub fn unwanted_is_right(&self) -> bool {
         let left = |j: &Job| j.is_unwanted() && !j.claimed.is_empty();
-        (0..self.jobs.len())
+        (0..self.jobs.slots())
             .all(|ix| self.unwanted.contains(&ix) || !self.job(ix).is_some_and(left))
     }
 
@@ -314,10 +296,8 @@
         let gone = self
             .job(ix)
             .is_some_and(|j| j.is_over() && j.claimed.is_empty());
-        if gone && let Some(job) = self.jobs[ix].take() {
-            self.job_index.remove(&job.id);
+        if gone && self.jobs.remove(ix, |job| &job.id).is_some() {
             self.unwanted.remove(&ix);
-            self.free_jobs.push(ix);
             self.touched.push(ix);
         }
     }
