--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -11,6 +11,7 @@
 mod leadership;
 mod models;
 mod node;
+mod outgoing;
 mod outstanding;
 pub mod overload;
 mod provisioning;
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -2,13 +2,13 @@
 
 use crate::agents::{relay, routing};
 use crate::documents::for_kind;
-use crate::event::{Destination, Effect, Event, Now};
+use crate::event::{Effect, Event, Now};
 use crate::frontend;
 use crate::jobs::{admission, answer_history, forwarding};
 use crate::leadership::role::Role;
 use crate::leadership::shared_state::{AnnouncedLeader, Shared};
 use crate::leadership::{election, incarnation, lease_delegate, peer_status};
-use crate::models::{self};
+use crate::models;
 use crate::outstanding::Pending;
 use crate::overload::{load_shedding, plan_pacing};
 use crate::stats::Stats;
@@ -20,10 +20,19 @@
 use wire::http::Response;
 use wire::settings::Settings;
 
-/// Largest answer that is read from the state service; watches have no limit of their own.
-const STATE_ANSWER: usize = 8 << 20;
-const SMALL_ANSWER: usize = 128 << 10;
-const PEER_ANSWER: usize = 1 << 20;
+/// Share of the state service's requests that the controllers divide among themselves until one of them leads.
+const STATE_REQUESTS: f64 = 0.9;
+/// Share of the cloud's calls that a controller may use.
+const CLOUD_CALLS: f64 = 0.8;
+
+/// Share of the memory, in bytes of each of its megabytes, that final states may take.
+const FINAL_STATES_PER_MB: f64 = 1e5;
+/// What a final state takes, in bytes.
+const FINAL_STATE_SIZE: f64 = 150.0;
+
+/// After how long a follower that the state service does not serve reads from it again.
+const STATE_AGAIN_MS: u64 = 300;
+
 /// One controller.
 pub struct Node {
     pub(crate) settings: Settings,
@@ -80,12 +89,12 @@
         let c = &settings.cluster;
         let nodes = settings.peers.len() as f64 + 1.0;
         let limits = settings.limits();
-        // About 150 bytes a final state; a tenth of the memory is theirs.
-        let final_states = ((limits.mem_mb * 1e5 / 150.0) as usize).clamp(1000, 1_000_000);
+        let final_states = ((limits.mem_mb * FINAL_STATES_PER_MB / FINAL_STATE_SIZE) as usize)
+            .clamp(1000, 1_000_000);
         Node {
-            requests: Bucket::new(c.state.rps * 0.9 / nodes),
+            requests: Bucket::new(c.state.rps * STATE_REQUESTS / nodes),
             writes: Bucket::new(c.state.write_rps * election::OTHER_WRITES),
-            cloud: Bucket::new(c.cloud.rps * 0.8),
+            cloud: Bucket::new(c.cloud.rps * CLOUD_CALLS),
             settings,
             tuning,
             incarnation: incarnation::Incarnation::begin(seed),
@@ -212,120 +221,62 @@
         self.shared.catalog.as_ref()
     }
 
-    pub(crate) fn send(
-        &mut self,
-        to: Destination,
-        method: &'static str,
-        path: String,
-        body: Vec<u8>,
-        timeout_ms: u64,
-        what: Pending,
-    ) {
-        let tag = self.next_tag;
-        self.next_tag += 1;
-        self.pending.insert(tag, what);
-        let answer_limit = match to {
-            _ if wire::admin::kind_of(&path).is_some() => wire::admin::ANSWER_LIMIT,
-            Destination::State | Destination::Cloud => STATE_ANSWER,
-            // Orders for many workers.
-            Destination::Peer(_) => PEER_ANSWER,
-            _ => SMALL_ANSWER,
-        };
-        if to == Destination::State {
-            self.requests.take(self.now.mono, 1.0);
-        }
-        self.effects.push(Effect::Send {
-            tag,
-            to,
-            method,
-            path,
-            body,
-            timeout_ms,
-            answer_limit,
-        });
-    }
-
-    pub(crate) fn respond(
-        &mut self,
-        conn: u64,
-        status: u16,
-        body: Vec<u8>,
-        retry_after_s: Option<u32>,
-    ) {
-        let response = Response {
-            status,
-            body,
-            close: false,
-            retry_after_s,
-        };
-        self.effects.push(Effect::Respond { conn, response });
-    }
-
-    /// Reads a body of somebody else's; an unreadable one is as good as no answer.
-    pub(crate) fn read<T: serde::de::DeserializeOwned>(
-        &mut self,
-        from: &str,
-        response: &Response,
-    ) -> Option<T> {
-        match wire::decode(&response.body) {
-            Ok(v) => Some(v),
-            Err(e) => {
-                self.stats.bad_answers += 1;
-                log::warn!("{from}: {e}");
-                None
-            }
-        }
-    }
-
     /// What was not sent has no effect later, and says nothing of whom it was for.
-    pub(crate) fn unsent(&mut self, tag: u64) {
+    fn unsent(&mut self, tag: u64) {
         let term = self.term;
-        match self.pending.get(&tag) {
-            Some(Pending::Direct {
+        let Some(what) = self.pending.remove(&tag) else {
+            return;
+        };
+        match what {
+            Pending::Direct {
                 term: e,
                 machine,
                 serial,
                 ..
-            }) if *e == term => {
-                let (machine, serial) = (*machine, *serial);
-                self.pending.remove(&tag);
-                self.direct_received(machine, serial, Some(relay::not_sent()));
-            }
-            Some(Pending::Probe {
+            } if e == term => self.direct_received(machine, serial, Some(relay::not_sent())),
+            Pending::Probe {
                 term: e,
                 machine,
                 serial,
                 ..
-            }) if *e == term => {
-                let (machine, serial) = (*machine, *serial);
-                self.pending.remove(&tag);
-                self.probe_unsent(machine, serial);
-            }
-            Some(Pending::Tell { conn }) => {
-                let conn = *conn;
-                self.pending.remove(&tag);
-                self.tell_unsent(conn);
-            }
-            _ => self.reply(tag, None),
+            } if e == term => self.probe_unsent(machine, serial),
+            Pending::Tell { conn } => self.tell_unsent(conn),
+            what => self.answered(what, None),
         }
     }
 
-    pub(crate) fn reply(&mut self, tag: u64, response: Option<Response>) {
-        let Some(what) = self.pending.remove(&tag) else {
-            return;
-        };
-        let term = self.term;
+    fn reply(&mut self, tag: u64, response: Option<Response>) {
+        if let Some(what) = self.pending.remove(&tag) {
+            self.answered(what, response);
+        }
+    }
+
+    fn answered(&mut self, what: Pending, response: Option<Response>) {
         if what.asks_state() {
-            let bad = response.as_ref().is_none_or(|r| r.status == 503);
-            self.state_bad_at = bad.then_some(self.now.mono);
-            if !bad {
-                self.state_good_at = Some(self.now.mono);
-            }
-            // Looked at again and again until it serves us; the leader's renewals do the same.
-            if bad && self.shared.known && !self.leads() {
-                self.reread_shared(300);
-            }
+            self.state_answered(response.as_ref());
         }
+        // What belongs to an earlier term of leadership no longer concerns us.
+        if what.term().is_none_or(|term| term == self.term) {
+            self.dispatch(what, response);
+        }
+    }
+
+    /// Notes whether the state service serves this node.
+    fn state_answered(&mut self, response: Option<&Response>) {
+        let now = self.now.mono;
+        let bad = response.is_none_or(|r| r.status == 503);
+        self.state_bad_at = bad.then_some(now);
+        if !bad {
+            self.state_good_at = Some(now);
+        }
+        // Looked at again and again until it serves us; the leader's renewals do the same.
+        if bad && self.shared.known && !self.leads() {
+            self.reread_shared(STATE_AGAIN_MS);
+        }
+    }
+
+    /// Hands an answer to whoever waits for it.
+    fn dispatch(&mut self, what: Pending, response: Option<Response>) {
         match what {
             Pending::SharedRead => self.shared_read(response),
             Pending::SharedWatch { round } => self.shared_changes(round, response),
@@ -361,45 +312,38 @@
             Pending::WakeForward { waiter } => self.demand_forwarded(waiter, response),
             Pending::LeaderNotified { model } => self.leader_notified(&model, response),
             Pending::Catalog => self.catalog_received(response),
-            // What belongs to an earlier term of leadership no longer concerns us.
-            Pending::Load { term: e, what } if e == term => self.load_received(what, response),
-            Pending::Audit { term: e, under } if e == term => self.audit_received(under, response),
-            Pending::Sheets { term: e } if e == term => self.sheets_received(response),
-            Pending::Models { term: e } if e == term => self.models_received(response),
-            Pending::ModelWatch { term: e } if e == term => self.models_watched(response),
-            Pending::ModelWrite { term: e, model } if e == term => {
-                self.model_written(model, response)
-            }
-            Pending::Parts { term: e, kind } if e == term => {
+            Pending::Load { what, .. } => self.load_received(what, response),
+            Pending::Audit { under, .. } => self.audit_received(under, response),
+            Pending::Sheets { .. } => self.sheets_received(response),
+            Pending::Models { .. } => self.models_received(response),
+            Pending::ModelWatch { .. } => self.models_watched(response),
+            Pending::ModelWrite { model, .. } => self.model_written(model, response),
+            Pending::Parts { kind, .. } => {
                 for_kind!(kind, K => self.parts_received::<K>(response))
             }
-            Pending::LiveWatch { term: e } if e == term => self.live_changes(response),
-            Pending::Commit { term: e } if e == term => self.committed(response),
-            Pending::Verify { term: e } if e == term => self.verified(response),
-            Pending::List { term: e } if e == term => self.list_received(response),
-            Pending::Rental { term: e, name } if e == term => self.rental_answered(name, response),
-            Pending::Delete { term: e, machines } if e == term => self.deleted(machines, response),
+            Pending::LiveWatch { .. } => self.live_changes(response),
+            Pending::Commit { .. } => self.committed(response),
+            Pending::Verify { .. } => self.verified(response),
+            Pending::List { .. } => self.list_received(response),
+            Pending::Rental { name, .. } => self.rental_answered(name, response),
+            Pending::Delete { machines, .. } => self.deleted(machines, response),
             Pending::Direct {
-                term: e,
                 machine,
                 serial,
                 via,
-            } if e == term => self.direct_received(
-                machine,
-                serial,
-                if via { relay::told(response) } else { response },
-            ),
+                ..
+            } => self.direct_received(machine, serial, of_worker(response, via)),
             Pending::Probe {
-                term: e,
                 machine,
                 serial,
                 via,
-            } if e == term => self.show_received(
-                machine,
-                serial,
-                if via { relay::told(response) } else { response },
-            ),
-            _ => {}
+                ..
+            } => self.show_received(machine, serial, of_worker(response, via)),
         }
     }
 }
+
+/// A worker's answer, out of the peer's that it came by.
+fn of_worker(response: Option<Response>, via: bool) -> Option<Response> {
+    if via { relay::told(response) } else { response }
+}
--- /dev/null
+++ b/crates/control/src/outgoing.rs
@@ -0,0 +1,87 @@
+//! What a controller sends: requests, answers to those who asked it, and how it reads what others have answered.
+
+use crate::event::{Destination, Effect};
+use crate::node::Node;
+use crate::outstanding::Pending;
+use serde::de::DeserializeOwned;
+use wire::http::Response;
+
+/// Largest answer that is read from the state service; watches have no limit of their own.
+const MAX_STATE_ANSWER: usize = 8 << 20;
+/// Largest answer of a peer, with orders for many workers.
+const MAX_PEER_ANSWER: usize = 1 << 20;
+const MAX_SMALL_ANSWER: usize = 128 << 10;
+
+fn answer_limit(to: &Destination, path: &str) -> usize {
+    if wire::admin::kind_of(path).is_some() {
+        return wire::admin::ANSWER_LIMIT;
+    }
+    match to {
+        Destination::State | Destination::Cloud => MAX_STATE_ANSWER,
+        Destination::Peer(_) => MAX_PEER_ANSWER,
+        Destination::Worker(_) => MAX_SMALL_ANSWER,
+    }
+}
+
+impl Node {
+    /// Sends a request; its answer belongs to `what`.
+    pub(crate) fn send(
+        &mut self,
+        to: Destination,
+        method: &'static str,
+        path: String,
+        body: Vec<u8>,
+        timeout_ms: u64,
+        what: Pending,
+    ) {
+        let tag = self.next_tag;
+        self.next_tag += 1;
+        self.pending.insert(tag, what);
+        if to == Destination::State {
+            self.requests.take(self.now.mono, 1.0);
+        }
+        let answer_limit = answer_limit(&to, &path);
+        self.effects.push(Effect::Send {
+            tag,
+            to,
+            method,
+            path,
+            body,
+            timeout_ms,
+            answer_limit,
+        });
+    }
+
+    /// Answers whoever asked by this connection.
+    pub(crate) fn respond(
+        &mut self,
+        conn: u64,
+        status: u16,
+        body: Vec<u8>,
+        retry_after_s: Option<u32>,
+    ) {
+        let response = Response {
+            status,
+            body,
+            close: false,
+            retry_after_s,
+        };
+        self.effects.push(Effect::Respond { conn, response });
+    }
+
+    /// Reads a body of somebody else's; an unreadable one is as good as no answer.
+    pub(crate) fn read<T: DeserializeOwned>(
+        &mut self,
+        from: &str,
+        response: &Response,
+    ) -> Option<T> {
+        match wire::decode(&response.body) {
+            Ok(v) => Some(v),
+            Err(e) => {
+                self.stats.bad_answers += 1;
+                log::warn!("{from}: {e}");
+                None
+            }
+        }
+    }
+}
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -143,6 +143,49 @@
 }
 
 impl Pending {
+    /// The term of leadership that it was sent in, if it belongs to one.
+    pub(crate) fn term(&self) -> Option<u64> {
+        use Pending::*;
+        match self {
+            Load { term, .. }
+            | LiveWatch { term }
+            | Commit { term }
+            | Verify { term }
+            | Sheets { term }
+            | Audit { term, .. }
+            | Models { term }
+            | ModelWatch { term }
+            | ModelWrite { term, .. }
+            | Parts { term, .. }
+            | List { term }
+            | Rental { term, .. }
+            | Delete { term, .. }
+            | Direct { term, .. }
+            | Probe { term, .. } => Some(*term),
+            SharedRead
+            | SharedWatch { .. }
+            | Grant { .. }
+            | Renew { .. }
+            | Take { .. }
+            | PeerStatus { .. }
+            | Relayed { .. }
+            | Tell { .. }
+            | Release
+            | Accept { .. }
+            | ReadLive { .. }
+            | ReadEnd { .. }
+            | PeerQuery { .. }
+            | PeerCancel { .. }
+            | Forward { .. }
+            | Admin { .. }
+            | Frontend { .. }
+            | Wake { .. }
+            | WakeForward { .. }
+            | LeaderNotified { .. }
+            | Catalog => None,
+        }
+    }
+
     /// A question to the state service that is answered at once if it serves us.
     pub(crate) fn asks_state(&self) -> bool {
         use Pending::*;
