--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -803,8 +803,7 @@
         let Some(machine) = shard.machines.get_mut(m) else {
             return;
         };
-        let patient =
-            shard.cut_zones.contains(&machine.zone) || shard.detour_zones.contains(&machine.zone);
+        let patient = shard.zones.is_doubtful(&machine.zone);
         if patient && (machine.claims.is_empty() || gap <= lease) {
             return;
         }
--- a/crates/control/src/documents/hours.rs
+++ b/crates/control/src/documents/hours.rs
@@ -368,7 +368,7 @@
                 + START_S
                 + spec.save_s;
             let risk = (hour.left(wall) < needs).then(|| {
-                let cut = |z: &String| shard.cut_zones.contains(z);
+                let cut = |z: &String| shard.zones.is_cut(z);
                 let all_cut = || self.settings.cluster.zones.iter().all(cut);
                 let full = |g: &u16| {
                     let group = &input.groups[usize::from(*g)];
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -472,11 +472,7 @@
             .iter()
             .filter(|(_, (up, quiet, _))| *up >= 4 && quiet * 3 > *up);
         let cut: BTreeSet<String> = cut.map(|(zone, _)| (*zone).to_owned()).collect();
-        for zone in cut.difference(&shard.cut_zones) {
-            log::warn!("zone {zone}: many of its machines can't be heard");
-        }
-        shard.cut_zones = cut;
-        shard.detour_zones = detour;
+        shard.zones.observe(cut, detour);
     }
 
     /// After a failover: asks the machines that have not come by themselves, a few at a time. Their workers may
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -855,7 +855,7 @@
         let mut order: Vec<usize> = (0..names.len())
             .filter(|i| !shard.cloud_calls.is_refused(&names[*i], now.mono))
             // A new machine in a zone that can't be heard is paid for nothing.
-            .filter(|i| !shard.cut_zones.contains(&names[*i].1))
+            .filter(|i| !shard.zones.is_cut(&names[*i].1))
             .collect();
         order.sort_by_key(|i| load.get(names[*i].1.as_str()).copied().unwrap_or(0));
         let open: Vec<plan::MachineOffer> = order.iter().map(|i| offers[*i].clone()).collect();
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -14,3 +14,4 @@
 pub(crate) mod shard;
 pub(crate) mod table;
 pub(crate) mod transaction;
+pub(crate) mod zone_reachability;
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -11,6 +11,7 @@
 use crate::store::recovery::RecoveryProgress;
 use crate::store::table::Table;
 use crate::store::transaction::value_limit;
+use crate::store::zone_reachability::ZoneReachability;
 use crate::{Node, Requester};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::records::RentalRecord;
@@ -102,10 +103,7 @@
     pub returned: HashMap<String, u64>,
     /// When silent machines were last looked for.
     pub looked_at: u64,
-    /// Zones most of whose machines can't be heard: rather the network than the machines.
-    pub cut_zones: BTreeSet<String>,
-    /// Zones some of whose machines are heard by way of a peer.
-    pub detour_zones: BTreeSet<String>,
+    pub zones: ZoneReachability,
     pub cloud_calls: CloudCalls,
     pub plan_triggers: PlanTriggers,
     pub allotment: AllotmentState,
@@ -146,8 +144,7 @@
             images: Names::default(),
             returned: HashMap::new(),
             looked_at: 0,
-            cut_zones: BTreeSet::new(),
-            detour_zones: BTreeSet::new(),
+            zones: ZoneReachability::default(),
             cloud_calls: CloudCalls::default(),
             plan_triggers: PlanTriggers::default(),
             allotment: AllotmentState::default(),
