--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -17,29 +17,32 @@
 
 /// How long, in milliseconds, answers may go on after the last moment at which no other node can have told anybody
 /// of a cancel: what is renewed at its end is gone `cancel_s` after that moment.
-pub(crate) fn bound_ms(workers: &Workers) -> u64 {
+pub fn bound_ms(workers: &Workers) -> u64 {
     let left = workers.cancel_s * (1.0 - DRIFT) - workers.lease_s * (1.0 + DRIFT);
     (left * 1000.0 - SLACK_MS).max(0.0) as u64
 }
 
-/// What the other nodes have said since this one became unsure.
+/// What the other nodes have said since this one became unsure. All of them have to say it, in answer to the same
+/// question.
 #[derive(Debug, Default)]
-pub(crate) struct Attestations {
+pub struct Attestations {
     /// When the question was sent that all have answered.
-    at: Option<u64>,
+    complete_at: Option<u64>,
     /// When the last question was sent, and which peers have answered it.
     asked: u64,
     answered: Vec<bool>,
 }
 
 impl Attestations {
-    fn ask(&mut self, now: u64, peers: usize) {
+    /// All peers are asked anew.
+    pub fn ask(&mut self, now: u64, peers: usize) {
         self.asked = now;
         self.answered = vec![false; peers];
         self.note(now);
     }
 
-    fn answer(&mut self, sent: u64, peer: usize) {
+    /// A peer attests what was asked at `sent`.
+    pub fn answer(&mut self, sent: u64, peer: usize) {
         if sent == self.asked
             && let Some(answered) = self.answered.get_mut(peer)
         {
@@ -48,9 +51,14 @@
         }
     }
 
+    /// When the last question was sent that all peers have answered.
+    pub fn complete_at(&self) -> Option<u64> {
+        self.complete_at
+    }
+
     fn note(&mut self, sent: u64) {
         if self.answered.iter().all(|a| *a) {
-            self.at = self.at.max(Some(sent));
+            self.complete_at = self.complete_at.max(Some(sent));
         }
     }
 }
@@ -65,22 +73,20 @@
         let Role::Leader(lease) = self.role else {
             return false;
         };
-        let known = shard
-            .attestations
-            .at
-            .map_or(lease.renewed, |at| at.max(lease.renewed));
+        let attested = shard.attestations.complete_at();
+        let known = attested.map_or(lease.renewed, |at| at.max(lease.renewed));
         self.has_valid_lease() || self.now.mono < known + bound_ms(&self.settings.cluster.workers)
     }
 
     /// All others are asked now what they know.
-    pub(crate) fn ask_for_word(&mut self, now: u64, peers: usize) {
+    pub(crate) fn ask_for_attestations(&mut self, now: u64, peers: usize) {
         if let Some(shard) = &mut self.shard {
             shard.attestations.ask(now, peers);
         }
     }
 
     /// A peer has answered what was sent then: the highest token that it knows of, if it has read the counter.
-    pub(crate) fn word_received(&mut self, sent: u64, peer: usize, token: Option<u64>) {
+    pub(crate) fn attestation_received(&mut self, sent: u64, peer: usize, token: Option<u64>) {
         if let Some(shard) = &mut self.shard
             && token.is_some_and(|t| t <= shard.token)
         {
@@ -88,49 +94,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn workers(lease_s: f64, cancel_s: f64) -> Workers {
-        Workers {
-            report_s: 5.0,
-            lease_s,
-            gang_wait_s: 30.0,
-            gang_peer_s: 5.0,
-            cancel_s,
-        }
-    }
-
-    /// Guards against a bound that lets a task outlive a cancel, whatever an operator sets.
-    #[test]
-    fn what_is_renewed_last_is_gone_in_time() {
-        for lease in [1.0, 10.0, 30.0, 34.0, 600.0] {
-            for cancel in [1.0, 30.0, 55.0, 64.0, 3600.0] {
-                let bound = bound_ms(&workers(lease, cancel));
-                // The leader's clock runs slow and the worker's too.
-                let gone = (bound as f64 + lease * 1000.0) * 1.001;
-                assert!(
-                    bound == 0 || gone < cancel * 1000.0,
-                    "{lease} {cancel}: {bound}"
-                );
-            }
-        }
-    }
-
-    /// A word counts only if all have given it, for the same question.
-    #[test]
-    fn one_silent_peer_is_enough_to_end_it() {
-        let mut v = Attestations::default();
-        v.ask(1000, 2);
-        v.answer(1000, 0);
-        v.ask(2000, 2);
-        v.answer(1000, 1);
-        v.answer(2000, 1);
-        v.answer(2000, 7);
-        assert_eq!(v.at, None);
-        v.answer(2000, 0);
-        assert_eq!(v.at, Some(2000));
-    }
-}
--- a/crates/control/src/leadership/mod.rs
+++ b/crates/control/src/leadership/mod.rs
@@ -4,7 +4,7 @@
 pub(crate) mod election;
 pub(crate) mod incarnation;
 pub(crate) mod lease;
-pub(crate) mod lease_bound;
+pub mod lease_bound;
 pub(crate) mod lease_delegate;
 pub(crate) mod peer_status;
 pub(crate) mod role;
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -32,7 +32,7 @@
         }
         self.peer_statuses.asked = now;
         self.peer_statuses.of.resize_with(peers, || None);
-        self.ask_for_word(now, peers);
+        self.ask_for_attestations(now, peers);
         let body = peer::encode(&Ask::PeerStatus(self.peer_status()));
         for peer in 0..peers {
             let what = Pending::PeerStatus { sent: now, peer };
@@ -105,7 +105,7 @@
             .filter(|k| peer_status.leads == Some(k.token));
         let token = peer_status.token;
         if self.peer_status_seen(peer_status) == Some(peer) {
-            self.word_received(sent, peer, token);
+            self.attestation_received(sent, peer, token);
             self.note_delegation(sent, delegation);
         }
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -21,6 +21,8 @@
 mod tuning;
 
 pub use event::{Destination, Effect, Event, Now};
+#[doc(hidden)] // For its tests alone.
+pub use leadership::lease_bound;
 pub use node::Node;
 pub(crate) use outstanding::{Pending, Requester};
 pub use stats::Stats;
--- /dev/null
+++ b/crates/control/tests/lease_bound.rs
@@ -0,0 +1,45 @@
+//! How long a leader may keep workers' leases alive, and whose word it needs for that.
+
+use control::lease_bound::{Attestations, bound_ms};
+use wire::settings::Workers;
+
+fn workers(lease_s: f64, cancel_s: f64) -> Workers {
+    Workers {
+        report_s: 5.0,
+        lease_s,
+        gang_wait_s: 30.0,
+        gang_peer_s: 5.0,
+        cancel_s,
+    }
+}
+
+/// Guards against a bound that lets a task outlive a cancel, whatever an operator sets.
+#[test]
+fn what_is_renewed_last_is_gone_in_time() {
+    for lease in [1.0, 10.0, 30.0, 34.0, 600.0] {
+        for cancel in [1.0, 30.0, 55.0, 64.0, 3600.0] {
+            let bound = bound_ms(&workers(lease, cancel));
+            // The leader's clock runs slow and the worker's too.
+            let gone = (bound as f64 + lease * 1000.0) * 1.001;
+            assert!(
+                bound == 0 || gone < cancel * 1000.0,
+                "{lease} {cancel}: {bound}"
+            );
+        }
+    }
+}
+
+/// An attestation counts only if all have given it, for the same question.
+#[test]
+fn one_silent_peer_is_enough_to_end_it() {
+    let mut attestations = Attestations::default();
+    attestations.ask(1000, 2);
+    attestations.answer(1000, 0);
+    attestations.ask(2000, 2);
+    attestations.answer(1000, 1);
+    attestations.answer(2000, 1);
+    attestations.answer(2000, 7);
+    assert_eq!(attestations.complete_at(), None);
+    attestations.answer(2000, 0);
+    assert_eq!(attestations.complete_at(), Some(2000));
+}
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -16,14 +16,14 @@
 //!
 //! | in the model | in the code |
 //! | --- | --- |
-//! | `Node::highest`, `has_read` | `Node::highest_token` (`election`), and `shared.revision > 0`, which is the same as to have read the counter in this life |
-//! | `Role`, `token`, `loaded` | `election::Role`, `Shard::token`, `Shard::loaded` |
-//! | `renewed` | `Role::Leader::renewed`, or `Role::Candidate::sent` |
-//! | `known` | the later of `renewed` and `Attestations::at`, in `Node::may_renew` (`renewal`) |
+//! | `Node::highest`, `has_read` | `Node::highest_token` (`shared_state`), and `shared.revision > 0`, which is the same as to have read the counter in this life |
+//! | `Role`, `token`, `loaded` | `role::Role`, `Shard::token`, `Shard::loaded` |
+//! | `renewed` | `HeldLease::renewed`, or `Campaign::sent` |
+//! | `known` | the later of `renewed` and `Attestations::complete_at`, in `Node::may_renew` (`lease_bound`) |
 //! | `ask`, `answered` | `Attestations::asked`, `Attestations::answered` |
 //! | `knows` | the job is `Job::is_unwanted` (`jobs`): wanted, on its way, recorded, or ended before |
 //! | `owned` | `Incarnation::has_owned` |
-//! | `Delegation` | `lease delegate::Delegation`; `except` is whether the worker's machine is in `LeaseDelegation::except` |
+//! | `Delegation` | `lease_delegate::Delegation`; `except` is whether the worker's machine is in `LeaseDelegation::except` |
 //! | `Rec`, `counter` | the leader record with its lease, and the token record (`wire::records`) |
 //! | `Rec::own_life` | the record's `incarnation` is the mark of its node's present life (`incarnation`) |
 //! | `ended` | the `EndRecord` of the job stands |
@@ -31,9 +31,9 @@
 //!
 //! Left out: starts, reaps and proofs of absence (no task runs twice by other rules, played in `standins`); zones, so
 //! that any node may keep the one worker's lease; tokens raised for stray numbers, which need a sure leader; the drift of
-//! clocks and the 2 s for workers that look now and then, for which ticks are too coarse (`renewal` has a test); direct
+//! clocks and the 2 s for workers that look now and then, for which ticks are too coarse (`lease_bound` has a test); direct
 //! commands, which renew nothing; more than one worker and job; how long a node waits before it stands or asks again,
-//! since any step may come at any time. What a node hears of tokens is never unsaid here; in the code a hint gives way
+//! since any step may come at any time. What a node hears of tokens is never unsaid here; in the code an announcement gives way
 //! to a lower one after ten seconds, which is as if it had not been heard.
 
 /// Most nodes.
@@ -804,7 +804,7 @@
         true
     }
 
-    /// `election::shared_read` or `shared_changes`, and `leader_observed` with what it says.
+    /// `shared_state::shared_read` or `shared_changes`, and `leader_observed` with what it says.
     fn read(&mut self, n: u8) -> bool {
         if self.out {
             return false;
@@ -965,7 +965,7 @@
         // Another leader's charge is not dropped: only its time ends it. It is not looked at while this one owns.
     }
 
-    /// `election::renewed`; unanswered for now or for ever.
+    /// `lease::renewed`; unanswered for now or for ever.
     fn renew(&mut self, n: u8, answered: bool) -> bool {
         let node = *self.node(n);
         if self.out || node.role != Role::Leader || node.renewing != NEVER {
@@ -1061,7 +1061,7 @@
         may
     }
 
-    /// `peer_status_tick` and `ask_for_word`.
+    /// `peer_status_tick` and `ask_for_attestations`.
     fn ask(&mut self, n: u8, b: &Bounds) -> bool {
         let node = self.node(n);
         // With one peer the question and its answer may as well come at once.
