--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -261,7 +261,7 @@
     }
 
     fn become_leader(&mut self, lease: u64, sent: u64, token: u64, version: u64) {
-        log::info!("owner of shard {SHARD} with token {token}");
+        log::info!("leader of shard {SHARD} with token {token}");
         let now = self.now.mono;
         self.incarnation.leads_now();
         self.end_former_lease();
--- a/crates/control/src/leadership/incarnation.rs
+++ b/crates/control/src/leadership/incarnation.rs
@@ -1,18 +1,18 @@
 //! One incarnation of a node: from the start of its process to its end.
 //!
-//! A node that begins knows that the incarnation before it is over, since both would listen on the same addresses. If that life
-//! led the fleet, nobody needs to wait for its lease to run out. Weighed in docs/safety.md under "A new life".
+//! A node that begins knows that the incarnation before it is over, since both would listen on the same
+//! addresses. If that one led the fleet, nobody needs to wait for its lease to run out. Weighed in docs/safety.md under "A new life".
 //!
 //! Nothing here takes over; [`crate::leadership::election`] does, by a transaction that is guarded as any other.
 
 use wire::records::LeaderRecord;
 
 pub(crate) struct Incarnation {
-    /// Drawn anew by each process; never 0, which stands in records of before.
+    /// Drawn anew by each process; never 0, which stands in records from before there were marks.
     mark: u64,
-    /// This life has led the fleet. From then on a record of another life under our name is one of a process that
-    /// lives beside us by mistake.
-    has_owned: bool,
+    /// This incarnation has led the fleet. From then on a record of another one under our name is one of a process
+    /// that lives beside us by mistake.
+    has_led: bool,
 }
 
 impl Incarnation {
@@ -20,7 +20,7 @@
         // Numbers that any reader of the records can hold exactly.
         Incarnation {
             mark: fastrand::Rng::with_seed(!seed).u64(1..1 << 53),
-            has_owned: false,
+            has_led: false,
         }
     }
 
@@ -29,10 +29,10 @@
     }
 
     pub fn leads_now(&mut self) {
-        self.has_owned = true;
+        self.has_led = true;
     }
 
-    /// Whether another life under this node's name wrote it.
+    /// Whether another incarnation under this node's name wrote it.
     pub fn is_other_process_of(&self, rec: &LeaderRecord, node: &str) -> bool {
         rec.node == node && rec.incarnation != self.mark
     }
@@ -40,6 +40,6 @@
     /// Whether the leader that wrote it can only have ended. Two processes of one name take over from each other once
     /// at most: who has led the fleet waits like everybody else.
     pub fn succeeds(&self, rec: &LeaderRecord, node: &str) -> bool {
-        self.is_other_process_of(rec, node) && !self.has_owned
+        self.is_other_process_of(rec, node) && !self.has_led
     }
 }
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -62,7 +62,7 @@
     /// Jobs whose end is to be recorded, cancelled ones first.
     pub ending: VecDeque<JobIndex>,
     pub inventory: BTreeMap<u64, InventoryShard>,
-    /// Racks to be written: those with machines that are new, and those that only lost some.
+    /// Inventory shards to be written: those with machines that are new, and those that only lost some.
     pub new_in: BTreeSet<u64>,
     pub gone_from: BTreeSet<u64>,
     next_inventory_shard: u64,
@@ -128,7 +128,7 @@
         number
     }
 
-    /// A inventory shard as it was read back.
+    /// An inventory shard as it was read back.
     pub fn load_inventory_shard(&mut self, number: u64, inventory_shard: InventoryShard) {
         self.next_inventory_shard = self.next_inventory_shard.max(number + 1);
         self.inventory.insert(number, inventory_shard);
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -22,7 +22,7 @@
 //! | `known` | the later of `renewed` and `Attestations::complete_at`, in `Node::may_renew` (`lease_bound`) |
 //! | `ask`, `answered` | `Attestations::asked`, `Attestations::answered` |
 //! | `knows` | the job is `Job::is_unwanted` (`jobs`): wanted, on its way, recorded, or ended before |
-//! | `owned` | `Incarnation::has_owned` |
+//! | `owned` | `Incarnation::has_led` |
 //! | `Delegation` | `lease_delegate::Delegation`; `except` is whether the worker's machine is in `LeaseDelegation::except` |
 //! | `Rec`, `counter` | the leader record with its lease, and the token record (`wire::records`) |
 //! | `Rec::own_life` | the record's `incarnation` is the mark of its node's present life (`incarnation`) |
