--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -169,7 +169,7 @@
         if let Some(m) = shard.machines.index_of(&heartbeat.machine) {
             return Some(m);
         }
-        if shard.returned.contains_key(&heartbeat.machine) || !name_ok(&heartbeat.machine) {
+        if shard.returned.contains(&heartbeat.machine) || !name_ok(&heartbeat.machine) {
             return None;
         }
         log::info!(
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -172,8 +172,8 @@
         let list = response
             .filter(|r| r.status == 200)
             .and_then(|r| self.read::<MachineList>("cloud", &r));
-        self.forget_returned();
         let Some(shard) = &mut self.shard else { return };
+        shard.returned.forget_old(self.now.mono);
         shard.cloud_calls.listing.busy = false;
         let Some(list) = list else { return };
         shard.cloud_calls.listing.after = None;
@@ -206,7 +206,7 @@
             }
             return;
         }
-        if shard.returned.contains_key(&l.name) {
+        if shard.returned.contains(&l.name) {
             return;
         }
         // Machines of a rental whose answer is still out are expected, but take them in all the same.
@@ -283,7 +283,7 @@
                 shard.cloud_calls.supplied(&kind);
             }
             for machine in got.machines {
-                if shard.machines.contains(&machine) || shard.returned.contains_key(&machine) {
+                if shard.machines.contains(&machine) || shard.returned.contains(&machine) {
                     continue;
                 }
                 let (kind, zone) = (&rec.machine_type, &rec.zone);
@@ -319,7 +319,7 @@
             log::info!("machine {}: returned", machine.name);
             let name = machine.name.clone();
             let claims = machine.claims.len();
-            shard.returned.insert(name, now);
+            shard.returned.add(name, now);
             // The cloud's word is proof: everything on the machine is gone.
             for k in (0..claims).rev() {
                 changed.extend(self.claim_ended(m, k, None, false));
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -63,8 +63,8 @@
     pub ending: VecDeque<JobIndex>,
     pub inventory: BTreeMap<u64, InventoryShard>,
     /// Inventory shards to be written: those with machines that are new, and those that only lost some.
-    pub new_in: BTreeSet<u64>,
-    pub gone_from: BTreeSet<u64>,
+    pub grown_inventory: BTreeSet<u64>,
+    pub shrunk_inventory: BTreeSet<u64>,
     next_inventory_shard: u64,
 }
 
@@ -124,7 +124,7 @@
         let inventory_shard = self.inventory.entry(number).or_default();
         inventory_shard.machines.insert(machine);
         inventory_shard.size += size;
-        self.new_in.insert(number);
+        self.grown_inventory.insert(number);
         number
     }
 
@@ -139,7 +139,7 @@
             && inventory_shard.machines.remove(&machine)
         {
             inventory_shard.size = inventory_shard.size.saturating_sub(size);
-            self.gone_from.insert(number);
+            self.shrunk_inventory.insert(number);
         }
     }
 }
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -262,7 +262,7 @@
 
     /// Writes an inventory shard as it stands now, or removes it.
     pub(super) fn put_inventory_shard(&mut self, shard: &mut Shard, number: u64) {
-        shard.claim_log.gone_from.remove(&number);
+        shard.claim_log.shrunk_inventory.remove(&number);
         let Some(inventory_shard) = shard.claim_log.inventory.get(&number) else {
             return;
         };
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -1,5 +1,6 @@
 //! What the leader of a shard holds in memory.
 
+use crate::Requester;
 use crate::agents::machine::Machine;
 use crate::jobs::job::{Class, Job, JobIndex};
 use crate::store::allotment::AllotmentState;
@@ -9,20 +10,20 @@
 use crate::store::live_jobs::LiveWatch;
 use crate::store::plan_triggers::PlanTriggers;
 use crate::store::recovery::RecoveryProgress;
+use crate::store::returned_machines::ReturnedMachines;
 use crate::store::table::Table;
 use crate::store::transaction::value_limit;
 use crate::store::zone_reachability::ZoneReachability;
-use crate::{Node, Requester};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::records::RentalRecord;
 
+/// Machines that are being rented: a request to the cloud under a name, repeated until there is an answer.
 pub(crate) struct Rental {
     pub rec: RentalRecord,
     pub version: u64,
     /// The request is out.
     pub busy: bool,
     pub retry_at: u64,
-    /// Not yet in the state service, or to be taken out of it again.
     pub state: RentalState,
 }
 
@@ -41,15 +42,13 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RentalState {
+    /// Not yet in the state service.
     New,
     Recorded,
+    /// Answered, and to be taken out of the state service.
     Over,
 }
 
-/// Lists and reports that come later than this after a machine's return are taken for a machine's that nobody knows;
-/// names never come back, so only memory speaks for forgetting them.
-const RETURNED_MS: u64 = 600_000;
-
 /// Names of a kind, as dense indices.
 #[derive(Default)]
 pub(crate) struct Names {
@@ -57,6 +56,7 @@
 }
 
 impl Names {
+    /// The index of a name; one that is new gets the next.
     pub fn get(&mut self, name: &str) -> u32 {
         if let Some(i) = self.index.get(name) {
             return *i;
@@ -67,14 +67,16 @@
     }
 }
 
-/// Of so many machines some come by themselves, or answer a call, within this time of a new term.
-const DEAF_MACHINES: usize = 4;
-const DEAF_MS: u64 = 2000;
+/// Of so many machines some come by themselves, or answer a probe, within this time of a new term.
+const HEARS_NOBODY_MACHINES: usize = 4;
+const HEARS_NOBODY_MS: u64 = 2000;
 
+/// The leader's memory of its shard, for one term.
 pub(crate) struct Shard {
     pub token: u64,
     /// Version of our leader record: every write is guarded by it.
     pub leader_version: u64,
+    /// All has been read back.
     pub loaded: bool,
     /// The leader was sure of its lease at the last tick.
     pub had_valid_lease: bool,
@@ -89,18 +91,20 @@
     pub jobs: Table<Job>,
     pub machines: Table<Machine>,
     pub rentals: BTreeMap<String, Rental>,
-    pub serial: u64,
+    serial: u64,
     pub commit: Commit,
     pub claim_log: ClaimLog,
     /// What a record may take.
     value_limit: usize,
     /// Machines whose workers are to be told something at once.
     pub push: BTreeSet<usize>,
+    /// A command may still land late under this token: a higher one is to be taken.
     pub raise_token: bool,
+    /// What is known of the jobs of each class.
     pub classes: BTreeMap<String, Class>,
+    /// Images, as the planner counts them.
     pub images: Names,
-    /// Machines that were returned, with the time: old lists and reports may still name them.
-    pub returned: HashMap<String, u64>,
+    pub returned: ReturnedMachines,
     /// When silent machines were last looked for.
     pub looked_at: u64,
     pub zones: ZoneReachability,
@@ -142,7 +146,7 @@
             raise_token: false,
             classes: BTreeMap::new(),
             images: Names::default(),
-            returned: HashMap::new(),
+            returned: ReturnedMachines::default(),
             looked_at: 0,
             zones: ZoneReachability::default(),
             cloud_calls: CloudCalls::default(),
@@ -160,8 +164,8 @@
     pub fn hears_no_agents(&self, now: u64) -> bool {
         self.loaded
             && !self.heard_itself
-            && self.machines.count() >= DEAF_MACHINES
-            && now >= self.since + DEAF_MS
+            && self.machines.count() >= HEARS_NOBODY_MACHINES
+            && now >= self.since + HEARS_NOBODY_MS
     }
 
     /// Numbers below a token are unique for ever, since tokens are.
@@ -308,13 +312,3 @@
             .collect()
     }
 }
-
-impl Node {
-    /// Keeps only what later lists may still need.
-    pub(crate) fn forget_returned(&mut self) {
-        let now = self.now.mono;
-        if let Some(shard) = &mut self.shard {
-            shard.returned.retain(|_, at| *at + RETURNED_MS > now);
-        }
-    }
-}
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -306,7 +306,7 @@
 
     fn put_grown_inventory(&mut self, shard: &mut Shard) {
         while self.has_room()
-            && let Some(number) = shard.claim_log.new_in.pop_first()
+            && let Some(number) = shard.claim_log.grown_inventory.pop_first()
         {
             self.put_inventory_shard(shard, number);
         }
@@ -314,7 +314,7 @@
 
     fn put_shrunk_inventory(&mut self, shard: &mut Shard) {
         while self.has_room()
-            && let Some(number) = shard.claim_log.gone_from.pop_first()
+            && let Some(number) = shard.claim_log.shrunk_inventory.pop_first()
         {
             self.put_inventory_shard(shard, number);
         }
@@ -324,7 +324,7 @@
     fn remove_rentals(&mut self, shard: &Shard) {
         let is_over = |state: RentalState| state == RentalState::Over;
         for (name, rental) in shard.rentals.iter().filter(|(_, r)| is_over(r.state)) {
-            if !shard.claim_log.new_in.is_empty() || !self.has_room() {
+            if !shard.claim_log.grown_inventory.is_empty() || !self.has_room() {
                 return;
             }
             self.remove(rental_key(name), rental.version);
