--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -4,9 +4,11 @@
 //! all its claims have ended and all jobs whose results it holds have; so it may name claims that are over, which
 //! costs a new leader a moment's caution and nothing else. Machines stand in inventory shards, many to a record.
 
-use crate::jobs::job::JobIndex;
+use crate::agents::machine::Claim;
+use crate::jobs::job::{Ending, JobIndex};
 use crate::store::shard::Shard;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use wire::api::Stage;
 
 /// One claim, for ever: attempts never repeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,15 +34,17 @@
 }
 
 impl Segment {
-    fn over(&self) -> bool {
+    /// It says nothing any more.
+    fn is_over(&self) -> bool {
         !self.holds() && !self.counts
     }
-    /// Claims or results in it that are still wanted.
+    /// It has claims or results that are still wanted.
     pub fn holds(&self) -> bool {
         self.live > 0 || !self.jobs.is_empty()
     }
 }
 
+/// A record of machines in the state service.
 #[derive(Default)]
 pub(crate) struct InventoryShard {
     /// 0 until it is recorded.
@@ -50,6 +54,7 @@
     pub size: usize,
 }
 
+/// The log of write-ahead claims and the inventory, as they stand and as they are to be written.
 #[derive(Default)]
 pub(crate) struct ClaimLog {
     pub segments: BTreeMap<u64, Segment>,
@@ -69,42 +74,54 @@
 }
 
 impl ClaimLog {
-    /// A claim of this segment has ended.
-    pub fn ended(&mut self, segment: u64) {
-        if let Some(s) = self.segments.get_mut(&segment) {
-            s.live = s.live.saturating_sub(1);
-            if s.over() {
-                self.garbage.insert(segment);
+    /// Changes a segment, which may be over then.
+    fn change(&mut self, number: u64, change: impl FnOnce(&mut Segment)) {
+        if let Some(segment) = self.segments.get_mut(&number) {
+            change(segment);
+            if segment.is_over() {
+                self.garbage.insert(number);
             }
         }
     }
 
+    /// A claim of this segment has ended.
+    pub fn ended(&mut self, segment: u64) {
+        self.change(segment, |s| s.live = s.live.saturating_sub(1));
+    }
+
     /// A job's results need no longer stand in these segments.
     pub fn results_over(&mut self, job: JobIndex, segments: impl IntoIterator<Item = u64>) {
-        for n in segments {
-            if let Some(s) = self.segments.get_mut(&n) {
+        for number in segments {
+            self.change(number, |s| {
                 s.jobs.remove(&job);
-                if s.over() {
-                    self.garbage.insert(n);
-                }
-            }
+            });
         }
     }
 
     /// The counts of these segments are in their sheets.
     pub fn counted(&mut self, segments: impl IntoIterator<Item = u64>) {
-        for n in segments {
-            if let Some(s) = self.segments.get_mut(&n) {
-                s.counts = false;
-                if s.over() {
-                    self.garbage.insert(n);
-                }
-            }
+        for number in segments {
+            self.change(number, |s| s.counts = false);
         }
     }
 
+    /// A job's end is to be recorded; its results need not be.
+    fn end_wanted(&mut self, job: JobIndex, stage: Stage) {
+        self.unsaved.remove(&job);
+        if self.ending.contains(&job) {
+            return;
+        }
+        // A cancel has somebody waiting for it, and tasks that run for nobody.
+        if stage == Stage::Cancelled {
+            self.ending.push_front(job);
+        } else {
+            self.ending.push_back(job);
+        }
+    }
+
+    /// A segment is in place, or was read back.
     pub fn add_segment(&mut self, number: u64, segment: Segment) {
-        if segment.over() {
+        if segment.is_over() {
             self.garbage.insert(number);
         }
         self.segments.insert(number, segment);
@@ -134,6 +151,7 @@
         self.inventory.insert(number, inventory_shard);
     }
 
+    /// A machine is gone from its inventory shard.
     pub fn leave_inventory_shard(&mut self, number: u64, machine: usize, size: usize) {
         if let Some(inventory_shard) = self.inventory.get_mut(&number)
             && inventory_shard.machines.remove(&machine)
@@ -146,7 +164,7 @@
 
 impl Shard {
     /// Puts a claim on a machine, to be recorded.
-    pub fn make_claim(&mut self, id: ClaimId, claim: crate::agents::machine::Claim) {
+    pub fn make_claim(&mut self, id: ClaimId, claim: Claim) {
         if self.job(id.job).is_none() || self.machine(id.machine).is_none() {
             return;
         }
@@ -159,7 +177,8 @@
         self.claim_log.fresh.push_back(id);
     }
 
-    pub fn claim_mut(&mut self, id: &ClaimId) -> Option<&mut crate::agents::machine::Claim> {
+    /// The claim, while it holds.
+    pub fn claim_mut(&mut self, id: &ClaimId) -> Option<&mut Claim> {
         let machine = self.machines.get_mut(id.machine)?;
         machine
             .claims
@@ -168,25 +187,15 @@
     }
 
     /// Notes that results of a job, or its end, are to be recorded.
-    pub fn job_to_write(&mut self, ix: JobIndex) {
-        let Some(job) = self.jobs.get(ix) else {
+    pub fn job_to_write(&mut self, index: JobIndex) {
+        let Some(job) = self.jobs.get(index) else {
             return;
         };
         match job.ending {
-            crate::jobs::job::Ending::No if !job.unsaved.is_empty() => {
-                self.claim_log.unsaved.insert(ix);
-            }
-            crate::jobs::job::Ending::Wanted(stage) => {
-                self.claim_log.unsaved.remove(&ix);
-                if !self.claim_log.ending.contains(&ix) {
-                    // A cancel has somebody waiting for it, and tasks that run for nobody.
-                    if stage == wire::api::Stage::Cancelled {
-                        self.claim_log.ending.push_front(ix);
-                    } else {
-                        self.claim_log.ending.push_back(ix);
-                    }
-                }
+            Ending::No if !job.unsaved.is_empty() => {
+                self.claim_log.unsaved.insert(index);
             }
+            Ending::Wanted(stage) => self.claim_log.end_wanted(index, stage),
             _ => {}
         }
     }
