--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -31,7 +31,7 @@
             Err(e) => return self.refuse(conn, 400, &e.to_string()),
         };
         if self.shard.is_none() {
-            if let Some(body) = self.keeps(&heartbeat) {
+            if let Some(body) = self.delegate_answer(&heartbeat) {
                 return self.respond(conn, 200, body, None);
             }
             if self.takes(conn, &heartbeat, body) {
@@ -797,7 +797,7 @@
         let Some(machine) = self.shard.as_ref().and_then(|p| p.machine(m)) else {
             return;
         };
-        let kept = self.kept_ms(&machine.zone, machine.heard_at);
+        let kept = self.delegated_ms(&machine.zone, machine.heard_at);
         let lease = (self.settings.cluster.workers.lease_s * 1000.0) as u64 + silent + kept;
         let Some(shard) = &mut self.shard else { return };
         let Some(machine) = shard.machines.get_mut(m) else {
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -1,21 +1,31 @@
 //! Zones that are cut off whole: a node inside, named by the leader, keeps the leases of its zone's workers alive for a
 //! bounded time under the leader's token. It gives no orders, and knows of none.
 //!
-//! The leader names it again with each view (once a second), with the machines on which something is that was
+//! The leader names it again with each peer status (once a second), with the machines on which something is that was
 //! cancelled; those are not kept. Of later cancels the lease delegate hears nothing, so that it stops in time; see
 //! [`crate::leadership::lease_bound`] and docs/safety.md. It writes nothing down: what it was told ends with its process.
 
 use crate::Node;
 use crate::leadership::lease_bound::bound_ms;
+use std::collections::BTreeSet;
+use std::ops::Range;
 use wire::api::{Heartbeat, Orders};
 use wire::peer::LeaseDelegation;
+use wire::settings::Workers;
 
-/// More machines than this are not named one by one: then nobody is.
-const EXCEPT: usize = 64;
+/// More machines than this are not excepted one by one: then nothing is delegated.
+const MAX_EXCEPT: usize = 64;
+
+/// Claims that are looked at for each machine that may be excepted.
+const CLAIMS_PER_EXCEPT: usize = 8;
 
 /// A peer and a machine that fell silent within this time are taken to have been cut off together.
 const TOGETHER_MS: u64 = 10_000;
 
+/// A lease delegate answers only once a later leader had time to be found: this part of a lease, in milliseconds of
+/// each of its seconds.
+const FROM_MS_PER_LEASE_S: f64 = 250.0;
+
 /// What the leader has said last.
 pub(crate) struct Delegation {
     /// When it was asked, by this node's clock: it has known of all cancels up to then.
@@ -23,6 +33,19 @@
     delegation: LeaseDelegation,
 }
 
+impl Delegation {
+    /// When answers may be given.
+    fn period(&self, workers: &Workers) -> Range<u64> {
+        let from = self.asked + (workers.lease_s * FROM_MS_PER_LEASE_S) as u64;
+        let until = self.asked + bound_ms(workers);
+        from..until
+    }
+
+    fn excepts(&self, machine: &String) -> bool {
+        self.delegation.except.contains(machine)
+    }
+}
+
 impl Node {
     /// What the leader lets a peer keep: its zone's machines, but those with something on them that was cancelled.
     pub(crate) fn delegation_for(&self, peer: usize) -> Option<LeaseDelegation> {
@@ -40,32 +63,33 @@
             .flat_map(|j| j.claimed.values().flatten())
             .filter_map(|(m, _)| shard.machine(*m));
         let except = machines.filter(|m| m.zone == *zone).map(|m| m.name.clone());
-        let except: std::collections::BTreeSet<String> = except.take(EXCEPT * 8).collect();
-        (except.len() <= EXCEPT).then(|| LeaseDelegation {
+        let except: BTreeSet<String> = except.take(MAX_EXCEPT * CLAIMS_PER_EXCEPT).collect();
+        (except.len() <= MAX_EXCEPT).then(|| LeaseDelegation {
             token: shard.token,
             except: except.into_iter().collect(),
         })
     }
 
+    /// Keeps what the leader has said, asked at `asked`.
     pub(crate) fn note_delegation(&mut self, asked: u64, delegation: Option<LeaseDelegation>) {
-        if let Some(delegation) = delegation.filter(|k| k.except.len() <= EXCEPT) {
+        if let Some(delegation) = delegation.filter(|k| k.except.len() <= MAX_EXCEPT) {
             self.delegation = Some(Delegation { asked, delegation });
         }
     }
 
-    /// The answer of a lease delegate, if it may give one. It waits until a later leader had time to be found.
-    pub(crate) fn keeps(&self, heartbeat: &Heartbeat) -> Option<Vec<u8>> {
-        let Delegation { asked, delegation } = self.delegation.as_ref()?;
-        let workers = &self.settings.cluster.workers;
-        let from = asked + (workers.lease_s * 250.0) as u64;
-        let until = asked + bound_ms(workers);
-        let in_time = (from..until).contains(&self.now.mono);
+    /// The answer of a lease delegate to a worker, if it may give one.
+    pub(crate) fn delegate_answer(&self, heartbeat: &Heartbeat) -> Option<Vec<u8>> {
+        let delegation = self.delegation.as_ref()?;
+        let token = delegation.delegation.token;
+        let period = delegation.period(&self.settings.cluster.workers);
         let highest = heartbeat.token.max(self.highest_token());
-        let ours = heartbeat.zone == self.settings.zone && highest <= delegation.token;
-        let kept = in_time && ours && !delegation.except.contains(&heartbeat.machine);
-        kept.then(|| {
+        let may_answer = period.contains(&self.now.mono)
+            && heartbeat.zone == self.settings.zone
+            && highest <= token
+            && !delegation.excepts(&heartbeat.machine);
+        may_answer.then(|| {
             wire::encode(&Orders {
-                token: delegation.token,
+                token,
                 session: None,
                 orders: Vec::new(),
             })
@@ -73,7 +97,7 @@
     }
 
     /// How much longer than their leases tasks in a silent zone may live: a lease delegate stood there when it was last heard.
-    pub(crate) fn kept_ms(&self, zone: &str, heard_at: u64) -> u64 {
+    pub(crate) fn delegated_ms(&self, zone: &str, heard_at: u64) -> u64 {
         let peers = self.settings.peers.iter().enumerate();
         let stood = peers
             .filter(|(_, p)| p.zone == zone)
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -1,4 +1,4 @@
-//! What the nodes tell each other once a second: who owns, whom the state service answers, which tokens are known.
+//! What the nodes tell each other once a second: who leads, whom the state service answers, which tokens are known.
 //!
 //! What it says of reach only chooses who acts. What it says of tokens is proof for [`crate::leadership::lease_bound`].
 
@@ -9,21 +9,22 @@
 
 /// Nodes ask each other this often; an answer that takes longer is none.
 const EVERY_MS: u64 = 1000;
-/// A view is believed for so long.
+/// A peer's status is believed for so long.
 const FRESH_MS: u64 = 3000;
 /// The state service answers a node that has heard from it within this time: its watch says something every 5 s.
 const STATE_MS: u64 = 6500;
 /// Where the service does not count this high, nobody has a token above it.
 pub(crate) const TOKEN_BOUND: u64 = 1 << 31;
 
-/// The newest view of each peer, with its time.
+/// The newest status of each peer, with its time.
 #[derive(Debug, Default)]
 pub(crate) struct PeerStatusTable {
     asked: u64,
-    of: Vec<Option<(u64, PeerStatus)>>,
+    by_peer: Vec<Option<(u64, PeerStatus)>>,
 }
 
 impl Node {
+    /// Asks all peers, once a second.
     pub(crate) fn peer_status_tick(&mut self) {
         let now = self.now.mono;
         let peers = self.settings.peers.len();
@@ -31,7 +32,7 @@
             return;
         }
         self.peer_statuses.asked = now;
-        self.peer_statuses.of.resize_with(peers, || None);
+        self.peer_statuses.by_peer.resize_with(peers, || None);
         self.ask_for_attestations(now, peers);
         let body = peer::encode(&Ask::PeerStatus(self.peer_status()));
         for peer in 0..peers {
@@ -47,6 +48,7 @@
         }
     }
 
+    /// What this node tells its peers.
     pub(crate) fn peer_status(&self) -> PeerStatus {
         let now = self.now.mono;
         PeerStatus {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// A peer's view, as it asked or answered. A name or a token that can't be is refused.
+    /// A peer's status, as it asked or answered. A name or a token that can't be is refused.
     pub(crate) fn peer_status_seen(&mut self, peer_status: PeerStatus) -> Option<usize> {
         let peer = self.peer_named(&peer_status.node)?;
         if peer_status
@@ -83,12 +85,13 @@
         }
         let now = self.now.mono;
         self.peer_statuses
-            .of
+            .by_peer
             .resize_with(self.settings.peers.len(), || None);
-        self.peer_statuses.of[peer] = Some((now, peer_status));
+        self.peer_statuses.by_peer[peer] = Some((now, peer_status));
         Some(peer)
     }
 
+    /// A peer's answer, to what was asked at `sent`.
     pub(crate) fn peer_status_received(
         &mut self,
         sent: u64,
@@ -124,7 +127,7 @@
     /// When a peer was last heard; 0 for never.
     pub(crate) fn last_peer_status(&self, peer: usize) -> u64 {
         self.peer_statuses
-            .of
+            .by_peer
             .get(peer)
             .and_then(Option::as_ref)
             .map_or(0, |(at, _)| *at)
@@ -136,7 +139,7 @@
     }
 
     fn fresh_status(&self, peer: usize) -> Option<&PeerStatus> {
-        let (at, peer_status) = self.peer_statuses.of.get(peer)?.as_ref()?;
+        let (at, peer_status) = self.peer_statuses.by_peer.get(peer)?.as_ref()?;
         (self.now.mono < at + FRESH_MS).then_some(peer_status)
     }
 
@@ -144,7 +147,7 @@
         let now = self.now.mono;
         let fresh = self
             .peer_statuses
-            .of
+            .by_peer
             .iter()
             .flatten()
             .filter(move |(at, _)| now < at + FRESH_MS);
