--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -277,7 +277,7 @@
         }
         let Some(shard) = &self.shard else { return };
         let owned = &mut self.models.owned;
-        let gone = owned.recs.keys().filter(|m| !shard.jobs.contains(*m));
+        let gone = owned.recs.keys().filter(|m| !shard.jobs.contains(m));
         owned.over.extend(gone.cloned().collect::<Vec<_>>());
     }
 
