--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -26,4 +26,4 @@
 pub use node::Node;
 pub(crate) use outstanding::{Pending, Requester};
 pub use stats::Stats;
-pub use tuning::Tuning;
+pub use tuning::{Tuning, TuningError};
--- a/crates/control/src/tuning.rs
+++ b/crates/control/src/tuning.rs
@@ -1,5 +1,54 @@
 //! The operators' own settings, with working defaults.
 
+use std::fmt;
+
+/// What is wrong with a setting.
+#[derive(Debug, Clone, PartialEq)]
+pub struct TuningError {
+    section: String,
+    key: String,
+    fault: Fault,
+}
+
+#[derive(Debug, Clone, PartialEq)]
+enum Fault {
+    Unknown,
+    NotANumber(String),
+    OutOfRange { value: f64, low: f64, high: f64 },
+}
+
+impl fmt::Display for TuningError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "[{}] {}: ", self.section, self.key)?;
+        match &self.fault {
+            Fault::Unknown => f.write_str("unknown setting"),
+            Fault::NotANumber(value) => write!(f, "not a number: {value:?}"),
+            Fault::OutOfRange { value, low, high } => {
+                write!(f, "{value} is not within {low} to {high}")
+            }
+        }
+    }
+}
+
+impl std::error::Error for TuningError {}
+
+/// Reads a value that is within its bounds.
+fn parse(value: &str, low: f64, high: f64) -> Result<f64, Fault> {
+    let number: f64 = value
+        .trim()
+        .parse()
+        .map_err(|_| Fault::NotANumber(value.to_owned()))?;
+    if (low..=high).contains(&number) {
+        Ok(number)
+    } else {
+        Err(Fault::OutOfRange {
+            value: number,
+            low,
+            high,
+        })
+    }
+}
+
 macro_rules! tuning {
     ($($section:literal: { $($field:ident = $default:literal in $low:literal ..= $high:literal, $doc:literal;)* })*) => {
         /// What operators may set in their INI file.
@@ -14,18 +63,21 @@
 
         impl Tuning {
             /// Sets one value by its name; the error says what is wrong with it.
-            pub fn set(&mut self, section: &str, key: &str, value: &str) -> Result<(), String> {
+            pub fn set(&mut self, section: &str, key: &str, value: &str) -> Result<(), TuningError> {
+                self.try_set(section, key, value).map_err(|fault| TuningError {
+                    section: section.to_owned(),
+                    key: key.to_owned(),
+                    fault,
+                })
+            }
+
+            fn try_set(&mut self, section: &str, key: &str, value: &str) -> Result<(), Fault> {
                 match (section, key) {
                     $($(($section, stringify!($field)) => {
-                        let v: f64 = value.trim().parse()
-                            .map_err(|_| format!("[{section}] {key}: not a number: {value:?}"))?;
-                        if !($low..=$high).contains(&v) {
-                            return Err(format!("[{section}] {key}: {v} is not within {} to {}", $low, $high));
-                        }
-                        self.$field = v;
+                        self.$field = parse(value, $low, $high)?;
                         Ok(())
                     })*)*
-                    _ => Err(format!("[{section}] {key}: unknown setting")),
+                    _ => Err(Fault::Unknown),
                 }
             }
 
--- a/crates/stoathatch/src/config.rs
+++ b/crates/stoathatch/src/config.rs
@@ -30,7 +30,9 @@
     let mut tuning = Tuning::default();
     for (section, values) in ini.iter() {
         for (key, value) in values.iter() {
-            tuning.set(section.unwrap_or(""), key, value)?;
+            tuning
+                .set(section.unwrap_or(""), key, value)
+                .map_err(|e| e.to_string())?;
         }
     }
     Ok(tuning)
