--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -248,7 +248,7 @@
         }
         if !puts.is_empty() {
             shard.tally.folded_at = now;
-            self.ops.push(PendingWrite::Fold(Fold { puts }));
+            self.pending_writes.push(PendingWrite::Fold(Fold { puts }));
         }
     }
 }
--- a/crates/control/src/documents/hours.rs
+++ b/crates/control/src/documents/hours.rs
@@ -716,7 +716,7 @@
                 continue;
             }
             self.put(key, job.version, Record::Job(Box::new(rec)));
-            self.ops.push(PendingWrite::Hour(hour, wall));
+            self.pending_writes.push(PendingWrite::Hour(hour, wall));
         }
     }
 }
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -380,7 +380,7 @@
             K::record(change.head.clone()),
         );
         K::with_head(self, shard, version);
-        self.ops.push(PendingWrite::Head(K::ID));
+        self.pending_writes.push(PendingWrite::Head(K::ID));
     }
 
     /// Parts of versions to come, as far as there is room.
@@ -400,7 +400,8 @@
             let value = serde_json::to_value(&piece).unwrap_or_default();
             self.put_part(format!("{}{name}", prefix::<K>()), Record::Other(value));
             change.busy += 1;
-            self.ops.push(PendingWrite::DocumentPart(K::ID, name));
+            self.pending_writes
+                .push(PendingWrite::DocumentPart(K::ID, name));
         }
     }
 
@@ -415,7 +416,8 @@
                     format!("{}{name}", for_kind!(kind, K => prefix::<K>())),
                     stamp,
                 );
-                self.ops.push(PendingWrite::RemoveDocumentPart(kind, name));
+                self.pending_writes
+                    .push(PendingWrite::RemoveDocumentPart(kind, name));
             }
         }
     }
--- a/crates/control/src/store/allotment.rs
+++ b/crates/control/src/store/allotment.rs
@@ -60,7 +60,7 @@
         );
         self.current = Some(allotment);
         self.version = 0;
-        draft.ops.push(PendingWrite::Allotment);
+        draft.pending_writes.push(PendingWrite::Allotment);
     }
 
     /// What was written is in place at this revision.
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -220,7 +220,7 @@
         }
         if let Some((record, log)) = builder.finish() {
             self.put(records::log_key(SHARD, log.number), 0, Record::Log(record));
-            self.ops.push(PendingWrite::Log(log));
+            self.pending_writes.push(PendingWrite::Log(log));
         }
     }
 
@@ -281,7 +281,8 @@
         let machines = record.kinds.iter().flat_map(|k| &k.machines);
         let names = machines.map(|(name, _)| name.clone()).collect();
         self.put(key, version, Record::InventoryShard(record));
-        self.ops.push(PendingWrite::InventoryShard(number, names));
+        self.pending_writes
+            .push(PendingWrite::InventoryShard(number, names));
     }
 }
 
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -27,7 +27,7 @@
 /// The transaction that is under way, if there is one.
 #[derive(Default)]
 pub(crate) struct Commit {
-    ops: Vec<PendingWrite>,
+    pending_writes: Vec<PendingWrite>,
     /// Empty while there is none.
     body: Vec<u8>,
     probe: Option<Probe>,
@@ -58,7 +58,7 @@
             guards: draft.guards,
             writes: draft.writes,
         });
-        self.ops = draft.ops;
+        self.pending_writes = draft.pending_writes;
         self.probe = draft.probe;
         self.outcome_unknown = false;
     }
@@ -67,7 +67,7 @@
     pub(super) fn take_applied(&mut self) -> Vec<PendingWrite> {
         self.body.clear();
         self.outcome_unknown = false;
-        std::mem::take(&mut self.ops)
+        std::mem::take(&mut self.pending_writes)
     }
 
     fn ended_jobs(&self) -> Vec<JobIndex> {
@@ -75,7 +75,7 @@
             PendingWrite::End(job) => Some(*job),
             _ => None,
         };
-        self.ops.iter().filter_map(end).collect()
+        self.pending_writes.iter().filter_map(end).collect()
     }
 }
 
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -78,7 +78,7 @@
 
 /// A transaction that is being filled.
 pub(crate) struct TransactionDraft {
-    pub ops: Vec<PendingWrite>,
+    pub pending_writes: Vec<PendingWrite>,
     pub(super) guards: Vec<Guard>,
     pub(super) writes: Vec<Write>,
     pub(super) probe: Option<Probe>,
@@ -126,7 +126,7 @@
     fn new(leader_version: u64, state: &StateLimits, budget: usize) -> Self {
         let value = value_limit(state.value_kb);
         TransactionDraft {
-            ops: Vec::new(),
+            pending_writes: Vec::new(),
             guards: vec![Guard {
                 key: records::leader_key(SHARD),
                 version: leader_version,
@@ -249,7 +249,7 @@
         };
         self.put(records::end_key(&id), 0, Record::End(end));
         self.remove(records::live_key(&id), version);
-        self.ops.push(PendingWrite::End(index));
+        self.pending_writes.push(PendingWrite::End(index));
     }
 
     fn put_allotment(&mut self, shard: &mut Shard) {
@@ -272,7 +272,7 @@
             shared.token_version,
             Record::Token(TokenRecord { token }),
         );
-        self.ops.push(PendingWrite::Token(token));
+        self.pending_writes.push(PendingWrite::Token(token));
         shard.commit.raised_at = now;
     }
 
@@ -283,7 +283,7 @@
                 return;
             }
             self.put(rental_key(name), 0, Record::Rental(rental.rec.clone()));
-            self.ops.push(PendingWrite::Rental(name.clone()));
+            self.pending_writes.push(PendingWrite::Rental(name.clone()));
         }
     }
 
@@ -296,9 +296,9 @@
             && (!shard.claim_log.fresh.is_empty()
                 || (tidies && !shard.claim_log.unsaved.is_empty()))
         {
-            let before = self.ops.len();
+            let before = self.pending_writes.len();
             self.put_log(shard);
-            if self.ops.len() == before {
+            if self.pending_writes.len() == before {
                 return;
             }
         }
@@ -328,7 +328,8 @@
                 return;
             }
             self.remove(rental_key(name), rental.version);
-            self.ops.push(PendingWrite::RemoveRental(name.clone()));
+            self.pending_writes
+                .push(PendingWrite::RemoveRental(name.clone()));
         }
     }
 
@@ -348,7 +349,7 @@
             shared.catalog_version,
             Record::Catalog(catalog.clone()),
         );
-        self.ops.push(PendingWrite::Catalog);
+        self.pending_writes.push(PendingWrite::Catalog);
     }
 
     fn remove_segments(&mut self, shard: &mut Shard) {
@@ -359,7 +360,7 @@
                 continue;
             };
             self.remove(records::log_key(SHARD, number), segment.version);
-            self.ops.push(PendingWrite::LogOver(number));
+            self.pending_writes.push(PendingWrite::LogOver(number));
         }
     }
 }
