--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -115,10 +115,10 @@
         let may_succeed = self.tuning.heir > 0.0
             && self
                 .incarnation
-                .succeeds(&observed.rec, &self.settings.node);
+                .succeeds(&observed.record, &self.settings.node);
         may_succeed.then_some(Replaceable {
             version: observed.version,
-            lease: Some(observed.rec.lease),
+            lease: Some(observed.record.lease),
         })
     }
 
@@ -138,7 +138,7 @@
         if observed.is_some_and(|o| o.is_ours(lease.id, node)) {
             return;
         }
-        if observed.is_some_and(|o| self.incarnation.is_other_process_of(&o.rec, node)) {
+        if observed.is_some_and(|o| self.incarnation.is_other_process_of(&o.record, node)) {
             log::error!("another process lives under the name {node}; only one of them can serve");
         }
         self.step_down("another leader, or none, stands in the state service");
@@ -151,7 +151,7 @@
         };
         let observed = self.shared.leader.as_ref();
         let ours = observed.filter(|o| o.is_ours(lease, &self.settings.node));
-        if let Some((token, version)) = ours.map(|o| (o.rec.token, o.version)) {
+        if let Some((token, version)) = ours.map(|o| (o.record.token, o.version)) {
             self.become_leader(lease, campaign.sent, token, version);
         }
     }
@@ -254,7 +254,7 @@
         self.shared.token = token;
         self.shared.token_version = revision;
         self.shared.leader = Some(ObservedLeader {
-            rec: self.own_record(token, lease),
+            record: self.own_record(token, lease),
             version: revision,
         });
         self.become_leader(lease, campaign.sent, token, revision);
--- a/crates/control/src/leadership/incarnation.rs
+++ b/crates/control/src/leadership/incarnation.rs
@@ -33,13 +33,13 @@
     }
 
     /// Whether another incarnation under this node's name wrote it.
-    pub fn is_other_process_of(&self, rec: &LeaderRecord, node: &str) -> bool {
-        rec.node == node && rec.incarnation != self.mark
+    pub fn is_other_process_of(&self, record: &LeaderRecord, node: &str) -> bool {
+        record.node == node && record.incarnation != self.mark
     }
 
     /// Whether the leader that wrote it can only have ended. Two processes of one name take over from each other once
     /// at most: who has led the fleet waits like everybody else.
-    pub fn succeeds(&self, rec: &LeaderRecord, node: &str) -> bool {
-        self.is_other_process_of(rec, node) && !self.has_led
+    pub fn succeeds(&self, record: &LeaderRecord, node: &str) -> bool {
+        self.is_other_process_of(record, node) && !self.has_led
     }
 }
--- a/crates/control/src/leadership/shared_state.rs
+++ b/crates/control/src/leadership/shared_state.rs
@@ -30,14 +30,14 @@
 /// The leader record, as it was read last.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct ObservedLeader {
-    pub rec: LeaderRecord,
+    pub record: LeaderRecord,
     pub version: u64,
 }
 
 impl ObservedLeader {
     /// Whether this node wrote it, on this lease.
     pub(super) fn is_ours(&self, lease: u64, node: &str) -> bool {
-        self.rec.node == node && self.rec.lease == lease
+        self.record.node == node && self.record.lease == lease
     }
 }
 
@@ -93,15 +93,15 @@
         self.catalog_version = version;
     }
 
-    fn leader_put(&mut self, rec: SharedRecord, version: u64) {
-        if let (Some(node), Some(token), Some(lease)) = (rec.node, rec.token, rec.lease) {
-            let rec = LeaderRecord {
+    fn leader_put(&mut self, record: SharedRecord, version: u64) {
+        if let (Some(node), Some(token), Some(lease)) = (record.node, record.token, record.lease) {
+            let record = LeaderRecord {
                 node,
                 token,
                 lease,
-                incarnation: rec.incarnation,
+                incarnation: record.incarnation,
             };
-            self.leader = Some(ObservedLeader { rec, version });
+            self.leader = Some(ObservedLeader { record, version });
         }
     }
 }
@@ -214,18 +214,18 @@
         self.leader_observed();
     }
 
-    fn shared_put(&mut self, key: &str, rec: SharedRecord, version: u64) {
+    fn shared_put(&mut self, key: &str, record: SharedRecord, version: u64) {
         let leads = self.leads();
-        if rec.document.is_some() {
-            self.shared.documents.head_seen(key, &rec, version);
+        if record.document.is_some() {
+            self.shared.documents.head_seen(key, &record, version);
         } else if key == records::TOKEN {
-            self.shared.token_put(rec.token.unwrap_or(0), version);
+            self.shared.token_put(record.token.unwrap_or(0), version);
         } else if key == records::CATALOG {
-            if let Some(types) = rec.types {
+            if let Some(types) = record.types {
                 self.shared.catalog_put(Catalog { types }, version, leads);
             }
         } else if key == records::leader_key(SHARD) {
-            self.shared.leader_put(rec, version);
+            self.shared.leader_put(record, version);
         }
     }
 
@@ -267,7 +267,7 @@
 
     fn newest_leader(&self) -> Option<(u64, &str)> {
         let observed = self.shared.leader.as_ref();
-        let observed = observed.map(|o| (o.rec.token, o.rec.node.as_str()));
+        let observed = observed.map(|o| (o.record.token, o.record.node.as_str()));
         let announced = self
             .announced
             .as_ref()
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -91,7 +91,7 @@
             .rentals
             .iter()
             .filter(|(_, h)| h.state == RentalState::Recorded && !h.busy && h.retry_at <= now)
-            .map(|(n, h)| (n.clone(), h.rec.clone()))
+            .map(|(n, h)| (n.clone(), h.record.clone()))
             .collect();
         for (name, rec) in ready {
             if !self.cloud.try_take(now, 1.0) {
@@ -245,7 +245,7 @@
         shard.rentals.insert(
             name,
             Rental {
-                rec,
+                record: rec,
                 version: 0,
                 busy: false,
                 retry_at: 0,
@@ -273,7 +273,7 @@
         };
         self.to_write = true;
         rental.busy = false;
-        let rec = rental.rec.clone();
+        let rec = rental.record.clone();
         let kind = (rec.machine_type.clone(), rec.zone.clone(), rec.spot);
         if let Some(got) = got {
             rental.state = RentalState::Over;
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -839,12 +839,12 @@
             .filter(|h| h.state == RentalState::Recorded)
         {
             let kind = (
-                rental.rec.machine_type.clone(),
-                rental.rec.zone.clone(),
-                rental.rec.spot,
+                rental.record.machine_type.clone(),
+                rental.record.zone.clone(),
+                rental.record.spot,
             );
             if let Some(i) = names.iter().position(|n| *n == kind) {
-                coming.push((offers[i].clone(), rental.rec.count));
+                coming.push((offers[i].clone(), rental.record.count));
             }
         }
         // The zone with fewest machines first, so that one zone's loss takes the least.
--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -87,9 +87,9 @@
             return;
         };
         for change in changes.events {
-            if let Some(rec) = change.value {
+            if let Some(record) = change.value {
                 self.writes.take(now, 1.0);
-                self.job_known(rec, change.version);
+                self.job_known(record, change.version);
             }
         }
         if let Some(shard) = &mut self.shard {
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -60,16 +60,16 @@
 
 impl Shard {
     /// Takes in a log record of earlier leaders.
-    fn load_segment(&mut self, number: u64, version: u64, rec: LogRecord) {
+    fn load_segment(&mut self, number: u64, version: u64, record: LogRecord) {
         let mut segment = Segment {
             version,
-            counts: self.tally.stands(number, rec.ended, 0),
+            counts: self.tally.stands(number, record.ended, 0),
             ..Segment::default()
         };
-        for group in rec.claims {
+        for group in record.claims {
             self.load_claims(number, &mut segment, group);
         }
-        for done in rec.done {
+        for done in record.done {
             if let Some(job) = self.load_results(number, done) {
                 segment.jobs.insert(job);
             }
@@ -148,14 +148,14 @@
         &mut self,
         number: u64,
         version: u64,
-        rec: InventoryRecord,
+        record: InventoryRecord,
         heard_at: u64,
     ) {
         let mut inventory_shard = InventoryShard {
             version,
             ..InventoryShard::default()
         };
-        for kind in rec.kinds {
+        for kind in record.kinds {
             for (name, rented_ms) in kind.machines {
                 let mut machine =
                     Machine::new(&name, &kind.machine_type, &kind.zone, kind.spot, rented_ms);
@@ -421,16 +421,16 @@
         self.watch_live();
     }
 
-    pub(crate) fn job_known(&mut self, rec: JobRecord, version: u64) {
+    pub(crate) fn job_known(&mut self, record: JobRecord, version: u64) {
         // The watch may lag behind our own end of the job.
-        if self.final_states.get(&rec.spec.id).is_some() {
+        if self.final_states.get(&record.spec.id).is_some() {
             return;
         }
         let Some(shard) = &mut self.shard else { return };
-        if shard.jobs.contains(&rec.spec.id) {
+        if shard.jobs.contains(&record.spec.id) {
             return;
         }
-        let spec = &rec.spec;
+        let spec = &record.spec;
         log::debug!(
             "job {}: {} tasks of class {} for {}",
             spec.id,
@@ -440,11 +440,11 @@
         );
         shard
             .classes
-            .entry(rec.spec.class.clone())
+            .entry(record.spec.class.clone())
             .or_default()
-            .arrived(&rec.spec, rec.at_ms);
-        shard.plan_triggers.urgent.arrived(&rec.spec);
-        let ix = shard.add_job(Job::new(rec, version));
+            .arrived(&record.spec, record.at_ms);
+        shard.plan_triggers.urgent.arrived(&record.spec);
+        let ix = shard.add_job(Job::new(record, version));
         shard.plan_triggers.request();
         self.model_received(ix);
     }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -19,7 +19,7 @@
 
 /// Machines that are being rented: a request to the cloud under a name, repeated until there is an answer.
 pub(crate) struct Rental {
-    pub rec: RentalRecord,
+    pub record: RentalRecord,
     pub version: u64,
     /// The request is out.
     pub busy: bool,
@@ -29,9 +29,9 @@
 
 impl Rental {
     /// One that was read back.
-    pub fn recorded(rec: RentalRecord, version: u64) -> Self {
+    pub fn recorded(record: RentalRecord, version: u64) -> Self {
         Rental {
-            rec,
+            record,
             version,
             busy: false,
             retry_at: 0,
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -282,7 +282,7 @@
             if !self.has_room() {
                 return;
             }
-            self.put(rental_key(name), 0, Record::Rental(rental.rec.clone()));
+            self.put(rental_key(name), 0, Record::Rental(rental.record.clone()));
             self.pending_writes.push(PendingWrite::Rental(name.clone()));
         }
     }
