--- /dev/null
+++ b/crates/control/tests/frontend.rs
@@ -0,0 +1,38 @@
+//! What a leader's users and the front end beside it leave of a second's requests and changes.
+
+mod scripted;
+
+use control::Event;
+use scripted::{Played, job};
+use serde_json::json;
+use wire::http::Request;
+
+/// The share of the state service's changes that the leader may make.
+const LEADER_SHARE: f64 = 0.9;
+
+/// A flood of submissions to the leader: it accepts no more at once than it may write, and claims and ends find a
+/// part of the second's changes left. Its watch has counted none of them yet.
+#[test]
+fn the_leaders_users_leave_room_for_claims() {
+    let mut p = Played::with(|settings| settings.cluster.state.write_rps = 30.0 / LEADER_SHARE);
+    p.leads();
+    // A second's worth is there again after the take-over.
+    p.live(3000, &mut |_| None);
+    let accepts = |p: &Played| p.sent.iter().filter(|s| s.changes("live/")).count();
+    assert_eq!(accepts(&p), 0);
+    for n in 0..100 {
+        let mut spec = job();
+        spec["nameId"] = json!(format!("job-{:06}", 412 + n));
+        let request = Request {
+            method: "POST".into(),
+            path: "/work".into(),
+            body: wire::encode(&spec),
+            close: false,
+        };
+        p.step(Event::Client {
+            conn: 1 + n,
+            request,
+        });
+    }
+    assert_eq!(accepts(&p), 27);
+}
--- a/crates/control/tests/scripted/mod.rs
+++ b/crates/control/tests/scripted/mod.rs
@@ -5,6 +5,7 @@
 use control::{Destination, Effect, Event, Node, Now, Tuning};
 use serde_json::{Value, json};
 use wire::http::{Request, Response};
+use wire::settings::Settings;
 
 /// A node, its time, and what it has sent that nobody has answered yet.
 pub struct Played {
@@ -71,8 +72,14 @@
 
 impl Played {
     pub fn new() -> Self {
+        Played::with(|_| {})
+    }
+
+    /// The same with other settings.
+    pub fn with(change: impl FnOnce(&mut Settings)) -> Self {
         let text = include_str!("../../../../deploy/settings-example.json");
-        let settings = serde_json::from_str(text).expect("the example is accepted");
+        let mut settings = serde_json::from_str(text).expect("the example is accepted");
+        change(&mut settings);
         let now = 1_000_000;
         let node = Node::new(
             settings,
