--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -5,8 +5,9 @@
 //! later is told apart by its stamp. One audit at a time, page by page, and only with what the leader's other work leaves of its requests.
 
 use crate::documents::county_counts::Held;
+use crate::state_requests::PageCursor;
 use crate::store::shard::Shard;
-use crate::{Destination, Node, Pending};
+use crate::{Node, Pending};
 use county::{Cell, Count};
 use std::collections::{BTreeMap, HashMap};
 use wire::api::{Item, Range, Stage};
@@ -16,6 +17,7 @@
 
 /// Requests that an audit leaves to others.
 const SPARED: f64 = 5.0;
+const TIMEOUT_MS: u64 = 3000;
 const PAGE: usize = 1000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,7 +36,7 @@
     live: HashMap<String, String>,
     again: BTreeMap<Cell, Count>,
     under: Under,
-    after: Option<String>,
+    cursor: PageCursor,
     busy: bool,
     read: u64,
     differences: Vec<String>,
@@ -160,7 +162,7 @@
             live,
             again: BTreeMap::new(),
             under: Under::Live,
-            after: None,
+            cursor: PageCursor::default(),
             busy: false,
             read: 0,
             differences: Vec::new(),
@@ -189,35 +191,35 @@
         } else {
             records::ENDED
         };
-        let mut path = format!("/keys?under={prefix}&limit={PAGE}");
-        if let Some(after) = &audit.after {
-            path.push_str(&format!("&from={after}"));
-        }
-        let what = Pending::Audit {
+        let path = audit.cursor.path(prefix, PAGE);
+        let pending = Pending::Audit {
             term,
             under: audit.under,
         };
-        self.send(Destination::State, "GET", path, Vec::new(), 3000, what);
+        self.get_state(path, TIMEOUT_MS, pending);
     }
 
     pub(crate) fn audit_received(&mut self, under: Under, response: Option<Response>) {
-        let response = response.filter(|r| r.status == 200);
-        let page = response.and_then(|r| match under {
-            Under::Live => self.read("state service", &r).map(|p| {
-                self.audit_page(p, |a, job: JobRecord, _, stamp| a.live_found(&job, stamp))
+        let page = match under {
+            Under::Live => self.read_state(response).map(|page| {
+                self.audit_page(page, |audit, job: JobRecord, _, stamp| {
+                    audit.live_found(&job, stamp)
+                })
             }),
-            Under::Ended => self.read("state service", &r).map(|p| {
-                self.audit_page(p, |a, end: EndRecord, key, stamp| {
-                    a.end_found(key, &end, stamp)
+            Under::Ended => self.read_state(response).map(|page| {
+                self.audit_page(page, |audit, end: EndRecord, key, stamp| {
+                    audit.end_found(key, &end, stamp)
                 })
             }),
-        });
+        };
         let Some(audit) = self.shard.as_mut().and_then(|p| p.tally.audit.as_mut()) else {
             return;
         };
         audit.busy = false;
         match (page, under) {
-            (Some(false), Under::Live) => (audit.under, audit.after) = (Under::Ended, None),
+            (Some(false), Under::Live) => {
+                (audit.under, audit.cursor) = (Under::Ended, PageCursor::default())
+            }
             (Some(false), Under::Ended) => audit.finish(),
             // The next page, or the same again.
             _ => {}
@@ -229,8 +231,7 @@
         let Some(audit) = self.shard.as_mut().and_then(|p| p.tally.audit.as_mut()) else {
             return false;
         };
-        let more = page.more && !page.items.is_empty();
-        audit.after = page.items.last().map(|i| i.key.clone());
+        let more = audit.cursor.advance(&page);
         audit.read += page.items.len() as u64;
         for Item {
             key,
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -6,9 +6,10 @@
 
 use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::election::SHARD;
+use crate::state_requests::PageCursor;
 use crate::store::commit::{PendingWrite, TransactionDraft};
 use crate::store::shard::Shard;
-use crate::{Destination, Node, Pending};
+use crate::{Node, Pending};
 use county::{Cell, Count, Delta, Fold, OTHER, Sheet, Tally, Unread};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use wire::api::{Item, Range, Stage};
@@ -25,6 +26,9 @@
 /// Sheets are read again so long after they could not be reached, or understood.
 const RETRY_MS: u64 = 500;
 const BAD_MS: u64 = 30_000;
+const TIMEOUT_MS: u64 = 3000;
+/// Sheets of one page: an answer may be 8 MiB.
+const PAGE: usize = 200;
 /// Transactions with ends that are remembered until the watch has come past them.
 const RECENT: usize = 4_000;
 
@@ -47,7 +51,7 @@
 
 /// Sheets as they come in, page by page.
 struct Reading {
-    after: Option<String>,
+    cursor: PageCursor,
     all_good: bool,
 }
 
@@ -274,7 +278,7 @@
         }
         shard.tally.counts.begin_reading();
         shard.tally.reading = Some(Reading {
-            after: None,
+            cursor: PageCursor::default(),
             all_good: true,
         });
         self.read_sheets();
@@ -285,25 +289,13 @@
         let Some(reading) = self.shard.as_ref().and_then(|p| p.tally.reading.as_ref()) else {
             return;
         };
-        // An answer may be 8 MiB.
-        let mut path = format!("/keys?under={}&limit=200", records::tally_prefix(SHARD));
-        if let Some(after) = &reading.after {
-            path.push_str(&format!("&from={after}"));
-        }
-        self.send(
-            Destination::State,
-            "GET",
-            path,
-            Vec::new(),
-            3000,
-            Pending::Sheets { term },
-        );
+        let path = reading.cursor.path(&records::tally_prefix(SHARD), PAGE);
+        self.get_state(path, TIMEOUT_MS, Pending::Sheets { term });
     }
 
     pub(crate) fn sheets_received(&mut self, response: Option<Response>) {
         let now = self.now.mono;
-        let page = response.filter(|r| r.status == 200);
-        let page = page.and_then(|r| self.read::<Range<serde_json::Value>>("state service", &r));
+        let page = self.read_state::<Range<serde_json::Value>>(response);
         let Some(shard) = &mut self.shard else { return };
         let tally = &mut shard.tally;
         let Some(page) = page else {
@@ -315,8 +307,7 @@
             return;
         };
         let prefix = records::tally_prefix(SHARD);
-        reading.after = page.items.last().map(|i| i.key.clone());
-        let more = page.more && !page.items.is_empty();
+        let more = reading.cursor.advance(&page);
         for Item {
             key,
             value,
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -2,17 +2,24 @@
 
 use crate::documents::kind::{ALL, PartOf, prefix};
 use crate::documents::{Kind, for_kind};
+use crate::state_requests::PageCursor;
 use crate::store::recovery::Load;
-use crate::{Destination, Node, Pending};
+use crate::{Node, Pending};
 use std::collections::BTreeMap;
 use wire::api::{Item, Range};
 use wire::http::Response;
 use wire::records::SharedRecord;
 
+const TIMEOUT_MS: u64 = 3000;
+/// Parts that one page has at most.
+const PAGE: usize = 1000;
+/// A new version's parts are read so long after the last time at the earliest.
+const RETRY_MS: u64 = 1000;
+
 /// Parts as they come in, page by page.
 pub(super) struct Reading<P> {
     found: BTreeMap<String, (u64, P)>,
-    after: Option<String>,
+    cursor: PageCursor,
 }
 
 /// How versions are read.
@@ -30,7 +37,7 @@
         let doc = K::doc_mut(&mut self.shared.documents);
         if !doc.is_current() && doc.reading.is_none() && now >= doc.retry_at && !leader_loads {
             // Not the leader's budget for claims: once a second at most.
-            doc.retry_at = now + 1000;
+            doc.retry_at = now + RETRY_MS;
             self.read_parts::<K>();
         }
         self.first_version::<K>();
@@ -41,7 +48,7 @@
         let doc = K::doc_mut(&mut self.shared.documents);
         doc.reading = Some(Reading {
             found: BTreeMap::new(),
-            after: None,
+            cursor: PageCursor::default(),
         });
         self.read_page::<K>();
     }
@@ -50,21 +57,16 @@
         let Some(reading) = &K::doc(&self.shared.documents).reading else {
             return;
         };
-        let mut path = format!("/keys?under={}&limit=1000", prefix::<K>());
-        if let Some(after) = &reading.after {
-            path.push_str(&format!("&from={after}"));
-        }
-        let what = Pending::Parts {
+        let path = reading.cursor.path(&prefix::<K>(), PAGE);
+        let pending = Pending::Parts {
             term: self.term,
             kind: K::ID,
         };
-        self.send(Destination::State, "GET", path, Vec::new(), 3000, what);
+        self.get_state(path, TIMEOUT_MS, pending);
     }
 
     pub(crate) fn parts_received<K: Kind>(&mut self, response: Option<Response>) {
-        let page = response
-            .filter(|r| r.status == 200)
-            .and_then(|r| self.read::<Range<PartOf<K>>>("state service", &r));
+        let page = self.read_state::<Range<PartOf<K>>>(response);
         let context = K::context(self);
         let term = self.term;
         let doc = K::doc_mut(&mut self.shared.documents);
@@ -75,8 +77,7 @@
         let Some(reading) = &mut doc.reading else {
             return;
         };
-        reading.after = page.items.last().map(|i| i.key.clone());
-        let more = page.more && !page.items.is_empty();
+        let more = reading.cursor.advance(&page);
         for Item {
             key,
             value,
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -6,11 +6,12 @@
 
 use crate::leadership::election::SHARD;
 use crate::models::demand::Waiter;
+use crate::state_requests::{encode_transaction, page_path};
 use crate::store::rate_budget::Bucket;
-use crate::{Destination, Node, Pending};
+use crate::{Node, Pending};
 use serde_json::Value;
 use std::sync::Arc;
-use wire::api::{Catalog, Guard, Item, Range, Revision, Txn, Write};
+use wire::api::{Catalog, Guard, Item, Range, Revision, Write};
 use wire::http::Response;
 use wire::records::{self, Record};
 use wire::settings::Settings;
@@ -29,6 +30,9 @@
 const SHARE: f64 = 0.2;
 const ASKS_MS: u64 = 2000;
 const TIMEOUT_MS: u64 = 900;
+const PAGE_TIMEOUT_MS: u64 = 2 * TIMEOUT_MS;
+/// Records that one page has at most.
+const PAGE: usize = 500;
 /// Most keys that one transaction may change, where the settings allow more.
 const MOST_WRITES: usize = 16;
 
@@ -201,18 +205,8 @@
         }
         match ask {
             Ask::Page { under, after } => {
-                let mut path = format!("/keys?under={under}&limit=500");
-                if let Some(after) = after {
-                    path.push_str(&format!("&from={after}"));
-                }
-                self.send(
-                    Destination::State,
-                    "GET",
-                    path,
-                    Vec::new(),
-                    2 * TIMEOUT_MS,
-                    Pending::Frontend { tag },
-                );
+                let path = page_path(&under, PAGE, after.as_deref());
+                self.get_state(path, PAGE_TIMEOUT_MS, Pending::Frontend { tag });
             }
             Ask::Change { writes } => self.frontend_change(tag, writes),
             Ask::Demand { model } => self.demand(&model, Waiter::Frontend(tag)),
@@ -228,38 +222,28 @@
         let Some(leader) = leader.filter(|_| self.spare(writes.len() as f64)) else {
             return self.frontend_over(tag, Answer::Busy);
         };
-        let mut txn = Txn {
-            guards: Vec::new(),
-            writes: Vec::new(),
-        };
-        txn.guards.push(Guard {
+        let mut guards = vec![Guard {
             key: records::leader_key(SHARD),
             version: leader,
-        });
+        }];
+        let mut state_writes = Vec::new();
         for Change {
             key,
             version,
             value,
         } in writes
         {
-            txn.guards.extend(version.map(|version| Guard {
+            guards.extend(version.map(|version| Guard {
                 key: key.clone(),
                 version,
             }));
-            txn.writes.push(match value {
+            state_writes.push(match value {
                 Some(value) => Write::put(key, Record::Other(value)),
                 None => Write::Remove { key },
             });
         }
-        let body = wire::encode(&txn);
-        self.send(
-            Destination::State,
-            "POST",
-            "/txn".into(),
-            body,
-            TIMEOUT_MS,
-            Pending::Frontend { tag },
-        );
+        let body = encode_transaction(guards, state_writes);
+        self.post_transaction(body, TIMEOUT_MS, Pending::Frontend { tag });
     }
 
     pub(crate) fn frontend_answered(&mut self, tag: u64, response: Option<Response>) {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod overload;
 mod provisioning;
 mod scheduling;
+mod state_requests;
 mod stats;
 mod store;
 mod tuning;
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -7,11 +7,12 @@
 
 use crate::jobs::admission::peer_answer;
 use crate::models::Known;
+use crate::state_requests::encode_transaction;
 use crate::{Destination, Node, Pending, frontend};
 use model::{Asked, Rec, Rule, asked};
 use std::collections::HashMap;
 use wire::admin;
-use wire::api::{Guard, Item, JobSpec, Revision, Txn, Write};
+use wire::api::{Guard, Item, JobSpec, Revision, Write};
 use wire::http::{Request, Response};
 use wire::models::{DEMAND, Demand, Told};
 use wire::peer::{self, Answer, Ask};
@@ -193,14 +194,7 @@
             model: model.to_owned(),
             step,
         };
-        self.send(
-            Destination::State,
-            "GET",
-            format!("/keys/{key}"),
-            Vec::new(),
-            TIMEOUT_MS,
-            what,
-        );
+        self.get_state(format!("/keys/{key}"), TIMEOUT_MS, what);
     }
 
     /// The rule that the flight's job belongs to; without one the flight ends.
@@ -221,8 +215,7 @@
         let status = response.as_ref().map(|r| r.status);
         match (step, status) {
             (Step::Job, Some(200)) => {
-                let item = response.and_then(|r| self.read::<Item<JobRecord>>("state service", &r));
-                let Some(item) = item else {
+                let Some(item) = self.read_state::<Item<JobRecord>>(response) else {
                     return self.flight_fails(&model, 503, "unreadable record");
                 };
                 if self.rule_found(&model, Box::new(item.value.spec), item.version) {
@@ -234,8 +227,7 @@
                 self.flight_fails(&model, 404, "no such job, or it has ended")
             }
             (Step::Record, Some(200)) => {
-                let item = response.and_then(|r| self.read::<Item<Rec>>("state service", &r));
-                let Some(item) = item else {
+                let Some(item) = self.read_state::<Item<Rec>>(response) else {
                     return self.flight_fails(&model, 503, "unreadable record");
                 };
                 self.record_found(
@@ -325,10 +317,7 @@
                 version,
             },
         ];
-        let body = wire::encode(&Txn {
-            guards,
-            writes: vec![Write::put(key, Record::Model(rec.clone()))],
-        });
+        let body = encode_transaction(guards, vec![Write::put(key, Record::Model(rec.clone()))]);
         if let Some(flight) = self.models.wakes.flights.get_mut(model) {
             flight.rec = Some(rec);
         }
@@ -336,14 +325,7 @@
             model: model.to_owned(),
             step: Step::Write,
         };
-        self.send(
-            Destination::State,
-            "POST",
-            "/txn".into(),
-            body,
-            TIMEOUT_MS,
-            what,
-        );
+        self.post_transaction(body, TIMEOUT_MS, what);
     }
 
     fn flight_over(&mut self, model: &str) -> Option<Flight> {
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -14,15 +14,16 @@
 use crate::leadership::election::SHARD;
 use crate::models::demand::Wakes;
 use crate::scheduling::planning::grace;
+use crate::state_requests::{PageCursor, encode_transaction};
 use crate::store::recovery::Load;
 use crate::store::shard::Shard;
-use crate::{Destination, Node, Pending};
+use crate::{Node, Pending};
 use document::Fault;
 use model::{Asked, MAX_NEAR, Phase, Rec, Rule, Seen, Spec, asked};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use wire::admin::{self, Whole};
-use wire::api::{Changes, Guard, Item, JobSpec, Kind, Range, Revision, Txn, Write};
+use wire::api::{Changes, Guard, Item, JobSpec, Kind, Range, Revision, Write};
 use wire::http::Response;
 use wire::models::{Ask, Standing, Told};
 use wire::records::{self, Record};
@@ -30,6 +31,9 @@
 /// Models that are up, or on their way, are looked at this often.
 const LOOK_MS: u64 = 250;
 const TIMEOUT_MS: u64 = 1500;
+const READ_TIMEOUT_MS: u64 = 3000;
+/// Longer than the state service holds a watch open.
+const WATCH_TIMEOUT_MS: u64 = 7000;
 /// The leader's transactions for models that are out at once; the rest wait for the next look.
 const MOST_OUT: usize = 32;
 /// Machines that are kept for their weights at once.
@@ -103,7 +107,7 @@
     /// The term that it is of.
     term: u64,
     read: Read,
-    after: Option<String>,
+    cursor: PageCursor,
     recs: HashMap<String, Known>,
     /// Models to be looked at: those that are not asleep, and those that changed.
     due: BTreeSet<String>,
@@ -213,32 +217,20 @@
     pub(crate) fn read_models(&mut self) {
         let owned = &mut self.models.owned;
         owned.read = Read::Asked;
-        let mut path = format!("/keys?under={}&limit={PAGE}", records::MODELS);
-        if let Some(after) = &owned.after {
-            path.push_str(&format!("&from={after}"));
-        }
-        self.send(
-            Destination::State,
-            "GET",
-            path,
-            Vec::new(),
-            3000,
-            Pending::Models { term: self.term },
-        );
+        let path = owned.cursor.path(records::MODELS, PAGE);
+        let pending = Pending::Models { term: self.term };
+        self.get_state(path, READ_TIMEOUT_MS, pending);
     }
 
     pub(crate) fn models_received(&mut self, response: Option<Response>) {
-        let page = response.filter(|r| r.status == 200);
-        let page = page.and_then(|r| self.read::<Range<Rec>>("state service", &r));
-        let Some(page) = page else {
+        let Some(page) = self.read_state::<Range<Rec>>(response) else {
             return self.load_later(Load::Models);
         };
         let owned = &mut self.models.owned;
-        if owned.after.is_none() {
+        if owned.cursor.is_at_start() {
             owned.revision = page.revision;
         }
-        owned.after = page.items.last().map(|i| i.key.clone());
-        let more = page.more && !page.items.is_empty();
+        let more = owned.cursor.advance(&page);
         for Item {
             key,
             value,
@@ -259,7 +251,7 @@
             return self.read_models();
         }
         let owned = &mut self.models.owned;
-        (owned.read, owned.after) = (Read::All, None);
+        (owned.read, owned.cursor) = (Read::All, PageCursor::default());
         self.sort_models();
         if self.shard.as_ref().is_some_and(|p| !p.loaded) {
             self.load_ended();
@@ -556,10 +548,7 @@
             Some(rec) => Write::put(key, Record::Model(rec.clone())),
             None => Write::Remove { key },
         };
-        let body = wire::encode(&Txn {
-            guards,
-            writes: vec![write],
-        });
+        let body = encode_transaction(guards, vec![write]);
         let out = Out {
             rec,
             busy: false,
@@ -587,25 +576,11 @@
         };
         if out.outcome_unknown {
             let path = format!("/keys/{}", records::model_key(model));
-            return self.send(
-                Destination::State,
-                "GET",
-                path,
-                Vec::new(),
-                TIMEOUT_MS,
-                what,
-            );
+            return self.get_state(path, TIMEOUT_MS, what);
         }
         let body = out.body.clone();
         self.writes.take(now, 1.0);
-        self.send(
-            Destination::State,
-            "POST",
-            "/txn".into(),
-            body,
-            TIMEOUT_MS,
-            what,
-        );
+        self.post_transaction(body, TIMEOUT_MS, what);
     }
 
     /// The end of a transaction, or of the read that follows one whose end is not known.
@@ -703,14 +678,7 @@
         self.models.owned.watching = true;
         let from = self.models.owned.revision;
         let path = format!("/changes?under={}&from={from}&waitMs=5000", records::MODELS);
-        self.send(
-            Destination::State,
-            "GET",
-            path,
-            Vec::new(),
-            7000,
-            Pending::ModelWatch { term },
-        );
+        self.get_state(path, WATCH_TIMEOUT_MS, Pending::ModelWatch { term });
     }
 
     pub(crate) fn models_watched(&mut self, response: Option<Response>) {
@@ -721,7 +689,7 @@
         let Some(response) = response else { return };
         if response.status == 410 {
             // Too much was missed: all of them again.
-            (owned.read, owned.after) = (Read::Not, None);
+            (owned.read, owned.cursor) = (Read::Not, PageCursor::default());
             return;
         }
         if response.status != 200 {
--- /dev/null
+++ b/crates/control/src/state_requests.rs
@@ -0,0 +1,76 @@
+//! Requests to the state service in the forms that several modules use: a page of a prefix, a key, a transaction.
+
+use crate::{Destination, Node, Pending};
+use serde::de::DeserializeOwned;
+use wire::api::{Range, Txn};
+use wire::http::Response;
+
+/// The state service's name in log lines.
+const STATE_SERVICE: &str = "state service";
+
+/// How far a prefix has been read, page by page.
+#[derive(Debug, Default)]
+pub(crate) struct PageCursor {
+    after: Option<String>,
+}
+
+impl PageCursor {
+    /// No page has been read yet.
+    pub fn is_at_start(&self) -> bool {
+        self.after.is_none()
+    }
+
+    /// The path of the next page.
+    pub fn path(&self, prefix: &str, limit: usize) -> String {
+        page_path(prefix, limit, self.after.as_deref())
+    }
+
+    /// Moves behind a page; true if another follows.
+    pub fn advance<T>(&mut self, page: &Range<T>) -> bool {
+        self.after = page.items.last().map(|item| item.key.clone());
+        page.more && !page.items.is_empty()
+    }
+}
+
+/// The path of a page of the keys below a prefix, from the first one after a key.
+pub(crate) fn page_path(prefix: &str, limit: usize, after: Option<&str>) -> String {
+    let from = after.map(|key| format!("&from={key}")).unwrap_or_default();
+    format!("/keys?under={prefix}&limit={limit}{from}")
+}
+
+impl Node {
+    /// Reads from the state service.
+    pub(crate) fn get_state(&mut self, path: String, timeout_ms: u64, pending: Pending) {
+        self.send(
+            Destination::State,
+            "GET",
+            path,
+            Vec::new(),
+            timeout_ms,
+            pending,
+        );
+    }
+
+    /// Sends a transaction, as it was encoded, to the state service.
+    pub(crate) fn post_transaction(&mut self, body: Vec<u8>, timeout_ms: u64, pending: Pending) {
+        let path = "/txn".to_owned();
+        self.send(Destination::State, "POST", path, body, timeout_ms, pending);
+    }
+
+    /// What the state service has answered, if it has served the request and its answer can be read.
+    pub(crate) fn read_state<T: DeserializeOwned>(
+        &mut self,
+        response: Option<Response>,
+    ) -> Option<T> {
+        let response = response.filter(|response| response.status == 200)?;
+        self.read(STATE_SERVICE, &response)
+    }
+}
+
+/// A transaction's body.
+pub(crate) fn encode_transaction(
+    guards: Vec<wire::api::Guard>,
+    writes: Vec<wire::api::Write>,
+) -> Vec<u8> {
+    wire::encode(&Txn { guards, writes })
+}
