--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -4,10 +4,11 @@
 use crate::documents::kind::{ALL, PartOf, prefix};
 use crate::documents::operator_api::{faulty, refused};
 use crate::documents::{Doc, Documents, Good, Kind, KindId, for_kind};
-use crate::store::commit::{PendingWrite, TransactionDraft};
+use crate::store::commit::{PendingWrite, TransactionDraft, value_limit};
 use crate::store::shard::Shard;
 use document::{Content, Head, Past, SHORT};
 use std::collections::VecDeque;
+use std::fmt;
 use std::sync::Arc;
 use wire::admin::{self, ChangeOf, Changed, Refused};
 use wire::records::{self, Record};
@@ -15,6 +16,7 @@
 /// Differences that an answer lists.
 const DIFFERENCES: usize = 200;
 
+/// A change on its way into the state service.
 pub(super) struct Changing<K: Kind> {
     id: String,
     /// Who waits for it; nobody for the first version.
@@ -29,7 +31,97 @@
     answer: Changed,
 }
 
+/// What becomes of a change before it is prepared.
+enum Admission {
+    New,
+    /// The same change is on its way: whoever sent it last waits for it.
+    Joined,
+    /// A repeat after a lost answer: the change was made, with this version.
+    Made(u64),
+    Conflict(Conflict),
+}
+
+/// Why a change can't follow the version in force.
+enum Conflict {
+    /// It was made for another version.
+    Outdated { expected: u64, version: u64 },
+    /// Another change is on its way.
+    InProgress { version: u64 },
+}
+
+impl fmt::Display for Conflict {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Conflict::Outdated { expected, version } => write!(
+                f,
+                "made for version {expected}, but version {version} is in force"
+            ),
+            Conflict::InProgress { version } => {
+                write!(f, "another change of version {version} is under way")
+            }
+        }
+    }
+}
+
+impl Conflict {
+    fn refused(&self) -> Refused {
+        let (Conflict::Outdated { version, .. } | Conflict::InProgress { version }) = self;
+        Refused {
+            version: Some(*version),
+            ..refused(&self.to_string())
+        }
+    }
+}
+
+/// A longer id would be remembered cut, and a repeat taken for another change.
+fn is_valid_id(id: &str) -> bool {
+    !id.is_empty() && id.len() <= SHORT && !id.chars().any(char::is_control)
+}
+
+/// What a change did, in the few words that the history keeps.
+fn summary(differences: &[String]) -> String {
+    match differences {
+        [] => "nothing".to_owned(),
+        [only] => only.clone(),
+        [first, others @ ..] => format!("{first} and {} more", others.len()),
+    }
+}
+
 impl<K: Kind> Doc<K> {
+    /// Holds a change against what was made already, the version in force and what is on its way.
+    fn admit(&mut self, conn: u64, change: &ChangeOf<K::Edit>) -> Admission {
+        if let Some(past) = self.head.made(&change.id) {
+            return Admission::Made(past.version);
+        }
+        let version = self.head.version;
+        if let Some(expected) = change.expect.filter(|expected| *expected != version) {
+            return Admission::Conflict(Conflict::Outdated { expected, version });
+        }
+        match &mut self.changing {
+            None => Admission::New,
+            Some(other) if other.id == change.id => {
+                other.conn = Some(conn);
+                Admission::Joined
+            }
+            Some(_) => Admission::Conflict(Conflict::InProgress { version }),
+        }
+    }
+
+    /// The content in force, as it fits what surrounds it now.
+    fn fitting(&self, context: &<K::Content as Content>::Context) -> K::Content {
+        let good = self.good.as_ref();
+        good.map(|good| good.spec.fitting(context))
+            .unwrap_or_default()
+    }
+
+    /// The parts that the state service has not yet.
+    fn missing(&self, parts: Vec<(String, PartOf<K>)>) -> VecDeque<(String, PartOf<K>)> {
+        parts
+            .into_iter()
+            .filter(|(name, _)| !self.parts.contains_key(name))
+            .collect()
+    }
+
     /// All that its change needs is in place but the head.
     fn is_due(&self) -> bool {
         self.changing
@@ -143,67 +235,45 @@
 
 /// How versions are made.
 impl Node {
+    /// An operator's change: made, refused, or only tried out.
     pub(crate) fn change<K: Kind>(&mut self, conn: u64, change: ChangeOf<K::Edit>) {
-        // A longer one would be remembered cut, and a repeat taken for another change.
-        if change.id.is_empty()
-            || change.id.len() > SHORT
-            || change.id.chars().any(char::is_control)
-        {
+        if !is_valid_id(&change.id) {
             let why = format!("id: must be 1 to {SHORT} bytes without control characters");
             return self.deny_admin(conn, 400, refused(&why));
         }
-        let doc = K::doc_mut(&mut self.shared.documents);
-        if let Some(past) = doc.head.made(&change.id) {
-            // A repeat after a lost answer.
-            let answer = Changed {
-                version: past.version,
-                ..Changed::default()
-            };
-            return self.respond(conn, 200, admin::encode(&answer), None);
-        }
-        let version = doc.head.version;
-        if let Some(expected) = change.expect
-            && expected != version
-        {
-            let error = format!("made for version {expected}, but version {version} is in force");
-            return self.deny_admin(
-                conn,
-                409,
-                Refused {
-                    version: Some(version),
-                    ..refused(&error)
-                },
-            );
-        }
-        if let Some(other) = &mut doc.changing {
-            if other.id == change.id {
-                other.conn = Some(conn);
-                return;
-            }
-            let error = format!("another change of version {version} is under way");
-            return self.deny_admin(
+        match K::doc_mut(&mut self.shared.documents).admit(conn, &change) {
+            Admission::New => self.prepare_or_refuse::<K>(conn, &change),
+            Admission::Joined => {}
+            Admission::Made(version) => self.answer_changed(
                 conn,
-                409,
-                Refused {
-                    version: Some(version),
-                    ..refused(&error)
+                &Changed {
+                    version,
+                    ..Changed::default()
                 },
-            );
+            ),
+            Admission::Conflict(conflict) => self.deny_admin(conn, 409, conflict.refused()),
         }
-        match self.prepare::<K>(Some(conn), &change) {
+    }
+
+    fn prepare_or_refuse<K: Kind>(&mut self, conn: u64, change: &ChangeOf<K::Edit>) {
+        match self.prepare::<K>(Some(conn), change) {
             Err(why) => self.deny_admin(conn, 422, why),
             Ok(ready) if change.dry_run => {
                 let answer = Changed {
-                    version,
+                    version: K::doc(&self.shared.documents).head.version,
                     dry_run: true,
                     ..ready.answer
                 };
-                self.respond(conn, 200, admin::encode(&answer), None);
+                self.answer_changed(conn, &answer);
             }
             Ok(ready) => self.begin(ready, &change.by),
         }
     }
 
+    fn answer_changed(&mut self, conn: u64, answer: &Changed) {
+        self.respond(conn, 200, admin::encode(answer), None);
+    }
+
     fn begin<K: Kind>(&mut self, ready: Changing<K>, by: &str) {
         log::info!(
             "{}: version {} by {by:?} is to be written",
@@ -222,49 +292,36 @@
     ) -> Result<Changing<K>, Refused> {
         let doc = K::doc(&self.shared.documents);
         let context = K::context(self);
-        let old = doc
-            .good
-            .as_ref()
-            .map(|g| g.spec.fitting(&context))
-            .unwrap_or_default();
+        let old = doc.fitting(&context);
         let spec =
             K::edited(&change.edit, &old, &context).map_err(|fault| faulty::<K>(vec![fault]))?;
         let built = Arc::new(spec.build(&context).map_err(faulty::<K>)?);
         K::may_change(self, &built).map_err(faulty::<K>)?;
-        let value = crate::store::commit::value_limit(self.settings.cluster.state.value_kb);
-        let parts = document::split(&spec, value).map_err(|e| refused(&e))?;
+        let value_limit = value_limit(self.settings.cluster.state.value_kb);
+        let parts = document::split(&spec, value_limit).map_err(|e| refused(&e))?;
         let differences = K::Content::differences(&old, &spec, DIFFERENCES);
-        let words = differences.first().map_or("nothing", String::as_str);
-        let more = if differences.len() > 1 {
-            format!(" and {} more", differences.len() - 1)
-        } else {
-            String::new()
-        };
-        let what = format!("{words}{more}");
         let past = Past::new(
             doc.head.version + 1,
             &change.id,
             self.now.wall,
             &change.by,
-            &what,
+            &summary(&differences),
         );
         let names = parts.iter().map(|(name, _)| name.clone()).collect();
-        let head = doc.head.next(names, past, value).map_err(|e| refused(&e))?;
+        let head = doc
+            .head
+            .next(names, past, value_limit)
+            .map_err(|e| refused(&e))?;
         let head = Head {
             format: K::Content::FORMAT,
             ..head
         };
-        let above = K::told(self, &built);
         let answer = Changed {
             version: head.version,
             dry_run: false,
             differences,
-            above,
+            above: K::told(self, &built),
         };
-        let parts = parts
-            .into_iter()
-            .filter(|(name, _)| !doc.parts.contains_key(name))
-            .collect();
         let good = Good {
             version: head.version,
             spec: Arc::new(spec),
@@ -276,7 +333,7 @@
             head,
             good,
             stamp: doc.stamp,
-            parts,
+            parts: doc.missing(parts),
             busy: 0,
             answer,
         })
@@ -285,14 +342,11 @@
     /// Puts the document in place that this node was started with, if there has never been any.
     pub(super) fn first_version<K: Kind>(&mut self) {
         let doc = K::doc(&self.shared.documents);
-        if doc.first.is_none()
-            || doc.head.version > 0
-            || doc.changing.is_some()
-            || !self.shared.known
-        {
-            return;
-        }
-        if !self.may_decide() {
+        let is_wanted = doc.first.is_some()
+            && doc.head.version == 0
+            && doc.changing.is_none()
+            && self.shared.known;
+        if !is_wanted || !self.may_decide() {
             return;
         }
         let Some(spec) = K::doc_mut(&mut self.shared.documents).first.take() else {
@@ -340,7 +394,7 @@
         doc.take(done.good);
         K::in_force(self);
         if let Some(conn) = done.conn {
-            self.respond(conn, 200, admin::encode(&done.answer), None);
+            self.answer_changed(conn, &done.answer);
         }
     }
 
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -22,6 +22,24 @@
     cursor: PageCursor,
 }
 
+impl<P> Reading<P> {
+    /// Takes the parts of a page; true if another page follows.
+    fn add(&mut self, page: Range<P>, prefix: &str) -> bool {
+        let more = self.cursor.advance(&page);
+        for Item {
+            key,
+            value,
+            version,
+        } in page.items
+        {
+            if let Some(name) = key.strip_prefix(prefix) {
+                self.found.insert(name.to_owned(), (version, value));
+            }
+        }
+        more
+    }
+}
+
 /// How versions are read.
 impl Node {
     pub(crate) fn documents_tick(&mut self) {
@@ -67,8 +85,6 @@
 
     pub(crate) fn parts_received<K: Kind>(&mut self, response: Option<Response>) {
         let page = self.read_state::<Range<PartOf<K>>>(response);
-        let context = K::context(self);
-        let term = self.term;
         let doc = K::doc_mut(&mut self.shared.documents);
         let Some(page) = page else {
             doc.reading = None;
@@ -77,36 +93,34 @@
         let Some(reading) = &mut doc.reading else {
             return;
         };
-        let more = reading.cursor.advance(&page);
-        for Item {
-            key,
-            value,
-            version,
-        } in page.items
-        {
-            if let Some(name) = key.strip_prefix(&prefix::<K>()) {
-                reading.found.insert(name.to_owned(), (version, value));
-            }
-        }
-        if more {
+        if reading.add(page, &prefix::<K>()) {
             return self.read_page::<K>();
         }
+        self.all_parts_read::<K>();
+        self.document_read::<K>();
+    }
+
+    /// Takes the version that the head names, now that all parts are here.
+    fn all_parts_read<K: Kind>(&mut self) {
+        let context = K::context(self);
+        let term = self.term;
+        let doc = K::doc_mut(&mut self.shared.documents);
         let found = doc.reading.take().map(|r| r.found).unwrap_or_default();
         doc.read_in = term;
         doc.parts = found
             .iter()
             .map(|(name, (stamp, _))| (name.clone(), *stamp))
             .collect();
+        if doc.is_current() {
+            return;
+        }
         let parts = found
             .into_iter()
-            .map(|(name, (_, piece))| (name, piece))
+            .map(|(name, (_, part))| (name, part))
             .collect();
-        if !doc.is_current() {
-            let spec = document::join(&doc.head, &parts);
-            // A version after this one may have taken its parts away: its head is on its way to us.
-            doc.adopt(spec, &context);
-        }
-        self.document_read::<K>();
+        // A version after this one may have taken its parts away: its head is on its way to us.
+        let spec = document::join(&doc.head, &parts);
+        doc.adopt(spec, &context);
     }
 
     /// A document was read, or could not be.
