--- /dev/null
+++ b/crates/control/src/documents/hours/listing.rs
@@ -0,0 +1,107 @@
+//! The list of hours that operators see: those that are past, those to come, and those of ended jobs.
+
+use crate::Node;
+use crate::documents::hours::watch::Ended;
+use crate::jobs::job::Job;
+use ::hours::Calendar;
+use std::sync::Arc;
+use wire::admin;
+use wire::hours::{Line, List, State};
+use wire::records::HourRecord;
+
+/// Jobs that an answer lists.
+const LINES: usize = 5_000;
+
+/// Lines of an answer, as far as it has room for them.
+struct Listing<'a> {
+    calendar: Arc<Calendar>,
+    /// Only this studio's jobs are listed.
+    studio: Option<&'a str>,
+    list: List,
+}
+
+/// What a line says of a job.
+struct Entry<'a> {
+    job: &'a str,
+    team: &'a str,
+    class: &'a str,
+    hour: &'a HourRecord,
+    state: State,
+    late_s: Option<f64>,
+}
+
+impl Entry<'_> {
+    /// Of a job that has not ended; nothing if it has no hour.
+    fn of_job(job: &Job, due_ms: u64, wall: u64) -> Option<Entry<'_>> {
+        let (hour, spec) = (job.hour.as_ref()?, job.spec.as_ref()?);
+        let is_missed = hour.answer_history == State::Missed;
+        Some(Entry {
+            job: &job.id,
+            team: &job.team,
+            class: &spec.class,
+            hour: &hour.rec,
+            state: hour.answer_history,
+            late_s: is_missed.then(|| (wall as f64 - due_ms as f64) / 1000.0),
+        })
+    }
+
+    fn of_ended(ended: &Ended) -> Entry<'_> {
+        Entry {
+            job: &ended.job,
+            team: &ended.team,
+            class: &ended.class,
+            hour: &ended.hour,
+            state: ended.state,
+            late_s: ended.late_s,
+        }
+    }
+}
+
+impl Listing<'_> {
+    fn add(&mut self, entry: &Entry<'_>) {
+        let studio = self.calendar.studio_of(entry.team);
+        if self.studio.is_some() && self.studio != studio {
+            return;
+        }
+        if self.list.lines.len() >= LINES {
+            self.list.more += 1;
+            return;
+        }
+        self.list.lines.push(Line {
+            job: entry.job.to_owned(),
+            studio: studio.map(str::to_owned),
+            team: entry.team.to_owned(),
+            class: entry.class.to_owned(),
+            due_ms: entry.hour.due_ms,
+            due: self
+                .calendar
+                .local(studio.unwrap_or_default(), entry.hour.due_ms),
+            state: entry.state,
+            late_s: entry.late_s,
+            moved: entry.hour.moved.clone(),
+        });
+    }
+}
+
+impl Node {
+    pub(super) fn list_hours(&mut self, conn: u64, studio: Option<&str>) {
+        let good = self.shared.documents.hours.good.as_ref();
+        let calendar = good.map(|good| good.built.clone()).unwrap_or_default();
+        let Some(shard) = &self.shard else { return };
+        let mut listing = Listing {
+            calendar,
+            studio,
+            list: List::default(),
+        };
+        for (due_ms, ix) in shard.hours.past.iter().chain(&shard.hours.ahead) {
+            let job = shard.job(*ix);
+            if let Some(entry) = job.and_then(|job| Entry::of_job(job, *due_ms, self.now.wall)) {
+                listing.add(&entry);
+            }
+        }
+        for ended in shard.hours.ended.iter().rev() {
+            listing.add(&Entry::of_ended(ended));
+        }
+        self.respond(conn, 200, admin::encode(&listing.list), None);
+    }
+}
--- /dev/null
+++ b/crates/control/src/documents/hours/mod.rs
@@ -0,0 +1,130 @@
+//! Release hours: bound at acceptance, caps of deadlines in the plan, and what is told of them.
+//!
+//! A job's hour is worked out once, from the recorded time of its acceptance, and stands in its record from the
+//! accepting transaction on. Here it is only read. What moves it is an operator's move: a transaction of the leader's
+//! that writes the job's record anew, with who, when and from what.
+
+mod listing;
+mod moving;
+mod risk;
+mod watch;
+
+pub(crate) use moving::Move;
+pub(crate) use watch::{Hour, Watch, end_rec};
+
+use crate::Node;
+use crate::documents::{Doc, Documents, Good, Kind, KindId};
+use ::hours::{Around, Spec, TeamAt};
+use document::{Content, Fault};
+use std::sync::Arc;
+use wire::admin::Whole;
+use wire::api::{JobSpec, Kind as Shape};
+use wire::hours::Ask;
+use wire::records::HourRecord;
+
+/// The kind of document.
+pub(crate) struct Hours;
+
+impl Kind for Hours {
+    type Content = Spec;
+    type Edit = Whole<Spec>;
+    type Ask = Ask;
+    const ID: KindId = KindId::Hours;
+    const BINDS: bool = true;
+
+    fn doc(all: &Documents) -> &Doc<Hours> {
+        &all.hours
+    }
+    fn doc_mut(all: &mut Documents) -> &mut Doc<Hours> {
+        &mut all.hours
+    }
+    fn context(node: &Node) -> Around {
+        let tree = node.quota_tree();
+        let path = |team: &str| {
+            let tree = tree.as_ref()?;
+            let path = tree.path(tree.team(team)?);
+            Some(
+                path.into_iter()
+                    .map(|n| tree.nodes[n.0 as usize].name.clone())
+                    .collect(),
+            )
+        };
+        let teams = node.settings.cluster.teams.iter();
+        let teams = teams.map(|t| TeamAt {
+            name: t.name.clone(),
+            path: path(&t.name).unwrap_or_default(),
+        });
+        let nodes = tree.iter().flat_map(|t| &t.nodes).map(|n| n.name.clone());
+        Around {
+            teams: Some(teams.collect()),
+            nodes: nodes.collect(),
+        }
+    }
+    fn edited(
+        Whole::Set { spec }: &Whole<Spec>,
+        _old: &Spec,
+        _around: &Around,
+    ) -> Result<Spec, Fault> {
+        Ok(spec.clone())
+    }
+    fn set(spec: Spec) -> Whole<Spec> {
+        Whole::Set { spec }
+    }
+    fn asked(node: &mut Node, conn: u64, ask: Ask) {
+        match ask {
+            Ask::List { studio } => node.list_hours(conn, studio.as_deref()),
+            Ask::Move { job, to, by } => node.move_hour(conn, &job, &to, &by),
+            Ask::Reagree {
+                studio,
+                by,
+                dry_run,
+            } => node.reagree(conn, &studio, &by, dry_run),
+        }
+    }
+}
+
+impl Node {
+    /// The hour of a job that is accepted now, by the calendar in force. Services have none: they do not end.
+    pub(crate) fn hour_for(&self, spec: &JobSpec, accepted_ms: u64) -> Option<HourRecord> {
+        let good = self.shared.documents.hours.good.as_ref()?;
+        if spec.kind == Shape::Service {
+            return None;
+        }
+        let due = good
+            .built
+            .due(&spec.team, &spec.class, &spec.id, accepted_ms)?;
+        Some(HourRecord {
+            due_ms: due.at_ms,
+            version: good.version,
+            moved: None,
+        })
+    }
+
+    /// Another quota tree is in force: studios that are nodes of it have other teams from now on.
+    pub(crate) fn refit_hours(&mut self) {
+        let Some(good) = self
+            .shared
+            .documents
+            .hours
+            .good
+            .clone()
+            .filter(|g| g.spec.follows_tree())
+        else {
+            return;
+        };
+        let around = Hours::context(self);
+        match good.spec.fitting(&around).build(&around) {
+            Ok(built) => {
+                let good = Good {
+                    built: Arc::new(built),
+                    ..good
+                };
+                self.shared.documents.hours.good = Some(good);
+            }
+            Err(faults) => log::error!(
+                "release hours with the new quota tree: {}; studios stay",
+                faults[0]
+            ),
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/src/documents/hours/moving.rs
@@ -0,0 +1,359 @@
+//! Moves of hours: an operator's move of one job, or of all that a studio agrees on anew, until they are recorded.
+
+use crate::Node;
+use crate::documents::hours::Hour;
+use crate::documents::refused;
+use crate::jobs::job::{Ending, Job, JobIndex};
+use crate::leadership::election::SHARD;
+use crate::store::commit::{PendingWrite, TransactionDraft};
+use crate::store::shard::Shard;
+use ::hours::Calendar;
+use std::fmt;
+use wire::admin;
+use wire::api::Kind as Shape;
+use wire::hours::Moved;
+use wire::records::{self, HourRecord, JobRecord, MovedRecord, Record};
+
+/// Moves that wait for their transactions.
+const MOVES: usize = 20_000;
+/// Moves that one transaction takes while claims wait too.
+const MOVES_A_TURN: usize = 4;
+/// Lines of what moves that an answer lists.
+const MOVED_LINES: usize = 200;
+/// The state service counts a record in another form than ours, which takes somewhat more.
+const RECORD_FORM: f64 = 1.3;
+
+#[derive(Debug)]
+pub(crate) struct Move {
+    ix: JobIndex,
+    pub(super) job: String,
+    due_ms: u64,
+    version: u64,
+    by: String,
+    /// Who waits for it alone.
+    pub(super) conn: Option<u64>,
+}
+
+/// Why an hour is not moved.
+enum MoveError {
+    UnknownJob(String),
+    /// The job has ended or is ending, or is a service.
+    NeverEnds(String),
+    NoSuchTime(String),
+    NoCalendar,
+    UnknownStudio(String),
+    TooMany,
+}
+
+impl MoveError {
+    /// The status of its answer.
+    fn status(&self) -> u16 {
+        match self {
+            MoveError::UnknownJob(_) | MoveError::NoCalendar | MoveError::UnknownStudio(_) => 404,
+            MoveError::NeverEnds(_) => 409,
+            MoveError::NoSuchTime(_) => 422,
+            MoveError::TooMany => 503,
+        }
+    }
+}
+
+impl fmt::Display for MoveError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            MoveError::UnknownJob(job) => write!(f, "no job {job:?} that has not ended"),
+            MoveError::NeverEnds(job) => write!(f, "{job}: it has ended, or never does"),
+            MoveError::NoSuchTime(why) => f.write_str(why),
+            MoveError::NoCalendar => f.write_str("no calendar is in force"),
+            MoveError::UnknownStudio(studio) => {
+                write!(f, "{studio:?} is no studio of the calendar")
+            }
+            MoveError::TooMany => f.write_str("too many moves are under way"),
+        }
+    }
+}
+
+/// What operators ask.
+impl Node {
+    pub(super) fn move_hour(&mut self, conn: u64, id: &str, to: &str, by: &str) {
+        match self.begin_move(conn, id, to, by) {
+            Ok(None) => {}
+            Ok(Some(answer)) => self.respond(conn, 200, admin::encode(&answer), None),
+            Err(error) => self.deny_move(conn, &error),
+        }
+    }
+
+    fn deny_move(&mut self, conn: u64, error: &MoveError) {
+        self.deny_admin(conn, error.status(), refused(&error.to_string()));
+    }
+
+    /// Puts a job's move among those that wait; what to answer if its hour stands there already.
+    fn begin_move(
+        &mut self,
+        conn: u64,
+        id: &str,
+        to: &str,
+        by: &str,
+    ) -> Result<Option<Moved>, MoveError> {
+        let good = self.shared.documents.hours.good.as_ref();
+        let (calendar, version) = good
+            .map(|good| (good.built.clone(), good.version))
+            .unwrap_or_default();
+        let Some(shard) = &mut self.shard else {
+            return Ok(None);
+        };
+        let (ix, job) = movable_job(shard, id)?;
+        let studio = calendar.studio_of(&job.team).unwrap_or_default();
+        let due_ms = calendar.moment(studio, to).map_err(MoveError::NoSuchTime)?;
+        let line = moved_line(job, due_ms, &calendar);
+        if is_due_at(job, due_ms) {
+            // A repeat after a lost answer, or nothing to do.
+            let line = format!("{id}: stands at {}", calendar.local(studio, due_ms));
+            return Ok(Some(Moved {
+                lines: vec![line],
+                ..Moved::default()
+            }));
+        }
+        if shard.hours.moves.len() >= MOVES {
+            return Err(MoveError::TooMany);
+        }
+        log::info!("hour of {line} by {by:?} is to be written");
+        shard.hours.waiting.insert(conn);
+        shard.hours.moves.push_back(Move {
+            ix,
+            job: id.to_owned(),
+            due_ms,
+            version,
+            by: short(by),
+            conn: Some(conn),
+        });
+        self.to_write = true;
+        Ok(None)
+    }
+
+    /// Moves the hours of a studio's jobs to what the calendar in force says.
+    pub(super) fn reagree(&mut self, conn: u64, studio: &str, by: &str, dry_run: bool) {
+        match self.begin_reagreement(studio, by, dry_run) {
+            Ok(None) => {}
+            Ok(Some(answer)) => self.respond(conn, 200, admin::encode(&answer), None),
+            Err(error) => self.deny_move(conn, &error),
+        }
+    }
+
+    fn begin_reagreement(
+        &mut self,
+        studio: &str,
+        by: &str,
+        dry_run: bool,
+    ) -> Result<Option<Moved>, MoveError> {
+        let good = self.shared.documents.hours.good.clone();
+        let good = good.ok_or(MoveError::NoCalendar)?;
+        if !good.built.studios().contains(&studio) {
+            return Err(MoveError::UnknownStudio(studio.to_owned()));
+        }
+        let Some(shard) = &mut self.shard else {
+            return Ok(None);
+        };
+        let mut moves: Vec<Move> = Vec::new();
+        let mut lines = Vec::new();
+        for (ix, job, due_ms) in reagreed_jobs(shard, &good.built, studio) {
+            if lines.len() < MOVED_LINES {
+                lines.push(moved_line(job, due_ms, &good.built));
+            }
+            moves.push(Move {
+                ix,
+                job: job.id.clone(),
+                due_ms,
+                version: good.version,
+                by: short(by),
+                conn: None,
+            });
+        }
+        let jobs = moves.len();
+        if !dry_run {
+            if shard.hours.moves.len() + jobs > MOVES {
+                return Err(MoveError::TooMany);
+            }
+            log::info!("hours of {jobs} jobs of {studio} by {by:?} are to be written");
+            shard.hours.moves.extend(moves);
+            self.to_write = true;
+        }
+        Ok(Some(Moved {
+            dry_run,
+            jobs,
+            lines,
+        }))
+    }
+}
+
+/// The job with this id, if its hour can be moved.
+fn movable_job<'a>(shard: &'a Shard, id: &str) -> Result<(JobIndex, &'a Job), MoveError> {
+    let found = shard
+        .job_index
+        .get(id)
+        .and_then(|ix| Some((*ix, shard.job(*ix)?)));
+    let (ix, job) = found
+        .filter(|(_, job)| job.spec.is_some())
+        .ok_or_else(|| MoveError::UnknownJob(id.to_owned()))?;
+    if job.is_ending() || job.kind() == Shape::Service {
+        return Err(MoveError::NeverEnds(id.to_owned()));
+    }
+    Ok((ix, job))
+}
+
+/// A studio's jobs whose hours are other than the calendar says now, with what it says.
+fn reagreed_jobs<'a>(
+    shard: &'a Shard,
+    calendar: &'a Calendar,
+    studio: &'a str,
+) -> impl Iterator<Item = (JobIndex, &'a Job, u64)> {
+    shard.jobs.iter().enumerate().filter_map(move |(ix, job)| {
+        let job = job.as_ref().filter(|job| job.ending == Ending::No)?;
+        let spec = job.spec.as_ref().filter(|s| s.kind != Shape::Service)?;
+        if calendar.studio_of(&job.team) != Some(studio) {
+            return None;
+        }
+        let due = calendar.due(&job.team, &spec.class, &job.id, job.at_ms)?;
+        (!is_due_at(job, due.at_ms)).then_some((ix, job, due.at_ms))
+    })
+}
+
+fn is_due_at(job: &Job, due_ms: u64) -> bool {
+    job.hour
+        .as_ref()
+        .is_some_and(|hour| hour.rec.due_ms == due_ms)
+}
+
+fn short(by: &str) -> String {
+    by.chars()
+        .filter(|c| !c.is_control())
+        .take(document::SHORT)
+        .collect()
+}
+
+fn moved_line(job: &Job, due_ms: u64, calendar: &Calendar) -> String {
+    let studio = calendar.studio_of(&job.team).unwrap_or_default();
+    let local = |ms| calendar.local(studio, ms);
+    let from = job
+        .hour
+        .as_ref()
+        .map_or_else(|| "none".to_owned(), |h| local(h.rec.due_ms));
+    let before = job.hour.as_ref().and_then(|h| h.rec.moved.as_ref());
+    let before = before
+        .map(|m| format!(" (moved by {} before)", m.by))
+        .unwrap_or_default();
+    format!("{}: from {from} to {}{before}", job.id, local(due_ms))
+}
+
+/// Moves on their way.
+impl TransactionDraft {
+    /// Writes the records of jobs whose hours move. Their ends, which come first, are in nobody's way.
+    pub fn moves(
+        &mut self,
+        shard: &mut Shard,
+        wall: u64,
+        value: usize,
+        room: impl Fn(&TransactionDraft) -> bool,
+    ) {
+        let most = if shard.claim_log.fresh.is_empty() {
+            usize::MAX
+        } else {
+            MOVES_A_TURN
+        };
+        for _ in 0..most {
+            if !room(self) {
+                return;
+            }
+            let Some(hour) = shard.hours.moves.pop_front() else {
+                return;
+            };
+            let job = shard
+                .job(hour.ix)
+                .filter(|j| j.id == hour.job && j.ending == Ending::No);
+            let Some((job, spec)) = job.and_then(|j| Some((j, j.spec.as_ref()?))) else {
+                shard.hours.late.push(hour);
+                continue;
+            };
+            let key = records::live_key(&job.id);
+            if self.writes_to(&key) {
+                // Moved twice: the second follows when the first is in place.
+                shard.hours.moves.push_front(hour);
+                return;
+            }
+            let rec = JobRecord {
+                hour: Some(hour.rec(job, wall)),
+                county: job.county.clone(),
+                ..JobRecord::new((**spec).clone(), job.at_ms, SHARD)
+            };
+            if wire::encode(&rec).len() as f64 * RECORD_FORM > value as f64 {
+                shard.hours.late.push(hour);
+                continue;
+            }
+            self.put(key, job.version, Record::Job(Box::new(rec)));
+            self.ops.push(PendingWrite::Hour(hour, wall));
+        }
+    }
+}
+
+impl Move {
+    fn rec(&self, job: &Job, at_ms: u64) -> HourRecord {
+        let from_ms = job.hour.as_ref().map_or(0, |h| h.rec.due_ms);
+        let moved = MovedRecord {
+            by: self.by.clone(),
+            at_ms,
+            from_ms,
+        };
+        HourRecord {
+            due_ms: self.due_ms,
+            version: self.version,
+            moved: Some(moved),
+        }
+    }
+}
+
+impl Node {
+    /// The record of a moved hour is in place at this revision.
+    pub(crate) fn hour_moved(&mut self, hour: Move, wall: u64, revision: u64) {
+        let Some(shard) = &mut self.shard else { return };
+        hour.conn.iter().for_each(|c| {
+            shard.hours.waiting.remove(c);
+        });
+        let Some(job) = shard.job_mut(hour.ix) else {
+            return;
+        };
+        let rec = hour.rec(job, wall);
+        let from = rec.moved.as_ref().map_or(0, |m| m.from_ms);
+        job.version = revision;
+        job.hour = Some(Hour::new(rec));
+        let job = &shard.jobs[hour.ix];
+        shard.hours.forget(from, hour.ix);
+        if let Some(job) = job {
+            shard.hours.add(job, hour.ix);
+        }
+        shard.plan_due = true;
+        let line = format!(
+            "{}: from {from} to {} ms by {:?}",
+            hour.job, hour.due_ms, hour.by
+        );
+        log::info!("hour of {line} is moved");
+        let answer = Moved {
+            dry_run: false,
+            jobs: 1,
+            lines: vec![line],
+        };
+        hour.conn
+            .into_iter()
+            .for_each(|conn| self.respond(conn, 200, admin::encode(&answer), None));
+    }
+
+    /// A term of leadership is over: whether an hour was moved is for the job's record to say.
+    pub(crate) fn hours_let_go(&mut self, mut shard: Shard) -> Shard {
+        for conn in shard.hours.unanswered() {
+            self.deny_admin(
+                conn,
+                503,
+                refused("the owner changed; the list tells whether the hour was moved"),
+            );
+        }
+        shard
+    }
+}
--- /dev/null
+++ b/crates/control/src/documents/hours/risk.rs
@@ -0,0 +1,206 @@
+//! Hours in the plan: they cap deadlines, and the plan tells which of them are at risk, and why.
+
+use crate::Node;
+use crate::documents::hours::Hour;
+use crate::jobs::job::{Job, JobIndex};
+use crate::store::shard::Shard;
+use std::collections::BTreeMap;
+use wire::api::{Catalog, JobSpec, Kind as Shape};
+use wire::hours::{Risk, State};
+
+/// Between the plan that a job is in and the start of its tasks: its record, and the way to the worker.
+const START_S: f64 = 2.0;
+
+/// In the plan.
+impl Hour {
+    /// Caps a planned job's deadline: the hour, less what start, fetch and saving take. One that can't be kept any
+    /// more caps nothing: it must not stand before those that can. The planner itself leaves arrays time to fetch.
+    pub fn cap(&self, job: plan::Job, spec: &JobSpec, catalog: &Catalog, wall: u64) -> plan::Job {
+        let left = self.left(wall) - START_S - spec.save_s;
+        let fetch = fetch_s(spec, catalog);
+        if left - fetch < job.estimate {
+            return job;
+        }
+        let own = if spec.kind == Shape::Gang {
+            left - fetch
+        } else {
+            left
+        };
+        plan::Job {
+            due: Some(job.due.map_or(own, |due| due.min(own))),
+            ..job
+        }
+    }
+
+    /// Seconds until the hour.
+    pub(super) fn left(&self, wall: u64) -> f64 {
+        (self.rec.due_ms as f64 - wall as f64) / 1000.0
+    }
+}
+
+/// The least time that the image takes.
+fn fetch_s(spec: &JobSpec, catalog: &Catalog) -> f64 {
+    let allowed = |name: &String| spec.types.as_ref().is_none_or(|list| list.contains(name));
+    let rates = catalog
+        .types
+        .iter()
+        .filter(|t| allowed(&t.name))
+        .map(|t| t.fetch_gb_per_s);
+    spec.image_gb / rates.fold(0.01, f64::max)
+}
+
+/// What a plan means for a job in it.
+#[derive(Default)]
+struct Planned {
+    pending: u32,
+    started: u32,
+    /// Its index among the planned jobs, the last if it has several.
+    index: usize,
+}
+
+/// What a plan means for the jobs with hours, by job.
+fn planned_jobs(
+    shard: &Shard,
+    input: &plan::Input,
+    output: &plan::Output,
+    jobs: &[JobIndex],
+) -> BTreeMap<JobIndex, Planned> {
+    let mut planned: BTreeMap<JobIndex, Planned> = BTreeMap::new();
+    for (index, ix) in jobs.iter().enumerate() {
+        if shard.jobs[*ix].as_ref().is_some_and(|j| j.hour.is_some()) {
+            let of_job = planned.entry(*ix).or_default();
+            of_job.pending += input.jobs[index].pending;
+            of_job.index = index;
+        }
+    }
+    for start in &output.starts {
+        let job = jobs.get(start.job as usize);
+        if let Some(of_job) = job.and_then(|ix| planned.get_mut(ix)) {
+            of_job.started += start.count;
+        }
+    }
+    planned
+}
+
+/// What is needed to tell whether hours can be kept.
+struct Assessment<'a> {
+    shard: &'a Shard,
+    input: &'a plan::Input,
+    catalog: &'a Catalog,
+    zones: &'a [String],
+    wall: u64,
+    /// Some machine is on its way.
+    booting: bool,
+}
+
+impl Assessment<'_> {
+    /// How a job's hour stands; `None` if nothing new can be said of it.
+    fn state(&self, job: &Job, planned: &Planned) -> Option<State> {
+        let (hour, spec) = (job.hour.as_ref()?, job.spec.as_ref()?);
+        if hour.answer_history == State::Missed || job.is_ending() {
+            return None;
+        }
+        let places = job.claimed.len() as u32 + planned.started;
+        let is_late = hour.left(self.wall) < self.needed_s(spec, planned, places);
+        Some(if is_late {
+            State::AtRisk(self.risk(job, spec, planned, places))
+        } else {
+            State::Due
+        })
+    }
+
+    /// Seconds until the job is done, with the places that it has.
+    fn needed_s(&self, spec: &JobSpec, planned: &Planned, places: u32) -> f64 {
+        let later = planned
+            .pending
+            .saturating_sub(planned.started)
+            .div_ceil(places.max(1));
+        let rounds = if places == 0 { 1 } else { later + 1 };
+        self.input.jobs[planned.index].estimate * f64::from(rounds)
+            + fetch_s(spec, self.catalog)
+            + START_S
+            + spec.save_s
+    }
+
+    /// Why an hour can't be kept.
+    fn risk(&self, job: &Job, spec: &JobSpec, planned: &Planned, places: u32) -> Risk {
+        let planned = &self.input.jobs[planned.index];
+        if self.is_cut_off(spec) {
+            Risk::Cut
+        } else if places == 0 && self.is_beyond_quota(planned) {
+            Risk::Quota
+        } else if places > 0 && job.running == 0 {
+            Risk::Image
+        } else if self.booting {
+            Risk::Boot
+        } else {
+            Risk::Room
+        }
+    }
+
+    /// The job's zone is cut off, or all zones are where it names none.
+    fn is_cut_off(&self, spec: &JobSpec) -> bool {
+        let is_cut = |zone: &String| self.shard.cut_zones.contains(zone);
+        match &spec.zone {
+            Some(zone) => is_cut(zone),
+            None => self.zones.iter().all(is_cut),
+        }
+    }
+
+    /// Its team, or a group above it, has no room for one more task of the job.
+    fn is_beyond_quota(&self, job: &plan::Job) -> bool {
+        let team = &self.input.teams[usize::from(job.team)];
+        let is_full = |group: &u16| {
+            let group = &self.input.groups[usize::from(*group)];
+            let free = plan::Res {
+                cores: group.max.cores - group.used.cores,
+                gpus: group.max.gpus - group.used.gpus,
+                mem: group.max.mem - group.used.mem,
+            };
+            free.count(&job.need, 1) == 0
+        };
+        team.allows(&job.need, 1) == 0
+            || (!self.input.groups.is_empty() && team.path.iter().any(is_full))
+    }
+}
+
+impl Node {
+    /// Says what a plan means for hours: whether each can be kept with the places that its job has now.
+    pub(crate) fn hours_planned(
+        &mut self,
+        input: &plan::Input,
+        output: &plan::Output,
+        jobs: &[JobIndex],
+    ) {
+        let wall = self.now.wall;
+        let Some(shard) = &mut self.shard else { return };
+        if shard.hours.ahead.is_empty() {
+            return;
+        }
+        let Some(catalog) = &self.shared.catalog else {
+            return;
+        };
+        let assessment = Assessment {
+            shard,
+            input,
+            catalog,
+            zones: &self.settings.cluster.zones,
+            wall,
+            booting: shard
+                .machines
+                .iter()
+                .flatten()
+                .any(|m| !m.up && !m.deleting && !m.failed),
+        };
+        let mut changes = Vec::new();
+        for (ix, planned) in planned_jobs(shard, input, output, jobs) {
+            let Some(job) = &shard.jobs[ix] else { continue };
+            let state = assessment.state(job, &planned);
+            let known = job.hour.as_ref().map(|hour| hour.answer_history);
+            if let Some(state) = state.filter(|state| Some(*state) != known) {
+                changes.push((ix, state));
+            }
+        }
+        shard.say_hours(changes, wall);
+    }
+}
--- /dev/null
+++ b/crates/control/src/documents/hours/watch.rs
@@ -0,0 +1,189 @@
+//! The watch of deadlines: which hours are to come, which are past, and what is said of them.
+
+use crate::Node;
+use crate::documents::hours::Move;
+use crate::documents::refused;
+use crate::jobs::job::{Job, JobIndex};
+use crate::store::shard::Shard;
+use std::collections::{BTreeSet, VecDeque};
+use wire::api::Stage;
+use wire::hours::State;
+use wire::records::{EndHourRecord, HourRecord};
+
+/// Ended jobs that are remembered for lists.
+const ENDED: usize = 10_000;
+/// Changes of state that are logged one by one in a turn; of more only the number.
+const LOGGED: usize = 20;
+
+/// A job's hour in the leader's memory.
+#[derive(Debug, Clone)]
+pub(crate) struct Hour {
+    pub rec: HourRecord,
+    /// What was last said of it.
+    pub(super) answer_history: State,
+    /// When its job's end was written.
+    ended_ms: u64,
+}
+
+impl Hour {
+    pub fn new(rec: HourRecord) -> Box<Hour> {
+        Box::new(Hour {
+            rec,
+            answer_history: State::Due,
+            ended_ms: 0,
+        })
+    }
+}
+
+pub(super) struct Ended {
+    pub(super) job: String,
+    pub(super) team: String,
+    pub(super) class: String,
+    pub(super) hour: HourRecord,
+    pub(super) state: State,
+    pub(super) late_s: Option<f64>,
+}
+
+/// The hours of the shard's jobs.
+#[derive(Default)]
+pub(crate) struct Watch {
+    /// Jobs that have not ended, by hour: those whose hour is yet to come, and the others.
+    pub(super) ahead: BTreeSet<(u64, JobIndex)>,
+    pub(super) past: BTreeSet<(u64, JobIndex)>,
+    pub(super) ended: VecDeque<Ended>,
+    pub(super) moves: VecDeque<Move>,
+    /// Moves of jobs that have ended meanwhile.
+    pub(super) late: Vec<Move>,
+    /// Operators whose moves are not recorded yet.
+    pub(super) waiting: BTreeSet<u64>,
+}
+
+impl Watch {
+    pub fn add(&mut self, job: &Job, ix: JobIndex) {
+        if let Some(hour) = &job.hour {
+            self.ahead.insert((hour.rec.due_ms, ix));
+        }
+    }
+
+    pub(super) fn forget(&mut self, due_ms: u64, ix: JobIndex) {
+        self.ahead.remove(&(due_ms, ix));
+        self.past.remove(&(due_ms, ix));
+    }
+
+    /// A job's end is recorded.
+    pub fn ended(&mut self, job: &Job, ix: JobIndex, stage: Stage) {
+        let Some(hour) = &job.hour else { return };
+        let due = hour.rec.due_ms;
+        self.forget(due, ix);
+        let late = (hour.ended_ms > due).then(|| (hour.ended_ms - due) as f64 / 1000.0);
+        let (state, late_s) = match (stage, late) {
+            (Stage::Cancelled, _) => (State::Withdrawn, None),
+            (_, Some(late)) => (State::Missed, Some(late)),
+            _ => (State::Kept, None),
+        };
+        match late_s {
+            Some(late) => log::warn!("job {}: released {late:.1} s after its hour", job.id),
+            None => log::info!("job {}: its hour is {}", job.id, word(state)),
+        }
+        if self.ended.len() >= ENDED {
+            self.ended.pop_front();
+        }
+        self.ended.push_back(Ended {
+            job: job.id.clone(),
+            team: job.team.clone(),
+            class: job
+                .spec
+                .as_ref()
+                .map(|s| s.class.clone())
+                .unwrap_or_default(),
+            hour: hour.rec.clone(),
+            state,
+            late_s,
+        });
+    }
+
+    /// Operators who have not been answered.
+    pub fn unanswered(&mut self) -> BTreeSet<u64> {
+        std::mem::take(&mut self.waiting)
+    }
+}
+
+fn word(state: State) -> String {
+    match state {
+        State::Due => "to be kept".into(),
+        State::AtRisk(risk) => format!("at risk: {}", format!("{risk:?}").to_lowercase()),
+        State::Missed => "missed".into(),
+        State::Kept => "kept".into(),
+        State::Withdrawn => "withdrawn".into(),
+    }
+}
+
+/// What the end of a job with an hour says of it.
+pub(crate) fn end_rec(job: &mut Job, ended_ms: u64) -> Option<EndHourRecord> {
+    let hour = job.hour.as_mut()?;
+    hour.ended_ms = ended_ms;
+    Some(EndHourRecord {
+        due_ms: hour.rec.due_ms,
+        ended_ms,
+    })
+}
+
+impl Node {
+    /// Hours that are past.
+    pub(crate) fn hours_tick(&mut self) {
+        let wall = self.now.wall;
+        let Some(shard) = &mut self.shard else { return };
+        let mut missed = Vec::new();
+        while let Some(first) = shard
+            .hours
+            .ahead
+            .first()
+            .copied()
+            .filter(|(due, _)| *due < wall)
+        {
+            shard.hours.ahead.pop_first();
+            shard.hours.past.insert(first);
+            // The end of what has ended meanwhile says whether its hour was kept.
+            if shard.job(first.1).is_some_and(|j| !j.is_ending()) {
+                missed.push((first.1, State::Missed));
+            }
+        }
+        shard.say_hours(missed, wall);
+        for hour in std::mem::take(&mut shard.hours.late) {
+            let why = format!(
+                "{}: it has ended meanwhile, or its record has no room for the move",
+                hour.job
+            );
+            log::info!("hour of {why}");
+            let Some(conn) = hour.conn else { continue };
+            if let Some(shard) = &mut self.shard {
+                shard.hours.waiting.remove(&conn);
+            }
+            self.deny_admin(conn, 409, refused(&why));
+        }
+    }
+}
+
+impl Shard {
+    pub(super) fn say_hours(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
+        let more = changes.len().saturating_sub(LOGGED);
+        for (n, (ix, state)) in changes.into_iter().enumerate() {
+            let Some(job) = self.jobs.get_mut(ix).and_then(Option::as_mut) else {
+                continue;
+            };
+            let Some(hour) = &mut job.hour else { continue };
+            hour.answer_history = state;
+            if n < LOGGED {
+                log::info!(
+                    "job {}: its hour, {:.0} s from now, is {}",
+                    job.id,
+                    hour.left(wall),
+                    word(state)
+                );
+            }
+        }
+        if more > 0 {
+            log::info!("and {more} more hours");
+        }
+    }
+}
