--- /dev/null
+++ b/crates/control/src/models/records.rs
@@ -0,0 +1,151 @@
+//! The records of models as the leader of the fleet knows them: read before its first start, then watched.
+
+use crate::models::{Known, Owned, Read, set_replicas};
+use crate::state_requests::PageCursor;
+use crate::store::recovery::Load;
+use crate::{Node, Pending};
+use model::Rec;
+use wire::api::{Changes, Item, Range};
+use wire::http::Response;
+use wire::records;
+
+const READ_TIMEOUT_MS: u64 = 3000;
+/// Longer than the state service holds a watch open.
+const WATCH_TIMEOUT_MS: u64 = 7000;
+/// Records that are read after a failover, a page each.
+const PAGE: usize = 500;
+
+impl Node {
+    /// Whether a leader that takes over has to read records before its first start. If so they are read, and the load
+    /// goes on after that.
+    pub(crate) fn models_to_read(&mut self) -> bool {
+        self.models_in_force();
+        if !self.models.in_force() {
+            return false;
+        }
+        let term = self.term;
+        if self.models.owned.term != term {
+            self.models.owned = Owned {
+                term,
+                ..Owned::default()
+            };
+        }
+        if self.models.owned.read == Read::Not {
+            self.read_models();
+        }
+        self.models.owned.read != Read::All
+    }
+
+    pub(crate) fn read_models(&mut self) {
+        let owned = &mut self.models.owned;
+        owned.read = Read::Asked;
+        let path = owned.cursor.path(records::MODELS, PAGE);
+        let pending = Pending::Models { term: self.term };
+        self.get_state(path, READ_TIMEOUT_MS, pending);
+    }
+
+    pub(crate) fn models_received(&mut self, response: Option<Response>) {
+        let Some(page) = self.read_state::<Range<Rec>>(response) else {
+            return self.load_later(Load::Models);
+        };
+        let owned = &mut self.models.owned;
+        if owned.cursor.is_at_start() {
+            owned.revision = page.revision;
+        }
+        let more = owned.cursor.advance(&page);
+        for Item {
+            key,
+            value,
+            version,
+        } in page.items
+        {
+            if let Some(model) = key.strip_prefix(records::MODELS) {
+                owned.recs.insert(
+                    model.to_owned(),
+                    Known {
+                        rec: value,
+                        stamp: version,
+                    },
+                );
+            }
+        }
+        if more {
+            return self.read_models();
+        }
+        let owned = &mut self.models.owned;
+        (owned.read, owned.cursor) = (Read::All, PageCursor::default());
+        self.sort_models();
+        if self.shard.as_ref().is_some_and(|p| !p.loaded) {
+            self.load_ended();
+        }
+    }
+
+    /// The leader has read or written a record: what may run follows it.
+    pub(crate) fn model_stands(&mut self, model: &str, known: Known) {
+        let owned = &mut self.models.owned;
+        // A read that comes late changes nothing.
+        if owned.recs.get(model).is_some_and(|k| k.stamp > known.stamp) {
+            return;
+        }
+        owned.recs.insert(model.to_owned(), known.clone());
+        owned.due.insert(model.to_owned());
+        let Some(shard) = &mut self.shard else { return };
+        let Some(ix) = shard.job_index.get(model).copied() else {
+            return;
+        };
+        let Some(job) = shard.job(ix) else { return };
+        let Some(rule) = job.spec.as_ref().and_then(|spec| self.models.rule(spec)) else {
+            return;
+        };
+        set_replicas(shard, ix, known.rec.replicas(&rule, job.tasks));
+    }
+
+    pub(super) fn watch_models(&mut self) {
+        let term = self.term;
+        self.models.owned.watching = true;
+        let from = self.models.owned.revision;
+        let path = format!("/changes?under={}&from={from}&waitMs=5000", records::MODELS);
+        self.get_state(path, WATCH_TIMEOUT_MS, Pending::ModelWatch { term });
+    }
+
+    pub(crate) fn models_watched(&mut self, response: Option<Response>) {
+        let retry = self.now.mono + self.rng.u64(100..400);
+        let owned = &mut self.models.owned;
+        owned.watching = false;
+        owned.watch_at = retry;
+        let Some(response) = response else { return };
+        if response.status == 410 {
+            // Too much was missed: all of them again.
+            (owned.read, owned.cursor) = (Read::Not, PageCursor::default());
+            return;
+        }
+        if response.status != 200 {
+            return;
+        }
+        let Some(changes) = self.read::<Changes<Rec>>("state service", &response) else {
+            return;
+        };
+        let owned = &mut self.models.owned;
+        owned.watch_at = 0;
+        owned.revision = owned.revision.max(changes.revision);
+        for change in changes.events {
+            let key = change
+                .put
+                .as_deref()
+                .or(change.remove.as_deref())
+                .unwrap_or_default();
+            let Some(model) = key.strip_prefix(records::MODELS).map(str::to_owned) else {
+                continue;
+            };
+            let stamp = change.version;
+            match change.value {
+                Some(rec) => self.model_stands(&model, Known { rec, stamp }),
+                None => self
+                    .models
+                    .owned
+                    .recs
+                    .retain(|m, k| *m != model || k.stamp > stamp),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/src/models/standing.rs
@@ -0,0 +1,74 @@
+//! How models stand, for those who ask: one of them, or all as their leader sees them.
+
+use crate::Node;
+use model::{Asked, Phase, Rec, asked};
+use wire::api::JobSpec;
+use wire::models::{Standing, Told};
+
+impl Node {
+    /// How a model stands for whoever asks.
+    pub(crate) fn model_told(&self, spec: &JobSpec, rec: &Rec, asked: &Asked) -> Told {
+        let (why, until) = match asked {
+            Asked::NotNow { why, until_ms } => (Some(why.clone()), Some(*until_ms)),
+            _ => (None, None),
+        };
+        let types = self
+            .catalog()
+            .map(|c| c.types.as_slice())
+            .unwrap_or_default();
+        let lead = types
+            .iter()
+            .filter(|t| {
+                spec.types
+                    .as_ref()
+                    .is_none_or(|names| names.contains(&t.name))
+            })
+            .map(|t| t.boot_s + spec.image_gb / t.fetch_gb_per_s.max(0.01))
+            .reduce(f64::min);
+        let due = lead
+            .map(|s| rec.since_ms + (s * 1000.0) as u64)
+            .filter(|_| rec.phase == Phase::Waking);
+        Told {
+            model: spec.id.clone(),
+            phase: rec.phase,
+            generation: rec.generation,
+            since_ms: rec.since_ms,
+            due_ms: due,
+            why,
+            not_before_ms: until,
+        }
+    }
+
+    /// All models, as their leader sees them.
+    pub(crate) fn models_standing(&self) -> Vec<Standing> {
+        let Some(shard) = &self.shard else {
+            return Vec::new();
+        };
+        let mut out = Vec::new();
+        for job in shard.jobs.iter().flatten().filter(|j| j.replicas.is_some()) {
+            let Some(spec) = job.spec.as_ref().filter(|_| !job.is_ending()) else {
+                continue;
+            };
+            let Some(rule) = self.models.rule(spec) else {
+                continue;
+            };
+            let known = self.models.known(&job.id).unwrap_or_default();
+            let asked = asked(&known.rec, &rule, job.tasks, "", self.now.wall);
+            let seen = self.seen(job);
+            out.push(Standing {
+                told: self.model_told(spec, &known.rec, &asked),
+                rule: rule.name,
+                class: spec.class.clone(),
+                team: spec.team.clone(),
+                wanted: job.replicas.unwrap_or(0),
+                claimed: seen.claimed,
+                running: seen.running,
+                by: known.rec.by,
+                near: known.rec.near,
+                quiet_ms: seen.quiet_ms,
+            });
+        }
+        out.sort_by(|a, b| a.told.model.cmp(&b.told.model));
+        out
+    }
+}
--- /dev/null
+++ b/crates/control/src/models/weights.rs
@@ -0,0 +1,85 @@
+//! Where the weights of models are: machines that hold them, and those that are kept for them while a model sleeps.
+
+use crate::Node;
+use crate::jobs::job::{Job, JobIndex};
+use crate::store::shard::Shard;
+use model::{MAX_NEAR, Phase, Rec, Rule};
+use std::collections::{BTreeSet, HashMap};
+
+/// Machines that are kept for their weights at once.
+const MOST_KEPT: usize = 256;
+
+impl Node {
+    /// What the record says of machines with the weights, for a leader that has not seen that itself.
+    pub(super) fn near_weights(&mut self, ix: JobIndex, rec: &Rec) {
+        let caches: HashMap<String, f64> = self
+            .catalog()
+            .map(|c| {
+                c.types
+                    .iter()
+                    .map(|t| (t.name.clone(), t.cache_gb))
+                    .collect()
+            })
+            .unwrap_or_default();
+        let Some(shard) = &mut self.shard else { return };
+        let Some(spec) = shard.job(ix).and_then(|j| j.spec.as_deref()) else {
+            return;
+        };
+        let (image, gb) = (spec.image.clone(), spec.image_gb);
+        let image = shard.images.get(&image);
+        for name in rec.near.iter().take(MAX_NEAR) {
+            let Some(m) = shard.machine_index.get(name).copied() else {
+                continue;
+            };
+            let Some(machine) = shard.machine_mut(m) else {
+                continue;
+            };
+            let cache = caches.get(&machine.machine_type).copied().unwrap_or(0.0);
+            let held: f64 = machine.images.iter().map(|(_, gb)| gb).sum();
+            // What a machine was seen to fetch is newer than the hint.
+            if held + gb <= cache && machine.images.iter().all(|(i, _)| *i != image) {
+                machine.images.insert(0, (image, gb));
+            }
+        }
+    }
+
+    /// Where the document says so, a machine with the weights of a model that sleeps is kept for a while.
+    pub(super) fn keep_weights(&mut self, model: &str, rule: &Rule, rec: &Rec) {
+        let until = rec.since_ms.saturating_add((rule.keep_s * 1000.0) as u64);
+        let asleep = rec.phase == Phase::Asleep && !rec.near.is_empty() && until > self.now.wall;
+        if asleep && self.models.owned.kept.len() < MOST_KEPT {
+            self.models
+                .owned
+                .kept
+                .insert(model.to_owned(), (until, rec.near.clone()));
+        }
+    }
+
+    /// Machines that are kept for the weights that they hold: one a model.
+    pub(crate) fn kept_for_models(&self) -> Vec<usize> {
+        let Some(shard) = &self.shard else {
+            return Vec::new();
+        };
+        let owned = &self.models.owned;
+        let first = |names: &Vec<String>| {
+            names
+                .iter()
+                .find_map(|n| shard.machine_index.get(n).copied())
+        };
+        owned
+            .kept
+            .values()
+            .filter_map(|(_, names)| first(names))
+            .collect()
+    }
+}
+
+/// Machines on which replicas of a model are, and so its weights.
+pub(super) fn machines_near(shard: &Shard, job: &Job) -> Vec<String> {
+    let on: BTreeSet<usize> = job.claimed.values().flatten().map(|(m, _)| *m).collect();
+    on.into_iter()
+        .filter_map(|m| shard.machine(m))
+        .map(|m| m.name.clone())
+        .take(MAX_NEAR)
+        .collect()
+}
