--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -6,29 +6,28 @@
 //! it can't, it says so in the record, and a sleep that was decided without it fails on its guard.
 
 use crate::jobs::admission::peer_answer;
-use crate::models::Known;
-use crate::state_requests::encode_transaction;
+use crate::models::wake_up::Flight;
 use crate::{Destination, Node, Pending, frontend};
-use model::{Asked, Rec, Rule, asked};
 use std::collections::HashMap;
 use wire::admin;
-use wire::api::{Guard, Item, JobSpec, Revision, Write};
 use wire::http::{Request, Response};
 use wire::models::{DEMAND, Demand, Told};
 use wire::peer::{self, Answer, Ask};
-use wire::records::{self, JobRecord, Record};
 
+/// What whoever waits is told while the state service does not serve this node.
+pub(super) const UNAVAILABLE: &str = "state service not available";
 const TIMEOUT_MS: u64 = 900;
 const FORWARD_TIMEOUT_MS: u64 = 3000;
+/// What is too old is forgotten so often, and demand after so long: longer than any model may be idle and awake.
+const SWEEP_MS: u64 = 10_000;
+const DEMAND_KEPT_MS: u64 = 8 * 86_400_000;
 /// What was read of a model that is up is told again for so long.
 const FRESH_MS: u64 = 500;
 /// Flights at once, and who may wait for all of them; who comes beyond is told to come again.
 const MOST_FLIGHTS: usize = 256;
 const MOST_WAITING: usize = 4096;
-/// Times that a flight begins anew after it was overtaken.
-const MOST_TRIES: u32 = 5;
 /// Models that a node remembers demand for.
-const MOST_HEARD: usize = 16_384;
+pub(super) const MOST_HEARD: usize = 16_384;
 
 /// Who waits to hear how a model stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,40 +37,22 @@
     Frontend(u64),
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Step {
-    Job,
-    Record,
-    Write,
-}
-
 #[derive(Default)]
 pub(crate) struct Wakes {
     /// When each model was last wanted, as this node has heard, and when it last told the leader.
     heard: HashMap<String, u64>,
     said: HashMap<String, u64>,
     /// How models stood that were up a moment ago.
-    told: HashMap<String, Fresh>,
-    flights: HashMap<String, Flight>,
-    waiting: usize,
+    pub(super) told: HashMap<String, Fresh>,
+    pub(super) flights: HashMap<String, Flight>,
+    pub(super) waiting: usize,
     swept_at: u64,
 }
 
-struct Fresh {
-    at: u64,
-    told: Told,
-    say_again_ms: u64,
-}
-
-#[derive(Default)]
-struct Flight {
-    waiters: Vec<Waiter>,
-    /// The leader could not be told: the record is to say that the model is wanted.
-    touch: bool,
-    tries: u32,
-    job: Option<(Box<JobSpec>, Rule, u64)>,
-    /// What is being written.
-    rec: Option<Rec>,
+pub(super) struct Fresh {
+    pub(super) at: u64,
+    pub(super) told: Told,
+    pub(super) say_again_ms: u64,
 }
 
 impl Wakes {
@@ -90,7 +71,7 @@
         self.told.clear();
     }
 
-    fn hears(&mut self, model: &str, now: u64) {
+    pub(super) fn hears(&mut self, model: &str, now: u64) {
         if self.heard.len() < MOST_HEARD || self.heard.contains_key(model) {
             self.heard.insert(model.to_owned(), now);
         }
@@ -153,234 +134,13 @@
         if self.requests.level(now) < 1.0 {
             return self.deny_demand(waiter, 503, "busy");
         }
-        let flight = Flight {
-            waiters: vec![waiter],
-            ..Flight::default()
-        };
+        let flight = Flight::for_waiter(waiter);
         self.models.wakes.waiting += 1;
         self.take_off(model, flight);
     }
 
-    fn take_off(&mut self, model: &str, flight: Flight) {
-        self.models.wakes.flights.insert(model.to_owned(), flight);
-        // The leader has read all, and knows of each change that it has not made itself soon enough.
-        let here = self
-            .may_decide()
-            .then(|| self.models.known(model))
-            .flatten();
-        let job = self
-            .shard
-            .as_ref()
-            .and_then(|p| p.job(*p.job_index.get(model)?));
-        let job = job
-            .filter(|j| !j.is_ending())
-            .and_then(|j| Some((j.spec.clone()?, j.version)));
-        if let Some((known, (spec, version))) = here.zip(job) {
-            if self.rule_found(model, spec, version) {
-                self.record_found(model, known);
-            }
-            return;
-        }
-        self.flight_reads(model, Step::Job);
-    }
-
-    fn flight_reads(&mut self, model: &str, step: Step) {
-        let key = if step == Step::Job {
-            records::live_key(model)
-        } else {
-            records::model_key(model)
-        };
-        let what = Pending::Wake {
-            model: model.to_owned(),
-            step,
-        };
-        self.get_state(format!("/keys/{key}"), TIMEOUT_MS, what);
-    }
-
-    /// The rule that the flight's job belongs to; without one the flight ends.
-    fn rule_found(&mut self, model: &str, spec: Box<JobSpec>, version: u64) -> bool {
-        let rule = self.models.rule(&spec);
-        if let Some((flight, rule)) = self.models.wakes.flights.get_mut(model).zip(rule) {
-            flight.job = Some((spec, rule, version));
-            return true;
-        }
-        self.flight_fails(model, 404, "no rule makes it a model");
-        false
-    }
-
-    pub(crate) fn wake_received(&mut self, model: String, step: Step, response: Option<Response>) {
-        if !self.models.wakes.flights.contains_key(&model) {
-            return;
-        }
-        let status = response.as_ref().map(|r| r.status);
-        match (step, status) {
-            (Step::Job, Some(200)) => {
-                let Some(item) = self.read_state::<Item<JobRecord>>(response) else {
-                    return self.flight_fails(&model, 503, "unreadable record");
-                };
-                if self.rule_found(&model, Box::new(item.value.spec), item.version) {
-                    self.flight_reads(&model, Step::Record);
-                }
-            }
-            (Step::Job, Some(404)) => {
-                self.models.wakes.forget(&model);
-                self.flight_fails(&model, 404, "no such job, or it has ended")
-            }
-            (Step::Record, Some(200)) => {
-                let Some(item) = self.read_state::<Item<Rec>>(response) else {
-                    return self.flight_fails(&model, 503, "unreadable record");
-                };
-                self.record_found(
-                    &model,
-                    Known {
-                        rec: item.value,
-                        stamp: item.version,
-                    },
-                );
-            }
-            (Step::Record, Some(404)) => self.record_found(&model, Known::default()),
-            (Step::Write, Some(200)) => {
-                let revision = response.and_then(|r| wire::decode::<Revision>(&r.body).ok());
-                let rec = self
-                    .models
-                    .wakes
-                    .flights
-                    .get_mut(&model)
-                    .and_then(|f| f.rec.take());
-                let (Some(Revision { revision }), Some(rec)) = (revision, rec) else {
-                    return self.flight_again(&model);
-                };
-                if rec.phase == model::Phase::Waking {
-                    log::info!("model {model}: generation {} begins", rec.generation);
-                }
-                if self.may_decide() {
-                    self.model_stands(
-                        &model,
-                        Known {
-                            rec: rec.clone(),
-                            stamp: revision,
-                        },
-                    );
-                }
-                self.flight_lands(&model, &rec, &Asked::Follow);
-            }
-            // Somebody else was first, or the job has ended; or nobody can say whether this one went through.
-            (Step::Write, Some(409) | None) => self.flight_again(&model),
-            _ => self.flight_fails(&model, 503, "state service not available"),
-        }
-    }
-
-    /// Reads again what stands there: a transaction that may have gone through shows there, and one that comes late
-    /// finds another stamp.
-    fn flight_again(&mut self, model: &str) {
-        let Some(flight) = self.models.wakes.flights.get_mut(model) else {
-            return;
-        };
-        flight.tries += 1;
-        if flight.tries >= MOST_TRIES {
-            return self.flight_fails(model, 503, "state service not available");
-        }
-        self.flight_reads(model, Step::Job);
-    }
-
-    fn record_found(&mut self, model: &str, known: Known) {
-        let (now, wall) = (self.now.mono, self.now.wall);
-        let node = self.settings.node.clone();
-        let Some(flight) = self.models.wakes.flights.get_mut(model) else {
-            return;
-        };
-        let Some((spec, rule, version)) = &flight.job else {
-            return;
-        };
-        let asked = asked(&known.rec, rule, spec.tasks, &node, wall);
-        let (version, touch) = (*version, flight.touch);
-        let rec = match &asked {
-            Asked::Wake(rec) => Some((**rec).clone()),
-            Asked::Follow if touch => known.rec.touched(wall),
-            _ => None,
-        };
-        let Some(rec) = rec else {
-            return self.flight_lands(model, &known.rec, &asked);
-        };
-        if self.requests.level(now) < 1.0 || self.writes.level(now) < 1.0 {
-            return self.flight_fails(model, 503, "busy");
-        }
-        self.writes.take(now, 1.0);
-        let key = records::model_key(model);
-        let guards = vec![
-            Guard {
-                key: key.clone(),
-                version: known.stamp,
-            },
-            Guard {
-                key: records::live_key(model),
-                version,
-            },
-        ];
-        let body = encode_transaction(guards, vec![Write::put(key, Record::Model(rec.clone()))]);
-        if let Some(flight) = self.models.wakes.flights.get_mut(model) {
-            flight.rec = Some(rec);
-        }
-        let what = Pending::Wake {
-            model: model.to_owned(),
-            step: Step::Write,
-        };
-        self.post_transaction(body, TIMEOUT_MS, what);
-    }
-
-    fn flight_over(&mut self, model: &str) -> Option<Flight> {
-        let flight = self.models.wakes.flights.remove(model)?;
-        self.models.wakes.waiting -= flight.waiters.len();
-        Some(flight)
-    }
-
-    /// The model stands so: everybody who waits is told.
-    fn flight_lands(&mut self, model: &str, rec: &Rec, asked: &Asked) {
-        let now = self.now.mono;
-        let Some(flight) = self.flight_over(model) else {
-            return;
-        };
-        let Some((spec, rule, _)) = &flight.job else {
-            return;
-        };
-        let told = self.model_told(spec, rec, asked);
-        if rec.is_up() {
-            let again = rule.say_again_ms();
-            let wakes = &mut self.models.wakes;
-            if wakes.told.len() >= MOST_HEARD {
-                wakes.told.clear();
-            }
-            wakes.told.insert(
-                model.to_owned(),
-                Fresh {
-                    at: now,
-                    told: told.clone(),
-                    say_again_ms: again,
-                },
-            );
-            if !flight.waiters.is_empty() {
-                wakes.hears(model, now);
-            }
-            if !flight.touch {
-                self.notify_leader(model, again);
-            }
-        }
-        for waiter in flight.waiters {
-            self.tell_demand(waiter, &told);
-        }
-    }
-
-    fn flight_fails(&mut self, model: &str, status: u16, why: &str) {
-        let Some(flight) = self.flight_over(model) else {
-            return;
-        };
-        for waiter in flight.waiters {
-            self.deny_demand(waiter, status, why);
-        }
-    }
-
     /// Demand for a model that is up: its leader is told, unless it was not long ago.
-    fn notify_leader(&mut self, model: &str, again_ms: u64) {
+    pub(super) fn notify_leader(&mut self, model: &str, again_ms: u64) {
         let now = self.now.mono;
         if self.leads()
             || self
@@ -430,13 +190,7 @@
         } else if self.models.wakes.flights.len() < MOST_FLIGHTS
             && self.requests.level(self.now.mono) >= 1.0
         {
-            self.take_off(
-                model,
-                Flight {
-                    touch: true,
-                    ..Flight::default()
-                },
-            );
+            self.take_off(model, Flight::for_leader());
         } else {
             // Said again with the next demand.
             self.models.wakes.said.remove(model);
@@ -466,11 +220,11 @@
             Some(Answer::Refused { status, why }) => {
                 self.deny_demand(waiter, status, peer::bounded(&why))
             }
-            _ => self.deny_demand(waiter, 503, "state service not available"),
+            _ => self.deny_demand(waiter, 503, UNAVAILABLE),
         }
     }
 
-    fn tell_demand(&mut self, waiter: Waiter, told: &Told) {
+    pub(super) fn tell_demand(&mut self, waiter: Waiter, told: &Told) {
         match waiter {
             Waiter::Door(conn) => self.respond(conn, 200, admin::encode(told), None),
             Waiter::Peer(conn) => self.respond(
@@ -485,7 +239,7 @@
         }
     }
 
-    fn deny_demand(&mut self, waiter: Waiter, status: u16, why: &str) {
+    pub(super) fn deny_demand(&mut self, waiter: Waiter, status: u16, why: &str) {
         match waiter {
             Waiter::Door(conn) => {
                 let refused = admin::Refused {
@@ -509,14 +263,12 @@
     pub(crate) fn wakes_tick(&mut self) {
         let now = self.now.mono;
         let wakes = &mut self.models.wakes;
-        if now < wakes.swept_at + 10_000 {
+        if now < wakes.swept_at + SWEEP_MS {
             return;
         }
         wakes.swept_at = now;
         wakes.told.retain(|_, f| now < f.at + FRESH_MS);
-        // Longer than any model may be idle and awake.
-        let week = 8 * 86_400_000;
-        wakes.heard.retain(|_, at| now < *at + week);
-        wakes.said.retain(|_, at| now < *at + week);
+        wakes.heard.retain(|_, at| now < *at + DEMAND_KEPT_MS);
+        wakes.said.retain(|_, at| now < *at + DEMAND_KEPT_MS);
     }
 }
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -12,6 +12,7 @@
 mod record_writes;
 mod records;
 mod standing;
+pub(crate) mod wake_up;
 mod weights;
 
 use crate::Node;
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -2,7 +2,7 @@
 
 use crate::documents::{self, county_audit};
 use crate::jobs::{admission, forwarding, query};
-use crate::models::demand;
+use crate::models::{demand, wake_up};
 use crate::store::recovery;
 
 /// A user or a peer that waits for an answer.
@@ -104,7 +104,7 @@
     },
     Wake {
         model: String,
-        step: demand::Step,
+        step: wake_up::Step,
     },
     WakeForward {
         waiter: demand::Waiter,
