--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -2,10 +2,12 @@
 //! asked for, and stops the replicas that a record does not want.
 
 use crate::Node;
+use crate::agents::machine::Machine;
 use crate::jobs::job::{Ending, Job, JobIndex};
+use crate::models::Known;
 use crate::models::weights::machines_near;
 use crate::scheduling::planning::grace;
-use model::{Asked, Phase, Seen, asked};
+use model::{Asked, Begin, Phase, Rec, Rule, Seen, asked};
 use std::collections::BTreeSet;
 
 /// Models that are up, or on their way, are looked at this often.
@@ -13,6 +15,23 @@
 /// The leader's transactions for models that are out at once; the rest wait for the next look.
 const MOST_OUT: usize = 32;
 
+/// What a look at a model finds.
+struct Look {
+    ix: JobIndex,
+    rule: Rule,
+    known: Known,
+    seen: Seen,
+    tasks: u32,
+    job_version: u64,
+}
+
+impl Look {
+    /// Its record stands and says that no replicas are to run.
+    fn is_asleep(&self) -> bool {
+        self.known.stamp > 0 && !self.known.rec.is_up()
+    }
+}
+
 impl Node {
     pub(crate) fn models_tick(&mut self) {
         self.wakes_tick();
@@ -27,17 +46,19 @@
             return;
         }
         self.models.owned.looked_at = now;
+        self.look_at_models();
+        self.take_over_records();
+    }
+
+    fn look_at_models(&mut self) {
         let wall = self.now.wall;
-        self.models.owned.kept.retain(|_, (until, _)| *until > wall);
-        let due: Vec<String> = std::mem::take(&mut self.models.owned.due)
-            .into_iter()
-            .collect();
-        for model in due {
+        let owned = &mut self.models.owned;
+        owned.kept.retain(|_, (until, _)| *until > wall);
+        for model in std::mem::take(&mut owned.due) {
             if self.look_at_model(&model) {
                 self.models.is_due(&model);
             }
         }
-        self.take_over_records();
     }
 
     /// What the leader sees of a model.
@@ -66,50 +87,61 @@
             }
             return true;
         }
-        let Some(shard) = &self.shard else {
-            return false;
-        };
-        let Some(ix) = shard.job_index.get(model).copied() else {
-            return false;
-        };
-        let Some(job) = shard.job(ix).filter(|j| j.ending == Ending::No) else {
-            return false;
-        };
-        let Some(spec) = job.spec.as_ref() else {
+        let Some(look) = self.look(model) else {
             return false;
         };
-        let Some(rule) = self.models.rule(spec) else {
-            return false;
-        };
-        let known = self.models.known(model).unwrap_or_default();
-        let seen = self.seen(job);
-        let node = self.settings.node.clone();
-        let (wall, tasks, version) = (self.now.wall, job.tasks, job.version);
-        let first = known.stamp == 0 && (rule.begin == model::Begin::Awake || seen.claimed > 0);
-        let missed =
-            known.stamp > 0 && !known.rec.is_up() && self.asked_since(model, known.rec.since_ms);
-        let next = if first || missed {
-            match asked(&known.rec, &rule, tasks, &node, wall) {
-                Asked::Wake(rec) => Some(*rec),
-                _ => known.rec.next(&rule, tasks, &node, wall, &seen),
-            }
-        } else {
-            known.rec.next(&rule, tasks, &node, wall, &seen)
-        };
-        if known.stamp > 0 && !known.rec.is_up() {
-            self.stop_replicas(ix, known.rec.replicas(&rule, tasks));
+        let next = self.next_record(model, &look);
+        let Look { known, rule, .. } = &look;
+        if look.is_asleep() {
+            self.stop_replicas(look.ix, known.rec.replicas(rule, look.tasks));
         }
         let Some(rec) = next else {
-            return known.rec.phase != Phase::Asleep || seen.claimed > 0;
+            return known.rec.phase != Phase::Asleep || look.seen.claimed > 0;
         };
         if self.models.owned.out.len() >= MOST_OUT {
             return true;
         }
-        self.keep_weights(model, &rule, &rec);
-        self.write_model(model, Some(rec), known.stamp, Some(version));
+        self.keep_weights(model, rule, &rec);
+        self.write_model(model, Some(rec), known.stamp, Some(look.job_version));
         true
     }
 
+    /// What the leader knows of a model now; nothing unless it is the job of a rule and is not about to end.
+    fn look(&self, model: &str) -> Option<Look> {
+        let shard = self.shard.as_ref()?;
+        let ix = shard.job_index.get(model).copied()?;
+        let job = shard.job(ix).filter(|job| job.ending == Ending::No)?;
+        let rule = self.models.rule(job.spec.as_ref()?)?;
+        Some(Look {
+            ix,
+            rule,
+            known: self.models.known(model).unwrap_or_default(),
+            seen: self.seen(job),
+            tasks: job.tasks,
+            job_version: job.version,
+        })
+    }
+
+    /// The record that a model should have from now on, if it is another one.
+    fn next_record(&self, model: &str, look: &Look) -> Option<Rec> {
+        let Look {
+            known,
+            rule,
+            seen,
+            tasks,
+            ..
+        } = look;
+        let (node, wall) = (self.settings.node.as_str(), self.now.wall);
+        let is_first = known.stamp == 0 && (rule.begin == Begin::Awake || seen.claimed > 0);
+        let is_missed = look.is_asleep() && self.asked_since(model, known.rec.since_ms);
+        if (is_first || is_missed)
+            && let Asked::Wake(rec) = asked(&known.rec, rule, *tasks, node, wall)
+        {
+            return Some(*rec);
+        }
+        known.rec.next(rule, *tasks, node, wall, seen)
+    }
+
     /// Whether somebody has asked for it here after it was put to sleep: what had been decided before that came late.
     fn asked_since(&self, model: &str, since_ms: u64) -> bool {
         let heard = self.models.wakes.heard(model);
@@ -126,31 +158,39 @@
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
         let grace = job.spec.as_deref().map_or(0.0, grace);
-        let mut tasks: Vec<u32> = job.claimed.keys().copied().collect();
-        tasks.sort_unstable();
-        let over: BTreeSet<u32> = tasks.into_iter().skip(stay as usize).collect();
-        let on = job
+        let surplus = surplus_tasks(job, stay);
+        let machines: BTreeSet<usize> = job
             .claimed
             .iter()
-            .filter(|(t, _)| over.contains(t))
-            .flat_map(|(_, c)| c);
-        let machines: BTreeSet<usize> = on.map(|(m, _)| *m).collect();
+            .filter(|(task, _)| surplus.contains(task))
+            .flat_map(|(_, claims)| claims)
+            .map(|(machine, _)| *machine)
+            .collect();
         for m in machines {
             let Some(machine) = shard.machine_mut(m) else {
                 continue;
             };
-            let mut news = false;
-            for claim in machine
-                .claims
-                .iter_mut()
-                .filter(|c| c.job == ix && over.contains(&c.task))
-            {
-                news |= claim.stop.is_none();
-                claim.stop.get_or_insert(grace);
-            }
-            if news {
+            if stop_claims(machine, ix, &surplus, grace) {
                 shard.push.insert(m);
             }
         }
     }
 }
+
+/// The tasks with claims beyond the first few.
+fn surplus_tasks(job: &Job, stay: u32) -> BTreeSet<u32> {
+    let mut tasks: Vec<u32> = job.claimed.keys().copied().collect();
+    tasks.sort_unstable();
+    tasks.into_iter().skip(stay as usize).collect()
+}
+
+/// Stops a job's claims for some tasks on a machine; true if it has to be told.
+fn stop_claims(machine: &mut Machine, job: JobIndex, tasks: &BTreeSet<u32>, grace: f64) -> bool {
+    let mut is_news = false;
+    let claims = machine.claims.iter_mut();
+    for claim in claims.filter(|c| c.job == job && tasks.contains(&c.task)) {
+        is_news |= claim.stop.is_none();
+        claim.stop.get_or_insert(grace);
+    }
+    is_news
+}
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -5,11 +5,14 @@
 use crate::state_requests::encode_transaction;
 use crate::{Node, Pending};
 use model::Rec;
+use std::ops::Range;
 use wire::api::{Guard, Item, Revision, Write};
 use wire::http::Response;
 use wire::records::{self, Record};
 
 const TIMEOUT_MS: u64 = 1500;
+/// A transaction is sent again after this long.
+const RETRY_MS: Range<u64> = 100..400;
 
 /// A transaction of the leader's: what it writes, or that it takes the record away; and when it is sent again.
 pub(super) struct Out {
@@ -89,62 +92,77 @@
     /// The end of a transaction, or of the read that follows one whose end is not known.
     pub(crate) fn model_written(&mut self, model: String, response: Option<Response>) {
         let now = self.now.mono;
-        let wait = self.rng.u64(100..400);
-        let status = response.as_ref().map(|r| r.status);
+        let wait = self.rng.u64(RETRY_MS);
         let Some(out) = self.models.owned.out.get_mut(&model) else {
             return;
         };
         out.busy = false;
         out.retry_at = now + wait;
-        match (out.outcome_unknown, status) {
-            (false, Some(200)) => {
-                let revision = response.and_then(|r| wire::decode::<Revision>(&r.body).ok());
-                let Some(Revision { revision }) = revision else {
-                    out.outcome_unknown = true;
-                    return;
-                };
-                let rec = out.rec.clone();
-                self.models.owned.out.remove(&model);
-                match rec {
-                    Some(rec) => {
-                        log::info!(
-                            "model {model}: {:?}, generation {}",
-                            rec.phase,
-                            rec.generation
-                        );
-                        self.model_stands(
-                            &model,
-                            Known {
-                                rec,
-                                stamp: revision,
-                            },
-                        );
-                    }
-                    None => self.record_gone(&model),
-                }
-            }
+        let is_understood = if out.outcome_unknown {
+            self.record_read_back(&model, response)
+        } else {
+            self.transaction_answered(&model, response)
+        };
+        if is_understood {
+            self.models.is_due(&model);
+        }
+    }
+
+    /// False if the transaction was made, but its answer can't be read.
+    fn transaction_answered(&mut self, model: &str, response: Option<Response>) -> bool {
+        let status = response.as_ref().map(|response| response.status);
+        let Some(out) = self.models.owned.out.get_mut(model) else {
+            return true;
+        };
+        match status {
+            Some(200) => {}
+            Some(429 | 503) => return true,
             // Another node has written it meanwhile, or the job has ended: what stands there is read.
-            (false, Some(429 | 503)) => {}
-            (false, _) => out.outcome_unknown = true,
-            (true, Some(200)) => {
-                let item = response.and_then(|r| wire::decode::<Item<Rec>>(&r.body).ok());
-                let Some(item) = item else { return };
-                self.models.owned.out.remove(&model);
-                self.model_stands(
-                    &model,
-                    Known {
-                        rec: item.value,
-                        stamp: item.version,
-                    },
-                );
+            _ => {
+                out.outcome_unknown = true;
+                return true;
             }
-            (true, Some(404)) => {
-                self.models.owned.out.remove(&model);
-                self.record_gone(&model);
+        }
+        let revision = response.and_then(|r| wire::decode::<Revision>(&r.body).ok());
+        let Some(Revision { revision }) = revision else {
+            out.outcome_unknown = true;
+            return false;
+        };
+        let rec = out.rec.take();
+        self.models.owned.out.remove(model);
+        match rec {
+            Some(rec) => self.record_written(model, rec, revision),
+            None => self.record_gone(model),
+        }
+        true
+    }
+
+    fn record_written(&mut self, model: &str, rec: Rec, stamp: u64) {
+        let (phase, generation) = (rec.phase, rec.generation);
+        log::info!("model {model}: {phase:?}, generation {generation}");
+        self.model_stands(model, Known { rec, stamp });
+    }
+
+    /// What stands where the outcome of a transaction was not known; false if the answer can't be read.
+    fn record_read_back(&mut self, model: &str, response: Option<Response>) -> bool {
+        match response.as_ref().map(|response| response.status) {
+            Some(200) => {}
+            Some(404) => {
+                self.models.owned.out.remove(model);
+                self.record_gone(model);
+                return true;
             }
-            (true, _) => {}
+            _ => return true,
         }
-        self.models.is_due(&model);
+        let item = response.and_then(|r| wire::decode::<Item<Rec>>(&r.body).ok());
+        let Some(item) = item else { return false };
+        self.models.owned.out.remove(model);
+        let known = Known {
+            rec: item.value,
+            stamp: item.version,
+        };
+        self.model_stands(model, known);
+        true
     }
 
     fn record_gone(&mut self, model: &str) {
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -5,7 +5,7 @@
 use crate::store::recovery::Load;
 use crate::{Node, Pending};
 use model::Rec;
-use wire::api::{Changes, Item, Range};
+use wire::api::{Change, Changes, Item, Range};
 use wire::http::Response;
 use wire::records;
 
@@ -129,23 +129,27 @@
         owned.watch_at = 0;
         owned.revision = owned.revision.max(changes.revision);
         for change in changes.events {
-            let key = change
-                .put
-                .as_deref()
-                .or(change.remove.as_deref())
-                .unwrap_or_default();
-            let Some(model) = key.strip_prefix(records::MODELS).map(str::to_owned) else {
-                continue;
-            };
-            let stamp = change.version;
-            match change.value {
-                Some(rec) => self.model_stands(&model, Known { rec, stamp }),
-                None => self
-                    .models
-                    .owned
-                    .recs
-                    .retain(|m, k| *m != model || k.stamp > stamp),
-            }
+            self.record_changed(change);
+        }
+    }
+
+    fn record_changed(&mut self, change: Change<Rec>) {
+        let key = change
+            .put
+            .as_deref()
+            .or(change.remove.as_deref())
+            .unwrap_or_default();
+        let Some(model) = key.strip_prefix(records::MODELS).map(str::to_owned) else {
+            return;
+        };
+        let stamp = change.version;
+        match change.value {
+            Some(rec) => self.model_stands(&model, Known { rec, stamp }),
+            None => self
+                .models
+                .owned
+                .recs
+                .retain(|m, known| *m != model || known.stamp > stamp),
         }
     }
 }
