--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -211,6 +211,20 @@
         self.counts.counts()
     }
 
+    /// Takes back what ended after a revision: there it still lives.
+    fn undo_after(&mut self, revision: u64, rows: &mut BTreeMap<Cell, Row>) {
+        while self.recent.front().is_some_and(|(r, _)| *r <= revision) {
+            self.recent.pop_front();
+        }
+        for delta in self.recent.iter().flat_map(|(_, deltas)| deltas) {
+            let row = rows.entry(delta.cell()).or_default();
+            row.live += delta.done + delta.cancelled;
+            row.ended.done = row.ended.done.saturating_sub(delta.done);
+            row.ended.cancelled = row.ended.cancelled.saturating_sub(delta.cancelled);
+            row.ended.tasks = row.ended.tasks.saturating_sub(delta.tasks);
+        }
+    }
+
     fn is_due(&self, now: u64) -> bool {
         self.in_use && (now >= self.folded_at + FOLD_MS || self.is_behind())
     }
@@ -219,6 +233,35 @@
         self.counts.backlog().0 > BEHIND
     }
 
+    /// Takes a page of sheets; true if another follows, `None` if none is waited for.
+    fn page_read(&mut self, page: Range<serde_json::Value>) -> Option<bool> {
+        let reading = self.reading.as_mut()?;
+        let prefix = records::tally_prefix(SHARD);
+        let more = reading.cursor.advance(&page);
+        for Item {
+            key,
+            value,
+            version,
+        } in page.items
+        {
+            let number = key.strip_prefix(&prefix).and_then(|n| n.parse().ok());
+            match (number, serde_json::from_value::<Sheet>(value)) {
+                (Some(number), Ok(sheet)) => self.counts.sheet_read(number, version, sheet),
+                _ => {
+                    reading.all_good = false;
+                    log::error!("{key} can't be understood: counts by county are held back");
+                }
+            }
+        }
+        Some(more)
+    }
+
+    /// Ends a reading, until a time at the earliest; true if all sheets were understood.
+    fn stop_reading(&mut self, read_at: u64) -> bool {
+        self.read_at = read_at;
+        self.reading.take().is_some_and(|reading| reading.all_good)
+    }
+
     fn wants_reading(&self, now: u64) -> bool {
         self.in_use && self.counts.state().is_err() && self.reading.is_none() && now >= self.read_at
     }
@@ -297,40 +340,19 @@
         let now = self.now.mono;
         let page = self.read_state::<Range<serde_json::Value>>(response);
         let Some(shard) = &mut self.shard else { return };
-        let tally = &mut shard.tally;
         let Some(page) = page else {
-            tally.reading = None;
-            tally.read_at = now + RETRY_MS;
-            return;
-        };
-        let Some(reading) = &mut tally.reading else {
+            shard.tally.stop_reading(now + RETRY_MS);
             return;
         };
-        let prefix = records::tally_prefix(SHARD);
-        let more = reading.cursor.advance(&page);
-        for Item {
-            key,
-            value,
-            version,
-        } in page.items
-        {
-            let number = key.strip_prefix(&prefix).and_then(|n| n.parse().ok());
-            match (number, serde_json::from_value::<Sheet>(value)) {
-                (Some(number), Ok(sheet)) => tally.counts.sheet_read(number, version, sheet),
-                _ => {
-                    reading.all_good = false;
-                    log::error!("{key} can't be understood: counts by county are held back");
-                }
+        match shard.tally.page_read(page) {
+            None => {}
+            Some(true) => self.read_sheets(),
+            Some(false) => {
+                let all_good = shard.tally.stop_reading(now + BAD_MS);
+                let over = shard.tally.counts.reading_over(all_good);
+                shard.claim_log.counted(over);
             }
         }
-        if more {
-            return self.read_sheets();
-        }
-        let all_good = reading.all_good;
-        tally.reading = None;
-        tally.read_at = now + BAD_MS;
-        let over = tally.counts.reading_over(all_good);
-        shard.claim_log.counted(over);
     }
 }
 
@@ -358,43 +380,40 @@
     /// All counts as of one revision, the latest that is known: what ended after it still lives there, and what was
     /// accepted after it does not yet.
     pub fn counts(&mut self) -> Result<(u64, BTreeMap<Cell, Row>), Held> {
-        // What is under way may have been recorded already, after all that is known to stand.
-        let known = if self.commit.is_out() {
-            self.ends_known()
-        } else {
-            u64::MAX
-        };
-        let at = self.live_revision.min(known);
+        let revision = self.counted_revision();
         let ended = self.tally.ended().map_err(Held::Unread)?;
-        if self.tally.forgotten > at {
+        if self.tally.forgotten > revision {
             return Err(Held::Behind);
         }
-        while self.tally.recent.front().is_some_and(|(r, _)| *r <= at) {
-            self.tally.recent.pop_front();
-        }
         let mut rows: BTreeMap<Cell, Row> = ended
             .into_iter()
             .map(|(cell, ended)| (cell, Row { live: 0, ended }))
             .collect();
-        for d in self.tally.recent.iter().flat_map(|(_, deltas)| deltas) {
-            let row = rows.entry(d.cell()).or_default();
-            row.live += d.done + d.cancelled;
-            row.ended.done = row.ended.done.saturating_sub(d.done);
-            row.ended.cancelled = row.ended.cancelled.saturating_sub(d.cancelled);
-            row.ended.tasks = row.ended.tasks.saturating_sub(d.tasks);
-        }
+        self.tally.undo_after(revision, &mut rows);
+        self.add_live(revision, &mut rows);
+        Ok((revision, rows))
+    }
+
+    /// The latest revision up to which both acceptances and ends are known.
+    fn counted_revision(&self) -> u64 {
+        // What is under way may have been recorded already, after all that is known to stand.
+        let ends_known = if self.commit.is_out() {
+            self.ends_known()
+        } else {
+            u64::MAX
+        };
+        self.live_revision.min(ends_known)
+    }
+
+    /// Counts the jobs that live and were accepted up to a revision.
+    fn add_live(&mut self, revision: u64, rows: &mut BTreeMap<Cell, Row>) {
         let counts = &mut self.tally.counts;
-        for job in self.jobs.iter().flatten().filter(|j| !j.is_over()) {
-            let (Some(county), Some(spec)) = (&job.county, &job.spec) else {
-                continue;
-            };
-            if job.version > at {
-                continue;
+        let live = self.jobs.iter().flatten().filter(|job| !job.is_over());
+        for job in live.filter(|job| job.version <= revision) {
+            if let (Some(county), Some(spec)) = (&job.county, &job.spec) {
+                let cell = counts.cell(&county.county, &spec.class);
+                rows.entry(cell).or_default().live += 1;
             }
-            rows.entry(counts.cell(&county.county, &spec.class))
-                .or_default()
-                .live += 1;
         }
-        Ok((at, rows))
     }
 }
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -67,6 +67,20 @@
     Demand { model: String },
 }
 
+impl Ask {
+    /// It names the front end's own records only, and not too many of them.
+    fn is_allowed(&self) -> bool {
+        let is_own = |key: &str| key.starts_with(records::SIDE);
+        match self {
+            Ask::Page { under, .. } => is_own(under),
+            Ask::Change { writes } => {
+                (1..=MOST_WRITES).contains(&writes.len()) && writes.iter().all(|w| is_own(&w.key))
+            }
+            Ask::Demand { .. } => true,
+        }
+    }
+}
+
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
     pub key: String,
@@ -76,6 +90,24 @@
     pub value: Option<Value>,
 }
 
+impl Change {
+    /// Holds if the record has the version that it must have.
+    fn guard(&self) -> Option<Guard> {
+        self.version.map(|version| Guard {
+            key: self.key.clone(),
+            version,
+        })
+    }
+
+    fn into_write(self) -> Write {
+        let key = self.key;
+        match self.value {
+            Some(value) => Write::put(key, Record::Other(value)),
+            None => Write::Remove { key },
+        }
+    }
+}
+
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     Page {
@@ -98,6 +130,35 @@
     Model(Box<wire::models::Told>),
 }
 
+impl Answer {
+    fn of_state_service(response: Option<Response>) -> Answer {
+        let Some(response) = response else {
+            return Answer::Unknown;
+        };
+        match response.status {
+            200 => Answer::of_body(&response.body),
+            409 => Answer::Conflict,
+            429 | 503 => Answer::Busy,
+            400 => Answer::Refused,
+            _ => Answer::Unknown,
+        }
+    }
+
+    /// A page, or the revision of a transaction.
+    fn of_body(body: &[u8]) -> Answer {
+        if let Ok(page) = wire::decode::<Range<Value>>(body) {
+            return Answer::Page {
+                items: page.items,
+                more: page.more,
+            };
+        }
+        match wire::decode::<Revision>(body) {
+            Ok(Revision { revision }) => Answer::Changed { revision },
+            Err(_) => Answer::Unknown,
+        }
+    }
+}
+
 /// How many keys one [`Ask::Change`] may name.
 pub fn writes_at_once(settings: &Settings) -> usize {
     let state = &settings.cluster.state;
@@ -186,17 +247,7 @@
     }
 
     pub(crate) fn frontend_asked(&mut self, tag: u64, ask: Ask) {
-        let own = |key: &str| key.starts_with(records::SIDE);
-        let refused = match &ask {
-            Ask::Page { under, .. } => !own(under),
-            Ask::Change { writes } => {
-                writes.is_empty()
-                    || writes.len() > MOST_WRITES
-                    || writes.iter().any(|w| !own(&w.key))
-            }
-            Ask::Demand { .. } => false,
-        };
-        if refused {
+        if !ask.is_allowed() {
             return self.frontend_over(tag, Answer::Refused);
         }
         let now = self.now.mono;
@@ -227,45 +278,16 @@
             version: leader,
         }];
         let mut state_writes = Vec::new();
-        for Change {
-            key,
-            version,
-            value,
-        } in writes
-        {
-            guards.extend(version.map(|version| Guard {
-                key: key.clone(),
-                version,
-            }));
-            state_writes.push(match value {
-                Some(value) => Write::put(key, Record::Other(value)),
-                None => Write::Remove { key },
-            });
+        for change in writes {
+            guards.extend(change.guard());
+            state_writes.push(change.into_write());
         }
         let body = encode_transaction(guards, state_writes);
         self.post_transaction(body, TIMEOUT_MS, Pending::Frontend { tag });
     }
 
     pub(crate) fn frontend_answered(&mut self, tag: u64, response: Option<Response>) {
-        let answer = match response {
-            Some(r) if r.status == 200 => {
-                let changed = |r: Revision| Answer::Changed {
-                    revision: r.revision,
-                };
-                match wire::decode::<Range<Value>>(&r.body) {
-                    Ok(page) => Answer::Page {
-                        items: page.items,
-                        more: page.more,
-                    },
-                    Err(_) => wire::decode(&r.body).map_or(Answer::Unknown, changed),
-                }
-            }
-            Some(r) if r.status == 409 => Answer::Conflict,
-            Some(r) if matches!(r.status, 429 | 503) => Answer::Busy,
-            Some(r) if r.status == 400 => Answer::Refused,
-            _ => Answer::Unknown,
-        };
-        self.frontend_over(tag, answer);
+        self.frontend_over(tag, Answer::of_state_service(response));
     }
 
     pub(crate) fn frontend_over(&mut self, tag: u64, answer: Answer) {
