--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -3,7 +3,7 @@
 use crate::Node;
 use crate::documents::kind::{ALL, PartOf, prefix};
 use crate::documents::operator_api::{faulty, refused};
-use crate::documents::{Doc, Documents, Good, Kind, KindId, for_kind};
+use crate::documents::{ActiveVersion, Doc, Documents, Kind, KindId, for_kind};
 use crate::store::commit::{PendingWrite, TransactionDraft, value_limit};
 use crate::store::shard::Shard;
 use document::{Content, Head, Past, SHORT};
@@ -22,7 +22,7 @@
     /// Who waits for it; nobody for the first version.
     conn: Option<u64>,
     head: Head,
-    good: Good<K::Content>,
+    active: ActiveVersion<K::Content>,
     /// Stamp of the head that it follows.
     stamp: u64,
     /// Parts still to be written, and how many of them are on their way.
@@ -109,8 +109,9 @@
 
     /// The content in force, as it fits what surrounds it now.
     fn fitting(&self, context: &<K::Content as Content>::Context) -> K::Content {
-        let good = self.good.as_ref();
-        good.map(|good| good.spec.fitting(context))
+        let active = self.active.as_ref();
+        active
+            .map(|active| active.spec.fitting(context))
             .unwrap_or_default()
     }
 
@@ -322,7 +323,7 @@
             differences,
             above: K::told(self, &built),
         };
-        let good = Good {
+        let active = ActiveVersion {
             version: head.version,
             spec: Arc::new(spec),
             built,
@@ -331,7 +332,7 @@
             id: change.id.clone(),
             conn,
             head,
-            good,
+            active,
             stamp: doc.stamp,
             parts: doc.missing(parts),
             busy: 0,
@@ -391,7 +392,7 @@
             return;
         };
         doc.head_seen(done.head, revision);
-        doc.take(done.good);
+        doc.take(done.active);
         K::in_force(self);
         if let Some(conn) = done.conn {
             self.answer_changed(conn, &done.answer);
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -78,14 +78,14 @@
 impl Node {
     /// The county that a job accepted now belongs to; none without a document.
     pub(crate) fn county_for(&self, spec: &JobSpec) -> Result<Option<CountyRecord>, &'static str> {
-        let Some(good) = &self.shared.documents.counties.good else {
+        let Some(active) = &self.shared.documents.counties.active else {
             return Ok(None);
         };
-        if good.spec.counties.is_empty() {
+        if active.spec.counties.is_empty() {
             return Ok(None);
         }
         let tree = Quota::doc(&self.shared.documents)
-            .good
+            .active
             .as_ref()
             .map(|g| &g.built);
         let path = tree
@@ -103,8 +103,8 @@
             zone: spec.zone.as_deref(),
             image: &spec.image,
         };
-        let bound = good.built.bind(&job).map_err(why)?;
-        let (county, version) = (bound.county, good.version);
+        let bound = active.built.bind(&job).map_err(why)?;
+        let (county, version) = (bound.county, active.version);
         Ok(Some(CountyRecord {
             county,
             version,
@@ -130,7 +130,7 @@
     fn lost_by(&self, new: &Counties) -> Vec<Fault> {
         let counties = &self.shared.documents.counties;
         let mut faults = Vec::new();
-        if let Some(old) = &counties.good {
+        if let Some(old) = &counties.active {
             faults = county::lost(&old.spec, new.spec(), &self.live_by_county());
             // A county that was closed may have been bound to until then.
             let seen = self.shard.as_ref().map_or(0, |p| p.live_revision);
@@ -144,7 +144,7 @@
                 faults.push(Fault::whole("county", what));
             }
         }
-        let tree = Quota::doc(&self.shared.documents).good.as_ref();
+        let tree = Quota::doc(&self.shared.documents).active.as_ref();
         let known =
             |desk: &String| tree.is_some_and(|t| t.built.nodes.iter().any(|n| n.name == *desk));
         for (c, r, desk) in new.desks().filter(|(_, _, desk)| !known(desk)) {
@@ -164,10 +164,10 @@
             Ok(counts) => counts,
             Err(why) => return self.deny_admin(conn, 503, refused(held(why))),
         };
-        let good = self.shared.documents.counties.good.as_ref();
-        let name = |id: &str| good.and_then(|g| g.built.county(id)?.name.clone());
+        let active = self.shared.documents.counties.active.as_ref();
+        let name = |id: &str| active.and_then(|g| g.built.county(id)?.name.clone());
         let wanted = |cell: &Cell| county.is_none_or(|c| c == cell.county);
-        let known = |c: &str| c == OTHER || good.is_some_and(|g| g.built.county(c).is_some());
+        let known = |c: &str| c == OTHER || active.is_some_and(|g| g.built.county(c).is_some());
         let lines: Vec<Line> = rows
             .into_iter()
             .filter(|(cell, _)| wanted(cell))
--- a/crates/control/src/documents/hours/listing.rs
+++ b/crates/control/src/documents/hours/listing.rs
@@ -85,8 +85,10 @@
 
 impl Node {
     pub(super) fn list_hours(&mut self, conn: u64, studio: Option<&str>) {
-        let good = self.shared.documents.hours.good.as_ref();
-        let calendar = good.map(|good| good.built.clone()).unwrap_or_default();
+        let active = self.shared.documents.hours.active.as_ref();
+        let calendar = active
+            .map(|active| active.built.clone())
+            .unwrap_or_default();
         let Some(shard) = &self.shard else { return };
         let mut listing = Listing {
             calendar,
--- a/crates/control/src/documents/hours/mod.rs
+++ b/crates/control/src/documents/hours/mod.rs
@@ -13,7 +13,7 @@
 pub(crate) use watch::{Hour, Watch, end_rec};
 
 use crate::Node;
-use crate::documents::{Doc, Documents, Good, Kind, KindId};
+use crate::documents::{ActiveVersion, Doc, Documents, Kind, KindId};
 use ::hours::{Around, Spec, TeamAt};
 use document::{Content, Fault};
 use std::sync::Arc;
@@ -86,40 +86,40 @@
 impl Node {
     /// The hour of a job that is accepted now, by the calendar in force. Services have none: they do not end.
     pub(crate) fn hour_for(&self, spec: &JobSpec, accepted_ms: u64) -> Option<HourRecord> {
-        let good = self.shared.documents.hours.good.as_ref()?;
+        let active = self.shared.documents.hours.active.as_ref()?;
         if spec.kind == Shape::Service {
             return None;
         }
-        let due = good
+        let due = active
             .built
             .due(&spec.team, &spec.class, &spec.id, accepted_ms)?;
         Some(HourRecord {
             due_ms: due.at_ms,
-            version: good.version,
+            version: active.version,
             moved: None,
         })
     }
 
     /// Another quota tree is in force: studios that are nodes of it have other teams from now on.
     pub(crate) fn refit_hours(&mut self) {
-        let Some(good) = self
+        let Some(active) = self
             .shared
             .documents
             .hours
-            .good
+            .active
             .clone()
             .filter(|g| g.spec.follows_tree())
         else {
             return;
         };
         let around = Hours::context(self);
-        match good.spec.fitting(&around).build(&around) {
+        match active.spec.fitting(&around).build(&around) {
             Ok(built) => {
-                let good = Good {
+                let active = ActiveVersion {
                     built: Arc::new(built),
-                    ..good
+                    ..active
                 };
-                self.shared.documents.hours.good = Some(good);
+                self.shared.documents.hours.active = Some(active);
             }
             Err(faults) => log::error!(
                 "release hours with the new quota tree: {}; studios stay",
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -94,9 +94,9 @@
         to: &str,
         by: &str,
     ) -> Result<Option<Moved>, MoveError> {
-        let good = self.shared.documents.hours.good.as_ref();
-        let (calendar, version) = good
-            .map(|good| (good.built.clone(), good.version))
+        let active = self.shared.documents.hours.active.as_ref();
+        let (calendar, version) = active
+            .map(|active| (active.built.clone(), active.version))
             .unwrap_or_default();
         let Some(shard) = &mut self.shard else {
             return Ok(None);
@@ -145,9 +145,9 @@
         by: &str,
         dry_run: bool,
     ) -> Result<Option<Moved>, MoveError> {
-        let good = self.shared.documents.hours.good.clone();
-        let good = good.ok_or(MoveError::NoCalendar)?;
-        if !good.built.studios().contains(&studio) {
+        let active = self.shared.documents.hours.active.clone();
+        let active = active.ok_or(MoveError::NoCalendar)?;
+        if !active.built.studios().contains(&studio) {
             return Err(MoveError::UnknownStudio(studio.to_owned()));
         }
         let Some(shard) = &mut self.shard else {
@@ -155,15 +155,15 @@
         };
         let mut moves: Vec<Move> = Vec::new();
         let mut lines = Vec::new();
-        for (ix, job, due_ms) in reagreed_jobs(shard, &good.built, studio) {
+        for (ix, job, due_ms) in reagreed_jobs(shard, &active.built, studio) {
             if lines.len() < MOVED_LINES {
-                lines.push(moved_line(job, due_ms, &good.built));
+                lines.push(moved_line(job, due_ms, &active.built));
             }
             moves.push(Move {
                 ix,
                 job: job.id.clone(),
                 due_ms,
-                version: good.version,
+                version: active.version,
                 by: short(by),
                 conn: None,
             });
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -27,15 +27,15 @@
 }
 
 /// A version that checks out.
-pub(crate) struct Good<C: Content> {
+pub(crate) struct ActiveVersion<C: Content> {
     pub version: u64,
     pub spec: Arc<C>,
     pub built: Arc<C::Built>,
 }
 
-impl<C: Content> Clone for Good<C> {
+impl<C: Content> Clone for ActiveVersion<C> {
     fn clone(&self) -> Self {
-        Good {
+        ActiveVersion {
             version: self.version,
             spec: self.spec.clone(),
             built: self.built.clone(),
@@ -48,7 +48,7 @@
     /// The head as last seen, and its stamp; 0 if there is none.
     pub head: Head,
     pub stamp: u64,
-    pub good: Option<Good<K::Content>>,
+    pub active: Option<ActiveVersion<K::Content>>,
     /// A version that did not check out, and why.
     pub(super) refused: Option<(u64, String)>,
     /// Parts that are in the state service, by name, with their stamps.
@@ -68,7 +68,7 @@
         Doc {
             head: Head::default(),
             stamp: 0,
-            good: None,
+            active: None,
             refused: None,
             parts: BTreeMap::new(),
             reading: None,
@@ -83,8 +83,8 @@
 impl<K: Kind> Doc<K> {
     /// The version that is acted on here; 0 without one. `None` if there is one that can't be acted on.
     pub fn version(&self) -> Option<u64> {
-        match &self.good {
-            Some(good) => Some(good.version),
+        match &self.active {
+            Some(active) => Some(active.version),
             None if self.head.version == 0 => Some(0),
             None => None,
         }
@@ -99,15 +99,15 @@
 
     /// Nothing newer is known than what was taken or refused.
     pub(super) fn is_current(&self) -> bool {
-        let known = self.good.as_ref().map_or(0, |g| g.version);
+        let known = self.active.as_ref().map_or(0, |g| g.version);
         let refused = self.refused.as_ref().map_or(0, |(version, _)| *version);
         self.head.version == known || self.head.version == refused
     }
 
-    pub(super) fn take(&mut self, good: Good<K::Content>) {
-        let (name, size) = (K::Content::NAME, K::Content::size(&good.built));
-        log::info!("{name}: version {} with {size}", good.version);
-        self.good = Some(good);
+    pub(super) fn take(&mut self, active: ActiveVersion<K::Content>) {
+        let (name, size) = (K::Content::NAME, K::Content::size(&active.built));
+        log::info!("{name}: version {} with {size}", active.version);
+        self.active = Some(active);
         self.refused = None;
     }
 
@@ -123,17 +123,17 @@
                 .fitting(context)
                 .build(context)
                 .map_err(|f| f[0].to_string())?;
-            Ok(Good {
+            Ok(ActiveVersion {
                 version,
                 spec: Arc::new(spec),
                 built: Arc::new(built),
             })
         });
         match built {
-            Ok(good) => self.take(good),
+            Ok(active) => self.take(active),
             Err(why) => {
                 let kept = self
-                    .good
+                    .active
                     .as_ref()
                     .map_or("none".to_owned(), |g| g.version.to_string());
                 let name = K::Content::NAME;
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -1,7 +1,7 @@
 //! Which version of each kind of document is in force, as every controller follows it, and how it is changed.
 //!
 //! A controller acts on one whole version. It reads the parts of a new one, checks that it holds together with what
-//! it must fit, and only then takes it; one that does not check out is refused, and the last good one stays. A new
+//! it must fit, and only then takes it; one that does not check out is refused, and the last valid one stays. A new
 //! leader reads all kinds before its first start.
 //!
 //! A change is made by the leader's own transactions, one after the other: parts that the state service has not yet,
@@ -20,6 +20,6 @@
 pub(crate) mod quotas;
 mod reading;
 
-pub(crate) use in_force::{Doc, Documents, Good};
+pub(crate) use in_force::{ActiveVersion, Doc, Documents};
 pub(crate) use kind::{Kind, KindId, for_kind};
 pub(crate) use operator_api::refused;
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -79,9 +79,12 @@
 impl<K: Kind> Doc<K> {
     /// The document's answer to "show".
     pub(super) fn shown(&self) -> Vec<u8> {
-        let (version, spec) = self.good.as_ref().map_or((0, K::Content::default()), |g| {
-            (g.version, (*g.spec).clone())
-        });
+        let (version, spec) = self
+            .active
+            .as_ref()
+            .map_or((0, K::Content::default()), |g| {
+                (g.version, (*g.spec).clone())
+            });
         let (history, refused) = (self.head.history.clone(), self.refused());
         admin::encode(&Shown {
             version,
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -17,7 +17,7 @@
 
 pub(crate) struct Quota;
 
-pub(crate) type Good = documents::Good<Spec>;
+pub(crate) type Good = documents::ActiveVersion<Spec>;
 
 impl Kind for Quota {
     type Content = Spec;
@@ -68,7 +68,7 @@
     fn show(node: &Node) -> Vec<u8> {
         let q = &node.shared.documents.quota;
         let (version, spec) = q
-            .good
+            .active
             .as_ref()
             .map_or((0, Spec::default()), |g| (g.version, (*g.spec).clone()));
         let live = node.tree_here().and_then(|tree| node.counted(&tree));
@@ -153,8 +153,8 @@
 
     /// The tree in force; without one, the teams alone.
     fn tree_here(&self) -> Option<Arc<Tree>> {
-        match &self.shared.documents.quota.good {
-            Some(good) => Some(good.built.clone()),
+        match &self.shared.documents.quota.active {
+            Some(active) => Some(active.built.clone()),
             None => Tree::build(&Spec::default(), &self.settings.quota_teams())
                 .ok()
                 .map(Arc::new),
@@ -202,10 +202,10 @@
 
     /// Whether this is more than some node above a team may use at all.
     pub(crate) fn above_its_tree(&self, team: &str, all: &quota::Amount) -> bool {
-        let Some(good) = &self.shared.documents.quota.good else {
+        let Some(active) = &self.shared.documents.quota.active else {
             return false;
         };
-        let tree = &good.built;
+        let tree = &active.built;
         let path = tree.team(team).map(|t| tree.path(t)).unwrap_or_default();
         let over = |n: &quota::NodeId| {
             let max = &tree.nodes[n.0 as usize].max;
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -154,7 +154,7 @@
             .shared
             .documents
             .models
-            .good
+            .active
             .as_ref()
             .map(|g| g.built.clone());
         let spec = spec.filter(|s| !s.rules.is_empty());
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -505,7 +505,7 @@
             jobs: Vec::new(),
             claims: Vec::new(),
         };
-        let good = self.shared.documents.quota.good.clone();
+        let good = self.shared.documents.quota.active.clone();
         let tree = good
             .as_ref()
             .map(|g| g.built.clone())
