--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -63,7 +63,7 @@
     },
     /// Changes of some records, by the leader.
     Change { writes: Vec<Change> },
-    /// A model is wanted: as active as demand at the operators' door.
+    /// A model is wanted: as good as demand at the operators' door.
     Demand { model: String },
 }
 
