--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -3,7 +3,7 @@
 use crate::Node;
 use crate::documents::kind::{ALL, PartOf, prefix};
 use crate::documents::operator_api::{faulty, refused};
-use crate::documents::{ActiveVersion, Doc, Documents, Kind, KindId, for_kind};
+use crate::documents::{ActiveVersion, Document, Documents, Kind, KindId, for_kind};
 use crate::store::commit::{PendingWrite, TransactionDraft, value_limit};
 use crate::store::shard::Shard;
 use document::{Content, Head, Past, SHORT};
@@ -17,7 +17,7 @@
 const DIFFERENCES: usize = 200;
 
 /// A change on its way into the state service.
-pub(super) struct Changing<K: Kind> {
+pub(super) struct PendingChange<K: Kind> {
     id: String,
     /// Who waits for it; nobody for the first version.
     conn: Option<u64>,
@@ -87,7 +87,7 @@
     }
 }
 
-impl<K: Kind> Doc<K> {
+impl<K: Kind> Document<K> {
     /// Holds a change against what was made already, the version in force and what is on its way.
     fn admit(&mut self, conn: u64, change: &ChangeOf<K::Edit>) -> Admission {
         if let Some(past) = self.head.made(&change.id) {
@@ -97,7 +97,7 @@
         if let Some(expected) = change.expect.filter(|expected| *expected != version) {
             return Admission::Conflict(Conflict::Outdated { expected, version });
         }
-        match &mut self.changing {
+        match &mut self.pending_change {
             None => Admission::New,
             Some(other) if other.id == change.id => {
                 other.conn = Some(conn);
@@ -125,14 +125,14 @@
 
     /// All that its change needs is in place but the head.
     fn is_due(&self) -> bool {
-        self.changing
+        self.pending_change
             .as_ref()
             .is_some_and(|c| c.parts.is_empty() && c.busy == 0)
     }
 
     /// Parts that no version names any more, unless a change is about to.
     fn over(&self) -> Vec<(String, u64)> {
-        let stands = self.changing.is_none() && self.version() == Some(self.head.version);
+        let stands = self.pending_change.is_none() && self.version() == Some(self.head.version);
         if !stands || self.parts.len() <= self.head.parts.len() {
             return Vec::new();
         }
@@ -149,7 +149,7 @@
     /// The kind whose head may be written now, if the transaction has room for it.
     fn due(&self, shard: &Shard, budget: usize) -> Option<KindId> {
         ALL.into_iter().find(
-            |kind| for_kind!(*kind, K => budget >= K::WRITES && K::doc(self).is_due() && K::settled(shard)),
+            |kind| for_kind!(*kind, K => budget >= K::WRITES && K::document(self).is_due() && K::settled(shard)),
         )
     }
 }
@@ -167,7 +167,7 @@
     }
 
     fn head_of<K: Kind>(&mut self, all: &Documents, shard: &mut Shard) {
-        let Some(change) = &K::doc(all).changing else {
+        let Some(change) = &K::document(all).pending_change else {
             return;
         };
         let version = change.head.version;
@@ -183,12 +183,16 @@
     /// Parts of versions to come, as far as there is room.
     pub fn parts(&mut self, all: &mut Documents, room: impl Fn(&TransactionDraft) -> bool) {
         for kind in ALL {
-            for_kind!(kind, K => self.parts_of::<K>(K::doc_mut(all), &room));
+            for_kind!(kind, K => self.parts_of::<K>(K::document_mut(all), &room));
         }
     }
 
-    fn parts_of<K: Kind>(&mut self, doc: &mut Doc<K>, room: impl Fn(&TransactionDraft) -> bool) {
-        let Some(change) = &mut doc.changing else {
+    fn parts_of<K: Kind>(
+        &mut self,
+        document: &mut Document<K>,
+        room: impl Fn(&TransactionDraft) -> bool,
+    ) {
+        let Some(change) = &mut document.pending_change else {
             return;
         };
         while room(self)
@@ -204,7 +208,7 @@
     /// Takes away what no version names.
     pub fn parts_over(&mut self, all: &Documents, room: impl Fn(&TransactionDraft) -> bool) {
         for kind in ALL {
-            for (name, stamp) in for_kind!(kind, K => K::doc(all).over()) {
+            for (name, stamp) in for_kind!(kind, K => K::document(all).over()) {
                 if !room(self) {
                     return;
                 }
@@ -221,16 +225,16 @@
 impl Documents {
     pub fn part_written(&mut self, kind: KindId, name: String, revision: u64) {
         for_kind!(kind, K => {
-            let doc = K::doc_mut(self);
-            doc.parts.insert(name, revision);
-            if let Some(change) = &mut doc.changing {
+            let document = K::document_mut(self);
+            document.parts.insert(name, revision);
+            if let Some(change) = &mut document.pending_change {
                 change.busy = change.busy.saturating_sub(1);
             }
         });
     }
 
     pub fn part_over(&mut self, kind: KindId, name: &str) {
-        for_kind!(kind, K => K::doc_mut(self).parts.remove(name));
+        for_kind!(kind, K => K::document_mut(self).parts.remove(name));
     }
 }
 
@@ -242,7 +246,7 @@
             let why = format!("id: must be 1 to {SHORT} bytes without control characters");
             return self.deny_admin(conn, 400, refused(&why));
         }
-        match K::doc_mut(&mut self.shared.documents).admit(conn, &change) {
+        match K::document_mut(&mut self.shared.documents).admit(conn, &change) {
             Admission::New => self.prepare_or_refuse::<K>(conn, &change),
             Admission::Joined => {}
             Admission::Made(version) => self.answer_changed(
@@ -261,7 +265,7 @@
             Err(why) => self.deny_admin(conn, 422, why),
             Ok(ready) if change.dry_run => {
                 let answer = Changed {
-                    version: K::doc(&self.shared.documents).head.version,
+                    version: K::document(&self.shared.documents).head.version,
                     dry_run: true,
                     ..ready.answer
                 };
@@ -275,13 +279,13 @@
         self.respond(conn, 200, admin::encode(answer), None);
     }
 
-    fn begin<K: Kind>(&mut self, ready: Changing<K>, by: &str) {
+    fn begin<K: Kind>(&mut self, ready: PendingChange<K>, by: &str) {
         log::info!(
             "{}: version {} by {by:?} is to be written",
             K::Content::NAME,
             ready.head.version
         );
-        K::doc_mut(&mut self.shared.documents).changing = Some(ready);
+        K::document_mut(&mut self.shared.documents).pending_change = Some(ready);
         self.to_write = true;
     }
 
@@ -290,10 +294,10 @@
         &self,
         conn: Option<u64>,
         change: &ChangeOf<K::Edit>,
-    ) -> Result<Changing<K>, Refused> {
-        let doc = K::doc(&self.shared.documents);
+    ) -> Result<PendingChange<K>, Refused> {
+        let document = K::document(&self.shared.documents);
         let context = K::context(self);
-        let old = doc.fitting(&context);
+        let old = document.fitting(&context);
         let spec =
             K::edited(&change.edit, &old, &context).map_err(|fault| faulty::<K>(vec![fault]))?;
         let built = Arc::new(spec.build(&context).map_err(faulty::<K>)?);
@@ -302,14 +306,14 @@
         let parts = document::split(&spec, value_limit).map_err(|e| refused(&e))?;
         let differences = K::Content::differences(&old, &spec, DIFFERENCES);
         let past = Past::new(
-            doc.head.version + 1,
+            document.head.version + 1,
             &change.id,
             self.now.wall,
             &change.by,
             &summary(&differences),
         );
         let names = parts.iter().map(|(name, _)| name.clone()).collect();
-        let head = doc
+        let head = document
             .head
             .next(names, past, value_limit)
             .map_err(|e| refused(&e))?;
@@ -328,13 +332,13 @@
             spec: Arc::new(spec),
             built,
         };
-        Ok(Changing {
+        Ok(PendingChange {
             id: change.id.clone(),
             conn,
             head,
             active,
-            stamp: doc.stamp,
-            parts: doc.missing(parts),
+            stamp: document.stamp,
+            parts: document.missing(parts),
             busy: 0,
             answer,
         })
@@ -342,15 +346,15 @@
 
     /// Puts the document in place that this node was started with, if there has never been any.
     pub(super) fn first_version<K: Kind>(&mut self) {
-        let doc = K::doc(&self.shared.documents);
-        let is_wanted = doc.first.is_some()
-            && doc.head.version == 0
-            && doc.changing.is_none()
+        let document = K::document(&self.shared.documents);
+        let is_wanted = document.first.is_some()
+            && document.head.version == 0
+            && document.pending_change.is_none()
             && self.shared.known;
         if !is_wanted || !self.may_decide() {
             return;
         }
-        let Some(spec) = K::doc_mut(&mut self.shared.documents).first.take() else {
+        let Some(spec) = K::document_mut(&mut self.shared.documents).first.take() else {
             return;
         };
         let (id, by) = ("first".to_owned(), self.settings.node.clone());
@@ -387,12 +391,12 @@
 
     /// The head of a change stands in the state service, at this revision.
     pub(crate) fn head_written<K: Kind>(&mut self, revision: u64) {
-        let doc = K::doc_mut(&mut self.shared.documents);
-        let Some(done) = doc.changing.take() else {
+        let document = K::document_mut(&mut self.shared.documents);
+        let Some(done) = document.pending_change.take() else {
             return;
         };
-        doc.head_seen(done.head, revision);
-        doc.take(done.active);
+        document.head_seen(done.head, revision);
+        document.take(done.active);
         K::in_force(self);
         if let Some(conn) = done.conn {
             self.answer_changed(conn, &done.answer);
@@ -404,7 +408,7 @@
         self.shared.documents.forget_readings();
         for kind in ALL {
             let conn = for_kind!(kind, K => {
-                K::doc_mut(&mut self.shared.documents).changing.take().and_then(|c| c.conn)
+                K::document_mut(&mut self.shared.documents).pending_change.take().and_then(|c| c.conn)
             });
             if let Some(conn) = conn {
                 let why = "the owner changed; ask for the history whether the change was made";
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -1,7 +1,7 @@
 //! Which counties are in force, and which of them a job is bound to when it is accepted.
 
 use crate::documents::county_counts::Held;
-use crate::documents::{Doc, Documents, Kind, KindId, refused};
+use crate::documents::{Document, Documents, Kind, KindId, refused};
 use crate::{Node, documents::quotas::Quota};
 use county::{Cell, Counties, Job, Known, OTHER, Spec, Unbound, Unread};
 use document::Fault;
@@ -21,10 +21,10 @@
     const ID: KindId = KindId::Counties;
     const BINDS: bool = true;
 
-    fn doc(all: &Documents) -> &Doc<Self> {
+    fn document(all: &Documents) -> &Document<Self> {
         &all.counties
     }
-    fn doc_mut(all: &mut Documents) -> &mut Doc<Self> {
+    fn document_mut(all: &mut Documents) -> &mut Document<Self> {
         &mut all.counties
     }
     /// Without the quota tree's nodes: they come and go, and only a change is held against them.
@@ -84,7 +84,7 @@
         if active.spec.counties.is_empty() {
             return Ok(None);
         }
-        let tree = Quota::doc(&self.shared.documents)
+        let tree = Quota::document(&self.shared.documents)
             .active
             .as_ref()
             .map(|g| &g.built);
@@ -144,7 +144,7 @@
                 faults.push(Fault::whole("county", what));
             }
         }
-        let tree = Quota::doc(&self.shared.documents).active.as_ref();
+        let tree = Quota::document(&self.shared.documents).active.as_ref();
         let known =
             |desk: &String| tree.is_some_and(|t| t.built.nodes.iter().any(|n| n.name == *desk));
         for (c, r, desk) in new.desks().filter(|(_, _, desk)| !known(desk)) {
--- a/crates/control/src/documents/hours/mod.rs
+++ b/crates/control/src/documents/hours/mod.rs
@@ -13,7 +13,7 @@
 pub(crate) use watch::{Hour, Watch, end_rec};
 
 use crate::Node;
-use crate::documents::{ActiveVersion, Doc, Documents, Kind, KindId};
+use crate::documents::{ActiveVersion, Document, Documents, Kind, KindId};
 use ::hours::{Around, Spec, TeamAt};
 use document::{Content, Fault};
 use std::sync::Arc;
@@ -32,10 +32,10 @@
     const ID: KindId = KindId::Hours;
     const BINDS: bool = true;
 
-    fn doc(all: &Documents) -> &Doc<Hours> {
+    fn document(all: &Documents) -> &Document<Hours> {
         &all.hours
     }
-    fn doc_mut(all: &mut Documents) -> &mut Doc<Hours> {
+    fn document_mut(all: &mut Documents) -> &mut Document<Hours> {
         &mut all.hours
     }
     fn context(node: &Node) -> Around {
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -1,7 +1,7 @@
 //! The versions in force: what this controller acts on of each kind, and how it follows the heads.
 
 use crate::Node;
-use crate::documents::change::Changing;
+use crate::documents::change::PendingChange;
 use crate::documents::counties::County;
 use crate::documents::hours::Hours;
 use crate::documents::kind::{ALL, PartOf};
@@ -20,10 +20,10 @@
 
 #[derive(Default)]
 pub(crate) struct Documents {
-    pub quota: Doc<Quota>,
-    pub hours: Doc<Hours>,
-    pub counties: Doc<County>,
-    pub models: Doc<Listed>,
+    pub quota: Document<Quota>,
+    pub hours: Document<Hours>,
+    pub counties: Document<County>,
+    pub models: Document<Listed>,
 }
 
 /// A version that checks out.
@@ -44,7 +44,7 @@
 }
 
 /// A kind's document, as this controller knows it.
-pub(crate) struct Doc<K: Kind> {
+pub(crate) struct Document<K: Kind> {
     /// The head as last seen, and its stamp; 0 if there is none.
     pub head: Head,
     pub stamp: u64,
@@ -58,14 +58,14 @@
     pub(super) read_in: u64,
     pub(super) retry_at: u64,
     /// A change on its way into the state service, where we are the leader.
-    pub(super) changing: Option<Changing<K>>,
+    pub(super) pending_change: Option<PendingChange<K>>,
     /// The one to begin with, where there has never been any.
     pub first: Option<K::Content>,
 }
 
-impl<K: Kind> Default for Doc<K> {
+impl<K: Kind> Default for Document<K> {
     fn default() -> Self {
-        Doc {
+        Document {
             head: Head::default(),
             stamp: 0,
             active: None,
@@ -74,13 +74,13 @@
             reading: None,
             read_in: 0,
             retry_at: 0,
-            changing: None,
+            pending_change: None,
             first: None,
         }
     }
 }
 
-impl<K: Kind> Doc<K> {
+impl<K: Kind> Document<K> {
     /// The version that is acted on here; 0 without one. `None` if there is one that can't be acted on.
     pub fn version(&self) -> Option<u64> {
         match &self.active {
@@ -155,14 +155,14 @@
     pub fn head_seen(&mut self, key: &str, rec: &SharedRecord, stamp: u64) {
         let kind = key.strip_prefix(records::SHARED).and_then(KindId::named);
         if let (Some(kind), Some(head)) = (kind, &rec.document) {
-            for_kind!(kind, K => K::doc_mut(self).head_seen(head.clone(), stamp));
+            for_kind!(kind, K => K::document_mut(self).head_seen(head.clone(), stamp));
         }
     }
 
     /// Nothing that was asked for in another term of leadership is waited for.
     pub fn forget_readings(&mut self) {
         for kind in ALL {
-            for_kind!(kind, K => K::doc_mut(self).reading = None);
+            for_kind!(kind, K => K::document_mut(self).reading = None);
         }
     }
 }
@@ -181,8 +181,8 @@
         let stale = self.now.mono >= self.shared.heard_at + STALE_MS;
         for kind in ALL {
             let (binds, stamp, current) = for_kind!(kind, K => {
-                let doc = K::doc(&self.shared.documents);
-                (K::BINDS, doc.stamp, doc.is_current() && doc.version().is_some())
+                let document = K::document(&self.shared.documents);
+                (K::BINDS, document.stamp, document.is_current() && document.version().is_some())
             });
             if binds && (stamp > 0 || stale) {
                 if !current {
--- a/crates/control/src/documents/kind.rs
+++ b/crates/control/src/documents/kind.rs
@@ -1,7 +1,7 @@
 //! What makes a kind of document, and the registry of those there are.
 
 use crate::Node;
-use crate::documents::{Doc, Documents};
+use crate::documents::{Document, Documents};
 use crate::store::commit::TransactionDraft;
 use crate::store::shard::Shard;
 use document::{Content, Fault, Head};
@@ -62,8 +62,8 @@
     /// Changes that its head's transaction makes.
     const WRITES: usize = 1;
 
-    fn doc(all: &Documents) -> &Doc<Self>;
-    fn doc_mut(all: &mut Documents) -> &mut Doc<Self>;
+    fn document(all: &Documents) -> &Document<Self>;
+    fn document_mut(all: &mut Documents) -> &mut Document<Self>;
     fn context(node: &Node) -> <Self::Content as Content>::Context;
     fn edited(
         edit: &Self::Edit,
@@ -76,7 +76,7 @@
     fn asked(node: &mut Node, conn: u64, ask: Self::Ask);
     /// The document's answer to "show".
     fn show(node: &Node) -> Vec<u8> {
-        Self::doc(&node.shared.documents).shown()
+        Self::document(&node.shared.documents).shown()
     }
     /// Whether what is there now stands against a new version.
     fn may_change(
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -20,6 +20,6 @@
 pub(crate) mod quotas;
 mod reading;
 
-pub(crate) use in_force::{ActiveVersion, Doc, Documents};
+pub(crate) use in_force::{ActiveVersion, Document, Documents};
 pub(crate) use kind::{Kind, KindId, for_kind};
 pub(crate) use operator_api::refused;
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -1,7 +1,7 @@
 //! The operators' door, on the peers' side: what is in force of each kind of document, changes of it, and what its
 //! kind alone can be asked. Any controller takes a request; the leader answers it.
 
-use crate::documents::{Doc, Kind, KindId, for_kind};
+use crate::documents::{Document, Kind, KindId, for_kind};
 use crate::{Destination, Node, Pending};
 use document::{Content, Fault};
 use wire::admin::{self, AskOf, Refused, Shown};
@@ -76,7 +76,7 @@
     }
 }
 
-impl<K: Kind> Doc<K> {
+impl<K: Kind> Document<K> {
     /// The document's answer to "show".
     pub(super) fn shown(&self) -> Vec<u8> {
         let (version, spec) = self
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -1,7 +1,7 @@
 //! The quota tree as a document in force: its bounds are recorded as the shard's allotment before anything starts
 //! under them, and a new version comes in one transaction with the allotment that names it.
 
-use crate::documents::{Doc, Documents, Kind, KindId};
+use crate::documents::{Document, Documents, Kind, KindId};
 use crate::leadership::election::SHARD;
 use crate::scheduling::entitlement;
 use crate::store::commit::{PendingWrite, TransactionDraft};
@@ -29,10 +29,10 @@
     /// The head, and the allotment.
     const WRITES: usize = 2;
 
-    fn doc(all: &Documents) -> &Doc<Quota> {
+    fn document(all: &Documents) -> &Document<Quota> {
         &all.quota
     }
-    fn doc_mut(all: &mut Documents) -> &mut Doc<Quota> {
+    fn document_mut(all: &mut Documents) -> &mut Document<Quota> {
         &mut all.quota
     }
     fn context(node: &Node) -> Vec<quota::Team> {
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -52,10 +52,14 @@
     fn document_tick<K: Kind>(&mut self) {
         let now = self.now.mono;
         let leader_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
-        let doc = K::doc_mut(&mut self.shared.documents);
-        if !doc.is_current() && doc.reading.is_none() && now >= doc.retry_at && !leader_loads {
+        let document = K::document_mut(&mut self.shared.documents);
+        if !document.is_current()
+            && document.reading.is_none()
+            && now >= document.retry_at
+            && !leader_loads
+        {
             // Not the leader's budget for claims: once a second at most.
-            doc.retry_at = now + RETRY_MS;
+            document.retry_at = now + RETRY_MS;
             self.read_parts::<K>();
         }
         self.first_version::<K>();
@@ -63,8 +67,8 @@
 
     /// Starts to read all parts, from the first page.
     fn read_parts<K: Kind>(&mut self) {
-        let doc = K::doc_mut(&mut self.shared.documents);
-        doc.reading = Some(Reading {
+        let document = K::document_mut(&mut self.shared.documents);
+        document.reading = Some(Reading {
             found: BTreeMap::new(),
             cursor: PageCursor::default(),
         });
@@ -72,7 +76,7 @@
     }
 
     fn read_page<K: Kind>(&mut self) {
-        let Some(reading) = &K::doc(&self.shared.documents).reading else {
+        let Some(reading) = &K::document(&self.shared.documents).reading else {
             return;
         };
         let path = reading.cursor.path(&prefix::<K>(), PAGE);
@@ -85,12 +89,12 @@
 
     pub(crate) fn parts_received<K: Kind>(&mut self, response: Option<Response>) {
         let page = self.read_state::<Range<PartOf<K>>>(response);
-        let doc = K::doc_mut(&mut self.shared.documents);
+        let document = K::document_mut(&mut self.shared.documents);
         let Some(page) = page else {
-            doc.reading = None;
+            document.reading = None;
             return self.document_read::<K>();
         };
-        let Some(reading) = &mut doc.reading else {
+        let Some(reading) = &mut document.reading else {
             return;
         };
         if reading.add(page, &prefix::<K>()) {
@@ -104,14 +108,14 @@
     fn all_parts_read<K: Kind>(&mut self) {
         let context = K::context(self);
         let term = self.term;
-        let doc = K::doc_mut(&mut self.shared.documents);
-        let found = doc.reading.take().map(|r| r.found).unwrap_or_default();
-        doc.read_in = term;
-        doc.parts = found
+        let document = K::document_mut(&mut self.shared.documents);
+        let found = document.reading.take().map(|r| r.found).unwrap_or_default();
+        document.read_in = term;
+        document.parts = found
             .iter()
             .map(|(name, (stamp, _))| (name.clone(), *stamp))
             .collect();
-        if doc.is_current() {
+        if document.is_current() {
             return;
         }
         let parts = found
@@ -119,14 +123,14 @@
             .map(|(name, (_, part))| (name, part))
             .collect();
         // A version after this one may have taken its parts away: its head is on its way to us.
-        let spec = document::join(&doc.head, &parts);
-        doc.adopt(spec, &context);
+        let spec = document::join(&document.head, &parts);
+        document.adopt(spec, &context);
     }
 
     /// A document was read, or could not be.
     fn document_read<K: Kind>(&mut self) {
-        let doc = K::doc(&self.shared.documents);
-        let whole = doc.read_in == self.term && doc.is_current();
+        let document = K::document(&self.shared.documents);
+        let whole = document.read_in == self.term && document.is_current();
         let leader_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
         match (leader_loads, whole) {
             (false, _) => K::in_force(self),
@@ -144,7 +148,7 @@
         }
         for kind in ALL {
             // What was refused may have been incomplete for us alone.
-            for_kind!(kind, K => K::doc_mut(all).refused = None);
+            for_kind!(kind, K => K::document_mut(all).refused = None);
         }
     }
 
@@ -153,8 +157,8 @@
     pub(crate) fn load_documents(&mut self) {
         for kind in ALL {
             let lacks = for_kind!(kind, K => {
-                let doc = K::doc(&self.shared.documents);
-                doc.head.version > 0 && (doc.read_in != self.term || !doc.is_current())
+                let document = K::document(&self.shared.documents);
+                document.head.version > 0 && (document.read_in != self.term || !document.is_current())
             });
             if lacks {
                 return for_kind!(kind, K => self.read_parts::<K>());
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -16,7 +16,7 @@
 mod weights;
 
 use crate::Node;
-use crate::documents::{self, Doc, Documents, KindId};
+use crate::documents::{self, Document, Documents, KindId};
 use crate::jobs::job::{Ending, JobIndex};
 use crate::models::demand::Wakes;
 use crate::models::record_writes::Out;
@@ -39,10 +39,10 @@
     type Ask = Ask;
     const ID: KindId = KindId::Models;
 
-    fn doc(all: &Documents) -> &Doc<Listed> {
+    fn document(all: &Documents) -> &Document<Listed> {
         &all.models
     }
-    fn doc_mut(all: &mut Documents) -> &mut Doc<Listed> {
+    fn document_mut(all: &mut Documents) -> &mut Document<Listed> {
         &mut all.models
     }
     fn context(node: &Node) -> Option<Vec<String>> {
@@ -123,13 +123,14 @@
 impl Models {
     /// The rule of a job, if it is a model.
     pub fn rule(&self, spec: &JobSpec) -> Option<Rule> {
-        let doc = self.spec.as_ref().filter(|_| spec.kind == Kind::Service)?;
-        doc.rule(&model::Job {
-            id: &spec.id,
-            class: &spec.class,
-            team: &spec.team,
-        })
-        .cloned()
+        let document = self.spec.as_ref().filter(|_| spec.kind == Kind::Service)?;
+        document
+            .rule(&model::Job {
+                id: &spec.id,
+                class: &spec.class,
+                team: &spec.team,
+            })
+            .cloned()
     }
 
     pub fn in_force(&self) -> bool {
