--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -298,8 +298,8 @@
         let document = K::document(&self.shared.documents);
         let context = K::context(self);
         let old = document.fitting(&context);
-        let spec =
-            K::edited(&change.edit, &old, &context).map_err(|fault| faulty::<K>(vec![fault]))?;
+        let spec = K::apply_edit(&change.edit, &old, &context)
+            .map_err(|fault| faulty::<K>(vec![fault]))?;
         let built = Arc::new(spec.build(&context).map_err(faulty::<K>)?);
         K::may_change(self, &built).map_err(faulty::<K>)?;
         let value_limit = value_limit(self.settings.cluster.state.value_kb);
@@ -325,7 +325,7 @@
             version: head.version,
             dry_run: false,
             differences,
-            above: K::told(self, &built),
+            above: K::consequences(self, &built),
         };
         let active = ActiveVersion {
             version: head.version,
@@ -363,7 +363,7 @@
             by,
             expect: Some(0),
             dry_run: false,
-            edit: K::set(spec),
+            edit: K::replacement(spec),
         };
         match self.prepare::<K>(None, &change) {
             Ok(ready) => self.begin(ready, &change.by),
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -17,7 +17,7 @@
 impl Kind for County {
     type Content = Spec;
     type Edit = Whole<Spec>;
-    type Ask = Question;
+    type Query = Question;
     const ID: KindId = KindId::Counties;
     const BINDS: bool = true;
 
@@ -37,11 +37,11 @@
             desks: None,
         }
     }
-    fn edited(edit: &Whole<Spec>, _: &Spec, _: &Known) -> Result<Spec, Fault> {
+    fn apply_edit(edit: &Whole<Spec>, _: &Spec, _: &Known) -> Result<Spec, Fault> {
         let Whole::Set { spec } = edit;
         Ok(spec.clone())
     }
-    fn set(spec: Spec) -> Whole<Spec> {
+    fn replacement(spec: Spec) -> Whole<Spec> {
         Whole::Set { spec }
     }
     fn may_change(node: &Node, new: &Counties) -> Result<(), Vec<Fault>> {
@@ -52,7 +52,7 @@
             Err(faults)
         }
     }
-    fn told(node: &Node, new: &Arc<Counties>) -> Vec<String> {
+    fn consequences(node: &Node, new: &Arc<Counties>) -> Vec<String> {
         let live = node.live_by_county();
         let closed = new.spec().counties.iter().filter(|c| c.closed);
         let bound = closed.filter_map(|c| Some((c, live.get(&c.id)?)));
@@ -60,8 +60,8 @@
             .map(|(c, n)| format!("{}: {n} live jobs stay bound to it", c.id))
             .collect()
     }
-    fn asked(node: &mut Node, conn: u64, ask: Question) {
-        match ask {
+    fn answer_query(node: &mut Node, conn: u64, query: Question) {
+        match query {
             Question::Tally { county } => node.tally_asked(conn, county.as_deref()),
             Question::Audit { id } => node.audit_asked(conn, &id),
         }
--- a/crates/control/src/documents/hours/mod.rs
+++ b/crates/control/src/documents/hours/mod.rs
@@ -28,7 +28,7 @@
 impl Kind for Hours {
     type Content = Spec;
     type Edit = Whole<Spec>;
-    type Ask = Ask;
+    type Query = Ask;
     const ID: KindId = KindId::Hours;
     const BINDS: bool = true;
 
@@ -60,18 +60,18 @@
             nodes: nodes.collect(),
         }
     }
-    fn edited(
+    fn apply_edit(
         Whole::Set { spec }: &Whole<Spec>,
         _old: &Spec,
         _around: &Around,
     ) -> Result<Spec, Fault> {
         Ok(spec.clone())
     }
-    fn set(spec: Spec) -> Whole<Spec> {
+    fn replacement(spec: Spec) -> Whole<Spec> {
         Whole::Set { spec }
     }
-    fn asked(node: &mut Node, conn: u64, ask: Ask) {
-        match ask {
+    fn answer_query(node: &mut Node, conn: u64, query: Ask) {
+        match query {
             Ask::List { studio } => node.list_hours(conn, studio.as_deref()),
             Ask::Move { job, to, by } => node.move_hour(conn, &job, &to, &by),
             Ask::Reagree {
--- a/crates/control/src/documents/kind.rs
+++ b/crates/control/src/documents/kind.rs
@@ -55,7 +55,7 @@
     type Content: Content;
     /// Its changes, and the questions that it alone has.
     type Edit: DeserializeOwned;
-    type Ask: DeserializeOwned;
+    type Query: DeserializeOwned;
     const ID: KindId;
     /// What is accepted is bound by it: accepts are guarded by its head's stamp.
     const BINDS: bool = false;
@@ -65,15 +65,15 @@
     fn document(all: &Documents) -> &Document<Self>;
     fn document_mut(all: &mut Documents) -> &mut Document<Self>;
     fn context(node: &Node) -> <Self::Content as Content>::Context;
-    fn edited(
+    fn apply_edit(
         edit: &Self::Edit,
         old: &Self::Content,
         context: &<Self::Content as Content>::Context,
     ) -> Result<Self::Content, Fault>;
     /// The change that puts a document in place as a whole.
-    fn set(spec: Self::Content) -> Self::Edit;
+    fn replacement(spec: Self::Content) -> Self::Edit;
     /// A question that no other kind has, asked of the leader.
-    fn asked(node: &mut Node, conn: u64, ask: Self::Ask);
+    fn answer_query(node: &mut Node, conn: u64, query: Self::Query);
     /// The document's answer to "show".
     fn show(node: &Node) -> Vec<u8> {
         Self::document(&node.shared.documents).shown()
@@ -86,7 +86,7 @@
         Ok(())
     }
     /// What comes of a new version, for whoever asks for it.
-    fn told(_node: &Node, _new: &Arc<<Self::Content as Content>::Built>) -> Vec<String> {
+    fn consequences(_node: &Node, _new: &Arc<<Self::Content as Content>::Built>) -> Vec<String> {
         Vec::new()
     }
     /// Another version has come into force here.
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -30,8 +30,8 @@
     }
 
     fn serve<K: Kind>(&mut self, conn: u64, body: &[u8]) {
-        if let Ok(ask) = admin::decode::<K::Ask>(body) {
-            return K::asked(self, conn, ask);
+        if let Ok(query) = admin::decode::<K::Query>(body) {
+            return K::answer_query(self, conn, query);
         }
         match admin::decode::<AskOf<K::Edit>>(body) {
             Ok(AskOf::Show) => {
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -22,7 +22,7 @@
 impl Kind for Quota {
     type Content = Spec;
     type Edit = Edit;
-    type Ask = Question;
+    type Query = Question;
     const ID: KindId = KindId::Quota;
     /// Each job is held against its team's path, and studios and counties may be nodes of the tree.
     const BINDS: bool = true;
@@ -38,7 +38,7 @@
     fn context(node: &Node) -> Vec<quota::Team> {
         node.settings.quota_teams()
     }
-    fn edited(edit: &Edit, old: &Spec, teams: &Vec<quota::Team>) -> Result<Spec, Fault> {
+    fn apply_edit(edit: &Edit, old: &Spec, teams: &Vec<quota::Team>) -> Result<Spec, Fault> {
         match edit {
             Edit::Set { spec } => Ok(spec.clone()),
             Edit::Move { name, to } => edit::transfer(old, teams, name, to.as_deref()),
@@ -50,10 +50,10 @@
             } => edit::shrink(old, teams, name, guarantee, max, *scale),
         }
     }
-    fn set(spec: Spec) -> Edit {
+    fn replacement(spec: Spec) -> Edit {
         Edit::Set { spec }
     }
-    fn asked(node: &mut Node, conn: u64, Question::Why { team }: Question) {
+    fn answer_query(node: &mut Node, conn: u64, Question::Why { team }: Question) {
         let live = node.tree_here().and_then(|tree| node.counted(&tree));
         let found = live.and_then(|mut live| live.tree().team(&team).map(|t| live.why(t)));
         match found {
@@ -81,7 +81,7 @@
             refused: q.refused(),
         })
     }
-    fn told(node: &Node, tree: &Arc<Tree>) -> Vec<String> {
+    fn consequences(node: &Node, tree: &Arc<Tree>) -> Vec<String> {
         node.counted(tree)
             .map(|live| above(&live))
             .unwrap_or_default()
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -36,7 +36,7 @@
 impl documents::Kind for Listed {
     type Content = Spec;
     type Edit = Whole<Spec>;
-    type Ask = Ask;
+    type Query = Ask;
     const ID: KindId = KindId::Models;
 
     fn document(all: &Documents) -> &Document<Listed> {
@@ -55,17 +55,17 @@
                 .collect(),
         )
     }
-    fn edited(
+    fn apply_edit(
         Whole::Set { spec }: &Whole<Spec>,
         _: &Spec,
         _: &Option<Vec<String>>,
     ) -> Result<Spec, Fault> {
         Ok(spec.clone())
     }
-    fn set(spec: Spec) -> Whole<Spec> {
+    fn replacement(spec: Spec) -> Whole<Spec> {
         Whole::Set { spec }
     }
-    fn asked(node: &mut Node, conn: u64, Ask::List {}: Ask) {
+    fn answer_query(node: &mut Node, conn: u64, Ask::List {}: Ask) {
         let all = node.models_standing();
         node.respond(conn, 200, admin::encode(&all), None);
     }
