--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -149,7 +149,7 @@
     /// The kind whose head may be written now, if the transaction has room for it.
     fn due(&self, shard: &Shard, budget: usize) -> Option<KindId> {
         ALL.into_iter().find(
-            |kind| for_kind!(*kind, K => budget >= K::WRITES && K::document(self).is_due() && K::settled(shard)),
+            |kind| for_kind!(*kind, K => budget >= K::HEAD_WRITES && K::document(self).is_due() && K::may_write_head(shard)),
         )
     }
 }
@@ -159,7 +159,7 @@
     /// The changes that the head takes which is due, if one is.
     pub fn head_due(all: &Documents, shard: &Shard, budget: usize) -> Option<(KindId, usize)> {
         let kind = all.due(shard, budget)?;
-        Some((kind, for_kind!(kind, K => K::WRITES)))
+        Some((kind, for_kind!(kind, K => K::HEAD_WRITES)))
     }
 
     pub fn head(&mut self, all: &Documents, shard: &mut Shard, kind: KindId) {
@@ -176,7 +176,7 @@
             change.stamp,
             K::record(change.head.clone()),
         );
-        K::with_head(self, shard, version);
+        K::write_with_head(self, shard, version);
         self.ops.push(PendingWrite::Head(K::ID));
     }
 
@@ -301,7 +301,7 @@
         let spec = K::apply_edit(&change.edit, &old, &context)
             .map_err(|fault| faulty::<K>(vec![fault]))?;
         let built = Arc::new(spec.build(&context).map_err(faulty::<K>)?);
-        K::may_change(self, &built).map_err(faulty::<K>)?;
+        K::check_change(self, &built).map_err(faulty::<K>)?;
         let value_limit = value_limit(self.settings.cluster.state.value_kb);
         let parts = document::split(&spec, value_limit).map_err(|e| refused(&e))?;
         let differences = K::Content::differences(&old, &spec, DIFFERENCES);
@@ -385,7 +385,7 @@
             .as_ref()
             .and_then(|shard| self.shared.documents.due(shard, budget));
         if let Some(kind) = due {
-            for_kind!(kind, K => K::before_head(self));
+            for_kind!(kind, K => K::before_head_write(self));
         }
     }
 
@@ -397,7 +397,7 @@
         };
         document.head_seen(done.head, revision);
         document.take(done.active);
-        K::in_force(self);
+        K::version_activated(self);
         if let Some(conn) = done.conn {
             self.answer_changed(conn, &done.answer);
         }
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -19,7 +19,7 @@
     type Edit = Whole<Spec>;
     type Query = Question;
     const ID: KindId = KindId::Counties;
-    const BINDS: bool = true;
+    const GUARDS_ACCEPTANCE: bool = true;
 
     fn document(all: &Documents) -> &Document<Self> {
         &all.counties
@@ -44,7 +44,7 @@
     fn replacement(spec: Spec) -> Whole<Spec> {
         Whole::Set { spec }
     }
-    fn may_change(node: &Node, new: &Counties) -> Result<(), Vec<Fault>> {
+    fn check_change(node: &Node, new: &Counties) -> Result<(), Vec<Fault>> {
         let faults = node.lost_by(new);
         if faults.is_empty() {
             Ok(())
--- a/crates/control/src/documents/hours/mod.rs
+++ b/crates/control/src/documents/hours/mod.rs
@@ -30,7 +30,7 @@
     type Edit = Whole<Spec>;
     type Query = Ask;
     const ID: KindId = KindId::Hours;
-    const BINDS: bool = true;
+    const GUARDS_ACCEPTANCE: bool = true;
 
     fn document(all: &Documents) -> &Document<Hours> {
         &all.hours
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -182,7 +182,7 @@
         for kind in ALL {
             let (binds, stamp, current) = for_kind!(kind, K => {
                 let document = K::document(&self.shared.documents);
-                (K::BINDS, document.stamp, document.is_current() && document.version().is_some())
+                (K::GUARDS_ACCEPTANCE, document.stamp, document.is_current() && document.version().is_some())
             });
             if binds && (stamp > 0 || stale) {
                 if !current {
--- a/crates/control/src/documents/kind.rs
+++ b/crates/control/src/documents/kind.rs
@@ -58,9 +58,9 @@
     type Query: DeserializeOwned;
     const ID: KindId;
     /// What is accepted is bound by it: accepts are guarded by its head's stamp.
-    const BINDS: bool = false;
+    const GUARDS_ACCEPTANCE: bool = false;
     /// Changes that its head's transaction makes.
-    const WRITES: usize = 1;
+    const HEAD_WRITES: usize = 1;
 
     fn document(all: &Documents) -> &Document<Self>;
     fn document_mut(all: &mut Documents) -> &mut Document<Self>;
@@ -79,7 +79,7 @@
         Self::document(&node.shared.documents).shown()
     }
     /// Whether what is there now stands against a new version.
-    fn may_change(
+    fn check_change(
         _node: &Node,
         _new: &<Self::Content as Content>::Built,
     ) -> Result<(), Vec<Fault>> {
@@ -90,15 +90,15 @@
         Vec::new()
     }
     /// Another version has come into force here.
-    fn in_force(_node: &mut Node) {}
+    fn version_activated(_node: &mut Node) {}
     /// Whether the head may be written now.
-    fn settled(_shard: &Shard) -> bool {
+    fn may_write_head(_shard: &Shard) -> bool {
         true
     }
     /// The head goes into the next transaction.
-    fn before_head(_node: &mut Node) {}
+    fn before_head_write(_node: &mut Node) {}
     /// Writes beside the head, in its transaction.
-    fn with_head(_draft: &mut TransactionDraft, _shard: &mut Shard, _version: u64) {}
+    fn write_with_head(_draft: &mut TransactionDraft, _shard: &mut Shard, _version: u64) {}
     fn record(head: Head) -> Record {
         Record::Document(records::HeadRecord { document: head })
     }
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -25,9 +25,9 @@
     type Query = Question;
     const ID: KindId = KindId::Quota;
     /// Each job is held against its team's path, and studios and counties may be nodes of the tree.
-    const BINDS: bool = true;
+    const GUARDS_ACCEPTANCE: bool = true;
     /// The head, and the allotment.
-    const WRITES: usize = 2;
+    const HEAD_WRITES: usize = 2;
 
     fn document(all: &Documents) -> &Document<Quota> {
         &all.quota
@@ -86,18 +86,18 @@
             .map(|live| above(&live))
             .unwrap_or_default()
     }
-    fn in_force(node: &mut Node) {
+    fn version_activated(node: &mut Node) {
         node.tree_in_force();
     }
-    fn settled(shard: &Shard) -> bool {
+    fn may_write_head(shard: &Shard) -> bool {
         shard.allotment_version > 0 && shard.allotment_wanted.is_none()
     }
     /// What was planned under the old bounds must not be recorded with the new ones.
-    fn before_head(node: &mut Node) {
+    fn before_head_write(node: &mut Node) {
         node.drop_unrecorded();
     }
     /// The allotment that names the tree.
-    fn with_head(draft: &mut TransactionDraft, shard: &mut Shard, version: u64) {
+    fn write_with_head(draft: &mut TransactionDraft, shard: &mut Shard, version: u64) {
         let Some(allotment) = shard.allotment.clone() else {
             return;
         };
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -133,7 +133,7 @@
         let whole = document.read_in == self.term && document.is_current();
         let leader_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
         match (leader_loads, whole) {
-            (false, _) => K::in_force(self),
+            (false, _) => K::version_activated(self),
             (true, true) => self.load_documents(),
             // Without it nothing may start: again, from the heads.
             (true, false) => self.load_later(Load::Heads),
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -69,7 +69,7 @@
         let all = node.models_standing();
         node.respond(conn, 200, admin::encode(&all), None);
     }
-    fn in_force(node: &mut Node) {
+    fn version_activated(node: &mut Node) {
         node.models_in_force();
     }
 }
