--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -395,8 +395,8 @@
         let Some(done) = document.pending_change.take() else {
             return;
         };
-        document.head_seen(done.head, revision);
-        document.take(done.active);
+        document.observe_head(done.head, revision);
+        document.activate(done.active);
         K::version_activated(self);
         if let Some(conn) = done.conn {
             self.answer_changed(conn, &done.answer);
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -50,7 +50,7 @@
     pub stamp: u64,
     pub active: Option<ActiveVersion<K::Content>>,
     /// A version that did not check out, and why.
-    pub(super) refused: Option<(u64, String)>,
+    pub(super) rejected: Option<(u64, String)>,
     /// Parts that are in the state service, by name, with their stamps.
     pub(super) parts: BTreeMap<String, u64>,
     pub(super) reading: Option<Reading<PartOf<K>>>,
@@ -69,7 +69,7 @@
             head: Head::default(),
             stamp: 0,
             active: None,
-            refused: None,
+            rejected: None,
             parts: BTreeMap::new(),
             reading: None,
             read_in: 0,
@@ -91,7 +91,7 @@
     }
 
     /// A head that was read or watched; older ones change nothing.
-    pub(super) fn head_seen(&mut self, head: Head, stamp: u64) {
+    pub(super) fn observe_head(&mut self, head: Head, stamp: u64) {
         if stamp >= self.stamp {
             (self.head, self.stamp) = (head, stamp);
         }
@@ -100,19 +100,19 @@
     /// Nothing newer is known than what was taken or refused.
     pub(super) fn is_current(&self) -> bool {
         let known = self.active.as_ref().map_or(0, |g| g.version);
-        let refused = self.refused.as_ref().map_or(0, |(version, _)| *version);
-        self.head.version == known || self.head.version == refused
+        let rejected = self.rejected.as_ref().map_or(0, |(version, _)| *version);
+        self.head.version == known || self.head.version == rejected
     }
 
-    pub(super) fn take(&mut self, active: ActiveVersion<K::Content>) {
+    pub(super) fn activate(&mut self, active: ActiveVersion<K::Content>) {
         let (name, size) = (K::Content::NAME, K::Content::size(&active.built));
         log::info!("{name}: version {} with {size}", active.version);
         self.active = Some(active);
-        self.refused = None;
+        self.rejected = None;
     }
 
     /// Takes a version that was put together from the head's parts, or refuses it.
-    pub(super) fn adopt(
+    pub(super) fn activate_or_reject(
         &mut self,
         spec: Result<K::Content, String>,
         context: &<K::Content as Content>::Context,
@@ -130,7 +130,7 @@
             })
         });
         match built {
-            Ok(active) => self.take(active),
+            Ok(active) => self.activate(active),
             Err(why) => {
                 let kept = self
                     .active
@@ -138,13 +138,13 @@
                     .map_or("none".to_owned(), |g| g.version.to_string());
                 let name = K::Content::NAME;
                 log::error!("{name}: version {version} is refused, {kept} stays in force: {why}");
-                self.refused = Some((version, why));
+                self.rejected = Some((version, why));
             }
         }
     }
 
-    pub fn refused(&self) -> Option<String> {
-        self.refused
+    pub fn rejection(&self) -> Option<String> {
+        self.rejected
             .as_ref()
             .map(|(version, why)| format!("version {version}: {why}"))
     }
@@ -152,10 +152,10 @@
 
 impl Documents {
     /// A head that was read or watched.
-    pub fn head_seen(&mut self, key: &str, rec: &SharedRecord, stamp: u64) {
+    pub fn observe_head(&mut self, key: &str, rec: &SharedRecord, stamp: u64) {
         let kind = key.strip_prefix(records::SHARED).and_then(KindId::named);
         if let (Some(kind), Some(head)) = (kind, &rec.document) {
-            for_kind!(kind, K => K::document_mut(self).head_seen(head.clone(), stamp));
+            for_kind!(kind, K => K::document_mut(self).observe_head(head.clone(), stamp));
         }
     }
 
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -85,7 +85,7 @@
             .map_or((0, K::Content::default()), |g| {
                 (g.version, (*g.spec).clone())
             });
-        let (history, refused) = (self.head.history.clone(), self.refused());
+        let (history, refused) = (self.head.history.clone(), self.rejection());
         admin::encode(&Shown {
             version,
             spec,
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -78,7 +78,7 @@
             nodes: live.as_ref().map(Live::nodes).unwrap_or_default(),
             teams: live.as_ref().map(Live::teams).unwrap_or_default(),
             history: q.head.history.clone(),
-            refused: q.refused(),
+            refused: q.rejection(),
         })
     }
     fn consequences(node: &Node, tree: &Arc<Tree>) -> Vec<String> {
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -124,7 +124,7 @@
             .collect();
         // A version after this one may have taken its parts away: its head is on its way to us.
         let spec = document::join(&document.head, &parts);
-        document.adopt(spec, &context);
+        document.activate_or_reject(spec, &context);
     }
 
     /// A document was read, or could not be.
@@ -144,11 +144,11 @@
     pub(crate) fn load_heads(&mut self, range: Range<SharedRecord>) {
         let all = &mut self.shared.documents;
         for item in &range.items {
-            all.head_seen(&item.key, &item.value, item.version);
+            all.observe_head(&item.key, &item.value, item.version);
         }
         for kind in ALL {
             // What was refused may have been incomplete for us alone.
-            for_kind!(kind, K => K::document_mut(all).refused = None);
+            for_kind!(kind, K => K::document_mut(all).rejected = None);
         }
     }
 
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -271,7 +271,7 @@
 
     fn shared_put(&mut self, key: &str, rec: SharedRecord, version: u64) {
         if rec.document.is_some() {
-            self.shared.documents.head_seen(key, &rec, version);
+            self.shared.documents.observe_head(key, &rec, version);
         } else if key == records::TOKEN {
             self.shared.highest = self.shared.highest.max(rec.token.unwrap_or(0));
             if version >= self.shared.token_version {
