--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -131,7 +131,7 @@
     }
 
     /// Parts that no version names any more, unless a change is about to.
-    fn over(&self) -> Vec<(String, u64)> {
+    fn unreferenced_parts(&self) -> Vec<(String, u64)> {
         let stands = self.pending_change.is_none() && self.version() == Some(self.head.version);
         if !stands || self.parts.len() <= self.head.parts.len() {
             return Vec::new();
@@ -206,9 +206,13 @@
     }
 
     /// Takes away what no version names.
-    pub fn parts_over(&mut self, all: &Documents, room: impl Fn(&TransactionDraft) -> bool) {
+    pub fn remove_unreferenced_parts(
+        &mut self,
+        all: &Documents,
+        room: impl Fn(&TransactionDraft) -> bool,
+    ) {
         for kind in ALL {
-            for (name, stamp) in for_kind!(kind, K => K::document(all).over()) {
+            for (name, stamp) in for_kind!(kind, K => K::document(all).unreferenced_parts()) {
                 if !room(self) {
                     return;
                 }
@@ -233,7 +237,7 @@
         });
     }
 
-    pub fn part_over(&mut self, kind: KindId, name: &str) {
+    pub fn part_removed(&mut self, kind: KindId, name: &str) {
         for_kind!(kind, K => K::document_mut(self).parts.remove(name));
     }
 }
@@ -404,7 +408,7 @@
     }
 
     /// A term of leadership is over: whether a change was made is for its record to say.
-    pub(crate) fn documents_let_go(&mut self) {
+    pub(crate) fn abandon_document_changes(&mut self) {
         self.shared.documents.forget_readings();
         for kind in ALL {
             let conn = for_kind!(kind, K => {
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -606,7 +606,7 @@
         }
         self.role = Role::Follower { may_campaign_at: 0 };
         self.term += 1;
-        self.documents_let_go();
+        self.abandon_document_changes();
         let nodes = self.settings.peers.len() as f64 + 1.0;
         let c = self.settings.cluster.state.clone();
         self.requests.set_rate(c.rps * 0.4 / (nodes - 1.0).max(1.0));
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -564,7 +564,7 @@
         if tidy {
             shard.commit.tidied_at = now;
             d.fold(shard, now, room);
-            d.parts_over(documents, room);
+            d.remove_unreferenced_parts(documents, room);
             while room(&d)
                 && let Some(n) = shard.claim_log.gone_from.pop_first()
             {
@@ -751,7 +751,7 @@
                     self.shared.documents.part_written(kind, name, revision)
                 }
                 PendingWrite::RemoveDocumentPart(kind, name) => {
-                    self.shared.documents.part_over(kind, &name)
+                    self.shared.documents.part_removed(kind, &name)
                 }
                 PendingWrite::Head(kind) => heads.push(kind),
                 PendingWrite::Hour(hour, wall) => moved.push((hour, wall)),
