--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -27,7 +27,7 @@
     stamp: u64,
     /// Parts still to be written, and how many of them are on their way.
     parts: VecDeque<(String, PartOf<K>)>,
-    busy: usize,
+    parts_in_flight: usize,
     answer: Changed,
 }
 
@@ -127,7 +127,7 @@
     fn is_due(&self) -> bool {
         self.pending_change
             .as_ref()
-            .is_some_and(|c| c.parts.is_empty() && c.busy == 0)
+            .is_some_and(|c| c.parts.is_empty() && c.parts_in_flight == 0)
     }
 
     /// Parts that no version names any more, unless a change is about to.
@@ -200,7 +200,7 @@
         {
             let value = serde_json::to_value(&piece).unwrap_or_default();
             self.put_part(format!("{}{name}", prefix::<K>()), Record::Other(value));
-            change.busy += 1;
+            change.parts_in_flight += 1;
             self.ops.push(PendingWrite::DocumentPart(K::ID, name));
         }
     }
@@ -232,7 +232,7 @@
             let document = K::document_mut(self);
             document.parts.insert(name, revision);
             if let Some(change) = &mut document.pending_change {
-                change.busy = change.busy.saturating_sub(1);
+                change.parts_in_flight = change.parts_in_flight.saturating_sub(1);
             }
         });
     }
@@ -343,7 +343,7 @@
             active,
             stamp: document.stamp,
             parts: document.missing(parts),
-            busy: 0,
+            parts_in_flight: 0,
             answer,
         })
     }
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -55,7 +55,7 @@
     pub(super) parts: BTreeMap<String, u64>,
     pub(super) reading: Option<Reading<PartOf<K>>>,
     /// The term of leadership in which all parts were last read.
-    pub(super) read_in: u64,
+    pub(super) read_in_term: u64,
     pub(super) retry_at: u64,
     /// A change on its way into the state service, where we are the leader.
     pub(super) pending_change: Option<PendingChange<K>>,
@@ -72,7 +72,7 @@
             rejected: None,
             parts: BTreeMap::new(),
             reading: None,
-            read_in: 0,
+            read_in_term: 0,
             retry_at: 0,
             pending_change: None,
             first: None,
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -110,7 +110,7 @@
         let term = self.term;
         let document = K::document_mut(&mut self.shared.documents);
         let found = document.reading.take().map(|r| r.found).unwrap_or_default();
-        document.read_in = term;
+        document.read_in_term = term;
         document.parts = found
             .iter()
             .map(|(name, (stamp, _))| (name.clone(), *stamp))
@@ -130,7 +130,7 @@
     /// A document was read, or could not be.
     fn document_read<K: Kind>(&mut self) {
         let document = K::document(&self.shared.documents);
-        let whole = document.read_in == self.term && document.is_current();
+        let whole = document.read_in_term == self.term && document.is_current();
         let leader_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
         match (leader_loads, whole) {
             (false, _) => K::version_activated(self),
@@ -158,7 +158,7 @@
         for kind in ALL {
             let lacks = for_kind!(kind, K => {
                 let document = K::document(&self.shared.documents);
-                document.head.version > 0 && (document.read_in != self.term || !document.is_current())
+                document.head.version > 0 && (document.read_in_term != self.term || !document.is_current())
             });
             if lacks {
                 return for_kind!(kind, K => self.read_parts::<K>());
