--- a/crates/control/src/documents/hours/listing.rs
+++ b/crates/control/src/documents/hours/listing.rs
@@ -34,13 +34,13 @@
     /// Of a job that has not ended; nothing if it has no hour.
     fn of_job(job: &Job, due_ms: u64, wall: u64) -> Option<Entry<'_>> {
         let (hour, spec) = (job.hour.as_ref()?, job.spec.as_ref()?);
-        let is_missed = hour.answer_history == State::Missed;
+        let is_missed = hour.state == State::Missed;
         Some(Entry {
             job: &job.id,
             team: &job.team,
             class: &spec.class,
             hour: &hour.rec,
-            state: hour.answer_history,
+            state: hour.state,
             late_s: is_missed.then(|| (wall as f64 - due_ms as f64) / 1000.0),
         })
     }
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -97,7 +97,7 @@
     /// How a job's hour stands; `None` if nothing new can be said of it.
     fn state(&self, job: &Job, planned: &Planned) -> Option<State> {
         let (hour, spec) = (job.hour.as_ref()?, job.spec.as_ref()?);
-        if hour.answer_history == State::Missed || job.is_ending() {
+        if hour.state == State::Missed || job.is_ending() {
             return None;
         }
         let places = job.claimed.len() as u32 + planned.started;
@@ -196,11 +196,11 @@
         for (ix, planned) in planned_jobs(shard, input, output, jobs) {
             let Some(job) = &shard.jobs[ix] else { continue };
             let state = assessment.state(job, &planned);
-            let known = job.hour.as_ref().map(|hour| hour.answer_history);
+            let known = job.hour.as_ref().map(|hour| hour.state);
             if let Some(state) = state.filter(|state| Some(*state) != known) {
                 changes.push((ix, state));
             }
         }
-        shard.say_hours(changes, wall);
+        shard.set_states(changes, wall);
     }
 }
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -19,8 +19,8 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Hour {
     pub rec: HourRecord,
-    /// What was last said of it.
-    pub(super) answer_history: State,
+    /// How it stands, as was last logged.
+    pub(super) state: State,
     /// When its job's end was written.
     ended_ms: u64,
 }
@@ -29,7 +29,7 @@
     pub fn new(rec: HourRecord) -> Box<Hour> {
         Box::new(Hour {
             rec,
-            answer_history: State::Due,
+            state: State::Due,
             ended_ms: 0,
         })
     }
@@ -83,7 +83,7 @@
         };
         match late_s {
             Some(late) => log::warn!("job {}: released {late:.1} s after its hour", job.id),
-            None => log::info!("job {}: its hour is {}", job.id, word(state)),
+            None => log::info!("job {}: its hour is {}", job.id, describe(state)),
         }
         if self.ended.len() >= ENDED {
             self.ended.pop_front();
@@ -108,7 +108,7 @@
     }
 }
 
-fn word(state: State) -> String {
+fn describe(state: State) -> String {
     match state {
         State::Due => "to be kept".into(),
         State::AtRisk(risk) => format!("at risk: {}", format!("{risk:?}").to_lowercase()),
@@ -148,7 +148,7 @@
                 missed.push((first.1, State::Missed));
             }
         }
-        shard.say_hours(missed, wall);
+        shard.set_states(missed, wall);
         for hour in std::mem::take(&mut shard.hours.late) {
             let why = format!(
                 "{}: it has ended meanwhile, or its record has no room for the move",
@@ -165,20 +165,20 @@
 }
 
 impl Shard {
-    pub(super) fn say_hours(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
+    pub(super) fn set_states(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
         let more = changes.len().saturating_sub(LOGGED);
         for (n, (ix, state)) in changes.into_iter().enumerate() {
             let Some(job) = self.jobs.get_mut(ix).and_then(Option::as_mut) else {
                 continue;
             };
             let Some(hour) = &mut job.hour else { continue };
-            hour.answer_history = state;
+            hour.state = state;
             if n < LOGGED {
                 log::info!(
                     "job {}: its hour, {:.0} s from now, is {}",
                     job.id,
                     hour.left(wall),
-                    word(state)
+                    describe(state)
                 );
             }
         }
