--- a/crates/control/src/documents/hours/listing.rs
+++ b/crates/control/src/documents/hours/listing.rs
@@ -95,7 +95,7 @@
             studio,
             list: List::default(),
         };
-        for (due_ms, ix) in shard.hours.past.iter().chain(&shard.hours.ahead) {
+        for (due_ms, ix) in shard.hours.passed.iter().chain(&shard.hours.upcoming) {
             let job = shard.job(*ix);
             if let Some(entry) = job.and_then(|job| Entry::of_job(job, *due_ms, self.now.wall)) {
                 listing.add(&entry);
--- a/crates/control/src/documents/hours/mod.rs
+++ b/crates/control/src/documents/hours/mod.rs
@@ -10,7 +10,7 @@
 mod watch;
 
 pub(crate) use moving::Move;
-pub(crate) use watch::{Hour, Watch, end_rec};
+pub(crate) use watch::{DeadlineWatch, Hour, end_rec};
 
 use crate::Node;
 use crate::documents::{ActiveVersion, Document, Documents, Kind, KindId};
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -117,7 +117,7 @@
             return Err(MoveError::TooMany);
         }
         log::info!("hour of {line} by {by:?} is to be written");
-        shard.hours.waiting.insert(conn);
+        shard.hours.waiting_operators.insert(conn);
         shard.hours.moves.push_back(Move {
             ix,
             job: id.to_owned(),
@@ -270,7 +270,7 @@
                 .job(hour.ix)
                 .filter(|j| j.id == hour.job && j.ending == Ending::No);
             let Some((job, spec)) = job.and_then(|j| Some((j, j.spec.as_ref()?))) else {
-                shard.hours.late.push(hour);
+                shard.hours.rejected_moves.push(hour);
                 continue;
             };
             let key = records::live_key(&job.id);
@@ -285,7 +285,7 @@
                 ..JobRecord::new((**spec).clone(), job.at_ms, SHARD)
             };
             if wire::encode(&rec).len() as f64 * RECORD_FORM > value as f64 {
-                shard.hours.late.push(hour);
+                shard.hours.rejected_moves.push(hour);
                 continue;
             }
             self.put(key, job.version, Record::Job(Box::new(rec)));
@@ -315,7 +315,7 @@
     pub(crate) fn hour_moved(&mut self, hour: Move, wall: u64, revision: u64) {
         let Some(shard) = &mut self.shard else { return };
         hour.conn.iter().for_each(|c| {
-            shard.hours.waiting.remove(c);
+            shard.hours.waiting_operators.remove(c);
         });
         let Some(job) = shard.job_mut(hour.ix) else {
             return;
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -174,7 +174,7 @@
     ) {
         let wall = self.now.wall;
         let Some(shard) = &mut self.shard else { return };
-        if shard.hours.ahead.is_empty() {
+        if shard.hours.upcoming.is_empty() {
             return;
         }
         let Some(catalog) = &self.shared.catalog else {
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -46,28 +46,28 @@
 
 /// The hours of the shard's jobs.
 #[derive(Default)]
-pub(crate) struct Watch {
+pub(crate) struct DeadlineWatch {
     /// Jobs that have not ended, by hour: those whose hour is yet to come, and the others.
-    pub(super) ahead: BTreeSet<(u64, JobIndex)>,
-    pub(super) past: BTreeSet<(u64, JobIndex)>,
+    pub(super) upcoming: BTreeSet<(u64, JobIndex)>,
+    pub(super) passed: BTreeSet<(u64, JobIndex)>,
     pub(super) ended: VecDeque<Ended>,
     pub(super) moves: VecDeque<Move>,
     /// Moves of jobs that have ended meanwhile.
-    pub(super) late: Vec<Move>,
+    pub(super) rejected_moves: Vec<Move>,
     /// Operators whose moves are not recorded yet.
-    pub(super) waiting: BTreeSet<u64>,
+    pub(super) waiting_operators: BTreeSet<u64>,
 }
 
-impl Watch {
+impl DeadlineWatch {
     pub fn add(&mut self, job: &Job, ix: JobIndex) {
         if let Some(hour) = &job.hour {
-            self.ahead.insert((hour.rec.due_ms, ix));
+            self.upcoming.insert((hour.rec.due_ms, ix));
         }
     }
 
     pub(super) fn forget(&mut self, due_ms: u64, ix: JobIndex) {
-        self.ahead.remove(&(due_ms, ix));
-        self.past.remove(&(due_ms, ix));
+        self.upcoming.remove(&(due_ms, ix));
+        self.passed.remove(&(due_ms, ix));
     }
 
     /// A job's end is recorded.
@@ -104,7 +104,7 @@
 
     /// Operators who have not been answered.
     pub fn unanswered(&mut self) -> BTreeSet<u64> {
-        std::mem::take(&mut self.waiting)
+        std::mem::take(&mut self.waiting_operators)
     }
 }
 
@@ -136,20 +136,20 @@
         let mut missed = Vec::new();
         while let Some(first) = shard
             .hours
-            .ahead
+            .upcoming
             .first()
             .copied()
             .filter(|(due, _)| *due < wall)
         {
-            shard.hours.ahead.pop_first();
-            shard.hours.past.insert(first);
+            shard.hours.upcoming.pop_first();
+            shard.hours.passed.insert(first);
             // The end of what has ended meanwhile says whether its hour was kept.
             if shard.job(first.1).is_some_and(|j| !j.is_ending()) {
                 missed.push((first.1, State::Missed));
             }
         }
         shard.set_states(missed, wall);
-        for hour in std::mem::take(&mut shard.hours.late) {
+        for hour in std::mem::take(&mut shard.hours.rejected_moves) {
             let why = format!(
                 "{}: it has ended meanwhile, or its record has no room for the move",
                 hour.job
@@ -157,7 +157,7 @@
             log::info!("hour of {why}");
             let Some(conn) = hour.conn else { continue };
             if let Some(shard) = &mut self.shard {
-                shard.hours.waiting.remove(&conn);
+                shard.hours.waiting_operators.remove(&conn);
             }
             self.deny_admin(conn, 409, refused(&why));
         }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -119,7 +119,7 @@
     /// The tree's counts, by the version that they belong to.
     pub counted: Option<(u64, crate::scheduling::entitlement::Counted)>,
     /// Release hours of its jobs.
-    pub hours: crate::documents::hours::Watch,
+    pub hours: crate::documents::hours::DeadlineWatch,
     /// Counts by county.
     pub tally: crate::documents::county_counts::Tallies,
 }
@@ -174,7 +174,7 @@
             touched: Vec::new(),
             unwanted: BTreeSet::new(),
             counted: None,
-            hours: crate::documents::hours::Watch::default(),
+            hours: crate::documents::hours::DeadlineWatch::default(),
             tally: crate::documents::county_counts::Tallies::new(value_limit(value_kb)),
         }
     }
