--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -62,8 +62,8 @@
     }
     fn answer_query(node: &mut Node, conn: u64, query: Question) {
         match query {
-            Question::Tally { county } => node.tally_asked(conn, county.as_deref()),
-            Question::Audit { id } => node.audit_asked(conn, &id),
+            Question::Tally { county } => node.counts_queried(conn, county.as_deref()),
+            Question::Audit { id } => node.audit_queried(conn, &id),
         }
     }
 }
@@ -158,7 +158,7 @@
         faults
     }
 
-    fn tally_asked(&mut self, conn: u64, county: Option<&str>) {
+    fn counts_queried(&mut self, conn: u64, county: Option<&str>) {
         let Some(shard) = &mut self.shard else { return };
         let (revision, rows) = match shard.counts() {
             Ok(counts) => counts,
@@ -188,7 +188,7 @@
         self.respond(conn, 200, admin::encode(&Counts { revision, lines }), None);
     }
 
-    fn audit_asked(&mut self, conn: u64, id: &str) {
+    fn audit_queried(&mut self, conn: u64, id: &str) {
         let Some(shard) = &mut self.shard else { return };
         match shard.audit(id) {
             Ok(Some(told)) => self.respond(conn, 200, admin::encode(&told), None),
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -141,12 +141,12 @@
 impl Shard {
     /// The audit with this id, which is begun if none is running; `None` while another one is.
     pub fn audit(&mut self, id: &str) -> Result<Option<tally::Audit>, Held> {
-        match &self.tally.audit {
+        match &self.county_counts.audit {
             Some(audit) if audit.id == id => return Ok(Some(audit.told())),
             Some(audit) if !audit.over => return Ok(None),
             _ => {}
         }
-        let counts = self.tally.ended().map_err(Held::Unread)?;
+        let counts = self.county_counts.ended().map_err(Held::Unread)?;
         let revision = self.ends_known();
         let mut live: HashMap<String, String> = HashMap::new();
         for job in self.jobs.iter().flatten().filter(|j| !j.is_over()) {
@@ -169,7 +169,7 @@
             over: false,
         };
         let told = audit.told();
-        self.tally.audit = Some(audit);
+        self.county_counts.audit = Some(audit);
         Ok(Some(told))
     }
 }
@@ -179,7 +179,11 @@
     pub(crate) fn audit_tick(&mut self) {
         let term = self.term;
         let spare = self.requests.level(self.now.mono) > SPARED;
-        let Some(audit) = self.shard.as_mut().and_then(|p| p.tally.audit.as_mut()) else {
+        let Some(audit) = self
+            .shard
+            .as_mut()
+            .and_then(|p| p.county_counts.audit.as_mut())
+        else {
             return;
         };
         if audit.over || audit.busy || !spare {
@@ -212,7 +216,11 @@
                 })
             }),
         };
-        let Some(audit) = self.shard.as_mut().and_then(|p| p.tally.audit.as_mut()) else {
+        let Some(audit) = self
+            .shard
+            .as_mut()
+            .and_then(|p| p.county_counts.audit.as_mut())
+        else {
             return;
         };
         audit.busy = false;
@@ -228,7 +236,11 @@
 
     /// Counts what a page has; true if there is another.
     fn audit_page<T>(&mut self, page: Range<T>, count: impl Fn(&mut Audit, T, &str, u64)) -> bool {
-        let Some(audit) = self.shard.as_mut().and_then(|p| p.tally.audit.as_mut()) else {
+        let Some(audit) = self
+            .shard
+            .as_mut()
+            .and_then(|p| p.county_counts.audit.as_mut())
+        else {
             return false;
         };
         let more = audit.cursor.advance(&page);
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -32,7 +32,7 @@
 /// Transactions with ends that are remembered until the watch has come past them.
 const RECENT: usize = 4_000;
 
-pub(crate) struct Tallies {
+pub(crate) struct CountyCounts {
     counts: Tally,
     /// Some job or record has a county. Without any, nothing is read, kept free or written.
     in_use: bool,
@@ -124,7 +124,7 @@
             cancelled: u64::from(cancelled),
             tasks: u64::from(job.done_count),
         };
-        let cell = shard.tally.counts.cell(&county, &class);
+        let cell = shard.county_counts.counts.cell(&county, &class);
         Delta::add_to(&mut self.deltas, &cell, &count);
         Some(CountedRecord {
             county: cell.county,
@@ -147,9 +147,9 @@
     }
 }
 
-impl Tallies {
+impl CountyCounts {
     pub fn new(value: usize) -> Self {
-        Tallies {
+        CountyCounts {
             counts: Tally::new(value.min(SHEET)),
             in_use: false,
             reading: None,
@@ -270,15 +270,15 @@
 impl TransactionDraft {
     /// Puts the sheets that have waited longest, as many as there is room for.
     pub fn fold(&mut self, shard: &mut Shard, now: u64, room: impl Fn(&TransactionDraft) -> bool) {
-        if !shard.tally.is_due(now) {
+        if !shard.county_counts.is_due(now) {
             return;
         }
-        let most = if shard.tally.is_behind() {
+        let most = if shard.county_counts.is_behind() {
             FOLD_BEHIND
         } else {
             FOLD_SHEETS
         };
-        let Some(fold) = shard.tally.counts.fold(most) else {
+        let Some(fold) = shard.county_counts.counts.fold(most) else {
             return;
         };
         let mut puts = Vec::new();
@@ -294,7 +294,7 @@
             puts.push((number, stamp, sheet));
         }
         if !puts.is_empty() {
-            shard.tally.folded_at = now;
+            shard.county_counts.folded_at = now;
             self.ops.push(PendingWrite::Fold(Fold { puts }));
         }
     }
@@ -303,7 +303,7 @@
 impl Shard {
     /// Sheets are in place: log records that have waited for them alone may go.
     pub fn fold_stands(&mut self, fold: &Fold, revision: u64) {
-        let over = self.tally.counts.folded(fold, revision);
+        let over = self.county_counts.counts.folded(fold, revision);
         self.claim_log.counted(over);
     }
 }
@@ -311,16 +311,16 @@
 impl Node {
     /// Reads the sheets once something has a county. Nothing else waits for that: until then counts are held back, and
     /// what ends meanwhile stays in the log.
-    pub(crate) fn tally_tick(&mut self) {
+    pub(crate) fn county_counts_tick(&mut self) {
         let now = self.now.mono;
         let known = self.shared.documents.counties.head.version > 0;
         let Some(shard) = &mut self.shard else { return };
-        shard.tally.in_use |= known;
-        if !shard.tally.wants_reading(now) {
+        shard.county_counts.in_use |= known;
+        if !shard.county_counts.wants_reading(now) {
             return;
         }
-        shard.tally.counts.begin_reading();
-        shard.tally.reading = Some(Reading {
+        shard.county_counts.counts.begin_reading();
+        shard.county_counts.reading = Some(Reading {
             cursor: PageCursor::default(),
             all_good: true,
         });
@@ -329,7 +329,11 @@
 
     fn read_sheets(&mut self) {
         let term = self.term;
-        let Some(reading) = self.shard.as_ref().and_then(|p| p.tally.reading.as_ref()) else {
+        let Some(reading) = self
+            .shard
+            .as_ref()
+            .and_then(|p| p.county_counts.reading.as_ref())
+        else {
             return;
         };
         let path = reading.cursor.path(&records::tally_prefix(SHARD), PAGE);
@@ -341,15 +345,15 @@
         let page = self.read_state::<Range<serde_json::Value>>(response);
         let Some(shard) = &mut self.shard else { return };
         let Some(page) = page else {
-            shard.tally.stop_reading(now + RETRY_MS);
+            shard.county_counts.stop_reading(now + RETRY_MS);
             return;
         };
-        match shard.tally.page_read(page) {
+        match shard.county_counts.page_read(page) {
             None => {}
             Some(true) => self.read_sheets(),
             Some(false) => {
-                let all_good = shard.tally.stop_reading(now + BAD_MS);
-                let over = shard.tally.counts.reading_over(all_good);
+                let all_good = shard.county_counts.stop_reading(now + BAD_MS);
+                let over = shard.county_counts.counts.reading_over(all_good);
                 shard.claim_log.counted(over);
             }
         }
@@ -374,22 +378,22 @@
 impl Shard {
     /// The last revision at which something ended, as far as is known: earlier leaders' were before our term.
     pub fn ends_known(&self) -> u64 {
-        self.tally.last_end.max(self.leader_version)
+        self.county_counts.last_end.max(self.leader_version)
     }
 
     /// All counts as of one revision, the latest that is known: what ended after it still lives there, and what was
     /// accepted after it does not yet.
     pub fn counts(&mut self) -> Result<(u64, BTreeMap<Cell, Row>), Held> {
         let revision = self.counted_revision();
-        let ended = self.tally.ended().map_err(Held::Unread)?;
-        if self.tally.forgotten > revision {
+        let ended = self.county_counts.ended().map_err(Held::Unread)?;
+        if self.county_counts.forgotten > revision {
             return Err(Held::Behind);
         }
         let mut rows: BTreeMap<Cell, Row> = ended
             .into_iter()
             .map(|(cell, ended)| (cell, Row { live: 0, ended }))
             .collect();
-        self.tally.undo_after(revision, &mut rows);
+        self.county_counts.undo_after(revision, &mut rows);
         self.add_live(revision, &mut rows);
         Ok((revision, rows))
     }
@@ -407,7 +411,7 @@
 
     /// Counts the jobs that live and were accepted up to a revision.
     fn add_live(&mut self, revision: u64, rows: &mut BTreeMap<Cell, Row>) {
-        let counts = &mut self.tally.counts;
+        let counts = &mut self.county_counts.counts;
         let live = self.jobs.iter().flatten().filter(|job| !job.is_over());
         for job in live.filter(|job| job.version <= revision) {
             if let (Some(county), Some(spec)) = (&job.county, &job.spec) {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -197,7 +197,7 @@
             self.machines_tick();
             self.sched_tick();
             self.hours_tick();
-            self.tally_tick();
+            self.county_counts_tick();
             self.audit_tick();
         }
         self.models_tick();
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -458,7 +458,7 @@
         // So does a document's head, with what is written beside it. What is counted needs a log record in the same
         // transaction; one for claims does for both.
         let head = TransactionDraft::head_due(documents, shard, budget);
-        let log = shard.tally.keeps(budget);
+        let log = shard.county_counts.keeps(budget);
         let for_claims = || usize::from(budget > 2 && !shard.claim_log.fresh.is_empty()).max(log);
         let kept = head.map_or_else(for_claims, |(_, writes)| writes + log);
         let for_ends = budget.saturating_sub(kept);
@@ -783,7 +783,7 @@
             version: revision,
             ..Segment::default()
         };
-        segment.counts = self.tally.stands(log.number, log.ended, revision);
+        segment.counts = self.county_counts.stands(log.number, log.ended, revision);
         for id in log.claims {
             // What has ended meanwhile stands in the record all the same, as in any that is older.
             let Some(claim) = self.claim_mut(&id) else {
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -36,7 +36,7 @@
             version,
             ..Segment::default()
         };
-        segment.counts = self.tally.stands(number, rec.ended, 0);
+        segment.counts = self.county_counts.stands(number, rec.ended, 0);
         for group in rec.claims {
             let need = Need {
                 cores: group.cores,
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -121,7 +121,7 @@
     /// Release hours of its jobs.
     pub hours: crate::documents::hours::DeadlineWatch,
     /// Counts by county.
-    pub tally: crate::documents::county_counts::Tallies,
+    pub county_counts: crate::documents::county_counts::CountyCounts,
 }
 
 impl Shard {
@@ -175,7 +175,9 @@
             unwanted: BTreeSet::new(),
             counted: None,
             hours: crate::documents::hours::DeadlineWatch::default(),
-            tally: crate::documents::county_counts::Tallies::new(value_limit(value_kb)),
+            county_counts: crate::documents::county_counts::CountyCounts::new(value_limit(
+                value_kb,
+            )),
         }
     }
 
@@ -234,7 +236,7 @@
     }
 
     pub fn add_job(&mut self, mut job: Job) -> JobIndex {
-        job.tenant = self.tally.tenant(job.county.as_ref());
+        job.tenant = self.county_counts.tenant(job.county.as_ref());
         let ix = self.free_jobs.pop().unwrap_or_else(|| {
             self.jobs.push(None);
             self.jobs.len() - 1
