--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -1,4 +1,4 @@
-//! Counts by county as the leader keeps them: deltas that ride in the log, and sheets that they are folded into.
+//! Counts by county as the leader keeps them: deltas that ride in the log, and the counter sheets that they are added to.
 //!
 //! What ends is counted in the transaction that records its end, by way of its log record; a job that lives counts by
 //! its own record. So counting costs no write at an acceptance, and at an end none where a log record goes along
@@ -16,13 +16,13 @@
 use wire::http::Response;
 use wire::records::{self, ClaimsRecord, CountedRecord, CountyRecord, Record};
 
-/// Sheets are folded so often, so many at a time, and no longer than this. With more log records than this waiting
-/// for them, they are folded with each tidying, and more at a time.
-const FOLD_MS: u64 = 5_000;
-const FOLD_SHEETS: usize = 2;
-const SHEET: usize = 8 * 1024;
+/// Sheets are written so often, so many at a time, and no longer than this. With more log records than this waiting
+/// for them, they are written with each tidying, and more at a time.
+const WRITE_SHEETS_MS: u64 = 5_000;
+const SHEETS_AT_ONCE: usize = 2;
+const SHEET_BYTES: usize = 8 * 1024;
 const BEHIND: usize = 150;
-const FOLD_BEHIND: usize = 4;
+const SHEETS_AT_ONCE_BEHIND: usize = 4;
 /// Sheets are read again so long after they could not be reached, or understood.
 const RETRY_MS: u64 = 500;
 const BAD_MS: u64 = 30_000;
@@ -38,7 +38,7 @@
     in_use: bool,
     reading: Option<Reading>,
     read_at: u64,
-    folded_at: u64,
+    sheets_written_at: u64,
     /// Ends that were recorded at a revision which the watch may not have come to.
     recent: VecDeque<(u64, Vec<Delta>)>,
     /// Ends up to here were forgotten too early: nothing can be said as of an earlier revision.
@@ -150,11 +150,11 @@
 impl CountyCounts {
     pub fn new(value: usize) -> Self {
         CountyCounts {
-            counts: Tally::new(value.min(SHEET)),
+            counts: Tally::new(value.min(SHEET_BYTES)),
             in_use: false,
             reading: None,
             read_at: 0,
-            folded_at: 0,
+            sheets_written_at: 0,
             recent: VecDeque::new(),
             forgotten: 0,
             tenants: HashMap::new(),
@@ -226,7 +226,7 @@
     }
 
     fn is_due(&self, now: u64) -> bool {
-        self.in_use && (now >= self.folded_at + FOLD_MS || self.is_behind())
+        self.in_use && (now >= self.sheets_written_at + WRITE_SHEETS_MS || self.is_behind())
     }
 
     fn is_behind(&self) -> bool {
@@ -269,14 +269,19 @@
 
 impl TransactionDraft {
     /// Puts the sheets that have waited longest, as many as there is room for.
-    pub fn fold(&mut self, shard: &mut Shard, now: u64, room: impl Fn(&TransactionDraft) -> bool) {
+    pub fn counter_sheets(
+        &mut self,
+        shard: &mut Shard,
+        now: u64,
+        room: impl Fn(&TransactionDraft) -> bool,
+    ) {
         if !shard.county_counts.is_due(now) {
             return;
         }
         let most = if shard.county_counts.is_behind() {
-            FOLD_BEHIND
+            SHEETS_AT_ONCE_BEHIND
         } else {
-            FOLD_SHEETS
+            SHEETS_AT_ONCE
         };
         let Some(fold) = shard.county_counts.counts.fold(most) else {
             return;
@@ -294,15 +299,15 @@
             puts.push((number, stamp, sheet));
         }
         if !puts.is_empty() {
-            shard.county_counts.folded_at = now;
-            self.ops.push(PendingWrite::Fold(Fold { puts }));
+            shard.county_counts.sheets_written_at = now;
+            self.ops.push(PendingWrite::CounterSheets(Fold { puts }));
         }
     }
 }
 
 impl Shard {
     /// Sheets are in place: log records that have waited for them alone may go.
-    pub fn fold_stands(&mut self, fold: &Fold, revision: u64) {
+    pub fn counter_sheets_written(&mut self, fold: &Fold, revision: u64) {
         let over = self.county_counts.counts.folded(fold, revision);
         self.claim_log.counted(over);
     }
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -26,7 +26,7 @@
     RemoveRental(String),
     Log(Log),
     LogOver(u64),
-    Fold(county::Fold),
+    CounterSheets(county::Fold),
     /// A inventory shard with the names of its machines: by the time that it stands, a place in memory may be another one's.
     InventoryShard(u64, Vec<String>),
     Catalog,
@@ -563,7 +563,7 @@
         d.parts(documents, room);
         if tidy {
             shard.commit.tidied_at = now;
-            d.fold(shard, now, room);
+            d.counter_sheets(shard, now, room);
             d.remove_unreferenced_parts(documents, room);
             while room(&d)
                 && let Some(n) = shard.claim_log.gone_from.pop_first()
@@ -728,7 +728,7 @@
                     shard.rentals.remove(&name);
                 }
                 PendingWrite::Log(log) => shard.log_stands(log, revision),
-                PendingWrite::Fold(fold) => shard.fold_stands(&fold, revision),
+                PendingWrite::CounterSheets(fold) => shard.counter_sheets_written(&fold, revision),
                 PendingWrite::LogOver(n) => {
                     shard.claim_log.segments.remove(&n);
                 }
