--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -71,7 +71,7 @@
 }
 
 /// The county of a job that only has claims left.
-pub(crate) fn claimed(county: &Option<String>, alone: bool) -> Option<CountyRecord> {
+pub(crate) fn county_of_claims(county: &Option<String>, alone: bool) -> Option<CountyRecord> {
     county.as_ref().map(|c| CountyRecord {
         county: c.clone(),
         version: 0,
@@ -81,14 +81,14 @@
 }
 
 /// Bounds what a job's county adds to its claims' length.
-pub(crate) fn frame(job: &Job) -> usize {
+pub(crate) fn claims_bytes(job: &Job) -> usize {
     job.county
         .as_ref()
         .map_or(0, |c| ClaimsRecord::county(&c.county))
 }
 
 /// The same of counts.
-pub(crate) fn length(deltas: &[Delta]) -> usize {
+pub(crate) fn deltas_bytes(deltas: &[Delta]) -> usize {
     deltas
         .iter()
         .map(|d| Delta::frame(&d.county, &d.class))
@@ -138,7 +138,7 @@
 
     /// No more ends should be taken along.
     pub fn is_full(&self) -> bool {
-        length(&self.deltas) > self.most
+        deltas_bytes(&self.deltas) > self.most
     }
 
     /// Writes that the transaction still needs for them.
@@ -184,12 +184,12 @@
     }
 
     /// Writes that are kept free of ends for the log record that counts them.
-    pub fn keeps(&self, budget: usize) -> usize {
+    pub fn reserved_writes(&self, budget: usize) -> usize {
         usize::from(self.in_use && budget > 2)
     }
 
     /// A log record with counts stands, at this revision, or was read back. True if it has to stay for them.
-    pub fn stands(&mut self, number: u64, ended: Vec<Delta>, revision: u64) -> bool {
+    pub fn log_recorded(&mut self, number: u64, ended: Vec<Delta>, revision: u64) -> bool {
         if ended.is_empty() {
             return false;
         }
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -153,7 +153,7 @@
         };
         let mut entries: BTreeMap<(JobIndex, u64), BTreeMap<usize, BTreeSet<u32>>> =
             BTreeMap::new();
-        let mut size = 64 + crate::documents::county_counts::length(&log.ended);
+        let mut size = 64 + crate::documents::county_counts::deltas_bytes(&log.ended);
         let mut grow = |shard: &Shard, id: &ClaimId| {
             let (Some(job), Some(machine)) = (shard.job(id.job), shard.machine(id.machine)) else {
                 return false;
@@ -164,7 +164,7 @@
                     0
                 } else {
                     ClaimsRecord::frame(&job.id, &job.team)
-                        + crate::documents::county_counts::frame(job)
+                        + crate::documents::county_counts::claims_bytes(job)
                 };
             if size + more > value {
                 return false;
@@ -458,7 +458,7 @@
         // So does a document's head, with what is written beside it. What is counted needs a log record in the same
         // transaction; one for claims does for both.
         let head = TransactionDraft::head_due(documents, shard, budget);
-        let log = shard.county_counts.keeps(budget);
+        let log = shard.county_counts.reserved_writes(budget);
         let for_claims = || usize::from(budget > 2 && !shard.claim_log.fresh.is_empty()).max(log);
         let kept = head.map_or_else(for_claims, |(_, writes)| writes + log);
         let for_ends = budget.saturating_sub(kept);
@@ -783,7 +783,9 @@
             version: revision,
             ..Segment::default()
         };
-        segment.counts = self.county_counts.stands(log.number, log.ended, revision);
+        segment.counts = self
+            .county_counts
+            .log_recorded(log.number, log.ended, revision);
         for id in log.claims {
             // What has ended meanwhile stands in the record all the same, as in any that is older.
             let Some(claim) = self.claim_mut(&id) else {
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -36,7 +36,7 @@
             version,
             ..Segment::default()
         };
-        segment.counts = self.county_counts.stands(number, rec.ended, 0);
+        segment.counts = self.county_counts.log_recorded(number, rec.ended, 0);
         for group in rec.claims {
             let need = Need {
                 cores: group.cores,
@@ -54,8 +54,10 @@
                     // Ended, but its tasks may still be there: they count until they are proved gone.
                     None => {
                         let mut job = Job::ended(&group.job, &group.team, need);
-                        job.county =
-                            crate::documents::county_counts::claimed(&group.county, group.alone);
+                        job.county = crate::documents::county_counts::county_of_claims(
+                            &group.county,
+                            group.alone,
+                        );
                         self.add_job(job)
                     }
                 };
