--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -1,6 +1,6 @@
 //! Which counties are in force, and which of them a job is bound to when it is accepted.
 
-use crate::documents::county_counts::Held;
+use crate::documents::county_counts::CountsUnavailable;
 use crate::documents::{Document, Documents, Kind, KindId, refused};
 use crate::{Node, documents::quotas::Quota};
 use county::{Cell, Counties, Job, Known, OTHER, Spec, Unbound, Unread};
@@ -160,9 +160,9 @@
 
     fn counts_queried(&mut self, conn: u64, county: Option<&str>) {
         let Some(shard) = &mut self.shard else { return };
-        let (revision, rows) = match shard.counts() {
+        let (revision, rows) = match shard.counts_by_county() {
             Ok(counts) => counts,
-            Err(why) => return self.deny_admin(conn, 503, refused(held(why))),
+            Err(why) => return self.deny_admin(conn, 503, refused(unavailable(why))),
         };
         let active = self.shared.documents.counties.active.as_ref();
         let name = |id: &str| active.and_then(|g| g.built.county(id)?.name.clone());
@@ -193,15 +193,19 @@
         match shard.audit(id) {
             Ok(Some(told)) => self.respond(conn, 200, admin::encode(&told), None),
             Ok(None) => self.deny_admin(conn, 409, refused("another audit is under way")),
-            Err(why) => self.deny_admin(conn, 503, refused(held(why))),
+            Err(why) => self.deny_admin(conn, 503, refused(unavailable(why))),
         }
     }
 }
 
-fn held(why: Held) -> &'static str {
+fn unavailable(why: CountsUnavailable) -> &'static str {
     match why {
-        Held::Unread(Unread::NotYet) => "counts are held back: their records are being read",
-        Held::Unread(Unread::Bad) => "counts are held back: a record of them can't be understood",
-        Held::Behind => "counts are held back: acceptances were not seen far enough",
+        CountsUnavailable::Unread(Unread::NotYet) => {
+            "counts are held back: their records are being read"
+        }
+        CountsUnavailable::Unread(Unread::Bad) => {
+            "counts are held back: a record of them can't be understood"
+        }
+        CountsUnavailable::Behind => "counts are held back: acceptances were not seen far enough",
     }
 }
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -4,7 +4,7 @@
 //! after that all live records are read, and then all ended ones, since jobs only move that way. What was recorded
 //! later is told apart by its stamp. One audit at a time, page by page, and only with what the leader's other work leaves of its requests.
 
-use crate::documents::county_counts::Held;
+use crate::documents::county_counts::CountsUnavailable;
 use crate::state_requests::PageCursor;
 use crate::store::shard::Shard;
 use crate::{Node, Pending};
@@ -140,14 +140,17 @@
 
 impl Shard {
     /// The audit with this id, which is begun if none is running; `None` while another one is.
-    pub fn audit(&mut self, id: &str) -> Result<Option<tally::Audit>, Held> {
+    pub fn audit(&mut self, id: &str) -> Result<Option<tally::Audit>, CountsUnavailable> {
         match &self.county_counts.audit {
             Some(audit) if audit.id == id => return Ok(Some(audit.told())),
             Some(audit) if !audit.over => return Ok(None),
             _ => {}
         }
-        let counts = self.county_counts.ended().map_err(Held::Unread)?;
-        let revision = self.ends_known();
+        let counts = self
+            .county_counts
+            .ended()
+            .map_err(CountsUnavailable::Unread)?;
+        let revision = self.last_known_end();
         let mut live: HashMap<String, String> = HashMap::new();
         for job in self.jobs.iter().flatten().filter(|j| !j.is_over()) {
             if let Some(county) = &job.county {
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -56,7 +56,7 @@
 }
 
 /// Counts of the jobs that one transaction ends.
-pub(crate) struct Counts {
+pub(crate) struct EndedCounts {
     deltas: Vec<Delta>,
     /// What they may take of the log record.
     most: usize,
@@ -103,9 +103,9 @@
         .collect()
 }
 
-impl Counts {
+impl EndedCounts {
     pub fn new(value: usize) -> Self {
-        Counts {
+        EndedCounts {
             deltas: Vec::new(),
             most: value / 2,
         }
@@ -374,7 +374,7 @@
 
 /// Why there is nothing to tell now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Held {
+pub(crate) enum CountsUnavailable {
     Unread(Unread),
     /// Acceptances were not seen up to the latest revision yet.
     Behind,
@@ -382,17 +382,20 @@
 
 impl Shard {
     /// The last revision at which something ended, as far as is known: earlier leaders' were before our term.
-    pub fn ends_known(&self) -> u64 {
+    pub fn last_known_end(&self) -> u64 {
         self.county_counts.last_end.max(self.leader_version)
     }
 
     /// All counts as of one revision, the latest that is known: what ended after it still lives there, and what was
     /// accepted after it does not yet.
-    pub fn counts(&mut self) -> Result<(u64, BTreeMap<Cell, Row>), Held> {
+    pub fn counts_by_county(&mut self) -> Result<(u64, BTreeMap<Cell, Row>), CountsUnavailable> {
         let revision = self.counted_revision();
-        let ended = self.county_counts.ended().map_err(Held::Unread)?;
+        let ended = self
+            .county_counts
+            .ended()
+            .map_err(CountsUnavailable::Unread)?;
         if self.county_counts.forgotten > revision {
-            return Err(Held::Behind);
+            return Err(CountsUnavailable::Behind);
         }
         let mut rows: BTreeMap<Cell, Row> = ended
             .into_iter()
@@ -406,12 +409,12 @@
     /// The latest revision up to which both acceptances and ends are known.
     fn counted_revision(&self) -> u64 {
         // What is under way may have been recorded already, after all that is known to stand.
-        let ends_known = if self.commit.is_out() {
-            self.ends_known()
+        let last_known_end = if self.commit.is_out() {
+            self.last_known_end()
         } else {
             u64::MAX
         };
-        self.live_revision.min(ends_known)
+        self.live_revision.min(last_known_end)
     }
 
     /// Counts the jobs that live and were accepted up to a revision.
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -80,7 +80,7 @@
     probe: Option<(String, u64, bool)>,
     size: usize,
     /// Counts of the jobs that it ends, for its log record.
-    pub counts: crate::documents::county_counts::Counts,
+    pub counts: crate::documents::county_counts::EndedCounts,
 }
 
 impl TransactionDraft {
@@ -451,7 +451,7 @@
             writes: Vec::new(),
             probe: None,
             size: 0,
-            counts: crate::documents::county_counts::Counts::new(value),
+            counts: crate::documents::county_counts::EndedCounts::new(value),
         };
         let tidy = now >= shard.commit.tidied_at + TIDY_MS;
         // Ends come first, but they do not keep claims waiting for ever.
