--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -16,12 +16,12 @@
 use wire::tally::{self, DIFFERENCES};
 
 /// Requests that an audit leaves to others.
-const SPARED: f64 = 5.0;
+const SPARED_REQUESTS: f64 = 5.0;
 const TIMEOUT_MS: u64 = 3000;
 const PAGE: usize = 1000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Under {
+pub(crate) enum RecordSet {
     Live,
     Ended,
 }
@@ -34,17 +34,17 @@
     counts: BTreeMap<Cell, Count>,
     /// Jobs that lived and were not found yet, with their counties.
     live: HashMap<String, String>,
-    again: BTreeMap<Cell, Count>,
-    under: Under,
+    recounted: BTreeMap<Cell, Count>,
+    record_set: RecordSet,
     cursor: PageCursor,
-    busy: bool,
+    in_flight: bool,
     read: u64,
     differences: Vec<String>,
-    over: bool,
+    is_done: bool,
 }
 
 impl Audit {
-    fn differs(&mut self, what: String) {
+    fn add_difference(&mut self, what: String) {
         if self.differences.len() < DIFFERENCES {
             self.differences.push(what);
         }
@@ -55,11 +55,11 @@
         match self.live.remove(&rec.spec.id) {
             Some(known) if known == county.county => {}
             None if stamp > self.seen => {}
-            Some(known) => self.differs(format!(
+            Some(known) => self.add_difference(format!(
                 "{}: bound to {}, counted for {known}",
                 rec.spec.id, county.county
             )),
-            None => self.differs(format!(
+            None => self.add_difference(format!(
                 "{}: bound to {}, not counted",
                 rec.spec.id, county.county
             )),
@@ -75,7 +75,7 @@
                 .remove(job)
                 .filter(|known| *known != counted.county)
             {
-                self.differs(format!(
+                self.add_difference(format!(
                     "{job}: ended for {}, counted for {known}",
                     counted.county
                 ));
@@ -86,7 +86,7 @@
             county: counted.county.clone(),
             class: counted.class.clone(),
         };
-        let row = self.again.entry(cell).or_default();
+        let row = self.recounted.entry(cell).or_default();
         match rec.stage {
             Stage::Cancelled => row.cancelled += 1,
             _ => row.done += 1,
@@ -99,35 +99,36 @@
         let mut lost: Vec<_> = std::mem::take(&mut self.live).into_iter().collect();
         lost.sort();
         lost.into_iter().for_each(|(job, county)| {
-            self.differs(format!("{job}: counted for {county}, has no record"))
+            self.add_difference(format!("{job}: counted for {county}, has no record"))
         });
-        let (counts, again) = (
+        let (counts, recounted) = (
             std::mem::take(&mut self.counts),
-            std::mem::take(&mut self.again),
+            std::mem::take(&mut self.recounted),
         );
-        let cells: std::collections::BTreeSet<&Cell> = counts.keys().chain(again.keys()).collect();
+        let cells: std::collections::BTreeSet<&Cell> =
+            counts.keys().chain(recounted.keys()).collect();
         for cell in cells {
             let of = |all: &BTreeMap<Cell, Count>| all.get(cell).copied().unwrap_or_default();
-            let (kept, found) = (of(&counts), of(&again));
+            let (kept, found) = (of(&counts), of(&recounted));
             for (what, kept, found) in [
                 ("done jobs", kept.done, found.done),
                 ("cancelled jobs", kept.cancelled, found.cancelled),
                 ("done tasks", kept.tasks, found.tasks),
             ] {
                 if kept != found {
-                    self.differs(format!(
+                    self.add_difference(format!(
                         "{}, {}: {kept} {what} counted, {found} in the records",
                         cell.county, cell.class
                     ));
                 }
             }
         }
-        self.over = true;
+        self.is_done = true;
     }
 
-    pub fn told(&self) -> tally::Audit {
+    pub fn progress(&self) -> tally::Audit {
         let (revision, read) = (self.revision, self.read);
-        match self.over {
+        match self.is_done {
             true => tally::Audit::Done {
                 revision,
                 read,
@@ -142,8 +143,8 @@
     /// The audit with this id, which is begun if none is running; `None` while another one is.
     pub fn audit(&mut self, id: &str) -> Result<Option<tally::Audit>, CountsUnavailable> {
         match &self.county_counts.audit {
-            Some(audit) if audit.id == id => return Ok(Some(audit.told())),
-            Some(audit) if !audit.over => return Ok(None),
+            Some(audit) if audit.id == id => return Ok(Some(audit.progress())),
+            Some(audit) if !audit.is_done => return Ok(None),
             _ => {}
         }
         let counts = self
@@ -163,17 +164,17 @@
             seen: self.live_revision,
             counts,
             live,
-            again: BTreeMap::new(),
-            under: Under::Live,
+            recounted: BTreeMap::new(),
+            record_set: RecordSet::Live,
             cursor: PageCursor::default(),
-            busy: false,
+            in_flight: false,
             read: 0,
             differences: Vec::new(),
-            over: false,
+            is_done: false,
         };
-        let told = audit.told();
+        let progress = audit.progress();
         self.county_counts.audit = Some(audit);
-        Ok(Some(told))
+        Ok(Some(progress))
     }
 }
 
@@ -181,7 +182,7 @@
     /// The next page, if there is room for it.
     pub(crate) fn audit_tick(&mut self) {
         let term = self.term;
-        let spare = self.requests.level(self.now.mono) > SPARED;
+        let spare = self.requests.level(self.now.mono) > SPARED_REQUESTS;
         let Some(audit) = self
             .shard
             .as_mut()
@@ -189,11 +190,11 @@
         else {
             return;
         };
-        if audit.over || audit.busy || !spare {
+        if audit.is_done || audit.in_flight || !spare {
             return;
         }
-        audit.busy = true;
-        let prefix = if audit.under == Under::Live {
+        audit.in_flight = true;
+        let prefix = if audit.record_set == RecordSet::Live {
             records::LIVE
         } else {
             records::ENDED
@@ -201,19 +202,19 @@
         let path = audit.cursor.path(prefix, PAGE);
         let pending = Pending::Audit {
             term,
-            under: audit.under,
+            record_set: audit.record_set,
         };
         self.get_state(path, TIMEOUT_MS, pending);
     }
 
-    pub(crate) fn audit_received(&mut self, under: Under, response: Option<Response>) {
-        let page = match under {
-            Under::Live => self.read_state(response).map(|page| {
+    pub(crate) fn audit_received(&mut self, record_set: RecordSet, response: Option<Response>) {
+        let page = match record_set {
+            RecordSet::Live => self.read_state(response).map(|page| {
                 self.audit_page(page, |audit, job: JobRecord, _, stamp| {
                     audit.live_found(&job, stamp)
                 })
             }),
-            Under::Ended => self.read_state(response).map(|page| {
+            RecordSet::Ended => self.read_state(response).map(|page| {
                 self.audit_page(page, |audit, end: EndRecord, key, stamp| {
                     audit.end_found(key, &end, stamp)
                 })
@@ -226,12 +227,12 @@
         else {
             return;
         };
-        audit.busy = false;
-        match (page, under) {
-            (Some(false), Under::Live) => {
-                (audit.under, audit.cursor) = (Under::Ended, PageCursor::default())
+        audit.in_flight = false;
+        match (page, record_set) {
+            (Some(false), RecordSet::Live) => {
+                (audit.record_set, audit.cursor) = (RecordSet::Ended, PageCursor::default())
             }
-            (Some(false), Under::Ended) => audit.finish(),
+            (Some(false), RecordSet::Ended) => audit.finish(),
             // The next page, or the same again.
             _ => {}
         }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -362,7 +362,10 @@
             Pending::Catalog => self.catalog_received(response),
             // What belongs to an earlier term of leadership no longer concerns us.
             Pending::Load { term: e, what } if e == term => self.load_received(what, response),
-            Pending::Audit { term: e, under } if e == term => self.audit_received(under, response),
+            Pending::Audit {
+                term: e,
+                record_set,
+            } if e == term => self.audit_received(record_set, response),
             Pending::Sheets { term: e } if e == term => self.sheets_received(response),
             Pending::Models { term: e } if e == term => self.models_received(response),
             Pending::ModelWatch { term: e } if e == term => self.models_watched(response),
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -90,7 +90,7 @@
     },
     Audit {
         term: u64,
-        under: county_audit::Under,
+        record_set: county_audit::RecordSet,
     },
     Models {
         term: u64,
