--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -39,22 +39,24 @@
             return;
         }
         let now = self.now.mono;
-        if !self.models.owned.watching && now >= self.models.owned.watch_at {
+        if !self.models.leader_state.watching && now >= self.models.leader_state.watch_at {
             self.watch_models();
         }
-        if now < self.models.owned.looked_at + LOOK_MS {
+        if now < self.models.leader_state.looked_at + LOOK_MS {
             return;
         }
-        self.models.owned.looked_at = now;
+        self.models.leader_state.looked_at = now;
         self.look_at_models();
         self.take_over_records();
     }
 
     fn look_at_models(&mut self) {
         let wall = self.now.wall;
-        let owned = &mut self.models.owned;
-        owned.kept.retain(|_, (until, _)| *until > wall);
-        for model in std::mem::take(&mut owned.due) {
+        let leader_state = &mut self.models.leader_state;
+        leader_state
+            .retained_machines
+            .retain(|_, (until, _)| *until > wall);
+        for model in std::mem::take(&mut leader_state.due) {
             if self.look_at_model(&model) {
                 self.models.is_due(&model);
             }
@@ -81,8 +83,8 @@
 
     /// Writes what follows for a model, and stops what is no longer wanted. True if it is to be looked at again.
     fn look_at_model(&mut self, model: &str) -> bool {
-        if let Some(out) = self.models.owned.out.get(model) {
-            if !out.busy && out.retry_at <= self.now.mono {
+        if let Some(write) = self.models.leader_state.writes.get(model) {
+            if !write.busy && write.retry_at <= self.now.mono {
                 self.send_model(model);
             }
             return true;
@@ -98,7 +100,7 @@
         let Some(rec) = next else {
             return known.rec.phase != Phase::Asleep || look.seen.claimed > 0;
         };
-        if self.models.owned.out.len() >= MOST_OUT {
+        if self.models.leader_state.writes.len() >= MOST_OUT {
             return true;
         }
         self.keep_weights(model, rule, &rec);
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -19,7 +19,7 @@
 use crate::documents::{self, Document, Documents, KindId};
 use crate::jobs::job::{Ending, JobIndex};
 use crate::models::demand::Wakes;
-use crate::models::record_writes::Out;
+use crate::models::record_writes::RecordWrite;
 use crate::state_requests::PageCursor;
 use crate::store::shard::Shard;
 use document::Fault;
@@ -87,33 +87,33 @@
     spec: Option<Arc<Spec>>,
     /// Demand as this node hears of it.
     pub wakes: Wakes,
-    owned: Owned,
+    leader_state: LeaderState,
 }
 
 /// What the leader of the fleet knows of all models.
 #[derive(Default)]
-struct Owned {
+struct LeaderState {
     /// The term that it is of.
     term: u64,
-    read: Read,
+    read: ReadState,
     cursor: PageCursor,
-    recs: HashMap<String, Known>,
+    records: HashMap<String, Known>,
     /// Models to be looked at: those that are not asleep, and those that changed.
     due: BTreeSet<String>,
     looked_at: u64,
     /// Transactions that are out, by model.
-    out: HashMap<String, Out>,
+    writes: HashMap<String, RecordWrite>,
     /// Machines that are kept for a model, until when.
-    kept: BTreeMap<String, (u64, Vec<String>)>,
+    retained_machines: BTreeMap<String, (u64, Vec<String>)>,
     revision: u64,
     watching: bool,
     watch_at: u64,
     /// Models whose record goes, their jobs being over.
-    over: BTreeSet<String>,
+    ended: BTreeSet<String>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
-enum Read {
+enum ReadState {
     #[default]
     Not,
     Asked,
@@ -139,12 +139,17 @@
 
     /// What the leader of the fleet knows of a model, if it has read all.
     pub fn known(&self, model: &str) -> Option<Known> {
-        (self.owned.read == Read::All)
-            .then(|| self.owned.recs.get(model).cloned().unwrap_or_default())
+        (self.leader_state.read == ReadState::All).then(|| {
+            self.leader_state
+                .records
+                .get(model)
+                .cloned()
+                .unwrap_or_default()
+        })
     }
 
     fn is_due(&mut self, model: &str) {
-        self.owned.due.insert(model.to_owned());
+        self.leader_state.due.insert(model.to_owned());
     }
 }
 
@@ -169,7 +174,7 @@
         self.models.spec = spec;
         self.models.wakes.forget_told();
         if !self.models.in_force() {
-            self.models.owned = Owned::default();
+            self.models.leader_state = LeaderState::default();
         }
         self.sort_models();
     }
@@ -184,12 +189,12 @@
             self.model_received(ix);
         }
         let Some(shard) = &self.shard else { return };
-        let owned = &mut self.models.owned;
-        let gone = owned
-            .recs
+        let leader_state = &mut self.models.leader_state;
+        let gone = leader_state
+            .records
             .keys()
             .filter(|m| !shard.job_index.contains_key(*m));
-        owned.over.extend(gone.cloned().collect::<Vec<_>>());
+        leader_state.ended.extend(gone.cloned().collect::<Vec<_>>());
     }
 
     /// A job has come to the leader's memory, or may have become a model.
@@ -230,7 +235,7 @@
         }
         let id = job.id.clone();
         if matches!(job.ending, Ending::Recorded(_)) {
-            self.models.owned.over.insert(id);
+            self.models.leader_state.ended.insert(id);
         } else {
             self.models.is_due(&id);
         }
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -15,7 +15,7 @@
 const RETRY_MS: Range<u64> = 100..400;
 
 /// A transaction of the leader's: what it writes, or that it takes the record away; and when it is sent again.
-pub(super) struct Out {
+pub(super) struct RecordWrite {
     rec: Option<Rec>,
     pub(super) busy: bool,
     pub(super) retry_at: u64,
@@ -50,19 +50,22 @@
             key: records::live_key(model),
             version,
         }));
-        let write = match &rec {
+        let change = match &rec {
             Some(rec) => Write::put(key, Record::Model(rec.clone())),
             None => Write::Remove { key },
         };
-        let body = encode_transaction(guards, vec![write]);
-        let out = Out {
+        let body = encode_transaction(guards, vec![change]);
+        let write = RecordWrite {
             rec,
             busy: false,
             retry_at: 0,
             body,
             outcome_unknown: false,
         };
-        self.models.owned.out.insert(model.to_owned(), out);
+        self.models
+            .leader_state
+            .writes
+            .insert(model.to_owned(), write);
         self.send_model(model);
     }
 
@@ -72,19 +75,19 @@
             return;
         }
         let term = self.term;
-        let Some(out) = self.models.owned.out.get_mut(model) else {
+        let Some(write) = self.models.leader_state.writes.get_mut(model) else {
             return;
         };
-        out.busy = true;
+        write.busy = true;
         let what = Pending::ModelWrite {
             term,
             model: model.to_owned(),
         };
-        if out.outcome_unknown {
+        if write.outcome_unknown {
             let path = format!("/keys/{}", records::model_key(model));
             return self.get_state(path, TIMEOUT_MS, what);
         }
-        let body = out.body.clone();
+        let body = write.body.clone();
         self.writes.take(now, 1.0);
         self.post_transaction(body, TIMEOUT_MS, what);
     }
@@ -93,12 +96,12 @@
     pub(crate) fn model_written(&mut self, model: String, response: Option<Response>) {
         let now = self.now.mono;
         let wait = self.rng.u64(RETRY_MS);
-        let Some(out) = self.models.owned.out.get_mut(&model) else {
+        let Some(write) = self.models.leader_state.writes.get_mut(&model) else {
             return;
         };
-        out.busy = false;
-        out.retry_at = now + wait;
-        let is_understood = if out.outcome_unknown {
+        write.busy = false;
+        write.retry_at = now + wait;
+        let is_understood = if write.outcome_unknown {
             self.record_read_back(&model, response)
         } else {
             self.transaction_answered(&model, response)
@@ -111,7 +114,7 @@
     /// False if the transaction was made, but its answer can't be read.
     fn transaction_answered(&mut self, model: &str, response: Option<Response>) -> bool {
         let status = response.as_ref().map(|response| response.status);
-        let Some(out) = self.models.owned.out.get_mut(model) else {
+        let Some(write) = self.models.leader_state.writes.get_mut(model) else {
             return true;
         };
         match status {
@@ -119,17 +122,17 @@
             Some(429 | 503) => return true,
             // Another node has written it meanwhile, or the job has ended: what stands there is read.
             _ => {
-                out.outcome_unknown = true;
+                write.outcome_unknown = true;
                 return true;
             }
         }
         let revision = response.and_then(|r| wire::decode::<Revision>(&r.body).ok());
         let Some(Revision { revision }) = revision else {
-            out.outcome_unknown = true;
+            write.outcome_unknown = true;
             return false;
         };
-        let rec = out.rec.take();
-        self.models.owned.out.remove(model);
+        let rec = write.rec.take();
+        self.models.leader_state.writes.remove(model);
         match rec {
             Some(rec) => self.record_written(model, rec, revision),
             None => self.record_gone(model),
@@ -148,7 +151,7 @@
         match response.as_ref().map(|response| response.status) {
             Some(200) => {}
             Some(404) => {
-                self.models.owned.out.remove(model);
+                self.models.leader_state.writes.remove(model);
                 self.record_gone(model);
                 return true;
             }
@@ -156,7 +159,7 @@
         }
         let item = response.and_then(|r| wire::decode::<Item<Rec>>(&r.body).ok());
         let Some(item) = item else { return false };
-        self.models.owned.out.remove(model);
+        self.models.leader_state.writes.remove(model);
         let known = Known {
             rec: item.value,
             stamp: item.version,
@@ -166,16 +169,16 @@
     }
 
     fn record_gone(&mut self, model: &str) {
-        self.models.owned.recs.remove(model);
-        self.models.owned.kept.remove(model);
+        self.models.leader_state.records.remove(model);
+        self.models.leader_state.retained_machines.remove(model);
         self.models.wakes.forget(model);
     }
 
     /// Records of jobs that are over go, one at a time.
     pub(super) fn take_over_records(&mut self) {
         let Some(shard) = &self.shard else { return };
-        let owned = &mut self.models.owned;
-        let Some(model) = owned.over.pop_first() else {
+        let leader_state = &mut self.models.leader_state;
+        let Some(model) = leader_state.ended.pop_first() else {
             return;
         };
         let open = shard
@@ -183,11 +186,16 @@
             .get(&model)
             .and_then(|ix| shard.job(*ix))
             .is_some_and(|j| !j.is_over());
-        let Some(stamp) = owned.recs.get(&model).map(|k| k.stamp).filter(|_| !open) else {
+        let Some(stamp) = leader_state
+            .records
+            .get(&model)
+            .map(|k| k.stamp)
+            .filter(|_| !open)
+        else {
             return;
         };
-        if owned.out.contains_key(&model) {
-            owned.over.insert(model);
+        if leader_state.writes.contains_key(&model) {
+            leader_state.ended.insert(model);
             return;
         }
         // Only of a job that is over: one that was accepted a moment ago may be unknown here.
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -1,6 +1,6 @@
 //! The records of models as the leader of the fleet knows them: read before its first start, then watched.
 
-use crate::models::{Known, Owned, Read, set_replicas};
+use crate::models::{Known, LeaderState, ReadState, set_replicas};
 use crate::state_requests::PageCursor;
 use crate::store::recovery::Load;
 use crate::{Node, Pending};
@@ -24,22 +24,22 @@
             return false;
         }
         let term = self.term;
-        if self.models.owned.term != term {
-            self.models.owned = Owned {
+        if self.models.leader_state.term != term {
+            self.models.leader_state = LeaderState {
                 term,
-                ..Owned::default()
+                ..LeaderState::default()
             };
         }
-        if self.models.owned.read == Read::Not {
+        if self.models.leader_state.read == ReadState::Not {
             self.read_models();
         }
-        self.models.owned.read != Read::All
+        self.models.leader_state.read != ReadState::All
     }
 
     pub(crate) fn read_models(&mut self) {
-        let owned = &mut self.models.owned;
-        owned.read = Read::Asked;
-        let path = owned.cursor.path(records::MODELS, PAGE);
+        let leader_state = &mut self.models.leader_state;
+        leader_state.read = ReadState::Asked;
+        let path = leader_state.cursor.path(records::MODELS, PAGE);
         let pending = Pending::Models { term: self.term };
         self.get_state(path, READ_TIMEOUT_MS, pending);
     }
@@ -48,11 +48,11 @@
         let Some(page) = self.read_state::<Range<Rec>>(response) else {
             return self.load_later(Load::Models);
         };
-        let owned = &mut self.models.owned;
-        if owned.cursor.is_at_start() {
-            owned.revision = page.revision;
+        let leader_state = &mut self.models.leader_state;
+        if leader_state.cursor.is_at_start() {
+            leader_state.revision = page.revision;
         }
-        let more = owned.cursor.advance(&page);
+        let more = leader_state.cursor.advance(&page);
         for Item {
             key,
             value,
@@ -60,7 +60,7 @@
         } in page.items
         {
             if let Some(model) = key.strip_prefix(records::MODELS) {
-                owned.recs.insert(
+                leader_state.records.insert(
                     model.to_owned(),
                     Known {
                         rec: value,
@@ -72,8 +72,8 @@
         if more {
             return self.read_models();
         }
-        let owned = &mut self.models.owned;
-        (owned.read, owned.cursor) = (Read::All, PageCursor::default());
+        let leader_state = &mut self.models.leader_state;
+        (leader_state.read, leader_state.cursor) = (ReadState::All, PageCursor::default());
         self.sort_models();
         if self.shard.as_ref().is_some_and(|p| !p.loaded) {
             self.load_ended();
@@ -82,13 +82,17 @@
 
     /// The leader has read or written a record: what may run follows it.
     pub(crate) fn model_stands(&mut self, model: &str, known: Known) {
-        let owned = &mut self.models.owned;
+        let leader_state = &mut self.models.leader_state;
         // A read that comes late changes nothing.
-        if owned.recs.get(model).is_some_and(|k| k.stamp > known.stamp) {
+        if leader_state
+            .records
+            .get(model)
+            .is_some_and(|k| k.stamp > known.stamp)
+        {
             return;
         }
-        owned.recs.insert(model.to_owned(), known.clone());
-        owned.due.insert(model.to_owned());
+        leader_state.records.insert(model.to_owned(), known.clone());
+        leader_state.due.insert(model.to_owned());
         let Some(shard) = &mut self.shard else { return };
         let Some(ix) = shard.job_index.get(model).copied() else {
             return;
@@ -102,21 +106,21 @@
 
     pub(super) fn watch_models(&mut self) {
         let term = self.term;
-        self.models.owned.watching = true;
-        let from = self.models.owned.revision;
+        self.models.leader_state.watching = true;
+        let from = self.models.leader_state.revision;
         let path = format!("/changes?under={}&from={from}&waitMs=5000", records::MODELS);
         self.get_state(path, WATCH_TIMEOUT_MS, Pending::ModelWatch { term });
     }
 
     pub(crate) fn models_watched(&mut self, response: Option<Response>) {
         let retry = self.now.mono + self.rng.u64(100..400);
-        let owned = &mut self.models.owned;
-        owned.watching = false;
-        owned.watch_at = retry;
+        let leader_state = &mut self.models.leader_state;
+        leader_state.watching = false;
+        leader_state.watch_at = retry;
         let Some(response) = response else { return };
         if response.status == 410 {
             // Too much was missed: all of them again.
-            (owned.read, owned.cursor) = (Read::Not, PageCursor::default());
+            (leader_state.read, leader_state.cursor) = (ReadState::Not, PageCursor::default());
             return;
         }
         if response.status != 200 {
@@ -125,9 +129,9 @@
         let Some(changes) = self.read::<Changes<Rec>>("state service", &response) else {
             return;
         };
-        let owned = &mut self.models.owned;
-        owned.watch_at = 0;
-        owned.revision = owned.revision.max(changes.revision);
+        let leader_state = &mut self.models.leader_state;
+        leader_state.watch_at = 0;
+        leader_state.revision = leader_state.revision.max(changes.revision);
         for change in changes.events {
             self.record_changed(change);
         }
@@ -147,8 +151,8 @@
             Some(rec) => self.model_stands(&model, Known { rec, stamp }),
             None => self
                 .models
-                .owned
-                .recs
+                .leader_state
+                .records
                 .retain(|m, known| *m != model || known.stamp > stamp),
         }
     }
--- a/crates/control/src/models/standing.rs
+++ b/crates/control/src/models/standing.rs
@@ -44,7 +44,7 @@
         let Some(shard) = &self.shard else {
             return Vec::new();
         };
-        let mut out = Vec::new();
+        let mut models = Vec::new();
         for job in shard.jobs.iter().flatten().filter(|j| j.replicas.is_some()) {
             let Some(spec) = job.spec.as_ref().filter(|_| !job.is_ending()) else {
                 continue;
@@ -55,7 +55,7 @@
             let known = self.models.known(&job.id).unwrap_or_default();
             let asked = asked(&known.rec, &rule, job.tasks, "", self.now.wall);
             let seen = self.seen(job);
-            out.push(Standing {
+            models.push(Standing {
                 told: self.model_told(spec, &known.rec, &asked),
                 rule: rule.name,
                 class: spec.class.clone(),
@@ -68,7 +68,7 @@
                 quiet_ms: seen.quiet_ms,
             });
         }
-        out.sort_by(|a, b| a.told.model.cmp(&b.told.model));
-        out
+        models.sort_by(|a, b| a.told.model.cmp(&b.told.model));
+        models
     }
 }
--- a/crates/control/src/models/weights.rs
+++ b/crates/control/src/models/weights.rs
@@ -47,10 +47,10 @@
     pub(super) fn keep_weights(&mut self, model: &str, rule: &Rule, rec: &Rec) {
         let until = rec.since_ms.saturating_add((rule.keep_s * 1000.0) as u64);
         let asleep = rec.phase == Phase::Asleep && !rec.near.is_empty() && until > self.now.wall;
-        if asleep && self.models.owned.kept.len() < MOST_KEPT {
+        if asleep && self.models.leader_state.retained_machines.len() < MOST_KEPT {
             self.models
-                .owned
-                .kept
+                .leader_state
+                .retained_machines
                 .insert(model.to_owned(), (until, rec.near.clone()));
         }
     }
@@ -60,14 +60,14 @@
         let Some(shard) = &self.shard else {
             return Vec::new();
         };
-        let owned = &self.models.owned;
+        let leader_state = &self.models.leader_state;
         let first = |names: &Vec<String>| {
             names
                 .iter()
                 .find_map(|n| shard.machine_index.get(n).copied())
         };
-        owned
-            .kept
+        leader_state
+            .retained_machines
             .values()
             .filter_map(|(_, names)| first(names))
             .collect()
