--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -8,7 +8,7 @@
 use crate::documents::quotas::Quota;
 use crate::documents::reading::Reading;
 use crate::documents::{Kind, KindId, for_kind};
-use crate::models::Listed;
+use crate::models::ModelRules;
 use document::{Content, Head};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
     pub quota: Document<Quota>,
     pub hours: Document<Hours>,
     pub counties: Document<County>,
-    pub models: Document<Listed>,
+    pub models: Document<ModelRules>,
 }
 
 /// A version that checks out.
--- a/crates/control/src/documents/kind.rs
+++ b/crates/control/src/documents/kind.rs
@@ -42,7 +42,7 @@
                 $what
             }
             $crate::documents::KindId::Models => {
-                type $K = $crate::models::Listed;
+                type $K = $crate::models::ModelRules;
                 $what
             }
         }
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -5,18 +5,18 @@
 use crate::agents::machine::Machine;
 use crate::jobs::job::{Ending, Job, JobIndex};
 use crate::models::Known;
-use crate::models::weights::machines_near;
+use crate::models::weights::machines_with_weights;
 use crate::scheduling::planning::grace;
 use model::{Asked, Begin, Phase, Rec, Rule, Seen, asked};
 use std::collections::BTreeSet;
 
 /// Models that are up, or on their way, are looked at this often.
-const LOOK_MS: u64 = 250;
+const CHECK_MS: u64 = 250;
 /// The leader's transactions for models that are out at once; the rest wait for the next look.
-const MOST_OUT: usize = 32;
+const MAX_WRITES_IN_FLIGHT: usize = 32;
 
 /// What a look at a model finds.
-struct Look {
+struct Observation {
     ix: JobIndex,
     rule: Rule,
     known: Known,
@@ -25,7 +25,7 @@
     job_version: u64,
 }
 
-impl Look {
+impl Observation {
     /// Its record stands and says that no replicas are to run.
     fn is_asleep(&self) -> bool {
         self.known.stamp > 0 && !self.known.rec.is_up()
@@ -42,22 +42,22 @@
         if !self.models.leader_state.watching && now >= self.models.leader_state.watch_at {
             self.watch_models();
         }
-        if now < self.models.leader_state.looked_at + LOOK_MS {
+        if now < self.models.leader_state.checked_at + CHECK_MS {
             return;
         }
-        self.models.leader_state.looked_at = now;
-        self.look_at_models();
-        self.take_over_records();
+        self.models.leader_state.checked_at = now;
+        self.check_models();
+        self.remove_ended_record();
     }
 
-    fn look_at_models(&mut self) {
+    fn check_models(&mut self) {
         let wall = self.now.wall;
         let leader_state = &mut self.models.leader_state;
         leader_state
             .retained_machines
             .retain(|_, (until, _)| *until > wall);
         for model in std::mem::take(&mut leader_state.due) {
-            if self.look_at_model(&model) {
+            if self.check_model(&model) {
                 self.models.is_due(&model);
             }
         }
@@ -71,7 +71,7 @@
         let near = self
             .shard
             .as_ref()
-            .map(|p| machines_near(p, job))
+            .map(|p| machines_with_weights(p, job))
             .unwrap_or_default();
         Seen {
             claimed: job.claimed.len() as u32,
@@ -82,39 +82,39 @@
     }
 
     /// Writes what follows for a model, and stops what is no longer wanted. True if it is to be looked at again.
-    fn look_at_model(&mut self, model: &str) -> bool {
+    fn check_model(&mut self, model: &str) -> bool {
         if let Some(write) = self.models.leader_state.writes.get(model) {
             if !write.busy && write.retry_at <= self.now.mono {
-                self.send_model(model);
+                self.send_record_write(model);
             }
             return true;
         }
-        let Some(look) = self.look(model) else {
+        let Some(observation) = self.observe(model) else {
             return false;
         };
-        let next = self.next_record(model, &look);
-        let Look { known, rule, .. } = &look;
-        if look.is_asleep() {
-            self.stop_replicas(look.ix, known.rec.replicas(rule, look.tasks));
+        let next = self.next_record(model, &observation);
+        let Observation { known, rule, .. } = &observation;
+        if observation.is_asleep() {
+            self.stop_replicas(observation.ix, known.rec.replicas(rule, observation.tasks));
         }
         let Some(rec) = next else {
-            return known.rec.phase != Phase::Asleep || look.seen.claimed > 0;
+            return known.rec.phase != Phase::Asleep || observation.seen.claimed > 0;
         };
-        if self.models.leader_state.writes.len() >= MOST_OUT {
+        if self.models.leader_state.writes.len() >= MAX_WRITES_IN_FLIGHT {
             return true;
         }
-        self.keep_weights(model, rule, &rec);
-        self.write_model(model, Some(rec), known.stamp, Some(look.job_version));
+        self.retain_machines(model, rule, &rec);
+        self.write_record(model, Some(rec), known.stamp, Some(observation.job_version));
         true
     }
 
     /// What the leader knows of a model now; nothing unless it is the job of a rule and is not about to end.
-    fn look(&self, model: &str) -> Option<Look> {
+    fn observe(&self, model: &str) -> Option<Observation> {
         let shard = self.shard.as_ref()?;
         let ix = shard.job_index.get(model).copied()?;
         let job = shard.job(ix).filter(|job| job.ending == Ending::No)?;
         let rule = self.models.rule(job.spec.as_ref()?)?;
-        Some(Look {
+        Some(Observation {
             ix,
             rule,
             known: self.models.known(model).unwrap_or_default(),
@@ -125,17 +125,17 @@
     }
 
     /// The record that a model should have from now on, if it is another one.
-    fn next_record(&self, model: &str, look: &Look) -> Option<Rec> {
-        let Look {
+    fn next_record(&self, model: &str, observation: &Observation) -> Option<Rec> {
+        let Observation {
             known,
             rule,
             seen,
             tasks,
             ..
-        } = look;
+        } = observation;
         let (node, wall) = (self.settings.node.as_str(), self.now.wall);
         let is_first = known.stamp == 0 && (rule.begin == Begin::Awake || seen.claimed > 0);
-        let is_missed = look.is_asleep() && self.asked_since(model, known.rec.since_ms);
+        let is_missed = observation.is_asleep() && self.demanded_since(model, known.rec.since_ms);
         if (is_first || is_missed)
             && let Asked::Wake(rec) = asked(&known.rec, rule, *tasks, node, wall)
         {
@@ -145,7 +145,7 @@
     }
 
     /// Whether somebody has asked for it here after it was put to sleep: what had been decided before that came late.
-    fn asked_since(&self, model: &str, since_ms: u64) -> bool {
+    fn demanded_since(&self, model: &str, since_ms: u64) -> bool {
         let heard = self.models.wakes.heard(model);
         heard > 0
             && self
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -31,18 +31,18 @@
 use wire::models::Ask;
 
 /// The kind of document.
-pub(crate) struct Listed;
+pub(crate) struct ModelRules;
 
-impl documents::Kind for Listed {
+impl documents::Kind for ModelRules {
     type Content = Spec;
     type Edit = Whole<Spec>;
     type Query = Ask;
     const ID: KindId = KindId::Models;
 
-    fn document(all: &Documents) -> &Document<Listed> {
+    fn document(all: &Documents) -> &Document<ModelRules> {
         &all.models
     }
-    fn document_mut(all: &mut Documents) -> &mut Document<Listed> {
+    fn document_mut(all: &mut Documents) -> &mut Document<ModelRules> {
         &mut all.models
     }
     fn context(node: &Node) -> Option<Vec<String>> {
@@ -66,7 +66,7 @@
         Whole::Set { spec }
     }
     fn answer_query(node: &mut Node, conn: u64, Ask::List {}: Ask) {
-        let all = node.models_standing();
+        let all = node.list_models();
         node.respond(conn, 200, admin::encode(&all), None);
     }
     fn version_activated(node: &mut Node) {
@@ -100,7 +100,7 @@
     records: HashMap<String, Known>,
     /// Models to be looked at: those that are not asleep, and those that changed.
     due: BTreeSet<String>,
-    looked_at: u64,
+    checked_at: u64,
     /// Transactions that are out, by model.
     writes: HashMap<String, RecordWrite>,
     /// Machines that are kept for a model, until when.
@@ -176,17 +176,17 @@
         if !self.models.in_force() {
             self.models.leader_state = LeaderState::default();
         }
-        self.sort_models();
+        self.bind_models();
     }
 
     /// Which jobs are models, after all of them or the document may have changed.
-    fn sort_models(&mut self) {
+    fn bind_models(&mut self) {
         let Some(shard) = &self.shard else { return };
         let all: Vec<JobIndex> = (0..shard.jobs.len())
             .filter(|ix| shard.jobs[*ix].is_some())
             .collect();
         for ix in all {
-            self.model_received(ix);
+            self.bind_model(ix);
         }
         let Some(shard) = &self.shard else { return };
         let leader_state = &mut self.models.leader_state;
@@ -198,7 +198,7 @@
     }
 
     /// A job has come to the leader's memory, or may have become a model.
-    pub(crate) fn model_received(&mut self, ix: JobIndex) {
+    pub(crate) fn bind_model(&mut self, ix: JobIndex) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
         let rule = job.spec.as_ref().and_then(|spec| self.models.rule(spec));
@@ -220,8 +220,8 @@
         set_replicas(shard, ix, replicas);
         if let Some(known) = known {
             self.models.is_due(&id);
-            self.near_weights(ix, &known.rec);
-            self.keep_weights(&id, &rule, &known.rec);
+            self.restore_weights(ix, &known.rec);
+            self.retain_machines(&id, &rule, &known.rec);
         }
     }
 
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -27,7 +27,7 @@
 impl Node {
     /// One transaction of the leader's about a model: under the guard of its own record, of the model's record as it was
     /// known, and of the job, which must not have ended.
-    pub(super) fn write_model(
+    pub(super) fn write_record(
         &mut self,
         model: &str,
         rec: Option<Rec>,
@@ -66,10 +66,10 @@
             .leader_state
             .writes
             .insert(model.to_owned(), write);
-        self.send_model(model);
+        self.send_record_write(model);
     }
 
-    pub(super) fn send_model(&mut self, model: &str) {
+    pub(super) fn send_record_write(&mut self, model: &str) {
         let now = self.now.mono;
         if self.requests.level(now) < 1.0 || self.writes.level(now) < 1.0 {
             return;
@@ -135,7 +135,7 @@
         self.models.leader_state.writes.remove(model);
         match rec {
             Some(rec) => self.record_written(model, rec, revision),
-            None => self.record_gone(model),
+            None => self.record_removed(model),
         }
         true
     }
@@ -143,7 +143,7 @@
     fn record_written(&mut self, model: &str, rec: Rec, stamp: u64) {
         let (phase, generation) = (rec.phase, rec.generation);
         log::info!("model {model}: {phase:?}, generation {generation}");
-        self.model_stands(model, Known { rec, stamp });
+        self.record_observed(model, Known { rec, stamp });
     }
 
     /// What stands where the outcome of a transaction was not known; false if the answer can't be read.
@@ -152,7 +152,7 @@
             Some(200) => {}
             Some(404) => {
                 self.models.leader_state.writes.remove(model);
-                self.record_gone(model);
+                self.record_removed(model);
                 return true;
             }
             _ => return true,
@@ -164,18 +164,18 @@
             rec: item.value,
             stamp: item.version,
         };
-        self.model_stands(model, known);
+        self.record_observed(model, known);
         true
     }
 
-    fn record_gone(&mut self, model: &str) {
+    fn record_removed(&mut self, model: &str) {
         self.models.leader_state.records.remove(model);
         self.models.leader_state.retained_machines.remove(model);
         self.models.wakes.forget(model);
     }
 
     /// Records of jobs that are over go, one at a time.
-    pub(super) fn take_over_records(&mut self) {
+    pub(super) fn remove_ended_record(&mut self) {
         let Some(shard) = &self.shard else { return };
         let leader_state = &mut self.models.leader_state;
         let Some(model) = leader_state.ended.pop_first() else {
@@ -199,6 +199,6 @@
             return;
         }
         // Only of a job that is over: one that was accepted a moment ago may be unknown here.
-        self.write_model(&model, None, stamp, Some(0));
+        self.write_record(&model, None, stamp, Some(0));
     }
 }
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -74,14 +74,14 @@
         }
         let leader_state = &mut self.models.leader_state;
         (leader_state.read, leader_state.cursor) = (ReadState::All, PageCursor::default());
-        self.sort_models();
+        self.bind_models();
         if self.shard.as_ref().is_some_and(|p| !p.loaded) {
             self.load_ended();
         }
     }
 
     /// The leader has read or written a record: what may run follows it.
-    pub(crate) fn model_stands(&mut self, model: &str, known: Known) {
+    pub(crate) fn record_observed(&mut self, model: &str, known: Known) {
         let leader_state = &mut self.models.leader_state;
         // A read that comes late changes nothing.
         if leader_state
@@ -112,7 +112,7 @@
         self.get_state(path, WATCH_TIMEOUT_MS, Pending::ModelWatch { term });
     }
 
-    pub(crate) fn models_watched(&mut self, response: Option<Response>) {
+    pub(crate) fn model_changes_received(&mut self, response: Option<Response>) {
         let retry = self.now.mono + self.rng.u64(100..400);
         let leader_state = &mut self.models.leader_state;
         leader_state.watching = false;
@@ -148,7 +148,7 @@
         };
         let stamp = change.version;
         match change.value {
-            Some(rec) => self.model_stands(&model, Known { rec, stamp }),
+            Some(rec) => self.record_observed(&model, Known { rec, stamp }),
             None => self
                 .models
                 .leader_state
--- a/crates/control/src/models/standing.rs
+++ b/crates/control/src/models/standing.rs
@@ -7,7 +7,7 @@
 
 impl Node {
     /// How a model stands for whoever asks.
-    pub(crate) fn model_told(&self, spec: &JobSpec, rec: &Rec, asked: &Asked) -> Told {
+    pub(crate) fn model_status(&self, spec: &JobSpec, rec: &Rec, asked: &Asked) -> Told {
         let (why, until) = match asked {
             Asked::NotNow { why, until_ms } => (Some(why.clone()), Some(*until_ms)),
             _ => (None, None),
@@ -40,7 +40,7 @@
     }
 
     /// All models, as their leader sees them.
-    pub(crate) fn models_standing(&self) -> Vec<Standing> {
+    pub(crate) fn list_models(&self) -> Vec<Standing> {
         let Some(shard) = &self.shard else {
             return Vec::new();
         };
@@ -56,7 +56,7 @@
             let asked = asked(&known.rec, &rule, job.tasks, "", self.now.wall);
             let seen = self.seen(job);
             models.push(Standing {
-                told: self.model_told(spec, &known.rec, &asked),
+                told: self.model_status(spec, &known.rec, &asked),
                 rule: rule.name,
                 class: spec.class.clone(),
                 team: spec.team.clone(),
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -179,7 +179,7 @@
                 rec: rec.clone(),
                 stamp: revision,
             };
-            self.model_stands(model, known);
+            self.record_observed(model, known);
         }
         self.flight_lands(model, &rec, &Asked::Follow);
     }
@@ -245,7 +245,7 @@
         let Some((spec, rule, _)) = &flight.job else {
             return;
         };
-        let told = self.model_told(spec, rec, asked);
+        let told = self.model_status(spec, rec, asked);
         if rec.is_up() {
             self.model_is_up(model, rule.say_again_ms(), &flight, &told);
         }
--- a/crates/control/src/models/weights.rs
+++ b/crates/control/src/models/weights.rs
@@ -7,11 +7,11 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// Machines that are kept for their weights at once.
-const MOST_KEPT: usize = 256;
+const MAX_RETAINED_MACHINES: usize = 256;
 
 impl Node {
     /// What the record says of machines with the weights, for a leader that has not seen that itself.
-    pub(super) fn near_weights(&mut self, ix: JobIndex, rec: &Rec) {
+    pub(super) fn restore_weights(&mut self, ix: JobIndex, rec: &Rec) {
         let caches: HashMap<String, f64> = self
             .catalog()
             .map(|c| {
@@ -44,10 +44,10 @@
     }
 
     /// Where the document says so, a machine with the weights of a model that sleeps is kept for a while.
-    pub(super) fn keep_weights(&mut self, model: &str, rule: &Rule, rec: &Rec) {
+    pub(super) fn retain_machines(&mut self, model: &str, rule: &Rule, rec: &Rec) {
         let until = rec.since_ms.saturating_add((rule.keep_s * 1000.0) as u64);
         let asleep = rec.phase == Phase::Asleep && !rec.near.is_empty() && until > self.now.wall;
-        if asleep && self.models.leader_state.retained_machines.len() < MOST_KEPT {
+        if asleep && self.models.leader_state.retained_machines.len() < MAX_RETAINED_MACHINES {
             self.models
                 .leader_state
                 .retained_machines
@@ -56,7 +56,7 @@
     }
 
     /// Machines that are kept for the weights that they hold: one a model.
-    pub(crate) fn kept_for_models(&self) -> Vec<usize> {
+    pub(crate) fn machines_retained_for_models(&self) -> Vec<usize> {
         let Some(shard) = &self.shard else {
             return Vec::new();
         };
@@ -75,7 +75,7 @@
 }
 
 /// Machines on which replicas of a model are, and so its weights.
-pub(super) fn machines_near(shard: &Shard, job: &Job) -> Vec<String> {
+pub(super) fn machines_with_weights(shard: &Shard, job: &Job) -> Vec<String> {
     let on: BTreeSet<usize> = job.claimed.values().flatten().map(|(m, _)| *m).collect();
     on.into_iter()
         .filter_map(|m| shard.machine(m))
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -368,7 +368,7 @@
             } if e == term => self.audit_received(record_set, response),
             Pending::Sheets { term: e } if e == term => self.sheets_received(response),
             Pending::Models { term: e } if e == term => self.models_received(response),
-            Pending::ModelWatch { term: e } if e == term => self.models_watched(response),
+            Pending::ModelWatch { term: e } if e == term => self.model_changes_received(response),
             Pending::ModelWrite { term: e, model } if e == term => {
                 self.model_written(model, response)
             }
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -440,7 +440,7 @@
                 .iter()
                 .map(|m| map.machines[*m as usize])
                 .collect();
-            kept.extend(self.kept_for_models());
+            kept.extend(self.machines_retained_for_models());
             self.return_idle(&kept);
         }
     }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -417,6 +417,6 @@
         shard.urgent.arrived(&rec.spec);
         let ix = shard.add_job(Job::new(rec, version));
         shard.plan_due = true;
-        self.model_received(ix);
+        self.bind_model(ix);
     }
 }
