--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -1,12 +1,12 @@
 //! Demand for models, at any controller and whether or not there is a leader.
 //!
-//! Of all who ask for one model at one node, one flight goes out: it reads the job and the model's record, and where
+//! Of all who ask for one model at one node, one wake-up is sent out: it reads the job and the model's record, and where
 //! the model is asleep it begins the next generation by one transaction, guarded by both. Whoever loses reads again and
 //! follows what stands there. A node that hears of demand for a model that is up tells the leader now and then; where
 //! it can't, it says so in the record, and a sleep that was decided without it fails on its guard.
 
 use crate::jobs::admission::peer_answer;
-use crate::models::wake_up::Flight;
+use crate::models::wake_up::WakeUp;
 use crate::{Destination, Node, Pending, frontend};
 use std::collections::HashMap;
 use wire::admin;
@@ -23,9 +23,9 @@
 const DEMAND_KEPT_MS: u64 = 8 * 86_400_000;
 /// What was read of a model that is up is told again for so long.
 const FRESH_MS: u64 = 500;
-/// Flights at once, and who may wait for all of them; who comes beyond is told to come again.
-const MOST_FLIGHTS: usize = 256;
-const MOST_WAITING: usize = 4096;
+/// Wake-ups at once, and who may wait for all of them; who comes beyond is told to come again.
+const MAX_WAKE_UPS: usize = 256;
+const MAX_WAITERS: usize = 4096;
 /// Models that a node remembers demand for.
 pub(super) const MOST_HEARD: usize = 16_384;
 
@@ -44,7 +44,7 @@
     said: HashMap<String, u64>,
     /// How models stood that were up a moment ago.
     pub(super) told: HashMap<String, Fresh>,
-    pub(super) flights: HashMap<String, Flight>,
+    pub(super) wake_ups: HashMap<String, WakeUp>,
     pub(super) waiting: usize,
     swept_at: u64,
 }
@@ -109,11 +109,11 @@
             return self.deny_demand(waiter, 404, "no such model");
         }
         let wakes = &mut self.models.wakes;
-        if let Some(flight) = wakes.flights.get_mut(model) {
-            if wakes.waiting >= MOST_WAITING {
+        if let Some(wake_up) = wakes.wake_ups.get_mut(model) {
+            if wakes.waiting >= MAX_WAITERS {
                 return self.deny_demand(waiter, 503, "too many ask at once");
             }
-            flight.waiters.push(waiter);
+            wake_up.waiters.push(waiter);
             wakes.waiting += 1;
             return;
         }
@@ -123,7 +123,7 @@
             self.notify_leader(model, again);
             return self.tell_demand(waiter, &told);
         }
-        if wakes.flights.len() >= MOST_FLIGHTS {
+        if wakes.wake_ups.len() >= MAX_WAKE_UPS {
             return self.deny_demand(waiter, 503, "too many models are asked for at once");
         }
         // A node that the state service does not serve hands it on, once.
@@ -134,9 +134,9 @@
         if self.requests.level(now) < 1.0 {
             return self.deny_demand(waiter, 503, "busy");
         }
-        let flight = Flight::for_waiter(waiter);
+        let wake_up = WakeUp::for_waiter(waiter);
         self.models.wakes.waiting += 1;
-        self.take_off(model, flight);
+        self.start_wake_up(model, wake_up);
     }
 
     /// Demand for a model that is up: its leader is told, unless it was not long ago.
@@ -185,12 +185,12 @@
 
     /// The leader could not be told, so the record is.
     fn touch_record(&mut self, model: &str) {
-        if let Some(flight) = self.models.wakes.flights.get_mut(model) {
-            flight.touch = true;
-        } else if self.models.wakes.flights.len() < MOST_FLIGHTS
+        if let Some(wake_up) = self.models.wakes.wake_ups.get_mut(model) {
+            wake_up.touch = true;
+        } else if self.models.wakes.wake_ups.len() < MAX_WAKE_UPS
             && self.requests.level(self.now.mono) >= 1.0
         {
-            self.take_off(model, Flight::for_leader());
+            self.start_wake_up(model, WakeUp::for_leader());
         } else {
             // Said again with the next demand.
             self.models.wakes.said.remove(model);
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -12,8 +12,8 @@
 use wire::records::{self, JobRecord, Record};
 
 const TIMEOUT_MS: u64 = 900;
-/// Times that a flight begins anew after it was overtaken.
-const MOST_TRIES: u32 = 5;
+/// Times that a wake-up begins anew after it was overtaken.
+const MAX_TRIES: u32 = 5;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Step {
@@ -23,7 +23,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Flight {
+pub(super) struct WakeUp {
     pub(super) waiters: Vec<Waiter>,
     /// The leader could not be told: the record is to say that the model is wanted.
     pub(super) touch: bool,
@@ -33,19 +33,19 @@
     rec: Option<Rec>,
 }
 
-impl Flight {
-    pub fn for_waiter(waiter: Waiter) -> Flight {
-        Flight {
+impl WakeUp {
+    pub fn for_waiter(waiter: Waiter) -> WakeUp {
+        WakeUp {
             waiters: vec![waiter],
-            ..Flight::default()
+            ..WakeUp::default()
         }
     }
 
     /// Nobody waits for it: it writes down a demand that the leader could not be told of.
-    pub fn for_leader() -> Flight {
-        Flight {
+    pub fn for_leader() -> WakeUp {
+        WakeUp {
             touch: true,
-            ..Flight::default()
+            ..WakeUp::default()
         }
     }
 }
@@ -67,8 +67,8 @@
 }
 
 impl Node {
-    pub(super) fn take_off(&mut self, model: &str, flight: Flight) {
-        self.models.wakes.flights.insert(model.to_owned(), flight);
+    pub(super) fn start_wake_up(&mut self, model: &str, wake_up: WakeUp) {
+        self.models.wakes.wake_ups.insert(model.to_owned(), wake_up);
         // The leader has read all, and knows of each change that it has not made itself soon enough.
         let here = self
             .may_decide()
@@ -87,69 +87,74 @@
             }
             return;
         }
-        self.flight_reads(model, Step::Job);
+        self.read_for_wake_up(model, Step::Job);
     }
 
-    fn flight_reads(&mut self, model: &str, step: Step) {
+    fn read_for_wake_up(&mut self, model: &str, step: Step) {
         let key = if step == Step::Job {
             records::live_key(model)
         } else {
             records::model_key(model)
         };
-        let what = Pending::Wake {
+        let what = Pending::WakeUp {
             model: model.to_owned(),
             step,
         };
         self.get_state(format!("/keys/{key}"), TIMEOUT_MS, what);
     }
 
-    /// The rule that the flight's job belongs to; without one the flight ends.
+    /// The rule that the wake-up's job belongs to; without one the wake-up ends.
     fn rule_found(&mut self, model: &str, spec: Box<JobSpec>, version: u64) -> bool {
         let rule = self.models.rule(&spec);
-        if let Some((flight, rule)) = self.models.wakes.flights.get_mut(model).zip(rule) {
-            flight.job = Some((spec, rule, version));
+        if let Some((wake_up, rule)) = self.models.wakes.wake_ups.get_mut(model).zip(rule) {
+            wake_up.job = Some((spec, rule, version));
             return true;
         }
-        self.flight_fails(model, 404, "no rule makes it a model");
+        self.fail_wake_up(model, 404, "no rule makes it a model");
         false
     }
 
-    pub(crate) fn wake_received(&mut self, model: String, step: Step, response: Option<Response>) {
-        if !self.models.wakes.flights.contains_key(&model) {
+    pub(crate) fn wake_up_received(
+        &mut self,
+        model: String,
+        step: Step,
+        response: Option<Response>,
+    ) {
+        if !self.models.wakes.wake_ups.contains_key(&model) {
             return;
         }
         match step {
-            Step::Job => self.job_of_flight_read(&model, response),
-            Step::Record => self.record_of_flight_read(&model, response),
-            Step::Write => self.flight_written(&model, response),
+            Step::Job => self.wake_up_job_read(&model, response),
+            Step::Record => self.wake_up_record_read(&model, response),
+            Step::Write => self.wake_up_written(&model, response),
         }
     }
 
-    fn job_of_flight_read(&mut self, model: &str, response: Option<Response>) {
+    fn wake_up_job_read(&mut self, model: &str, response: Option<Response>) {
         match response.as_ref().map(|r| r.status) {
             Some(200) => {}
             Some(404) => {
                 self.models.wakes.forget(model);
-                return self.flight_fails(model, 404, "no such job, or it has ended");
+                return self.fail_wake_up(model, 404, "no such job, or it has ended");
             }
-            _ => return self.flight_fails(model, 503, UNAVAILABLE),
+            _ => return self.fail_wake_up(model, 503, UNAVAILABLE),
         }
         let Some(item) = self.read_state::<Item<JobRecord>>(response) else {
-            return self.flight_fails(model, 503, "unreadable record");
+            return self.fail_wake_up(model, 503, "unreadable record");
         };
         if self.rule_found(model, Box::new(item.value.spec), item.version) {
-            self.flight_reads(model, Step::Record);
+            self.read_for_wake_up(model, Step::Record);
         }
     }
 
-    fn record_of_flight_read(&mut self, model: &str, response: Option<Response>) {
+    fn wake_up_record_read(&mut self, model: &str, response: Option<Response>) {
         match response.as_ref().map(|r| r.status) {
             Some(200) => {}
             Some(404) => return self.record_found(model, Known::default()),
-            _ => return self.flight_fails(model, 503, UNAVAILABLE),
+            _ => return self.fail_wake_up(model, 503, UNAVAILABLE),
         }
         let Some(item) = self.read_state::<Item<Rec>>(response) else {
-            return self.flight_fails(model, 503, "unreadable record");
+            return self.fail_wake_up(model, 503, "unreadable record");
         };
         let known = Known {
             rec: item.value,
@@ -158,18 +163,18 @@
         self.record_found(model, known);
     }
 
-    fn flight_written(&mut self, model: &str, response: Option<Response>) {
+    fn wake_up_written(&mut self, model: &str, response: Option<Response>) {
         match response.as_ref().map(|r| r.status) {
             Some(200) => {}
             // Somebody else was first, or the job has ended; or nobody can say whether this one went through.
-            Some(409) | None => return self.flight_again(model),
-            _ => return self.flight_fails(model, 503, UNAVAILABLE),
+            Some(409) | None => return self.retry_wake_up(model),
+            _ => return self.fail_wake_up(model, 503, UNAVAILABLE),
         }
         let revision = response.and_then(|r| wire::decode::<Revision>(&r.body).ok());
-        let flight = self.models.wakes.flights.get_mut(model);
-        let rec = flight.and_then(|flight| flight.rec.take());
+        let wake_up = self.models.wakes.wake_ups.get_mut(model);
+        let rec = wake_up.and_then(|wake_up| wake_up.rec.take());
         let (Some(Revision { revision }), Some(rec)) = (revision, rec) else {
-            return self.flight_again(model);
+            return self.retry_wake_up(model);
         };
         if rec.phase == model::Phase::Waking {
             log::info!("model {model}: generation {} begins", rec.generation);
@@ -181,81 +186,81 @@
             };
             self.record_observed(model, known);
         }
-        self.flight_lands(model, &rec, &Asked::Follow);
+        self.complete_wake_up(model, &rec, &Asked::Follow);
     }
 
     /// Reads again what stands there: a transaction that may have gone through shows there, and one that comes late
     /// finds another stamp.
-    fn flight_again(&mut self, model: &str) {
-        let Some(flight) = self.models.wakes.flights.get_mut(model) else {
+    fn retry_wake_up(&mut self, model: &str) {
+        let Some(wake_up) = self.models.wakes.wake_ups.get_mut(model) else {
             return;
         };
-        flight.tries += 1;
-        if flight.tries >= MOST_TRIES {
-            return self.flight_fails(model, 503, UNAVAILABLE);
+        wake_up.tries += 1;
+        if wake_up.tries >= MAX_TRIES {
+            return self.fail_wake_up(model, 503, UNAVAILABLE);
         }
-        self.flight_reads(model, Step::Job);
+        self.read_for_wake_up(model, Step::Job);
     }
 
     fn record_found(&mut self, model: &str, known: Known) {
         let (now, wall) = (self.now.mono, self.now.wall);
         let node = self.settings.node.clone();
-        let Some(flight) = self.models.wakes.flights.get_mut(model) else {
+        let Some(wake_up) = self.models.wakes.wake_ups.get_mut(model) else {
             return;
         };
-        let Some((spec, rule, version)) = &flight.job else {
+        let Some((spec, rule, version)) = &wake_up.job else {
             return;
         };
         let asked = asked(&known.rec, rule, spec.tasks, &node, wall);
-        let (version, touch) = (*version, flight.touch);
+        let (version, touch) = (*version, wake_up.touch);
         let rec = match &asked {
             Asked::Wake(rec) => Some((**rec).clone()),
             Asked::Follow if touch => known.rec.touched(wall),
             _ => None,
         };
         let Some(rec) = rec else {
-            return self.flight_lands(model, &known.rec, &asked);
+            return self.complete_wake_up(model, &known.rec, &asked);
         };
         if self.requests.level(now) < 1.0 || self.writes.level(now) < 1.0 {
-            return self.flight_fails(model, 503, "busy");
+            return self.fail_wake_up(model, 503, "busy");
         }
         self.writes.take(now, 1.0);
         let body = record_transaction(model, &rec, known.stamp, version);
-        if let Some(flight) = self.models.wakes.flights.get_mut(model) {
-            flight.rec = Some(rec);
+        if let Some(wake_up) = self.models.wakes.wake_ups.get_mut(model) {
+            wake_up.rec = Some(rec);
         }
-        let what = Pending::Wake {
+        let what = Pending::WakeUp {
             model: model.to_owned(),
             step: Step::Write,
         };
         self.post_transaction(body, TIMEOUT_MS, what);
     }
 
-    fn flight_over(&mut self, model: &str) -> Option<Flight> {
-        let flight = self.models.wakes.flights.remove(model)?;
-        self.models.wakes.waiting -= flight.waiters.len();
-        Some(flight)
+    fn remove_wake_up(&mut self, model: &str) -> Option<WakeUp> {
+        let wake_up = self.models.wakes.wake_ups.remove(model)?;
+        self.models.wakes.waiting -= wake_up.waiters.len();
+        Some(wake_up)
     }
 
     /// The model stands so: everybody who waits is told.
-    fn flight_lands(&mut self, model: &str, rec: &Rec, asked: &Asked) {
-        let Some(flight) = self.flight_over(model) else {
+    fn complete_wake_up(&mut self, model: &str, rec: &Rec, asked: &Asked) {
+        let Some(wake_up) = self.remove_wake_up(model) else {
             return;
         };
-        let Some((spec, rule, _)) = &flight.job else {
+        let Some((spec, rule, _)) = &wake_up.job else {
             return;
         };
         let told = self.model_status(spec, rec, asked);
         if rec.is_up() {
-            self.model_is_up(model, rule.say_again_ms(), &flight, &told);
+            self.model_is_up(model, rule.say_again_ms(), &wake_up, &told);
         }
-        for waiter in flight.waiters {
+        for waiter in wake_up.waiters {
             self.tell_demand(waiter, &told);
         }
     }
 
     /// Remembers how a model stands that is up, for those who ask next, and tells the leader of the demand.
-    fn model_is_up(&mut self, model: &str, say_again_ms: u64, flight: &Flight, told: &Told) {
+    fn model_is_up(&mut self, model: &str, say_again_ms: u64, wake_up: &WakeUp, told: &Told) {
         let now = self.now.mono;
         let wakes = &mut self.models.wakes;
         if wakes.told.len() >= MOST_HEARD {
@@ -267,19 +272,19 @@
             say_again_ms,
         };
         wakes.told.insert(model.to_owned(), fresh);
-        if !flight.waiters.is_empty() {
+        if !wake_up.waiters.is_empty() {
             wakes.hears(model, now);
         }
-        if !flight.touch {
+        if !wake_up.touch {
             self.notify_leader(model, say_again_ms);
         }
     }
 
-    fn flight_fails(&mut self, model: &str, status: u16, why: &str) {
-        let Some(flight) = self.flight_over(model) else {
+    fn fail_wake_up(&mut self, model: &str, status: u16, why: &str) {
+        let Some(wake_up) = self.remove_wake_up(model) else {
             return;
         };
-        for waiter in flight.waiters {
+        for waiter in wake_up.waiters {
             self.deny_demand(waiter, status, why);
         }
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -356,7 +356,7 @@
             } => self.forward_answered(forwarded, peer, sent, mark, response),
             Pending::Admin { conn } => self.admin_answered(conn, response),
             Pending::Frontend { tag } => self.frontend_answered(tag, response),
-            Pending::Wake { model, step } => self.wake_received(model, step, response),
+            Pending::WakeUp { model, step } => self.wake_up_received(model, step, response),
             Pending::WakeForward { waiter } => self.demand_forwarded(waiter, response),
             Pending::LeaderNotified { model } => self.leader_notified(&model, response),
             Pending::Catalog => self.catalog_received(response),
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -102,7 +102,7 @@
         term: u64,
         model: String,
     },
-    Wake {
+    WakeUp {
         model: String,
         step: wake_up::Step,
     },
@@ -164,7 +164,7 @@
                 | Frontend { .. }
                 | Models { .. }
                 | ModelWrite { .. }
-                | Wake { .. }
+                | WakeUp { .. }
         )
     }
 }
