--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -22,12 +22,12 @@
 const SWEEP_MS: u64 = 10_000;
 const DEMAND_KEPT_MS: u64 = 8 * 86_400_000;
 /// What was read of a model that is up is told again for so long.
-const FRESH_MS: u64 = 500;
+const CACHED_MS: u64 = 500;
 /// Wake-ups at once, and who may wait for all of them; who comes beyond is told to come again.
 const MAX_WAKE_UPS: usize = 256;
 const MAX_WAITERS: usize = 4096;
 /// Models that a node remembers demand for.
-pub(super) const MOST_HEARD: usize = 16_384;
+pub(super) const MAX_MODELS: usize = 16_384;
 
 /// Who waits to hear how a model stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,42 +38,42 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Wakes {
+pub(crate) struct DemandState {
     /// When each model was last wanted, as this node has heard, and when it last told the leader.
-    heard: HashMap<String, u64>,
-    said: HashMap<String, u64>,
+    demanded_at: HashMap<String, u64>,
+    notified_at: HashMap<String, u64>,
     /// How models stood that were up a moment ago.
-    pub(super) told: HashMap<String, Fresh>,
+    pub(super) cached: HashMap<String, CachedStatus>,
     pub(super) wake_ups: HashMap<String, WakeUp>,
     pub(super) waiting: usize,
     swept_at: u64,
 }
 
-pub(super) struct Fresh {
+pub(super) struct CachedStatus {
     pub(super) at: u64,
     pub(super) told: Told,
     pub(super) say_again_ms: u64,
 }
 
-impl Wakes {
+impl DemandState {
     /// When a model was last wanted; 0 for never.
-    pub fn heard(&self, model: &str) -> u64 {
-        self.heard.get(model).copied().unwrap_or(0)
+    pub fn last_demand(&self, model: &str) -> u64 {
+        self.demanded_at.get(model).copied().unwrap_or(0)
     }
 
     pub fn forget(&mut self, model: &str) {
-        self.heard.remove(model);
-        self.said.remove(model);
-        self.told.remove(model);
+        self.demanded_at.remove(model);
+        self.notified_at.remove(model);
+        self.cached.remove(model);
     }
 
-    pub fn forget_told(&mut self) {
-        self.told.clear();
+    pub fn forget_cached(&mut self) {
+        self.cached.clear();
     }
 
-    pub(super) fn hears(&mut self, model: &str, now: u64) {
-        if self.heard.len() < MOST_HEARD || self.heard.contains_key(model) {
-            self.heard.insert(model.to_owned(), now);
+    pub(super) fn note_demand(&mut self, model: &str, now: u64) {
+        if self.demanded_at.len() < MAX_MODELS || self.demanded_at.contains_key(model) {
+            self.demanded_at.insert(model.to_owned(), now);
         }
     }
 }
@@ -108,22 +108,22 @@
         if !self.models.in_force() || !wire::ids::valid_job_id(model) {
             return self.deny_demand(waiter, 404, "no such model");
         }
-        let wakes = &mut self.models.wakes;
-        if let Some(wake_up) = wakes.wake_ups.get_mut(model) {
-            if wakes.waiting >= MAX_WAITERS {
+        let demand = &mut self.models.demand;
+        if let Some(wake_up) = demand.wake_ups.get_mut(model) {
+            if demand.waiting >= MAX_WAITERS {
                 return self.deny_demand(waiter, 503, "too many ask at once");
             }
             wake_up.waiters.push(waiter);
-            wakes.waiting += 1;
+            demand.waiting += 1;
             return;
         }
-        if let Some(fresh) = wakes.told.get(model).filter(|f| now < f.at + FRESH_MS) {
-            let (told, again) = (fresh.told.clone(), fresh.say_again_ms);
-            wakes.hears(model, now);
+        if let Some(cached) = demand.cached.get(model).filter(|f| now < f.at + CACHED_MS) {
+            let (told, again) = (cached.told.clone(), cached.say_again_ms);
+            demand.note_demand(model, now);
             self.notify_leader(model, again);
             return self.tell_demand(waiter, &told);
         }
-        if wakes.wake_ups.len() >= MAX_WAKE_UPS {
+        if demand.wake_ups.len() >= MAX_WAKE_UPS {
             return self.deny_demand(waiter, 503, "too many models are asked for at once");
         }
         // A node that the state service does not serve hands it on, once.
@@ -135,7 +135,7 @@
             return self.deny_demand(waiter, 503, "busy");
         }
         let wake_up = WakeUp::for_waiter(waiter);
-        self.models.wakes.waiting += 1;
+        self.models.demand.waiting += 1;
         self.start_wake_up(model, wake_up);
     }
 
@@ -145,18 +145,18 @@
         if self.leads()
             || self
                 .models
-                .wakes
-                .said
+                .demand
+                .notified_at
                 .get(model)
                 .is_some_and(|at| now < at + again_ms)
         {
             return;
         }
-        let said = &mut self.models.wakes.said;
-        if said.len() >= MOST_HEARD {
-            said.clear();
+        let notified_at = &mut self.models.demand.notified_at;
+        if notified_at.len() >= MAX_MODELS {
+            notified_at.clear();
         }
-        said.insert(model.to_owned(), now);
+        notified_at.insert(model.to_owned(), now);
         let Some(leader) = self.leader_peer() else {
             return self.touch_record(model);
         };
@@ -185,15 +185,15 @@
 
     /// The leader could not be told, so the record is.
     fn touch_record(&mut self, model: &str) {
-        if let Some(wake_up) = self.models.wakes.wake_ups.get_mut(model) {
+        if let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) {
             wake_up.touch = true;
-        } else if self.models.wakes.wake_ups.len() < MAX_WAKE_UPS
+        } else if self.models.demand.wake_ups.len() < MAX_WAKE_UPS
             && self.requests.level(self.now.mono) >= 1.0
         {
             self.start_wake_up(model, WakeUp::for_leader());
         } else {
             // Said again with the next demand.
-            self.models.wakes.said.remove(model);
+            self.models.demand.notified_at.remove(model);
         }
     }
 
@@ -260,15 +260,19 @@
     }
 
     /// Forgets, now and then, what is too old to matter.
-    pub(crate) fn wakes_tick(&mut self) {
+    pub(crate) fn demand_tick(&mut self) {
         let now = self.now.mono;
-        let wakes = &mut self.models.wakes;
-        if now < wakes.swept_at + SWEEP_MS {
+        let demand = &mut self.models.demand;
+        if now < demand.swept_at + SWEEP_MS {
             return;
         }
-        wakes.swept_at = now;
-        wakes.told.retain(|_, f| now < f.at + FRESH_MS);
-        wakes.heard.retain(|_, at| now < *at + DEMAND_KEPT_MS);
-        wakes.said.retain(|_, at| now < *at + DEMAND_KEPT_MS);
+        demand.swept_at = now;
+        demand.cached.retain(|_, f| now < f.at + CACHED_MS);
+        demand
+            .demanded_at
+            .retain(|_, at| now < *at + DEMAND_KEPT_MS);
+        demand
+            .notified_at
+            .retain(|_, at| now < *at + DEMAND_KEPT_MS);
     }
 }
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -34,7 +34,7 @@
 
 impl Node {
     pub(crate) fn models_tick(&mut self) {
-        self.wakes_tick();
+        self.demand_tick();
         if !self.models.in_force() || !self.may_decide() || self.models_to_read() {
             return;
         }
@@ -67,7 +67,7 @@
     pub(super) fn seen(&self, job: &Job) -> Seen {
         let now = self.now.mono;
         let since = self.shard.as_ref().map_or(0, |p| p.since);
-        let heard = self.models.wakes.heard(&job.id).max(since);
+        let heard = self.models.demand.last_demand(&job.id).max(since);
         let near = self
             .shard
             .as_ref()
@@ -146,7 +146,7 @@
 
     /// Whether somebody has asked for it here after it was put to sleep: what had been decided before that came late.
     fn demanded_since(&self, model: &str, since_ms: u64) -> bool {
-        let heard = self.models.wakes.heard(model);
+        let heard = self.models.demand.last_demand(model);
         heard > 0
             && self
                 .now
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -18,7 +18,7 @@
 use crate::Node;
 use crate::documents::{self, Document, Documents, KindId};
 use crate::jobs::job::{Ending, JobIndex};
-use crate::models::demand::Wakes;
+use crate::models::demand::DemandState;
 use crate::models::record_writes::RecordWrite;
 use crate::state_requests::PageCursor;
 use crate::store::shard::Shard;
@@ -86,7 +86,7 @@
     /// The document that is in force.
     spec: Option<Arc<Spec>>,
     /// Demand as this node hears of it.
-    pub wakes: Wakes,
+    pub demand: DemandState,
     leader_state: LeaderState,
 }
 
@@ -172,7 +172,7 @@
             return;
         }
         self.models.spec = spec;
-        self.models.wakes.forget_told();
+        self.models.demand.forget_cached();
         if !self.models.in_force() {
             self.models.leader_state = LeaderState::default();
         }
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -171,7 +171,7 @@
     fn record_removed(&mut self, model: &str) {
         self.models.leader_state.records.remove(model);
         self.models.leader_state.retained_machines.remove(model);
-        self.models.wakes.forget(model);
+        self.models.demand.forget(model);
     }
 
     /// Records of jobs that are over go, one at a time.
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -2,7 +2,7 @@
 //! begins the next generation where the model is asleep, by one transaction that is guarded by both.
 
 use crate::models::Known;
-use crate::models::demand::{Fresh, MOST_HEARD, UNAVAILABLE, Waiter};
+use crate::models::demand::{CachedStatus, MAX_MODELS, UNAVAILABLE, Waiter};
 use crate::state_requests::encode_transaction;
 use crate::{Node, Pending};
 use model::{Asked, Rec, Rule, asked};
@@ -68,7 +68,10 @@
 
 impl Node {
     pub(super) fn start_wake_up(&mut self, model: &str, wake_up: WakeUp) {
-        self.models.wakes.wake_ups.insert(model.to_owned(), wake_up);
+        self.models
+            .demand
+            .wake_ups
+            .insert(model.to_owned(), wake_up);
         // The leader has read all, and knows of each change that it has not made itself soon enough.
         let here = self
             .may_decide()
@@ -106,7 +109,7 @@
     /// The rule that the wake-up's job belongs to; without one the wake-up ends.
     fn rule_found(&mut self, model: &str, spec: Box<JobSpec>, version: u64) -> bool {
         let rule = self.models.rule(&spec);
-        if let Some((wake_up, rule)) = self.models.wakes.wake_ups.get_mut(model).zip(rule) {
+        if let Some((wake_up, rule)) = self.models.demand.wake_ups.get_mut(model).zip(rule) {
             wake_up.job = Some((spec, rule, version));
             return true;
         }
@@ -120,7 +123,7 @@
         step: Step,
         response: Option<Response>,
     ) {
-        if !self.models.wakes.wake_ups.contains_key(&model) {
+        if !self.models.demand.wake_ups.contains_key(&model) {
             return;
         }
         match step {
@@ -134,7 +137,7 @@
         match response.as_ref().map(|r| r.status) {
             Some(200) => {}
             Some(404) => {
-                self.models.wakes.forget(model);
+                self.models.demand.forget(model);
                 return self.fail_wake_up(model, 404, "no such job, or it has ended");
             }
             _ => return self.fail_wake_up(model, 503, UNAVAILABLE),
@@ -171,7 +174,7 @@
             _ => return self.fail_wake_up(model, 503, UNAVAILABLE),
         }
         let revision = response.and_then(|r| wire::decode::<Revision>(&r.body).ok());
-        let wake_up = self.models.wakes.wake_ups.get_mut(model);
+        let wake_up = self.models.demand.wake_ups.get_mut(model);
         let rec = wake_up.and_then(|wake_up| wake_up.rec.take());
         let (Some(Revision { revision }), Some(rec)) = (revision, rec) else {
             return self.retry_wake_up(model);
@@ -192,7 +195,7 @@
     /// Reads again what stands there: a transaction that may have gone through shows there, and one that comes late
     /// finds another stamp.
     fn retry_wake_up(&mut self, model: &str) {
-        let Some(wake_up) = self.models.wakes.wake_ups.get_mut(model) else {
+        let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) else {
             return;
         };
         wake_up.tries += 1;
@@ -205,7 +208,7 @@
     fn record_found(&mut self, model: &str, known: Known) {
         let (now, wall) = (self.now.mono, self.now.wall);
         let node = self.settings.node.clone();
-        let Some(wake_up) = self.models.wakes.wake_ups.get_mut(model) else {
+        let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) else {
             return;
         };
         let Some((spec, rule, version)) = &wake_up.job else {
@@ -226,7 +229,7 @@
         }
         self.writes.take(now, 1.0);
         let body = record_transaction(model, &rec, known.stamp, version);
-        if let Some(wake_up) = self.models.wakes.wake_ups.get_mut(model) {
+        if let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) {
             wake_up.rec = Some(rec);
         }
         let what = Pending::WakeUp {
@@ -237,8 +240,8 @@
     }
 
     fn remove_wake_up(&mut self, model: &str) -> Option<WakeUp> {
-        let wake_up = self.models.wakes.wake_ups.remove(model)?;
-        self.models.wakes.waiting -= wake_up.waiters.len();
+        let wake_up = self.models.demand.wake_ups.remove(model)?;
+        self.models.demand.waiting -= wake_up.waiters.len();
         Some(wake_up)
     }
 
@@ -262,18 +265,18 @@
     /// Remembers how a model stands that is up, for those who ask next, and tells the leader of the demand.
     fn model_is_up(&mut self, model: &str, say_again_ms: u64, wake_up: &WakeUp, told: &Told) {
         let now = self.now.mono;
-        let wakes = &mut self.models.wakes;
-        if wakes.told.len() >= MOST_HEARD {
-            wakes.told.clear();
+        let demand = &mut self.models.demand;
+        if demand.cached.len() >= MAX_MODELS {
+            demand.cached.clear();
         }
-        let fresh = Fresh {
+        let cached = CachedStatus {
             at: now,
             told: told.clone(),
             say_again_ms,
         };
-        wakes.told.insert(model.to_owned(), fresh);
+        demand.cached.insert(model.to_owned(), cached);
         if !wake_up.waiters.is_empty() {
-            wakes.hears(model, now);
+            demand.note_demand(model, now);
         }
         if !wake_up.touch {
             self.notify_leader(model, say_again_ms);
