--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -51,7 +51,7 @@
 
 pub(super) struct CachedStatus {
     pub(super) at: u64,
-    pub(super) told: Told,
+    pub(super) status: Told,
     pub(super) say_again_ms: u64,
 }
 
@@ -118,10 +118,10 @@
             return;
         }
         if let Some(cached) = demand.cached.get(model).filter(|f| now < f.at + CACHED_MS) {
-            let (told, again) = (cached.told.clone(), cached.say_again_ms);
+            let (status, again) = (cached.status.clone(), cached.say_again_ms);
             demand.note_demand(model, now);
             self.notify_leader(model, again);
-            return self.tell_demand(waiter, &told);
+            return self.answer_demand(waiter, &status);
         }
         if demand.wake_ups.len() >= MAX_WAKE_UPS {
             return self.deny_demand(waiter, 503, "too many models are asked for at once");
@@ -216,7 +216,7 @@
 
     pub(crate) fn demand_forwarded(&mut self, waiter: Waiter, response: Option<Response>) {
         match peer_answer(response) {
-            Some(Answer::Model(told)) => self.tell_demand(waiter, &told),
+            Some(Answer::Model(status)) => self.answer_demand(waiter, &status),
             Some(Answer::Refused { status, why }) => {
                 self.deny_demand(waiter, status, peer::bounded(&why))
             }
@@ -224,17 +224,17 @@
         }
     }
 
-    pub(super) fn tell_demand(&mut self, waiter: Waiter, told: &Told) {
+    pub(super) fn answer_demand(&mut self, waiter: Waiter, status: &Told) {
         match waiter {
-            Waiter::Door(conn) => self.respond(conn, 200, admin::encode(told), None),
+            Waiter::Door(conn) => self.respond(conn, 200, admin::encode(status), None),
             Waiter::Peer(conn) => self.respond(
                 conn,
                 200,
-                peer::encode(&Answer::Model(Box::new(told.clone()))),
+                peer::encode(&Answer::Model(Box::new(status.clone()))),
                 None,
             ),
             Waiter::Frontend(tag) => {
-                self.frontend_over(tag, frontend::Answer::Model(Box::new(told.clone())))
+                self.frontend_over(tag, frontend::Answer::Model(Box::new(status.clone())))
             }
         }
     }
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -253,17 +253,17 @@
         let Some((spec, rule, _)) = &wake_up.job else {
             return;
         };
-        let told = self.model_status(spec, rec, asked);
+        let status = self.model_status(spec, rec, asked);
         if rec.is_up() {
-            self.model_is_up(model, rule.say_again_ms(), &wake_up, &told);
+            self.model_is_up(model, rule.say_again_ms(), &wake_up, &status);
         }
         for waiter in wake_up.waiters {
-            self.tell_demand(waiter, &told);
+            self.answer_demand(waiter, &status);
         }
     }
 
     /// Remembers how a model stands that is up, for those who ask next, and tells the leader of the demand.
-    fn model_is_up(&mut self, model: &str, say_again_ms: u64, wake_up: &WakeUp, told: &Told) {
+    fn model_is_up(&mut self, model: &str, say_again_ms: u64, wake_up: &WakeUp, status: &Told) {
         let now = self.now.mono;
         let demand = &mut self.models.demand;
         if demand.cached.len() >= MAX_MODELS {
@@ -271,7 +271,7 @@
         }
         let cached = CachedStatus {
             at: now,
-            told: told.clone(),
+            status: status.clone(),
             say_again_ms,
         };
         demand.cached.insert(model.to_owned(), cached);
