--- a/crates/control/src/documents/hours/listing.rs
+++ b/crates/control/src/documents/hours/listing.rs
@@ -10,7 +10,7 @@
 use wire::records::HourRecord;
 
 /// Jobs that an answer lists.
-const LINES: usize = 5_000;
+const MAX_LINES: usize = 5_000;
 
 /// Lines of an answer, as far as it has room for them.
 struct Listing<'a> {
@@ -63,7 +63,7 @@
         if self.studio.is_some() && self.studio != studio {
             return;
         }
-        if self.list.lines.len() >= LINES {
+        if self.list.lines.len() >= MAX_LINES {
             self.list.more += 1;
             return;
         }
--- a/crates/control/src/documents/hours/mod.rs
+++ b/crates/control/src/documents/hours/mod.rs
@@ -9,8 +9,8 @@
 mod risk;
 mod watch;
 
-pub(crate) use moving::Move;
-pub(crate) use watch::{DeadlineWatch, Hour, end_rec};
+pub(crate) use moving::HourMove;
+pub(crate) use watch::{DeadlineWatch, Hour, end_record};
 
 use crate::Node;
 use crate::documents::{ActiveVersion, Document, Documents, Kind, KindId};
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -15,16 +15,16 @@
 use wire::records::{self, HourRecord, JobRecord, MovedRecord, Record};
 
 /// Moves that wait for their transactions.
-const MOVES: usize = 20_000;
+const MAX_WAITING_MOVES: usize = 20_000;
 /// Moves that one transaction takes while claims wait too.
-const MOVES_A_TURN: usize = 4;
+const MOVES_PER_TRANSACTION: usize = 4;
 /// Lines of what moves that an answer lists.
-const MOVED_LINES: usize = 200;
+const MAX_MOVED_LINES: usize = 200;
 /// The state service counts a record in another form than ours, which takes somewhat more.
 const RECORD_FORM: f64 = 1.3;
 
 #[derive(Debug)]
-pub(crate) struct Move {
+pub(crate) struct HourMove {
     ix: JobIndex,
     pub(super) job: String,
     due_ms: u64,
@@ -113,17 +113,17 @@
                 ..Moved::default()
             }));
         }
-        if shard.hours.moves.len() >= MOVES {
+        if shard.hours.moves.len() >= MAX_WAITING_MOVES {
             return Err(MoveError::TooMany);
         }
         log::info!("hour of {line} by {by:?} is to be written");
         shard.hours.waiting_operators.insert(conn);
-        shard.hours.moves.push_back(Move {
+        shard.hours.moves.push_back(HourMove {
             ix,
             job: id.to_owned(),
             due_ms,
             version,
-            by: short(by),
+            by: bounded_name(by),
             conn: Some(conn),
         });
         self.to_write = true;
@@ -153,24 +153,24 @@
         let Some(shard) = &mut self.shard else {
             return Ok(None);
         };
-        let mut moves: Vec<Move> = Vec::new();
+        let mut moves: Vec<HourMove> = Vec::new();
         let mut lines = Vec::new();
-        for (ix, job, due_ms) in reagreed_jobs(shard, &active.built, studio) {
-            if lines.len() < MOVED_LINES {
+        for (ix, job, due_ms) in jobs_to_reagree(shard, &active.built, studio) {
+            if lines.len() < MAX_MOVED_LINES {
                 lines.push(moved_line(job, due_ms, &active.built));
             }
-            moves.push(Move {
+            moves.push(HourMove {
                 ix,
                 job: job.id.clone(),
                 due_ms,
                 version: active.version,
-                by: short(by),
+                by: bounded_name(by),
                 conn: None,
             });
         }
         let jobs = moves.len();
         if !dry_run {
-            if shard.hours.moves.len() + jobs > MOVES {
+            if shard.hours.moves.len() + jobs > MAX_WAITING_MOVES {
                 return Err(MoveError::TooMany);
             }
             log::info!("hours of {jobs} jobs of {studio} by {by:?} are to be written");
@@ -201,7 +201,7 @@
 }
 
 /// A studio's jobs whose hours are other than the calendar says now, with what it says.
-fn reagreed_jobs<'a>(
+fn jobs_to_reagree<'a>(
     shard: &'a Shard,
     calendar: &'a Calendar,
     studio: &'a str,
@@ -223,7 +223,7 @@
         .is_some_and(|hour| hour.rec.due_ms == due_ms)
 }
 
-fn short(by: &str) -> String {
+fn bounded_name(by: &str) -> String {
     by.chars()
         .filter(|c| !c.is_control())
         .take(document::SHORT)
@@ -247,7 +247,7 @@
 /// Moves on their way.
 impl TransactionDraft {
     /// Writes the records of jobs whose hours move. Their ends, which come first, are in nobody's way.
-    pub fn moves(
+    pub fn hour_moves(
         &mut self,
         shard: &mut Shard,
         wall: u64,
@@ -257,7 +257,7 @@
         let most = if shard.claim_log.fresh.is_empty() {
             usize::MAX
         } else {
-            MOVES_A_TURN
+            MOVES_PER_TRANSACTION
         };
         for _ in 0..most {
             if !room(self) {
@@ -294,7 +294,7 @@
     }
 }
 
-impl Move {
+impl HourMove {
     fn rec(&self, job: &Job, at_ms: u64) -> HourRecord {
         let from_ms = job.hour.as_ref().map_or(0, |h| h.rec.due_ms);
         let moved = MovedRecord {
@@ -312,7 +312,7 @@
 
 impl Node {
     /// The record of a moved hour is in place at this revision.
-    pub(crate) fn hour_moved(&mut self, hour: Move, wall: u64, revision: u64) {
+    pub(crate) fn hour_moved(&mut self, hour: HourMove, wall: u64, revision: u64) {
         let Some(shard) = &mut self.shard else { return };
         hour.conn.iter().for_each(|c| {
             shard.hours.waiting_operators.remove(c);
@@ -346,7 +346,7 @@
     }
 
     /// A term of leadership is over: whether an hour was moved is for the job's record to say.
-    pub(crate) fn hours_let_go(&mut self, mut shard: Shard) -> Shard {
+    pub(crate) fn abandon_hour_moves(&mut self, mut shard: Shard) -> Shard {
         for conn in shard.hours.unanswered() {
             self.deny_admin(
                 conn,
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -1,7 +1,7 @@
 //! The watch of deadlines: which hours are to come, which are past, and what is said of them.
 
 use crate::Node;
-use crate::documents::hours::Move;
+use crate::documents::hours::HourMove;
 use crate::documents::refused;
 use crate::jobs::job::{Job, JobIndex};
 use crate::store::shard::Shard;
@@ -11,9 +11,9 @@
 use wire::records::{EndHourRecord, HourRecord};
 
 /// Ended jobs that are remembered for lists.
-const ENDED: usize = 10_000;
+const MAX_ENDED: usize = 10_000;
 /// Changes of state that are logged one by one in a turn; of more only the number.
-const LOGGED: usize = 20;
+const MAX_LOGGED: usize = 20;
 
 /// A job's hour in the leader's memory.
 #[derive(Debug, Clone)]
@@ -51,9 +51,9 @@
     pub(super) upcoming: BTreeSet<(u64, JobIndex)>,
     pub(super) passed: BTreeSet<(u64, JobIndex)>,
     pub(super) ended: VecDeque<Ended>,
-    pub(super) moves: VecDeque<Move>,
+    pub(super) moves: VecDeque<HourMove>,
     /// Moves of jobs that have ended meanwhile.
-    pub(super) rejected_moves: Vec<Move>,
+    pub(super) rejected_moves: Vec<HourMove>,
     /// Operators whose moves are not recorded yet.
     pub(super) waiting_operators: BTreeSet<u64>,
 }
@@ -85,7 +85,7 @@
             Some(late) => log::warn!("job {}: released {late:.1} s after its hour", job.id),
             None => log::info!("job {}: its hour is {}", job.id, describe(state)),
         }
-        if self.ended.len() >= ENDED {
+        if self.ended.len() >= MAX_ENDED {
             self.ended.pop_front();
         }
         self.ended.push_back(Ended {
@@ -119,7 +119,7 @@
 }
 
 /// What the end of a job with an hour says of it.
-pub(crate) fn end_rec(job: &mut Job, ended_ms: u64) -> Option<EndHourRecord> {
+pub(crate) fn end_record(job: &mut Job, ended_ms: u64) -> Option<EndHourRecord> {
     let hour = job.hour.as_mut()?;
     hour.ended_ms = ended_ms;
     Some(EndHourRecord {
@@ -166,14 +166,14 @@
 
 impl Shard {
     pub(super) fn set_states(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
-        let more = changes.len().saturating_sub(LOGGED);
+        let more = changes.len().saturating_sub(MAX_LOGGED);
         for (n, (ix, state)) in changes.into_iter().enumerate() {
             let Some(job) = self.jobs.get_mut(ix).and_then(Option::as_mut) else {
                 continue;
             };
             let Some(hour) = &mut job.hour else { continue };
             hour.state = state;
-            if n < LOGGED {
+            if n < MAX_LOGGED {
                 log::info!(
                     "job {}: its hour, {:.0} s from now, is {}",
                     job.id,
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -612,7 +612,7 @@
         self.requests.set_rate(c.rps * 0.4 / (nodes - 1.0).max(1.0));
         self.set_writes(c.write_rps * OTHER_WRITES);
         if let Some(shard) = self.shard.take() {
-            let mut shard = self.hours_let_go(shard);
+            let mut shard = self.abandon_hour_moves(shard);
             for requester in shard.take_waiters() {
                 self.not_now(requester);
             }
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -36,7 +36,7 @@
     RemoveDocumentPart(KindId, String),
     Head(KindId),
     /// A moved hour, with the time of the move.
-    Hour(crate::documents::hours::Move, u64),
+    Hour(crate::documents::hours::HourMove, u64),
 }
 
 /// A log record on its way.
@@ -124,7 +124,7 @@
             return;
         };
         let done = job.done_count;
-        let hour = crate::documents::hours::end_rec(job, wall);
+        let hour = crate::documents::hours::end_record(job, wall);
         job.ending = Ending::Writing(stage);
         let (id, version) = (job.id.clone(), job.version);
         let county = self.counts.add(shard, ix, stage);
@@ -513,7 +513,7 @@
             d.put(key, 0, Record::Rental(rental.rec.clone()));
             d.ops.push(PendingWrite::Rental(name.clone()));
         }
-        d.moves(shard, wall, value, room);
+        d.hour_moves(shard, wall, value, room);
         if d.counts.unacknowledged_start() > 0 {
             d.log(shard, value, max_guards);
         }
