--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -1,6 +1,6 @@
 //! What another front end of the same process may ask: its own records in the state service, and a look at the deployment.
 //!
-//! Such a door submits, asks and cancels as users do, by [`Event::Client`] with connection numbers from [`CONNS`] on.
+//! Such a front end submits, asks and cancels as users do, by [`Event::Client`] with connection numbers from [`CONNS`] on.
 //! Its records stand under [`wire::records::SIDE`] and are written by the leader of the fleet only, under the guard of
 //! its record. They come last: a request is refused at once while the node has little left of what it may ask.
 
@@ -20,36 +20,36 @@
 use crate::Event;
 
 /// What the leader's own users leave of a second's changes: claims and ends go before what is new.
-const KEPT: f64 = 0.1;
-/// Connection numbers of the door beside; users' are below.
+const RESERVED_FOR_CLAIMS: f64 = 0.1;
+/// Connection numbers of the front end beside; users' are below.
 pub const CONNS: u64 = 1 << 63;
 /// So much of a second's requests and changes is left to claims, accepts and reads; users' new work leaves as much of a
 /// second's requests to questions about work that was accepted.
-const LEFT: f64 = 0.25;
-/// The share of this node's changes that such a door has while it asks for any, and how long that lasts.
-const SHARE: f64 = 0.2;
-const ASKS_MS: u64 = 2000;
+const RESERVED_SHARE: f64 = 0.25;
+/// The share of this node's changes that such a front end has while it asks for any, and how long that lasts.
+const WRITE_SHARE: f64 = 0.2;
+const ACTIVE_MS: u64 = 2000;
 const TIMEOUT_MS: u64 = 900;
 const PAGE_TIMEOUT_MS: u64 = 2 * TIMEOUT_MS;
 /// Records that one page has at most.
 const PAGE: usize = 500;
 /// Most keys that one transaction may change, where the settings allow more.
-const MOST_WRITES: usize = 16;
+const MAX_WRITES: usize = 16;
 
-/// What this node allows a door beside.
+/// What this node allows a front end beside.
 pub(crate) struct Frontend {
     writes: Bucket,
     /// It has a share now.
-    shares: bool,
-    asked_at: u64,
+    has_share: bool,
+    requested_at: u64,
 }
 
 impl Frontend {
     pub fn new() -> Self {
         Frontend {
             writes: Bucket::new(0.0),
-            shares: false,
-            asked_at: 0,
+            has_share: false,
+            requested_at: 0,
         }
     }
 }
@@ -74,7 +74,7 @@
         match self {
             Ask::Page { under, .. } => is_own(under),
             Ask::Change { writes } => {
-                (1..=MOST_WRITES).contains(&writes.len()) && writes.iter().all(|w| is_own(&w.key))
+                (1..=MAX_WRITES).contains(&writes.len()) && writes.iter().all(|w| is_own(&w.key))
             }
             Ask::Demand { .. } => true,
         }
@@ -162,29 +162,29 @@
 /// How many keys one [`Ask::Change`] may name.
 pub fn writes_at_once(settings: &Settings) -> usize {
     let state = &settings.cluster.state;
-    // No more at once than a few seconds of the door's own share.
+    // No more at once than a few seconds of the front end's own share.
     state
         .txn_ops
         .min((state.write_rps / 3.0) as usize)
-        .clamp(1, MOST_WRITES)
+        .clamp(1, MAX_WRITES)
 }
 
 impl Node {
-    pub(crate) fn is_foreign(&self, conn: u64, id: &str) -> bool {
+    pub(crate) fn is_reserved_for_frontend(&self, conn: u64, id: &str) -> bool {
         self.beside && conn < CONNS && wire::ids::reserved_job_id(id)
     }
 
-    /// Whether so many changes can be spared for a door beside, and takes them: of its own share, which it has only
+    /// Whether so many changes can be spared for a front end beside, and takes them: of its own share, which it has only
     /// while it asks, or of what users leave. Theirs are never driven into debt by it.
-    fn spare(&mut self, cost: f64) -> bool {
+    fn take_spare_writes(&mut self, cost: f64) -> bool {
         let now = self.now.mono;
-        self.frontend.asked_at = now;
+        self.frontend.requested_at = now;
         self.share_writes();
         let own =
             self.frontend.writes.level(now) >= cost.min(self.frontend.writes.share_of_second(0.9));
         if own {
             self.frontend.writes.take(now, cost);
-        } else if self.writes.level(now) >= cost + self.writes.share_of_second(LEFT) {
+        } else if self.writes.level(now) >= cost + self.writes.share_of_second(RESERVED_SHARE) {
             self.writes.take(now, cost);
         } else {
             return false;
@@ -192,48 +192,51 @@
         true
     }
 
-    /// A door beside has a share of this node's changes while it asks for any.
+    /// A front end beside has a share of this node's changes while it asks for any.
     pub(crate) fn share_writes(&mut self) {
-        let asks = self.beside && self.now.mono < self.frontend.asked_at + ASKS_MS;
-        if asks == self.frontend.shares {
+        let asks = self.beside && self.now.mono < self.frontend.requested_at + ACTIVE_MS;
+        if asks == self.frontend.has_share {
             return;
         }
-        self.frontend.shares = asks;
+        self.frontend.has_share = asks;
         let (own, all) = (self.frontend.writes.rate(), self.writes.rate());
         if asks {
-            self.frontend.writes.set_rate(all * SHARE);
-            self.writes.set_rate(all * (1.0 - SHARE));
+            self.frontend.writes.set_rate(all * WRITE_SHARE);
+            self.writes.set_rate(all * (1.0 - WRITE_SHARE));
         } else {
             self.frontend.writes.set_rate(0.0);
             self.writes.set_rate(all + own);
         }
     }
 
-    /// This node may make another number of changes from now on: whatever a door beside had of them is its own again.
-    pub(crate) fn set_writes(&mut self, rate: f64) {
-        self.frontend.shares = false;
+    /// This node may make another number of changes from now on: whatever a front end beside had of them is its own again.
+    pub(crate) fn set_write_rate(&mut self, rate: f64) {
+        self.frontend.has_share = false;
         self.frontend.writes.set_rate(0.0);
         self.writes.set_rate(rate);
     }
 
     /// New jobs that this node can write down in a second, if it does nothing else.
     pub(crate) fn accepts_per_s(&self) -> f64 {
-        let requests = self.requests.share_of_second(1.0 - LEFT);
+        let requests = self.requests.share_of_second(1.0 - RESERVED_SHARE);
         requests.min(self.writes.rate())
     }
 
-    /// Whether a job that comes in now can be written down: those who come by another door go behind users.
+    /// Whether a job that comes in now can be written down: those who come by another front end go behind users.
     pub(crate) fn has_room_for(&mut self, conn: Option<u64>) -> bool {
         let now = self.now.mono;
         if conn.is_some_and(|c| c >= CONNS) {
-            return self.requests.level(now) >= 1.0 + self.requests.share_of_second(LEFT)
-                && self.spare(1.0);
+            return self.requests.level(now) >= 1.0 + self.requests.share_of_second(RESERVED_SHARE)
+                && self.take_spare_writes(1.0);
         }
         // The leader answers questions from memory, and has claims to write.
         let (asks, changes) = if self.leads() {
-            (0.0, self.accepting() + self.writes.share_of_second(KEPT))
+            (
+                0.0,
+                self.accepting() + self.writes.share_of_second(RESERVED_FOR_CLAIMS),
+            )
         } else {
-            (self.requests.share_of_second(LEFT), 0.0)
+            (self.requests.share_of_second(RESERVED_SHARE), 0.0)
         };
         self.requests.level(now) >= 1.0 + asks && self.writes.level(now) >= 1.0 + changes
     }
@@ -246,13 +249,13 @@
             .count() as f64
     }
 
-    pub(crate) fn frontend_asked(&mut self, tag: u64, ask: Ask) {
+    pub(crate) fn frontend_requested(&mut self, tag: u64, ask: Ask) {
         if !ask.is_allowed() {
-            return self.frontend_over(tag, Answer::Refused);
+            return self.answer_frontend(tag, Answer::Refused);
         }
         let now = self.now.mono;
-        if self.requests.level(now) < 1.0 + self.requests.share_of_second(LEFT) {
-            return self.frontend_over(tag, Answer::Busy);
+        if self.requests.level(now) < 1.0 + self.requests.share_of_second(RESERVED_SHARE) {
+            return self.answer_frontend(tag, Answer::Busy);
         }
         match ask {
             Ask::Page { under, after } => {
@@ -270,8 +273,8 @@
             .as_ref()
             .map(|p| p.leader_version)
             .filter(|_| self.may_decide());
-        let Some(leader) = leader.filter(|_| self.spare(writes.len() as f64)) else {
-            return self.frontend_over(tag, Answer::Busy);
+        let Some(leader) = leader.filter(|_| self.take_spare_writes(writes.len() as f64)) else {
+            return self.answer_frontend(tag, Answer::Busy);
         };
         let mut guards = vec![Guard {
             key: records::leader_key(SHARD),
@@ -287,10 +290,10 @@
     }
 
     pub(crate) fn frontend_answered(&mut self, tag: u64, response: Option<Response>) {
-        self.frontend_over(tag, Answer::of_state_service(response));
+        self.answer_frontend(tag, Answer::of_state_service(response));
     }
 
-    pub(crate) fn frontend_over(&mut self, tag: u64, answer: Answer) {
+    pub(crate) fn answer_frontend(&mut self, tag: u64, answer: Answer) {
         self.effects.push(crate::Effect::Frontend { tag, answer });
     }
 
@@ -347,7 +350,7 @@
     }
 }
 
-/// A machine as a door beside may see it.
+/// A machine as a front end beside may see it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MachineView<'a> {
     pub name: &'a str,
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -108,7 +108,7 @@
         let id = read
             .as_ref()
             .map_or_else(|m| m.id.as_deref(), |spec| Some(&spec.id));
-        if id.is_some_and(|id| self.is_foreign(conn, id)) {
+        if id.is_some_and(|id| self.is_reserved_for_frontend(conn, id)) {
             let fault = Fault {
                 field: "nameId",
                 why: "is reserved",
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -490,7 +490,7 @@
         // The leader does most of the writing; the others keep enough to accept jobs.
         // The leader does most of the writing. What the others write to accept jobs it sees, and leaves room for.
         self.requests.set_rate(c.rps * 0.5);
-        self.set_writes(c.write_rps * OWNER_WRITES);
+        self.set_write_rate(c.write_rps * OWNER_WRITES);
         self.shard = Some(Shard::new(token, version, now, c.value_kb));
         self.start_load();
         let body = wire::peer::encode(&Ask::Leads {
@@ -610,7 +610,7 @@
         let nodes = self.settings.peers.len() as f64 + 1.0;
         let c = self.settings.cluster.state.clone();
         self.requests.set_rate(c.rps * 0.4 / (nodes - 1.0).max(1.0));
-        self.set_writes(c.write_rps * OTHER_WRITES);
+        self.set_write_rate(c.write_rps * OTHER_WRITES);
         if let Some(shard) = self.shard.take() {
             let mut shard = self.abandon_hour_moves(shard);
             for requester in shard.take_waiters() {
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -234,7 +234,7 @@
                 None,
             ),
             Waiter::Frontend(tag) => {
-                self.frontend_over(tag, frontend::Answer::Model(Box::new(status.clone())))
+                self.answer_frontend(tag, frontend::Answer::Model(Box::new(status.clone())))
             }
         }
     }
@@ -253,9 +253,9 @@
                 self.respond(conn, 200, peer::encode(&Answer::refused(status, why)), None)
             }
             Waiter::Frontend(tag) if status == 503 => {
-                self.frontend_over(tag, frontend::Answer::Busy)
+                self.answer_frontend(tag, frontend::Answer::Busy)
             }
-            Waiter::Frontend(tag) => self.frontend_over(tag, frontend::Answer::Refused),
+            Waiter::Frontend(tag) => self.answer_frontend(tag, frontend::Answer::Refused),
         }
     }
 
