--- a/crates/control/src/event.rs
+++ b/crates/control/src/event.rs
@@ -45,7 +45,7 @@
     /// Another front end of this process asks for its records.
     Frontend {
         tag: u64,
-        ask: frontend::Ask,
+        request: frontend::Request,
     },
     Tick,
 }
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -1,6 +1,6 @@
 //! What another front end of the same process may ask: its own records in the state service, and a look at the deployment.
 //!
-//! Such a front end submits, asks and cancels as users do, by [`Event::Client`] with connection numbers from [`CONNS`] on.
+//! Such a front end submits, asks and cancels as users do, by [`Event::Client`] with connection numbers from [`FIRST_CONNECTION`] on.
 //! Its records stand under [`wire::records::SIDE`] and are written by the leader of the fleet only, under the guard of
 //! its record. They come last: a request is refused at once while the node has little left of what it may ask.
 
@@ -22,7 +22,7 @@
 /// What the leader's own users leave of a second's changes: claims and ends go before what is new.
 const RESERVED_FOR_CLAIMS: f64 = 0.1;
 /// Connection numbers of the front end beside; users' are below.
-pub const CONNS: u64 = 1 << 63;
+pub const FIRST_CONNECTION: u64 = 1 << 63;
 /// So much of a second's requests and changes is left to claims, accepts and reads; users' new work leaves as much of a
 /// second's requests to questions about work that was accepted.
 const RESERVED_SHARE: f64 = 0.25;
@@ -55,7 +55,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub enum Ask {
+pub enum Request {
     /// All records below a prefix, a page at a time, after a key.
     Page {
         under: String,
@@ -67,16 +67,16 @@
     Demand { model: String },
 }
 
-impl Ask {
+impl Request {
     /// It names the front end's own records only, and not too many of them.
     fn is_allowed(&self) -> bool {
         let is_own = |key: &str| key.starts_with(records::SIDE);
         match self {
-            Ask::Page { under, .. } => is_own(under),
-            Ask::Change { writes } => {
+            Request::Page { under, .. } => is_own(under),
+            Request::Change { writes } => {
                 (1..=MAX_WRITES).contains(&writes.len()) && writes.iter().all(|w| is_own(&w.key))
             }
-            Ask::Demand { .. } => true,
+            Request::Demand { .. } => true,
         }
     }
 }
@@ -159,7 +159,7 @@
     }
 }
 
-/// How many keys one [`Ask::Change`] may name.
+/// How many keys one [`Request::Change`] may name.
 pub fn writes_at_once(settings: &Settings) -> usize {
     let state = &settings.cluster.state;
     // No more at once than a few seconds of the front end's own share.
@@ -171,7 +171,7 @@
 
 impl Node {
     pub(crate) fn is_reserved_for_frontend(&self, conn: u64, id: &str) -> bool {
-        self.beside && conn < CONNS && wire::ids::reserved_job_id(id)
+        self.beside && conn < FIRST_CONNECTION && wire::ids::reserved_job_id(id)
     }
 
     /// Whether so many changes can be spared for a front end beside, and takes them: of its own share, which it has only
@@ -225,7 +225,7 @@
     /// Whether a job that comes in now can be written down: those who come by another front end go behind users.
     pub(crate) fn has_room_for(&mut self, conn: Option<u64>) -> bool {
         let now = self.now.mono;
-        if conn.is_some_and(|c| c >= CONNS) {
+        if conn.is_some_and(|c| c >= FIRST_CONNECTION) {
             return self.requests.level(now) >= 1.0 + self.requests.share_of_second(RESERVED_SHARE)
                 && self.take_spare_writes(1.0);
         }
@@ -249,21 +249,21 @@
             .count() as f64
     }
 
-    pub(crate) fn frontend_requested(&mut self, tag: u64, ask: Ask) {
-        if !ask.is_allowed() {
+    pub(crate) fn frontend_requested(&mut self, tag: u64, request: Request) {
+        if !request.is_allowed() {
             return self.answer_frontend(tag, Answer::Refused);
         }
         let now = self.now.mono;
         if self.requests.level(now) < 1.0 + self.requests.share_of_second(RESERVED_SHARE) {
             return self.answer_frontend(tag, Answer::Busy);
         }
-        match ask {
-            Ask::Page { under, after } => {
+        match request {
+            Request::Page { under, after } => {
                 let path = page_path(&under, PAGE, after.as_deref());
                 self.get_state(path, PAGE_TIMEOUT_MS, Pending::Frontend { tag });
             }
-            Ask::Change { writes } => self.frontend_change(tag, writes),
-            Ask::Demand { model } => self.demand(&model, Waiter::Frontend(tag)),
+            Request::Change { writes } => self.frontend_change(tag, writes),
+            Request::Demand { model } => self.demand(&model, Waiter::Frontend(tag)),
         }
     }
 
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -166,7 +166,7 @@
             Event::Late { conn } => self.refuse(conn, 429, "busy"),
             Event::Reply { tag, response } => self.reply(tag, response),
             Event::Unsent { tag } => self.unsent(tag),
-            Event::Frontend { tag, ask } => self.frontend_requested(tag, ask),
+            Event::Frontend { tag, request } => self.frontend_requested(tag, request),
             Event::Tick => self.tick(),
         }
         self.flush_commit();
--- a/crates/gateway/src/book/apps.rs
+++ b/crates/gateway/src/book/apps.rs
@@ -6,7 +6,7 @@
 use crate::{Act, Cx, token};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
-use control::frontend::CONNS;
+use control::frontend::FIRST_CONNECTION;
 use prost::Message;
 use sha2::{Digest, Sha256};
 use wire::api::{JobSpec, JobState, Kind, Stage as JobStage};
@@ -652,7 +652,7 @@
         let number = self.number();
         self.asked.insert(number, asked);
         self.acts.push(Act::Native {
-            ask: CONNS | number,
+            ask: FIRST_CONNECTION | number,
             method,
             path,
             body,
@@ -661,7 +661,7 @@
 
     /// The scheduler's answer.
     pub fn native_answered(&mut self, cx: Cx<'_>, ask: u64, response: &Response) {
-        let Some(asked) = self.asked.remove(&(ask & !CONNS)) else {
+        let Some(asked) = self.asked.remove(&(ask & !FIRST_CONNECTION)) else {
             return;
         };
         if asked.group == 0 {
--- a/crates/gateway/src/book/mod.rs
+++ b/crates/gateway/src/book/mod.rs
@@ -17,7 +17,7 @@
 use crate::token::{KEY_LIFE_MS, Keys};
 use crate::{Act, Cx};
 use containers::Groups;
-use control::frontend::{Answer, Ask};
+use control::frontend::{Answer, Request};
 use masters::Session;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -339,11 +339,11 @@
         };
         *asked = Some(tag);
         *again_at = cx.now.mono + 4 * PAGE_AGAIN_MS;
-        let ask = Ask::Page {
+        let request = Request::Page {
             under: records::PREFIX.into(),
             after: after.clone(),
         };
-        self.acts.push(Act::Frontend { tag, ask });
+        self.acts.push(Act::Frontend { tag, request });
     }
 
     /// An answer about records. False if the book has to be read anew.
--- a/crates/gateway/src/book/runners.rs
+++ b/crates/gateway/src/book/runners.rs
@@ -8,7 +8,7 @@
 use crate::{Act, Cx, token};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
-use control::frontend::{Answer, Ask};
+use control::frontend::{Answer, Request};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use yarn::error::{Class, Fault};
@@ -237,7 +237,7 @@
         let tag = self.number();
         self.acts.push(Act::Frontend {
             tag,
-            ask: Ask::Page {
+            request: Request::Page {
                 under,
                 after: read.after.clone(),
             },
--- a/crates/gateway/src/book/store.rs
+++ b/crates/gateway/src/book/store.rs
@@ -4,7 +4,7 @@
 use super::Book;
 use crate::records::{self, AppRecord, ClusterRecord, DrainRecord};
 use crate::{Act, Cx};
-use control::frontend::{self, Answer, Ask, Change};
+use control::frontend::{self, Answer, Change, Request};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -106,12 +106,12 @@
             return;
         };
         flight.out = true;
-        let ask = Ask::Change {
+        let request = Request::Change {
             writes: flight.changes.clone(),
         };
         let tag = self.number();
         self.writing = Some(tag);
-        self.acts.push(Act::Frontend { tag, ask });
+        self.acts.push(Act::Frontend { tag, request });
     }
 
     fn draft(&mut self, most: usize, now: u64) -> Option<Flight> {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -46,7 +46,7 @@
     /// A request for records.
     Frontend {
         tag: u64,
-        ask: control::frontend::Ask,
+        request: control::frontend::Request,
     },
     /// The reply to a call.
     Answer { call: u64, reply: call::Reply },
--- a/crates/gateway/src/served.rs
+++ b/crates/gateway/src/served.rs
@@ -8,7 +8,7 @@
 use crate::config::Config;
 use crate::conns::{Conns, Did};
 use crate::{Act, Cx};
-use control::frontend::CONNS;
+use control::frontend::FIRST_CONNECTION;
 use control::{Destination, Effect, Event, Node, Now};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -162,7 +162,7 @@
     fn feed(&mut self, now: Now, event: Event) {
         for effect in self.node.handle(now, event) {
             match effect {
-                Effect::Respond { conn, response } if conn >= CONNS => {
+                Effect::Respond { conn, response } if conn >= FIRST_CONNECTION => {
                     self.with_book(now, |book, cx| book.native_answered(cx, conn, &response));
                 }
                 Effect::Frontend { tag, answer } => {
@@ -221,7 +221,9 @@
                         };
                         self.feed(now, Event::Client { conn: ask, request });
                     }
-                    Act::Frontend { tag, ask } => self.feed(now, Event::Frontend { tag, ask }),
+                    Act::Frontend { tag, request } => {
+                        self.feed(now, Event::Frontend { tag, request })
+                    }
                     Act::Answer { call, reply } => self.answer(now, call, reply),
                 }
             }
