--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -50,24 +50,26 @@
         }
     }
 
-    fn live_found(&mut self, rec: &JobRecord, stamp: u64) {
-        let Some(county) = &rec.county else { return };
-        match self.live.remove(&rec.spec.id) {
+    fn live_found(&mut self, record: &JobRecord, stamp: u64) {
+        let Some(county) = &record.county else { return };
+        match self.live.remove(&record.spec.id) {
             Some(known) if known == county.county => {}
             None if stamp > self.seen => {}
             Some(known) => self.add_difference(format!(
                 "{}: bound to {}, counted for {known}",
-                rec.spec.id, county.county
+                record.spec.id, county.county
             )),
             None => self.add_difference(format!(
                 "{}: bound to {}, not counted",
-                rec.spec.id, county.county
+                record.spec.id, county.county
             )),
         }
     }
 
-    fn end_found(&mut self, job: &str, rec: &EndRecord, stamp: u64) {
-        let Some(counted) = &rec.county else { return };
+    fn end_found(&mut self, job: &str, record: &EndRecord, stamp: u64) {
+        let Some(counted) = &record.county else {
+            return;
+        };
         if stamp > self.revision {
             // It lived then, if it was there.
             if let Some(known) = self
@@ -87,11 +89,11 @@
             class: counted.class.clone(),
         };
         let row = self.recounted.entry(cell).or_default();
-        match rec.stage {
+        match record.stage {
             Stage::Cancelled => row.cancelled += 1,
             _ => row.done += 1,
         }
-        row.tasks += u64::from(rec.done);
+        row.tasks += u64::from(record.done);
     }
 
     /// All records were read.
--- a/crates/control/src/documents/hours/listing.rs
+++ b/crates/control/src/documents/hours/listing.rs
@@ -39,7 +39,7 @@
             job: &job.id,
             team: &job.team,
             class: &spec.class,
-            hour: &hour.rec,
+            hour: &hour.record,
             state: hour.state,
             late_s: is_missed.then(|| (wall as f64 - due_ms as f64) / 1000.0),
         })
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -220,7 +220,7 @@
 fn is_due_at(job: &Job, due_ms: u64) -> bool {
     job.hour
         .as_ref()
-        .is_some_and(|hour| hour.rec.due_ms == due_ms)
+        .is_some_and(|hour| hour.record.due_ms == due_ms)
 }
 
 fn bounded_name(by: &str) -> String {
@@ -236,8 +236,8 @@
     let from = job
         .hour
         .as_ref()
-        .map_or_else(|| "none".to_owned(), |h| local(h.rec.due_ms));
-    let before = job.hour.as_ref().and_then(|h| h.rec.moved.as_ref());
+        .map_or_else(|| "none".to_owned(), |h| local(h.record.due_ms));
+    let before = job.hour.as_ref().and_then(|h| h.record.moved.as_ref());
     let before = before
         .map(|m| format!(" (moved by {} before)", m.by))
         .unwrap_or_default();
@@ -279,24 +279,24 @@
                 shard.hours.moves.push_front(hour);
                 return;
             }
-            let rec = JobRecord {
-                hour: Some(hour.rec(job, wall)),
+            let record = JobRecord {
+                hour: Some(hour.record(job, wall)),
                 county: job.county.clone(),
                 ..JobRecord::new((**spec).clone(), job.at_ms, SHARD)
             };
-            if wire::encode(&rec).len() as f64 * RECORD_FORM > value as f64 {
+            if wire::encode(&record).len() as f64 * RECORD_FORM > value as f64 {
                 shard.hours.rejected_moves.push(hour);
                 continue;
             }
-            self.put(key, job.version, Record::Job(Box::new(rec)));
+            self.put(key, job.version, Record::Job(Box::new(record)));
             self.ops.push(PendingWrite::Hour(hour, wall));
         }
     }
 }
 
 impl HourMove {
-    fn rec(&self, job: &Job, at_ms: u64) -> HourRecord {
-        let from_ms = job.hour.as_ref().map_or(0, |h| h.rec.due_ms);
+    fn record(&self, job: &Job, at_ms: u64) -> HourRecord {
+        let from_ms = job.hour.as_ref().map_or(0, |h| h.record.due_ms);
         let moved = MovedRecord {
             by: self.by.clone(),
             at_ms,
@@ -320,10 +320,10 @@
         let Some(job) = shard.job_mut(hour.ix) else {
             return;
         };
-        let rec = hour.rec(job, wall);
-        let from = rec.moved.as_ref().map_or(0, |m| m.from_ms);
+        let record = hour.record(job, wall);
+        let from = record.moved.as_ref().map_or(0, |m| m.from_ms);
         job.version = revision;
-        job.hour = Some(Hour::new(rec));
+        job.hour = Some(Hour::new(record));
         let job = &shard.jobs[hour.ix];
         shard.hours.forget(from, hour.ix);
         if let Some(job) = job {
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -34,7 +34,7 @@
 
     /// Seconds until the hour.
     pub(super) fn left(&self, wall: u64) -> f64 {
-        (self.rec.due_ms as f64 - wall as f64) / 1000.0
+        (self.record.due_ms as f64 - wall as f64) / 1000.0
     }
 }
 
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -18,7 +18,7 @@
 /// A job's hour in the leader's memory.
 #[derive(Debug, Clone)]
 pub(crate) struct Hour {
-    pub rec: HourRecord,
+    pub record: HourRecord,
     /// How it stands, as was last logged.
     pub(super) state: State,
     /// When its job's end was written.
@@ -26,9 +26,9 @@
 }
 
 impl Hour {
-    pub fn new(rec: HourRecord) -> Box<Hour> {
+    pub fn new(record: HourRecord) -> Box<Hour> {
         Box::new(Hour {
-            rec,
+            record,
             state: State::Due,
             ended_ms: 0,
         })
@@ -61,7 +61,7 @@
 impl DeadlineWatch {
     pub fn add(&mut self, job: &Job, ix: JobIndex) {
         if let Some(hour) = &job.hour {
-            self.upcoming.insert((hour.rec.due_ms, ix));
+            self.upcoming.insert((hour.record.due_ms, ix));
         }
     }
 
@@ -73,7 +73,7 @@
     /// A job's end is recorded.
     pub fn ended(&mut self, job: &Job, ix: JobIndex, stage: Stage) {
         let Some(hour) = &job.hour else { return };
-        let due = hour.rec.due_ms;
+        let due = hour.record.due_ms;
         self.forget(due, ix);
         let late = (hour.ended_ms > due).then(|| (hour.ended_ms - due) as f64 / 1000.0);
         let (state, late_s) = match (stage, late) {
@@ -96,7 +96,7 @@
                 .as_ref()
                 .map(|s| s.class.clone())
                 .unwrap_or_default(),
-            hour: hour.rec.clone(),
+            hour: hour.record.clone(),
             state,
             late_s,
         });
@@ -123,7 +123,7 @@
     let hour = job.hour.as_mut()?;
     hour.ended_ms = ended_ms;
     Some(EndHourRecord {
-        due_ms: hour.rec.due_ms,
+        due_ms: hour.record.due_ms,
         ended_ms,
     })
 }
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -152,9 +152,9 @@
 
 impl Documents {
     /// A head that was read or watched.
-    pub fn observe_head(&mut self, key: &str, rec: &SharedRecord, stamp: u64) {
+    pub fn observe_head(&mut self, key: &str, record: &SharedRecord, stamp: u64) {
         let kind = key.strip_prefix(records::SHARED).and_then(KindId::named);
-        if let (Some(kind), Some(head)) = (kind, &rec.document) {
+        if let (Some(kind), Some(head)) = (kind, &record.document) {
             for_kind!(kind, K => K::document_mut(self).observe_head(head.clone(), stamp));
         }
     }
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -28,7 +28,7 @@
 impl Observation {
     /// Its record stands and says that no replicas are to run.
     fn is_asleep(&self) -> bool {
-        self.known.stamp > 0 && !self.known.rec.is_up()
+        self.known.stamp > 0 && !self.known.record.is_up()
     }
 }
 
@@ -95,16 +95,24 @@
         let next = self.next_record(model, &observation);
         let Observation { known, rule, .. } = &observation;
         if observation.is_asleep() {
-            self.stop_replicas(observation.ix, known.rec.replicas(rule, observation.tasks));
+            self.stop_replicas(
+                observation.ix,
+                known.record.replicas(rule, observation.tasks),
+            );
         }
-        let Some(rec) = next else {
-            return known.rec.phase != Phase::Asleep || observation.seen.claimed > 0;
+        let Some(record) = next else {
+            return known.record.phase != Phase::Asleep || observation.seen.claimed > 0;
         };
         if self.models.leader_state.writes.len() >= MAX_WRITES_IN_FLIGHT {
             return true;
         }
-        self.retain_machines(model, rule, &rec);
-        self.write_record(model, Some(rec), known.stamp, Some(observation.job_version));
+        self.retain_machines(model, rule, &record);
+        self.write_record(
+            model,
+            Some(record),
+            known.stamp,
+            Some(observation.job_version),
+        );
         true
     }
 
@@ -135,13 +143,14 @@
         } = observation;
         let (node, wall) = (self.settings.node.as_str(), self.now.wall);
         let is_first = known.stamp == 0 && (rule.begin == Begin::Awake || seen.claimed > 0);
-        let is_missed = observation.is_asleep() && self.demanded_since(model, known.rec.since_ms);
+        let is_missed =
+            observation.is_asleep() && self.demanded_since(model, known.record.since_ms);
         if (is_first || is_missed)
-            && let Asked::Wake(rec) = asked(&known.rec, rule, *tasks, node, wall)
+            && let Asked::Wake(record) = asked(&known.record, rule, *tasks, node, wall)
         {
-            return Some(*rec);
+            return Some(*record);
         }
-        known.rec.next(rule, *tasks, node, wall, seen)
+        known.record.next(rule, *tasks, node, wall, seen)
     }
 
     /// Whether somebody has asked for it here after it was put to sleep: what had been decided before that came late.
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -77,7 +77,7 @@
 /// A record as it was read or written, and its stamp.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Known {
-    pub rec: Rec,
+    pub record: Rec,
     pub stamp: u64,
 }
 
@@ -216,12 +216,12 @@
         let known = self.models.known(&id);
         let replicas = known
             .as_ref()
-            .map_or(0, |k| k.rec.replicas(&rule, job.tasks));
+            .map_or(0, |k| k.record.replicas(&rule, job.tasks));
         set_replicas(shard, ix, replicas);
         if let Some(known) = known {
             self.models.is_due(&id);
-            self.restore_weights(ix, &known.rec);
-            self.retain_machines(&id, &rule, &known.rec);
+            self.restore_weights(ix, &known.record);
+            self.retain_machines(&id, &rule, &known.record);
         }
     }
 
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -16,7 +16,7 @@
 
 /// A transaction of the leader's: what it writes, or that it takes the record away; and when it is sent again.
 pub(super) struct RecordWrite {
-    rec: Option<Rec>,
+    record: Option<Rec>,
     pub(super) busy: bool,
     pub(super) retry_at: u64,
     body: Vec<u8>,
@@ -30,7 +30,7 @@
     pub(super) fn write_record(
         &mut self,
         model: &str,
-        rec: Option<Rec>,
+        record: Option<Rec>,
         stamp: u64,
         job: Option<u64>,
     ) {
@@ -50,13 +50,13 @@
             key: records::live_key(model),
             version,
         }));
-        let change = match &rec {
-            Some(rec) => Write::put(key, Record::Model(rec.clone())),
+        let change = match &record {
+            Some(record) => Write::put(key, Record::Model(record.clone())),
             None => Write::Remove { key },
         };
         let body = encode_transaction(guards, vec![change]);
         let write = RecordWrite {
-            rec,
+            record,
             busy: false,
             retry_at: 0,
             body,
@@ -131,19 +131,19 @@
             write.outcome_unknown = true;
             return false;
         };
-        let rec = write.rec.take();
+        let record = write.record.take();
         self.models.leader_state.writes.remove(model);
-        match rec {
-            Some(rec) => self.record_written(model, rec, revision),
+        match record {
+            Some(record) => self.record_written(model, record, revision),
             None => self.record_removed(model),
         }
         true
     }
 
-    fn record_written(&mut self, model: &str, rec: Rec, stamp: u64) {
-        let (phase, generation) = (rec.phase, rec.generation);
+    fn record_written(&mut self, model: &str, record: Rec, stamp: u64) {
+        let (phase, generation) = (record.phase, record.generation);
         log::info!("model {model}: {phase:?}, generation {generation}");
-        self.record_observed(model, Known { rec, stamp });
+        self.record_observed(model, Known { record, stamp });
     }
 
     /// What stands where the outcome of a transaction was not known; false if the answer can't be read.
@@ -161,7 +161,7 @@
         let Some(item) = item else { return false };
         self.models.leader_state.writes.remove(model);
         let known = Known {
-            rec: item.value,
+            record: item.value,
             stamp: item.version,
         };
         self.record_observed(model, known);
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -63,7 +63,7 @@
                 leader_state.records.insert(
                     model.to_owned(),
                     Known {
-                        rec: value,
+                        record: value,
                         stamp: version,
                     },
                 );
@@ -101,7 +101,7 @@
         let Some(rule) = job.spec.as_ref().and_then(|spec| self.models.rule(spec)) else {
             return;
         };
-        set_replicas(shard, ix, known.rec.replicas(&rule, job.tasks));
+        set_replicas(shard, ix, known.record.replicas(&rule, job.tasks));
     }
 
     pub(super) fn watch_models(&mut self) {
@@ -148,7 +148,7 @@
         };
         let stamp = change.version;
         match change.value {
-            Some(rec) => self.record_observed(&model, Known { rec, stamp }),
+            Some(record) => self.record_observed(&model, Known { record, stamp }),
             None => self
                 .models
                 .leader_state
--- a/crates/control/src/models/standing.rs
+++ b/crates/control/src/models/standing.rs
@@ -7,7 +7,7 @@
 
 impl Node {
     /// How a model stands for whoever asks.
-    pub(crate) fn model_status(&self, spec: &JobSpec, rec: &Rec, asked: &Asked) -> Told {
+    pub(crate) fn model_status(&self, spec: &JobSpec, record: &Rec, asked: &Asked) -> Told {
         let (why, until) = match asked {
             Asked::NotNow { why, until_ms } => (Some(why.clone()), Some(*until_ms)),
             _ => (None, None),
@@ -26,13 +26,13 @@
             .map(|t| t.boot_s + spec.image_gb / t.fetch_gb_per_s.max(0.01))
             .reduce(f64::min);
         let due = lead
-            .map(|s| rec.since_ms + (s * 1000.0) as u64)
-            .filter(|_| rec.phase == Phase::Waking);
+            .map(|s| record.since_ms + (s * 1000.0) as u64)
+            .filter(|_| record.phase == Phase::Waking);
         Told {
             model: spec.id.clone(),
-            phase: rec.phase,
-            generation: rec.generation,
-            since_ms: rec.since_ms,
+            phase: record.phase,
+            generation: record.generation,
+            since_ms: record.since_ms,
             due_ms: due,
             why,
             not_before_ms: until,
@@ -53,18 +53,18 @@
                 continue;
             };
             let known = self.models.known(&job.id).unwrap_or_default();
-            let asked = asked(&known.rec, &rule, job.tasks, "", self.now.wall);
+            let asked = asked(&known.record, &rule, job.tasks, "", self.now.wall);
             let seen = self.seen(job);
             models.push(Standing {
-                told: self.model_status(spec, &known.rec, &asked),
+                told: self.model_status(spec, &known.record, &asked),
                 rule: rule.name,
                 class: spec.class.clone(),
                 team: spec.team.clone(),
                 wanted: job.replicas.unwrap_or(0),
                 claimed: seen.claimed,
                 running: seen.running,
-                by: known.rec.by,
-                near: known.rec.near,
+                by: known.record.by,
+                near: known.record.near,
                 quiet_ms: seen.quiet_ms,
             });
         }
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -30,7 +30,7 @@
     tries: u32,
     job: Option<(Box<JobSpec>, Rule, u64)>,
     /// What is being written.
-    rec: Option<Rec>,
+    record: Option<Rec>,
 }
 
 impl WakeUp {
@@ -51,7 +51,7 @@
 }
 
 /// Writes a model's record, if neither the record nor its job has changed since they were read.
-fn record_transaction(model: &str, rec: &Rec, stamp: u64, job_version: u64) -> Vec<u8> {
+fn record_transaction(model: &str, record: &Rec, stamp: u64, job_version: u64) -> Vec<u8> {
     let key = records::model_key(model);
     let guards = vec![
         Guard {
@@ -63,7 +63,7 @@
             version: job_version,
         },
     ];
-    encode_transaction(guards, vec![Write::put(key, Record::Model(rec.clone()))])
+    encode_transaction(guards, vec![Write::put(key, Record::Model(record.clone()))])
 }
 
 impl Node {
@@ -160,7 +160,7 @@
             return self.fail_wake_up(model, 503, "unreadable record");
         };
         let known = Known {
-            rec: item.value,
+            record: item.value,
             stamp: item.version,
         };
         self.record_found(model, known);
@@ -175,21 +175,21 @@
         }
         let revision = response.and_then(|r| wire::decode::<Revision>(&r.body).ok());
         let wake_up = self.models.demand.wake_ups.get_mut(model);
-        let rec = wake_up.and_then(|wake_up| wake_up.rec.take());
-        let (Some(Revision { revision }), Some(rec)) = (revision, rec) else {
+        let record = wake_up.and_then(|wake_up| wake_up.record.take());
+        let (Some(Revision { revision }), Some(record)) = (revision, record) else {
             return self.retry_wake_up(model);
         };
-        if rec.phase == model::Phase::Waking {
-            log::info!("model {model}: generation {} begins", rec.generation);
+        if record.phase == model::Phase::Waking {
+            log::info!("model {model}: generation {} begins", record.generation);
         }
         if self.may_decide() {
             let known = Known {
-                rec: rec.clone(),
+                record: record.clone(),
                 stamp: revision,
             };
             self.record_observed(model, known);
         }
-        self.complete_wake_up(model, &rec, &Asked::Follow);
+        self.complete_wake_up(model, &record, &Asked::Follow);
     }
 
     /// Reads again what stands there: a transaction that may have gone through shows there, and one that comes late
@@ -214,23 +214,23 @@
         let Some((spec, rule, version)) = &wake_up.job else {
             return;
         };
-        let asked = asked(&known.rec, rule, spec.tasks, &node, wall);
+        let asked = asked(&known.record, rule, spec.tasks, &node, wall);
         let (version, touch) = (*version, wake_up.touch);
-        let rec = match &asked {
-            Asked::Wake(rec) => Some((**rec).clone()),
-            Asked::Follow if touch => known.rec.touched(wall),
+        let record = match &asked {
+            Asked::Wake(record) => Some((**record).clone()),
+            Asked::Follow if touch => known.record.touched(wall),
             _ => None,
         };
-        let Some(rec) = rec else {
-            return self.complete_wake_up(model, &known.rec, &asked);
+        let Some(record) = record else {
+            return self.complete_wake_up(model, &known.record, &asked);
         };
         if self.requests.level(now) < 1.0 || self.writes.level(now) < 1.0 {
             return self.fail_wake_up(model, 503, "busy");
         }
         self.writes.take(now, 1.0);
-        let body = record_transaction(model, &rec, known.stamp, version);
+        let body = record_transaction(model, &record, known.stamp, version);
         if let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) {
-            wake_up.rec = Some(rec);
+            wake_up.record = Some(record);
         }
         let what = Pending::WakeUp {
             model: model.to_owned(),
@@ -246,15 +246,15 @@
     }
 
     /// The model stands so: everybody who waits is told.
-    fn complete_wake_up(&mut self, model: &str, rec: &Rec, asked: &Asked) {
+    fn complete_wake_up(&mut self, model: &str, record: &Rec, asked: &Asked) {
         let Some(wake_up) = self.remove_wake_up(model) else {
             return;
         };
         let Some((spec, rule, _)) = &wake_up.job else {
             return;
         };
-        let status = self.model_status(spec, rec, asked);
-        if rec.is_up() {
+        let status = self.model_status(spec, record, asked);
+        if record.is_up() {
             self.model_is_up(model, rule.say_again_ms(), &wake_up, &status);
         }
         for waiter in wake_up.waiters {
--- a/crates/control/src/models/weights.rs
+++ b/crates/control/src/models/weights.rs
@@ -11,7 +11,7 @@
 
 impl Node {
     /// What the record says of machines with the weights, for a leader that has not seen that itself.
-    pub(super) fn restore_weights(&mut self, ix: JobIndex, rec: &Rec) {
+    pub(super) fn restore_weights(&mut self, ix: JobIndex, record: &Rec) {
         let caches: HashMap<String, f64> = self
             .catalog()
             .map(|c| {
@@ -27,7 +27,7 @@
         };
         let (image, gb) = (spec.image.clone(), spec.image_gb);
         let image = shard.images.get(&image);
-        for name in rec.near.iter().take(MAX_NEAR) {
+        for name in record.near.iter().take(MAX_NEAR) {
             let Some(m) = shard.machine_index.get(name).copied() else {
                 continue;
             };
@@ -44,14 +44,17 @@
     }
 
     /// Where the document says so, a machine with the weights of a model that sleeps is kept for a while.
-    pub(super) fn retain_machines(&mut self, model: &str, rule: &Rule, rec: &Rec) {
-        let until = rec.since_ms.saturating_add((rule.keep_s * 1000.0) as u64);
-        let asleep = rec.phase == Phase::Asleep && !rec.near.is_empty() && until > self.now.wall;
+    pub(super) fn retain_machines(&mut self, model: &str, rule: &Rule, record: &Rec) {
+        let until = record
+            .since_ms
+            .saturating_add((rule.keep_s * 1000.0) as u64);
+        let asleep =
+            record.phase == Phase::Asleep && !record.near.is_empty() && until > self.now.wall;
         if asleep && self.models.leader_state.retained_machines.len() < MAX_RETAINED_MACHINES {
             self.models
                 .leader_state
                 .retained_machines
-                .insert(model.to_owned(), (until, rec.near.clone()));
+                .insert(model.to_owned(), (until, record.near.clone()));
         }
     }
 
