--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -37,8 +37,8 @@
     pub loaded: bool,
     /// A start may have been sent, by us or by an earlier leader.
     pub sent: bool,
-    /// The worker's session that our last start was for; in a later one it is never executed.
-    pub session: u64,
+    /// The worker's agent epoch that our last start was for; in a later one it is never executed.
+    pub agent_epoch: u64,
     pub stage: Option<TaskStage>,
     /// When it was first seen running.
     pub running_since: Option<u64>,
@@ -57,13 +57,33 @@
             segment: 0,
             loaded: false,
             sent: false,
-            session: 0,
+            agent_epoch: 0,
             stage: None,
             running_since: None,
             stop: None,
             stop_sent: None,
         }
     }
+
+    /// A claim for a task that is there without one: it counts, and is to be stopped at once.
+    pub fn stray(job: JobIndex, task: u32, attempt: u64) -> Self {
+        Claim {
+            sent: true,
+            stop: Some(0.0),
+            ..Claim::new(job, task, attempt)
+        }
+    }
+
+    /// Whether it is the claim of this attempt.
+    pub fn is_for(&self, job: JobIndex, task: u32, attempt: u64) -> bool {
+        self.job == job && self.task == task && self.attempt == attempt
+    }
+
+    /// Seconds for which its task has been seen running, if it has.
+    pub fn ran_s(&self, now: u64) -> Option<f64> {
+        self.running_since
+            .map(|since| now.saturating_sub(since) as f64 / 1000.0)
+    }
 }
 
 /// An exited task that the worker still lists.
@@ -98,17 +118,17 @@
     pub heard_at: u64,
     /// When its worker last reported, by itself or by way of a peer. Answers to commands renew no lease.
     pub heartbeat_at: u64,
-    /// Session and number of the newest message.
+    /// Agent epoch and number of the newest message.
     pub seen: (u64, u64),
     pub notice_until: Option<u64>,
     pub claims: Vec<Claim>,
     pub exited: Vec<Exited>,
     /// Serial of the direct command that is out.
-    pub direct: Option<u64>,
+    pub command_in_flight: Option<u64>,
     /// A direct command was not answered: it may still be executed, until the worker has seen a token
-    /// above this one or has begun a later session.
+    /// above this one or has begun a later agent epoch.
     pub unanswered_command: Option<(u64, u64)>,
-    pub probe: Option<u64>,
+    pub probe_in_flight: Option<u64>,
     pub probed_at: u64,
     pub deleting: bool,
     pub failed: bool,
@@ -117,8 +137,8 @@
     pub images: Vec<(u32, f64)>,
     pub errors: u32,
     pub error_jobs: BTreeMap<JobIndex, u32>,
-    /// Set aside: fails its tasks.
-    pub sick: bool,
+    /// Cordoned: it fails its tasks, gets no more, and is returned once it is empty.
+    pub cordoned: bool,
     pub rest_until: u64,
 }
 
@@ -144,9 +164,9 @@
             notice_until: None,
             claims: Vec::new(),
             exited: Vec::new(),
-            direct: None,
+            command_in_flight: None,
             unanswered_command: None,
-            probe: None,
+            probe_in_flight: None,
             probed_at: 0,
             deleting: false,
             failed: false,
@@ -154,7 +174,7 @@
             images: Vec::new(),
             errors: 0,
             error_jobs: BTreeMap::new(),
-            sick: false,
+            cordoned: false,
             rest_until: 0,
         }
     }
@@ -181,12 +201,21 @@
             && self.recorded
             && !self.deleting
             && !self.failed
-            && !self.sick
+            && !self.cordoned
             && self.notice_until.is_none()
             && self.rest_until <= now
             && self.unanswered_command.is_none()
     }
 
+    /// May be sent a direct command: no other is out or in doubt.
+    pub fn takes_commands(&self) -> bool {
+        self.up
+            && self.addr.is_some()
+            && self.command_in_flight.is_none()
+            && self.unanswered_command.is_none()
+            && !self.deleting
+    }
+
     /// It has reported to us, or to an earlier leader who gave it tasks.
     pub fn is_known_up(&self) -> bool {
         self.up || !self.claims.is_empty()
@@ -197,6 +226,13 @@
         now.saturating_sub(self.heartbeat_at) > silent_ms
     }
 
+    /// Where the claim of an attempt is in its list.
+    pub fn claim_position(&self, job: JobIndex, task: u32, attempt: u64) -> Option<usize> {
+        self.claims
+            .iter()
+            .position(|claim| claim.is_for(job, task, attempt))
+    }
+
     /// Claims whose start was never sent, nor will be by an earlier leader.
     pub fn unsent(&self) -> impl Iterator<Item = usize> + '_ {
         let unsent = |c: &Claim| c.state == ClaimState::Recorded && !c.sent;
--- /dev/null
+++ b/crates/control/src/agents/orders.rs
@@ -0,0 +1,152 @@
+//! Orders: what a machine is to be told.
+//!
+//! They are derived from the difference between the recorded claims and the newest heartbeat, so that a lost message
+//! only costs time.
+
+use crate::Node;
+use crate::agents::machine::{Claim, ClaimState, Exited};
+use crate::jobs::job::Job;
+use crate::store::shard::Shard;
+use wire::api::{Cause, Kind, Order, TaskStage};
+use wire::ids;
+
+/// Orders that one machine is given at a time.
+const MOST_ORDERS: usize = 400;
+/// A stop that shows no effect is repeated after so long; one without grace sooner, also while its task saves.
+const STOP_AGAIN_MS: u64 = 1500;
+const STOP_AT_ONCE_AGAIN_MS: u64 = 500;
+
+/// Whether a claimed task may be started now. A gang starts only when all its claims stand.
+fn is_startable(claim: &Claim, job: &Job) -> bool {
+    let is_whole = !job.broken && job.claimed.len() == job.tasks as usize;
+    let is_unstarted = claim.stage.is_none() && !claim.sent;
+    is_unstarted && !job.is_ending() && (job.kind() != Kind::Gang || is_whole)
+}
+
+/// The start of a claimed task, which is noted as sent.
+fn start(claim: &mut Claim, job: &Job, agent_epoch: u64) -> Order {
+    claim.sent = true;
+    claim.agent_epoch = agent_epoch;
+    Order::Start {
+        task: ids::task_name(&job.id, claim.task),
+        attempt: claim.attempt,
+    }
+}
+
+fn stop(claim: &Claim, job: &Job, grace_s: f64) -> Order {
+    Order::Stop {
+        task: ids::task_name(&job.id, claim.task),
+        attempt: claim.attempt,
+        grace_s,
+    }
+}
+
+/// The stop of a started task, unless its worker has been told. Saving takes its time: told once, unless it is to end
+/// at once.
+fn stop_if_due(claim: &mut Claim, job: &Job, grace_s: f64, now: u64) -> Option<Order> {
+    let is_told = claim
+        .stop_sent
+        .is_some_and(|at| claim.stage == Some(TaskStage::Saving) || at + STOP_AGAIN_MS > now);
+    let is_urgent = grace_s == 0.0
+        && claim
+            .stop_sent
+            .is_none_or(|at| at + STOP_AT_ONCE_AGAIN_MS <= now);
+    if is_told && !is_urgent {
+        return None;
+    }
+    claim.stop_sent = Some(now);
+    Some(stop(claim, job, grace_s))
+}
+
+impl Shard {
+    /// Exited tasks that the worker may forget: those without a claim whose result is safe.
+    fn reaps(&self, m: usize) -> Vec<Order> {
+        let Some(machine) = self.machine(m) else {
+            return Vec::new();
+        };
+        let may_reap = |exited: &&Exited| {
+            let ix = self.jobs.index_of(&exited.job);
+            let job = ix.and_then(|ix| self.job(ix));
+            let is_claimed = ix.is_some_and(|ix| {
+                machine
+                    .claim_position(ix, exited.task, exited.attempt)
+                    .is_some()
+            });
+            // The result first, then the reaping.
+            let is_safe = exited.cause != Some(Cause::Done)
+                || job.is_none_or(|job| job.recorded(exited.task));
+            !is_claimed && is_safe
+        };
+        let reap = |exited: &Exited| Order::Reap {
+            task: ids::task_name(&exited.job, exited.task),
+            attempt: exited.attempt,
+        };
+        machine.exited.iter().filter(may_reap).map(reap).collect()
+    }
+}
+
+impl Node {
+    /// What the worker is to do now. Only a leader that is sure of its lease gives orders.
+    pub(crate) fn orders_for(&mut self, m: usize) -> Vec<Order> {
+        if !self.may_decide() {
+            return self.last_orders(m);
+        }
+        let now = self.now.mono;
+        let silent = self.silent_ms();
+        let Some(shard) = &mut self.shard else {
+            return Vec::new();
+        };
+        let Some(machine) = shard.machines.get_mut(m) else {
+            return Vec::new();
+        };
+        // Two ways at once would make an absence in a heartbeat prove nothing.
+        if machine.command_in_flight.is_some() {
+            return Vec::new();
+        }
+        shard.push.remove(&m);
+        let has_doubt = machine.unanswered_command.is_some();
+        // Nothing begins in the last of a lease, or on a machine that goes.
+        let may_start =
+            !has_doubt && !machine.deleting && !machine.is_heartbeat_overdue(now, silent);
+        let agent_epoch = machine.seen.0;
+        let mut orders = Vec::new();
+        let mut never_started = Vec::new();
+        for (position, claim) in machine.claims.iter_mut().enumerate() {
+            let job = shard.jobs.get(claim.job);
+            let Some(job) = job.filter(|_| claim.state == ClaimState::Recorded) else {
+                continue;
+            };
+            match claim.stop {
+                Some(_) if !claim.sent => never_started.push(position),
+                Some(grace_s) => orders.extend(stop_if_due(claim, job, grace_s, now)),
+                None if may_start && is_startable(claim, job) => {
+                    orders.push(start(claim, job, agent_epoch));
+                }
+                None => {}
+            }
+        }
+        if !has_doubt {
+            orders.extend(shard.reaps(m));
+        }
+        self.never_started(m, &never_started);
+        orders.truncate(MOST_ORDERS);
+        orders
+    }
+
+    /// All that a leader says that is unsure, or that asks: jobs that their users have cancelled here are to stop. Their
+    /// ends are never taken back, and no worker is told to live on without it.
+    pub(crate) fn last_orders(&self, m: usize) -> Vec<Order> {
+        let Some(shard) = &self.shard else {
+            return Vec::new();
+        };
+        let Some(machine) = shard.machine(m).filter(|x| x.command_in_flight.is_none()) else {
+            return Vec::new();
+        };
+        let stop_if_unwanted = |claim: &Claim| {
+            let job = shard.job(claim.job);
+            let job = job.filter(|job| claim.sent && job.is_unwanted())?;
+            Some(stop(claim, job, 0.0))
+        };
+        machine.claims.iter().filter_map(stop_if_unwanted).collect()
+    }
+}
--- /dev/null
+++ b/crates/control/src/agents/reconciliation.rs
@@ -0,0 +1,497 @@
+//! Reconciliation: squaring what an agent lists with the recorded claims.
+//!
+//! A claim ends only on proof that its task is gone and can't come back. A heartbeat is such proof only while nothing
+//! is under way that could still start the task.
+
+use crate::Node;
+use crate::agents::machine::{Claim, ClaimState, Exited, Machine};
+use crate::jobs::job::{Job, JobIndex};
+use crate::scheduling::planning::grace;
+use crate::store::claim_log::ClaimId;
+use crate::store::shard::Shard;
+use std::collections::BTreeSet;
+use wire::api::{Catalog, Cause, Heartbeat, Kind, TaskStage, TaskStatus};
+use wire::ids;
+
+/// A job that has failed on so many machines, and succeeded nowhere, is at fault itself.
+const BAD_JOB_MACHINES: usize = 3;
+/// Such a job waits for so long, doubled by each failure up to so many.
+const BAD_JOB_BACKOFF_MS: u64 = 1000;
+const BAD_JOB_DOUBLINGS: u32 = 5;
+const LONGEST_BACKOFF_MS: u64 = 30_000;
+/// After an error that may be the machine's, its job waits for so long, and the machine gets nothing for longer.
+const ERROR_BACKOFF_MS: u64 = 200;
+const ERROR_REST_MS: u64 = 3000;
+/// After a refusal the machine gets nothing for so long; a job that its worker does not know yet waits too.
+const REFUSAL_REST_MS: u64 = 2000;
+const UNKNOWN_BACKOFF_MS: u64 = 1000;
+
+/// A claim whose task is proved gone, by its position among its machine's claims.
+pub(crate) struct EndedClaim {
+    pub position: usize,
+    /// What the worker says of the end; `None` if only the task's absence proves it.
+    pub cause: Option<Cause>,
+    /// Whether the task's progress was saved before it ended.
+    pub saved: bool,
+}
+
+impl EndedClaim {
+    /// A claim that ended without a word of the worker's.
+    pub fn unexplained(position: usize) -> Self {
+        EndedClaim {
+            position,
+            cause: None,
+            saved: false,
+        }
+    }
+}
+
+/// A task as it is listed: job, task and attempt.
+type ListedTask = (JobIndex, u32, u64);
+
+/// What comparing a heartbeat with the recorded claims has brought to light.
+#[derive(Default)]
+struct Comparison {
+    listed: Vec<ListedTask>,
+    ended: Vec<EndedClaim>,
+    /// Tasks that are there without a claim.
+    strays: Vec<Claim>,
+    /// Results of tasks whose claims an earlier leader has struck off already.
+    finished: Vec<(JobIndex, u32)>,
+}
+
+/// Whether a task in this stage takes part in its job's count of running tasks.
+fn is_running(stage: Option<TaskStage>) -> bool {
+    matches!(stage, Some(TaskStage::Running | TaskStage::Saving))
+}
+
+impl Shard {
+    /// The machine has been heard of: what is known of it by that alone.
+    fn note_contact(&mut self, m: usize, heartbeat: &Heartbeat, now: u64) {
+        let Some(machine) = self.machines.get_mut(m) else {
+            return;
+        };
+        machine.seen = (heartbeat.agent_epoch, heartbeat.seq);
+        machine.heard_at = now;
+        // Answers to heartbeats of an earlier agent epoch are dropped. A worker that answers commands alone says no more of it.
+        machine.unacknowledged_start = machine
+            .unacknowledged_start
+            .filter(|(agent_epoch, _)| *agent_epoch >= heartbeat.agent_epoch);
+        machine.addr = heartbeat.addr.parse().ok().or(machine.addr);
+        if !machine.up {
+            machine.up = true;
+            machine.idle_since = now;
+            self.plan_triggers.request();
+            log::info!("machine {}: up", machine.name);
+        }
+        if machine.unanswered_command.is_some_and(|(t, agent_epoch)| {
+            heartbeat.token > t || heartbeat.agent_epoch > agent_epoch
+        }) {
+            machine.unanswered_command = None;
+            self.plan_triggers.request();
+        }
+    }
+
+    /// Whether what is not listed now is gone: only if nothing that could start it is still under way, that is no command
+    /// of an earlier token, no direct command unanswered, no start in an answer that a worker still waits for.
+    fn proves_absence(&self, m: usize, heartbeat: &Heartbeat) -> bool {
+        self.machine(m).is_some_and(|machine| {
+            heartbeat.token >= self.token
+                && machine.command_in_flight.is_none()
+                && machine.unacknowledged_start.is_none()
+                && machine.unanswered_command.is_none()
+        })
+    }
+
+    /// Notes when the cloud takes the machine away, if the heartbeat says so. True if that is news.
+    fn note_notice(&mut self, m: usize, heartbeat: &Heartbeat, now: u64) -> bool {
+        let Some(machine) = self.machine_mut(m) else {
+            return false;
+        };
+        let noticed = heartbeat
+            .notice_s
+            .filter(|n| n.is_finite() && *n >= 0.0)
+            .map(|n| now + (n * 1000.0) as u64);
+        let is_new = noticed.is_some() && machine.notice_until.is_none();
+        machine.notice_until = noticed.or(machine.notice_until);
+        is_new
+    }
+
+    /// Compares what the worker lists with the claims on its machine, and brings these up to date.
+    fn compare_listed(
+        &mut self,
+        m: usize,
+        heartbeat: &Heartbeat,
+        catalog: Option<&Catalog>,
+        now: u64,
+    ) -> Comparison {
+        let mut comparison = Comparison {
+            listed: Vec::with_capacity(heartbeat.tasks.len()),
+            ..Comparison::default()
+        };
+        let mut exited = Vec::new();
+        for status in &heartbeat.tasks {
+            let Some((id, task)) = ids::parse_task(&status.task) else {
+                continue;
+            };
+            let ix = self.jobs.index_of(id);
+            let position = ix.and_then(|ix| {
+                comparison.listed.push((ix, task, status.attempt));
+                self.machine(m)?.claim_position(ix, task, status.attempt)
+            });
+            match position {
+                _ if status.stage == TaskStage::Exited => {
+                    exited.push(Exited {
+                        job: id.to_owned(),
+                        task,
+                        attempt: status.attempt,
+                        cause: status.cause,
+                    });
+                    comparison.note_exited(ix, task, position, status);
+                }
+                Some(position) => self.note_stage(m, position, status.stage, catalog, now),
+                // A heartbeat from before our time may be a copy of one that was overtaken long ago.
+                None if heartbeat.token < self.token => {}
+                None => {
+                    // Not expected to happen; it counts and is stopped all the same.
+                    log::warn!(
+                        "machine {}: task {} attempt {} without a claim",
+                        heartbeat.machine,
+                        status.task,
+                        status.attempt
+                    );
+                    comparison
+                        .strays
+                        .extend(ix.map(|ix| Claim::stray(ix, task, status.attempt)));
+                }
+            }
+        }
+        if let Some(machine) = self.machine_mut(m) {
+            machine.exited = exited;
+        }
+        comparison
+    }
+
+    /// A claimed task is listed, and has not exited.
+    fn note_stage(
+        &mut self,
+        m: usize,
+        position: usize,
+        stage: TaskStage,
+        catalog: Option<&Catalog>,
+        now: u64,
+    ) {
+        let Some(machine) = self.machines.get_mut(m) else {
+            return;
+        };
+        let claim = &mut machine.claims[position];
+        claim.sent = true;
+        let earlier = claim.stage.replace(stage);
+        if earlier == Some(stage) {
+            return;
+        }
+        let (was_running, runs) = (is_running(earlier), is_running(Some(stage)));
+        if runs && claim.running_since.is_none() {
+            claim.running_since = Some(now);
+        }
+        let Some(job) = self.jobs.get_mut(claim.job) else {
+            return;
+        };
+        job.running = (job.running + u32::from(runs && !was_running))
+            .saturating_sub(u32::from(was_running && !runs));
+        if stage != TaskStage::Fetching
+            && let Some(spec) = &job.spec
+        {
+            let image = self.images.get(&spec.image);
+            let cache_gb = catalog.and_then(|catalog| cache_of(catalog, &machine.machine_type));
+            machine.has_image(image, spec.image_gb, cache_gb.unwrap_or(0.0));
+        }
+    }
+
+    /// Claims whose tasks are not listed, by a heartbeat that proves their absence.
+    fn find_absent(&mut self, m: usize, agent_epoch: u64, comparison: &mut Comparison) {
+        let Some(machine) = self.machines.get_mut(m) else {
+            return;
+        };
+        for (position, claim) in machine.claims.iter_mut().enumerate() {
+            let is_listed = comparison
+                .listed
+                .contains(&(claim.job, claim.task, claim.attempt));
+            if claim.state != ClaimState::Recorded || !claim.sent || is_listed {
+                continue;
+            }
+            // One that was read back may have ended and been reaped before our time.
+            // Nor is an attempt begun in two agent epochs: what it came to in the first would be taken for its end in
+            // the second, where a copy of an old heartbeat comes to a later leader.
+            let is_earlier = claim.agent_epoch < agent_epoch;
+            if claim.stage.is_some() || claim.stop.is_some() || claim.loaded || is_earlier {
+                comparison.ended.push(EndedClaim::unexplained(position));
+            } else {
+                // It never got there: the same attempt can be sent again, since nothing was reaped.
+                claim.sent = false;
+                self.push.insert(m);
+            }
+        }
+    }
+
+    /// Records claims for tasks that have none. Returns their jobs.
+    fn take_in_strays(&mut self, m: usize, strays: Vec<Claim>) -> BTreeSet<JobIndex> {
+        let mut jobs = BTreeSet::new();
+        for stray in strays {
+            let id = ClaimId {
+                machine: m,
+                job: stray.job,
+                task: stray.task,
+                attempt: stray.attempt,
+            };
+            self.make_claim(id, stray);
+            jobs.insert(id.job);
+        }
+        jobs
+    }
+
+    /// Notes results of tasks without a claim. Returns their jobs.
+    fn complete_finished(&mut self, finished: Vec<(JobIndex, u32)>) -> BTreeSet<JobIndex> {
+        let mut jobs = BTreeSet::new();
+        for (ix, task) in finished {
+            if let Some(job) = self.job_mut(ix) {
+                job.complete(task);
+            }
+            jobs.insert(ix);
+        }
+        jobs
+    }
+}
+
+impl Comparison {
+    /// An exited task: the end of its claim, or a result that counts without one.
+    fn note_exited(
+        &mut self,
+        ix: Option<JobIndex>,
+        task: u32,
+        position: Option<usize>,
+        status: &TaskStatus,
+    ) {
+        match position {
+            Some(position) => self.ended.push(EndedClaim {
+                position,
+                cause: status.cause,
+                saved: status.saved.unwrap_or(false),
+            }),
+            None if status.cause == Some(Cause::Done) => {
+                self.finished.extend(ix.map(|ix| (ix, task)));
+            }
+            None => {}
+        }
+    }
+}
+
+fn cache_of(catalog: &Catalog, machine_type: &str) -> Option<f64> {
+    let known = catalog.types.iter().find(|t| t.name == machine_type);
+    known.map(|t| t.cache_gb)
+}
+
+/// The class of a job, and how long its task ran against the estimate, if that says something of later tasks.
+fn measured_ratio(job: &Job, claim: &Claim, now: u64) -> Option<(String, f64)> {
+    let spec = job.spec.as_ref()?;
+    let ran_s = claim.ran_s(now)?;
+    let is_whole_run = job.progress_s == 0.0 && !job.is_ending();
+    (spec.estimate_s > 0.0 && is_whole_run).then(|| (spec.class.clone(), ran_s / spec.estimate_s))
+}
+
+/// A task failed. Where a job failed on several machines and succeeded nowhere, the fault is its own.
+fn task_failed(job: &mut Job, machine: &mut Machine, m: usize, claim: &Claim, now: u64) {
+    job.failures += 1;
+    job.failed_on.insert(m);
+    if job.failed_on.len() >= BAD_JOB_MACHINES && !job.succeeded {
+        let backoff = BAD_JOB_BACKOFF_MS << job.failures.min(BAD_JOB_DOUBLINGS);
+        job.backoff_until = now + backoff.min(LONGEST_BACKOFF_MS);
+        return;
+    }
+    job.backoff_until = now + ERROR_BACKOFF_MS;
+    machine.errors += 1;
+    *machine.error_jobs.entry(claim.job).or_default() += 1;
+    // One job alone proves nothing against a machine, unless it succeeds elsewhere.
+    let several = machine.error_jobs.len() >= 2;
+    if several || (job.succeeded && machine.errors >= 2) {
+        log::warn!(
+            "machine {}: cordoned after {} errors",
+            machine.name,
+            machine.errors
+        );
+        machine.cordoned = true;
+    } else {
+        machine.rest_until = now + ERROR_REST_MS;
+    }
+}
+
+/// A worker did not begin a task, for want of room or since it does not know the job yet.
+fn task_refused(job: &mut Job, machine: &mut Machine, claim: &Claim, cause: Cause, now: u64) {
+    log::warn!(
+        "task {}/{} refused by {}: {:?}",
+        job.id,
+        claim.task,
+        machine.name,
+        Some(cause)
+    );
+    machine.rest_until = now + REFUSAL_REST_MS;
+    if cause == Cause::Unknown {
+        job.backoff_until = now + UNKNOWN_BACKOFF_MS;
+    }
+}
+
+/// A task was stopped or lost: what it had saved by then counts for the next attempt.
+fn note_progress(job: &mut Job, claim: &Claim, saved: bool, now: u64) {
+    let (Some(ran_s), Some(spec)) = (claim.ran_s(now), &job.spec) else {
+        return;
+    };
+    if spec.checkpoint_s > 0.0 {
+        let whole = job.progress_s + ran_s;
+        job.progress_s = if saved {
+            whole
+        } else {
+            (whole / spec.checkpoint_s).floor() * spec.checkpoint_s
+        };
+    }
+}
+
+impl Node {
+    /// Takes in a heartbeat, unless a newer one was seen. True if it is the newest.
+    pub(crate) fn absorb(&mut self, m: usize, heartbeat: &Heartbeat) -> bool {
+        let now = self.now.mono;
+        let catalog = self.shared.catalog.as_ref();
+        let Some(shard) = &mut self.shard else {
+            return false;
+        };
+        let Some(machine) = shard.machine_mut(m) else {
+            return false;
+        };
+        if (heartbeat.agent_epoch, heartbeat.seq) <= machine.seen {
+            return false;
+        }
+        shard.note_contact(m, heartbeat, now);
+        let proves_absence = shard.proves_absence(m, heartbeat);
+        let has_new_notice = shard.note_notice(m, heartbeat, now);
+        let mut comparison = shard.compare_listed(m, heartbeat, catalog, now);
+        if proves_absence {
+            shard.find_absent(m, heartbeat.agent_epoch, &mut comparison);
+        }
+        let mut changed = shard.take_in_strays(m, comparison.strays);
+        changed.extend(shard.complete_finished(comparison.finished));
+        changed.extend(self.end_claims(m, comparison.ended));
+        if has_new_notice {
+            self.drain_for_notice(m);
+        }
+        for ix in changed {
+            self.job_changed(ix);
+        }
+        true
+    }
+
+    /// Ends several claims of a machine. Returns their jobs.
+    pub(crate) fn end_claims(
+        &mut self,
+        m: usize,
+        mut ended: Vec<EndedClaim>,
+    ) -> BTreeSet<JobIndex> {
+        // From the last to the first, since each leaves the list.
+        ended.sort_unstable_by_key(|end| std::cmp::Reverse(end.position));
+        ended
+            .into_iter()
+            .filter_map(|end| self.claim_ended(m, end))
+            .collect()
+    }
+
+    /// A task is proved gone. Returns its job.
+    fn claim_ended(&mut self, m: usize, end: EndedClaim) -> Option<JobIndex> {
+        let now = self.now.mono;
+        let shard = self.shard.as_mut()?;
+        let machine = shard.machines.get_mut(m)?;
+        if end.position >= machine.claims.len() {
+            return None;
+        }
+        let claim = machine.claims.remove(end.position);
+        shard.claim_log.ended(claim.segment);
+        let job = shard.jobs.get_mut(claim.job)?;
+        log::debug!(
+            "task {}/{} attempt {} on {}: ended, {:?}",
+            job.id,
+            claim.task,
+            claim.attempt,
+            machine.name,
+            end.cause
+        );
+        if is_running(claim.stage) {
+            job.running = job.running.saturating_sub(1);
+        }
+        match end.cause {
+            Some(Cause::Done) => {
+                if let Some((class, ratio)) = measured_ratio(job, &claim, now) {
+                    shard.classes.entry(class).or_default().learn(ratio);
+                }
+                job.complete(claim.task);
+                machine.errors = 0;
+                machine.error_jobs.clear();
+            }
+            Some(Cause::Error) => task_failed(job, machine, m, &claim, now),
+            Some(cause @ (Cause::NoRoom | Cause::Busy | Cause::Unknown)) => {
+                task_refused(job, machine, &claim, cause, now);
+            }
+            _ => note_progress(job, &claim, end.saved, now),
+        }
+        job.unclaim(claim.task, m, claim.attempt);
+        if machine.claims.is_empty() {
+            machine.idle_since = now;
+        }
+        shard.plan_triggers.request();
+        Some(claim.job)
+    }
+
+    /// Claims of which nothing was sent are over at once: no proof is needed.
+    pub(crate) fn never_started(&mut self, m: usize, claims: &[usize]) {
+        let ended = claims.iter().copied().map(EndedClaim::unexplained);
+        for ix in self.end_claims(m, ended.collect()) {
+            self.job_changed(ix);
+        }
+    }
+
+    /// The cloud takes the machine away soon: what can save does so now, and what can't end in time is freed
+    /// to start elsewhere.
+    fn drain_for_notice(&mut self, m: usize) {
+        let now = self.now.mono;
+        let Some(shard) = &mut self.shard else { return };
+        let Some(machine) = shard.machine(m) else {
+            return;
+        };
+        log::info!("machine {}: is about to be taken", machine.name);
+        let left = machine.notice_until.unwrap_or(now).saturating_sub(now) as f64 / 1000.0;
+        let mut stops: Vec<(JobIndex, f64)> = Vec::new();
+        for c in &machine.claims {
+            let Some(spec) = shard.job(c.job).and_then(|j| j.spec.as_ref()) else {
+                continue;
+            };
+            let ran = c.ran_s(now).unwrap_or(0.0);
+            if spec.checkpoint_s > 0.0 || c.running_since.is_none() || spec.estimate_s - ran > left
+            {
+                stops.push((c.job, grace(spec)));
+            }
+        }
+        for (ix, grace) in stops {
+            self.stop_here(ix, m, grace);
+        }
+    }
+
+    /// Stops a job's tasks on one machine; a gang's on all, since they end together.
+    pub(crate) fn stop_here(&mut self, ix: JobIndex, m: usize, grace_s: f64) {
+        let Some(shard) = &mut self.shard else { return };
+        let Some(job) = shard.job(ix) else { return };
+        let machines: BTreeSet<usize> = if job.kind() == Kind::Gang {
+            job.machines()
+        } else {
+            BTreeSet::from([m])
+        };
+        for m in machines {
+            shard.stop_job(ix, m, grace_s);
+        }
+    }
+}
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -2,33 +2,33 @@
 //! the leader, many to a message, and its orders handed back within the time that a worker waits. Commands to such
 //! workers go the same way.
 //!
-//! A relayed heartbeat is the worker's own, with its session and number, and a relayed answer is the leader's own, with
+//! A relayed heartbeat is the worker's own, with its agent epoch and number, and a relayed answer is the leader's own, with
 //! its token: a relay judges, renews and orders nothing. It asks only the leader, so that nothing goes in circles.
 
 use crate::agents::heartbeat::HeartbeatReply;
-use crate::jobs::admission::peer_answer;
+use crate::jobs::peer_requests::peer_answer;
 use crate::{Destination, Node, Pending};
 use reach::{Caller, Leader, Turn, Ways};
 use serde_bytes::ByteBuf;
 use std::net::SocketAddr;
 use wire::api::Heartbeat;
 use wire::http::Response;
-use wire::peer::{self, Answer, Ask};
+use wire::peer::{Answer, Ask};
 
 /// Heartbeats in a message, their bytes, and messages that are out at once. What is beyond is refused: relays are the
 /// first thing that overload sheds.
-const BATCH: usize = 32;
-const BATCH_BYTES: usize = 256 << 10;
-const OUT: usize = 16;
+const MOST_HEARTBEATS: usize = 32;
+const MOST_BYTES: usize = 256 << 10;
+const MOST_MESSAGES: usize = 16;
 /// Spread heartbeats wait so long for a fuller batch while the leader has not answered the one before: a leader that is
 /// slow gets fewer messages, and more in each.
 const GATHER_MS: u64 = 400;
 /// A worker waits 4 s for its answer.
-const REPORTS_TIMEOUT_MS: u64 = 2500;
+const HEARTBEATS_TIMEOUT_MS: u64 = 2500;
 /// A leader that does not take what is forwarded to it is left alone for so long.
 const REST_MS: u64 = 1000;
 /// Shorter than a leader waits for the answer to a command.
-const TELL_TIMEOUT_MS: u64 = 1500;
+const COMMAND_TIMEOUT_MS: u64 = 1500;
 
 /// What the end of a command is called that a peer has not sent, since it does not serve that worker.
 pub(crate) const NOT_SENT: u16 = 421;
@@ -36,22 +36,32 @@
 /// What a relay holds.
 #[derive(Default)]
 pub(crate) struct Relay {
+    /// Which workers reach the leader by themselves.
     pub ways: Ways,
+    /// Heartbeats that wait for the next message, with their connections, and their bytes.
     queue: Vec<(u64, ByteBuf)>,
     bytes: usize,
     /// When the first heartbeat in the queue came.
     queued_at: u64,
-    out: usize,
+    /// Messages that are not answered yet.
+    in_flight: usize,
+    /// The leader did not take a message: nothing is forwarded until then.
     rests_until: u64,
 }
 
 impl Node {
+    /// Whether heartbeats and commands may go by way of peers.
     pub(crate) fn relays(&self) -> bool {
         self.tuning.relays > 0.0
     }
 
     /// A heartbeat to a node that does not lead the fleet: true if it is forwarded.
-    pub(crate) fn takes(&mut self, conn: u64, heartbeat: &Heartbeat, body: &[u8]) -> bool {
+    pub(crate) fn forward_heartbeat(
+        &mut self,
+        conn: u64,
+        heartbeat: &Heartbeat,
+        body: &[u8],
+    ) -> bool {
         let now = self.now.mono;
         let leader = self.leader_peer().zip(self.leader_token());
         let Some((node, token)) = leader.filter(|_| self.relays() && now >= self.relay.rests_until)
@@ -76,7 +86,7 @@
         }
         self.relay.bytes += body.len();
         self.relay.queue.push((conn, ByteBuf::from(body)));
-        if self.relay.queue.len() >= BATCH || self.relay.bytes >= BATCH_BYTES {
+        if self.relay.queue.len() >= MOST_HEARTBEATS || self.relay.bytes >= MOST_BYTES {
             self.send_batch();
         }
         true
@@ -91,37 +101,35 @@
             && self.leader_peer().is_some_and(is_heard)
     }
 
+    /// Sends what has come since the last tick, unless it may still gather.
     pub(crate) fn relay_tick(&mut self) {
         if !self.relay.queue.is_empty() && !self.gathers() {
             self.send_batch();
         }
     }
 
+    /// Whether heartbeats wait for a fuller batch, while one before is not answered.
     fn gathers(&self) -> bool {
         let waits = self.now.mono < self.relay.queued_at + GATHER_MS;
-        self.is_spread() && self.relay.out > 0 && waits
+        self.is_spread() && self.relay.in_flight > 0 && waits
     }
 
     fn send_batch(&mut self) {
-        let Some(peer) = self.leader_peer().filter(|_| self.relay.out < OUT) else {
+        let Some(peer) = self
+            .leader_peer()
+            .filter(|_| self.relay.in_flight < MOST_MESSAGES)
+        else {
             return self.refuse_queue();
         };
         self.relay.bytes = 0;
         let (conns, heartbeats): (Vec<u64>, Vec<ByteBuf>) = self.relay.queue.drain(..).unzip();
-        self.relay.out += 1;
-        let body = peer::encode(&Ask::Reports {
+        self.relay.in_flight += 1;
+        let ask = Ask::Reports {
             node: self.settings.node.clone(),
             reports: heartbeats,
-        });
-        let to = Destination::Peer(peer);
-        self.send(
-            to,
-            "POST",
-            peer::PATH.into(),
-            body,
-            REPORTS_TIMEOUT_MS,
-            Pending::Relayed { conns },
-        );
+        };
+        let what = Pending::Relayed { conns };
+        self.ask_peer(peer, &ask, HEARTBEATS_TIMEOUT_MS, what);
     }
 
     fn refuse_queue(&mut self) {
@@ -131,8 +139,13 @@
         }
     }
 
-    pub(crate) fn relayed(&mut self, conns: Vec<u64>, response: Option<Response>) {
-        self.relay.out = self.relay.out.saturating_sub(1);
+    /// The leader's answer to a batch of heartbeats: each goes to its worker.
+    pub(crate) fn relayed_heartbeats_answered(
+        &mut self,
+        conns: Vec<u64>,
+        response: Option<Response>,
+    ) {
+        self.relay.in_flight = self.relay.in_flight.saturating_sub(1);
         let bodies = match peer_answer(response) {
             Some(Answer::Orders(bodies)) if bodies.len() == conns.len() => bodies,
             _ => {
@@ -156,22 +169,24 @@
         node: &str,
         heartbeats: Vec<ByteBuf>,
     ) {
-        let peer = self.peer_named(node).filter(|_| heartbeats.len() <= BATCH);
+        let peer = self
+            .peer_named(node)
+            .filter(|_| heartbeats.len() <= MOST_HEARTBEATS);
         let Some(peer) = peer else {
             self.stats.bad_answers += 1;
             return self.refuse(conn, 400, "reports: from nobody we know, or too many");
         };
         if self.shard.is_none() {
-            return self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
+            return self.answer_peer(conn, &Answer::NotNow);
         }
         let bodies = heartbeats
             .iter()
-            .map(|body| self.forwarded(peer, body))
+            .map(|body| self.take_relayed_heartbeat(peer, body))
             .collect();
-        self.respond(conn, 200, peer::encode(&Answer::Orders(bodies)), None);
+        self.answer_peer(conn, &Answer::Orders(bodies));
     }
 
-    fn forwarded(&mut self, peer: usize, body: &[u8]) -> ByteBuf {
+    fn take_relayed_heartbeat(&mut self, peer: usize, body: &[u8]) -> ByteBuf {
         let Ok(heartbeat) = wire::decode::<Heartbeat>(body) else {
             self.stats.bad_answers += 1;
             return ByteBuf::new();
@@ -184,46 +199,42 @@
     }
 
     /// The leader has something to say to a worker that is served here.
-    pub(crate) fn tell_asked(&mut self, conn: u64, machine: &str, addr: &str, body: Vec<u8>) {
-        let known = self.relay.ways.serves(self.now.mono, machine);
-        let Some(addr) = addr
-            .parse::<SocketAddr>()
-            .ok()
-            .filter(|_| known && self.relays())
-        else {
-            return self.tell_unsent(conn);
-        };
-        let what = Pending::Tell { conn };
-        self.send(
-            Destination::Worker(addr),
-            "POST",
-            "/commands".into(),
-            body,
-            TELL_TIMEOUT_MS,
-            what,
-        );
+    pub(crate) fn relay_command(&mut self, conn: u64, machine: &str, addr: &str, body: Vec<u8>) {
+        let is_served = self.relay.ways.serves(self.now.mono, machine) && self.relays();
+        match addr.parse::<SocketAddr>() {
+            Ok(addr) if is_served => {
+                self.post_command(addr, body, COMMAND_TIMEOUT_MS, Pending::Tell { conn });
+            }
+            _ => self.relayed_command_unsent(conn),
+        }
+    }
+
+    fn post_command(&mut self, addr: SocketAddr, body: Vec<u8>, timeout_ms: u64, what: Pending) {
+        let to = Destination::Worker(addr);
+        self.send(to, "POST", "/commands".into(), body, timeout_ms, what);
     }
 
-    pub(crate) fn tell_unsent(&mut self, conn: u64) {
-        let answer = Answer::refused(NOT_SENT, "");
-        self.respond(conn, 200, peer::encode(&answer), None);
+    /// Tells the leader that its command has not left this host.
+    pub(crate) fn relayed_command_unsent(&mut self, conn: u64) {
+        self.answer_peer(conn, &Answer::refused(NOT_SENT, ""));
     }
 
-    pub(crate) fn worker_told(&mut self, conn: u64, response: Option<Response>) {
+    /// Tells the leader what the worker has answered.
+    pub(crate) fn relayed_command_answered(&mut self, conn: u64, response: Option<Response>) {
         let answer = response.map_or(Answer::NotNow, |r| Answer::Told {
             status: r.status,
             body: r.body.into(),
         });
-        self.respond(conn, 200, peer::encode(&answer), None);
+        self.answer_peer(conn, &answer);
     }
 
     /// A command to a worker, by way of the node that it heartbeats to.
-    pub(crate) fn command(
+    pub(crate) fn send_command(
         &mut self,
         m: usize,
         addr: SocketAddr,
         body: Vec<u8>,
-        timeout: u64,
+        timeout_ms: u64,
         what: Pending,
     ) {
         let machine = self.shard.as_ref().and_then(|p| p.machine(m));
@@ -235,45 +246,29 @@
                     addr: addr.to_string(),
                     body: body.into(),
                 };
-                self.send(
-                    Destination::Peer(peer),
-                    "POST",
-                    peer::PATH.into(),
-                    peer::encode(&ask),
-                    timeout,
-                    what,
-                );
+                self.ask_peer(peer, &ask, timeout_ms, what);
             }
-            None => self.send(
-                Destination::Worker(addr),
-                "POST",
-                "/commands".into(),
-                body,
-                timeout,
-                what,
-            ),
+            None => self.post_command(addr, body, timeout_ms, what),
         }
     }
 }
 
-/// The end of a command that has not left this host.
-pub(crate) fn not_sent() -> Response {
+fn as_worker(status: u16, body: Vec<u8>) -> Response {
     Response {
-        status: NOT_SENT,
-        body: Vec::new(),
+        status,
+        body,
         close: false,
         retry_after_s: None,
     }
 }
 
+/// The end of a command that has not left this host.
+pub(crate) fn not_sent() -> Response {
+    as_worker(NOT_SENT, Vec::new())
+}
+
 /// What a worker answered, where a peer tells it. A peer's own answer that is none is as good as silence.
-pub(crate) fn told(response: Option<Response>) -> Option<Response> {
-    let as_worker = |status, body| Response {
-        status,
-        body,
-        close: false,
-        retry_after_s: None,
-    };
+pub(crate) fn relayed_answer(response: Option<Response>) -> Option<Response> {
     match peer_answer(response)? {
         Answer::Told { status, body } if status != NOT_SENT => {
             Some(as_worker(status, body.into_vec()))
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -63,7 +63,7 @@
         let Some(shard) = self.shard.as_ref().filter(|shard| shard.loaded) else {
             return;
         };
-        let machines = shard.machine_index.len() as f64;
+        let machines = shard.machines.count() as f64;
         let most = match self.routing.is_spread {
             true => self.tuning.direct_machines * SPREAD_UNTIL,
             false => self.tuning.direct_machines,
@@ -81,13 +81,13 @@
 
     /// The controller that a worker which heartbeats to the leader should rather heartbeat to. One that comes back is left
     /// with the leader, and others of its zone too until one of them got there.
-    pub(crate) fn moved_to(&mut self, heartbeat: &Heartbeat) -> Option<String> {
+    pub(crate) fn redirect_target(&mut self, heartbeat: &Heartbeat) -> Option<String> {
         let now = self.now.mono;
         if !self.is_spread() || !self.may_decide() || self.routing.moves.level(now) < 1.0 {
             return None;
         }
         let shard = self.shard.as_ref()?;
-        if !shard.machine_index.contains_key(&heartbeat.machine) {
+        if !shard.machines.contains(&heartbeat.machine) {
             return None;
         }
         let peer = self.relay_for(heartbeat)?;
--- /dev/null
+++ b/crates/control/src/documents/change.rs
@@ -0,0 +1,425 @@
+//! How a version is made: a change is checked, its parts are written, and then its head.
+
+use crate::Node;
+use crate::documents::kind::{ALL, PartOf, prefix};
+use crate::documents::operator_api::{faulty, refused};
+use crate::documents::{ActiveVersion, Document, Documents, Kind, KindId, for_kind};
+use crate::store::shard::Shard;
+use crate::store::transaction::{PendingWrite, TransactionDraft, value_limit};
+use document::{Content, Head, Past, SHORT};
+use std::collections::VecDeque;
+use std::fmt;
+use std::sync::Arc;
+use wire::admin::{self, ChangeOf, Changed, Refused};
+use wire::records::{self, Record};
+
+/// Differences that an answer lists.
+const DIFFERENCES: usize = 200;
+
+/// A change on its way into the state service.
+pub(super) struct PendingChange<K: Kind> {
+    id: String,
+    /// Who waits for it; nobody for the first version.
+    conn: Option<u64>,
+    head: Head,
+    active: ActiveVersion<K::Content>,
+    /// Stamp of the head that it follows.
+    stamp: u64,
+    /// Parts still to be written, and how many of them are on their way.
+    parts: VecDeque<(String, PartOf<K>)>,
+    parts_in_flight: usize,
+    answer: Changed,
+}
+
+/// What becomes of a change before it is prepared.
+enum Admission {
+    New,
+    /// The same change is on its way: whoever sent it last waits for it.
+    Joined,
+    /// A repeat after a lost answer: the change was made, with this version.
+    Made(u64),
+    Conflict(Conflict),
+}
+
+/// Why a change can't follow the version in force.
+enum Conflict {
+    /// It was made for another version.
+    Outdated { expected: u64, version: u64 },
+    /// Another change is on its way.
+    InProgress { version: u64 },
+}
+
+impl fmt::Display for Conflict {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Conflict::Outdated { expected, version } => write!(
+                f,
+                "made for version {expected}, but version {version} is in force"
+            ),
+            Conflict::InProgress { version } => {
+                write!(f, "another change of version {version} is under way")
+            }
+        }
+    }
+}
+
+impl Conflict {
+    fn refused(&self) -> Refused {
+        let (Conflict::Outdated { version, .. } | Conflict::InProgress { version }) = self;
+        Refused {
+            version: Some(*version),
+            ..refused(&self.to_string())
+        }
+    }
+}
+
+/// A longer id would be remembered cut, and a repeat taken for another change.
+fn is_valid_id(id: &str) -> bool {
+    !id.is_empty() && id.len() <= SHORT && !id.chars().any(char::is_control)
+}
+
+/// What a change did, in the few words that the history keeps.
+fn summary(differences: &[String]) -> String {
+    match differences {
+        [] => "nothing".to_owned(),
+        [only] => only.clone(),
+        [first, others @ ..] => format!("{first} and {} more", others.len()),
+    }
+}
+
+impl<K: Kind> Document<K> {
+    /// Holds a change against what was made already, the version in force and what is on its way.
+    fn admit(&mut self, conn: u64, change: &ChangeOf<K::Edit>) -> Admission {
+        if let Some(past) = self.head.made(&change.id) {
+            return Admission::Made(past.version);
+        }
+        let version = self.head.version;
+        if let Some(expected) = change.expect.filter(|expected| *expected != version) {
+            return Admission::Conflict(Conflict::Outdated { expected, version });
+        }
+        match &mut self.pending_change {
+            None => Admission::New,
+            Some(other) if other.id == change.id => {
+                other.conn = Some(conn);
+                Admission::Joined
+            }
+            Some(_) => Admission::Conflict(Conflict::InProgress { version }),
+        }
+    }
+
+    /// The content in force, as it fits what surrounds it now.
+    fn fitting(&self, context: &<K::Content as Content>::Context) -> K::Content {
+        let active = self.active.as_ref();
+        active
+            .map(|active| active.spec.fitting(context))
+            .unwrap_or_default()
+    }
+
+    /// The parts that the state service has not yet.
+    fn missing(&self, parts: Vec<(String, PartOf<K>)>) -> VecDeque<(String, PartOf<K>)> {
+        parts
+            .into_iter()
+            .filter(|(name, _)| !self.parts.contains_key(name))
+            .collect()
+    }
+
+    /// All that its change needs is in place but the head.
+    fn is_due(&self) -> bool {
+        self.pending_change
+            .as_ref()
+            .is_some_and(|c| c.parts.is_empty() && c.parts_in_flight == 0)
+    }
+
+    /// Parts that no version names any more, unless a change is about to.
+    fn unreferenced_parts(&self) -> Vec<(String, u64)> {
+        let stands = self.pending_change.is_none() && self.version() == Some(self.head.version);
+        if !stands || self.parts.len() <= self.head.parts.len() {
+            return Vec::new();
+        }
+        let over = |(name, _): &(&String, &u64)| !self.head.parts.contains(name);
+        self.parts
+            .iter()
+            .filter(over)
+            .map(|(name, stamp)| (name.clone(), *stamp))
+            .collect()
+    }
+}
+
+impl Documents {
+    /// The kind whose head may be written now, if the transaction has room for it.
+    fn due(&self, shard: &Shard, budget: usize) -> Option<KindId> {
+        ALL.into_iter().find(
+            |kind| for_kind!(*kind, K => budget >= K::HEAD_WRITES && K::document(self).is_due() && K::may_write_head(shard)),
+        )
+    }
+}
+
+/// The leader's writes.
+impl TransactionDraft {
+    /// The changes that the head takes which is due, if one is.
+    pub fn head_due(all: &Documents, shard: &Shard, budget: usize) -> Option<(KindId, usize)> {
+        let kind = all.due(shard, budget)?;
+        Some((kind, for_kind!(kind, K => K::HEAD_WRITES)))
+    }
+
+    pub fn head(&mut self, all: &Documents, shard: &mut Shard, kind: KindId) {
+        for_kind!(kind, K => self.head_of::<K>(all, shard));
+    }
+
+    fn head_of<K: Kind>(&mut self, all: &Documents, shard: &mut Shard) {
+        let Some(change) = &K::document(all).pending_change else {
+            return;
+        };
+        let version = change.head.version;
+        self.put(
+            records::head_key(K::Content::KIND),
+            change.stamp,
+            K::record(change.head.clone()),
+        );
+        K::write_with_head(self, shard, version);
+        self.pending_writes.push(PendingWrite::Head(K::ID));
+    }
+
+    /// Parts of versions to come, as far as there is room.
+    pub fn parts(&mut self, all: &mut Documents, room: impl Fn(&TransactionDraft) -> bool) {
+        for kind in ALL {
+            for_kind!(kind, K => self.parts_of::<K>(K::document_mut(all), &room));
+        }
+    }
+
+    fn parts_of<K: Kind>(
+        &mut self,
+        document: &mut Document<K>,
+        room: impl Fn(&TransactionDraft) -> bool,
+    ) {
+        let Some(change) = &mut document.pending_change else {
+            return;
+        };
+        while room(self)
+            && let Some((name, piece)) = change.parts.pop_front()
+        {
+            let value = serde_json::to_value(&piece).unwrap_or_default();
+            self.put_part(format!("{}{name}", prefix::<K>()), Record::Other(value));
+            change.parts_in_flight += 1;
+            self.pending_writes
+                .push(PendingWrite::DocumentPart(K::ID, name));
+        }
+    }
+
+    /// Takes away what no version names.
+    pub fn remove_unreferenced_parts(
+        &mut self,
+        all: &Documents,
+        room: impl Fn(&TransactionDraft) -> bool,
+    ) {
+        for kind in ALL {
+            for (name, stamp) in for_kind!(kind, K => K::document(all).unreferenced_parts()) {
+                if !room(self) {
+                    return;
+                }
+                self.remove(
+                    format!("{}{name}", for_kind!(kind, K => prefix::<K>())),
+                    stamp,
+                );
+                self.pending_writes
+                    .push(PendingWrite::RemoveDocumentPart(kind, name));
+            }
+        }
+    }
+}
+
+impl Documents {
+    pub fn part_written(&mut self, kind: KindId, name: String, revision: u64) {
+        for_kind!(kind, K => {
+            let document = K::document_mut(self);
+            document.parts.insert(name, revision);
+            if let Some(change) = &mut document.pending_change {
+                change.parts_in_flight = change.parts_in_flight.saturating_sub(1);
+            }
+        });
+    }
+
+    pub fn part_removed(&mut self, kind: KindId, name: &str) {
+        for_kind!(kind, K => K::document_mut(self).parts.remove(name));
+    }
+}
+
+/// How versions are made.
+impl Node {
+    /// An operator's change: made, refused, or only tried out.
+    pub(crate) fn change<K: Kind>(&mut self, conn: u64, change: ChangeOf<K::Edit>) {
+        if !is_valid_id(&change.id) {
+            let why = format!("id: must be 1 to {SHORT} bytes without control characters");
+            return self.deny_admin(conn, 400, refused(&why));
+        }
+        match K::document_mut(&mut self.shared.documents).admit(conn, &change) {
+            Admission::New => self.prepare_or_refuse::<K>(conn, &change),
+            Admission::Joined => {}
+            Admission::Made(version) => self.answer_changed(
+                conn,
+                &Changed {
+                    version,
+                    ..Changed::default()
+                },
+            ),
+            Admission::Conflict(conflict) => self.deny_admin(conn, 409, conflict.refused()),
+        }
+    }
+
+    fn prepare_or_refuse<K: Kind>(&mut self, conn: u64, change: &ChangeOf<K::Edit>) {
+        match self.prepare::<K>(Some(conn), change) {
+            Err(why) => self.deny_admin(conn, 422, why),
+            Ok(ready) if change.dry_run => {
+                let answer = Changed {
+                    version: K::document(&self.shared.documents).head.version,
+                    dry_run: true,
+                    ..ready.answer
+                };
+                self.answer_changed(conn, &answer);
+            }
+            Ok(ready) => self.begin(ready, &change.by),
+        }
+    }
+
+    fn answer_changed(&mut self, conn: u64, answer: &Changed) {
+        self.respond(conn, 200, admin::encode(answer), None);
+    }
+
+    fn begin<K: Kind>(&mut self, ready: PendingChange<K>, by: &str) {
+        log::info!(
+            "{}: version {} by {by:?} is to be written",
+            K::Content::NAME,
+            ready.head.version
+        );
+        K::document_mut(&mut self.shared.documents).pending_change = Some(ready);
+        self.to_write = true;
+    }
+
+    /// Makes the new version and checks it; nothing is changed yet.
+    fn prepare<K: Kind>(
+        &self,
+        conn: Option<u64>,
+        change: &ChangeOf<K::Edit>,
+    ) -> Result<PendingChange<K>, Refused> {
+        let document = K::document(&self.shared.documents);
+        let context = K::context(self);
+        let old = document.fitting(&context);
+        let spec = K::apply_edit(&change.edit, &old, &context)
+            .map_err(|fault| faulty::<K>(vec![fault]))?;
+        let built = Arc::new(spec.build(&context).map_err(faulty::<K>)?);
+        K::check_change(self, &built).map_err(faulty::<K>)?;
+        let value_limit = value_limit(self.settings.cluster.state.value_kb);
+        let parts = document::split(&spec, value_limit).map_err(|e| refused(&e))?;
+        let differences = K::Content::differences(&old, &spec, DIFFERENCES);
+        let past = Past::new(
+            document.head.version + 1,
+            &change.id,
+            self.now.wall,
+            &change.by,
+            &summary(&differences),
+        );
+        let names = parts.iter().map(|(name, _)| name.clone()).collect();
+        let head = document
+            .head
+            .next(names, past, value_limit)
+            .map_err(|e| refused(&e))?;
+        let head = Head {
+            format: K::Content::FORMAT,
+            ..head
+        };
+        let answer = Changed {
+            version: head.version,
+            dry_run: false,
+            differences,
+            above: K::consequences(self, &built),
+        };
+        let active = ActiveVersion {
+            version: head.version,
+            spec: Arc::new(spec),
+            built,
+        };
+        Ok(PendingChange {
+            id: change.id.clone(),
+            conn,
+            head,
+            active,
+            stamp: document.stamp,
+            parts: document.missing(parts),
+            parts_in_flight: 0,
+            answer,
+        })
+    }
+
+    /// Puts the document in place that this node was started with, if there has never been any.
+    pub(super) fn first_version<K: Kind>(&mut self) {
+        let document = K::document(&self.shared.documents);
+        let is_wanted = document.first.is_some()
+            && document.head.version == 0
+            && document.pending_change.is_none()
+            && self.shared.known;
+        if !is_wanted || !self.may_decide() {
+            return;
+        }
+        let Some(spec) = K::document_mut(&mut self.shared.documents).first.take() else {
+            return;
+        };
+        let (id, by) = ("first".to_owned(), self.settings.node.clone());
+        let change = ChangeOf {
+            id,
+            by,
+            expect: Some(0),
+            dry_run: false,
+            edit: K::replacement(spec),
+        };
+        match self.prepare::<K>(None, &change) {
+            Ok(ready) => self.begin(ready, &change.by),
+            Err(why) => {
+                let faults: String = why.faults.iter().map(|f| format!("; {f}")).collect();
+                log::error!(
+                    "the first {} is refused: {}{faults}",
+                    K::Content::NAME,
+                    why.error
+                );
+            }
+        }
+    }
+
+    /// A head goes into the next transaction.
+    pub(crate) fn before_heads(&mut self, budget: usize) {
+        let due = self
+            .shard
+            .as_ref()
+            .and_then(|shard| self.shared.documents.due(shard, budget));
+        if let Some(kind) = due {
+            for_kind!(kind, K => K::before_head_write(self));
+        }
+    }
+
+    /// The head of a change stands in the state service, at this revision.
+    pub(crate) fn head_written<K: Kind>(&mut self, revision: u64) {
+        let document = K::document_mut(&mut self.shared.documents);
+        let Some(done) = document.pending_change.take() else {
+            return;
+        };
+        document.observe_head(done.head, revision);
+        document.activate(done.active);
+        K::version_activated(self);
+        if let Some(conn) = done.conn {
+            self.answer_changed(conn, &done.answer);
+        }
+    }
+
+    /// A term of leadership is over: whether a change was made is for its record to say.
+    pub(crate) fn abandon_document_changes(&mut self) {
+        self.shared.documents.forget_readings();
+        for kind in ALL {
+            let conn = for_kind!(kind, K => {
+                K::document_mut(&mut self.shared.documents).pending_change.take().and_then(|c| c.conn)
+            });
+            if let Some(conn) = conn {
+                let why = "the owner changed; ask for the history whether the change was made";
+                self.deny_admin(conn, 503, refused(why));
+            }
+        }
+    }
+}
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -1,7 +1,7 @@
 //! Which counties are in force, and which of them a job is bound to when it is accepted.
 
-use crate::documents::county_counts::Held;
-use crate::documents::{Doc, Documents, Kind, KindId, refused};
+use crate::documents::county_counts::CountsUnavailable;
+use crate::documents::{Document, Documents, Kind, KindId, refused};
 use crate::{Node, documents::quotas::Quota};
 use county::{Cell, Counties, Job, Known, OTHER, Spec, Unbound, Unread};
 use document::Fault;
@@ -17,14 +17,14 @@
 impl Kind for County {
     type Content = Spec;
     type Edit = Whole<Spec>;
-    type Ask = Question;
+    type Query = Question;
     const ID: KindId = KindId::Counties;
-    const BINDS: bool = true;
+    const GUARDS_ACCEPTANCE: bool = true;
 
-    fn doc(all: &Documents) -> &Doc<Self> {
+    fn document(all: &Documents) -> &Document<Self> {
         &all.counties
     }
-    fn doc_mut(all: &mut Documents) -> &mut Doc<Self> {
+    fn document_mut(all: &mut Documents) -> &mut Document<Self> {
         &mut all.counties
     }
     /// Without the quota tree's nodes: they come and go, and only a change is held against them.
@@ -37,14 +37,14 @@
             desks: None,
         }
     }
-    fn edited(edit: &Whole<Spec>, _: &Spec, _: &Known) -> Result<Spec, Fault> {
+    fn apply_edit(edit: &Whole<Spec>, _: &Spec, _: &Known) -> Result<Spec, Fault> {
         let Whole::Set { spec } = edit;
         Ok(spec.clone())
     }
-    fn set(spec: Spec) -> Whole<Spec> {
+    fn replacement(spec: Spec) -> Whole<Spec> {
         Whole::Set { spec }
     }
-    fn may_change(node: &Node, new: &Counties) -> Result<(), Vec<Fault>> {
+    fn check_change(node: &Node, new: &Counties) -> Result<(), Vec<Fault>> {
         let faults = node.lost_by(new);
         if faults.is_empty() {
             Ok(())
@@ -52,7 +52,7 @@
             Err(faults)
         }
     }
-    fn told(node: &Node, new: &Arc<Counties>) -> Vec<String> {
+    fn consequences(node: &Node, new: &Arc<Counties>) -> Vec<String> {
         let live = node.live_by_county();
         let closed = new.spec().counties.iter().filter(|c| c.closed);
         let bound = closed.filter_map(|c| Some((c, live.get(&c.id)?)));
@@ -60,10 +60,10 @@
             .map(|(c, n)| format!("{}: {n} live jobs stay bound to it", c.id))
             .collect()
     }
-    fn asked(node: &mut Node, conn: u64, ask: Question) {
-        match ask {
-            Question::Tally { county } => node.tally_asked(conn, county.as_deref()),
-            Question::Audit { id } => node.audit_asked(conn, &id),
+    fn answer_query(node: &mut Node, conn: u64, query: Question) {
+        match query {
+            Question::Tally { county } => node.counts_queried(conn, county.as_deref()),
+            Question::Audit { id } => node.audit_queried(conn, &id),
         }
     }
 }
@@ -78,14 +78,14 @@
 impl Node {
     /// The county that a job accepted now belongs to; none without a document.
     pub(crate) fn county_for(&self, spec: &JobSpec) -> Result<Option<CountyRecord>, &'static str> {
-        let Some(good) = &self.shared.documents.counties.good else {
+        let Some(active) = &self.shared.documents.counties.active else {
             return Ok(None);
         };
-        if good.spec.counties.is_empty() {
+        if active.spec.counties.is_empty() {
             return Ok(None);
         }
-        let tree = Quota::doc(&self.shared.documents)
-            .good
+        let tree = Quota::document(&self.shared.documents)
+            .active
             .as_ref()
             .map(|g| &g.built);
         let path = tree
@@ -103,8 +103,8 @@
             zone: spec.zone.as_deref(),
             image: &spec.image,
         };
-        let bound = good.built.bind(&job).map_err(why)?;
-        let (county, version) = (bound.county, good.version);
+        let bound = active.built.bind(&job).map_err(why)?;
+        let (county, version) = (bound.county, active.version);
         Ok(Some(CountyRecord {
             county,
             version,
@@ -130,10 +130,10 @@
     fn lost_by(&self, new: &Counties) -> Vec<Fault> {
         let counties = &self.shared.documents.counties;
         let mut faults = Vec::new();
-        if let Some(old) = &counties.good {
+        if let Some(old) = &counties.active {
             faults = county::lost(&old.spec, new.spec(), &self.live_by_county());
             // A county that was closed may have been bound to until then.
-            let seen = self.shard.as_ref().map_or(0, |p| p.live_revision);
+            let seen = self.shard.as_ref().map_or(0, |p| p.live_watch.revision());
             let drops = old
                 .spec
                 .counties
@@ -144,7 +144,7 @@
                 faults.push(Fault::whole("county", what));
             }
         }
-        let tree = Quota::doc(&self.shared.documents).good.as_ref();
+        let tree = Quota::document(&self.shared.documents).active.as_ref();
         let known =
             |desk: &String| tree.is_some_and(|t| t.built.nodes.iter().any(|n| n.name == *desk));
         for (c, r, desk) in new.desks().filter(|(_, _, desk)| !known(desk)) {
@@ -158,16 +158,16 @@
         faults
     }
 
-    fn tally_asked(&mut self, conn: u64, county: Option<&str>) {
+    fn counts_queried(&mut self, conn: u64, county: Option<&str>) {
         let Some(shard) = &mut self.shard else { return };
-        let (revision, rows) = match shard.counts() {
+        let (revision, rows) = match shard.counts_by_county() {
             Ok(counts) => counts,
-            Err(why) => return self.deny_admin(conn, 503, refused(held(why))),
+            Err(why) => return self.deny_admin(conn, 503, refused(unavailable(why))),
         };
-        let good = self.shared.documents.counties.good.as_ref();
-        let name = |id: &str| good.and_then(|g| g.built.county(id)?.name.clone());
+        let active = self.shared.documents.counties.active.as_ref();
+        let name = |id: &str| active.and_then(|g| g.built.county(id)?.name.clone());
         let wanted = |cell: &Cell| county.is_none_or(|c| c == cell.county);
-        let known = |c: &str| c == OTHER || good.is_some_and(|g| g.built.county(c).is_some());
+        let known = |c: &str| c == OTHER || active.is_some_and(|g| g.built.county(c).is_some());
         let lines: Vec<Line> = rows
             .into_iter()
             .filter(|(cell, _)| wanted(cell))
@@ -188,20 +188,24 @@
         self.respond(conn, 200, admin::encode(&Counts { revision, lines }), None);
     }
 
-    fn audit_asked(&mut self, conn: u64, id: &str) {
+    fn audit_queried(&mut self, conn: u64, id: &str) {
         let Some(shard) = &mut self.shard else { return };
         match shard.audit(id) {
             Ok(Some(told)) => self.respond(conn, 200, admin::encode(&told), None),
             Ok(None) => self.deny_admin(conn, 409, refused("another audit is under way")),
-            Err(why) => self.deny_admin(conn, 503, refused(held(why))),
+            Err(why) => self.deny_admin(conn, 503, refused(unavailable(why))),
         }
     }
 }
 
-fn held(why: Held) -> &'static str {
+fn unavailable(why: CountsUnavailable) -> &'static str {
     match why {
-        Held::Unread(Unread::NotYet) => "counts are held back: their records are being read",
-        Held::Unread(Unread::Bad) => "counts are held back: a record of them can't be understood",
-        Held::Behind => "counts are held back: acceptances were not seen far enough",
+        CountsUnavailable::Unread(Unread::NotYet) => {
+            "counts are held back: their records are being read"
+        }
+        CountsUnavailable::Unread(Unread::Bad) => {
+            "counts are held back: a record of them can't be understood"
+        }
+        CountsUnavailable::Behind => "counts are held back: acceptances were not seen far enough",
     }
 }
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -1,4 +1,4 @@
-//! Counts by county as the leader keeps them: deltas that ride in the log, and sheets that they are folded into.
+//! Counts by county as the leader keeps them: deltas that ride in the log, and the counter sheets that they are added to.
 //!
 //! What ends is counted in the transaction that records its end, by way of its log record; a job that lives counts by
 //! its own record. So counting costs no write at an acceptance, and at an end none where a log record goes along
@@ -6,35 +6,39 @@
 
 use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::election::SHARD;
-use crate::store::commit::{PendingWrite, TransactionDraft};
+use crate::state_requests::PageCursor;
 use crate::store::shard::Shard;
-use crate::{Destination, Node, Pending};
+use crate::store::transaction::{PendingWrite, TransactionDraft};
+use crate::{Node, Pending};
 use county::{Cell, Count, Delta, Fold, OTHER, Sheet, Tally, Unread};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use wire::api::{Item, Range, Stage};
 use wire::http::Response;
 use wire::records::{self, ClaimsRecord, CountedRecord, CountyRecord, Record};
 
-/// Sheets are folded so often, so many at a time, and no longer than this. With more log records than this waiting
-/// for them, they are folded with each tidying, and more at a time.
-const FOLD_MS: u64 = 5_000;
-const FOLD_SHEETS: usize = 2;
-const SHEET: usize = 8 * 1024;
+/// Sheets are written so often, so many at a time, and no longer than this. With more log records than this waiting
+/// for them, they are written with each tidying, and more at a time.
+const WRITE_SHEETS_MS: u64 = 5_000;
+const SHEETS_AT_ONCE: usize = 2;
+const SHEET_BYTES: usize = 8 * 1024;
 const BEHIND: usize = 150;
-const FOLD_BEHIND: usize = 4;
+const SHEETS_AT_ONCE_BEHIND: usize = 4;
 /// Sheets are read again so long after they could not be reached, or understood.
 const RETRY_MS: u64 = 500;
 const BAD_MS: u64 = 30_000;
+const TIMEOUT_MS: u64 = 3000;
+/// Sheets of one page: an answer may be 8 MiB.
+const PAGE: usize = 200;
 /// Transactions with ends that are remembered until the watch has come past them.
 const RECENT: usize = 4_000;
 
-pub(crate) struct Tallies {
+pub(crate) struct CountyCounts {
     counts: Tally,
     /// Some job or record has a county. Without any, nothing is read, kept free or written.
     in_use: bool,
     reading: Option<Reading>,
     read_at: u64,
-    folded_at: u64,
+    sheets_written_at: u64,
     /// Ends that were recorded at a revision which the watch may not have come to.
     recent: VecDeque<(u64, Vec<Delta>)>,
     /// Ends up to here were forgotten too early: nothing can be said as of an earlier revision.
@@ -47,12 +51,12 @@
 
 /// Sheets as they come in, page by page.
 struct Reading {
-    after: Option<String>,
+    cursor: PageCursor,
     all_good: bool,
 }
 
 /// Counts of the jobs that one transaction ends.
-pub(crate) struct Counts {
+pub(crate) struct EndedCounts {
     deltas: Vec<Delta>,
     /// What they may take of the log record.
     most: usize,
@@ -67,7 +71,7 @@
 }
 
 /// The county of a job that only has claims left.
-pub(crate) fn claimed(county: &Option<String>, alone: bool) -> Option<CountyRecord> {
+pub(crate) fn county_of_claims(county: &Option<String>, alone: bool) -> Option<CountyRecord> {
     county.as_ref().map(|c| CountyRecord {
         county: c.clone(),
         version: 0,
@@ -77,14 +81,14 @@
 }
 
 /// Bounds what a job's county adds to its claims' length.
-pub(crate) fn frame(job: &Job) -> usize {
+pub(crate) fn claims_bytes(job: &Job) -> usize {
     job.county
         .as_ref()
         .map_or(0, |c| ClaimsRecord::county(&c.county))
 }
 
 /// The same of counts.
-pub(crate) fn length(deltas: &[Delta]) -> usize {
+pub(crate) fn deltas_bytes(deltas: &[Delta]) -> usize {
     deltas
         .iter()
         .map(|d| Delta::frame(&d.county, &d.class))
@@ -99,9 +103,9 @@
         .collect()
 }
 
-impl Counts {
+impl EndedCounts {
     pub fn new(value: usize) -> Self {
-        Counts {
+        EndedCounts {
             deltas: Vec::new(),
             most: value / 2,
         }
@@ -109,7 +113,7 @@
 
     /// Counts a job's end, if it has a county.
     pub fn add(&mut self, shard: &mut Shard, ix: JobIndex, stage: Stage) -> Option<CountedRecord> {
-        let job = shard.jobs.get(ix)?.as_ref()?;
+        let job = shard.jobs.get(ix)?;
         let (county, class) = (
             job.county.as_ref()?.county.clone(),
             job.spec.as_ref()?.class.clone(),
@@ -120,7 +124,7 @@
             cancelled: u64::from(cancelled),
             tasks: u64::from(job.done_count),
         };
-        let cell = shard.tally.counts.cell(&county, &class);
+        let cell = shard.county_counts.counts.cell(&county, &class);
         Delta::add_to(&mut self.deltas, &cell, &count);
         Some(CountedRecord {
             county: cell.county,
@@ -134,7 +138,7 @@
 
     /// No more ends should be taken along.
     pub fn is_full(&self) -> bool {
-        length(&self.deltas) > self.most
+        deltas_bytes(&self.deltas) > self.most
     }
 
     /// Writes that the transaction still needs for them.
@@ -143,14 +147,14 @@
     }
 }
 
-impl Tallies {
+impl CountyCounts {
     pub fn new(value: usize) -> Self {
-        Tallies {
-            counts: Tally::new(value.min(SHEET)),
+        CountyCounts {
+            counts: Tally::new(value.min(SHEET_BYTES)),
             in_use: false,
             reading: None,
             read_at: 0,
-            folded_at: 0,
+            sheets_written_at: 0,
             recent: VecDeque::new(),
             forgotten: 0,
             tenants: HashMap::new(),
@@ -180,12 +184,12 @@
     }
 
     /// Writes that are kept free of ends for the log record that counts them.
-    pub fn keeps(&self, budget: usize) -> usize {
+    pub fn reserved_writes(&self, budget: usize) -> usize {
         usize::from(self.in_use && budget > 2)
     }
 
     /// A log record with counts stands, at this revision, or was read back. True if it has to stay for them.
-    pub fn stands(&mut self, number: u64, ended: Vec<Delta>, revision: u64) -> bool {
+    pub fn log_recorded(&mut self, number: u64, ended: Vec<Delta>, revision: u64) -> bool {
         if ended.is_empty() {
             return false;
         }
@@ -207,14 +211,57 @@
         self.counts.counts()
     }
 
+    /// Takes back what ended after a revision: there it still lives.
+    fn undo_after(&mut self, revision: u64, rows: &mut BTreeMap<Cell, Row>) {
+        while self.recent.front().is_some_and(|(r, _)| *r <= revision) {
+            self.recent.pop_front();
+        }
+        for delta in self.recent.iter().flat_map(|(_, deltas)| deltas) {
+            let row = rows.entry(delta.cell()).or_default();
+            row.live += delta.done + delta.cancelled;
+            row.ended.done = row.ended.done.saturating_sub(delta.done);
+            row.ended.cancelled = row.ended.cancelled.saturating_sub(delta.cancelled);
+            row.ended.tasks = row.ended.tasks.saturating_sub(delta.tasks);
+        }
+    }
+
     fn is_due(&self, now: u64) -> bool {
-        self.in_use && (now >= self.folded_at + FOLD_MS || self.is_behind())
+        self.in_use && (now >= self.sheets_written_at + WRITE_SHEETS_MS || self.is_behind())
     }
 
     fn is_behind(&self) -> bool {
         self.counts.backlog().0 > BEHIND
     }
 
+    /// Takes a page of sheets; true if another follows, `None` if none is waited for.
+    fn page_read(&mut self, page: Range<serde_json::Value>) -> Option<bool> {
+        let reading = self.reading.as_mut()?;
+        let prefix = records::tally_prefix(SHARD);
+        let more = reading.cursor.advance(&page);
+        for Item {
+            key,
+            value,
+            version,
+        } in page.items
+        {
+            let number = key.strip_prefix(&prefix).and_then(|n| n.parse().ok());
+            match (number, serde_json::from_value::<Sheet>(value)) {
+                (Some(number), Ok(sheet)) => self.counts.sheet_read(number, version, sheet),
+                _ => {
+                    reading.all_good = false;
+                    log::error!("{key} can't be understood: counts by county are held back");
+                }
+            }
+        }
+        Some(more)
+    }
+
+    /// Ends a reading, until a time at the earliest; true if all sheets were understood.
+    fn stop_reading(&mut self, read_at: u64) -> bool {
+        self.read_at = read_at;
+        self.reading.take().is_some_and(|reading| reading.all_good)
+    }
+
     fn wants_reading(&self, now: u64) -> bool {
         self.in_use && self.counts.state().is_err() && self.reading.is_none() && now >= self.read_at
     }
@@ -222,16 +269,21 @@
 
 impl TransactionDraft {
     /// Puts the sheets that have waited longest, as many as there is room for.
-    pub fn fold(&mut self, shard: &mut Shard, now: u64, room: impl Fn(&TransactionDraft) -> bool) {
-        if !shard.tally.is_due(now) {
+    pub fn counter_sheets(
+        &mut self,
+        shard: &mut Shard,
+        now: u64,
+        room: impl Fn(&TransactionDraft) -> bool,
+    ) {
+        if !shard.county_counts.is_due(now) {
             return;
         }
-        let most = if shard.tally.is_behind() {
-            FOLD_BEHIND
+        let most = if shard.county_counts.is_behind() {
+            SHEETS_AT_ONCE_BEHIND
         } else {
-            FOLD_SHEETS
+            SHEETS_AT_ONCE
         };
-        let Some(fold) = shard.tally.counts.fold(most) else {
+        let Some(fold) = shard.county_counts.counts.fold(most) else {
             return;
         };
         let mut puts = Vec::new();
@@ -247,16 +299,17 @@
             puts.push((number, stamp, sheet));
         }
         if !puts.is_empty() {
-            shard.tally.folded_at = now;
-            self.ops.push(PendingWrite::Fold(Fold { puts }));
+            shard.county_counts.sheets_written_at = now;
+            self.pending_writes
+                .push(PendingWrite::CounterSheets(Fold { puts }));
         }
     }
 }
 
 impl Shard {
     /// Sheets are in place: log records that have waited for them alone may go.
-    pub fn fold_stands(&mut self, fold: &Fold, revision: u64) {
-        let over = self.tally.counts.folded(fold, revision);
+    pub fn counter_sheets_written(&mut self, fold: &Fold, revision: u64) {
+        let over = self.county_counts.counts.folded(fold, revision);
         self.claim_log.counted(over);
     }
 }
@@ -264,17 +317,17 @@
 impl Node {
     /// Reads the sheets once something has a county. Nothing else waits for that: until then counts are held back, and
     /// what ends meanwhile stays in the log.
-    pub(crate) fn tally_tick(&mut self) {
+    pub(crate) fn county_counts_tick(&mut self) {
         let now = self.now.mono;
         let known = self.shared.documents.counties.head.version > 0;
         let Some(shard) = &mut self.shard else { return };
-        shard.tally.in_use |= known;
-        if !shard.tally.wants_reading(now) {
+        shard.county_counts.in_use |= known;
+        if !shard.county_counts.wants_reading(now) {
             return;
         }
-        shard.tally.counts.begin_reading();
-        shard.tally.reading = Some(Reading {
-            after: None,
+        shard.county_counts.counts.begin_reading();
+        shard.county_counts.reading = Some(Reading {
+            cursor: PageCursor::default(),
             all_good: true,
         });
         self.read_sheets();
@@ -282,64 +335,34 @@
 
     fn read_sheets(&mut self) {
         let term = self.term;
-        let Some(reading) = self.shard.as_ref().and_then(|p| p.tally.reading.as_ref()) else {
+        let Some(reading) = self
+            .shard
+            .as_ref()
+            .and_then(|p| p.county_counts.reading.as_ref())
+        else {
             return;
         };
-        // An answer may be 8 MiB.
-        let mut path = format!("/keys?under={}&limit=200", records::tally_prefix(SHARD));
-        if let Some(after) = &reading.after {
-            path.push_str(&format!("&from={after}"));
-        }
-        self.send(
-            Destination::State,
-            "GET",
-            path,
-            Vec::new(),
-            3000,
-            Pending::Sheets { term },
-        );
+        let path = reading.cursor.path(&records::tally_prefix(SHARD), PAGE);
+        self.get_state(path, TIMEOUT_MS, Pending::Sheets { term });
     }
 
     pub(crate) fn sheets_received(&mut self, response: Option<Response>) {
         let now = self.now.mono;
-        let page = response.filter(|r| r.status == 200);
-        let page = page.and_then(|r| self.read::<Range<serde_json::Value>>("state service", &r));
+        let page = self.read_state::<Range<serde_json::Value>>(response);
         let Some(shard) = &mut self.shard else { return };
-        let tally = &mut shard.tally;
         let Some(page) = page else {
-            tally.reading = None;
-            tally.read_at = now + RETRY_MS;
+            shard.county_counts.stop_reading(now + RETRY_MS);
             return;
         };
-        let Some(reading) = &mut tally.reading else {
-            return;
-        };
-        let prefix = records::tally_prefix(SHARD);
-        reading.after = page.items.last().map(|i| i.key.clone());
-        let more = page.more && !page.items.is_empty();
-        for Item {
-            key,
-            value,
-            version,
-        } in page.items
-        {
-            let number = key.strip_prefix(&prefix).and_then(|n| n.parse().ok());
-            match (number, serde_json::from_value::<Sheet>(value)) {
-                (Some(number), Ok(sheet)) => tally.counts.sheet_read(number, version, sheet),
-                _ => {
-                    reading.all_good = false;
-                    log::error!("{key} can't be understood: counts by county are held back");
-                }
+        match shard.county_counts.page_read(page) {
+            None => {}
+            Some(true) => self.read_sheets(),
+            Some(false) => {
+                let all_good = shard.county_counts.stop_reading(now + BAD_MS);
+                let over = shard.county_counts.counts.reading_over(all_good);
+                shard.claim_log.counted(over);
             }
         }
-        if more {
-            return self.read_sheets();
-        }
-        let all_good = reading.all_good;
-        tally.reading = None;
-        tally.read_at = now + BAD_MS;
-        let over = tally.counts.reading_over(all_good);
-        shard.claim_log.counted(over);
     }
 }
 
@@ -352,7 +375,7 @@
 
 /// Why there is nothing to tell now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Held {
+pub(crate) enum CountsUnavailable {
     Unread(Unread),
     /// Acceptances were not seen up to the latest revision yet.
     Behind,
@@ -360,50 +383,50 @@
 
 impl Shard {
     /// The last revision at which something ended, as far as is known: earlier leaders' were before our term.
-    pub fn ends_known(&self) -> u64 {
-        self.tally.last_end.max(self.leader_version)
+    pub fn last_known_end(&self) -> u64 {
+        self.county_counts.last_end.max(self.leader_version)
     }
 
     /// All counts as of one revision, the latest that is known: what ended after it still lives there, and what was
     /// accepted after it does not yet.
-    pub fn counts(&mut self) -> Result<(u64, BTreeMap<Cell, Row>), Held> {
-        // What is under way may have been recorded already, after all that is known to stand.
-        let known = if self.commit.is_out() {
-            self.ends_known()
-        } else {
-            u64::MAX
-        };
-        let at = self.live_revision.min(known);
-        let ended = self.tally.ended().map_err(Held::Unread)?;
-        if self.tally.forgotten > at {
-            return Err(Held::Behind);
-        }
-        while self.tally.recent.front().is_some_and(|(r, _)| *r <= at) {
-            self.tally.recent.pop_front();
+    pub fn counts_by_county(&mut self) -> Result<(u64, BTreeMap<Cell, Row>), CountsUnavailable> {
+        let revision = self.counted_revision();
+        let ended = self
+            .county_counts
+            .ended()
+            .map_err(CountsUnavailable::Unread)?;
+        if self.county_counts.forgotten > revision {
+            return Err(CountsUnavailable::Behind);
         }
         let mut rows: BTreeMap<Cell, Row> = ended
             .into_iter()
             .map(|(cell, ended)| (cell, Row { live: 0, ended }))
             .collect();
-        for d in self.tally.recent.iter().flat_map(|(_, deltas)| deltas) {
-            let row = rows.entry(d.cell()).or_default();
-            row.live += d.done + d.cancelled;
-            row.ended.done = row.ended.done.saturating_sub(d.done);
-            row.ended.cancelled = row.ended.cancelled.saturating_sub(d.cancelled);
-            row.ended.tasks = row.ended.tasks.saturating_sub(d.tasks);
-        }
-        let counts = &mut self.tally.counts;
-        for job in self.jobs.iter().flatten().filter(|j| !j.is_over()) {
-            let (Some(county), Some(spec)) = (&job.county, &job.spec) else {
-                continue;
-            };
-            if job.version > at {
-                continue;
+        self.county_counts.undo_after(revision, &mut rows);
+        self.add_live(revision, &mut rows);
+        Ok((revision, rows))
+    }
+
+    /// The latest revision up to which both acceptances and ends are known.
+    fn counted_revision(&self) -> u64 {
+        // What is under way may have been recorded already, after all that is known to stand.
+        let last_known_end = if self.commit.is_out() {
+            self.last_known_end()
+        } else {
+            u64::MAX
+        };
+        self.live_watch.revision().min(last_known_end)
+    }
+
+    /// Counts the jobs that live and were accepted up to a revision.
+    fn add_live(&mut self, revision: u64, rows: &mut BTreeMap<Cell, Row>) {
+        let counts = &mut self.county_counts.counts;
+        let live = self.jobs.iter().flatten().filter(|job| !job.is_over());
+        for job in live.filter(|job| job.version <= revision) {
+            if let (Some(county), Some(spec)) = (&job.county, &job.spec) {
+                let cell = counts.cell(&county.county, &spec.class);
+                rows.entry(cell).or_default().live += 1;
             }
-            rows.entry(counts.cell(&county.county, &spec.class))
-                .or_default()
-                .live += 1;
         }
-        Ok((at, rows))
     }
 }
--- /dev/null
+++ b/crates/control/src/documents/hours/watch.rs
@@ -0,0 +1,189 @@
+//! The watch of deadlines: which hours are to come, which are past, and what is said of them.
+
+use crate::Node;
+use crate::documents::hours::HourMove;
+use crate::documents::refused;
+use crate::jobs::job::{Job, JobIndex};
+use crate::store::shard::Shard;
+use std::collections::{BTreeSet, VecDeque};
+use wire::api::Stage;
+use wire::hours::State;
+use wire::records::{EndHourRecord, HourRecord};
+
+/// Ended jobs that are remembered for lists.
+const MAX_ENDED: usize = 10_000;
+/// Changes of state that are logged one by one in a turn; of more only the number.
+const MAX_LOGGED: usize = 20;
+
+/// A job's hour in the leader's memory.
+#[derive(Debug, Clone)]
+pub(crate) struct Hour {
+    pub record: HourRecord,
+    /// How it stands, as was last logged.
+    pub(super) state: State,
+    /// When its job's end was written.
+    ended_ms: u64,
+}
+
+impl Hour {
+    pub fn new(record: HourRecord) -> Box<Hour> {
+        Box::new(Hour {
+            record,
+            state: State::Due,
+            ended_ms: 0,
+        })
+    }
+}
+
+pub(super) struct Ended {
+    pub(super) job: String,
+    pub(super) team: String,
+    pub(super) class: String,
+    pub(super) hour: HourRecord,
+    pub(super) state: State,
+    pub(super) late_s: Option<f64>,
+}
+
+/// The hours of the shard's jobs.
+#[derive(Default)]
+pub(crate) struct DeadlineWatch {
+    /// Jobs that have not ended, by hour: those whose hour is yet to come, and the others.
+    pub(super) upcoming: BTreeSet<(u64, JobIndex)>,
+    pub(super) passed: BTreeSet<(u64, JobIndex)>,
+    pub(super) ended: VecDeque<Ended>,
+    pub(super) moves: VecDeque<HourMove>,
+    /// Moves of jobs that have ended meanwhile.
+    pub(super) rejected_moves: Vec<HourMove>,
+    /// Operators whose moves are not recorded yet.
+    pub(super) waiting_operators: BTreeSet<u64>,
+}
+
+impl DeadlineWatch {
+    pub fn add(&mut self, job: &Job, ix: JobIndex) {
+        if let Some(hour) = &job.hour {
+            self.upcoming.insert((hour.record.due_ms, ix));
+        }
+    }
+
+    pub(super) fn forget(&mut self, due_ms: u64, ix: JobIndex) {
+        self.upcoming.remove(&(due_ms, ix));
+        self.passed.remove(&(due_ms, ix));
+    }
+
+    /// A job's end is recorded.
+    pub fn ended(&mut self, job: &Job, ix: JobIndex, stage: Stage) {
+        let Some(hour) = &job.hour else { return };
+        let due = hour.record.due_ms;
+        self.forget(due, ix);
+        let late = (hour.ended_ms > due).then(|| (hour.ended_ms - due) as f64 / 1000.0);
+        let (state, late_s) = match (stage, late) {
+            (Stage::Cancelled, _) => (State::Withdrawn, None),
+            (_, Some(late)) => (State::Missed, Some(late)),
+            _ => (State::Kept, None),
+        };
+        match late_s {
+            Some(late) => log::warn!("job {}: released {late:.1} s after its hour", job.id),
+            None => log::info!("job {}: its hour is {}", job.id, describe(state)),
+        }
+        if self.ended.len() >= MAX_ENDED {
+            self.ended.pop_front();
+        }
+        self.ended.push_back(Ended {
+            job: job.id.clone(),
+            team: job.team.clone(),
+            class: job
+                .spec
+                .as_ref()
+                .map(|s| s.class.clone())
+                .unwrap_or_default(),
+            hour: hour.record.clone(),
+            state,
+            late_s,
+        });
+    }
+
+    /// Operators who have not been answered.
+    pub fn unanswered(&mut self) -> BTreeSet<u64> {
+        std::mem::take(&mut self.waiting_operators)
+    }
+}
+
+fn describe(state: State) -> String {
+    match state {
+        State::Due => "to be kept".into(),
+        State::AtRisk(risk) => format!("at risk: {}", format!("{risk:?}").to_lowercase()),
+        State::Missed => "missed".into(),
+        State::Kept => "kept".into(),
+        State::Withdrawn => "withdrawn".into(),
+    }
+}
+
+/// What the end of a job with an hour says of it.
+pub(crate) fn end_record(job: &mut Job, ended_ms: u64) -> Option<EndHourRecord> {
+    let hour = job.hour.as_mut()?;
+    hour.ended_ms = ended_ms;
+    Some(EndHourRecord {
+        due_ms: hour.record.due_ms,
+        ended_ms,
+    })
+}
+
+impl Node {
+    /// Hours that are past.
+    pub(crate) fn hours_tick(&mut self) {
+        let wall = self.now.wall;
+        let Some(shard) = &mut self.shard else { return };
+        let mut missed = Vec::new();
+        while let Some(first) = shard
+            .hours
+            .upcoming
+            .first()
+            .copied()
+            .filter(|(due, _)| *due < wall)
+        {
+            shard.hours.upcoming.pop_first();
+            shard.hours.passed.insert(first);
+            // The end of what has ended meanwhile says whether its hour was kept.
+            if shard.job(first.1).is_some_and(|j| !j.is_ending()) {
+                missed.push((first.1, State::Missed));
+            }
+        }
+        shard.set_states(missed, wall);
+        for hour in std::mem::take(&mut shard.hours.rejected_moves) {
+            let why = format!(
+                "{}: it has ended meanwhile, or its record has no room for the move",
+                hour.job
+            );
+            log::info!("hour of {why}");
+            let Some(conn) = hour.conn else { continue };
+            if let Some(shard) = &mut self.shard {
+                shard.hours.waiting_operators.remove(&conn);
+            }
+            self.deny_admin(conn, 409, refused(&why));
+        }
+    }
+}
+
+impl Shard {
+    pub(super) fn set_states(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
+        let more = changes.len().saturating_sub(MAX_LOGGED);
+        for (n, (ix, state)) in changes.into_iter().enumerate() {
+            let Some(job) = self.jobs.get_mut(ix) else {
+                continue;
+            };
+            let Some(hour) = &mut job.hour else { continue };
+            hour.state = state;
+            if n < MAX_LOGGED {
+                log::info!(
+                    "job {}: its hour, {:.0} s from now, is {}",
+                    job.id,
+                    hour.left(wall),
+                    describe(state)
+                );
+            }
+        }
+        if more > 0 {
+            log::info!("and {more} more hours");
+        }
+    }
+}
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -1,44 +1,43 @@
 //! The quota tree as a document in force: its bounds are recorded as the shard's allotment before anything starts
 //! under them, and a new version comes in one transaction with the allotment that names it.
 
-use crate::documents::{Doc, Documents, Kind, KindId};
-use crate::leadership::election::SHARD;
+use crate::documents::{Document, Documents, Kind, KindId};
 use crate::scheduling::entitlement;
-use crate::store::commit::{PendingWrite, TransactionDraft};
 use crate::store::shard::Shard;
+use crate::store::transaction::TransactionDraft;
 use crate::{Node, documents};
 use document::{Fault, Head};
 use quota::{Live, Spec, Tree, edit};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use wire::admin::{self, Edit, Question};
-use wire::records::{self, AllotmentRecord, Record};
+use wire::records::{AllotmentRecord, Record};
 use wire::tree::HeadRecord;
 
 pub(crate) struct Quota;
 
-pub(crate) type Good = documents::Good<Spec>;
+pub(crate) type Good = documents::ActiveVersion<Spec>;
 
 impl Kind for Quota {
     type Content = Spec;
     type Edit = Edit;
-    type Ask = Question;
+    type Query = Question;
     const ID: KindId = KindId::Quota;
     /// Each job is held against its team's path, and studios and counties may be nodes of the tree.
-    const BINDS: bool = true;
+    const GUARDS_ACCEPTANCE: bool = true;
     /// The head, and the allotment.
-    const WRITES: usize = 2;
+    const HEAD_WRITES: usize = 2;
 
-    fn doc(all: &Documents) -> &Doc<Quota> {
+    fn document(all: &Documents) -> &Document<Quota> {
         &all.quota
     }
-    fn doc_mut(all: &mut Documents) -> &mut Doc<Quota> {
+    fn document_mut(all: &mut Documents) -> &mut Document<Quota> {
         &mut all.quota
     }
     fn context(node: &Node) -> Vec<quota::Team> {
         node.settings.quota_teams()
     }
-    fn edited(edit: &Edit, old: &Spec, teams: &Vec<quota::Team>) -> Result<Spec, Fault> {
+    fn apply_edit(edit: &Edit, old: &Spec, teams: &Vec<quota::Team>) -> Result<Spec, Fault> {
         match edit {
             Edit::Set { spec } => Ok(spec.clone()),
             Edit::Move { name, to } => edit::transfer(old, teams, name, to.as_deref()),
@@ -50,10 +49,10 @@
             } => edit::shrink(old, teams, name, guarantee, max, *scale),
         }
     }
-    fn set(spec: Spec) -> Edit {
+    fn replacement(spec: Spec) -> Edit {
         Edit::Set { spec }
     }
-    fn asked(node: &mut Node, conn: u64, Question::Why { team }: Question) {
+    fn answer_query(node: &mut Node, conn: u64, Question::Why { team }: Question) {
         let live = node.tree_here().and_then(|tree| node.counted(&tree));
         let found = live.and_then(|mut live| live.tree().team(&team).map(|t| live.why(t)));
         match found {
@@ -68,7 +67,7 @@
     fn show(node: &Node) -> Vec<u8> {
         let q = &node.shared.documents.quota;
         let (version, spec) = q
-            .good
+            .active
             .as_ref()
             .map_or((0, Spec::default()), |g| (g.version, (*g.spec).clone()));
         let live = node.tree_here().and_then(|tree| node.counted(&tree));
@@ -78,41 +77,34 @@
             nodes: live.as_ref().map(Live::nodes).unwrap_or_default(),
             teams: live.as_ref().map(Live::teams).unwrap_or_default(),
             history: q.head.history.clone(),
-            refused: q.refused(),
+            refused: q.rejection(),
         })
     }
-    fn told(node: &Node, tree: &Arc<Tree>) -> Vec<String> {
+    fn consequences(node: &Node, tree: &Arc<Tree>) -> Vec<String> {
         node.counted(tree)
             .map(|live| above(&live))
             .unwrap_or_default()
     }
-    fn in_force(node: &mut Node) {
+    fn version_activated(node: &mut Node) {
         node.tree_in_force();
     }
-    fn settled(shard: &Shard) -> bool {
-        shard.allotment_version > 0 && shard.allotment_wanted.is_none()
+    fn may_write_head(shard: &Shard) -> bool {
+        shard.allotment.is_settled()
     }
     /// What was planned under the old bounds must not be recorded with the new ones.
-    fn before_head(node: &mut Node) {
+    fn before_head_write(node: &mut Node) {
         node.drop_unrecorded();
     }
     /// The allotment that names the tree.
-    fn with_head(draft: &mut TransactionDraft, shard: &mut Shard, version: u64) {
-        let Some(allotment) = shard.allotment.clone() else {
+    fn write_with_head(draft: &mut TransactionDraft, shard: &mut Shard, version: u64) {
+        let Some(allotment) = shard.allotment.current().cloned() else {
             return;
         };
         let allotment = AllotmentRecord {
             tree: version,
             ..allotment
         };
-        draft.put(
-            records::allotment_key(SHARD),
-            shard.allotment_version,
-            Record::Allotment(allotment.clone()),
-        );
-        shard.allotment = Some(allotment);
-        shard.allotment_version = 0;
-        draft.ops.push(PendingWrite::Allotment);
+        shard.allotment.write(draft, allotment);
     }
     fn record(head: Head) -> Record {
         Record::Quota(HeadRecord { quota: head })
@@ -153,8 +145,8 @@
 
     /// The tree in force; without one, the teams alone.
     fn tree_here(&self) -> Option<Arc<Tree>> {
-        match &self.shared.documents.quota.good {
-            Some(good) => Some(good.built.clone()),
+        match &self.shared.documents.quota.active {
+            Some(active) => Some(active.built.clone()),
             None => Tree::build(&Spec::default(), &self.settings.quota_teams())
                 .ok()
                 .map(Arc::new),
@@ -168,12 +160,11 @@
         let Some(shard) = self.shard.as_mut().filter(|p| p.loaded) else {
             return;
         };
-        let stands = shard.allotment.as_ref() == Some(&whole) && shard.allotment_wanted.is_none();
-        if stands {
+        if shard.allotment.is_settled_on(&whole) {
             return;
         }
-        shard.allotment_wanted = Some(whole);
-        shard.plan_due = true;
+        shard.allotment.want(whole);
+        shard.plan_triggers.request();
         self.to_write = true;
         // What was planned under the old bounds and not recorded yet is planned anew.
         self.drop_unrecorded();
@@ -202,10 +193,10 @@
 
     /// Whether this is more than some node above a team may use at all.
     pub(crate) fn above_its_tree(&self, team: &str, all: &quota::Amount) -> bool {
-        let Some(good) = &self.shared.documents.quota.good else {
+        let Some(active) = &self.shared.documents.quota.active else {
             return false;
         };
-        let tree = &good.built;
+        let tree = &active.built;
         let path = tree.team(team).map(|t| tree.path(t)).unwrap_or_default();
         let over = |n: &quota::NodeId| {
             let max = &tree.nodes[n.0 as usize].max;
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -1,14 +1,14 @@
 //! Forwarding a user's request to a peer that may be better placed, and choosing which. What nodes say of themselves once
 //! a second only chooses: whoever is asked answers by its own rules.
 
-use crate::jobs::admission::peer_answer;
+use crate::jobs::peer_requests::peer_answer;
 use crate::{Destination, Node, Pending, Requester};
 use wire::http::Response;
 use wire::peer::{self, Answer, Ask};
 use wire::submission::Fault;
 
 /// A peer has this long to answer for us.
-const HAND_TIMEOUT_MS: u64 = 1500;
+const FORWARD_TIMEOUT_MS: u64 = 1500;
 /// A peer that has left something unanswered is not asked for so long, unless it says something.
 const REST_MS: u64 = 1000;
 /// After a refusal, or silence, the state service is taken to be out of reach for so long.
@@ -50,8 +50,8 @@
 pub(crate) struct ForwardedRequest {
     pub conn: u64,
     pub ask: Box<Ask>,
-    /// Whoever asks waits until then.
-    pub until: u64,
+    /// Whoever asks waits no longer.
+    pub deadline: u64,
     /// A malformed submission is only looked up: what is wrong with it, for a job that was never accepted.
     pub fault: Option<Fault>,
 }
@@ -72,6 +72,15 @@
             .heard(peer, sent, answered, self.now.mono);
     }
 
+    pub(crate) fn leader_peer(&self) -> Option<usize> {
+        let leader = self.leader_name()?;
+        self.peer_named(&leader)
+    }
+
+    pub(crate) fn peer_named(&self, node: &str) -> Option<usize> {
+        self.settings.peers.iter().position(|p| p.node == node)
+    }
+
     /// Whether the state service seems not to serve this node now; others may be served.
     pub(crate) fn state_down(&self) -> bool {
         self.state_bad_at
@@ -80,7 +89,7 @@
 
     /// Whom a request is forwarded to: the leader, or another that says it is served, or one that says nothing. If all say
     /// that they are not served, only a job's end may still be known, best to the leader.
-    fn helper(&mut self, ask: &Ask) -> Option<usize> {
+    fn target(&mut self, ask: &Ask) -> Option<usize> {
         let now = self.now.mono;
         let peers = 0..self.settings.peers.len();
         let able: Vec<usize> = peers
@@ -116,18 +125,18 @@
     /// Forwards a user's request on.
     pub(crate) fn forward(&mut self, forwarded: ForwardedRequest) {
         let now = self.now.mono;
-        let helper = if forwarded.until < now + LEAST_MS {
+        let target = if forwarded.deadline < now + LEAST_MS {
             None
         } else {
-            self.helper(&forwarded.ask)
+            self.target(&forwarded.ask)
         };
-        let Some(peer) = helper else {
+        let Some(peer) = target else {
             self.stats.unanswered += u64::from(matches!(*forwarded.ask, Ask::Lookup { .. }));
             return self.refuse(forwarded.conn, 503, "state service not available");
         };
         self.stats.forwarded += 1;
         let body = peer::encode(&*forwarded.ask);
-        let timeout = (forwarded.until - now).min(HAND_TIMEOUT_MS);
+        let timeout = (forwarded.deadline - now).min(FORWARD_TIMEOUT_MS);
         let what = Pending::Forward {
             forwarded,
             peer,
@@ -151,14 +160,14 @@
         peer: usize,
         sent: u64,
         mark: u64,
-        r: Option<Response>,
+        response: Option<Response>,
     ) {
-        self.peer_heard(peer, sent, r.is_some());
-        if r.is_none() && self.responsiveness.rests(peer, self.now.mono) {
+        self.peer_heard(peer, sent, response.is_some());
+        if response.is_none() && self.responsiveness.rests(peer, self.now.mono) {
             return self.forward(forwarded);
         }
         let conn = forwarded.conn;
-        match peer_answer(r) {
+        match peer_answer(response) {
             Some(Answer::State(state)) => self.tell(Requester::User(conn), state),
             Some(Answer::Accepted(state)) => self.tell_accepted(Requester::User(conn), state),
             Some(Answer::Refused { status, why }) => {
--- /dev/null
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -0,0 +1,88 @@
+//! Peers' requests. What a peer forwards for a user goes no further than to the leader and the state service.
+
+use crate::jobs::query::{Purpose, Question};
+use crate::{Destination, Node, Pending, Requester};
+use wire::http::{Request, Response};
+use wire::peer::{self, Answer, Ask, PeerStatus};
+
+/// What a peer answered; anything else than an answer is none.
+pub(crate) fn peer_answer(response: Option<Response>) -> Option<Answer> {
+    response
+        .filter(|r| r.status == 200)
+        .and_then(|r| peer::decode(&r.body).ok())
+}
+
+impl Node {
+    /// A request at the peers' port.
+    pub(crate) fn peer_request(&mut self, conn: u64, request: &Request) {
+        if self.demand_at_door(conn, request) || self.admin_asked(conn, request) {
+            return;
+        }
+        let is_ask = request.method == "POST" && request.path == peer::PATH;
+        match is_ask.then(|| peer::decode::<Ask>(&request.body).ok()) {
+            Some(Some(ask)) => self.asked_by_peer(conn, ask),
+            _ => self.refuse(conn, 400, "not understood"),
+        }
+    }
+
+    fn asked_by_peer(&mut self, conn: u64, ask: Ask) {
+        match ask {
+            Ask::Query { job } => self.queried_as_leader(conn, &job),
+            Ask::Cancel { job } => self.cancel(&job, Requester::Peer(conn)),
+            Ask::Submit { spec } => self.submit(Requester::Peer(conn), *spec),
+            Ask::Lookup { job, past_leader } => {
+                let question = self.question(Requester::Peer(conn), job, Purpose::Query);
+                self.query(Question {
+                    past_leader,
+                    ..question
+                })
+            }
+            Ask::Leads { node, token } => {
+                self.leader_asserted(node, token);
+                self.answer_peer(conn, &Answer::NotNow);
+            }
+            Ask::PeerStatus(status) => self.peer_status_asked(conn, status),
+            Ask::Reports { node, reports } => {
+                self.relayed_heartbeats_received(conn, &node, reports)
+            }
+            Ask::Tell {
+                machine,
+                addr,
+                body,
+            } => self.relay_command(conn, &machine, &addr, body.into_vec()),
+            Ask::Wake { model, leader } => self.demand_of_peer(conn, &model, leader),
+        }
+    }
+
+    /// Asks a peer something. `what` says what its answer belongs to.
+    pub(crate) fn ask_peer(&mut self, peer: usize, ask: &Ask, timeout_ms: u64, what: Pending) {
+        let (to, body) = (Destination::Peer(peer), peer::encode(ask));
+        self.send(to, "POST", peer::PATH.into(), body, timeout_ms, what);
+    }
+
+    pub(crate) fn answer_peer(&mut self, conn: u64, answer: &Answer) {
+        self.respond(conn, 200, peer::encode(answer), None);
+    }
+
+    /// A peer takes this node for the leader. A leader that is sure may also say that it does not know the job.
+    fn queried_as_leader(&mut self, conn: u64, job: &str) {
+        match self.state_here(job) {
+            Some(state) => self.tell(Requester::Peer(conn), state),
+            None if self.may_decide() => self.answer_peer(conn, &Answer::Unknown),
+            None => self.answer_peer(conn, &Answer::NotNow),
+        }
+    }
+
+    /// A peer tells its status, and is told ours with what it is to keep for the leader.
+    fn peer_status_asked(&mut self, conn: u64, status: PeerStatus) {
+        let Some(peer) = self.peer_status_seen(status) else {
+            let why = "view: from nobody we know, or a token that can't be";
+            return self.refuse(conn, 400, why);
+        };
+        let status = PeerStatus {
+            delegation: self.delegation_for(peer),
+            ..self.peer_status()
+        };
+        self.answer_peer(conn, &Answer::PeerStatus(status));
+    }
+}
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -11,16 +11,20 @@
 mod leadership;
 mod models;
 mod node;
+mod outgoing;
 mod outstanding;
 pub mod overload;
 mod provisioning;
 mod scheduling;
+mod state_requests;
 mod stats;
 mod store;
 mod tuning;
 
 pub use event::{Destination, Effect, Event, Now};
+#[doc(hidden)] // For its tests alone.
+pub use leadership::lease_bound;
 pub use node::Node;
 pub(crate) use outstanding::{Pending, Requester};
 pub use stats::Stats;
-pub use tuning::Tuning;
+pub use tuning::{Tuning, TuningError};
--- /dev/null
+++ b/crates/control/src/models/record_writes.rs
@@ -0,0 +1,204 @@
+//! The leader's transactions for models' records: each under guards, and sent again until its outcome is known.
+
+use crate::leadership::election::SHARD;
+use crate::models::Known;
+use crate::state_requests::encode_transaction;
+use crate::{Node, Pending};
+use model::Rec;
+use std::ops::Range;
+use wire::api::{Guard, Item, Revision, Write};
+use wire::http::Response;
+use wire::records::{self, Record};
+
+const TIMEOUT_MS: u64 = 1500;
+/// A transaction is sent again after this long.
+const RETRY_MS: Range<u64> = 100..400;
+
+/// A transaction of the leader's: what it writes, or that it takes the record away; and when it is sent again.
+pub(super) struct RecordWrite {
+    record: Option<Rec>,
+    pub(super) busy: bool,
+    pub(super) retry_at: u64,
+    body: Vec<u8>,
+    /// A try was not answered: what stands there has to be read before anything else is written.
+    outcome_unknown: bool,
+}
+
+impl Node {
+    /// One transaction of the leader's about a model: under the guard of its own record, of the model's record as it was
+    /// known, and of the job, which must not have ended.
+    pub(super) fn write_record(
+        &mut self,
+        model: &str,
+        record: Option<Rec>,
+        stamp: u64,
+        job: Option<u64>,
+    ) {
+        let Some(shard) = &self.shard else { return };
+        let key = records::model_key(model);
+        let mut guards = vec![
+            Guard {
+                key: records::leader_key(SHARD),
+                version: shard.leader_version,
+            },
+            Guard {
+                key: key.clone(),
+                version: stamp,
+            },
+        ];
+        guards.extend(job.map(|version| Guard {
+            key: records::live_key(model),
+            version,
+        }));
+        let change = match &record {
+            Some(record) => Write::put(key, Record::Model(record.clone())),
+            None => Write::Remove { key },
+        };
+        let body = encode_transaction(guards, vec![change]);
+        let write = RecordWrite {
+            record,
+            busy: false,
+            retry_at: 0,
+            body,
+            outcome_unknown: false,
+        };
+        self.models
+            .leader_state
+            .writes
+            .insert(model.to_owned(), write);
+        self.send_record_write(model);
+    }
+
+    pub(super) fn send_record_write(&mut self, model: &str) {
+        let now = self.now.mono;
+        if self.requests.level(now) < 1.0 || self.writes.level(now) < 1.0 {
+            return;
+        }
+        let term = self.term;
+        let Some(write) = self.models.leader_state.writes.get_mut(model) else {
+            return;
+        };
+        write.busy = true;
+        let what = Pending::ModelWrite {
+            term,
+            model: model.to_owned(),
+        };
+        if write.outcome_unknown {
+            let path = format!("/keys/{}", records::model_key(model));
+            return self.get_state(path, TIMEOUT_MS, what);
+        }
+        let body = write.body.clone();
+        self.writes.take(now, 1.0);
+        self.post_transaction(body, TIMEOUT_MS, what);
+    }
+
+    /// The end of a transaction, or of the read that follows one whose end is not known.
+    pub(crate) fn model_written(&mut self, model: String, response: Option<Response>) {
+        let now = self.now.mono;
+        let wait = self.rng.u64(RETRY_MS);
+        let Some(write) = self.models.leader_state.writes.get_mut(&model) else {
+            return;
+        };
+        write.busy = false;
+        write.retry_at = now + wait;
+        let is_understood = if write.outcome_unknown {
+            self.record_read_back(&model, response)
+        } else {
+            self.transaction_answered(&model, response)
+        };
+        if is_understood {
+            self.models.is_due(&model);
+        }
+    }
+
+    /// False if the transaction was made, but its answer can't be read.
+    fn transaction_answered(&mut self, model: &str, response: Option<Response>) -> bool {
+        let status = response.as_ref().map(|response| response.status);
+        let Some(write) = self.models.leader_state.writes.get_mut(model) else {
+            return true;
+        };
+        match status {
+            Some(200) => {}
+            Some(429 | 503) => return true,
+            // Another node has written it meanwhile, or the job has ended: what stands there is read.
+            _ => {
+                write.outcome_unknown = true;
+                return true;
+            }
+        }
+        let revision = response.and_then(|r| wire::decode::<Revision>(&r.body).ok());
+        let Some(Revision { revision }) = revision else {
+            write.outcome_unknown = true;
+            return false;
+        };
+        let record = write.record.take();
+        self.models.leader_state.writes.remove(model);
+        match record {
+            Some(record) => self.record_written(model, record, revision),
+            None => self.record_removed(model),
+        }
+        true
+    }
+
+    fn record_written(&mut self, model: &str, record: Rec, stamp: u64) {
+        let (phase, generation) = (record.phase, record.generation);
+        log::info!("model {model}: {phase:?}, generation {generation}");
+        self.record_observed(model, Known { record, stamp });
+    }
+
+    /// What stands where the outcome of a transaction was not known; false if the answer can't be read.
+    fn record_read_back(&mut self, model: &str, response: Option<Response>) -> bool {
+        match response.as_ref().map(|response| response.status) {
+            Some(200) => {}
+            Some(404) => {
+                self.models.leader_state.writes.remove(model);
+                self.record_removed(model);
+                return true;
+            }
+            _ => return true,
+        }
+        let item = response.and_then(|r| wire::decode::<Item<Rec>>(&r.body).ok());
+        let Some(item) = item else { return false };
+        self.models.leader_state.writes.remove(model);
+        let known = Known {
+            record: item.value,
+            stamp: item.version,
+        };
+        self.record_observed(model, known);
+        true
+    }
+
+    fn record_removed(&mut self, model: &str) {
+        self.models.leader_state.records.remove(model);
+        self.models.leader_state.retained_machines.remove(model);
+        self.models.demand.forget(model);
+    }
+
+    /// Records of jobs that are over go, one at a time.
+    pub(super) fn remove_ended_record(&mut self) {
+        let Some(shard) = &self.shard else { return };
+        let leader_state = &mut self.models.leader_state;
+        let Some(model) = leader_state.ended.pop_first() else {
+            return;
+        };
+        let open = shard
+            .jobs
+            .index_of(&model)
+            .and_then(|ix| shard.job(ix))
+            .is_some_and(|j| !j.is_over());
+        let Some(stamp) = leader_state
+            .records
+            .get(&model)
+            .map(|k| k.stamp)
+            .filter(|_| !open)
+        else {
+            return;
+        };
+        if leader_state.writes.contains_key(&model) {
+            leader_state.ended.insert(model);
+            return;
+        }
+        // Only of a job that is over: one that was accepted a moment ago may be unknown here.
+        self.write_record(&model, None, stamp, Some(0));
+    }
+}
--- /dev/null
+++ b/crates/control/src/models/records.rs
@@ -0,0 +1,159 @@
+//! The records of models as the leader of the fleet knows them: read before its first start, then watched.
+
+use crate::models::{Known, LeaderState, ReadState, set_replicas};
+use crate::state_requests::PageCursor;
+use crate::store::recovery::Load;
+use crate::{Node, Pending};
+use model::Rec;
+use wire::api::{Change, Changes, Item, Range};
+use wire::http::Response;
+use wire::records;
+
+const READ_TIMEOUT_MS: u64 = 3000;
+/// Longer than the state service holds a watch open.
+const WATCH_TIMEOUT_MS: u64 = 7000;
+/// Records that are read after a failover, a page each.
+const PAGE: usize = 500;
+
+impl Node {
+    /// Whether a leader that takes over has to read records before its first start. If so they are read, and the load
+    /// goes on after that.
+    pub(crate) fn models_to_read(&mut self) -> bool {
+        self.models_in_force();
+        if !self.models.in_force() {
+            return false;
+        }
+        let term = self.term;
+        if self.models.leader_state.term != term {
+            self.models.leader_state = LeaderState {
+                term,
+                ..LeaderState::default()
+            };
+        }
+        if self.models.leader_state.read == ReadState::Not {
+            self.read_models();
+        }
+        self.models.leader_state.read != ReadState::All
+    }
+
+    pub(crate) fn read_models(&mut self) {
+        let leader_state = &mut self.models.leader_state;
+        leader_state.read = ReadState::Asked;
+        let path = leader_state.cursor.path(records::MODELS, PAGE);
+        let pending = Pending::Models { term: self.term };
+        self.get_state(path, READ_TIMEOUT_MS, pending);
+    }
+
+    pub(crate) fn models_received(&mut self, response: Option<Response>) {
+        let Some(page) = self.read_state::<Range<Rec>>(response) else {
+            return self.load_later(Load::Models);
+        };
+        let leader_state = &mut self.models.leader_state;
+        if leader_state.cursor.is_at_start() {
+            leader_state.revision = page.revision;
+        }
+        let more = leader_state.cursor.advance(&page);
+        for Item {
+            key,
+            value,
+            version,
+        } in page.items
+        {
+            if let Some(model) = key.strip_prefix(records::MODELS) {
+                leader_state.records.insert(
+                    model.to_owned(),
+                    Known {
+                        record: value,
+                        stamp: version,
+                    },
+                );
+            }
+        }
+        if more {
+            return self.read_models();
+        }
+        let leader_state = &mut self.models.leader_state;
+        (leader_state.read, leader_state.cursor) = (ReadState::All, PageCursor::default());
+        self.bind_models();
+        if self.shard.as_ref().is_some_and(|p| !p.loaded) {
+            self.load_ended();
+        }
+    }
+
+    /// The leader has read or written a record: what may run follows it.
+    pub(crate) fn record_observed(&mut self, model: &str, known: Known) {
+        let leader_state = &mut self.models.leader_state;
+        // A read that comes late changes nothing.
+        if leader_state
+            .records
+            .get(model)
+            .is_some_and(|k| k.stamp > known.stamp)
+        {
+            return;
+        }
+        leader_state.records.insert(model.to_owned(), known.clone());
+        leader_state.due.insert(model.to_owned());
+        let Some(shard) = &mut self.shard else { return };
+        let Some(ix) = shard.jobs.index_of(model) else {
+            return;
+        };
+        let Some(job) = shard.job(ix) else { return };
+        let Some(rule) = job.spec.as_ref().and_then(|spec| self.models.rule(spec)) else {
+            return;
+        };
+        set_replicas(shard, ix, known.record.replicas(&rule, job.tasks));
+    }
+
+    pub(super) fn watch_models(&mut self) {
+        let term = self.term;
+        self.models.leader_state.watching = true;
+        let from = self.models.leader_state.revision;
+        let path = format!("/changes?under={}&from={from}&waitMs=5000", records::MODELS);
+        self.get_state(path, WATCH_TIMEOUT_MS, Pending::ModelWatch { term });
+    }
+
+    pub(crate) fn model_changes_received(&mut self, response: Option<Response>) {
+        let retry = self.now.mono + self.rng.u64(100..400);
+        let leader_state = &mut self.models.leader_state;
+        leader_state.watching = false;
+        leader_state.watch_at = retry;
+        let Some(response) = response else { return };
+        if response.status == 410 {
+            // Too much was missed: all of them again.
+            (leader_state.read, leader_state.cursor) = (ReadState::Not, PageCursor::default());
+            return;
+        }
+        if response.status != 200 {
+            return;
+        }
+        let Some(changes) = self.read::<Changes<Rec>>("state service", &response) else {
+            return;
+        };
+        let leader_state = &mut self.models.leader_state;
+        leader_state.watch_at = 0;
+        leader_state.revision = leader_state.revision.max(changes.revision);
+        for change in changes.events {
+            self.record_changed(change);
+        }
+    }
+
+    fn record_changed(&mut self, change: Change<Rec>) {
+        let key = change
+            .put
+            .as_deref()
+            .or(change.remove.as_deref())
+            .unwrap_or_default();
+        let Some(model) = key.strip_prefix(records::MODELS).map(str::to_owned) else {
+            return;
+        };
+        let stamp = change.version;
+        match change.value {
+            Some(record) => self.record_observed(&model, Known { record, stamp }),
+            None => self
+                .models
+                .leader_state
+                .records
+                .retain(|m, known| *m != model || known.stamp > stamp),
+        }
+    }
+}
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -1,9 +1,18 @@
 //! The leader's records in the state service: its compare-and-swap transactions, the log of write-ahead claims, and how
 //! all of it is read back after a failover.
 
+pub(crate) mod allotment;
+pub(crate) mod apply;
 pub(crate) mod claim_log;
+pub(crate) mod claim_records;
+pub(crate) mod cloud_calls;
 pub(crate) mod commit;
 pub(crate) mod live_jobs;
+pub(crate) mod plan_triggers;
 pub(crate) mod rate_budget;
 pub(crate) mod recovery;
+pub(crate) mod returned_machines;
 pub(crate) mod shard;
+pub(crate) mod table;
+pub(crate) mod transaction;
+pub(crate) mod zone_reachability;
