--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -1,35 +1,54 @@
 //! What the leader of a shard holds in memory.
 
+use crate::Requester;
 use crate::agents::machine::Machine;
 use crate::jobs::job::{Class, Job, JobIndex};
+use crate::store::allotment::AllotmentState;
 use crate::store::claim_log::{ClaimId, ClaimLog};
-use crate::store::commit::{Commit, value_limit};
-use crate::store::recovery::Load;
-use crate::{Node, Requester};
+use crate::store::cloud_calls::CloudCalls;
+use crate::store::commit::Commit;
+use crate::store::live_jobs::LiveWatch;
+use crate::store::plan_triggers::PlanTriggers;
+use crate::store::recovery::RecoveryProgress;
+use crate::store::returned_machines::ReturnedMachines;
+use crate::store::table::Table;
+use crate::store::transaction::value_limit;
+use crate::store::zone_reachability::ZoneReachability;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use wire::records::{AllotmentRecord, RentalRecord};
+use wire::records::RentalRecord;
 
+/// Machines that are being rented: a request to the cloud under a name, repeated until there is an answer.
 pub(crate) struct Rental {
-    pub rec: RentalRecord,
+    pub record: RentalRecord,
     pub version: u64,
     /// The request is out.
     pub busy: bool,
     pub retry_at: u64,
-    /// Not yet in the state service, or to be taken out of it again.
     pub state: RentalState,
 }
 
+impl Rental {
+    /// One that was read back.
+    pub fn recorded(record: RentalRecord, version: u64) -> Self {
+        Rental {
+            record,
+            version,
+            busy: false,
+            retry_at: 0,
+            state: RentalState::Recorded,
+        }
+    }
+}
+
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RentalState {
+    /// Not yet in the state service.
     New,
     Recorded,
+    /// Answered, and to be taken out of the state service.
     Over,
 }
 
-/// Lists and reports that come later than this after a machine's return are taken for a machine's that nobody knows;
-/// names never come back, so only memory speaks for forgetting them.
-const RETURNED_MS: u64 = 600_000;
-
 /// Names of a kind, as dense indices.
 #[derive(Default)]
 pub(crate) struct Names {
@@ -37,6 +56,7 @@
 }
 
 impl Names {
+    /// The index of a name; one that is new gets the next.
     pub fn get(&mut self, name: &str) -> u32 {
         if let Some(i) = self.index.get(name) {
             return *i;
@@ -47,14 +67,16 @@
     }
 }
 
-/// Of so many machines some come by themselves, or answer a call, within this time of a new term.
-const DEAF_MACHINES: usize = 4;
-const DEAF_MS: u64 = 2000;
+/// Of so many machines some come by themselves, or answer a probe, within this time of a new term.
+const HEARS_NOBODY_MACHINES: usize = 4;
+const HEARS_NOBODY_MS: u64 = 2000;
 
+/// The leader's memory of its shard, for one term.
 pub(crate) struct Shard {
     pub token: u64,
     /// Version of our leader record: every write is guarded by it.
     pub leader_version: u64,
+    /// All has been read back.
     pub loaded: bool,
     /// The leader was sure of its lease at the last tick.
     pub had_valid_lease: bool,
@@ -64,54 +86,31 @@
     pub heard_itself: bool,
     /// When this term began.
     pub since: u64,
-    pub load_after: Option<String>,
-    /// What could not be read, and when it is tried again.
-    pub load_again: Option<(Load, u64)>,
-    pub live_revision: u64,
-    pub live_busy: bool,
-    pub live_retry_at: u64,
-    pub jobs: Vec<Option<Job>>,
-    pub free_jobs: Vec<JobIndex>,
-    pub job_index: HashMap<String, JobIndex>,
-    pub machines: Vec<Option<Machine>>,
-    pub free_machines: Vec<usize>,
-    pub machine_index: HashMap<String, usize>,
+    pub recovery: RecoveryProgress,
+    pub live_watch: LiveWatch,
+    pub jobs: Table<Job>,
+    pub machines: Table<Machine>,
     pub rentals: BTreeMap<String, Rental>,
-    pub serial: u64,
+    serial: u64,
     pub commit: Commit,
     pub claim_log: ClaimLog,
     /// What a record may take.
     value_limit: usize,
     /// Machines whose workers are to be told something at once.
     pub push: BTreeSet<usize>,
+    /// A command may still land late under this token: a higher one is to be taken.
     pub raise_token: bool,
+    /// What is known of the jobs of each class.
     pub classes: BTreeMap<String, Class>,
+    /// Images, as the planner counts them.
     pub images: Names,
-    /// Machines that were returned, with the time: old lists and reports may still name them.
-    pub returned: HashMap<String, u64>,
-    /// Kinds of machines that the cloud had none of, until when, and how often in a row.
-    pub refused: HashMap<(String, String, bool), (u64, u32)>,
+    pub returned: ReturnedMachines,
     /// When silent machines were last looked for.
     pub looked_at: u64,
-    /// Zones most of whose machines can't be heard: rather the network than the machines.
-    pub cut_zones: BTreeSet<String>,
-    /// Zones some of whose machines are heard by way of a peer.
-    pub detour_zones: BTreeSet<String>,
-    pub list: crate::provisioning::fleet::Listing,
-    pub delete_busy: bool,
-    pub delete_retry_at: u64,
-    pub rental_check_at: u64,
-    pub plan_due: bool,
-    pub urgent: crate::scheduling::urgent::Urgent,
-    pub planned_at: u64,
-    /// The job at which the last plan was stopped by its bound of steps.
-    pub plan_stopped_at: Option<JobIndex>,
-    pub catalog_dirty: bool,
-    /// What our teams may use, as recorded, and its version; nothing is started before it is known.
-    pub allotment: Option<AllotmentRecord>,
-    pub allotment_version: u64,
-    /// The allotment that is to be written down instead.
-    pub allotment_wanted: Option<AllotmentRecord>,
+    pub zones: ZoneReachability,
+    pub cloud_calls: CloudCalls,
+    pub plan_triggers: PlanTriggers,
+    pub allotment: AllotmentState,
     /// Jobs that may have changed since the last plan.
     touched: Vec<JobIndex>,
     /// Jobs that are not wanted any more and still have claims.
@@ -119,9 +118,9 @@
     /// The tree's counts, by the version that they belong to.
     pub counted: Option<(u64, crate::scheduling::entitlement::Counted)>,
     /// Release hours of its jobs.
-    pub hours: crate::documents::hours::Watch,
+    pub hours: crate::documents::hours::DeadlineWatch,
     /// Counts by county.
-    pub tally: crate::documents::county_counts::Tallies,
+    pub county_counts: crate::documents::county_counts::CountyCounts,
 }
 
 impl Shard {
@@ -134,17 +133,10 @@
             attestations: crate::leadership::lease_bound::Attestations::default(),
             heard_itself: false,
             since: now,
-            load_after: None,
-            load_again: None,
-            live_revision: 0,
-            live_busy: false,
-            live_retry_at: 0,
-            jobs: Vec::new(),
-            free_jobs: Vec::new(),
-            job_index: HashMap::new(),
-            machines: Vec::new(),
-            free_machines: Vec::new(),
-            machine_index: HashMap::new(),
+            recovery: RecoveryProgress::default(),
+            live_watch: LiveWatch::default(),
+            jobs: Table::default(),
+            machines: Table::default(),
             rentals: BTreeMap::new(),
             serial: 0,
             commit: Commit::default(),
@@ -154,28 +146,19 @@
             raise_token: false,
             classes: BTreeMap::new(),
             images: Names::default(),
-            returned: HashMap::new(),
-            refused: HashMap::new(),
+            returned: ReturnedMachines::default(),
             looked_at: 0,
-            cut_zones: BTreeSet::new(),
-            detour_zones: BTreeSet::new(),
-            list: crate::provisioning::fleet::Listing::default(),
-            delete_busy: false,
-            delete_retry_at: 0,
-            rental_check_at: 0,
-            urgent: crate::scheduling::urgent::Urgent::default(),
-            plan_due: true,
-            planned_at: 0,
-            plan_stopped_at: None,
-            catalog_dirty: false,
-            allotment: None,
-            allotment_version: 0,
-            allotment_wanted: None,
+            zones: ZoneReachability::default(),
+            cloud_calls: CloudCalls::default(),
+            plan_triggers: PlanTriggers::default(),
+            allotment: AllotmentState::default(),
             touched: Vec::new(),
             unwanted: BTreeSet::new(),
             counted: None,
-            hours: crate::documents::hours::Watch::default(),
-            tally: crate::documents::county_counts::Tallies::new(value_limit(value_kb)),
+            hours: crate::documents::hours::DeadlineWatch::default(),
+            county_counts: crate::documents::county_counts::CountyCounts::new(value_limit(
+                value_kb,
+            )),
         }
     }
 
@@ -183,8 +166,8 @@
     pub fn hears_no_agents(&self, now: u64) -> bool {
         self.loaded
             && !self.heard_itself
-            && self.machine_index.len() >= DEAF_MACHINES
-            && now >= self.since + DEAF_MS
+            && self.machines.count() >= HEARS_NOBODY_MACHINES
+            && now >= self.since + HEARS_NOBODY_MS
     }
 
     /// Numbers below a token are unique for ever, since tokens are.
@@ -205,11 +188,11 @@
     }
 
     pub fn job(&self, ix: JobIndex) -> Option<&Job> {
-        self.jobs.get(ix).and_then(Option::as_ref)
+        self.jobs.get(ix)
     }
     /// Whoever changes a job gets it here, so that plans know which ones changed.
     pub fn job_mut(&mut self, ix: JobIndex) -> Option<&mut Job> {
-        let job = self.jobs.get_mut(ix)?.as_mut()?;
+        let job = self.jobs.get_mut(ix)?;
         if !std::mem::replace(&mut job.touched, true) {
             self.touched.push(ix);
         }
@@ -220,28 +203,25 @@
     pub fn take_touched(&mut self) -> Vec<JobIndex> {
         let all = std::mem::take(&mut self.touched);
         for ix in &all {
-            if let Some(Some(job)) = self.jobs.get_mut(*ix) {
+            if let Some(job) = self.jobs.get_mut(*ix) {
                 job.touched = false;
             }
         }
         all
     }
     pub fn machine(&self, m: usize) -> Option<&Machine> {
-        self.machines.get(m).and_then(Option::as_ref)
+        self.machines.get(m)
     }
     pub fn machine_mut(&mut self, m: usize) -> Option<&mut Machine> {
-        self.machines.get_mut(m).and_then(Option::as_mut)
+        self.machines.get_mut(m)
     }
 
     pub fn add_job(&mut self, mut job: Job) -> JobIndex {
-        job.tenant = self.tally.tenant(job.county.as_ref());
-        let ix = self.free_jobs.pop().unwrap_or_else(|| {
-            self.jobs.push(None);
-            self.jobs.len() - 1
-        });
-        self.job_index.insert(job.id.clone(), ix);
-        self.hours.add(&job, ix);
-        self.jobs[ix] = Some(job);
+        job.tenant = self.county_counts.tenant(job.county.as_ref());
+        let ix = self.jobs.insert(job.id.clone(), job);
+        if let Some(job) = self.jobs.get(ix) {
+            self.hours.add(job, ix);
+        }
         self.touched.push(ix);
         ix
     }
@@ -260,22 +240,14 @@
     }
 
     pub fn insert_machine(&mut self, machine: Machine) -> usize {
-        let m = self.free_machines.pop().unwrap_or_else(|| {
-            self.machines.push(None);
-            self.machines.len() - 1
-        });
-        self.machine_index.insert(machine.name.clone(), m);
-        self.machines[m] = Some(machine);
-        m
+        self.machines.insert(machine.name.clone(), machine)
     }
 
     /// Forgets a machine that is proved gone and has no claims left.
     pub fn remove_machine(&mut self, m: usize) {
-        let Some(machine) = self.machines.get_mut(m).and_then(Option::take) else {
+        let Some(machine) = self.machines.remove(m, |machine| &machine.name) else {
             return;
         };
-        self.machine_index.remove(&machine.name);
-        self.free_machines.push(m);
         self.push.remove(&m);
         self.claim_log
             .leave_inventory_shard(machine.inventory_shard, m, machine.size);
@@ -318,7 +290,7 @@
     /// Whether looking at all jobs finds none that is missing.
     pub fn unwanted_is_right(&self) -> bool {
         let left = |j: &Job| j.is_unwanted() && !j.claimed.is_empty();
-        (0..self.jobs.len())
+        (0..self.jobs.slots())
             .all(|ix| self.unwanted.contains(&ix) || !self.job(ix).is_some_and(left))
     }
 
@@ -327,10 +299,8 @@
         let gone = self
             .job(ix)
             .is_some_and(|j| j.is_over() && j.claimed.is_empty());
-        if gone && let Some(job) = self.jobs[ix].take() {
-            self.job_index.remove(&job.id);
+        if gone && self.jobs.remove(ix, |job| &job.id).is_some() {
             self.unwanted.remove(&ix);
-            self.free_jobs.push(ix);
             self.touched.push(ix);
         }
     }
@@ -344,13 +314,3 @@
             .collect()
     }
 }
-
-impl Node {
-    /// Keeps only what later lists may still need.
-    pub(crate) fn forget_returned(&mut self) {
-        let now = self.now.mono;
-        if let Some(shard) = &mut self.shard {
-            shard.returned.retain(|_, at| *at + RETURNED_MS > now);
-        }
-    }
-}
--- a/crates/plan/src/gang.rs
+++ b/crates/plan/src/gang.rs
@@ -1,9 +1,9 @@
 //! Places for gangs: all tasks or none.
 
-use crate::blocked::Search;
 use crate::candidates::Wanted;
-use crate::fit::Look;
-use crate::pass::Pass;
+use crate::failed_searches::Search;
+use crate::placement::Visit;
+use crate::state::PlanState;
 use crate::{EPS, Secs, count_in};
 
 /// How long it takes until a stopped task has gone and the next plan is made.
@@ -17,11 +17,11 @@
     found: u32,
 }
 
-impl Pass<'_> {
+impl PlanState<'_> {
     /// Starts all `want` tasks of a gang or none.
-    pub(crate) fn gang(&mut self, i: usize, want: u32) -> bool {
+    pub(crate) fn start_gang(&mut self, i: usize, want: u32) -> bool {
         let job = &self.input.jobs[i];
-        if !self.is_plain() && self.blocked.is_hopeless(job, Search::Gang, want) {
+        if !self.is_linear_search() && self.failed_searches.is_hopeless(job, Search::Gang, want) {
             return false;
         }
         let mut best: Option<Places> = None;
@@ -36,14 +36,14 @@
             }
         }
         let Some(best) = best else {
-            self.blocked.add(job, Search::Gang, most);
+            self.failed_searches.add(job, Search::Gang, most);
             return false;
         };
         if self.is_clearing_better(i, want, &best.chosen) {
             return false;
         }
         for (m, n) in best.chosen {
-            self.take(i, m, n);
+            self.start_on(i, m, n);
         }
         true
     }
@@ -57,17 +57,17 @@
             found: 0,
         };
         let mut by_zone: Vec<(u16, u32)> = Vec::new();
-        self.look(&Wanted { job, zone }, |pass, score, m| {
-            if pass.held[m].is_some() {
-                return Look::On;
+        self.visit_machines(&Wanted { job, zone }, |state, score, m| {
+            if state.reserved_until[m].is_some() {
+                return Visit::Continue;
             }
             if limit.is_some_and(|limit| score >= limit) {
-                return Look::Enough;
+                return Visit::Stop;
             }
-            let z = pass.input.machines[m].zone;
+            let z = state.input.machines[m].zone;
             let there = count_in(&mut by_zone, z);
-            let bound = pass.zone_room(i, z).saturating_sub(*there);
-            let n = pass.room(job, m, want - places.found).min(bound);
+            let bound = state.zone_room(i, z).saturating_sub(*there);
+            let n = state.free_places(job, m, want - places.found).min(bound);
             if n > 0 {
                 places.chosen.push((m, n));
                 places.cost = places.cost.max(score);
@@ -75,9 +75,9 @@
                 *there += n;
             }
             if places.found == want {
-                Look::Enough
+                Visit::Stop
             } else {
-                Look::On
+                Visit::Continue
             }
         });
         places
@@ -90,7 +90,7 @@
         let share = |m: usize| self.input.machines[m].total.share(&job.need);
         let idle = |(m, n): &(usize, u32)| self.fetch(job, *m) * share(*m) * f64::from(*n);
         let idle: f64 = chosen.iter().map(idle).sum();
-        if idle <= EPS || self.is_tired() {
+        if idle <= EPS || self.is_past_soft_limit() {
             return false;
         }
         let wait = share(chosen[0].0) * f64::from(want) * CLEARING;
--- /dev/null
+++ b/crates/plan/src/limit_enforcement.rs
@@ -0,0 +1,138 @@
+//! Enforcement of limits: what runs above a bound that has shrunk is stopped: with the time to save, the least held and least urgent first,
+//! and no more than the excess.
+
+use crate::state::PlanState;
+use crate::{EPS, Preempt, Resources, Running, Secs};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What stops together: one task, or a whole gang.
+struct Excess {
+    /// Services last, since they would only start again elsewhere; then the least held, the least urgent.
+    rank: (bool, u8, u8),
+    lost: Secs,
+    gang: Option<u32>,
+    tasks: Vec<(usize, usize)>,
+    takes: Resources,
+}
+
+impl Excess {
+    /// Nothing yet of what stops with this task.
+    fn new(task: &Running) -> Self {
+        let is_service = !task.stoppable && task.gang.is_none();
+        Excess {
+            rank: (is_service, task.held, task.priority),
+            lost: 0.0,
+            gang: task.gang,
+            tasks: Vec::new(),
+            takes: Resources::default(),
+        }
+    }
+
+    fn add(&mut self, machine: usize, index: usize, task: &Running) {
+        self.lost += task.lost;
+        self.tasks.push((machine, index));
+        self.takes.add(&task.need, 1.0);
+    }
+}
+
+impl PlanState<'_> {
+    /// Brings each group back to its bound. Deeper ones first: what they stop counts for those above.
+    pub(crate) fn enforce_limits(&mut self) {
+        let input = self.input;
+        let depth = |g: usize| {
+            let at = |t: &crate::Team| t.path.iter().position(|p| usize::from(*p) == g);
+            input.teams.iter().find_map(at).unwrap_or(0)
+        };
+        let over = |g: &crate::Group| g.preempts_excess && !g.max.fits(&g.used);
+        let mut groups: Vec<usize> = (0..input.groups.len())
+            .filter(|g| over(&input.groups[*g]))
+            .collect();
+        if groups.is_empty() {
+            return;
+        }
+        groups.sort_by_key(|g| std::cmp::Reverse(depth(*g)));
+        for g in groups {
+            self.enforce_group_limit(g as u16);
+        }
+    }
+
+    fn below(&self, r: &Running, group: u16) -> bool {
+        self.input
+            .teams
+            .get(usize::from(r.team))
+            .is_some_and(|t| t.path.contains(&group))
+    }
+
+    /// Preempts tasks and gangs below a group until its use is within its bound.
+    fn enforce_group_limit(&mut self, group: u16) {
+        let bound = &self.input.groups[usize::from(group)];
+        let mut used = bound.used;
+        let mut candidates = self.preemptible_below(group, &mut used);
+        candidates.sort_by(|a, b| a.rank.cmp(&b.rank).then(a.lost.total_cmp(&b.lost)));
+        for candidate in candidates {
+            if helps(&bound.max, &used, &candidate.takes) {
+                used.add(&candidate.takes, -1.0);
+                self.preempt_excess(&candidate);
+            }
+        }
+    }
+
+    /// All below a group that may be stopped. What is on its way out already, or stopped by this plan, is taken off
+    /// the use instead.
+    fn preemptible_below(&mut self, group: u16, used: &mut Resources) -> Vec<Excess> {
+        let input = self.input;
+        let mut found: Vec<Excess> = Vec::new();
+        let mut gangs: BTreeMap<u32, Excess> = BTreeMap::new();
+        let preempts = self.output.preempts.iter();
+        let preempted: BTreeSet<(u32, u32)> = preempts.map(|p| (p.machine, p.task)).collect();
+        let preempted_gangs: BTreeSet<u32> = self.output.preempted_gangs.iter().copied().collect();
+        for (m, machine) in input.machines.iter().enumerate() {
+            self.output.steps += 1 + machine.running.len() as u64;
+            let tasks = machine.running.iter().enumerate();
+            for (k, task) in tasks.filter(|(_, task)| self.below(task, group)) {
+                let is_leaving = task.leaving
+                    || task
+                        .gang
+                        .is_some_and(|gang| preempted_gangs.contains(&gang))
+                    || preempted.contains(&(m as u32, k as u32));
+                if is_leaving {
+                    used.add(&task.need, -1.0);
+                    continue;
+                }
+                match task.gang {
+                    Some(gang) => gangs
+                        .entry(gang)
+                        .or_insert_with(|| Excess::new(task))
+                        .add(m, k, task),
+                    None => {
+                        let mut alone = Excess::new(task);
+                        alone.add(m, k, task);
+                        found.push(alone);
+                    }
+                }
+            }
+        }
+        found.extend(gangs.into_values());
+        found
+    }
+
+    fn preempt_excess(&mut self, excess: &Excess) {
+        if let Some(gang) = excess.gang {
+            self.output.preempted_gangs.push(gang);
+            return;
+        }
+        let preempts = excess.tasks.iter().map(|(m, k)| Preempt {
+            machine: *m as u32,
+            task: *k as u32,
+        });
+        self.output.preempts.extend(preempts);
+    }
+}
+
+/// Whether ending this brings the use nearer to a bound that it is above.
+fn helps(max: &Resources, used: &Resources, takes: &Resources) -> bool {
+    let over = |max: f64, used: f64, takes: f64| used > max + EPS && takes > EPS;
+    over(max.cores, used.cores, takes.cores)
+        || over(max.gpus, used.gpus, takes.gpus)
+        || over(max.mem, used.mem, takes.mem)
+}
--- a/crates/plan/src/fit.rs
+++ b/crates/plan/src/placement.rs
@@ -1,16 +1,16 @@
 //! Whether, and how well, a task fits on a machine, and what taking a place changes.
 
 use crate::candidates::Wanted;
-use crate::pass::Pass;
+use crate::state::PlanState;
 use crate::{Job, Secs, Start, count_in};
 
-impl Pass<'_> {
+impl PlanState<'_> {
     pub(crate) fn allowed(&self, job: &Job, m: usize) -> bool {
         let machine = &self.input.machines[m];
         machine.usable
             && self.slots[m] > 0
             && self.suits(job, m)
-            && self.tenants[m].take(&job.tenant)
+            && self.tenants[m].admits(&job.tenant)
     }
 
     /// Whether a job may use a machine at all.
@@ -22,12 +22,16 @@
     pub(crate) fn zone_room(&self, i: usize, zone: u16) -> u32 {
         let job = &self.input.jobs[i];
         let there = |z: u16| {
-            self.zones[i]
+            self.tasks_by_zone[i]
                 .iter()
                 .find(|(id, _)| *id == z)
                 .map_or(0, |(_, n)| *n)
         };
-        if job.one_zone && self.zones[i].iter().any(|(z, n)| *z != zone && *n > 0) {
+        if job.one_zone
+            && self.tasks_by_zone[i]
+                .iter()
+                .any(|(z, n)| *z != zone && *n > 0)
+        {
             return 0;
         }
         if job.spread {
@@ -54,18 +58,18 @@
         self.candidates.class(m).place_score(job, &self.free[m])
     }
 
-    /// Machines where a task of the job fits now, best first, until `take` has enough. Steps are counted.
-    pub(crate) fn look(
+    /// Machines where a task of the job fits now, best first, until `visit` has enough. Steps are counted.
+    pub(crate) fn visit_machines(
         &mut self,
         wanted: &Wanted<'_>,
-        mut take: impl FnMut(&Self, Secs, usize) -> Look,
+        mut visit: impl FnMut(&Self, Secs, usize) -> Visit,
     ) {
         let mut steps = 0;
-        if self.is_plain() {
-            let order = self.walk(wanted);
+        if self.is_linear_search() {
+            let order = self.walk_all(wanted);
             steps += self.input.machines.len() as u64;
             for (score, m) in order {
-                if take(self, score, m) == Look::Enough {
+                if visit(self, score, m) == Visit::Stop {
                     break;
                 }
             }
@@ -73,16 +77,16 @@
             for (score, m) in self.candidates.best_first(wanted, &mut steps) {
                 steps += 1;
                 let fits = self.allowed(wanted.job, m) && self.free[m].fits(&wanted.job.need);
-                if fits && take(self, score, m) == Look::Enough {
+                if fits && visit(self, score, m) == Visit::Stop {
                     break;
                 }
             }
         }
-        self.out.steps += steps;
+        self.output.steps += steps;
     }
 
     /// The same by a walk over all machines.
-    fn walk(&self, wanted: &Wanted<'_>) -> Vec<(Secs, usize)> {
+    fn walk_all(&self, wanted: &Wanted<'_>) -> Vec<(Secs, usize)> {
         let job = wanted.job;
         let machines = &self.input.machines;
         let mut order: Vec<(Secs, usize)> = (0..machines.len())
@@ -95,7 +99,7 @@
     }
 
     /// Notes that `n` tasks of a job start on a machine.
-    pub(crate) fn take(&mut self, i: usize, m: usize, n: u32) {
+    pub(crate) fn start_on(&mut self, i: usize, m: usize, n: u32) {
         let input = self.input;
         let job = &input.jobs[i];
         let zone = input.machines[m].zone;
@@ -107,13 +111,13 @@
         for g in &input.teams[job.team as usize].path {
             self.groups[*g as usize].used.add(&job.need, f64::from(n));
         }
-        *count_in(&mut self.zones[i], zone) += n;
+        *count_in(&mut self.tasks_by_zone[i], zone) += n;
         if !self.images[m].contains(&job.image) {
             self.images[m].push(job.image);
         }
         self.index(m);
         self.changed.push(m as u32);
-        self.out.starts.push(Start {
+        self.output.starts.push(Start {
             job: i as u32,
             machine: m as u32,
             count: n,
@@ -123,7 +127,7 @@
 
 /// Whether a search goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Look {
-    On,
-    Enough,
+pub(crate) enum Visit {
+    Continue,
+    Stop,
 }
--- a/crates/plan/src/room.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -1,86 +1,23 @@
-//! Room for those that find none: machines that are free soon are held, and the less urgent are stopped.
+//! Preemption by priority: for jobs that find no room, machines that are free soon are held, and tasks of lower priority
+//! are stopped.
 
-use crate::blocked::Search;
-use crate::pass::Pass;
-use crate::{Job, Preempt, Res, Secs, Tenant, URGENT, count_in};
+use crate::clearing::{Clearing, Clearings, drop_at};
+use crate::failed_searches::Search;
+use crate::job_kind::JobKind;
+use crate::state::PlanState;
+use crate::{Job, Preempt, Secs, URGENT, count_in};
 use std::collections::BTreeMap;
 
 /// An urgent job waits this long for room that falls free by itself.
 const URGENT_PATIENCE: Secs = 0.3;
+
 /// Tasks of one urgent array that machines are cleared for in one plan.
 const MOST_CLEARED: u32 = 64;
 
-/// A machine that can be had for a task.
-#[derive(Clone)]
-pub(crate) struct Clearing {
-    machine: usize,
-    /// When it is free by itself.
-    at: Secs,
-    /// Machine-seconds that are lost: work of the stopped, and the time that the image takes.
-    cost: f64,
-    /// Tasks that have to be stopped.
-    stops: Vec<usize>,
-    /// Its room when this was found out.
-    free: Res,
-}
-
-/// What can be had for tasks of a kind, cheapest first: a list for each zone where all must be in one, else one list.
-pub(crate) struct Clearings {
-    lists: Vec<Vec<Clearing>>,
-}
-
-/// Takes out what stands at these places, given in their order.
-fn drop_at(list: &mut Vec<Clearing>, places: &[usize]) {
-    let Some(last) = places.last() else {
-        return;
-    };
-    let kept: Vec<Clearing> = list
-        .drain(..=*last)
-        .enumerate()
-        .filter(|(at, _)| places.binary_search(at).is_err())
-        .map(|(_, option)| option)
-        .collect();
-    list.splice(0..0, kept);
-}
-
-/// What jobs have in common that can use the same machines.
-#[derive(Clone, PartialEq, Eq, Hash)]
-pub(crate) struct Wide {
-    need: [u64; 3],
-    priority: u8,
-    types: u64,
-    zone: Option<u16>,
-    one_zone: bool,
-    spot: bool,
-    image: u32,
-    tenant: Tenant,
-    only: Vec<u16>,
-}
-
-impl Wide {
-    pub fn of(job: &Job) -> Self {
-        Wide {
-            need: [
-                job.need.cores.to_bits(),
-                job.need.gpus.to_bits(),
-                job.need.mem.to_bits(),
-            ],
-            priority: job.priority,
-            types: job.types,
-            zone: job.zone,
-            one_zone: job.one_zone,
-            spot: job.spot,
-            image: job.image,
-            tenant: job.tenant,
-            only: job.only.clone(),
-        }
-    }
-}
-
-impl Pass<'_> {
+impl PlanState<'_> {
     /// A gang that finds no room has it gathered: the machines that are free for it first are held, and tasks of
     /// lower priority are stopped where waiting would take longer than the patience. False if that does not do.
-    pub(crate) fn make_room(&mut self, i: usize, want: u32) -> bool {
+    pub(crate) fn gather_room(&mut self, i: usize, want: u32) -> bool {
         let Some((_, chosen)) = self.cheapest(i, want) else {
             return false;
         };
@@ -105,7 +42,7 @@
             return;
         }
         let want = want.min(MOST_CLEARED);
-        let key = Wide::of(job);
+        let key = JobKind::of(job);
         let known = self.clearable.remove(&key);
         let mut options = known.unwrap_or_else(|| self.options(job));
         let mut left = want;
@@ -124,14 +61,14 @@
     fn clear(&mut self, chosen: Vec<Clearing>) {
         for option in chosen {
             let m = option.machine;
-            self.held[m] = Some(option.at);
+            self.reserved_until[m] = Some(option.at);
             self.changed.push(m as u32);
-            self.out.kept.push(m as u32);
+            self.output.kept.push(m as u32);
             let stops = option.stops.iter().map(|t| Preempt {
                 machine: m as u32,
                 task: *t as u32,
             });
-            self.out.preempts.extend(stops);
+            self.output.preempts.extend(stops);
         }
     }
 
@@ -139,10 +76,10 @@
     pub(crate) fn cheapest(&mut self, i: usize, want: u32) -> Option<(f64, Vec<Clearing>)> {
         let input = self.input;
         let job = &input.jobs[i];
-        if !self.is_plain() && self.blocked.is_hopeless(job, Search::Clear, want) {
+        if !self.is_linear_search() && self.failed_searches.is_hopeless(job, Search::Clear, want) {
             return None;
         }
-        let key = Wide::of(job);
+        let key = JobKind::of(job);
         let known = self.clearable.remove(&key);
         let mut options = known.unwrap_or_else(|| self.options(job));
         // Per zone where all must be in one; what takes the least of waiting and of lost work is taken.
@@ -157,7 +94,7 @@
             }
         }
         if best.is_none() {
-            self.blocked.add(job, Search::Clear, most);
+            self.failed_searches.add(job, Search::Clear, most);
         }
         self.clearable.insert(key, options);
         best
@@ -177,9 +114,9 @@
         let mut taken: Vec<(u16, u32)> = Vec::new();
         let mut stale = Vec::new();
         for (at, option) in list.iter().enumerate() {
-            self.out.steps += 1;
+            self.output.steps += 1;
             let m = option.machine;
-            if self.held[m].is_some() || self.free[m] != option.free {
+            if self.reserved_until[m].is_some() || self.free[m] != option.free {
                 stale.push(at);
                 continue;
             }
@@ -211,7 +148,7 @@
             if !self.allowed(job, m) || !machine.total.fits(&job.need) {
                 continue;
             }
-            self.out.steps += 1 + machine.running.len() as u64;
+            self.output.steps += 1 + machine.running.len() as u64;
             let before = self.free[m];
             let mut free = before;
             let mut ends: Vec<(Secs, usize)> = machine
@@ -274,7 +211,7 @@
         let mut victims: Vec<usize> = (0..machine.running.len())
             .filter(|k| {
                 let r = &machine.running[*k];
-                r.stoppable && !r.leaving && self.input.yields(r, job)
+                r.stoppable && !r.leaving && self.input.may_be_preempted_for(r, job)
             })
             .collect();
         let cost =
--- a/crates/plan/src/recall.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -1,10 +1,10 @@
-//! Giving a team its guarantee: what other teams run beyond theirs is stopped, of any urgency.
+//! Preemption for quota: to give a team its guarantee, what other teams run beyond theirs is stopped, of any priority.
 //!
-//! Where quotas nest, those that are nearest in the tree give back first: what a sibling has borrowed from the same
-//! desk goes before what another desk has, and that before other members'.
+//! Where quotas nest, those that are nearest in the tree give back first: what a sibling has borrowed within the same
+//! group goes before what the next group has, and so on up.
 
-use crate::pass::Pass;
-use crate::{Job, Preempt, Res, Secs, Shape};
+use crate::state::PlanState;
+use crate::{Job, Preempt, Resources, Secs, Shape};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashSet};
 
@@ -27,11 +27,11 @@
     tasks: Vec<(usize, usize)>,
     cost: Secs,
     /// Groups that it has in common with the job.
-    kin: u8,
+    common_groups: u8,
 }
 
 /// What is to be stopped, with the loss, and the room on each machine then.
-struct Recall {
+struct QuotaPreemption {
     /// Places that an array still lacks.
     missing: u32,
     cost: Secs,
@@ -39,16 +39,26 @@
     places: Vec<(usize, u32)>,
 }
 
-impl Pass<'_> {
+/// Room by machine.
+type Rooms = BTreeMap<usize, Resources>;
+
+/// Places for tasks of a job, at most `cap` on each machine.
+fn count_places(job: &Job, cap: u32, rooms: &Rooms) -> u32 {
+    rooms.values().map(|room| room.count(&job.need, cap)).sum()
+}
+
+impl PlanState<'_> {
     /// Stops for a job within a guarantee what other teams run beyond theirs, and holds the room. A gang needs all its
     /// places, an array takes what there is. False if that does not make enough.
-    pub(crate) fn recall(&mut self, i: usize, want: u32) -> bool {
+    pub(crate) fn preempt_for_quota(&mut self, i: usize, want: u32) -> bool {
         let job = &self.input.jobs[i];
         let zones = self.zones_for(job);
-        let mut best: Option<Recall> = None;
+        let mut best: Option<QuotaPreemption> = None;
         for zone in zones {
-            let found = self.recall_in(i, want, zone);
-            let better = |a: &Recall, b: &Recall| (a.missing, a.cost) < (b.missing, b.cost);
+            let found = self.quota_preemption_in(i, want, zone);
+            let better = |a: &QuotaPreemption, b: &QuotaPreemption| {
+                (a.missing, a.cost) < (b.missing, b.cost)
+            };
             if let Some(found) = found
                 && best.as_ref().is_none_or(|b| better(&found, b))
             {
@@ -58,14 +68,14 @@
         let Some(best) = best else { return false };
         for victim in best.victims {
             if let Some(gang) = victim.gang {
-                self.out.recalls.push(gang);
+                self.output.preempted_gangs.push(gang);
                 continue;
             }
             let stops = victim.tasks.iter().map(|(m, k)| Preempt {
                 machine: *m as u32,
                 task: *k as u32,
             });
-            self.out.preempts.extend(stops);
+            self.output.preempts.extend(stops);
         }
         let mut left = want;
         for (m, n) in best.places {
@@ -78,90 +88,125 @@
         true
     }
 
-    fn recall_in(&mut self, i: usize, want: u32, zone: Option<u16>) -> Option<Recall> {
+    /// What would be stopped in a zone, or in all; none for a gang that would still lack places.
+    fn quota_preemption_in(
+        &mut self,
+        i: usize,
+        want: u32,
+        zone: Option<u16>,
+    ) -> Option<QuotaPreemption> {
+        let job = &self.input.jobs[i];
+        let mut rooms = self.rooms_with_leaving(i, zone);
+        let mut victims = self.choose_victims(job, want, &mut rooms);
+        let places = count_places(job, want, &rooms);
+        if places < want && job.shape == Shape::Gang {
+            return None;
+        }
+        let enough = places.min(want);
+        self.drop_needless_victims(job, want, enough, &mut victims, &mut rooms);
+        let places = rooms
+            .iter()
+            .map(|(m, room)| (*m, room.count(&job.need, want)))
+            .collect();
+        Some(QuotaPreemption {
+            missing: want - enough,
+            cost: victims.iter().map(|v| v.cost).sum(),
+            victims,
+            places,
+        })
+    }
+
+    /// Room on the machines that a job may use, once what is on its way out has gone.
+    fn rooms_with_leaving(&mut self, i: usize, zone: Option<u16>) -> Rooms {
         let job = &self.input.jobs[i];
-        let mut rooms: BTreeMap<usize, Res> = BTreeMap::new();
+        let mut rooms = Rooms::new();
         for m in self.machines_in(zone) {
             let machine = &self.input.machines[m];
-            if !self.allowed(job, m) || self.held[m].is_some() {
+            if !self.allowed(job, m) || self.reserved_until[m].is_some() {
                 continue;
             }
             // Room where the job may have no more tasks would be made in vain, and held.
             if self.is_promised_to_others(job, m) || self.zone_room(i, machine.zone) == 0 {
                 continue;
             }
-            self.out.steps += 1 + machine.running.len() as u64;
+            self.output.steps += 1 + machine.running.len() as u64;
             let mut room = self.room_at(m, 0.0, f64::INFINITY);
-            for r in machine.running.iter().filter(|r| r.leaving) {
-                room.add(&r.need, 1.0);
+            for task in machine.running.iter().filter(|task| task.leaving) {
+                room.add(&task.need, 1.0);
             }
             rooms.insert(m, room);
         }
-        let mut victims = self.victims(job, &rooms);
-        let count = |rooms: &BTreeMap<usize, Res>| {
-            rooms
-                .values()
-                .map(|room| room.count(&job.need, want))
-                .sum::<u32>()
-        };
-        let mut chosen: Vec<Victim> = Vec::new();
-        let mut have = count(&rooms);
+        rooms
+    }
+
+    /// Takes victims until a job has the places that it wants, or none is left that brings it nearer, and adds their
+    /// room.
+    fn choose_victims(&mut self, job: &Job, want: u32, rooms: &mut Rooms) -> Vec<Victim> {
+        let mut victims = self.victims(job, rooms);
+        let mut chosen = Vec::new();
+        let mut have = count_places(job, want, rooms);
         while have < want {
             // Clearing has its bound of steps, as elsewhere.
-            self.out.steps += rooms.len() as u64;
-            if self.is_tired() {
+            self.output.steps += rooms.len() as u64;
+            if self.is_past_soft_limit() {
                 break;
             }
-            // The nearest in the tree first, then the least loss for each place that is gained. What gains none by
-            // itself may do so with another.
-            let mut best: Option<(Reverse<u8>, f64, usize)> = None;
-            for (k, victim) in victims.iter().enumerate() {
-                self.out.steps += victim.tasks.len() as u64;
-                let gain = self.gain(job, victim, &rooms).min(f64::from(want - have));
-                let (kin, loss) = (Reverse(victim.kin), victim.cost / gain);
-                if gain > 0.0 && best.is_none_or(|(k, l, _)| (kin, loss) < (k, l)) {
-                    best = Some((kin, loss, k));
-                }
-            }
-            let Some((_, _, k)) = best else { break };
-            let victim = victims.swap_remove(k);
-            self.give_back(&victim, &mut rooms, 1.0);
+            let Some(best) = self.best_victim(job, want - have, &victims, rooms) else {
+                break;
+            };
+            let victim = victims.swap_remove(best);
+            self.give_back(&victim, rooms, 1.0);
             chosen.push(victim);
-            have = count(&rooms);
+            have = count_places(job, want, rooms);
         }
-        if have < want && job.shape == Shape::Gang {
-            return None;
+        chosen
+    }
+
+    /// The victim that is nearest in the tree, and of those the one with the least loss for each place that is gained.
+    /// What gains none by itself may do so with another.
+    fn best_victim(
+        &mut self,
+        job: &Job,
+        missing: u32,
+        victims: &[Victim],
+        rooms: &Rooms,
+    ) -> Option<usize> {
+        let mut best: Option<((Reverse<u8>, f64), usize)> = None;
+        for (at, victim) in victims.iter().enumerate() {
+            self.output.steps += victim.tasks.len() as u64;
+            let gain = self.gain(job, victim, rooms).min(f64::from(missing));
+            let rank = (Reverse(victim.common_groups), victim.cost / gain);
+            if gain > 0.0 && best.is_none_or(|(best_rank, _)| rank < best_rank) {
+                best = Some((rank, at));
+            }
         }
-        // What turned out not to be needed stays.
-        let enough = have.min(want);
-        let mut k = chosen.len();
-        while k > 0 {
-            k -= 1;
-            self.give_back(&chosen[k], &mut rooms, -1.0);
-            if count(&rooms) >= enough {
+        best.map(|(_, at)| at)
+    }
+
+    /// What turned out not to be needed for `enough` places stays.
+    fn drop_needless_victims(
+        &self,
+        job: &Job,
+        want: u32,
+        enough: u32,
+        chosen: &mut Vec<Victim>,
+        rooms: &mut Rooms,
+    ) {
+        for k in (0..chosen.len()).rev() {
+            self.give_back(&chosen[k], rooms, -1.0);
+            if count_places(job, want, rooms) >= enough {
                 chosen.remove(k);
             } else {
-                self.give_back(&chosen[k], &mut rooms, 1.0);
+                self.give_back(&chosen[k], rooms, 1.0);
             }
         }
-        let cost = chosen.iter().map(|v| v.cost).sum();
-        let places = rooms
-            .iter()
-            .map(|(m, room)| (*m, room.count(&job.need, want)))
-            .collect();
-        Some(Recall {
-            missing: want - enough,
-            cost,
-            victims: chosen,
-            places,
-        })
     }
 
     /// Places that a victim's end brings nearer: whole ones count most, parts of one a little.
-    fn gain(&self, job: &Job, victim: &Victim, rooms: &BTreeMap<usize, Res>) -> f64 {
+    fn gain(&self, job: &Job, victim: &Victim, rooms: &Rooms) -> f64 {
         let mut gain = 0.0;
         let mut seen = usize::MAX;
-        let mut after = Res::default();
+        let mut after = Resources::default();
         for (m, k) in &victim.tasks {
             let Some(room) = rooms.get(m) else { continue };
             if *m != seen {
@@ -181,7 +226,7 @@
         gain
     }
 
-    fn give_back(&self, victim: &Victim, rooms: &mut BTreeMap<usize, Res>, times: f64) {
+    fn give_back(&self, victim: &Victim, rooms: &mut Rooms, times: f64) {
         for (m, k) in &victim.tasks {
             if let Some(room) = rooms.get_mut(m) {
                 room.add(&self.input.machines[*m].running[*k].need, times);
@@ -190,20 +235,24 @@
     }
 
     /// All that may be stopped for a job on these machines, with what that loses.
-    fn victims(&self, job: &Job, rooms: &BTreeMap<usize, Res>) -> Vec<Victim> {
+    fn victims(&self, job: &Job, rooms: &Rooms) -> Vec<Victim> {
         let mut out = Vec::new();
         let mut gangs: BTreeMap<u32, Victim> = BTreeMap::new();
-        let preempts = self.out.preempts.iter();
+        let preempts = self.output.preempts.iter();
         let stopped: HashSet<(u32, u32)> = preempts.map(|p| (p.machine, p.task)).collect();
-        let recalled: HashSet<u32> = self.out.recalls.iter().copied().collect();
+        let preempted_gangs: HashSet<u32> = self.output.preempted_gangs.iter().copied().collect();
         for (m, machine) in self.input.machines.iter().enumerate() {
             for (k, r) in machine.running.iter().enumerate() {
                 let stopping = stopped.contains(&(m as u32, k as u32))
-                    || r.gang.is_some_and(|g| recalled.contains(&g));
-                if !self.input.owes(r, job) || r.leaving || r.ends < NEARLY_OVER || stopping {
+                    || r.gang.is_some_and(|g| preempted_gangs.contains(&g));
+                if !self.input.may_be_reclaimed_for(r, job)
+                    || r.leaving
+                    || r.ends < NEARLY_OVER
+                    || stopping
+                {
                     continue;
                 }
-                let kin = self.input.kin(r.team, job.team);
+                let common_groups = self.input.common_groups(r.team, job.team);
                 match r.gang {
                     // All of a gang stops, also where that makes no room for the job.
                     Some(gang) => {
@@ -211,7 +260,7 @@
                             gang: Some(gang),
                             tasks: Vec::new(),
                             cost: 0.0,
-                            kin,
+                            common_groups,
                         });
                         victim.tasks.push((m, k));
                         victim.cost += r.lost + GANG_LOSS;
@@ -223,7 +272,7 @@
                             gang: None,
                             tasks: vec![(m, k)],
                             cost,
-                            kin,
+                            common_groups,
                         });
                     }
                     None => {}
--- /dev/null
+++ b/crates/plan/src/reservations.rs
@@ -0,0 +1,108 @@
+//! Reservations: room that is kept for jobs that are expected.
+
+use crate::state::PlanState;
+use crate::{EPS, Job, Reservation, Secs, Shape};
+
+/// Whoever has waited for so long with nothing running gets a place also where room is kept for what is expected.
+const BESIDE_RESERVATIONS: Secs = 45.0;
+
+impl PlanState<'_> {
+    /// Keeps the rest from machines with room for jobs that are expected: for each image as many as its share that have
+    /// it, so that what comes need not fetch.
+    pub(crate) fn keep_reservations(&mut self) {
+        let input = self.input;
+        for reservation in &input.reservations {
+            let short = self.keep_reservation(reservation);
+            self.output.reservations_short.push(short);
+        }
+    }
+
+    /// How much of it finds no room.
+    fn keep_reservation(&mut self, reservation: &Reservation) -> u32 {
+        let job = &reservation.like;
+        let order = self.machines_for(reservation);
+        let mut left = reservation.count;
+        let all: f64 = reservation.images.iter().map(|(_, _, share)| share).sum();
+        for (image, _, share) in &reservation.images {
+            let wanted = (f64::from(reservation.count) * share / all.max(EPS)).round() as u32;
+            let mut wanted = wanted.min(left);
+            for m in &order {
+                if wanted == 0 {
+                    break;
+                }
+                if self.reserved_until[*m].is_none() && self.images[*m].contains(image) {
+                    let n = self.reserve_on(job, *m);
+                    wanted = wanted.saturating_sub(n);
+                    left = left.saturating_sub(n);
+                }
+            }
+        }
+        for m in order {
+            if left == 0 {
+                break;
+            }
+            if self.reserved_until[m].is_none() {
+                left = left.saturating_sub(self.reserve_on(job, m));
+            }
+        }
+        left
+    }
+
+    /// Machines with room for it, those first where what is expected is soonest.
+    fn machines_for(&mut self, reservation: &Reservation) -> Vec<usize> {
+        let input = self.input;
+        let job = &reservation.like;
+        // The time that all expected images together, by their shares, take to come here.
+        let missing = |m: usize| {
+            let away = reservation
+                .images
+                .iter()
+                .filter(|(image, _, _)| !self.images[m].contains(image));
+            let gb: f64 = away.map(|(_, gb, share)| gb * share).sum();
+            gb / input.machines[m].fetch_gb_per_s.max(0.01)
+        };
+        let has_room = |m: &usize| {
+            self.allowed(job, *m)
+                && self.reserved_until[*m].is_none()
+                && self.unpromised_places(job, *m) > 0
+        };
+        let mut order: Vec<(f64, usize)> = (0..input.machines.len())
+            .filter(has_room)
+            .map(|m| (missing(m) + self.place_score(job, m), m))
+            .collect();
+        order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        self.output.steps += input.machines.len() as u64;
+        order.into_iter().map(|(_, m)| m).collect()
+    }
+
+    fn reserve_on(&mut self, job: &Job, m: usize) -> u32 {
+        self.reserved_until[m] = Some(0.0);
+        self.changed.push(m as u32);
+        self.output.kept.push(m as u32);
+        self.unpromised_places(job, m)
+    }
+
+    /// An array that has waited for long and has no task on any machine.
+    pub(crate) fn waits_beside_reservations(&self, i: usize) -> bool {
+        let job = &self.input.jobs[i];
+        let none = self.tasks_by_zone[i].iter().all(|(_, n)| *n == 0);
+        job.shape == Shape::Array
+            && -job.arrival >= BESIDE_RESERVATIONS
+            && none
+            && !self.output.kept.is_empty()
+    }
+
+    /// A first task where room is kept for jobs that are only expected: nobody waits for ever beside it. The rest of it
+    /// stays kept, so that it goes task by task.
+    pub(crate) fn start_from_reservations(&mut self, i: usize) -> u32 {
+        let kept = self.output.kept.clone();
+        kept.iter()
+            .for_each(|m| self.reserved_until[*m as usize] = None);
+        self.failed_searches.forget();
+        let started = self.start_tasks(i, 1, true);
+        self.failed_searches.forget();
+        kept.iter()
+            .for_each(|m| self.reserved_until[*m as usize] = Some(0.0));
+        started
+    }
+}
--- a/crates/plan/tests/apart.rs
+++ b/crates/plan/tests/anti_affinity.rs
@@ -1,11 +1,13 @@
 //! Work that shares no machine gets one, however busy the fleet is with work that comes and goes.
 
+mod defaults;
+
 use plan::{
-    HireInput, Input, Job, Machine, MachineOffer, Output, Res, Running, Shape, Start, Team, Tenant,
-    plan, wishes,
+    Input, Job, Machine, MachineOffer, Output, Resources, Running, ScaleOutInput, Shape, Start,
+    Team, Tenant, plan, scale_out,
 };
 
-const GPU: Res = Res {
+const GPU: Resources = Resources {
     cores: 1.0,
     gpus: 1.0,
     mem: 1.0,
@@ -20,51 +22,25 @@
         tasks,
         pending: tasks,
         need: GPU,
-        types: 1,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        image: 0,
         image_gb: 0.0,
-        team: 0,
-        due: None,
-        waits: false,
-        promised: false,
-        held: 0,
-        zones: vec![],
-        avoid: vec![],
         tenant,
-        only: vec![],
+        ..defaults::job()
     }
 }
 
 fn team() -> Team {
-    Team {
-        path: vec![],
-        cores_used: 0.0,
-        gpus_used: 0.0,
-        cores_max: f64::INFINITY,
-        gpus_max: f64::INFINITY,
-    }
+    defaults::team()
 }
 
 fn machine() -> Machine {
     Machine {
-        machine_type: 0,
-        zone: 0,
-        spot: false,
-        usable: true,
-        ready: f64::INFINITY,
-        total: Res {
+        total: Resources {
             cores: 4.0,
             gpus: 4.0,
             mem: 64.0,
         },
-        running: vec![],
         images: vec![0],
-        fetch_gb_per_s: 1.0,
-        slots: 20,
+        ..defaults::machine()
     }
 }
 
@@ -108,15 +84,8 @@
                 machines[s.machine as usize].running.push(Running {
                     need: GPU,
                     ends,
-                    priority: 1,
-                    lost: 0.0,
-                    stoppable: false,
-                    leaving: false,
-                    team: 0,
-                    held: 0,
-                    spared: false,
-                    gang: None,
                     tenant: j.tenant,
+                    ..defaults::running()
                 });
             }
         }
@@ -189,22 +158,22 @@
         fetch_gb_per_s: 1.0,
     };
     let (offers, coming) = ([offer.clone()], [(offer, 1)]);
-    let hire = HireInput {
+    let hire = ScaleOutInput {
         input: &input,
         output: &output,
         offers: &offers,
         coming: &coming,
         horizon: 60.0,
-        most: 50,
+        max_machines: 50,
     };
-    assert_eq!(wishes(&hire).iter().map(|w| w.count).sum::<u32>(), 2);
+    assert_eq!(scale_out(&hire).iter().map(|w| w.count).sum::<u32>(), 2);
     let mut input = input.clone();
     input
         .jobs
         .iter_mut()
         .for_each(|j| j.tenant = Tenant::default());
     assert_eq!(
-        wishes(&HireInput {
+        scale_out(&ScaleOutInput {
             input: &input,
             ..hire
         })
--- a/crates/plan/tests/floods.rs
+++ b/crates/plan/tests/floods.rs
@@ -1,19 +1,22 @@
 //! Floods of urgent work played in plan turns: who waits long begins, and nothing is stopped for it against its urgency.
 
+mod defaults;
+
 use plan::{
-    Input, Job, Machine, Output, Res, Running, Shape, Spare, Team, Waits, first_share, plan,
+    AgingThresholds, Input, Job, Machine, Output, Reservation, Resources, Running, Shape, Team,
+    first_share, plan,
 };
 use proptest::prelude::*;
 
 /// In turns.
-const WAITS: Waits = Waits {
+const AGING: AgingThresholds = AgingThresholds {
     old: 20.0,
     latest: 30.0,
 };
 const PLACES: u32 = 4;
 
-fn task() -> Res {
-    Res {
+fn task() -> Resources {
+    Resources {
         cores: 1.0,
         gpus: 1.0,
         mem: 1.0,
@@ -23,7 +26,7 @@
 fn job(shape: Shape, priority: u8, tasks: u32) -> Job {
     // A task of an urgent gang takes a whole machine.
     let places = if shape == Shape::Gang { PLACES } else { 1 };
-    let mut need = Res::default();
+    let mut need = Resources::default();
     need.add(&task(), f64::from(places));
     Job {
         shape,
@@ -33,42 +36,24 @@
         tasks,
         pending: tasks,
         need,
-        types: 1,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        image: 0,
         image_gb: 0.0,
-        team: 0,
         waits: true,
-        due: None,
-        promised: false,
-        held: 0,
-        zones: vec![],
-        avoid: vec![],
-        tenant: Default::default(),
-        only: vec![],
+        ..defaults::job()
     }
 }
 
 /// One with [`PLACES`] places.
 fn machine() -> Machine {
     Machine {
-        machine_type: 0,
-        zone: 0,
-        spot: false,
-        usable: true,
         ready: 0.0,
-        total: Res {
+        total: Resources {
             cores: 4.0,
             gpus: 4.0,
             mem: 4.0,
         },
-        running: vec![],
         images: vec![0],
-        fetch_gb_per_s: 1.0,
         slots: 10,
+        ..defaults::machine()
     }
 }
 
@@ -113,16 +98,14 @@
             online_factor: 1.5,
             patience: 3.0,
             max_steps: u64::MAX / 4,
-            waits: if self.bound { WAITS } else { Waits::default() },
+            aging: if self.bound {
+                AGING
+            } else {
+                AgingThresholds::default()
+            },
             ..Input::default()
         };
-        input.teams = vec![Team {
-            path: vec![],
-            cores_used: 0.0,
-            gpus_used: 0.0,
-            cores_max: f64::INFINITY,
-            gpus_max: f64::INFINITY,
-        }];
+        input.teams = vec![defaults::team()];
         let mut on: Vec<Vec<usize>> = vec![vec![]; self.machines];
         let mut claims = vec![0u32; self.jobs.len()];
         for (k, p) in self.placed.iter().enumerate() {
@@ -130,7 +113,7 @@
             let (array, first) = (job.shape == Shape::Array, first_share(job.shape, job.tasks));
             let age = f64::from(now - self.jobs[p.job].0);
             let share = self.done[p.job] == 0 && claims[p.job] < first;
-            let spared = self.bound && array && (age >= WAITS.latest || share && age >= WAITS.old);
+            let spared = self.bound && array && (age >= AGING.latest || share && age >= AGING.old);
             claims[p.job] += 1;
             on[p.machine].push(k);
             input.machines[p.machine].running.push(Running {
@@ -139,12 +122,9 @@
                 priority: job.priority,
                 lost: f64::from(now - p.began),
                 stoppable: array,
-                leaving: false,
-                team: 0,
-                held: 0,
                 spared,
                 gang: (!array).then_some(p.job as u32),
-                tenant: Default::default(),
+                ..defaults::running()
             });
         }
         let mut map = Vec::new();
@@ -183,7 +163,7 @@
         let (input, map, on) = self.input(now);
         let out: Output = plan(&input);
         prop_assert_eq!(
-            &out.recalls,
+            &out.preempted_gangs,
             &Vec::<u32>::new(),
             "no guarantee, so no gang stops"
         );
@@ -267,7 +247,7 @@
         for (k, (began, (at, shape, tasks))) in fleet.began.iter().zip(&large).enumerate() {
             let before = large.iter().enumerate().filter(|(o, l)| *o != k && l.0 <= *at);
             let loads: u32 = before.map(|(_, (_, s, n))| if *s == Shape::Array { n.div_ceil(PLACES) } else { *n }).sum();
-            let bound = WAITS.old as i32 + 12 + (loads * 6).div_ceil(machines as u32) as i32;
+            let bound = AGING.old as i32 + 12 + (loads * 6).div_ceil(machines as u32) as i32;
             let waited = began.map(|b| b - at);
             prop_assert!(waited.is_some_and(|w| w <= bound), "{shape:?} of {tasks}: {waited:?}, {bound}");
         }
@@ -296,7 +276,7 @@
         let (mut input, _, _) = fleet.input(0);
         let young = plan(&input);
         // Alone of its urgency, it has nobody to go before there.
-        input.jobs[0].arrival = -WAITS.old;
+        input.jobs[0].arrival = -AGING.old;
         let old = plan(&input);
         let sums = |out: &Output| {
             let mut sums = std::collections::BTreeMap::new();
@@ -324,13 +304,11 @@
         machines: vec![machine()],
         jobs: vec![array],
         teams: vec![Team {
-            path: vec![],
-            cores_used: 0.0,
-            gpus_used: 0.0,
             cores_max: 1e9,
             gpus_max: 1e9,
+            ..defaults::team()
         }],
-        spares: vec![Spare {
+        reservations: vec![Reservation {
             like,
             count: 1,
             images: vec![(0, 0.0, 1.0)],
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -1,8 +1,10 @@
 //! Plans of generated fleets: nothing overlaps, limits and places hold, the stretch is the smallest.
 
+mod defaults;
+
 use plan::{
-    Group, HireInput, Input, Job, Machine, MachineOffer, Res, Running, Shape, Sized, Team, Tenant,
-    Wish, plan, smallest_stretch, wishes,
+    Group, Input, Job, Machine, MachineOffer, RentalRequest, Resources, Running, ScaleOutInput,
+    Shape, Sized, Team, Tenant, plan, scale_out, smallest_stretch,
 };
 use proptest::prelude::*;
 
@@ -14,8 +16,8 @@
     }
 }
 
-fn res(cores: f64, gpus: f64, mem: f64) -> Res {
-    Res { cores, gpus, mem }
+fn res(cores: f64, gpus: f64, mem: f64) -> Resources {
+    Resources { cores, gpus, mem }
 }
 
 prop_compose! {
@@ -23,10 +25,8 @@
                  running in prop::collection::vec((1u32..4, 0.0f64..60.0, 0u8..3, any::<bool>(), prop::option::of(0u32..3), 0u16..3), 0..3),
                  images in prop::collection::vec(0u32..3, 0..2)) -> Machine {
         let total = res(32.0, f64::from(kind + 1) * 4.0, 128.0);
-         let running = running.into_iter().map(|(g, ends, priority, beyond, gang, county)| Running {
-            need: res(2.0 * f64::from(g), f64::from(g), 8.0), ends, priority, lost: 5.0, stoppable: gang.is_none(), leaving: false, team: 1, held: u8::from(!beyond), spared: false, gang, tenant: of(county),
-        }).collect();
-        let mut m = Machine { machine_type: kind, zone, spot, usable, ready: 20.0, total, running, images, fetch_gb_per_s: 1.0, slots: 20 };
+         let running = running.into_iter().map(|(g, ends, priority, beyond, gang, county)| Running { need: res(2.0 * f64::from(g), f64::from(g), 8.0), ends, priority, lost: 5.0, stoppable: gang.is_none(), team: 1, held: u8::from(!beyond), gang, tenant: of(county), ..defaults::running() }).collect();
+        let mut m = Machine { machine_type: kind, zone, spot, usable, ready: 20.0, total, running, images, ..defaults::machine() };
         while m.free().gpus < 0.0 {
             m.running.pop();
         }
@@ -40,17 +40,15 @@
              flags in (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>()), image in 0u32..3, team in 0u16..2, county in 0u16..4,
              only in prop::collection::vec(0u16..2, 0..2)) -> Job {
         let shape = [Shape::Array, Shape::Gang, Shape::Service][shape as usize];
-        Job { shape, priority, arrival, estimate, tasks, pending: tasks, need: res(4.0, f64::from(gpus), 16.0), types,
-              zone, one_zone: flags.0, spread: flags.1 && !flags.0, spot: flags.2, image, image_gb: 4.0, team, due: None, waits: false, promised: flags.3, held: u8::from(flags.3),
-              zones: Vec::new(), avoid: Vec::new(), tenant: of(county), only }
+        Job { shape, priority, arrival, estimate, tasks, pending: tasks, need: res(4.0, f64::from(gpus), 16.0), types, zone, one_zone: flags.0, spread: flags.1 && !flags.0, spot: flags.2, image, image_gb: 4.0, team, promised: flags.3, held: u8::from(flags.3), tenant: of(county), only, ..defaults::job() }
     }
 }
 
 prop_compose! {
     fn input()(machines in prop::collection::vec(machine(), 0..8), jobs in prop::collection::vec(job(), 0..10),
                limit in 1.0f64..30.0, online_factor in 1.0f64..3.0) -> Input {
-        let team = |max| Team { path: vec![], cores_used: 0.0, gpus_used: 0.0, cores_max: f64::INFINITY, gpus_max: max };
-        Input { machines, jobs, teams: vec![team(limit), team(f64::INFINITY)], groups: vec![], spares: vec![], online_factor, patience: 2.0, waits: plan::Waits::default(), max_steps: u64::MAX / 4, ..Input::default() }
+        let team = |max| Team { gpus_max: max, ..defaults::team() };
+        Input { machines, jobs, teams: vec![team(limit), team(f64::INFINITY)], online_factor, patience: 2.0, max_steps: u64::MAX / 4, ..Input::default() }
     }
 }
 
@@ -60,7 +58,7 @@
     #[test]
     fn plans_are_feasible(input in input()) {
         let out = plan(&input);
-        let mut free: Vec<Res> = input.machines.iter().map(Machine::free).collect();
+        let mut free: Vec<Resources> = input.machines.iter().map(Machine::free).collect();
         let mut used = vec![0.0; input.teams.len()];
         let mut started = vec![0u32; input.jobs.len()];
         let mut zones = vec![[0u32; 2]; input.jobs.len()];
@@ -71,7 +69,7 @@
             prop_assert!(j.only.is_empty() || j.only.contains(&m.zone), "outside its county's zones");
             let there = m.running.iter().map(|r| r.tenant);
             let with = out.starts.iter().filter(|o| o.machine == s.machine).map(|o| input.jobs[o.job as usize].tenant);
-            prop_assert!(!there.chain(with).any(|t| t.bars(&j.tenant)), "two counties on a machine");
+            prop_assert!(!there.chain(with).any(|t| t.conflicts_with(&j.tenant)), "two counties on a machine");
             free[s.machine as usize].add(&j.need, -f64::from(s.count));
             used[j.team as usize] += j.need.gpus * f64::from(s.count);
             started[s.job as usize] += s.count;
@@ -96,7 +94,7 @@
             prop_assert!(victim.gang.is_none() && out.waiting.iter().any(|(j, _)| waits(&input.jobs[*j as usize])));
         }
         // Gangs stop whole, and only for the guarantee of another team.
-        for g in &out.recalls {
+        for g in &out.preempted_gangs {
             let mut of_it = input.machines.iter().flat_map(|m| &m.running).filter(|r| r.gang == Some(*g));
             prop_assert!(of_it.any(|r| r.held == 0 && r.team == 1));
             prop_assert!(out.waiting.iter().any(|(j, _)| input.jobs[*j as usize].promised && input.jobs[*j as usize].team == 0));
@@ -107,13 +105,10 @@
     #[test]
     fn room_is_used(tasks in 1u32..20, n in 1usize..6) {
         let total = res(32.0, 4.0, 128.0);
-        let machine = Machine { machine_type: 0, zone: 0, spot: false, usable: true, ready: 0.0, total, running: vec![], images: vec![],
-                                fetch_gb_per_s: 1.0, slots: 50 };
-        let job = Job { shape: Shape::Array, priority: 1, arrival: 0.0, estimate: 10.0, tasks, pending: tasks,
-                        need: res(1.0, 1.0, 1.0), types: 1, zone: None, one_zone: false, spread: false, spot: true, image: 0,
-                        image_gb: 1.0, team: 0, due: None, waits: false, promised: false, held: 0, zones: vec![], avoid: vec![], tenant: Default::default(), only: vec![] };
+        let machine = Machine { ready: 0.0, total, slots: 50, ..defaults::machine() };
+        let job = Job { shape: Shape::Array, priority: 1, arrival: 0.0, estimate: 10.0, tasks, pending: tasks, need: res(1.0, 1.0, 1.0), image_gb: 1.0, ..defaults::job() };
         let team = unbounded(&[]);
-        let input = Input { machines: vec![machine; n], jobs: vec![job], teams: vec![team], groups: vec![], spares: vec![], online_factor: 1.0, patience: 1.0, waits: plan::Waits::default(), max_steps: u64::MAX / 4, ..Input::default() };
+        let input = Input { machines: vec![machine; n], jobs: vec![job], teams: vec![team], online_factor: 1.0, patience: 1.0, max_steps: u64::MAX / 4, ..Input::default() };
         let out = plan(&input);
         let started: u32 = out.starts.iter().map(|s| s.count).sum();
         prop_assert_eq!(started, tasks.min(4 * n as u32));
@@ -148,24 +143,17 @@
         priority,
         lost,
         stoppable: true,
-        leaving: false,
         team: 1,
         held: 1,
-        spared: false,
-        gang: None,
-        tenant: Default::default(),
+        ..defaults::running()
     };
     Machine {
-        machine_type: 0,
         zone,
-        spot: false,
-        usable: true,
         ready: 0.0,
         total: res(32.0, 4.0, 128.0),
         running: vec![running],
-        images: vec![],
-        fetch_gb_per_s: 1.0,
         slots: 10,
+        ..defaults::machine()
     }
 }
 
@@ -179,22 +167,9 @@
         tasks,
         pending: tasks,
         need: res(8.0, 4.0, 8.0),
-        types: 1,
-        zone: None,
         one_zone,
-        spread: false,
-        spot: true,
-        image: 0,
         image_gb: 1.0,
-        team: 0,
-        due: None,
-        waits: false,
-        promised: false,
-        held: 0,
-        zones: vec![],
-        avoid: vec![],
-        tenant: Default::default(),
-        only: vec![],
+        ..defaults::job()
     }
 }
 
@@ -202,10 +177,7 @@
     let path = path.to_vec();
     Team {
         path,
-        cores_used: 0.0,
-        gpus_used: 0.0,
-        cores_max: f64::INFINITY,
-        gpus_max: f64::INFINITY,
+        ..defaults::team()
     }
 }
 
@@ -215,11 +187,8 @@
         machines,
         jobs,
         teams: vec![team],
-        groups: vec![],
-        spares: vec![],
         online_factor: 1.0,
         patience: 3.0,
-        waits: plan::Waits::default(),
         max_steps: u64::MAX / 4,
         ..Input::default()
     }
@@ -291,13 +260,13 @@
         let input = crowded(vec![], vec![job]);
         let output = plan(&input);
         let (input, output) = (&input, &output);
-        wishes(&HireInput {
+        scale_out(&ScaleOutInput {
             input,
             output,
             offers: &offers,
             coming: &[],
             horizon: 100.0,
-            most: 100,
+            max_machines: 100,
         })
     };
     let spread = Job {
@@ -306,12 +275,15 @@
     };
     assert_eq!(
         wished(gang(5, false)),
-        [Wish { offer: 0, count: 5 }],
+        [RentalRequest { offer: 0, count: 5 }],
         "where it is cheapest"
     );
     assert_eq!(
         wished(spread.clone()),
-        [Wish { offer: 0, count: 3 }, Wish { offer: 1, count: 2 }]
+        [
+            RentalRequest { offer: 0, count: 3 },
+            RentalRequest { offer: 1, count: 2 }
+        ]
     );
     assert!(
         wished(Job {
@@ -423,11 +395,11 @@
     ];
     let out = plan(&crowded(machines.clone(), vec![wide.clone()]));
     let stopped: Vec<u32> = out.preempts.iter().map(|p| p.machine).collect();
-    assert_eq!((stopped, out.recalls.len()), (vec![0, 1], 0));
+    assert_eq!((stopped, out.preempted_gangs.len()), (vec![0, 1], 0));
     assert!(out.kept.contains(&0) && out.kept.contains(&1));
     // Where only the gang does, it stops whole.
     let out = plan(&crowded(machines[1..].to_vec(), vec![wide.clone()]));
-    assert_eq!((out.preempts.len(), out.recalls), (0, vec![7]));
+    assert_eq!((out.preempts.len(), out.preempted_gangs), (0, vec![7]));
     // Never for a gang without the promise, nor the work of its own team, nor what leaves already.
     let late = Job {
         promised: false,
@@ -450,7 +422,7 @@
     };
     for input in [input, owned, leaving] {
         let out = plan(&input);
-        assert!(out.preempts.is_empty() && out.recalls.is_empty());
+        assert!(out.preempts.is_empty() && out.preempted_gangs.is_empty());
     }
 }
 
@@ -490,7 +462,7 @@
             Group {
                 used: res(0.0, 0.0, 0.0),
                 max: none,
-                sheds: true
+                preempts_excess: true
             };
             4
         ],
@@ -664,6 +636,9 @@
     );
     input.machines[2].running[0].leaving = true;
     assert_eq!(stopped(&input), [3], "not a second time");
-    input.groups.iter_mut().for_each(|g| g.sheds = false);
+    input
+        .groups
+        .iter_mut()
+        .for_each(|g| g.preempts_excess = false);
     assert_eq!(stopped(&input), [] as [u32; 0]);
 }
--- a/crates/plan/tests/search.rs
+++ b/crates/plan/tests/search.rs
@@ -16,7 +16,7 @@
     })
 }
 
-/// A fleet with much that is seldom: guarantees, spares, work that shares no machine, zones and machines that are
+/// A fleet with much that is seldom: guarantees, reservations, work that shares no machine, zones and machines that are
 /// avoided, jobs with tasks on machines, services, machines that boot.
 fn mixed(seed: u64, machines: u32, jobs: usize) -> Input {
     let mut input = fleets::input(seed, machines, jobs);
@@ -48,13 +48,13 @@
         let like = fleets::job(&mut rng);
         let images = (0..fleets::IMAGES)
             .map(|image| (image, fleets::IMAGE_GB, 1.0 / f64::from(fleets::IMAGES)));
-        input.spares.push(plan::Spare {
+        input.reservations.push(plan::Reservation {
             like,
             count: rng.u32(1..6),
             images: images.collect(),
         });
     }
-    input.waits = plan::Waits {
+    input.aging = plan::AgingThresholds {
         old: 40.0,
         latest: 55.0,
     };
@@ -114,12 +114,12 @@
     fn the_index_plans_as_the_walk_does(seed in 0u64..1_000_000, machines in 1u32..600, jobs in 0usize..150) {
         let input = mixed(seed, machines, jobs);
         let indexed = played(&input, Search::Indexed);
-        let walked = played(&input, Search::Plain);
+        let walked = played(&input, Search::Linear);
         prop_assert_eq!(indexed.starts, walked.starts);
         prop_assert_eq!(indexed.preempts, walked.preempts);
-        prop_assert_eq!(indexed.recalls, walked.recalls);
+        prop_assert_eq!(indexed.preempted_gangs, walked.preempted_gangs);
         prop_assert_eq!(indexed.kept, walked.kept);
-        prop_assert_eq!(indexed.spare_short, walked.spare_short);
+        prop_assert_eq!(indexed.reservations_short, walked.reservations_short);
         prop_assert_eq!(indexed.waiting, walked.waiting);
         prop_assert!(indexed.stretch <= walked.stretch);
     }
@@ -183,7 +183,7 @@
     input.jobs = vec![input.jobs[0].clone(); 200];
     let many = plan(&input).steps;
     assert!(many < 4 * few, "{many} steps for 200 jobs, {few} for 2");
-    let walked = played(&input, Search::Plain).steps;
+    let walked = played(&input, Search::Linear).steps;
     assert!(
         walked > 20 * many,
         "the walk takes {walked}: the test shows nothing"
@@ -210,7 +210,7 @@
     let mut young = old.clone();
     (young.arrival, young.tasks, young.pending) = (0.0, 5, 5);
     input.jobs = vec![old, young];
-    input.waits = plan::Waits {
+    input.aging = plan::AgingThresholds {
         old: 90.0,
         latest: 900.0,
     };
--- a/crates/plan/tests/zones.rs
+++ b/crates/plan/tests/zones.rs
@@ -1,12 +1,14 @@
 //! Jobs whose tasks share a zone, and lose machines: nothing is rented, stopped or held where they can't go.
 
+mod defaults;
+
 use plan::{
-    Group, HireInput, Input, Job, Machine, MachineOffer, Res, Running, Shape, Team, Wish, plan,
-    wishes,
+    Group, Input, Job, Machine, MachineOffer, RentalRequest, Resources, Running, ScaleOutInput,
+    Shape, Team, plan, scale_out,
 };
 
-fn res(gpus: f64) -> Res {
-    Res {
+fn res(gpus: f64) -> Resources {
+    Resources {
         cores: 2.0 * gpus,
         gpus,
         mem: 4.0 * gpus,
@@ -23,22 +25,10 @@
         tasks: 20,
         pending,
         need: res(1.0),
-        types: 1,
-        zone: None,
         one_zone: true,
-        spread: false,
-        spot: true,
-        image: 0,
         image_gb: 1.0,
-        team: 0,
-        due: None,
-        waits: false,
-        promised: false,
-        held: 0,
         zones: zones.to_vec(),
-        avoid: vec![],
-        tenant: Default::default(),
-        only: vec![],
+        ..defaults::job()
     }
 }
 
@@ -50,36 +40,25 @@
         priority: 2,
         lost: 1.0,
         stoppable: true,
-        leaving: false,
         team: 1,
-        held: 0,
-        spared: false,
-        gang: None,
-        tenant: Default::default(),
+        ..defaults::running()
     };
     Machine {
-        machine_type: 0,
         zone,
-        spot: false,
-        usable: true,
         ready: 0.0,
         total: res(4.0),
         running: vec![running; busy],
-        images: vec![],
-        fetch_gb_per_s: 1.0,
         slots: 10,
+        ..defaults::machine()
     }
 }
 
 fn input(machines: Vec<Machine>, jobs: Vec<Job>) -> Input {
     let team = |path: &[u16]| Team {
         path: path.to_vec(),
-        cores_used: 0.0,
-        gpus_used: 0.0,
-        cores_max: f64::INFINITY,
-        gpus_max: f64::INFINITY,
+        ..defaults::team()
     };
-    let none = Res {
+    let none = Resources {
         cores: f64::INFINITY,
         gpus: f64::INFINITY,
         mem: f64::INFINITY,
@@ -91,12 +70,10 @@
         groups: vec![Group {
             used: res(0.0),
             max: none,
-            sheds: true,
+            preempts_excess: true,
         }],
-        spares: vec![],
         online_factor: 1.0,
         patience: 3.0,
-        waits: plan::Waits::default(),
         max_steps: u64::MAX / 4,
         ..Input::default()
     }
@@ -114,16 +91,16 @@
     }
 }
 
-fn wished(job: Job, offers: &[MachineOffer], coming: &[(MachineOffer, u32)]) -> Vec<Wish> {
+fn wished(job: Job, offers: &[MachineOffer], coming: &[(MachineOffer, u32)]) -> Vec<RentalRequest> {
     let input = input(vec![], vec![job]);
     let output = plan(&input);
-    wishes(&HireInput {
+    scale_out(&ScaleOutInput {
         input: &input,
         output: &output,
         offers,
         coming,
         horizon: 10.0,
-        most: 100,
+        max_machines: 100,
     })
 }
 
@@ -134,16 +111,16 @@
     let offers = [offer(0, 1.0), offer(1, 1.0)];
     assert_eq!(
         wished(array(8, &[]), &offers, &[]),
-        [Wish { offer: 0, count: 2 }],
+        [RentalRequest { offer: 0, count: 2 }],
         "any zone will do"
     );
     assert_eq!(
         wished(array(8, &[(1, 3)]), &offers, &[]),
-        [Wish { offer: 1, count: 2 }]
+        [RentalRequest { offer: 1, count: 2 }]
     );
     assert_eq!(
         wished(array(8, &[(0, 0), (1, 1)]), &offers, &[]),
-        [Wish { offer: 1, count: 2 }],
+        [RentalRequest { offer: 1, count: 2 }],
         "none is left in 0"
     );
     assert_eq!(
@@ -165,7 +142,7 @@
         let coming = [(offer(1, 1.0), 1)];
         assert_eq!(
             wished(job.clone(), &offers, &coming),
-            [Wish { offer: 1, count: 1 }],
+            [RentalRequest { offer: 1, count: 1 }],
             "the rest beside it"
         );
         assert_eq!(
@@ -176,7 +153,7 @@
         // Where no more can be had beside it, all of it goes elsewhere.
         assert_eq!(
             wished(job, &offers[..1], &coming),
-            [Wish { offer: 0, count: 2 }]
+            [RentalRequest { offer: 0, count: 2 }]
         );
     }
 }
--- a/crates/wire/tests/production/messages.rs
+++ b/crates/wire/tests/production/messages.rs
@@ -74,7 +74,7 @@
         machine_type: "small".to_owned(),
         zone: "north".to_owned(),
         spot: false,
-        session: 1,
+        agent_epoch: 1,
         seq: 0,
         token: 0,
         notice_s: None,
@@ -97,7 +97,7 @@
         machine_type: "big".to_owned(),
         zone: "south".to_owned(),
         spot: true,
-        session: 70_000,
+        agent_epoch: 70_000,
         seq: 300,
         token: 17,
         notice_s: Some(29.5),
@@ -122,7 +122,7 @@
 pub fn orders_least() -> Orders {
     Orders {
         token: 0,
-        session: None,
+        agent_epoch: None,
         orders: Vec::new(),
     }
 }
@@ -131,7 +131,7 @@
     let task = |n: u32| format!("job-000412/{n}");
     Orders {
         token: 17,
-        session: Some(70_000),
+        agent_epoch: Some(70_000),
         orders: vec![
             Order::Start {
                 task: task(0),
