--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -2,7 +2,9 @@
 //! controllers see. The protocol's own words (`baton`, `tenure`, …) occur only in this crate.
 
 pub mod admin;
+pub mod agents;
 pub mod api;
+pub mod cloud;
 pub mod hours;
 pub mod http;
 pub mod ids;
@@ -10,9 +12,11 @@
 pub mod peer;
 pub mod records;
 pub mod settings;
+pub mod state_service;
 pub mod submission;
 pub mod tally;
 pub mod tree;
+pub mod users;
 
 use serde::{Serialize, de::DeserializeOwned};
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,7 +1,7 @@
 //! What controllers say to each other: CBOR over the same HTTP framing.
 
 use crate::BadBody;
-use crate::api::{JobSpec, JobState};
+use crate::users::{JobSpec, JobState};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use serde_bytes::ByteBuf;
 
--- /dev/null
+++ b/crates/wire/src/records/documents.rs
@@ -0,0 +1,9 @@
+//! Heads of documents.
+
+use serde::{Deserialize, Serialize};
+
+/// The head of a document other than the quota tree.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct HeadRecord {
+    pub document: document::Head,
+}
--- /dev/null
+++ b/crates/wire/src/records/jobs.rs
@@ -0,0 +1,96 @@
+//! Jobs: accepted and living, and ended.
+
+use super::form::is_false;
+use super::keys::ShardId;
+use crate::users::{JobSpec, Stage};
+use serde::{Deserialize, Serialize};
+
+/// A job that was accepted and has not ended.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct JobRecord {
+    pub spec: JobSpec,
+    /// Time of day of the acceptance; good within the clock error of the settings.
+    pub at_ms: u64,
+    #[serde(rename = "part")]
+    pub shard: ShardId,
+    /// What was agreed for it when it was accepted. Read from here, never worked out again.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub hour: Option<HourRecord>,
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub county: Option<CountyRecord>,
+}
+
+impl JobRecord {
+    /// One that nothing was agreed for.
+    pub fn new(spec: JobSpec, at_ms: u64, shard: ShardId) -> Self {
+        JobRecord {
+            spec,
+            at_ms,
+            shard,
+            hour: None,
+            county: None,
+        }
+    }
+}
+
+/// The hour by which a job is to be released.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct HourRecord {
+    /// Time of day, in milliseconds.
+    pub due_ms: u64,
+    /// The version of the calendar that said so.
+    pub version: u64,
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub moved: Option<MovedRecord>,
+}
+
+/// An operator's last move of an hour.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct MovedRecord {
+    pub by: String,
+    pub at_ms: u64,
+    /// 0 if it had none.
+    pub from_ms: u64,
+}
+
+/// The county that a job counts for.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct CountyRecord {
+    /// Its stable id.
+    pub county: String,
+    /// The version that bound it.
+    pub version: u64,
+    /// It shares no machine with other work at the same time.
+    #[serde(default, skip_serializing_if = "is_false")]
+    pub alone: bool,
+    /// The only zones that it may run in; none for all.
+    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    pub zones: Vec<String>,
+}
+
+/// The final state of a job. Kept for ever.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct EndRecord {
+    pub stage: Stage,
+    pub done: u32,
+    /// By when it was to end, and when it did.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub hour: Option<EndHourRecord>,
+    /// Where it was counted, so that counts can be made again from the records.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub county: Option<CountedRecord>,
+}
+
+/// What became of a job's hour: times of day, in milliseconds.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct EndHourRecord {
+    pub due_ms: u64,
+    pub ended_ms: u64,
+}
+
+/// The county and the class that an ended job is counted in.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct CountedRecord {
+    pub county: String,
+    pub class: String,
+}
--- /dev/null
+++ b/crates/wire/src/records/leadership.rs
@@ -0,0 +1,43 @@
+//! Who leads a shard, the counter of tokens, and what every controller follows.
+
+use super::form::is_zero;
+use crate::cloud::MachineType;
+use serde::{Deserialize, Serialize};
+
+/// Who leads a shard. Attached to the leader's lease, so that it goes when the leader does.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct LeaderRecord {
+    pub node: String,
+    pub token: u64,
+    /// Tells a lost answer to our own take-over from somebody else's.
+    pub lease: u64,
+    /// Which incarnation of the node wrote it; 0 in records of before.
+    #[serde(default, skip_serializing_if = "is_zero")]
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+}
+
+/// The one counter that all tokens come from; it only rises.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct TokenRecord {
+    pub token: u64,
+}
+
+/// What stands under [`super::SHARED`], read without knowing beforehand which.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct SharedRecord {
+    #[serde(default)]
+    pub node: Option<String>,
+    #[serde(default)]
+    pub token: Option<u64>,
+    #[serde(default)]
+    pub lease: Option<u64>,
+    #[serde(default)]
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// The head of a document; the key tells which.
+    #[serde(default, alias = "quota")]
+    pub document: Option<document::Head>,
+    #[serde(rename = "builds", default)]
+    pub types: Option<Vec<MachineType>>,
+}
--- a/crates/wire/src/submission.rs
+++ b/crates/wire/src/submission.rs
@@ -1,7 +1,8 @@
 //! Reading what a user submits, so that a refusal names the field that is wrong, and a repeat of an accepted job is
 //! known by its id whatever else is wrong with it.
 
-use crate::api::JobSpec;
+pub use crate::users::Fault;
+use crate::users::JobSpec;
 use serde::de::value::{Error as ValueError, StrDeserializer};
 use serde::de::{
     Deserialize, Deserializer, Error, IgnoredAny, IntoDeserializer, MapAccess, SeqAccess, Visitor,
@@ -35,27 +36,6 @@
 /// Deepest nesting that is read, in fields that are ignored.
 const MAX_DEPTH: usize = 32;
 
-/// What is wrong with a submission: the field by its name on the wire, or the body as a whole.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Fault {
-    pub field: &'static str,
-    pub why: &'static str,
-}
-
-impl Fault {
-    pub fn body(why: &'static str) -> Self {
-        Fault { field: "body", why }
-    }
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "invalid: {}: {}", self.field, self.why)
-    }
-}
-
-impl std::error::Error for Fault {}
-
 /// A submission that can't be taken as it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed {
