--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -2,76 +2,108 @@
 
 use serde::{Deserialize, Serialize};
 
+/// A machine type of the catalogue.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
+    /// Its name.
     #[serde(rename = "label")]
     pub name: String,
+    /// CPU cores.
     pub cores: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory, in GB.
     #[serde(rename = "ramGb")]
     pub mem_gb: f64,
+    /// Room for images on the machine, in GB.
     #[serde(rename = "localGb", default)]
     pub cache_gb: f64,
+    /// Rate at which images are fetched, in GB per second.
     #[serde(rename = "fetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
+    /// Price on demand, per hour.
     #[serde(rename = "hourly", default)]
     pub price: f64,
+    /// Price as a spot machine, per hour.
     #[serde(rename = "lowPrice", default)]
     pub spot_price: f64,
+    /// Time from the rental to the first heartbeat, in seconds.
     #[serde(rename = "startupS", default)]
     pub boot_s: f64,
+    /// The zones in which it can be rented.
     #[serde(rename = "halls", default)]
     pub zones: Vec<String>,
 }
 
+/// The catalogue of machine types.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
+    /// Its machine types.
     #[serde(rename = "builds")]
     pub types: Vec<MachineType>,
 }
 
+/// A request to rent machines of one type in one zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HireRequest {
+    /// The id of the request; a repeat with the same one rents nothing more.
     #[serde(rename = "hire")]
     pub request: String,
+    /// The machine type, by its name in the catalogue.
     #[serde(rename = "build")]
     pub machine_type: String,
+    /// The zone.
     #[serde(rename = "hall")]
     pub zone: String,
+    /// Whether spot machines are wanted.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// How many machines.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
+/// Names of machines: those that were rented, or that are to be returned.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
+    /// The names.
     #[serde(rename = "burrows")]
     pub machines: Vec<String>,
 }
 
+/// A machine in the cloud's list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
+    /// Its name.
     #[serde(rename = "nameId")]
     pub name: String,
+    /// The agent's address and port; empty until it is known.
     #[serde(default)]
     pub addr: String,
+    /// Its type, by its name in the catalogue.
     #[serde(rename = "build")]
     pub machine_type: String,
+    /// Its zone.
     #[serde(rename = "hall")]
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// The stage of its life, in the cloud's words.
     #[serde(rename = "stage")]
     pub stage: String,
+    /// Time since its rental, in seconds.
     #[serde(rename = "ageS", default)]
     pub age_s: f64,
 }
 
+/// One page of the cloud's list of machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
+    /// The machines of this page.
     #[serde(rename = "burrows")]
     pub machines: Vec<ListedMachine>,
+    /// Whether pages follow.
     #[serde(default)]
     pub more: bool,
 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -5,19 +5,29 @@
 const MAX_HEAD: usize = 8 * 1024;
 const MAX_HEADERS: usize = 48;
 
+/// A request as it was received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
+    /// The method, such as `GET`.
     pub method: String,
+    /// The path, with its query.
     pub path: String,
+    /// The body.
     pub body: Vec<u8>,
+    /// Whether the connection is to be closed after the response.
     pub close: bool,
 }
 
+/// A response, to be sent or as it was received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
+    /// The status code.
     pub status: u16,
+    /// The body.
     pub body: Vec<u8>,
+    /// Whether the connection is closed after it.
     pub close: bool,
+    /// Value of `Retry-After`, in seconds.
     pub retry_after_s: Option<u32>,
 }
 
@@ -171,6 +181,7 @@
     }
 }
 
+/// Appends a request with a MessagePack body to `out`.
 pub fn write_request(out: &mut Vec<u8>, host: &str, method: &str, path: &str, body: &[u8]) {
     let mut head = String::with_capacity(128);
     let _ = write!(head, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
@@ -200,6 +211,7 @@
         .map(|v| v.trim().to_owned())
 }
 
+/// Appends a response with a MessagePack body to `out`.
 pub fn write_response(out: &mut Vec<u8>, r: &Response) {
     write_response_as(out, r, "application/msgpack", None);
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,8 @@
 //! The wire formats of stoathatch: what users, workers, the cloud, the state service and other
 //! controllers see. The protocol's own words (`baton`, `tenure`, …) occur only in this crate.
 
+#![deny(missing_docs)]
+
 pub mod admin;
 pub mod agents;
 pub mod api;
--- a/crates/wire/src/models.rs
+++ b/crates/wire/src/models.rs
@@ -6,6 +6,7 @@
 /// Where operators say that a model is wanted. Any controller takes it and decides.
 pub const DEMAND: &str = "/admin/models/demand";
 
+/// An operator's statement that a model is wanted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// The id of its job.
@@ -15,9 +16,13 @@
 /// How a model stands for whoever has asked for it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Told {
+    /// The id of the model's job.
     pub model: String,
+    /// The phase of its life.
     pub phase: Phase,
+    /// The generation of its replicas: a new one begins with every wake.
     pub generation: u64,
+    /// When the phase began, as Unix time in milliseconds.
     pub since_ms: u64,
     /// While it wakes: when its first replica is expected, if boots and fetches take what they usually do.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -25,6 +30,7 @@
     /// Why it is not woken now, and when it may be.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub why: Option<Why>,
+    /// When it may be woken at the earliest, as Unix time in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub not_before_ms: Option<u64>,
 }
@@ -40,17 +46,25 @@
 /// A model as its owner sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Standing {
+    /// What everybody who asks is told.
     #[serde(flatten)]
     pub told: Told,
+    /// The name of the rule that the model falls under.
     pub rule: String,
+    /// The class of its job.
     pub class: String,
+    /// The team of its job.
     pub team: String,
     /// Replicas: those that the generation wants, that are claimed, and that run.
     pub wanted: u32,
+    /// Replicas that are claimed.
     pub claimed: u32,
+    /// Replicas that run.
     pub running: u32,
     /// The node that began this phase, and machines that had the weights.
     pub by: String,
+    /// Machines that have the weights.
     pub near: Vec<String>,
+    /// How long nobody has asked for it, in milliseconds.
     pub quiet_ms: u64,
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -5,18 +5,30 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use serde_bytes::ByteBuf;
 
+/// The path of requests between controllers.
 pub const PATH: &str = "/peer";
 
+/// A request from one controller to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Ask {
     /// The state of a job, from its leader.
-    Query { job: String },
+    Query {
+        /// The id of the job.
+        job: String,
+    },
     /// Cancel a job for a user.
-    Cancel { job: String },
+    Cancel {
+        /// The id of the job.
+        job: String,
+    },
     /// Accept a job, for a node that the state service does not answer.
-    Submit { spec: Box<JobSpec> },
+    Submit {
+        /// The job as its user submitted it.
+        spec: Box<JobSpec>,
+    },
     /// The state of a job, from a node that can read it, or has its end in memory.
     Lookup {
+        /// The id of the job.
         job: String,
         /// The leader asks, or has been asked.
         #[serde(default)]
@@ -26,33 +38,51 @@
     /// The requester has become the leader. Nothing is decided by it: it only saves those who can't read the state
     /// service from sending workers the wrong way.
     #[serde(rename = "Owns")]
-    Leads { node: String, token: u64 },
+    Leads {
+        /// The new leader.
+        node: String,
+        /// Its fencing token.
+        token: u64,
+    },
     /// What the requester sees, for what the other sees.
     #[serde(rename = "View")]
     PeerStatus(PeerStatus),
     /// Reports of workers that can't reach the leader, as they came.
-    Reports { node: String, reports: Vec<ByteBuf> },
+    Reports {
+        /// The controller that received the heartbeats.
+        node: String,
+        /// Heartbeats, encoded as the agents sent them.
+        reports: Vec<ByteBuf>,
+    },
     /// A command for a worker that the other serves, as the worker is to get it.
     Tell {
+        /// The machine's name.
         machine: String,
+        /// The agent's address and port.
         addr: String,
+        /// The encoded orders.
         body: ByteBuf,
     },
     /// A model is wanted. For the leader alone: it is to know of it, so that it does not put the model to sleep.
     Wake {
+        /// The id of the model's job.
         model: String,
+        /// Whether the request is for the leader alone; others answer that they are not.
         #[serde(rename = "owner")]
         leader: bool,
     },
 }
 
+/// The response of one controller to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
+    /// The state of the job.
     State(JobState),
     /// The job has been accepted just now.
     Accepted(JobState),
     /// What the user is to be told instead.
     Refused {
+        /// The HTTP status for the user.
         status: u16,
         /// And why; empty from nodes of before.
         #[serde(default, skip_serializing_if = "String::is_empty")]
@@ -62,13 +92,16 @@
     Unknown,
     /// Not the leader, or not sure of it.
     NotNow,
+    /// What the sender of the response sees.
     #[serde(rename = "View")]
     PeerStatus(PeerStatus),
     /// The answers to reports, in their order; an empty one refuses.
     Orders(Vec<ByteBuf>),
     /// What the worker answered.
     Told {
+        /// The HTTP status of the agent's answer; 421 if the command was not sent.
         status: u16,
+        /// The body of the agent's answer.
         body: ByteBuf,
     },
     /// How the model stands.
@@ -79,6 +112,7 @@
 pub const MAX_WHY: usize = 200;
 
 impl Answer {
+    /// A refusal with as much of the reason as is passed on.
     pub fn refused(status: u16, why: &str) -> Self {
         Answer::Refused {
             status,
@@ -95,6 +129,7 @@
 /// What a node sees of the others, and knows itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
+    /// The name of the node.
     pub node: String,
     /// How long ago the state service has answered it, in milliseconds.
     pub state_ms: Option<u64>,
@@ -123,10 +158,13 @@
 /// The leader's token, and the machines whose leases must not be renewed under it by another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaseDelegation {
+    /// The leader's fencing token.
     pub token: u64,
+    /// Names of machines whose leases must not be renewed.
     pub except: Vec<String>,
 }
 
+/// Encodes a message as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut out = Vec::new();
     // Writing to memory cannot fail for these types.
@@ -134,6 +172,7 @@
     out
 }
 
+/// Decodes a message from CBOR.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, BadBody> {
     ciborium::de::from_reader_with_recursion_limit(body, 16).map_err(|e| BadBody(e.to_string()))
 }
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -28,18 +28,31 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Record {
+    /// Who leads a shard.
     Leader(LeaderRecord),
+    /// The counter of fencing tokens.
     Token(TokenRecord),
+    /// A job that was accepted and has not ended.
     Job(Box<JobRecord>),
+    /// The final state of a job.
     End(EndRecord),
+    /// An entry of the claim log.
     Log(LogRecord),
+    /// A shard of the inventory of machines.
     InventoryShard(InventoryRecord),
+    /// A rental request that is not answered yet.
     Rental(RentalRecord),
+    /// A sheet of counts by county.
     Tally(county::Sheet),
+    /// The catalogue of machine types.
     Catalog(Catalog),
+    /// What a shard may give each team.
     Allotment(AllotmentRecord),
+    /// The head of the quota tree.
     Quota(crate::tree::HeadRecord),
+    /// The head of another document.
     Document(HeadRecord),
+    /// The life of a model.
     Model(model::Rec),
     /// A part of a document, in its kind's form; or what a door beside the users' own keeps, in that door's.
     Other(serde_json::Value),
--- a/crates/wire/src/records/allotments.rs
+++ b/crates/wire/src/records/allotments.rs
@@ -6,6 +6,7 @@
 /// The room that a shard may give each team; the shards' allotments add up to the team's limit at most.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AllotmentRecord {
+    /// The allotment of each team; empty if `whole` is there.
     pub teams: Vec<TeamAllotment>,
     /// Where a list of all teams would be too large: a digest of it. The shard has the whole of each limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -38,7 +39,10 @@
 /// A limit of 0 means none, as in the settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamAllotment {
+    /// The team's name.
     pub name: String,
+    /// CPU cores at most.
     pub cpus_max: f64,
+    /// GPUs at most.
     pub gpus_max: f64,
 }
--- a/crates/wire/src/records/claims.rs
+++ b/crates/wire/src/records/claims.rs
@@ -8,8 +8,10 @@
 /// once all that it says has been overtaken; until then it may also name claims that have ended.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct LogRecord {
+    /// Claims that were made.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub claims: Vec<ClaimsRecord>,
+    /// Tasks that were completed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<DoneRecord>,
     /// What ended in the same transaction, by county and class. The record stays until that is in their sheets.
@@ -21,11 +23,17 @@
 /// team's limit until it is gone, also when the job itself has ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClaimsRecord {
+    /// The id of the job.
     pub job: String,
+    /// The team that the tasks count against.
     pub team: String,
+    /// CPU cores of one task.
     pub cores: f64,
+    /// GPUs of one task.
     pub gpus: f64,
+    /// Memory of one task, in GB.
     pub mem_gb: f64,
+    /// The attempt by which the tasks are started.
     pub attempt: u64,
     /// Machine, first task, and how many tasks from there on.
     pub on: Vec<(String, u32, u32)>,
@@ -33,6 +41,7 @@
     /// itself has ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub county: Option<String>,
+    /// Whether the tasks share no machine with other work.
     #[serde(default, skip_serializing_if = "is_false")]
     pub alone: bool,
 }
@@ -40,7 +49,9 @@
 /// Completed tasks of a job that has not ended: the first, and how many from there on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DoneRecord {
+    /// The id of the job.
     pub job: String,
+    /// Ranges of completed tasks: the first, and how many from there on.
     pub tasks: Vec<(u32, u32)>,
 }
 
--- a/crates/wire/src/records/documents.rs
+++ b/crates/wire/src/records/documents.rs
@@ -5,5 +5,6 @@
 /// The head of a document other than the quota tree.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeadRecord {
+    /// The head.
     pub document: document::Head,
 }
--- a/crates/wire/src/records/jobs.rs
+++ b/crates/wire/src/records/jobs.rs
@@ -8,14 +8,17 @@
 /// A job that was accepted and has not ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// The job as its user submitted it.
     pub spec: JobSpec,
     /// Time of day of the acceptance; good within the clock error of the settings.
     pub at_ms: u64,
+    /// The shard that the job belongs to.
     #[serde(rename = "part")]
     pub shard: ShardId,
     /// What was agreed for it when it was accepted. Read from here, never worked out again.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hour: Option<HourRecord>,
+    /// The county that the job counts for, as it was when the job was accepted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub county: Option<CountyRecord>,
 }
@@ -40,6 +43,7 @@
     pub due_ms: u64,
     /// The version of the calendar that said so.
     pub version: u64,
+    /// The last move of the hour by an operator.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub moved: Option<MovedRecord>,
 }
@@ -47,7 +51,9 @@
 /// An operator's last move of an hour.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MovedRecord {
+    /// Who moved it.
     pub by: String,
+    /// When it was moved, as Unix time in milliseconds.
     pub at_ms: u64,
     /// 0 if it had none.
     pub from_ms: u64,
@@ -71,7 +77,9 @@
 /// The final state of a job. Kept for ever.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndRecord {
+    /// Whether the job was completed or cancelled.
     pub stage: Stage,
+    /// How many of its tasks were completed.
     pub done: u32,
     /// By when it was to end, and when it did.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -84,13 +92,17 @@
 /// What became of a job's hour: times of day, in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndHourRecord {
+    /// The hour by which it was to end.
     pub due_ms: u64,
+    /// When it ended.
     pub ended_ms: u64,
 }
 
 /// The county and the class that an ended job is counted in.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CountedRecord {
+    /// The stable id of the county.
     pub county: String,
+    /// The class of the job.
     pub class: String,
 }
--- a/crates/wire/src/records/keys.rs
+++ b/crates/wire/src/records/keys.rs
@@ -5,12 +5,17 @@
 
 /// Everything that every controller follows: leaders, tokens, the catalogue.
 pub const SHARED: &str = "sys/";
+/// The counter of fencing tokens.
 pub const TOKEN: &str = "sys/token";
+/// The catalogue of machine types.
 pub const CATALOG: &str = "sys/catalog";
+/// Prefix of the records of jobs that have not ended.
 pub const LIVE: &str = "live/";
+/// Prefix of the final states of jobs.
 pub const ENDED: &str = "end/";
 /// [`head_key`] and [`parts_prefix`] of the quota tree.
 pub const QUOTA: &str = "sys/quota";
+/// Prefix of the quota tree's parts: [`parts_prefix`] of its kind.
 pub const QUOTA_PARTS: &str = "quota/part/";
 /// Records of doors beside the users' own.
 pub const SIDE: &str = "side/";
@@ -18,6 +23,7 @@
 /// Models that were ever woken, by the ids of their jobs.
 pub const MODELS: &str = "model/";
 
+/// The record of a model, by the id of its job.
 pub fn model_key(model: &str) -> String {
     format!("{MODELS}{model}")
 }
@@ -25,15 +31,19 @@
 pub fn head_key(kind: &str) -> String {
     format!("{SHARED}{kind}")
 }
+/// Prefix of the parts of a kind of document.
 pub fn parts_prefix(kind: &str) -> String {
     format!("{kind}/part/")
 }
+/// Who leads a shard.
 pub fn leader_key(shard: ShardId) -> String {
     format!("sys/owner/{shard}")
 }
+/// A job that has not ended.
 pub fn live_key(job: &str) -> String {
     format!("live/{job}")
 }
+/// The final state of a job.
 pub fn end_key(job: &str) -> String {
     format!("end/{job}")
 }
@@ -41,15 +51,19 @@
 pub fn log_key(shard: ShardId, number: u64) -> String {
     format!("{}{number:016x}", log_prefix(shard))
 }
+/// Prefix of a shard's claim log.
 pub fn log_prefix(shard: ShardId) -> String {
     format!("part/{shard}/log/")
 }
+/// A shard of the inventory of machines.
 pub fn inventory_key(shard: ShardId, number: u64) -> String {
     format!("{}{number}", inventory_prefix(shard))
 }
+/// Prefix of the inventory.
 pub fn inventory_prefix(shard: ShardId) -> String {
     format!("part/{shard}/rack/")
 }
+/// What a shard may give each team.
 pub fn allotment_key(shard: ShardId) -> String {
     format!("part/{shard}/allot")
 }
@@ -57,9 +71,11 @@
 pub fn tally_key(shard: ShardId, number: u32) -> String {
     format!("{}{number}", tally_prefix(shard))
 }
+/// Prefix of a shard's sheets of counts.
 pub fn tally_prefix(shard: ShardId) -> String {
     format!("part/{shard}/tally/")
 }
+/// Prefix of a shard's rental requests that are not answered yet.
 pub fn rentals_prefix(shard: ShardId) -> String {
     format!("part/{shard}/hire/")
 }
--- a/crates/wire/src/submission.rs
+++ b/crates/wire/src/submission.rs
@@ -39,6 +39,7 @@
 /// A submission that can't be taken as it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed {
+    /// What is wrong.
     pub fault: Fault,
     /// Its id, if that much could be read: the job may have been accepted before.
     pub id: Option<String>,
--- a/crates/wire/src/tree.rs
+++ b/crates/wire/src/tree.rs
@@ -10,8 +10,10 @@
 /// The form of these records. A head of a later one is refused.
 pub const FORMAT: u32 = Spec::FORMAT;
 
+/// The record of the quota tree's head.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeadRecord {
+    /// The head.
     pub quota: Head,
 }
 
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -13,11 +13,14 @@
 /// What is wrong with a submission: the field by its name on the wire, or the body as a whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fault {
+    /// The field's name on the wire, or `body`.
     pub field: &'static str,
+    /// What is wrong with it, in words for the user.
     pub why: &'static str,
 }
 
 impl Fault {
+    /// A fault of the body as a whole.
     pub fn body(why: &'static str) -> Self {
         Fault { field: "body", why }
     }
@@ -31,63 +34,92 @@
 
 impl std::error::Error for Fault {}
 
+/// How the tasks of a job belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
+    /// Tasks that run independently.
     #[serde(rename = "array")]
     Array,
+    /// Tasks that run only all at the same time.
     #[serde(rename = "group")]
     Gang,
+    /// Tasks that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
 }
 
+/// The priority of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
+    /// Below all others.
     Low,
+    /// The default of users.
     Normal,
+    /// Above normal work.
     High,
+    /// Above all others.
     Production,
 }
 
 /// What a user submits.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// Its id, made by the user: a repeat with the same id submits nothing more.
     #[serde(rename = "nameId")]
     pub id: String,
+    /// The class of the job, by which objectives and counts are kept.
     #[serde(rename = "lot")]
     pub class: String,
+    /// The team that the job counts against.
     #[serde(rename = "desk")]
     pub team: String,
+    /// How its tasks belong together.
     #[serde(rename = "shape")]
     pub kind: Kind,
+    /// Its priority.
     #[serde(rename = "urgency")]
     pub priority: Priority,
+    /// How many tasks it has; at most [`MAX_TASKS`].
     #[serde(rename = "pieces")]
     pub tasks: u32,
+    /// CPU cores of one task.
     pub cores: f64,
+    /// GPUs of one task.
     pub gpus: f64,
+    /// Memory of one task, in GB.
     #[serde(rename = "ramGb")]
     pub mem_gb: f64,
+    /// The image that its tasks run.
     #[serde(rename = "kit")]
     pub image: String,
+    /// The size of the image, in GB.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
+    /// Machine types that it may run on; none for all.
     #[serde(rename = "builds", default)]
     pub types: Option<Vec<String>>,
+    /// The zone that it must run in; none for any.
     #[serde(rename = "hall", default)]
     pub zone: Option<String>,
+    /// Whether all its tasks must run in one zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
+    /// Whether its tasks must be spread over zones.
     pub spread: bool,
+    /// Whether it may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// Expected running time of one task, in seconds.
     #[serde(rename = "expectS")]
     pub estimate_s: f64,
+    /// Interval between its checkpoints, in seconds; 0 without any.
     #[serde(rename = "bookmarkS")]
     pub checkpoint_s: f64,
+    /// Time that it takes to save a checkpoint, in seconds.
     #[serde(rename = "stashS")]
     pub save_s: f64,
+    /// Time from its submission by which it is to be done, in seconds.
     #[serde(rename = "dueS", default)]
     pub deadline_s: Option<f64>,
 }
@@ -176,34 +208,47 @@
     Ok(())
 }
 
+/// How far a job has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Stage {
+    /// None of its tasks runs.
     Pending,
+    /// Some of its tasks run.
     Running,
+    /// All its tasks are completed.
     Done,
+    /// It was cancelled.
     Cancelled,
 }
 
 impl Stage {
+    /// Whether the stage never changes again.
     pub fn is_final(self) -> bool {
         matches!(self, Stage::Done | Stage::Cancelled)
     }
 }
 
+/// The state of a job, as users see it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobState {
+    /// The id of the job.
     #[serde(rename = "nameId")]
     pub id: String,
+    /// How far it has come.
     #[serde(rename = "stage")]
     pub stage: Stage,
+    /// How many of its tasks are completed.
     #[serde(default)]
     pub done: u32,
+    /// How many of its tasks run.
     #[serde(default)]
     pub running: u32,
 }
 
+/// The body of a refusal.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
+    /// The reason, in words.
     pub error: String,
 }
