--- a/crates/stoathatch/src/config.rs
+++ b/crates/stoathatch/src/config.rs
@@ -16,7 +16,7 @@
 
 fn parse_settings(text: &str) -> Result<Settings, String> {
     let settings: Settings = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    settings.check()?;
+    settings.check().map_err(|e| e.to_string())?;
     Ok(settings)
 }
 
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -1,5 +1,6 @@
 //! What operators ask a controller, as JSON over the peers' door. Any controller takes it; the owner answers.
 
+use crate::DecodeError;
 use document::{Fault, Past};
 use quota::{Amounts, Spec};
 use serde::{Deserialize, Serialize};
@@ -174,6 +175,6 @@
 }
 
 /// Decodes a message from JSON.
-pub fn decode<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, crate::BadBody> {
-    serde_json::from_slice(body).map_err(|e| crate::BadBody(e.to_string()))
+pub fn decode<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
+    serde_json::from_slice(body).map_err(DecodeError::malformed)
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -22,17 +22,30 @@
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// A body that could not be read, with the reason for the log.
-#[derive(Debug, Clone, PartialEq)]
-pub struct BadBody(pub String);
+/// Deepest nesting of a MessagePack message that is read, in maps and lists.
+const MAX_DEPTH: usize = 32;
 
-impl std::fmt::Display for BadBody {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "unreadable body: {}", self.0)
-    }
+/// Why a body could not be decoded, for the log.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+pub enum DecodeError {
+    /// The bytes are no message of the expected kind.
+    #[error("unreadable body: {reason}")]
+    Malformed {
+        /// The decoder's reason.
+        reason: String,
+    },
+    /// Bytes follow the message.
+    #[error("unreadable body: trailing bytes")]
+    TrailingBytes,
 }
 
-impl std::error::Error for BadBody {}
+impl DecodeError {
+    pub(crate) fn malformed(reason: impl std::fmt::Display) -> Self {
+        DecodeError::Malformed {
+            reason: reason.to_string(),
+        }
+    }
+}
 
 /// MessagePack with text keys.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
@@ -42,13 +55,13 @@
 
 /// Reads one MessagePack value. Declared lengths cost nothing beyond the bytes that are there,
 /// and nesting is bounded far below the stack.
-pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, BadBody> {
+pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     let mut reader = rmp_serde::Deserializer::new(std::io::Cursor::new(body));
-    reader.set_max_depth(32);
-    let value = T::deserialize(&mut reader).map_err(|e| BadBody(e.to_string()))?;
+    reader.set_max_depth(MAX_DEPTH);
+    let value = T::deserialize(&mut reader).map_err(DecodeError::malformed)?;
     let used = reader.get_ref().position();
     if used != body.len() as u64 {
-        return Err(BadBody("trailing bytes".into()));
+        return Err(DecodeError::TrailingBytes);
     }
     Ok(value)
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,10 +1,13 @@
 //! What controllers say to each other: CBOR over the same HTTP framing.
 
-use crate::BadBody;
+use crate::DecodeError;
 use crate::users::{JobSpec, JobState};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use serde_bytes::ByteBuf;
 
+/// Deepest nesting of a message that is read, in maps and lists.
+const MAX_DEPTH: usize = 16;
+
 /// The path of requests between controllers.
 pub const PATH: &str = "/peer";
 
@@ -108,7 +111,7 @@
     Model(Box<crate::models::Told>),
 }
 
-/// Longest reason that is passed on.
+/// Longest reason that is passed on, in bytes.
 pub const MAX_WHY: usize = 200;
 
 impl Answer {
@@ -173,6 +176,6 @@
 }
 
 /// Decodes a message from CBOR.
-pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, BadBody> {
-    ciborium::de::from_reader_with_recursion_limit(body, 16).map_err(|e| BadBody(e.to_string()))
+pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
+    ciborium::de::from_reader_with_recursion_limit(body, MAX_DEPTH).map_err(DecodeError::malformed)
 }
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,5 +1,9 @@
 //! The settings file that the platform hands over.
 
+mod check;
+
+pub use check::{SettingsError, SettingsProblem};
+
 use serde::Deserialize;
 
 /// The settings of one controller.
@@ -157,6 +161,13 @@
     pub max_sockets: usize,
 }
 
+/// The limits of a controller's machine where the platform names none.
+const DEFAULT_LIMITS: Limits = Limits {
+    cores: 1.0,
+    mem_mb: 512.0,
+    max_sockets: 1024,
+};
+
 impl Settings {
     /// The teams as leaves of a quota tree.
     pub fn quota_teams(&self) -> Vec<quota::Team> {
@@ -181,80 +192,6 @@
             .limits
             .clone()
             .or_else(|| self.limits.clone())
-            .unwrap_or(Limits {
-                cores: 1.0,
-                mem_mb: 512.0,
-                max_sockets: 1024,
-            })
-    }
-
-    /// Names the first field whose value can't be worked with.
-    pub fn check(&self) -> Result<(), String> {
-        fn positive(name: &str, v: f64) -> Result<(), String> {
-            if v.is_finite() && v > 0.0 {
-                Ok(())
-            } else {
-                Err(format!("{name}: must be above 0, is {v}"))
-            }
-        }
-        let c = &self.cluster;
-        let addr = |name: &str, a: &str| {
-            a.parse::<std::net::SocketAddrV4>()
-                .map(|_| ())
-                .map_err(|_| format!("{name}: not an IPv4 address and port: {a:?}"))
-        };
-        if self.node.is_empty() {
-            return Err("node: must not be empty".into());
-        }
-        addr("client_listen", &self.listen)?;
-        addr("peer_bind", &self.peer_listen)?;
-        addr("endpoints.cloud", &self.endpoints.cloud)?;
-        addr("endpoints.state", &self.endpoints.state)?;
-        for (i, p) in self.peers.iter().enumerate() {
-            addr(&format!("peers[{i}].address"), &p.addr)?;
-            if p.node == self.node || self.peers[..i].iter().any(|q| q.node == p.node) {
-                return Err(format!("peers[{i}].node: {:?} is named twice", p.node));
-            }
-        }
-        positive("cluster.workers.report_s", c.workers.report_s)?;
-        positive("cluster.workers.lease_s", c.workers.lease_s)?;
-        positive("cluster.workers.gang_wait_s", c.workers.gang_wait_s)?;
-        positive("cluster.workers.gang_peer_s", c.workers.gang_peer_s)?;
-        positive("cluster.workers.cancel_s", c.workers.cancel_s)?;
-        positive("cluster.state.rps", c.state.rps)?;
-        positive("cluster.state.write_rps", c.state.write_rps)?;
-        positive("cluster.state.value_kb", c.state.value_kb)?;
-        if c.state.txn_ops < 4 {
-            return Err("cluster.state.txn_ops: at least 4 are needed".into());
-        }
-        positive("cluster.cloud.rps", c.cloud.rps)?;
-        let limits = self.limits();
-        positive("cluster.machine_limits.cores", limits.cores)?;
-        positive("cluster.machine_limits.mem_mb", limits.mem_mb)?;
-        if limits.max_sockets < 32 {
-            return Err("cluster.machine_limits.max_sockets: at least 32 are needed".into());
-        }
-        for (i, t) in c.teams.iter().enumerate() {
-            let parts = [
-                ("cpus", t.cpus),
-                ("cpus_max", t.cpus_max),
-                ("gpus", t.gpus),
-                ("gpus_max", t.gpus_max),
-            ];
-            for (name, v) in parts {
-                if !v.is_finite() || v < 0.0 {
-                    return Err(format!(
-                        "cluster.teams[{i}].{name}: must be 0 or more, is {v}"
-                    ));
-                }
-            }
-            if c.teams[..i].iter().any(|o| o.name == t.name) {
-                return Err(format!(
-                    "cluster.teams[{i}].name: {:?} is named twice",
-                    t.name
-                ));
-            }
-        }
-        Ok(())
+            .unwrap_or(DEFAULT_LIMITS)
     }
 }
--- /dev/null
+++ b/crates/wire/src/settings/check.rs
@@ -0,0 +1,180 @@
+//! Checks settings beyond their form: names the first field whose value can't be worked with.
+
+use super::{Cluster, Settings, Team};
+use std::net::SocketAddrV4;
+
+/// Conditions and writes that the largest transaction of a controller needs at least.
+const LEAST_TRANSACTION_OPERATIONS: usize = 4;
+/// Sockets that a controller needs at least.
+const LEAST_SOCKETS: usize = 32;
+
+/// A field of the settings whose value can't be worked with.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+#[error("{field}: {problem}")]
+pub struct SettingsError {
+    /// The field by its path in the file, such as `cluster.teams[0].cpus`.
+    pub field: String,
+    /// What is wrong with its value.
+    pub problem: SettingsProblem,
+}
+
+/// What is wrong with a value of the settings.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+pub enum SettingsProblem {
+    /// A text that is empty.
+    #[error("must not be empty")]
+    Empty,
+    /// A number that must be finite and above 0.
+    #[error("must be above 0, is {value}")]
+    NotPositive {
+        /// The number that was given.
+        value: f64,
+    },
+    /// A number that must be finite and not below 0.
+    #[error("must be 0 or more, is {value}")]
+    Negative {
+        /// The number that was given.
+        value: f64,
+    },
+    /// A count that is too small.
+    #[error("at least {least} are needed")]
+    TooFew {
+        /// The least count that can be worked with.
+        least: usize,
+    },
+    /// A text that is not an IPv4 address with a port.
+    #[error("not an IPv4 address and port: {value:?}")]
+    NotAnAddress {
+        /// The text that was given.
+        value: String,
+    },
+    /// A name that stands elsewhere in the same list.
+    #[error("{name:?} is named twice")]
+    NamedTwice {
+        /// The name.
+        name: String,
+    },
+}
+
+impl SettingsProblem {
+    fn at(self, field: impl Into<String>) -> SettingsError {
+        SettingsError {
+            field: field.into(),
+            problem: self,
+        }
+    }
+}
+
+impl Settings {
+    /// Checks all values, in the order of the file's documentation.
+    ///
+    /// # Errors
+    ///
+    /// The first field whose value can't be worked with.
+    pub fn check(&self) -> Result<(), SettingsError> {
+        if self.node.is_empty() {
+            return Err(SettingsProblem::Empty.at("node"));
+        }
+        self.check_addresses()?;
+        check_workers(&self.cluster)?;
+        check_services(&self.cluster)?;
+        self.check_limits()?;
+        check_teams(&self.cluster.teams)
+    }
+
+    fn check_addresses(&self) -> Result<(), SettingsError> {
+        address("client_listen", &self.listen)?;
+        address("peer_bind", &self.peer_listen)?;
+        address("endpoints.cloud", &self.endpoints.cloud)?;
+        address("endpoints.state", &self.endpoints.state)?;
+        for (i, peer) in self.peers.iter().enumerate() {
+            address(format!("peers[{i}].address"), &peer.addr)?;
+            let mut earlier = self.peers[..i].iter();
+            if peer.node == self.node || earlier.any(|other| other.node == peer.node) {
+                let name = peer.node.clone();
+                return Err(SettingsProblem::NamedTwice { name }.at(format!("peers[{i}].node")));
+            }
+        }
+        Ok(())
+    }
+
+    fn check_limits(&self) -> Result<(), SettingsError> {
+        let limits = self.limits();
+        positive("cluster.machine_limits.cores", limits.cores)?;
+        positive("cluster.machine_limits.mem_mb", limits.mem_mb)?;
+        at_least(
+            "cluster.machine_limits.max_sockets",
+            limits.max_sockets,
+            LEAST_SOCKETS,
+        )
+    }
+}
+
+fn check_workers(cluster: &Cluster) -> Result<(), SettingsError> {
+    let workers = &cluster.workers;
+    positive("cluster.workers.report_s", workers.report_s)?;
+    positive("cluster.workers.lease_s", workers.lease_s)?;
+    positive("cluster.workers.gang_wait_s", workers.gang_wait_s)?;
+    positive("cluster.workers.gang_peer_s", workers.gang_peer_s)?;
+    positive("cluster.workers.cancel_s", workers.cancel_s)
+}
+
+fn check_services(cluster: &Cluster) -> Result<(), SettingsError> {
+    let state = &cluster.state;
+    positive("cluster.state.rps", state.rps)?;
+    positive("cluster.state.write_rps", state.write_rps)?;
+    positive("cluster.state.value_kb", state.value_kb)?;
+    at_least(
+        "cluster.state.txn_ops",
+        state.txn_ops,
+        LEAST_TRANSACTION_OPERATIONS,
+    )?;
+    positive("cluster.cloud.rps", cluster.cloud.rps)
+}
+
+fn check_teams(teams: &[Team]) -> Result<(), SettingsError> {
+    for (i, team) in teams.iter().enumerate() {
+        let amounts = [
+            ("cpus", team.cpus),
+            ("cpus_max", team.cpus_max),
+            ("gpus", team.gpus),
+            ("gpus_max", team.gpus_max),
+        ];
+        for (field, value) in amounts {
+            if !value.is_finite() || value < 0.0 {
+                let field = format!("cluster.teams[{i}].{field}");
+                return Err(SettingsProblem::Negative { value }.at(field));
+            }
+        }
+        if teams[..i].iter().any(|other| other.name == team.name) {
+            let name = team.name.clone();
+            let field = format!("cluster.teams[{i}].name");
+            return Err(SettingsProblem::NamedTwice { name }.at(field));
+        }
+    }
+    Ok(())
+}
+
+fn positive(field: &str, value: f64) -> Result<(), SettingsError> {
+    if value.is_finite() && value > 0.0 {
+        return Ok(());
+    }
+    Err(SettingsProblem::NotPositive { value }.at(field))
+}
+
+fn at_least(field: &str, value: usize, least: usize) -> Result<(), SettingsError> {
+    if value >= least {
+        return Ok(());
+    }
+    Err(SettingsProblem::TooFew { least }.at(field))
+}
+
+fn address(field: impl Into<String>, value: &str) -> Result<(), SettingsError> {
+    match value.parse::<SocketAddrV4>() {
+        Ok(_) => Ok(()),
+        Err(_) => Err(SettingsProblem::NotAnAddress {
+            value: value.to_owned(),
+        }
+        .at(field)),
+    }
+}
--- a/crates/wire/src/submission.rs
+++ b/crates/wire/src/submission.rs
@@ -2,7 +2,7 @@
 //! known by its id whatever else is wrong with it.
 
 pub use crate::users::Fault;
-use crate::users::JobSpec;
+use crate::users::{JobSpec, TASK_COUNT_RULE};
 use serde::de::value::{Error as ValueError, StrDeserializer};
 use serde::de::{
     Deserialize, Deserializer, Error, IgnoredAny, IntoDeserializer, MapAccess, SeqAccess, Visitor,
@@ -33,11 +33,17 @@
     "dueS",
 ];
 
+/// What a list of names may be, in words.
+const NAMES_RULE: &str = "must be null or a list of names";
+/// A field that stands twice in the map, in words.
+const FIELD_TWICE: &str = "is there twice";
+
 /// Deepest nesting that is read, in fields that are ignored.
 const MAX_DEPTH: usize = 32;
 
 /// A submission that can't be taken as it is.
-#[derive(Debug, Clone, PartialEq, Eq)]
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("{fault}")]
 pub struct Malformed {
     /// What is wrong.
     pub fault: Fault,
@@ -102,7 +108,7 @@
         if self.twice == Some(field) {
             return Err(Fault {
                 field,
-                why: "is there twice",
+                why: FIELD_TWICE,
             });
         }
         let found = self.of.iter().find(|(name, _)| *name == field);
@@ -140,7 +146,7 @@
             Raw::Count(n) => Ok(u32::try_from(*n).unwrap_or(u32::MAX)),
             _ => Err(Fault {
                 field,
-                why: "must be an integer from 1 to 100000",
+                why: TASK_COUNT_RULE,
             }),
         }
     }
@@ -166,7 +172,7 @@
                 .map(Some),
             Some(_) => Err(Fault {
                 field,
-                why: "must be null or a list of names",
+                why: NAMES_RULE,
             }),
         }
     }
@@ -175,7 +181,7 @@
         if let Some(field) = self.twice {
             return Err(Fault {
                 field,
-                why: "is there twice",
+                why: FIELD_TWICE,
             });
         }
         let spec = JobSpec {
@@ -210,7 +216,7 @@
         Raw::Text(text) => Ok(text.clone()),
         _ if field == "builds" => Err(Fault {
             field,
-            why: "must be null or a list of names",
+            why: NAMES_RULE,
         }),
         _ => Err(Fault {
             field,
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -1,17 +1,21 @@
 //! Messages of the users' interface: jobs as they are submitted, their states, and refusals.
 
 use serde::{Deserialize, Serialize};
-use std::fmt;
 
 /// Most tasks in one job.
 pub const MAX_TASKS: u32 = 100_000;
+/// The bound of the number of tasks in words, as [`MAX_TASKS`] has it.
+pub(crate) const TASK_COUNT_RULE: &str = "must be an integer from 1 to 100000";
+/// Longest name of a class, team, image, machine type or zone, in bytes.
 const MAX_NAME: usize = 120;
 /// Machine types that one job may name: as many as a catalogue has.
 pub const MAX_TYPES: usize = 64;
+/// Largest amount of a resource, a size or a time, in its field's unit.
 const MAX_AMOUNT: f64 = 1e9;
 
 /// What is wrong with a submission: the field by its name on the wire, or the body as a whole.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("invalid: {field}: {why}")]
 pub struct Fault {
     /// The field's name on the wire, or `body`.
     pub field: &'static str,
@@ -26,14 +30,6 @@
     }
 }
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "invalid: {}: {}", self.field, self.why)
-    }
-}
-
-impl std::error::Error for Fault {}
-
 /// How the tasks of a job belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
@@ -144,7 +140,7 @@
         if self.tasks == 0 || self.tasks > MAX_TASKS {
             return Err(Fault {
                 field: "pieces",
-                why: "must be an integer from 1 to 100000",
+                why: TASK_COUNT_RULE,
             });
         }
         if let Some(types) = &self.types {
--- a/crates/wire/tests/production/operators.rs
+++ b/crates/wire/tests/production/operators.rs
@@ -317,6 +317,6 @@
     assert!(wire::admin::decode::<wire::models::Ask>(newer).is_err());
 }
 
-fn admin_ask(body: &[u8]) -> Result<Ask, wire::BadBody> {
+fn admin_ask(body: &[u8]) -> Result<Ask, wire::DecodeError> {
     wire::admin::decode(body)
 }
