--- a/crates/gateway/src/conns.rs
+++ b/crates/gateway/src/conns.rs
@@ -454,7 +454,8 @@
                 ));
                 Some(used)
             }
-            Err(http::Bad(status)) => {
+            Err(error) => {
+                let status = error.status();
                 did.push(Did::Write(refusal(
                     status,
                     Form::Json,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -687,7 +687,8 @@
                                 request,
                             });
                         }
-                        Err(http::Bad(status)) => {
+                        Err(error) => {
+                            let status = error.status();
                             conn.phase = Phase::Working;
                             let id = ConnId {
                                 slot,
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -2,8 +2,16 @@
 
 use std::fmt::Write as _;
 
+/// Longest head, in bytes.
 const MAX_HEAD: usize = 8 * 1024;
+/// Most headers in one head.
 const MAX_HEADERS: usize = 48;
+/// Room that is set aside for a head, in bytes.
+const USUAL_HEAD: usize = 128;
+/// The type of most bodies.
+const MESSAGE_PACK: &str = "application/msgpack";
+/// Statuses of responses that have no body, whatever their headers say.
+const WITHOUT_BODY: [u16; 2] = [204, 304];
 
 /// A request as it was received.
 #[derive(Debug, Clone, PartialEq)]
@@ -31,9 +39,41 @@
     pub retry_after_s: Option<u32>,
 }
 
-/// Why the bytes can't be a message of ours, with the status that says so to a client.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bad(pub u16);
+/// Why bytes can't be read as a message.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum FramingError {
+    /// The head of a request can't be parsed.
+    #[error("malformed head")]
+    MalformedHead,
+    /// `Content-Length` is not a number, or is there twice with different values.
+    #[error("malformed Content-Length")]
+    MalformedLength,
+    /// A request has a chunked body.
+    #[error("requests need a Content-Length")]
+    LengthRequired,
+    /// `Content-Length` exceeds the limit of a request, or what any message can have.
+    #[error("the body is too large")]
+    BodyTooLarge,
+    /// The head of a request is longer than 8 KiB, or has more than 48 headers.
+    #[error("the head is too large")]
+    HeadTooLarge,
+    /// A response that is malformed, incomplete or too large.
+    #[error("the response can't be read")]
+    BadResponse,
+}
+
+impl FramingError {
+    /// The HTTP status that tells a client.
+    pub fn status(self) -> u16 {
+        match self {
+            FramingError::MalformedHead | FramingError::MalformedLength => 400,
+            FramingError::LengthRequired => 411,
+            FramingError::BodyTooLarge => 413,
+            FramingError::HeadTooLarge => 431,
+            FramingError::BadResponse => 502,
+        }
+    }
+}
 
 /// What the headers say of the body.
 #[derive(Default)]
@@ -45,17 +85,17 @@
     retry_after_s: Option<u32>,
 }
 
-fn framing(headers: &[httparse::Header<'_>]) -> Result<Framing, Bad> {
+fn framing(headers: &[httparse::Header<'_>]) -> Result<Framing, FramingError> {
     let mut f = Framing::default();
     for h in headers {
         let value = std::str::from_utf8(h.value).unwrap_or("").trim();
         if h.name.eq_ignore_ascii_case("content-length") {
             if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
-                return Err(Bad(400));
+                return Err(FramingError::MalformedLength);
             }
-            let n = value.parse().map_err(|_| Bad(413))?;
+            let n = value.parse().map_err(|_| FramingError::BodyTooLarge)?;
             if f.length.is_some_and(|old| old != n) {
-                return Err(Bad(400));
+                return Err(FramingError::MalformedLength);
             }
             f.length = Some(n);
         } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
@@ -73,23 +113,28 @@
 }
 
 /// Takes one request off the front: `None` while more bytes are needed, else it and the bytes used.
-pub fn parse_request(buf: &[u8], body_limit: usize) -> Result<Option<(Request, usize)>, Bad> {
+pub fn parse_request(
+    buf: &[u8],
+    body_limit: usize,
+) -> Result<Option<(Request, usize)>, FramingError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let used = match head.parse(&buf[..buf.len().min(MAX_HEAD)]) {
         Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if buf.len() >= MAX_HEAD => return Err(Bad(431)),
+        Ok(httparse::Status::Partial) if buf.len() >= MAX_HEAD => {
+            return Err(FramingError::HeadTooLarge);
+        }
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(httparse::Error::TooManyHeaders) => return Err(Bad(431)),
-        Err(_) => return Err(Bad(400)),
+        Err(httparse::Error::TooManyHeaders) => return Err(FramingError::HeadTooLarge),
+        Err(_) => return Err(FramingError::MalformedHead),
     };
     let f = framing(head.headers)?;
     if f.chunked {
-        return Err(Bad(411));
+        return Err(FramingError::LengthRequired);
     }
     let length = f.length.unwrap_or(0);
     if length > body_limit {
-        return Err(Bad(413));
+        return Err(FramingError::BodyTooLarge);
     }
     if buf.len() < used + length {
         return Ok(None);
@@ -110,37 +155,41 @@
     buf: &[u8],
     body_limit: usize,
     ended: bool,
-) -> Result<Option<(Response, usize)>, Bad> {
+) -> Result<Option<(Response, usize)>, FramingError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let used = match head.parse(&buf[..buf.len().min(MAX_HEAD)]) {
         Ok(httparse::Status::Complete(n)) => n,
         Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD && !ended => return Ok(None),
-        _ => return Err(Bad(502)),
+        _ => return Err(FramingError::BadResponse),
     };
     let f = framing(head.headers)?;
     let status = head.code.unwrap_or(0);
     let rest = &buf[used..];
-    let (body, total, close) = if status == 204 || status == 304 {
+    let (body, total, close) = if WITHOUT_BODY.contains(&status) {
         (Vec::new(), used, f.close)
     } else if f.chunked {
         match parse_chunks(rest, body_limit)? {
             Some((body, n)) => (body, used + n, f.close),
-            None if ended => return Err(Bad(502)),
+            None if ended => return Err(FramingError::BadResponse),
             None => return Ok(None),
         }
     } else if let Some(length) = f.length {
         if length > body_limit {
-            return Err(Bad(502));
+            return Err(FramingError::BadResponse);
         }
         if rest.len() < length {
-            return if ended { Err(Bad(502)) } else { Ok(None) };
+            return if ended {
+                Err(FramingError::BadResponse)
+            } else {
+                Ok(None)
+            };
         }
         (rest[..length].to_vec(), used + length, f.close)
     } else if ended {
         (rest.to_vec(), buf.len(), true)
     } else if rest.len() > body_limit {
-        return Err(Bad(502));
+        return Err(FramingError::BadResponse);
     } else {
         return Ok(None);
     };
@@ -155,11 +204,14 @@
     )))
 }
 
-fn parse_chunks(mut buf: &[u8], body_limit: usize) -> Result<Option<(Vec<u8>, usize)>, Bad> {
+fn parse_chunks(
+    mut buf: &[u8],
+    body_limit: usize,
+) -> Result<Option<(Vec<u8>, usize)>, FramingError> {
     let whole = buf.len();
     let mut body = Vec::new();
     loop {
-        match httparse::parse_chunk_size(buf).map_err(|_| Bad(502))? {
+        match httparse::parse_chunk_size(buf).map_err(|_| FramingError::BadResponse)? {
             httparse::Status::Partial => return Ok(None),
             httparse::Status::Complete((at, 0)) => {
                 return Ok(buf
@@ -170,7 +222,7 @@
                 let size = usize::try_from(size)
                     .ok()
                     .filter(|s| *s <= body_limit - body.len())
-                    .ok_or(Bad(502))?;
+                    .ok_or(FramingError::BadResponse)?;
                 match buf.get(at..at + size + 2) {
                     Some(chunk) => body.extend_from_slice(&chunk[..size]),
                     None => return Ok(None),
@@ -183,12 +235,12 @@
 
 /// Appends a request with a MessagePack body to `out`.
 pub fn write_request(out: &mut Vec<u8>, host: &str, method: &str, path: &str, body: &[u8]) {
-    let mut head = String::with_capacity(128);
+    let mut head = String::with_capacity(USUAL_HEAD);
     let _ = write!(head, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     if method != "GET" || !body.is_empty() {
         let _ = write!(
             head,
-            "Content-Type: application/msgpack\r\nContent-Length: {}\r\n",
+            "Content-Type: {MESSAGE_PACK}\r\nContent-Length: {}\r\n",
             body.len()
         );
     }
@@ -213,7 +265,7 @@
 
 /// Appends a response with a MessagePack body to `out`.
 pub fn write_response(out: &mut Vec<u8>, r: &Response) {
-    write_response_as(out, r, "application/msgpack", None);
+    write_response_as(out, r, MESSAGE_PACK, None);
 }
 
 /// A response whose body is of another type, and which may name the place of what it made.
@@ -223,7 +275,29 @@
     content_type: &str,
     location: Option<&str>,
 ) {
-    let reason = match r.status {
+    let reason = reason_phrase(r.status);
+    let mut head = String::with_capacity(USUAL_HEAD);
+    let _ = write!(
+        head,
+        "HTTP/1.1 {} {reason}\r\nContent-Type: {content_type}\r\n",
+        r.status
+    );
+    if let Some(place) = location {
+        let _ = write!(head, "Location: {place}\r\n");
+    }
+    if let Some(s) = r.retry_after_s {
+        let _ = write!(head, "Retry-After: {s}\r\n");
+    }
+    if r.close {
+        head.push_str("Connection: close\r\n");
+    }
+    let _ = write!(head, "Content-Length: {}\r\n\r\n", r.body.len());
+    out.extend_from_slice(head.as_bytes());
+    out.extend_from_slice(&r.body);
+}
+
+fn reason_phrase(status: u16) -> &'static str {
+    match status {
         200 => "OK",
         201 => "Created",
         202 => "Accepted",
@@ -242,23 +316,5 @@
         501 => "Not Implemented",
         503 => "Service Unavailable",
         _ => "Status",
-    };
-    let mut head = String::with_capacity(128);
-    let _ = write!(
-        head,
-        "HTTP/1.1 {} {reason}\r\nContent-Type: {content_type}\r\n",
-        r.status
-    );
-    if let Some(place) = location {
-        let _ = write!(head, "Location: {place}\r\n");
-    }
-    if let Some(s) = r.retry_after_s {
-        let _ = write!(head, "Retry-After: {s}\r\n");
     }
-    if r.close {
-        head.push_str("Connection: close\r\n");
-    }
-    let _ = write!(head, "Content-Length: {}\r\n\r\n", r.body.len());
-    out.extend_from_slice(head.as_bytes());
-    out.extend_from_slice(&r.body);
 }
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 use wire::api::*;
-use wire::http::{self, Bad};
+use wire::http;
 use wire::records::{
     ClaimsRecord, DoneRecord, InventoryRecord, KindRecord, LogRecord, ranges, unrange,
 };
@@ -366,40 +366,39 @@
 
 #[test]
 fn heads_out_of_bounds_get_their_status() {
-    let parse = |text: &str| http::parse_request(text.as_bytes(), 100);
+    let parse =
+        |text: &str| http::parse_request(text.as_bytes(), 100).map_err(|error| error.status());
     assert_eq!(
         parse("POST /work HTTP/1.1\r\nContent-Length: 101\r\n\r\n"),
-        Err(Bad(413))
+        Err(413)
     );
     assert_eq!(
         parse("POST /work HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n"),
-        Err(Bad(413))
+        Err(413)
     );
     assert_eq!(
         parse("POST /work HTTP/1.1\r\nContent-Length: -1\r\n\r\n"),
-        Err(Bad(400))
+        Err(400)
     );
     assert_eq!(
         parse("POST /work HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
-        Err(Bad(400))
+        Err(400)
     );
     assert_eq!(
         parse("POST /work HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"),
-        Err(Bad(411))
+        Err(411)
     );
-    assert_eq!(parse("nonsense\r\n\r\n"), Err(Bad(400)));
+    assert_eq!(parse("nonsense\r\n\r\n"), Err(400));
     assert_eq!(
         parse(&format!("GET /{} HTTP/1.1\r\n", "x".repeat(9000))),
-        Err(Bad(431))
+        Err(431)
     );
     let many: String = (0..60).map(|i| format!("h{i}: x\r\n")).collect();
-    assert_eq!(
-        parse(&format!("GET / HTTP/1.1\r\n{many}\r\n")),
-        Err(Bad(431))
-    );
+    assert_eq!(parse(&format!("GET / HTTP/1.1\r\n{many}\r\n")), Err(431));
     assert_eq!(parse("GET / HTTP/1.1\r\nHost: x\r\n"), Ok(None));
     let chunk = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n";
-    assert_eq!(http::parse_response(chunk, 1000, false), Err(Bad(502)));
+    let response = http::parse_response(chunk, 1000, false).map_err(|error| error.status());
+    assert_eq!(response, Err(502));
 }
 
 /// Trees as the state service holds them.
