--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -188,7 +188,7 @@
     }
 
     pub(crate) fn worker_told(&mut self, conn: u64, response: Option<Response>) {
-        let answer = response.map_or(PeerResponse::NotNow, |r| PeerResponse::Told {
+        let answer = response.map_or(PeerResponse::NotNow, |r| PeerResponse::CommandResult {
             status: r.status,
             body: r.body.into(),
         });
@@ -208,7 +208,7 @@
         let via = machine.and_then(|m| Some((m.via?, m.name.clone())));
         match via {
             Some((peer, machine)) => {
-                let ask = PeerRequest::Tell {
+                let ask = PeerRequest::Command {
                     machine,
                     addr: addr.to_string(),
                     body: body.into(),
@@ -253,7 +253,7 @@
         retry_after_s: None,
     };
     match peer_answer(response)? {
-        PeerResponse::Told { status, body } if status != NOT_SENT => {
+        PeerResponse::CommandResult { status, body } if status != NOT_SENT => {
             Some(as_worker(status, body.into_vec()))
         }
         PeerResponse::Refused { status, .. } => Some(as_worker(status, Vec::new())),
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -442,7 +442,7 @@
             Some(PeerRequest::Reports { node, reports }) => {
                 self.relayed_heartbeats_received(conn, &node, reports)
             }
-            Some(PeerRequest::Tell {
+            Some(PeerRequest::Command {
                 machine,
                 addr,
                 body,
--- a/crates/control/tests/peers.rs
+++ b/crates/control/tests/peers.rs
@@ -152,7 +152,7 @@
 fn nobody_is_told_anything_who_is_not_served_here() {
     let mut node = node();
     for addr in ["10.1.0.7:9000", "nowhere"] {
-        let tell = PeerRequest::Tell {
+        let tell = PeerRequest::Command {
             machine: "host-1".into(),
             addr: addr.into(),
             body: ByteBuf::new(),
--- a/crates/standins/src/world/users.rs
+++ b/crates/standins/src/world/users.rs
@@ -519,7 +519,7 @@
                 body,
                 ..
             } => match peer::decode(body) {
-                Ok(peer::PeerRequest::Tell { body, .. }) => vec![body.into_vec()],
+                Ok(peer::PeerRequest::Command { body, .. }) => vec![body.into_vec()],
                 _ => Vec::new(),
             },
             _ => Vec::new(),
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -58,7 +58,8 @@
         reports: Vec<ByteBuf>,
     },
     /// A command for a worker that the other serves, as the worker is to get it.
-    Tell {
+    #[serde(rename = "Tell")]
+    Command {
         /// The machine's name.
         machine: String,
         /// The agent's address and port.
@@ -101,7 +102,8 @@
     /// The answers to reports, in their order; an empty one refuses.
     Orders(Vec<ByteBuf>),
     /// What the worker answered.
-    Told {
+    #[serde(rename = "Told")]
+    CommandResult {
         /// The HTTP status of the agent's answer; 421 if the command was not sent.
         status: u16,
         /// The body of the agent's answer.
--- a/crates/wire/tests/production/peers.rs
+++ b/crates/wire/tests/production/peers.rs
@@ -28,7 +28,7 @@
         PeerRequest::Leads { .. } => "ask-owns",
         PeerRequest::PeerStatus(_) => "ask-view",
         PeerRequest::Reports { .. } => "ask-reports",
-        PeerRequest::Tell { .. } => "ask-tell",
+        PeerRequest::Command { .. } => "ask-tell",
         PeerRequest::Wake { .. } => "ask-wake",
     };
     assert!(file.starts_with(name), "{file}");
@@ -45,7 +45,7 @@
         PeerResponse::NotNow => "answer-not-now",
         PeerResponse::PeerStatus(_) => "answer-view",
         PeerResponse::Orders(_) => "answer-orders",
-        PeerResponse::Told { .. } => "answer-told",
+        PeerResponse::CommandResult { .. } => "answer-told",
         PeerResponse::Model(_) => "answer-model",
     };
     assert!(file.starts_with(name), "{file}");
@@ -95,7 +95,7 @@
         ),
         ask(
             "ask-tell.cbor",
-            PeerRequest::Tell {
+            PeerRequest::Command {
                 machine: "m-1".to_owned(),
                 addr: "10.0.0.7:4000".to_owned(),
                 body: ByteBuf::from(wire::encode(&orders_full())),
@@ -109,7 +109,7 @@
 fn answers() -> Vec<Case> {
     let delegation = |except| LeaseDelegation { token: 17, except };
     let except = vec!["m-1".to_owned(), "m-2".to_owned()];
-    let told = |status, body| PeerResponse::Told { status, body };
+    let told = |status, body| PeerResponse::CommandResult { status, body };
     let orders = ByteBuf::from(wire::encode(&orders_least()));
     let model = |told| PeerResponse::Model(Box::new(told));
     vec![
