--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -10,7 +10,7 @@
 use crate::{Destination, Node, Pending};
 use serde_json::Value;
 use std::sync::Arc;
-use wire::api::{Catalog, Guard, Item, Range, Revision, Txn, Write};
+use wire::api::{Catalog, Guard, Item, Range, Revision, Transaction, Write};
 use wire::http::Response;
 use wire::records::{self, Record};
 use wire::settings::Settings;
@@ -228,7 +228,7 @@
         let Some(leader) = leader.filter(|_| self.spare(writes.len() as f64)) else {
             return self.frontend_over(tag, Answer::Busy);
         };
-        let mut txn = Txn {
+        let mut txn = Transaction {
             guards: Vec::new(),
             writes: Vec::new(),
         };
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -6,7 +6,7 @@
 use crate::leadership::election::Role;
 use crate::leadership::election::SHARD;
 use crate::{Destination, Node, Pending, Requester};
-use wire::api::{Conflict, ErrorBody, Guard, JobSpec, JobState, Stage, Txn, Write};
+use wire::api::{Conflict, ErrorBody, Guard, JobSpec, JobState, Stage, Transaction, Write};
 use wire::http::{Request, Response};
 use wire::peer::{self, PeerRequest, PeerResponse};
 use wire::records::{self, JobRecord, Record};
@@ -231,7 +231,7 @@
             ),
             Err(why) => (Vec::new(), Some(why)),
         };
-        let body = wire::encode(&Txn { guards, writes });
+        let body = wire::encode(&Transaction { guards, writes });
         let what = Pending::Accept {
             submission,
             denied,
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -5,7 +5,7 @@
 
 use crate::store::shard::Shard;
 use crate::{Destination, Node, Pending};
-use wire::api::{Catalog, Changes, Grant, GrantRequest, Guard, Range, Txn, Write};
+use wire::api::{Catalog, Changes, Grant, GrantRequest, Guard, Range, Transaction, Write};
 use wire::http::Response;
 use wire::peer::PeerRequest;
 use wire::records::{self, LeaderRecord, Record, SharedRecord, TokenRecord};
@@ -377,7 +377,7 @@
         };
         let token = self.shared.token + 1;
         let leader = self.own_record(token, lease);
-        let txn = Txn {
+        let txn = Transaction {
             guards: vec![
                 Guard {
                     key: records::leader_key(SHARD),
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -11,7 +11,7 @@
 use model::{Asked, Rec, Rule, asked};
 use std::collections::HashMap;
 use wire::admin;
-use wire::api::{Guard, Item, JobSpec, Revision, Txn, Write};
+use wire::api::{Guard, Item, JobSpec, Revision, Transaction, Write};
 use wire::http::{Request, Response};
 use wire::models::{DEMAND, Demand, Told};
 use wire::peer::{self, PeerRequest, PeerResponse};
@@ -325,7 +325,7 @@
                 version,
             },
         ];
-        let body = wire::encode(&Txn {
+        let body = wire::encode(&Transaction {
             guards,
             writes: vec![Write::put(key, Record::Model(rec.clone()))],
         });
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -22,7 +22,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use wire::admin::{self, Whole};
-use wire::api::{Changes, Guard, Item, JobSpec, Kind, Range, Revision, Txn, Write};
+use wire::api::{Changes, Guard, Item, JobSpec, Kind, Range, Revision, Transaction, Write};
 use wire::http::Response;
 use wire::models::{Ask, Standing, Told};
 use wire::records::{self, Record};
@@ -556,7 +556,7 @@
             Some(rec) => Write::put(key, Record::Model(rec.clone())),
             None => Write::Remove { key },
         };
-        let body = wire::encode(&Txn {
+        let body = wire::encode(&Transaction {
             guards,
             writes: vec![write],
         });
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -12,7 +12,7 @@
 use crate::store::shard::{RentalState, Shard};
 use crate::{Destination, Node, Pending};
 use std::collections::{BTreeMap, BTreeSet};
-use wire::api::{Conflict, Guard, Item, JobState, Revision, Txn, Write};
+use wire::api::{Conflict, Guard, Item, JobState, Revision, Transaction, Write};
 use wire::http::Response;
 use wire::records::{
     self, ClaimsRecord, DoneRecord, EndRecord, InventoryRecord, KindRecord, LogRecord, Record,
@@ -410,7 +410,7 @@
         };
         let Some(shard) = &mut self.shard else { return };
         let writes = draft.writes.len();
-        let body = wire::encode(&Txn {
+        let body = wire::encode(&Transaction {
             guards: draft.guards,
             writes: draft.writes,
         });
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -2075,7 +2075,7 @@
 
     /// Somebody else writes into the state service.
     pub fn write(&mut self, write: wire::api::Write) {
-        let txn = wire::api::Txn {
+        let txn = wire::api::Transaction {
             guards: Vec::new(),
             writes: vec![write],
         };
--- a/crates/wire/src/state_service.rs
+++ b/crates/wire/src/state_service.rs
@@ -50,7 +50,7 @@
 
 /// A transaction: all writes are made if every condition holds, and none otherwise.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Txn {
+pub struct Transaction {
     /// The conditions.
     pub guards: Vec<Guard>,
     /// Without any, the versions are only compared.
--- a/crates/wire/tests/production/messages.rs
+++ b/crates/wire/tests/production/messages.rs
@@ -7,7 +7,7 @@
 use wire::api::{
     Cause, Change, Changes, Conflict, ErrorBody, Grant, GrantRequest, Guard, Heartbeat,
     HireRequest, Item, JobState, Kind, ListedMachine, MachineList, MachineNames, Order, Orders,
-    Priority, Range, Redirect, Revision, Stage, TaskStage, TaskStatus, Txn, Write,
+    Priority, Range, Redirect, Revision, Stage, TaskStage, TaskStatus, Transaction, Write,
 };
 use wire::http::{self, Request, Response};
 use wire::records::{LeaderRecord, Record, TokenRecord};
@@ -212,7 +212,7 @@
     let conflict = |failed: &[&str]| Conflict {
         failed: failed.iter().map(|&k| k.to_owned()).collect(),
     };
-    let compared = Txn {
+    let compared = Transaction {
         guards: vec![guard()],
         writes: Vec::new(),
     };
@@ -268,8 +268,8 @@
     ]
 }
 
-fn txn() -> Txn {
-    Txn {
+fn txn() -> Transaction {
+    Transaction {
         guards: vec![guard()],
         writes: vec![
             Write::put(
