--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -29,7 +29,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use wire::admin::{self, ChangeOf, Changed, Refused, Shown};
-use wire::api::{Guard, Item, Range};
+use wire::api::{Condition, Item, Range};
 use wire::http::Response;
 use wire::records::{self, Record, SharedRecord};
 
@@ -794,7 +794,7 @@
     /// Guards by which an accept fails where another version is in force than the one that it was bound by. Nothing
     /// without such documents, unless this node has not heard for a while whether there are any. `None` while the heads, or
     /// a version that was seen, have not been read.
-    pub(crate) fn head_guards(&self) -> Option<Vec<Guard>> {
+    pub(crate) fn head_guards(&self) -> Option<Vec<Condition>> {
         // A node that has just begun may know the machine types and not yet whether there are documents.
         if self.shared.revision == 0 {
             return None;
@@ -811,7 +811,7 @@
                     return None;
                 }
                 let key = records::head_key(for_kind!(kind, K => <K as Kind>::Content::KIND));
-                out.push(Guard {
+                out.push(Condition {
                     key,
                     version: stamp,
                 });
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -10,7 +10,7 @@
 use crate::{Destination, Node, Pending};
 use serde_json::Value;
 use std::sync::Arc;
-use wire::api::{Catalog, Guard, Item, Range, Revision, Transaction, Write};
+use wire::api::{Catalog, Condition, Item, Range, Revision, Transaction, Write};
 use wire::http::Response;
 use wire::records::{self, Record};
 use wire::settings::Settings;
@@ -229,10 +229,10 @@
             return self.frontend_over(tag, Answer::Busy);
         };
         let mut txn = Transaction {
-            guards: Vec::new(),
+            conditions: Vec::new(),
             writes: Vec::new(),
         };
-        txn.guards.push(Guard {
+        txn.conditions.push(Condition {
             key: records::leader_key(SHARD),
             version: leader,
         });
@@ -242,7 +242,7 @@
             value,
         } in writes
         {
-            txn.guards.extend(version.map(|version| Guard {
+            txn.conditions.extend(version.map(|version| Condition {
                 key: key.clone(),
                 version,
             }));
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -6,7 +6,7 @@
 use crate::leadership::election::Role;
 use crate::leadership::election::SHARD;
 use crate::{Destination, Node, Pending, Requester};
-use wire::api::{Conflict, ErrorBody, Guard, JobSpec, JobState, Stage, Transaction, Write};
+use wire::api::{Condition, Conflict, ErrorBody, JobSpec, JobState, Stage, Transaction, Write};
 use wire::http::{Request, Response};
 use wire::peer::{self, PeerRequest, PeerResponse};
 use wire::records::{self, JobRecord, Record};
@@ -211,11 +211,11 @@
             };
         };
         guards.extend([
-            Guard {
+            Condition {
                 key: records::live_key(&spec.id),
                 version: 0,
             },
-            Guard {
+            Condition {
                 key: records::end_key(&spec.id),
                 version: 0,
             },
@@ -231,7 +231,10 @@
             ),
             Err(why) => (Vec::new(), Some(why)),
         };
-        let body = wire::encode(&Transaction { guards, writes });
+        let body = wire::encode(&Transaction {
+            conditions: guards,
+            writes,
+        });
         let what = Pending::Accept {
             submission,
             denied,
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -5,7 +5,7 @@
 
 use crate::store::shard::Shard;
 use crate::{Destination, Node, Pending};
-use wire::api::{Catalog, Changes, Grant, GrantRequest, Guard, Range, Transaction, Write};
+use wire::api::{Catalog, Changes, Condition, Grant, GrantRequest, Range, Transaction, Write};
 use wire::http::Response;
 use wire::peer::PeerRequest;
 use wire::records::{self, LeaderRecord, Record, SharedRecord, TokenRecord};
@@ -378,12 +378,12 @@
         let token = self.shared.token + 1;
         let leader = self.own_record(token, lease);
         let txn = Transaction {
-            guards: vec![
-                Guard {
+            conditions: vec![
+                Condition {
                     key: records::leader_key(SHARD),
                     version,
                 },
-                Guard {
+                Condition {
                     key: records::TOKEN.into(),
                     version: self.shared.token_version,
                 },
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -11,7 +11,7 @@
 use model::{Asked, Rec, Rule, asked};
 use std::collections::HashMap;
 use wire::admin;
-use wire::api::{Guard, Item, JobSpec, Revision, Transaction, Write};
+use wire::api::{Condition, Item, JobSpec, Revision, Transaction, Write};
 use wire::http::{Request, Response};
 use wire::models::{DEMAND, Demand, Told};
 use wire::peer::{self, PeerRequest, PeerResponse};
@@ -316,17 +316,17 @@
         self.writes.take(now, 1.0);
         let key = records::model_key(model);
         let guards = vec![
-            Guard {
+            Condition {
                 key: key.clone(),
                 version: known.stamp,
             },
-            Guard {
+            Condition {
                 key: records::live_key(model),
                 version,
             },
         ];
         let body = wire::encode(&Transaction {
-            guards,
+            conditions: guards,
             writes: vec![Write::put(key, Record::Model(rec.clone()))],
         });
         if let Some(flight) = self.models.wakes.flights.get_mut(model) {
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -22,7 +22,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use wire::admin::{self, Whole};
-use wire::api::{Changes, Guard, Item, JobSpec, Kind, Range, Revision, Transaction, Write};
+use wire::api::{Changes, Condition, Item, JobSpec, Kind, Range, Revision, Transaction, Write};
 use wire::http::Response;
 use wire::models::{Ask, Standing, Told};
 use wire::records::{self, Record};
@@ -539,16 +539,16 @@
         let Some(shard) = &self.shard else { return };
         let key = records::model_key(model);
         let mut guards = vec![
-            Guard {
+            Condition {
                 key: records::leader_key(SHARD),
                 version: shard.leader_version,
             },
-            Guard {
+            Condition {
                 key: key.clone(),
                 version: stamp,
             },
         ];
-        guards.extend(job.map(|version| Guard {
+        guards.extend(job.map(|version| Condition {
             key: records::live_key(model),
             version,
         }));
@@ -557,7 +557,7 @@
             None => Write::Remove { key },
         };
         let body = wire::encode(&Transaction {
-            guards,
+            conditions: guards,
             writes: vec![write],
         });
         let out = Out {
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -12,7 +12,7 @@
 use crate::store::shard::{RentalState, Shard};
 use crate::{Destination, Node, Pending};
 use std::collections::{BTreeMap, BTreeSet};
-use wire::api::{Conflict, Guard, Item, JobState, Revision, Transaction, Write};
+use wire::api::{Condition, Conflict, Item, JobState, Revision, Transaction, Write};
 use wire::http::Response;
 use wire::records::{
     self, ClaimsRecord, DoneRecord, EndRecord, InventoryRecord, KindRecord, LogRecord, Record,
@@ -75,7 +75,7 @@
 
 pub(crate) struct TransactionDraft {
     pub ops: Vec<PendingWrite>,
-    guards: Vec<Guard>,
+    guards: Vec<Condition>,
     writes: Vec<Write>,
     probe: Option<(String, u64, bool)>,
     size: usize,
@@ -91,7 +91,7 @@
         if self.probe.as_ref().is_none_or(|(_, _, removed)| *removed) {
             self.probe = Some((key.clone(), version, false));
         }
-        self.guards.push(Guard {
+        self.guards.push(Condition {
             key: key.clone(),
             version,
         });
@@ -111,7 +111,7 @@
         if self.probe.is_none() {
             self.probe = Some((key.clone(), version, true));
         }
-        self.guards.push(Guard {
+        self.guards.push(Condition {
             key: key.clone(),
             version,
         });
@@ -199,7 +199,7 @@
                 break;
             }
             if !guarded {
-                self.guards.push(Guard { key, version });
+                self.guards.push(Condition { key, version });
             }
             if let Some(claim) = shard.claim_mut(&id) {
                 claim.state = ClaimState::Writing;
@@ -411,7 +411,7 @@
         let Some(shard) = &mut self.shard else { return };
         let writes = draft.writes.len();
         let body = wire::encode(&Transaction {
-            guards: draft.guards,
+            conditions: draft.guards,
             writes: draft.writes,
         });
         shard.commit.ops = draft.ops;
@@ -444,7 +444,7 @@
         let shard = self.shard.as_mut()?;
         let mut d = TransactionDraft {
             ops: Vec::new(),
-            guards: vec![Guard {
+            guards: vec![Condition {
                 key: records::leader_key(SHARD),
                 version: shard.leader_version,
             }],
--- a/crates/standins/src/state.rs
+++ b/crates/standins/src/state.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use wire::api::Guard;
+use wire::api::Condition;
 
 #[derive(Default)]
 pub struct State {
@@ -78,7 +78,7 @@
 #[derive(Deserialize)]
 struct Txn {
     #[serde(default)]
-    guards: Vec<Guard>,
+    guards: Vec<Condition>,
     #[serde(default)]
     writes: Vec<Op>,
 }
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -2076,7 +2076,7 @@
     /// Somebody else writes into the state service.
     pub fn write(&mut self, write: wire::api::Write) {
         let txn = wire::api::Transaction {
-            guards: Vec::new(),
+            conditions: Vec::new(),
             writes: vec![write],
         };
         let outcome = self
--- a/crates/wire/src/api.rs
+++ b/crates/wire/src/api.rs
@@ -7,7 +7,7 @@
     Catalog, HireRequest, ListedMachine, MachineList, MachineNames, MachineType,
 };
 pub use crate::state_service::{
-    Change, Changes, Conflict, Grant, GrantRequest, Guard, Item, Range, Revision, Transaction,
+    Change, Changes, Condition, Conflict, Grant, GrantRequest, Item, Range, Revision, Transaction,
     Write,
 };
 pub use crate::users::{ErrorBody, JobSpec, JobState, Kind, MAX_TASKS, MAX_TYPES, Priority, Stage};
--- a/crates/wire/src/state_service.rs
+++ b/crates/wire/src/state_service.rs
@@ -5,7 +5,7 @@
 
 /// A condition of a transaction: the key's version must be as given.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Guard {
+pub struct Condition {
     /// The key.
     pub key: String,
     /// The version that the key must have; 0 if it must not exist.
@@ -52,7 +52,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Transaction {
     /// The conditions.
-    pub guards: Vec<Guard>,
+    #[serde(rename = "guards")]
+    pub conditions: Vec<Condition>,
     /// Without any, the versions are only compared.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub writes: Vec<Write>,
@@ -66,7 +67,7 @@
     pub revision: u64,
 }
 
-/// Why a transaction was not made: the keys whose versions were others than its guards say.
+/// Why a transaction was not made: the keys whose versions were others than its conditions say.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Conflict {
     /// The keys whose conditions did not hold.
--- a/crates/wire/tests/production/messages.rs
+++ b/crates/wire/tests/production/messages.rs
@@ -5,7 +5,7 @@
 use crate::{Case, bytes_of, message, sent};
 use serde_json::json;
 use wire::api::{
-    Cause, Change, Changes, Conflict, ErrorBody, Grant, GrantRequest, Guard, Heartbeat,
+    Cause, Change, Changes, Condition, Conflict, ErrorBody, Grant, GrantRequest, Heartbeat,
     HireRequest, Item, JobState, Kind, ListedMachine, MachineList, MachineNames, Order, Orders,
     Priority, Range, Redirect, Revision, Stage, TaskStage, TaskStatus, Transaction, Write,
 };
@@ -213,7 +213,7 @@
         failed: failed.iter().map(|&k| k.to_owned()).collect(),
     };
     let compared = Transaction {
-        guards: vec![guard()],
+        conditions: vec![guard()],
         writes: Vec::new(),
     };
     vec![
@@ -244,8 +244,8 @@
     ]
 }
 
-fn guard() -> Guard {
-    Guard {
+fn guard() -> Condition {
+    Condition {
         key: "sys/token".to_owned(),
         version: 300,
     }
@@ -270,7 +270,7 @@
 
 fn txn() -> Transaction {
     Transaction {
-        guards: vec![guard()],
+        conditions: vec![guard()],
         writes: vec![
             Write::put(
                 "sys/token".to_owned(),
