--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -91,7 +91,7 @@
     /// It can't be asked like that.
     Refused,
     /// How the model stands.
-    Model(Box<wire::models::Told>),
+    Model(Box<wire::models::ModelStatus>),
 }
 
 /// How many keys one [`Ask::Change`] may name.
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -13,7 +13,7 @@
 use wire::admin;
 use wire::api::{Condition, Item, JobSpec, Revision, Transaction, Write};
 use wire::http::{Request, Response};
-use wire::models::{DEMAND, Demand, Told};
+use wire::models::{DEMAND, Demand, ModelStatus};
 use wire::peer::{self, PeerRequest, PeerResponse};
 use wire::records::{self, JobRecord, Record};
 
@@ -58,7 +58,7 @@
 
 struct Fresh {
     at: u64,
-    told: Told,
+    told: ModelStatus,
     say_again_ms: u64,
 }
 
@@ -488,7 +488,7 @@
         }
     }
 
-    fn tell_demand(&mut self, waiter: Waiter, told: &Told) {
+    fn tell_demand(&mut self, waiter: Waiter, told: &ModelStatus) {
         match waiter {
             Waiter::Door(conn) => self.respond(conn, 200, admin::encode(told), None),
             Waiter::Peer(conn) => self.respond(
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -24,7 +24,7 @@
 use wire::admin::{self, Whole};
 use wire::api::{Changes, Condition, Item, JobSpec, Kind, Range, Revision, Transaction, Write};
 use wire::http::Response;
-use wire::models::{Ask, Standing, Told};
+use wire::models::{Ask, ModelStatus, Standing};
 use wire::records::{self, Record};
 
 /// Models that are up, or on their way, are looked at this often.
@@ -773,7 +773,7 @@
     }
 
     /// How a model stands for whoever asks.
-    pub(crate) fn model_told(&self, spec: &JobSpec, rec: &Rec, asked: &Asked) -> Told {
+    pub(crate) fn model_told(&self, spec: &JobSpec, rec: &Rec, asked: &Asked) -> ModelStatus {
         let (why, until) = match asked {
             Asked::NotNow { why, until_ms } => (Some(why.clone()), Some(*until_ms)),
             _ => (None, None),
@@ -794,7 +794,7 @@
         let due = lead
             .map(|s| rec.since_ms + (s * 1000.0) as u64)
             .filter(|_| rec.phase == Phase::Waking);
-        Told {
+        ModelStatus {
             model: spec.id.clone(),
             phase: rec.phase,
             generation: rec.generation,
--- a/crates/standins/examples/agreed.rs
+++ b/crates/standins/examples/agreed.rs
@@ -162,7 +162,7 @@
     let mut out: Vec<u64> = Vec::new();
     for ((model, generation), first) in &models.first {
         let asked = || models.answers.iter().filter(|a| a.model == *model);
-        let earlier = |told: &wire::models::Told| told.generation < *generation;
+        let earlier = |told: &wire::models::ModelStatus| told.generation < *generation;
         let before = asked().filter(|a| a.status == 200 && a.told.as_ref().is_some_and(earlier));
         let before = before.map(|a| a.asked).max().unwrap_or(0);
         let since = asked()
--- a/crates/standins/src/models.rs
+++ b/crates/standins/src/models.rs
@@ -4,7 +4,7 @@
 use model::{Phase, Rec, Spec};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
-use wire::models::Told;
+use wire::models::ModelStatus;
 
 /// An answer to demand.
 #[derive(Debug, Clone)]
@@ -14,7 +14,7 @@
     pub node: usize,
     pub model: String,
     pub status: u16,
-    pub told: Option<Told>,
+    pub told: Option<ModelStatus>,
 }
 
 /// A task on a machine.
--- a/crates/stoathatch/src/models.rs
+++ b/crates/stoathatch/src/models.rs
@@ -8,7 +8,7 @@
 use model::{Phase, Spec, Why};
 use std::process::ExitCode;
 use wire::admin::{Shown, Whole};
-use wire::models::{Ask, DEMAND, Demand, Standing, Told};
+use wire::models::{Ask, DEMAND, Demand, ModelStatus, Standing};
 use wire::settings::Settings;
 
 #[derive(Args)]
@@ -106,7 +106,7 @@
         }
         Verb::Demand { model } => {
             // The same demand twice is one: any controller may be tried after another.
-            let told: Told = ask(
+            let told: ModelStatus = ask(
                 &asked.nodes,
                 DEMAND,
                 &Demand {
@@ -123,7 +123,7 @@
     }
 }
 
-fn words(told: &Told) -> String {
+fn words(told: &ModelStatus) -> String {
     let phase = match told.phase {
         Phase::Asleep => "asleep",
         Phase::Waking => "waking",
--- a/crates/wire/src/models.rs
+++ b/crates/wire/src/models.rs
@@ -15,7 +15,7 @@
 
 /// How a model stands for whoever has asked for it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct ModelStatus {
     /// The id of the model's job.
     pub model: String,
     /// The phase of its life.
@@ -48,7 +48,7 @@
 pub struct Standing {
     /// What everybody who asks is told.
     #[serde(flatten)]
-    pub told: Told,
+    pub told: ModelStatus,
     /// The name of the rule that the model falls under.
     pub rule: String,
     /// The class of its job.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -110,7 +110,7 @@
         body: ByteBuf,
     },
     /// How the model stands.
-    Model(Box<crate::models::Told>),
+    Model(Box<crate::models::ModelStatus>),
 }
 
 /// Longest reason that is passed on, in bytes.
--- a/crates/wire/tests/production/operators.rs
+++ b/crates/wire/tests/production/operators.rs
@@ -279,7 +279,7 @@
         near,
         quiet_ms: 1500,
     };
-    let too_often = wire::models::Told {
+    let too_often = wire::models::ModelStatus {
         phase: model::Phase::Leaving,
         why: Some(model::Why::TooOften),
         ..told_least()
--- a/crates/wire/tests/production/peers.rs
+++ b/crates/wire/tests/production/peers.rs
@@ -5,7 +5,7 @@
 use crate::{Case, Reading, bytes_of, encode, message};
 use serde_bytes::ByteBuf;
 use wire::api::{JobState, Stage};
-use wire::models::Told;
+use wire::models::ModelStatus;
 use wire::peer::{LeaseDelegation, PeerRequest, PeerResponse, PeerStatus};
 
 fn job() -> String {
@@ -196,8 +196,8 @@
     }
 }
 
-pub fn told_least() -> Told {
-    Told {
+pub fn told_least() -> ModelStatus {
+    ModelStatus {
         model: "job-9".to_owned(),
         phase: model::Phase::Awake,
         generation: 1,
@@ -208,8 +208,8 @@
     }
 }
 
-pub fn told_full() -> Told {
-    Told {
+pub fn told_full() -> ModelStatus {
+    ModelStatus {
         model: "job-9".to_owned(),
         phase: model::Phase::Asleep,
         generation: 300,
