--- /dev/null
+++ b/crates/wire/src/http/parse.rs
@@ -0,0 +1,213 @@
+//! Reads requests and responses from the front of a buffer.
+
+use super::{FramingError, Request, Response};
+
+/// Longest head, in bytes.
+const MAX_HEAD: usize = 8 * 1024;
+/// Most headers in one head.
+const MAX_HEADERS: usize = 48;
+/// Statuses of responses that have no body, whatever their headers say.
+const WITHOUT_BODY: [u16; 2] = [204, 304];
+
+/// What the headers say of the body.
+#[derive(Default)]
+struct Framing {
+    length: Option<usize>,
+    chunked: bool,
+    close: bool,
+    keep_alive: bool,
+    retry_after_s: Option<u32>,
+}
+
+fn read_framing(headers: &[httparse::Header<'_>]) -> Result<Framing, FramingError> {
+    let mut framing = Framing::default();
+    for header in headers {
+        let value = std::str::from_utf8(header.value).unwrap_or("").trim();
+        if header.name.eq_ignore_ascii_case("content-length") {
+            if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
+                return Err(FramingError::MalformedLength);
+            }
+            let length = value.parse().map_err(|_| FramingError::BodyTooLarge)?;
+            if framing.length.is_some_and(|earlier| earlier != length) {
+                return Err(FramingError::MalformedLength);
+            }
+            framing.length = Some(length);
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+            framing.chunked = true;
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            for word in value.split(',').map(str::trim) {
+                framing.close |= word.eq_ignore_ascii_case("close");
+                framing.keep_alive |= word.eq_ignore_ascii_case("keep-alive");
+            }
+        } else if header.name.eq_ignore_ascii_case("retry-after") {
+            framing.retry_after_s = value.parse().ok();
+        }
+    }
+    Ok(framing)
+}
+
+/// Takes one request off the front: `None` while more bytes are needed, else it and the bytes used.
+pub fn parse_request(
+    buf: &[u8],
+    body_limit: usize,
+) -> Result<Option<(Request, usize)>, FramingError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut headers);
+    let used = match head.parse(&buf[..buf.len().min(MAX_HEAD)]) {
+        Ok(httparse::Status::Complete(n)) => n,
+        Ok(httparse::Status::Partial) if buf.len() >= MAX_HEAD => {
+            return Err(FramingError::HeadTooLarge);
+        }
+        Ok(httparse::Status::Partial) => return Ok(None),
+        Err(httparse::Error::TooManyHeaders) => return Err(FramingError::HeadTooLarge),
+        Err(_) => return Err(FramingError::MalformedHead),
+    };
+    let framing = read_framing(head.headers)?;
+    if framing.chunked {
+        return Err(FramingError::LengthRequired);
+    }
+    let length = framing.length.unwrap_or(0);
+    if length > body_limit {
+        return Err(FramingError::BodyTooLarge);
+    }
+    if buf.len() < used + length {
+        return Ok(None);
+    }
+    let close = framing.close || (head.version == Some(0) && !framing.keep_alive);
+    let request = Request {
+        method: head.method.unwrap_or("").to_owned(),
+        path: head.path.unwrap_or("").to_owned(),
+        body: buf[used..used + length].to_vec(),
+        close,
+    };
+    Ok(Some((request, used + length)))
+}
+
+/// Takes one response off the front. Chunked bodies and bodies without a length are read too, since
+/// the other side is not ours; `ended` tells that no more bytes will come.
+pub fn parse_response(
+    buf: &[u8],
+    body_limit: usize,
+    ended: bool,
+) -> Result<Option<(Response, usize)>, FramingError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Response::new(&mut headers);
+    let used = match head.parse(&buf[..buf.len().min(MAX_HEAD)]) {
+        Ok(httparse::Status::Complete(n)) => n,
+        Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD && !ended => return Ok(None),
+        _ => return Err(FramingError::BadResponse),
+    };
+    let framing = read_framing(head.headers)?;
+    let status = head.code.unwrap_or(0);
+    let Some(body) = parse_response_body(&buf[used..], status, &framing, body_limit, ended)? else {
+        return Ok(None);
+    };
+    let response = Response {
+        status,
+        body: body.bytes,
+        close: framing.close || body.ends_with_connection,
+        retry_after_s: framing.retry_after_s,
+    };
+    Ok(Some((response, used + body.used)))
+}
+
+/// A body as it was taken off the front of a buffer.
+struct Body {
+    bytes: Vec<u8>,
+    /// Bytes of the buffer that it took, with the framing of its chunks.
+    used: usize,
+    /// Its length was known only when the connection ended.
+    ends_with_connection: bool,
+}
+
+impl Body {
+    fn of(bytes: &[u8]) -> Self {
+        Body {
+            bytes: bytes.to_vec(),
+            used: bytes.len(),
+            ends_with_connection: false,
+        }
+    }
+}
+
+/// Takes a response's body off the front: `None` while more bytes are needed.
+fn parse_response_body(
+    buf: &[u8],
+    status: u16,
+    framing: &Framing,
+    body_limit: usize,
+    ended: bool,
+) -> Result<Option<Body>, FramingError> {
+    if WITHOUT_BODY.contains(&status) {
+        return Ok(Some(Body::of(&[])));
+    }
+    let body = if framing.chunked {
+        parse_chunks(buf, body_limit)?.map(|(bytes, used)| Body {
+            bytes,
+            used,
+            ends_with_connection: false,
+        })
+    } else if let Some(length) = framing.length {
+        if length > body_limit {
+            return Err(FramingError::BadResponse);
+        }
+        buf.get(..length).map(Body::of)
+    } else if ended {
+        Some(Body {
+            ends_with_connection: true,
+            ..Body::of(buf)
+        })
+    } else if buf.len() > body_limit {
+        return Err(FramingError::BadResponse);
+    } else {
+        None
+    };
+    match body {
+        None if ended => Err(FramingError::BadResponse),
+        body => Ok(body),
+    }
+}
+
+/// Takes a chunked body off the front, with the bytes that it used.
+fn parse_chunks(
+    mut buf: &[u8],
+    body_limit: usize,
+) -> Result<Option<(Vec<u8>, usize)>, FramingError> {
+    let whole = buf.len();
+    let mut body = Vec::new();
+    loop {
+        match httparse::parse_chunk_size(buf).map_err(|_| FramingError::BadResponse)? {
+            httparse::Status::Partial => return Ok(None),
+            httparse::Status::Complete((at, 0)) => {
+                return Ok(buf
+                    .get(at..at + 2)
+                    .map(|_| (body, whole - buf.len() + at + 2)));
+            }
+            httparse::Status::Complete((at, size)) => {
+                let size = usize::try_from(size)
+                    .ok()
+                    .filter(|s| *s <= body_limit - body.len())
+                    .ok_or(FramingError::BadResponse)?;
+                match buf.get(at..at + size + 2) {
+                    Some(chunk) => body.extend_from_slice(&chunk[..size]),
+                    None => return Ok(None),
+                }
+                buf = &buf[at + size + 2..];
+            }
+        }
+    }
+}
+
+/// A header of a request whose head is whole.
+pub fn request_header(buf: &[u8], name: &str) -> Option<String> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut headers);
+    head.parse(&buf[..buf.len().min(MAX_HEAD)]).ok()?;
+    let found = head
+        .headers
+        .iter()
+        .find(|h| h.name.eq_ignore_ascii_case(name))?;
+    std::str::from_utf8(found.value)
+        .ok()
+        .map(|v| v.trim().to_owned())
+}
--- a/crates/wire/src/records/keys.rs
+++ b/crates/wire/src/records/keys.rs
@@ -37,15 +37,15 @@
 }
 /// Who leads a shard.
 pub fn leader_key(shard: ShardId) -> String {
-    format!("sys/owner/{shard}")
+    format!("{SHARED}owner/{shard}")
 }
 /// A job that has not ended.
 pub fn live_key(job: &str) -> String {
-    format!("live/{job}")
+    format!("{LIVE}{job}")
 }
 /// The final state of a job.
 pub fn end_key(job: &str) -> String {
-    format!("end/{job}")
+    format!("{ENDED}{job}")
 }
 /// Sixteen digits, so that the order of the keys is that of the numbers.
 pub fn log_key(shard: ShardId, number: u64) -> String {
--- a/crates/wire/src/submission.rs
+++ b/crates/wire/src/submission.rs
@@ -1,11 +1,14 @@
 //! Reading what a user submits, so that a refusal names the field that is wrong, and a repeat of an accepted job is
 //! known by its id whatever else is wrong with it.
 
+mod raw_value;
+
+use self::raw_value::RawValue;
 pub use crate::users::Fault;
 use crate::users::{JobSpec, TASK_COUNT_RULE};
 use serde::de::value::{Error as ValueError, StrDeserializer};
 use serde::de::{
-    Deserialize, Deserializer, Error, IgnoredAny, IntoDeserializer, MapAccess, SeqAccess, Visitor,
+    Deserialize, Deserializer, Error, IgnoredAny, IntoDeserializer, MapAccess, Visitor,
 };
 use std::fmt;
 
@@ -65,22 +68,9 @@
     Err(Malformed { fault, id })
 }
 
-/// A value as it came. Only what some field may be is kept.
-#[derive(Debug, PartialEq)]
-enum Raw {
-    Null,
-    Bool(bool),
-    /// Whole, and not negative.
-    Count(u64),
-    Number(f64),
-    Text(String),
-    List(Vec<Raw>),
-    Other,
-}
-
 #[derive(Default)]
 struct Fields {
-    of: Vec<(&'static str, Raw)>,
+    values: Vec<(&'static str, RawValue)>,
     is_map: bool,
     /// Which of two values would count is not said.
     twice: Option<&'static str>,
@@ -104,18 +94,20 @@
     }
 
     /// A field that may be null, which may also be left out.
-    fn given(&self, field: &'static str) -> Result<Option<&Raw>, Fault> {
+    fn given(&self, field: &'static str) -> Result<Option<&RawValue>, Fault> {
         if self.twice == Some(field) {
             return Err(Fault {
                 field,
                 why: FIELD_TWICE,
             });
         }
-        let found = self.of.iter().find(|(name, _)| *name == field);
-        Ok(found.map(|(_, value)| value).filter(|v| **v != Raw::Null))
+        let found = self.values.iter().find(|(name, _)| *name == field);
+        Ok(found
+            .map(|(_, value)| value)
+            .filter(|v| **v != RawValue::Null))
     }
 
-    fn needed(&self, field: &'static str) -> Result<&Raw, Fault> {
+    fn needed(&self, field: &'static str) -> Result<&RawValue, Fault> {
         self.given(field)?.ok_or(Fault {
             field,
             why: "missing",
@@ -128,7 +120,7 @@
 
     fn flag(&self, field: &'static str) -> Result<bool, Fault> {
         match self.needed(field)? {
-            Raw::Bool(b) => Ok(*b),
+            RawValue::Bool(b) => Ok(*b),
             _ => Err(Fault {
                 field,
                 why: "must be true or false",
@@ -143,7 +135,7 @@
     /// A count is an integer; a decimal number is none, also if it is a whole one.
     fn count(&self, field: &'static str) -> Result<u32, Fault> {
         match self.needed(field)? {
-            Raw::Count(n) => Ok(u32::try_from(*n).unwrap_or(u32::MAX)),
+            RawValue::Count(n) => Ok(u32::try_from(*n).unwrap_or(u32::MAX)),
             _ => Err(Fault {
                 field,
                 why: TASK_COUNT_RULE,
@@ -165,7 +157,7 @@
     fn names(&self, field: &'static str) -> Result<Option<Vec<String>>, Fault> {
         match self.given(field)? {
             None => Ok(None),
-            Some(Raw::List(of)) => of
+            Some(RawValue::List(values)) => values
                 .iter()
                 .map(|v| text(field, v))
                 .collect::<Result<_, _>>()
@@ -211,9 +203,9 @@
     }
 }
 
-fn text(field: &'static str, value: &Raw) -> Result<String, Fault> {
+fn text(field: &'static str, value: &RawValue) -> Result<String, Fault> {
     match value {
-        Raw::Text(text) => Ok(text.clone()),
+        RawValue::Text(text) => Ok(text.clone()),
         _ if field == "builds" => Err(Fault {
             field,
             why: NAMES_RULE,
@@ -226,10 +218,10 @@
 }
 
 /// Amounts are decimal numbers; whole ones may be written as integers.
-fn amount(field: &'static str, value: &Raw) -> Result<f64, Fault> {
+fn amount(field: &'static str, value: &RawValue) -> Result<f64, Fault> {
     match value {
-        Raw::Number(n) => Ok(*n),
-        Raw::Count(n) => Ok(*n as f64),
+        RawValue::Number(n) => Ok(*n),
+        RawValue::Count(n) => Ok(*n as f64),
         _ => Err(Fault {
             field,
             why: "must be a number",
@@ -249,77 +241,21 @@
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
         let fields = self.0;
         fields.is_map = true;
-        while let Some(key) = map.next_key::<Raw>()? {
-            let Raw::Text(key) = key else {
+        while let Some(key) = map.next_key::<RawValue>()? {
+            let RawValue::Text(key) = key else {
                 return Err(A::Error::custom("keys are text"));
             };
             let Some(field) = FIELDS.iter().find(|f| **f == key) else {
                 map.next_value::<IgnoredAny>()?;
                 continue;
             };
-            let value = map.next_value::<Raw>()?;
-            if fields.of.iter().any(|(name, _)| name == field) {
+            let value = map.next_value::<RawValue>()?;
+            if fields.values.iter().any(|(name, _)| name == field) {
                 fields.twice.get_or_insert(field);
             } else {
-                fields.of.push((field, value));
+                fields.values.push((field, value));
             }
         }
         Ok(())
     }
 }
-
-struct RawVisitor;
-
-impl<'de> Visitor<'de> for RawVisitor {
-    type Value = Raw;
-
-    fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("any value")
-    }
-    fn visit_unit<E>(self) -> Result<Raw, E> {
-        Ok(Raw::Null)
-    }
-    fn visit_none<E>(self) -> Result<Raw, E> {
-        Ok(Raw::Null)
-    }
-    fn visit_bool<E>(self, v: bool) -> Result<Raw, E> {
-        Ok(Raw::Bool(v))
-    }
-    fn visit_u64<E>(self, v: u64) -> Result<Raw, E> {
-        Ok(Raw::Count(v))
-    }
-    fn visit_i64<E>(self, v: i64) -> Result<Raw, E> {
-        Ok(u64::try_from(v).map_or(Raw::Number(v as f64), Raw::Count))
-    }
-    fn visit_f64<E>(self, v: f64) -> Result<Raw, E> {
-        Ok(Raw::Number(v))
-    }
-    fn visit_str<E>(self, v: &str) -> Result<Raw, E> {
-        Ok(Raw::Text(v.to_owned()))
-    }
-    fn visit_bytes<E>(self, _: &[u8]) -> Result<Raw, E> {
-        Ok(Raw::Other)
-    }
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Raw, A::Error> {
-        // What a length declares is not set aside: only what is there takes room.
-        let mut of = Vec::new();
-        while let Some(value) = seq.next_element::<Raw>()? {
-            of.push(value);
-        }
-        Ok(Raw::List(of))
-    }
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Raw, A::Error> {
-        while map.next_entry::<IgnoredAny, IgnoredAny>()?.is_some() {}
-        Ok(Raw::Other)
-    }
-    /// An extension of MessagePack's, which no field is.
-    fn visit_newtype_struct<D: Deserializer<'de>>(self, d: D) -> Result<Raw, D::Error> {
-        IgnoredAny::deserialize(d).map(|_| Raw::Other)
-    }
-}
-
-impl<'de> Deserialize<'de> for Raw {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        d.deserialize_any(RawVisitor)
-    }
-}
--- /dev/null
+++ b/crates/wire/src/submission/raw_value.rs
@@ -0,0 +1,76 @@
+//! A value of a submission before it is known which field it belongs to.
+
+use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
+use std::fmt;
+
+/// A value as it came. Only what some field may be is kept.
+#[derive(Debug, PartialEq)]
+pub(super) enum RawValue {
+    Null,
+    Bool(bool),
+    /// Whole, and not negative.
+    Count(u64),
+    Number(f64),
+    Text(String),
+    List(Vec<RawValue>),
+    Other,
+}
+
+struct RawValueVisitor;
+
+impl<'de> Visitor<'de> for RawValueVisitor {
+    type Value = RawValue;
+
+    fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("any value")
+    }
+    fn visit_unit<E>(self) -> Result<RawValue, E> {
+        Ok(RawValue::Null)
+    }
+    fn visit_none<E>(self) -> Result<RawValue, E> {
+        Ok(RawValue::Null)
+    }
+    fn visit_bool<E>(self, v: bool) -> Result<RawValue, E> {
+        Ok(RawValue::Bool(v))
+    }
+    fn visit_u64<E>(self, v: u64) -> Result<RawValue, E> {
+        Ok(RawValue::Count(v))
+    }
+    fn visit_i64<E>(self, v: i64) -> Result<RawValue, E> {
+        Ok(u64::try_from(v).map_or(RawValue::Number(v as f64), RawValue::Count))
+    }
+    fn visit_f64<E>(self, v: f64) -> Result<RawValue, E> {
+        Ok(RawValue::Number(v))
+    }
+    fn visit_str<E>(self, v: &str) -> Result<RawValue, E> {
+        Ok(RawValue::Text(v.to_owned()))
+    }
+    fn visit_bytes<E>(self, _: &[u8]) -> Result<RawValue, E> {
+        Ok(RawValue::Other)
+    }
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<RawValue, A::Error> {
+        // What a length declares is not set aside: only what is there takes room.
+        let mut values = Vec::new();
+        while let Some(value) = seq.next_element::<RawValue>()? {
+            values.push(value);
+        }
+        Ok(RawValue::List(values))
+    }
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<RawValue, A::Error> {
+        while map.next_entry::<IgnoredAny, IgnoredAny>()?.is_some() {}
+        Ok(RawValue::Other)
+    }
+    /// An extension of MessagePack's, which no field is.
+    fn visit_newtype_struct<D: Deserializer<'de>>(
+        self,
+        deserializer: D,
+    ) -> Result<RawValue, D::Error> {
+        IgnoredAny::deserialize(deserializer).map(|_| RawValue::Other)
+    }
+}
+
+impl<'de> Deserialize<'de> for RawValue {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_any(RawValueVisitor)
+    }
+}
