--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use wire::api::Heartbeat;
 use wire::http::Response;
-use wire::peer::{Answer, Ask};
+use wire::peer::{PeerRequest, PeerResponse};
 
 /// Heartbeats in a message, their bytes, and messages that are out at once. What is beyond is refused: relays are the
 /// first thing that overload sheds.
@@ -124,7 +124,7 @@
         self.relay.bytes = 0;
         let (conns, heartbeats): (Vec<u64>, Vec<ByteBuf>) = self.relay.queue.drain(..).unzip();
         self.relay.in_flight += 1;
-        let ask = Ask::Reports {
+        let ask = PeerRequest::Reports {
             node: self.settings.node.clone(),
             reports: heartbeats,
         };
@@ -147,7 +147,7 @@
     ) {
         self.relay.in_flight = self.relay.in_flight.saturating_sub(1);
         let bodies = match peer_answer(response) {
-            Some(Answer::Orders(bodies)) if bodies.len() == conns.len() => bodies,
+            Some(PeerResponse::Orders(bodies)) if bodies.len() == conns.len() => bodies,
             _ => {
                 self.relay.rests_until = self.now.mono + REST_MS;
                 conns.iter().map(|_| ByteBuf::new()).collect()
@@ -177,13 +177,13 @@
             return self.refuse(conn, 400, "reports: from nobody we know, or too many");
         };
         if self.shard.is_none() {
-            return self.answer_peer(conn, &Answer::NotNow);
+            return self.answer_peer(conn, &PeerResponse::NotNow);
         }
         let bodies = heartbeats
             .iter()
             .map(|body| self.take_relayed_heartbeat(peer, body))
             .collect();
-        self.answer_peer(conn, &Answer::Orders(bodies));
+        self.answer_peer(conn, &PeerResponse::Orders(bodies));
     }
 
     fn take_relayed_heartbeat(&mut self, peer: usize, body: &[u8]) -> ByteBuf {
@@ -216,12 +216,12 @@
 
     /// Tells the leader that its command has not left this host.
     pub(crate) fn relayed_command_unsent(&mut self, conn: u64) {
-        self.answer_peer(conn, &Answer::refused(NOT_SENT, ""));
+        self.answer_peer(conn, &PeerResponse::refused(NOT_SENT, ""));
     }
 
     /// Tells the leader what the worker has answered.
     pub(crate) fn relayed_command_answered(&mut self, conn: u64, response: Option<Response>) {
-        let answer = response.map_or(Answer::NotNow, |r| Answer::Told {
+        let answer = response.map_or(PeerResponse::NotNow, |r| PeerResponse::CommandResult {
             status: r.status,
             body: r.body.into(),
         });
@@ -241,7 +241,7 @@
         let via = machine.and_then(|m| Some((m.via?, m.name.clone())));
         match via {
             Some((peer, machine)) => {
-                let ask = Ask::Tell {
+                let ask = PeerRequest::Command {
                     machine,
                     addr: addr.to_string(),
                     body: body.into(),
@@ -270,10 +270,10 @@
 /// What a worker answered, where a peer tells it. A peer's own answer that is none is as good as silence.
 pub(crate) fn relayed_answer(response: Option<Response>) -> Option<Response> {
     match peer_answer(response)? {
-        Answer::Told { status, body } if status != NOT_SENT => {
+        PeerResponse::CommandResult { status, body } if status != NOT_SENT => {
             Some(as_worker(status, body.into_vec()))
         }
-        Answer::Refused { status, .. } => Some(as_worker(status, Vec::new())),
+        PeerResponse::Refused { status, .. } => Some(as_worker(status, Vec::new())),
         _ => None,
     }
 }
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -12,7 +12,7 @@
 use document::{Content, Head};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use wire::api::Guard;
+use wire::api::Condition;
 use wire::records::{self, SharedRecord};
 
 /// What the watch of the heads has not said for so long may be otherwise: it is asked every five seconds.
@@ -172,7 +172,7 @@
     /// Guards by which an accept fails where another version is in force than the one that it was bound by. Nothing
     /// without such documents, unless this node has not heard for a while whether there are any. `None` while the heads, or
     /// a version that was seen, have not been read.
-    pub(crate) fn head_guards(&self) -> Option<Vec<Guard>> {
+    pub(crate) fn head_conditions(&self) -> Option<Vec<Condition>> {
         // A node that has just begun may know the machine types and not yet whether there are documents.
         if self.shared.revision == 0 {
             return None;
@@ -189,7 +189,7 @@
                     return None;
                 }
                 let key = records::head_key(for_kind!(kind, K => <K as Kind>::Content::KIND));
-                out.push(Guard {
+                out.push(Condition {
                     key,
                     version: stamp,
                 });
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -11,7 +11,7 @@
 use crate::{Node, Pending};
 use serde_json::Value;
 use std::sync::Arc;
-use wire::api::{Catalog, Guard, Item, Range, Revision, Write};
+use wire::api::{Catalog, Condition, Item, Range, Revision, Write};
 use wire::http::Response;
 use wire::records::{self, Record};
 use wire::settings::Settings;
@@ -92,8 +92,8 @@
 
 impl Change {
     /// Holds if the record has the version that it must have.
-    fn guard(&self) -> Option<Guard> {
-        self.version.map(|version| Guard {
+    fn guard(&self) -> Option<Condition> {
+        self.version.map(|version| Condition {
             key: self.key.clone(),
             version,
         })
@@ -127,7 +127,7 @@
     /// It can't be asked like that.
     Refused,
     /// How the model stands.
-    Model(Box<wire::models::Told>),
+    Model(Box<wire::models::ModelStatus>),
 }
 
 impl Answer {
@@ -276,16 +276,16 @@
         let Some(leader) = leader.filter(|_| self.take_spare_writes(writes.len() as f64)) else {
             return self.answer_frontend(tag, Answer::Busy);
         };
-        let mut guards = vec![Guard {
+        let mut conditions = vec![Condition {
             key: records::leader_key(SHARD),
             version: leader,
         }];
         let mut state_writes = Vec::new();
         for change in writes {
-            guards.extend(change.guard());
+            conditions.extend(change.guard());
             state_writes.push(change.into_write());
         }
-        let body = encode_transaction(guards, state_writes);
+        let body = encode_transaction(conditions, state_writes);
         self.post_transaction(body, TIMEOUT_MS, Pending::Frontend { tag });
     }
 
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -9,9 +9,9 @@
 use crate::leadership::election::SHARD;
 use crate::{Destination, Node, Pending, Requester};
 use std::ops::Range;
-use wire::api::{Conflict, Guard, JobSpec, Txn, Write};
+use wire::api::{Condition, Conflict, JobSpec, Transaction, Write};
 use wire::http::Response;
-use wire::peer::Ask;
+use wire::peer::PeerRequest;
 use wire::records::{self, JobRecord, Record};
 use wire::submission::{self, Fault, Malformed};
 
@@ -40,8 +40,8 @@
 }
 
 /// Guards that hold only while the job is neither live nor ended.
-fn absence_guards(id: &str) -> [Guard; 2] {
-    let is_absent = |key| Guard { key, version: 0 };
+fn absence_conditions(id: &str) -> [Condition; 2] {
+    let is_absent = |key| Condition { key, version: 0 };
     [records::live_key(id), records::end_key(id)].map(is_absent)
 }
 
@@ -164,7 +164,7 @@
         // The acceptance counts from the first try.
         let wall = self.now.wall - (self.now.mono - at);
         // What can be bound, and to what, is for the versions in force to say.
-        let Some(mut guards) = self.head_guards() else {
+        let Some(mut conditions) = self.head_conditions() else {
             // A peer has read what this node has not yet.
             return match requester {
                 Requester::User(conn) if self.shared.revision == 0 => {
@@ -173,7 +173,7 @@
                 _ => self.accept_later(submission),
             };
         };
-        guards.extend(absence_guards(&spec.id));
+        conditions.extend(absence_conditions(&spec.id));
         // Judged each time: between two tries another version may have come into force.
         let (writes, denied) = match self.validated(spec, wall) {
             Ok(rec) => {
@@ -182,7 +182,7 @@
             }
             Err(why) => (Vec::new(), Some(why)),
         };
-        let body = wire::encode(&Txn { guards, writes });
+        let body = wire::encode(&Transaction { conditions, writes });
         let what = Pending::Accept {
             submission,
             denied,
@@ -265,7 +265,7 @@
         let deadline = self.now.mono + SUBMIT_WAITS_MS;
         self.forward(ForwardedRequest {
             conn,
-            ask: Box::new(Ask::Submit { spec }),
+            ask: Box::new(PeerRequest::Submit { spec }),
             deadline,
             fault: None,
         });
--- a/crates/control/src/jobs/answers.rs
+++ b/crates/control/src/jobs/answers.rs
@@ -3,14 +3,14 @@
 use crate::jobs::query::Purpose;
 use crate::{Node, Requester};
 use wire::api::JobState;
-use wire::peer::Answer;
+use wire::peer::PeerResponse;
 
 impl Node {
     /// An error for a requester, as [`Node::refuse`] says it to a user.
     pub(crate) fn deny(&mut self, requester: Requester, status: u16, why: &str) {
         match requester {
             Requester::User(conn) => self.refuse(conn, status, why),
-            Requester::Peer(conn) => self.answer_peer(conn, &Answer::refused(status, why)),
+            Requester::Peer(conn) => self.answer_peer(conn, &PeerResponse::refused(status, why)),
         }
     }
 
@@ -24,7 +24,7 @@
         let state = self.final_states.get(&state.id).unwrap_or(state);
         match requester {
             Requester::User(conn) => self.respond(conn, 200, wire::encode(&state), None),
-            Requester::Peer(conn) => self.answer_peer(conn, &Answer::State(state)),
+            Requester::Peer(conn) => self.answer_peer(conn, &PeerResponse::State(state)),
         }
     }
 
@@ -36,7 +36,7 @@
         self.answer_history.note(&state.id);
         match requester {
             Requester::User(conn) => self.respond(conn, 201, wire::encode(&state), None),
-            Requester::Peer(conn) => self.answer_peer(conn, &Answer::Accepted(state)),
+            Requester::Peer(conn) => self.answer_peer(conn, &PeerResponse::Accepted(state)),
         }
     }
 
@@ -47,7 +47,7 @@
                 let question = self.question(requester, job.to_owned(), Purpose::Cancel);
                 self.read_job(question)
             }
-            Requester::Peer(conn) => self.answer_peer(conn, &Answer::Unknown),
+            Requester::Peer(conn) => self.answer_peer(conn, &PeerResponse::Unknown),
         }
     }
 
@@ -55,7 +55,7 @@
     pub(crate) fn not_now(&mut self, requester: Requester) {
         match requester {
             Requester::User(conn) => self.refuse(conn, 503, "not sure now"),
-            Requester::Peer(conn) => self.answer_peer(conn, &Answer::NotNow),
+            Requester::Peer(conn) => self.answer_peer(conn, &PeerResponse::NotNow),
         }
     }
 }
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -6,7 +6,7 @@
 use crate::{Node, Pending, Requester};
 use wire::api::{Kind, Stage};
 use wire::http::Response;
-use wire::peer::{Answer, Ask};
+use wire::peer::{PeerRequest, PeerResponse};
 
 /// The leader has this long to answer a cancel that is forwarded to it.
 const CANCEL_TIMEOUT_MS: u64 = 3500;
@@ -28,7 +28,7 @@
         let Some(peer) = self.leader_peer() else {
             return self.refuse(conn, 503, "no owner now");
         };
-        let ask = Ask::Cancel { job: id.clone() };
+        let ask = PeerRequest::Cancel { job: id.clone() };
         let what = Pending::PeerCancel { conn, job: id };
         self.ask_peer(peer, &ask, CANCEL_TIMEOUT_MS, what);
     }
@@ -36,10 +36,10 @@
     /// The leader's answer to a forwarded cancel. A job that it has not in memory may have ended: its record decides.
     pub(crate) fn cancel_answered(&mut self, conn: u64, job: String, response: Option<Response>) {
         match peer_answer(response) {
-            Some(Answer::State(state)) if state.id == job => {
+            Some(PeerResponse::State(state)) if state.id == job => {
                 self.tell(Requester::User(conn), state)
             }
-            Some(Answer::Unknown) => {
+            Some(PeerResponse::Unknown) => {
                 let question = self.question(Requester::User(conn), job, Purpose::Cancel);
                 self.read_job(question)
             }
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -3,10 +3,10 @@
 use crate::jobs::query::{Purpose, Question};
 use crate::{Destination, Node, Pending, Requester};
 use wire::http::{Request, Response};
-use wire::peer::{self, Answer, Ask, PeerStatus};
+use wire::peer::{self, PeerRequest, PeerResponse, PeerStatus};
 
 /// What a peer answered; anything else than an answer is none.
-pub(crate) fn peer_answer(response: Option<Response>) -> Option<Answer> {
+pub(crate) fn peer_answer(response: Option<Response>) -> Option<PeerResponse> {
     response
         .filter(|r| r.status == 200)
         .and_then(|r| peer::decode(&r.body).ok())
@@ -19,48 +19,54 @@
             return;
         }
         let is_ask = request.method == "POST" && request.path == peer::PATH;
-        match is_ask.then(|| peer::decode::<Ask>(&request.body).ok()) {
+        match is_ask.then(|| peer::decode::<PeerRequest>(&request.body).ok()) {
             Some(Some(ask)) => self.asked_by_peer(conn, ask),
             _ => self.refuse(conn, 400, "not understood"),
         }
     }
 
-    fn asked_by_peer(&mut self, conn: u64, ask: Ask) {
+    fn asked_by_peer(&mut self, conn: u64, ask: PeerRequest) {
         match ask {
-            Ask::Query { job } => self.queried_as_leader(conn, &job),
-            Ask::Cancel { job } => self.cancel(&job, Requester::Peer(conn)),
-            Ask::Submit { spec } => self.submit(Requester::Peer(conn), *spec),
-            Ask::Lookup { job, past_leader } => {
+            PeerRequest::Query { job } => self.queried_as_leader(conn, &job),
+            PeerRequest::Cancel { job } => self.cancel(&job, Requester::Peer(conn)),
+            PeerRequest::Submit { spec } => self.submit(Requester::Peer(conn), *spec),
+            PeerRequest::Lookup { job, past_leader } => {
                 let question = self.question(Requester::Peer(conn), job, Purpose::Query);
                 self.query(Question {
                     past_leader,
                     ..question
                 })
             }
-            Ask::Leads { node, token } => {
+            PeerRequest::Leads { node, token } => {
                 self.leader_asserted(node, token);
-                self.answer_peer(conn, &Answer::NotNow);
+                self.answer_peer(conn, &PeerResponse::NotNow);
             }
-            Ask::PeerStatus(status) => self.peer_status_asked(conn, status),
-            Ask::Reports { node, reports } => {
+            PeerRequest::PeerStatus(status) => self.peer_status_asked(conn, status),
+            PeerRequest::Reports { node, reports } => {
                 self.relayed_heartbeats_received(conn, &node, reports)
             }
-            Ask::Tell {
+            PeerRequest::Command {
                 machine,
                 addr,
                 body,
             } => self.relay_command(conn, &machine, &addr, body.into_vec()),
-            Ask::Wake { model, leader } => self.demand_of_peer(conn, &model, leader),
+            PeerRequest::Wake { model, leader } => self.demand_of_peer(conn, &model, leader),
         }
     }
 
     /// Asks a peer something. `what` says what its answer belongs to.
-    pub(crate) fn ask_peer(&mut self, peer: usize, ask: &Ask, timeout_ms: u64, what: Pending) {
+    pub(crate) fn ask_peer(
+        &mut self,
+        peer: usize,
+        ask: &PeerRequest,
+        timeout_ms: u64,
+        what: Pending,
+    ) {
         let (to, body) = (Destination::Peer(peer), peer::encode(ask));
         self.send(to, "POST", peer::PATH.into(), body, timeout_ms, what);
     }
 
-    pub(crate) fn answer_peer(&mut self, conn: u64, answer: &Answer) {
+    pub(crate) fn answer_peer(&mut self, conn: u64, answer: &PeerResponse) {
         self.respond(conn, 200, peer::encode(answer), None);
     }
 
@@ -68,8 +74,8 @@
     fn queried_as_leader(&mut self, conn: u64, job: &str) {
         match self.state_here(job) {
             Some(state) => self.tell(Requester::Peer(conn), state),
-            None if self.may_decide() => self.answer_peer(conn, &Answer::Unknown),
-            None => self.answer_peer(conn, &Answer::NotNow),
+            None if self.may_decide() => self.answer_peer(conn, &PeerResponse::Unknown),
+            None => self.answer_peer(conn, &PeerResponse::NotNow),
         }
     }
 
@@ -83,6 +89,6 @@
             delegation: self.delegation_for(peer),
             ..self.peer_status()
         };
-        self.answer_peer(conn, &Answer::PeerStatus(status));
+        self.answer_peer(conn, &PeerResponse::PeerStatus(status));
     }
 }
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -7,7 +7,7 @@
 use crate::{Destination, Node, Pending, Requester};
 use wire::api::{Item, JobState};
 use wire::http::Response;
-use wire::peer::{Answer, Ask};
+use wire::peer::{PeerRequest, PeerResponse};
 use wire::records::{self, EndRecord};
 use wire::submission::Fault;
 
@@ -99,7 +99,7 @@
             .filter(|peer| !question.past_leader && !self.responsiveness.rests(*peer, now));
         match leader {
             Some(peer) => {
-                let ask = Ask::Query {
+                let ask = PeerRequest::Query {
                     job: question.job.clone(),
                 };
                 let timeout = question.timeout(now, LEADER_TIMEOUT_MS);
@@ -147,7 +147,7 @@
     ) {
         self.peer_heard(peer, sent, response.is_some());
         match peer_answer(response) {
-            Some(Answer::State(state)) if state.id == question.job => {
+            Some(PeerResponse::State(state)) if state.id == question.job => {
                 self.tell(question.requester, state)
             }
             _ => {
@@ -274,7 +274,7 @@
 
     /// Leaves a question to a peer that may be served.
     fn forward_lookup(&mut self, conn: u64, question: Question) {
-        let ask = Ask::Lookup {
+        let ask = PeerRequest::Lookup {
             job: question.job,
             past_leader: question.past_leader,
         };
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -8,9 +8,9 @@
 use crate::store::shard::Shard;
 use crate::{Destination, Node, Pending};
 use std::ops;
-use wire::api::{Grant, GrantRequest, Guard, Revision, Txn, Write};
+use wire::api::{Condition, Grant, GrantRequest, Revision, Transaction, Write};
 use wire::http::Response;
-use wire::peer::Ask;
+use wire::peer::PeerRequest;
 use wire::records::{self, LeaderRecord, Record, TokenRecord};
 
 /// The one shard of this version.
@@ -188,9 +188,9 @@
     fn write_own_record(&mut self, lease: u64, version: u64) {
         let token = self.shared.token + 1;
         let leader = self.own_record(token, lease);
-        let guard = |key: String, version: u64| Guard { key, version };
-        let txn = Txn {
-            guards: vec![
+        let guard = |key: String, version: u64| Condition { key, version };
+        let txn = Transaction {
+            conditions: vec![
                 guard(records::leader_key(SHARD), version),
                 guard(records::TOKEN.into(), self.shared.token_version),
             ],
@@ -313,7 +313,7 @@
     }
 
     fn announce_leadership(&mut self, token: u64) {
-        let body = wire::peer::encode(&Ask::Leads {
+        let body = wire::peer::encode(&PeerRequest::Leads {
             node: self.settings.node.clone(),
             token,
         });
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -11,8 +11,8 @@
 use std::collections::HashMap;
 use wire::admin;
 use wire::http::{Request, Response};
-use wire::models::{DEMAND, Demand, Told};
-use wire::peer::{self, Answer, Ask};
+use wire::models::{DEMAND, Demand, ModelStatus};
+use wire::peer::{self, PeerRequest, PeerResponse};
 
 /// What whoever waits is told while the state service does not serve this node.
 pub(super) const UNAVAILABLE: &str = "state service not available";
@@ -51,7 +51,7 @@
 
 pub(super) struct CachedStatus {
     pub(super) at: u64,
-    pub(super) status: Told,
+    pub(super) status: ModelStatus,
     pub(super) say_again_ms: u64,
 }
 
@@ -97,7 +97,7 @@
     /// The same from a peer.
     pub(crate) fn demand_of_peer(&mut self, conn: u64, model: &str, leader: bool) {
         if leader && !self.may_decide() {
-            return self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
+            return self.respond(conn, 200, peer::encode(&PeerResponse::NotNow), None);
         }
         self.demand(model, Waiter::Peer(conn));
     }
@@ -160,7 +160,7 @@
         let Some(leader) = self.leader_peer() else {
             return self.touch_record(model);
         };
-        let body = peer::encode(&Ask::Wake {
+        let body = peer::encode(&PeerRequest::Wake {
             model: model.to_owned(),
             leader: true,
         });
@@ -178,7 +178,7 @@
     }
 
     pub(crate) fn leader_notified(&mut self, model: &str, response: Option<Response>) {
-        if !matches!(peer_answer(response), Some(Answer::Model(_))) {
+        if !matches!(peer_answer(response), Some(PeerResponse::Model(_))) {
             self.touch_record(model);
         }
     }
@@ -200,7 +200,7 @@
     fn forward_demand(&mut self, model: &str, waiter: Waiter) {
         let any = self.rng.usize(0..self.settings.peers.len());
         let to = Destination::Peer(self.leader_peer().unwrap_or(any));
-        let body = peer::encode(&Ask::Wake {
+        let body = peer::encode(&PeerRequest::Wake {
             model: model.to_owned(),
             leader: false,
         });
@@ -216,21 +216,21 @@
 
     pub(crate) fn demand_forwarded(&mut self, waiter: Waiter, response: Option<Response>) {
         match peer_answer(response) {
-            Some(Answer::Model(status)) => self.answer_demand(waiter, &status),
-            Some(Answer::Refused { status, why }) => {
+            Some(PeerResponse::Model(status)) => self.answer_demand(waiter, &status),
+            Some(PeerResponse::Refused { status, why }) => {
                 self.deny_demand(waiter, status, peer::bounded(&why))
             }
             _ => self.deny_demand(waiter, 503, UNAVAILABLE),
         }
     }
 
-    pub(super) fn answer_demand(&mut self, waiter: Waiter, status: &Told) {
+    pub(super) fn answer_demand(&mut self, waiter: Waiter, status: &ModelStatus) {
         match waiter {
             Waiter::Door(conn) => self.respond(conn, 200, admin::encode(status), None),
             Waiter::Peer(conn) => self.respond(
                 conn,
                 200,
-                peer::encode(&Answer::Model(Box::new(status.clone()))),
+                peer::encode(&PeerResponse::Model(Box::new(status.clone()))),
                 None,
             ),
             Waiter::Frontend(tag) => {
@@ -249,9 +249,12 @@
                 let retry = (status == 503).then_some(1);
                 self.respond(conn, status, admin::encode(&refused), retry);
             }
-            Waiter::Peer(conn) => {
-                self.respond(conn, 200, peer::encode(&Answer::refused(status, why)), None)
-            }
+            Waiter::Peer(conn) => self.respond(
+                conn,
+                200,
+                peer::encode(&PeerResponse::refused(status, why)),
+                None,
+            ),
             Waiter::Frontend(tag) if status == 503 => {
                 self.answer_frontend(tag, frontend::Answer::Busy)
             }
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -6,7 +6,7 @@
 use crate::{Node, Pending};
 use model::Rec;
 use std::ops::Range;
-use wire::api::{Guard, Item, Revision, Write};
+use wire::api::{Condition, Item, Revision, Write};
 use wire::http::Response;
 use wire::records::{self, Record};
 
@@ -36,17 +36,17 @@
     ) {
         let Some(shard) = &self.shard else { return };
         let key = records::model_key(model);
-        let mut guards = vec![
-            Guard {
+        let mut conditions = vec![
+            Condition {
                 key: records::leader_key(SHARD),
                 version: shard.leader_version,
             },
-            Guard {
+            Condition {
                 key: key.clone(),
                 version: stamp,
             },
         ];
-        guards.extend(job.map(|version| Guard {
+        conditions.extend(job.map(|version| Condition {
             key: records::live_key(model),
             version,
         }));
@@ -54,7 +54,7 @@
             Some(record) => Write::put(key, Record::Model(record.clone())),
             None => Write::Remove { key },
         };
-        let body = encode_transaction(guards, vec![change]);
+        let body = encode_transaction(conditions, vec![change]);
         let write = RecordWrite {
             record,
             busy: false,
--- a/crates/control/src/models/standing.rs
+++ b/crates/control/src/models/standing.rs
@@ -3,11 +3,11 @@
 use crate::Node;
 use model::{Asked, Phase, Rec, asked};
 use wire::api::JobSpec;
-use wire::models::{Standing, Told};
+use wire::models::{ModelStatus, Standing};
 
 impl Node {
     /// How a model stands for whoever asks.
-    pub(crate) fn model_status(&self, spec: &JobSpec, record: &Rec, asked: &Asked) -> Told {
+    pub(crate) fn model_status(&self, spec: &JobSpec, record: &Rec, asked: &Asked) -> ModelStatus {
         let (why, until) = match asked {
             Asked::NotNow { why, until_ms } => (Some(why.clone()), Some(*until_ms)),
             _ => (None, None),
@@ -28,7 +28,7 @@
         let due = lead
             .map(|s| record.since_ms + (s * 1000.0) as u64)
             .filter(|_| record.phase == Phase::Waking);
-        Told {
+        ModelStatus {
             model: spec.id.clone(),
             phase: record.phase,
             generation: record.generation,
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -6,9 +6,9 @@
 use crate::state_requests::encode_transaction;
 use crate::{Node, Pending};
 use model::{Asked, Rec, Rule, asked};
-use wire::api::{Guard, Item, JobSpec, Revision, Write};
+use wire::api::{Condition, Item, JobSpec, Revision, Write};
 use wire::http::Response;
-use wire::models::Told;
+use wire::models::ModelStatus;
 use wire::records::{self, JobRecord, Record};
 
 const TIMEOUT_MS: u64 = 900;
@@ -53,17 +53,20 @@
 /// Writes a model's record, if neither the record nor its job has changed since they were read.
 fn record_transaction(model: &str, record: &Rec, stamp: u64, job_version: u64) -> Vec<u8> {
     let key = records::model_key(model);
-    let guards = vec![
-        Guard {
+    let conditions = vec![
+        Condition {
             key: key.clone(),
             version: stamp,
         },
-        Guard {
+        Condition {
             key: records::live_key(model),
             version: job_version,
         },
     ];
-    encode_transaction(guards, vec![Write::put(key, Record::Model(record.clone()))])
+    encode_transaction(
+        conditions,
+        vec![Write::put(key, Record::Model(record.clone()))],
+    )
 }
 
 impl Node {
@@ -263,7 +266,13 @@
     }
 
     /// Remembers how a model stands that is up, for those who ask next, and tells the leader of the demand.
-    fn model_is_up(&mut self, model: &str, say_again_ms: u64, wake_up: &WakeUp, status: &Told) {
+    fn model_is_up(
+        &mut self,
+        model: &str,
+        say_again_ms: u64,
+        wake_up: &WakeUp,
+        status: &ModelStatus,
+    ) {
         let now = self.now.mono;
         let demand = &mut self.models.demand;
         if demand.cached.len() >= MAX_MODELS {
--- a/crates/control/src/state_requests.rs
+++ b/crates/control/src/state_requests.rs
@@ -2,7 +2,7 @@
 
 use crate::{Destination, Node, Pending};
 use serde::de::DeserializeOwned;
-use wire::api::{Range, Txn};
+use wire::api::{Range, Transaction};
 use wire::http::Response;
 
 /// The state service's name in log lines.
@@ -69,8 +69,8 @@
 
 /// A transaction's body.
 pub(crate) fn encode_transaction(
-    guards: Vec<wire::api::Guard>,
+    conditions: Vec<wire::api::Condition>,
     writes: Vec<wire::api::Write>,
 ) -> Vec<u8> {
-    wire::encode(&Txn { guards, writes })
+    wire::encode(&Transaction { conditions, writes })
 }
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -251,7 +251,7 @@
             // The claims' jobs are guarded too: a claim must not come after its job's end.
             let (key, version) = (records::live_key(&job.id), job.version);
             let guarded = job.is_ending() || self.writes_to(&key);
-            if (!guarded && !self.has_room_for_guards()) || !builder.try_add(shard, &id) {
+            if (!guarded && !self.has_room_for_conditions()) || !builder.try_add(shard, &id) {
                 break;
             }
             if !guarded {
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -9,7 +9,7 @@
 use crate::store::transaction::{PendingWrite, Probe, TransactionDraft};
 use crate::{Destination, Node, Pending};
 use std::ops;
-use wire::api::{Conflict, Item, Revision, Txn};
+use wire::api::{Conflict, Item, Revision, Transaction};
 use wire::http::Response;
 use wire::records;
 
@@ -54,8 +54,8 @@
 
     fn begin(&mut self, draft: TransactionDraft) {
         self.writes = draft.writes.len();
-        self.body = wire::encode(&Txn {
-            guards: draft.guards,
+        self.body = wire::encode(&Transaction {
+            conditions: draft.conditions,
             writes: draft.writes,
         });
         self.pending_writes = draft.pending_writes;
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -8,7 +8,7 @@
 use crate::leadership::shared_state::Shared;
 use crate::store::claim_records::PendingLog;
 use crate::store::shard::{RentalState, Shard};
-use wire::api::{Guard, Write};
+use wire::api::{Condition, Write};
 use wire::records::{self, EndRecord, Record, TokenRecord};
 use wire::settings::StateLimits;
 
@@ -20,7 +20,7 @@
 const MAX_SIZE: usize = 24 * 1024;
 
 /// Guards that a transaction may have for each of its writes.
-const GUARDS_PER_WRITE: usize = 4;
+const CONDITIONS_PER_WRITE: usize = 4;
 
 /// A token that did not rise is tried again after this time.
 const RAISE_TOKEN_AGAIN_MS: u64 = 3000;
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy)]
 struct Limits {
     writes: usize,
-    guards: usize,
+    conditions: usize,
     /// What a record may take.
     value: usize,
 }
@@ -79,7 +79,7 @@
 /// A transaction that is being filled.
 pub(crate) struct TransactionDraft {
     pub pending_writes: Vec<PendingWrite>,
-    pub(super) guards: Vec<Guard>,
+    pub(super) conditions: Vec<Condition>,
     pub(super) writes: Vec<Write>,
     pub(super) probe: Option<Probe>,
     size: usize,
@@ -127,7 +127,7 @@
         let value = value_limit(state.value_kb);
         TransactionDraft {
             pending_writes: Vec::new(),
-            guards: vec![Guard {
+            conditions: vec![Condition {
                 key: records::leader_key(SHARD),
                 version: leader_version,
             }],
@@ -136,7 +136,7 @@
             size: 0,
             limits: Limits {
                 writes: budget,
-                guards: state.txn_ops * GUARDS_PER_WRITE,
+                conditions: state.txn_ops * CONDITIONS_PER_WRITE,
                 value,
             },
             counts: EndedCounts::new(value),
@@ -181,12 +181,12 @@
 
     /// Lets the transaction fail unless this version of the key stands.
     pub(super) fn guard(&mut self, key: String, version: u64) {
-        self.guards.push(Guard { key, version });
+        self.conditions.push(Condition { key, version });
     }
 
     /// Whether it changes this key already.
     pub fn writes_to(&self, key: &str) -> bool {
-        self.guards.iter().any(|g| g.key == key)
+        self.conditions.iter().any(|g| g.key == key)
     }
 
     /// What a record may take.
@@ -194,21 +194,23 @@
         self.limits.value
     }
 
-    pub(super) fn has_room_for_guards(&self) -> bool {
-        self.guards.len() + 2 < self.limits.guards
+    pub(super) fn has_room_for_conditions(&self) -> bool {
+        self.conditions.len() + 2 < self.limits.conditions
     }
 
     fn has_room(&self) -> bool {
         self.writes.len() + self.counts.unacknowledged_start() < self.limits.writes
             && self.size < MAX_SIZE
-            && self.has_room_for_guards()
+            && self.has_room_for_conditions()
     }
 
     /// Ends come first, but they do not keep claims waiting for ever. So does a document's head, with what is written
     /// beside it: `head_writes` in all.
     fn put_ends(&mut self, shard: &mut Shard, head_writes: Option<usize>, wall: u64) {
         let most = self.writes_for_ends(shard, head_writes);
-        while self.writes.len() + 2 <= most && self.has_room_for_guards() && !self.counts.is_full()
+        while self.writes.len() + 2 <= most
+            && self.has_room_for_conditions()
+            && !self.counts.is_full()
         {
             let Some(job) = shard.claim_log.ending.pop_front() else {
                 return;
--- a/crates/control/tests/commands.rs
+++ b/crates/control/tests/commands.rs
@@ -6,7 +6,7 @@
 use scripted::{Played, Sent, Worker};
 use serde_json::{Value, json};
 use wire::http::Response;
-use wire::peer::{self, Answer, Ask};
+use wire::peer::{self, PeerRequest, PeerResponse};
 
 /// The connection on which a peer forwards heartbeats.
 const PEER: u64 = 901;
@@ -25,12 +25,12 @@
             return worker.reports(p);
         }
         let body = wire::encode(&worker.report());
-        let ask = Ask::Reports {
+        let ask = PeerRequest::Reports {
             node: p.node_of_a_peer(),
             reports: vec![body.into()],
         };
         let answer = p.ask_as_peer(&ask);
-        let Answer::Orders(bodies) = answer else {
+        let PeerResponse::Orders(bodies) = answer else {
             panic!("a forwarded heartbeat is answered by orders: {answer:?}");
         };
         let orders: Value = wire::decode(&bodies[0]).expect("orders are such data");
@@ -43,7 +43,7 @@
         match (self, sent.to) {
             (Path::Direct, Destination::Worker(_)) => sent.orders(),
             (Path::ByPeer, Destination::Peer(_)) => match peer::decode(&sent.body) {
-                Ok(Ask::Tell { body, .. }) => wire::decode(&body).ok(),
+                Ok(PeerRequest::Command { body, .. }) => wire::decode(&body).ok(),
                 _ => None,
             },
             _ => None,
@@ -58,7 +58,7 @@
 
 trait Peers {
     fn node_of_a_peer(&self) -> String;
-    fn ask_as_peer(&mut self, ask: &Ask) -> Answer;
+    fn ask_as_peer(&mut self, ask: &PeerRequest) -> PeerResponse;
 }
 
 impl Peers for Played {
@@ -69,7 +69,7 @@
         settings.peers[0].node.clone()
     }
 
-    fn ask_as_peer(&mut self, ask: &Ask) -> Answer {
+    fn ask_as_peer(&mut self, ask: &PeerRequest) -> PeerResponse {
         let request = wire::http::Request {
             method: "POST".into(),
             path: peer::PATH.into(),
--- a/crates/control/tests/relay.rs
+++ b/crates/control/tests/relay.rs
@@ -6,7 +6,7 @@
 use scripted::{Played, Sent, Worker};
 use serde_json::json;
 use wire::http::Request;
-use wire::peer::{self, Ask, PeerStatus};
+use wire::peer::{self, PeerRequest, PeerStatus};
 
 const LEADER: &str = "burrow-1";
 /// Longer than a view is believed, and less than the time for which a leader is remembered.
@@ -27,7 +27,7 @@
     let request = Request {
         method: "POST".into(),
         path: peer::PATH.into(),
-        body: peer::encode(&Ask::PeerStatus(peer_status)),
+        body: peer::encode(&PeerRequest::PeerStatus(peer_status)),
         close: false,
     };
     p.step(Event::Peer { conn: 1, request });
@@ -44,8 +44,8 @@
 }
 
 fn is_batch(sent: &Sent) -> bool {
-    let ask = || peer::decode::<Ask>(&sent.body);
-    matches!(sent.to, Destination::Peer(_)) && matches!(ask(), Ok(Ask::Reports { .. }))
+    let ask = || peer::decode::<PeerRequest>(&sent.body);
+    matches!(sent.to, Destination::Peer(_)) && matches!(ask(), Ok(PeerRequest::Reports { .. }))
 }
 
 fn batch(p: &mut Played) -> Sent {
@@ -53,8 +53,8 @@
 }
 
 fn reports_in(sent: &Sent) -> usize {
-    match peer::decode::<Ask>(&sent.body) {
-        Ok(Ask::Reports { reports, .. }) => reports.len(),
+    match peer::decode::<PeerRequest>(&sent.body) {
+        Ok(PeerRequest::Reports { reports, .. }) => reports.len(),
         _ => 0,
     }
 }
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -253,7 +253,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Txn {
+pub enum Transaction {
     /// The transaction of `election::granted`. `lease` is the age of the lease that the record is to be put on;
     /// `awaited` whether its node still stands for it, `own_life` whether that life goes on.
     Take {
@@ -305,7 +305,7 @@
     ended: bool,
     /// A take-over came in under a token that had been given out before.
     twice: bool,
-    way: [Option<Txn>; ON_THE_WAY],
+    way: [Option<Transaction>; ON_THE_WAY],
     word: Option<Word>,
     /// The worker: its task is there as long as the world is looked at.
     obeys: u8,
@@ -527,7 +527,7 @@
             self.way
                 .iter()
                 .flatten()
-                .any(|t| matches!(t, Txn::Take { node, .. } if *node == n))
+                .any(|t| matches!(t, Transaction::Take { node, .. } if *node == n))
         };
         let asked = |n: u8| self.nodes.map(|other| other.answered >> n & 1);
         let of = |n: u8| {
@@ -555,7 +555,7 @@
             rec.node = place[rec.node as usize];
         }
         for txn in w.way.iter_mut().flatten() {
-            if let Txn::Take { node, .. } = txn {
+            if let Transaction::Take { node, .. } = txn {
                 *node = place[*node as usize];
             }
         }
@@ -570,7 +570,7 @@
         &mut self.nodes[n as usize]
     }
 
-    fn send(&mut self, txn: Txn) {
+    fn send(&mut self, txn: Transaction) {
         if let Some(free) = self.way.iter_mut().find(|t| t.is_none()) {
             *free = Some(txn);
         }
@@ -615,7 +615,7 @@
         self.way.sort_unstable();
         // Whoever stands for nothing that may still come is given an answer, or gives up.
         for n in 0..b.nodes as u8 {
-            let mine = |t: &Txn| matches!(t, Txn::Take { node, awaited: true, .. } if *node == n);
+            let mine = |t: &Transaction| matches!(t, Transaction::Take { node, awaited: true, .. } if *node == n);
             let waits = self.way.iter().flatten().any(mine)
                 || self.rec.is_some_and(|r| r.node == n && r.awaited);
             if self.node(n).role == Role::Candidate && !waits {
@@ -658,12 +658,14 @@
     }
 
     /// What comes too late to change anything, since its guards can't hold any more.
-    fn is_doomed(&self, txn: &Txn, b: &Bounds) -> bool {
+    fn is_doomed(&self, txn: &Transaction, b: &Bounds) -> bool {
         use Planted::{HeirKeepsToken, NoGuards, NoLeaderGuard, NoTokenGuard, UnguardedEnd};
         let stands = self.rec.map_or(0, |r| r.token);
         match *txn {
-            Txn::End { leader } => self.ended || stands != leader && b.planted != UnguardedEnd,
-            Txn::Take {
+            Transaction::End { leader } => {
+                self.ended || stands != leader && b.planted != UnguardedEnd
+            }
+            Transaction::Take {
                 leader, counter, ..
             } => {
                 let guarded = !matches!(
@@ -697,7 +699,7 @@
             self.rec = None;
         }
         for place in &mut self.way {
-            if let Some(Txn::Take { lease, .. }) = place
+            if let Some(Transaction::Take { lease, .. }) = place
                 && !self.out
             {
                 *lease += 1;
@@ -756,7 +758,7 @@
             rec.lease = 0;
         }
         for txn in self.way.iter_mut().flatten().filter(|_| !begins) {
-            if let Txn::Take { lease, .. } = txn {
+            if let Transaction::Take { lease, .. } = txn {
                 *lease = 0;
             }
         }
@@ -787,7 +789,7 @@
             (rec.own_life, rec.awaited) = (false, false);
         }
         for txn in self.way.iter_mut().flatten() {
-            if let Txn::Take {
+            if let Transaction::Take {
                 node,
                 awaited,
                 own_life,
@@ -858,7 +860,7 @@
         } else {
             counter + 1
         };
-        self.send(Txn::Take {
+        self.send(Transaction::Take {
             node: n,
             leader,
             counter,
@@ -881,7 +883,7 @@
             return false;
         }
         for txn in self.way.iter_mut().flatten() {
-            if let Txn::Take { node, awaited, .. } = txn
+            if let Transaction::Take { node, awaited, .. } = txn
                 && *node == n
             {
                 *awaited = false;
@@ -903,7 +905,7 @@
             self.way[i as usize] = None;
         }
         match txn {
-            Txn::Take {
+            Transaction::Take {
                 node,
                 leader,
                 counter,
@@ -938,7 +940,7 @@
                     self.become_leader(node);
                 }
             }
-            Txn::End { leader } => {
+            Transaction::End { leader } => {
                 let stands = self.rec.map_or(0, |r| r.token);
                 if stands == leader || b.planted == Planted::UnguardedEnd {
                     self.ended = true;
@@ -1042,7 +1044,7 @@
     /// `commit::flush_commit`, again after an answer that was lost.
     fn send_end(&mut self, n: u8, b: &Bounds) -> bool {
         let node = *self.node(n);
-        let txn = Txn::End { leader: node.token };
+        let txn = Transaction::End { leader: node.token };
         let again = self.way.contains(&Some(txn)) || !self.way.contains(&None);
         if !node.decides(b) || !node.knows || self.ended || again {
             return false;
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -2075,8 +2075,8 @@
 
     /// Somebody else writes into the state service.
     pub fn write(&mut self, write: wire::api::Write) {
-        let txn = wire::api::Txn {
-            guards: Vec::new(),
+        let txn = wire::api::Transaction {
+            conditions: Vec::new(),
             writes: vec![write],
         };
         let outcome = self
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 use wire::api::*;
-use wire::http::{self, Bad};
+use wire::http;
 use wire::records::{
     ClaimsRecord, DoneRecord, InventoryRecord, KindRecord, LogRecord, ranges, unrange,
 };
@@ -126,15 +126,15 @@
         prop_assert!(spec.check().is_ok());
         prop_assert_eq!(&wire::decode::<JobSpec>(&wire::encode(&spec)).unwrap(), &spec);
         prop_assert_eq!(&wire::decode::<Heartbeat>(&wire::encode(&report)).unwrap(), &report);
-        let ask = peer::Ask::Cancel { job: spec.id.clone() };
-        prop_assert_eq!(peer::decode::<peer::Ask>(&peer::encode(&ask)).unwrap(), ask);
+        let ask = peer::PeerRequest::Cancel { job: spec.id.clone() };
+        prop_assert_eq!(peer::decode::<peer::PeerRequest>(&peer::encode(&ask)).unwrap(), ask);
     }
 
     #[test]
     fn arbitrary_bytes_are_refused_or_read_but_never_more(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = wire::decode::<JobSpec>(&bytes);
         let _ = wire::decode::<Heartbeat>(&bytes);
-        let _ = peer::decode::<peer::Ask>(&bytes);
+        let _ = peer::decode::<peer::PeerRequest>(&bytes);
         let _ = http::parse_response(&bytes, 1000, true);
         if let Ok(Some((request, used))) = http::parse_request(&bytes, 100) {
             prop_assert!(used <= bytes.len() && request.body.len() <= 100);
@@ -229,16 +229,18 @@
     enum Before {
         Refused { status: u16 },
     }
-    let old: peer::Answer =
+    let old: peer::PeerResponse =
         peer::decode(&peer::encode(&Before::Refused { status: 422 })).expect("read");
-    assert_eq!(old, peer::Answer::refused(422, ""));
-    let new = peer::Answer::refused(400, &"é".repeat(500));
+    assert_eq!(old, peer::PeerResponse::refused(422, ""));
+    let new = peer::PeerResponse::refused(400, &"é".repeat(500));
     let bytes = peer::encode(&new);
     assert_eq!(
         peer::decode::<Before>(&bytes).expect("read"),
         Before::Refused { status: 400 }
     );
-    assert!(bytes.len() < peer::MAX_WHY + 50 && peer::decode::<peer::Answer>(&bytes) == Ok(new));
+    assert!(
+        bytes.len() < peer::MAX_WHY + 50 && peer::decode::<peer::PeerResponse>(&bytes) == Ok(new)
+    );
 }
 
 /// Bounds that the type does not have; what a body may hold is in `submissions.rs`.
@@ -366,40 +368,39 @@
 
 #[test]
 fn heads_out_of_bounds_get_their_status() {
-    let parse = |text: &str| http::parse_request(text.as_bytes(), 100);
+    let parse =
+        |text: &str| http::parse_request(text.as_bytes(), 100).map_err(|error| error.status());
     assert_eq!(
         parse("POST /work HTTP/1.1\r\nContent-Length: 101\r\n\r\n"),
-        Err(Bad(413))
+        Err(413)
     );
     assert_eq!(
         parse("POST /work HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n"),
-        Err(Bad(413))
+        Err(413)
     );
     assert_eq!(
         parse("POST /work HTTP/1.1\r\nContent-Length: -1\r\n\r\n"),
-        Err(Bad(400))
+        Err(400)
     );
     assert_eq!(
         parse("POST /work HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
-        Err(Bad(400))
+        Err(400)
     );
     assert_eq!(
         parse("POST /work HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"),
-        Err(Bad(411))
+        Err(411)
     );
-    assert_eq!(parse("nonsense\r\n\r\n"), Err(Bad(400)));
+    assert_eq!(parse("nonsense\r\n\r\n"), Err(400));
     assert_eq!(
         parse(&format!("GET /{} HTTP/1.1\r\n", "x".repeat(9000))),
-        Err(Bad(431))
+        Err(431)
     );
     let many: String = (0..60).map(|i| format!("h{i}: x\r\n")).collect();
-    assert_eq!(
-        parse(&format!("GET / HTTP/1.1\r\n{many}\r\n")),
-        Err(Bad(431))
-    );
+    assert_eq!(parse(&format!("GET / HTTP/1.1\r\n{many}\r\n")), Err(431));
     assert_eq!(parse("GET / HTTP/1.1\r\nHost: x\r\n"), Ok(None));
     let chunk = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n";
-    assert_eq!(http::parse_response(chunk, 1000, false), Err(Bad(502)));
+    let response = http::parse_response(chunk, 1000, false).map_err(|error| error.status());
+    assert_eq!(response, Err(502));
 }
 
 /// Trees as the state service holds them.
--- a/crates/wire/tests/production/messages.rs
+++ b/crates/wire/tests/production/messages.rs
@@ -5,9 +5,9 @@
 use crate::{Case, bytes_of, message, sent};
 use serde_json::json;
 use wire::api::{
-    Cause, Change, Changes, Conflict, ErrorBody, Grant, GrantRequest, Guard, Heartbeat,
+    Cause, Change, Changes, Condition, Conflict, ErrorBody, Grant, GrantRequest, Heartbeat,
     HireRequest, Item, JobState, Kind, ListedMachine, MachineList, MachineNames, Order, Orders,
-    Priority, Range, Redirect, Revision, Stage, TaskStage, TaskStatus, Txn, Write,
+    Priority, Range, Redirect, Revision, Stage, TaskStage, TaskStatus, Transaction, Write,
 };
 use wire::http::{self, Request, Response};
 use wire::records::{LeaderRecord, Record, TokenRecord};
@@ -212,8 +212,8 @@
     let conflict = |failed: &[&str]| Conflict {
         failed: failed.iter().map(|&k| k.to_owned()).collect(),
     };
-    let compared = Txn {
-        guards: vec![guard()],
+    let compared = Transaction {
+        conditions: vec![guard()],
         writes: Vec::new(),
     };
     vec![
@@ -244,8 +244,8 @@
     ]
 }
 
-fn guard() -> Guard {
-    Guard {
+fn guard() -> Condition {
+    Condition {
         key: "sys/token".to_owned(),
         version: 300,
     }
@@ -268,9 +268,9 @@
     ]
 }
 
-fn txn() -> Txn {
-    Txn {
-        guards: vec![guard()],
+fn txn() -> Transaction {
+    Transaction {
+        conditions: vec![guard()],
         writes: vec![
             Write::put(
                 "sys/token".to_owned(),
--- a/crates/wire/tests/production/operators.rs
+++ b/crates/wire/tests/production/operators.rs
@@ -279,7 +279,7 @@
         near,
         quiet_ms: 1500,
     };
-    let too_often = wire::models::Told {
+    let too_often = wire::models::ModelStatus {
         phase: model::Phase::Leaving,
         why: Some(model::Why::TooOften),
         ..told_least()
@@ -317,6 +317,6 @@
     assert!(wire::admin::decode::<wire::models::Ask>(newer).is_err());
 }
 
-fn admin_ask(body: &[u8]) -> Result<Ask, wire::BadBody> {
+fn admin_ask(body: &[u8]) -> Result<Ask, wire::DecodeError> {
     wire::admin::decode(body)
 }
