--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -1,17 +1,16 @@
-//! How a version is made: a change is checked, its parts are written, and then its head.
+//! How a version is made: a change is admitted, checked under optimistic concurrency, and handed to the leader's
+//! transactions.
 
 use crate::Node;
-use crate::documents::kind::{ALL, PartOf, prefix};
+use crate::documents::kind::{ALL, PartOf};
 use crate::documents::operator_api::{faulty, refused};
-use crate::documents::{ActiveVersion, Document, Documents, Kind, KindId, for_kind};
-use crate::store::commit::{PendingWrite, TransactionDraft, value_limit};
-use crate::store::shard::Shard;
+use crate::documents::{ActiveVersion, Document, Kind, for_kind};
+use crate::store::commit::value_limit;
 use document::{Content, Head, Past, SHORT};
 use std::collections::VecDeque;
 use std::fmt;
 use std::sync::Arc;
 use wire::admin::{self, ChangeOf, Changed, Refused};
-use wire::records::{self, Record};
 
 /// Differences that an answer lists.
 const DIFFERENCES: usize = 200;
@@ -20,14 +19,14 @@
 pub(super) struct PendingChange<K: Kind> {
     id: String,
     /// Who waits for it; nobody for the first version.
-    conn: Option<u64>,
-    head: Head,
+    pub(super) conn: Option<u64>,
+    pub(super) head: Head,
     active: ActiveVersion<K::Content>,
     /// Stamp of the head that it follows.
-    stamp: u64,
+    pub(super) stamp: u64,
     /// Parts still to be written, and how many of them are on their way.
-    parts: VecDeque<(String, PartOf<K>)>,
-    parts_in_flight: usize,
+    pub(super) parts: VecDeque<(String, PartOf<K>)>,
+    pub(super) parts_in_flight: usize,
     answer: Changed,
 }
 
@@ -122,124 +121,6 @@
             .filter(|(name, _)| !self.parts.contains_key(name))
             .collect()
     }
-
-    /// All that its change needs is in place but the head.
-    fn is_due(&self) -> bool {
-        self.pending_change
-            .as_ref()
-            .is_some_and(|c| c.parts.is_empty() && c.parts_in_flight == 0)
-    }
-
-    /// Parts that no version names any more, unless a change is about to.
-    fn unreferenced_parts(&self) -> Vec<(String, u64)> {
-        let stands = self.pending_change.is_none() && self.version() == Some(self.head.version);
-        if !stands || self.parts.len() <= self.head.parts.len() {
-            return Vec::new();
-        }
-        let over = |(name, _): &(&String, &u64)| !self.head.parts.contains(name);
-        self.parts
-            .iter()
-            .filter(over)
-            .map(|(name, stamp)| (name.clone(), *stamp))
-            .collect()
-    }
-}
-
-impl Documents {
-    /// The kind whose head may be written now, if the transaction has room for it.
-    fn due(&self, shard: &Shard, budget: usize) -> Option<KindId> {
-        ALL.into_iter().find(
-            |kind| for_kind!(*kind, K => budget >= K::HEAD_WRITES && K::document(self).is_due() && K::may_write_head(shard)),
-        )
-    }
-}
-
-/// The leader's writes.
-impl TransactionDraft {
-    /// The changes that the head takes which is due, if one is.
-    pub fn head_due(all: &Documents, shard: &Shard, budget: usize) -> Option<(KindId, usize)> {
-        let kind = all.due(shard, budget)?;
-        Some((kind, for_kind!(kind, K => K::HEAD_WRITES)))
-    }
-
-    pub fn head(&mut self, all: &Documents, shard: &mut Shard, kind: KindId) {
-        for_kind!(kind, K => self.head_of::<K>(all, shard));
-    }
-
-    fn head_of<K: Kind>(&mut self, all: &Documents, shard: &mut Shard) {
-        let Some(change) = &K::document(all).pending_change else {
-            return;
-        };
-        let version = change.head.version;
-        self.put(
-            records::head_key(K::Content::KIND),
-            change.stamp,
-            K::record(change.head.clone()),
-        );
-        K::write_with_head(self, shard, version);
-        self.ops.push(PendingWrite::Head(K::ID));
-    }
-
-    /// Parts of versions to come, as far as there is room.
-    pub fn parts(&mut self, all: &mut Documents, room: impl Fn(&TransactionDraft) -> bool) {
-        for kind in ALL {
-            for_kind!(kind, K => self.parts_of::<K>(K::document_mut(all), &room));
-        }
-    }
-
-    fn parts_of<K: Kind>(
-        &mut self,
-        document: &mut Document<K>,
-        room: impl Fn(&TransactionDraft) -> bool,
-    ) {
-        let Some(change) = &mut document.pending_change else {
-            return;
-        };
-        while room(self)
-            && let Some((name, piece)) = change.parts.pop_front()
-        {
-            let value = serde_json::to_value(&piece).unwrap_or_default();
-            self.put_part(format!("{}{name}", prefix::<K>()), Record::Other(value));
-            change.parts_in_flight += 1;
-            self.ops.push(PendingWrite::DocumentPart(K::ID, name));
-        }
-    }
-
-    /// Takes away what no version names.
-    pub fn remove_unreferenced_parts(
-        &mut self,
-        all: &Documents,
-        room: impl Fn(&TransactionDraft) -> bool,
-    ) {
-        for kind in ALL {
-            for (name, stamp) in for_kind!(kind, K => K::document(all).unreferenced_parts()) {
-                if !room(self) {
-                    return;
-                }
-                self.remove(
-                    format!("{}{name}", for_kind!(kind, K => prefix::<K>())),
-                    stamp,
-                );
-                self.ops.push(PendingWrite::RemoveDocumentPart(kind, name));
-            }
-        }
-    }
-}
-
-impl Documents {
-    pub fn part_written(&mut self, kind: KindId, name: String, revision: u64) {
-        for_kind!(kind, K => {
-            let document = K::document_mut(self);
-            document.parts.insert(name, revision);
-            if let Some(change) = &mut document.pending_change {
-                change.parts_in_flight = change.parts_in_flight.saturating_sub(1);
-            }
-        });
-    }
-
-    pub fn part_removed(&mut self, kind: KindId, name: &str) {
-        for_kind!(kind, K => K::document_mut(self).parts.remove(name));
-    }
 }
 
 /// How versions are made.
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -9,7 +9,7 @@
 use crate::store::shard::Shard;
 use crate::{Node, Pending};
 use county::{Cell, Count};
-use std::collections::{BTreeMap, HashMap};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::api::{Item, Range, Stage};
 use wire::http::Response;
 use wire::records::{self, EndRecord, JobRecord};
@@ -98,20 +98,28 @@
 
     /// All records were read.
     fn finish(&mut self) {
+        self.add_lost_jobs();
+        self.add_count_differences();
+        self.is_done = true;
+    }
+
+    /// Jobs that were counted and have no record.
+    fn add_lost_jobs(&mut self) {
         let mut lost: Vec<_> = std::mem::take(&mut self.live).into_iter().collect();
         lost.sort();
-        lost.into_iter().for_each(|(job, county)| {
-            self.add_difference(format!("{job}: counted for {county}, has no record"))
-        });
-        let (counts, recounted) = (
-            std::mem::take(&mut self.counts),
-            std::mem::take(&mut self.recounted),
-        );
-        let cells: std::collections::BTreeSet<&Cell> =
-            counts.keys().chain(recounted.keys()).collect();
+        for (job, county) in lost {
+            self.add_difference(format!("{job}: counted for {county}, has no record"));
+        }
+    }
+
+    /// Cells whose counts are not what the records say.
+    fn add_count_differences(&mut self) {
+        let counts = std::mem::take(&mut self.counts);
+        let recounted = std::mem::take(&mut self.recounted);
+        let cells: BTreeSet<&Cell> = counts.keys().chain(recounted.keys()).collect();
         for cell in cells {
-            let of = |all: &BTreeMap<Cell, Count>| all.get(cell).copied().unwrap_or_default();
-            let (kept, found) = (of(&counts), of(&recounted));
+            let kept = counts.get(cell).copied().unwrap_or_default();
+            let found = recounted.get(cell).copied().unwrap_or_default();
             for (what, kept, found) in [
                 ("done jobs", kept.done, found.done),
                 ("cancelled jobs", kept.cancelled, found.cancelled),
@@ -125,9 +133,9 @@
                 }
             }
         }
-        self.is_done = true;
     }
 
+    /// How far it is, or what it has found.
     pub fn progress(&self) -> tally::Audit {
         let (revision, read) = (self.revision, self.read);
         match self.is_done {
@@ -154,18 +162,12 @@
             .ended()
             .map_err(CountsUnavailable::Unread)?;
         let revision = self.last_known_end();
-        let mut live: HashMap<String, String> = HashMap::new();
-        for job in self.jobs.iter().flatten().filter(|j| !j.is_over()) {
-            if let Some(county) = &job.county {
-                live.insert(job.id.clone(), county.county.clone());
-            }
-        }
         let audit = Audit {
             id: id.to_owned(),
             revision,
             seen: self.live_revision,
             counts,
-            live,
+            live: self.live_counties(),
             recounted: BTreeMap::new(),
             record_set: RecordSet::Live,
             cursor: PageCursor::default(),
@@ -178,18 +180,25 @@
         self.county_counts.audit = Some(audit);
         Ok(Some(progress))
     }
+
+    /// The counties of the jobs that live, by job.
+    fn live_counties(&self) -> HashMap<String, String> {
+        let live = self.jobs.iter().flatten().filter(|job| !job.is_over());
+        live.filter_map(|job| Some((job.id.clone(), job.county.as_ref()?.county.clone())))
+            .collect()
+    }
 }
 
 impl Node {
+    fn audit_mut(&mut self) -> Option<&mut Audit> {
+        self.shard.as_mut()?.county_counts.audit.as_mut()
+    }
+
     /// The next page, if there is room for it.
     pub(crate) fn audit_tick(&mut self) {
         let term = self.term;
         let spare = self.requests.level(self.now.mono) > SPARED_REQUESTS;
-        let Some(audit) = self
-            .shard
-            .as_mut()
-            .and_then(|p| p.county_counts.audit.as_mut())
-        else {
+        let Some(audit) = self.audit_mut() else {
             return;
         };
         if audit.is_done || audit.in_flight || !spare {
@@ -222,11 +231,7 @@
                 })
             }),
         };
-        let Some(audit) = self
-            .shard
-            .as_mut()
-            .and_then(|p| p.county_counts.audit.as_mut())
-        else {
+        let Some(audit) = self.audit_mut() else {
             return;
         };
         audit.in_flight = false;
@@ -242,11 +247,7 @@
 
     /// Counts what a page has; true if there is another.
     fn audit_page<T>(&mut self, page: Range<T>, count: impl Fn(&mut Audit, T, &str, u64)) -> bool {
-        let Some(audit) = self
-            .shard
-            .as_mut()
-            .and_then(|p| p.county_counts.audit.as_mut())
-        else {
+        let Some(audit) = self.audit_mut() else {
             return false;
         };
         let more = audit.cursor.advance(&page);
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -10,6 +10,7 @@
 //! the next.
 
 mod change;
+mod change_writes;
 pub(crate) mod counties;
 pub(crate) mod county_audit;
 pub(crate) mod county_counts;
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -29,6 +29,7 @@
 /// The share of this node's changes that such a front end has while it asks for any, and how long that lasts.
 const WRITE_SHARE: f64 = 0.2;
 const ACTIVE_MS: u64 = 2000;
+/// A transaction may take this long, and a page twice as long.
 const TIMEOUT_MS: u64 = 900;
 const PAGE_TIMEOUT_MS: u64 = 2 * TIMEOUT_MS;
 /// Records that one page has at most.
@@ -54,17 +55,26 @@
     }
 }
 
+/// What a front end asks of its node.
 #[derive(Debug, Clone)]
 pub enum Request {
     /// All records below a prefix, a page at a time, after a key.
     Page {
+        /// The prefix.
         under: String,
+        /// The last key of the page before; the first page without one.
         after: Option<String>,
     },
     /// Changes of some records, by the leader.
-    Change { writes: Vec<Change> },
+    Change {
+        /// At most [`writes_at_once`], made as a whole or not at all.
+        writes: Vec<Change>,
+    },
     /// A model is wanted: as good as demand at the operators' door.
-    Demand { model: String },
+    Demand {
+        /// The job id of the model.
+        model: String,
+    },
 }
 
 impl Request {
@@ -81,8 +91,10 @@
     }
 }
 
+/// A change of one record, under optimistic concurrency if it names a version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
+    /// The record's key in the state service.
     pub key: String,
     /// The version that it must have (0: it does not exist); none for what can only have one content.
     pub version: Option<u64>,
@@ -108,14 +120,19 @@
     }
 }
 
+/// How a request has ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
+    /// A page of records.
     Page {
+        /// The records, by key.
         items: Vec<Item<Value>>,
+        /// Another page follows.
         more: bool,
     },
     /// All changes are made, at this revision.
     Changed {
+        /// The state service's revision of the transaction.
         revision: u64,
     },
     /// A key has another version, or the node is no longer the leader: nothing was changed by this request.
@@ -170,6 +187,7 @@
 }
 
 impl Node {
+    /// Whether a user has named an id that only jobs of the front end beside may have.
     pub(crate) fn is_reserved_for_frontend(&self, conn: u64, id: &str) -> bool {
         self.beside && conn < FIRST_CONNECTION && wire::ids::reserved_job_id(id)
     }
@@ -249,6 +267,7 @@
             .count() as f64
     }
 
+    /// Serves a request of the front end beside, or refuses it at once.
     pub(crate) fn frontend_requested(&mut self, tag: u64, request: Request) {
         if !request.is_allowed() {
             return self.answer_frontend(tag, Answer::Refused);
@@ -267,6 +286,7 @@
         }
     }
 
+    /// Changes its records in one transaction, under the guard of the leader's own record.
     fn frontend_change(&mut self, tag: u64, writes: Vec<Change>) {
         let leader = self
             .shard
@@ -314,10 +334,12 @@
         }
     }
 
+    /// The settings that this node was started with.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
+    /// The machine types of the catalog, once it was read.
     pub fn machine_types(&self) -> Option<&Catalog> {
         self.catalog()
     }
@@ -353,8 +375,11 @@
 /// A machine as a front end beside may see it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MachineView<'a> {
+    /// Its name.
     pub name: &'a str,
+    /// Its type, as the catalog names it.
     pub machine_type: &'a str,
+    /// The zone that it is in.
     pub zone: &'a str,
     /// Claims on it.
     pub tasks: usize,
