--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -20,12 +20,14 @@
     id: String,
     /// Who waits for it; nobody for the first version.
     pub(super) conn: Option<u64>,
+    /// The head that is to be written.
     pub(super) head: Head,
     active: ActiveVersion<K::Content>,
     /// Stamp of the head that it follows.
     pub(super) stamp: u64,
     /// Parts still to be written, and how many of them are on their way.
     pub(super) parts: VecDeque<(String, PartOf<K>)>,
+    /// Parts that are written by a transaction in flight.
     pub(super) parts_in_flight: usize,
     answer: Changed,
 }
--- a/crates/control/src/documents/change_writes.rs
+++ b/crates/control/src/documents/change_writes.rs
@@ -48,6 +48,7 @@
         Some((kind, for_kind!(kind, K => K::HEAD_WRITES)))
     }
 
+    /// Writes the head of a change whose parts are all in place.
     pub fn head(&mut self, all: &Documents, shard: &mut Shard, kind: KindId) {
         for_kind!(kind, K => self.head_of::<K>(all, shard));
     }
@@ -113,6 +114,7 @@
 }
 
 impl Documents {
+    /// A part is in the state service, at this revision.
     pub fn part_written(&mut self, kind: KindId, name: String, revision: u64) {
         for_kind!(kind, K => {
             let document = K::document_mut(self);
@@ -123,6 +125,7 @@
         });
     }
 
+    /// A part that no version names is gone.
     pub fn part_removed(&mut self, kind: KindId, name: &str) {
         for_kind!(kind, K => K::document_mut(self).parts.remove(name));
     }
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -12,6 +12,7 @@
 use wire::records::CountyRecord;
 use wire::tally::{Counts, Line, Question};
 
+/// The counties and their rules, as a kind of document.
 pub(crate) struct County;
 
 impl Kind for County {
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -26,6 +26,7 @@
     Ended,
 }
 
+/// A comparison of the counts with the records, as far as it has come.
 pub(crate) struct Audit {
     id: String,
     revision: u64,
@@ -218,6 +219,7 @@
         self.get_state(path, TIMEOUT_MS, pending);
     }
 
+    /// A page of records, or none.
     pub(crate) fn audit_received(&mut self, record_set: RecordSet, response: Option<Response>) {
         let page = match record_set {
             RecordSet::Live => self.read_state(response).map(|page| {
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -32,6 +32,7 @@
 /// Transactions with ends that are remembered until the watch has come past them.
 const RECENT: usize = 4_000;
 
+/// The counts by county of one term of leadership.
 pub(crate) struct CountyCounts {
     counts: Tally,
     /// Some job or record has a county. Without any, nothing is read, kept free or written.
@@ -46,6 +47,7 @@
     /// The last transaction with ends that is known to stand.
     last_end: u64,
     tenants: HashMap<String, u16>,
+    /// The last audit, running or done.
     pub audit: Option<crate::documents::county_audit::Audit>,
 }
 
@@ -104,6 +106,7 @@
 }
 
 impl EndedCounts {
+    /// Counts for a transaction whose records may have this length.
     pub fn new(value: usize) -> Self {
         EndedCounts {
             deltas: Vec::new(),
@@ -132,6 +135,7 @@
         })
     }
 
+    /// What was counted, for the log record.
     pub fn take(&mut self) -> Vec<Delta> {
         std::mem::take(&mut self.deltas)
     }
@@ -148,6 +152,7 @@
 }
 
 impl CountyCounts {
+    /// Counts whose sheets may be as long as a record.
     pub fn new(value: usize) -> Self {
         CountyCounts {
             counts: Tally::new(value.min(SHEET_BYTES)),
@@ -345,6 +350,7 @@
         self.get_state(path, TIMEOUT_MS, Pending::Sheets { term });
     }
 
+    /// A page of sheets, or none.
     pub(crate) fn sheets_received(&mut self, response: Option<Response>) {
         let now = self.now.mono;
         let page = self.read_state::<Range<serde_json::Value>>(response);
@@ -368,7 +374,9 @@
 /// One class of a county, as of one revision.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Row {
+    /// Jobs that were accepted and have not ended.
     pub live: u64,
+    /// Jobs that have ended.
     pub ended: Count,
 }
 
--- a/crates/control/src/documents/hours/listing.rs
+++ b/crates/control/src/documents/hours/listing.rs
@@ -84,6 +84,7 @@
 }
 
 impl Node {
+    /// Lists all hours, or those of one studio.
     pub(super) fn list_hours(&mut self, conn: u64, studio: Option<&str>) {
         let active = self.shared.documents.hours.active.as_ref();
         let calendar = active
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -74,6 +74,7 @@
 
 /// What operators ask.
 impl Node {
+    /// Moves the hour of one job; the operator is answered once that is recorded.
     pub(super) fn move_hour(&mut self, conn: u64, id: &str, to: &str, by: &str) {
         match self.begin_move(conn, id, to, by) {
             Ok(None) => {}
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -18,6 +18,7 @@
 /// A job's hour in the leader's memory.
 #[derive(Debug, Clone)]
 pub(crate) struct Hour {
+    /// As it stands in the job's record.
     pub record: HourRecord,
     /// How it stands, as was last logged.
     pub(super) state: State,
@@ -26,6 +27,7 @@
 }
 
 impl Hour {
+    /// The hour of a job that was accepted or read back.
     pub fn new(record: HourRecord) -> Box<Hour> {
         Box::new(Hour {
             record,
@@ -35,6 +37,7 @@
     }
 }
 
+/// The hour of a job that has ended, for lists.
 pub(super) struct Ended {
     pub(super) job: String,
     pub(super) team: String,
@@ -50,7 +53,9 @@
     /// Jobs that have not ended, by hour: those whose hour is yet to come, and the others.
     pub(super) upcoming: BTreeSet<(u64, JobIndex)>,
     pub(super) passed: BTreeSet<(u64, JobIndex)>,
+    /// The last jobs that ended.
     pub(super) ended: VecDeque<Ended>,
+    /// Moves that wait for a transaction.
     pub(super) moves: VecDeque<HourMove>,
     /// Moves of jobs that have ended meanwhile.
     pub(super) rejected_moves: Vec<HourMove>,
@@ -59,12 +64,14 @@
 }
 
 impl DeadlineWatch {
+    /// Watches the hour of a job, if it has one.
     pub fn add(&mut self, job: &Job, ix: JobIndex) {
         if let Some(hour) = &job.hour {
             self.upcoming.insert((hour.record.due_ms, ix));
         }
     }
 
+    /// Watches an hour no longer.
     pub(super) fn forget(&mut self, due_ms: u64, ix: JobIndex) {
         self.upcoming.remove(&(due_ms, ix));
         self.passed.remove(&(due_ms, ix));
@@ -165,6 +172,7 @@
 }
 
 impl Shard {
+    /// Notes how hours stand from now on, and logs the first of them.
     pub(super) fn set_states(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
         let more = changes.len().saturating_sub(MAX_LOGGED);
         for (n, (ix, state)) in changes.into_iter().enumerate() {
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -28,8 +28,11 @@
 
 /// A version that checks out.
 pub(crate) struct ActiveVersion<C: Content> {
+    /// Its number; they rise by one.
     pub version: u64,
+    /// The content as operators wrote it.
     pub spec: Arc<C>,
+    /// The content as it is acted on.
     pub built: Arc<C::Built>,
 }
 
@@ -48,14 +51,17 @@
     /// The head as last seen, and its stamp; 0 if there is none.
     pub head: Head,
     pub stamp: u64,
+    /// The version that is acted on.
     pub active: Option<ActiveVersion<K::Content>>,
     /// A version that did not check out, and why.
     pub(super) rejected: Option<(u64, String)>,
     /// Parts that are in the state service, by name, with their stamps.
     pub(super) parts: BTreeMap<String, u64>,
+    /// The parts that are being read.
     pub(super) reading: Option<Reading<PartOf<K>>>,
     /// The term of leadership in which all parts were last read.
     pub(super) read_in_term: u64,
+    /// Parts are not read again before this.
     pub(super) retry_at: u64,
     /// A change on its way into the state service, where we are the leader.
     pub(super) pending_change: Option<PendingChange<K>>,
@@ -104,6 +110,7 @@
         self.head.version == known || self.head.version == rejected
     }
 
+    /// Acts on a version from now on.
     pub(super) fn activate(&mut self, active: ActiveVersion<K::Content>) {
         let (name, size) = (K::Content::NAME, K::Content::size(&active.built));
         log::info!("{name}: version {} with {size}", active.version);
@@ -143,6 +150,7 @@
         }
     }
 
+    /// The version that did not check out, and why, in words.
     pub fn rejection(&self) -> Option<String> {
         self.rejected
             .as_ref()
--- a/crates/control/src/documents/kind.rs
+++ b/crates/control/src/documents/kind.rs
@@ -18,6 +18,7 @@
     Models,
 }
 
+/// All kinds, in the order in which they are read and written.
 pub(super) const ALL: [KindId; 4] = [
     KindId::Quota,
     KindId::Hours,
@@ -104,8 +105,10 @@
     }
 }
 
+/// A piece of a kind's content, of the size of a record.
 pub(super) type PartOf<K> = <<K as Kind>::Content as Content>::Part;
 
+/// The prefix of the keys of a kind's parts.
 pub(super) fn prefix<K: Kind>() -> String {
     records::parts_prefix(K::Content::KIND)
 }
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -1,4 +1,5 @@
-//! Which version of each kind of document is in force, as every controller follows it, and how it is changed.
+//! Versioned configuration: which version of each kind of document is in force, as every controller follows it, and
+//! how it is changed under optimistic concurrency.
 //!
 //! A controller acts on one whole version. It reads the parts of a new one, checks that it holds together with what
 //! it must fit, and only then takes it; one that does not check out is refused, and the last valid one stays. A new
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -59,6 +59,7 @@
         );
     }
 
+    /// The leader's answer to a request that was handed on to it.
     pub(crate) fn admin_answered(&mut self, conn: u64, response: Option<Response>) {
         match response {
             Some(r) => self.respond(conn, r.status, r.body, r.retry_after_s),
@@ -70,6 +71,7 @@
         }
     }
 
+    /// Refuses a request; one that may be served later with the time to come back.
     pub(crate) fn deny_admin(&mut self, conn: u64, status: u16, why: Refused) {
         let retry = (status == 503).then_some(1);
         self.respond(conn, status, admin::encode(&why), retry);
@@ -95,6 +97,7 @@
     }
 }
 
+/// A refusal with its reason alone.
 pub(crate) fn refused(why: &str) -> Refused {
     Refused {
         error: why.to_owned(),
@@ -102,6 +105,7 @@
     }
 }
 
+/// The refusal of a version with these faults.
 pub(super) fn faulty<K: Kind>(faults: Vec<Fault>) -> Refused {
     let why = format!(
         "the {} is refused; the one in force stays",
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -15,8 +15,10 @@
 use wire::records::{self, AllotmentRecord, Record};
 use wire::tree::HeadRecord;
 
+/// The quota tree, as a kind of document.
 pub(crate) struct Quota;
 
+/// A version of the quota tree that checks out.
 pub(crate) type Good = documents::ActiveVersion<Spec>;
 
 impl Kind for Quota {
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -42,6 +42,7 @@
 
 /// How versions are read.
 impl Node {
+    /// Follows the heads of all kinds.
     pub(crate) fn documents_tick(&mut self) {
         for kind in ALL {
             for_kind!(kind, K => self.document_tick::<K>());
@@ -87,6 +88,7 @@
         self.get_state(path, TIMEOUT_MS, pending);
     }
 
+    /// A page of parts, or none.
     pub(crate) fn parts_received<K: Kind>(&mut self, response: Option<Response>) {
         let page = self.read_state::<Range<PartOf<K>>>(response);
         let document = K::document_mut(&mut self.shared.documents);
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -46,6 +46,7 @@
 }
 
 impl Frontend {
+    /// Nothing was requested yet.
     pub fn new() -> Self {
         Frontend {
             writes: Bucket::new(0.0),
@@ -309,10 +310,12 @@
         self.post_transaction(body, TIMEOUT_MS, Pending::Frontend { tag });
     }
 
+    /// The state service's answer to a request of the front end.
     pub(crate) fn frontend_answered(&mut self, tag: u64, response: Option<Response>) {
         self.answer_frontend(tag, Answer::of_state_service(response));
     }
 
+    /// Answers a request of the front end.
     pub(crate) fn answer_frontend(&mut self, tag: u64, answer: Answer) {
         self.effects.push(crate::Effect::Frontend { tag, answer });
     }
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -1,9 +1,10 @@
 //! Demand for models, at any controller and whether or not there is a leader.
 //!
-//! Of all who ask for one model at one node, one wake-up is sent out: it reads the job and the model's record, and where
-//! the model is asleep it begins the next generation by one transaction, guarded by both. Whoever loses reads again and
-//! follows what stands there. A node that hears of demand for a model that is up tells the leader now and then; where
-//! it can't, it says so in the record, and a sleep that was decided without it fails on its guard.
+//! Requests are coalesced: of all who ask for one model at one node, one wake-up is sent out
+//! ([`crate::models::wake_up`]). It reads the job and the model's record, and where the model is asleep it begins the
+//! next generation by one transaction, guarded by both. Whoever loses reads again and follows what stands there. A node
+//! that hears of demand for a model that is up tells the leader now and then; where it can't, it says so in the record,
+//! and a sleep that was decided without it fails on its guard.
 
 use crate::jobs::admission::peer_answer;
 use crate::models::wake_up::WakeUp;
@@ -44,11 +45,14 @@
     notified_at: HashMap<String, u64>,
     /// How models stood that were up a moment ago.
     pub(super) cached: HashMap<String, CachedStatus>,
+    /// Wake-ups in flight, by model.
     pub(super) wake_ups: HashMap<String, WakeUp>,
+    /// Those who wait for all of them.
     pub(super) waiting: usize,
     swept_at: u64,
 }
 
+/// The status of a model that was up a moment ago.
 pub(super) struct CachedStatus {
     pub(super) at: u64,
     pub(super) status: Told,
@@ -61,16 +65,19 @@
         self.demanded_at.get(model).copied().unwrap_or(0)
     }
 
+    /// Forgets a model that is gone.
     pub fn forget(&mut self, model: &str) {
         self.demanded_at.remove(model);
         self.notified_at.remove(model);
         self.cached.remove(model);
     }
 
+    /// Forgets how models stood: other rules are in force.
     pub fn forget_cached(&mut self) {
         self.cached.clear();
     }
 
+    /// A model is wanted now.
     pub(super) fn note_demand(&mut self, model: &str, now: u64) {
         if self.demanded_at.len() < MAX_MODELS || self.demanded_at.contains_key(model) {
             self.demanded_at.insert(model.to_owned(), now);
@@ -177,6 +184,7 @@
         );
     }
 
+    /// Whether the leader has heard of the demand.
     pub(crate) fn leader_notified(&mut self, model: &str, response: Option<Response>) {
         if !matches!(peer_answer(response), Some(Answer::Model(_))) {
             self.touch_record(model);
@@ -214,6 +222,7 @@
         );
     }
 
+    /// What a peer has answered to a demand that was handed on.
     pub(crate) fn demand_forwarded(&mut self, waiter: Waiter, response: Option<Response>) {
         match peer_answer(response) {
             Some(Answer::Model(status)) => self.answer_demand(waiter, &status),
@@ -224,6 +233,7 @@
         }
     }
 
+    /// Tells whoever waits how a model stands.
     pub(super) fn answer_demand(&mut self, waiter: Waiter, status: &Told) {
         match waiter {
             Waiter::Door(conn) => self.respond(conn, 200, admin::encode(status), None),
@@ -239,6 +249,7 @@
         }
     }
 
+    /// Tells whoever waits why that can't be said.
     pub(super) fn deny_demand(&mut self, waiter: Waiter, status: u16, why: &str) {
         match waiter {
             Waiter::Door(conn) => {
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -33,6 +33,7 @@
 }
 
 impl Node {
+    /// Forgets old demand; where we lead, watches the records and checks the models.
     pub(crate) fn models_tick(&mut self) {
         self.demand_tick();
         if !self.models.in_force() || !self.may_decide() || self.models_to_read() {
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -1,4 +1,5 @@
-//! Models: standing jobs that give their machines back while nobody asks for them, and come back once.
+//! Scale to zero for models: standing jobs that give their machines back while nobody asks for them, and are started
+//! again, once, by the first who does.
 //!
 //! A model's record says whether it is asleep and which generation it is in. Any controller begins the next generation,
 //! by one transaction under a guard on the record as it was read ([`crate::models::demand`]); everything else about it is written
@@ -133,6 +134,7 @@
             .cloned()
     }
 
+    /// Whether any rule is in force: without one, no job is a model.
     pub fn in_force(&self) -> bool {
         self.spec.is_some()
     }
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -17,7 +17,9 @@
 /// A transaction of the leader's: what it writes, or that it takes the record away; and when it is sent again.
 pub(super) struct RecordWrite {
     record: Option<Rec>,
+    /// It, or the read that follows it, is in flight.
     pub(super) busy: bool,
+    /// It is not sent again before this.
     pub(super) retry_at: u64,
     body: Vec<u8>,
     /// A try was not answered: what stands there has to be read before anything else is written.
@@ -69,6 +71,7 @@
         self.send_record_write(model);
     }
 
+    /// Sends a transaction, or the read that tells the outcome of one, if the rate budgets have room.
     pub(super) fn send_record_write(&mut self, model: &str) {
         let now = self.now.mono;
         if self.requests.level(now) < 1.0 || self.writes.level(now) < 1.0 {
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -36,6 +36,7 @@
         self.models.leader_state.read != ReadState::All
     }
 
+    /// Reads the next page of records.
     pub(crate) fn read_models(&mut self) {
         let leader_state = &mut self.models.leader_state;
         leader_state.read = ReadState::Asked;
@@ -44,6 +45,7 @@
         self.get_state(path, READ_TIMEOUT_MS, pending);
     }
 
+    /// A page of records, or none.
     pub(crate) fn models_received(&mut self, response: Option<Response>) {
         let Some(page) = self.read_state::<Range<Rec>>(response) else {
             return self.load_later(Load::Models);
@@ -104,6 +106,7 @@
         set_replicas(shard, ix, known.record.replicas(&rule, job.tasks));
     }
 
+    /// Waits for changes of records since the last that was seen.
     pub(super) fn watch_models(&mut self) {
         let term = self.term;
         self.models.leader_state.watching = true;
@@ -112,6 +115,7 @@
         self.get_state(path, WATCH_TIMEOUT_MS, Pending::ModelWatch { term });
     }
 
+    /// Changes of records, or the end of a watch without any.
     pub(crate) fn model_changes_received(&mut self, response: Option<Response>) {
         let retry = self.now.mono + self.rng.u64(100..400);
         let leader_state = &mut self.models.leader_state;
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -24,6 +24,7 @@
 
 #[derive(Default)]
 pub(super) struct WakeUp {
+    /// Those who are told how it ends.
     pub(super) waiters: Vec<Waiter>,
     /// The leader could not be told: the record is to say that the model is wanted.
     pub(super) touch: bool,
@@ -34,6 +35,7 @@
 }
 
 impl WakeUp {
+    /// The first who wants a model.
     pub fn for_waiter(waiter: Waiter) -> WakeUp {
         WakeUp {
             waiters: vec![waiter],
@@ -67,6 +69,7 @@
 }
 
 impl Node {
+    /// Begins with what this node knows if it is the leader, and reads otherwise.
     pub(super) fn start_wake_up(&mut self, model: &str, wake_up: WakeUp) {
         self.models
             .demand
@@ -117,6 +120,7 @@
         false
     }
 
+    /// The answer to a step of a wake-up that has not ended.
     pub(crate) fn wake_up_received(
         &mut self,
         model: String,
