--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' door, on the peers' side: what is in force of each kind of document, changes of it, and what its
+//! The operators' API, served on the peers' address: what is in force of each kind of document, changes of it, and what its
 //! kind alone can be asked. Any controller takes a request; the leader answers it.
 
 use crate::documents::{Document, Kind, KindId, for_kind};
@@ -11,8 +11,8 @@
 const FORWARD_MS: u64 = 15_000;
 
 impl Node {
-    /// A request at the door, if it is one for it.
-    pub(crate) fn admin_asked(&mut self, conn: u64, request: &Request) -> bool {
+    /// Serves a request if it is one for this API.
+    pub(crate) fn admin_requested(&mut self, conn: u64, request: &Request) -> bool {
         let kind = admin::kind_of(&request.path).and_then(KindId::named);
         let Some(kind) = kind.filter(|_| self.tuning.door >= 1.0) else {
             return false;
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -71,7 +71,7 @@
         /// At most [`writes_at_once`], made as a whole or not at all.
         writes: Vec<Change>,
     },
-    /// A model is wanted: as good as demand at the operators' door.
+    /// A model is wanted: as good as demand through the operators' API.
     Demand {
         /// The job id of the model.
         model: String,
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -387,7 +387,7 @@
     }
 
     pub(crate) fn peer(&mut self, conn: u64, request: &Request) {
-        if self.demand_at_door(conn, request) || self.admin_asked(conn, request) {
+        if self.operator_demand(conn, request) || self.admin_requested(conn, request) {
             return;
         }
         let ask = if request.method == "POST" && request.path == peer::PATH {
@@ -447,7 +447,7 @@
                 addr,
                 body,
             }) => self.tell_asked(conn, &machine, &addr, body.into_vec()),
-            Some(Ask::Wake { model, leader }) => self.demand_of_peer(conn, &model, leader),
+            Some(Ask::Wake { model, leader }) => self.peer_demand(conn, &model, leader),
             None => self.refuse(conn, 400, "not understood"),
         }
     }
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -33,7 +33,7 @@
 /// Who waits to hear how a model stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Waiter {
-    Door(u64),
+    Operator(u64),
     Peer(u64),
     Frontend(u64),
 }
@@ -86,23 +86,23 @@
 }
 
 impl Node {
-    /// A model is wanted: true if this was a request for it at the operators' door.
-    pub(crate) fn demand_at_door(&mut self, conn: u64, request: &Request) -> bool {
+    /// A model is wanted: true if this was a request for it to the operators' API.
+    pub(crate) fn operator_demand(&mut self, conn: u64, request: &Request) -> bool {
         if request.path != DEMAND || self.tuning.door < 1.0 {
             return false;
         }
         match admin::decode::<Demand>(&request.body) {
             _ if request.method != "POST" => {
-                self.deny_demand(Waiter::Door(conn), 405, "method not allowed")
+                self.deny_demand(Waiter::Operator(conn), 405, "method not allowed")
             }
-            Ok(Demand { model }) => self.demand(&model, Waiter::Door(conn)),
-            Err(e) => self.deny_demand(Waiter::Door(conn), 400, &e.to_string()),
+            Ok(Demand { model }) => self.demand(&model, Waiter::Operator(conn)),
+            Err(e) => self.deny_demand(Waiter::Operator(conn), 400, &e.to_string()),
         }
         true
     }
 
     /// The same from a peer.
-    pub(crate) fn demand_of_peer(&mut self, conn: u64, model: &str, leader: bool) {
+    pub(crate) fn peer_demand(&mut self, conn: u64, model: &str, leader: bool) {
         if leader && !self.may_decide() {
             return self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
         }
@@ -236,7 +236,7 @@
     /// Tells whoever waits how a model stands.
     pub(super) fn answer_demand(&mut self, waiter: Waiter, status: &Told) {
         match waiter {
-            Waiter::Door(conn) => self.respond(conn, 200, admin::encode(status), None),
+            Waiter::Operator(conn) => self.respond(conn, 200, admin::encode(status), None),
             Waiter::Peer(conn) => self.respond(
                 conn,
                 200,
@@ -252,7 +252,7 @@
     /// Tells whoever waits why that can't be said.
     pub(super) fn deny_demand(&mut self, waiter: Waiter, status: u16, why: &str) {
         match waiter {
-            Waiter::Door(conn) => {
+            Waiter::Operator(conn) => {
                 let refused = admin::Refused {
                     error: why.to_owned(),
                     ..admin::Refused::default()
