--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -1,8 +1,9 @@
-//! Counts by county made again from the records, to be held against those that are kept.
+//! An audit of the counts by county: they are made again from the records, and held against those that are kept.
 //!
 //! The counts are noted as of the last transaction with ends that is known to stand, and with them the jobs that live;
 //! after that all live records are read, and then all ended ones, since jobs only move that way. What was recorded
-//! later is told apart by its stamp. One audit at a time, page by page, and only with what the leader's other work leaves of its requests.
+//! later is told apart by its stamp. One audit at a time, page by page, and only with what the leader's other work
+//! leaves of its requests.
 
 use crate::documents::county_counts::CountsUnavailable;
 use crate::state_requests::PageCursor;
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -1,5 +1,5 @@
-//! The operators' API, served on the peers' address: what is in force of each kind of document, changes of it, and what its
-//! kind alone can be asked. Any controller takes a request; the leader answers it.
+//! The operators' API, served on the peers' address: what is in force of each kind of document, changes of it, and
+//! what its kind alone can be asked. Any controller takes a request; the leader answers it.
 
 use crate::documents::{Document, Kind, KindId, for_kind};
 use crate::{Destination, Node, Pending};
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -85,7 +85,7 @@
     /// Writes what follows for a model, and stops what is no longer wanted. True if it is to be looked at again.
     fn check_model(&mut self, model: &str) -> bool {
         if let Some(write) = self.models.leader_state.writes.get(model) {
-            if !write.busy && write.retry_at <= self.now.mono {
+            if write.is_due(self.now.mono) {
                 self.send_record_write(model);
             }
             return true;
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -17,13 +17,30 @@
 /// A transaction of the leader's: what it writes, or that it takes the record away; and when it is sent again.
 pub(super) struct RecordWrite {
     record: Option<Rec>,
-    /// It, or the read that follows it, is in flight.
-    pub(super) busy: bool,
-    /// It is not sent again before this.
-    pub(super) retry_at: u64,
     body: Vec<u8>,
+    step: WriteStep,
+    state: SendState,
+}
+
+enum WriteStep {
+    Transaction,
     /// A try was not answered: what stands there has to be read before anything else is written.
-    outcome_unknown: bool,
+    ReadBack,
+}
+
+enum SendState {
+    /// Not sent before this time.
+    Due {
+        at: u64,
+    },
+    InFlight,
+}
+
+impl RecordWrite {
+    /// Whether it is to be sent now.
+    pub fn is_due(&self, now: u64) -> bool {
+        matches!(self.state, SendState::Due { at } if at <= now)
+    }
 }
 
 impl Node {
@@ -59,10 +76,9 @@
         let body = encode_transaction(guards, vec![change]);
         let write = RecordWrite {
             record,
-            busy: false,
-            retry_at: 0,
             body,
-            outcome_unknown: false,
+            step: WriteStep::Transaction,
+            state: SendState::Due { at: 0 },
         };
         self.models
             .leader_state
@@ -81,12 +97,12 @@
         let Some(write) = self.models.leader_state.writes.get_mut(model) else {
             return;
         };
-        write.busy = true;
+        write.state = SendState::InFlight;
         let what = Pending::ModelWrite {
             term,
             model: model.to_owned(),
         };
-        if write.outcome_unknown {
+        if let WriteStep::ReadBack = write.step {
             let path = format!("/keys/{}", records::model_key(model));
             return self.get_state(path, TIMEOUT_MS, what);
         }
@@ -102,12 +118,10 @@
         let Some(write) = self.models.leader_state.writes.get_mut(&model) else {
             return;
         };
-        write.busy = false;
-        write.retry_at = now + wait;
-        let is_understood = if write.outcome_unknown {
-            self.record_read_back(&model, response)
-        } else {
-            self.transaction_answered(&model, response)
+        write.state = SendState::Due { at: now + wait };
+        let is_understood = match write.step {
+            WriteStep::Transaction => self.transaction_answered(&model, response),
+            WriteStep::ReadBack => self.record_read_back(&model, response),
         };
         if is_understood {
             self.models.is_due(&model);
@@ -125,13 +139,13 @@
             Some(429 | 503) => return true,
             // Another node has written it meanwhile, or the job has ended: what stands there is read.
             _ => {
-                write.outcome_unknown = true;
+                write.step = WriteStep::ReadBack;
                 return true;
             }
         }
         let revision = response.and_then(|r| wire::decode::<Revision>(&r.body).ok());
         let Some(Revision { revision }) = revision else {
-            write.outcome_unknown = true;
+            write.step = WriteStep::ReadBack;
             return false;
         };
         let record = write.record.take();
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -29,11 +29,19 @@
     /// The leader could not be told: the record is to say that the model is wanted.
     pub(super) touch: bool,
     tries: u32,
-    job: Option<(Box<JobSpec>, Rule, u64)>,
+    job: Option<WantedJob>,
     /// What is being written.
     record: Option<Rec>,
 }
 
+/// The job that a wake-up is for, as it was read.
+struct WantedJob {
+    spec: Box<JobSpec>,
+    rule: Rule,
+    /// The version of its record, which guards the transaction.
+    version: u64,
+}
+
 impl WakeUp {
     /// The first who wants a model.
     pub fn for_waiter(waiter: Waiter) -> WakeUp {
@@ -113,7 +121,11 @@
     fn rule_found(&mut self, model: &str, spec: Box<JobSpec>, version: u64) -> bool {
         let rule = self.models.rule(&spec);
         if let Some((wake_up, rule)) = self.models.demand.wake_ups.get_mut(model).zip(rule) {
-            wake_up.job = Some((spec, rule, version));
+            wake_up.job = Some(WantedJob {
+                spec,
+                rule,
+                version,
+            });
             return true;
         }
         self.fail_wake_up(model, 404, "no rule makes it a model");
@@ -215,7 +227,12 @@
         let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) else {
             return;
         };
-        let Some((spec, rule, version)) = &wake_up.job else {
+        let Some(WantedJob {
+            spec,
+            rule,
+            version,
+        }) = &wake_up.job
+        else {
             return;
         };
         let asked = asked(&known.record, rule, spec.tasks, &node, wall);
@@ -254,7 +271,7 @@
         let Some(wake_up) = self.remove_wake_up(model) else {
             return;
         };
-        let Some((spec, rule, _)) = &wake_up.job else {
+        let Some(WantedJob { spec, rule, .. }) = &wake_up.job else {
             return;
         };
         let status = self.model_status(spec, record, asked);
