--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -136,42 +136,48 @@
 }
 
 impl Node {
-    /// Hours that are past.
+    /// Notes hours that have passed, and refuses moves that came too late.
     pub(crate) fn hours_tick(&mut self) {
         let wall = self.now.wall;
         let Some(shard) = &mut self.shard else { return };
+        let missed = shard.missed_hours(wall);
+        shard.set_states(missed, wall);
+        for hour in std::mem::take(&mut shard.hours.rejected_moves) {
+            self.refuse_move(hour);
+        }
+    }
+
+    fn refuse_move(&mut self, hour: HourMove) {
+        let why = format!(
+            "{}: it has ended meanwhile, or its record has no room for the move",
+            hour.job
+        );
+        log::info!("hour of {why}");
+        let Some(conn) = hour.conn else { return };
+        if let Some(shard) = &mut self.shard {
+            shard.hours.waiting_operators.remove(&conn);
+        }
+        self.deny_admin(conn, 409, refused(&why));
+    }
+}
+
+impl Shard {
+    /// Hours that have passed since the last look, of jobs that are not about to end.
+    fn missed_hours(&mut self, wall: u64) -> Vec<(JobIndex, State)> {
         let mut missed = Vec::new();
-        while let Some(first) = shard
-            .hours
-            .upcoming
-            .first()
-            .copied()
-            .filter(|(due, _)| *due < wall)
+        while let Some(first) = self.hours.upcoming.first().copied()
+            && first.0 < wall
         {
-            shard.hours.upcoming.pop_first();
-            shard.hours.passed.insert(first);
+            self.hours.upcoming.pop_first();
+            self.hours.passed.insert(first);
             // The end of what has ended meanwhile says whether its hour was kept.
-            if shard.job(first.1).is_some_and(|j| !j.is_ending()) {
+            if self.job(first.1).is_some_and(|job| !job.is_ending()) {
                 missed.push((first.1, State::Missed));
             }
         }
-        shard.set_states(missed, wall);
-        for hour in std::mem::take(&mut shard.hours.rejected_moves) {
-            let why = format!(
-                "{}: it has ended meanwhile, or its record has no room for the move",
-                hour.job
-            );
-            log::info!("hour of {why}");
-            let Some(conn) = hour.conn else { continue };
-            if let Some(shard) = &mut self.shard {
-                shard.hours.waiting_operators.remove(&conn);
-            }
-            self.deny_admin(conn, 409, refused(&why));
-        }
+        missed
     }
-}
 
-impl Shard {
     /// Notes how hours stand from now on, and logs the first of them.
     pub(super) fn set_states(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
         let more = changes.len().saturating_sub(MAX_LOGGED);
