--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -9,6 +9,7 @@
 use wire::api::{Cause, TaskStage};
 use wire::records::KindRecord;
 
+/// What one task takes of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct Need {
     pub cores: f64,
@@ -16,6 +17,7 @@
     pub mem_gb: f64,
 }
 
+/// How far the record of a claim has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ClaimState {
     /// Not recorded yet; nothing was sent.
@@ -25,6 +27,7 @@
     Recorded,
 }
 
+/// An attempt of a task on a machine.
 #[derive(Debug, Clone)]
 pub(crate) struct Claim {
     pub job: JobIndex,
@@ -39,15 +42,18 @@
     pub sent: bool,
     /// The worker's agent epoch that our last start was for; in a later one it is never executed.
     pub agent_epoch: u64,
+    /// As last listed, if it ever was.
     pub stage: Option<TaskStage>,
     /// When it was first seen running.
     pub running_since: Option<u64>,
     /// It is to be stopped, with this grace.
     pub stop: Option<f64>,
+    /// When its worker was last told so.
     pub stop_sent: Option<u64>,
 }
 
 impl Claim {
+    /// A claim that has to be recorded.
     pub fn new(job: JobIndex, task: u32, attempt: u64) -> Self {
         Claim {
             job,
@@ -95,54 +101,66 @@
     pub cause: Option<Cause>,
 }
 
+/// A machine of the fleet, and what its worker last said.
 pub(crate) struct Machine {
     pub name: String,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
+    /// The time of day of its rental.
     pub rented_ms: u64,
     /// The inventory shard that it stands in, and what it adds to its record's length.
     pub inventory_shard: u64,
     pub size: usize,
+    /// It stands in that record.
     pub recorded: bool,
     pub addr: Option<SocketAddr>,
     /// The peer by way of which its worker heartbeats, if not by itself.
     pub via: Option<usize>,
     /// A heartbeat whose answer carried a start, which may still be on its way to the worker.
     pub unacknowledged_start: Option<(u64, u64)>,
-    /// Its worker has reported to us.
+    /// Its worker has heartbeated to us.
     pub up: bool,
     /// All that speaks for it is a heartbeat, made under this token, which may be a copy of one that is long past: it gets
     /// no tasks until its worker has answered us.
     pub unconfirmed_token: Option<u64>,
+    /// When its worker was last heard, by a heartbeat or by the answer to a command.
     pub heard_at: u64,
-    /// When its worker last reported, by itself or by way of a peer. Answers to commands renew no lease.
+    /// When its worker last heartbeated, by itself or by way of a peer. Answers to commands renew no lease.
     pub heartbeat_at: u64,
     /// Agent epoch and number of the newest message.
     pub seen: (u64, u64),
+    /// When the cloud takes it away, if it has said so.
     pub notice_until: Option<u64>,
     pub claims: Vec<Claim>,
+    /// Exited tasks that its worker listed in the newest message.
     pub exited: Vec<Exited>,
     /// Serial of the direct command that is out.
     pub command_in_flight: Option<u64>,
     /// A direct command was not answered: it may still be executed, until the worker has seen a token
     /// above this one or has begun a later agent epoch.
     pub unanswered_command: Option<(u64, u64)>,
+    /// Serial of the probe that is out.
     pub probe_in_flight: Option<u64>,
     pub probed_at: u64,
+    /// It is to be returned to the cloud.
     pub deleting: bool,
+    /// The cloud lists it as failed.
     pub failed: bool,
     pub idle_since: u64,
     /// Images that its tasks have fetched, newest last.
     pub images: Vec<(u32, f64)>,
+    /// Tasks that failed here since one was done, and how many of which job.
     pub errors: u32,
     pub error_jobs: BTreeMap<JobIndex, u32>,
     /// Cordoned: it fails its tasks, gets no more, and is returned once it is empty.
     pub cordoned: bool,
+    /// It gets no tasks until then, after an error or a refusal.
     pub rest_until: u64,
 }
 
 impl Machine {
+    /// One that stands in a record.
     pub fn new(name: &str, machine_type: &str, zone: &str, spot: bool, rented_ms: u64) -> Self {
         Machine {
             name: name.to_owned(),
@@ -179,7 +197,7 @@
         }
     }
 
-    /// One that has to be recorded: hired, listed or heard of just now.
+    /// One that has to be recorded: rented, listed or heard of just now.
     pub fn unrecorded(
         name: &str,
         machine_type: &str,
@@ -216,7 +234,7 @@
             && !self.deleting
     }
 
-    /// It has reported to us, or to an earlier leader who gave it tasks.
+    /// It has heartbeated to us, or to an earlier leader who gave it tasks.
     pub fn is_known_up(&self) -> bool {
         self.up || !self.claims.is_empty()
     }
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -466,14 +466,14 @@
         log::info!("machine {}: is about to be taken", machine.name);
         let left = machine.notice_until.unwrap_or(now).saturating_sub(now) as f64 / 1000.0;
         let mut stops: Vec<(JobIndex, f64)> = Vec::new();
-        for c in &machine.claims {
-            let Some(spec) = shard.job(c.job).and_then(|j| j.spec.as_ref()) else {
+        for claim in &machine.claims {
+            let Some(spec) = shard.job(claim.job).and_then(|job| job.spec.as_ref()) else {
                 continue;
             };
-            let ran = c.ran_s(now).unwrap_or(0.0);
-            if spec.checkpoint_s > 0.0 || c.running_since.is_none() || spec.estimate_s - ran > left
-            {
-                stops.push((c.job, grace(spec)));
+            let can_save = spec.checkpoint_s > 0.0;
+            let rest = spec.estimate_s - claim.ran_s(now).unwrap_or(0.0);
+            if can_save || claim.running_since.is_none() || rest > left {
+                stops.push((claim.job, grace(spec)));
             }
         }
         for (ix, grace) in stops {
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -33,6 +33,7 @@
 }
 
 impl Routing {
+    /// All heartbeats go to the leader, until it says otherwise.
     pub fn new() -> Self {
         Routing {
             is_spread: false,
--- a/crates/control/src/jobs/answer_history.rs
+++ b/crates/control/src/jobs/answer_history.rs
@@ -13,6 +13,7 @@
 }
 
 impl FinalStates {
+    /// Room for so many.
     pub fn new(cap: usize) -> Self {
         FinalStates {
             known: HashMap::new(),
@@ -21,6 +22,7 @@
         }
     }
 
+    /// The final state of a job, if it is remembered.
     pub fn get(&self, job: &str) -> Option<JobState> {
         let (stage, done) = self.known.get(job).copied()?;
         Some(JobState {
@@ -68,6 +70,7 @@
         self.count
     }
 
+    /// A job was said to be there.
     pub fn note(&mut self, job: &str) {
         self.count += 1;
         self.last.insert(job.to_owned(), self.count);
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -19,29 +19,38 @@
 /// How peers have answered what they were asked for users.
 #[derive(Debug, Default)]
 pub(crate) struct PeerResponsiveness {
-    /// By peer: when it last answered, and until when it is passed over.
-    of: Vec<(u64, u64)>,
+    by_peer: Vec<Responsiveness>,
+}
+
+#[derive(Debug, Clone, Copy, Default)]
+struct Responsiveness {
+    answered_at: u64,
+    /// It is passed over until then.
+    rests_until: u64,
 }
 
 impl PeerResponsiveness {
-    fn of(&mut self, peer: usize) -> &mut (u64, u64) {
-        if self.of.len() <= peer {
-            self.of.resize(peer + 1, (0, 0));
+    fn of(&mut self, peer: usize) -> &mut Responsiveness {
+        if self.by_peer.len() <= peer {
+            self.by_peer.resize(peer + 1, Responsiveness::default());
         }
-        &mut self.of[peer]
+        &mut self.by_peer[peer]
     }
 
+    /// Whether a peer is passed over now.
     pub fn rests(&self, peer: usize, now: u64) -> bool {
-        self.of.get(peer).is_some_and(|(_, until)| now < *until)
+        let peer = self.by_peer.get(peer);
+        peer.is_some_and(|peer| now < peer.rests_until)
     }
 
     /// What was sent then has been answered, or not. Silence counts only if nothing has been answered since.
     fn heard(&mut self, peer: usize, sent: u64, answered: bool, now: u64) {
-        let (at, until) = self.of(peer);
+        let peer = self.of(peer);
         if answered {
-            (*at, *until) = (now, 0);
-        } else if *at <= sent {
-            *until = now + REST_MS;
+            peer.answered_at = now;
+            peer.rests_until = 0;
+        } else if peer.answered_at <= sent {
+            peer.rests_until = now + REST_MS;
         }
     }
 }
@@ -67,16 +76,19 @@
 }
 
 impl Node {
+    /// A peer has answered what was sent to it then, or not.
     pub(crate) fn peer_heard(&mut self, peer: usize, sent: u64, answered: bool) {
         self.responsiveness
             .heard(peer, sent, answered, self.now.mono);
     }
 
+    /// The peer that leads the fleet, as far as is known here.
     pub(crate) fn leader_peer(&self) -> Option<usize> {
         let leader = self.leader_name()?;
         self.peer_named(&leader)
     }
 
+    /// The peer of this name.
     pub(crate) fn peer_named(&self, node: &str) -> Option<usize> {
         self.settings.peers.iter().position(|p| p.node == node)
     }
@@ -89,19 +101,18 @@
 
     /// Whom a request is forwarded to: the leader, or another that says it is served, or one that says nothing. If all say
     /// that they are not served, only a job's end may still be known, best to the leader.
-    fn target(&mut self, ask: &Ask) -> Option<usize> {
+    fn forwarding_target(&mut self, ask: &Ask) -> Option<usize> {
         let now = self.now.mono;
         let peers = 0..self.settings.peers.len();
         let able: Vec<usize> = peers
             .filter(|p| !self.responsiveness.rests(*p, now))
             .collect();
-        let served = |down| {
-            able.iter()
-                .copied()
-                .filter(|p| self.says_down(*p) == down)
-                .collect::<Vec<_>>()
+        let who_say = |down: Option<bool>| -> Vec<usize> {
+            let able = able.iter().copied();
+            able.filter(|peer| self.says_down(*peer) == down).collect()
         };
-        let (up, silent) = (served(Some(false)), served(None));
+        let (up, silent) = (who_say(Some(false)), who_say(None));
+        let is_lookup = matches!(ask, Ask::Lookup { .. });
         let past_leader = matches!(
             ask,
             Ask::Lookup {
@@ -117,7 +128,7 @@
         }
         let any = if up.is_empty() { silent } else { up };
         if any.is_empty() {
-            return leader.filter(|_| matches!(ask, Ask::Lookup { .. }));
+            return leader.filter(|_| is_lookup);
         }
         Some(any[self.rng.usize(0..any.len())])
     }
@@ -128,7 +139,7 @@
         let target = if forwarded.deadline < now + LEAST_MS {
             None
         } else {
-            self.target(&forwarded.ask)
+            self.forwarding_target(&forwarded.ask)
         };
         let Some(peer) = target else {
             self.stats.unanswered += u64::from(matches!(*forwarded.ask, Ask::Lookup { .. }));
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -7,11 +7,13 @@
 use wire::api::{JobSpec, JobState, Kind, Priority, Stage};
 use wire::records::{CountyRecord, JobRecord};
 
+/// Where a job is in the leader's table.
 pub(crate) type JobIndex = usize;
 
 /// How far the end of a job has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Ending {
+    /// It goes on.
     No,
     /// To be recorded.
     Wanted(Stage),
@@ -22,19 +24,24 @@
     Before,
 }
 
+/// A job that has not ended, or still has claims.
 pub(crate) struct Job {
     pub id: String,
     /// `None` for a job that had ended when we took over.
     pub spec: Option<Box<JobSpec>>,
     pub team: String,
+    /// What one of its tasks takes.
     pub need: Need,
     /// Bound when it was accepted, or as its claims say.
     pub county: Option<CountyRecord>,
     /// The same for the planner.
     pub tenant: plan::Tenant,
+    /// The time of day of its acceptance.
     pub at_ms: u64,
+    /// Version of its live record.
     pub version: u64,
     pub tasks: u32,
+    /// Done tasks, a bit each.
     done: Vec<u64>,
     pub done_count: u32,
     /// Tasks that are neither done nor claimed, as ranges of fresh ones and single returned ones.
@@ -42,19 +49,25 @@
     returned: BTreeSet<u32>,
     /// Claims by task: the machines and attempts. More than one only until the old ones are proved gone.
     pub claimed: HashMap<u32, Vec<(usize, u64)>>,
+    /// Tasks that run or save.
     pub running: u32,
     /// Completed tasks that are not recorded yet.
     pub unsaved: BTreeSet<u32>,
     /// Log records with results of this job.
     pub segments: BTreeSet<u64>,
     pub ending: Ending,
+    /// Who waits for its end.
     pub waiters: Vec<Requester>,
     /// The gang is being taken apart after the loss of a task.
     pub broken: bool,
+    /// Seconds of work that were saved before its present attempt.
     pub progress_s: f64,
     pub failures: u32,
+    /// Machines on which its tasks failed.
     pub failed_on: BTreeSet<usize>,
+    /// Some task was done.
     pub succeeded: bool,
+    /// Nothing of it is started until then.
     pub backoff_until: u64,
     /// It may have changed since the last plan.
     pub touched: bool,
@@ -77,6 +90,7 @@
 }
 
 impl Job {
+    /// A live job, by its record.
     pub fn new(rec: JobRecord, version: u64) -> Self {
         let spec = rec.spec;
         let need = Need {
@@ -136,9 +150,11 @@
         self.kind() == Kind::Array || !self.began && self.progress_s == 0.0
     }
 
+    /// A job of which only claims are left counts as an array.
     pub fn kind(&self) -> Kind {
         self.spec.as_ref().map_or(Kind::Array, |s| s.kind)
     }
+    /// A job of which only claims are left has the lowest.
     pub fn priority(&self) -> Priority {
         self.spec.as_ref().map_or(Priority::Low, |s| s.priority)
     }
@@ -174,12 +190,14 @@
         }
     }
 
+    /// Whether a task is done, recorded or not.
     pub fn is_done(&self, task: u32) -> bool {
         self.done
             .get(task as usize / 64)
             .is_some_and(|w| w >> (task % 64) & 1 == 1)
     }
 
+    /// True if that is news.
     fn set_done(&mut self, task: u32) -> bool {
         if task >= self.tasks || self.is_done(task) {
             return false;
@@ -236,6 +254,7 @@
             || (self.is_done(task) && !self.unsaved.contains(&task) && self.ending == Ending::No)
     }
 
+    /// A task has one claim more.
     pub fn claim(&mut self, task: u32, machine: usize, attempt: u64) {
         self.claimed
             .entry(task)
@@ -298,6 +317,7 @@
         None
     }
 
+    /// What users are told of it.
     pub fn state(&self) -> JobState {
         let stage = match self.ending {
             Ending::Recorded(stage) => stage,
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -60,6 +60,7 @@
         self.send(to, "POST", peer::PATH.into(), body, timeout_ms, what);
     }
 
+    /// Answers a peer's request.
     pub(crate) fn answer_peer(&mut self, conn: u64, answer: &Answer) {
         self.respond(conn, 200, peer::encode(answer), None);
     }
--- a/crates/control/src/provisioning/catalog.rs
+++ b/crates/control/src/provisioning/catalog.rs
@@ -23,6 +23,7 @@
         self.ask_cloud("GET", "/catalog".into(), Vec::new(), Pending::Catalog);
     }
 
+    /// The catalogue was read, or not.
     pub(crate) fn catalog_received(&mut self, response: Option<Response>) {
         let catalog = response
             .filter(|r| r.status == 200)
