--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -58,7 +58,7 @@
             shard.unwanted_is_right(),
             "a cancelled job with claims that nobody noted"
         );
-        let jobs = shard.unwanted.iter().filter_map(|ix| shard.job(*ix));
+        let jobs = shard.unwanted.iter().filter_map(|job| shard.job(*job));
         let machines = jobs
             .flat_map(|j| j.claimed.values().flatten())
             .filter_map(|(m, _)| shard.machine(*m));
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::agents::machine::Machine;
 use crate::leadership::election::SHARD;
-use crate::store::shard::{Rental, RentalState};
+use crate::store::rental::{Rental, RentalState};
 use crate::{Destination, Node, Pending};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{Catalog, HireRequest, ListedMachine, MachineList, MachineNames};
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -19,6 +19,13 @@
     pub attempt: u64,
 }
 
+impl ClaimId {
+    /// Whether a claim on its machine is this one.
+    pub fn is_of(&self, claim: &Claim) -> bool {
+        claim.job == self.job && claim.task == self.task && claim.attempt == self.attempt
+    }
+}
+
 /// A log record in the state service.
 #[derive(Default)]
 pub(crate) struct Segment {
@@ -180,10 +187,7 @@
     /// The claim, while it holds.
     pub fn claim_mut(&mut self, id: &ClaimId) -> Option<&mut Claim> {
         let machine = self.machines.get_mut(id.machine)?;
-        machine
-            .claims
-            .iter_mut()
-            .find(|c| c.job == id.job && c.task == id.task && c.attempt == id.attempt)
+        machine.claims.iter_mut().find(|c| id.is_of(c))
     }
 
     /// Notes that results of a job, or its end, are to be recorded.
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -11,6 +11,7 @@
 pub(crate) mod plan_triggers;
 pub(crate) mod rate_budget;
 pub(crate) mod recovery;
+pub(crate) mod rental;
 pub(crate) mod returned_machines;
 pub(crate) mod shard;
 pub(crate) mod table;
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -5,7 +5,8 @@
 use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::store::claim_log::{ClaimId, InventoryShard, Segment};
-use crate::store::shard::{Rental, Shard};
+use crate::store::rental::Rental;
+use crate::store::shard::Shard;
 use crate::store::transaction::value_limit;
 use crate::{Destination, Node, Pending};
 use serde::de::DeserializeOwned;
@@ -413,10 +414,10 @@
         );
         // A job may have been left with all tasks done but not ended, or with a gang half claimed.
         let all: Vec<JobIndex> = (0..shard.jobs.slots())
-            .filter(|ix| shard.job(*ix).is_some())
+            .filter(|job| shard.job(*job).is_some())
             .collect();
-        for ix in all {
-            self.job_changed(ix);
+        for job in all {
+            self.job_changed(job);
         }
         self.watch_live();
     }
@@ -444,8 +445,8 @@
             .or_default()
             .arrived(&record.spec, record.at_ms);
         shard.plan_triggers.urgent.arrived(&record.spec);
-        let ix = shard.add_job(Job::new(record, version));
+        let job = shard.add_job(Job::new(record, version));
         shard.plan_triggers.request();
-        self.model_received(ix);
+        self.model_received(job);
     }
 }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -2,7 +2,11 @@
 
 use crate::Requester;
 use crate::agents::machine::Machine;
+use crate::documents::county_counts::Tallies;
+use crate::documents::hours::Watch;
 use crate::jobs::job::{Class, Job, JobIndex};
+use crate::leadership::lease_bound::Attestations;
+use crate::scheduling::entitlement::Counted;
 use crate::store::allotment::AllotmentState;
 use crate::store::claim_log::{ClaimId, ClaimLog};
 use crate::store::cloud_calls::CloudCalls;
@@ -10,44 +14,12 @@
 use crate::store::live_jobs::LiveWatch;
 use crate::store::plan_triggers::PlanTriggers;
 use crate::store::recovery::RecoveryProgress;
+use crate::store::rental::Rental;
 use crate::store::returned_machines::ReturnedMachines;
 use crate::store::table::Table;
 use crate::store::transaction::value_limit;
 use crate::store::zone_reachability::ZoneReachability;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use wire::records::RentalRecord;
-
-/// Machines that are being rented: a request to the cloud under a name, repeated until there is an answer.
-pub(crate) struct Rental {
-    pub record: RentalRecord,
-    pub version: u64,
-    /// The request is out.
-    pub busy: bool,
-    pub retry_at: u64,
-    pub state: RentalState,
-}
-
-impl Rental {
-    /// One that was read back.
-    pub fn recorded(record: RentalRecord, version: u64) -> Self {
-        Rental {
-            record,
-            version,
-            busy: false,
-            retry_at: 0,
-            state: RentalState::Recorded,
-        }
-    }
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RentalState {
-    /// Not yet in the state service.
-    New,
-    Recorded,
-    /// Answered, and to be taken out of the state service.
-    Over,
-}
 
 /// Names of a kind, as dense indices.
 #[derive(Default)]
@@ -81,7 +53,7 @@
     /// The leader was sure of its lease at the last tick.
     pub had_valid_lease: bool,
     /// What the other nodes say while we are unsure.
-    pub attestations: crate::leadership::lease_bound::Attestations,
+    pub attestations: Attestations,
     /// Some worker has reported or answered without a peer in between.
     pub heard_itself: bool,
     /// When this term began.
@@ -116,11 +88,11 @@
     /// Jobs that are not wanted any more and still have claims.
     pub unwanted: BTreeSet<JobIndex>,
     /// The tree's counts, by the version that they belong to.
-    pub counted: Option<(u64, crate::scheduling::entitlement::Counted)>,
+    pub counted: Option<(u64, Counted)>,
     /// Release hours of its jobs.
-    pub hours: crate::documents::hours::Watch,
+    pub hours: Watch,
     /// Counts by county.
-    pub tally: crate::documents::county_counts::Tallies,
+    pub tally: Tallies,
 }
 
 impl Shard {
@@ -130,7 +102,7 @@
             leader_version,
             loaded: false,
             had_valid_lease: false,
-            attestations: crate::leadership::lease_bound::Attestations::default(),
+            attestations: Attestations::default(),
             heard_itself: false,
             since: now,
             recovery: RecoveryProgress::default(),
@@ -155,8 +127,8 @@
             touched: Vec::new(),
             unwanted: BTreeSet::new(),
             counted: None,
-            hours: crate::documents::hours::Watch::default(),
-            tally: crate::documents::county_counts::Tallies::new(value_limit(value_kb)),
+            hours: Watch::default(),
+            tally: Tallies::new(value_limit(value_kb)),
         }
     }
 
@@ -185,14 +157,15 @@
         self.next_attempt()
     }
 
-    pub fn job(&self, ix: JobIndex) -> Option<&Job> {
-        self.jobs.get(ix)
+    pub fn job(&self, index: JobIndex) -> Option<&Job> {
+        self.jobs.get(index)
     }
+
     /// Whoever changes a job gets it here, so that plans know which ones changed.
-    pub fn job_mut(&mut self, ix: JobIndex) -> Option<&mut Job> {
-        let job = self.jobs.get_mut(ix)?;
+    pub fn job_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
+        let job = self.jobs.get_mut(index)?;
         if !std::mem::replace(&mut job.touched, true) {
-            self.touched.push(ix);
+            self.touched.push(index);
         }
         Some(job)
     }
@@ -200,63 +173,65 @@
     /// The jobs that may have changed, come or gone since this was asked last; some perhaps twice.
     pub fn take_touched(&mut self) -> Vec<JobIndex> {
         let all = std::mem::take(&mut self.touched);
-        for ix in &all {
-            if let Some(job) = self.jobs.get_mut(*ix) {
+        for index in &all {
+            if let Some(job) = self.jobs.get_mut(*index) {
                 job.touched = false;
             }
         }
         all
     }
-    pub fn machine(&self, m: usize) -> Option<&Machine> {
-        self.machines.get(m)
+
+    pub fn machine(&self, index: usize) -> Option<&Machine> {
+        self.machines.get(index)
     }
-    pub fn machine_mut(&mut self, m: usize) -> Option<&mut Machine> {
-        self.machines.get_mut(m)
+
+    pub fn machine_mut(&mut self, index: usize) -> Option<&mut Machine> {
+        self.machines.get_mut(index)
     }
 
+    /// Takes in a job that was accepted, or of which claims are left.
     pub fn add_job(&mut self, mut job: Job) -> JobIndex {
         job.tenant = self.tally.tenant(job.county.as_ref());
-        let ix = self.jobs.insert(job.id.clone(), job);
-        if let Some(job) = self.jobs.get(ix) {
-            self.hours.add(job, ix);
+        let index = self.jobs.insert(job.id.clone(), job);
+        if let Some(job) = self.jobs.get(index) {
+            self.hours.add(job, index);
         }
-        self.touched.push(ix);
-        ix
+        self.touched.push(index);
+        index
     }
 
     /// Takes in a machine that has to be recorded.
     pub fn add_machine(&mut self, machine: Machine) -> usize {
         let size = machine.size;
-        let m = self.insert_machine(machine);
+        let index = self.insert_machine(machine);
         let inventory_shard = self
             .claim_log
-            .inventory_shard_for(m, size, self.value_limit);
-        if let Some(machine) = self.machine_mut(m) {
+            .inventory_shard_for(index, size, self.value_limit);
+        if let Some(machine) = self.machine_mut(index) {
             machine.inventory_shard = inventory_shard;
         }
-        m
+        index
     }
 
+    /// Takes in a machine that stands in an inventory shard.
     pub fn insert_machine(&mut self, machine: Machine) -> usize {
         self.machines.insert(machine.name.clone(), machine)
     }
 
     /// Forgets a machine that is proved gone and has no claims left.
-    pub fn remove_machine(&mut self, m: usize) {
-        let Some(machine) = self.machines.remove(m, |machine| &machine.name) else {
+    pub fn remove_machine(&mut self, index: usize) {
+        let Some(machine) = self.machines.remove(index, |m| &m.name) else {
             return;
         };
-        self.push.remove(&m);
+        self.push.remove(&index);
         self.claim_log
-            .leave_inventory_shard(machine.inventory_shard, m, machine.size);
+            .leave_inventory_shard(machine.inventory_shard, index, machine.size);
     }
 
     /// Takes a claim back of which nothing was sent.
     pub fn drop_claim(&mut self, id: &ClaimId) {
         if let Some(machine) = self.machine_mut(id.machine) {
-            machine
-                .claims
-                .retain(|c| !(c.job == id.job && c.task == id.task && c.attempt == id.attempt));
+            machine.claims.retain(|c| !id.is_of(c));
         }
         if let Some(job) = self.job_mut(id.job) {
             job.unclaim(id.task, id.machine, id.attempt);
@@ -264,42 +239,43 @@
     }
 
     /// Marks a job's tasks on one machine as to be stopped.
-    pub fn stop_job(&mut self, ix: JobIndex, m: usize, grace_s: f64) {
-        if self
-            .machine_mut(m)
-            .is_some_and(|machine| machine.stop_job(ix, grace_s))
-        {
-            self.push.insert(m);
+    pub fn stop_job(&mut self, job: JobIndex, machine: usize, grace_s: f64) {
+        let stopped = self
+            .machine_mut(machine)
+            .is_some_and(|m| m.stop_job(job, grace_s));
+        if stopped {
+            self.push.insert(machine);
         }
     }
 
-    /// Notes whether a job is one that is not wanted any more and still has claims.
-    pub fn note_unwanted(&mut self, ix: JobIndex) {
-        if self
-            .job(ix)
+    /// Whether a job is one that is not wanted any more and still has claims.
+    fn is_left_over(&self, index: JobIndex) -> bool {
+        self.job(index)
             .is_some_and(|j| j.is_unwanted() && !j.claimed.is_empty())
-        {
-            self.unwanted.insert(ix);
+    }
+
+    /// Notes whether a job is one that is not wanted any more and still has claims.
+    pub fn note_unwanted(&mut self, index: JobIndex) {
+        if self.is_left_over(index) {
+            self.unwanted.insert(index);
         } else {
-            self.unwanted.remove(&ix);
+            self.unwanted.remove(&index);
         }
     }
 
     /// Whether looking at all jobs finds none that is missing.
     pub fn unwanted_is_right(&self) -> bool {
-        let left = |j: &Job| j.is_unwanted() && !j.claimed.is_empty();
-        (0..self.jobs.slots())
-            .all(|ix| self.unwanted.contains(&ix) || !self.job(ix).is_some_and(left))
+        (0..self.jobs.slots()).all(|job| self.unwanted.contains(&job) || !self.is_left_over(job))
     }
 
     /// Forgets an ended job once nothing of it is on any machine.
-    pub fn maybe_forget_job(&mut self, ix: JobIndex) {
+    pub fn maybe_forget_job(&mut self, index: JobIndex) {
         let gone = self
-            .job(ix)
+            .job(index)
             .is_some_and(|j| j.is_over() && j.claimed.is_empty());
-        if gone && self.jobs.remove(ix, |job| &job.id).is_some() {
-            self.unwanted.remove(&ix);
-            self.touched.push(ix);
+        if gone && self.jobs.remove(index, |job| &job.id).is_some() {
+            self.unwanted.remove(&index);
+            self.touched.push(index);
         }
     }
 
