--- a/crates/control/src/leadership/incarnation.rs
+++ b/crates/control/src/leadership/incarnation.rs
@@ -1,12 +1,13 @@
 //! One incarnation of a node: from the start of its process to its end.
 //!
-//! A node that begins knows that the incarnation before it is over, since both would listen on the same
-//! addresses. If that one led the fleet, nobody needs to wait for its lease to run out. Weighed in docs/safety.md under "A new life".
+//! A node that begins knows that the incarnation before it is over, since both would listen on the same addresses. If
+//! that one led the fleet, nobody needs to wait for its lease to run out. Weighed in docs/safety.md under "A new life".
 //!
 //! Nothing here takes over; [`crate::leadership::election`] does, by a transaction that is guarded as any other.
 
 use wire::records::LeaderRecord;
 
+/// The present incarnation of this node.
 pub(crate) struct Incarnation {
     /// Drawn anew by each process; never 0, which stands in records from before there were marks.
     mark: u64,
@@ -16,6 +17,7 @@
 }
 
 impl Incarnation {
+    /// A process has started.
     pub fn begin(seed: u64) -> Self {
         // Numbers that any reader of the records can hold exactly.
         Incarnation {
@@ -24,10 +26,12 @@
         }
     }
 
+    /// What stands in the leader records of this incarnation.
     pub fn mark(&self) -> u64 {
         self.mark
     }
 
+    /// It has become the leader.
     pub fn leads_now(&mut self) {
         self.has_led = true;
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -85,6 +85,7 @@
 }
 
 impl Node {
+    /// A node that knows nothing yet. All its randomness comes from the seed.
     pub fn new(settings: Settings, tuning: Tuning, seed: u64, now: Now) -> Self {
         let c = &settings.cluster;
         let nodes = settings.peers.len() as f64 + 1.0;
@@ -162,6 +163,7 @@
         }
     }
 
+    /// What this node has counted.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
@@ -188,7 +190,7 @@
         if self.shard.is_some() { 50 } else { 100 }
     }
 
-    pub(crate) fn tick(&mut self) {
+    fn tick(&mut self) {
         self.plan_pacing.ticked(self.now.mono, self.wait_ms());
         self.election_tick();
         self.routing_tick();
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -14,126 +14,98 @@
 
 /// What an answer that is still out belongs to. `term` ties it to one term of leadership.
 pub(crate) enum Pending {
+    /// A read of what all controllers follow.
     SharedRead,
-    SharedWatch {
-        round: u64,
-    },
-    Grant {
-        sent: u64,
-    },
-    Renew {
-        lease: u64,
-        sent: u64,
-    },
-    Take {
-        lease: u64,
-        token: u64,
-    },
-    PeerStatus {
-        sent: u64,
-        peer: usize,
-    },
-    Relayed {
-        conns: Vec<u64>,
-    },
-    Tell {
-        conn: u64,
-    },
+    /// A watch of what all controllers follow.
+    SharedWatch { round: u64 },
+    /// A candidate asks for a lease.
+    Grant { sent: u64 },
+    /// The leader renews its lease.
+    Renew { lease: u64, sent: u64 },
+    /// A candidate puts its leader record.
+    Take { lease: u64, token: u64 },
+    /// A peer is asked for its status.
+    PeerStatus { sent: u64, peer: usize },
+    /// Heartbeats that were handed on to the leader.
+    Relayed { conns: Vec<u64> },
+    /// A command that is handed on to a worker for the leader.
+    Tell { conn: u64 },
+    /// Nobody waits for it.
     Release,
-    Load {
-        term: u64,
-        what: recovery::Load,
-    },
-    LiveWatch {
-        term: u64,
-    },
-    Commit {
-        term: u64,
-    },
-    Verify {
-        term: u64,
-    },
+    /// A page of what is read back after a failover.
+    Load { term: u64, what: recovery::Load },
+    /// The watch of accepted jobs.
+    LiveWatch { term: u64 },
+    /// A transaction of the leader's.
+    Commit { term: u64 },
+    /// Whether a transaction whose outcome is unknown is in place.
+    Verify { term: u64 },
+    /// A job is put into the state service.
     Accept {
         submission: admission::Submission,
         denied: Option<&'static str>,
         mark: u64,
     },
-    ReadLive {
-        question: query::Question,
-    },
-    ReadEnd {
-        question: query::Question,
-    },
+    /// Whether a job is live.
+    ReadLive { question: query::Question },
+    /// Whether a job has ended.
+    ReadEnd { question: query::Question },
+    /// A peer is asked for a job's state.
     PeerQuery {
         question: query::Question,
         peer: usize,
         sent: u64,
     },
-    PeerCancel {
-        conn: u64,
-        job: String,
-    },
+    /// A peer is asked to cancel a job.
+    PeerCancel { conn: u64, job: String },
+    /// A user's request that was forwarded to a peer.
     Forward {
         forwarded: forwarding::ForwardedRequest,
         peer: usize,
         sent: u64,
         mark: u64,
     },
-    Admin {
-        conn: u64,
-    },
-    Frontend {
-        tag: u64,
-    },
-    Sheets {
-        term: u64,
-    },
+    /// An operator's request that was forwarded to the leader.
+    Admin { conn: u64 },
+    /// What another front end of this process has asked.
+    Frontend { tag: u64 },
+    /// Counts by county are read back.
+    Sheets { term: u64 },
+    /// Records are read for an audit of the counts by county.
     Audit {
         term: u64,
         under: county_audit::Under,
     },
-    Models {
-        term: u64,
-    },
-    ModelWatch {
-        term: u64,
-    },
-    ModelWrite {
-        term: u64,
-        model: String,
-    },
-    Wake {
-        model: String,
-        step: demand::Step,
-    },
-    WakeForward {
-        waiter: demand::Waiter,
-    },
-    LeaderNotified {
-        model: String,
-    },
-    Parts {
-        term: u64,
-        kind: documents::KindId,
-    },
+    /// Records of models are read back.
+    Models { term: u64 },
+    /// The watch of records of models.
+    ModelWatch { term: u64 },
+    /// A record of a model is written.
+    ModelWrite { term: u64, model: String },
+    /// A model's record is read or written for demand.
+    Wake { model: String, step: demand::Step },
+    /// Demand for a model that was forwarded to the leader.
+    WakeForward { waiter: demand::Waiter },
+    /// The leader is told of demand for a model.
+    LeaderNotified { model: String },
+    /// Parts of a document are read.
+    Parts { term: u64, kind: documents::KindId },
+    /// The cloud is asked for its machine types.
     Catalog,
-    List {
-        term: u64,
-    },
-    Rental {
-        term: u64,
-        name: String,
-    },
-    Delete {
-        term: u64,
-        machines: Vec<usize>,
-    },
+    /// The cloud is asked for our machines.
+    List { term: u64 },
+    /// The cloud is asked for more machines.
+    Rental { term: u64, name: String },
+    /// Machines are returned to the cloud.
+    Delete { term: u64, machines: Vec<usize> },
+    /// Orders are sent to a worker, by way of a peer or not.
     Direct {
         term: u64,
         machine: usize,
         serial: u64,
         via: bool,
     },
+    /// A worker is asked what it runs, by way of a peer or not.
     Probe {
         term: u64,
         machine: usize,
