--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -35,6 +35,7 @@
 }
 
 impl Routing {
+    /// All heartbeats go to the leader, until it says otherwise.
     pub fn new() -> Self {
         Routing {
             is_spread: false,
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -18,6 +18,7 @@
 /// A job's hour in the leader's memory.
 #[derive(Debug, Clone)]
 pub(crate) struct Hour {
+    /// As it stands in the job's record.
     pub record: HourRecord,
     /// How it stands, as was last logged.
     pub(super) state: State,
@@ -26,6 +27,7 @@
 }
 
 impl Hour {
+    /// The hour of a job that was accepted or read back.
     pub fn new(record: HourRecord) -> Box<Hour> {
         Box::new(Hour {
             record,
@@ -35,6 +37,7 @@
     }
 }
 
+/// The hour of a job that has ended, for lists.
 pub(super) struct Ended {
     pub(super) job: String,
     pub(super) team: String,
@@ -50,7 +53,9 @@
     /// Jobs that have not ended, by hour: those whose hour is yet to come, and the others.
     pub(super) upcoming: BTreeSet<(u64, JobIndex)>,
     pub(super) passed: BTreeSet<(u64, JobIndex)>,
+    /// The last jobs that ended.
     pub(super) ended: VecDeque<Ended>,
+    /// Moves that wait for a transaction.
     pub(super) moves: VecDeque<HourMove>,
     /// Moves of jobs that have ended meanwhile.
     pub(super) rejected_moves: Vec<HourMove>,
@@ -59,12 +64,14 @@
 }
 
 impl DeadlineWatch {
+    /// Watches the hour of a job, if it has one.
     pub fn add(&mut self, job: &Job, ix: JobIndex) {
         if let Some(hour) = &job.hour {
             self.upcoming.insert((hour.record.due_ms, ix));
         }
     }
 
+    /// Watches an hour no longer.
     pub(super) fn forget(&mut self, due_ms: u64, ix: JobIndex) {
         self.upcoming.remove(&(due_ms, ix));
         self.passed.remove(&(due_ms, ix));
@@ -129,42 +136,49 @@
 }
 
 impl Node {
-    /// Hours that are past.
+    /// Notes hours that have passed, and refuses moves that came too late.
     pub(crate) fn hours_tick(&mut self) {
         let wall = self.now.wall;
         let Some(shard) = &mut self.shard else { return };
+        let missed = shard.missed_hours(wall);
+        shard.set_states(missed, wall);
+        for hour in std::mem::take(&mut shard.hours.rejected_moves) {
+            self.refuse_move(hour);
+        }
+    }
+
+    fn refuse_move(&mut self, hour: HourMove) {
+        let why = format!(
+            "{}: it has ended meanwhile, or its record has no room for the move",
+            hour.job
+        );
+        log::info!("hour of {why}");
+        let Some(conn) = hour.conn else { return };
+        if let Some(shard) = &mut self.shard {
+            shard.hours.waiting_operators.remove(&conn);
+        }
+        self.deny_admin(conn, 409, refused(&why));
+    }
+}
+
+impl Shard {
+    /// Hours that have passed since the last look, of jobs that are not about to end.
+    fn missed_hours(&mut self, wall: u64) -> Vec<(JobIndex, State)> {
         let mut missed = Vec::new();
-        while let Some(first) = shard
-            .hours
-            .upcoming
-            .first()
-            .copied()
-            .filter(|(due, _)| *due < wall)
+        while let Some(first) = self.hours.upcoming.first().copied()
+            && first.0 < wall
         {
-            shard.hours.upcoming.pop_first();
-            shard.hours.passed.insert(first);
+            self.hours.upcoming.pop_first();
+            self.hours.passed.insert(first);
             // The end of what has ended meanwhile says whether its hour was kept.
-            if shard.job(first.1).is_some_and(|j| !j.is_ending()) {
+            if self.job(first.1).is_some_and(|job| !job.is_ending()) {
                 missed.push((first.1, State::Missed));
             }
         }
-        shard.set_states(missed, wall);
-        for hour in std::mem::take(&mut shard.hours.rejected_moves) {
-            let why = format!(
-                "{}: it has ended meanwhile, or its record has no room for the move",
-                hour.job
-            );
-            log::info!("hour of {why}");
-            let Some(conn) = hour.conn else { continue };
-            if let Some(shard) = &mut self.shard {
-                shard.hours.waiting_operators.remove(&conn);
-            }
-            self.deny_admin(conn, 409, refused(&why));
-        }
+        missed
     }
-}
 
-impl Shard {
+    /// Notes how hours stand from now on, and logs the first of them.
     pub(super) fn set_states(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
         let more = changes.len().saturating_sub(MAX_LOGGED);
         for (n, (ix, state)) in changes.into_iter().enumerate() {
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -1,5 +1,5 @@
-//! The operators' door, on the peers' side: what is in force of each kind of document, changes of it, and what its
-//! kind alone can be asked. Any controller takes a request; the leader answers it.
+//! The operators' API, served on the peers' address: what is in force of each kind of document, changes of it, and
+//! what its kind alone can be asked. Any controller takes a request; the leader answers it.
 
 use crate::documents::{Document, Kind, KindId, for_kind};
 use crate::{Destination, Node, Pending};
@@ -11,8 +11,8 @@
 const FORWARD_MS: u64 = 15_000;
 
 impl Node {
-    /// A request at the door, if it is one for it.
-    pub(crate) fn admin_asked(&mut self, conn: u64, request: &Request) -> bool {
+    /// Serves a request if it is one for this API.
+    pub(crate) fn admin_requested(&mut self, conn: u64, request: &Request) -> bool {
         let kind = admin::kind_of(&request.path).and_then(KindId::named);
         let Some(kind) = kind.filter(|_| self.tuning.door >= 1.0) else {
             return false;
@@ -59,6 +59,7 @@
         );
     }
 
+    /// The leader's answer to a request that was handed on to it.
     pub(crate) fn admin_answered(&mut self, conn: u64, response: Option<Response>) {
         match response {
             Some(r) => self.respond(conn, r.status, r.body, r.retry_after_s),
@@ -70,6 +71,7 @@
         }
     }
 
+    /// Refuses a request; one that may be served later with the time to come back.
     pub(crate) fn deny_admin(&mut self, conn: u64, status: u16, why: Refused) {
         let retry = (status == 503).then_some(1);
         self.respond(conn, status, admin::encode(&why), retry);
@@ -95,6 +97,7 @@
     }
 }
 
+/// A refusal with its reason alone.
 pub(crate) fn refused(why: &str) -> Refused {
     Refused {
         error: why.to_owned(),
@@ -102,6 +105,7 @@
     }
 }
 
+/// The refusal of a version with these faults.
 pub(super) fn faulty<K: Kind>(faults: Vec<Fault>) -> Refused {
     let why = format!(
         "the {} is refused; the one in force stays",
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -15,7 +15,7 @@
 impl Node {
     /// A request at the peers' port.
     pub(crate) fn peer_request(&mut self, conn: u64, request: &Request) {
-        if self.demand_at_door(conn, request) || self.admin_asked(conn, request) {
+        if self.operator_demand(conn, request) || self.admin_requested(conn, request) {
             return;
         }
         let is_ask = request.method == "POST" && request.path == peer::PATH;
@@ -50,7 +50,7 @@
                 addr,
                 body,
             } => self.relay_command(conn, &machine, &addr, body.into_vec()),
-            PeerRequest::Wake { model, leader } => self.demand_of_peer(conn, &model, leader),
+            PeerRequest::Wake { model, leader } => self.peer_demand(conn, &model, leader),
         }
     }
 
@@ -66,6 +66,7 @@
         self.send(to, "POST", peer::PATH.into(), body, timeout_ms, what);
     }
 
+    /// Answers a peer's request.
     pub(crate) fn answer_peer(&mut self, conn: u64, answer: &PeerResponse) {
         self.respond(conn, 200, peer::encode(answer), None);
     }
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -1,9 +1,10 @@
 //! Demand for models, at any controller and whether or not there is a leader.
 //!
-//! Of all who ask for one model at one node, one wake-up is sent out: it reads the job and the model's record, and where
-//! the model is asleep it begins the next generation by one transaction, guarded by both. Whoever loses reads again and
-//! follows what stands there. A node that hears of demand for a model that is up tells the leader now and then; where
-//! it can't, it says so in the record, and a sleep that was decided without it fails on its guard.
+//! Requests are coalesced: of all who ask for one model at one node, one wake-up is sent out
+//! ([`crate::models::wake_up`]). It reads the job and the model's record, and where the model is asleep it begins the
+//! next generation by one transaction, guarded by both. Whoever loses reads again and follows what stands there. A node
+//! that hears of demand for a model that is up tells the leader now and then; where it can't, it says so in the record,
+//! and a sleep that was decided without it fails on its guard.
 
 use crate::jobs::admission::peer_answer;
 use crate::models::wake_up::WakeUp;
@@ -32,7 +33,7 @@
 /// Who waits to hear how a model stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Waiter {
-    Door(u64),
+    Operator(u64),
     Peer(u64),
     Frontend(u64),
 }
@@ -44,11 +45,14 @@
     notified_at: HashMap<String, u64>,
     /// How models stood that were up a moment ago.
     pub(super) cached: HashMap<String, CachedStatus>,
+    /// Wake-ups in flight, by model.
     pub(super) wake_ups: HashMap<String, WakeUp>,
+    /// Those who wait for all of them.
     pub(super) waiting: usize,
     swept_at: u64,
 }
 
+/// The status of a model that was up a moment ago.
 pub(super) struct CachedStatus {
     pub(super) at: u64,
     pub(super) status: ModelStatus,
@@ -61,16 +65,19 @@
         self.demanded_at.get(model).copied().unwrap_or(0)
     }
 
+    /// Forgets a model that is gone.
     pub fn forget(&mut self, model: &str) {
         self.demanded_at.remove(model);
         self.notified_at.remove(model);
         self.cached.remove(model);
     }
 
+    /// Forgets how models stood: other rules are in force.
     pub fn forget_cached(&mut self) {
         self.cached.clear();
     }
 
+    /// A model is wanted now.
     pub(super) fn note_demand(&mut self, model: &str, now: u64) {
         if self.demanded_at.len() < MAX_MODELS || self.demanded_at.contains_key(model) {
             self.demanded_at.insert(model.to_owned(), now);
@@ -79,23 +86,23 @@
 }
 
 impl Node {
-    /// A model is wanted: true if this was a request for it at the operators' door.
-    pub(crate) fn demand_at_door(&mut self, conn: u64, request: &Request) -> bool {
+    /// A model is wanted: true if this was a request for it to the operators' API.
+    pub(crate) fn operator_demand(&mut self, conn: u64, request: &Request) -> bool {
         if request.path != DEMAND || self.tuning.door < 1.0 {
             return false;
         }
         match admin::decode::<Demand>(&request.body) {
             _ if request.method != "POST" => {
-                self.deny_demand(Waiter::Door(conn), 405, "method not allowed")
+                self.deny_demand(Waiter::Operator(conn), 405, "method not allowed")
             }
-            Ok(Demand { model }) => self.demand(&model, Waiter::Door(conn)),
-            Err(e) => self.deny_demand(Waiter::Door(conn), 400, &e.to_string()),
+            Ok(Demand { model }) => self.demand(&model, Waiter::Operator(conn)),
+            Err(e) => self.deny_demand(Waiter::Operator(conn), 400, &e.to_string()),
         }
         true
     }
 
     /// The same from a peer.
-    pub(crate) fn demand_of_peer(&mut self, conn: u64, model: &str, leader: bool) {
+    pub(crate) fn peer_demand(&mut self, conn: u64, model: &str, leader: bool) {
         if leader && !self.may_decide() {
             return self.respond(conn, 200, peer::encode(&PeerResponse::NotNow), None);
         }
@@ -177,6 +184,7 @@
         );
     }
 
+    /// Whether the leader has heard of the demand.
     pub(crate) fn leader_notified(&mut self, model: &str, response: Option<Response>) {
         if !matches!(peer_answer(response), Some(PeerResponse::Model(_))) {
             self.touch_record(model);
@@ -214,6 +222,7 @@
         );
     }
 
+    /// What a peer has answered to a demand that was handed on.
     pub(crate) fn demand_forwarded(&mut self, waiter: Waiter, response: Option<Response>) {
         match peer_answer(response) {
             Some(PeerResponse::Model(status)) => self.answer_demand(waiter, &status),
@@ -224,9 +233,10 @@
         }
     }
 
+    /// Tells whoever waits how a model stands.
     pub(super) fn answer_demand(&mut self, waiter: Waiter, status: &ModelStatus) {
         match waiter {
-            Waiter::Door(conn) => self.respond(conn, 200, admin::encode(status), None),
+            Waiter::Operator(conn) => self.respond(conn, 200, admin::encode(status), None),
             Waiter::Peer(conn) => self.respond(
                 conn,
                 200,
@@ -239,9 +249,10 @@
         }
     }
 
+    /// Tells whoever waits why that can't be said.
     pub(super) fn deny_demand(&mut self, waiter: Waiter, status: u16, why: &str) {
         match waiter {
-            Waiter::Door(conn) => {
+            Waiter::Operator(conn) => {
                 let refused = admin::Refused {
                     error: why.to_owned(),
                     ..admin::Refused::default()
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -24,16 +24,26 @@
 
 #[derive(Default)]
 pub(super) struct WakeUp {
+    /// Those who are told how it ends.
     pub(super) waiters: Vec<Waiter>,
     /// The leader could not be told: the record is to say that the model is wanted.
     pub(super) touch: bool,
     tries: u32,
-    job: Option<(Box<JobSpec>, Rule, u64)>,
+    job: Option<WantedJob>,
     /// What is being written.
     record: Option<Rec>,
 }
 
+/// The job that a wake-up is for, as it was read.
+struct WantedJob {
+    spec: Box<JobSpec>,
+    rule: Rule,
+    /// The version of its record, which guards the transaction.
+    version: u64,
+}
+
 impl WakeUp {
+    /// The first who wants a model.
     pub fn for_waiter(waiter: Waiter) -> WakeUp {
         WakeUp {
             waiters: vec![waiter],
@@ -70,6 +80,7 @@
 }
 
 impl Node {
+    /// Begins with what this node knows if it is the leader, and reads otherwise.
     pub(super) fn start_wake_up(&mut self, model: &str, wake_up: WakeUp) {
         self.models
             .demand
@@ -113,13 +124,18 @@
     fn rule_found(&mut self, model: &str, spec: Box<JobSpec>, version: u64) -> bool {
         let rule = self.models.rule(&spec);
         if let Some((wake_up, rule)) = self.models.demand.wake_ups.get_mut(model).zip(rule) {
-            wake_up.job = Some((spec, rule, version));
+            wake_up.job = Some(WantedJob {
+                spec,
+                rule,
+                version,
+            });
             return true;
         }
         self.fail_wake_up(model, 404, "no rule makes it a model");
         false
     }
 
+    /// The answer to a step of a wake-up that has not ended.
     pub(crate) fn wake_up_received(
         &mut self,
         model: String,
@@ -214,7 +230,12 @@
         let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) else {
             return;
         };
-        let Some((spec, rule, version)) = &wake_up.job else {
+        let Some(WantedJob {
+            spec,
+            rule,
+            version,
+        }) = &wake_up.job
+        else {
             return;
         };
         let asked = asked(&known.record, rule, spec.tasks, &node, wall);
@@ -253,7 +274,7 @@
         let Some(wake_up) = self.remove_wake_up(model) else {
             return;
         };
-        let Some((spec, rule, _)) = &wake_up.job else {
+        let Some(WantedJob { spec, rule, .. }) = &wake_up.job else {
             return;
         };
         let status = self.model_status(spec, record, asked);
--- a/crates/control/src/scheduling/scaling.rs
+++ b/crates/control/src/scheduling/scaling.rs
@@ -4,7 +4,8 @@
 use super::planning::Planned;
 use crate::Node;
 use crate::agents::machine::Machine;
-use crate::store::shard::{RentalState, Shard};
+use crate::store::rental::RentalState;
+use crate::store::shard::Shard;
 use std::collections::HashMap;
 use wire::api::{Catalog, Cause, MachineType};
 
