--- /dev/null
+++ b/crates/dependency/src/table.rs
@@ -0,0 +1,88 @@
+//! A table by position, in pages that are freed when they are empty.
+
+/// Entries of a page.
+const PAGE_SIZE: usize = 64;
+
+/// A sparse table by position. Entries are boxed, so an unused position costs one pointer of a page in use.
+#[derive(Clone, Debug)]
+pub(crate) struct Table<T> {
+    pages: Vec<Option<Page<T>>>,
+    len: usize,
+}
+
+#[derive(Clone, Debug)]
+struct Page<T> {
+    entries: Box<[Option<Box<T>>]>,
+    used: usize,
+}
+
+impl<T> Page<T> {
+    fn new() -> Self {
+        Self {
+            entries: std::iter::repeat_with(|| None).take(PAGE_SIZE).collect(),
+            used: 0,
+        }
+    }
+}
+
+impl<T> Table<T> {
+    pub(crate) fn new() -> Self {
+        Self {
+            pages: Vec::new(),
+            len: 0,
+        }
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.len
+    }
+
+    pub(crate) fn get(&self, position: usize) -> Option<&T> {
+        let page = self.pages.get(position / PAGE_SIZE)?.as_ref()?;
+        page.entries[position % PAGE_SIZE].as_deref()
+    }
+
+    pub(crate) fn get_mut(&mut self, position: usize) -> Option<&mut T> {
+        let page = self.pages.get_mut(position / PAGE_SIZE)?.as_mut()?;
+        page.entries[position % PAGE_SIZE].as_deref_mut()
+    }
+
+    /// Fills a free position.
+    pub(crate) fn insert(&mut self, position: usize, entry: T) {
+        let number = position / PAGE_SIZE;
+        if number >= self.pages.len() {
+            self.pages.resize_with(number + 1, || None);
+        }
+        let page = self.pages[number].get_or_insert_with(Page::new);
+        let before = page.entries[position % PAGE_SIZE].replace(Box::new(entry));
+        assert!(before.is_none(), "the position is free");
+        page.used += 1;
+        self.len += 1;
+    }
+
+    /// Frees a position, the page with its last entry, and the pages at the end that are empty.
+    pub(crate) fn remove(&mut self, position: usize) {
+        let number = position / PAGE_SIZE;
+        let Some(Some(page)) = self.pages.get_mut(number) else {
+            return;
+        };
+        if page.entries[position % PAGE_SIZE].take().is_none() {
+            return;
+        }
+        page.used -= 1;
+        self.len -= 1;
+        if page.used == 0 {
+            self.pages[number] = None;
+            self.drop_last_pages();
+        }
+    }
+
+    fn drop_last_pages(&mut self) {
+        while let Some(None) = self.pages.last() {
+            self.pages.pop();
+        }
+        if self.pages.len() < self.pages.capacity() / 4 {
+            self.pages.shrink_to(self.pages.len() * 2);
+        }
+    }
+}
--- /dev/null
+++ b/crates/dependency/tests/common/mod.rs
@@ -0,0 +1,3 @@
+//! What several tests use.
+
+pub mod naive;
--- /dev/null
+++ b/crates/dependency/tests/common/naive.rs
@@ -0,0 +1,134 @@
+//! A model of the graph that keeps all jobs for good and computes everything from their lists.
+
+use dependency::{Inherited, JobState, TimeMs, Urgency};
+use std::collections::BTreeSet;
+
+/// A job of the model: never used again.
+pub type Id = usize;
+
+struct Job {
+    needs: BTreeSet<Id>,
+    accepted: TimeMs,
+    urgency: Urgency,
+    end: Option<TimeMs>,
+    cancelled_itself: bool,
+}
+
+#[derive(Default)]
+pub struct Naive {
+    jobs: Vec<Job>,
+}
+
+impl Naive {
+    pub fn add(&mut self, needs: BTreeSet<Id>, accepted: TimeMs, urgency: Urgency) -> Id {
+        self.jobs.push(Job {
+            needs,
+            accepted,
+            urgency,
+            end: None,
+            cancelled_itself: false,
+        });
+        self.jobs.len() - 1
+    }
+
+    pub fn finish(&mut self, id: Id, at: TimeMs) {
+        self.jobs[id].end = Some(at);
+    }
+
+    pub fn cancel(&mut self, id: Id) {
+        self.jobs[id].cancelled_itself = true;
+    }
+
+    pub fn set_urgency(&mut self, id: Id, urgency: Urgency) {
+        self.jobs[id].urgency = urgency;
+    }
+
+    pub fn state(&self, id: Id) -> JobState {
+        self.states()[id]
+    }
+
+    /// The states of all jobs; a job's list names earlier ones alone.
+    fn states(&self) -> Vec<JobState> {
+        let mut states: Vec<JobState> = Vec::new();
+        for job in &self.jobs {
+            let needs = || job.needs.iter().map(|&need| states[need]);
+            let ends = needs().map(|state| match state {
+                JobState::Done { at } => Some(at),
+                _ => None,
+            });
+            let state = if job.cancelled_itself || needs().any(|state| state == JobState::Cancelled)
+            {
+                JobState::Cancelled
+            } else if let Some(at) = job.end {
+                JobState::Done { at }
+            } else if let Some(ends) = ends.collect::<Option<Vec<_>>>() {
+                let at = ends.into_iter().chain([job.accepted]).max();
+                JobState::Released {
+                    at: at.expect("the acceptance at least"),
+                }
+            } else {
+                JobState::Waiting
+            };
+            states.push(state);
+        }
+        states
+    }
+
+    pub fn cancelled(&self) -> impl Iterator<Item = Id> {
+        let states = self.states().into_iter().enumerate();
+        states
+            .filter(|(_, state)| *state == JobState::Cancelled)
+            .map(|(id, _)| id)
+    }
+
+    pub fn dependents(&self, id: Id) -> impl Iterator<Item = Id> {
+        let jobs = self.jobs.iter().enumerate();
+        jobs.filter(move |(_, job)| job.needs.contains(&id))
+            .map(|(id, _)| id)
+    }
+
+    fn unfinished(&self, id: Id) -> bool {
+        matches!(
+            self.state(id),
+            JobState::Waiting | JobState::Released { .. }
+        )
+    }
+
+    pub fn unfinished_needs(&self, id: Id) -> BTreeSet<Id> {
+        if !self.unfinished(id) {
+            return BTreeSet::new();
+        }
+        let needs = self.jobs[id].needs.iter().copied();
+        needs.filter(|&need| self.unfinished(need)).collect()
+    }
+
+    /// By the definition: over all paths below the job.
+    pub fn inherited(&self, id: Id) -> Option<Inherited> {
+        let states = self.states();
+        let unfinished =
+            |id: Id| matches!(states[id], JobState::Waiting | JobState::Released { .. });
+        // Later jobs first, so that those that need a job are there before it.
+        let mut inherited: Vec<Option<Inherited>> = vec![None; self.jobs.len()];
+        for id in (0..self.jobs.len()).rev().filter(|&id| unfinished(id)) {
+            let own = self.jobs[id].urgency;
+            let mut best = Inherited {
+                priority: own.priority,
+                latest_finish: own.deadline,
+            };
+            for dependent in self
+                .dependents(id)
+                .filter(|&dependent| unfinished(dependent))
+            {
+                let below = inherited[dependent].expect("an unfinished job that comes later");
+                let duration = self.jobs[dependent].urgency.duration.0 as i64;
+                let finish = below
+                    .latest_finish
+                    .map(|finish| TimeMs(finish.0 - duration));
+                best.priority = best.priority.max(below.priority);
+                best.latest_finish = best.latest_finish.into_iter().chain(finish).min();
+            }
+            inherited[id] = Some(best);
+        }
+        inherited[id]
+    }
+}
--- /dev/null
+++ b/crates/dependency/tests/memory.rs
@@ -0,0 +1,137 @@
+//! Memory is freed with the jobs: counted by the allocator. One test alone, so that nothing else allocates beside it.
+
+use dependency::*;
+use std::alloc::{GlobalAlloc, Layout, System};
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+struct Counting;
+
+static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
+
+unsafe impl GlobalAlloc for Counting {
+    unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
+        ALLOCATED.fetch_add(layout.size(), Ordering::Relaxed);
+        unsafe { System.alloc(layout) }
+    }
+
+    unsafe fn dealloc(&self, memory: *mut u8, layout: Layout) {
+        ALLOCATED.fetch_sub(layout.size(), Ordering::Relaxed);
+        unsafe { System.dealloc(memory, layout) }
+    }
+}
+
+#[global_allocator]
+static ALLOCATOR: Counting = Counting;
+
+/// What is allocated now and was not before.
+struct Since(usize);
+
+impl Since {
+    fn now() -> Self {
+        Self(ALLOCATED.load(Ordering::Relaxed))
+    }
+
+    fn bytes(&self) -> usize {
+        ALLOCATED.load(Ordering::Relaxed).saturating_sub(self.0)
+    }
+}
+
+/// Of an empty graph that was large.
+const EMPTY_BYTES: usize = 4 * 1024;
+/// Of each job with one edge.
+const JOB_BYTES: usize = 1_024;
+const EDGES: u32 = 100_000;
+const FAN: u32 = 10_000;
+const WINDOW: u32 = 100;
+const LONG: u32 = 300_000;
+
+fn urgency(number: u32) -> Urgency {
+    Urgency {
+        priority: Priority((number % 4) as u8),
+        deadline: Some(TimeMs(i64::from(number))),
+        duration: DurationMs(3),
+    }
+}
+
+/// Each of ten jobs is needed by each of 10,000.
+fn bipartite() -> Graph<JobIndex> {
+    let above: Vec<_> = (0..EDGES / FAN).map(JobIndex).collect();
+    let mut graph = Graph::new();
+    for &job in &above {
+        graph.add(job, &[], TimeMs(0), urgency(0)).unwrap();
+    }
+    for number in 0..FAN {
+        let job = JobIndex(above.len() as u32 + number);
+        graph.add(job, &above, TimeMs(0), urgency(number)).unwrap();
+    }
+    assert_eq!(graph.edges(), EDGES as usize);
+    graph
+}
+
+fn all_jobs() -> impl Iterator<Item = JobIndex> {
+    (0..EDGES / FAN + FAN).map(JobIndex)
+}
+
+fn ended_jobs_are_freed() {
+    let since = Since::now();
+    let mut graph = bipartite();
+    let full = since.bytes();
+    assert!(full > EDGES as usize * 8, "the allocator counts: {full}");
+    for job in all_jobs() {
+        graph.finish(job, TimeMs(1)).unwrap();
+    }
+    let ended = since.bytes();
+    assert!(
+        ended <= full / 2,
+        "ended jobs have no edges: {ended} of {full}"
+    );
+    for job in all_jobs() {
+        graph.forget(job).unwrap();
+    }
+    let empty = since.bytes();
+    assert!(empty <= EMPTY_BYTES, "{empty} of {full}");
+}
+
+fn cancelled_jobs_are_freed() {
+    let since = Since::now();
+    let mut graph = bipartite();
+    for job in (0..EDGES / FAN).map(JobIndex) {
+        graph.cancel(job).unwrap();
+    }
+    while graph.continue_cancellation(5).pending {}
+    for job in all_jobs() {
+        graph.forget(job).unwrap();
+    }
+    let empty = since.bytes();
+    assert!(empty <= EMPTY_BYTES, "{empty}");
+}
+
+/// Jobs that come and go, with indices that only grow and nobody who asks for inheritance.
+fn a_long_run_is_bounded() {
+    let since = Since::now();
+    let mut graph = Graph::new();
+    let mut most = 0;
+    for number in 0..LONG {
+        let need = number.checked_sub(1).map(JobIndex);
+        let needs: Vec<_> = need.into_iter().collect();
+        graph
+            .add(JobIndex(number), &needs, TimeMs(0), urgency(number))
+            .unwrap();
+        let Some(oldest) = number.checked_sub(WINDOW).map(JobIndex) else {
+            continue;
+        };
+        graph.finish(oldest, TimeMs(1)).unwrap();
+        graph.forget(oldest).unwrap();
+        most = most.max(since.bytes());
+    }
+    let table = LONG as usize / 64 * 2 * std::mem::size_of::<[usize; 3]>();
+    assert!(most <= WINDOW as usize * JOB_BYTES + table, "{most}");
+    assert_eq!(graph.len(), WINDOW as usize);
+}
+
+#[test]
+fn memory_is_freed() {
+    ended_jobs_are_freed();
+    cancelled_jobs_are_freed();
+    a_long_run_is_bounded();
+}
--- /dev/null
+++ b/crates/dependency/tests/model.rs
@@ -0,0 +1,395 @@
+//! Generated histories against a naive model, which keeps all jobs for good and computes everything anew each time.
+
+mod common;
+
+use common::naive::{Id, Naive};
+use dependency::*;
+use proptest::prelude::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Indices are used again: there are no more than these.
+const INDICES: u32 = 14;
+
+/// One call, with numbers that are mapped to jobs once it is made.
+#[derive(Clone, Debug)]
+enum Call {
+    Add {
+        index: Pick,
+        needs: Vec<Pick>,
+        accepted: i64,
+        urgency: Urgency,
+    },
+    Finish(Pick, i64),
+    FinishReleased(usize, i64),
+    Cancel(Pick),
+    ContinueCancellation(usize),
+    UpdateInheritance(u64),
+    SetUrgency(Pick, Urgency),
+    Forget(Pick),
+}
+
+#[derive(Clone, Debug)]
+enum Pick {
+    /// One of the known jobs (of the free indices, for a job that is added).
+    Fitting(usize),
+    /// Any index, to be refused now and then.
+    Any(u32),
+}
+
+fn picks() -> impl Strategy<Value = Pick> {
+    prop_oneof![
+        15 => any::<usize>().prop_map(Pick::Fitting),
+        1 => (0..INDICES).prop_map(Pick::Any),
+    ]
+}
+
+fn urgencies() -> impl Strategy<Value = Urgency> {
+    (0..4_u8, proptest::option::of(0..100_i64), 0..20_u64).prop_map(
+        |(priority, deadline, duration)| Urgency {
+            priority: Priority(priority),
+            deadline: deadline.map(TimeMs),
+            duration: DurationMs(duration),
+        },
+    )
+}
+
+fn calls() -> impl Strategy<Value = Call> {
+    prop_oneof![
+        8 => (picks(), proptest::collection::vec(picks(), 0..5), 0..100_i64, urgencies())
+            .prop_map(|(index, needs, accepted, urgency)| Call::Add { index, needs, accepted, urgency }),
+        1 => (picks(), 0..100_i64).prop_map(|(job, at)| Call::Finish(job, at)),
+        4 => (any::<usize>(), 0..100_i64).prop_map(|(job, at)| Call::FinishReleased(job, at)),
+        2 => picks().prop_map(Call::Cancel),
+        3 => (0..4_usize).prop_map(Call::ContinueCancellation),
+        3 => (0..6_u64).prop_map(Call::UpdateInheritance),
+        1 => (picks(), urgencies()).prop_map(|(job, urgency)| Call::SetUrgency(job, urgency)),
+        3 => picks().prop_map(Call::Forget),
+    ]
+}
+
+/// The graph beside the model.
+struct Pair {
+    graph: Graph<JobIndex>,
+    naive: Naive,
+    /// Which job of the model has the index now.
+    ids: BTreeMap<JobIndex, Id>,
+    /// Jobs that the graph has said to be cancelled.
+    told: BTreeSet<Id>,
+    /// Cancellations that are not completed.
+    pending_roots: BTreeSet<JobIndex>,
+}
+
+impl Pair {
+    fn new() -> Self {
+        Self {
+            graph: Graph::new(),
+            naive: Naive::default(),
+            ids: BTreeMap::new(),
+            told: BTreeSet::new(),
+            pending_roots: BTreeSet::new(),
+        }
+    }
+
+    fn known(&self, pick: &Pick) -> JobIndex {
+        match *pick {
+            Pick::Fitting(number) if !self.ids.is_empty() => *self
+                .ids
+                .keys()
+                .nth(number % self.ids.len())
+                .expect("a known job"),
+            Pick::Fitting(number) => JobIndex(number as u32 % INDICES),
+            Pick::Any(index) => JobIndex(index),
+        }
+    }
+
+    fn free(&self, pick: &Pick) -> JobIndex {
+        let free: Vec<_> = (0..INDICES)
+            .map(JobIndex)
+            .filter(|index| !self.ids.contains_key(index))
+            .collect();
+        match *pick {
+            Pick::Fitting(number) if !free.is_empty() => free[number % free.len()],
+            Pick::Fitting(number) => JobIndex(number as u32 % INDICES),
+            Pick::Any(index) => JobIndex(index),
+        }
+    }
+
+    fn call(&mut self, call: &Call) {
+        match call {
+            Call::Add {
+                index,
+                needs,
+                accepted,
+                urgency,
+            } => {
+                let needs: Vec<_> = needs.iter().map(|need| self.known(need)).collect();
+                self.add(self.free(index), &needs, TimeMs(*accepted), *urgency);
+            }
+            Call::Finish(job, at) => self.finish(self.known(job), TimeMs(*at)),
+            Call::FinishReleased(number, at) => {
+                let released: Vec<_> = self
+                    .ids
+                    .iter()
+                    .filter(|&(_, &id)| matches!(self.naive.state(id), JobState::Released { .. }))
+                    .map(|(&index, _)| index)
+                    .collect();
+                if !released.is_empty() {
+                    self.finish(released[number % released.len()], TimeMs(*at));
+                }
+            }
+            Call::Cancel(job) => self.cancel(self.known(job)),
+            Call::ContinueCancellation(limit) => {
+                self.continue_cancellation(*limit);
+            }
+            Call::UpdateInheritance(limit) => {
+                self.update_inheritance(*limit);
+            }
+            Call::SetUrgency(job, urgency) => self.set_urgency(self.known(job), *urgency),
+            Call::Forget(job) => self.forget(self.known(job)),
+        }
+    }
+
+    fn add(&mut self, job: JobIndex, needs: &[JobIndex], accepted: TimeMs, urgency: Urgency) {
+        let answer = self.graph.add(job, needs, accepted, urgency);
+        if self.ids.contains_key(&job) {
+            return assert_eq!(answer, Err(AddError::AlreadyKnown(job)));
+        }
+        if needs.contains(&job) {
+            return assert_eq!(answer, Err(AddError::NeedsItself(job)));
+        }
+        if let Some(&need) = needs.iter().find(|need| !self.ids.contains_key(need)) {
+            return assert_eq!(answer, Err(AddError::UnknownNeed { job, need }));
+        }
+        let needs: BTreeSet<Id> = needs.iter().map(|need| self.ids[need]).collect();
+        let below_told = needs.iter().any(|need| self.told.contains(need));
+        let id = self.naive.add(needs, accepted, urgency);
+        self.ids.insert(job, id);
+        match self.naive.state(id) {
+            JobState::Cancelled if below_told => {
+                assert_eq!(answer, Ok(JobState::Cancelled));
+                assert!(self.told.insert(id));
+            }
+            JobState::Cancelled => assert_eq!(answer, Ok(JobState::Waiting), "still to be reached"),
+            state => assert_eq!(answer, Ok(state)),
+        }
+    }
+
+    fn finish(&mut self, job: JobIndex, at: TimeMs) {
+        let answer = self.graph.finish(job, at);
+        let Some(&id) = self.ids.get(&job) else {
+            return assert_eq!(answer, Err(FinishError::Unknown(job)));
+        };
+        match self.naive.state(id) {
+            JobState::Cancelled if self.told.contains(&id) => {
+                assert_eq!(answer, Err(FinishError::Cancelled(job)));
+            }
+            JobState::Cancelled | JobState::Waiting => {
+                assert_eq!(answer, Err(FinishError::NotReleased(job)))
+            }
+            JobState::Done { at } => assert_eq!(answer, Err(FinishError::AlreadyDone { job, at })),
+            JobState::Released { .. } => {
+                let waiting: Vec<_> = self
+                    .ids
+                    .iter()
+                    .filter(|&(_, &id)| self.naive.state(id) == JobState::Waiting)
+                    .map(|(&index, &id)| (index, id))
+                    .collect();
+                self.naive.finish(id, at);
+                let released: Vec<_> = waiting
+                    .into_iter()
+                    .filter_map(|(job, id)| match self.naive.state(id) {
+                        JobState::Released { at } => Some(Release { job, at }),
+                        _ => None,
+                    })
+                    .collect();
+                assert_eq!(answer, Ok(released));
+            }
+        }
+    }
+
+    fn cancel(&mut self, job: JobIndex) {
+        let answer = self.graph.cancel(job);
+        let Some(&id) = self.ids.get(&job) else {
+            return assert_eq!(answer, Err(UnknownJob(job)));
+        };
+        if let JobState::Done { at } = self.naive.state(id) {
+            return assert_eq!(answer, Ok(CancelOutcome::AlreadyDone { at }));
+        }
+        if self.told.contains(&id) {
+            return assert_eq!(answer, Ok(CancelOutcome::AlreadyCancelled));
+        }
+        assert_eq!(answer, Ok(CancelOutcome::Cancelled));
+        self.naive.cancel(id);
+        self.told.insert(id);
+        self.pending_roots.insert(job);
+    }
+
+    fn continue_cancellation(&mut self, limit: usize) -> bool {
+        let step = self.graph.continue_cancellation(limit);
+        assert!(step.cancelled.len() <= limit);
+        for job in step.cancelled {
+            let id = self.ids[&job];
+            assert_eq!(
+                self.naive.state(id),
+                JobState::Cancelled,
+                "nothing else is cancelled"
+            );
+            assert!(self.told.insert(id), "each job is told once");
+        }
+        for root in step.completed {
+            assert!(self.pending_roots.remove(&root));
+        }
+        assert_eq!(step.pending, !self.pending_roots.is_empty());
+        if !step.pending {
+            let all: BTreeSet<_> = self.naive.cancelled().collect();
+            assert_eq!(self.told, all, "it has reached all");
+        }
+        step.pending
+    }
+
+    fn update_inheritance(&mut self, limit: u64) -> bool {
+        let before = self.inherited();
+        let steps = self.graph.steps().inheritance;
+        let update = self.graph.update_inheritance(limit);
+        let steps = self.graph.steps().inheritance - steps;
+        assert!(
+            steps <= limit + 5,
+            "as many as allowed, and the edges of one job"
+        );
+        let after = self.inherited();
+        let mut changed: Vec<_> = before
+            .keys()
+            .filter(|job| before[*job] != after[*job])
+            .copied()
+            .collect();
+        changed.sort_by_key(|job| std::cmp::Reverse(self.ids[job]));
+        assert_eq!(
+            update.changed, changed,
+            "what changed is told, last added first"
+        );
+        update.complete
+    }
+
+    fn inherited(&self) -> BTreeMap<JobIndex, Option<Inherited>> {
+        self.ids
+            .keys()
+            .map(|&job| (job, self.graph.inherited(job)))
+            .collect()
+    }
+
+    fn set_urgency(&mut self, job: JobIndex, urgency: Urgency) {
+        let answer = self.graph.set_urgency(job, urgency);
+        let Some(&id) = self.ids.get(&job) else {
+            return assert_eq!(answer, Err(UnknownJob(job)));
+        };
+        assert_eq!(answer, Ok(()));
+        self.naive.set_urgency(id, urgency);
+    }
+
+    fn forget(&mut self, job: JobIndex) {
+        let answer = self.graph.forget(job);
+        let Some(&id) = self.ids.get(&job) else {
+            return assert_eq!(answer, Err(ForgetError::Unknown(job)));
+        };
+        let ended =
+            matches!(self.naive.state(id), JobState::Done { .. }) || self.told.contains(&id);
+        if !ended {
+            return assert_eq!(answer, Err(ForgetError::Unfinished(job)));
+        }
+        if answer == Err(ForgetError::CancellationPending(job)) {
+            assert!(!self.pending_roots.is_empty(), "nothing is pending");
+            return;
+        }
+        assert_eq!(answer, Ok(()));
+        if self.told.contains(&id) {
+            let mut below = self.naive.dependents(id);
+            assert!(
+                below.all(|job| self.told.contains(&job)),
+                "a cancellation lost its way"
+            );
+        }
+        self.ids.remove(&job);
+    }
+
+    /// What holds after each call.
+    fn check(&self) {
+        assert_eq!(self.graph.len(), self.ids.len());
+        for (&job, &id) in &self.ids {
+            let expected = match self.naive.state(id) {
+                JobState::Cancelled if !self.told.contains(&id) => JobState::Waiting,
+                state => state,
+            };
+            assert_eq!(self.graph.state(job), Some(expected), "{job:?}");
+        }
+    }
+
+    /// Carries on all that is pending, and compares all.
+    fn settle(&mut self) {
+        while self.continue_cancellation(2) {}
+        while !self.update_inheritance(3) {}
+        self.check();
+        let mut edges = 0;
+        for (&job, &id) in &self.ids {
+            assert_eq!(
+                self.graph.inherited(job),
+                self.naive.inherited(id),
+                "{job:?}"
+            );
+            let needs: BTreeSet<_> = self
+                .graph
+                .unfinished_needs(job)
+                .map(|need| self.ids[&need])
+                .collect();
+            assert_eq!(needs, self.naive.unfinished_needs(id));
+            for need in self.graph.unfinished_needs(job) {
+                let back = self
+                    .graph
+                    .dependents(need)
+                    .filter(|&dependent| dependent == job);
+                assert_eq!(back.count(), 1, "both ends of an edge are there");
+            }
+            edges += needs.len();
+        }
+        assert_eq!(self.graph.edges(), edges);
+    }
+
+    /// Ends and forgets all, in an order in which that can be.
+    fn end_all(&mut self) {
+        while let Some(job) = self.ids.iter().find_map(|(&job, &id)| {
+            let released = matches!(self.naive.state(id), JobState::Released { .. });
+            released.then_some(job)
+        }) {
+            self.finish(job, TimeMs(100));
+        }
+        for job in self.ids.keys().copied().collect::<Vec<_>>() {
+            self.forget(job);
+        }
+        assert!(
+            self.graph.is_empty() && self.graph.edges() == 0,
+            "all has ended"
+        );
+        let steps = self.graph.steps();
+        assert!(
+            steps.release + steps.cancellation <= 2 * steps.added,
+            "each job ends and leaves once, and each edge is removed once: {steps:?}"
+        );
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
+
+    #[test]
+    fn the_graph_agrees_with_the_model(history in proptest::collection::vec(calls(), 1..120)) {
+        let mut pair = Pair::new();
+        for (number, call) in history.iter().enumerate() {
+            pair.call(call);
+            pair.check();
+            if number % 40 == 39 {
+                pair.settle();
+            }
+        }
+        pair.settle();
+        pair.end_all();
+    }
+}
--- /dev/null
+++ b/crates/dependency/tests/rules.rs
@@ -0,0 +1,399 @@
+//! The rules of the graph, one example each.
+
+use dependency::*;
+
+const A: JobIndex = JobIndex(0);
+const B: JobIndex = JobIndex(1);
+const C: JobIndex = JobIndex(2);
+const D: JobIndex = JobIndex(3);
+
+fn plain() -> Urgency {
+    Urgency::default()
+}
+
+fn lasting(ms: u64) -> Urgency {
+    Urgency {
+        duration: DurationMs(ms),
+        ..plain()
+    }
+}
+
+fn due(deadline: i64, duration: u64) -> Urgency {
+    Urgency {
+        deadline: Some(TimeMs(deadline)),
+        ..lasting(duration)
+    }
+}
+
+/// A, then B and C beside each other, then D.
+fn diamond() -> Graph<JobIndex> {
+    let mut graph = Graph::new();
+    graph.add(A, &[], TimeMs(0), lasting(10)).unwrap();
+    graph.add(B, &[A], TimeMs(0), lasting(20)).unwrap();
+    graph.add(C, &[A], TimeMs(0), lasting(30)).unwrap();
+    graph.add(D, &[B, C], TimeMs(0), due(200, 40)).unwrap();
+    graph
+}
+
+fn latest_finish(graph: &Graph<JobIndex>, job: JobIndex) -> Option<i64> {
+    graph.inherited(job)?.latest_finish.map(|at| at.0)
+}
+
+/// A job can't need itself or one that comes later, so there is no cycle; what is refused changes nothing.
+#[test]
+fn cycles_cannot_be_made() {
+    let mut graph = Graph::new();
+    assert_eq!(
+        graph.add(A, &[A], TimeMs(0), plain()),
+        Err(AddError::NeedsItself(A))
+    );
+    let unknown = AddError::UnknownNeed { job: A, need: B };
+    assert_eq!(graph.add(A, &[B], TimeMs(0), plain()), Err(unknown));
+    assert!(graph.is_empty() && graph.edges() == 0);
+    graph.add(A, &[], TimeMs(0), plain()).unwrap();
+    graph.add(B, &[A], TimeMs(0), plain()).unwrap();
+    assert_eq!(
+        graph.add(A, &[B], TimeMs(0), plain()),
+        Err(AddError::AlreadyKnown(A)),
+        "a job's list can't be made longer afterwards"
+    );
+    let partly = AddError::UnknownNeed { job: C, need: D };
+    assert_eq!(graph.add(C, &[A, D], TimeMs(0), plain()), Err(partly));
+    assert_eq!((graph.len(), graph.edges()), (2, 1));
+    assert_eq!(graph.dependents(A).collect::<Vec<_>>(), [B]);
+}
+
+#[test]
+fn a_job_named_twice_counts_once() {
+    let mut graph = Graph::new();
+    graph.add(A, &[], TimeMs(0), plain()).unwrap();
+    graph.add(B, &[A, A, A], TimeMs(0), plain()).unwrap();
+    assert_eq!(graph.edges(), 1);
+    let release = Release {
+        job: B,
+        at: TimeMs(4),
+    };
+    assert_eq!(graph.finish(A, TimeMs(4)), Ok(vec![release]));
+}
+
+/// Rule 24: all that a job needs has to be done. Its release is the latest of the ends, in whichever order they come.
+#[test]
+fn release_waits_for_all_ends() {
+    let mut graph = diamond();
+    assert_eq!(graph.finish(B, TimeMs(1)), Err(FinishError::NotReleased(B)));
+    let both = vec![
+        Release {
+            job: B,
+            at: TimeMs(10),
+        },
+        Release {
+            job: C,
+            at: TimeMs(10),
+        },
+    ];
+    assert_eq!(graph.finish(A, TimeMs(10)), Ok(both));
+    assert_eq!(graph.finish(C, TimeMs(70)), Ok(vec![]));
+    assert_eq!(graph.state(D), Some(JobState::Waiting));
+    assert_eq!(graph.unfinished_needs(D).collect::<Vec<_>>(), [B]);
+    let again = FinishError::AlreadyDone {
+        job: C,
+        at: TimeMs(70),
+    };
+    assert_eq!(
+        graph.finish(C, TimeMs(90)),
+        Err(again),
+        "an end told twice counts once, and the first stays"
+    );
+    let release = Release {
+        job: D,
+        at: TimeMs(70),
+    };
+    assert_eq!(
+        graph.finish(B, TimeMs(60)),
+        Ok(vec![release]),
+        "an earlier end that is told later"
+    );
+    assert_eq!(graph.state(D), Some(JobState::Released { at: TimeMs(70) }));
+}
+
+/// A job that is submitted when all that it needs is over is released by its acceptance.
+#[test]
+fn submitted_after_the_ends() {
+    let mut graph = Graph::new();
+    graph.add(A, &[], TimeMs(0), plain()).unwrap();
+    graph.add(B, &[], TimeMs(0), plain()).unwrap();
+    graph.finish(A, TimeMs(50)).unwrap();
+    let late = graph.add(C, &[A], TimeMs(80), plain());
+    assert_eq!(late, Ok(JobState::Released { at: TimeMs(80) }));
+    let between = graph.add(D, &[A, B], TimeMs(20), plain());
+    assert_eq!(between, Ok(JobState::Waiting));
+    let release = Release {
+        job: D,
+        at: TimeMs(50),
+    };
+    assert_eq!(graph.finish(B, TimeMs(30)), Ok(vec![release]));
+}
+
+/// Rule 25: whichever of an end and a cancellation comes second is refused, and what is below follows the first.
+#[test]
+fn an_end_and_a_cancellation_that_meet() {
+    let mut ended = diamond();
+    ended.finish(A, TimeMs(10)).unwrap();
+    let done = CancelOutcome::AlreadyDone { at: TimeMs(10) };
+    assert_eq!(ended.cancel(A), Ok(done));
+    let step = ended.continue_cancellation(10);
+    assert!(step.cancelled.is_empty() && !step.pending);
+    for job in [B, C] {
+        assert_eq!(
+            ended.state(job),
+            Some(JobState::Released { at: TimeMs(10) }),
+            "what is below goes on"
+        );
+    }
+
+    let mut cancelled = diamond();
+    assert_eq!(cancelled.cancel(A), Ok(CancelOutcome::Cancelled));
+    assert_eq!(
+        cancelled.finish(A, TimeMs(10)),
+        Err(FinishError::Cancelled(A))
+    );
+    let step = cancelled.continue_cancellation(10);
+    assert_eq!(step.cancelled.len(), 3);
+    assert_eq!(step.completed, [A]);
+    for job in [A, B, C, D] {
+        assert_eq!(cancelled.state(job), Some(JobState::Cancelled));
+    }
+}
+
+/// Before a cancellation has reached a job, nothing releases or ends it.
+#[test]
+fn nothing_below_a_cancelled_job_is_released() {
+    let mut graph = Graph::new();
+    graph.add(A, &[], TimeMs(0), plain()).unwrap();
+    graph.add(B, &[], TimeMs(0), plain()).unwrap();
+    graph.add(C, &[A, B], TimeMs(0), plain()).unwrap();
+    graph.cancel(A).unwrap();
+    assert_eq!(graph.finish(B, TimeMs(5)), Ok(vec![]));
+    assert_eq!(graph.finish(C, TimeMs(6)), Err(FinishError::NotReleased(C)));
+    assert_eq!(graph.continue_cancellation(1).cancelled, [C]);
+    assert_eq!(graph.finish(C, TimeMs(6)), Err(FinishError::Cancelled(C)));
+}
+
+/// A job that names a cancelled one is cancelled at once, also after the cancellation has gone by.
+#[test]
+fn submitted_below_a_cancelled_job() {
+    for gone_by in [false, true] {
+        let mut graph = Graph::new();
+        graph.add(A, &[], TimeMs(0), plain()).unwrap();
+        graph.add(B, &[], TimeMs(0), plain()).unwrap();
+        graph.cancel(A).unwrap();
+        if gone_by {
+            assert!(!graph.continue_cancellation(10).pending);
+        }
+        let below = graph.add(C, &[A, B], TimeMs(1), plain());
+        assert_eq!(below, Ok(JobState::Cancelled));
+        let further = graph.add(D, &[C], TimeMs(1), plain());
+        assert_eq!(further, Ok(JobState::Cancelled));
+        assert_eq!(graph.finish(B, TimeMs(2)), Ok(vec![]));
+        assert_eq!(
+            graph.continue_cancellation(10).cancelled,
+            [],
+            "each job is told once"
+        );
+    }
+}
+
+/// A job that is submitted below one that a cancellation has still to reach is reached with it.
+#[test]
+fn submitted_below_a_job_that_is_still_to_be_cancelled() {
+    let mut graph = Graph::new();
+    graph.add(A, &[], TimeMs(0), plain()).unwrap();
+    graph.add(B, &[A], TimeMs(0), plain()).unwrap();
+    graph.cancel(A).unwrap();
+    assert_eq!(
+        graph.add(C, &[B], TimeMs(1), plain()),
+        Ok(JobState::Waiting)
+    );
+    assert_eq!(graph.continue_cancellation(1).cancelled, [B]);
+    assert_eq!(
+        graph.add(D, &[B], TimeMs(1), plain()),
+        Ok(JobState::Cancelled)
+    );
+    assert_eq!(graph.continue_cancellation(1).cancelled, [C]);
+}
+
+/// Two cancellations that meet: each job is told once, and each cancellation is completed.
+#[test]
+fn cancellations_that_meet() {
+    let mut graph = diamond();
+    graph.cancel(A).unwrap();
+    assert_eq!(graph.cancel(B), Ok(CancelOutcome::Cancelled));
+    let (mut cancelled, mut completed) = (vec![], vec![]);
+    loop {
+        let step = graph.continue_cancellation(1);
+        assert!(step.cancelled.len() <= 1);
+        cancelled.extend(step.cancelled);
+        completed.extend(step.completed);
+        if !step.pending {
+            break;
+        }
+    }
+    assert_eq!((cancelled, completed), (vec![C, D], vec![A, B]));
+    assert_eq!(graph.edges(), 0);
+}
+
+/// What is beside or above a cancelled job goes on.
+#[test]
+fn cancellation_goes_down_alone() {
+    let mut graph = diamond();
+    graph.cancel(B).unwrap();
+    assert_eq!(graph.continue_cancellation(10).cancelled, [D]);
+    let release = Release {
+        job: C,
+        at: TimeMs(10),
+    };
+    assert_eq!(graph.finish(A, TimeMs(10)), Ok(vec![release]));
+}
+
+#[test]
+fn a_limit_of_zero_does_nothing() {
+    let mut graph = diamond();
+    graph.cancel(A).unwrap();
+    let step = graph.continue_cancellation(0);
+    assert!(step.cancelled.is_empty() && step.pending);
+}
+
+/// Only what ended is forgotten, and no pending cancellation loses its way by it.
+#[test]
+fn forgetting() {
+    let mut graph = diamond();
+    assert_eq!(graph.forget(B), Err(ForgetError::Unfinished(B)));
+    graph.finish(A, TimeMs(10)).unwrap();
+    graph.forget(A).unwrap();
+    assert_eq!(graph.forget(A), Err(ForgetError::Unknown(A)));
+    graph.cancel(C).unwrap();
+    assert_eq!(graph.forget(C), Err(ForgetError::CancellationPending(C)));
+    while graph.continue_cancellation(1).pending {}
+    graph.forget(C).unwrap();
+    graph.forget(D).unwrap();
+    assert_eq!((graph.len(), graph.edges()), (1, 0));
+    // The index is free for another job, which has nothing of the first.
+    let reused = graph.add(A, &[B], TimeMs(20), plain());
+    assert_eq!(reused, Ok(JobState::Waiting));
+    assert_eq!(graph.cancel(D), Err(UnknownJob(D)));
+}
+
+/// The job whose cancellation is pending keeps its index until it is told that this is completed.
+#[test]
+fn a_pending_cancellation_keeps_its_job() {
+    let mut graph = Graph::new();
+    graph.add(A, &[], TimeMs(0), plain()).unwrap();
+    graph.add(B, &[A], TimeMs(0), plain()).unwrap();
+    graph.cancel(A).unwrap();
+    let mut step = graph.continue_cancellation(1);
+    while step.pending {
+        assert_eq!(graph.forget(A), Err(ForgetError::CancellationPending(A)));
+        step = graph.continue_cancellation(1);
+    }
+    assert_eq!(step.completed, [A]);
+    graph.forget(A).unwrap();
+}
+
+/// The critical path: of two ways to the deadline the longer one counts.
+#[test]
+fn latest_finish_by_the_longest_path() {
+    let mut graph = diamond();
+    let update = graph.update_inheritance(100);
+    assert_eq!((update.changed, update.complete), (vec![C, B, A], true));
+    let finishes = [A, B, C, D].map(|job| latest_finish(&graph, job));
+    assert_eq!(
+        finishes,
+        [
+            Some(200 - 40 - 30),
+            Some(200 - 40),
+            Some(200 - 40),
+            Some(200)
+        ]
+    );
+    // The longer branch is cancelled with the end; then nothing binds the start.
+    graph.cancel(C).unwrap();
+    assert_eq!(graph.continue_cancellation(10).cancelled, [D]);
+    graph.update_inheritance(100);
+    assert_eq!([A, B].map(|job| latest_finish(&graph, job)), [None, None]);
+    // A later last stage binds the other branch, and a job's own deadline counts where it is earlier.
+    graph.forget(D).unwrap();
+    graph.add(D, &[B], TimeMs(50), due(300, 40)).unwrap();
+    graph.set_urgency(B, due(100, 20)).unwrap();
+    graph.update_inheritance(100);
+    assert_eq!(
+        [A, B].map(|job| latest_finish(&graph, job)),
+        [Some(80), Some(100)]
+    );
+}
+
+#[test]
+fn priority_of_the_highest_below() {
+    let with = |priority| Urgency {
+        priority: Priority(priority),
+        ..plain()
+    };
+    let priority =
+        |graph: &Graph<JobIndex>, job| graph.inherited(job).map(|inherited| inherited.priority.0);
+    let mut graph = Graph::new();
+    graph.add(A, &[], TimeMs(0), with(1)).unwrap();
+    graph.add(B, &[A], TimeMs(0), with(0)).unwrap();
+    graph.add(C, &[B], TimeMs(0), with(3)).unwrap();
+    graph.add(D, &[B], TimeMs(0), with(2)).unwrap();
+    graph.update_inheritance(100);
+    assert_eq!(
+        [A, B, C, D].map(|job| priority(&graph, job)),
+        [Some(3), Some(3), Some(3), Some(2)]
+    );
+    graph.cancel(C).unwrap();
+    graph.update_inheritance(100);
+    assert_eq!(
+        [A, B, C].map(|job| priority(&graph, job)),
+        [Some(2), Some(2), None]
+    );
+    graph.cancel(D).unwrap();
+    graph.update_inheritance(100);
+    assert_eq!([A, B].map(|job| priority(&graph, job)), [Some(1), Some(0)]);
+}
+
+/// Far moments saturate instead of overflowing.
+#[test]
+fn extreme_times() {
+    let mut graph = Graph::new();
+    graph
+        .add(A, &[], TimeMs(i64::MIN), lasting(u64::MAX))
+        .unwrap();
+    graph
+        .add(B, &[A], TimeMs(0), due(i64::MIN, u64::MAX))
+        .unwrap();
+    graph.update_inheritance(100);
+    assert_eq!(latest_finish(&graph, A), Some(i64::MIN));
+    let release = Release {
+        job: B,
+        at: TimeMs(i64::MAX),
+    };
+    assert_eq!(graph.finish(A, TimeMs(i64::MAX)), Ok(vec![release]));
+}
+
+#[test]
+fn refusals_name_the_job() {
+    let texts = [
+        AddError::UnknownNeed { job: A, need: B }.to_string(),
+        FinishError::NotReleased(C).to_string(),
+        ForgetError::CancellationPending(D).to_string(),
+        UnknownJob(A).to_string(),
+    ];
+    assert_eq!(
+        texts,
+        [
+            "job JobIndex(0) needs job JobIndex(1), which is unknown",
+            "job JobIndex(2) ended, but it was not released",
+            "the cancellation of job JobIndex(3) has not reached all jobs that need it",
+            "job JobIndex(0) is unknown",
+        ]
+    );
+}
