--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -1,4 +1,5 @@
-//! What operators ask a controller, as JSON over the peers' door. Any controller takes it; the owner answers.
+//! Requests of operators about documents, as JSON at the address for other controllers. Any controller accepts them; the
+//! leader answers.
 
 use crate::DecodeError;
 use document::{Fault, Past};
@@ -50,7 +51,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Whole<C> {
-    /// Another document as a whole; an empty one takes it away.
+    /// Another document as a whole; an empty one removes it.
     Set {
         /// The new document.
         spec: C,
--- a/crates/wire/src/agents.rs
+++ b/crates/wire/src/agents.rs
@@ -76,7 +76,7 @@
     /// The machine's type, by its name in the catalogue.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// The zone that the machine stands in.
+    /// The zone of the machine.
     #[serde(rename = "hall")]
     pub zone: String,
     /// Whether the machine is a spot machine, which the cloud may take back.
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -89,7 +89,7 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The stage of its life, in the cloud's words.
+    /// The stage of its life, by the cloud's name.
     #[serde(rename = "stage")]
     pub stage: String,
     /// Time since its rental, in seconds.
--- a/crates/wire/src/hours.rs
+++ b/crates/wire/src/hours.rs
@@ -1,4 +1,4 @@
-//! What operators ask of release hours beside the calendar itself, and what they are told.
+//! Requests of operators about release hours beside the calendar itself, and the responses.
 
 use crate::records::MovedRecord;
 use serde::{Deserialize, Serialize};
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,19 +1,19 @@
-//! Names as they stand on the wire. Inside a controller they become dense indices.
+//! Ids of jobs and names of tasks on the wire. Inside a controller they become dense indices.
 
 /// What every job id begins with.
 const JOB_PREFIX: &str = "job-";
 /// Most digits of a job id.
 const MAX_DIGITS: usize = 18;
 
-/// Job ids look like `job-000412`. Anything else was never accepted by us.
+/// Job ids look like `job-000412`. No other id is ever accepted.
 pub fn valid_job_id(id: &str) -> bool {
     id.strip_prefix(JOB_PREFIX).is_some_and(|n| {
         (1..=MAX_DIGITS).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit())
     })
 }
 
-/// Ids of this range (18 digits, the first a 9) belong to doors beside the users' own, where one is open: nobody else's
-/// job can then stand in the way of theirs.
+/// Ids of this range (18 digits, the first a 9) are reserved for other front ends than the users' interface, where one is
+/// enabled, so that no user's job takes an id that they need.
 pub fn reserved_job_id(id: &str) -> bool {
     id.strip_prefix(JOB_PREFIX)
         .is_some_and(|n| n.len() == MAX_DIGITS && n.starts_with('9'))
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,20 @@
-//! The wire formats of stoathatch: what users, workers, the cloud, the state service and other
-//! controllers see. The protocol's own words (`baton`, `tenure`, …) occur only in this crate.
+//! The wire formats of stoathatch: messages between controllers, users, agents, the cloud, the state service and
+//! operators, the records in the state service, and the settings file.
+//!
+//! Rust names are the field's terms; encoded names (`baton`, `tenure`, …) are those of the protocol, by `serde`'s
+//! `rename`, and occur only in this crate.
+//!
+//! | exchanged with | module | encoding |
+//! |---|---|---|
+//! | users | [`users`], read by [`submission`] | MessagePack |
+//! | agents | [`agents`] | MessagePack |
+//! | the cloud | [`cloud`] | MessagePack |
+//! | the state service | [`state_service`], with values of [`records`] and [`tree`] | MessagePack |
+//! | other controllers | [`peer`] | CBOR |
+//! | operators | [`admin`], [`hours`], [`models`], [`tally`] | JSON |
+//! | the platform | [`settings`] | JSON |
+//!
+//! All but the settings travel over HTTP/1.1, which [`http`] frames. [`api`] re-exports the messages of the first four.
 
 #![deny(missing_docs)]
 
@@ -47,14 +62,18 @@
     }
 }
 
-/// MessagePack with text keys.
+/// Encodes a message as MessagePack with text keys.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     // Only a map with non-text keys or a failing writer can fail here; we have neither.
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
-/// Reads one MessagePack value. Declared lengths cost nothing beyond the bytes that are there,
-/// and nesting is bounded far below the stack.
+/// Decodes one MessagePack message. Declared lengths allocate nothing beyond the bytes that are there, and nesting is
+/// bounded far below the stack.
+///
+/// # Errors
+///
+/// The bytes are no message of this type, or more bytes follow it.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     let mut reader = rmp_serde::Deserializer::new(std::io::Cursor::new(body));
     reader.set_max_depth(MAX_DEPTH);
--- a/crates/wire/src/models.rs
+++ b/crates/wire/src/models.rs
@@ -1,9 +1,9 @@
-//! What is said of models: by whoever wants one, and by whoever tells how it stands.
+//! Demand for models, and their status.
 
 use model::{Phase, Why};
 use serde::{Deserialize, Serialize};
 
-/// Where operators say that a model is wanted. Any controller takes it and decides.
+/// The path at which operators say that a model is wanted. Any controller handles it.
 pub const DEMAND: &str = "/admin/models/demand";
 
 /// An operator's statement that a model is wanted.
@@ -13,7 +13,7 @@
     pub model: String,
 }
 
-/// How a model stands for whoever has asked for it.
+/// The status of a model, for the client that asked for it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ModelStatus {
     /// The id of the model's job.
@@ -39,14 +39,14 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ask {
-    /// All models, as the owner sees them.
+    /// All models, as the leader sees them.
     List {},
 }
 
-/// A model as its owner sees it.
+/// A model as its leader sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Standing {
-    /// What everybody who asks is told.
+    /// The status that every client gets.
     #[serde(flatten)]
     pub told: ModelStatus,
     /// The name of the rule that the model falls under.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! What controllers say to each other: CBOR over the same HTTP framing.
+//! Messages between controllers: CBOR over the same HTTP framing.
 
 use crate::DecodeError;
 use crate::users::{JobSpec, JobState};
@@ -39,7 +39,7 @@
         past_leader: bool,
     },
     /// The requester has become the leader. Nothing is decided by it: it only saves those who can't read the state
-    /// service from sending workers the wrong way.
+    /// service from redirecting agents to the wrong node.
     #[serde(rename = "Owns")]
     Leads {
         /// The new leader.
@@ -50,14 +50,14 @@
     /// What the requester sees, for what the other sees.
     #[serde(rename = "View")]
     PeerStatus(PeerStatus),
-    /// Reports of workers that can't reach the leader, as they came.
+    /// Heartbeats of agents that can't reach the leader, as they were received.
     Reports {
         /// The controller that received the heartbeats.
         node: String,
         /// Heartbeats, encoded as the agents sent them.
         reports: Vec<ByteBuf>,
     },
-    /// A command for a worker that the other serves, as the worker is to get it.
+    /// A command for an agent that the receiver can reach, encoded for the agent.
     #[serde(rename = "Tell")]
     Command {
         /// The machine's name.
@@ -84,24 +84,24 @@
     State(JobState),
     /// The job has been accepted just now.
     Accepted(JobState),
-    /// What the user is to be told instead.
+    /// The user is refused.
     Refused {
         /// The HTTP status for the user.
         status: u16,
-        /// And why; empty from nodes of before.
+        /// The reason; empty from nodes of versions that did not send it.
         #[serde(default, skip_serializing_if = "String::is_empty")]
         why: String,
     },
     /// The leader does not know the job: look into the state service.
     Unknown,
-    /// Not the leader, or not sure of it.
+    /// Not the leader, or without a valid lease.
     NotNow,
     /// What the sender of the response sees.
     #[serde(rename = "View")]
     PeerStatus(PeerStatus),
-    /// The answers to reports, in their order; an empty one refuses.
+    /// The encoded answers to heartbeats, in their order; an empty one is a refusal.
     Orders(Vec<ByteBuf>),
-    /// What the worker answered.
+    /// The agent's answer to a command.
     #[serde(rename = "Told")]
     CommandResult {
         /// The HTTP status of the agent's answer; 421 if the command was not sent.
@@ -109,7 +109,7 @@
         /// The body of the agent's answer.
         body: ByteBuf,
     },
-    /// How the model stands.
+    /// The status of the model.
     Model(Box<crate::models::ModelStatus>),
 }
 
@@ -141,17 +141,17 @@
     /// The highest token that it knows of, if it has read the counter since it began: up to now, it has told nobody of
     /// anything under a higher one.
     pub token: Option<u64>,
-    /// Its token, if it leads the fleet and is sure of it.
+    /// Its token, if it leads the fleet and its lease is valid.
     #[serde(rename = "owns")]
     pub leads: Option<u64>,
-    /// It leads the fleet, and no worker has come to it by itself since.
+    /// It leads the fleet, and no agent has reached it directly since.
     #[serde(default)]
     #[serde(rename = "deaf")]
     pub hears_no_agents: bool,
     /// The state service refuses it, or does not answer.
     #[serde(default)]
     pub down: bool,
-    /// It leads the fleet, and has workers report by way of all controllers.
+    /// It leads the fleet, and has agents send heartbeats through all controllers.
     #[serde(default)]
     pub spreads: bool,
     /// From the leader, in an answer: what the requester may keep alive for it in its own zone.
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -24,7 +24,7 @@
 use crate::cloud::Catalog;
 use serde::Serialize;
 
-/// A value as controllers write it; which kind stands under a key, the key tells.
+/// The value of a key, as controllers write it. The encoding does not tell the kind; the key does.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Record {
@@ -54,6 +54,6 @@
     Document(HeadRecord),
     /// The life of a model.
     Model(model::Rec),
-    /// A part of a document, in its kind's form; or what a door beside the users' own keeps, in that door's.
+    /// A part of a document, in its kind's form; or a record of another front end than the users' interface, in that one's.
     Other(serde_json::Value),
 }
--- a/crates/wire/src/records/allotments.rs
+++ b/crates/wire/src/records/allotments.rs
@@ -12,7 +12,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub whole: Option<String>,
     /// The version of the quota tree whose bounds the shard keeps, all of them being its own as long as it is the only
-    /// one; 0 without a tree. Nothing starts under a version that does not stand here.
+    /// one; 0 without a tree. Nothing starts under a version that is not recorded here.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub tree: u64,
 }
--- a/crates/wire/src/records/claims.rs
+++ b/crates/wire/src/records/claims.rs
@@ -19,8 +19,8 @@
     pub ended: Vec<county::Delta>,
 }
 
-/// Claims on tasks of one job by one attempt. What a task takes stands here too, so that it counts against the
-/// team's limit until it is gone, also when the job itself has ended.
+/// Claims on tasks of one job by one attempt. The resources of a task are kept here too, so that they count against the
+/// team's limit until the task is gone, also when the job itself has ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClaimsRecord {
     /// The id of the job.
--- a/crates/wire/src/records/inventory.rs
+++ b/crates/wire/src/records/inventory.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Machines that may exist: one leaves its inventory shard only when the cloud has said that it is gone. What a log record
-/// says of a machine that stands in no inventory shard is void.
+/// says of a machine that is in no inventory shard is ignored.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct InventoryRecord {
     /// The machines, by type and zone.
--- a/crates/wire/src/records/jobs.rs
+++ b/crates/wire/src/records/jobs.rs
@@ -10,7 +10,7 @@
 pub struct JobRecord {
     /// The job as its user submitted it.
     pub spec: JobSpec,
-    /// Time of day of the acceptance; good within the clock error of the settings.
+    /// Unix time of the acceptance, in milliseconds; accurate to the clock error of the settings.
     pub at_ms: u64,
     /// The shard that the job belongs to.
     #[serde(rename = "part")]
@@ -39,7 +39,7 @@
 /// The hour by which a job is to be released.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HourRecord {
-    /// Time of day, in milliseconds.
+    /// Unix time, in milliseconds.
     pub due_ms: u64,
     /// The version of the calendar that said so.
     pub version: u64,
@@ -74,7 +74,7 @@
     pub zones: Vec<String>,
 }
 
-/// The final state of a job. Kept for ever.
+/// The final state of a job. Never removed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndRecord {
     /// Whether the job was completed or cancelled.
@@ -89,7 +89,7 @@
     pub county: Option<CountedRecord>,
 }
 
-/// What became of a job's hour: times of day, in milliseconds.
+/// What became of a job's hour, as Unix times in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndHourRecord {
     /// The hour by which it was to end.
--- a/crates/wire/src/records/keys.rs
+++ b/crates/wire/src/records/keys.rs
@@ -1,9 +1,9 @@
 //! Keys of the records, and the prefixes under which they are listed.
 
-/// The shard of the fleet that one controller owns.
+/// The number of a shard: the part of the fleet that one controller leads.
 pub type ShardId = u32;
 
-/// Everything that every controller follows: leaders, tokens, the catalogue.
+/// Prefix of everything that every controller follows: leaders, tokens, the catalogue.
 pub const SHARED: &str = "sys/";
 /// The counter of fencing tokens.
 pub const TOKEN: &str = "sys/token";
@@ -13,14 +13,14 @@
 pub const LIVE: &str = "live/";
 /// Prefix of the final states of jobs.
 pub const ENDED: &str = "end/";
-/// [`head_key`] and [`parts_prefix`] of the quota tree.
+/// The head of the quota tree: [`head_key`] of its kind.
 pub const QUOTA: &str = "sys/quota";
 /// Prefix of the quota tree's parts: [`parts_prefix`] of its kind.
 pub const QUOTA_PARTS: &str = "quota/part/";
-/// Records of doors beside the users' own.
+/// Prefix of records of other front ends than the users' interface.
 pub const SIDE: &str = "side/";
 
-/// Models that were ever woken, by the ids of their jobs.
+/// Prefix of the records of models that were ever woken, by the ids of their jobs.
 pub const MODELS: &str = "model/";
 
 /// The record of a model, by the id of its job.
--- a/crates/wire/src/records/leadership.rs
+++ b/crates/wire/src/records/leadership.rs
@@ -11,9 +11,9 @@
     pub node: String,
     /// The leader's fencing token.
     pub token: u64,
-    /// Tells a lost answer to our own take-over from somebody else's.
+    /// The leader's lease. It tells the own take-over, whose answer was lost, from that of another node.
     pub lease: u64,
-    /// Which incarnation of the node wrote it; 0 in records of before.
+    /// Which incarnation of the node wrote it; 0 in records of versions that did not write it.
     #[serde(default, skip_serializing_if = "is_zero")]
     #[serde(rename = "life")]
     pub incarnation: u64,
@@ -26,7 +26,7 @@
     pub token: u64,
 }
 
-/// What stands under [`super::SHARED`], read without knowing beforehand which.
+/// Any record under [`super::SHARED`], read without knowing beforehand which. Fields that it does not have are none.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SharedRecord {
     /// The leader's node, in a [`LeaderRecord`].
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -11,7 +11,7 @@
 pub struct Settings {
     /// The name of this node.
     pub node: String,
-    /// The zone that it stands in.
+    /// Its zone.
     #[serde(rename = "domain")]
     pub zone: String,
     /// Address and port for users and agents.
@@ -39,7 +39,7 @@
 pub struct Peer {
     /// The name of its node.
     pub node: String,
-    /// The zone that it stands in.
+    /// Its zone.
     #[serde(rename = "domain")]
     pub zone: String,
     /// Its address and port for other controllers.
@@ -186,7 +186,7 @@
         self.cluster.teams.iter().map(team).collect()
     }
 
-    /// The limits stand within `cluster` or beside it, depending on the platform's version.
+    /// The limits of this machine: within `cluster` or beside it, depending on the platform's version.
     pub fn limits(&self) -> Limits {
         self.cluster
             .limits
--- a/crates/wire/src/settings/check.rs
+++ b/crates/wire/src/settings/check.rs
@@ -48,7 +48,7 @@
         /// The text that was given.
         value: String,
     },
-    /// A name that stands elsewhere in the same list.
+    /// A name that is already taken in the same list.
     #[error("{name:?} is named twice")]
     NamedTwice {
         /// The name.
--- a/crates/wire/src/submission.rs
+++ b/crates/wire/src/submission.rs
@@ -38,7 +38,7 @@
 
 /// What a list of names may be, in words.
 const NAMES_RULE: &str = "must be null or a list of names";
-/// A field that stands twice in the map, in words.
+/// What is wrong with a field that the map has twice, in words.
 const FIELD_TWICE: &str = "is there twice";
 
 /// Deepest nesting that is read, in fields that are ignored.
--- a/crates/wire/src/tally.rs
+++ b/crates/wire/src/tally.rs
@@ -1,4 +1,4 @@
-//! What operators ask about counts by county.
+//! Requests of operators about counts by county, and the responses.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +14,7 @@
         /// The county's name or id; none for all.
         county: Option<String>,
     },
-    /// A count from the records, asked for again until it is done. The id is made by whoever asks.
+    /// A count from the records, asked for again until it is done. The id is made by the client.
     Audit {
         /// The id of the audit.
         id: String,
