--- a/crates/capacity/src/scenario.rs
+++ b/crates/capacity/src/scenario.rs
@@ -69,7 +69,7 @@
 
 /// The phases of a run, in order.
 pub fn phases(size: &Size) -> Vec<Phase> {
-    use Kind::*;
+    use Kind::{Changes, Failures, Fill, Peak, Quiet, Region, Settle, Steady, Turnover};
     let kinds: &[Kind] = match size.scenario {
         Scenario::All => &[
             Fill, Quiet, Changes, Steady, Failures, Region, Turnover, Peak, Settle,
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -195,7 +195,7 @@
         let gone = leader_state
             .records
             .keys()
-            .filter(|m| !shard.jobs.contains(*m));
+            .filter(|m| !shard.jobs.contains(m));
         leader_state.ended.extend(gone.cloned().collect::<Vec<_>>());
     }
 
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -117,7 +117,12 @@
 impl Pending {
     /// The term of leadership that it was sent in, if it belongs to one.
     pub(crate) fn term(&self) -> Option<u64> {
-        use Pending::*;
+        use Pending::{
+            Accept, Admin, Audit, Catalog, Commit, Delete, Direct, Forward, Frontend, Grant,
+            LeaderNotified, List, LiveWatch, Load, ModelWatch, ModelWrite, Models, Parts,
+            PeerCancel, PeerQuery, PeerStatus, Probe, ReadEnd, ReadLive, Relayed, Release, Renew,
+            Rental, SharedRead, SharedWatch, Sheets, Take, Tell, Verify, WakeForward, WakeUp,
+        };
         match self {
             Load { term, .. }
             | LiveWatch { term }
@@ -160,7 +165,10 @@
 
     /// A question to the state service that is answered at once if it serves us.
     pub(crate) fn asks_state(&self) -> bool {
-        use Pending::*;
+        use Pending::{
+            Accept, Audit, Commit, Frontend, Grant, Load, ModelWrite, Models, Parts, ReadEnd,
+            ReadLive, Renew, SharedRead, Sheets, Take, Verify, WakeUp,
+        };
         matches!(
             self,
             SharedRead
--- a/crates/control/src/scheduling/apply_plan.rs
+++ b/crates/control/src/scheduling/apply_plan.rs
@@ -64,7 +64,10 @@
     fn start(&mut self, job_index: JobIndex, machine_index: usize, count: u32, attempt: u64) {
         let Some(shard) = &mut self.shard else { return };
         for _ in 0..count {
-            let Some(task) = shard.job_mut(job_index).and_then(|job| job.next_task()) else {
+            let Some(task) = shard
+                .job_mut(job_index)
+                .and_then(super::super::jobs::job::Job::next_task)
+            else {
                 return;
             };
             if let (Some(job), Some(machine)) = (shard.job(job_index), shard.machine(machine_index))
--- a/crates/control/src/scheduling/fair_share.rs
+++ b/crates/control/src/scheduling/fair_share.rs
@@ -29,7 +29,7 @@
 }
 
 /// Teams on whose path nothing is guaranteed.
-pub(super) fn unguaranteed_teams(tree: &quota::Tree, teams: &HashMap<&str, u16>) -> Vec<u16> {
+pub(super) fn unguaranteed_teams(tree: &Tree, teams: &HashMap<&str, u16>) -> Vec<u16> {
     let none = |name: &str| tree.team(name).is_some_and(|t| !may_be_held(tree, t));
     teams
         .iter()
@@ -39,7 +39,7 @@
 }
 
 /// The tree's nodes as the planner knows them; all claims below one count against its bound.
-pub(super) fn planner_groups(tree: &quota::Tree, live: &quota::Live) -> Vec<plan::Group> {
+pub(super) fn planner_groups(tree: &Tree, live: &Live) -> Vec<plan::Group> {
     let units = |v: i64| {
         if v == quota::UNBOUNDED {
             f64::INFINITY
@@ -47,7 +47,7 @@
             v as f64 / 1000.0
         }
     };
-    let res = |a: &quota::Amount| plan::Resources {
+    let res = |a: &Amount| plan::Resources {
         cores: units(a[quota::CPUS]),
         gpus: units(a[quota::GPUS]),
         mem: units(a[quota::MEM]),
--- a/crates/county/tests/rules.rs
+++ b/crates/county/tests/rules.rs
@@ -240,7 +240,7 @@
             "county \"x\".rule[1]: never decides: county \"x\".rule[0]",
         ),
         (
-            format!("others = \"{}\"", "x".repeat(county::file::MAX_FILE)),
+            format!("others = \"{}\"", "x".repeat(file::MAX_FILE)),
             "bytes; at most",
         ),
         (
--- a/crates/dependency/tests/memory.rs
+++ b/crates/dependency/tests/memory.rs
@@ -1,5 +1,8 @@
 //! Memory is freed with the jobs: counted by the allocator. One test alone, so that nothing else allocates beside it.
 
+// A counting allocator can be written in no other way.
+#![allow(unsafe_code)]
+
 use dependency::*;
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -124,7 +127,7 @@
         graph.forget(oldest).unwrap();
         most = most.max(since.bytes());
     }
-    let table = LONG as usize / 64 * 2 * std::mem::size_of::<[usize; 3]>();
+    let table = LONG as usize / 64 * 2 * size_of::<[usize; 3]>();
     assert!(most <= WINDOW as usize * JOB_BYTES + table, "{most}");
     assert_eq!(graph.len(), WINDOW as usize);
 }
--- a/crates/document/src/lib.rs
+++ b/crates/document/src/lib.rs
@@ -1,7 +1,7 @@
 //! Documents that operators put in force: a quota tree, and whatever else all controllers must act on as one whole
 //! version.
 //!
-//! An operator writes a file ([`file`]), its type ([`Content`]) checks it and says what is wrong and where
+//! An operator writes a file ([`mod@file`]), its type ([`Content`]) checks it and says what is wrong and where
 //! ([`Fault`]). In the state service a version is a [`Head`] that names its parts, and the parts, each named by a
 //! digest of what it holds ([`split`], [`join`]): parts are written first, and the head makes the change, whole.
 //!
--- a/crates/gateway/examples/load.rs
+++ b/crates/gateway/examples/load.rs
@@ -121,7 +121,7 @@
     let counts = beside
         .leader()
         .and_then(|o| o.book())
-        .map(|b| b.counts())
+        .map(gateway::book::Book::counts)
         .unwrap_or_default();
     let checks = &beside.yarn.checks;
     let twice = checks.accepts.values().filter(|n| **n > 1).count();
@@ -130,7 +130,7 @@
         .clone()
         .filter(|c| c.state == Some(ApplicationState::Finished))
         .count();
-    let mut taken: Vec<u64> = tools.filter_map(|c| c.taken_after()).collect();
+    let mut taken: Vec<u64> = tools.filter_map(Client::taken_after).collect();
     taken.sort_unstable();
     let mut calls = std::mem::take(&mut beside.call_ns);
     calls.sort_unstable();
--- a/crates/gateway/src/book/clients.rs
+++ b/crates/gateway/src/book/clients.rs
@@ -6,8 +6,19 @@
 use crate::call::{Page, Proved, Reply};
 use prost::Message;
 use yarn::error::{Class, Fault};
-use yarn::master::*;
-use yarn::proto::*;
+use yarn::master::FinishResponse;
+use yarn::proto::{
+    ApplicationAttemptId, ApplicationId, ClusterMetrics, ContainerReport,
+    GetApplicationAttemptReportRequest, GetApplicationAttemptReportResponse,
+    GetApplicationAttemptsRequest, GetApplicationAttemptsResponse, GetApplicationReportRequest,
+    GetApplicationReportResponse, GetApplicationsRequest, GetApplicationsResponse,
+    GetClusterMetricsResponse, GetClusterNodesRequest, GetClusterNodesResponse,
+    GetContainerReportRequest, GetContainerReportResponse, GetContainersRequest,
+    GetContainersResponse, GetNewApplicationResponse, GetQueueInfoRequest, GetQueueInfoResponse,
+    GetQueueUserAclsResponse, KillApplicationRequest, KillApplicationResponse, NodeId, NodeReport,
+    Priority, QueueAcl, QueueUserAcl, SubmitApplicationRequest, SubmitApplicationResponse,
+    UpdateApplicationPriorityRequest, UpdateApplicationPriorityResponse,
+};
 use yarn::rest::{self, Form};
 use yarn::rpc::{CLIENT_PROTOCOL, CONTAINER_PROTOCOL, MASTER_PROTOCOL};
 
--- a/crates/gateway/src/book/masters.rs
+++ b/crates/gateway/src/book/masters.rs
@@ -14,8 +14,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use yarn::error::{Class, Fault};
 use yarn::master::Container as Container_;
-use yarn::master::*;
-use yarn::proto::*;
+use yarn::master::{
+    ANY, AllocateRequest, AllocateResponse, ContainerException, ContainerStatus, FinishRequest,
+    GetContainerStatusesRequest, GetContainerStatusesResponse, MasterCommand, NmToken,
+    RegisterRequest, RegisterResponse, SerializedException, StartContainersRequest,
+    StartContainersResponse, StopContainersRequest, StopContainersResponse, UpdateContainer,
+    UpdateError, exit,
+};
+use yarn::proto::{ApplicationAttemptId, ContainerId, FinalStatus, NodeId, Priority};
 
 /// Machines that a master may refuse.
 const BLACKLIST: usize = 1000;
--- a/crates/gateway/src/book/views.rs
+++ b/crates/gateway/src/book/views.rs
@@ -5,7 +5,12 @@
 use crate::records::{AppRecord, Stage};
 use crate::{Cx, token};
 use std::collections::HashMap;
-use yarn::proto::*;
+use yarn::proto::{
+    ApplicationAttemptId, ApplicationAttemptReport, ApplicationReport,
+    ApplicationResourceUsageReport, ApplicationState, AttemptState, ContainerId, FinalStatus,
+    GetApplicationsRequest, NodeId, NodeReport, NodeState, Priority, QueueInfo, QueueState,
+    Resource,
+};
 
 impl Stage {
     pub(super) fn proto(self) -> ApplicationState {
--- a/crates/gateway/src/book/web.rs
+++ b/crates/gateway/src/book/web.rs
@@ -12,7 +12,11 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 use yarn::error::{Class, Fault};
-use yarn::proto::*;
+use yarn::proto::{
+    ApplicationId, ApplicationState, ApplicationSubmissionContext, ApplicationTimeout,
+    ContainerLaunchContext, GetApplicationsRequest, LocalResource, LocalResourceType, NodeReport,
+    NodeState, Priority, Resource, ResourceInformation, StringLocalResource, StringString, Url,
+};
 use yarn::rest;
 
 /// Where runners and operators ask.
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -169,8 +169,8 @@
     pub fn parse(text: &str) -> Result<Config, String> {
         let ini = Ini::load_from_str(text).map_err(|e| e.to_string())?;
         let mut config = Config::default();
-        for (section, values) in ini.iter() {
-            for (key, value) in values.iter() {
+        for (section, values) in &ini {
+            for (key, value) in values {
                 config.set(section.unwrap_or(""), key, value)?;
             }
         }
--- a/crates/gateway/src/served.rs
+++ b/crates/gateway/src/served.rs
@@ -244,7 +244,7 @@
                 g.book = Some(Book::new(term, first));
             }
         }
-        self.with_book(now, |book, cx| book.tick(cx));
+        self.with_book(now, Book::tick);
         let Some(g) = &mut self.gateway else { return };
         if now.mono >= g.swept + SWEEP_MS {
             g.swept = now.mono;
--- a/crates/hours/src/calendar.rs
+++ b/crates/hours/src/calendar.rs
@@ -214,7 +214,7 @@
     index: HashMap<&'a str, usize>,
 }
 
-impl<'a> Builder<'a> {
+impl Builder<'_> {
     fn sizes(&mut self) {
         let s = self.spec;
         let dates = s.exceptions.len() + s.holidays.iter().map(|h| h.dates.len()).sum::<usize>();
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,6 @@
 //! Models that are served by `standing` jobs and give their machines back while nobody asks for them.
 //!
-//! [`Spec`] says which jobs are models and how they rest, [`file`] reads it. [`Rec`] is what the state service holds of
+//! [`Spec`] says which jobs are models and how they rest, [`mod@file`] reads it. [`Rec`] is what the state service holds of
 //! one model; [`asked`] says what becomes of it when somebody wants the model, at any node, and [`Rec::next`] what its
 //! owner makes of it. Whoever acts on either writes the record under a guard on the stamp that it was read with, before
 //! anything is done for it: so of all who want to begin a generation one does, and the others go on with that one.
--- a/crates/model/tests/rules.rs
+++ b/crates/model/tests/rules.rs
@@ -33,7 +33,7 @@
         parsed
             .locate(faults)
             .iter()
-            .map(|f| f.to_string())
+            .map(ToString::to_string)
             .collect::<Vec<_>>()
     };
     let with = |from: &str, to: &str| whole(&DOC.replace(from, to)).join("; ");
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -1,4 +1,4 @@
-//! One pass of MoldableEDF: by rising deadline, each job takes the narrowest width that meets its deadline, moving
+//! One pass of `MoldableEDF`: by rising deadline, each job takes the narrowest width that meets its deadline, moving
 //! nothing that is placed already.
 
 use crate::state::PlanState;
--- a/crates/plan/src/promises.rs
+++ b/crates/plan/src/promises.rs
@@ -1,6 +1,6 @@
 //! Promises of room to come.
 //!
-//! This is MoldableEDF's "earliest free time" for jobs that must start whole. A gang that finds no room now is
+//! This is `MoldableEDF`'s "earliest free time" for jobs that must start whole. A gang that finds no room now is
 //! planned for the earliest moment at which one zone has it, and its places are promised from then on. Jobs that
 //! come later in the order move no promise: they take what ends in time, or what is left beside it.
 
--- a/crates/plan/tests/search.rs
+++ b/crates/plan/tests/search.rs
@@ -130,7 +130,7 @@
     fn every_bound_makes_progress(seed in 0u64..1_000_000, bound in 0u64..3_000, blocked in 1usize..30) {
         let mut input = fleets::input(seed, 20, 0);
         let mut rng = fastrand::Rng::with_seed(seed);
-        let widest = |job: &mut plan::Job| {
+        let widest = |job: &mut Job| {
             // No fleet of this size has room for it.
             (job.shape, job.tasks, job.pending, job.priority) = (Shape::Gang, 1000, 1000, 3);
         };
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Tree`] is checked once and never changes; [`Live`] adds to it what each team asks for and uses, and says
 //! what each is entitled to. [`Spec`] is what people and records say of a tree, [`edit`] makes a new one from an
-//! old one, [`file`] reads and writes it for operators.
+//! old one, [`mod@file`] reads and writes it for operators.
 //!
 //! Share that a team does not use goes first to its siblings and then upward, level by level, and comes back when
 //! it is asked for. `docs/quotas/design.md` weighs the ways and names their published sources.
--- a/crates/standins/src/checks/room.rs
+++ b/crates/standins/src/checks/room.rs
@@ -1,7 +1,7 @@
 //! Whether a job waits beside room: it starts no task for long, though machines that fit have room and its team is under
 //! its limit.
 //!
-//! Looked at once a second. Room counts once it has stood for [`SETTLED`] looks: what a task leaves behind is known to the
+//! Looked at once a second. Room counts once it has stood for `SETTLED` looks: what a task leaves behind is known to the
 //! controllers only with the next report, and is given to whoever is first.
 
 use crate::rules::{Job, Rules};
--- a/crates/standins/src/yarn.rs
+++ b/crates/standins/src/yarn.rs
@@ -9,8 +9,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::http;
 use yarn::error::{Class, Fault};
-use yarn::master::*;
-use yarn::proto::*;
+use yarn::master::{
+    ANY, AllocateRequest, AllocateResponse, Container, FinishRequest, FinishResponse, GPUS,
+    RegisterRequest, StartContainer, StartContainersRequest, StartContainersResponse,
+};
+use yarn::proto::{
+    ApplicationAttemptId, ApplicationId, ApplicationState, ApplicationSubmissionContext,
+    ContainerId, ContainerLaunchContext, FinalStatus, GetApplicationReportRequest,
+    GetApplicationReportResponse, GetNewApplicationResponse, KillApplicationRequest, Priority,
+    Resource, ResourceInformation, ResourceRequest, StringString, SubmitApplicationRequest, Token,
+};
 use yarn::rest::{self, Form};
 use yarn::rpc;
 
--- a/crates/standins/tests/counties.rs
+++ b/crates/standins/tests/counties.rs
@@ -46,7 +46,7 @@
             rng.u32(1..6),
             8.0,
         );
-        spec.class = format!("k{}", rng.usize(0..counties + 1));
+        spec.class = format!("k{}", rng.usize(0..=counties));
         spec.spot = rng.bool();
         if rng.u32(0..3) == 0 {
             (spec.kind, spec.tasks) = (Kind::Gang, rng.u32(1..4));
--- a/crates/standins/tests/quick.rs
+++ b/crates/standins/tests/quick.rs
@@ -38,7 +38,7 @@
     ))
 }
 
-fn job(id: u32, estimate_s: f64) -> wire::api::JobSpec {
+fn job(id: u32, estimate_s: f64) -> JobSpec {
     array(id, "red", 4, estimate_s)
 }
 
--- a/crates/standins/tests/quotas.rs
+++ b/crates/standins/tests/quotas.rs
@@ -299,7 +299,7 @@
 #[test]
 fn a_change_without_a_good_id_is_refused() {
     let mut scene = scene();
-    let ids = ["".to_owned(), "x".repeat(41), "a\nb".to_owned()];
+    let ids = [String::new(), "x".repeat(41), "a\nb".to_owned()];
     for id in &ids {
         scene
             .changes
--- a/crates/standins/tests/rules.rs
+++ b/crates/standins/tests/rules.rs
@@ -77,7 +77,7 @@
             scope.spawn(move || own.map(|seed| (seed, play(seed))).collect::<Vec<_>>())
         };
         let running: Vec<_> = (0..threads).map(of_thread).collect();
-        let ends = running.into_iter().map(|thread| thread.join());
+        let ends = running.into_iter().map(std::thread::ScopedJoinHandle::join);
         ends.flat_map(|end| end.unwrap_or_else(|panic| std::panic::resume_unwind(panic)))
             .collect()
     });
--- a/crates/stoathatch/src/config.rs
+++ b/crates/stoathatch/src/config.rs
@@ -28,8 +28,8 @@
 fn parse_tuning(text: &str) -> Result<Tuning, String> {
     let ini = ini::Ini::load_from_str(text).map_err(|e| e.to_string())?;
     let mut tuning = Tuning::default();
-    for (section, values) in ini.iter() {
-        for (key, value) in values.iter() {
+    for (section, values) in &ini {
+        for (key, value) in values {
             tuning
                 .set(section.unwrap_or(""), key, value)
                 .map_err(|e| e.to_string())?;
--- a/crates/stoathatch/src/tally.rs
+++ b/crates/stoathatch/src/tally.rs
@@ -122,7 +122,7 @@
     fn an_audit_ends_by_what_it_names() {
         for as_json in [false, true] {
             let ended = |differences: &[String]| {
-                super::ended(
+                ended(
                     &Audit::Done {
                         revision: 7,
                         read: 3,
--- a/crates/stoathatch/src/tools.rs
+++ b/crates/stoathatch/src/tools.rs
@@ -20,7 +20,7 @@
 /// Exit codes: 0 done, 1 refused, 2 could not be asked.
 #[derive(Args)]
 pub struct Command {
-    /// A controller's REST address ([door] web); several are tried in turn. Any controller will do.
+    /// A controller's REST address (`[door] web`); several are tried in turn. Any controller will do.
     #[arg(
         long = "web",
         value_name = "IP:PORT",
--- a/crates/wire/src/http/write.rs
+++ b/crates/wire/src/http/write.rs
@@ -8,7 +8,7 @@
 /// The type of most bodies.
 const MESSAGE_PACK: &str = "application/msgpack";
 
-/// Appends a request with a MessagePack body to `out`.
+/// Appends a request with a `MessagePack` body to `out`.
 pub fn write_request(out: &mut Vec<u8>, host: &str, method: &str, path: &str, body: &[u8]) {
     let mut head = String::with_capacity(USUAL_HEAD);
     let _ = write!(head, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
@@ -24,7 +24,7 @@
     out.extend_from_slice(body);
 }
 
-/// Appends a response with a MessagePack body to `out`.
+/// Appends a response with a `MessagePack` body to `out`.
 pub fn write_response(out: &mut Vec<u8>, response: &Response) {
     write_response_as(out, response, MESSAGE_PACK, None);
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -6,10 +6,10 @@
 //!
 //! | exchanged with | module | encoding |
 //! |---|---|---|
-//! | users | [`users`], read by [`submission`] | MessagePack |
-//! | agents | [`agents`] | MessagePack |
-//! | the cloud | [`cloud`] | MessagePack |
-//! | the state service | [`state_service`], with values of [`records`] and [`tree`] | MessagePack |
+//! | users | [`users`], read by [`submission`] | `MessagePack` |
+//! | agents | [`agents`] | `MessagePack` |
+//! | the cloud | [`cloud`] | `MessagePack` |
+//! | the state service | [`state_service`], with values of [`records`] and [`tree`] | `MessagePack` |
 //! | other controllers | [`peer`] | CBOR |
 //! | operators | [`admin`], [`hours`], [`models`], [`tally`] | JSON |
 //! | the platform | [`settings`] | JSON |
@@ -37,7 +37,7 @@
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Deepest nesting of a MessagePack message that is read, in maps and lists.
+/// Deepest nesting of a `MessagePack` message that is read, in maps and lists.
 const MAX_DEPTH: usize = 32;
 
 /// Why a body could not be decoded, for the log.
@@ -62,13 +62,13 @@
     }
 }
 
-/// Encodes a message as MessagePack with text keys.
+/// Encodes a message as `MessagePack` with text keys.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     // Only a map with non-text keys or a failing writer can fail here; we have neither.
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
-/// Decodes one MessagePack message. Declared lengths allocate nothing beyond the bytes that are there, and nesting is
+/// Decodes one `MessagePack` message. Declared lengths allocate nothing beyond the bytes that are there, and nesting is
 /// bounded far below the stack.
 ///
 /// # Errors
--- a/crates/wire/src/submission/raw_value.rs
+++ b/crates/wire/src/submission/raw_value.rs
@@ -60,7 +60,7 @@
         while map.next_entry::<IgnoredAny, IgnoredAny>()?.is_some() {}
         Ok(RawValue::Other)
     }
-    /// An extension of MessagePack's, which no field is.
+    /// An extension of `MessagePack`'s, which no field is.
     fn visit_newtype_struct<D: Deserializer<'de>>(
         self,
         deserializer: D,
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -369,7 +369,7 @@
 #[test]
 fn heads_out_of_bounds_get_their_status() {
     let parse =
-        |text: &str| http::parse_request(text.as_bytes(), 100).map_err(|error| error.status());
+        |text: &str| http::parse_request(text.as_bytes(), 100).map_err(http::FramingError::status);
     assert_eq!(
         parse("POST /work HTTP/1.1\r\nContent-Length: 101\r\n\r\n"),
         Err(413)
@@ -399,7 +399,7 @@
     assert_eq!(parse(&format!("GET / HTTP/1.1\r\n{many}\r\n")), Err(431));
     assert_eq!(parse("GET / HTTP/1.1\r\nHost: x\r\n"), Ok(None));
     let chunk = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n";
-    let response = http::parse_response(chunk, 1000, false).map_err(|error| error.status());
+    let response = http::parse_response(chunk, 1000, false).map_err(http::FramingError::status);
     assert_eq!(response, Err(502));
 }
 
--- a/crates/wire/tests/production/peers.rs
+++ b/crates/wire/tests/production/peers.rs
@@ -241,7 +241,7 @@
     }
 }
 
-/// Unlike MessagePack bodies. A newer version may so far put something behind a message.
+/// Unlike `MessagePack` bodies. A newer version may so far put something behind a message.
 #[test]
 fn what_follows_a_message_is_not_looked_at() {
     for case in cases() {
--- a/crates/wire/tests/submissions.rs
+++ b/crates/wire/tests/submissions.rs
@@ -52,7 +52,7 @@
         .collect()
 }
 
-/// A field's value in bytes of MessagePack, the others as they are good.
+/// A field's value in bytes of `MessagePack`, the others as they are good.
 fn with_bytes(field: &str, value: &[u8]) -> Vec<u8> {
     let mut all = entries(&good());
     all.iter_mut()
--- a/crates/yarn/src/error.rs
+++ b/crates/yarn/src/error.rs
@@ -65,7 +65,11 @@
 
     /// The class behind a name, if it is one that this package knows.
     pub fn of(name: &str) -> Option<Class> {
-        use Class::*;
+        use Class::{
+            AccessDenied, ApplicationNotFound, AttemptNotFound, BadArgument, ContainerNotFound,
+            InvalidRequest, NoSuchMethod, NoSuchProtocol, NotRegistered, Retriable, Standby,
+            Unsupported, Yarn,
+        };
         [
             Yarn,
             ApplicationNotFound,
--- a/crates/yarn/src/master.rs
+++ b/crates/yarn/src/master.rs
@@ -1,6 +1,9 @@
 //! Messages of the application master and container management protocols, with their published field numbers.
 
-use crate::proto::*;
+use crate::proto::{
+    ApplicationAcl, ContainerId, ContainerLaunchContext, ContainerState, FinalStatus, NodeId,
+    NodeReport, Priority, Resource, ResourceRequest, Token,
+};
 
 /// What a master is told to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
--- a/crates/yarn/src/rest.rs
+++ b/crates/yarn/src/rest.rs
@@ -26,7 +26,7 @@
             .map(|p| p.split(';').next().unwrap_or("").trim())
         {
             match part.to_ascii_lowercase().as_str() {
-                "" => continue,
+                "" => {}
                 "application/json" | "*/*" | "application/*" => return Some(Form::Json),
                 "application/xml" | "text/xml" => return Some(Form::Xml),
                 _ => named = true,
