--- a/crates/stoathatch/src/config.rs
+++ b/crates/stoathatch/src/config.rs
@@ -73,6 +73,40 @@
         }
     }
 
+    /// The limits to come are checked as those that hold are: a whole set, no larger, and large enough to work with.
+    #[test]
+    fn limits_to_come_name_what_is_wrong() {
+        let with = |next: &str| {
+            let state = format!(r#""txn_ops":16,"next":{next}"#);
+            parse_settings(&GOOD.replacen(r#""txn_ops":16"#, &state, 1))
+        };
+        let good = r#"{"write_rps":24.0,"value_kb":2.0,"txn_ops":5,"later":1}"#;
+        let settings = with(good).expect("whole");
+        let next = settings.cluster.state.next_limits().expect("given");
+        assert_eq!((next.rps, next.write_rps), (150.0, 24.0));
+        assert_eq!((next.value_kb, next.txn_ops), (2.0, 5));
+        let without = parse_settings(GOOD).expect("good");
+        assert!(without.cluster.state.next_limits().is_none());
+        assert!(with("null").is_ok(), "null is as good as left out");
+        for (from, to, named) in [
+            (r#""write_rps":24.0,"#, "", "cluster.state.next.write_rps"),
+            (r#""value_kb":2.0,"#, "", "cluster.state.next.value_kb"),
+            (r#""txn_ops":5,"#, "", "cluster.state.next.txn_ops"),
+            ("24.0", "0.0", "cluster.state.next.write_rps"),
+            ("24.0", "36.0", "cluster.state.next.write_rps"),
+            (":2.0", ":-2.0", "cluster.state.next.value_kb"),
+            (":2.0", ":0.5", "cluster.state.next.value_kb"),
+            (":2.0", ":9.0", "cluster.state.next.value_kb"),
+            (":5", ":3", "cluster.state.next.txn_ops"),
+            (":5", ":17", "cluster.state.next.txn_ops"),
+            (r#""later":1"#, r#""rps":151.0"#, "cluster.state.next.rps"),
+            (r#""later":1"#, r#""rps":0.0"#, "cluster.state.next.rps"),
+        ] {
+            let error = with(&good.replacen(from, to, 1)).expect_err(named);
+            assert!(error.contains(named), "{error} should name {named}");
+        }
+    }
+
     #[test]
     fn ini_refuses_unknown_names_and_bad_values() {
         let t = parse_tuning("[owner]\nttl_ms = 4000\n").expect("good");
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -139,6 +139,52 @@
     pub value_kb: f64,
     /// Most conditions and writes in one transaction.
     pub txn_ops: usize,
+    /// Limits that will hold from some moment on, without notice.
+    #[serde(default)]
+    pub next: Option<NextGiven>,
+}
+
+/// `state.next` as it was given. What is missing is for [`Settings::check`] to say.
+#[derive(Debug, Clone, Default, Deserialize)]
+pub struct NextGiven {
+    /// Requests per second; those of now where it is left out.
+    #[serde(default)]
+    pub rps: Option<f64>,
+    /// Requests per second that write.
+    #[serde(default)]
+    pub write_rps: Option<f64>,
+    /// Largest value, in KB.
+    #[serde(default)]
+    pub value_kb: Option<f64>,
+    /// Most conditions and writes in one transaction.
+    #[serde(default)]
+    pub txn_ops: Option<usize>,
+}
+
+/// Limits that may hold at any time, beside those that do now.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct NextLimits {
+    /// Requests per second.
+    pub rps: f64,
+    /// Requests per second that write.
+    pub write_rps: f64,
+    /// Largest value, in KB.
+    pub value_kb: f64,
+    /// Most conditions and writes in one transaction.
+    pub txn_ops: usize,
+}
+
+impl StateLimits {
+    /// The limits to come, if any are named. None also for an incomplete set, which is refused at the start.
+    pub fn next_limits(&self) -> Option<NextLimits> {
+        let next = self.next.as_ref()?;
+        Some(NextLimits {
+            rps: next.rps.unwrap_or(self.rps),
+            write_rps: next.write_rps?,
+            value_kb: next.value_kb?,
+            txn_ops: next.txn_ops?,
+        })
+    }
 }
 
 /// Limits of the cloud's interface.
--- a/crates/wire/src/settings/check.rs
+++ b/crates/wire/src/settings/check.rs
@@ -1,10 +1,12 @@
 //! Checks settings beyond their form: names the first field whose value can't be worked with.
 
-use super::{Cluster, Settings, Team};
+use super::{Cluster, Settings, StateLimits, Team};
 use std::net::SocketAddrV4;
 
 /// Conditions and writes that the largest transaction of a controller needs at least.
 const LEAST_TRANSACTION_OPERATIONS: usize = 4;
+/// Smallest value, in KB, that the service can work with where limits are to come.
+const LEAST_NEXT_VALUE_KB: f64 = 1.0;
 /// Sockets that a controller needs at least.
 const LEAST_SOCKETS: usize = 32;
 
@@ -42,6 +44,23 @@
         /// The least count that can be worked with.
         least: usize,
     },
+    /// A field that is needed and was not given.
+    #[error("missing")]
+    Missing,
+    /// A number that is too small.
+    #[error("at least {least} are needed")]
+    TooSmall {
+        /// The least that can be worked with.
+        least: f64,
+    },
+    /// A limit to come that is above the one of now.
+    #[error("{value} is above state's own {now}")]
+    AboveNow {
+        /// The number that was given.
+        value: f64,
+        /// The limit of now.
+        now: f64,
+    },
     /// A text that is not an IPv4 address with a port.
     #[error("not an IPv4 address and port: {value:?}")]
     NotAnAddress {
@@ -129,9 +148,44 @@
         state.txn_ops,
         LEAST_TRANSACTION_OPERATIONS,
     )?;
+    check_next(state)?;
     positive("cluster.cloud.rps", cluster.cloud.rps)
 }
 
+/// What the limits to come may be: none above what holds now.
+fn check_next(state: &StateLimits) -> Result<(), SettingsError> {
+    let Some(next) = &state.next else {
+        return Ok(());
+    };
+    let least = LEAST_TRANSACTION_OPERATIONS as f64;
+    let txn_ops = next.txn_ops.map(|n| n as f64);
+    let rps = next.rps.or(Some(state.rps));
+    next_limit("rps", rps, 0.0, state.rps)?;
+    next_limit("write_rps", next.write_rps, 0.0, state.write_rps)?;
+    next_limit(
+        "value_kb",
+        next.value_kb,
+        LEAST_NEXT_VALUE_KB,
+        state.value_kb,
+    )?;
+    next_limit("txn_ops", txn_ops, least, state.txn_ops as f64)
+}
+
+fn next_limit(name: &str, given: Option<f64>, least: f64, now: f64) -> Result<(), SettingsError> {
+    let field = format!("cluster.state.next.{name}");
+    let Some(value) = given else {
+        return Err(SettingsProblem::Missing.at(field));
+    };
+    positive(&field, value)?;
+    if value < least {
+        return Err(SettingsProblem::TooSmall { least }.at(field));
+    }
+    if value > now {
+        return Err(SettingsProblem::AboveNow { value, now }.at(field));
+    }
+    Ok(())
+}
+
 fn check_teams(teams: &[Team]) -> Result<(), SettingsError> {
     for (i, team) in teams.iter().enumerate() {
         let amounts = [
