--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -5,7 +5,6 @@
 use crate::documents::kind::{ALL, PartOf};
 use crate::documents::operator_api::{faulty, refused};
 use crate::documents::{ActiveVersion, Document, Kind, for_kind};
-use crate::store::transaction::value_limit;
 use document::{Content, Head, Past, SHORT};
 use std::collections::VecDeque;
 use std::fmt;
@@ -189,7 +188,7 @@
             .map_err(|fault| faulty::<K>(vec![fault]))?;
         let built = Arc::new(spec.build(&context).map_err(faulty::<K>)?);
         K::check_change(self, &built).map_err(faulty::<K>)?;
-        let value_limit = value_limit(self.settings.cluster.state.value_kb);
+        let value_limit = self.write_limits.value_bytes();
         let parts = document::split(&spec, value_limit).map_err(|e| refused(&e))?;
         let differences = K::Content::differences(&old, &spec, DIFFERENCES);
         let past = Past::new(
@@ -290,6 +289,21 @@
         }
     }
 
+    /// A change was cut for larger records than can be written: nothing of it is in force, and it is asked for again.
+    pub(crate) fn change_given_up<K: Kind>(&mut self) {
+        let document = K::document_mut(&mut self.shared.documents);
+        let Some(change) = document.pending_change.take() else {
+            return;
+        };
+        match change.conn {
+            Some(conn) => {
+                let why = "records may hold less than before; the change was not made, ask again";
+                self.deny_admin(conn, 503, refused(why));
+            }
+            None => document.first = Some((*change.active.spec).clone()),
+        }
+    }
+
     /// A term of leadership is over: whether a change was made is for its record to say.
     pub(crate) fn abandon_document_changes(&mut self) {
         self.shared.documents.forget_readings();
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -71,6 +71,11 @@
         }
     }
 
+    /// A move whose transaction was refused is still to be written, before those that came after it.
+    pub fn take_back(&mut self, hour: HourMove) {
+        self.moves.push_front(hour);
+    }
+
     /// Watches an hour no longer.
     pub(super) fn forget(&mut self, due_ms: u64, ix: JobIndex) {
         self.upcoming.remove(&(due_ms, ix));
--- a/crates/control/src/documents/kind.rs
+++ b/crates/control/src/documents/kind.rs
@@ -19,7 +19,7 @@
 }
 
 /// All kinds, in the order in which they are read and written.
-pub(super) const ALL: [KindId; 4] = [
+pub(crate) const ALL: [KindId; 4] = [
     KindId::Quota,
     KindId::Hours,
     KindId::Counties,
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -23,5 +23,5 @@
 mod reading;
 
 pub(crate) use in_force::{ActiveVersion, Document, Documents};
-pub(crate) use kind::{Kind, KindId, for_kind};
+pub(crate) use kind::{ALL, Kind, KindId, for_kind};
 pub(crate) use operator_api::refused;
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -8,6 +8,7 @@
 use crate::models::demand::Waiter;
 use crate::state_requests::{encode_transaction, page_path};
 use crate::store::rate_budget::Bucket;
+use crate::store::write_limits::WriteLimits;
 use crate::{Node, Pending};
 use serde_json::Value;
 use std::sync::Arc;
@@ -178,12 +179,11 @@
 }
 
 /// How many keys one [`Request::Change`] may name.
-pub fn writes_at_once(settings: &Settings) -> usize {
-    let state = &settings.cluster.state;
+pub fn writes_at_once(limits: &WriteLimits) -> usize {
     // No more at once than a few seconds of the front end's own share.
-    state
-        .txn_ops
-        .min((state.write_rps / 3.0) as usize)
+    limits
+        .changes()
+        .min((limits.changes_per_s() / 3.0) as usize)
         .clamp(1, MAX_WRITES)
 }
 
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -116,6 +116,11 @@
     /// Whether a submission is one at all, whatever is in force now.
     fn check_form(&self, spec: &JobSpec) -> Result<(), Fault> {
         spec.check()?;
+        // Where smaller limits are to come, what was accepted under larger ones must not be refused: the judgement says
+        // it, under the conditions of the job's absence.
+        if self.write_limits.are_tight() {
+            return Ok(());
+        }
         // As it is without what is bound to it: a repeat must not be refused for a later document.
         let rec = JobRecord::new(spec.clone(), self.now.wall, SHARD);
         if self.is_storable(&rec) {
--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -5,6 +5,7 @@
 use crate::Node;
 use crate::leadership::election::SHARD;
 use crate::scheduling::entitlement::takes;
+use crate::store::record_sizes;
 use std::collections::BTreeSet;
 use std::fmt;
 use wire::api::{BODY_LIMIT, Catalog, JobSpec, Kind, MachineType};
@@ -31,11 +32,14 @@
     CannotSpread,
     /// Its record would be too large together with what is bound to it.
     RecordTooLarge,
+    /// Its record would be too large for limits that are to come, mostly for this field.
+    FieldTooLong(&'static str),
 }
 
 impl fmt::Display for Infeasible {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
+        let text = match self {
+            Infeasible::FieldTooLong(field) => return write!(f, "{field}: too long to be kept"),
             Infeasible::UnknownTeam => "unknown team",
             Infeasible::AboveTeamLimit => "more than the team's limit",
             Infeasible::AboveTreeLimit => "more than a node above the team may use",
@@ -45,7 +49,8 @@
             Infeasible::FitsNoMachineTypeInCounty => "fits no machine type in its county's zones",
             Infeasible::CannotSpread => "its tasks are to be spread, and may be in one zone only",
             Infeasible::RecordTooLarge => "too large with what would be agreed for it",
-        })
+        };
+        f.write_str(text)
     }
 }
 
@@ -65,6 +70,8 @@
         };
         if self.is_storable(&rec) {
             Ok(rec)
+        } else if self.write_limits.are_tight() {
+            Err(Infeasible::FieldTooLong(largest_field(spec)))
         } else {
             Err(Infeasible::RecordTooLarge)
         }
@@ -72,6 +79,9 @@
 
     /// Whether the state service takes the record.
     pub(crate) fn is_storable(&self, rec: &JobRecord) -> bool {
+        if self.write_limits.are_tight() {
+            return record_sizes::length(rec) <= self.write_limits.value_bytes();
+        }
         let limit = (self.settings.cluster.state.value_kb * 1024.0).min(BODY_LIMIT as f64);
         wire::encode(rec).len() as f64 * STORED_FORM <= limit
     }
@@ -96,6 +106,19 @@
     }
 }
 
+/// Names the field that takes most of a record which would be too large.
+fn largest_field(spec: &JobSpec) -> &'static str {
+    let fields = [
+        (record_sizes::length(&spec.class), "lot"),
+        (record_sizes::length(&spec.team), "desk"),
+        (record_sizes::length(&spec.image), "kit"),
+        (record_sizes::length(&spec.zone), "hall"),
+        (record_sizes::length(&spec.types), "builds"),
+    ];
+    let largest = fields.into_iter().max_by_key(|(length, _)| *length);
+    largest.map_or("record", |(_, field)| field)
+}
+
 /// Tasks that have to run at one time, or the job never does what it is for.
 fn at_once(spec: &JobSpec) -> u32 {
     if spec.kind == Kind::Array {
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -270,8 +270,7 @@
         self.term += 1;
         self.shared.documents.forget_readings();
         self.share_as_leader();
-        let value_kb = self.settings.cluster.state.value_kb;
-        self.shard = Some(Shard::new(token, version, now, value_kb));
+        self.shard = Some(Shard::new(token, version, now, &self.write_limits));
         self.start_load();
         self.announce_leadership(token);
     }
@@ -308,8 +307,8 @@
     }
 
     fn state_rates(&self) -> (f64, f64) {
-        let state = &self.settings.cluster.state;
-        (state.rps, state.write_rps)
+        let limits = &self.write_limits;
+        (limits.requests_per_s(), limits.changes_per_s())
     }
 
     fn announce_leadership(&mut self, token: u64) {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -27,4 +27,5 @@
 pub use node::Node;
 pub(crate) use outstanding::{Pending, Requester};
 pub use stats::Stats;
+pub use store::write_limits;
 pub use tuning::{Tuning, TuningError};
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -14,6 +14,8 @@
 use crate::stats::Stats;
 use crate::store::rate_budget::Bucket;
 use crate::store::shard::Shard;
+use crate::store::transaction_split::Refusals;
+use crate::store::write_limits::WriteLimits;
 use crate::tuning::Tuning;
 use std::collections::{HashMap, VecDeque};
 use wire::api::Catalog;
@@ -36,6 +38,8 @@
 /// One controller.
 pub struct Node {
     pub(crate) settings: Settings,
+    /// What records and transactions are built to.
+    pub(crate) write_limits: WriteLimits,
     pub(crate) tuning: Tuning,
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: Now,
@@ -81,6 +85,8 @@
     pub(crate) beside: bool,
     pub(crate) frontend: frontend::Frontend,
     pub(crate) models: models::Models,
+    /// Writes that the state service has refused.
+    pub(crate) refusals: Refusals,
     pub(crate) stats: Stats,
 }
 
@@ -88,15 +94,17 @@
     /// A node that knows nothing yet. All its randomness comes from the seed.
     pub fn new(settings: Settings, tuning: Tuning, seed: u64, now: Now) -> Self {
         let c = &settings.cluster;
+        let write_limits = WriteLimits::of(&settings);
         let nodes = settings.peers.len() as f64 + 1.0;
         let limits = settings.limits();
         let final_states = ((limits.mem_mb * FINAL_STATES_PER_MB / FINAL_STATE_SIZE) as usize)
             .clamp(1000, 1_000_000);
         Node {
-            requests: Bucket::new(c.state.rps * STATE_REQUESTS / nodes),
-            writes: Bucket::new(c.state.write_rps * election::OTHER_WRITES),
+            requests: Bucket::new(write_limits.requests_per_s() * STATE_REQUESTS / nodes),
+            writes: Bucket::new(write_limits.changes_per_s() * election::OTHER_WRITES),
             cloud: Bucket::new(c.cloud.rps * CLOUD_CALLS),
             settings,
+            write_limits,
             tuning,
             incarnation: incarnation::Incarnation::begin(seed),
             rng: fastrand::Rng::with_seed(seed),
@@ -127,6 +135,7 @@
             beside: false,
             frontend: frontend::Frontend::new(),
             models: models::Models::default(),
+            refusals: Refusals::default(),
             stats: Stats::default(),
         }
     }
@@ -163,6 +172,11 @@
         }
     }
 
+    /// What records and transactions are built to.
+    pub fn write_limits(&self) -> &WriteLimits {
+        &self.write_limits
+    }
+
     /// What this node has counted.
     pub fn stats(&self) -> &Stats {
         &self.stats
@@ -257,12 +271,23 @@
         if what.asks_state() {
             self.state_answered(response.as_ref());
         }
+        self.note_refusal(&what, response.as_ref());
         // What belongs to an earlier term of leadership no longer concerns us.
         if what.term().is_none_or(|term| term == self.term) {
             self.dispatch(what, response);
         }
     }
 
+    /// Notes a write that the state service can't take.
+    fn note_refusal(&mut self, what: &Pending, response: Option<&Response>) {
+        if let Some(kind) = what.writes()
+            && let Some(refused) = response.filter(|r| r.status == 400)
+        {
+            let why = String::from_utf8_lossy(&refused.body).into_owned();
+            self.write_refused(kind, &why);
+        }
+    }
+
     /// Notes whether the state service serves this node.
     fn state_answered(&mut self, response: Option<&Response>) {
         let now = self.now.mono;
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -163,6 +163,21 @@
         }
     }
 
+    /// What is written, where it is a transaction.
+    pub(crate) fn writes(&self) -> Option<&'static str> {
+        match self {
+            Pending::Commit { .. } => Some("the leader's transaction"),
+            Pending::Accept { .. } => Some("an acceptance"),
+            Pending::Take { .. } => Some("a take-over"),
+            Pending::ModelWrite { .. } => Some("a model's record"),
+            Pending::WakeUp {
+                step: wake_up::Step::Write,
+                ..
+            } => Some("a wake"),
+            _ => None,
+        }
+    }
+
     /// A question to the state service that is answered at once if it serves us.
     pub(crate) fn asks_state(&self) -> bool {
         use Pending::{
--- a/crates/control/src/scheduling/entitlement/tests.rs
+++ b/crates/control/src/scheduling/entitlement/tests.rs
@@ -67,7 +67,12 @@
     }
     let tree = Arc::new(Tree::build(&spec_of_tree, &teams).expect("good"));
     assert_eq!(tree.levels() + 1, 6);
-    let mut shard = Shard::new(1, 1, 0, 16.0);
+    let mut shard = Shard::new(
+        1,
+        1,
+        0,
+        &crate::store::write_limits::WriteLimits::of_values(16.0),
+    );
     for i in 0..100_000u32 {
         let spec = spec(i, &teams[i as usize % 10_000].name, 2, 1.0, 0.0);
         shard.add_job(Job::new(JobRecord::new(spec, u64::from(i), 0), 1));
@@ -180,7 +185,12 @@
         team("gpus", 0.0, 4.0),
         team("both", 20.0, 4.0),
     ];
-    let mut shard = Shard::new(1, 1, 0, 16.0);
+    let mut shard = Shard::new(
+        1,
+        1,
+        0,
+        &crate::store::write_limits::WriteLimits::of_values(16.0),
+    );
     let jobs = [
         ("cpus", 3, 6.0, 1.0, true), // 18 of 20 CPUs, though no GPU is guaranteed.
         ("cpus", 1, 6.0, 0.0, false), // Past them, with the job before.
@@ -232,7 +242,12 @@
         .collect();
     let mut rng = fastrand::Rng::with_seed(5);
     for _ in 0..200 {
-        let mut shard = Shard::new(1, 1, 0, 16.0);
+        let mut shard = Shard::new(
+            1,
+            1,
+            0,
+            &crate::store::write_limits::WriteLimits::of_values(16.0),
+        );
         for i in 0..12 {
             let team = ["a", "b", "c"][rng.usize(0..3)];
             let (tasks, cores) = (rng.u32(1..5), [0.1111, 1.0, 6.0][rng.usize(0..3)]);
--- a/crates/control/src/stats.rs
+++ b/crates/control/src/stats.rs
@@ -21,4 +21,6 @@
     pub preempts: u64,
     /// Heartbeats that came by way of a peer.
     pub relayed: u64,
+    /// Writes that the state service refused as it can't take them.
+    pub refused_writes: u64,
 }
--- a/crates/control/src/store/allotment.rs
+++ b/crates/control/src/store/allotment.rs
@@ -47,20 +47,44 @@
         self.wanted = (self.current.as_ref() != Some(&allotment)).then_some(allotment);
     }
 
-    pub fn take_wanted(&mut self) -> Option<AllotmentRecord> {
-        self.wanted.take()
+    /// Puts the allotment that is wanted, if one is, in the place of the one that is recorded.
+    pub fn write_wanted(&mut self, draft: &mut TransactionDraft) {
+        if let Some(allotment) = self.wanted.take() {
+            self.put(draft, allotment.clone(), Some(allotment));
+        }
     }
 
-    /// Puts an allotment in the place of the one that is recorded.
+    /// Puts an allotment in the place of the one that is recorded, together with the head that it goes with.
     pub fn write(&mut self, draft: &mut TransactionDraft, allotment: AllotmentRecord) {
+        self.put(draft, allotment, None);
+    }
+
+    /// `wanted` is what is wanted again should the transaction be refused.
+    fn put(
+        &mut self,
+        draft: &mut TransactionDraft,
+        allotment: AllotmentRecord,
+        wanted: Option<AllotmentRecord>,
+    ) {
         draft.put(
             records::allotment_key(SHARD),
             self.version,
             Record::Allotment(allotment.clone()),
         );
-        self.current = Some(allotment);
-        self.version = 0;
-        draft.pending_writes.push(PendingWrite::Allotment);
+        let before = AllotmentState {
+            current: self.current.replace(allotment),
+            version: std::mem::take(&mut self.version),
+            wanted,
+        };
+        draft
+            .pending_writes
+            .push(PendingWrite::Allotment(Box::new(before)));
+    }
+
+    /// What was written was refused: this stood before it. One that has come to be wanted meanwhile stays wanted.
+    pub fn take_back(&mut self, before: AllotmentState) {
+        let wanted = self.wanted.take().or(before.wanted);
+        *self = AllotmentState { wanted, ..before };
     }
 
     /// What was written is in place at this revision.
--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -59,10 +59,12 @@
             PendingWrite::LogOver(number) => {
                 shard.claim_log.segments.remove(&number);
             }
-            PendingWrite::InventoryShard(number, machines) => {
+            PendingWrite::InventoryShard(number, machines)
+            | PendingWrite::InventoryPiece(number, _, machines) => {
                 shard.inventory_recorded(number, &machines, revision)
             }
-            PendingWrite::Allotment => shard.allotment.recorded(revision),
+            PendingWrite::RemoveInventoryShard(..) => {}
+            PendingWrite::Allotment(_) => shard.allotment.recorded(revision),
             PendingWrite::DocumentPart(kind, name) => {
                 self.shared.documents.part_written(kind, name, revision)
             }
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -77,6 +77,8 @@
     /// Inventory shards to be written: those with machines that are new, and those that only lost some.
     pub grown_inventory: BTreeSet<u64>,
     pub shrunk_inventory: BTreeSet<u64>,
+    /// An inventory shard that a transaction had no room for.
+    pub to_split: Option<u64>,
     next_inventory_shard: u64,
 }
 
@@ -158,6 +160,37 @@
         self.inventory.insert(number, inventory_shard);
     }
 
+    /// Takes machines that add up to this size out of an inventory shard, into a new one.
+    pub fn split_inventory_shard(&mut self, from: u64, machines: &[usize], size: usize) -> u64 {
+        if let Some(inventory_shard) = self.inventory.get_mut(&from) {
+            inventory_shard.machines.retain(|m| !machines.contains(m));
+            inventory_shard.size = inventory_shard.size.saturating_sub(size);
+        }
+        let number = self.next_inventory_shard;
+        self.next_inventory_shard += 1;
+        let inventory_shard = InventoryShard {
+            version: 0,
+            machines: machines.iter().copied().collect(),
+            size,
+        };
+        self.inventory.insert(number, inventory_shard);
+        number
+    }
+
+    /// Puts an inventory shard that was never recorded into another, and returns its machines.
+    pub fn join_inventory_shard(&mut self, number: u64, into: u64) -> Vec<usize> {
+        let Some(inventory_shard) = self.inventory.remove(&number) else {
+            return Vec::new();
+        };
+        self.grown_inventory.remove(&number);
+        self.shrunk_inventory.remove(&number);
+        let whole = self.inventory.entry(into).or_default();
+        whole.size += inventory_shard.size;
+        whole.machines.extend(&inventory_shard.machines);
+        self.grown_inventory.insert(into);
+        inventory_shard.machines.into_iter().collect()
+    }
+
     /// A machine is gone from its inventory shard.
     pub fn leave_inventory_shard(&mut self, number: u64, machine: usize, size: usize) {
         if let Some(inventory_shard) = self.inventory.get_mut(&number)
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -1,24 +1,24 @@
 //! Records of the write-ahead log, with claims and results, and of the inventory, with machines.
 
-use crate::agents::machine::{ClaimState, Machine};
+use crate::agents::machine::ClaimState;
 use crate::documents::county_counts;
 use crate::jobs::job::{Ending, JobIndex};
 use crate::leadership::election::SHARD;
-use crate::store::claim_log::{ClaimId, ClaimLog, InventoryShard};
+use crate::store::claim_log::{ClaimId, ClaimLog};
+use crate::store::inventory_split::Piece;
+use crate::store::record_sizes;
 use crate::store::shard::Shard;
 use crate::store::transaction::{PendingWrite, TransactionDraft};
+use crate::store::write_limits::WriteLimits;
 use std::collections::{BTreeMap, BTreeSet};
-use wire::records::{
-    self, ClaimsRecord, DoneRecord, InventoryRecord, KindRecord, LogRecord, Record,
-};
+use wire::records::{self, ClaimsRecord, DoneRecord, LogRecord, Record};
 
-/// With more log records than this, or than one for so many machines, the oldest are moved into new ones.
-const MAX_SEGMENTS: usize = 400;
+/// Log records may be one for so many machines, if not more, before the oldest are moved into new ones.
 const MACHINES_PER_SEGMENT: usize = 5;
 
 /// Log records that a fleet of so many machines may have before the oldest are moved.
-fn max_segments(machines: usize) -> usize {
-    MAX_SEGMENTS.max(machines / MACHINES_PER_SEGMENT)
+fn max_segments(limits: &WriteLimits, machines: usize) -> usize {
+    limits.log_records().max(machines / MACHINES_PER_SEGMENT)
 }
 
 /// What a log record takes besides its entries.
@@ -55,11 +55,12 @@
     groups: BTreeMap<(JobIndex, u64), BTreeMap<usize, BTreeSet<u32>>>,
     record: LogRecord,
     size: usize,
+    limits: WriteLimits,
     max_size: usize,
 }
 
 impl LogBuilder {
-    fn new(number: u64, ended: Vec<county::Delta>, max_size: usize) -> Self {
+    fn new(number: u64, ended: Vec<county::Delta>, limits: &WriteLimits) -> Self {
         LogBuilder {
             size: LOG_FRAME + county_counts::deltas_bytes(&ended),
             record: LogRecord {
@@ -73,7 +74,8 @@
                 ended,
             },
             groups: BTreeMap::new(),
-            max_size,
+            limits: *limits,
+            max_size: limits.value_bytes(),
         }
     }
 
@@ -82,9 +84,9 @@
         let (Some(job), Some(machine)) = (shard.job(id.job), shard.machine(id.machine)) else {
             return false;
         };
-        let mut more = ClaimsRecord::entry(&machine.name);
+        let mut more = record_sizes::claims_entry(&self.limits, &machine.name);
         if !self.groups.contains_key(&(id.job, id.attempt)) {
-            more += ClaimsRecord::frame(&job.id, &job.team) + county_counts::claims_bytes(job);
+            more += record_sizes::claims_frame(&self.limits, job);
         }
         if self.size + more > self.max_size {
             return false;
@@ -188,8 +190,8 @@
 
 impl ClaimLog {
     /// The oldest record that still holds something, where there are too many records.
-    fn segment_to_compact(&self, machines: usize) -> Option<u64> {
-        if self.segments.len() <= max_segments(machines) {
+    fn segment_to_compact(&self, limits: &WriteLimits, machines: usize) -> Option<u64> {
+        if self.segments.len() <= max_segments(limits, machines) {
             return None;
         }
         let (number, _) = self.segments.iter().find(|(_, s)| s.holds())?;
@@ -212,11 +214,14 @@
     /// One log record: claims as far as they fit, then results, then what is moved out of the oldest record.
     pub(super) fn put_log(&mut self, shard: &mut Shard) {
         let ended = self.counts.take();
-        let mut builder = LogBuilder::new(shard.next_log(), ended, self.value_limit());
+        let mut builder = LogBuilder::new(shard.next_log(), ended, self.write_limits());
         if !self.add_fresh_claims(shard, &mut builder) {
             return;
         }
-        let oldest = shard.claim_log.segment_to_compact(shard.machines.count());
+        let machines = shard.machines.count();
+        let oldest = shard
+            .claim_log
+            .segment_to_compact(self.write_limits(), machines);
         if let Some(oldest) = oldest {
             builder.move_claims(shard, oldest);
         }
@@ -266,11 +271,16 @@
         true
     }
 
-    /// Writes an inventory shard as it stands now, or removes it.
-    pub(super) fn put_inventory_shard(&mut self, shard: &mut Shard, number: u64) {
+    /// Writes an inventory shard as it stands now, or removes it. False if there is not room for all of its pieces.
+    pub(super) fn put_inventory_shard(
+        &mut self,
+        shard: &mut Shard,
+        number: u64,
+        room: usize,
+    ) -> bool {
         shard.claim_log.shrunk_inventory.remove(&number);
         let Some(inventory_shard) = shard.claim_log.inventory.get(&number) else {
-            return;
+            return true;
         };
         let key = records::inventory_key(SHARD, number);
         let version = inventory_shard.version;
@@ -280,40 +290,44 @@
             shard.claim_log.inventory.remove(&number);
             if version > 0 {
                 self.remove(key, version);
+                self.pending_writes
+                    .push(PendingWrite::RemoveInventoryShard(number, version));
             }
-            return;
+            return true;
+        }
+        let value = shard.limits.value_bytes();
+        let mut pieces = shard.inventory_pieces(&inventory_shard.machines, value);
+        if pieces.len() > 1 && shard.set_new_apart(number, value) {
+            // What has never been recorded needs not move in one transaction with the rest.
+            return self.put_inventory_shard(shard, number, room);
+        }
+        if pieces.len() > shard.limits.changes() {
+            // As it stands, until enough of its machines are gone.
+            return true;
+        }
+        if pieces.len() > room {
+            return false;
+        }
+        let first = pieces.remove(0);
+        for piece in pieces {
+            self.put_inventory_piece(shard, number, piece);
         }
-        let record = inventory_record(shard, inventory_shard);
-        let machines = record.kinds.iter().flat_map(|k| &k.machines);
-        let names = machines.map(|(name, _)| name.clone()).collect();
-        self.put(key, version, Record::InventoryShard(record));
+        let names = first.names();
+        self.put(key, version, Record::InventoryShard(first.record));
         self.pending_writes
             .push(PendingWrite::InventoryShard(number, names));
+        true
     }
-}
-
-fn inventory_record(shard: &Shard, inventory_shard: &InventoryShard) -> InventoryRecord {
-    let machines = inventory_shard.machines.iter();
-    let mut record = InventoryRecord::default();
-    for machine in machines.filter_map(|m| shard.machine(*m)) {
-        add_to_kind(&mut record.kinds, machine);
-    }
-    record
-}
 
-/// Machines of one type, zone and price stand together.
-fn add_to_kind(kinds: &mut Vec<KindRecord>, machine: &Machine) {
-    let entry = (machine.name.clone(), machine.rented_ms);
-    let same = |k: &&mut KindRecord| {
-        k.machine_type == machine.machine_type && k.zone == machine.zone && k.spot == machine.spot
-    };
-    match kinds.iter_mut().find(same) {
-        Some(kind) => kind.machines.push(entry),
-        None => kinds.push(KindRecord {
-            machine_type: machine.machine_type.clone(),
-            zone: machine.zone.clone(),
-            spot: machine.spot,
-            machines: vec![entry],
-        }),
+    fn put_inventory_piece(&mut self, shard: &mut Shard, from: u64, piece: Piece) {
+        let number = shard.move_to_new_inventory_shard(from, &piece.machines);
+        let names = piece.names();
+        self.put(
+            records::inventory_key(SHARD, number),
+            0,
+            Record::InventoryShard(piece.record),
+        );
+        self.pending_writes
+            .push(PendingWrite::InventoryPiece(number, from, names));
     }
 }
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -65,11 +65,30 @@
 
     /// Ends the transaction, which is in place: what it changes in memory.
     pub(super) fn take_applied(&mut self) -> Vec<PendingWrite> {
+        self.end()
+    }
+
+    fn end(&mut self) -> Vec<PendingWrite> {
         self.body.clear();
         self.outcome_unknown = false;
         std::mem::take(&mut self.pending_writes)
     }
 
+    /// Changes of the transaction that is under way, and its bytes.
+    pub fn size(&self) -> (usize, usize) {
+        (self.writes, self.body.len())
+    }
+
+    /// The transaction under way is not sent again. Returns what it would have recorded.
+    pub fn give_up(&mut self) -> Vec<PendingWrite> {
+        self.end()
+    }
+
+    /// No transaction begins before.
+    pub fn wait_until(&mut self, time: u64) {
+        self.retry_at = time;
+    }
+
     fn ended_jobs(&self) -> Vec<JobIndex> {
         let end = |write: &PendingWrite| match write {
             PendingWrite::End(job) => Some(*job),
@@ -116,17 +135,16 @@
 
     fn begin_transaction(&mut self) {
         let now = self.now;
-        let state = &self.settings.cluster.state;
+        let limits = self.write_limits;
         let writes = self.writes.level(now.mono).floor().max(0.0) as usize;
-        let budget = writes.min(state.txn_ops);
+        let budget = writes.min(limits.changes());
         if budget < 1 || self.requests.level(now.mono) < 1.0 {
             return;
         }
         self.to_write = false;
         self.before_heads(budget);
         let Some(shard) = &mut self.shard else { return };
-        let state = &self.settings.cluster.state;
-        let draft = TransactionDraft::fill(shard, &mut self.shared, state, budget, now);
+        let draft = TransactionDraft::fill(shard, &mut self.shared, &limits, budget, now);
         if let Some(draft) = draft {
             shard.commit.begin(draft);
             self.send_transaction();
@@ -163,7 +181,10 @@
         };
         match response.status {
             200 => match wire::decode::<Revision>(&response.body) {
-                Ok(r) => self.apply(r.revision),
+                Ok(r) => {
+                    self.refusals.over();
+                    self.apply(r.revision)
+                }
                 Err(_) => self.step_down("an unreadable answer to a transaction"),
             },
             409 if shard.commit.outcome_unknown && leadership_lost(Some(&response)) => {
@@ -171,7 +192,9 @@
                 self.step_down("another leader, or none, stands in the state service");
             }
             // Only this term's transactions write these keys, so an earlier try is what makes this one fail.
-            409 if shard.commit.outcome_unknown => self.verify(),
+            // Refused for its size, it may have stood since one, before the limits changed.
+            409 | 400 if shard.commit.outcome_unknown => self.verify(),
+            400 => self.cut_anew(),
             429 | 503 => shard.commit.retry_at = retry_at,
             other => {
                 let body = String::from_utf8_lossy(&response.body);
--- /dev/null
+++ b/crates/control/src/store/inventory_split.rs
@@ -0,0 +1,170 @@
+//! Inventory shards whose record would be larger than a value may be now: their machines are spread over several, in the
+//! transaction that rewrites the first, so that every machine stands in exactly one inventory shard at any time.
+//!
+//! An inventory shard that would need more changes than a transaction has stays as it is recorded until enough of its
+//! machines are gone. Until then a new leader finds machines in it that are gone already: it takes them for silent, and has the
+//! cloud's word for it that they are gone, as for any other.
+
+use crate::agents::machine::Machine;
+use crate::store::record_sizes;
+use crate::store::shard::Shard;
+use std::collections::BTreeSet;
+use wire::records::{InventoryRecord, KindRecord};
+
+/// What an inventory shard's record takes without its machines.
+const FRAME: usize = 16;
+
+fn is_kind(kind: &KindRecord, machine: &Machine) -> bool {
+    kind.machine_type == machine.machine_type
+        && kind.zone == machine.zone
+        && kind.spot == machine.spot
+}
+
+fn are_one_kind(a: &Machine, b: &Machine) -> bool {
+    a.machine_type == b.machine_type && a.zone == b.zone && a.spot == b.spot
+}
+
+/// Some machines with their record.
+pub(crate) struct Piece {
+    pub machines: Vec<usize>,
+    pub record: InventoryRecord,
+    size: usize,
+}
+
+impl Default for Piece {
+    fn default() -> Self {
+        Piece {
+            machines: Vec::new(),
+            record: InventoryRecord::default(),
+            size: FRAME,
+        }
+    }
+}
+
+impl Piece {
+    /// What a machine would add to the record.
+    fn added_by(&self, machine: &Machine) -> usize {
+        let known = self.record.kinds.iter().any(|k| is_kind(k, machine));
+        let kind = if known {
+            0
+        } else {
+            record_sizes::inventory_kind(&machine.machine_type, &machine.zone)
+        };
+        record_sizes::inventory_entry(&machine.name) + kind
+    }
+
+    fn add(&mut self, number: usize, machine: &Machine) {
+        self.size += self.added_by(machine);
+        self.machines.push(number);
+        let entry = (machine.name.clone(), machine.rented_ms);
+        match self.record.kinds.iter_mut().find(|k| is_kind(k, machine)) {
+            Some(kind) => kind.machines.push(entry),
+            None => self.record.kinds.push(KindRecord {
+                machine_type: machine.machine_type.clone(),
+                zone: machine.zone.clone(),
+                spot: machine.spot,
+                machines: vec![entry],
+            }),
+        }
+    }
+
+    /// Names of its machines.
+    pub fn names(&self) -> Vec<String> {
+        let machines = self.record.kinds.iter().flat_map(|k| &k.machines);
+        machines.map(|(name, _)| name.clone()).collect()
+    }
+}
+
+impl Shard {
+    /// Takes machines that were never recorded out of an inventory shard, into new ones. False if there are none.
+    pub fn set_new_apart(&mut self, number: u64, value: usize) -> bool {
+        let Some(inventory_shard) = self.claim_log.inventory.get(&number) else {
+            return false;
+        };
+        let is_new = |m: &usize| self.machine(*m).is_some_and(|machine| !machine.recorded);
+        let new: BTreeSet<usize> = inventory_shard
+            .machines
+            .iter()
+            .copied()
+            .filter(is_new)
+            .collect();
+        if new.is_empty() {
+            return false;
+        }
+        for piece in self.inventory_pieces(&new, value) {
+            let into = self.move_to_new_inventory_shard(number, &piece.machines);
+            self.claim_log.grown_inventory.insert(into);
+        }
+        true
+    }
+
+    /// An inventory shard's machines in records of at most `value` bytes each: one, unless it was recorded when values
+    /// were larger.
+    pub fn inventory_pieces(&self, of: &BTreeSet<usize>, value: usize) -> Vec<Piece> {
+        let machines = || of.iter().filter_map(|m| Some((*m, self.machine(*m)?)));
+        let mut whole = Piece::default();
+        for (m, machine) in machines() {
+            whole.add(m, machine);
+        }
+        if record_sizes::length(&whole.record) <= value {
+            return vec![whole];
+        }
+        let mut pieces = vec![Piece::default()];
+        for (m, machine) in machines() {
+            let full = |p: &Piece| !p.machines.is_empty() && p.size + p.added_by(machine) > value;
+            if pieces.last().is_none_or(full) {
+                pieces.push(Piece::default());
+            }
+            if let Some(piece) = pieces.last_mut() {
+                piece.add(m, machine);
+            }
+        }
+        pieces
+    }
+
+    /// Moves some machines of an inventory shard to a new one, which is yet to be recorded. Returns its number.
+    pub fn move_to_new_inventory_shard(&mut self, from: u64, machines: &[usize]) -> u64 {
+        let sizes = machines.iter().filter_map(|m| self.machine(*m));
+        let size: usize = sizes.map(|m| m.size).sum();
+        let number = self.claim_log.split_inventory_shard(from, machines, size);
+        for m in machines {
+            if let Some(machine) = self.machine_mut(*m) {
+                machine.inventory_shard = number;
+            }
+        }
+        number
+    }
+
+    /// Puts all machines of an inventory shard that was not recorded back into the one that they came from.
+    pub fn move_back(&mut self, number: u64, from: u64) {
+        for m in self.claim_log.join_inventory_shard(number, from) {
+            if let Some(machine) = self.machine_mut(m) {
+                machine.inventory_shard = from;
+            }
+        }
+    }
+
+    /// The inventory shard for a machine that is to be recorded, where lengths are counted exactly.
+    pub fn tight_inventory_shard_for(&mut self, m: usize) -> u64 {
+        let limit = self.limits.value_bytes().saturating_sub(FRAME);
+        let Some(machine) = self.machine(m) else {
+            return 0;
+        };
+        let entry = record_sizes::inventory_entry(&machine.name);
+        let kind = record_sizes::inventory_kind(&machine.machine_type, &machine.zone);
+        let beside = self
+            .claim_log
+            .inventory
+            .iter()
+            .next_back()
+            .is_some_and(|(_, r)| {
+                let mut others = r.machines.iter().filter_map(|o| self.machine(*o));
+                r.size + entry <= limit && others.any(|o| are_one_kind(o, machine))
+            });
+        let size = if beside { entry } else { entry + kind };
+        if let Some(machine) = self.machine_mut(m) {
+            machine.size = size;
+        }
+        self.claim_log.inventory_shard_for(m, size, limit)
+    }
+}
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -5,9 +5,9 @@
 use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::store::claim_log::{ClaimId, InventoryShard, Segment};
+use crate::store::record_sizes;
 use crate::store::rental::Rental;
 use crate::store::shard::Shard;
-use crate::store::transaction::value_limit;
 use crate::{Destination, Node, Pending};
 use serde::de::DeserializeOwned;
 use std::ops;
@@ -156,18 +156,25 @@
             version,
             ..InventoryShard::default()
         };
+        let length = record_sizes::length(&record);
         for kind in record.kinds {
             for (name, rented_ms) in kind.machines {
                 let mut machine =
                     Machine::new(&name, &kind.machine_type, &kind.zone, kind.spot, rented_ms);
                 machine.recorded = true;
                 machine.inventory_shard = number;
+                if self.limits.are_tight() {
+                    machine.size = record_sizes::inventory_entry(&name);
+                }
                 machine.heard_at = heard_at;
                 inventory_shard.size += machine.size;
                 let index = self.insert_machine(machine);
                 inventory_shard.machines.insert(index);
             }
         }
+        if self.limits.are_tight() {
+            inventory_shard.size = length;
+        }
         self.claim_log.load_inventory_shard(number, inventory_shard);
     }
 
@@ -382,7 +389,7 @@
             .as_ref()
             .and_then(|p| p.allotment.current())
             .map_or(0, |a| a.tree);
-        let value = value_limit(self.settings.cluster.state.value_kb);
+        let value = self.write_limits.value_bytes();
         AllotmentRecord::whole(
             teams,
             self.shared.documents.quota.version().unwrap_or(recorded),
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -17,7 +17,7 @@
 use crate::store::rental::Rental;
 use crate::store::returned_machines::ReturnedMachines;
 use crate::store::table::Table;
-use crate::store::transaction::value_limit;
+use crate::store::write_limits::WriteLimits;
 use crate::store::zone_reachability::ZoneReachability;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -66,8 +66,8 @@
     serial: u64,
     pub commit: Commit,
     pub claim_log: ClaimLog,
-    /// What a record may take.
-    value_limit: usize,
+    /// What records and transactions are built to.
+    pub limits: WriteLimits,
     /// Machines whose workers are to be told something at once.
     pub push: BTreeSet<usize>,
     /// A command may still land late under this token: a higher one is to be taken.
@@ -96,7 +96,7 @@
 }
 
 impl Shard {
-    pub fn new(token: u64, leader_version: u64, now: u64, value_kb: f64) -> Self {
+    pub fn new(token: u64, leader_version: u64, now: u64, limits: &WriteLimits) -> Self {
         Shard {
             token,
             leader_version,
@@ -113,7 +113,7 @@
             serial: 0,
             commit: Commit::default(),
             claim_log: ClaimLog::default(),
-            value_limit: value_limit(value_kb),
+            limits: *limits,
             push: BTreeSet::new(),
             raise_token: false,
             classes: BTreeMap::new(),
@@ -128,7 +128,7 @@
             unwanted: BTreeSet::new(),
             counted: None,
             hours: DeadlineWatch::default(),
-            county_counts: CountyCounts::new(value_limit(value_kb)),
+            county_counts: CountyCounts::new(limits.value_bytes()),
         }
     }
 
@@ -204,9 +204,12 @@
     pub fn add_machine(&mut self, machine: Machine) -> usize {
         let size = machine.size;
         let index = self.insert_machine(machine);
-        let inventory_shard = self
-            .claim_log
-            .inventory_shard_for(index, size, self.value_limit);
+        let inventory_shard = if self.limits.are_tight() {
+            self.tight_inventory_shard_for(index)
+        } else {
+            let limit = self.limits.value_bytes();
+            self.claim_log.inventory_shard_for(index, size, limit)
+        };
         if let Some(machine) = self.machine_mut(index) {
             machine.inventory_shard = inventory_shard;
         }
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -6,12 +6,13 @@
 use crate::jobs::job::{Ending, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::leadership::shared_state::Shared;
+use crate::store::allotment::AllotmentState;
 use crate::store::claim_records::PendingLog;
 use crate::store::rental::RentalState;
 use crate::store::shard::Shard;
+use crate::store::write_limits::WriteLimits;
 use wire::api::{Condition, Write};
 use wire::records::{self, EndRecord, Record, TokenRecord};
-use wire::settings::StateLimits;
 
 /// Results and returned machines wait this long for something to travel with.
 const TIDY_MS: u64 = 1000;
@@ -20,23 +21,12 @@
 /// its 64 KiB.
 const MAX_SIZE: usize = 24 * 1024;
 
-/// Guards that a transaction may have for each of its writes.
-const CONDITIONS_PER_WRITE: usize = 4;
-
 /// A token that did not rise is tried again after this time.
 const RAISE_TOKEN_AGAIN_MS: u64 = 3000;
 
 /// The state service's own form of a value takes up to so many times our own.
 const SERVICE_FORM: f64 = 1.3;
 
-/// Share of a value's limit that we use: the service counts in its own way.
-const VALUE_SHARE: f64 = 0.95;
-
-/// What a value may take, with some distance to the service's own count.
-pub(crate) fn value_limit(value_kb: f64) -> usize {
-    (value_kb * 1024.0 * VALUE_SHARE) as usize
-}
-
 /// A write of a transaction, as what it changes in memory once it is in place.
 pub(crate) enum PendingWrite {
     End(JobIndex),
@@ -49,8 +39,13 @@
     /// An inventory shard with the names of its machines: by the time that it stands, a place in memory may be
     /// another one's.
     InventoryShard(u64, Vec<String>),
+    /// The same for machines that were moved out of another inventory shard, which is rewritten in this transaction.
+    InventoryPiece(u64, u64, Vec<String>),
+    /// An empty inventory shard's removal, with its version.
+    RemoveInventoryShard(u64, u64),
     Catalog,
-    Allotment,
+    /// An allotment, with what stood before it.
+    Allotment(Box<AllotmentState>),
     /// A document's part, its removal, its head.
     DocumentPart(KindId, String),
     RemoveDocumentPart(KindId, String),
@@ -72,9 +67,8 @@
 #[derive(Clone, Copy)]
 struct Limits {
     writes: usize,
-    conditions: usize,
-    /// What a record may take.
-    value: usize,
+    /// What records and transactions are built to.
+    write: WriteLimits,
 }
 
 /// A transaction that is being filled.
@@ -94,13 +88,16 @@
     pub fn fill(
         shard: &mut Shard,
         shared: &mut Shared,
-        state: &StateLimits,
+        limits: &WriteLimits,
         budget: usize,
         now: Now,
     ) -> Option<Self> {
-        let mut draft = TransactionDraft::new(shard.leader_version, state, budget);
+        let mut draft = TransactionDraft::new(shard.leader_version, limits, budget);
         let tidies = now.mono >= shard.commit.tidied_at + TIDY_MS;
         let head = TransactionDraft::head_due(&shared.documents, shard, budget);
+        if tidies && head.is_none() {
+            draft.put_split_inventory(shard);
+        }
         draft.put_ends(shard, head.map(|(_, writes)| writes), now.wall);
         draft.put_allotment(shard);
         if let Some((kind, _)) = head {
@@ -108,11 +105,11 @@
         }
         draft.put_token(shard, shared, now.mono);
         draft.put_new_rentals(shard);
-        draft.hour_moves(shard, now.wall, draft.limits.value, Self::has_room);
+        draft.hour_moves(shard, now.wall, limits.value_bytes(), Self::has_room);
         draft.put_logs(shard, tidies);
         draft.put_grown_inventory(shard);
         draft.remove_rentals(shard);
-        draft.put_catalog(shard, shared, state.value_kb);
+        draft.put_catalog(shard, shared, limits.value_kb());
         draft.parts(&mut shared.documents, Self::has_room);
         if tidies {
             shard.commit.tidied_at = now.mono;
@@ -124,8 +121,7 @@
         (!draft.writes.is_empty()).then_some(draft)
     }
 
-    fn new(leader_version: u64, state: &StateLimits, budget: usize) -> Self {
-        let value = value_limit(state.value_kb);
+    fn new(leader_version: u64, limits: &WriteLimits, budget: usize) -> Self {
         TransactionDraft {
             pending_writes: Vec::new(),
             conditions: vec![Condition {
@@ -137,10 +133,9 @@
             size: 0,
             limits: Limits {
                 writes: budget,
-                conditions: state.txn_ops * CONDITIONS_PER_WRITE,
-                value,
+                write: *limits,
             },
-            counts: EndedCounts::new(value),
+            counts: EndedCounts::new(limits.value_bytes()),
         }
     }
 
@@ -190,13 +185,18 @@
         self.conditions.iter().any(|g| g.key == key)
     }
 
-    /// What a record may take.
-    pub(super) fn value_limit(&self) -> usize {
-        self.limits.value
+    /// What records and transactions are built to.
+    pub(super) fn write_limits(&self) -> &WriteLimits {
+        &self.limits.write
+    }
+
+    /// Writes that the transaction has room for.
+    fn writes_left(&self) -> usize {
+        self.limits.writes.saturating_sub(self.writes.len())
     }
 
     pub(super) fn has_room_for_conditions(&self) -> bool {
-        self.conditions.len() + 2 < self.limits.conditions
+        self.conditions.len() + 2 < self.limits.write.guards()
     }
 
     fn has_room(&self) -> bool {
@@ -259,9 +259,7 @@
         if !self.has_room() {
             return;
         }
-        if let Some(allotment) = shard.allotment.take_wanted() {
-            shard.allotment.write(self, allotment);
-        }
+        shard.allotment.write_wanted(self);
     }
 
     fn put_token(&mut self, shard: &mut Shard, shared: &Shared, now: u64) {
@@ -307,11 +305,25 @@
         }
     }
 
+    /// An inventory shard that needs most of a transaction for itself, once in a while.
+    fn put_split_inventory(&mut self, shard: &mut Shard) {
+        let budget = self.limits.writes;
+        if budget == self.limits.write.changes()
+            && let Some(number) = shard.claim_log.to_split.take()
+        {
+            self.put_inventory_shard(shard, number, budget);
+        }
+    }
+
     fn put_grown_inventory(&mut self, shard: &mut Shard) {
         while self.has_room()
             && let Some(number) = shard.claim_log.grown_inventory.pop_first()
         {
-            self.put_inventory_shard(shard, number);
+            if !self.put_inventory_shard(shard, number, self.writes_left()) {
+                shard.claim_log.grown_inventory.insert(number);
+                shard.claim_log.to_split = Some(number);
+                return;
+            }
         }
     }
 
@@ -319,7 +331,11 @@
         while self.has_room()
             && let Some(number) = shard.claim_log.shrunk_inventory.pop_first()
         {
-            self.put_inventory_shard(shard, number);
+            if !self.put_inventory_shard(shard, number, self.writes_left()) {
+                shard.claim_log.shrunk_inventory.insert(number);
+                shard.claim_log.to_split = Some(number);
+                return;
+            }
         }
     }
 
--- /dev/null
+++ b/crates/control/tests/write_limits.rs
@@ -0,0 +1,100 @@
+//! A node whose settings name smaller limits of the state service that are to come.
+
+mod played;
+
+use played::{Played, job};
+use serde_json::{Value, json};
+use wire::settings::NextGiven;
+
+fn with_next() -> Played {
+    let mut p = Played::with(|settings| {
+        settings.cluster.state.next = Some(NextGiven {
+            rps: None,
+            write_rps: Some(20.0),
+            value_kb: Some(1.75),
+            txn_ops: Some(5),
+        });
+    });
+    p.learns_with_types("burrow-1");
+    p.now += 1000;
+    p.step(control::Event::Tick);
+    p
+}
+
+fn many(n: usize) -> Value {
+    let mut names = vec!["g8".to_owned()];
+    names.extend((0..n).map(|i| format!("a-type-with-a-long-name-of-its-own-{i:04}")));
+    json!(names)
+}
+
+fn told(p: &Played, conn: u64) -> String {
+    let told = p.told.iter().find(|t| t.0 == conn);
+    let told = told.unwrap_or_else(|| panic!("answered: {:?}", p.sent));
+    let body: Value = wire::decode(&told.2).expect("readable");
+    format!("{} {}", told.1, body["error"].as_str().unwrap_or_default())
+}
+
+/// A job whose record fits today and would not fit then is refused for good, under the guards of its absence, and the
+/// field is named.
+#[test]
+fn a_record_that_would_not_fit_is_refused_before_it_is_accepted() {
+    let escaped = || json!("\u{1}".repeat(120));
+    let cases = [
+        ("builds", vec![("builds", many(60))]),
+        (
+            "lot",
+            vec![("lot", escaped()), ("kit", json!("\u{1}".repeat(119)))],
+        ),
+        (
+            "kit",
+            vec![("kit", escaped()), ("lot", json!("\u{1}".repeat(119)))],
+        ),
+    ];
+    for (field, values) in cases {
+        let mut p = with_next();
+        let mut spec = job();
+        for (name, value) in values {
+            spec[name] = value;
+        }
+        p.ask(1, "POST", "/work", wire::encode(&spec));
+        let txn = p.take(|s| s.path == "/txn").expect("asks under guards");
+        let body: Value = wire::decode(&txn.body).expect("a transaction");
+        assert!(body.get("writes").is_none(), "{field}: nothing is written");
+        p.reply(&txn, 200, wire::encode(&json!({"ledger": 40})));
+        let told = told(&p, 1);
+        assert!(
+            told.starts_with("422") && told.contains(field),
+            "{field}: {told}"
+        );
+    }
+}
+
+/// One that was accepted under larger limits is known, whatever could be accepted now.
+#[test]
+fn a_repeat_of_a_larger_one_is_told_its_state() {
+    let mut p = with_next();
+    let mut spec = job();
+    spec["builds"] = many(60);
+    p.ask(1, "POST", "/work", wire::encode(&spec));
+    let txn = p.take(|s| s.path == "/txn").expect("asks under guards");
+    let failed = json!({"failed": ["live/job-000001"], "ledger": 40});
+    p.reply(&txn, 409, wire::encode(&failed));
+    p.silence(1500);
+    assert_ne!(p.status(1), Some(422));
+    assert_ne!(p.status(1), Some(400));
+}
+
+/// Without limits to come the same job is accepted.
+#[test]
+fn without_limits_to_come_it_is_accepted() {
+    let mut p = Played::new();
+    p.learns_with_types("burrow-1");
+    p.now += 1000;
+    p.step(control::Event::Tick);
+    let mut spec = job();
+    spec["builds"] = many(60);
+    p.ask(1, "POST", "/work", wire::encode(&spec));
+    let txn = p.take(|s| s.path == "/txn").expect("accepts");
+    let body: Value = wire::decode(&txn.body).expect("a transaction");
+    assert!(body.get("writes").is_some());
+}
--- a/crates/county/src/tally.rs
+++ b/crates/county/src/tally.rs
@@ -9,6 +9,8 @@
 //! Who drives this has one transaction at a time: what is [`Tally::noted`] has been committed, and a fold is
 //! committed, or nobody's any more, before the next is made.
 
+mod division;
+
 use crate::{MAX_CLASSES, OTHER};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -135,6 +137,10 @@
     cells: BTreeSet<Cell>,
     /// Numbers above the watermark that have deltas for it.
     due: BTreeSet<u64>,
+    /// It has cells of another sheet and was not put yet.
+    unput: bool,
+    /// Sheets with cells of this one, to be put before it.
+    after: BTreeSet<u32>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -199,8 +205,11 @@
         for d in sheet.cells {
             let cell = d.cell();
             page.size += Delta::frame(&d.county, &d.class);
-            page.cells.insert(cell.clone());
             self.class_seen(&d.county, &d.class);
+            if !self.counts_by(&cell, number, sheet.upto) {
+                continue;
+            }
+            page.cells.insert(cell.clone());
             let entry = Entry {
                 sheet: number,
                 folded: d.count(),
@@ -219,6 +228,7 @@
             return Vec::new();
         }
         self.state = Ok(());
+        self.divide();
         let early = std::mem::take(&mut self.early);
         early
             .into_iter()
@@ -298,7 +308,15 @@
         let mut due: Vec<(u64, u32)> = self
             .sheets
             .iter()
-            .filter_map(|(n, p)| Some((*p.due.first()?, *n)))
+            .filter(|(_, p)| self.may_put(p))
+            .filter_map(|(n, p)| {
+                let first = if p.unput {
+                    Some(0)
+                } else {
+                    p.due.first().copied()
+                };
+                Some((first?, *n))
+            })
             .collect();
         due.sort_unstable();
         let put = |number: u32| {
@@ -335,6 +353,7 @@
                 continue;
             };
             (page.stamp, page.upto) = (revision, sheet.upto);
+            page.unput = false;
             let rest = page.due.split_off(&(sheet.upto + 1));
             for n in std::mem::replace(&mut page.due, rest) {
                 let Some(waits) = self.open.get_mut(&n) else {
--- a/crates/county/tests/counting.rs
+++ b/crates/county/tests/counting.rs
@@ -338,3 +338,61 @@
     assert_eq!(tally.reading_over(true), [5]);
     assert_eq!(tally.counts().map(|c| c[&cell].done), Ok(4));
 }
+
+/// A sheet that was put when records could be larger is divided: nothing is counted twice or lost, whichever of its
+/// parts have been put when an owner ends, and none that is put is too long.
+#[test]
+fn a_sheet_that_was_larger_is_divided() {
+    const LIMIT: usize = 1000;
+    let cell = |i: u64| Cell {
+        county: format!("county-{i:03}"),
+        class: "class".into(),
+    };
+    let count = |n: u64| Count {
+        done: n,
+        ..Count::default()
+    };
+    let deltas = |n: u64| {
+        (0..40)
+            .map(|i| Delta::new(&cell(i), &count(n + i)))
+            .collect()
+    };
+    for folds in 0..12 {
+        let mut sheets: BTreeMap<u32, (u64, Sheet)> = BTreeMap::new();
+        let whole = Sheet {
+            upto: 7,
+            cells: deltas(100),
+        };
+        sheets.insert(3, (1, whole));
+        // Three owners, each of which ends after so many folds; the log has one record that is not folded.
+        let mut told = BTreeMap::new();
+        for owner in 0..3 {
+            let mut tally = Tally::new(LIMIT);
+            tally.begin_reading();
+            // The state service lists them in the order of their keys' text.
+            let mut listed: Vec<_> = sheets.iter().collect();
+            listed.sort_by_key(|(n, _)| n.to_string());
+            for (n, (stamp, sheet)) in listed {
+                tally.sheet_read(*n, *stamp, sheet.clone());
+            }
+            tally.noted(9, deltas(1));
+            tally.reading_over(true);
+            let rounds = if owner < 2 { folds } else { 40 };
+            for round in 0..rounds {
+                let Some(fold) = tally.fold(1) else { break };
+                let revision = 10 + owner * 100 + round;
+                for (n, stamp, sheet) in &fold.puts {
+                    let length = document::text(sheet).len();
+                    assert!(length <= LIMIT, "sheet {n}: {length} bytes");
+                    assert_eq!(sheets.get(n).map_or(0, |(s, _)| *s), *stamp);
+                    sheets.insert(*n, (revision, sheet.clone()));
+                }
+                tally.folded(&fold, revision);
+            }
+            told = tally.counts().expect("all was read");
+        }
+        let right: BTreeMap<Cell, Count> = (0..40).map(|i| (cell(i), count(101 + 2 * i))).collect();
+        assert_eq!(told, right, "{folds} folds");
+        assert!(sheets.len() > 3);
+    }
+}
--- a/crates/gateway/src/book/apps.rs
+++ b/crates/gateway/src/book/apps.rs
@@ -335,7 +335,7 @@
         let parts = if unmanaged {
             Vec::new()
         } else {
-            in_parts(&launch, cx.node.settings().cluster.state.value_kb)
+            in_parts(&launch, cx.node.write_limits().value_kb())
         };
         let life = context
             .application_timeouts
@@ -389,6 +389,7 @@
             groups: 0,
             closed: false,
         };
+        super::fitting::check_app(&rec, cx.node.write_limits())?;
         let mut app = App::new(rec, parts);
         app.waiters.push(waiter);
         self.apps.insert(id, app);
--- a/crates/gateway/src/book/drains.rs
+++ b/crates/gateway/src/book/drains.rs
@@ -52,12 +52,24 @@
             return Err(Fault::new(Class::AccessDenied, why));
         }
         let path = queue.path.clone();
-        change(&mut self.drain.queues, "queues", path, drain)?;
+        let mut drains = self.drain.clone();
+        let begins = drain.is_some();
+        change(&mut drains.queues, "queues", path, drain)?;
+        self.take_drains(cx, drains, begins)?;
         self.drain_waiters.push(waiter);
         self.store.touch(Key::Drain);
         Ok(())
     }
 
+    /// Ends of drains make the record smaller; begins need room in it.
+    fn take_drains(&mut self, cx: Cx<'_>, drains: DrainRecord, begins: bool) -> Result<(), Fault> {
+        if begins {
+            super::fitting::check_drains(&drains, cx.node.write_limits())?;
+        }
+        self.drain = drains;
+        Ok(())
+    }
+
     /// Begins or ends the drain of a machine. It needs not be up: it may come back.
     pub(super) fn set_machine_drain(
         &mut self,
@@ -79,7 +91,10 @@
                 format!("machine: must be 1 to {} bytes", records::TAG),
             ));
         }
-        change(&mut self.drain.machines, "machines", name.to_owned(), drain)?;
+        let mut drains = self.drain.clone();
+        let begins = drain.is_some();
+        change(&mut drains.machines, "machines", name.to_owned(), drain)?;
+        self.take_drains(cx, drains, begins)?;
         self.drain_waiters.push(waiter);
         self.store.touch(Key::Drain);
         Ok(())
--- a/crates/gateway/src/book/mod.rs
+++ b/crates/gateway/src/book/mod.rs
@@ -5,6 +5,7 @@
 mod clients;
 mod containers;
 mod drains;
+mod fitting;
 mod masters;
 pub mod runners;
 mod store;
--- a/crates/gateway/src/book/store.rs
+++ b/crates/gateway/src/book/store.rs
@@ -5,6 +5,7 @@
 use crate::records::{self, AppRecord, ClusterRecord, DrainRecord};
 use crate::{Act, Cx};
 use control::frontend::{self, Answer, Change, Request};
+use control::write_limits::WriteLimits;
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -52,6 +53,8 @@
 
 /// A try is repeated after this time, in milliseconds.
 const AGAIN_MS: u64 = 250;
+/// What was refused is tried again after this time.
+const REFUSED_MS: u64 = 5000;
 /// Bytes of one transaction; the service counts in a longer form and allows 64 KiB.
 const SIZE: usize = 24 * 1024;
 
@@ -72,6 +75,7 @@
     sent: Vec<Sent>,
     size: usize,
     most: usize,
+    limits: WriteLimits,
 }
 
 impl Draft {
@@ -95,7 +99,7 @@
         let now = cx.now.mono;
         if self.store.flight.is_none() && now >= self.store.retry_at && !self.store.dirty.is_empty()
         {
-            self.store.flight = self.draft(frontend::writes_at_once(cx.node.settings()), now);
+            self.store.flight = self.draft(cx.node.write_limits(), now);
         }
         let Some(flight) = self
             .store
@@ -114,12 +118,14 @@
         self.acts.push(Act::Frontend { tag, request });
     }
 
-    fn draft(&mut self, most: usize, now: u64) -> Option<Flight> {
+    fn draft(&mut self, limits: &WriteLimits, now: u64) -> Option<Flight> {
+        let most = frontend::writes_at_once(limits);
         let mut draft = Draft {
             changes: Vec::new(),
             sent: Vec::new(),
             size: 0,
             most,
+            limits: *limits,
         };
         let keys: Vec<Key> = self.store.dirty.iter().copied().take(most).collect();
         for key in keys {
@@ -203,7 +209,7 @@
         if app.rec.closed && gone < app.described {
             return false;
         }
-        let rec = value(&app.rec);
+        let rec = value(&super::fitting::fitted(&app.rec, &draft.limits));
         if !draft.has_room(1, rec.as_ref().map_or(0, |v| v.to_string().len())) {
             return false;
         }
@@ -230,9 +236,11 @@
                 }
                 true
             }
-            Answer::Busy if !flight.outcome_unknown => {
+            Answer::Busy | Answer::Refused if !flight.outcome_unknown => {
                 let flight = self.store.flight.take();
-                self.store.retry_at = now + AGAIN_MS;
+                // Nothing of a refused one was applied; it is cut anew, by limits that may have been learned by then.
+                let refused = answer == Answer::Refused;
+                self.store.retry_at = now + if refused { REFUSED_MS } else { AGAIN_MS };
                 for sent in flight.into_iter().flat_map(|f| f.sent) {
                     self.put_off(sent);
                 }
--- a/crates/standins/src/scene.rs
+++ b/crates/standins/src/scene.rs
@@ -45,6 +45,8 @@
     pub records_ms: u64,
     /// What the state service bears, instead of the usual.
     pub limits: Option<crate::state::Limits>,
+    /// What it will bear from some time on, as the settings name it.
+    pub next: Option<crate::state::Limits>,
     /// One in so many of these transactions is held for some seconds, and lands after its sender has gone on or died.
     pub held_one_in: u32,
     /// Each node's time of day is so much ahead of the one before it.
--- a/crates/standins/src/state.rs
+++ b/crates/standins/src/state.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 use serde_json::{Value, json};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, VecDeque};
 use wire::api::Condition;
 
 #[derive(Default)]
@@ -15,6 +15,10 @@
     /// Changes up to this revision can no longer be watched.
     pub forgotten: u64,
     pub limits: Limits,
+    /// Limits that hold from some time on, without notice, in order.
+    pub limits_from: VecDeque<(u64, Limits)>,
+    /// The limits that settings name, where others hold by now.
+    named: Option<Limits>,
     pub counts: Counts,
     /// For tests of the tests: conditions on keys that begin so are taken to hold.
     pub unguarded: Vec<&'static str>,
@@ -158,6 +162,7 @@
 
     pub fn handle(&mut self, now: u64, method: &str, path: &str, body: &[u8]) -> Outcome {
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
+        self.change_limits(now);
         self.counts.requests += 1;
         self.counts.models += u64::from(query.contains("under=model/") || path.contains("/model/"));
         if !self.take(now, 1.0, 0.0) {
@@ -240,6 +245,18 @@
         )
     }
 
+    fn change_limits(&mut self, now: u64) {
+        while let Some((_, limits)) = self.limits_from.pop_front_if(|(from, _)| *from <= now) {
+            self.named.get_or_insert(self.limits);
+            self.limits = limits;
+        }
+    }
+
+    /// The limits as settings name them, whatever holds by now.
+    pub fn named_limits(&self) -> Limits {
+        self.named.unwrap_or(self.limits)
+    }
+
     /// Takes from the two budgets, both with bursts of a second's worth.
     fn take(&mut self, now: u64, requests: f64, changes: f64) -> bool {
         let l = self.limits;
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -366,7 +366,7 @@
             |i| json!({"node": name(i), "domain": zones[i % zones.len()], "address": format!("10.0.0.{}:8081", i + 1)}),
         )
         .collect();
-    let v = json!({"node": name(node), "domain": zones[node % zones.len()], "client_listen": format!("10.0.0.{}:8080", node + 1),
+    let mut v = json!({"node": name(node), "domain": zones[node % zones.len()], "client_listen": format!("10.0.0.{}:8080", node + 1),
         "peer_bind": format!("10.0.0.{}:8081", node + 1), "peers": peers,
         "endpoints": {"cloud": "10.2.0.2:8443", "state": "10.2.0.1:2379"},
         "cluster": {"initial_size": nodes, "zones": zones,
@@ -377,6 +377,10 @@
             "state": {"rps": state.rps, "write_rps": state.write_rps, "value_kb": state.value_kb, "txn_ops": state.txn_ops},
             "cloud": {"rps": 20.0, "list_lag_s": 2.0},
             "machine_limits": {"cores": 1.0, "mem_mb": 100.0, "max_sockets": 500}}});
+
+    if let Some(next) = plan.scene.as_ref().and_then(|scene| scene.next) {
+        v["cluster"]["state"]["next"] = json!({"write_rps": next.write_rps, "value_kb": next.value_kb, "txn_ops": next.txn_ops});
+    }
     serde_json::from_value(v).expect("settings of the stand-ins")
 }
 
@@ -1089,7 +1093,8 @@
                 let now = self.node_now(n);
                 self.hosts[n].incarnation += 1;
                 let report_s = self.report_ms() as f64 / 1000.0;
-                let mut settings = settings(n, &self.plan, limit, self.state.limits, report_s);
+                let named = self.state.named_limits();
+                let mut settings = settings(n, &self.plan, limit, named, report_s);
                 settings.node = format!("burrow-{}", self.hosts[n].name);
                 let node = Node::new(settings, self.tuning.clone(), seed, now);
                 let node =
@@ -2050,6 +2055,13 @@
         self.back_ms = Some(ms);
     }
 
+    /// From their next lives on, nodes find the limits that the state service will have in their settings.
+    pub fn name_next_limits(&mut self, next: Limits) {
+        if let Some(scene) = &mut self.plan.scene {
+            scene.next = Some(next);
+        }
+    }
+
     /// From its next life on, a node goes by another one's name as well.
     pub fn rename(&mut self, n: usize, to: usize) {
         self.hosts[n].name = to;
