--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -21,7 +21,7 @@
 /// refused by the service and come again.
 const LEADER_REQUESTS: f64 = 0.5;
 const OTHER_REQUESTS: f64 = 0.4;
-const LEADER_WRITES: f64 = 0.9;
+pub(crate) const LEADER_WRITES: f64 = 0.9;
 pub(crate) const OTHER_WRITES: f64 = 0.3;
 
 /// A candidate gives up after this time.
@@ -292,23 +292,18 @@
 
     /// The leader does most of the writing. What the others write to accept jobs it sees, and leaves room for.
     fn share_as_leader(&mut self) {
-        let (rps, write_rps) = self.state_rates();
+        let rps = self.write_limits.requests_per_s();
         self.requests.set_rate(rps * LEADER_REQUESTS);
-        self.set_write_rate(write_rps * LEADER_WRITES);
+        self.set_write_rate(self.changes_per_s() * LEADER_WRITES);
     }
 
     /// The others keep enough to accept jobs.
     fn share_as_follower(&mut self) {
-        let (rps, write_rps) = self.state_rates();
+        let rps = self.write_limits.requests_per_s();
         let nodes = self.settings.peers.len() as f64 + 1.0;
         self.requests
             .set_rate(rps * OTHER_REQUESTS / (nodes - 1.0).max(1.0));
-        self.set_write_rate(write_rps * OTHER_WRITES);
-    }
-
-    fn state_rates(&self) -> (f64, f64) {
-        let limits = &self.write_limits;
-        (limits.requests_per_s(), limits.changes_per_s())
+        self.set_write_rate(self.changes_per_s() * OTHER_WRITES);
     }
 
     fn announce_leadership(&mut self, token: u64) {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -16,6 +16,7 @@
 use crate::store::shard::Shard;
 use crate::store::transaction_split::Refusals;
 use crate::store::write_limits::WriteLimits;
+use crate::store::write_rate::WriteRate;
 use crate::tuning::Tuning;
 use std::collections::{HashMap, VecDeque};
 use wire::api::Catalog;
@@ -87,6 +88,8 @@
     pub(crate) models: models::Models,
     /// Writes that the state service has refused.
     pub(crate) refusals: Refusals,
+    /// What they say of the rate of changes.
+    pub(crate) write_rate: WriteRate,
     pub(crate) stats: Stats,
 }
 
@@ -101,7 +104,7 @@
             .clamp(1000, 1_000_000);
         Node {
             requests: Bucket::new(write_limits.requests_per_s() * STATE_REQUESTS / nodes),
-            writes: Bucket::new(write_limits.changes_per_s() * election::OTHER_WRITES),
+            writes: Bucket::new(c.state.write_rps * election::OTHER_WRITES),
             cloud: Bucket::new(c.cloud.rps * CLOUD_CALLS),
             settings,
             write_limits,
@@ -136,6 +139,7 @@
             frontend: frontend::Frontend::new(),
             models: models::Models::default(),
             refusals: Refusals::default(),
+            write_rate: WriteRate::default(),
             stats: Stats::default(),
         }
     }
@@ -212,6 +216,7 @@
         self.relay_tick();
         self.admission_tick();
         self.waiters_tick();
+        self.write_rate_tick();
         self.share_writes();
         self.documents_tick();
         if self.shared.catalog.is_none() || self.leads() {
@@ -278,13 +283,18 @@
         }
     }
 
-    /// Notes a write that the state service can't take.
+    /// Notes a write that the state service can't take, or not now.
     fn note_refusal(&mut self, what: &Pending, response: Option<&Response>) {
-        if let Some(kind) = what.writes()
-            && let Some(refused) = response.filter(|r| r.status == 400)
-        {
-            let why = String::from_utf8_lossy(&refused.body).into_owned();
-            self.write_refused(kind, &why);
+        let (Some(kind), Some(refused)) = (what.writes(), response) else {
+            return;
+        };
+        match refused.status {
+            400 => {
+                let why = String::from_utf8_lossy(&refused.body).into_owned();
+                self.write_refused(kind, &why);
+            }
+            429 => self.write_came_too_fast(),
+            _ => {}
         }
     }
 
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -20,4 +20,5 @@
 pub(crate) mod transaction;
 pub(crate) mod transaction_split;
 pub mod write_limits;
+pub(crate) mod write_rate;
 pub(crate) mod zone_reachability;
--- /dev/null
+++ b/crates/control/src/store/write_rate.rs
@@ -0,0 +1,81 @@
+//! How many changes a second the state service is taken to bear, where the settings name a smaller rate to come.
+//!
+//! When it begins is not said: it shows by refused writes. From some of them in a short time on, the smaller rate is
+//! kept to, until none was refused for a while. A wrong guess either way costs refusals or a little time and nothing
+//! else, so unlike the sizes of records this one is taken back.
+
+use crate::Node;
+use crate::leadership::election::{LEADER_WRITES, OTHER_WRITES};
+
+/// So many refusals within this time, in milliseconds, say that the smaller rate holds.
+const REFUSALS: u32 = 3;
+const WINDOW_MS: u64 = 2000;
+/// After the last of them it is kept to for so long.
+const SLOW_MS: u64 = 30_000;
+
+/// What refusals have said so far. Times are of this node's steady clock.
+#[derive(Debug, Default)]
+pub(crate) struct WriteRate {
+    refusals: u32,
+    since: u64,
+    slow_until: u64,
+    is_slow: bool,
+}
+
+impl WriteRate {
+    /// A write was refused since there were too many.
+    pub fn refused(&mut self, now: u64) {
+        if now >= self.since + WINDOW_MS {
+            (self.refusals, self.since) = (0, now);
+        }
+        self.refusals += 1;
+        if self.refusals >= REFUSALS || self.is_slow {
+            self.slow_until = now + SLOW_MS;
+        }
+    }
+
+    /// Whether the smaller rate is to be kept to; the second says that this is new.
+    fn turns(&mut self, now: u64) -> (bool, bool) {
+        let slow = now < self.slow_until;
+        (slow, std::mem::replace(&mut self.is_slow, slow) != slow)
+    }
+}
+
+impl Node {
+    /// Changes that all controllers together may make in a second, as far as is known.
+    pub(crate) fn changes_per_s(&self) -> f64 {
+        if self.write_rate.is_slow {
+            self.write_limits.changes_per_s()
+        } else {
+            self.settings.cluster.state.write_rps
+        }
+    }
+
+    /// This node's own part of them.
+    fn share_of_writes(&self) -> f64 {
+        let share = if self.leads() {
+            LEADER_WRITES
+        } else {
+            OTHER_WRITES
+        };
+        self.changes_per_s() * share
+    }
+
+    /// A write was refused since there were too many.
+    pub(crate) fn write_came_too_fast(&mut self) {
+        if self.write_limits.changes_per_s() < self.settings.cluster.state.write_rps {
+            self.write_rate.refused(self.now.mono);
+        }
+    }
+
+    pub(crate) fn write_rate_tick(&mut self) {
+        let (slow, new) = self.write_rate.turns(self.now.mono);
+        if new {
+            log::info!(
+                "state service: {} changes a second are taken to be borne",
+                if slow { "fewer" } else { "all" }
+            );
+            self.set_write_rate(self.share_of_writes());
+        }
+    }
+}
