--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -6,7 +6,7 @@
 use crate::Node;
 use crate::agents::machine::{Claim, ClaimState, Exited, Machine};
 use crate::jobs::job::{Job, JobIndex};
-use crate::scheduling::planning::grace;
+use crate::scheduling::apply_plan::grace;
 use crate::store::claim_log::ClaimId;
 use crate::store::shard::Shard;
 use std::collections::BTreeSet;
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -46,7 +46,7 @@
 }
 
 impl Node {
-    /// Whether workers heartbeat to any controller, by the leader's last word.
+    /// Whether workers send their heartbeats to any controller, by the leader's last word.
     pub(crate) fn is_spread(&self) -> bool {
         self.routing.is_spread && self.relays()
     }
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The controller that a worker which heartbeats to the leader should rather heartbeat to. One that comes back is left
+    /// The controller that a worker that sends its heartbeats to the leader should rather send them to. One that comes back is left
     /// with the leader, and others of its zone too until one of them got there.
     pub(crate) fn redirect_target(&mut self, heartbeat: &Heartbeat) -> Option<String> {
         let now = self.now.mono;
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -146,7 +146,7 @@
     }
 
     /// Writes that the transaction still needs for them.
-    pub fn unacknowledged_start(&self) -> usize {
+    pub fn log_records_due(&self) -> usize {
         usize::from(!self.deltas.is_empty())
     }
 }
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -2,7 +2,7 @@
 //! under them, and a new version comes in one transaction with the allotment that names it.
 
 use crate::documents::{Document, Documents, Kind, KindId};
-use crate::scheduling::entitlement;
+use crate::scheduling::quota_usage::Counted;
 use crate::store::shard::Shard;
 use crate::store::transaction::TransactionDraft;
 use crate::{Node, documents};
@@ -18,7 +18,7 @@
 pub(crate) struct Quota;
 
 /// A version of the quota tree that checks out.
-pub(crate) type Good = documents::ActiveVersion<Spec>;
+pub(crate) type ActiveTree = documents::ActiveVersion<Spec>;
 
 impl Kind for Quota {
     type Content = Spec;
@@ -142,7 +142,7 @@
 impl Node {
     /// The tree with the counts of this moment.
     fn counted(&self, tree: &Arc<Tree>) -> Option<Live> {
-        Some(entitlement::Counted::new(self.shard.as_ref()?, tree.clone()).live)
+        Some(Counted::new(self.shard.as_ref()?, tree.clone()).live)
     }
 
     /// The tree in force; without one, the teams alone.
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -4,7 +4,6 @@
 use crate::jobs::feasibility::Infeasible;
 use crate::jobs::forwarding::ForwardedRequest;
 use crate::jobs::job::unstarted;
-pub(crate) use crate::jobs::peer_requests::peer_answer;
 use crate::jobs::query::Purpose;
 use crate::leadership::election::SHARD;
 use crate::{Destination, Node, Pending, Requester};
--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -4,7 +4,7 @@
 
 use crate::Node;
 use crate::leadership::election::SHARD;
-use crate::scheduling::entitlement::takes;
+use crate::scheduling::quota_usage::takes;
 use crate::store::record_sizes;
 use std::collections::BTreeSet;
 use std::fmt;
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -2,7 +2,6 @@
 
 use crate::Requester;
 use crate::agents::machine::Need;
-pub(crate) use crate::jobs::class::Class;
 use std::collections::{BTreeSet, HashMap};
 use wire::api::{JobSpec, JobState, Kind, Priority, Stage};
 use wire::records::{CountyRecord, JobRecord};
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -2,7 +2,7 @@
 //!
 //! What it says of reach only chooses who acts. What it says of tokens is proof for [`crate::leadership::lease_bound`].
 
-use crate::jobs::admission::peer_answer;
+use crate::jobs::peer_requests::peer_answer;
 use crate::{Destination, Node, Pending};
 use wire::http::Response;
 use wire::peer::{self, PeerRequest, PeerResponse, PeerStatus};
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -6,7 +6,7 @@
 //! that hears of demand for a model that is up tells the leader now and then; where it can't, it says so in the record,
 //! and a sleep that was decided without it fails on its guard.
 
-use crate::jobs::admission::peer_answer;
+use crate::jobs::peer_requests::peer_answer;
 use crate::models::wake_up::WakeUp;
 use crate::{Destination, Node, Pending, frontend};
 use std::collections::HashMap;
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -6,7 +6,7 @@
 use crate::jobs::job::{Ending, Job, JobIndex};
 use crate::models::Known;
 use crate::models::weights::machines_with_weights;
-use crate::scheduling::planning::grace;
+use crate::scheduling::apply_plan::grace;
 use model::{Asked, Begin, Phase, Rec, Rule, Seen, asked};
 use std::collections::BTreeSet;
 
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -71,7 +71,7 @@
     pub(crate) responsiveness: forwarding::PeerResponsiveness,
     /// What we hand on for them.
     pub(crate) relay: relay::Relay,
-    /// Which controllers workers heartbeat to.
+    /// Which controllers workers send their heartbeats to.
     pub(crate) routing: routing::Routing,
     pub(crate) plan_pacing: plan_pacing::PlanPacing,
     pub(crate) load_shedding: load_shedding::LoadShedding,
--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -14,7 +14,7 @@
 const LOOK_MS: u64 = 500;
 /// A silent machine is asked for its heartbeat this often.
 const SILENT_PROBE_MS: u64 = 1000;
-/// Machines that answer commands and heartbeat nothing are asked this often what became of their tasks.
+/// Machines that answer commands and send no heartbeats are asked this often what became of their tasks.
 const MUTE_PROBE_MS: u64 = 2000;
 /// When a new leader asks machines that it has not heard of, and how many at a time.
 const PROBE_AFTER_MS: u64 = 500;
--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -3,16 +3,15 @@
 
 use super::fair_share::fulfilled_share;
 use super::quota_usage::open_tasks;
-use crate::documents::quotas::Good;
+use crate::documents::quotas::ActiveTree;
 use crate::jobs::job::JobIndex;
+use crate::scheduling::quota_usage::{Counted, takes};
 use crate::store::shard::Shard;
 use quota::{Amount, Live, MAX_RESOURCES, Share, TeamId, Tree};
 use std::collections::{HashMap, HashSet};
 use wire::api::{JobSpec, Kind};
 use wire::settings::Team;
 
-pub(crate) use super::quota_usage::{Counted, takes};
-
 #[cfg(test)]
 mod tests;
 
@@ -225,20 +224,20 @@
 pub(super) fn entitlement(
     shard: &mut Shard,
     teams: &[Team],
-    good: Option<&Good>,
+    active: Option<&ActiveTree>,
     team_index: &HashMap<&str, u16>,
 ) -> Entitlement {
     let touched = shard.take_touched();
     let kept = shard.counted.take();
-    let Some(good) = good else {
+    let Some(active) = active else {
         return Entitlement::flat(within_guarantee(shard, &open_jobs(shard), teams));
     };
-    let tree = &good.built;
-    let guarantees = cut_guarantees(teams, good);
+    let tree = &active.built;
+    let guarantees = cut_guarantees(teams, active);
     if tree.nodes.is_empty() {
         return Entitlement::flat(within_guarantee(shard, &open_jobs(shard), &guarantees));
     }
-    let mut counted = match kept.filter(|(version, _)| *version == good.version) {
+    let mut counted = match kept.filter(|(version, _)| *version == active.version) {
         Some((_, mut counted)) => {
             counted.update(shard, touched);
             counted
@@ -255,7 +254,7 @@
         nested: nested_levels(shard, &open, &mut counted.live),
         fulfilled: fulfilled_by_team(tree, &counted.live, team_index),
     };
-    shard.counted = Some((good.version, counted));
+    shard.counted = Some((active.version, counted));
     entitlement
 }
 
@@ -276,8 +275,8 @@
 }
 
 /// The teams of the settings, with the smaller guarantees that a tree may give them.
-fn cut_guarantees(teams: &[Team], good: &Good) -> Vec<Team> {
-    let own = good
+fn cut_guarantees(teams: &[Team], active: &ActiveTree) -> Vec<Team> {
+    let own = active
         .spec
         .teams
         .iter()
--- a/crates/control/src/scheduling/entitlement/tests.rs
+++ b/crates/control/src/scheduling/entitlement/tests.rs
@@ -230,7 +230,7 @@
         .teams
         .extend(["a", "c"].map(|t| quota::TeamSpec::new(t, None)));
     let tree = quota::Tree::build(&spec_of_tree, &leaves).expect("good");
-    let good = Good {
+    let active = ActiveTree {
         version: 1,
         spec: spec_of_tree.into(),
         built: tree.into(),
@@ -255,7 +255,7 @@
             shard.add_job(Job::new(JobRecord::new(spec, u64::from(i), 0), 1));
         }
         let without = entitlement(&mut shard, &teams, None, &index);
-        let with = entitlement(&mut shard, &teams, Some(&good), &index);
+        let with = entitlement(&mut shard, &teams, Some(&active), &index);
         assert_eq!(without.flat, with.flat);
         assert!(with.nested.is_empty() && with.fulfilled.is_empty() && shard.counted.is_none());
     }
--- a/crates/control/src/scheduling/mod.rs
+++ b/crates/control/src/scheduling/mod.rs
@@ -1,6 +1,6 @@
 //! Scheduling: the planner's input, what follows from its plan, urgent placement and quota entitlement.
 
-mod apply_plan;
+pub(crate) mod apply_plan;
 pub(crate) mod entitlement;
 mod fair_share;
 mod objectives;
@@ -8,7 +8,7 @@
 mod plan_jobs;
 mod plan_machines;
 pub(crate) mod planning;
-mod quota_usage;
+pub(crate) mod quota_usage;
 mod reservations;
 mod scaling;
 pub(crate) mod urgent;
--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -3,7 +3,8 @@
 
 use super::reservations::reservations;
 use crate::agents::machine::Need;
-use crate::jobs::job::{Class, Job, JobIndex};
+use crate::jobs::class::Class;
+use crate::jobs::job::{Job, JobIndex};
 use crate::scheduling::entitlement::Entitlement;
 use crate::scheduling::{entitlement, fair_share};
 use crate::store::shard::{self, Shard};
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -3,7 +3,8 @@
 use super::objectives::Objectives;
 use super::plan_input::{InputBuilder, NameIndex, Scope};
 use crate::documents::county_counts;
-use crate::jobs::job::{Class, Ending, Job, JobIndex};
+use crate::jobs::class::Class;
+use crate::jobs::job::{Ending, Job, JobIndex};
 use crate::scheduling::urgent;
 use crate::store::shard;
 use wire::api::{JobSpec, Kind};
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -6,8 +6,6 @@
 use std::collections::HashMap;
 use wire::api::Catalog;
 
-pub(crate) use super::apply_plan::grace;
-
 /// A plan with what it was made from.
 pub(super) struct Planned {
     pub scope: Scope,
--- a/crates/control/src/scheduling/reservations.rs
+++ b/crates/control/src/scheduling/reservations.rs
@@ -4,7 +4,7 @@
 use super::plan_input::NameIndex;
 use super::plan_jobs::planner_job;
 use crate::Tuning;
-use crate::jobs::job::Class;
+use crate::jobs::class::Class;
 use crate::store::shard::{self, Shard};
 use wire::api::{JobSpec, Kind, MachineType, Priority};
 use wire::settings::Objective;
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -200,7 +200,7 @@
     }
 
     fn has_room(&self) -> bool {
-        self.writes.len() + self.counts.unacknowledged_start() < self.limits.writes
+        self.writes.len() + self.counts.log_records_due() < self.limits.writes
             && self.size < MAX_SIZE
             && self.has_room_for_conditions()
     }
@@ -290,7 +290,7 @@
 
     /// Claims, with the results that have gathered. Room is left for the guards on the claims' jobs.
     fn put_logs(&mut self, shard: &mut Shard, tidies: bool) {
-        if self.counts.unacknowledged_start() > 0 {
+        if self.counts.log_records_due() > 0 {
             self.put_log(shard);
         }
         while self.has_room()
