--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -1,7 +1,7 @@
 //! What another front end of the same process may ask: its own records in the state service, and a look at the deployment.
 //!
 //! Such a front end submits, asks and cancels as users do, by [`Event::Client`] with connection numbers from [`FIRST_CONNECTION`] on.
-//! Its records stand under [`wire::records::SIDE`] and are written by the leader of the fleet only, under the guard of
+//! Its records stand under [`wire::records::FRONTEND_PREFIX`] and are written by the leader of the fleet only, under the guard of
 //! its record. They come last: a request is refused at once while the node has little left of what it may ask.
 
 use crate::leadership::election::SHARD;
@@ -82,7 +82,7 @@
 impl Request {
     /// It names the front end's own records only, and not too many of them.
     fn is_allowed(&self) -> bool {
-        let is_own = |key: &str| key.starts_with(records::SIDE);
+        let is_own = |key: &str| key.starts_with(records::FRONTEND_PREFIX);
         match self {
             Request::Page { under, .. } => is_own(under),
             Request::Change { writes } => {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -169,7 +169,7 @@
     }
 
     /// The same with another door beside it, whose job ids users can't take.
-    pub fn with_door_beside(self) -> Self {
+    pub fn with_frontend(self) -> Self {
         Node {
             beside: true,
             ..self
@@ -293,7 +293,7 @@
                 let why = String::from_utf8_lossy(&refused.body).into_owned();
                 self.write_refused(kind, &why);
             }
-            429 => self.write_came_too_fast(),
+            429 => self.note_rate_refusal(),
             _ => {}
         }
     }
--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -15,7 +15,7 @@
 /// A silent machine is asked for its heartbeat this often.
 const SILENT_PROBE_MS: u64 = 1000;
 /// Machines that answer commands and send no heartbeats are asked this often what became of their tasks.
-const MUTE_PROBE_MS: u64 = 2000;
+const OVERDUE_PROBE_MS: u64 = 2000;
 /// When a new leader asks machines that it has not heard of, and how many at a time.
 const PROBE_AFTER_MS: u64 = 500;
 const PROBE_UNTIL_MS: u64 = 8000;
@@ -48,7 +48,7 @@
         let interval = if is_silent {
             SILENT_PROBE_MS
         } else if is_overdue && !machine.claims.is_empty() {
-            MUTE_PROBE_MS
+            OVERDUE_PROBE_MS
         } else {
             return;
         };
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -297,7 +297,7 @@
         }
         let value = shard.limits.value_bytes();
         let mut pieces = shard.inventory_pieces(&inventory_shard.machines, value);
-        if pieces.len() > 1 && shard.set_new_apart(number, value) {
+        if pieces.len() > 1 && shard.split_unrecorded(number, value) {
             // What has never been recorded needs not move in one transaction with the rest.
             return self.put_inventory_shard(shard, number, room);
         }
--- a/crates/control/src/store/inventory_split.rs
+++ b/crates/control/src/store/inventory_split.rs
@@ -77,7 +77,7 @@
 
 impl Shard {
     /// Takes machines that were never recorded out of an inventory shard, into new ones. False if there are none.
-    pub fn set_new_apart(&mut self, number: u64, value: usize) -> bool {
+    pub fn split_unrecorded(&mut self, number: u64, value: usize) -> bool {
         let Some(inventory_shard) = self.claim_log.inventory.get(&number) else {
             return false;
         };
--- a/crates/control/src/store/write_rate.rs
+++ b/crates/control/src/store/write_rate.rs
@@ -62,7 +62,7 @@
     }
 
     /// A write was refused since there were too many.
-    pub(crate) fn write_came_too_fast(&mut self) {
+    pub(crate) fn note_rate_refusal(&mut self) {
         if self.write_limits.changes_per_s() < self.settings.cluster.state.write_rps {
             self.write_rate.refused(self.now.mono);
         }
--- a/crates/gateway/src/served.rs
+++ b/crates/gateway/src/served.rs
@@ -94,7 +94,7 @@
 impl Served {
     pub fn new(node: Node, gateway: Option<Gateway>) -> Served {
         let node = if gateway.is_some() {
-            node.with_door_beside()
+            node.with_frontend()
         } else {
             node
         };
--- a/crates/wire/src/records/keys.rs
+++ b/crates/wire/src/records/keys.rs
@@ -18,7 +18,7 @@
 /// Prefix of the quota tree's parts: [`parts_prefix`] of its kind.
 pub const QUOTA_PARTS: &str = "quota/part/";
 /// Prefix of records of other front ends than the users' interface.
-pub const SIDE: &str = "side/";
+pub const FRONTEND_PREFIX: &str = "side/";
 
 /// Prefix of the records of models that were ever woken, by the ids of their jobs.
 pub const MODELS: &str = "model/";
--- a/crates/wire/tests/production/records.rs
+++ b/crates/wire/tests/production/records.rs
@@ -515,7 +515,7 @@
         (keys::ENDED, "end/"),
         (keys::QUOTA, "sys/quota"),
         (keys::QUOTA_PARTS, "quota/part/"),
-        (keys::SIDE, "side/"),
+        (keys::FRONTEND_PREFIX, "side/"),
         (keys::MODELS, "model/"),
     ];
     for (key, expected) in prefixes {
