--- a/crates/control/src/jobs/readiness.rs
+++ b/crates/control/src/jobs/readiness.rs
@@ -22,8 +22,8 @@
     /// For the log: what this node is.
     pub fn role_name(&self) -> &'static str {
         match self.role {
-            Role::Leader { .. } if self.has_valid_lease() => "owner",
-            Role::Leader { .. } => "owner, unsure",
+            Role::Leader { .. } if self.has_valid_lease() => "leader",
+            Role::Leader { .. } => "leader, unsure",
             Role::Candidate { .. } => "candidate",
             Role::Follower { .. } => "follower",
         }
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -915,7 +915,7 @@
         self.hosts.iter().position(|h| {
             h.node
                 .as_ref()
-                .is_some_and(|n| n.node().role_name() == "owner")
+                .is_some_and(|n| n.node().role_name() == "leader")
         })
     }
 
@@ -1020,7 +1020,7 @@
         let leader = |h: &&mut Host| {
             h.node
                 .as_ref()
-                .is_some_and(|n| n.node().role_name() == "owner")
+                .is_some_and(|n| n.node().role_name() == "leader")
         };
         let until = self.now + ms;
         self.hosts
@@ -2035,7 +2035,7 @@
         let leader = |h: &Host| {
             h.node
                 .as_ref()
-                .is_some_and(|n| n.node().role_name() == "owner")
+                .is_some_and(|n| n.node().role_name() == "leader")
         };
         self.doomed = self.hosts.iter().position(leader);
     }
--- a/crates/standins/src/world/users.rs
+++ b/crates/standins/src/world/users.rs
@@ -468,7 +468,7 @@
         let Some(leader) = self.hosts[node].node.as_ref().map(|n| n.node()) else {
             return;
         };
-        if !leader.role_name().starts_with("owner") {
+        if !leader.role_name().starts_with("leader") {
             return;
         }
         let term = leader.term();
--- a/crates/standins/tests/limits_that_change.rs
+++ b/crates/standins/tests/limits_that_change.rs
@@ -147,7 +147,7 @@
         let mut world = world(seed, 3, None);
         world.run_for(BEGIN + 8000);
         let before = world.leader().map(|n| n.node().role_name());
-        assert_eq!(before, Some("owner"));
+        assert_eq!(before, Some("leader"));
         let token = world.state.keys[records::TOKEN].value.clone();
         changes(&mut world, 0, AFTER);
         let what = format!("seed {seed}");
