--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -37,7 +37,7 @@
             if self.takes(conn, &report, body) {
                 return;
             }
-            return match self.owner_name().filter(|o| *o != self.settings.node) {
+            return match self.leader_name().filter(|o| *o != self.settings.node) {
                 Some(node) => {
                     let body = wire::encode(&Redirect {
                         report_to: Some(node),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A report to the owner, from the worker itself or by way of a peer.
+    /// A report to the leader, from the worker itself or by way of a peer.
     pub(crate) fn take_report(&mut self, report: &Report, via: Option<usize>) -> Told {
         let Some(shard) = &self.shard else {
             return Told::Refused("not the owner");
@@ -138,11 +138,11 @@
     }
 
     /// Its worker obeys a higher token than ours. While sure of our lease that can only be a stray number, and
-    /// we go above it; otherwise there is a new owner.
+    /// we go above it; otherwise there is a new leader.
     fn outranked(&mut self, token: u64) -> &'static str {
         log::warn!("a worker obeys token {token}, above ours");
         if self.sure() {
-            // One worker's absurd number must neither use up the counter nor unseat a rightful owner.
+            // One worker's absurd number must neither use up the counter nor unseat a rightful leader.
             if token >= TOKEN_BOUND {
                 return "that token was never given out";
             }
@@ -254,7 +254,7 @@
                 });
                 match found {
                     Some(k) => ends.push((k, t.cause, t.saved.unwrap_or(false))),
-                    // The result of a task whose claim an earlier owner has struck off already.
+                    // The result of a task whose claim an earlier leader has struck off already.
                     None if t.cause == Some(Cause::Done) => {
                         finished.extend(ix.map(|ix| (ix, task)))
                     }
@@ -324,7 +324,7 @@
                 }
                 // One that was read back may have ended and been reaped before our time.
                 // Nor is an attempt begun in two sessions: what it came to in the first would be taken for its end in
-                // the second, where a copy of an old report comes to a later owner.
+                // the second, where a copy of an old report comes to a later leader.
                 let earlier = claim.session < report.session;
                 if claim.stage.is_some() || claim.stop.is_some() || claim.loaded || earlier {
                     ends.push((k, None, false));
@@ -515,7 +515,7 @@
         }
     }
 
-    /// What the worker is to do now. Only an owner that is sure of its lease gives orders.
+    /// What the worker is to do now. Only a leader that is sure of its lease gives orders.
     pub(crate) fn orders_for(&mut self, m: usize) -> Vec<Order> {
         let mut orders = Vec::new();
         if !self.decides() {
@@ -615,7 +615,7 @@
         }
     }
 
-    /// All that an owner says that is unsure, or that asks: jobs that their users have cancelled here are to stop. Their ends are
+    /// All that a leader says that is unsure, or that asks: jobs that their users have cancelled here are to stop. Their ends are
     /// never taken back, and no worker is told to live on without it.
     fn last_orders(&self, m: usize) -> Vec<Order> {
         let Some(shard) = &self.shard else {
@@ -823,8 +823,8 @@
     use crate::store::shard::Shard;
     use crate::{Dest, Effect, Event, Now, Tuning};
 
-    /// An owner with one machine that was last heard long ago, and the serial that its next command has.
-    fn owner() -> (Node, usize) {
+    /// A leader with one machine that was last heard long ago, and the serial that its next command has.
+    fn leader() -> (Node, usize) {
         let text = include_str!("../../../../deploy/settings-example.json");
         let settings = serde_json::from_str(text).expect("the example is accepted");
         let now = Now {
@@ -854,7 +854,7 @@
     #[test]
     fn a_command_that_was_not_sent_casts_no_doubt() {
         for (via, sent) in [(false, false), (true, false), (false, true)] {
-            let (mut node, m) = owner();
+            let (mut node, m) = leader();
             let tag = tag(
                 &mut node,
                 Pending::Direct {
@@ -880,7 +880,7 @@
     #[test]
     fn a_machine_that_was_not_asked_is_not_returned() {
         for sent in [false, true] {
-            let (mut node, m) = owner();
+            let (mut node, m) = leader();
             node.shard
                 .as_mut()
                 .and_then(|p| p.machine_mut(m))
--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -35,7 +35,7 @@
     pub segment: u64,
     /// Read back after a take-over: it may have ended long ago.
     pub loaded: bool,
-    /// A start may have been sent, by us or by an earlier owner.
+    /// A start may have been sent, by us or by an earlier leader.
     pub sent: bool,
     /// The worker's session that our last start was for; in a later one it is never executed.
     pub session: u64,
@@ -187,7 +187,7 @@
             && self.taint.is_none()
     }
 
-    /// It has reported to us, or to an earlier owner who gave it tasks.
+    /// It has reported to us, or to an earlier leader who gave it tasks.
     pub fn is_known_up(&self) -> bool {
         self.up || !self.claims.is_empty()
     }
@@ -197,7 +197,7 @@
         now.saturating_sub(self.reported_at) > silent_ms
     }
 
-    /// Claims whose start was never sent, nor will be by an earlier owner.
+    /// Claims whose start was never sent, nor will be by an earlier leader.
     pub fn unsent(&self) -> impl Iterator<Item = usize> + '_ {
         let unsent = |c: &Claim| c.state == ClaimState::Recorded && !c.sent;
         self.claims
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -1,14 +1,14 @@
-//! Reports that come to a node which does not own the fleet, from workers that can't reach the one that does: handed to
-//! the owner, many to a message, and its orders handed back within the time that a worker waits. Commands to such
+//! Reports that come to a node which does not lead the fleet, from workers that can't reach the one that does: handed to
+//! the leader, many to a message, and its orders handed back within the time that a worker waits. Commands to such
 //! workers go the same way.
 //!
-//! A relayed report is the worker's own, with its session and number, and a relayed answer is the owner's own, with
-//! its token: a relay judges, renews and orders nothing. It asks only the owner, so that nothing goes in circles.
+//! A relayed report is the worker's own, with its session and number, and a relayed answer is the leader's own, with
+//! its token: a relay judges, renews and orders nothing. It asks only the leader, so that nothing goes in circles.
 
 use crate::agents::heartbeat::Told;
 use crate::jobs::admission::peer_answer;
 use crate::{Dest, Node, Pending};
-use reach::{Caller, Owner, Turn, Ways};
+use reach::{Caller, Leader, Turn, Ways};
 use serde_bytes::ByteBuf;
 use std::net::SocketAddr;
 use wire::api::Report;
@@ -22,9 +22,9 @@
 const OUT: usize = 16;
 /// A worker waits 4 s for its answer.
 const REPORTS_TIMEOUT_MS: u64 = 2500;
-/// An owner that does not take what is handed to it is left alone for so long.
+/// A leader that does not take what is handed to it is left alone for so long.
 const REST_MS: u64 = 1000;
-/// Shorter than an owner waits for the answer to a command.
+/// Shorter than a leader waits for the answer to a command.
 const TELL_TIMEOUT_MS: u64 = 1500;
 
 /// What the end of a command is called that a peer has not sent, since it does not serve that worker.
@@ -45,15 +45,15 @@
         self.tuning.relays > 0.0
     }
 
-    /// A report to a node that does not own the fleet: true if it is handed on.
+    /// A report to a node that does not lead the fleet: true if it is handed on.
     pub(crate) fn takes(&mut self, conn: u64, report: &Report, body: &[u8]) -> bool {
         let now = self.now.mono;
-        let owner = self.owner_peer().zip(self.owner_token());
-        let Some((node, token)) = owner.filter(|_| self.relays() && now >= self.relay.rests_until)
+        let leader = self.leader_peer().zip(self.leader_token());
+        let Some((node, token)) = leader.filter(|_| self.relays() && now >= self.relay.rests_until)
         else {
             return false;
         };
-        let owner = Owner {
+        let leader = Leader {
             node,
             token,
             avoided: self.is_deaf(node) || self.is_spread(),
@@ -63,7 +63,7 @@
             zone: &report.zone,
             token: report.token,
         };
-        if self.relay.ways.came(now, &caller, owner) == Turn::Send {
+        if self.relay.ways.came(now, &caller, leader) == Turn::Send {
             return false;
         }
         self.relay.bytes += body.len();
@@ -81,7 +81,7 @@
     }
 
     fn hand_on(&mut self) {
-        let Some(peer) = self.owner_peer().filter(|_| self.relay.out < OUT) else {
+        let Some(peer) = self.leader_peer().filter(|_| self.relay.out < OUT) else {
             return self.refuse_queue();
         };
         self.relay.bytes = 0;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The owner has something to say to a worker that is served here.
+    /// The leader has something to say to a worker that is served here.
     pub(crate) fn tell_asked(&mut self, conn: u64, machine: &str, addr: &str, body: Vec<u8>) {
         let known = self.relay.ways.serves(self.now.mono, machine);
         let Some(addr) = addr
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -1,21 +1,21 @@
 //! Which controller a worker reports to.
 //!
-//! A small fleet reports to the owner. With more machines than an operator's setting allows, the owner sends its
-//! workers to the other controllers, which hand their reports on in batches ([`crate::agents::relay`]): the owner then serves
+//! A small fleet reports to the leader. With more machines than an operator's setting allows, the leader sends its
+//! workers to the other controllers, which hand their reports on in batches ([`crate::agents::relay`]): the leader then serves
 //! a few connections instead of thousands. Only the way changes. A report that is handed on is the worker's own, and
-//! its answer is the owner's own, with its token.
+//! its answer is the leader's own, with its token.
 
 use crate::Node;
 use crate::store::rate_budget::Bucket;
-use reach::{Caller, Owner, Turn, Ways};
+use reach::{Caller, Leader, Turn, Ways};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use wire::api::Report;
 
-/// Workers that the owner sends to another controller in a second, so that they don't all arrive at once.
+/// Workers that the leader sends to another controller in a second, so that they don't all arrive at once.
 const MOVES_PER_S: f64 = 50.0;
 /// To [`reach`], the other controllers are one host, which never changes and whose token no worker has seen: all that
 /// it judges by is who was sent there and comes back.
-const OTHERS: Owner = Owner {
+const OTHERS: Leader = Leader {
     node: 0,
     token: 1,
     avoided: false,
@@ -43,20 +43,20 @@
 }
 
 impl Node {
-    /// Whether workers report to any controller, by the owner's last word.
+    /// Whether workers report to any controller, by the leader's last word.
     pub(crate) fn is_spread(&self) -> bool {
         self.routing.is_spread && self.relays()
     }
 
-    /// The owner's word, as a peer hears it. It is kept while the owner changes, so that the next owner is not met by
+    /// The leader's word, as a peer hears it. It is kept while the leader changes, so that the next leader is not met by
     /// the whole fleet at once.
     pub(crate) fn spread_heard(&mut self, is_spread: bool) {
-        if !self.owns() {
+        if !self.leads() {
             self.routing.is_spread = is_spread;
         }
     }
 
-    /// The owner looks at the number of its machines.
+    /// The leader looks at the number of its machines.
     pub(crate) fn routing_tick(&mut self) {
         let Some(shard) = self.shard.as_ref().filter(|shard| shard.loaded) else {
             return;
@@ -73,8 +73,8 @@
         }
     }
 
-    /// The controller that a worker which reports to the owner should rather report to. One that comes back is left
-    /// with the owner, and others of its zone too until one of them got there.
+    /// The controller that a worker which reports to the leader should rather report to. One that comes back is left
+    /// with the leader, and others of its zone too until one of them got there.
     pub(crate) fn moved_to(&mut self, report: &Report) -> Option<String> {
         let now = self.now.mono;
         if !self.is_spread() || !self.decides() || self.routing.moves.level(now) < 1.0 {
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -2,7 +2,7 @@
 //!
 //! The counts are noted as of the last transaction with ends that is known to stand, and with them the jobs that live;
 //! after that all live records are read, and then all ended ones, since jobs only move that way. What was recorded
-//! later is told apart by its stamp. One audit at a time, page by page, and only with what the owner's other work leaves of its requests.
+//! later is told apart by its stamp. One audit at a time, page by page, and only with what the leader's other work leaves of its requests.
 
 use crate::documents::county_counts::Held;
 use crate::store::shard::Shard;
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -1,4 +1,4 @@
-//! Counts by county as the owner keeps them: deltas that ride in the log, and sheets that they are folded into.
+//! Counts by county as the leader keeps them: deltas that ride in the log, and sheets that they are folded into.
 //!
 //! What ends is counted in the transaction that records its end, by way of its log record; a job that lives counts by
 //! its own record. So counting costs no write at an acceptance, and at an end none where a log record goes along
@@ -359,9 +359,9 @@
 }
 
 impl Shard {
-    /// The last revision at which something ended, as far as is known: earlier owners' were before our term.
+    /// The last revision at which something ended, as far as is known: earlier leaders' were before our term.
     pub fn ends_known(&self) -> u64 {
-        self.tally.last_end.max(self.owner_version)
+        self.tally.last_end.max(self.leader_version)
     }
 
     /// All counts as of one revision, the latest that is known: what ended after it still lives there, and what was
--- a/crates/control/src/documents/hours.rs
+++ b/crates/control/src/documents/hours.rs
@@ -1,7 +1,7 @@
 //! Release hours: bound at acceptance, caps of deadlines in the plan, and what is told of them.
 //!
 //! A job's hour is worked out once, from the recorded time of its acceptance, and stands in its record from the
-//! accepting transaction on. Here it is only read. What moves it is an operator's move: a transaction of the owner's
+//! accepting transaction on. Here it is only read. What moves it is an operator's move: a transaction of the leader's
 //! that writes the job's record anew, with who, when and from what.
 
 use crate::Node;
@@ -94,7 +94,7 @@
     }
 }
 
-/// A job's hour in the owner's memory.
+/// A job's hour in the leader's memory.
 #[derive(Debug, Clone)]
 pub(crate) struct Hour {
     pub rec: HourRec,
@@ -763,7 +763,7 @@
             .for_each(|conn| self.respond(conn, 200, admin::encode(&answer), None));
     }
 
-    /// A term of ownership is over: whether an hour was moved is for the job's record to say.
+    /// A term of leadership is over: whether an hour was moved is for the job's record to say.
     pub(crate) fn hours_let_go(&mut self, mut shard: Shard) -> Shard {
         for conn in shard.hours.unanswered() {
             self.deny_admin(
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! A controller acts on one whole version. It reads the parts of a new one, checks that it holds together with what
 //! it must fit, and only then takes it; one that does not check out is refused, and the last good one stays. A new
-//! owner reads all kinds before its first start.
+//! leader reads all kinds before its first start.
 //!
-//! A change is made by the owner's own transactions, one after the other: parts that the state service has not yet,
+//! A change is made by the leader's own transactions, one after the other: parts that the state service has not yet,
 //! then the head, with whatever its kind writes beside it. So a change is in place as a whole or not at all, whoever
-//! dies in its midst; what an owner that died had written of parts is in the way of nothing, and is tidied away by
+//! dies in its midst; what a leader that died had written of parts is in the way of nothing, and is tidied away by
 //! the next.
 
 pub(crate) mod counties;
@@ -109,7 +109,7 @@
     ) -> Result<Self::Content, Fault>;
     /// The change that puts a document in place as a whole.
     fn set(spec: Self::Content) -> Self::Edit;
-    /// A question that no other kind has, asked of the owner.
+    /// A question that no other kind has, asked of the leader.
     fn asked(node: &mut Node, conn: u64, ask: Self::Ask);
     /// The document's answer to "show".
     fn show(node: &Node) -> Vec<u8> {
@@ -171,10 +171,10 @@
     /// Parts that are in the state service, by name, with their stamps.
     parts: BTreeMap<String, u64>,
     reading: Option<Reading<PartOf<K>>>,
-    /// The term of ownership in which all parts were last read.
+    /// The term of leadership in which all parts were last read.
     read_in: u64,
     retry_at: u64,
-    /// A change on its way into the state service, where we are the owner.
+    /// A change on its way into the state service, where we are the leader.
     changing: Option<Changing<K>>,
     /// The one to begin with, where there has never been any.
     pub first: Option<K::Content>,
@@ -342,7 +342,7 @@
         }
     }
 
-    /// Nothing that was asked for in another term of ownership is waited for.
+    /// Nothing that was asked for in another term of leadership is waited for.
     pub fn forget_readings(&mut self) {
         for kind in ALL {
             for_kind!(kind, K => K::doc_mut(self).reading = None);
@@ -357,7 +357,7 @@
     }
 }
 
-/// The owner's writes.
+/// The leader's writes.
 impl Draft {
     /// The changes that the head takes which is due, if one is.
     pub fn head_due(all: &Documents, shard: &Shard, budget: usize) -> Option<(KindId, usize)> {
@@ -448,10 +448,10 @@
     /// Reads the parts of a new version, as soon as its head was seen; puts the first one in place.
     fn document_tick<K: Kind>(&mut self) {
         let now = self.now.mono;
-        let owner_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
+        let leader_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
         let doc = K::doc_mut(&mut self.shared.documents);
-        if !doc.is_current() && doc.reading.is_none() && now >= doc.retry_at && !owner_loads {
-            // Not the owner's budget for claims: once a second at most.
+        if !doc.is_current() && doc.reading.is_none() && now >= doc.retry_at && !leader_loads {
+            // Not the leader's budget for claims: once a second at most.
             doc.retry_at = now + 1000;
             self.read_parts::<K>();
         }
@@ -534,8 +534,8 @@
     fn document_read<K: Kind>(&mut self) {
         let doc = K::doc(&self.shared.documents);
         let whole = doc.read_in == self.epoch && doc.is_current();
-        let owner_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
-        match (owner_loads, whole) {
+        let leader_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
+        match (leader_loads, whole) {
             (false, _) => K::in_force(self),
             (true, true) => self.load_documents(),
             // Without it nothing may start: again, from the heads.
@@ -543,7 +543,7 @@
         }
     }
 
-    /// The heads that an owner reads before its first start.
+    /// The heads that a leader reads before its first start.
     pub(crate) fn load_heads(&mut self, range: Range<SharedRec>) {
         let all = &mut self.shared.documents;
         for item in &range.items {
@@ -555,7 +555,7 @@
         }
     }
 
-    /// Then the parts: all of them, also those that no version names, so that an owner can take them away and writes
+    /// Then the parts: all of them, also those that no version names, so that a leader can take them away and writes
     /// none a second time.
     pub(crate) fn load_documents(&mut self) {
         for kind in ALL {
@@ -774,7 +774,7 @@
         }
     }
 
-    /// A term of ownership is over: whether a change was made is for its record to say.
+    /// A term of leadership is over: whether a change was made is for its record to say.
     pub(crate) fn documents_let_go(&mut self) {
         self.shared.documents.forget_readings();
         for kind in ALL {
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -1,12 +1,12 @@
 //! The operators' door, on the peers' side: what is in force of each kind of document, changes of it, and what its
-//! kind alone can be asked. Any controller takes a request; the owner answers it.
+//! kind alone can be asked. Any controller takes a request; the leader answers it.
 
 use crate::documents::{Kind, KindId, for_kind, refused};
 use crate::{Dest, Node, Pending};
 use wire::admin::{self, AskOf, Refused};
 use wire::http::{Request, Response};
 
-/// A controller has this long to have the owner answer, a whole change included.
+/// A controller has this long to have the leader answer, a whole change included.
 const FORWARD_MS: u64 = 15_000;
 
 impl Node {
@@ -18,7 +18,7 @@
         };
         if request.method != "POST" {
             self.deny_admin(conn, 405, refused("method not allowed"));
-        } else if !self.owns() {
+        } else if !self.leads() {
             self.forward_admin(conn, request);
         } else if !self.decides() {
             self.deny_admin(conn, 503, refused("the owner is not sure of itself now"));
@@ -43,7 +43,7 @@
     }
 
     fn forward_admin(&mut self, conn: u64, request: &Request) {
-        let Some(peer) = self.owner_peer() else {
+        let Some(peer) = self.leader_peer() else {
             return self.deny_admin(conn, 503, refused("no owner now"));
         };
         let what = Pending::Admin { conn };
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Where we are the owner, the bounds of a new version are recorded before anything starts under them.
+    /// Where we are the leader, the bounds of a new version are recorded before anything starts under them.
     pub(crate) fn tree_in_force(&mut self) {
         self.refit_hours();
         let whole = self.whole_allotment();
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -1,7 +1,7 @@
 //! What another door of the same process may ask: its own records in the state service, and a look at the deployment.
 //!
 //! Such a door submits, asks and cancels as users do, by [`Event::Client`] with connection numbers from [`CONNS`] on.
-//! Its records stand under [`wire::records::SIDE`] and are written by the owner of the fleet only, under the guard of
+//! Its records stand under [`wire::records::SIDE`] and are written by the leader of the fleet only, under the guard of
 //! its record. They come last: a request is refused at once while the node has little left of what it may ask.
 
 use crate::leadership::election::SHARD;
@@ -18,7 +18,7 @@
 #[cfg(doc)]
 use crate::Event;
 
-/// What the owner's own users leave of a second's changes: claims and ends go before what is new.
+/// What the leader's own users leave of a second's changes: claims and ends go before what is new.
 const KEPT: f64 = 0.1;
 /// Connection numbers of the door beside; users' are below.
 pub const CONNS: u64 = 1 << 63;
@@ -57,7 +57,7 @@
         under: String,
         after: Option<String>,
     },
-    /// Changes of some records, by the owner.
+    /// Changes of some records, by the leader.
     Change { writes: Vec<Change> },
     /// A model is wanted: as good as demand at the operators' door.
     Demand { model: String },
@@ -82,9 +82,9 @@
     Changed {
         revision: u64,
     },
-    /// A key has another version, or the node is no longer the owner: nothing was changed by this request.
+    /// A key has another version, or the node is no longer the leader: nothing was changed by this request.
     Conflict,
-    /// Nothing was sent: too much is being asked, or this node is not sure that it owns the fleet.
+    /// Nothing was sent: too much is being asked, or this node is not sure that it leads the fleet.
     Busy,
     /// No answer. It may be changed, or may yet be.
     Unknown,
@@ -163,8 +163,8 @@
             return self.requests.level(now) >= 1.0 + self.requests.share_of_second(LEFT)
                 && self.spare(1.0);
         }
-        // The owner answers questions from memory, and has claims to write.
-        let (asks, changes) = if self.owns() {
+        // The leader answers questions from memory, and has claims to write.
+        let (asks, changes) = if self.leads() {
             (0.0, self.accepting() + self.writes.share_of_second(KEPT))
         } else {
             (self.requests.share_of_second(LEFT), 0.0)
@@ -172,7 +172,7 @@
         self.requests.level(now) >= 1.0 + asks && self.writes.level(now) >= 1.0 + changes
     }
 
-    /// Acceptances on their way. The owner counts what its watch has seen, so these are not counted yet.
+    /// Acceptances on their way. The leader counts what its watch has seen, so these are not counted yet.
     fn accepting(&self) -> f64 {
         self.pending
             .values()
@@ -219,12 +219,12 @@
     }
 
     fn side_change(&mut self, tag: u64, writes: Vec<Change>) {
-        let owner = self
+        let leader = self
             .shard
             .as_ref()
-            .map(|p| p.owner_version)
+            .map(|p| p.leader_version)
             .filter(|_| self.decides());
-        let Some(owner) = owner.filter(|_| self.spare(writes.len() as f64)) else {
+        let Some(leader) = leader.filter(|_| self.spare(writes.len() as f64)) else {
             return self.side_over(tag, Answer::Busy);
         };
         let mut txn = Txn {
@@ -232,8 +232,8 @@
             writes: Vec::new(),
         };
         txn.guards.push(Guard {
-            key: records::owner_key(SHARD),
-            version: owner,
+            key: records::leader_key(SHARD),
+            version: leader,
         });
         for Change {
             key,
@@ -287,7 +287,7 @@
         self.effects.push(crate::Effect::Side { tag, answer });
     }
 
-    /// The term in which this node is sure that it owns the fleet; rises with each take-over, of any node.
+    /// The term in which this node is sure that it leads the fleet; rises with each take-over, of any node.
     pub fn term(&self) -> Option<u64> {
         self.shard
             .as_ref()
@@ -295,9 +295,13 @@
             .map(|p| p.token)
     }
 
-    /// Which peer owns the fleet, as far as this node knows; `None` if nobody does, or this node itself.
-    pub fn owner_among_peers(&self) -> Option<usize> {
-        if self.owns() { None } else { self.owner_peer() }
+    /// Which peer leads the fleet, as far as this node knows; `None` if nobody does, or this node itself.
+    pub fn leader_among_peers(&self) -> Option<usize> {
+        if self.leads() {
+            None
+        } else {
+            self.leader_peer()
+        }
     }
 
     pub fn settings(&self) -> &Settings {
@@ -323,7 +327,7 @@
         self.shard.as_ref().map_or(0, |p| p.machine_ix.len())
     }
 
-    /// Machines of the fleet with what their claims take; nothing unless this node owns the fleet.
+    /// Machines of the fleet with what their claims take; nothing unless this node leads the fleet.
     pub fn machines(&self) -> impl Iterator<Item = MachineView<'_>> {
         let all = self.shard.iter().flat_map(|p| p.machines.iter().flatten());
         all.map(|m| MachineView {
@@ -354,10 +358,10 @@
     use crate::store::shard::Shard;
     use crate::{Asker, Now, Tuning};
 
-    /// A flood of submissions to the owner: it accepts no more at once than it may write, and claims and ends find a
+    /// A flood of submissions to the leader: it accepts no more at once than it may write, and claims and ends find a
     /// part of the second's changes left. Its watch has counted none of them yet.
     #[test]
-    fn the_owner_s_users_leave_room_for_claims() {
+    fn the_leaders_users_leave_room_for_claims() {
         let text = include_str!("../../../deploy/settings-example.json");
         let settings = serde_json::from_str(text).expect("the example is accepted");
         let now = Now {
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -178,9 +178,9 @@
         if !room {
             return self.deny(asker, 429, "busy");
         }
-        // The owner sees all accepts, its own too, and counts them when they have been made.
+        // The leader sees all accepts, its own too, and counts them when they have been made.
         self.writes
-            .take(now, if writes && !self.owns() { 1.0 } else { 0.0 });
+            .take(now, if writes && !self.leads() { 1.0 } else { 0.0 });
         self.accept(Submission {
             asker,
             spec: Box::new(spec),
@@ -333,9 +333,9 @@
         }
     }
 
-    pub(crate) fn owner_peer(&self) -> Option<usize> {
-        let owner = self.owner_name()?;
-        self.peer_named(&owner)
+    pub(crate) fn leader_peer(&self) -> Option<usize> {
+        let leader = self.leader_name()?;
+        self.peer_named(&leader)
     }
 
     pub(crate) fn peer_named(&self, node: &str) -> Option<usize> {
@@ -346,13 +346,13 @@
         if !wire::ids::valid_job_id(&id) {
             return self.refuse(conn, 404, "no such job");
         }
-        if self.owns() {
+        if self.leads() {
             return self.cancel(&id, Asker::User(conn));
         }
         if let Some(state) = self.finals.get(&id) {
             return self.tell(Asker::User(conn), state);
         }
-        let Some(peer) = self.owner_peer() else {
+        let Some(peer) = self.leader_peer() else {
             return self.refuse(conn, 503, "no owner now");
         };
         let body = peer::encode(&Ask::Cancel { job: id.clone() });
@@ -401,15 +401,15 @@
             }
             Some(Ask::Cancel { job }) => self.cancel(&job, Asker::Peer(conn)),
             Some(Ask::Submit { spec }) => self.submit(Asker::Peer(conn), *spec),
-            Some(Ask::Lookup { job, past_owner }) => {
+            Some(Ask::Lookup { job, past_leader }) => {
                 let question = self.question(Asker::Peer(conn), job, Why::Query);
                 self.query(Question {
-                    past_owner,
+                    past_leader,
                     ..question
                 })
             }
-            Some(Ask::Owns { node, token }) => {
-                self.owner_said(node, token);
+            Some(Ask::Leads { node, token }) => {
+                self.leader_asserted(node, token);
                 self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
             }
             Some(Ask::View(view)) => {
@@ -432,7 +432,7 @@
                 addr,
                 body,
             }) => self.tell_asked(conn, &machine, &addr, body.into_vec()),
-            Some(Ask::Wake { model, owner }) => self.demand_of_peer(conn, &model, owner),
+            Some(Ask::Wake { model, leader }) => self.demand_of_peer(conn, &model, leader),
             None => self.refuse(conn, 400, "not understood"),
         }
     }
@@ -475,7 +475,7 @@
         }
     }
 
-    /// A cancel of a job that the owner has not in memory: its record decides.
+    /// A cancel of a job that the leader has not in memory: its record decides.
     pub(crate) fn unknown(&mut self, asker: Asker, job: &str) {
         match asker {
             Asker::User(_) => {
@@ -496,9 +496,9 @@
     /// For the log: what this node is.
     pub fn role_name(&self) -> &'static str {
         match self.role {
-            Role::Owner { .. } if self.sure() => "owner",
-            Role::Owner { .. } => "owner, unsure",
-            Role::Standing { .. } => "candidate",
+            Role::Leader { .. } if self.sure() => "owner",
+            Role::Leader { .. } => "owner, unsure",
+            Role::Candidate { .. } => "candidate",
             Role::Follower { .. } => "follower",
         }
     }
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -77,8 +77,8 @@
             .is_some_and(|at| self.now.mono < at + STATE_BAD_MS)
     }
 
-    /// Whom a request is handed to: the owner, or another that says it is served, or one that says nothing. If all say
-    /// that they are not served, only a job's end may still be known, best to the owner.
+    /// Whom a request is handed to: the leader, or another that says it is served, or one that says nothing. If all say
+    /// that they are not served, only a job's end may still be known, best to the leader.
     fn helper(&mut self, ask: &Ask) -> Option<usize> {
         let now = self.now.mono;
         let peers = 0..self.settings.peers.len();
@@ -90,22 +90,22 @@
                 .collect::<Vec<_>>()
         };
         let (up, silent) = (served(Some(false)), served(None));
-        let past_owner = matches!(
+        let past_leader = matches!(
             ask,
             Ask::Lookup {
-                past_owner: true,
+                past_leader: true,
                 ..
             }
         );
-        let owner = self
-            .owner_peer()
-            .filter(|p| !past_owner && able.contains(p));
-        if let Some(owner) = owner.filter(|p| self.says_down(*p) != Some(true)) {
-            return Some(owner);
+        let leader = self
+            .leader_peer()
+            .filter(|p| !past_leader && able.contains(p));
+        if let Some(leader) = leader.filter(|p| self.says_down(*p) != Some(true)) {
+            return Some(leader);
         }
         let any = if up.is_empty() { silent } else { up };
         if any.is_empty() {
-            return owner.filter(|_| matches!(ask, Ask::Lookup { .. }));
+            return leader.filter(|_| matches!(ask, Ask::Lookup { .. }));
         }
         Some(any[self.rng.usize(0..any.len())])
     }
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! A job in the owner's memory: which tasks are done, claimed or free, and how it ends.
+//! A job in the leader's memory: which tasks are done, claimed or free, and how it ends.
 
 use crate::agents::machine::Need;
 use crate::{Asker, Node};
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -1,4 +1,4 @@
-//! Questions about jobs. They are answered from known ends, by the owner while it is sure of its lease, or from a
+//! Questions about jobs. They are answered from known ends, by the leader while it is sure of its lease, or from a
 //! fresh read of the state service, by this node or by a peer that is served; each step takes what time is left.
 
 use crate::jobs::admission::peer_answer;
@@ -20,7 +20,7 @@
     Known,
     /// A submission with a fault. Its job may have been accepted all the same.
     Malformed(Fault),
-    /// A cancel of a job that the owner does not know.
+    /// A cancel of a job that the leader does not know.
     Cancel,
 }
 
@@ -32,8 +32,8 @@
     pub why: Why,
     /// Whoever asks waits until then.
     pub until: u64,
-    /// The owner has been asked, or need not be.
-    pub past_owner: bool,
+    /// The leader has been asked, or need not be.
+    pub past_leader: bool,
     /// What had been said here when its reads began.
     pub mark: u64,
 }
@@ -72,7 +72,7 @@
             job,
             why,
             until: self.now.mono + waits,
-            past_owner: false,
+            past_leader: false,
             mark: 0,
         }
     }
@@ -89,11 +89,11 @@
         if let Some(state) = self.known_here(&q.job) {
             return self.tell(q.asker, state);
         }
-        q.past_owner |= self.owns();
+        q.past_leader |= self.leads();
         let now = self.now.mono;
         match self
-            .owner_peer()
-            .filter(|p| !q.past_owner && !self.hands.rests(*p, now))
+            .leader_peer()
+            .filter(|p| !q.past_leader && !self.hands.rests(*p, now))
         {
             Some(peer) => {
                 let body = peer::encode(&Ask::Query { job: q.job.clone() });
@@ -121,13 +121,13 @@
         self.finals.get(id).or_else(|| self.state_here(id))
     }
 
-    /// Whether the owner has read the job.
+    /// Whether the leader has read the job.
     fn holds(&self, id: &str) -> bool {
         let job = self.shard.as_ref().and_then(|p| p.job(*p.job_ix.get(id)?));
         job.is_some_and(|j| j.spec.is_some())
     }
 
-    /// What the owner knows, while it is sure. Jobs that it has read back are live even before all else has been read:
+    /// What the leader knows, while it is sure. Jobs that it has read back are live even before all else has been read:
     /// nobody but itself can end them. One whose end is on its way may have ended: others may have read and told so.
     pub(crate) fn state_here(&self, id: &str) -> Option<JobState> {
         let shard = self.shard.as_ref().filter(|_| self.sure())?;
@@ -149,7 +149,7 @@
         match peer_answer(r) {
             Some(Answer::State(state)) if state.id == q.job => self.tell(q.asker, state),
             _ => {
-                q.past_owner = true;
+                q.past_leader = true;
                 self.read_job(q)
             }
         }
@@ -275,7 +275,7 @@
     fn look_elsewhere(&mut self, conn: u64, q: Question) {
         let ask = Ask::Lookup {
             job: q.job,
-            past_owner: q.past_owner,
+            past_leader: q.past_leader,
         };
         let fault = if let Why::Malformed(fault) = q.why {
             Some(fault)
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -1,6 +1,6 @@
-//! Who owns the shard: a key on a lease of the state service, and a token from a counter that only rises.
+//! Who leads the shard: a key on a lease of the state service, and a token from a counter that only rises.
 //!
-//! An owner is *sure* while its own clock, with allowance for drift, says that the lease it last renewed can't
+//! A leader is *sure* while its own clock, with allowance for drift, says that the lease it last renewed can't
 //! have ended. Only then does it start, cancel or answer for jobs.
 
 use crate::store::shard::Shard;
@@ -8,20 +8,20 @@
 use wire::api::{Catalog, Changes, Grant, GrantRequest, Guard, Range, Txn, Write};
 use wire::http::Response;
 use wire::peer::Ask;
-use wire::records::{self, OwnerRec, Record, SharedRec, TokenRec};
+use wire::records::{self, LeaderRecord, Record, SharedRec, TokenRec};
 
 /// The one part of this version.
 pub(crate) const SHARD: records::ShardId = 0;
 
-/// Shares of the state service's writes: what the owner may use, accepts by others included, and what each other
+/// Shares of the state service's writes: what the leader may use, accepts by others included, and what each other
 /// node may use for these. Together they are more than all: bursts at several nodes at once are refused by the
 /// service and come again.
 const OWNER_WRITES: f64 = 0.9;
 pub(crate) const OTHER_WRITES: f64 = 0.3;
 
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct OwnerView {
-    pub rec: OwnerRec,
+pub(crate) struct ObservedLeader {
+    pub rec: LeaderRecord,
     pub version: u64,
 }
 
@@ -30,7 +30,7 @@
 pub(crate) struct Shared {
     pub known: bool,
     pub revision: u64,
-    pub owner: Option<OwnerView>,
+    pub leader: Option<ObservedLeader>,
     pub token: u64,
     pub token_version: u64,
     /// The highest token ever read or given out here. It never falls, as `token` may with a read that comes late.
@@ -46,7 +46,7 @@
     retry_at: u64,
 }
 
-/// Who said that it had become the owner.
+/// Who said that it had become the leader.
 pub(crate) struct Hint {
     node: String,
     token: u64,
@@ -58,17 +58,17 @@
 
 pub(crate) enum Role {
     Follower {
-        may_stand_at: u64,
+        may_campaign_at: u64,
     },
     /// Asking for a lease, or writing our name on it.
-    Standing {
+    Candidate {
         lease: Option<u64>,
         sent: u64,
         give_up_at: u64,
         /// The lease of the former life whose record is to be replaced.
         former: Option<u64>,
     },
-    Owner {
+    Leader {
         lease: u64,
         /// When the last renewal that succeeded was sent.
         renewed: u64,
@@ -85,7 +85,7 @@
     /// The lease can't have ended: drift is below 0.05% on either side, and the service is never early.
     pub(crate) fn sure(&self) -> bool {
         match self.role {
-            Role::Owner { renewed, .. } => {
+            Role::Leader { renewed, .. } => {
                 let life = self.ttl() * 997 / 1000;
                 self.now.mono < renewed + life.saturating_sub(life / 20)
             }
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Owner, loaded, and sure of it: may decide.
+    /// Leader, loaded, and sure of it: may decide.
     pub(crate) fn decides(&self) -> bool {
         self.sure() && self.shard.as_ref().is_some_and(|p| p.loaded)
     }
@@ -117,22 +117,22 @@
             }
         }
         match self.role {
-            Role::Follower { may_stand_at } => self.follow(may_stand_at),
-            Role::Standing { give_up_at, .. } if now >= give_up_at => {
+            Role::Follower { may_campaign_at } => self.follow(may_campaign_at),
+            Role::Candidate { give_up_at, .. } if now >= give_up_at => {
                 self.role = Role::Follower {
-                    may_stand_at: now + self.rng.u64(100..1000),
+                    may_campaign_at: now + self.rng.u64(100..1000),
                 };
                 self.reread_shared(0);
             }
-            Role::Standing { .. } => {}
-            Role::Owner {
+            Role::Candidate { .. } => {}
+            Role::Leader {
                 lease,
                 renewed,
                 next_renewal,
                 busy,
             } => {
                 if !busy && now >= next_renewal {
-                    self.role = Role::Owner {
+                    self.role = Role::Leader {
                         lease,
                         renewed,
                         next_renewal,
@@ -147,18 +147,18 @@
         }
     }
 
-    /// Stands if nobody owns the shard, or only a former life of this node.
-    fn follow(&mut self, may_stand_at: u64) {
+    /// Stands if nobody leads the shard, or only a former life of this node.
+    fn follow(&mut self, may_campaign_at: u64) {
         let now = self.now.mono;
         let vacant = self.shared.known && self.replaceable().is_some();
-        if vacant && may_stand_at == 0 && self.shared.owner.is_none() {
+        if vacant && may_campaign_at == 0 && self.shared.leader.is_none() {
             // A little luck keeps all from standing at once.
             let wait = self.rng.u64(20..250);
             self.role = Role::Follower {
-                may_stand_at: now + wait,
+                may_campaign_at: now + wait,
             };
-        } else if vacant && now >= may_stand_at {
-            self.role = Role::Standing {
+        } else if vacant && now >= may_campaign_at {
+            self.role = Role::Candidate {
                 lease: None,
                 sent: now,
                 give_up_at: now + 4000,
@@ -173,15 +173,15 @@
                 2000,
                 Pending::Grant { sent: now },
             );
-        } else if !vacant && may_stand_at != 0 && now >= may_stand_at {
-            self.role = Role::Follower { may_stand_at: 0 };
+        } else if !vacant && may_campaign_at != 0 && now >= may_campaign_at {
+            self.role = Role::Follower { may_campaign_at: 0 };
         }
     }
 
-    /// The version of the owner record that our own may take the place of, 0 for none, and the lease that it is on.
+    /// The version of the leader record that our own may take the place of, 0 for none, and the lease that it is on.
     fn replaceable(&self) -> Option<(u64, Option<u64>)> {
         let heir = self.tuning.heir > 0.0;
-        match &self.shared.owner {
+        match &self.shared.leader {
             None => Some((0, None)),
             Some(o) if heir && self.life.is_heir_of(&o.rec, &self.settings.node) => {
                 Some((o.version, Some(o.rec.lease)))
@@ -219,7 +219,7 @@
             self.shared.retry_at = self.now.mono + self.rng.u64(200..500);
             return;
         };
-        self.shared.owner = None;
+        self.shared.leader = None;
         self.shared.token_version = 0;
         for item in range.items {
             self.shared_put(&item.key, item.value, item.version);
@@ -227,7 +227,7 @@
         self.shared.revision = range.revision;
         self.shared.known = true;
         self.shared.heard_at = self.now.mono;
-        self.owner_seen();
+        self.leader_observed();
     }
 
     pub(crate) fn shared_changes(&mut self, round: u64, response: Option<Response>) {
@@ -253,13 +253,13 @@
         for change in changes.events {
             if let (Some(key), Some(value)) = (&change.put, change.value) {
                 self.shared_put(key, value, change.version);
-            } else if change.remove.as_deref() == Some(&records::owner_key(SHARD)) {
-                self.shared.owner = None;
+            } else if change.remove.as_deref() == Some(&records::leader_key(SHARD)) {
+                self.shared.leader = None;
             }
         }
         self.shared.revision = self.shared.revision.max(changes.revision);
         self.shared.heard_at = self.now.mono;
-        self.owner_seen();
+        self.leader_observed();
     }
 
     fn shared_put(&mut self, key: &str, rec: SharedRec, version: u64) {
@@ -275,17 +275,17 @@
             if let Some(types) = rec.types
                 && version >= self.shared.catalog_version
             {
-                // Prices move: an owner that has fetched them itself knows better.
-                if !self.owns() || self.shared.catalog.is_none() {
+                // Prices move: a leader that has fetched them itself knows better.
+                if !self.leads() || self.shared.catalog.is_none() {
                     self.shared.catalog = Some(Catalog { types });
                 }
                 self.shared.catalog_version = version;
             }
-        } else if key == records::owner_key(SHARD)
+        } else if key == records::leader_key(SHARD)
             && let (Some(node), Some(token), Some(lease)) = (rec.node, rec.token, rec.lease)
         {
-            self.shared.owner = Some(OwnerView {
-                rec: OwnerRec {
+            self.shared.leader = Some(ObservedLeader {
+                rec: LeaderRecord {
                     node,
                     token,
                     lease,
@@ -296,22 +296,22 @@
         }
     }
 
-    /// Draws the conclusions from who is the owner now.
-    fn owner_seen(&mut self) {
+    /// Draws the conclusions from who is the leader now.
+    fn leader_observed(&mut self) {
         let mine =
-            |o: &OwnerView, lease: u64, node: &str| o.rec.node == node && o.rec.lease == lease;
+            |o: &ObservedLeader, lease: u64, node: &str| o.rec.node == node && o.rec.lease == lease;
         let node = self.settings.node.clone();
         match self.role {
-            Role::Owner { lease, .. }
+            Role::Leader { lease, .. }
                 if !self
                     .shared
-                    .owner
+                    .leader
                     .as_ref()
                     .is_some_and(|o| mine(o, lease, &node)) =>
             {
                 if self
                     .shared
-                    .owner
+                    .leader
                     .as_ref()
                     .is_some_and(|o| self.life.is_namesakes(&o.rec, &node))
                 {
@@ -319,25 +319,25 @@
                         "another process lives under the name {node}; only one of them can serve"
                     );
                 }
-                self.step_down("another owner, or none, stands in the state service");
+                self.step_down("another leader, or none, stands in the state service");
             }
             // Our take-over went through although its answer was lost.
-            Role::Standing {
+            Role::Candidate {
                 lease: Some(lease),
                 sent,
                 ..
             } => {
-                if let Some(o) = self.shared.owner.clone().filter(|o| mine(o, lease, &node)) {
-                    self.become_owner(lease, sent, o.rec.token, o.version);
+                if let Some(o) = self.shared.leader.clone().filter(|o| mine(o, lease, &node)) {
+                    self.become_leader(lease, sent, o.rec.token, o.version);
                 }
             }
-            Role::Follower { may_stand_at } => self.follow(may_stand_at),
-            Role::Owner { .. } | Role::Standing { .. } => {}
+            Role::Follower { may_campaign_at } => self.follow(may_campaign_at),
+            Role::Leader { .. } | Role::Candidate { .. } => {}
         }
     }
 
     pub(crate) fn granted(&mut self, asked: u64, response: Option<Response>) {
-        let Role::Standing {
+        let Role::Candidate {
             lease: None,
             sent,
             give_up_at,
@@ -354,26 +354,26 @@
             .and_then(|r| self.read::<Grant>("state service", &r));
         let Some(Grant { lease }) = grant else {
             self.role = Role::Follower {
-                may_stand_at: self.now.mono + self.rng.u64(200..600),
+                may_campaign_at: self.now.mono + self.rng.u64(200..600),
             };
             return;
         };
         let Some((version, former)) = self.replaceable() else {
-            self.role = Role::Follower { may_stand_at: 0 };
+            self.role = Role::Follower { may_campaign_at: 0 };
             return;
         };
-        self.role = Role::Standing {
+        self.role = Role::Candidate {
             lease: Some(lease),
             sent,
             give_up_at,
             former,
         };
         let token = self.shared.token + 1;
-        let owner = self.own_record(token, lease);
+        let leader = self.own_record(token, lease);
         let txn = Txn {
             guards: vec![
                 Guard {
-                    key: records::owner_key(SHARD),
+                    key: records::leader_key(SHARD),
                     version,
                 },
                 Guard {
@@ -383,8 +383,8 @@
             ],
             writes: vec![
                 Write::Put {
-                    key: records::owner_key(SHARD),
-                    value: Box::new(Record::Owner(owner)),
+                    key: records::leader_key(SHARD),
+                    value: Box::new(Record::Leader(leader)),
                     lease: Some(lease),
                 },
                 Write::put(records::TOKEN.into(), Record::Token(TokenRec { token })),
@@ -402,7 +402,7 @@
     }
 
     pub(crate) fn took(&mut self, asked: u64, token: u64, response: Option<Response>) {
-        let Role::Standing {
+        let Role::Candidate {
             lease: Some(lease),
             sent,
             ..
@@ -418,39 +418,39 @@
             .filter(|r| r.status == 200)
             .and_then(|r| wire::decode::<wire::api::Revision>(&r.body).ok());
         match won {
-            // The answer was so late that another owner is known to have followed already.
+            // The answer was so late that another leader is known to have followed already.
             Some(r)
                 if self
                     .shared
-                    .owner
+                    .leader
                     .as_ref()
                     .is_some_and(|o| o.version > r.revision) =>
             {
-                self.role = Role::Follower { may_stand_at: 0 };
+                self.role = Role::Follower { may_campaign_at: 0 };
             }
             Some(r) => {
                 self.shared.token = token;
                 self.shared.token_version = r.revision;
                 let rec = self.own_record(token, lease);
-                self.shared.owner = Some(OwnerView {
+                self.shared.leader = Some(ObservedLeader {
                     rec,
                     version: r.revision,
                 });
-                self.become_owner(lease, sent, token, r.revision);
+                self.become_leader(lease, sent, token, r.revision);
             }
             // No answer: it may be in place, which a fresh read will show while we still stand.
             None if response.is_none() => self.reread_shared(0),
             None => {
                 self.role = Role::Follower {
-                    may_stand_at: self.now.mono + self.rng.u64(50..300),
+                    may_campaign_at: self.now.mono + self.rng.u64(50..300),
                 };
                 self.reread_shared(0);
             }
         }
     }
 
-    fn own_record(&self, token: u64, lease: u64) -> OwnerRec {
-        OwnerRec {
+    fn own_record(&self, token: u64, lease: u64) -> LeaderRecord {
+        LeaderRecord {
             node: self.settings.node.clone(),
             token,
             lease,
@@ -458,11 +458,11 @@
         }
     }
 
-    fn become_owner(&mut self, lease: u64, renewed: u64, token: u64, version: u64) {
+    fn become_leader(&mut self, lease: u64, renewed: u64, token: u64, version: u64) {
         log::info!("owner of shard {SHARD} with token {token}");
         let now = self.now.mono;
-        self.life.owns_now();
-        if let Role::Standing {
+        self.life.leads_now();
+        if let Role::Candidate {
             former: Some(former),
             ..
         } = self.role
@@ -471,7 +471,7 @@
             self.end_lease(former);
         }
         self.shared.highest = self.shared.highest.max(token);
-        self.role = Role::Owner {
+        self.role = Role::Leader {
             lease,
             renewed,
             next_renewal: now,
@@ -480,13 +480,13 @@
         self.epoch += 1;
         self.shared.documents.forget_readings();
         let c = self.settings.cluster.state.clone();
-        // The owner does most of the writing; the others keep enough to accept jobs.
-        // The owner does most of the writing. What the others write to accept jobs it sees, and leaves room for.
+        // The leader does most of the writing; the others keep enough to accept jobs.
+        // The leader does most of the writing. What the others write to accept jobs it sees, and leaves room for.
         self.requests.set_rate(c.rps * 0.5);
         self.set_writes(c.write_rps * OWNER_WRITES);
         self.shard = Some(Shard::new(token, version, now, c.value_kb));
         self.start_load();
-        let body = wire::peer::encode(&Ask::Owns {
+        let body = wire::peer::encode(&Ask::Leads {
             node: self.settings.node.clone(),
             token,
         });
@@ -503,12 +503,12 @@
         }
     }
 
-    /// Another node says that it owns the shard. An earlier owner that lost the state service hears it here first;
+    /// Another node says that it leads the shard. An earlier leader that lost the state service hears it here first;
     /// its workers would otherwise stay with it, unheard by the new one.
-    pub(crate) fn owner_said(&mut self, node: String, token: u64) {
+    pub(crate) fn leader_asserted(&mut self, node: String, token: u64) {
         let until = self.now.mono + HINT_MS;
         if !self.sure() && self.shard.as_ref().is_some_and(|p| p.token < token) {
-            self.step_down("a peer owns the fleet with a higher token");
+            self.step_down("a peer leads the fleet with a higher token");
         }
         let newest = self
             .hint
@@ -527,18 +527,18 @@
     }
 
     /// The node that workers should report to.
-    pub(crate) fn owner_name(&self) -> Option<String> {
-        self.owner_known().map(|(_, node)| node.to_owned())
+    pub(crate) fn leader_name(&self) -> Option<String> {
+        self.leader_announced().map(|(_, node)| node.to_owned())
     }
 
-    pub(crate) fn owner_token(&self) -> Option<u64> {
-        self.owner_known().map(|(token, _)| token)
+    pub(crate) fn leader_token(&self) -> Option<u64> {
+        self.leader_announced().map(|(token, _)| token)
     }
 
-    fn owner_known(&self) -> Option<(u64, &str)> {
+    fn leader_announced(&self) -> Option<(u64, &str)> {
         let known = self
             .shared
-            .owner
+            .leader
             .as_ref()
             .map(|o| (o.rec.token, o.rec.node.as_str()));
         let said = self.hint.as_ref().filter(|h| h.until > self.now.mono);
@@ -550,7 +550,7 @@
     }
 
     pub(crate) fn renewed(&mut self, asked: u64, sent: u64, response: Option<Response>) {
-        let Role::Owner { lease, renewed, .. } = self.role else {
+        let Role::Leader { lease, renewed, .. } = self.role else {
             return;
         };
         if lease != asked {
@@ -560,7 +560,7 @@
         let every = self.ttl() / 4;
         match response.map(|r| r.status) {
             Some(200) => {
-                self.role = Role::Owner {
+                self.role = Role::Leader {
                     lease,
                     renewed: sent,
                     next_renewal: sent + every,
@@ -570,7 +570,7 @@
             Some(404) => self.step_down("the lease has ended"),
             _ => {
                 let again = now + self.rng.u64(50..200);
-                self.role = Role::Owner {
+                self.role = Role::Leader {
                     lease,
                     renewed,
                     next_renewal: again,
@@ -591,13 +591,13 @@
         );
     }
 
-    /// Gives ownership up, for good unless elected again with a higher token.
+    /// Gives leadership up, for good unless elected again with a higher token.
     pub(crate) fn step_down(&mut self, why: &str) {
-        log::warn!("no longer the owner: {why}");
-        if let Role::Owner { lease, .. } = self.role {
+        log::warn!("no longer the leader: {why}");
+        if let Role::Leader { lease, .. } = self.role {
             self.end_lease(lease);
         }
-        self.role = Role::Follower { may_stand_at: 0 };
+        self.role = Role::Follower { may_campaign_at: 0 };
         self.epoch += 1;
         self.documents_let_go();
         let nodes = self.settings.peers.len() as f64 + 1.0;
@@ -616,7 +616,7 @@
     /// Stays out of the next election, so that a better placed node can win it.
     pub(crate) fn stand_back(&mut self, ms: u64) {
         self.role = Role::Follower {
-            may_stand_at: self.now.mono + ms,
+            may_campaign_at: self.now.mono + ms,
         };
     }
 }
--- a/crates/control/src/leadership/incarnation.rs
+++ b/crates/control/src/leadership/incarnation.rs
@@ -1,16 +1,16 @@
 //! One life of a node: from the start of its process to its end.
 //!
 //! A node that begins knows that the life before it is over, since both would listen on the same addresses. If that life
-//! owned the fleet, nobody needs to wait for its lease to run out. Weighed in docs/safety.md under "A new life".
+//! led the fleet, nobody needs to wait for its lease to run out. Weighed in docs/safety.md under "A new life".
 //!
 //! Nothing here takes over; [`crate::leadership::election`] does, by a transaction that is guarded as any other.
 
-use wire::records::OwnerRec;
+use wire::records::LeaderRecord;
 
 pub(crate) struct Life {
     /// Drawn anew by each process; never 0, which stands in records of before.
     mark: u64,
-    /// This life has owned the fleet. From then on a record of another life under our name is one of a process that
+    /// This life has led the fleet. From then on a record of another life under our name is one of a process that
     /// lives beside us by mistake.
     has_owned: bool,
 }
@@ -28,18 +28,18 @@
         self.mark
     }
 
-    pub fn owns_now(&mut self) {
+    pub fn leads_now(&mut self) {
         self.has_owned = true;
     }
 
     /// Whether another life under this node's name wrote it.
-    pub fn is_namesakes(&self, rec: &OwnerRec, node: &str) -> bool {
+    pub fn is_namesakes(&self, rec: &LeaderRecord, node: &str) -> bool {
         rec.node == node && rec.life != self.mark
     }
 
-    /// Whether the owner that wrote it can only have ended. Two processes of one name take over from each other once
-    /// at most: who has owned the fleet waits like everybody else.
-    pub fn is_heir_of(&self, rec: &OwnerRec, node: &str) -> bool {
+    /// Whether the leader that wrote it can only have ended. Two processes of one name take over from each other once
+    /// at most: who has led the fleet waits like everybody else.
+    pub fn is_heir_of(&self, rec: &LeaderRecord, node: &str) -> bool {
         self.is_namesakes(rec, node) && !self.has_owned
     }
 }
--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -1,7 +1,7 @@
-//! How long an owner may keep workers' leases alive.
+//! How long a leader may keep workers' leases alive.
 //!
 //! A worker kills its tasks once the last report that was answered was sent more than `lease_s` ago, so each answer
-//! lets them live that much longer. An owner that can't renew its own lease hears of no cancel that a later owner
+//! lets them live that much longer. A leader that can't renew its own lease hears of no cancel that a later leader
 //! tells users; what it renews must be gone within `cancel_s` of the first such cancel. Derived in docs/safety.md.
 //!
 //! Nothing here gives an order or decides who owns.
@@ -62,7 +62,7 @@
         let Some(shard) = self.shard.as_ref().filter(|p| p.loaded) else {
             return false;
         };
-        let Role::Owner { renewed, .. } = self.role else {
+        let Role::Leader { renewed, .. } = self.role else {
             return false;
         };
         let known = shard.vouches.at.map_or(renewed, |at| at.max(renewed));
@@ -106,7 +106,7 @@
         for lease in [1.0, 10.0, 30.0, 34.0, 600.0] {
             for cancel in [1.0, 30.0, 55.0, 64.0, 3600.0] {
                 let bound = bound_ms(&workers(lease, cancel));
-                // The owner's clock runs slow and the worker's too.
+                // The leader's clock runs slow and the worker's too.
                 let gone = (bound as f64 + lease * 1000.0) * 1.001;
                 assert!(
                     bound == 0 || gone < cancel * 1000.0,
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -1,7 +1,7 @@
-//! Zones that are cut off whole: a node inside, named by the owner, keeps the leases of its zone's workers alive for a
-//! bounded time under the owner's token. It gives no orders, and knows of none.
+//! Zones that are cut off whole: a node inside, named by the leader, keeps the leases of its zone's workers alive for a
+//! bounded time under the leader's token. It gives no orders, and knows of none.
 //!
-//! The owner names it again with each view (once a second), with the machines on which something is that was
+//! The leader names it again with each view (once a second), with the machines on which something is that was
 //! cancelled; those are not kept. Of later cancels the keeper hears nothing, so that it stops in time; see
 //! [`crate::leadership::lease_bound`] and docs/safety.md. It writes nothing down: what it was told ends with its process.
 
@@ -16,7 +16,7 @@
 /// A peer and a machine that fell silent within this time are taken to have been cut off together.
 const TOGETHER_MS: u64 = 10_000;
 
-/// What the owner has said last.
+/// What the leader has said last.
 pub(crate) struct Charge {
     /// When it was asked, by this node's clock: it has known of all cancels up to then.
     asked: u64,
@@ -24,7 +24,7 @@
 }
 
 impl Node {
-    /// What the owner lets a peer keep: its zone's machines, but those with something on them that was cancelled.
+    /// What the leader lets a peer keep: its zone's machines, but those with something on them that was cancelled.
     pub(crate) fn charge_for(&self, peer: usize) -> Option<Keep> {
         let shard = self
             .shard
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The answer of a keeper, if it may give one. It waits until a later owner had time to be found.
+    /// The answer of a keeper, if it may give one. It waits until a later leader had time to be found.
     pub(crate) fn keeps(&self, report: &Report) -> Option<Vec<u8>> {
         let Charge { asked, keep } = self.charge.as_ref()?;
         let workers = &self.settings.cluster.workers;
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -54,14 +54,14 @@
             state_ms: self.state_good_at.map(|at| now.saturating_sub(at)),
             // Until the counter has been read, nothing is known of what this node was before it began.
             token: (self.shared.revision > 0).then(|| self.highest_token()),
-            owns: self
+            leads: self
                 .shard
                 .as_ref()
                 .filter(|_| self.decides())
                 .map(|p| p.token),
             deaf: self.shard.as_ref().is_some_and(|p| p.is_deaf(now)),
             down: self.state_good_at.is_none() || self.state_down(),
-            spreads: self.owns() && self.is_spread(),
+            spreads: self.leads() && self.is_spread(),
             keep: None,
         }
     }
@@ -69,13 +69,13 @@
     /// A peer's view, as it asked or answered. A name or a token that can't be is refused.
     pub(crate) fn view_seen(&mut self, view: View) -> Option<usize> {
         let peer = self.peer_named(&view.node)?;
-        if view.owns.max(view.token).is_some_and(|t| t >= TOKEN_BOUND) {
+        if view.leads.max(view.token).is_some_and(|t| t >= TOKEN_BOUND) {
             self.stats.bad_answers += 1;
             return None;
         }
-        if let Some(token) = view.owns {
+        if let Some(token) = view.leads {
             self.spread_heard(view.spreads);
-            self.owner_said(view.node.clone(), token);
+            self.leader_asserted(view.node.clone(), token);
         }
         let now = self.now.mono;
         self.views
@@ -89,8 +89,8 @@
         let Some(Answer::View(view)) = peer_answer(response) else {
             return;
         };
-        // Nobody but the owner has anything to keep, and only under its own token.
-        let keep = view.keep.clone().filter(|k| view.owns == Some(k.token));
+        // Nobody but the leader has anything to keep, and only under its own token.
+        let keep = view.keep.clone().filter(|k| view.leads == Some(k.token));
         let token = view.token;
         if self.view_seen(view) == Some(peer) {
             self.word_came(sent, peer, token);
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Whether a peer says that it owns the fleet and hears no worker.
+    /// Whether a peer says that it leads the fleet and hears no worker.
     pub(crate) fn is_deaf(&self, peer: usize) -> bool {
         self.fresh_view(peer).is_some_and(|view| view.deaf)
     }
@@ -138,7 +138,7 @@
         fresh.map(move |(at, view)| (now - at, view))
     }
 
-    /// Whether another node could own the fleet in this one's place, as far as anybody can say: one that the state
+    /// Whether another node could lead the fleet in this one's place, as far as anybody can say: one that the state
     /// service answers, or, while no peer says anything, perhaps any.
     pub(crate) fn could_be_followed(&self) -> bool {
         let state = |(age, v): (u64, &View)| {
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A model's record says whether it is asleep and which generation it is in. Any controller begins the next generation,
 //! by one transaction under a guard on the record as it was read ([`crate::models::demand`]); everything else about it is written
-//! here, by the owner of the fleet and under the guard of its record too. What is started and stopped follows from the
-//! record, by claims and proofs as for any job: so nothing starts that a record does not want, whoever owns the fleet.
+//! here, by the leader of the fleet and under the guard of its record too. What is started and stopped follows from the
+//! record, by claims and proofs as for any job: so nothing starts that a record does not want, whoever leads the fleet.
 //!
 //! Without a document nothing is read, watched or written here.
 
@@ -30,7 +30,7 @@
 /// Models that are up, or on their way, are looked at this often.
 const LOOK_MS: u64 = 250;
 const TIMEOUT_MS: u64 = 1500;
-/// The owner's transactions for models that are out at once; the rest wait for the next look.
+/// The leader's transactions for models that are out at once; the rest wait for the next look.
 const MOST_OUT: usize = 32;
 /// Machines that are kept for their weights at once.
 const MOST_KEPT: usize = 256;
@@ -97,7 +97,7 @@
     owned: Owned,
 }
 
-/// What the owner of the fleet knows of all models.
+/// What the leader of the fleet knows of all models.
 #[derive(Default)]
 struct Owned {
     /// The term that it is of.
@@ -127,7 +127,7 @@
     All,
 }
 
-/// A transaction of the owner's: what it writes, or that it takes the record away; and when it is sent again.
+/// A transaction of the leader's: what it writes, or that it takes the record away; and when it is sent again.
 struct Out {
     rec: Option<Rec>,
     busy: bool,
@@ -153,7 +153,7 @@
         self.spec.is_some()
     }
 
-    /// What the owner of the fleet knows of a model, if it has read all.
+    /// What the leader of the fleet knows of a model, if it has read all.
     pub fn known(&self, model: &str) -> Option<Known> {
         (self.owned.read == Read::All)
             .then(|| self.owned.recs.get(model).cloned().unwrap_or_default())
@@ -190,7 +190,7 @@
         self.sort_models();
     }
 
-    /// Whether an owner that takes over has to read records before its first start. If so they are read, and the load
+    /// Whether a leader that takes over has to read records before its first start. If so they are read, and the load
     /// goes on after that.
     pub(crate) fn models_to_read(&mut self) -> bool {
         self.models_in_force();
@@ -281,7 +281,7 @@
         owned.over.extend(gone.cloned().collect::<Vec<_>>());
     }
 
-    /// A job has come to the owner's memory, or may have become a model.
+    /// A job has come to the leader's memory, or may have become a model.
     pub(crate) fn model_came(&mut self, ix: JobIx) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
@@ -325,7 +325,7 @@
         }
     }
 
-    /// What the record says of machines with the weights, for an owner that has not seen that itself.
+    /// What the record says of machines with the weights, for a leader that has not seen that itself.
     fn near_weights(&mut self, ix: JobIx, rec: &Rec) {
         let caches: HashMap<String, f64> = self
             .catalog()
@@ -370,7 +370,7 @@
         }
     }
 
-    /// The owner has read or written a record: what may run follows it.
+    /// The leader has read or written a record: what may run follows it.
     pub(crate) fn model_stands(&mut self, model: &str, known: Known) {
         let owned = &mut self.models.owned;
         // A read that comes late changes nothing.
@@ -416,7 +416,7 @@
         self.take_over_records();
     }
 
-    /// What the owner sees of a model.
+    /// What the leader sees of a model.
     fn seen(&self, job: &Job) -> Seen {
         let now = self.now.mono;
         let since = self.shard.as_ref().map_or(0, |p| p.since);
@@ -530,15 +530,15 @@
         }
     }
 
-    /// One transaction of the owner's about a model: under the guard of its own record, of the model's record as it was
+    /// One transaction of the leader's about a model: under the guard of its own record, of the model's record as it was
     /// known, and of the job, which must not have ended.
     fn write_model(&mut self, model: &str, rec: Option<Rec>, stamp: u64, job: Option<u64>) {
         let Some(shard) = &self.shard else { return };
         let key = records::model_key(model);
         let mut guards = vec![
             Guard {
-                key: records::owner_key(SHARD),
-                version: shard.owner_version,
+                key: records::leader_key(SHARD),
+                version: shard.leader_version,
             },
             Guard {
                 key: key.clone(),
@@ -785,7 +785,7 @@
         }
     }
 
-    /// All models, as their owner sees them.
+    /// All models, as their leader sees them.
     pub(crate) fn models_standing(&self) -> Vec<Standing> {
         let Some(shard) = &self.shard else {
             return Vec::new();
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -60,7 +60,7 @@
     pub(crate) routing: routing::Routing,
     pub(crate) pace: plan_pacing::Pace,
     pub(crate) shedding: load_shedding::Shedding,
-    /// What the owner has us keep.
+    /// What the leader has us keep.
     pub(crate) charge: Option<lease_delegate::Charge>,
     pub(crate) catalog_at: u64,
     /// When we last gave the fleet up because most machines could not be heard.
@@ -94,7 +94,7 @@
             pending: HashMap::new(),
             next_tag: 1,
             shared: Shared::default(),
-            role: Role::Follower { may_stand_at: 0 },
+            role: Role::Follower { may_campaign_at: 0 },
             hint: None,
             epoch: 0,
             shard: None,
@@ -188,7 +188,7 @@
         self.waiters_tick();
         self.share_writes();
         self.documents_tick();
-        if self.shared.catalog.is_none() || self.owns() {
+        if self.shared.catalog.is_none() || self.leads() {
             self.catalog_tick();
         }
         self.load_tick();
@@ -203,7 +203,7 @@
         self.models_tick();
     }
 
-    pub(crate) fn owns(&self) -> bool {
+    pub(crate) fn leads(&self) -> bool {
         self.shard.is_some()
     }
 
@@ -320,8 +320,8 @@
             if !bad {
                 self.state_good_at = Some(self.now.mono);
             }
-            // Looked at again and again until it serves us; the owner's renewals do the same.
-            if bad && self.shared.known && !self.owns() {
+            // Looked at again and again until it serves us; the leader's renewals do the same.
+            if bad && self.shared.known && !self.leads() {
                 self.reread_shared(300);
             }
         }
@@ -358,9 +358,9 @@
             Pending::Side { tag } => self.side_answered(tag, response),
             Pending::Wake { model, step } => self.wake_came(model, step, response),
             Pending::WakeForward { waiter } => self.demand_forwarded(waiter, response),
-            Pending::Said { model } => self.said_to_owner(&model, response),
+            Pending::Said { model } => self.leader_notified(&model, response),
             Pending::Catalog => self.catalog_came(response),
-            // What belongs to an earlier term of ownership no longer concerns us.
+            // What belongs to an earlier term of leadership no longer concerns us.
             Pending::Load { epoch: e, what } if e == epoch => self.load_came(what, response),
             Pending::Audit { epoch: e, under } if e == epoch => self.audit_came(under, response),
             Pending::Sheets { epoch: e } if e == epoch => self.sheets_came(response),
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -12,7 +12,7 @@
     Peer(u64),
 }
 
-/// What an answer that is still out belongs to. `epoch` ties it to one term of ownership.
+/// What an answer that is still out belongs to. `epoch` ties it to one term of leadership.
 pub(crate) enum Pending {
     SharedRead,
     SharedWatch {
--- a/crates/control/src/overload/precedence.rs
+++ b/crates/control/src/overload/precedence.rs
@@ -57,7 +57,7 @@
     Refuse(T),
 }
 
-/// What has come in and waits for its turn: by precedence, and then in the order in which it came. Its owner bounds it,
+/// What has come in and waits for its turn: by precedence, and then in the order in which it came. Its leader bounds it,
 /// by the connections that it has.
 #[derive(Debug)]
 pub struct Backlog<T> {
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -15,7 +15,7 @@
 const LOOK_MS: u64 = 500;
 /// Machines that answer commands and report nothing are asked this often what became of their tasks.
 const MUTE_MS: u64 = 2000;
-/// When a new owner asks machines that it has not heard of, and how many at a time.
+/// When a new leader asks machines that it has not heard of, and how many at a time.
 const CALL_AFTER_MS: u64 = 500;
 const CALL_UNTIL_MS: u64 = 8000;
 const CALLS_A_TICK: usize = 12;
@@ -471,7 +471,7 @@
     }
 
     /// After a take-over: asks the machines that have not come by themselves, a few at a time. Their workers may
-    /// still be with an earlier owner, and what they say is needed before much can be decided.
+    /// still be with an earlier leader, and what they say is needed before much can be decided.
     fn call_round(&mut self) {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -1,4 +1,4 @@
-//! Between the owner's memory and the planner: what it is shown, and what follows from its plan.
+//! Between the leader's memory and the planner: what it is shown, and what follows from its plan.
 
 use crate::agents::machine::{Claim, Machine, Need};
 use crate::jobs::job::{Class, Ending, Job, JobIx};
@@ -889,7 +889,7 @@
         // Also while tasks wait: a machine that is idle all the same is none that they may use, and it may
         // stand in the way of one.
         let (jobs, job_ix) = (&shard.jobs, &shard.job_ix);
-        // With the machine, a result that is recorded nowhere would be gone, were this owner to end too.
+        // With the machine, a result that is recorded nowhere would be gone, were this leader to end too.
         let owes = |machine: &Machine| {
             machine
                 .exited
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -2,7 +2,7 @@
 //!
 //! Claims and results go into a log: one record a turn, whatever the number of machines. A record is removed when
 //! all its claims have ended and all jobs whose results it holds have; so it may name claims that are over, which
-//! costs a new owner a moment's caution and nothing else. Machines stand in racks, many to a record.
+//! costs a new leader a moment's caution and nothing else. Machines stand in racks, many to a record.
 
 use crate::jobs::job::JobIx;
 use crate::store::shard::Shard;
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -1,7 +1,7 @@
-//! The owner's writes: one transaction at a time, each taking along all that has gathered.
+//! The leader's writes: one transaction at a time, each taking along all that has gathered.
 //!
-//! Every transaction is guarded by the owner record and by the version of each key it changes, so that one
-//! that lands late, or from an earlier owner, changes nothing. Without an answer the same bytes are sent
+//! Every transaction is guarded by the leader record and by the version of each key it changes, so that one
+//! that lands late, or from an earlier leader, changes nothing. Without an answer the same bytes are sent
 //! again: either the first or the second is applied, never both.
 
 use crate::agents::machine::ClaimState;
@@ -99,7 +99,7 @@
         self.guards.iter().any(|g| g.key == key)
     }
     /// Writes what is named by its own digest: whatever stands there already is the same. So it can't tell whether
-    /// this transaction was applied, and has no guard but the owner's.
+    /// this transaction was applied, and has no guard but the leader's.
     pub fn put_part(&mut self, key: String, record: Record) {
         self.size += wire::encode(&record).len() + key.len();
         self.writes.push(Write::put(key, record));
@@ -350,10 +350,10 @@
     }
 }
 
-/// Whether a transaction failed since our owner record no longer stands, or for reasons that can't be read.
-fn owner_failed(response: Option<&Response>) -> bool {
+/// Whether a transaction failed since our leader record no longer stands, or for reasons that can't be read.
+fn leadership_lost(response: Option<&Response>) -> bool {
     let conflict = response.and_then(|r| wire::decode::<Conflict>(&r.body).ok());
-    conflict.is_none_or(|c| c.failed.contains(&records::owner_key(SHARD)))
+    conflict.is_none_or(|c| c.failed.contains(&records::leader_key(SHARD)))
 }
 
 /// What a value may take, with some distance to the service's own count.
@@ -437,8 +437,8 @@
         let mut d = Draft {
             ops: Vec::new(),
             guards: vec![Guard {
-                key: records::owner_key(SHARD),
-                version: shard.owner_version,
+                key: records::leader_key(SHARD),
+                version: shard.leader_version,
             }],
             writes: Vec::new(),
             probe: None,
@@ -589,9 +589,9 @@
                 Some(Ok(r)) => self.apply(r.revision),
                 _ => self.step_down("an unreadable answer to a transaction"),
             },
-            Some(409) if shard.commit.unsure && owner_failed(response.as_ref()) => {
-                // A later owner may have written the same keys: what stands there says nothing of our own tries.
-                self.step_down("another owner, or none, stands in the state service");
+            Some(409) if shard.commit.unsure && leadership_lost(response.as_ref()) => {
+                // A later leader may have written the same keys: what stands there says nothing of our own tries.
+                self.step_down("another leader, or none, stands in the state service");
             }
             Some(409) if shard.commit.unsure => {
                 // Only this term's transactions write these keys, so an earlier try is what makes this one fail.
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -28,7 +28,7 @@
 const LOAD_AGAIN_MS: ops::Range<u64> = 100..400;
 
 impl Shard {
-    /// Takes in a log record of earlier owners.
+    /// Takes in a log record of earlier leaders.
     fn load_segment(&mut self, number: u64, version: u64, rec: LogRec) {
         let mut segment = Segment {
             version,
@@ -152,7 +152,7 @@
     }
 
     /// From the same place again, after a while: who reads back must not use up what renewals and others' accepts need
-    /// of the state service. An owner that can't read keeps its lease or loses it.
+    /// of the state service. A leader that can't read keeps its lease or loses it.
     pub(crate) fn load_later(&mut self, what: Load) {
         let at = self.now.mono + self.rng.u64(LOAD_AGAIN_MS);
         if let Some(shard) = &mut self.shard {
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -1,4 +1,4 @@
-//! What the owner of a shard holds in memory.
+//! What the leader of a shard holds in memory.
 
 use crate::agents::machine::Machine;
 use crate::jobs::job::{Class, Job, JobIx};
@@ -53,8 +53,8 @@
 
 pub(crate) struct Shard {
     pub token: u64,
-    /// Version of our owner record: every write is guarded by it.
-    pub owner_version: u64,
+    /// Version of our leader record: every write is guarded by it.
+    pub leader_version: u64,
     pub loaded: bool,
     /// The leader was sure of its lease at the last tick.
     pub was_sure: bool,
@@ -125,10 +125,10 @@
 }
 
 impl Shard {
-    pub fn new(token: u64, owner_version: u64, now: u64, value_kb: f64) -> Self {
+    pub fn new(token: u64, leader_version: u64, now: u64, value_kb: f64) -> Self {
         Shard {
             token,
-            owner_version,
+            leader_version,
             loaded: false,
             was_sure: false,
             vouches: crate::leadership::lease_bound::Vouches::default(),
@@ -193,7 +193,7 @@
         self.serial
     }
 
-    /// A new attempt: higher than all of earlier owners, never used before.
+    /// A new attempt: higher than all of earlier leaders, never used before.
     pub fn next_attempt(&mut self) -> u64 {
         let n = self.next_serial();
         (self.token << 32) | (n & 0xffff_ffff)
--- a/crates/gateway/examples/load.rs
+++ b/crates/gateway/examples/load.rs
@@ -119,7 +119,7 @@
     alone.waits.sort_unstable();
     beside.waits.sort_unstable();
     let counts = beside
-        .owner()
+        .leader()
         .and_then(|o| o.book())
         .map(|b| b.counts())
         .unwrap_or_default();
--- a/crates/gateway/src/book/containers.rs
+++ b/crates/gateway/src/book/containers.rs
@@ -5,8 +5,8 @@
 //! it ended, until the master has said that it knows.
 //!
 //! A container's number is that of its place, and each place is given one container only. Numbers of groups are set
-//! aside in the application's record before they are used, so no owner ever gives a number again; and any owner knows,
-//! without a record of it, which container a place of an earlier owner may have had. A task that is started again has
+//! aside in the application's record before they are used, so no leader ever gives a number again; and any leader knows,
+//! without a record of it, which container a place of an earlier leader may have had. A task that is started again has
 //! lost its container (the scheduler starts it again only after the old one is proved gone), so none ever runs twice.
 
 use super::apps::{Size, job_id, task};
@@ -27,7 +27,7 @@
 const _: () = assert!(wire::api::MAX_TASKS <= 1 << TASK_BITS);
 /// Largest group number: a container's number has 40 bits, and a job id seven digits for it.
 pub(super) const MOST_GROUPS: u32 = (1 << (40 - TASK_BITS)) - 1;
-/// Places of one application that are on their way at once: so many are given up when the owner changes.
+/// Places of one application that are on their way at once: so many are given up when the leader changes.
 const ON_THEIR_WAY: u32 = 256;
 /// Groups that are not yet with the scheduler, and are sent to it, at once.
 const SENT_AT_ONCE: usize = 4;
@@ -199,7 +199,7 @@
         }
     }
 
-    /// An earlier owner has had this group.
+    /// An earlier leader has had this group.
     pub fn is_old(&self, group: u32) -> bool {
         group <= self.base
     }
--- a/crates/gateway/src/book/masters.rs
+++ b/crates/gateway/src/book/masters.rs
@@ -1,6 +1,6 @@
 //! Masters: they register, ask for containers with each heartbeat, and say goodbye.
 //!
-//! A session lives with the owner and is not recorded: after a take-over a master is told to register again, and says
+//! A session lives with the leader and is not recorded: after a take-over a master is told to register again, and says
 //! again what it asks for, as is published for a resource manager that was restarted. What bounds it is checked before
 //! anything of a heartbeat is taken, so a refused one has changed nothing.
 
@@ -19,7 +19,7 @@
 
 /// Machines that a master may refuse.
 const BLACKLIST: usize = 1000;
-/// Runners have so long to tell a new owner what they run, in milliseconds.
+/// Runners have so long to tell a new leader what they run, in milliseconds.
 const SETTLING_MS: u64 = 10_000;
 /// Completed containers that are still shown.
 const SHOWN: usize = 200;
--- a/crates/gateway/src/book/mod.rs
+++ b/crates/gateway/src/book/mod.rs
@@ -1,4 +1,4 @@
-//! The owner's book of applications: read from the state service at the begin of a term, kept there, and dropped at
+//! The leader's book of applications: read from the state service at the begin of a term, kept there, and dropped at
 //! its end. Whoever is told something is told what the records say.
 
 mod apps;
@@ -435,7 +435,7 @@
             self.cluster.keys = Keys::default().rotated(cx.secret, now.wall);
             self.store.touch(Key::Cluster);
         }
-        // What an earlier owner has set aside may have been given.
+        // What an earlier leader has set aside may have been given.
         self.next_id = self.cluster.given + 1;
         self.granted = self.cluster.given;
         let mut ended: Vec<(u64, u32)> = Vec::new();
--- a/crates/gateway/src/book/runners.rs
+++ b/crates/gateway/src/book/runners.rs
@@ -351,13 +351,13 @@
         } else if old && c.container == Some(number) && (c.running || c.exit.is_some()) {
             self.adopt(cx, id, at, shape, c);
         } else if old {
-            // An earlier owner may have given it: if so, it was lost with its task.
+            // An earlier leader may have given it: if so, it was lost with its task.
             self.adopt(cx, id, at, shape, c);
             self.complete(cx, id, number, exit::ABORTED, LOST);
         }
     }
 
-    /// A container that an earlier owner gave is known again by what its runner says.
+    /// A container that an earlier leader gave is known again by what its runner says.
     fn adopt(&mut self, cx: Cx<'_>, id: u32, at: (u32, u32), shape: Shape, c: &CheckIn) {
         let Some(app) = self.apps.get_mut(&id) else {
             return;
--- a/crates/gateway/src/book/store.rs
+++ b/crates/gateway/src/book/store.rs
@@ -189,7 +189,7 @@
         if parts < app.parts.len() {
             return false;
         }
-        // When nothing is left of it, its description goes, and then the record says so: a new owner that finds another
+        // When nothing is left of it, its description goes, and then the record says so: a new leader that finds another
         // record takes away what is there.
         let mut gone = 0;
         while app.rec.closed && gone < app.described && draft.has_room(1, 0) {
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! One call of a client, as it goes from the node that took it to the one that owns the fleet, and its reply.
+//! One call of a client, as it goes from the node that took it to the one that leads the fleet, and its reply.
 
 use serde::{Deserialize, Serialize};
 use yarn::error::{Class, Fault};
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,7 +7,7 @@
 //! Like `control`: no sockets, no clock, no threads. Bytes, events and the time go in; bytes and effects come out. It
 //! may not place, start or stop anything by itself, write any record but its own, or tell what is not recorded.
 //!
-//! Any node takes any client's call; the node that owns the fleet answers it. See docs/yarn/design.md.
+//! Any node takes any client's call; the node that leads the fleet answers it. See docs/yarn/design.md.
 
 pub mod book;
 pub mod call;
--- a/crates/gateway/src/served.rs
+++ b/crates/gateway/src/served.rs
@@ -1,6 +1,6 @@
 //! A controller with the gateway beside it: the same events and effects as a controller alone, and raw connections.
 //!
-//! Calls go to the node that owns the fleet: here, or over the peers' side. Whoever can't be answered in time is told so
+//! Calls go to the node that leads the fleet: here, or over the peers' side. Whoever can't be answered in time is told so
 //! at once, in words that make his client try again; a call that another node handed over is never handed on.
 
 use crate::book::Book;
@@ -109,7 +109,7 @@
         &self.node
     }
 
-    /// The applications, where this node owns the fleet.
+    /// The applications, where this node leads the fleet.
     pub fn book(&self) -> Option<&Book> {
         self.gateway.as_ref()?.book.as_ref()
     }
@@ -331,7 +331,7 @@
             self.with_book(now, |book, cx| book.call(cx, number, call));
             return;
         }
-        let peer = self.node.owner_among_peers().filter(|_| !from_peer);
+        let peer = self.node.leader_among_peers().filter(|_| !from_peer);
         let Some(peer) = peer else {
             let fault = Fault::new(
                 Class::Standby,
--- a/crates/reach/src/lib.rs
+++ b/crates/reach/src/lib.rs
@@ -1,4 +1,4 @@
-//! Which ways between hosts seem open: from what is sent anyway, a node judges whether a zone's workers reach the owner
+//! Which ways between hosts seem open: from what is sent anyway, a node judges whether a zone's workers reach the leader
 //! by themselves, or should be served through this node.
 //!
 //! Pure: no I/O, no clock, no randomness; times are milliseconds of the caller's steady clock. It only chooses who
@@ -6,17 +6,17 @@
 //!
 //! Taken from the field: suspicion that grows with each failure and decays with time, as in the φ accrual detector
 //! (Hayashibara et al., 2004), and the indirect way through another member once the direct one has failed, as in SWIM
-//! (Das et al., 2002). Own to this place: what is measured is not a heartbeat but workers that flee from the owner.
+//! (Das et al., 2002). Own to this place: what is measured is not a heartbeat but workers that flee from the leader.
 //!
 //! ```
-//! use reach::{Caller, Owner, Turn, Ways};
+//! use reach::{Caller, Leader, Turn, Ways};
 //! let mut ways = Ways::default();
-//! let owner = Owner { node: 2, token: 7, avoided: false };
+//! let leader = Leader { node: 2, token: 7, avoided: false };
 //! let caller = |token| Caller { machine: "m1", zone: "a", token };
-//! // It has obeyed an earlier owner only: it may simply not have found the present one yet.
-//! assert_eq!(ways.came(0, &caller(6), owner), Turn::Send);
+//! // It has obeyed an earlier leader only: it may simply not have found the present one yet.
+//! assert_eq!(ways.came(0, &caller(6), leader), Turn::Send);
 //! // It was sent there and comes back: it can't get there.
-//! assert_eq!(ways.came(6_000, &caller(6), owner), Turn::Take);
+//! assert_eq!(ways.came(6_000, &caller(6), leader), Turn::Take);
 //! ```
 
 use std::collections::HashMap;
@@ -25,11 +25,11 @@
 const MACHINES: usize = 8192;
 /// Zones that are remembered at most.
 const ZONES: usize = 64;
-/// A worker that was sent to the owner and is back within this time has not been served there.
+/// A worker that was sent to the leader and is back within this time has not been served there.
 const BACK_MS: u64 = 20_000;
 /// What is suspected falls to half in this time.
 const HALF_MS: f64 = 15_000.0;
-/// From so many failures on, machines of a zone are not sent to the owner any more.
+/// From so many failures on, machines of a zone are not sent to the leader any more.
 const SUSPECT: f64 = 1.5;
 /// How long after a failure one machine is sent there, to see whether the way is open again; doubled each time that it is not.
 const PROBE_MS: u64 = 6000;
@@ -39,7 +39,7 @@
 /// The interval is halved for each such time without a failure, so that flapping ways are not believed at once.
 const CALM_MS: u64 = 60_000;
 
-/// A worker that reports to a node which does not own the fleet.
+/// A worker that reports to a node which does not lead the fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Caller<'a> {
     pub machine: &'a str,
@@ -48,13 +48,13 @@
     pub token: u64,
 }
 
-/// Who owns the fleet, as far as the caller knows.
+/// Who leads the fleet, as far as the caller knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Owner {
+pub struct Leader {
     /// Any number that stands for its host.
     pub node: usize,
     pub token: u64,
-    /// Nobody is to be sent to it: it has heard no worker by itself since it became the owner, or has workers report by
+    /// Nobody is to be sent to it: it has heard no worker by itself since it became the leader, or has workers report by
     /// way of all nodes.
     pub avoided: bool,
 }
@@ -62,7 +62,7 @@
 /// What to do with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Turn {
-    /// Send it to the owner.
+    /// Send it to the leader.
     Send,
     /// Take its report and hand it on.
     Take,
@@ -80,7 +80,7 @@
     last: Last,
 }
 
-/// How a zone's way to the owner looks.
+/// How a zone's way to the leader looks.
 #[derive(Debug, Clone)]
 struct Zone {
     /// Failures, decaying; as of a time.
@@ -144,30 +144,30 @@
     }
 }
 
-/// What a node that does not own the fleet has seen of the workers that come to it.
+/// What a node that does not lead the fleet has seen of the workers that come to it.
 #[derive(Debug, Default)]
 pub struct Ways {
-    /// The owner, with the first of its tokens that was heard of: it may raise it, and the ways stay the same. With
-    /// another owner, all ways are others.
-    owner: Option<Owner>,
+    /// The leader, with the first of its tokens that was heard of: it may raise it, and the ways stay the same. With
+    /// another leader, all ways are others.
+    leader: Option<Leader>,
     machines: HashMap<String, Seen>,
     zones: HashMap<String, Zone>,
 }
 
 impl Ways {
-    /// A worker reports here while somebody else owns the fleet under `owner`.
-    pub fn came(&mut self, now: u64, caller: &Caller<'_>, owner: Owner) -> Turn {
-        if self.owner.is_none_or(|o| o.node != owner.node) {
+    /// A worker reports here while somebody else leads the fleet under `leader`.
+    pub fn came(&mut self, now: u64, caller: &Caller<'_>, leader: Leader) -> Turn {
+        if self.leader.is_none_or(|o| o.node != leader.node) {
             *self = Ways {
-                owner: Some(owner),
+                leader: Some(leader),
                 ..Ways::default()
             };
         }
-        let since = self.owner.map_or(owner.token, |o| o.token);
+        let since = self.leader.map_or(leader.token, |o| o.token);
         let seen = self.machines.get(caller.machine).copied();
         let back = seen.is_some_and(|s| s.last == Last::Sent && now < s.at + BACK_MS);
-        // It has obeyed this owner and does not report to it any more; or it was sent there, in vain.
-        let fled = back || (seen.is_none() && (since..=owner.token).contains(&caller.token));
+        // It has obeyed this leader and does not report to it any more; or it was sent there, in vain.
+        let fled = back || (seen.is_none() && (since..=leader.token).contains(&caller.token));
         if self.zones.len() >= ZONES && !self.zones.contains_key(caller.zone) {
             return Turn::Send;
         }
@@ -176,7 +176,7 @@
             .entry(caller.zone.to_owned())
             .or_insert_with(|| Zone::new(now));
         let stays = seen.is_some_and(|s| s.last == Last::Taken);
-        let turn = if owner.avoided {
+        let turn = if leader.avoided {
             Turn::Take
         } else if fled {
             zone.failed(now, caller.machine);
@@ -220,7 +220,7 @@
             .count()
     }
 
-    /// Whether this worker was taken lately; only such are told anything for the owner.
+    /// Whether this worker was taken lately; only such are told anything for the leader.
     pub fn serves(&self, now: u64, machine: &str) -> bool {
         self.machines
             .get(machine)
--- a/crates/standins/examples/agreed.rs
+++ b/crates/standins/examples/agreed.rs
@@ -175,7 +175,7 @@
     out
 }
 
-/// What the owner's counts and audit differ in from what the state service saw; empty if nothing.
+/// What the leader's counts and audit differ in from what the state service saw; empty if nothing.
 fn audit(world: &mut World, seen: &mut Seen) {
     world.inquire(COUNTIES.into(), json!({"tally": {"county": null}}));
     for _ in 0..40 {
--- a/crates/standins/examples/region.rs
+++ b/crates/standins/examples/region.rs
@@ -77,7 +77,7 @@
     let mut world = fleet();
     world.run_for(CALM_MS / 2);
     let starts_before = starts_in(&mut world, CALM_MS / 2);
-    let leader = world.owner_at().unwrap_or(0);
+    let leader = world.leader_at().unwrap_or(0);
     let number = if with_leader { leader } else { leader + 1 };
     let region = REGIONS[number % REGIONS.len()];
     let (inside, outside) = (Side::Zone(region.into()), Side::Outside(region.into()));
@@ -94,7 +94,7 @@
         if rate >= starts_before * 0.9 && recovered_s.is_none() {
             recovered_s = Some((ten + 1) * RUSH_MS / 1000);
         }
-        let now = world.owner_at();
+        let now = world.leader_at();
         if now.is_some() && now != last {
             (leaders, last) = (leaders + 1, now);
         }
--- a/crates/standins/src/loopback.rs
+++ b/crates/standins/src/loopback.rs
@@ -236,12 +236,12 @@
         }
     }
 
-    /// Who owns the fleet, by the record.
-    pub fn owner(&self) -> Option<String> {
+    /// Who leads the fleet, by the record.
+    pub fn leader(&self) -> Option<String> {
         let mut i = self.lock();
         let now = i.now();
         i.state.expire(now);
-        let owner = i
+        let leader = i
             .state
             .keys
             .get("sys/owner/0")?
@@ -249,7 +249,7 @@
             .get("node")?
             .as_str()?
             .to_owned();
-        Some(owner)
+        Some(leader)
     }
 
     pub fn end_of(&self, job: &str) -> Option<EndRec> {
--- a/crates/standins/src/meetings.rs
+++ b/crates/standins/src/meetings.rs
@@ -72,10 +72,10 @@
         self.rng.u64(range)
     }
 
-    /// The owner more often than any other.
+    /// The leader more often than any other.
     fn one(&mut self) -> Who {
         if self.rng.u32(0..5) < 3 {
-            Who::Owner
+            Who::Leader
         } else {
             Who::Node(self.rng.usize(0..self.nodes))
         }
@@ -267,7 +267,7 @@
             d.add(
                 at,
                 Trouble::Refused {
-                    who: Who::Owner,
+                    who: Who::Leader,
                     ms,
                 },
             );
@@ -285,7 +285,7 @@
             d.add(
                 at + refused,
                 Trouble::Refused {
-                    who: Who::Owner,
+                    who: Who::Leader,
                     ms,
                 },
             );
@@ -300,7 +300,7 @@
             d.add(
                 at,
                 Trouble::Late {
-                    who: Who::Owner,
+                    who: Who::Leader,
                     for_ms,
                     ms,
                 },
@@ -309,7 +309,7 @@
             d.add(
                 at + apart,
                 Trouble::Cut {
-                    who: Who::Owner,
+                    who: Who::Leader,
                     from: Side::Machines,
                     how: How::Hold,
                     ms,
@@ -340,13 +340,13 @@
             d.add(
                 at + apart,
                 Trouble::Crash {
-                    who: Who::Owner,
+                    who: Who::Leader,
                     back_ms,
                 },
             );
         });
     }),
-    // Transactions land late, after newer ones, also of an owner that has ended since.
+    // Transactions land late, after newer ones, also of a leader that has ended since.
     ("late-writes", |d| {
         d.jobs.cancelled = 0.5;
         d.add(
@@ -362,7 +362,7 @@
             d.add(
                 at + apart,
                 Trouble::Crash {
-                    who: Who::Owner,
+                    who: Who::Leader,
                     back_ms,
                 },
             );
@@ -381,7 +381,7 @@
             d.add(
                 at + apart,
                 Trouble::Crash {
-                    who: Who::Owner,
+                    who: Who::Leader,
                     back_ms,
                 },
             );
@@ -406,7 +406,7 @@
             d.add(
                 at,
                 Trouble::CutOff {
-                    who: Who::Owner,
+                    who: Who::Leader,
                     ms,
                 },
             );
@@ -414,7 +414,7 @@
                 d.add(
                     at + apart,
                     Trouble::CutOff {
-                        who: Who::Owner,
+                        who: Who::Leader,
                         ms: ms / 2,
                     },
                 );
@@ -430,7 +430,7 @@
                 d.add(
                     at + apart,
                     Trouble::Crash {
-                        who: Who::Owner,
+                        who: Who::Leader,
                         back_ms,
                     },
                 );
@@ -478,7 +478,7 @@
             d.add(
                 at + apart,
                 Trouble::Crash {
-                    who: Who::Owner,
+                    who: Who::Leader,
                     back_ms,
                 },
             );
--- a/crates/standins/src/meetings/machines.rs
+++ b/crates/standins/src/meetings/machines.rs
@@ -58,7 +58,7 @@
         self.add(
             at + ends,
             Trouble::Crash {
-                who: Who::Owner,
+                who: Who::Leader,
                 back_ms,
             },
         );
@@ -73,7 +73,7 @@
             d.add(
                 at + apart,
                 Trouble::Crash {
-                    who: Who::Owner,
+                    who: Who::Leader,
                     back_ms,
                 },
             );
--- a/crates/standins/src/meetings/users.rs
+++ b/crates/standins/src/meetings/users.rs
@@ -50,7 +50,7 @@
         d.add(
             at + apart,
             Trouble::Crash {
-                who: Who::Owner,
+                who: Who::Leader,
                 back_ms,
             },
         );
@@ -104,15 +104,15 @@
         let (apart, hang_ms) = (d.ms(0..1200), hang(d));
         let leader = match d.rng.u32(0..3) {
             0 => Trouble::Refused {
-                who: Who::Owner,
+                who: Who::Leader,
                 ms: d.ms(3000..12_000),
             },
             1 => Trouble::Freeze {
-                who: Who::Owner,
+                who: Who::Leader,
                 ms: d.ms(2000..9000),
             },
             _ => Trouble::Crash {
-                who: Who::Owner,
+                who: Who::Leader,
                 back_ms: d.back(),
             },
         };
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -296,7 +296,7 @@
     pub lost: u64,
     /// Results that leases ended before they were reaped.
     pub forgotten: u64,
-    /// What the owner has taken for bytes of the gateway's clients, in nanoseconds of this machine.
+    /// What the leader has taken for bytes of the gateway's clients, in nanoseconds of this machine.
     pub call_ns: Vec<u64>,
     bed: Option<Box<bed::Bed>>,
     troubles: troubles::Troubles,
@@ -859,7 +859,7 @@
         self.tuning.set(section, key, value).expect("known setting");
     }
 
-    /// Reports that came to the owner by way of a peer.
+    /// Reports that came to the leader by way of a peer.
     pub fn relayed(&self) -> u64 {
         self.hosts
             .iter()
@@ -898,8 +898,8 @@
         self.outage_until = self.now + ms;
     }
 
-    /// Which node owns the fleet and is sure of it.
-    pub fn owner_at(&self) -> Option<usize> {
+    /// Which node leads the fleet and is sure of it.
+    pub fn leader_at(&self) -> Option<usize> {
         self.hosts.iter().position(|h| {
             h.node
                 .as_ref()
@@ -1003,9 +1003,9 @@
         self.cloud.machines.contains_key(machine)
     }
 
-    /// The state service refuses whichever node owns the fleet.
-    pub fn refuse_owner(&mut self, ms: u64) {
-        let owner = |h: &&mut Host| {
+    /// The state service refuses whichever node leads the fleet.
+    pub fn refuse_leader(&mut self, ms: u64) {
+        let leader = |h: &&mut Host| {
             h.node
                 .as_ref()
                 .is_some_and(|n| n.node().role_name() == "owner")
@@ -1013,12 +1013,12 @@
         let until = self.now + ms;
         self.hosts
             .iter_mut()
-            .filter(owner)
+            .filter(leader)
             .for_each(|h| h.refused_until = until);
     }
 
-    /// The controller that owns the fleet.
-    pub fn owner(&self) -> Option<&Served> {
+    /// The controller that leads the fleet.
+    pub fn leader(&self) -> Option<&Served> {
         self.hosts
             .iter()
             .filter_map(|h| h.node.as_ref())
@@ -1725,9 +1725,9 @@
         self.users_tick();
         self.follow_models();
         self.yarn_tick();
-        self.look_for_owner();
+        self.look_for_leader();
         self.look_for_room();
-        self.steady.note(now, self.owner_at(), self.round_ms());
+        self.steady.note(now, self.leader_at(), self.round_ms());
         if self.plan.large && now.is_multiple_of(1000) {
             let on: Vec<OnMachine<'_>> = self.workers.values().flat_map(on_machine).collect();
             self.rules.all(now, &on);
@@ -2013,14 +2013,14 @@
         }
     }
 
-    /// The owner crashes as its next transaction is on its way, and comes back after a while.
-    pub fn doom_owner(&mut self) {
-        let owner = |h: &Host| {
+    /// The leader crashes as its next transaction is on its way, and comes back after a while.
+    pub fn doom_leader(&mut self) {
+        let leader = |h: &Host| {
             h.node
                 .as_ref()
                 .is_some_and(|n| n.node().role_name() == "owner")
         };
-        self.doomed = self.hosts.iter().position(owner);
+        self.doomed = self.hosts.iter().position(leader);
     }
 
     /// A node crashes as its next transaction is on its way, which comes this much later.
@@ -2102,7 +2102,7 @@
     }
 }
 
-/// Whether a transaction puts an owner record.
+/// Whether a transaction puts a leader record.
 fn takes_over(body: &[u8]) -> bool {
     let txn = wire::decode::<Value>(body).unwrap_or_default();
     let writes = txn["writes"].as_array().map_or(&[][..], Vec::as_slice);
--- a/crates/standins/src/world/troubles.rs
+++ b/crates/standins/src/world/troubles.rs
@@ -39,7 +39,7 @@
     deaf_zones: BTreeMap<&'static str, u64>,
     /// What this life of a node sends until then comes up to so much later: life, until, milliseconds.
     late: Vec<(u64, u64, u64)>,
-    pub(super) last_owner: usize,
+    pub(super) last_leader: usize,
 }
 
 impl Troubles {
@@ -52,7 +52,7 @@
             deaf: BTreeMap::new(),
             deaf_zones: BTreeMap::new(),
             late: vec![(0, 0, 0); nodes],
-            last_owner: 0,
+            last_leader: 0,
         }
     }
 
@@ -62,17 +62,17 @@
 }
 
 impl World {
-    /// Brings a trouble about now; its owner is whoever owns the fleet, or did last.
+    /// Brings a trouble about now; its leader is whoever leads the fleet, or did last.
     pub fn bring(&mut self, trouble: &Trouble) {
-        let owner = self.owner_at().unwrap_or(self.troubles.last_owner);
-        self.bring_with(trouble, owner);
+        let leader = self.leader_at().unwrap_or(self.troubles.last_leader);
+        self.bring_with(trouble, leader);
     }
 
-    pub(super) fn bring_with(&mut self, trouble: &Trouble, owner: usize) {
+    pub(super) fn bring_with(&mut self, trouble: &Trouble, leader: usize) {
         let now = self.now;
         let whom = |who: Who| match who {
             Who::Node(n) => n..n + 1,
-            Who::Owner => owner..owner + 1,
+            Who::Leader => leader..leader + 1,
             Who::All => 0..self.plan.nodes,
         };
         match trouble.clone() {
--- a/crates/standins/src/world/wires.rs
+++ b/crates/standins/src/world/wires.rs
@@ -140,9 +140,9 @@
         let Some(node) = host.node.as_mut().filter(|_| host.life == life && !cut) else {
             return;
         };
-        let (owns, begun) = (node.node().term().is_some(), std::time::Instant::now());
+        let (leads, begun) = (node.node().term().is_some(), std::time::Instant::now());
         let outs = node.raw(now, conn, event);
-        if owns {
+        if leads {
             self.call_ns.push(begun.elapsed().as_nanos() as u64);
         }
         self.carry_out(n, outs);
