--- a/crates/capacity/src/hollow/host.rs
+++ b/crates/capacity/src/hollow/host.rs
@@ -7,7 +7,7 @@
 use crate::workload::Workload;
 use standins::worker::Worker;
 use std::collections::VecDeque;
-use wire::api::{Cause, Kind, Orders, Report, TaskStage};
+use wire::api::{Cause, Heartbeat, Kind, Orders, TaskStage};
 
 /// Images that a machine keeps, the most recently used.
 const IMAGES: usize = 16;
@@ -84,12 +84,12 @@
         }
     }
 
-    pub fn report(&mut self, now: Millis) -> Report {
+    pub fn report(&mut self, now: Millis) -> Heartbeat {
         self.worker.report(now)
     }
 
     /// A report that is to be sent now, the next regular one at `next`.
-    pub fn begin_report(&mut self, now: Millis, next: Millis) -> Report {
+    pub fn begin_report(&mut self, now: Millis, next: Millis) -> Heartbeat {
         let report = self.worker.report(now);
         self.worker.changed = false;
         self.worker.told_at = now;
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -133,7 +133,7 @@
 
 /// A whole run.
 #[derive(Debug, Clone, Serialize)]
-pub struct Report {
+pub struct Heartbeat {
     pub size: Size,
     pub phases: Vec<PhaseFigures>,
     pub state: StateCounts,
@@ -152,7 +152,7 @@
     pub aims: Vec<Aim>,
 }
 
-impl Report {
+impl Heartbeat {
     /// Nothing was broken, and the run did what it says.
     pub fn is_good(&self) -> bool {
         self.rules_broken.is_empty() && self.not_done.is_empty()
--- a/crates/capacity/src/run.rs
+++ b/crates/capacity/src/run.rs
@@ -13,7 +13,7 @@
 use crate::messages::{Change, Controller, Counts, FromWorkers, TaskChange, ToWorkers};
 use crate::network::{Network, Place};
 use crate::operator::{Operator, Probe};
-use crate::report::Report;
+use crate::report::Heartbeat;
 use crate::scenario::{Fault, Phase};
 use crate::size::Size;
 use crate::timers::Timers;
@@ -180,7 +180,7 @@
 }
 
 /// Plays a run to its end.
-pub fn play(size: &Size, options: &Options) -> Result<Report, String> {
+pub fn play(size: &Size, options: &Options) -> Result<Heartbeat, String> {
     size.check()?;
     check_ports(size)?;
     let program = Program::find(options.binary.as_deref())?;
@@ -188,7 +188,7 @@
     let run = Run::start(size, program, &folder, options.quiet);
     let report = run.and_then(Run::play);
     // Logs of a run that failed are worth a look.
-    if report.as_ref().is_ok_and(Report::is_good) {
+    if report.as_ref().is_ok_and(Heartbeat::is_good) {
         let _ = std::fs::remove_dir_all(&folder);
     } else {
         eprintln!("logs and settings: {}", folder.display());
@@ -284,7 +284,7 @@
         })
     }
 
-    fn play(mut self) -> Result<Report, String> {
+    fn play(mut self) -> Result<Heartbeat, String> {
         let now = clock::now();
         for due in [Due::Tick, Due::Second, Due::Health] {
             self.timers.add(now, due);
--- a/crates/capacity/src/run/measure.rs
+++ b/crates/capacity/src/run/measure.rs
@@ -6,7 +6,7 @@
 use crate::hosts::{Messages, StateCounts};
 use crate::messages::{Change, Counts, TaskChange};
 use crate::operator::ChangeTimes;
-use crate::report::{PhaseFigures, Quantiles, Report, RoleUsage, TaskChanges, WorkerFigures};
+use crate::report::{Heartbeat, PhaseFigures, Quantiles, RoleUsage, TaskChanges, WorkerFigures};
 use crate::scenario::Phase;
 use crate::users::Times;
 use std::collections::BTreeMap;
@@ -266,9 +266,9 @@
         f.cloud_requests = (to.cloud.count - from.cloud.count) as f64 / seconds;
     }
 
-    pub(super) fn report(self) -> Report {
+    pub(super) fn report(self) -> Heartbeat {
         let broken = self.checker.broken().iter();
-        let mut report = Report {
+        let mut report = Heartbeat {
             rules_broken: broken
                 .map(|(rule, what)| ((*rule).to_owned(), what.clone()))
                 .collect(),
--- a/crates/capacity/src/run/phases.rs
+++ b/crates/capacity/src/run/phases.rs
@@ -4,7 +4,7 @@
 use crate::checker::SETTLED_MS;
 use crate::clock::{self, Millis};
 use crate::messages::ToWorkers;
-use crate::report::Report;
+use crate::report::Heartbeat;
 use crate::scenario::{self, Fault, Kind, Phase};
 use crate::size::Size;
 use crate::users::{Next, Question};
@@ -320,7 +320,7 @@
     }
 
     /// The last checks, and the report.
-    pub(super) fn finish(mut self) -> Report {
+    pub(super) fn finish(mut self) -> Heartbeat {
         let now = clock::now();
         self.checker.check(now + SETTLED_MS);
         let (live, silent) = self
--- a/crates/capacity/src/slopes.rs
+++ b/crates/capacity/src/slopes.rs
@@ -1,7 +1,7 @@
 //! What grows with what: runs of several sizes, each figure fitted by workers, jobs, starts and changes.
 
 use crate::plot::{self, Line};
-use crate::report::{PhaseFigures, Report};
+use crate::report::{Heartbeat, PhaseFigures};
 use crate::run::{self, Options};
 use crate::size::{Scenario, Size};
 use comfy_table::{Table, presets};
@@ -127,13 +127,13 @@
 /// The runs and their fits.
 #[derive(Debug, Serialize)]
 pub struct Slopes {
-    pub runs: Vec<Report>,
+    pub runs: Vec<Heartbeat>,
     pub fits: Vec<Fit>,
 }
 
 impl Slopes {
     pub fn is_good(&self) -> bool {
-        self.runs.iter().all(Report::is_good)
+        self.runs.iter().all(Heartbeat::is_good)
     }
 
     /// The fits as a table for a page.
@@ -186,7 +186,7 @@
     Ok(Slopes { runs, fits })
 }
 
-fn draw(path: &Path, runs: &[Report]) -> Result<(), String> {
+fn draw(path: &Path, runs: &[Heartbeat]) -> Result<(), String> {
     let line = |phase: &str, role: &str, figure: fn(&PhaseFigures) -> f64| Line {
         name: format!("{role}, {phase}"),
         points: runs
--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -1,6 +1,6 @@
 //! What workers say and are told.
 //!
-//! Orders are derived from the difference between the recorded claims and the newest report, so that a lost
+//! Orders are derived from the difference between the recorded claims and the newest heartbeat, so that a lost
 //! message only costs time.
 
 use crate::agents::machine::{Claim, ClaimState, Exited, Machine};
@@ -11,13 +11,13 @@
 use crate::store::claim_log::ClaimId;
 use crate::{Node, Pending};
 use std::collections::BTreeSet;
-use wire::api::{Cause, Kind, Order, Orders, Redirect, Report, TaskStage};
+use wire::api::{Cause, Heartbeat, Kind, Order, Orders, Redirect, TaskStage};
 use wire::http::Response;
 use wire::ids;
 
 const DIRECT_TIMEOUT_MS: u64 = 2000;
 
-/// What a report is answered.
+/// What a heartbeat is answered.
 pub(crate) enum HeartbeatReply {
     /// The body of a 200.
     Orders(Vec<u8>),
@@ -25,16 +25,16 @@
 }
 
 impl Node {
-    pub(crate) fn hello(&mut self, conn: u64, body: &[u8]) {
-        let report: Report = match wire::decode(body) {
+    pub(crate) fn heartbeat_received(&mut self, conn: u64, body: &[u8]) {
+        let heartbeat: Heartbeat = match wire::decode(body) {
             Ok(r) => r,
             Err(e) => return self.refuse(conn, 400, &e.to_string()),
         };
         if self.shard.is_none() {
-            if let Some(body) = self.keeps(&report) {
+            if let Some(body) = self.keeps(&heartbeat) {
                 return self.respond(conn, 200, body, None);
             }
-            if self.takes(conn, &report, body) {
+            if self.takes(conn, &heartbeat, body) {
                 return;
             }
             return match self.leader_name().filter(|o| *o != self.settings.node) {
@@ -47,25 +47,29 @@
                 None => self.refuse(conn, 503, "no owner yet"),
             };
         }
-        if let Some(node) = self.moved_to(&report) {
+        if let Some(node) = self.moved_to(&heartbeat) {
             let body = wire::encode(&Redirect {
                 report_to: Some(node),
             });
             return self.respond(conn, 421, body, None);
         }
-        match self.take_report(&report, None) {
+        match self.take_heartbeat(&heartbeat, None) {
             HeartbeatReply::Orders(body) => self.respond(conn, 200, body, None),
             HeartbeatReply::Refused(why) => self.refuse(conn, 503, why),
         }
     }
 
-    /// A report to the leader, from the worker itself or by way of a peer.
-    pub(crate) fn take_report(&mut self, report: &Report, via: Option<usize>) -> HeartbeatReply {
+    /// A heartbeat to the leader, from the worker itself or by way of a peer.
+    pub(crate) fn take_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        via: Option<usize>,
+    ) -> HeartbeatReply {
         let Some(shard) = &self.shard else {
             return HeartbeatReply::Refused("not the owner");
         };
-        if report.token > shard.token {
-            return HeartbeatReply::Refused(self.outranked(report.token));
+        if heartbeat.token > shard.token {
+            return HeartbeatReply::Refused(self.outranked(heartbeat.token));
         }
         let token = shard.token;
         if !shard.loaded {
@@ -81,8 +85,8 @@
         if !self.may_renew() {
             return HeartbeatReply::Refused("not sure for too long");
         }
-        let orders = match self.reporter(report) {
-            Some(m) if self.heard(m, report, via) => {
+        let orders = match self.sender_of(heartbeat) {
+            Some(m) if self.heard(m, heartbeat, via) => {
                 let orders = self.orders_for(m);
                 self.note_unacknowledged_start(m, &orders);
                 orders
@@ -99,7 +103,7 @@
         }))
     }
 
-    /// A start in the answer to a report may overtake a command, or be overtaken: until the next report, what a worker
+    /// A start in the answer to a heartbeat may overtake a command, or be overtaken: until the next heartbeat, what a worker
     /// answers to commands proves nothing about it.
     fn note_unacknowledged_start(&mut self, m: usize, orders: &[Order]) {
         if orders.iter().any(|o| matches!(o, Order::Start { .. }))
@@ -109,9 +113,9 @@
         }
     }
 
-    /// A report that a worker has made of itself; true if it is the newest. It waits for no answer to an earlier one
+    /// A heartbeat that a worker has made of itself; true if it is the newest. It waits for no answer to an earlier one
     /// any more, so nothing of that can still be executed.
-    fn heard(&mut self, m: usize, report: &Report, via: Option<usize>) -> bool {
+    fn heard(&mut self, m: usize, heartbeat: &Heartbeat, via: Option<usize>) -> bool {
         let Some(shard) = &mut self.shard else {
             return false;
         };
@@ -120,23 +124,23 @@
         let Some(machine) = shard.machine_mut(m) else {
             return false;
         };
-        if (report.session, report.seq) > machine.seen {
+        if (heartbeat.session, heartbeat.seq) > machine.seen {
             machine.via = via;
-            machine.reported_at = now;
-            // It has heard of us after that first report, if it obeys a token now that it did not know then.
+            machine.heartbeat_at = now;
+            // It has heard of us after that first heartbeat, if it obeys a token now that it did not know then.
             machine.unconfirmed_token = machine
                 .unconfirmed_token
-                .filter(|token| *token >= ours || report.token < ours);
+                .filter(|token| *token >= ours || heartbeat.token < ours);
             if machine
                 .unacknowledged_start
                 .is_some_and(|unacknowledged_start| {
-                    unacknowledged_start < (report.session, report.seq)
+                    unacknowledged_start < (heartbeat.session, heartbeat.seq)
                 })
             {
                 machine.unacknowledged_start = None;
             }
         }
-        self.absorb(m, report)
+        self.absorb(m, heartbeat)
     }
 
     /// Its worker obeys a higher token than ours. While sure of our lease that can only be a stray number, and
@@ -158,18 +162,21 @@
         "not the owner any more"
     }
 
-    /// The machine that a report comes from; one that nobody expected is taken in.
-    fn reporter(&mut self, report: &Report) -> Option<usize> {
+    /// The machine that a heartbeat comes from; one that nobody expected is taken in.
+    fn sender_of(&mut self, heartbeat: &Heartbeat) -> Option<usize> {
         let now = self.now;
         let shard = self.shard.as_mut()?;
-        if let Some(m) = shard.machine_index.get(&report.machine) {
+        if let Some(m) = shard.machine_index.get(&heartbeat.machine) {
             return Some(*m);
         }
-        if shard.returned.contains_key(&report.machine) || !name_ok(&report.machine) {
+        if shard.returned.contains_key(&heartbeat.machine) || !name_ok(&heartbeat.machine) {
             return None;
         }
-        log::info!("machine {}: reports unexpectedly, taken in", report.machine);
-        let r = report;
+        log::info!(
+            "machine {}: heartbeats unexpectedly, taken in",
+            heartbeat.machine
+        );
+        let r = heartbeat;
         let mut machine = Machine::unrecorded(
             &r.machine,
             &r.machine_type,
@@ -185,8 +192,8 @@
         Some(m)
     }
 
-    /// Takes in a report, unless a newer one was seen. True if it is the newest.
-    pub(crate) fn absorb(&mut self, m: usize, report: &Report) -> bool {
+    /// Takes in a heartbeat, unless a newer one was seen. True if it is the newest.
+    pub(crate) fn absorb(&mut self, m: usize, heartbeat: &Heartbeat) -> bool {
         let now = self.now.mono;
         let mut changed: BTreeSet<JobIndex> = BTreeSet::new();
         let Some(shard) = &mut self.shard else {
@@ -196,16 +203,16 @@
         let Some(machine) = shard.machines.get_mut(m).and_then(Option::as_mut) else {
             return false;
         };
-        if (report.session, report.seq) <= machine.seen {
+        if (heartbeat.session, heartbeat.seq) <= machine.seen {
             return false;
         }
-        machine.seen = (report.session, report.seq);
+        machine.seen = (heartbeat.session, heartbeat.seq);
         machine.heard_at = now;
-        // Answers to reports of an earlier session are dropped. A worker that answers commands alone says no more of it.
+        // Answers to heartbeats of an earlier session are dropped. A worker that answers commands alone says no more of it.
         machine.unacknowledged_start = machine
             .unacknowledged_start
-            .filter(|(session, _)| *session >= report.session);
-        machine.addr = report.addr.parse().ok().or(machine.addr);
+            .filter(|(session, _)| *session >= heartbeat.session);
+        machine.addr = heartbeat.addr.parse().ok().or(machine.addr);
         if !machine.up {
             machine.up = true;
             machine.idle_since = now;
@@ -214,7 +221,7 @@
         }
         if machine
             .unanswered_command
-            .is_some_and(|(t, session)| report.token > t || report.session > session)
+            .is_some_and(|(t, session)| heartbeat.token > t || heartbeat.session > session)
         {
             machine.unanswered_command = None;
             shard.plan_due = true;
@@ -224,20 +231,20 @@
         let quiet = machine.direct.is_none()
             && machine.unacknowledged_start.is_none()
             && machine.unanswered_command.is_none();
-        let proof = report.token >= token && quiet;
-        let noticed = report
+        let proof = heartbeat.token >= token && quiet;
+        let noticed = heartbeat
             .notice_s
             .filter(|n| n.is_finite() && *n >= 0.0)
             .map(|n| now + (n * 1000.0) as u64);
         let new_notice = noticed.is_some() && machine.notice_until.is_none();
         machine.notice_until = noticed.or(machine.notice_until);
 
-        let mut listed: Vec<(JobIndex, u32, u64)> = Vec::with_capacity(report.tasks.len());
+        let mut listed: Vec<(JobIndex, u32, u64)> = Vec::with_capacity(heartbeat.tasks.len());
         let mut exited = Vec::new();
         let mut ends: Vec<(usize, Option<Cause>, bool)> = Vec::new();
         let mut strays: Vec<Claim> = Vec::new();
         let mut finished: Vec<(JobIndex, u32)> = Vec::new();
-        for t in &report.tasks {
+        for t in &heartbeat.tasks {
             let Some((id, task)) = ids::parse_task(&t.task) else {
                 continue;
             };
@@ -267,8 +274,8 @@
                 continue;
             }
             let Some(k) = found else {
-                // A report from before our time may be a copy of one that was overtaken long ago.
-                if report.token < token {
+                // A heartbeat from before our time may be a copy of one that was overtaken long ago.
+                if heartbeat.token < token {
                     continue;
                 }
                 // Not expected to happen; it counts and is stopped all the same.
@@ -328,8 +335,8 @@
                 }
                 // One that was read back may have ended and been reaped before our time.
                 // Nor is an attempt begun in two sessions: what it came to in the first would be taken for its end in
-                // the second, where a copy of an old report comes to a later leader.
-                let earlier = claim.session < report.session;
+                // the second, where a copy of an old heartbeat comes to a later leader.
+                let earlier = claim.session < heartbeat.session;
                 if claim.stage.is_some() || claim.stop.is_some() || claim.loaded || earlier {
                     ends.push((k, None, false));
                 } else {
@@ -537,7 +544,7 @@
         let may_start = machine.unanswered_command.is_none()
             && !machine.deleting
             && !machine.is_heartbeat_overdue(now, silent);
-        // Two ways at once would make an absence in a report prove nothing.
+        // Two ways at once would make an absence in a heartbeat prove nothing.
         if machine.direct.is_some() {
             return orders;
         }
@@ -641,7 +648,7 @@
         machine.claims.iter().filter_map(stop).collect()
     }
 
-    /// Tells workers at once what they would otherwise hear with their next report.
+    /// Tells workers at once what they would otherwise hear with their next heartbeat.
     pub(crate) fn push_orders(&mut self) {
         if !self.may_decide() {
             return;
@@ -686,15 +693,15 @@
         }
     }
 
-    /// The report that answers a command, executed or not.
-    fn command_report(&mut self, response: Option<Response>) -> Option<Report> {
+    /// The heartbeat that answers a command, executed or not.
+    fn command_heartbeat(&mut self, response: Option<Response>) -> Option<Heartbeat> {
         let response = response.filter(|r| r.status == 200 || r.status == 409)?;
         self.read("worker", &response)
     }
 
     pub(crate) fn direct_received(&mut self, m: usize, serial: u64, response: Option<Response>) {
         let unsent = response.as_ref().is_some_and(|r| r.status == NOT_SENT);
-        let report = self.command_report(response);
+        let heartbeat = self.command_heartbeat(response);
         let Some(shard) = &mut self.shard else { return };
         let token = shard.token;
         let Some(machine) = shard.machine_mut(m) else {
@@ -704,12 +711,12 @@
             return;
         }
         machine.direct = None;
-        match report {
-            Some(report) if report.machine == machine.name => {
+        match heartbeat {
+            Some(heartbeat) if heartbeat.machine == machine.name => {
                 machine.unconfirmed_token = None;
-                self.absorb(m, &report);
+                self.absorb(m, &heartbeat);
             }
-            // Nothing of it can ever be executed; its next report brings what is missing to light.
+            // Nothing of it can ever be executed; its next heartbeat brings what is missing to light.
             _ if unsent => {}
             _ => {
                 // It may be executed minutes from now. Only a higher token, once the worker has seen it, rules
@@ -721,7 +728,7 @@
         }
     }
 
-    /// Asks a worker for its report, by a command: it also shows our token to a worker that still obeys an earlier one.
+    /// Asks a worker for its heartbeat, by a command: it also shows our token to a worker that still obeys an earlier one.
     /// All that it orders are stops of what was cancelled, so that it can be executed at any time without harm, and a
     /// machine that hung hears of them first.
     pub(crate) fn probe_machine(&mut self, m: usize) {
@@ -762,7 +769,7 @@
     }
 
     pub(crate) fn show_received(&mut self, m: usize, serial: u64, response: Option<Response>) {
-        let report = self.command_report(response);
+        let heartbeat = self.command_heartbeat(response);
         let now = self.now.mono;
         let silent = self.silent_ms();
         let Some(machine) = self.shard.as_mut().and_then(|p| p.machine_mut(m)) else {
@@ -773,12 +780,12 @@
         }
         machine.probe = None;
         let direct = machine.via.is_none();
-        if let Some(report) = report.filter(|r| r.machine == machine.name) {
+        if let Some(heartbeat) = heartbeat.filter(|r| r.machine == machine.name) {
             machine.unconfirmed_token = None;
             if let Some(shard) = self.shard.as_mut().filter(|_| direct) {
                 shard.heard_itself = true;
             }
-            self.absorb(m, &report);
+            self.absorb(m, &heartbeat);
             return;
         }
         let gap = now.saturating_sub(machine.heard_at);
@@ -810,10 +817,10 @@
         machine.deleting = true;
     }
 
-    /// A machine that says nothing for so long is asked. Reports come a quarter late at times.
+    /// A machine that says nothing for so long is asked. Heartbeats come a quarter late at times.
     pub(crate) fn silent_ms(&self) -> u64 {
-        let reports = self.settings.cluster.workers.report_s * 1.5 + 1.0;
-        (self.tuning.silent_s.max(reports) * 1000.0) as u64
+        let heartbeats = self.settings.cluster.workers.report_s * 1.5 + 1.0;
+        (self.tuning.silent_s.max(heartbeats) * 1000.0) as u64
     }
 }
 
--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -86,18 +86,18 @@
     pub size: usize,
     pub recorded: bool,
     pub addr: Option<SocketAddr>,
-    /// The peer by way of which its worker reports, if not by itself.
+    /// The peer by way of which its worker heartbeats, if not by itself.
     pub via: Option<usize>,
-    /// A report whose answer carried a start, which may still be on its way to the worker.
+    /// A heartbeat whose answer carried a start, which may still be on its way to the worker.
     pub unacknowledged_start: Option<(u64, u64)>,
     /// Its worker has reported to us.
     pub up: bool,
-    /// All that speaks for it is a report, made under this token, which may be a copy of one that is long past: it gets
+    /// All that speaks for it is a heartbeat, made under this token, which may be a copy of one that is long past: it gets
     /// no tasks until its worker has answered us.
     pub unconfirmed_token: Option<u64>,
     pub heard_at: u64,
     /// When its worker last reported, by itself or by way of a peer. Answers to commands renew no lease.
-    pub reported_at: u64,
+    pub heartbeat_at: u64,
     /// Session and number of the newest message.
     pub seen: (u64, u64),
     pub notice_until: Option<u64>,
@@ -139,7 +139,7 @@
             up: false,
             unconfirmed_token: None,
             heard_at: 0,
-            reported_at: 0,
+            heartbeat_at: 0,
             seen: (0, 0),
             notice_until: None,
             claims: Vec::new(),
@@ -194,7 +194,7 @@
 
     /// Its worker may have told nobody for so long that its lease is ending, though it answers commands.
     pub fn is_heartbeat_overdue(&self, now: u64, silent_ms: u64) -> bool {
-        now.saturating_sub(self.reported_at) > silent_ms
+        now.saturating_sub(self.heartbeat_at) > silent_ms
     }
 
     /// Claims whose start was never sent, nor will be by an earlier leader.
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -1,8 +1,8 @@
-//! Reports that come to a node which does not lead the fleet, from workers that can't reach the one that does: forwarded to
+//! Heartbeats that come to a node which does not lead the fleet, from workers that can't reach the one that does: forwarded to
 //! the leader, many to a message, and its orders handed back within the time that a worker waits. Commands to such
 //! workers go the same way.
 //!
-//! A relayed report is the worker's own, with its session and number, and a relayed answer is the leader's own, with
+//! A relayed heartbeat is the worker's own, with its session and number, and a relayed answer is the leader's own, with
 //! its token: a relay judges, renews and orders nothing. It asks only the leader, so that nothing goes in circles.
 
 use crate::agents::heartbeat::HeartbeatReply;
@@ -11,11 +11,11 @@
 use reach::{Caller, Leader, Turn, Ways};
 use serde_bytes::ByteBuf;
 use std::net::SocketAddr;
-use wire::api::Report;
+use wire::api::Heartbeat;
 use wire::http::Response;
 use wire::peer::{self, Answer, Ask};
 
-/// Reports in a message, their bytes, and messages that are out at once. What is beyond is refused: relays are the
+/// Heartbeats in a message, their bytes, and messages that are out at once. What is beyond is refused: relays are the
 /// first thing that overload sheds.
 const BATCH: usize = 32;
 const BATCH_BYTES: usize = 256 << 10;
@@ -45,8 +45,8 @@
         self.tuning.relays > 0.0
     }
 
-    /// A report to a node that does not lead the fleet: true if it is forwarded.
-    pub(crate) fn takes(&mut self, conn: u64, report: &Report, body: &[u8]) -> bool {
+    /// A heartbeat to a node that does not lead the fleet: true if it is forwarded.
+    pub(crate) fn takes(&mut self, conn: u64, heartbeat: &Heartbeat, body: &[u8]) -> bool {
         let now = self.now.mono;
         let leader = self.leader_peer().zip(self.leader_token());
         let Some((node, token)) = leader.filter(|_| self.relays() && now >= self.relay.rests_until)
@@ -59,9 +59,9 @@
             avoided: self.hears_no_agents(node) || self.is_spread(),
         };
         let caller = Caller {
-            machine: &report.machine,
-            zone: &report.zone,
-            token: report.token,
+            machine: &heartbeat.machine,
+            zone: &heartbeat.zone,
+            token: heartbeat.token,
         };
         if self.relay.ways.came(now, &caller, leader) == Turn::Send {
             return false;
@@ -85,11 +85,11 @@
             return self.refuse_queue();
         };
         self.relay.bytes = 0;
-        let (conns, reports): (Vec<u64>, Vec<ByteBuf>) = self.relay.queue.drain(..).unzip();
+        let (conns, heartbeats): (Vec<u64>, Vec<ByteBuf>) = self.relay.queue.drain(..).unzip();
         self.relay.out += 1;
         let body = peer::encode(&Ask::Reports {
             node: self.settings.node.clone(),
-            reports,
+            reports: heartbeats,
         });
         let to = Destination::Peer(peer);
         self.send(
@@ -127,14 +127,14 @@
         }
     }
 
-    /// Reports that a peer hands on. What can't be taken is refused one by one, and nothing else is lost.
-    pub(crate) fn relayed_reports_received(
+    /// Heartbeats that a peer hands on. What can't be taken is refused one by one, and nothing else is lost.
+    pub(crate) fn relayed_heartbeats_received(
         &mut self,
         conn: u64,
         node: &str,
-        reports: Vec<ByteBuf>,
+        heartbeats: Vec<ByteBuf>,
     ) {
-        let peer = self.peer_named(node).filter(|_| reports.len() <= BATCH);
+        let peer = self.peer_named(node).filter(|_| heartbeats.len() <= BATCH);
         let Some(peer) = peer else {
             self.stats.bad_answers += 1;
             return self.refuse(conn, 400, "reports: from nobody we know, or too many");
@@ -142,7 +142,7 @@
         if self.shard.is_none() {
             return self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
         }
-        let bodies = reports
+        let bodies = heartbeats
             .iter()
             .map(|body| self.forwarded(peer, body))
             .collect();
@@ -150,12 +150,12 @@
     }
 
     fn forwarded(&mut self, peer: usize, body: &[u8]) -> ByteBuf {
-        let Ok(report) = wire::decode::<Report>(body) else {
+        let Ok(heartbeat) = wire::decode::<Heartbeat>(body) else {
             self.stats.bad_answers += 1;
             return ByteBuf::new();
         };
         self.stats.relayed += 1;
-        match self.take_report(&report, Some(peer)) {
+        match self.take_heartbeat(&heartbeat, Some(peer)) {
             HeartbeatReply::Orders(body) => ByteBuf::from(body),
             HeartbeatReply::Refused(_) => ByteBuf::new(),
         }
@@ -195,7 +195,7 @@
         self.respond(conn, 200, peer::encode(&answer), None);
     }
 
-    /// A command to a worker, by way of the node that it reports to.
+    /// A command to a worker, by way of the node that it heartbeats to.
     pub(crate) fn command(
         &mut self,
         m: usize,
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -1,15 +1,15 @@
-//! Which controller a worker reports to.
+//! Which controller a worker heartbeats to.
 //!
-//! A small fleet reports to the leader. With more machines than an operator's setting allows, the leader sends its
-//! workers to the other controllers, which hand their reports on in batches ([`crate::agents::relay`]): the leader then serves
-//! a few connections instead of thousands. Only the way changes. A report that is forwarded is the worker's own, and
+//! A small fleet heartbeats to the leader. With more machines than an operator's setting allows, the leader sends its
+//! workers to the other controllers, which hand their heartbeats on in batches ([`crate::agents::relay`]): the leader then serves
+//! a few connections instead of thousands. Only the way changes. A heartbeat that is forwarded is the worker's own, and
 //! its answer is the leader's own, with its token.
 
 use crate::Node;
 use crate::store::rate_budget::Bucket;
 use reach::{Caller, Leader, Turn, Ways};
 use std::hash::{DefaultHasher, Hash, Hasher};
-use wire::api::Report;
+use wire::api::Heartbeat;
 
 /// Workers that the leader sends to another controller in a second, so that they don't all arrive at once.
 const MOVES_PER_S: f64 = 50.0;
@@ -21,10 +21,10 @@
     avoided: false,
 };
 const UNSEEN_TOKEN: u64 = 0;
-/// Reports are spread until this part of the machines that spread them is left.
+/// Heartbeats are spread until this part of the machines that spread them is left.
 const SPREAD_UNTIL: f64 = 0.8;
 
-/// Whether reports go by way of all controllers, as far as this one knows.
+/// Whether heartbeats go by way of all controllers, as far as this one knows.
 pub(crate) struct Routing {
     is_spread: bool,
     moves: Bucket,
@@ -43,7 +43,7 @@
 }
 
 impl Node {
-    /// Whether workers report to any controller, by the leader's last word.
+    /// Whether workers heartbeat to any controller, by the leader's last word.
     pub(crate) fn is_spread(&self) -> bool {
         self.routing.is_spread && self.relays()
     }
@@ -68,26 +68,28 @@
         };
         let is_spread = machines > most && !self.settings.peers.is_empty();
         if is_spread != self.routing.is_spread {
-            log::info!("reports by way of all controllers: {is_spread}, for {machines} machines");
+            log::info!(
+                "heartbeats by way of all controllers: {is_spread}, for {machines} machines"
+            );
             self.routing.is_spread = is_spread;
         }
     }
 
-    /// The controller that a worker which reports to the leader should rather report to. One that comes back is left
+    /// The controller that a worker which heartbeats to the leader should rather heartbeat to. One that comes back is left
     /// with the leader, and others of its zone too until one of them got there.
-    pub(crate) fn moved_to(&mut self, report: &Report) -> Option<String> {
+    pub(crate) fn moved_to(&mut self, heartbeat: &Heartbeat) -> Option<String> {
         let now = self.now.mono;
         if !self.is_spread() || !self.may_decide() || self.routing.moves.level(now) < 1.0 {
             return None;
         }
         let shard = self.shard.as_ref()?;
-        if !shard.machine_index.contains_key(&report.machine) {
+        if !shard.machine_index.contains_key(&heartbeat.machine) {
             return None;
         }
-        let peer = self.relay_for(report)?;
+        let peer = self.relay_for(heartbeat)?;
         let caller = Caller {
-            machine: &report.machine,
-            zone: &report.zone,
+            machine: &heartbeat.machine,
+            zone: &heartbeat.zone,
             token: UNSEEN_TOKEN,
         };
         if self.routing.ways.came(now, &caller, OTHERS) == Turn::Take {
@@ -98,14 +100,14 @@
     }
 
     /// One of the controllers that were heard of lately: in the worker's zone if there is one, else by its name.
-    fn relay_for(&self, report: &Report) -> Option<usize> {
+    fn relay_for(&self, heartbeat: &Heartbeat) -> Option<usize> {
         let peers = 0..self.settings.peers.len();
         let alive: Vec<usize> = peers.filter(|peer| self.is_heard(*peer)).collect();
-        let in_zone = |peer: &&usize| self.settings.peers[**peer].zone == report.zone;
+        let in_zone = |peer: &&usize| self.settings.peers[**peer].zone == heartbeat.zone;
         let near: Vec<usize> = alive.iter().filter(in_zone).copied().collect();
         let able = if near.is_empty() { alive } else { near };
         let mut hasher = DefaultHasher::new();
-        report.machine.hash(&mut hasher);
+        heartbeat.machine.hash(&mut hasher);
         let index = hasher.finish().checked_rem(able.len() as u64)?;
         able.get(index as usize).copied()
     }
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -48,7 +48,7 @@
         let path = request.path.split('?').next().unwrap_or("");
         let job = path.strip_prefix("/work/");
         match (request.method.as_str(), path, job) {
-            ("POST", "/hello", _) => self.hello(conn, &request.body),
+            ("POST", "/hello", _) => self.heartbeat_received(conn, &request.body),
             ("POST", "/work", _) => self.sent_in(conn, &request.body),
             ("GET", "/ready", _) => self.ready(conn),
             ("GET", _, Some(id)) if !id.contains('/') => {
@@ -440,7 +440,7 @@
                 );
             }
             Some(Ask::Reports { node, reports }) => {
-                self.relayed_reports_received(conn, &node, reports)
+                self.relayed_heartbeats_received(conn, &node, reports)
             }
             Some(Ask::Tell {
                 machine,
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -533,7 +533,7 @@
             .max(self.hint.as_ref().map_or(0, |h| h.token))
     }
 
-    /// The node that workers should report to.
+    /// The node that workers should heartbeat to.
     pub(crate) fn leader_name(&self) -> Option<String> {
         self.leader_announced().map(|(_, node)| node.to_owned())
     }
--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -1,6 +1,6 @@
 //! How long a leader may keep workers' leases alive.
 //!
-//! A worker kills its tasks once the last report that was answered was sent more than `lease_s` ago, so each answer
+//! A worker kills its tasks once the last heartbeat that was answered was sent more than `lease_s` ago, so each answer
 //! lets them live that much longer. A leader that can't renew its own lease hears of no cancel that a later leader
 //! tells users; what it renews must be gone within `cancel_s` of the first such cancel. Derived in docs/safety.md.
 //!
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -7,7 +7,7 @@
 
 use crate::Node;
 use crate::leadership::lease_bound::bound_ms;
-use wire::api::{Orders, Report};
+use wire::api::{Heartbeat, Orders};
 use wire::peer::LeaseDelegation;
 
 /// More machines than this are not named one by one: then nobody is.
@@ -54,15 +54,15 @@
     }
 
     /// The answer of a lease delegate, if it may give one. It waits until a later leader had time to be found.
-    pub(crate) fn keeps(&self, report: &Report) -> Option<Vec<u8>> {
+    pub(crate) fn keeps(&self, heartbeat: &Heartbeat) -> Option<Vec<u8>> {
         let Delegation { asked, delegation } = self.delegation.as_ref()?;
         let workers = &self.settings.cluster.workers;
         let from = asked + (workers.lease_s * 250.0) as u64;
         let until = asked + bound_ms(workers);
         let in_time = (from..until).contains(&self.now.mono);
-        let highest = report.token.max(self.highest_token());
-        let ours = report.zone == self.settings.zone && highest <= delegation.token;
-        let kept = in_time && ours && !delegation.except.contains(&report.machine);
+        let highest = heartbeat.token.max(self.highest_token());
+        let ours = heartbeat.zone == self.settings.zone && highest <= delegation.token;
+        let kept = in_time && ours && !delegation.except.contains(&heartbeat.machine);
         kept.then(|| {
             wire::encode(&Orders {
                 token: delegation.token,
--- a/crates/control/src/provisioning/fleet.rs
+++ b/crates/control/src/provisioning/fleet.rs
@@ -13,7 +13,7 @@
 const STAND_BACK_MEMORY_MS: u64 = 180_000;
 /// Silence is looked for this often.
 const LOOK_MS: u64 = 500;
-/// Machines that answer commands and report nothing are asked this often what became of their tasks.
+/// Machines that answer commands and heartbeat nothing are asked this often what became of their tasks.
 const MUTE_MS: u64 = 2000;
 /// When a new leader asks machines that it has not heard of, and how many at a time.
 const CALL_AFTER_MS: u64 = 500;
@@ -444,7 +444,7 @@
         }
     }
 
-    /// Which zones seem to be cut off: those where a third of the machines is later than reports ever are. That is
+    /// Which zones seem to be cut off: those where a third of the machines is later than heartbeats ever are. That is
     /// enough, since the first machines would be returned before half of them are late.
     pub(crate) fn look_at_zones(&mut self) {
         let now = self.now.mono;
@@ -460,7 +460,7 @@
         {
             let (up, quiet, relayed) = zones.entry(machine.zone.as_str()).or_default();
             *up += 1;
-            // Where all reports go by way of peers, that says nothing of a zone.
+            // Where all heartbeats go by way of peers, that says nothing of a zone.
             *relayed += u32::from(machine.via.is_some() && !is_spread);
             *quiet += u32::from(now.saturating_sub(machine.heard_at) > late);
         }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -370,7 +370,7 @@
         shard.loaded = true;
         shard.since = now;
         for machine in shard.machines.iter_mut().flatten() {
-            (machine.heard_at, machine.reported_at) = (now, now);
+            (machine.heard_at, machine.heartbeat_at) = (now, now);
         }
         shard.drop_overtaken();
         log::info!(
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -1,6 +1,6 @@
 //! A worker as the protocol describes it: tokens, sessions, leases, attempts, reaping.
 
-use wire::api::{Cause, Order, Orders, Report, TaskReport, TaskStage};
+use wire::api::{Cause, Heartbeat, Order, Orders, TaskStage, TaskStatus};
 
 #[derive(Debug, Clone)]
 pub struct Task {
@@ -84,9 +84,9 @@
         }
     }
 
-    pub fn report(&mut self, now: u64) -> Report {
+    pub fn report(&mut self, now: u64) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: self.addr.clone(),
             machine_type: self.machine_type.clone(),
@@ -101,7 +101,7 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|t| TaskReport {
+                .map(|t| TaskStatus {
                     task: t.name.clone(),
                     attempt: t.attempt,
                     stage: t.stage,
--- a/crates/standins/src/world/late.rs
+++ b/crates/standins/src/world/late.rs
@@ -2,7 +2,7 @@
 //! reports.
 
 use super::{Ev, Origin, World};
-use wire::api::Report;
+use wire::api::Heartbeat;
 use wire::http::Request;
 
 /// What is late now.
@@ -13,7 +13,7 @@
     /// The same of answers to reports.
     answers: (u64, u64),
     /// All reports that were sent, once a test wants them.
-    reports: Option<Vec<Report>>,
+    reports: Option<Vec<Heartbeat>>,
 }
 
 impl Late {
@@ -33,7 +33,7 @@
         }
     }
 
-    pub(super) fn reported(&mut self, report: &Report) {
+    pub(super) fn reported(&mut self, report: &Heartbeat) {
         if let Some(reports) = &mut self.reports {
             reports.push(report.clone());
         }
@@ -64,12 +64,12 @@
         self.late.reports.get_or_insert_default();
     }
 
-    pub fn reports(&self) -> &[Report] {
+    pub fn reports(&self) -> &[Heartbeat] {
         self.late.reports.as_deref().unwrap_or_default()
     }
 
     /// A copy of a report comes to a node. Its worker waits for no answer to it.
-    pub fn copy(&mut self, report: &Report, node: usize) {
+    pub fn copy(&mut self, report: &Heartbeat, node: usize) {
         let origin = Origin::Worker {
             name: report.machine.clone(),
             number: 0,
--- a/crates/wire/src/api.rs
+++ b/crates/wire/src/api.rs
@@ -220,7 +220,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "piece")]
     pub task: String,
     #[serde(rename = "try")]
@@ -234,7 +234,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "burrow")]
     pub machine: String,
     pub addr: String,
@@ -253,7 +253,7 @@
     #[serde(rename = "warningS", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
