--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -6,7 +6,7 @@
 //! its token: a relay judges, renews and orders nothing. It asks only the leader, so that nothing goes in circles.
 
 use crate::agents::heartbeat::HeartbeatReply;
-use crate::jobs::admission::peer_answer;
+use crate::jobs::peer_requests::peer_answer;
 use crate::{Destination, Node, Pending};
 use reach::{Caller, Leader, Turn, Ways};
 use serde_bytes::ByteBuf;
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -1,25 +1,21 @@
-//! Requests of users and peers. Any controller serves them: accepts go straight to the state service, and questions
-//! about jobs to [`crate::jobs::query`].
+//! Admission of submissions. Any controller admits them, by one transaction with the state service, so that a repeated
+//! submission is accepted once.
 
 use crate::jobs::forwarding::ForwardedRequest;
-use crate::jobs::query::{Question, Why};
-use crate::leadership::election::Role;
+pub(crate) use crate::jobs::peer_requests::peer_answer;
+use crate::jobs::query::Why;
 use crate::leadership::election::SHARD;
 use crate::{Destination, Node, Pending, Requester};
-use wire::api::{Conflict, ErrorBody, Guard, JobSpec, JobState, Stage, Txn, Write};
-use wire::http::{Request, Response};
-use wire::peer::{self, Answer, Ask};
+use wire::api::{Conflict, Guard, JobSpec, JobState, Stage, Txn, Write};
+use wire::http::Response;
+use wire::peer::Ask;
 use wire::records::{self, JobRecord, Record};
 use wire::submission::{self, Fault, Malformed};
 
-const CANCEL_TIMEOUT_MS: u64 = 3500;
 const ACCEPT_TIMEOUT_MS: u64 = 700;
 /// Users wait 5 s for a submission, of which our own try has taken some.
 const SUBMIT_WAITS_MS: u64 = 3500;
 
-/// Whoever meets trouble that may be over at any time comes back after so many seconds.
-const SOON_S: u32 = 1;
-
 /// A submission that is being accepted, since when, and how often that was tried before.
 pub(crate) struct Submission {
     pub requester: Requester,
@@ -28,13 +24,6 @@
     pub tries: u32,
 }
 
-/// What a peer answered; anything else than an answer is none.
-pub(crate) fn peer_answer(response: Option<Response>) -> Option<Answer> {
-    response
-        .filter(|r| r.status == 200)
-        .and_then(|r| peer::decode(&r.body).ok())
-}
-
 /// Whether nothing but another version of a document stood against a transaction.
 fn only_heads_failed(response: &Response) -> bool {
     let failed = wire::decode::<Conflict>(&response.body)
@@ -44,66 +33,8 @@
 }
 
 impl Node {
-    pub(crate) fn client(&mut self, conn: u64, request: Request) {
-        let path = request.path.split('?').next().unwrap_or("");
-        let job = path.strip_prefix("/work/");
-        match (request.method.as_str(), path, job) {
-            ("POST", "/hello", _) => self.heartbeat_received(conn, &request.body),
-            ("POST", "/work", _) => self.sent_in(conn, &request.body),
-            ("GET", "/ready", _) => self.ready(conn),
-            ("GET", _, Some(id)) if !id.contains('/') => {
-                let id = id.to_owned();
-                self.query_for(Requester::User(conn), id, Why::Query)
-            }
-            ("POST", _, Some(rest)) if let Some(id) = rest.strip_suffix("/cancel") => {
-                let id = id.to_owned();
-                self.cancel_asked(conn, id)
-            }
-            (_, "/hello" | "/work" | "/ready", _) => self.refuse(conn, 405, "method not allowed"),
-            (_, _, Some(id)) if !id.contains('/') || id.ends_with("/cancel") => {
-                self.refuse(conn, 405, "method not allowed")
-            }
-            _ => self.refuse(conn, 404, "no such path"),
-        }
-    }
-
-    /// A node that lives is healthy. It may know nothing yet, or not be served: it still tells what others know or can
-    /// take, and refuses the rest at once, where a removal sends its users away for up to a minute and can't tell one
-    /// node's trouble from all nodes'.
-    fn ready(&mut self, conn: u64) {
-        self.respond(
-            conn,
-            200,
-            wire::encode(&ErrorBody {
-                error: String::new(),
-            }),
-            None,
-        )
-    }
-
-    /// An error, with the time to come back where coming back helps: soon, but where this node is too busy, which is
-    /// then over by and by.
-    pub(crate) fn refuse(&mut self, conn: u64, status: u16, why: &str) {
-        let retry_after_s = match status {
-            429 => Some(self.turn_away()),
-            503 => Some(SOON_S),
-            _ => None,
-        };
-        self.stats.shed += u64::from(retry_after_s.is_some());
-        let body = wire::encode(&ErrorBody {
-            error: why.to_owned(),
-        });
-        self.respond(conn, status, body, retry_after_s);
-    }
-
-    /// Counts one more who is turned away, and says when to come back.
-    fn turn_away(&mut self) -> u32 {
-        let served_per_s = self.accepts_per_s();
-        self.load_shedding.turn_away(self.now.mono, served_per_s)
-    }
-
     /// What a user sent as a submission.
-    fn sent_in(&mut self, conn: u64, body: &[u8]) {
+    pub(super) fn sent_in(&mut self, conn: u64, body: &[u8]) {
         let read = submission::read(body);
         let id = read
             .as_ref()
@@ -133,7 +64,7 @@
         self.query_for(requester, id, Why::Malformed(fault));
     }
 
-    fn submit(&mut self, requester: Requester, spec: JobSpec) {
+    pub(super) fn submit(&mut self, requester: Requester, spec: JobSpec) {
         if let Err(fault) = spec.check() {
             return self.malformed(requester, spec.id, fault);
         }
@@ -338,185 +269,4 @@
             }
         }
     }
-
-    pub(crate) fn leader_peer(&self) -> Option<usize> {
-        let leader = self.leader_name()?;
-        self.peer_named(&leader)
-    }
-
-    pub(crate) fn peer_named(&self, node: &str) -> Option<usize> {
-        self.settings.peers.iter().position(|p| p.node == node)
-    }
-
-    fn cancel_asked(&mut self, conn: u64, id: String) {
-        if !wire::ids::valid_job_id(&id) {
-            return self.refuse(conn, 404, "no such job");
-        }
-        if self.leads() {
-            return self.cancel(&id, Requester::User(conn));
-        }
-        if let Some(state) = self.final_states.get(&id) {
-            return self.tell(Requester::User(conn), state);
-        }
-        let Some(peer) = self.leader_peer() else {
-            return self.refuse(conn, 503, "no owner now");
-        };
-        let body = peer::encode(&Ask::Cancel { job: id.clone() });
-        let what = Pending::PeerCancel { conn, job: id };
-        self.send(
-            Destination::Peer(peer),
-            "POST",
-            peer::PATH.into(),
-            body,
-            CANCEL_TIMEOUT_MS,
-            what,
-        );
-    }
-
-    pub(crate) fn peer_cancelled(&mut self, conn: u64, job: String, r: Option<Response>) {
-        match peer_answer(r) {
-            Some(Answer::State(state)) if state.id == job => {
-                self.tell(Requester::User(conn), state)
-            }
-            Some(Answer::Unknown) => {
-                let question = self.question(Requester::User(conn), job, Why::Cancel);
-                self.read_job(question)
-            }
-            _ => self.refuse(conn, 503, "the owner does not answer"),
-        }
-    }
-
-    pub(crate) fn peer(&mut self, conn: u64, request: &Request) {
-        if self.demand_at_door(conn, request) || self.admin_asked(conn, request) {
-            return;
-        }
-        let ask = if request.method == "POST" && request.path == peer::PATH {
-            peer::decode::<Ask>(&request.body).ok()
-        } else {
-            None
-        };
-        match ask {
-            Some(Ask::Query { job }) => {
-                let unknown = if self.may_decide() {
-                    Answer::Unknown
-                } else {
-                    Answer::NotNow
-                };
-                match self.state_here(&job) {
-                    Some(state) => self.tell(Requester::Peer(conn), state),
-                    None => self.respond(conn, 200, peer::encode(&unknown), None),
-                }
-            }
-            Some(Ask::Cancel { job }) => self.cancel(&job, Requester::Peer(conn)),
-            Some(Ask::Submit { spec }) => self.submit(Requester::Peer(conn), *spec),
-            Some(Ask::Lookup { job, past_leader }) => {
-                let question = self.question(Requester::Peer(conn), job, Why::Query);
-                self.query(Question {
-                    past_leader,
-                    ..question
-                })
-            }
-            Some(Ask::Leads { node, token }) => {
-                self.leader_asserted(node, token);
-                self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
-            }
-            Some(Ask::PeerStatus(peer_status)) => {
-                let Some(peer) = self.peer_status_seen(peer_status) else {
-                    return self.refuse(
-                        conn,
-                        400,
-                        "view: from nobody we know, or a token that can't be",
-                    );
-                };
-                let peer_status = peer::PeerStatus {
-                    delegation: self.delegation_for(peer),
-                    ..self.peer_status()
-                };
-                self.respond(
-                    conn,
-                    200,
-                    peer::encode(&Answer::PeerStatus(peer_status)),
-                    None,
-                );
-            }
-            Some(Ask::Reports { node, reports }) => {
-                self.relayed_heartbeats_received(conn, &node, reports)
-            }
-            Some(Ask::Tell {
-                machine,
-                addr,
-                body,
-            }) => self.tell_asked(conn, &machine, &addr, body.into_vec()),
-            Some(Ask::Wake { model, leader }) => self.demand_of_peer(conn, &model, leader),
-            None => self.refuse(conn, 400, "not understood"),
-        }
-    }
-
-    /// An error for an asker, as [`Node::refuse`] says it to a user.
-    pub(crate) fn deny(&mut self, requester: Requester, status: u16, why: &str) {
-        match requester {
-            Requester::User(conn) => self.refuse(conn, status, why),
-            Requester::Peer(conn) => {
-                self.respond(conn, 200, peer::encode(&Answer::refused(status, why)), None)
-            }
-        }
-    }
-
-    /// Gives an asker the state of a job. It may have been under way while this node heard of the job's end, which it
-    /// gives way to.
-    pub(crate) fn tell(&mut self, requester: Requester, state: JobState) {
-        if state.stage.is_final() {
-            self.final_states.put(&state.id, state.stage, state.done);
-        }
-        self.answer_history.note(&state.id);
-        let state = self.final_states.get(&state.id).unwrap_or(state);
-        match requester {
-            Requester::User(conn) => self.respond(conn, 200, wire::encode(&state), None),
-            Requester::Peer(conn) => {
-                self.respond(conn, 200, peer::encode(&Answer::State(state)), None)
-            }
-        }
-    }
-
-    /// Tells that a job has been accepted just now. That may have taken longer than its life.
-    pub(crate) fn tell_accepted(&mut self, requester: Requester, state: JobState) {
-        if self.final_states.get(&state.id).is_some() {
-            return self.tell(requester, state);
-        }
-        self.answer_history.note(&state.id);
-        match requester {
-            Requester::User(conn) => self.respond(conn, 201, wire::encode(&state), None),
-            Requester::Peer(conn) => {
-                self.respond(conn, 200, peer::encode(&Answer::Accepted(state)), None)
-            }
-        }
-    }
-
-    /// A cancel of a job that the leader has not in memory: its record decides.
-    pub(crate) fn unknown(&mut self, requester: Requester, job: &str) {
-        match requester {
-            Requester::User(_) => {
-                let question = self.question(requester, job.to_owned(), Why::Cancel);
-                self.read_job(question)
-            }
-            Requester::Peer(conn) => self.respond(conn, 200, peer::encode(&Answer::Unknown), None),
-        }
-    }
-
-    pub(crate) fn not_now(&mut self, requester: Requester) {
-        match requester {
-            Requester::User(conn) => self.refuse(conn, 503, "not sure now"),
-            Requester::Peer(conn) => self.respond(conn, 200, peer::encode(&Answer::NotNow), None),
-        }
-    }
-
-    /// For the log: what this node is.
-    pub fn role_name(&self) -> &'static str {
-        match self.role {
-            Role::Leader { .. } if self.has_valid_lease() => "owner",
-            Role::Leader { .. } => "owner, unsure",
-            Role::Candidate { .. } => "candidate",
-            Role::Follower { .. } => "follower",
-        }
-    }
 }
--- /dev/null
+++ b/crates/control/src/jobs/api.rs
@@ -0,0 +1,55 @@
+//! Routing of users' requests: which path is served by what, and refusals with the time to come back.
+
+use crate::jobs::query::Why;
+use crate::{Node, Requester};
+use wire::api::ErrorBody;
+use wire::http::Request;
+
+/// Whoever meets trouble that may be over at any time comes back after so many seconds.
+const SOON_S: u32 = 1;
+
+impl Node {
+    pub(crate) fn client(&mut self, conn: u64, request: Request) {
+        let path = request.path.split('?').next().unwrap_or("");
+        let job = path.strip_prefix("/work/");
+        match (request.method.as_str(), path, job) {
+            ("POST", "/hello", _) => self.heartbeat_received(conn, &request.body),
+            ("POST", "/work", _) => self.sent_in(conn, &request.body),
+            ("GET", "/ready", _) => self.ready(conn),
+            ("GET", _, Some(id)) if !id.contains('/') => {
+                let id = id.to_owned();
+                self.query_for(Requester::User(conn), id, Why::Query)
+            }
+            ("POST", _, Some(rest)) if let Some(id) = rest.strip_suffix("/cancel") => {
+                let id = id.to_owned();
+                self.cancel_asked(conn, id)
+            }
+            (_, "/hello" | "/work" | "/ready", _) => self.refuse(conn, 405, "method not allowed"),
+            (_, _, Some(id)) if !id.contains('/') || id.ends_with("/cancel") => {
+                self.refuse(conn, 405, "method not allowed")
+            }
+            _ => self.refuse(conn, 404, "no such path"),
+        }
+    }
+
+    /// An error, with the time to come back where coming back helps: soon, but where this node is too busy, which is
+    /// then over by and by.
+    pub(crate) fn refuse(&mut self, conn: u64, status: u16, why: &str) {
+        let retry_after_s = match status {
+            429 => Some(self.turn_away()),
+            503 => Some(SOON_S),
+            _ => None,
+        };
+        self.stats.shed += u64::from(retry_after_s.is_some());
+        let body = wire::encode(&ErrorBody {
+            error: why.to_owned(),
+        });
+        self.respond(conn, status, body, retry_after_s);
+    }
+
+    /// Counts one more who is turned away, and says when to come back.
+    fn turn_away(&mut self) -> u32 {
+        let served_per_s = self.accepts_per_s();
+        self.load_shedding.turn_away(self.now.mono, served_per_s)
+    }
+}
--- /dev/null
+++ b/crates/control/src/jobs/cancellation.rs
@@ -0,0 +1,125 @@
+//! Cancellation of jobs, and what follows when a job changes: a broken gang is stopped, an ended job forgotten.
+
+use crate::jobs::job::{Ending, JobIndex};
+use crate::jobs::peer_requests::peer_answer;
+use crate::jobs::query::Why;
+use crate::{Destination, Node, Pending, Requester};
+use std::collections::BTreeSet;
+use wire::api::{Kind, Stage};
+use wire::http::Response;
+use wire::peer::{self, Answer, Ask};
+
+const CANCEL_TIMEOUT_MS: u64 = 3500;
+
+impl Node {
+    pub(super) fn cancel_asked(&mut self, conn: u64, id: String) {
+        if !wire::ids::valid_job_id(&id) {
+            return self.refuse(conn, 404, "no such job");
+        }
+        if self.leads() {
+            return self.cancel(&id, Requester::User(conn));
+        }
+        if let Some(state) = self.final_states.get(&id) {
+            return self.tell(Requester::User(conn), state);
+        }
+        let Some(peer) = self.leader_peer() else {
+            return self.refuse(conn, 503, "no owner now");
+        };
+        let body = peer::encode(&Ask::Cancel { job: id.clone() });
+        let what = Pending::PeerCancel { conn, job: id };
+        self.send(
+            Destination::Peer(peer),
+            "POST",
+            peer::PATH.into(),
+            body,
+            CANCEL_TIMEOUT_MS,
+            what,
+        );
+    }
+
+    pub(crate) fn peer_cancelled(&mut self, conn: u64, job: String, r: Option<Response>) {
+        match peer_answer(r) {
+            Some(Answer::State(state)) if state.id == job => {
+                self.tell(Requester::User(conn), state)
+            }
+            Some(Answer::Unknown) => {
+                let question = self.question(Requester::User(conn), job, Why::Cancel);
+                self.read_job(question)
+            }
+            _ => self.refuse(conn, 503, "the owner does not answer"),
+        }
+    }
+
+    /// Follows up on a change of a job: what is left of a broken gang goes, an ended job is forgotten.
+    pub(crate) fn job_changed(&mut self, ix: JobIndex) {
+        self.to_write = true;
+        self.model_changed(ix);
+        let Some(shard) = &mut self.shard else { return };
+        shard.plan_due = true;
+        shard.job_to_write(ix);
+        let Some(job) = shard.job_mut(ix) else { return };
+        if job.kind() == Kind::Gang && !job.is_ending() {
+            let attempts: BTreeSet<u64> = job.claimed.values().flatten().map(|(_, a)| *a).collect();
+            let whole = job.claimed.len() == job.tasks as usize && attempts.len() == 1;
+            job.broken = !job.claimed.is_empty() && !whole;
+        }
+        let drop = job.is_void() || job.broken;
+        let machines: BTreeSet<usize> = job.claimed.values().flatten().map(|(m, _)| *m).collect();
+        if drop {
+            for m in machines {
+                shard.stop_job(ix, m, 0.0);
+            }
+        }
+        shard.note_unwanted(ix);
+        shard.maybe_forget_job(ix);
+    }
+
+    /// A cancel that may be decided here.
+    pub(crate) fn cancel(&mut self, id: &str, requester: Requester) {
+        if let Some(state) = self.final_states.get(id) {
+            return self.tell(requester, state);
+        }
+        if !self.may_decide() {
+            return self.not_now(requester);
+        }
+        self.to_write = true;
+        let Some(shard) = &mut self.shard else { return };
+        let Some(ix) = shard.job_index.get(id).copied() else {
+            return self.unknown(requester, id);
+        };
+        let Some(job) = shard.job_mut(ix) else { return };
+        match job.ending {
+            // Guards against calling a cancelled job done, of which only tasks on machines are left here.
+            Ending::Before => return self.unknown(requester, id),
+            Ending::Recorded(_) => {
+                let state = job.state();
+                return self.tell(requester, state);
+            }
+            Ending::No => {
+                log::info!("job {}: cancelled by its user", job.id);
+                job.ending = Ending::Wanted(Stage::Cancelled);
+                job.unsaved.clear();
+            }
+            // Whatever end is recorded, the requester is told.
+            _ => {}
+        }
+        if job.waiters.len() >= 16 {
+            return self.not_now(requester);
+        }
+        job.waiters.push(requester);
+        shard.note_unwanted(ix);
+        shard.job_to_write(ix);
+    }
+
+    /// A leader that has grown unsure keeps nobody waiting for an end: what is on its way may land, or never does, and
+    /// whoever asks again is told by those who know.
+    pub(crate) fn waiters_tick(&mut self) {
+        let has_valid_lease = self.has_valid_lease();
+        let Some(shard) = &mut self.shard else { return };
+        if std::mem::replace(&mut shard.had_valid_lease, has_valid_lease) && !has_valid_lease {
+            for requester in shard.take_waiters() {
+                self.not_now(requester);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/src/jobs/class.rs
@@ -0,0 +1,78 @@
+//! Statistics of job classes: run times against estimates, and arrivals, from which demand is predicted.
+
+use wire::api::JobSpec;
+
+/// What was seen of a class: run times against estimates, and how often its jobs come.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct Class {
+    runs: f64,
+    log_ratio: f64,
+    /// Jobs a second, as a mean that forgets, and the time of day it was last brought up to.
+    rate: f64,
+    rate_at: u64,
+    /// Tasks a job, and their square, as means that forget.
+    pub tasks: f64,
+    pub tasks_squared: f64,
+    /// Images with their size and their share of the jobs, as means that forget.
+    pub images: Vec<(String, f64, f64)>,
+    /// Its latest job, which the next is expected to resemble.
+    pub like: Option<Box<JobSpec>>,
+}
+
+/// Arrivals longer ago than this hardly count.
+const ARRIVALS_MS: f64 = 150_000.0;
+/// So many arrivals fitting into the time since the last one would make that silence unlikely.
+const SILENCE: f64 = 3.0;
+/// How fast the share of an image follows the arrivals; with it, some two hundred images are remembered at most.
+const IMAGE_WEIGHT: f64 = 0.03;
+
+impl Class {
+    /// Each run moves the correction less, down to a twentieth, so that it follows the day.
+    pub fn learn(&mut self, ratio: f64) {
+        self.runs += 1.0;
+        let weight = (1.0 / (self.runs + 2.0)).max(0.05);
+        self.log_ratio += (ratio.clamp(0.1, 10.0).ln() - self.log_ratio) * weight;
+    }
+    pub fn arrived(&mut self, spec: &JobSpec, at_ms: u64) {
+        self.rate = self.rate(at_ms) + 1000.0 / ARRIVALS_MS;
+        self.rate_at = self.rate_at.max(at_ms);
+        let weight = if self.like.is_none() { 1.0 } else { 0.1 };
+        let tasks = f64::from(spec.tasks);
+        self.tasks += (tasks - self.tasks) * weight;
+        self.tasks_squared += (tasks * tasks - self.tasks_squared) * weight;
+        self.images
+            .iter_mut()
+            .for_each(|(_, _, share)| *share *= 1.0 - IMAGE_WEIGHT);
+        match self
+            .images
+            .iter_mut()
+            .find(|(name, _, _)| *name == spec.image)
+        {
+            Some((_, gb, share)) => {
+                *gb = spec.image_gb;
+                *share += IMAGE_WEIGHT;
+            }
+            None => {
+                self.images
+                    .retain(|(_, _, share)| *share > IMAGE_WEIGHT / 8.0);
+                self.images
+                    .push((spec.image.clone(), spec.image_gb, IMAGE_WEIGHT));
+            }
+        }
+        self.like = Some(Box::new(spec.clone()));
+    }
+
+    /// Jobs a second that are to be expected.
+    pub fn rate(&self, wall_ms: u64) -> f64 {
+        let gone = wall_ms.saturating_sub(self.rate_at) as f64;
+        if self.rate_at == 0 {
+            return 0.0;
+        }
+        // A long silence speaks against a high rate sooner than the mean forgets it.
+        (self.rate * (-gone / ARRIVALS_MS).exp()).min(SILENCE * 1000.0 / gone.max(1.0))
+    }
+
+    pub fn factor(&self) -> f64 {
+        self.log_ratio.exp().clamp(0.3, 3.0)
+    }
+}
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -1,7 +1,7 @@
 //! Forwarding a user's request to a peer that may be better placed, and choosing which. What nodes say of themselves once
 //! a second only chooses: whoever is asked answers by its own rules.
 
-use crate::jobs::admission::peer_answer;
+use crate::jobs::peer_requests::peer_answer;
 use crate::{Destination, Node, Pending, Requester};
 use wire::http::Response;
 use wire::peer::{self, Answer, Ask};
@@ -72,6 +72,15 @@
             .heard(peer, sent, answered, self.now.mono);
     }
 
+    pub(crate) fn leader_peer(&self) -> Option<usize> {
+        let leader = self.leader_name()?;
+        self.peer_named(&leader)
+    }
+
+    pub(crate) fn peer_named(&self, node: &str) -> Option<usize> {
+        self.settings.peers.iter().position(|p| p.node == node)
+    }
+
     /// Whether the state service seems not to serve this node now; others may be served.
     pub(crate) fn state_down(&self) -> bool {
         self.state_bad_at
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -1,7 +1,8 @@
 //! A job in the leader's memory: which tasks are done, claimed or free, and how it ends.
 
+use crate::Requester;
 use crate::agents::machine::Need;
-use crate::{Node, Requester};
+pub(crate) use crate::jobs::class::Class;
 use std::collections::{BTreeSet, HashMap};
 use wire::api::{JobSpec, JobState, Kind, Priority, Stage};
 use wire::records::{CountyRecord, JobRecord};
@@ -21,81 +22,6 @@
     Before,
 }
 
-/// What was seen of a class: run times against estimates, and how often its jobs come.
-#[derive(Debug, Clone, Default)]
-pub(crate) struct Class {
-    runs: f64,
-    log_ratio: f64,
-    /// Jobs a second, as a mean that forgets, and the time of day it was last brought up to.
-    rate: f64,
-    rate_at: u64,
-    /// Tasks a job, and their square, as means that forget.
-    pub tasks: f64,
-    pub tasks_squared: f64,
-    /// Images with their size and their share of the jobs, as means that forget.
-    pub images: Vec<(String, f64, f64)>,
-    /// Its latest job, which the next is expected to resemble.
-    pub like: Option<Box<JobSpec>>,
-}
-
-/// Arrivals longer ago than this hardly count.
-const ARRIVALS_MS: f64 = 150_000.0;
-/// So many arrivals fitting into the time since the last one would make that silence unlikely.
-const SILENCE: f64 = 3.0;
-/// How fast the share of an image follows the arrivals; with it, some two hundred images are remembered at most.
-const IMAGE_WEIGHT: f64 = 0.03;
-
-impl Class {
-    /// Each run moves the correction less, down to a twentieth, so that it follows the day.
-    pub fn learn(&mut self, ratio: f64) {
-        self.runs += 1.0;
-        let weight = (1.0 / (self.runs + 2.0)).max(0.05);
-        self.log_ratio += (ratio.clamp(0.1, 10.0).ln() - self.log_ratio) * weight;
-    }
-    pub fn arrived(&mut self, spec: &JobSpec, at_ms: u64) {
-        self.rate = self.rate(at_ms) + 1000.0 / ARRIVALS_MS;
-        self.rate_at = self.rate_at.max(at_ms);
-        let weight = if self.like.is_none() { 1.0 } else { 0.1 };
-        let tasks = f64::from(spec.tasks);
-        self.tasks += (tasks - self.tasks) * weight;
-        self.tasks_squared += (tasks * tasks - self.tasks_squared) * weight;
-        self.images
-            .iter_mut()
-            .for_each(|(_, _, share)| *share *= 1.0 - IMAGE_WEIGHT);
-        match self
-            .images
-            .iter_mut()
-            .find(|(name, _, _)| *name == spec.image)
-        {
-            Some((_, gb, share)) => {
-                *gb = spec.image_gb;
-                *share += IMAGE_WEIGHT;
-            }
-            None => {
-                self.images
-                    .retain(|(_, _, share)| *share > IMAGE_WEIGHT / 8.0);
-                self.images
-                    .push((spec.image.clone(), spec.image_gb, IMAGE_WEIGHT));
-            }
-        }
-        self.like = Some(Box::new(spec.clone()));
-    }
-
-    /// Jobs a second that are to be expected.
-    pub fn rate(&self, wall_ms: u64) -> f64 {
-        let gone = wall_ms.saturating_sub(self.rate_at) as f64;
-        if self.rate_at == 0 {
-            return 0.0;
-        }
-        // A long silence speaks against a high rate sooner than the mean forgets it.
-        (self.rate * (-gone / ARRIVALS_MS).exp()).min(SILENCE * 1000.0 / gone.max(1.0))
-    }
-
-    pub fn factor(&self) -> f64 {
-        self.log_ratio.exp().clamp(0.3, 3.0)
-    }
-}
-
 pub(crate) struct Job {
     pub id: String,
     /// `None` for a job that had ended when we took over.
@@ -365,78 +291,3 @@
         }
     }
 }
-
-impl Node {
-    /// Follows up on a change of a job: what is left of a broken gang goes, an ended job is forgotten.
-    pub(crate) fn job_changed(&mut self, ix: JobIndex) {
-        self.to_write = true;
-        self.model_changed(ix);
-        let Some(shard) = &mut self.shard else { return };
-        shard.plan_due = true;
-        shard.job_to_write(ix);
-        let Some(job) = shard.job_mut(ix) else { return };
-        if job.kind() == Kind::Gang && !job.is_ending() {
-            let attempts: BTreeSet<u64> = job.claimed.values().flatten().map(|(_, a)| *a).collect();
-            let whole = job.claimed.len() == job.tasks as usize && attempts.len() == 1;
-            job.broken = !job.claimed.is_empty() && !whole;
-        }
-        let drop = job.is_void() || job.broken;
-        let machines: BTreeSet<usize> = job.claimed.values().flatten().map(|(m, _)| *m).collect();
-        if drop {
-            for m in machines {
-                shard.stop_job(ix, m, 0.0);
-            }
-        }
-        shard.note_unwanted(ix);
-        shard.maybe_forget_job(ix);
-    }
-
-    /// A cancel that may be decided here.
-    pub(crate) fn cancel(&mut self, id: &str, requester: Requester) {
-        if let Some(state) = self.final_states.get(id) {
-            return self.tell(requester, state);
-        }
-        if !self.may_decide() {
-            return self.not_now(requester);
-        }
-        self.to_write = true;
-        let Some(shard) = &mut self.shard else { return };
-        let Some(ix) = shard.job_index.get(id).copied() else {
-            return self.unknown(requester, id);
-        };
-        let Some(job) = shard.job_mut(ix) else { return };
-        match job.ending {
-            // Guards against calling a cancelled job done, of which only tasks on machines are left here.
-            Ending::Before => return self.unknown(requester, id),
-            Ending::Recorded(_) => {
-                let state = job.state();
-                return self.tell(requester, state);
-            }
-            Ending::No => {
-                log::info!("job {}: cancelled by its user", job.id);
-                job.ending = Ending::Wanted(Stage::Cancelled);
-                job.unsaved.clear();
-            }
-            // Whatever end is recorded, the requester is told.
-            _ => {}
-        }
-        if job.waiters.len() >= 16 {
-            return self.not_now(requester);
-        }
-        job.waiters.push(requester);
-        shard.note_unwanted(ix);
-        shard.job_to_write(ix);
-    }
-
-    /// A leader that has grown unsure keeps nobody waiting for an end: what is on its way may land, or never does, and
-    /// whoever asks again is told by those who know.
-    pub(crate) fn waiters_tick(&mut self) {
-        let has_valid_lease = self.has_valid_lease();
-        let Some(shard) = &mut self.shard else { return };
-        if std::mem::replace(&mut shard.had_valid_lease, has_valid_lease) && !has_valid_lease {
-            for requester in shard.take_waiters() {
-                self.not_now(requester);
-            }
-        }
-    }
-}
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -1,9 +1,9 @@
 //! Questions about jobs. They are answered from known ends, by the leader while it is sure of its lease, or from a
 //! fresh read of the state service, by this node or by a peer that is served; each step takes what time is left.
 
-use crate::jobs::admission::peer_answer;
 use crate::jobs::forwarding::ForwardedRequest;
 use crate::jobs::job::Job;
+use crate::jobs::peer_requests::peer_answer;
 use crate::{Destination, Node, Pending, Requester};
 use wire::api::{Item, JobState, Stage};
 use wire::http::Response;
