--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -487,7 +487,7 @@
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
         let machines: BTreeSet<usize> = if job.kind() == Kind::Gang {
-            job.claimed.values().flatten().map(|(m, _)| *m).collect()
+            job.machines()
         } else {
             BTreeSet::from([m])
         };
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -140,13 +140,13 @@
             return self.refuse(conn, 400, "reports: from nobody we know, or too many");
         };
         if self.shard.is_none() {
-            return self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
+            return self.answer_peer(conn, &Answer::NotNow);
         }
         let bodies = heartbeats
             .iter()
             .map(|body| self.forwarded(peer, body))
             .collect();
-        self.respond(conn, 200, peer::encode(&Answer::Orders(bodies)), None);
+        self.answer_peer(conn, &Answer::Orders(bodies));
     }
 
     fn forwarded(&mut self, peer: usize, body: &[u8]) -> ByteBuf {
@@ -183,8 +183,7 @@
     }
 
     pub(crate) fn tell_unsent(&mut self, conn: u64) {
-        let answer = Answer::refused(NOT_SENT, "");
-        self.respond(conn, 200, peer::encode(&answer), None);
+        self.answer_peer(conn, &Answer::refused(NOT_SENT, ""));
     }
 
     pub(crate) fn worker_told(&mut self, conn: u64, response: Option<Response>) {
@@ -192,7 +191,7 @@
             status: r.status,
             body: r.body.into(),
         });
-        self.respond(conn, 200, peer::encode(&answer), None);
+        self.answer_peer(conn, &answer);
     }
 
     /// A command to a worker, by way of the node that it heartbeats to.
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -1,11 +1,13 @@
 //! Admission of submissions. Any controller admits them, by one transaction with the state service, so that a repeated
 //! submission is accepted once.
 
+use crate::jobs::feasibility::Infeasible;
 use crate::jobs::forwarding::ForwardedRequest;
 pub(crate) use crate::jobs::peer_requests::peer_answer;
 use crate::jobs::query::Why;
 use crate::leadership::election::SHARD;
 use crate::{Destination, Node, Pending, Requester};
+use std::ops::Range;
 use wire::api::{Conflict, Guard, JobSpec, JobState, Stage, Txn, Write};
 use wire::http::Response;
 use wire::peer::Ask;
@@ -13,6 +15,10 @@
 use wire::submission::{self, Fault, Malformed};
 
 const ACCEPT_TIMEOUT_MS: u64 = 700;
+/// A submission that the state service was too busy for is tried again so often, for so long, each time after this long.
+const MOST_RETRIES: u32 = 3;
+const RETRY_UNTIL_MS: u64 = 700;
+const RETRY_MS: Range<u64> = 60..200;
 /// Users wait 5 s for a submission, of which our own try has taken some.
 const SUBMIT_WAITS_MS: u64 = 3500;
 
@@ -32,6 +38,12 @@
     !failed.is_empty() && failed.iter().all(|key| key.starts_with(records::SHARED))
 }
 
+/// Guards that hold only while the job is neither live nor ended.
+fn absence_guards(id: &str) -> [Guard; 2] {
+    let is_absent = |key| Guard { key, version: 0 };
+    [records::live_key(id), records::end_key(id)].map(is_absent)
+}
+
 impl Node {
     /// What a user sent as a submission.
     pub(super) fn sent_in(&mut self, conn: u64, body: &[u8]) {
@@ -64,54 +76,34 @@
         self.query_for(requester, id, Why::Malformed(fault));
     }
 
+    /// A submission of a user, or one that a peer forwards for its user.
     pub(super) fn submit(&mut self, requester: Requester, spec: JobSpec) {
-        if let Err(fault) = spec.check() {
+        if let Err(fault) = self.check_form(&spec) {
             return self.malformed(requester, spec.id, fault);
         }
-        // As it is without what is bound to it: a repeat must not be refused for a later document.
-        if !self.is_storable(&JobRecord::new(spec.clone(), self.now.wall, SHARD)) {
-            return self.malformed(requester, spec.id, Fault::body("too large to be kept"));
-        }
         if let Some(state) = self.final_states.get(&spec.id) {
             return self.tell(requester, state);
         }
         if self.catalog().is_none() {
-            // It has only begun; another may know them.
-            return match requester {
-                Requester::User(conn) => self.forward_submission(conn, Box::new(spec)),
-                Requester::Peer(_) => self.deny(requester, 503, "machine types not known yet"),
-            };
+            return self.submit_without_catalog(requester, spec);
         }
-        if self.may_decide()
-            && let Some(shard) = &self.shard
-            && shard.job_index.contains_key(&spec.id)
-        {
+        if self.leads_and_knows(&spec.id) {
             return self.query_for(requester, spec.id, Why::Query);
         }
-        let now = self.now.mono;
         if self.state_down()
             && let Requester::User(conn) = requester
         {
             return self.forward_submission(conn, Box::new(spec));
         }
-        let conn = if let Requester::User(conn) = requester {
-            Some(conn)
-        } else {
-            None
-        };
+        let now = self.now.mono;
         // What can never run writes nothing.
         let writes = self.validated(&spec, self.now.wall).is_ok();
-        let room = if writes {
-            self.has_room_for(conn)
-        } else {
-            self.requests.level(now) >= 1.0
-        };
-        if !room {
+        if !self.has_room_to_admit(requester, writes) {
             return self.deny(requester, 429, "busy");
         }
         // The leader sees all accepts, its own too, and counts them when they have been made.
-        self.writes
-            .take(now, if writes && !self.leads() { 1.0 } else { 0.0 });
+        let counted_here = writes && !self.leads();
+        self.writes.take(now, if counted_here { 1.0 } else { 0.0 });
         self.accept(Submission {
             requester,
             spec: Box::new(spec),
@@ -120,6 +112,45 @@
         });
     }
 
+    /// Whether a submission is one at all, whatever is in force now.
+    fn check_form(&self, spec: &JobSpec) -> Result<(), Fault> {
+        spec.check()?;
+        // As it is without what is bound to it: a repeat must not be refused for a later document.
+        let rec = JobRecord::new(spec.clone(), self.now.wall, SHARD);
+        if self.is_storable(&rec) {
+            Ok(())
+        } else {
+            Err(Fault::body("too large to be kept"))
+        }
+    }
+
+    /// This node has only begun, and another may know the machine types.
+    fn submit_without_catalog(&mut self, requester: Requester, spec: JobSpec) {
+        match requester {
+            Requester::User(conn) => self.forward_submission(conn, Box::new(spec)),
+            Requester::Peer(_) => self.deny(requester, 503, "machine types not known yet"),
+        }
+    }
+
+    /// Whether the leader, while it is sure of its lease, has the job in memory.
+    fn leads_and_knows(&self, id: &str) -> bool {
+        let shard = self.shard.as_ref().filter(|_| self.may_decide());
+        shard.is_some_and(|shard| shard.job_index.contains_key(id))
+    }
+
+    /// Whether the state service may be asked for one more submission now.
+    fn has_room_to_admit(&mut self, requester: Requester, writes: bool) -> bool {
+        let conn = match requester {
+            Requester::User(conn) => Some(conn),
+            Requester::Peer(_) => None,
+        };
+        if writes {
+            self.has_room_for(conn)
+        } else {
+            self.requests.level(self.now.mono) >= 1.0
+        }
+    }
+
     /// Accepts a job, or refuses it for good: both in one transaction, which holds only if the job is not known yet
     /// and the documents that it was judged by are in force.
     fn accept(&mut self, submission: Submission) {
@@ -141,25 +172,13 @@
                 _ => self.accept_later(submission),
             };
         };
-        guards.extend([
-            Guard {
-                key: records::live_key(&spec.id),
-                version: 0,
-            },
-            Guard {
-                key: records::end_key(&spec.id),
-                version: 0,
-            },
-        ]);
+        guards.extend(absence_guards(&spec.id));
         // Judged each time: between two tries another version may have come into force.
         let (writes, denied) = match self.validated(spec, wall) {
-            Ok(rec) => (
-                vec![Write::put(
-                    records::live_key(&spec.id),
-                    Record::Job(Box::new(rec)),
-                )],
-                None,
-            ),
+            Ok(rec) => {
+                let record = Record::Job(Box::new(rec));
+                (vec![Write::put(records::live_key(&spec.id), record)], None)
+            }
             Err(why) => (Vec::new(), Some(why)),
         };
         let body = wire::encode(&Txn { guards, writes });
@@ -187,11 +206,11 @@
             tries,
             ..
         } = submission;
-        if tries >= 3 || now >= at + 700 {
+        if tries >= MOST_RETRIES || now >= at + RETRY_UNTIL_MS {
             // It may be accepted all the same: the retry will be told.
             return self.deny(requester, 503, "state service not available");
         }
-        let again = now + self.rng.u64(60..200);
+        let again = now + self.rng.u64(RETRY_MS);
         self.retries.push_back((
             again,
             Submission {
@@ -201,15 +220,16 @@
         ));
     }
 
+    /// The state service has answered a transaction of [`Node::accept`], or not.
     pub(crate) fn accepted(
         &mut self,
         submission: Submission,
-        denied: Option<&'static str>,
+        denied: Option<Infeasible>,
         mark: u64,
-        r: Option<Response>,
+        response: Option<Response>,
     ) {
         let requester = submission.requester;
-        match (r.as_ref().map(|r| r.status), denied) {
+        match (response.as_ref().map(|r| r.status), denied) {
             // Only this node may be refused, or not heard: another may take the job at once. Should our own try
             // have gone through, it will find the job known.
             (None | Some(503), _) if let Requester::User(conn) = requester => {
@@ -235,7 +255,7 @@
                 self.tell_accepted(requester, state)
             }
             // Judged and bound by a version that is no longer in force, and neither accepted nor refused.
-            (Some(409), _) if r.is_some_and(|r| only_heads_failed(&r)) => {
+            (Some(409), _) if response.is_some_and(|r| only_heads_failed(&r)) => {
                 self.reread_shared(0);
                 self.accept_later(submission)
             }
@@ -256,6 +276,7 @@
         });
     }
 
+    /// Tries again what the state service was too busy for.
     pub(crate) fn door_tick(&mut self) {
         let now = self.now.mono;
         for _ in 0..self.retries.len() {
--- a/crates/control/src/jobs/answers.rs
+++ b/crates/control/src/jobs/answers.rs
@@ -3,20 +3,18 @@
 use crate::jobs::query::Why;
 use crate::{Node, Requester};
 use wire::api::JobState;
-use wire::peer::{self, Answer};
+use wire::peer::Answer;
 
 impl Node {
-    /// An error for an asker, as [`Node::refuse`] says it to a user.
+    /// An error for a requester, as [`Node::refuse`] says it to a user.
     pub(crate) fn deny(&mut self, requester: Requester, status: u16, why: &str) {
         match requester {
             Requester::User(conn) => self.refuse(conn, status, why),
-            Requester::Peer(conn) => {
-                self.respond(conn, 200, peer::encode(&Answer::refused(status, why)), None)
-            }
+            Requester::Peer(conn) => self.answer_peer(conn, &Answer::refused(status, why)),
         }
     }
 
-    /// Gives an asker the state of a job. It may have been under way while this node heard of the job's end, which it
+    /// Gives a requester the state of a job. It may have been under way while this node heard of the job's end, which it
     /// gives way to.
     pub(crate) fn tell(&mut self, requester: Requester, state: JobState) {
         if state.stage.is_final() {
@@ -26,9 +24,7 @@
         let state = self.final_states.get(&state.id).unwrap_or(state);
         match requester {
             Requester::User(conn) => self.respond(conn, 200, wire::encode(&state), None),
-            Requester::Peer(conn) => {
-                self.respond(conn, 200, peer::encode(&Answer::State(state)), None)
-            }
+            Requester::Peer(conn) => self.answer_peer(conn, &Answer::State(state)),
         }
     }
 
@@ -40,9 +36,7 @@
         self.answer_history.note(&state.id);
         match requester {
             Requester::User(conn) => self.respond(conn, 201, wire::encode(&state), None),
-            Requester::Peer(conn) => {
-                self.respond(conn, 200, peer::encode(&Answer::Accepted(state)), None)
-            }
+            Requester::Peer(conn) => self.answer_peer(conn, &Answer::Accepted(state)),
         }
     }
 
@@ -53,14 +47,15 @@
                 let question = self.question(requester, job.to_owned(), Why::Cancel);
                 self.read_job(question)
             }
-            Requester::Peer(conn) => self.respond(conn, 200, peer::encode(&Answer::Unknown), None),
+            Requester::Peer(conn) => self.answer_peer(conn, &Answer::Unknown),
         }
     }
 
+    /// Says that nothing is known or can be decided now.
     pub(crate) fn not_now(&mut self, requester: Requester) {
         match requester {
             Requester::User(conn) => self.refuse(conn, 503, "not sure now"),
-            Requester::Peer(conn) => self.respond(conn, 200, peer::encode(&Answer::NotNow), None),
+            Requester::Peer(conn) => self.answer_peer(conn, &Answer::NotNow),
         }
     }
 }
--- a/crates/control/src/jobs/api.rs
+++ b/crates/control/src/jobs/api.rs
@@ -9,6 +9,7 @@
 const SOON_S: u32 = 1;
 
 impl Node {
+    /// A request of a user's or a worker's.
     pub(crate) fn client(&mut self, conn: u64, request: Request) {
         let path = request.path.split('?').next().unwrap_or("");
         let job = path.strip_prefix("/work/");
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -4,14 +4,17 @@
 use crate::jobs::peer_requests::peer_answer;
 use crate::jobs::query::Why;
 use crate::{Destination, Node, Pending, Requester};
-use std::collections::BTreeSet;
 use wire::api::{Kind, Stage};
 use wire::http::Response;
 use wire::peer::{self, Answer, Ask};
 
+/// The leader has this long to answer a cancel that is forwarded to it.
 const CANCEL_TIMEOUT_MS: u64 = 3500;
+/// So many requesters may wait for the end of one job.
+const MOST_WAITERS: usize = 16;
 
 impl Node {
+    /// A user's cancel: decided by the leader, here or where it is.
     pub(super) fn cancel_asked(&mut self, conn: u64, id: String) {
         if !wire::ids::valid_job_id(&id) {
             return self.refuse(conn, 404, "no such job");
@@ -37,8 +40,9 @@
         );
     }
 
-    pub(crate) fn peer_cancelled(&mut self, conn: u64, job: String, r: Option<Response>) {
-        match peer_answer(r) {
+    /// The leader's answer to a forwarded cancel. A job that it has not in memory may have ended: its record decides.
+    pub(crate) fn peer_cancelled(&mut self, conn: u64, job: String, response: Option<Response>) {
+        match peer_answer(response) {
             Some(Answer::State(state)) if state.id == job => {
                 self.tell(Requester::User(conn), state)
             }
@@ -59,14 +63,10 @@
         shard.job_to_write(ix);
         let Some(job) = shard.job_mut(ix) else { return };
         if job.kind() == Kind::Gang && !job.is_ending() {
-            let attempts: BTreeSet<u64> = job.claimed.values().flatten().map(|(_, a)| *a).collect();
-            let whole = job.claimed.len() == job.tasks as usize && attempts.len() == 1;
-            job.broken = !job.claimed.is_empty() && !whole;
+            job.broken = !job.claimed.is_empty() && !job.is_whole_gang();
         }
-        let drop = job.is_void() || job.broken;
-        let machines: BTreeSet<usize> = job.claimed.values().flatten().map(|(m, _)| *m).collect();
-        if drop {
-            for m in machines {
+        if job.is_void() || job.broken {
+            for m in job.machines() {
                 shard.stop_job(ix, m, 0.0);
             }
         }
@@ -103,7 +103,7 @@
             // Whatever end is recorded, the requester is told.
             _ => {}
         }
-        if job.waiters.len() >= 16 {
+        if job.waiters.len() >= MOST_WAITERS {
             return self.not_now(requester);
         }
         job.waiters.push(requester);
--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -4,19 +4,59 @@
 
 use crate::Node;
 use crate::leadership::election::SHARD;
+use crate::scheduling::entitlement::takes;
 use std::collections::BTreeSet;
+use std::fmt;
 use wire::api::{BODY_LIMIT, Catalog, JobSpec, Kind, MachineType};
 use wire::records::JobRecord;
 
 /// Amounts that differ by less are equal, as for the planner.
 const EPS: f64 = 1e-6;
+/// The state service counts values in another form, which takes somewhat more.
+const STORED_FORM: f64 = 1.3;
+
+/// Why a job can never run. Its user reads the text.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) enum Infeasible {
+    UnknownTeam,
+    AboveTeamLimit,
+    /// A node of the quota tree above the team may use less.
+    AboveTreeLimit,
+    /// The county's document has no place for it.
+    County(String),
+    CatalogUnknown,
+    FitsNoMachineType,
+    FitsNoMachineTypeInCounty,
+    /// Its tasks are to be spread over zones, of which only one is left to it.
+    CannotSpread,
+    /// Its record would be too large together with what is bound to it.
+    RecordTooLarge,
+}
+
+impl fmt::Display for Infeasible {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Infeasible::UnknownTeam => "unknown team",
+            Infeasible::AboveTeamLimit => "more than the team's limit",
+            Infeasible::AboveTreeLimit => "more than a node above the team may use",
+            Infeasible::County(why) => why,
+            Infeasible::CatalogUnknown => "machine types not known yet",
+            Infeasible::FitsNoMachineType => "fits no allowed machine type",
+            Infeasible::FitsNoMachineTypeInCounty => "fits no machine type in its county's zones",
+            Infeasible::CannotSpread => "its tasks are to be spread, and may be in one zone only",
+            Infeasible::RecordTooLarge => "too large with what would be agreed for it",
+        })
+    }
+}
 
 impl Node {
     /// The record of a job accepted now, with all that is agreed for it from then on; or why it can never run.
-    pub(crate) fn validated(&self, spec: &JobSpec, wall: u64) -> Result<JobRecord, &'static str> {
+    pub(crate) fn validated(&self, spec: &JobSpec, wall: u64) -> Result<JobRecord, Infeasible> {
         self.within_limits(spec)?;
-        let county = self.county_for(spec)?;
-        let catalog = self.catalog().ok_or("machine types not known yet")?;
+        let county = self
+            .county_for(spec)
+            .map_err(|why| Infeasible::County(why.to_string()))?;
+        let catalog = self.catalog().ok_or(Infeasible::CatalogUnknown)?;
         has_places(spec, catalog, county.as_ref().map_or(&[], |c| &c.zones))?;
         let rec = JobRecord {
             hour: self.hour_for(spec, wall),
@@ -26,34 +66,31 @@
         if self.is_storable(&rec) {
             Ok(rec)
         } else {
-            Err("too large with what would be agreed for it")
+            Err(Infeasible::RecordTooLarge)
         }
     }
 
-    /// Whether the state service takes the record. It counts in another form, which takes somewhat more.
+    /// Whether the state service takes the record.
     pub(crate) fn is_storable(&self, rec: &JobRecord) -> bool {
         let limit = (self.settings.cluster.state.value_kb * 1024.0).min(BODY_LIMIT as f64);
-        wire::encode(rec).len() as f64 * 1.3 <= limit
+        wire::encode(rec).len() as f64 * STORED_FORM <= limit
     }
 
     /// Whether the team's limit, and all above it, would let the job run if nothing else ran. Of an array one task has to.
-    fn within_limits(&self, spec: &JobSpec) -> Result<(), &'static str> {
-        let team = self
-            .settings
-            .cluster
-            .teams
+    fn within_limits(&self, spec: &JobSpec) -> Result<(), Infeasible> {
+        let teams = &self.settings.cluster.teams;
+        let team = teams
             .iter()
             .find(|t| t.name == spec.team)
-            .ok_or("unknown team")?;
-        let n = f64::from(at_once(spec));
-        let over = |max: f64, need: f64| max > 0.0 && need * n > max + EPS;
+            .ok_or(Infeasible::UnknownTeam)?;
+        let tasks = f64::from(at_once(spec));
+        let over = |max: f64, need: f64| max > 0.0 && need * tasks > max + EPS;
         if over(team.cpus_max, spec.cores) || over(team.gpus_max, spec.gpus) {
-            return Err("more than the team's limit");
+            return Err(Infeasible::AboveTeamLimit);
         }
-        let all =
-            crate::scheduling::entitlement::takes(spec.cores * n, spec.gpus * n, spec.mem_gb * n);
+        let all = takes(spec.cores * tasks, spec.gpus * tasks, spec.mem_gb * tasks);
         if self.above_its_tree(&spec.team, &all) {
-            return Err("more than a node above the team may use");
+            return Err(Infeasible::AboveTreeLimit);
         }
         Ok(())
     }
@@ -70,21 +107,21 @@
 
 /// Whether some zones have machine types for all tasks that must run at one time. How many machines there are is known
 /// to nobody.
-fn has_places(spec: &JobSpec, catalog: &Catalog, county: &[String]) -> Result<(), &'static str> {
+fn has_places(spec: &JobSpec, catalog: &Catalog, county: &[String]) -> Result<(), Infeasible> {
     let zones = zones_for(spec, catalog, county);
     if zones.is_empty() {
         let elsewhere = !zones_for(spec, catalog, &[]).is_empty();
         return Err(if elsewhere {
-            "fits no machine type in its county's zones"
+            Infeasible::FitsNoMachineTypeInCounty
         } else {
-            "fits no allowed machine type"
+            Infeasible::FitsNoMachineType
         });
     }
     // One zone has half of the tasks, rounded up; two zones have all. An array goes on with the other half when the
     // first is done.
     let half = spec.tasks.div_ceil(2);
     if spec.spread && at_once(spec) > half && (spec.one_zone || zones.len() < 2) {
-        return Err("its tasks are to be spread, and may be in one zone only");
+        return Err(Infeasible::CannotSpread);
     }
     Ok(())
 }
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -247,6 +247,19 @@
         }
     }
 
+    /// Whether all tasks of a gang have claims, of the same attempt.
+    pub fn is_whole_gang(&self) -> bool {
+        let claims = self.claimed.values().flatten();
+        let attempts: BTreeSet<u64> = claims.map(|(_, attempt)| *attempt).collect();
+        self.claimed.len() == self.tasks as usize && attempts.len() == 1
+    }
+
+    /// The machines that it has claims on.
+    pub fn machines(&self) -> BTreeSet<usize> {
+        let claims = self.claimed.values().flatten();
+        claims.map(|(machine, _)| *machine).collect()
+    }
+
     /// How many tasks could be started.
     pub fn pending(&self) -> u32 {
         let open = self.tasks - self.done_count.min(self.tasks);
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -3,7 +3,7 @@
 use crate::jobs::query::{Question, Why};
 use crate::{Node, Requester};
 use wire::http::{Request, Response};
-use wire::peer::{self, Answer, Ask};
+use wire::peer::{self, Answer, Ask, PeerStatus};
 
 /// What a peer answered; anything else than an answer is none.
 pub(crate) fn peer_answer(response: Option<Response>) -> Option<Answer> {
@@ -13,69 +13,70 @@
 }
 
 impl Node {
+    /// A request at the peers' port.
     pub(crate) fn peer(&mut self, conn: u64, request: &Request) {
         if self.demand_at_door(conn, request) || self.admin_asked(conn, request) {
             return;
         }
-        let ask = if request.method == "POST" && request.path == peer::PATH {
-            peer::decode::<Ask>(&request.body).ok()
-        } else {
-            None
-        };
+        let is_ask = request.method == "POST" && request.path == peer::PATH;
+        match is_ask.then(|| peer::decode::<Ask>(&request.body).ok()) {
+            Some(Some(ask)) => self.asked_by_peer(conn, ask),
+            _ => self.refuse(conn, 400, "not understood"),
+        }
+    }
+
+    fn asked_by_peer(&mut self, conn: u64, ask: Ask) {
         match ask {
-            Some(Ask::Query { job }) => {
-                let unknown = if self.may_decide() {
-                    Answer::Unknown
-                } else {
-                    Answer::NotNow
-                };
-                match self.state_here(&job) {
-                    Some(state) => self.tell(Requester::Peer(conn), state),
-                    None => self.respond(conn, 200, peer::encode(&unknown), None),
-                }
-            }
-            Some(Ask::Cancel { job }) => self.cancel(&job, Requester::Peer(conn)),
-            Some(Ask::Submit { spec }) => self.submit(Requester::Peer(conn), *spec),
-            Some(Ask::Lookup { job, past_leader }) => {
+            Ask::Query { job } => self.queried_as_leader(conn, &job),
+            Ask::Cancel { job } => self.cancel(&job, Requester::Peer(conn)),
+            Ask::Submit { spec } => self.submit(Requester::Peer(conn), *spec),
+            Ask::Lookup { job, past_leader } => {
                 let question = self.question(Requester::Peer(conn), job, Why::Query);
                 self.query(Question {
                     past_leader,
                     ..question
                 })
             }
-            Some(Ask::Leads { node, token }) => {
+            Ask::Leads { node, token } => {
                 self.leader_asserted(node, token);
-                self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
-            }
-            Some(Ask::PeerStatus(peer_status)) => {
-                let Some(peer) = self.peer_status_seen(peer_status) else {
-                    return self.refuse(
-                        conn,
-                        400,
-                        "view: from nobody we know, or a token that can't be",
-                    );
-                };
-                let peer_status = peer::PeerStatus {
-                    delegation: self.delegation_for(peer),
-                    ..self.peer_status()
-                };
-                self.respond(
-                    conn,
-                    200,
-                    peer::encode(&Answer::PeerStatus(peer_status)),
-                    None,
-                );
+                self.answer_peer(conn, &Answer::NotNow);
             }
-            Some(Ask::Reports { node, reports }) => {
+            Ask::PeerStatus(status) => self.peer_status_asked(conn, status),
+            Ask::Reports { node, reports } => {
                 self.relayed_heartbeats_received(conn, &node, reports)
             }
-            Some(Ask::Tell {
+            Ask::Tell {
                 machine,
                 addr,
                 body,
-            }) => self.tell_asked(conn, &machine, &addr, body.into_vec()),
-            Some(Ask::Wake { model, leader }) => self.demand_of_peer(conn, &model, leader),
-            None => self.refuse(conn, 400, "not understood"),
+            } => self.tell_asked(conn, &machine, &addr, body.into_vec()),
+            Ask::Wake { model, leader } => self.demand_of_peer(conn, &model, leader),
         }
     }
+
+    pub(crate) fn answer_peer(&mut self, conn: u64, answer: &Answer) {
+        self.respond(conn, 200, peer::encode(answer), None);
+    }
+
+    /// A peer takes this node for the leader. A leader that is sure may also say that it does not know the job.
+    fn queried_as_leader(&mut self, conn: u64, job: &str) {
+        match self.state_here(job) {
+            Some(state) => self.tell(Requester::Peer(conn), state),
+            None if self.may_decide() => self.answer_peer(conn, &Answer::Unknown),
+            None => self.answer_peer(conn, &Answer::NotNow),
+        }
+    }
+
+    /// A peer tells its status, and is told ours with what it is to keep for the leader.
+    fn peer_status_asked(&mut self, conn: u64, status: PeerStatus) {
+        let Some(peer) = self.peer_status_seen(status) else {
+            let why = "view: from nobody we know, or a token that can't be";
+            return self.refuse(conn, 400, why);
+        };
+        let status = PeerStatus {
+            delegation: self.delegation_for(peer),
+            ..self.peer_status()
+        };
+        self.answer_peer(conn, &Answer::PeerStatus(status));
+    }
 }
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -1,7 +1,7 @@
 //! Requests of this controller's that are not answered yet, and what each answer belongs to.
 
 use crate::documents::{self, county_audit};
-use crate::jobs::{admission, forwarding, query};
+use crate::jobs::{admission, feasibility, forwarding, query};
 use crate::models::demand;
 use crate::store::recovery;
 
@@ -55,7 +55,7 @@
     },
     Accept {
         submission: admission::Submission,
-        denied: Option<&'static str>,
+        denied: Option<feasibility::Infeasible>,
         mark: u64,
     },
     ReadLive {
