--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -46,7 +46,7 @@
 
 impl Node {
     /// What a user sent as a submission.
-    pub(super) fn sent_in(&mut self, conn: u64, body: &[u8]) {
+    pub(super) fn submission_received(&mut self, conn: u64, body: &[u8]) {
         let read = submission::read(body);
         let id = read
             .as_ref()
@@ -277,7 +277,7 @@
     }
 
     /// Tries again what the state service was too busy for.
-    pub(crate) fn door_tick(&mut self) {
+    pub(crate) fn admission_tick(&mut self) {
         let now = self.now.mono;
         for _ in 0..self.retries.len() {
             let Some((due, submission)) = self.retries.pop_front() else {
--- a/crates/control/src/jobs/api.rs
+++ b/crates/control/src/jobs/api.rs
@@ -10,12 +10,12 @@
 
 impl Node {
     /// A request of a user's or a worker's.
-    pub(crate) fn client(&mut self, conn: u64, request: Request) {
+    pub(crate) fn user_request(&mut self, conn: u64, request: Request) {
         let path = request.path.split('?').next().unwrap_or("");
         let job = path.strip_prefix("/work/");
         match (request.method.as_str(), path, job) {
             ("POST", "/hello", _) => self.heartbeat_received(conn, &request.body),
-            ("POST", "/work", _) => self.sent_in(conn, &request.body),
+            ("POST", "/work", _) => self.submission_received(conn, &request.body),
             ("GET", "/ready", _) => self.ready(conn),
             ("GET", _, Some(id)) if !id.contains('/') => {
                 let id = id.to_owned();
@@ -23,7 +23,7 @@
             }
             ("POST", _, Some(rest)) if let Some(id) = rest.strip_suffix("/cancel") => {
                 let id = id.to_owned();
-                self.cancel_asked(conn, id)
+                self.cancel_requested(conn, id)
             }
             (_, "/hello" | "/work" | "/ready", _) => self.refuse(conn, 405, "method not allowed"),
             (_, _, Some(id)) if !id.contains('/') || id.ends_with("/cancel") => {
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -15,7 +15,7 @@
 
 impl Node {
     /// A user's cancel: decided by the leader, here or where it is.
-    pub(super) fn cancel_asked(&mut self, conn: u64, id: String) {
+    pub(super) fn cancel_requested(&mut self, conn: u64, id: String) {
         if !wire::ids::valid_job_id(&id) {
             return self.refuse(conn, 404, "no such job");
         }
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -14,7 +14,7 @@
 
 impl Node {
     /// A request at the peers' port.
-    pub(crate) fn peer(&mut self, conn: u64, request: &Request) {
+    pub(crate) fn peer_request(&mut self, conn: u64, request: &Request) {
         if self.demand_at_door(conn, request) || self.admin_asked(conn, request) {
             return;
         }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -161,8 +161,8 @@
         self.now = now;
         self.to_write |= matches!(event, Event::Tick);
         match event {
-            Event::Client { conn, request } => self.client(conn, request),
-            Event::Peer { conn, request } => self.peer(conn, &request),
+            Event::Client { conn, request } => self.user_request(conn, request),
+            Event::Peer { conn, request } => self.peer_request(conn, &request),
             Event::Late { conn } => self.refuse(conn, 429, "busy"),
             Event::Reply { tag, response } => self.reply(tag, response),
             Event::Unsent { tag } => self.unsent(tag),
@@ -184,7 +184,7 @@
         self.routing_tick();
         self.peer_status_tick();
         self.relay_tick();
-        self.door_tick();
+        self.admission_tick();
         self.waiters_tick();
         self.share_writes();
         self.documents_tick();
