--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use wire::api::Heartbeat;
 use wire::http::Response;
-use wire::peer::{self, Answer, Ask};
+use wire::peer::{Answer, Ask};
 
 /// Heartbeats in a message, their bytes, and messages that are out at once. What is beyond is refused: relays are the
 /// first thing that overload sheds.
@@ -33,14 +33,19 @@
 /// What a relay holds.
 #[derive(Default)]
 pub(crate) struct Relay {
+    /// Which workers reach the leader by themselves.
     pub ways: Ways,
+    /// Heartbeats that wait for the next message, with their connections, and their bytes.
     queue: Vec<(u64, ByteBuf)>,
     bytes: usize,
-    out: usize,
+    /// Messages that are not answered yet.
+    in_flight: usize,
+    /// The leader did not take a message: nothing is forwarded until then.
     rests_until: u64,
 }
 
 impl Node {
+    /// Whether heartbeats and commands may go by way of peers.
     pub(crate) fn relays(&self) -> bool {
         self.tuning.relays > 0.0
     }
@@ -79,6 +84,7 @@
         true
     }
 
+    /// Sends what has come since the last tick.
     pub(crate) fn relay_tick(&mut self) {
         if !self.relay.queue.is_empty() {
             self.send_batch();
@@ -88,26 +94,19 @@
     fn send_batch(&mut self) {
         let Some(peer) = self
             .leader_peer()
-            .filter(|_| self.relay.out < MOST_MESSAGES)
+            .filter(|_| self.relay.in_flight < MOST_MESSAGES)
         else {
             return self.refuse_queue();
         };
         self.relay.bytes = 0;
         let (conns, heartbeats): (Vec<u64>, Vec<ByteBuf>) = self.relay.queue.drain(..).unzip();
-        self.relay.out += 1;
-        let body = peer::encode(&Ask::Reports {
+        self.relay.in_flight += 1;
+        let ask = Ask::Reports {
             node: self.settings.node.clone(),
             reports: heartbeats,
-        });
-        let to = Destination::Peer(peer);
-        self.send(
-            to,
-            "POST",
-            peer::PATH.into(),
-            body,
-            HEARTBEATS_TIMEOUT_MS,
-            Pending::Relayed { conns },
-        );
+        };
+        let what = Pending::Relayed { conns };
+        self.ask_peer(peer, &ask, HEARTBEATS_TIMEOUT_MS, what);
     }
 
     fn refuse_queue(&mut self) {
@@ -117,12 +116,13 @@
         }
     }
 
+    /// The leader's answer to a batch of heartbeats: each goes to its worker.
     pub(crate) fn relayed_heartbeats_answered(
         &mut self,
         conns: Vec<u64>,
         response: Option<Response>,
     ) {
-        self.relay.out = self.relay.out.saturating_sub(1);
+        self.relay.in_flight = self.relay.in_flight.saturating_sub(1);
         let bodies = match peer_answer(response) {
             Some(Answer::Orders(bodies)) if bodies.len() == conns.len() => bodies,
             _ => {
@@ -177,29 +177,26 @@
 
     /// The leader has something to say to a worker that is served here.
     pub(crate) fn relay_command(&mut self, conn: u64, machine: &str, addr: &str, body: Vec<u8>) {
-        let known = self.relay.ways.serves(self.now.mono, machine);
-        let Some(addr) = addr
-            .parse::<SocketAddr>()
-            .ok()
-            .filter(|_| known && self.relays())
-        else {
-            return self.relayed_command_unsent(conn);
-        };
-        let what = Pending::Tell { conn };
-        self.send(
-            Destination::Worker(addr),
-            "POST",
-            "/commands".into(),
-            body,
-            COMMAND_TIMEOUT_MS,
-            what,
-        );
+        let is_served = self.relay.ways.serves(self.now.mono, machine) && self.relays();
+        match addr.parse::<SocketAddr>() {
+            Ok(addr) if is_served => {
+                self.post_command(addr, body, COMMAND_TIMEOUT_MS, Pending::Tell { conn });
+            }
+            _ => self.relayed_command_unsent(conn),
+        }
+    }
+
+    fn post_command(&mut self, addr: SocketAddr, body: Vec<u8>, timeout_ms: u64, what: Pending) {
+        let to = Destination::Worker(addr);
+        self.send(to, "POST", "/commands".into(), body, timeout_ms, what);
     }
 
+    /// Tells the leader that its command has not left this host.
     pub(crate) fn relayed_command_unsent(&mut self, conn: u64) {
         self.answer_peer(conn, &Answer::refused(NOT_SENT, ""));
     }
 
+    /// Tells the leader what the worker has answered.
     pub(crate) fn relayed_command_answered(&mut self, conn: u64, response: Option<Response>) {
         let answer = response.map_or(Answer::NotNow, |r| Answer::Told {
             status: r.status,
@@ -214,7 +211,7 @@
         m: usize,
         addr: SocketAddr,
         body: Vec<u8>,
-        timeout: u64,
+        timeout_ms: u64,
         what: Pending,
     ) {
         let machine = self.shard.as_ref().and_then(|p| p.machine(m));
@@ -226,45 +223,29 @@
                     addr: addr.to_string(),
                     body: body.into(),
                 };
-                self.send(
-                    Destination::Peer(peer),
-                    "POST",
-                    peer::PATH.into(),
-                    peer::encode(&ask),
-                    timeout,
-                    what,
-                );
+                self.ask_peer(peer, &ask, timeout_ms, what);
             }
-            None => self.send(
-                Destination::Worker(addr),
-                "POST",
-                "/commands".into(),
-                body,
-                timeout,
-                what,
-            ),
+            None => self.post_command(addr, body, timeout_ms, what),
         }
     }
 }
 
-/// The end of a command that has not left this host.
-pub(crate) fn not_sent() -> Response {
+fn as_worker(status: u16, body: Vec<u8>) -> Response {
     Response {
-        status: NOT_SENT,
-        body: Vec::new(),
+        status,
+        body,
         close: false,
         retry_after_s: None,
     }
 }
 
+/// The end of a command that has not left this host.
+pub(crate) fn not_sent() -> Response {
+    as_worker(NOT_SENT, Vec::new())
+}
+
 /// What a worker answered, where a peer tells it. A peer's own answer that is none is as good as silence.
 pub(crate) fn relayed_answer(response: Option<Response>) -> Option<Response> {
-    let as_worker = |status, body| Response {
-        status,
-        body,
-        close: false,
-        retry_after_s: None,
-    };
     match peer_answer(response)? {
         Answer::Told { status, body } if status != NOT_SENT => {
             Some(as_worker(status, body.into_vec()))
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -3,12 +3,13 @@
 
 use crate::jobs::feasibility::Infeasible;
 use crate::jobs::forwarding::ForwardedRequest;
+use crate::jobs::job::unstarted;
 pub(crate) use crate::jobs::peer_requests::peer_answer;
 use crate::jobs::query::Purpose;
 use crate::leadership::election::SHARD;
 use crate::{Destination, Node, Pending, Requester};
 use std::ops::Range;
-use wire::api::{Conflict, Guard, JobSpec, JobState, Stage, Txn, Write};
+use wire::api::{Conflict, Guard, JobSpec, Txn, Write};
 use wire::http::Response;
 use wire::peer::Ask;
 use wire::records::{self, JobRecord, Record};
@@ -246,13 +247,7 @@
             (Some(200), None) => {
                 self.stats.accepted += 1;
                 log::debug!("job {}: accepted", submission.spec.id);
-                let state = JobState {
-                    id: submission.spec.id,
-                    stage: Stage::Pending,
-                    done: 0,
-                    running: 0,
-                };
-                self.tell_accepted(requester, state)
+                self.tell_accepted(requester, unstarted(submission.spec.id))
             }
             // Judged and bound by a version that is no longer in force, and neither accepted nor refused.
             (Some(409), _) if response.is_some_and(|r| only_heads_failed(&r)) => {
--- a/crates/control/src/jobs/api.rs
+++ b/crates/control/src/jobs/api.rs
@@ -5,6 +5,13 @@
 use wire::api::ErrorBody;
 use wire::http::Request;
 
+const HEARTBEAT_PATH: &str = "/hello";
+const SUBMISSION_PATH: &str = "/work";
+const READY_PATH: &str = "/ready";
+/// Before a job's id, and after it in the path of a cancel.
+const JOB_PATH: &str = "/work/";
+const CANCEL_SUFFIX: &str = "/cancel";
+
 /// Whoever meets trouble that may be over at any time comes back after so many seconds.
 const SOON_S: u32 = 1;
 
@@ -12,21 +19,23 @@
     /// A request of a user's or a worker's.
     pub(crate) fn user_request(&mut self, conn: u64, request: Request) {
         let path = request.path.split('?').next().unwrap_or("");
-        let job = path.strip_prefix("/work/");
+        let job = path.strip_prefix(JOB_PATH);
         match (request.method.as_str(), path, job) {
-            ("POST", "/hello", _) => self.heartbeat_received(conn, &request.body),
-            ("POST", "/work", _) => self.submission_received(conn, &request.body),
-            ("GET", "/ready", _) => self.ready(conn),
+            ("POST", HEARTBEAT_PATH, _) => self.heartbeat_received(conn, &request.body),
+            ("POST", SUBMISSION_PATH, _) => self.submission_received(conn, &request.body),
+            ("GET", READY_PATH, _) => self.ready(conn),
             ("GET", _, Some(id)) if !id.contains('/') => {
                 let id = id.to_owned();
                 self.query_for(Requester::User(conn), id, Purpose::Query)
             }
-            ("POST", _, Some(rest)) if let Some(id) = rest.strip_suffix("/cancel") => {
+            ("POST", _, Some(rest)) if let Some(id) = rest.strip_suffix(CANCEL_SUFFIX) => {
                 let id = id.to_owned();
                 self.cancel_requested(conn, id)
             }
-            (_, "/hello" | "/work" | "/ready", _) => self.refuse(conn, 405, "method not allowed"),
-            (_, _, Some(id)) if !id.contains('/') || id.ends_with("/cancel") => {
+            (_, HEARTBEAT_PATH | SUBMISSION_PATH | READY_PATH, _) => {
+                self.refuse(conn, 405, "method not allowed")
+            }
+            (_, _, Some(id)) if !id.contains('/') || id.ends_with(CANCEL_SUFFIX) => {
                 self.refuse(conn, 405, "method not allowed")
             }
             _ => self.refuse(conn, 404, "no such path"),
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -3,10 +3,10 @@
 use crate::jobs::job::{Ending, JobIndex};
 use crate::jobs::peer_requests::peer_answer;
 use crate::jobs::query::Purpose;
-use crate::{Destination, Node, Pending, Requester};
+use crate::{Node, Pending, Requester};
 use wire::api::{Kind, Stage};
 use wire::http::Response;
-use wire::peer::{self, Answer, Ask};
+use wire::peer::{Answer, Ask};
 
 /// The leader has this long to answer a cancel that is forwarded to it.
 const CANCEL_TIMEOUT_MS: u64 = 3500;
@@ -28,16 +28,9 @@
         let Some(peer) = self.leader_peer() else {
             return self.refuse(conn, 503, "no owner now");
         };
-        let body = peer::encode(&Ask::Cancel { job: id.clone() });
+        let ask = Ask::Cancel { job: id.clone() };
         let what = Pending::PeerCancel { conn, job: id };
-        self.send(
-            Destination::Peer(peer),
-            "POST",
-            peer::PATH.into(),
-            body,
-            CANCEL_TIMEOUT_MS,
-            what,
-        );
+        self.ask_peer(peer, &ask, CANCEL_TIMEOUT_MS, what);
     }
 
     /// The leader's answer to a forwarded cancel. A job that it has not in memory may have ended: its record decides.
--- a/crates/control/src/jobs/class.rs
+++ b/crates/control/src/jobs/class.rs
@@ -5,6 +5,7 @@
 /// What was seen of a class: run times against estimates, and how often its jobs come.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Class {
+    /// Runs seen, and the logarithm of their times over the estimates, as a mean that forgets.
     runs: f64,
     log_ratio: f64,
     /// Jobs a second, as a mean that forgets, and the time of day it was last brought up to.
@@ -25,21 +26,45 @@
 const SILENCE: f64 = 3.0;
 /// How fast the share of an image follows the arrivals; with it, some two hundred images are remembered at most.
 const IMAGE_WEIGHT: f64 = 0.03;
+/// An image with no greater share is forgotten.
+const FORGOTTEN_SHARE: f64 = IMAGE_WEIGHT / 8.0;
+/// How fast the mean of tasks a job follows the arrivals.
+const TASKS_WEIGHT: f64 = 0.1;
+/// A run counts for no less than this, however many came before it.
+const LEAST_RUN_WEIGHT: f64 = 0.05;
+/// One run proves no more than these, and estimates are corrected by no more than those.
+const LEAST_RATIO: f64 = 0.1;
+const MOST_RATIO: f64 = 10.0;
+const LEAST_FACTOR: f64 = 0.3;
+const MOST_FACTOR: f64 = 3.0;
 
 impl Class {
-    /// Each run moves the correction less, down to a twentieth, so that it follows the day.
+    /// Learns from a run, by its time over the estimate. Each run moves the correction less, down to a twentieth, so that it follows the day.
     pub fn learn(&mut self, ratio: f64) {
         self.runs += 1.0;
-        let weight = (1.0 / (self.runs + 2.0)).max(0.05);
-        self.log_ratio += (ratio.clamp(0.1, 10.0).ln() - self.log_ratio) * weight;
+        let weight = (1.0 / (self.runs + 2.0)).max(LEAST_RUN_WEIGHT);
+        let ratio = ratio.clamp(LEAST_RATIO, MOST_RATIO);
+        self.log_ratio += (ratio.ln() - self.log_ratio) * weight;
     }
+
+    /// Counts a job that was accepted at that time of day.
     pub fn arrived(&mut self, spec: &JobSpec, at_ms: u64) {
         self.rate = self.rate(at_ms) + 1000.0 / ARRIVALS_MS;
         self.rate_at = self.rate_at.max(at_ms);
-        let weight = if self.like.is_none() { 1.0 } else { 0.1 };
+        let weight = if self.like.is_none() {
+            1.0
+        } else {
+            TASKS_WEIGHT
+        };
         let tasks = f64::from(spec.tasks);
         self.tasks += (tasks - self.tasks) * weight;
         self.tasks_squared += (tasks * tasks - self.tasks_squared) * weight;
+        self.count_image(spec);
+        self.like = Some(Box::new(spec.clone()));
+    }
+
+    /// Raises the share of a job's image at the cost of all others.
+    fn count_image(&mut self, spec: &JobSpec) {
         self.images
             .iter_mut()
             .for_each(|(_, _, share)| *share *= 1.0 - IMAGE_WEIGHT);
@@ -53,13 +78,11 @@
                 *share += IMAGE_WEIGHT;
             }
             None => {
-                self.images
-                    .retain(|(_, _, share)| *share > IMAGE_WEIGHT / 8.0);
+                self.images.retain(|(_, _, share)| *share > FORGOTTEN_SHARE);
                 self.images
                     .push((spec.image.clone(), spec.image_gb, IMAGE_WEIGHT));
             }
         }
-        self.like = Some(Box::new(spec.clone()));
     }
 
     /// Jobs a second that are to be expected.
@@ -72,7 +95,8 @@
         (self.rate * (-gone / ARRIVALS_MS).exp()).min(SILENCE * 1000.0 / gone.max(1.0))
     }
 
+    /// What estimates are to be multiplied by.
     pub fn factor(&self) -> f64 {
-        self.log_ratio.exp().clamp(0.3, 3.0)
+        self.log_ratio.exp().clamp(LEAST_FACTOR, MOST_FACTOR)
     }
 }
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -160,14 +160,14 @@
         peer: usize,
         sent: u64,
         mark: u64,
-        r: Option<Response>,
+        response: Option<Response>,
     ) {
-        self.peer_heard(peer, sent, r.is_some());
-        if r.is_none() && self.responsiveness.rests(peer, self.now.mono) {
+        self.peer_heard(peer, sent, response.is_some());
+        if response.is_none() && self.responsiveness.rests(peer, self.now.mono) {
             return self.forward(forwarded);
         }
         let conn = forwarded.conn;
-        match peer_answer(r) {
+        match peer_answer(response) {
             Some(Answer::State(state)) => self.tell(Requester::User(conn), state),
             Some(Answer::Accepted(state)) => self.tell_accepted(Requester::User(conn), state),
             Some(Answer::Refused { status, why }) => {
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -66,6 +66,16 @@
     pub hour: Option<Box<crate::documents::hours::Hour>>,
 }
 
+/// The state of an accepted job of which nothing more is known.
+pub(crate) fn unstarted(id: String) -> JobState {
+    JobState {
+        id,
+        stage: Stage::Pending,
+        done: 0,
+        running: 0,
+    }
+}
+
 impl Job {
     pub fn new(rec: JobRecord, version: u64) -> Self {
         let spec = rec.spec;
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -1,7 +1,7 @@
 //! Peers' requests. What a peer forwards for a user goes no further than to the leader and the state service.
 
 use crate::jobs::query::{Purpose, Question};
-use crate::{Node, Requester};
+use crate::{Destination, Node, Pending, Requester};
 use wire::http::{Request, Response};
 use wire::peer::{self, Answer, Ask, PeerStatus};
 
@@ -54,6 +54,12 @@
         }
     }
 
+    /// Asks a peer something. `what` says what its answer belongs to.
+    pub(crate) fn ask_peer(&mut self, peer: usize, ask: &Ask, timeout_ms: u64, what: Pending) {
+        let (to, body) = (Destination::Peer(peer), peer::encode(ask));
+        self.send(to, "POST", peer::PATH.into(), body, timeout_ms, what);
+    }
+
     pub(crate) fn answer_peer(&mut self, conn: u64, answer: &Answer) {
         self.respond(conn, 200, peer::encode(answer), None);
     }
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -2,12 +2,12 @@
 //! fresh read of the state service, by this node or by a peer that is served; each step takes what time is left.
 
 use crate::jobs::forwarding::ForwardedRequest;
-use crate::jobs::job::Job;
+use crate::jobs::job::{Job, unstarted};
 use crate::jobs::peer_requests::peer_answer;
 use crate::{Destination, Node, Pending, Requester};
-use wire::api::{Item, JobState, Stage};
+use wire::api::{Item, JobState};
 use wire::http::Response;
-use wire::peer::{self, Answer, Ask};
+use wire::peer::{Answer, Ask};
 use wire::records::{self, EndRecord};
 use wire::submission::Fault;
 
@@ -61,6 +61,7 @@
 }
 
 impl Node {
+    /// A question that was asked just now.
     pub(crate) fn question(&self, requester: Requester, job: String, purpose: Purpose) -> Question {
         let waits = if matches!(requester, Requester::User(_)) {
             USER_WAITS_MS
@@ -77,42 +78,39 @@
         }
     }
 
+    /// Looks up a job's state for a requester.
     pub(crate) fn query_for(&mut self, requester: Requester, id: String, purpose: Purpose) {
         let question = self.question(requester, id, purpose);
         self.query(question);
     }
 
-    pub(crate) fn query(&mut self, mut q: Question) {
-        if !wire::ids::valid_job_id(&q.job) {
-            return self.deny(q.requester, 404, "no such job");
+    /// Answers a question from what is known here, else from the leader, else by a read.
+    pub(crate) fn query(&mut self, mut question: Question) {
+        if !wire::ids::valid_job_id(&question.job) {
+            return self.deny(question.requester, 404, "no such job");
         }
-        if let Some(state) = self.known_here(&q.job) {
-            return self.tell(q.requester, state);
+        if let Some(state) = self.known_here(&question.job) {
+            return self.tell(question.requester, state);
         }
-        q.past_leader |= self.leads();
+        question.past_leader |= self.leads();
         let now = self.now.mono;
-        match self
+        let leader = self
             .leader_peer()
-            .filter(|p| !q.past_leader && !self.responsiveness.rests(*p, now))
-        {
+            .filter(|peer| !question.past_leader && !self.responsiveness.rests(*peer, now));
+        match leader {
             Some(peer) => {
-                let body = peer::encode(&Ask::Query { job: q.job.clone() });
-                let timeout = q.timeout(now, LEADER_TIMEOUT_MS);
+                let ask = Ask::Query {
+                    job: question.job.clone(),
+                };
+                let timeout = question.timeout(now, LEADER_TIMEOUT_MS);
                 let what = Pending::PeerQuery {
-                    question: q,
+                    question,
                     peer,
                     sent: now,
                 };
-                self.send(
-                    Destination::Peer(peer),
-                    "POST",
-                    peer::PATH.into(),
-                    body,
-                    timeout,
-                    what,
-                );
+                self.ask_peer(peer, &ask, timeout, what);
             }
-            None => self.read_job(q),
+            None => self.read_job(question),
         }
     }
 
@@ -123,11 +121,9 @@
 
     /// Whether the leader has read the job.
     fn has_read(&self, id: &str) -> bool {
-        let job = self
-            .shard
-            .as_ref()
-            .and_then(|p| p.job(*p.job_index.get(id)?));
-        job.is_some_and(|j| j.spec.is_some())
+        let shard = self.shard.as_ref();
+        let job = shard.and_then(|shard| shard.job(*shard.job_index.get(id)?));
+        job.is_some_and(|job| job.spec.is_some())
     }
 
     /// What the leader knows, while it is sure. Jobs that it has read back are live even before all else has been read:
@@ -141,162 +137,161 @@
             .map(Job::state)
     }
 
+    /// The leader's answer to a query. Whatever it does not tell is read.
     pub(crate) fn query_answered(
         &mut self,
-        mut q: Question,
+        mut question: Question,
         peer: usize,
         sent: u64,
-        r: Option<Response>,
+        response: Option<Response>,
     ) {
-        self.peer_heard(peer, sent, r.is_some());
-        match peer_answer(r) {
-            Some(Answer::State(state)) if state.id == q.job => self.tell(q.requester, state),
+        self.peer_heard(peer, sent, response.is_some());
+        match peer_answer(response) {
+            Some(Answer::State(state)) if state.id == question.job => {
+                self.tell(question.requester, state)
+            }
             _ => {
-                q.past_leader = true;
-                self.read_job(q)
+                question.past_leader = true;
+                self.read_job(question)
             }
         }
     }
 
     /// Looks the job up in the state service: first among the live, then among the ended, since jobs only
     /// move that way; a job that is in neither was never accepted.
-    pub(crate) fn read_job(&mut self, mut q: Question) {
+    pub(crate) fn read_job(&mut self, mut question: Question) {
         let now = self.now.mono;
-        q.mark = self.answer_history.mark();
+        question.mark = self.answer_history.mark();
         // A node that is not served, or has asked for all that it may, leaves it to another.
-        if let Some(conn) = q.user()
+        if let Some(conn) = question.user()
             && (self.state_down() || self.requests.level(now) < 1.0)
         {
-            return self.forward_lookup(conn, q);
+            return self.forward_lookup(conn, question);
         }
         if self.requests.level(now) < 1.0 {
-            return self.unanswered(&q, "busy");
+            return self.unanswered(&question, "busy");
         }
-        let path = format!("/keys/{}", records::live_key(&q.job));
-        let timeout = q.timeout(now, READ_TIMEOUT_MS);
+        let timeout = question.timeout(now, READ_TIMEOUT_MS);
+        let key = records::live_key(&question.job);
+        self.read_key(&key, timeout, Pending::ReadLive { question });
+    }
+
+    fn read_key(&mut self, key: &str, timeout_ms: u64, what: Pending) {
+        let path = format!("/keys/{key}");
         self.send(
             Destination::State,
             "GET",
             path,
             Vec::new(),
-            timeout,
-            Pending::ReadLive { question: q },
+            timeout_ms,
+            what,
         );
     }
 
-    pub(crate) fn live_record_received(&mut self, q: Question, r: Option<Response>) {
-        match r.map(|r| r.status) {
-            Some(200) if q.purpose == Purpose::Cancel && self.has_read(&q.job) => {
-                self.cancel(&q.job, q.requester)
-            }
-            Some(200) if q.purpose == Purpose::Cancel => {
-                self.deny(q.requester, 503, "the owner does not know the job yet")
+    /// The job's live record was read, or is not there.
+    pub(crate) fn live_record_received(&mut self, question: Question, response: Option<Response>) {
+        match response.map(|r| r.status) {
+            Some(200) if question.purpose == Purpose::Cancel && self.has_read(&question.job) => {
+                self.cancel(&question.job, question.requester)
             }
+            Some(200) if question.purpose == Purpose::Cancel => self.deny(
+                question.requester,
+                503,
+                "the owner does not know the job yet",
+            ),
             Some(200) => {
-                let read = || JobState {
-                    id: q.job.clone(),
-                    stage: Stage::Pending,
-                    done: 0,
-                    running: 0,
-                };
-                let state = self.known_here(&q.job).unwrap_or_else(read);
-                self.tell(q.requester, state);
+                let known = self.known_here(&question.job);
+                let state = known.unwrap_or(unstarted(question.job));
+                self.tell(question.requester, state);
             }
             Some(404) => {
-                let path = format!("/keys/{}", records::end_key(&q.job));
-                let timeout = q.timeout(self.now.mono, READ_TIMEOUT_MS);
-                self.send(
-                    Destination::State,
-                    "GET",
-                    path,
-                    Vec::new(),
-                    timeout,
-                    Pending::ReadEnd { question: q },
-                );
+                let timeout = question.timeout(self.now.mono, READ_TIMEOUT_MS);
+                let key = records::end_key(&question.job);
+                self.read_key(&key, timeout, Pending::ReadEnd { question });
             }
-            status => self.read_failed(q, status),
+            status => self.read_failed(question, status),
         }
     }
 
-    pub(crate) fn end_record_received(&mut self, q: Question, r: Option<Response>) {
-        let r = match r {
-            Some(r) if r.status == 200 || r.status == 404 => r,
-            r => return self.read_failed(q, r.map(|r| r.status)),
+    /// The job's end record was read, or is not there.
+    pub(crate) fn end_record_received(&mut self, question: Question, response: Option<Response>) {
+        let response = match response {
+            Some(r) if r.status == 200 => r,
+            Some(r) if r.status == 404 => return self.not_found(question),
+            other => return self.read_failed(question, other.map(|r| r.status)),
         };
-        if r.status == 200 {
-            let Some(item) = self.read::<Item<EndRecord>>("state service", &r) else {
-                return self.unanswered(&q, "unreadable record");
-            };
-            let EndRecord { stage, done, .. } = item.value;
-            return self.tell(
-                q.requester,
-                JobState {
-                    id: q.job,
-                    stage,
-                    done,
-                    running: 0,
-                },
-            );
-        }
-        self.not_found(q)
+        let Some(item) = self.read::<Item<EndRecord>>("state service", &response) else {
+            return self.unanswered(&question, "unreadable record");
+        };
+        let EndRecord { stage, done, .. } = item.value;
+        let state = JobState {
+            id: question.job,
+            stage,
+            done,
+            running: 0,
+        };
+        self.tell(question.requester, state)
     }
 
     /// A job was in neither place. What this node has learned since it began to look is newer.
-    fn not_found(&mut self, q: Question) {
-        if q.purpose == Purpose::Cancel && self.has_read(&q.job) {
-            return self.cancel(&q.job, q.requester);
+    fn not_found(&mut self, question: Question) {
+        if question.purpose == Purpose::Cancel && self.has_read(&question.job) {
+            return self.cancel(&question.job, question.requester);
         }
-        if let Some(state) = self.known_here(&q.job) {
-            return self.tell(q.requester, state);
+        if let Some(state) = self.known_here(&question.job) {
+            return self.tell(question.requester, state);
         }
-        if self.has_read(&q.job) || self.answer_history.since(&q.job, q.mark) {
-            return self.read_again(q);
+        if self.has_read(&question.job) || self.answer_history.since(&question.job, question.mark) {
+            return self.read_again(question);
         }
-        match q.purpose {
-            Purpose::Malformed(fault) => self.deny(q.requester, 400, &fault.to_string()),
+        match question.purpose {
+            Purpose::Malformed(fault) => self.deny(question.requester, 400, &fault.to_string()),
             // Its record was in the way a moment ago; the user's retry will find out.
-            Purpose::Known => self.deny(q.requester, 503, "undecided"),
-            Purpose::Query | Purpose::Cancel => self.deny(q.requester, 404, "no such job"),
+            Purpose::Known => self.deny(question.requester, 503, "undecided"),
+            Purpose::Query | Purpose::Cancel => self.deny(question.requester, 404, "no such job"),
         }
     }
 
     /// Once more, if whoever asks still waits for that long.
-    fn read_again(&mut self, q: Question) {
-        if self.now.mono + LEAST_MS < q.deadline {
-            self.read_job(q)
+    fn read_again(&mut self, question: Question) {
+        if self.now.mono + LEAST_MS < question.deadline {
+            self.read_job(question)
         } else {
-            self.unanswered(&q, "undecided")
+            self.unanswered(&question, "undecided")
         }
     }
 
     /// The state service did not answer. Only this node may be refused, or not heard.
-    fn read_failed(&mut self, q: Question, status: Option<u16>) {
-        match q.user().filter(|_| matches!(status, None | Some(503))) {
-            Some(conn) => self.forward_lookup(conn, q),
-            None => self.unanswered(&q, "state service not available"),
+    fn read_failed(&mut self, question: Question, status: Option<u16>) {
+        match question
+            .user()
+            .filter(|_| matches!(status, None | Some(503)))
+        {
+            Some(conn) => self.forward_lookup(conn, question),
+            None => self.unanswered(&question, "state service not available"),
         }
     }
 
-    fn forward_lookup(&mut self, conn: u64, q: Question) {
+    /// Leaves a question to a peer that may be served.
+    fn forward_lookup(&mut self, conn: u64, question: Question) {
         let ask = Ask::Lookup {
-            job: q.job,
-            past_leader: q.past_leader,
+            job: question.job,
+            past_leader: question.past_leader,
         };
-        let fault = if let Purpose::Malformed(fault) = q.purpose {
-            Some(fault)
-        } else {
-            None
+        let fault = match question.purpose {
+            Purpose::Malformed(fault) => Some(fault),
+            _ => None,
         };
         self.forward(ForwardedRequest {
             conn,
             ask: Box::new(ask),
-            deadline: q.deadline,
+            deadline: question.deadline,
             fault,
         });
     }
 
-    fn unanswered(&mut self, q: &Question, why: &str) {
+    fn unanswered(&mut self, question: &Question, why: &str) {
         self.stats.unanswered += 1;
-        self.deny(q.requester, 503, why);
+        self.deny(question.requester, 503, why);
     }
 }
