--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use wire::api::Heartbeat;
 use wire::http::Response;
-use wire::peer::{self, Answer, Ask};
+use wire::peer::{self, PeerRequest, PeerResponse};
 
 /// Heartbeats in a message, their bytes, and messages that are out at once. What is beyond is refused: relays are the
 /// first thing that overload sheds.
@@ -87,7 +87,7 @@
         self.relay.bytes = 0;
         let (conns, heartbeats): (Vec<u64>, Vec<ByteBuf>) = self.relay.queue.drain(..).unzip();
         self.relay.out += 1;
-        let body = peer::encode(&Ask::Reports {
+        let body = peer::encode(&PeerRequest::Reports {
             node: self.settings.node.clone(),
             reports: heartbeats,
         });
@@ -112,7 +112,7 @@
     pub(crate) fn relayed(&mut self, conns: Vec<u64>, response: Option<Response>) {
         self.relay.out = self.relay.out.saturating_sub(1);
         let bodies = match peer_answer(response) {
-            Some(Answer::Orders(bodies)) if bodies.len() == conns.len() => bodies,
+            Some(PeerResponse::Orders(bodies)) if bodies.len() == conns.len() => bodies,
             _ => {
                 self.relay.rests_until = self.now.mono + REST_MS;
                 conns.iter().map(|_| ByteBuf::new()).collect()
@@ -140,13 +140,13 @@
             return self.refuse(conn, 400, "reports: from nobody we know, or too many");
         };
         if self.shard.is_none() {
-            return self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
+            return self.respond(conn, 200, peer::encode(&PeerResponse::NotNow), None);
         }
         let bodies = heartbeats
             .iter()
             .map(|body| self.forwarded(peer, body))
             .collect();
-        self.respond(conn, 200, peer::encode(&Answer::Orders(bodies)), None);
+        self.respond(conn, 200, peer::encode(&PeerResponse::Orders(bodies)), None);
     }
 
     fn forwarded(&mut self, peer: usize, body: &[u8]) -> ByteBuf {
@@ -183,12 +183,12 @@
     }
 
     pub(crate) fn tell_unsent(&mut self, conn: u64) {
-        let answer = Answer::refused(NOT_SENT, "");
+        let answer = PeerResponse::refused(NOT_SENT, "");
         self.respond(conn, 200, peer::encode(&answer), None);
     }
 
     pub(crate) fn worker_told(&mut self, conn: u64, response: Option<Response>) {
-        let answer = response.map_or(Answer::NotNow, |r| Answer::Told {
+        let answer = response.map_or(PeerResponse::NotNow, |r| PeerResponse::Told {
             status: r.status,
             body: r.body.into(),
         });
@@ -208,7 +208,7 @@
         let via = machine.and_then(|m| Some((m.via?, m.name.clone())));
         match via {
             Some((peer, machine)) => {
-                let ask = Ask::Tell {
+                let ask = PeerRequest::Tell {
                     machine,
                     addr: addr.to_string(),
                     body: body.into(),
@@ -253,10 +253,10 @@
         retry_after_s: None,
     };
     match peer_answer(response)? {
-        Answer::Told { status, body } if status != NOT_SENT => {
+        PeerResponse::Told { status, body } if status != NOT_SENT => {
             Some(as_worker(status, body.into_vec()))
         }
-        Answer::Refused { status, .. } => Some(as_worker(status, Vec::new())),
+        PeerResponse::Refused { status, .. } => Some(as_worker(status, Vec::new())),
         _ => None,
     }
 }
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -8,7 +8,7 @@
 use crate::{Destination, Node, Pending, Requester};
 use wire::api::{Conflict, ErrorBody, Guard, JobSpec, JobState, Stage, Txn, Write};
 use wire::http::{Request, Response};
-use wire::peer::{self, Answer, Ask};
+use wire::peer::{self, PeerRequest, PeerResponse};
 use wire::records::{self, JobRecord, Record};
 use wire::submission::{self, Fault, Malformed};
 
@@ -29,7 +29,7 @@
 }
 
 /// What a peer answered; anything else than an answer is none.
-pub(crate) fn peer_answer(response: Option<Response>) -> Option<Answer> {
+pub(crate) fn peer_answer(response: Option<Response>) -> Option<PeerResponse> {
     response
         .filter(|r| r.status == 200)
         .and_then(|r| peer::decode(&r.body).ok())
@@ -319,7 +319,7 @@
         let until = self.now.mono + SUBMIT_WAITS_MS;
         self.forward(ForwardedRequest {
             conn,
-            ask: Box::new(Ask::Submit { spec }),
+            ask: Box::new(PeerRequest::Submit { spec }),
             until,
             fault: None,
         });
@@ -361,7 +361,7 @@
         let Some(peer) = self.leader_peer() else {
             return self.refuse(conn, 503, "no owner now");
         };
-        let body = peer::encode(&Ask::Cancel { job: id.clone() });
+        let body = peer::encode(&PeerRequest::Cancel { job: id.clone() });
         let what = Pending::PeerCancel { conn, job: id };
         self.send(
             Destination::Peer(peer),
@@ -375,10 +375,10 @@
 
     pub(crate) fn peer_cancelled(&mut self, conn: u64, job: String, r: Option<Response>) {
         match peer_answer(r) {
-            Some(Answer::State(state)) if state.id == job => {
+            Some(PeerResponse::State(state)) if state.id == job => {
                 self.tell(Requester::User(conn), state)
             }
-            Some(Answer::Unknown) => {
+            Some(PeerResponse::Unknown) => {
                 let question = self.question(Requester::User(conn), job, Why::Cancel);
                 self.read_job(question)
             }
@@ -391,36 +391,36 @@
             return;
         }
         let ask = if request.method == "POST" && request.path == peer::PATH {
-            peer::decode::<Ask>(&request.body).ok()
+            peer::decode::<PeerRequest>(&request.body).ok()
         } else {
             None
         };
         match ask {
-            Some(Ask::Query { job }) => {
+            Some(PeerRequest::Query { job }) => {
                 let unknown = if self.may_decide() {
-                    Answer::Unknown
+                    PeerResponse::Unknown
                 } else {
-                    Answer::NotNow
+                    PeerResponse::NotNow
                 };
                 match self.state_here(&job) {
                     Some(state) => self.tell(Requester::Peer(conn), state),
                     None => self.respond(conn, 200, peer::encode(&unknown), None),
                 }
             }
-            Some(Ask::Cancel { job }) => self.cancel(&job, Requester::Peer(conn)),
-            Some(Ask::Submit { spec }) => self.submit(Requester::Peer(conn), *spec),
-            Some(Ask::Lookup { job, past_leader }) => {
+            Some(PeerRequest::Cancel { job }) => self.cancel(&job, Requester::Peer(conn)),
+            Some(PeerRequest::Submit { spec }) => self.submit(Requester::Peer(conn), *spec),
+            Some(PeerRequest::Lookup { job, past_leader }) => {
                 let question = self.question(Requester::Peer(conn), job, Why::Query);
                 self.query(Question {
                     past_leader,
                     ..question
                 })
             }
-            Some(Ask::Leads { node, token }) => {
+            Some(PeerRequest::Leads { node, token }) => {
                 self.leader_asserted(node, token);
-                self.respond(conn, 200, peer::encode(&Answer::NotNow), None);
+                self.respond(conn, 200, peer::encode(&PeerResponse::NotNow), None);
             }
-            Some(Ask::PeerStatus(peer_status)) => {
+            Some(PeerRequest::PeerStatus(peer_status)) => {
                 let Some(peer) = self.peer_status_seen(peer_status) else {
                     return self.refuse(
                         conn,
@@ -435,19 +435,19 @@
                 self.respond(
                     conn,
                     200,
-                    peer::encode(&Answer::PeerStatus(peer_status)),
+                    peer::encode(&PeerResponse::PeerStatus(peer_status)),
                     None,
                 );
             }
-            Some(Ask::Reports { node, reports }) => {
+            Some(PeerRequest::Reports { node, reports }) => {
                 self.relayed_heartbeats_received(conn, &node, reports)
             }
-            Some(Ask::Tell {
+            Some(PeerRequest::Tell {
                 machine,
                 addr,
                 body,
             }) => self.tell_asked(conn, &machine, &addr, body.into_vec()),
-            Some(Ask::Wake { model, leader }) => self.demand_of_peer(conn, &model, leader),
+            Some(PeerRequest::Wake { model, leader }) => self.demand_of_peer(conn, &model, leader),
             None => self.refuse(conn, 400, "not understood"),
         }
     }
@@ -456,9 +456,12 @@
     pub(crate) fn deny(&mut self, requester: Requester, status: u16, why: &str) {
         match requester {
             Requester::User(conn) => self.refuse(conn, status, why),
-            Requester::Peer(conn) => {
-                self.respond(conn, 200, peer::encode(&Answer::refused(status, why)), None)
-            }
+            Requester::Peer(conn) => self.respond(
+                conn,
+                200,
+                peer::encode(&PeerResponse::refused(status, why)),
+                None,
+            ),
         }
     }
 
@@ -473,7 +476,7 @@
         match requester {
             Requester::User(conn) => self.respond(conn, 200, wire::encode(&state), None),
             Requester::Peer(conn) => {
-                self.respond(conn, 200, peer::encode(&Answer::State(state)), None)
+                self.respond(conn, 200, peer::encode(&PeerResponse::State(state)), None)
             }
         }
     }
@@ -486,9 +489,12 @@
         self.answer_history.note(&state.id);
         match requester {
             Requester::User(conn) => self.respond(conn, 201, wire::encode(&state), None),
-            Requester::Peer(conn) => {
-                self.respond(conn, 200, peer::encode(&Answer::Accepted(state)), None)
-            }
+            Requester::Peer(conn) => self.respond(
+                conn,
+                200,
+                peer::encode(&PeerResponse::Accepted(state)),
+                None,
+            ),
         }
     }
 
@@ -499,14 +505,18 @@
                 let question = self.question(requester, job.to_owned(), Why::Cancel);
                 self.read_job(question)
             }
-            Requester::Peer(conn) => self.respond(conn, 200, peer::encode(&Answer::Unknown), None),
+            Requester::Peer(conn) => {
+                self.respond(conn, 200, peer::encode(&PeerResponse::Unknown), None)
+            }
         }
     }
 
     pub(crate) fn not_now(&mut self, requester: Requester) {
         match requester {
             Requester::User(conn) => self.refuse(conn, 503, "not sure now"),
-            Requester::Peer(conn) => self.respond(conn, 200, peer::encode(&Answer::NotNow), None),
+            Requester::Peer(conn) => {
+                self.respond(conn, 200, peer::encode(&PeerResponse::NotNow), None)
+            }
         }
     }
 
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -4,7 +4,7 @@
 use crate::jobs::admission::peer_answer;
 use crate::{Destination, Node, Pending, Requester};
 use wire::http::Response;
-use wire::peer::{self, Answer, Ask};
+use wire::peer::{self, PeerRequest, PeerResponse};
 use wire::submission::Fault;
 
 /// A peer has this long to answer for us.
@@ -49,7 +49,7 @@
 /// A user's request that a peer is to answer.
 pub(crate) struct ForwardedRequest {
     pub conn: u64,
-    pub ask: Box<Ask>,
+    pub ask: Box<PeerRequest>,
     /// Whoever asks waits until then.
     pub until: u64,
     /// A malformed submission is only looked up: what is wrong with it, for a job that was never accepted.
@@ -59,8 +59,8 @@
 impl ForwardedRequest {
     fn job(&self) -> Option<&str> {
         match &*self.ask {
-            Ask::Submit { spec } => Some(&spec.id),
-            Ask::Lookup { job, .. } => Some(job),
+            PeerRequest::Submit { spec } => Some(&spec.id),
+            PeerRequest::Lookup { job, .. } => Some(job),
             _ => None,
         }
     }
@@ -80,7 +80,7 @@
 
     /// Whom a request is forwarded to: the leader, or another that says it is served, or one that says nothing. If all say
     /// that they are not served, only a job's end may still be known, best to the leader.
-    fn helper(&mut self, ask: &Ask) -> Option<usize> {
+    fn helper(&mut self, ask: &PeerRequest) -> Option<usize> {
         let now = self.now.mono;
         let peers = 0..self.settings.peers.len();
         let able: Vec<usize> = peers
@@ -95,7 +95,7 @@
         let (up, silent) = (served(Some(false)), served(None));
         let past_leader = matches!(
             ask,
-            Ask::Lookup {
+            PeerRequest::Lookup {
                 past_leader: true,
                 ..
             }
@@ -108,7 +108,7 @@
         }
         let any = if up.is_empty() { silent } else { up };
         if any.is_empty() {
-            return leader.filter(|_| matches!(ask, Ask::Lookup { .. }));
+            return leader.filter(|_| matches!(ask, PeerRequest::Lookup { .. }));
         }
         Some(any[self.rng.usize(0..any.len())])
     }
@@ -122,7 +122,8 @@
             self.helper(&forwarded.ask)
         };
         let Some(peer) = helper else {
-            self.stats.unanswered += u64::from(matches!(*forwarded.ask, Ask::Lookup { .. }));
+            self.stats.unanswered +=
+                u64::from(matches!(*forwarded.ask, PeerRequest::Lookup { .. }));
             return self.refuse(forwarded.conn, 503, "state service not available");
         };
         self.stats.forwarded += 1;
@@ -159,9 +160,9 @@
         }
         let conn = forwarded.conn;
         match peer_answer(r) {
-            Some(Answer::State(state)) => self.tell(Requester::User(conn), state),
-            Some(Answer::Accepted(state)) => self.tell_accepted(Requester::User(conn), state),
-            Some(Answer::Refused { status, why }) => {
+            Some(PeerResponse::State(state)) => self.tell(Requester::User(conn), state),
+            Some(PeerResponse::Accepted(state)) => self.tell_accepted(Requester::User(conn), state),
+            Some(PeerResponse::Refused { status, why }) => {
                 self.refused_by_peer(&forwarded, mark, status, &why)
             }
             _ => self.refuse(conn, 503, "state service not available"),
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -7,7 +7,7 @@
 use crate::{Destination, Node, Pending, Requester};
 use wire::api::{Item, JobState, Stage};
 use wire::http::Response;
-use wire::peer::{self, Answer, Ask};
+use wire::peer::{self, PeerRequest, PeerResponse};
 use wire::records::{self, EndRecord};
 use wire::submission::Fault;
 
@@ -96,7 +96,7 @@
             .filter(|p| !q.past_leader && !self.responsiveness.rests(*p, now))
         {
             Some(peer) => {
-                let body = peer::encode(&Ask::Query { job: q.job.clone() });
+                let body = peer::encode(&PeerRequest::Query { job: q.job.clone() });
                 let timeout = q.timeout(now, OWNER_TIMEOUT_MS);
                 let what = Pending::PeerQuery {
                     question: q,
@@ -150,7 +150,7 @@
     ) {
         self.peer_heard(peer, sent, r.is_some());
         match peer_answer(r) {
-            Some(Answer::State(state)) if state.id == q.job => self.tell(q.requester, state),
+            Some(PeerResponse::State(state)) if state.id == q.job => self.tell(q.requester, state),
             _ => {
                 q.past_leader = true;
                 self.read_job(q)
@@ -278,7 +278,7 @@
     }
 
     fn look_elsewhere(&mut self, conn: u64, q: Question) {
-        let ask = Ask::Lookup {
+        let ask = PeerRequest::Lookup {
             job: q.job,
             past_leader: q.past_leader,
         };
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -7,7 +7,7 @@
 use crate::{Destination, Node, Pending};
 use wire::api::{Catalog, Changes, Grant, GrantRequest, Guard, Range, Txn, Write};
 use wire::http::Response;
-use wire::peer::Ask;
+use wire::peer::PeerRequest;
 use wire::records::{self, LeaderRecord, Record, SharedRecord, TokenRecord};
 
 /// The one part of this version.
@@ -493,7 +493,7 @@
         self.set_writes(c.write_rps * OWNER_WRITES);
         self.shard = Some(Shard::new(token, version, now, c.value_kb));
         self.start_load();
-        let body = wire::peer::encode(&Ask::Leads {
+        let body = wire::peer::encode(&PeerRequest::Leads {
             node: self.settings.node.clone(),
             token,
         });
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -5,7 +5,7 @@
 use crate::jobs::admission::peer_answer;
 use crate::{Destination, Node, Pending};
 use wire::http::Response;
-use wire::peer::{self, Answer, Ask, PeerStatus};
+use wire::peer::{self, PeerRequest, PeerResponse, PeerStatus};
 
 /// Nodes ask each other this often; an answer that takes longer is none.
 const EVERY_MS: u64 = 1000;
@@ -33,7 +33,7 @@
         self.peer_statuses.asked = now;
         self.peer_statuses.of.resize_with(peers, || None);
         self.ask_for_word(now, peers);
-        let body = peer::encode(&Ask::PeerStatus(self.peer_status()));
+        let body = peer::encode(&PeerRequest::PeerStatus(self.peer_status()));
         for peer in 0..peers {
             let what = Pending::PeerStatus { sent: now, peer };
             self.send(
@@ -95,7 +95,7 @@
         peer: usize,
         response: Option<Response>,
     ) {
-        let Some(Answer::PeerStatus(peer_status)) = peer_answer(response) else {
+        let Some(PeerResponse::PeerStatus(peer_status)) = peer_answer(response) else {
             return;
         };
         // Nobody but the leader has anything to keep, and only under its own token.
--- a/crates/standins/src/world/users.rs
+++ b/crates/standins/src/world/users.rs
@@ -501,7 +501,7 @@
                 match self.conns.get(conn) {
                     Some(Origin::Worker { .. }) => vec![response.body.clone()],
                     Some(Origin::Peer { .. }) => match peer::decode(&response.body) {
-                        Ok(peer::Answer::Orders(bodies)) => {
+                        Ok(peer::PeerResponse::Orders(bodies)) => {
                             bodies.into_iter().map(|b| b.into_vec()).collect()
                         }
                         _ => Vec::new(),
@@ -519,7 +519,7 @@
                 body,
                 ..
             } => match peer::decode(body) {
-                Ok(peer::Ask::Tell { body, .. }) => vec![body.into_vec()],
+                Ok(peer::PeerRequest::Tell { body, .. }) => vec![body.into_vec()],
                 _ => Vec::new(),
             },
             _ => Vec::new(),
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -13,7 +13,7 @@
 
 /// A request from one controller to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// The state of a job, from its leader.
     Query {
         /// The id of the job.
@@ -78,7 +78,7 @@
 
 /// The response of one controller to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum PeerResponse {
     /// The state of the job.
     State(JobState),
     /// The job has been accepted just now.
@@ -114,10 +114,10 @@
 /// Longest reason that is passed on, in bytes.
 pub const MAX_WHY: usize = 200;
 
-impl Answer {
+impl PeerResponse {
     /// A refusal with as much of the reason as is passed on.
     pub fn refused(status: u16, why: &str) -> Self {
-        Answer::Refused {
+        PeerResponse::Refused {
             status,
             why: bounded(why).to_owned(),
         }
