--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -19,30 +19,30 @@
 /// Shares of the state service's requests and writes: what the leader may use, accepts by others included, and what
 /// each other node may use for these. Together the writes are more than all: bursts at several nodes at once are
 /// refused by the service and come again.
-const LEADER_REQUESTS: f64 = 0.5;
-const OTHER_REQUESTS: f64 = 0.4;
+const LEADER_REQUEST_SHARE: f64 = 0.5;
+const FOLLOWER_REQUEST_SHARE: f64 = 0.4;
 pub(crate) const LEADER_WRITES: f64 = 0.9;
 pub(crate) const OTHER_WRITES: f64 = 0.3;
 
 /// A candidate gives up after this time.
-const CAMPAIGN_MS: u64 = 4000;
+const CAMPAIGN_TIMEOUT_MS: u64 = 4000;
 
 /// An answer of the state service that takes longer is none.
-const ANSWER_MS: u64 = 2000;
+const REQUEST_TIMEOUT_MS: u64 = 2000;
 
 /// An answer of a peer to our announcement that takes longer is none.
-const ANNOUNCE_ANSWER_MS: u64 = 1000;
+const ANNOUNCE_TIMEOUT_MS: u64 = 1000;
 
 /// A little luck keeps all from campaigning at once.
 const CAMPAIGN_DELAY_MS: ops::Range<u64> = 20..250;
 
 /// After how long one campaigns again that gave up, got no lease, or lost.
-const AGAIN_AFTER_GIVING_UP_MS: ops::Range<u64> = 100..1000;
-const AGAIN_WITHOUT_LEASE_MS: ops::Range<u64> = 200..600;
-const AGAIN_AFTER_LOSS_MS: ops::Range<u64> = 50..300;
+const CAMPAIGN_TIMEOUT_BACKOFF_MS: ops::Range<u64> = 100..1000;
+const NO_LEASE_BACKOFF_MS: ops::Range<u64> = 200..600;
+const LOST_ELECTION_BACKOFF_MS: ops::Range<u64> = 50..300;
 
 /// What our own leader record may take the place of.
-struct Replaceable {
+struct ReplaceableRecord {
     /// Version of the record, 0 for none.
     version: u64,
     /// The lease that it is on.
@@ -51,34 +51,34 @@
 
 impl Node {
     pub(crate) fn election_tick(&mut self) {
-        self.follow_shared_state();
+        self.shared_state_tick();
         match self.role {
-            Role::Follower { may_campaign_at } => self.follow(may_campaign_at),
-            Role::Candidate(campaign) => self.wait_for_outcome(campaign),
+            Role::Follower { may_campaign_at } => self.check_for_vacancy(may_campaign_at),
+            Role::Candidate(campaign) => self.check_campaign_timeout(campaign),
             Role::Leader(lease) => self.renew_lease(lease),
         }
     }
 
-    fn wait_for_outcome(&mut self, campaign: Campaign) {
+    fn check_campaign_timeout(&mut self, campaign: Campaign) {
         if self.now.mono >= campaign.give_up_at {
-            self.follow_for(AGAIN_AFTER_GIVING_UP_MS);
+            self.back_off(CAMPAIGN_TIMEOUT_BACKOFF_MS);
             self.reread_shared(0);
         }
     }
 
     /// Campaigns no more for a while.
-    fn follow_for(&mut self, wait: ops::Range<u64>) {
+    fn back_off(&mut self, wait: ops::Range<u64>) {
         self.role = Role::Follower {
             may_campaign_at: self.now.mono + self.rng.u64(wait),
         };
     }
 
     /// Campaigns if nobody leads the shard, or only a former incarnation of this node.
-    fn follow(&mut self, may_campaign_at: u64) {
+    fn check_for_vacancy(&mut self, may_campaign_at: u64) {
         let now = self.now.mono;
-        let vacant = self.shared.known && self.replaceable().is_some();
+        let vacant = self.shared.known && self.replaceable_record().is_some();
         if vacant && may_campaign_at == 0 && self.shared.leader.is_none() {
-            self.follow_for(CAMPAIGN_DELAY_MS);
+            self.back_off(CAMPAIGN_DELAY_MS);
         } else if vacant && now >= may_campaign_at {
             self.campaign();
         } else if !vacant && may_campaign_at != 0 && now >= may_campaign_at {
@@ -90,24 +90,26 @@
         let now = self.now.mono;
         self.role = Role::Candidate(Campaign {
             sent: now,
-            give_up_at: now + CAMPAIGN_MS,
+            give_up_at: now + CAMPAIGN_TIMEOUT_MS,
             stage: CampaignStage::AwaitingLease,
         });
-        let body = wire::encode(&GrantRequest { ttl_ms: self.ttl() });
+        let body = wire::encode(&GrantRequest {
+            ttl_ms: self.lease_ttl_ms(),
+        });
         self.send(
             Destination::State,
             "POST",
             "/grants".into(),
             body,
-            ANSWER_MS,
-            Pending::Grant { sent: now },
+            REQUEST_TIMEOUT_MS,
+            Pending::GrantLease { sent: now },
         );
     }
 
     /// `None` while another node leads.
-    fn replaceable(&self) -> Option<Replaceable> {
+    fn replaceable_record(&self) -> Option<ReplaceableRecord> {
         let Some(observed) = &self.shared.leader else {
-            return Some(Replaceable {
+            return Some(ReplaceableRecord {
                 version: 0,
                 lease: None,
             });
@@ -115,8 +117,8 @@
         let may_succeed = self.tuning.heir > 0.0
             && self
                 .incarnation
-                .succeeds(&observed.record, &self.settings.node);
-        may_succeed.then_some(Replaceable {
+                .may_supersede(&observed.record, &self.settings.node);
+        may_succeed.then_some(ReplaceableRecord {
             version: observed.version,
             lease: Some(observed.record.lease),
         })
@@ -126,8 +128,8 @@
     pub(super) fn leader_observed(&mut self) {
         match self.role {
             Role::Leader(lease) => self.check_own_record(lease),
-            Role::Candidate(campaign) => self.check_outcome(campaign),
-            Role::Follower { may_campaign_at } => self.follow(may_campaign_at),
+            Role::Candidate(campaign) => self.check_campaign_outcome(campaign),
+            Role::Follower { may_campaign_at } => self.check_for_vacancy(may_campaign_at),
         }
     }
 
@@ -138,14 +140,14 @@
         if observed.is_some_and(|o| o.is_ours(lease.id, node)) {
             return;
         }
-        if observed.is_some_and(|o| self.incarnation.is_other_process_of(&o.record, node)) {
+        if observed.is_some_and(|o| self.incarnation.is_from_other_incarnation(&o.record, node)) {
             log::error!("another process lives under the name {node}; only one of them can serve");
         }
         self.step_down("another leader, or none, stands in the state service");
     }
 
     /// Our take-over may have gone through although its answer was lost.
-    fn check_outcome(&mut self, campaign: Campaign) {
+    fn check_campaign_outcome(&mut self, campaign: Campaign) {
         let CampaignStage::AwaitingRecord { lease, .. } = campaign.stage else {
             return;
         };
@@ -156,21 +158,21 @@
         }
     }
 
-    /// The answer to the request for a lease that was sent at `asked`.
-    pub(crate) fn granted(&mut self, asked: u64, response: Option<Response>) {
+    /// The answer to the request for a lease that was sent at `sent`.
+    pub(crate) fn grant_answered(&mut self, sent: u64, response: Option<Response>) {
         let Role::Candidate(campaign) = self.role else {
             return;
         };
-        if campaign.stage != CampaignStage::AwaitingLease || campaign.sent != asked {
+        if campaign.stage != CampaignStage::AwaitingLease || campaign.sent != sent {
             return;
         }
         let grant = response
             .filter(|r| r.status == 200)
             .and_then(|r| self.read::<Grant>("state service", &r));
         let Some(Grant { lease }) = grant else {
-            return self.follow_for(AGAIN_WITHOUT_LEASE_MS);
+            return self.back_off(NO_LEASE_BACKOFF_MS);
         };
-        let Some(replaceable) = self.replaceable() else {
+        let Some(replaceable) = self.replaceable_record() else {
             self.role = Role::FOLLOWER;
             return;
         };
@@ -209,8 +211,8 @@
             "POST",
             "/txn".into(),
             wire::encode(&txn),
-            ANSWER_MS,
-            Pending::Take { lease, token },
+            REQUEST_TIMEOUT_MS,
+            Pending::WriteLeaderRecord { lease, token },
         );
     }
 
@@ -219,19 +221,24 @@
             node: self.settings.node.clone(),
             token,
             lease,
-            incarnation: self.incarnation.mark(),
+            incarnation: self.incarnation.id(),
         }
     }
 
-    /// The answer to the transaction that puts our record on the lease `asked`.
-    pub(crate) fn took(&mut self, asked: u64, token: u64, response: Option<Response>) {
+    /// The answer to the transaction that puts our record on the lease `lease_id`.
+    pub(crate) fn takeover_answered(
+        &mut self,
+        lease_id: u64,
+        token: u64,
+        response: Option<Response>,
+    ) {
         let Role::Candidate(campaign) = self.role else {
             return;
         };
         let CampaignStage::AwaitingRecord { lease, .. } = campaign.stage else {
             return;
         };
-        if lease != asked {
+        if lease != lease_id {
             return;
         }
         let Some(response) = response else {
@@ -242,7 +249,7 @@
             .filter(|r| r.status == 200)
             .and_then(|r| wire::decode::<Revision>(&r.body).ok());
         let Some(Revision { revision, .. }) = won else {
-            self.follow_for(AGAIN_AFTER_LOSS_MS);
+            self.back_off(LOST_ELECTION_BACKOFF_MS);
             return self.reread_shared(0);
         };
         let observed = self.shared.leader.as_ref();
@@ -263,20 +270,20 @@
     fn become_leader(&mut self, lease: u64, sent: u64, token: u64, version: u64) {
         log::info!("leader of shard {SHARD} with token {token}");
         let now = self.now.mono;
-        self.incarnation.leads_now();
-        self.end_former_lease();
+        self.incarnation.note_leadership();
+        self.revoke_former_lease();
         self.shared.highest = self.shared.highest.max(token);
         self.role = Role::Leader(HeldLease::new(lease, sent, now));
         self.term += 1;
         self.shared.documents.forget_readings();
-        self.share_as_leader();
+        self.apply_leader_shares();
         self.shard = Some(Shard::new(token, version, now, &self.write_limits));
         self.start_load();
         self.announce_leadership(token);
     }
 
     /// Nothing hangs on it any more. If it is renewed all the same, whoever does so hears that it is over.
-    fn end_former_lease(&mut self) {
+    fn revoke_former_lease(&mut self) {
         if let Role::Candidate(Campaign {
             stage:
                 CampaignStage::AwaitingRecord {
@@ -286,23 +293,23 @@
             ..
         }) = self.role
         {
-            self.end_lease(former);
+            self.revoke_lease(former);
         }
     }
 
     /// The leader does most of the writing. What the others write to accept jobs it sees, and leaves room for.
-    fn share_as_leader(&mut self) {
+    fn apply_leader_shares(&mut self) {
         let rps = self.write_limits.requests_per_s();
-        self.requests.set_rate(rps * LEADER_REQUESTS);
+        self.requests.set_rate(rps * LEADER_REQUEST_SHARE);
         self.set_write_rate(self.changes_per_s() * LEADER_WRITES);
     }
 
     /// The others keep enough to accept jobs.
-    fn share_as_follower(&mut self) {
+    fn apply_follower_shares(&mut self) {
         let rps = self.write_limits.requests_per_s();
         let nodes = self.settings.peers.len() as f64 + 1.0;
         self.requests
-            .set_rate(rps * OTHER_REQUESTS / (nodes - 1.0).max(1.0));
+            .set_rate(rps * FOLLOWER_REQUEST_SHARE / (nodes - 1.0).max(1.0));
         self.set_write_rate(self.changes_per_s() * OTHER_WRITES);
     }
 
@@ -317,8 +324,8 @@
                 "POST",
                 wire::peer::PATH.into(),
                 body.clone(),
-                ANNOUNCE_ANSWER_MS,
-                Pending::Release,
+                ANNOUNCE_TIMEOUT_MS,
+                Pending::IgnoreAnswer,
             );
         }
     }
@@ -327,12 +334,12 @@
     pub(crate) fn step_down(&mut self, why: &str) {
         log::warn!("no longer the leader: {why}");
         if let Role::Leader(lease) = self.role {
-            self.end_lease(lease.id);
+            self.revoke_lease(lease.id);
         }
         self.role = Role::FOLLOWER;
         self.term += 1;
         self.abandon_document_changes();
-        self.share_as_follower();
+        self.apply_follower_shares();
         if let Some(shard) = self.shard.take() {
             let mut shard = self.abandon_hour_moves(shard);
             for requester in shard.take_waiters() {
--- a/crates/control/src/leadership/incarnation.rs
+++ b/crates/control/src/leadership/incarnation.rs
@@ -10,7 +10,7 @@
 /// The present incarnation of this node.
 pub(crate) struct Incarnation {
     /// Drawn anew by each process; never 0, which stands in records from before there were marks.
-    mark: u64,
+    id: u64,
     /// This incarnation has led the fleet. From then on a record of another one under our name is one of a process
     /// that lives beside us by mistake.
     has_led: bool,
@@ -18,32 +18,32 @@
 
 impl Incarnation {
     /// A process has started.
-    pub fn begin(seed: u64) -> Self {
+    pub fn new(seed: u64) -> Self {
         // Numbers that any reader of the records can hold exactly.
         Incarnation {
-            mark: fastrand::Rng::with_seed(!seed).u64(1..1 << 53),
+            id: fastrand::Rng::with_seed(!seed).u64(1..1 << 53),
             has_led: false,
         }
     }
 
     /// What stands in the leader records of this incarnation.
-    pub fn mark(&self) -> u64 {
-        self.mark
+    pub fn id(&self) -> u64 {
+        self.id
     }
 
     /// It has become the leader.
-    pub fn leads_now(&mut self) {
+    pub fn note_leadership(&mut self) {
         self.has_led = true;
     }
 
     /// Whether another incarnation under this node's name wrote it.
-    pub fn is_other_process_of(&self, record: &LeaderRecord, node: &str) -> bool {
-        record.node == node && record.incarnation != self.mark
+    pub fn is_from_other_incarnation(&self, record: &LeaderRecord, node: &str) -> bool {
+        record.node == node && record.incarnation != self.id
     }
 
     /// Whether the leader that wrote it can only have ended. Two processes of one name take over from each other once
     /// at most: who has led the fleet waits like everybody else.
-    pub fn succeeds(&self, record: &LeaderRecord, node: &str) -> bool {
-        self.is_other_process_of(record, node) && !self.has_led
+    pub fn may_supersede(&self, record: &LeaderRecord, node: &str) -> bool {
+        self.is_from_other_incarnation(record, node) && !self.has_led
     }
 }
--- a/crates/control/src/leadership/lease.rs
+++ b/crates/control/src/leadership/lease.rs
@@ -6,41 +6,41 @@
 use wire::http::Response;
 
 /// After how long a renewal that failed is tried again.
-const RENEW_AGAIN_MS: ops::Range<u64> = 50..200;
+const RENEWAL_RETRY_MS: ops::Range<u64> = 50..200;
 
 /// Renewals in one life of a lease.
 const RENEWALS_PER_TTL: u64 = 4;
 
 /// An answer to the end of a lease that takes longer is none; nobody waits for it.
-const END_ANSWER_MS: u64 = 2000;
+const REVOKE_TIMEOUT_MS: u64 = 2000;
 
 impl HeldLease {
     /// A lease that was granted when asked for at `sent`, to be renewed at once.
     pub fn new(id: u64, sent: u64, now: u64) -> Self {
         HeldLease {
             id,
-            renewed: sent,
+            renewed_at: sent,
             next_renewal: now,
-            busy: false,
+            renewal_in_flight: false,
         }
     }
 
     /// The lease can't have ended: drift is below 0.05% on either side, and the service is never early.
-    fn is_valid(&self, ttl: u64, now: u64) -> bool {
-        let lifetime = ttl * 997 / 1000;
-        now < self.renewed + lifetime.saturating_sub(lifetime / 20)
+    fn is_valid(&self, ttl_ms: u64, now: u64) -> bool {
+        let lifetime = ttl_ms * 997 / 1000;
+        now < self.renewed_at + lifetime.saturating_sub(lifetime / 20)
     }
 }
 
 impl Node {
-    pub(super) fn ttl(&self) -> u64 {
+    pub(super) fn lease_ttl_ms(&self) -> u64 {
         self.tuning.ttl_ms as u64
     }
 
     /// Whether this node leads, and its own clock says that its lease can't have ended.
     pub(crate) fn has_valid_lease(&self) -> bool {
         match &self.role {
-            Role::Leader(lease) => lease.is_valid(self.ttl(), self.now.mono),
+            Role::Leader(lease) => lease.is_valid(self.lease_ttl_ms(), self.now.mono),
             _ => false,
         }
     }
@@ -53,14 +53,14 @@
     /// Renews the lease when it is time.
     pub(super) fn renew_lease(&mut self, lease: HeldLease) {
         let now = self.now.mono;
-        if lease.busy || now < lease.next_renewal {
+        if lease.renewal_in_flight || now < lease.next_renewal {
             return;
         }
         self.role = Role::Leader(HeldLease {
-            busy: true,
+            renewal_in_flight: true,
             ..lease
         });
-        let what = Pending::Renew {
+        let pending = Pending::RenewLease {
             lease: lease.id,
             sent: now,
         };
@@ -70,47 +70,52 @@
             "POST",
             format!("/grants/{}/renew", lease.id),
             Vec::new(),
-            self.ttl() / 2,
-            what,
+            self.lease_ttl_ms() / 2,
+            pending,
         );
     }
 
-    /// The answer to a renewal of the lease `asked`, sent at `sent`.
-    pub(crate) fn renewed(&mut self, asked: u64, sent: u64, response: Option<Response>) {
+    /// The answer to a renewal of the lease `lease_id`, sent at `sent`.
+    pub(crate) fn renewal_answered(
+        &mut self,
+        lease_id: u64,
+        sent: u64,
+        response: Option<Response>,
+    ) {
         let Role::Leader(lease) = self.role else {
             return;
         };
-        if lease.id != asked {
+        if lease.id != lease_id {
             return;
         }
         match response.map(|r| r.status) {
             Some(200) => {
                 self.role = Role::Leader(HeldLease {
-                    id: asked,
-                    renewed: sent,
-                    next_renewal: sent + self.ttl() / RENEWALS_PER_TTL,
-                    busy: false,
+                    id: lease_id,
+                    renewed_at: sent,
+                    next_renewal: sent + self.lease_ttl_ms() / RENEWALS_PER_TTL,
+                    renewal_in_flight: false,
                 });
             }
             Some(404) => self.step_down("the lease has ended"),
             _ => {
                 self.role = Role::Leader(HeldLease {
-                    next_renewal: self.now.mono + self.rng.u64(RENEW_AGAIN_MS),
-                    busy: false,
+                    next_renewal: self.now.mono + self.rng.u64(RENEWAL_RETRY_MS),
+                    renewal_in_flight: false,
                     ..lease
                 });
             }
         }
     }
 
-    pub(super) fn end_lease(&mut self, lease: u64) {
+    pub(super) fn revoke_lease(&mut self, lease: u64) {
         self.send(
             Destination::State,
             "DELETE",
             format!("/grants/{lease}"),
             Vec::new(),
-            END_ANSWER_MS,
-            Pending::Release,
+            REVOKE_TIMEOUT_MS,
+            Pending::IgnoreAnswer,
         );
     }
 }
--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -29,25 +29,25 @@
     /// When the question was sent that all have answered.
     complete_at: Option<u64>,
     /// When the last question was sent, and which peers have answered it.
-    asked: u64,
+    asked_at: u64,
     answered: Vec<bool>,
 }
 
 impl Attestations {
     /// All peers are asked anew.
     pub fn ask(&mut self, now: u64, peers: usize) {
-        self.asked = now;
+        self.asked_at = now;
         self.answered = vec![false; peers];
-        self.note(now);
+        self.check_complete(now);
     }
 
     /// A peer attests what was asked at `sent`.
     pub fn answer(&mut self, sent: u64, peer: usize) {
-        if sent == self.asked
+        if sent == self.asked_at
             && let Some(answered) = self.answered.get_mut(peer)
         {
             *answered = true;
-            self.note(sent);
+            self.check_complete(sent);
         }
     }
 
@@ -56,7 +56,7 @@
         self.complete_at
     }
 
-    fn note(&mut self, sent: u64) {
+    fn check_complete(&mut self, sent: u64) {
         if self.answered.iter().all(|a| *a) {
             self.complete_at = self.complete_at.max(Some(sent));
         }
@@ -74,12 +74,13 @@
             return false;
         };
         let attested = shard.attestations.complete_at();
-        let known = attested.map_or(lease.renewed, |at| at.max(lease.renewed));
-        self.has_valid_lease() || self.now.mono < known + bound_ms(&self.settings.cluster.workers)
+        let confirmed_at = attested.map_or(lease.renewed_at, |at| at.max(lease.renewed_at));
+        self.has_valid_lease()
+            || self.now.mono < confirmed_at + bound_ms(&self.settings.cluster.workers)
     }
 
     /// All others are asked now what they know.
-    pub(crate) fn ask_for_attestations(&mut self, now: u64, peers: usize) {
+    pub(crate) fn begin_attestation_round(&mut self, now: u64, peers: usize) {
         if let Some(shard) = &mut self.shard {
             shard.attestations.ask(now, peers);
         }
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -14,35 +14,35 @@
 use wire::settings::Workers;
 
 /// More machines than this are not excepted one by one: then nothing is delegated.
-const MAX_EXCEPT: usize = 64;
+const MAX_EXCEPTED_MACHINES: usize = 64;
 
 /// Claims that are looked at for each machine that may be excepted.
-const CLAIMS_PER_EXCEPT: usize = 8;
+const CLAIMS_PER_EXCEPTED_MACHINE: usize = 8;
 
 /// A peer and a machine that fell silent within this time are taken to have been cut off together.
-const TOGETHER_MS: u64 = 10_000;
+const SAME_OUTAGE_MS: u64 = 10_000;
 
 /// A lease delegate answers only once a later leader had time to be found: this part of a lease, in milliseconds of
 /// each of its seconds.
-const FROM_MS_PER_LEASE_S: f64 = 250.0;
+const START_DELAY_MS_PER_LEASE_S: f64 = 250.0;
 
 /// What the leader has said last.
 pub(crate) struct Delegation {
     /// When it was asked, by this node's clock: it has known of all cancels up to then.
-    asked: u64,
-    delegation: LeaseDelegation,
+    asked_at: u64,
+    terms: LeaseDelegation,
 }
 
 impl Delegation {
     /// When answers may be given.
-    fn period(&self, workers: &Workers) -> Range<u64> {
-        let from = self.asked + (workers.lease_s * FROM_MS_PER_LEASE_S) as u64;
-        let until = self.asked + bound_ms(workers);
+    fn answer_window(&self, workers: &Workers) -> Range<u64> {
+        let from = self.asked_at + (workers.lease_s * START_DELAY_MS_PER_LEASE_S) as u64;
+        let until = self.asked_at + bound_ms(workers);
         from..until
     }
 
     fn excepts(&self, machine: &String) -> bool {
-        self.delegation.except.contains(machine)
+        self.terms.except.contains(machine)
     }
 }
 
@@ -63,27 +63,30 @@
             .flat_map(|j| j.claimed.values().flatten())
             .filter_map(|(m, _)| shard.machine(*m));
         let except = machines.filter(|m| m.zone == *zone).map(|m| m.name.clone());
-        let except: BTreeSet<String> = except.take(MAX_EXCEPT * CLAIMS_PER_EXCEPT).collect();
-        (except.len() <= MAX_EXCEPT).then(|| LeaseDelegation {
+        let except: BTreeSet<String> = except
+            .take(MAX_EXCEPTED_MACHINES * CLAIMS_PER_EXCEPTED_MACHINE)
+            .collect();
+        (except.len() <= MAX_EXCEPTED_MACHINES).then(|| LeaseDelegation {
             token: shard.token,
             except: except.into_iter().collect(),
         })
     }
 
-    /// Keeps what the leader has said, asked at `asked`.
-    pub(crate) fn note_delegation(&mut self, asked: u64, delegation: Option<LeaseDelegation>) {
-        if let Some(delegation) = delegation.filter(|k| k.except.len() <= MAX_EXCEPT) {
-            self.delegation = Some(Delegation { asked, delegation });
+    /// Keeps what the leader has said, asked at `asked_at`.
+    pub(crate) fn note_delegation(&mut self, asked_at: u64, delegation: Option<LeaseDelegation>) {
+        if let Some(terms) = delegation.filter(|terms| terms.except.len() <= MAX_EXCEPTED_MACHINES)
+        {
+            self.delegation = Some(Delegation { asked_at, terms });
         }
     }
 
     /// The answer of a lease delegate to a worker, if it may give one.
     pub(crate) fn delegate_answer(&self, heartbeat: &Heartbeat) -> Option<Vec<u8>> {
         let delegation = self.delegation.as_ref()?;
-        let token = delegation.delegation.token;
-        let period = delegation.period(&self.settings.cluster.workers);
+        let token = delegation.terms.token;
+        let answer_window = delegation.answer_window(&self.settings.cluster.workers);
         let highest = heartbeat.token.max(self.highest_token());
-        let may_answer = period.contains(&self.now.mono)
+        let may_answer = answer_window.contains(&self.now.mono)
             && heartbeat.zone == self.settings.zone
             && highest <= token
             && !delegation.excepts(&heartbeat.machine);
@@ -99,10 +102,10 @@
     /// How much longer than their leases tasks in a silent zone may live: a lease delegate stood there when it was last heard.
     pub(crate) fn delegated_ms(&self, zone: &str, heard_at: u64) -> u64 {
         let peers = self.settings.peers.iter().enumerate();
-        let stood = peers
+        let delegate_was_up = peers
             .filter(|(_, p)| p.zone == zone)
-            .any(|(i, _)| self.last_peer_status(i) + TOGETHER_MS > heard_at);
-        if stood && self.tuning.keepers > 0.0 {
+            .any(|(i, _)| self.last_heard_at(i) + SAME_OUTAGE_MS > heard_at);
+        if delegate_was_up && self.tuning.keepers > 0.0 {
             bound_ms(&self.settings.cluster.workers)
         } else {
             0
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -8,18 +8,18 @@
 use wire::peer::{self, PeerRequest, PeerResponse, PeerStatus};
 
 /// Nodes ask each other this often; an answer that takes longer is none.
-const EVERY_MS: u64 = 1000;
+const INTERVAL_MS: u64 = 1000;
 /// A peer's status is believed for so long.
-const FRESH_MS: u64 = 3000;
+const MAX_AGE_MS: u64 = 3000;
 /// The state service answers a node that has heard from it within this time: its watch says something every 5 s.
-const STATE_MS: u64 = 6500;
+const STATE_CONTACT_MS: u64 = 6500;
 /// Where the service does not count this high, nobody has a token above it.
 pub(crate) const TOKEN_BOUND: u64 = 1 << 31;
 
 /// The newest status of each peer, with its time.
 #[derive(Debug, Default)]
 pub(crate) struct PeerStatusTable {
-    asked: u64,
+    asked_at: u64,
     by_peer: Vec<Option<(u64, PeerStatus)>>,
 }
 
@@ -28,22 +28,22 @@
     pub(crate) fn peer_status_tick(&mut self) {
         let now = self.now.mono;
         let peers = self.settings.peers.len();
-        if now < self.peer_statuses.asked + EVERY_MS {
+        if now < self.peer_statuses.asked_at + INTERVAL_MS {
             return;
         }
-        self.peer_statuses.asked = now;
+        self.peer_statuses.asked_at = now;
         self.peer_statuses.by_peer.resize_with(peers, || None);
-        self.ask_for_attestations(now, peers);
+        self.begin_attestation_round(now, peers);
         let body = peer::encode(&PeerRequest::PeerStatus(self.peer_status()));
         for peer in 0..peers {
-            let what = Pending::PeerStatus { sent: now, peer };
+            let pending = Pending::PeerStatus { sent: now, peer };
             self.send(
                 Destination::Peer(peer),
                 "POST",
                 peer::PATH.into(),
                 body.clone(),
-                EVERY_MS,
-                what,
+                INTERVAL_MS,
+                pending,
             );
         }
     }
@@ -105,7 +105,7 @@
         let delegation = peer_status
             .delegation
             .clone()
-            .filter(|k| peer_status.leads == Some(k.token));
+            .filter(|terms| peer_status.leads == Some(terms.token));
         let token = peer_status.token;
         if self.peer_status_seen(peer_status) == Some(peer) {
             self.attestation_received(sent, peer, token);
@@ -125,7 +125,7 @@
     }
 
     /// When a peer was last heard; 0 for never.
-    pub(crate) fn last_peer_status(&self, peer: usize) -> u64 {
+    pub(crate) fn last_heard_at(&self, peer: usize) -> u64 {
         self.peer_statuses
             .by_peer
             .get(peer)
@@ -140,7 +140,7 @@
 
     fn fresh_status(&self, peer: usize) -> Option<&PeerStatus> {
         let (at, peer_status) = self.peer_statuses.by_peer.get(peer)?.as_ref()?;
-        (self.now.mono < at + FRESH_MS).then_some(peer_status)
+        (self.now.mono < at + MAX_AGE_MS).then_some(peer_status)
     }
 
     fn fresh_statuses(&self) -> impl Iterator<Item = (u64, &PeerStatus)> {
@@ -150,17 +150,18 @@
             .by_peer
             .iter()
             .flatten()
-            .filter(move |(at, _)| now < at + FRESH_MS);
+            .filter(move |(at, _)| now < at + MAX_AGE_MS);
         fresh.map(move |(at, peer_status)| (now - at, peer_status))
     }
 
     /// Whether another node could lead the fleet in this one's place, as far as anybody can say: one that the state
     /// service answers, or, while no peer says anything, perhaps any.
     pub(crate) fn could_be_followed(&self) -> bool {
-        let state = |(age, v): (u64, &PeerStatus)| {
-            v.state_ms
-                .is_some_and(|ms| ms.saturating_add(age) < STATE_MS)
+        let reaches_state = |(age, status): (u64, &PeerStatus)| {
+            status
+                .state_ms
+                .is_some_and(|ms| ms.saturating_add(age) < STATE_CONTACT_MS)
         };
-        self.fresh_statuses().next().is_none() || self.fresh_statuses().any(state)
+        self.fresh_statuses().next().is_none() || self.fresh_statuses().any(reaches_state)
     }
 }
--- a/crates/control/src/leadership/role.rs
+++ b/crates/control/src/leadership/role.rs
@@ -37,10 +37,10 @@
 pub(crate) struct HeldLease {
     pub id: u64,
     /// When the last renewal that succeeded was sent.
-    pub renewed: u64,
+    pub renewed_at: u64,
     pub next_renewal: u64,
     /// A renewal is out.
-    pub busy: bool,
+    pub renewal_in_flight: bool,
 }
 
 impl Role {
--- a/crates/control/src/leadership/shared_state.rs
+++ b/crates/control/src/leadership/shared_state.rs
@@ -10,22 +10,22 @@
 use wire::records::{self, LeaderRecord, SharedRecord};
 
 /// An announcement is forgotten after this time; by then whoever can read the state service knows better.
-const ANNOUNCED_MS: u64 = 10_000;
+const ANNOUNCEMENT_TTL_MS: u64 = 10_000;
 
 /// An answer to a read that takes longer is none.
-const READ_ANSWER_MS: u64 = 2000;
+const READ_TIMEOUT_MS: u64 = 2000;
 
 /// The service answers a watch without changes after 5 s; one that says nothing for so long is cut off.
-const WATCH_ANSWER_MS: u64 = 7000;
+const WATCH_TIMEOUT_MS: u64 = 7000;
 
 /// After how long a read or a watch that was refused is tried again.
-const RETRY_MS: ops::Range<u64> = 200..500;
+const RETRY_DELAY_MS: ops::Range<u64> = 200..500;
 
 /// After how long all is read anew once a watch was cut off.
-const REREAD_MS: ops::Range<u64> = 100..300;
+const REREAD_DELAY_MS: ops::Range<u64> = 100..300;
 
 /// After how long all is read anew once a watch said what can't be read.
-const REREAD_UNREADABLE_MS: u64 = 1000;
+const UNREADABLE_REREAD_DELAY_MS: u64 = 1000;
 
 /// The leader record, as it was read last.
 #[derive(Debug, Clone, PartialEq)]
@@ -57,8 +57,8 @@
     /// When the state service last said how all this stands.
     pub heard_at: u64,
     /// A read or a watch is out, and when to try again if not.
-    busy: bool,
-    round: u64,
+    request_in_flight: bool,
+    generation: u64,
     retry_at: u64,
 }
 
@@ -108,11 +108,11 @@
 
 impl Node {
     /// Reads or watches, if neither is out and it is time.
-    pub(super) fn follow_shared_state(&mut self) {
-        if self.shared.busy || self.now.mono < self.shared.retry_at {
+    pub(super) fn shared_state_tick(&mut self) {
+        if self.shared.request_in_flight || self.now.mono < self.shared.retry_at {
             return;
         }
-        self.shared.busy = true;
+        self.shared.request_in_flight = true;
         if self.shared.known {
             self.watch_shared();
         } else {
@@ -126,46 +126,46 @@
             "GET",
             format!("/keys?under={}&limit=1000", records::SHARED),
             Vec::new(),
-            READ_ANSWER_MS,
+            READ_TIMEOUT_MS,
             Pending::SharedRead,
         );
     }
 
     fn watch_shared(&mut self) {
-        self.shared.round += 1;
+        self.shared.generation += 1;
         let path = format!(
             "/changes?under={}&from={}&waitMs=5000",
             records::SHARED,
             self.shared.revision
         );
-        let what = Pending::SharedWatch {
-            round: self.shared.round,
+        let pending = Pending::SharedWatch {
+            generation: self.shared.generation,
         };
         self.send(
             Destination::State,
             "GET",
             path,
             Vec::new(),
-            WATCH_ANSWER_MS,
-            what,
+            WATCH_TIMEOUT_MS,
+            pending,
         );
     }
 
     /// Reads everything anew, after `wait` milliseconds.
     pub(crate) fn reread_shared(&mut self, wait: u64) {
         self.shared.known = false;
-        self.shared.busy = false;
-        self.shared.round += 1;
+        self.shared.request_in_flight = false;
+        self.shared.generation += 1;
         self.shared.retry_at = self.now.mono + wait;
     }
 
     fn retry_shared(&mut self) {
-        self.shared.retry_at = self.now.mono + self.rng.u64(RETRY_MS);
+        self.shared.retry_at = self.now.mono + self.rng.u64(RETRY_DELAY_MS);
     }
 
     /// The answer to a read of everything.
     pub(crate) fn shared_read(&mut self, response: Option<Response>) {
-        self.shared.busy = false;
+        self.shared.request_in_flight = false;
         let range = response
             .filter(|r| r.status == 200)
             .and_then(|r| self.read::<Range<SharedRecord>>("state service", &r));
@@ -184,14 +184,14 @@
     }
 
     /// The answer to a watch, or that there is none.
-    pub(crate) fn shared_changes(&mut self, round: u64, response: Option<Response>) {
-        if round != self.shared.round {
+    pub(crate) fn shared_changes(&mut self, generation: u64, response: Option<Response>) {
+        if generation != self.shared.generation {
             return;
         }
-        self.shared.busy = false;
+        self.shared.request_in_flight = false;
         let Some(response) = response else {
             // Cut off or in an outage: what we know may be old, so read it anew.
-            let wait = self.rng.u64(REREAD_MS);
+            let wait = self.rng.u64(REREAD_DELAY_MS);
             return self.reread_shared(wait);
         };
         match response.status {
@@ -200,7 +200,7 @@
             _ => return self.retry_shared(),
         }
         let Some(changes) = self.read::<Changes<SharedRecord>>("state service", &response) else {
-            return self.reread_shared(REREAD_UNREADABLE_MS);
+            return self.reread_shared(UNREADABLE_REREAD_DELAY_MS);
         };
         for change in changes.events {
             if let (Some(key), Some(value)) = (&change.put, change.value) {
@@ -244,7 +244,7 @@
             self.announced = Some(AnnouncedLeader {
                 node,
                 token,
-                until: now + ANNOUNCED_MS,
+                until: now + ANNOUNCEMENT_TTL_MS,
             });
         }
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -109,7 +109,7 @@
             settings,
             write_limits,
             tuning,
-            incarnation: incarnation::Incarnation::begin(seed),
+            incarnation: incarnation::Incarnation::new(seed),
             rng: fastrand::Rng::with_seed(seed),
             now,
             effects: Vec::new(),
@@ -316,11 +316,13 @@
     fn dispatch(&mut self, what: Pending, response: Option<Response>) {
         match what {
             Pending::SharedRead => self.shared_read(response),
-            Pending::SharedWatch { round } => self.shared_changes(round, response),
-            Pending::Grant { sent } => self.granted(sent, response),
-            Pending::Renew { lease, sent } => self.renewed(lease, sent, response),
-            Pending::Take { lease, token } => self.took(lease, token, response),
-            Pending::Release => {}
+            Pending::SharedWatch { generation } => self.shared_changes(generation, response),
+            Pending::GrantLease { sent } => self.grant_answered(sent, response),
+            Pending::RenewLease { lease, sent } => self.renewal_answered(lease, sent, response),
+            Pending::WriteLeaderRecord { lease, token } => {
+                self.takeover_answered(lease, token, response)
+            }
+            Pending::IgnoreAnswer => {}
             Pending::PeerStatus { sent, peer } => self.peer_status_received(sent, peer, response),
             Pending::Relayed { conns } => self.relayed_heartbeats_answered(conns, response),
             Pending::Tell { conn } => self.relayed_command_answered(conn, response),
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -17,13 +17,13 @@
     /// A read of what all controllers follow.
     SharedRead,
     /// A watch of what all controllers follow.
-    SharedWatch { round: u64 },
+    SharedWatch { generation: u64 },
     /// A candidate asks for a lease.
-    Grant { sent: u64 },
+    GrantLease { sent: u64 },
     /// The leader renews its lease.
-    Renew { lease: u64, sent: u64 },
+    RenewLease { lease: u64, sent: u64 },
     /// A candidate puts its leader record.
-    Take { lease: u64, token: u64 },
+    WriteLeaderRecord { lease: u64, token: u64 },
     /// A peer is asked for its status.
     PeerStatus { sent: u64, peer: usize },
     /// Heartbeats that were handed on to the leader.
@@ -31,7 +31,7 @@
     /// A command that is handed on to a worker for the leader.
     Tell { conn: u64 },
     /// Nobody waits for it.
-    Release,
+    IgnoreAnswer,
     /// A page of what is read back after a failover.
     Load { term: u64, what: recovery::Load },
     /// The watch of accepted jobs.
@@ -118,10 +118,11 @@
     /// The term of leadership that it was sent in, if it belongs to one.
     pub(crate) fn term(&self) -> Option<u64> {
         use Pending::{
-            Accept, Admin, Audit, Catalog, Commit, Delete, Direct, Forward, Frontend, Grant,
-            LeaderNotified, List, LiveWatch, Load, ModelWatch, ModelWrite, Models, Parts,
-            PeerCancel, PeerQuery, PeerStatus, Probe, ReadEnd, ReadLive, Relayed, Release, Renew,
-            Rental, SharedRead, SharedWatch, Sheets, Take, Tell, Verify, WakeForward, WakeUp,
+            Accept, Admin, Audit, Catalog, Commit, Delete, Direct, Forward, Frontend, GrantLease,
+            IgnoreAnswer, LeaderNotified, List, LiveWatch, Load, ModelWatch, ModelWrite, Models,
+            Parts, PeerCancel, PeerQuery, PeerStatus, Probe, ReadEnd, ReadLive, Relayed,
+            RenewLease, Rental, SharedRead, SharedWatch, Sheets, Tell, Verify, WakeForward, WakeUp,
+            WriteLeaderRecord,
         };
         match self {
             Load { term, .. }
@@ -141,13 +142,13 @@
             | Probe { term, .. } => Some(*term),
             SharedRead
             | SharedWatch { .. }
-            | Grant { .. }
-            | Renew { .. }
-            | Take { .. }
+            | GrantLease { .. }
+            | RenewLease { .. }
+            | WriteLeaderRecord { .. }
             | PeerStatus { .. }
             | Relayed { .. }
             | Tell { .. }
-            | Release
+            | IgnoreAnswer
             | Accept { .. }
             | ReadLive { .. }
             | ReadEnd { .. }
@@ -168,7 +169,7 @@
         match self {
             Pending::Commit { .. } => Some("the leader's transaction"),
             Pending::Accept { .. } => Some("an acceptance"),
-            Pending::Take { .. } => Some("a take-over"),
+            Pending::WriteLeaderRecord { .. } => Some("a take-over"),
             Pending::ModelWrite { .. } => Some("a model's record"),
             Pending::WakeUp {
                 step: wake_up::Step::Write,
@@ -181,15 +182,15 @@
     /// A question to the state service that is answered at once if it serves us.
     pub(crate) fn asks_state(&self) -> bool {
         use Pending::{
-            Accept, Audit, Commit, Frontend, Grant, Load, ModelWrite, Models, Parts, ReadEnd,
-            ReadLive, Renew, SharedRead, Sheets, Take, Verify, WakeUp,
+            Accept, Audit, Commit, Frontend, GrantLease, Load, ModelWrite, Models, Parts, ReadEnd,
+            ReadLive, RenewLease, SharedRead, Sheets, Verify, WakeUp, WriteLeaderRecord,
         };
         matches!(
             self,
             SharedRead
-                | Grant { .. }
-                | Renew { .. }
-                | Take { .. }
+                | GrantLease { .. }
+                | RenewLease { .. }
+                | WriteLeaderRecord { .. }
                 | Load { .. }
                 | Sheets { .. }
                 | Audit { .. }
