--- a/crates/control/src/overload/load_shedding.rs
+++ b/crates/control/src/overload/load_shedding.rs
@@ -19,17 +19,17 @@
 pub struct LoadShedding {
     queued: f64,
     /// Milliseconds of the node's steady clock.
-    at: u64,
+    updated_at: u64,
 }
 
 impl LoadShedding {
     /// One more is turned away, by a node that serves so many a second. Returns the seconds after which to come back.
     pub fn turn_away(&mut self, now: u64, served_per_s: f64) -> u32 {
         let served_per_s = served_per_s.max(1.0);
-        let served = now.saturating_sub(self.at) as f64 / 1000.0 * served_per_s;
-        self.at = self.at.max(now);
-        let most = served_per_s * f64::from(LONGEST_S);
-        self.queued = ((self.queued - served).max(0.0) + 1.0).min(most);
+        let served = now.saturating_sub(self.updated_at) as f64 / 1000.0 * served_per_s;
+        self.updated_at = self.updated_at.max(now);
+        let max_queued = served_per_s * f64::from(LONGEST_S);
+        self.queued = ((self.queued - served).max(0.0) + 1.0).min(max_queued);
         let wait_s = 1.0 + self.queued / served_per_s;
         (wait_s as u32).min(LONGEST_S)
     }
--- a/crates/control/src/overload/precedence.rs
+++ b/crates/control/src/overload/precedence.rs
@@ -66,11 +66,11 @@
 /// by the connections that it has.
 #[derive(Debug)]
 pub struct Backlog<T> {
-    queues: [VecDeque<(u64, T)>; PRECEDENCES],
+    queues: [VecDeque<(u64, T)>; PRECEDENCE_COUNT],
 }
 
 /// How many precedences there are.
-const PRECEDENCES: usize = Precedence::Submission as usize + 1;
+const PRECEDENCE_COUNT: usize = Precedence::Submission as usize + 1;
 
 impl<T> Default for Backlog<T> {
     fn default() -> Self {
@@ -93,13 +93,13 @@
 
     /// What is next: whatever has waited too long, to be refused, then the first by precedence.
     pub fn pop(&mut self, now: u64) -> Option<Next<T>> {
-        for (precedence, waits_ms) in [
+        for (precedence, max_wait_ms) in [
             (Precedence::Submission, SUBMISSION_WAITS_MS),
             (Precedence::Question, QUESTION_WAITS_MS),
         ] {
             let queue = &mut self.queues[precedence as usize];
-            let is_late = |(came, _): &mut (u64, T)| now > *came + waits_ms;
-            if let Some((_, item)) = queue.pop_front_if(is_late) {
+            let is_expired = |(enqueued_at, _): &mut (u64, T)| now > *enqueued_at + max_wait_ms;
+            if let Some((_, item)) = queue.pop_front_if(is_expired) {
                 return Some(Next::Refuse(item));
             }
         }
