--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -24,17 +24,17 @@
 use wire::settings::Settings;
 
 /// Share of the state service's requests that the controllers divide among themselves until one of them leads.
-const STATE_REQUESTS: f64 = 0.9;
+const STATE_REQUEST_SHARE: f64 = 0.9;
 /// Share of the cloud's calls that a controller may use.
-const CLOUD_CALLS: f64 = 0.8;
+const CLOUD_CALL_SHARE: f64 = 0.8;
 
 /// Share of the memory, in bytes of each of its megabytes, that final states may take.
-const FINAL_STATES_PER_MB: f64 = 1e5;
+const FINAL_STATE_BYTES_PER_MB: f64 = 1e5;
 /// What a final state takes, in bytes.
-const FINAL_STATE_SIZE: f64 = 150.0;
+const FINAL_STATE_BYTES: f64 = 150.0;
 
 /// After how long a follower that the state service does not serve reads from it again.
-const STATE_AGAIN_MS: u64 = 300;
+const STATE_REREAD_DELAY_MS: u64 = 300;
 
 /// One controller.
 pub struct Node {
@@ -96,16 +96,17 @@
 impl Node {
     /// A node that knows nothing yet. All its randomness comes from the seed.
     pub fn new(settings: Settings, tuning: Tuning, seed: u64, now: Now) -> Self {
-        let c = &settings.cluster;
+        let cluster = &settings.cluster;
         let write_limits = WriteLimits::of(&settings);
         let nodes = settings.peers.len() as f64 + 1.0;
         let limits = settings.limits();
-        let final_states = ((limits.mem_mb * FINAL_STATES_PER_MB / FINAL_STATE_SIZE) as usize)
+        let final_states = ((limits.mem_mb * FINAL_STATE_BYTES_PER_MB / FINAL_STATE_BYTES)
+            as usize)
             .clamp(1000, 1_000_000);
         Node {
-            requests: Bucket::new(write_limits.requests_per_s() * STATE_REQUESTS / nodes),
-            writes: Bucket::new(c.state.write_rps * election::OTHER_WRITES),
-            cloud: Bucket::new(c.cloud.rps * CLOUD_CALLS),
+            requests: Bucket::new(write_limits.requests_per_s() * STATE_REQUEST_SHARE / nodes),
+            writes: Bucket::new(cluster.state.write_rps * election::OTHER_WRITES),
+            cloud: Bucket::new(cluster.cloud.rps * CLOUD_CALL_SHARE),
             settings,
             write_limits,
             tuning,
@@ -245,47 +246,47 @@
     /// What was not sent has no effect later, and says nothing of whom it was for.
     fn unsent(&mut self, tag: u64) {
         let term = self.term;
-        let Some(what) = self.pending.remove(&tag) else {
+        let Some(pending) = self.pending.remove(&tag) else {
             return;
         };
-        match what {
+        match pending {
             Pending::Direct {
-                term: e,
+                term: sent_in,
                 machine,
                 serial,
                 ..
-            } if e == term => self.direct_received(machine, serial, Some(relay::not_sent())),
+            } if sent_in == term => self.direct_received(machine, serial, Some(relay::not_sent())),
             Pending::Probe {
-                term: e,
+                term: sent_in,
                 machine,
                 serial,
                 ..
-            } if e == term => self.probe_unsent(machine, serial),
+            } if sent_in == term => self.probe_unsent(machine, serial),
             Pending::Tell { conn } => self.relayed_command_unsent(conn),
-            what => self.answered(what, None),
+            pending => self.answer_received(pending, None),
         }
     }
 
     fn reply(&mut self, tag: u64, response: Option<Response>) {
-        if let Some(what) = self.pending.remove(&tag) {
-            self.answered(what, response);
+        if let Some(pending) = self.pending.remove(&tag) {
+            self.answer_received(pending, response);
         }
     }
 
-    fn answered(&mut self, what: Pending, response: Option<Response>) {
-        if what.asks_state() {
-            self.state_answered(response.as_ref());
+    fn answer_received(&mut self, pending: Pending, response: Option<Response>) {
+        if pending.shows_state_health() {
+            self.note_state_health(response.as_ref());
         }
-        self.note_refusal(&what, response.as_ref());
+        self.note_write_refusal(&pending, response.as_ref());
         // What belongs to an earlier term of leadership no longer concerns us.
-        if what.term().is_none_or(|term| term == self.term) {
-            self.dispatch(what, response);
+        if pending.term().is_none_or(|term| term == self.term) {
+            self.dispatch(pending, response);
         }
     }
 
     /// Notes a write that the state service can't take, or not now.
-    fn note_refusal(&mut self, what: &Pending, response: Option<&Response>) {
-        let (Some(kind), Some(refused)) = (what.writes(), response) else {
+    fn note_write_refusal(&mut self, pending: &Pending, response: Option<&Response>) {
+        let (Some(kind), Some(refused)) = (pending.transaction_kind(), response) else {
             return;
         };
         match refused.status {
@@ -299,22 +300,22 @@
     }
 
     /// Notes whether the state service serves this node.
-    fn state_answered(&mut self, response: Option<&Response>) {
+    fn note_state_health(&mut self, response: Option<&Response>) {
         let now = self.now.mono;
-        let bad = response.is_none_or(|r| r.status == 503);
-        self.state_bad_at = bad.then_some(now);
-        if !bad {
+        let failed = response.is_none_or(|r| r.status == 503);
+        self.state_bad_at = failed.then_some(now);
+        if !failed {
             self.state_good_at = Some(now);
         }
         // Looked at again and again until it serves us; the leader's renewals do the same.
-        if bad && self.shared.known && !self.leads() {
-            self.reread_shared(STATE_AGAIN_MS);
+        if failed && self.shared.known && !self.leads() {
+            self.reread_shared(STATE_REREAD_DELAY_MS);
         }
     }
 
     /// Hands an answer to whoever waits for it.
-    fn dispatch(&mut self, what: Pending, response: Option<Response>) {
-        match what {
+    fn dispatch(&mut self, pending: Pending, response: Option<Response>) {
+        match pending {
             Pending::SharedRead => self.shared_read(response),
             Pending::SharedWatch { generation } => self.shared_changes(generation, response),
             Pending::GrantLease { sent } => self.grant_answered(sent, response),
@@ -371,19 +372,19 @@
                 serial,
                 via,
                 ..
-            } => self.direct_received(machine, serial, of_worker(response, via)),
+            } => self.direct_received(machine, serial, unwrap_relayed(response, via)),
             Pending::Probe {
                 machine,
                 serial,
                 via,
                 ..
-            } => self.probe_received(machine, serial, of_worker(response, via)),
+            } => self.probe_received(machine, serial, unwrap_relayed(response, via)),
         }
     }
 }
 
 /// A worker's answer, out of the peer's that it came by.
-fn of_worker(response: Option<Response>, via: bool) -> Option<Response> {
+fn unwrap_relayed(response: Option<Response>, via: bool) -> Option<Response> {
     if via {
         relay::relayed_answer(response)
     } else {
--- a/crates/control/src/outgoing.rs
+++ b/crates/control/src/outgoing.rs
@@ -10,7 +10,7 @@
 const MAX_STATE_ANSWER: usize = 8 << 20;
 /// Largest answer of a peer, with orders for many workers.
 const MAX_PEER_ANSWER: usize = 1 << 20;
-const MAX_SMALL_ANSWER: usize = 128 << 10;
+const MAX_WORKER_ANSWER: usize = 128 << 10;
 
 fn answer_limit(to: &Destination, path: &str) -> usize {
     if wire::admin::kind_of(path).is_some() {
@@ -19,7 +19,7 @@
     match to {
         Destination::State | Destination::Cloud => MAX_STATE_ANSWER,
         Destination::Peer(_) => MAX_PEER_ANSWER,
-        Destination::Worker(_) => MAX_SMALL_ANSWER,
+        Destination::Worker(_) => MAX_WORKER_ANSWER,
     }
 }
 
@@ -32,11 +32,11 @@
         path: String,
         body: Vec<u8>,
         timeout_ms: u64,
-        what: Pending,
+        pending: Pending,
     ) {
         let tag = self.next_tag;
         self.next_tag += 1;
-        self.pending.insert(tag, what);
+        self.pending.insert(tag, pending);
         if to == Destination::State {
             self.requests.take(self.now.mono, 1.0);
         }
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -165,7 +165,7 @@
     }
 
     /// What is written, where it is a transaction.
-    pub(crate) fn writes(&self) -> Option<&'static str> {
+    pub(crate) fn transaction_kind(&self) -> Option<&'static str> {
         match self {
             Pending::Commit { .. } => Some("the leader's transaction"),
             Pending::Accept { .. } => Some("an acceptance"),
@@ -180,7 +180,7 @@
     }
 
     /// A question to the state service that is answered at once if it serves us.
-    pub(crate) fn asks_state(&self) -> bool {
+    pub(crate) fn shows_state_health(&self) -> bool {
         use Pending::{
             Accept, Audit, Commit, Frontend, GrantLease, Load, ModelWrite, Models, Parts, ReadEnd,
             ReadLive, RenewLease, SharedRead, Sheets, Verify, WakeUp, WriteLeaderRecord,
