--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -1,7 +1,8 @@
-//! Who leads the shard: a key on a lease of the state service, and a token from a counter that only rises.
+//! Leader election: the leader record is a key attached to a lease in the state service, and each leader takes the next
+//! fencing token from a counter that never decreases.
 //!
-//! A leader is *sure* while its own clock, with allowance for drift, says that the lease it last renewed can't
-//! have ended ([`crate::leadership::lease`]). Only then does it start, cancel or answer for jobs.
+//! A leader holds a *valid* lease while its own clock, with allowance for drift, shows that the lease it last renewed
+//! cannot have expired ([`crate::leadership::lease`]). Only then does it start, cancel or answer for jobs.
 
 use crate::leadership::role::{Campaign, CampaignStage, HeldLease, Role};
 use crate::leadership::shared_state::ObservedLeader;
@@ -13,39 +14,40 @@
 use wire::peer::PeerRequest;
 use wire::records::{self, LeaderRecord, Record, TokenRecord};
 
-/// The one shard of this version.
+/// This version has a single shard.
 pub(crate) const SHARD: records::ShardId = 0;
 
-/// Shares of the state service's requests and writes: what the leader may use, accepts by others included, and what
-/// each other node may use for these. Together the writes are more than all: bursts at several nodes at once are
-/// refused by the service and come again.
+/// Shares of the state service's request and write rates. The leader's share includes the writes by which other nodes
+/// accept jobs; the followers' shares are for those writes. The request share is divided among the followers, the write
+/// share is for each of them. The write shares add up to more than 1: when several nodes burst at once, the service
+/// rejects some writes, and they are retried.
 const LEADER_REQUEST_SHARE: f64 = 0.5;
 const FOLLOWER_REQUEST_SHARE: f64 = 0.4;
 pub(crate) const LEADER_WRITES: f64 = 0.9;
 pub(crate) const OTHER_WRITES: f64 = 0.3;
 
-/// A candidate gives up after this time.
+/// A candidate gives up its campaign after this time.
 const CAMPAIGN_TIMEOUT_MS: u64 = 4000;
 
-/// An answer of the state service that takes longer is none.
+/// Timeout of requests to the state service.
 const REQUEST_TIMEOUT_MS: u64 = 2000;
 
-/// An answer of a peer to our announcement that takes longer is none.
+/// Timeout of announcements of leadership to peers.
 const ANNOUNCE_TIMEOUT_MS: u64 = 1000;
 
-/// A little luck keeps all from campaigning at once.
+/// Random delay before a campaign, so that the nodes do not all campaign at once.
 const CAMPAIGN_DELAY_MS: ops::Range<u64> = 20..250;
 
-/// After how long one campaigns again that gave up, got no lease, or lost.
+/// Delay before the next campaign after one that timed out, was granted no lease, or lost the election.
 const CAMPAIGN_TIMEOUT_BACKOFF_MS: ops::Range<u64> = 100..1000;
 const NO_LEASE_BACKOFF_MS: ops::Range<u64> = 200..600;
 const LOST_ELECTION_BACKOFF_MS: ops::Range<u64> = 50..300;
 
-/// What our own leader record may take the place of.
+/// The leader record that a candidate may replace with its own.
 struct ReplaceableRecord {
-    /// Version of the record, 0 for none.
+    /// Version of the record; 0 if there is none.
     version: u64,
-    /// The lease that it is on.
+    /// The lease that the record is attached to.
     lease: Option<u64>,
 }
 
@@ -66,14 +68,14 @@
         }
     }
 
-    /// Campaigns no more for a while.
+    /// Becomes a follower that does not campaign before a random delay from `wait` has passed.
     fn back_off(&mut self, wait: ops::Range<u64>) {
         self.role = Role::Follower {
             may_campaign_at: self.now.mono + self.rng.u64(wait),
         };
     }
 
-    /// Campaigns if nobody leads the shard, or only a former incarnation of this node.
+    /// Campaigns if the shard has no leader, or if its leader is an earlier incarnation of this node.
     fn check_for_vacancy(&mut self, may_campaign_at: u64) {
         let now = self.now.mono;
         let vacant = self.shared.known && self.replaceable_record().is_some();
@@ -106,7 +108,7 @@
         );
     }
 
-    /// `None` while another node leads.
+    /// Returns the record that this node may replace; `None` while another node leads.
     fn replaceable_record(&self) -> Option<ReplaceableRecord> {
         let Some(observed) = &self.shared.leader else {
             return Some(ReplaceableRecord {
@@ -124,7 +126,7 @@
         })
     }
 
-    /// Draws the conclusions from who is the leader now.
+    /// Reacts to the leader record as it was last read.
     pub(super) fn leader_observed(&mut self) {
         match self.role {
             Role::Leader(lease) => self.check_own_record(lease),
@@ -133,7 +135,7 @@
         }
     }
 
-    /// The leader steps down unless its own record stands.
+    /// Steps down unless the stored leader record is this node's own.
     fn check_own_record(&mut self, lease: HeldLease) {
         let node = &self.settings.node;
         let observed = self.shared.leader.as_ref();
@@ -141,12 +143,14 @@
             return;
         }
         if observed.is_some_and(|o| self.incarnation.is_from_other_incarnation(&o.record, node)) {
-            log::error!("another process lives under the name {node}; only one of them can serve");
+            log::error!(
+                "another process runs under the node name {node}; only one of them can serve"
+            );
         }
         self.step_down("another leader, or none, stands in the state service");
     }
 
-    /// Our take-over may have gone through although its answer was lost.
+    /// Becomes the leader if the leader record was written although the answer to that write was lost.
     fn check_campaign_outcome(&mut self, campaign: Campaign) {
         let CampaignStage::AwaitingRecord { lease, .. } = campaign.stage else {
             return;
@@ -158,7 +162,7 @@
         }
     }
 
-    /// The answer to the request for a lease that was sent at `sent`.
+    /// Handles the answer to the lease request that was sent at `sent`.
     pub(crate) fn grant_answered(&mut self, sent: u64, response: Option<Response>) {
         let Role::Candidate(campaign) = self.role else {
             return;
@@ -186,7 +190,8 @@
         self.write_own_record(lease, replaceable.version);
     }
 
-    /// Takes the place of the leader record, with the next token, in one transaction.
+    /// Replaces the leader record and increments the token counter in one transaction, which fails if either has
+    /// changed.
     fn write_own_record(&mut self, lease: u64, version: u64) {
         let token = self.shared.token + 1;
         let leader = self.own_record(token, lease);
@@ -225,7 +230,7 @@
         }
     }
 
-    /// The answer to the transaction that puts our record on the lease `lease_id`.
+    /// Handles the answer to the transaction that attaches this node's leader record to the lease `lease_id`.
     pub(crate) fn takeover_answered(
         &mut self,
         lease_id: u64,
@@ -242,7 +247,7 @@
             return;
         }
         let Some(response) = response else {
-            // It may be in place, which a fresh read will show while we still campaign.
+            // The write may have succeeded. A new read shows it as long as the campaign lasts.
             return self.reread_shared(0);
         };
         let won = Some(response)
@@ -254,7 +259,7 @@
         };
         let observed = self.shared.leader.as_ref();
         if observed.is_some_and(|o| o.version > revision) {
-            // The answer was so late that another leader is known to have followed already.
+            // The answer came so late that a newer leader record has been read already.
             self.role = Role::FOLLOWER;
             return;
         }
@@ -282,7 +287,8 @@
         self.announce_leadership(token);
     }
 
-    /// Nothing hangs on it any more. If it is renewed all the same, whoever does so hears that it is over.
+    /// Revokes the lease of the earlier incarnation: no record is attached to it any more. A process that still renews
+    /// it is told that it no longer exists.
     fn revoke_former_lease(&mut self) {
         if let Role::Candidate(Campaign {
             stage:
@@ -297,14 +303,15 @@
         }
     }
 
-    /// The leader does most of the writing. What the others write to accept jobs it sees, and leaves room for.
+    /// The leader does most of the writing. It watches the writes by which other nodes accept jobs, and deducts them
+    /// from its own budget.
     fn apply_leader_shares(&mut self) {
         let rps = self.write_limits.requests_per_s();
         self.requests.set_rate(rps * LEADER_REQUEST_SHARE);
         self.set_write_rate(self.changes_per_s() * LEADER_WRITES);
     }
 
-    /// The others keep enough to accept jobs.
+    /// Followers keep enough of the rates to accept jobs.
     fn apply_follower_shares(&mut self) {
         let rps = self.write_limits.requests_per_s();
         let nodes = self.settings.peers.len() as f64 + 1.0;
@@ -330,7 +337,7 @@
         }
     }
 
-    /// Gives leadership up, for good unless elected again with a higher token.
+    /// Gives up leadership. The node leads again only if it is elected again, with a higher token.
     pub(crate) fn step_down(&mut self, why: &str) {
         log::warn!("no longer the leader: {why}");
         if let Role::Leader(lease) = self.role {
@@ -349,7 +356,7 @@
         self.reread_shared(0);
     }
 
-    /// Stays out of the next election, so that a better placed node can win it.
+    /// Does not campaign for `ms` milliseconds, so that a node with better connectivity can win the election.
     pub(crate) fn stand_aside(&mut self, ms: u64) {
         self.role = Role::Follower {
             may_campaign_at: self.now.mono + ms,
--- a/crates/control/src/leadership/incarnation.rs
+++ b/crates/control/src/leadership/incarnation.rs
@@ -1,48 +1,50 @@
-//! One incarnation of a node: from the start of its process to its end.
+//! The incarnation of a node: one run of its process.
 //!
-//! A node that begins knows that the incarnation before it is over, since both would listen on the same addresses. If
-//! that one led the fleet, nobody needs to wait for its lease to run out. Weighed in docs/safety.md under "A new life".
+//! A starting node knows that its previous incarnation has ended, since both would listen on the same addresses. If
+//! that incarnation was the leader, the node need not wait for its lease to expire. docs/safety.md discusses the
+//! trade-offs.
 //!
-//! Nothing here takes over; [`crate::leadership::election`] does, by a transaction that is guarded as any other.
+//! This module only decides whether that applies; [`crate::leadership::election`] takes over, in a transaction with the
+//! same conditions as any other.
 
 use wire::records::LeaderRecord;
 
-/// The present incarnation of this node.
+/// The current incarnation of this node.
 pub(crate) struct Incarnation {
-    /// Drawn anew by each process; never 0, which stands in records from before there were marks.
+    /// Chosen at random by each process; never 0, the value in records that were written before incarnations had ids.
     id: u64,
-    /// This incarnation has led the fleet. From then on a record of another one under our name is one of a process
-    /// that lives beside us by mistake.
+    /// Whether this incarnation has been the leader. From then on, a leader record of another incarnation under this
+    /// node's name was written by a second process that runs under the same name by mistake.
     has_led: bool,
 }
 
 impl Incarnation {
-    /// A process has started.
+    /// Starts a new incarnation, with an id derived from `seed`.
     pub fn new(seed: u64) -> Self {
-        // Numbers that any reader of the records can hold exactly.
+        // Below 2^53, so that every reader of the records can represent the id exactly.
         Incarnation {
             id: fastrand::Rng::with_seed(!seed).u64(1..1 << 53),
             has_led: false,
         }
     }
 
-    /// What stands in the leader records of this incarnation.
+    /// The id that this incarnation writes into its leader records.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// It has become the leader.
+    /// Notes that this incarnation has become the leader.
     pub fn note_leadership(&mut self) {
         self.has_led = true;
     }
 
-    /// Whether another incarnation under this node's name wrote it.
+    /// Whether another incarnation of the node named `node` wrote the record.
     pub fn is_from_other_incarnation(&self, record: &LeaderRecord, node: &str) -> bool {
         record.node == node && record.incarnation != self.id
     }
 
-    /// Whether the leader that wrote it can only have ended. Two processes of one name take over from each other once
-    /// at most: who has led the fleet waits like everybody else.
+    /// Whether the leader that wrote the record must have ended. An incarnation that has led waits for the lease to
+    /// expire like any other node, so two processes with the same name take over from each other at most once.
     pub fn may_supersede(&self, record: &LeaderRecord, node: &str) -> bool {
         self.is_from_other_incarnation(record, node) && !self.has_led
     }
--- a/crates/control/src/leadership/lease.rs
+++ b/crates/control/src/leadership/lease.rs
@@ -1,21 +1,21 @@
-//! The leader's lease: how it is renewed, and how long it can be relied on.
+//! The leader's lease: its renewal, and how long the leader may rely on it.
 
 use crate::leadership::role::{HeldLease, Role};
 use crate::{Destination, Node, Pending};
 use std::ops;
 use wire::http::Response;
 
-/// After how long a renewal that failed is tried again.
+/// Delay before a failed renewal is retried.
 const RENEWAL_RETRY_MS: ops::Range<u64> = 50..200;
 
-/// Renewals in one life of a lease.
+/// Number of renewals within the lifetime of a lease.
 const RENEWALS_PER_TTL: u64 = 4;
 
-/// An answer to the end of a lease that takes longer is none; nobody waits for it.
+/// Timeout of the revocation of a lease, whose answer is ignored.
 const REVOKE_TIMEOUT_MS: u64 = 2000;
 
 impl HeldLease {
-    /// A lease that was granted when asked for at `sent`, to be renewed at once.
+    /// A lease that was requested at `sent` and granted, to be renewed immediately.
     pub fn new(id: u64, sent: u64, now: u64) -> Self {
         HeldLease {
             id,
@@ -25,7 +25,8 @@
         }
     }
 
-    /// The lease can't have ended: drift is below 0.05% on either side, and the service is never early.
+    /// Whether the lease cannot have expired. Clock drift is below 0.05% on either side, and the service never ends a
+    /// lease early.
     fn is_valid(&self, ttl_ms: u64, now: u64) -> bool {
         let lifetime = ttl_ms * 997 / 1000;
         now < self.renewed_at + lifetime.saturating_sub(lifetime / 20)
@@ -37,7 +38,7 @@
         self.tuning.ttl_ms as u64
     }
 
-    /// Whether this node leads, and its own clock says that its lease can't have ended.
+    /// Whether this node leads and, by its own clock, its lease cannot have expired.
     pub(crate) fn has_valid_lease(&self) -> bool {
         match &self.role {
             Role::Leader(lease) => lease.is_valid(self.lease_ttl_ms(), self.now.mono),
@@ -45,12 +46,12 @@
         }
     }
 
-    /// Leader, loaded, and sure of it: may decide.
+    /// Whether this node may make decisions: it is the leader, its lease is valid and the shard's state is loaded.
     pub(crate) fn may_decide(&self) -> bool {
         self.has_valid_lease() && self.shard.as_ref().is_some_and(|p| p.loaded)
     }
 
-    /// Renews the lease when it is time.
+    /// Renews the lease if a renewal is due and none is in flight.
     pub(super) fn renew_lease(&mut self, lease: HeldLease) {
         let now = self.now.mono;
         if lease.renewal_in_flight || now < lease.next_renewal {
@@ -64,7 +65,7 @@
             lease: lease.id,
             sent: now,
         };
-        // In an outage the answer is slow to come; a late one is as good as its sending time.
+        // During an outage answers are slow. A late one extends the lease from the time at which the renewal was sent.
         self.send(
             Destination::State,
             "POST",
@@ -75,7 +76,7 @@
         );
     }
 
-    /// The answer to a renewal of the lease `lease_id`, sent at `sent`.
+    /// Handles the answer to the renewal of the lease `lease_id` that was sent at `sent`.
     pub(crate) fn renewal_answered(
         &mut self,
         lease_id: u64,
--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -1,47 +1,48 @@
-//! How long a leader may keep workers' leases alive.
+//! How long a leader may renew workers' leases.
 //!
-//! A worker kills its tasks once the last heartbeat that was answered was sent more than `lease_s` ago, so each answer
-//! lets them live that much longer. A leader that can't renew its own lease hears of no cancel that a later leader
-//! tells users; what it renews must be gone within `cancel_s` of the first such cancel. Derived in docs/safety.md.
+//! A worker kills its tasks once more than `lease_s` has passed since it sent the last heartbeat that was answered, so
+//! each answer extends their life by that much. A leader that cannot renew its own lease does not learn of
+//! cancellations that a later leader confirms to users, so every task whose lease it renews must have ended within
+//! `cancel_s` of the first such cancellation. The bound is derived in docs/safety.md.
 //!
-//! Nothing here gives an order or decides who owns.
+//! This module neither issues orders nor decides who leads.
 
 use crate::Node;
 use crate::leadership::role::Role;
 use wire::settings::Workers;
 
-/// Two clocks that drift apart by 0.05% each, doubled.
+/// Relative drift of two clocks of 0.05% each, doubled for safety.
 const DRIFT: f64 = 0.002;
-/// Workers look at their lease now and then, and an end takes a moment.
+/// Workers check their lease only periodically, and ending a task takes some time.
 const SLACK_MS: f64 = 2000.0;
 
-/// How long, in milliseconds, answers may go on after the last moment at which no other node can have told anybody
-/// of a cancel: what is renewed at its end is gone `cancel_s` after that moment.
+/// How long, in milliseconds, heartbeats may be answered after the last moment at which no other node can have
+/// confirmed a cancellation to anybody. A task whose lease is renewed at the end of that time is gone `cancel_s` after
+/// that moment.
 pub fn bound_ms(workers: &Workers) -> u64 {
     let left = workers.cancel_s * (1.0 - DRIFT) - workers.lease_s * (1.0 + DRIFT);
     (left * 1000.0 - SLACK_MS).max(0.0) as u64
 }
 
-/// What the other nodes have said since this one became unsure. All of them have to say it, in answer to the same
-/// question.
+/// Peers' attestations that they know of no later leader. They count only if all peers have answered the same round.
 #[derive(Debug, Default)]
 pub struct Attestations {
-    /// When the question was sent that all have answered.
+    /// When the latest round that all peers have answered was sent.
     complete_at: Option<u64>,
-    /// When the last question was sent, and which peers have answered it.
+    /// When the current round was sent, and which peers have answered it.
     asked_at: u64,
     answered: Vec<bool>,
 }
 
 impl Attestations {
-    /// All peers are asked anew.
+    /// Starts a new round of questions to all peers.
     pub fn ask(&mut self, now: u64, peers: usize) {
         self.asked_at = now;
         self.answered = vec![false; peers];
         self.check_complete(now);
     }
 
-    /// A peer attests what was asked at `sent`.
+    /// Notes that a peer has attested the round that was sent at `sent`.
     pub fn answer(&mut self, sent: u64, peer: usize) {
         if sent == self.asked_at
             && let Some(answered) = self.answered.get_mut(peer)
@@ -51,7 +52,7 @@
         }
     }
 
-    /// When the last question was sent that all peers have answered.
+    /// When the latest round that all peers have answered was sent.
     pub fn complete_at(&self) -> Option<u64> {
         self.complete_at
     }
@@ -64,9 +65,9 @@
 }
 
 impl Node {
-    /// Whether an answer to a worker may renew its lease now.
+    /// Whether an answer to a worker's heartbeat may renew its lease now.
     pub(crate) fn may_renew(&self) -> bool {
-        // What has not been read back yet may have been cancelled long ago.
+        // Jobs that have not been read back yet may have been cancelled long ago.
         let Some(shard) = self.shard.as_ref().filter(|p| p.loaded) else {
             return false;
         };
@@ -79,14 +80,15 @@
             || self.now.mono < confirmed_at + bound_ms(&self.settings.cluster.workers)
     }
 
-    /// All others are asked now what they know.
+    /// Starts a round of attestations; the questions are the peer status requests that are sent at `now`.
     pub(crate) fn begin_attestation_round(&mut self, now: u64, peers: usize) {
         if let Some(shard) = &mut self.shard {
             shard.attestations.ask(now, peers);
         }
     }
 
-    /// A peer has answered what was sent then: the highest token that it knows of, if it has read the counter.
+    /// Handles a peer's answer to the round that was sent at `sent`. `token` is the highest token that the peer knows
+    /// of, `None` if it has not read the counter.
     pub(crate) fn attestation_received(&mut self, sent: u64, peer: usize, token: Option<u64>) {
         if let Some(shard) = &mut self.shard
             && token.is_some_and(|t| t <= shard.token)
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -1,9 +1,10 @@
-//! Zones that are cut off whole: a node inside, named by the leader, keeps the leases of its zone's workers alive for a
-//! bounded time under the leader's token. It gives no orders, and knows of none.
+//! Lease delegation for zones that are partitioned as a whole: a node in the zone, appointed by the leader, renews the
+//! leases of the zone's workers for a bounded time under the leader's token. It neither issues orders nor knows of any.
 //!
-//! The leader names it again with each peer status (once a second), with the machines on which something is that was
-//! cancelled; those are not kept. Of later cancels the lease delegate hears nothing, so that it stops in time; see
-//! [`crate::leadership::lease_bound`] and docs/safety.md. It writes nothing down: what it was told ends with its process.
+//! The leader renews the delegation with each peer status (once a second). It lists the machines that still run
+//! cancelled tasks; their leases are not renewed. The lease delegate does not learn of later cancellations, so it stops
+//! after a bounded time; see [`crate::leadership::lease_bound`] and docs/safety.md. A delegation is kept in memory only
+//! and ends with the delegate's process.
 
 use crate::Node;
 use crate::leadership::lease_bound::bound_ms;
@@ -13,28 +14,28 @@
 use wire::peer::LeaseDelegation;
 use wire::settings::Workers;
 
-/// More machines than this are not excepted one by one: then nothing is delegated.
+/// Maximum number of machines excepted from a delegation. If more would have to be, nothing is delegated.
 const MAX_EXCEPTED_MACHINES: usize = 64;
 
-/// Claims that are looked at for each machine that may be excepted.
+/// Number of claims that are examined for each machine that may be excepted.
 const CLAIMS_PER_EXCEPTED_MACHINE: usize = 8;
 
-/// A peer and a machine that fell silent within this time are taken to have been cut off together.
+/// A peer and a machine that fell silent within this time of each other are assumed to be in the same partition.
 const SAME_OUTAGE_MS: u64 = 10_000;
 
-/// A lease delegate answers only once a later leader had time to be found: this part of a lease, in milliseconds of
-/// each of its seconds.
+/// A lease delegate answers only after workers have had time to find a later leader: this many milliseconds for each
+/// second of a worker's lease.
 const START_DELAY_MS_PER_LEASE_S: f64 = 250.0;
 
-/// What the leader has said last.
+/// The latest delegation by the leader.
 pub(crate) struct Delegation {
-    /// When it was asked, by this node's clock: it has known of all cancels up to then.
+    /// When the leader was asked, by this node's clock. The delegation takes account of all cancellations up to then.
     asked_at: u64,
     terms: LeaseDelegation,
 }
 
 impl Delegation {
-    /// When answers may be given.
+    /// The time in which the delegate may answer heartbeats.
     fn answer_window(&self, workers: &Workers) -> Range<u64> {
         let from = self.asked_at + (workers.lease_s * START_DELAY_MS_PER_LEASE_S) as u64;
         let until = self.asked_at + bound_ms(workers);
@@ -47,7 +48,7 @@
 }
 
 impl Node {
-    /// What the leader lets a peer keep: its zone's machines, but those with something on them that was cancelled.
+    /// The leader's delegation to a peer: the machines of the peer's zone except those that still run cancelled tasks.
     pub(crate) fn delegation_for(&self, peer: usize) -> Option<LeaseDelegation> {
         let shard = self
             .shard
@@ -56,7 +57,7 @@
         let zone = &self.settings.peers.get(peer)?.zone;
         debug_assert!(
             shard.unwanted_is_right(),
-            "a cancelled job with claims that nobody noted"
+            "a cancelled job with claims is missing from the unwanted jobs"
         );
         let jobs = shard.unwanted.iter().filter_map(|job| shard.job(*job));
         let machines = jobs
@@ -72,7 +73,7 @@
         })
     }
 
-    /// Keeps what the leader has said, asked at `asked_at`.
+    /// Stores the delegation that the leader sent in answer to the request of `asked_at`.
     pub(crate) fn note_delegation(&mut self, asked_at: u64, delegation: Option<LeaseDelegation>) {
         if let Some(terms) = delegation.filter(|terms| terms.except.len() <= MAX_EXCEPTED_MACHINES)
         {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The answer of a lease delegate to a worker, if it may give one.
+    /// The answer of this lease delegate to a worker's heartbeat; `None` if it may not answer.
     pub(crate) fn delegate_answer(&self, heartbeat: &Heartbeat) -> Option<Vec<u8>> {
         let delegation = self.delegation.as_ref()?;
         let token = delegation.terms.token;
@@ -99,7 +100,8 @@
         })
     }
 
-    /// How much longer than their leases tasks in a silent zone may live: a lease delegate stood there when it was last heard.
+    /// How much longer than their leases, in milliseconds, tasks in a silent zone may live because a lease delegate was
+    /// up there at `heard_at`, when the machine was last heard from.
     pub(crate) fn delegated_ms(&self, zone: &str, heard_at: u64) -> u64 {
         let peers = self.settings.peers.iter().enumerate();
         let delegate_was_up = peers
--- a/crates/control/src/leadership/mod.rs
+++ b/crates/control/src/leadership/mod.rs
@@ -1,5 +1,5 @@
-//! Leadership: the election of the leader by a lease in the state service, how long it may act, and what the controllers
-//! know of each other.
+//! Leadership: election of the leader by a lease in the state service, the time limits on its actions, and what the
+//! controllers know of each other.
 
 pub(crate) mod election;
 pub(crate) mod incarnation;
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -1,22 +1,24 @@
-//! What the nodes tell each other once a second: who leads, whom the state service answers, which tokens are known.
+//! Status messages that the nodes exchange once a second: who leads, which nodes the state service answers, and which
+//! tokens are known.
 //!
-//! What it says of reach only chooses who acts. What it says of tokens is proof for [`crate::leadership::lease_bound`].
+//! Information on reachability only influences which node acts. Information on tokens is evidence on which
+//! [`crate::leadership::lease_bound`] relies.
 
 use crate::jobs::peer_requests::peer_answer;
 use crate::{Destination, Node, Pending};
 use wire::http::Response;
 use wire::peer::{self, PeerRequest, PeerResponse, PeerStatus};
 
-/// Nodes ask each other this often; an answer that takes longer is none.
+/// Interval of status requests, and their timeout.
 const INTERVAL_MS: u64 = 1000;
-/// A peer's status is believed for so long.
+/// A peer's status is ignored once it is older than this.
 const MAX_AGE_MS: u64 = 3000;
-/// The state service answers a node that has heard from it within this time: its watch says something every 5 s.
+/// A node counts as served by the state service if it was answered within this time: a watch is answered every 5 s.
 const STATE_CONTACT_MS: u64 = 6500;
-/// Where the service does not count this high, nobody has a token above it.
+/// Bound on plausible tokens: the state service's counter does not get this high, so any such token is invalid.
 pub(crate) const TOKEN_BOUND: u64 = 1 << 31;
 
-/// The newest status of each peer, with its time.
+/// The latest status of each peer and when it was received.
 #[derive(Debug, Default)]
 pub(crate) struct PeerStatusTable {
     asked_at: u64,
@@ -24,7 +26,7 @@
 }
 
 impl Node {
-    /// Asks all peers, once a second.
+    /// Requests the status of all peers once a second.
     pub(crate) fn peer_status_tick(&mut self) {
         let now = self.now.mono;
         let peers = self.settings.peers.len();
@@ -48,13 +50,13 @@
         }
     }
 
-    /// What this node tells its peers.
+    /// The status that this node sends to its peers.
     pub(crate) fn peer_status(&self) -> PeerStatus {
         let now = self.now.mono;
         PeerStatus {
             node: self.settings.node.clone(),
             state_ms: self.state_good_at.map(|at| now.saturating_sub(at)),
-            // Until the counter has been read, nothing is known of what this node was before it began.
+            // Until the counter has been read, this node does not know which tokens it knew before it was restarted.
             token: (self.shared.revision > 0).then(|| self.highest_token()),
             leads: self
                 .shard
@@ -68,7 +70,7 @@
         }
     }
 
-    /// A peer's status, as it asked or answered. A name or a token that can't be is refused.
+    /// Stores a peer's status, from a request or an answer. Rejects an unknown node name and an implausible token.
     pub(crate) fn peer_status_seen(&mut self, peer_status: PeerStatus) -> Option<usize> {
         let peer = self.peer_named(&peer_status.node)?;
         if peer_status
@@ -91,7 +93,7 @@
         Some(peer)
     }
 
-    /// A peer's answer, to what was asked at `sent`.
+    /// Handles a peer's answer to the status request that was sent at `sent`.
     pub(crate) fn peer_status_received(
         &mut self,
         sent: u64,
@@ -101,7 +103,7 @@
         let Some(PeerResponse::PeerStatus(peer_status)) = peer_answer(response) else {
             return;
         };
-        // Nobody but the leader has anything to keep, and only under its own token.
+        // Only the leader may delegate, and only under its own token.
         let delegation = peer_status
             .delegation
             .clone()
@@ -113,18 +115,18 @@
         }
     }
 
-    /// Whether a peer says that it leads the fleet and hears no worker.
+    /// Whether a peer reports that it is the leader and receives no heartbeats from workers.
     pub(crate) fn hears_no_agents(&self, peer: usize) -> bool {
         self.fresh_status(peer)
             .is_some_and(|peer_status| peer_status.hears_no_agents)
     }
 
-    /// Whether a peer says that the state service does not serve it; nothing if it has not said anything lately.
+    /// Whether a peer reports that the state service does not serve it; `None` without a recent status of that peer.
     pub(crate) fn says_down(&self, peer: usize) -> Option<bool> {
         self.fresh_status(peer).map(|peer_status| peer_status.down)
     }
 
-    /// When a peer was last heard; 0 for never.
+    /// When a status of a peer was last received; 0 for never.
     pub(crate) fn last_heard_at(&self, peer: usize) -> u64 {
         self.peer_statuses
             .by_peer
@@ -133,7 +135,7 @@
             .map_or(0, |(at, _)| *at)
     }
 
-    /// Whether a peer was heard lately.
+    /// Whether there is a recent status of a peer.
     pub(crate) fn is_heard(&self, peer: usize) -> bool {
         self.fresh_status(peer).is_some()
     }
@@ -154,8 +156,8 @@
         fresh.map(move |(at, peer_status)| (now - at, peer_status))
     }
 
-    /// Whether another node could lead the fleet in this one's place, as far as anybody can say: one that the state
-    /// service answers, or, while no peer says anything, perhaps any.
+    /// Whether another node may be able to lead instead of this one: a peer reports that the state service answers it,
+    /// or there is no recent status of any peer, so that nothing rules it out.
     pub(crate) fn could_be_followed(&self) -> bool {
         let reaches_state = |(age, status): (u64, &PeerStatus)| {
             status
--- a/crates/control/src/leadership/role.rs
+++ b/crates/control/src/leadership/role.rs
@@ -1,13 +1,13 @@
-//! The roles that a controller can have in an election.
+//! The roles of a controller in an election.
 
-/// What a controller is to the shard.
+/// A controller's role in the shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Role {
     Follower {
-        /// When it may campaign; 0 while a vacancy is not known yet.
+        /// When it may campaign; 0 while no vacancy has been found.
         may_campaign_at: u64,
     },
-    /// Asking for a lease, or writing our name on it.
+    /// Requesting a lease, or writing its leader record under that lease.
     Candidate(Campaign),
     Leader(HeldLease),
 }
@@ -15,19 +15,19 @@
 /// One attempt to become the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Campaign {
-    /// When the lease was asked for: its time is counted from then.
+    /// When the lease was requested. Its lifetime is counted from then.
     pub sent: u64,
     pub give_up_at: u64,
     pub stage: CampaignStage,
 }
 
-/// What a candidate waits for.
+/// The answer that a candidate is waiting for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CampaignStage {
     AwaitingLease,
     AwaitingRecord {
         lease: u64,
-        /// The lease of the former incarnation whose record is to be replaced.
+        /// The lease of the earlier incarnation whose leader record is to be replaced.
         former: Option<u64>,
     },
 }
@@ -36,14 +36,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct HeldLease {
     pub id: u64,
-    /// When the last renewal that succeeded was sent.
+    /// When the last successful renewal was sent.
     pub renewed_at: u64,
     pub next_renewal: u64,
-    /// A renewal is out.
     pub renewal_in_flight: bool,
 }
 
 impl Role {
-    /// A follower that campaigns once it has found the shard vacant.
+    /// A follower that campaigns once it finds the shard without a leader.
     pub const FOLLOWER: Role = Role::Follower { may_campaign_at: 0 };
 }
--- a/crates/control/src/leadership/shared_state.rs
+++ b/crates/control/src/leadership/shared_state.rs
@@ -1,5 +1,5 @@
-//! What all controllers follow by a watch: the leader record, the token, the catalog of machine types and the heads of
-//! documents. Beside it, what a peer has said of its leadership.
+//! State that all controllers watch in the state service: the leader record, the token counter, the catalog of machine
+//! types and the document heads. Also holds announcements of leadership by peers.
 
 use crate::documents::Documents;
 use crate::leadership::election::SHARD;
@@ -9,25 +9,25 @@
 use wire::http::Response;
 use wire::records::{self, LeaderRecord, SharedRecord};
 
-/// An announcement is forgotten after this time; by then whoever can read the state service knows better.
+/// An announcement expires after this time; by then, a node that can read the state service has newer information.
 const ANNOUNCEMENT_TTL_MS: u64 = 10_000;
 
-/// An answer to a read that takes longer is none.
+/// Timeout of reads.
 const READ_TIMEOUT_MS: u64 = 2000;
 
-/// The service answers a watch without changes after 5 s; one that says nothing for so long is cut off.
+/// Timeout of a watch. The service answers one without changes after 5 s, so a longer silence is a connection failure.
 const WATCH_TIMEOUT_MS: u64 = 7000;
 
-/// After how long a read or a watch that was refused is tried again.
+/// Delay before a refused read or watch is retried.
 const RETRY_DELAY_MS: ops::Range<u64> = 200..500;
 
-/// After how long all is read anew once a watch was cut off.
+/// Delay before everything is read again after a watch that got no answer.
 const REREAD_DELAY_MS: ops::Range<u64> = 100..300;
 
-/// After how long all is read anew once a watch said what can't be read.
+/// Delay before everything is read again after a watch whose answer could not be decoded.
 const UNREADABLE_REREAD_DELAY_MS: u64 = 1000;
 
-/// The leader record, as it was read last.
+/// The leader record as last read.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct ObservedLeader {
     pub record: LeaderRecord,
@@ -35,13 +35,13 @@
 }
 
 impl ObservedLeader {
-    /// Whether this node wrote it, on this lease.
+    /// Whether the record belongs to this node and this lease.
     pub(super) fn is_ours(&self, lease: u64, node: &str) -> bool {
         self.record.node == node && self.record.lease == lease
     }
 }
 
-/// What every controller knows of the whole, by a watch.
+/// The watched state as far as this controller knows it.
 #[derive(Default)]
 pub(crate) struct Shared {
     pub known: bool,
@@ -49,20 +49,21 @@
     pub leader: Option<ObservedLeader>,
     pub token: u64,
     pub token_version: u64,
-    /// The highest token ever read or given out here. It never falls, as `token` may with a read that comes late.
+    /// The highest token that this node has ever read or assigned. It never decreases, whereas a late read may lower
+    /// `token`.
     pub highest: u64,
     pub catalog: Option<Catalog>,
     pub catalog_version: u64,
     pub documents: Documents,
-    /// When the state service last said how all this stands.
+    /// When the state service last reported this state.
     pub heard_at: u64,
-    /// A read or a watch is out, and when to try again if not.
+    /// Whether a read or a watch is in flight; if not, the next one is sent at `retry_at`.
     request_in_flight: bool,
     generation: u64,
     retry_at: u64,
 }
 
-/// A peer that said that it had become the leader.
+/// A peer that has announced itself as the leader.
 pub(crate) struct AnnouncedLeader {
     node: String,
     token: u64,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Prices move: a leader that has fetched them itself knows better.
+    /// Prices change, and the leader fetches them itself: its catalog is newer than the stored one and is not replaced.
     fn catalog_put(&mut self, catalog: Catalog, version: u64, leads: bool) {
         if version < self.catalog_version {
             return;
@@ -107,7 +108,7 @@
 }
 
 impl Node {
-    /// Reads or watches, if neither is out and it is time.
+    /// Sends a read or a watch if none is in flight and one is due.
     pub(super) fn shared_state_tick(&mut self) {
         if self.shared.request_in_flight || self.now.mono < self.shared.retry_at {
             return;
@@ -151,7 +152,7 @@
         );
     }
 
-    /// Reads everything anew, after `wait` milliseconds.
+    /// Schedules a full read after `wait` milliseconds.
     pub(crate) fn reread_shared(&mut self, wait: u64) {
         self.shared.known = false;
         self.shared.request_in_flight = false;
@@ -163,7 +164,7 @@
         self.shared.retry_at = self.now.mono + self.rng.u64(RETRY_DELAY_MS);
     }
 
-    /// The answer to a read of everything.
+    /// Handles the answer to a full read.
     pub(crate) fn shared_read(&mut self, response: Option<Response>) {
         self.shared.request_in_flight = false;
         let range = response
@@ -183,14 +184,14 @@
         self.leader_observed();
     }
 
-    /// The answer to a watch, or that there is none.
+    /// Handles the answer to a watch; `None` if there was none.
     pub(crate) fn shared_changes(&mut self, generation: u64, response: Option<Response>) {
         if generation != self.shared.generation {
             return;
         }
         self.shared.request_in_flight = false;
         let Some(response) = response else {
-            // Cut off or in an outage: what we know may be old, so read it anew.
+            // The connection failed or the service is down: the known state may be stale, so it is read again.
             let wait = self.rng.u64(REREAD_DELAY_MS);
             return self.reread_shared(wait);
         };
@@ -229,8 +230,9 @@
         }
     }
 
-    /// Another node says that it leads the shard. An earlier leader that lost the state service hears it here first;
-    /// its workers would otherwise stay with it, unheard by the new one.
+    /// Handles another node's claim to lead the shard. An earlier leader that cannot reach the state service learns of
+    /// its successor here first, and steps down; otherwise its workers would stay with it and never reach the new
+    /// leader.
     pub(crate) fn leader_asserted(&mut self, node: String, token: u64) {
         if !self.has_valid_lease() && self.shard.as_ref().is_some_and(|p| p.token < token) {
             self.step_down("a peer leads the fleet with a higher token");
@@ -249,18 +251,18 @@
         }
     }
 
-    /// The highest token that this node knows of, by itself or from whoever named one as its own last.
+    /// The highest token that this node knows of, from the state service or from the latest announcement by a peer.
     pub(crate) fn highest_token(&self) -> u64 {
         let announced = self.announced.as_ref().map_or(0, |a| a.token);
         self.shared.highest.max(announced)
     }
 
-    /// The node that workers should heartbeat to.
+    /// The name of the node that workers should send heartbeats to.
     pub(crate) fn leader_name(&self) -> Option<String> {
         self.newest_leader().map(|(_, node)| node.to_owned())
     }
 
-    /// The token of the node that workers should heartbeat to.
+    /// The token of the node that workers should send heartbeats to.
     pub(crate) fn leader_token(&self) -> Option<u64> {
         self.newest_leader().map(|(token, _)| token)
     }
