--- a/crates/control/src/overload/load_shedding.rs
+++ b/crates/control/src/overload/load_shedding.rs
@@ -1,5 +1,5 @@
-//! When those who are turned away are asked to come back: after as long as it takes to serve all who were turned away
-//! before them, so that an overloaded node is not asked the same again and again in the meantime.
+//! Load shedding: when a rejected client should retry. The delay is the time that it takes to serve all clients that
+//! were rejected before it, so that an overloaded node does not receive the same requests over and over.
 //!
 //! ```
 //! use control::overload::load_shedding::LoadShedding;
@@ -7,23 +7,24 @@
 //! assert_eq!(shedding.turn_away(0, 10.0), 1);
 //! (0..50).for_each(|_| { shedding.turn_away(0, 10.0); });
 //! assert_eq!(shedding.turn_away(0, 10.0), 6);
-//! // Five seconds later they have been served.
+//! // After five seconds that backlog has been served.
 //! assert_eq!(shedding.turn_away(5500, 10.0), 1);
 //! ```
 
-/// Nobody is sent away for longer, in seconds: by then another node may have room.
+/// Maximum retry delay in seconds: by then, another node may have capacity.
 pub const LONGEST_S: u32 = 10;
 
-/// Requests that were turned away and are still to be served.
+/// Estimate of the rejected requests that are still to come back and be served.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LoadShedding {
     queued: f64,
-    /// Milliseconds of the node's steady clock.
+    /// When `queued` was last updated, in milliseconds of the node's steady clock.
     updated_at: u64,
 }
 
 impl LoadShedding {
-    /// One more is turned away, by a node that serves so many a second. Returns the seconds after which to come back.
+    /// Counts one more request rejected by a node that serves `served_per_s` requests a second. Returns the retry delay
+    /// in seconds.
     pub fn turn_away(&mut self, now: u64, served_per_s: f64) -> u32 {
         let served_per_s = served_per_s.max(1.0);
         let served = now.saturating_sub(self.updated_at) as f64 / 1000.0 * served_per_s;
--- a/crates/control/src/overload/mod.rs
+++ b/crates/control/src/overload/mod.rs
@@ -1,4 +1,4 @@
-//! Overload: what a controller that is short of processor time does first, later, or not at all.
+//! Overload control: what a controller that is short of processor time does first, delays or rejects.
 
 pub mod load_shedding;
 pub mod plan_pacing;
--- a/crates/control/src/overload/plan_pacing.rs
+++ b/crates/control/src/overload/plan_pacing.rs
@@ -1,24 +1,26 @@
-//! How far a node is behind its time, and how much less often it plans for it.
+//! Adapts the interval between plans to the processor time that the node has.
 //!
-//! A node is short of processor time when its ticks come late. Reports, lease renewals, ends and cancels are served as
-//! they come; plans are what can wait, so they are made less often until half of the time is left for the rest.
+//! A node is short of processor time when its ticks run late. Heartbeats, lease renewals, task ends and cancellations
+//! are served as they arrive. Plans can wait, so they are made less often until half of the time is left for everything
+//! else.
 
-/// Plans are at most this many times as far apart as in a node that keeps its time.
+/// Upper bound of the factor by which the interval between plans is lengthened.
 pub const MAX_FACTOR: f64 = 5.0;
-/// Part of the time that ticks may be late before plans give way.
+/// Fraction of the time by which ticks may run late before plans are made less often.
 const TARGET_LATENESS: f64 = 0.5;
-/// The distance changes by at most this factor from one plan to the next.
+/// The interval changes by at most this factor from one plan to the next.
 const MAX_STEP_FACTOR: f64 = 2.0;
-/// Lateness is looked at over about this time, in milliseconds.
+/// Lateness is averaged over about this time, in milliseconds.
 const WINDOW_MS: f64 = 3000.0;
-/// No work takes so long: the process stood still, and is not short of time when it goes on.
+/// No work takes this long. After a longer gap between ticks the process was suspended, which is no sign of overload,
+/// so the gap is ignored.
 const SUSPENSION_MS: f64 = 5000.0;
 
-/// A node's pace. Times are milliseconds of its steady clock.
+/// The lateness of a node's ticks and the pace of its plans. Times are in milliseconds of its steady clock.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanPacing {
     ticked_at: Option<u64>,
-    /// Part of the latest time by which ticks were late.
+    /// Fraction of the recent time by which ticks were late, as a moving average.
     lateness: f64,
     factor: f64,
 }
@@ -34,7 +36,7 @@
 }
 
 impl PlanPacing {
-    /// A tick that was due so long after the one before.
+    /// Records a tick that was due `due_after` milliseconds after the previous one.
     pub fn ticked(&mut self, now: u64, due_after: u64) {
         let Some(previous) = self.ticked_at.replace(now) else {
             return;
@@ -47,14 +49,14 @@
         }
     }
 
-    /// A plan has been made: the next one is sooner or later by how late ticks are.
+    /// Records that a plan was made, and adapts the interval until the next one to the lateness of ticks.
     pub fn planned(&mut self) {
         let change =
             (self.lateness / TARGET_LATENESS).clamp(1.0 / MAX_STEP_FACTOR, MAX_STEP_FACTOR);
         self.factor = (self.factor * change).clamp(1.0, MAX_FACTOR);
     }
 
-    /// A time between two plans, as this node keeps it now.
+    /// The current interval between plans, given the interval `base_ms` of a node without overload.
     pub fn interval(&self, base_ms: u64) -> u64 {
         (base_ms as f64 * self.factor) as u64
     }
--- a/crates/control/src/overload/precedence.rs
+++ b/crates/control/src/overload/precedence.rs
@@ -1,22 +1,22 @@
-//! In which order a node serves what has come in at the same time.
+//! The order in which a node serves events that are waiting at the same time.
 //!
-//! It makes a difference where a node is short of processor time: leases are renewed, ends taken in and cancels made
-//! before anything new is begun.
+//! The order matters when a node is short of processor time: leases are renewed, task ends recorded and cancellations
+//! carried out before new work is accepted.
 
 use crate::Event;
 use std::collections::VecDeque;
 use wire::http::Request;
 
-/// What is served first comes first.
+/// Precedence of an event; smaller values are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Precedence {
-    /// Ticks, and answers to what this node has asked: renewals of its own lease, records, commands.
+    /// Ticks, and answers to this node's own requests: renewals of its lease, records, commands.
     Own,
-    /// Other controllers: what they see, batches of reports, and users' requests that they hand on.
+    /// Requests of other controllers: their status, batches of heartbeats, and forwarded requests of users.
     Peer,
-    /// Reports, which renew workers' leases and tell of ends.
+    /// Heartbeats, which renew workers' leases and report task ends.
     Worker,
-    /// Cancels of users, which free capacity.
+    /// Cancellations by users, which free capacity.
     Cancel,
     /// Reads.
     Question,
@@ -25,7 +25,7 @@
 }
 
 impl Precedence {
-    /// Of a request to the interface of users and workers.
+    /// The precedence of a request to the interface of users and workers.
     pub fn of_client(request: &Request) -> Self {
         let path = request.path.split('?').next().unwrap_or("");
         match (request.method.as_str(), path) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Of an event, by who has caused it.
+    /// The precedence of an event, by its origin.
     pub fn of(event: &Event) -> Self {
         match event {
             Event::Tick | Event::Reply { .. } | Event::Unsent { .. } | Event::Frontend { .. } => {
@@ -48,28 +48,27 @@
     }
 }
 
-/// New work that has waited for so long, in milliseconds, is refused, so that whoever asks can go elsewhere.
+/// A submission that has waited longer than this, in milliseconds, is refused, so that the client can try another node.
 pub const SUBMISSION_WAITS_MS: u64 = 1000;
-/// The same of questions, whose users wait for 2 s.
+/// The same for reads, whose clients wait for 2 s.
 pub const QUESTION_WAITS_MS: u64 = 1000;
 
-/// What is to be done with something that has waited.
+/// What to do with an item taken from the backlog.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Next<T> {
-    /// It is its turn.
+    /// The item is the next to be served.
     Serve(T),
-    /// It has waited for too long: it is to be refused at once.
+    /// The item has waited too long and is to be refused.
     Refuse(T),
 }
 
-/// What has come in and waits for its turn: by precedence, and then in the order in which it came. Its leader bounds it,
-/// by the connections that it has.
+/// Items waiting to be served, by precedence and then in order of arrival. The backlog itself is unbounded; its owner
+/// bounds it by the number of its connections.
 #[derive(Debug)]
 pub struct Backlog<T> {
     queues: [VecDeque<(u64, T)>; PRECEDENCE_COUNT],
 }
 
-/// How many precedences there are.
 const PRECEDENCE_COUNT: usize = Precedence::Submission as usize + 1;
 
 impl<T> Default for Backlog<T> {
@@ -81,17 +80,16 @@
 }
 
 impl<T> Backlog<T> {
-    /// Adds what has come in at this time.
+    /// Adds an item that arrived at `now`.
     pub fn push(&mut self, now: u64, precedence: Precedence, item: T) {
         self.queues[precedence as usize].push_back((now, item));
     }
 
-    /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.queues.iter().all(VecDeque::is_empty)
     }
 
-    /// What is next: whatever has waited too long, to be refused, then the first by precedence.
+    /// Takes the next item: first those that have waited too long, then the first by precedence.
     pub fn pop(&mut self, now: u64) -> Option<Next<T>> {
         for (precedence, max_wait_ms) in [
             (Precedence::Submission, SUBMISSION_WAITS_MS),
@@ -107,7 +105,7 @@
         first.map(|(_, item)| Next::Serve(item))
     }
 
-    /// All that waits, in no order.
+    /// Removes all items and returns them in unspecified order.
     pub fn drain(&mut self) -> impl Iterator<Item = T> + '_ {
         self.queues
             .iter_mut()
