--- a/crates/control/src/event.rs
+++ b/crates/control/src/event.rs
@@ -1,46 +1,46 @@
-//! What goes into a controller and what comes out of it: events, and the effects that its host carries out.
+//! The inputs and outputs of a controller: events, and the effects that its host carries out.
 
 use crate::frontend;
 use std::net::SocketAddr;
 use wire::http::{Request, Response};
 
-/// The time, in milliseconds.
+/// The current time, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Now {
-    /// By this host's steady clock.
+    /// The host's monotonic clock.
     pub mono: u64,
-    /// The time of day.
+    /// The wall clock.
     pub wall: u64,
 }
 
-/// Who is asked.
+/// The destination of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Destination {
     /// The state service.
     State,
     Cloud,
-    /// Another controller, by its place in the settings.
+    /// Another controller, by its index in the settings.
     Peer(usize),
     Worker(SocketAddr),
 }
 
-/// What happens to a controller.
+/// An input to a controller.
 #[derive(Debug)]
 pub enum Event {
-    /// A request at the users' side.
+    /// A request to the interface of users and workers.
     Client { conn: u64, request: Request },
-    /// A request at the peers' side, of a peer or an operator.
+    /// A request to the interface of peers and operators.
     Peer { conn: u64, request: Request },
-    /// A user's request that has waited for so long that it is refused unread.
+    /// A user's request that has waited too long and is refused without being processed.
     Late { conn: u64 },
-    /// The answer to a request, or that there is none.
+    /// The answer to a request; `None` if there was none.
     Reply {
         tag: u64,
         response: Option<Response>,
     },
-    /// Nothing of it has left this host: there was no socket for it.
+    /// A request of which nothing was sent, because no socket was available.
     Unsent { tag: u64 },
-    /// Another front end of this process asks for its records.
+    /// A request of another front end of this process, on its records.
     Frontend {
         tag: u64,
         request: frontend::Request,
@@ -49,10 +49,10 @@
     Tick,
 }
 
-/// What a controller has its host do.
+/// An output of a controller, carried out by its host.
 #[derive(Debug)]
 pub enum Effect {
-    /// Answers a request that came by this connection.
+    /// Answers the request that arrived on the connection `conn`.
     Respond { conn: u64, response: Response },
     /// Sends a request; its answer comes back as [`Event::Reply`] with the same tag.
     Send {
@@ -64,6 +64,6 @@
         timeout_ms: u64,
         answer_limit: usize,
     },
-    /// The end of what another front end of this process has asked.
+    /// Answers a request of another front end of this process.
     Frontend { tag: u64, answer: frontend::Answer },
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,8 @@
-//! A controller without sockets, clocks or threads: events and the time go in, effects come out. All rules of
-//! the service live here, so that tests can play any order of failures in virtual time.
+//! A controller without sockets, clocks or threads: its inputs are events and the time, its outputs are effects. All
+//! rules of the service are implemented here, so that tests can simulate any order of failures in virtual time.
 //!
-//! [`Node`] dispatches; the modules below it each own one concern. docs/ARCHITECTURE.md says who owns which state.
+//! [`Node`] dispatches events to the modules, each of which owns one concern. docs/ARCHITECTURE.md lists which module
+//! owns which state.
 
 mod agents;
 mod documents;
@@ -22,7 +23,7 @@
 mod tuning;
 
 pub use event::{Destination, Effect, Event, Now};
-#[doc(hidden)] // For its tests alone.
+#[doc(hidden)] // Public only for its tests.
 pub use leadership::lease_bound;
 pub use node::Node;
 pub(crate) use outstanding::{Pending, Requester};
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! One controller: its state, and the dispatch of events and answers to the modules that own them.
+//! A controller's state, and the dispatch of events and answers to the modules that handle them.
 
 use crate::agents::{relay, routing};
 use crate::documents::for_kind;
@@ -23,23 +23,23 @@
 use wire::http::Response;
 use wire::settings::Settings;
 
-/// Share of the state service's requests that the controllers divide among themselves until one of them leads.
+/// Share of the state service's request rate that the controllers divide equally until one of them leads.
 const STATE_REQUEST_SHARE: f64 = 0.9;
-/// Share of the cloud's calls that a controller may use.
+/// Share of the cloud's call rate that a controller may use.
 const CLOUD_CALL_SHARE: f64 = 0.8;
 
-/// Share of the memory, in bytes of each of its megabytes, that final states may take.
+/// Share of the memory that cached final job states may take, in bytes per megabyte.
 const FINAL_STATE_BYTES_PER_MB: f64 = 1e5;
-/// What a final state takes, in bytes.
+/// Memory that one final state takes.
 const FINAL_STATE_BYTES: f64 = 150.0;
 
-/// After how long a follower that the state service does not serve reads from it again.
+/// Delay before a follower that the state service does not serve reads from it again.
 const STATE_REREAD_DELAY_MS: u64 = 300;
 
-/// One controller.
+/// A controller.
 pub struct Node {
     pub(crate) settings: Settings,
-    /// What records and transactions are built to.
+    /// The sizes and rates of writes that the state service accepts; records and transactions are built to them.
     pub(crate) write_limits: WriteLimits,
     pub(crate) tuning: Tuning,
     pub(crate) rng: fastrand::Rng,
@@ -53,48 +53,48 @@
     pub(crate) announced: Option<AnnouncedLeader>,
     pub(crate) term: u64,
     pub(crate) shard: Option<Shard>,
-    /// Requests to the state service and writes to it that this node may still make.
+    /// Remaining budget of requests and writes to the state service.
     pub(crate) requests: Bucket,
     pub(crate) writes: Bucket,
     pub(crate) cloud: Bucket,
     pub(crate) final_states: answer_history::FinalStates,
     pub(crate) answer_history: answer_history::AnswerHistory,
-    /// Accepts that the state service was too busy for, with the time of the next try.
+    /// Submissions that the state service was too busy to store, with the time of the next attempt.
     pub(crate) retries: VecDeque<(u64, admission::Submission)>,
-    /// When the state service last refused or did not answer us, unless it has answered since.
+    /// When the state service last failed to serve this node, unless it has served it since.
     pub(crate) state_bad_at: Option<u64>,
-    /// When it last answered us.
+    /// When the state service last served this node.
     pub(crate) state_good_at: Option<u64>,
-    /// What the other nodes say.
+    /// The latest status of each peer.
     pub(crate) peer_statuses: peer_status::PeerStatusTable,
-    /// How they answer what is forwarded to them.
+    /// How well peers answer forwarded requests.
     pub(crate) responsiveness: forwarding::PeerResponsiveness,
-    /// What we hand on for them.
+    /// Heartbeats and commands that this node relays between the leader and workers.
     pub(crate) relay: relay::Relay,
     /// Which controllers workers send their heartbeats to.
     pub(crate) routing: routing::Routing,
     pub(crate) plan_pacing: plan_pacing::PlanPacing,
     pub(crate) load_shedding: load_shedding::LoadShedding,
-    /// What the leader has us keep.
+    /// The leader's delegation to renew workers' leases.
     pub(crate) delegation: Option<lease_delegate::Delegation>,
     pub(crate) catalog_at: u64,
-    /// When we last gave the fleet up because most machines could not be heard.
+    /// When this node last gave up leadership because it heard nothing from most machines.
     pub(crate) stood_aside_at: Option<u64>,
-    /// Something may be there to be written. Without it, only ticks look.
+    /// Whether there may be changes to write. If not, only ticks check for them.
     pub(crate) to_write: bool,
-    /// Another front end of this process is open, and has job ids of its own.
+    /// Whether another front end of this process is open, which has reserved job ids.
     pub(crate) beside: bool,
     pub(crate) frontend: frontend::Frontend,
     pub(crate) models: models::Models,
     /// Writes that the state service has refused.
     pub(crate) refusals: Refusals,
-    /// What they say of the rate of changes.
+    /// The rate of changes that the state service accepts, as inferred from refused writes.
     pub(crate) write_rate: WriteRate,
     pub(crate) stats: Stats,
 }
 
 impl Node {
-    /// A node that knows nothing yet. All its randomness comes from the seed.
+    /// A node that has not read any state yet. All its randomness is derived from `seed`.
     pub fn new(settings: Settings, tuning: Tuning, seed: u64, now: Now) -> Self {
         let cluster = &settings.cluster;
         let write_limits = WriteLimits::of(&settings);
@@ -145,31 +145,31 @@
         }
     }
 
-    /// The same, with a quota tree to begin with. It is put in place only if there has never been one.
+    /// Sets an initial quota tree, which is stored only if there has never been one.
     pub fn with_first_tree(mut self, spec: Option<quota::Spec>) -> Self {
         self.shared.documents.quota.first = spec;
         self
     }
 
-    /// The same, with a calendar of release hours to begin with.
+    /// Sets an initial calendar of release hours.
     pub fn with_first_hours(mut self, spec: Option<::hours::Spec>) -> Self {
         self.shared.documents.hours.first = spec;
         self
     }
 
-    /// The same with counties to begin with.
+    /// Sets initial counties.
     pub fn with_first_counties(mut self, spec: Option<county::Spec>) -> Self {
         self.shared.documents.counties.first = spec;
         self
     }
 
-    /// The same, with a list of models to begin with.
+    /// Sets an initial list of models.
     pub fn with_first_models(mut self, spec: Option<model::Spec>) -> Self {
         self.shared.documents.models.first = spec;
         self
     }
 
-    /// The same with another door beside it, whose job ids users can't take.
+    /// Notes that another front end of this process is open; users cannot use the job ids reserved for it.
     pub fn with_frontend(self) -> Self {
         Node {
             beside: true,
@@ -177,17 +177,17 @@
         }
     }
 
-    /// What records and transactions are built to.
+    /// The sizes and rates of writes that the state service accepts.
     pub fn write_limits(&self) -> &WriteLimits {
         &self.write_limits
     }
 
-    /// What this node has counted.
+    /// This node's counters.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// Takes one event and returns what is to be done.
+    /// Handles one event and returns the effects to carry out.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
         self.now = now;
         self.to_write |= matches!(event, Event::Tick);
@@ -204,7 +204,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// How long the caller may wait until the next tick.
+    /// The interval between ticks, in milliseconds.
     pub fn wait_ms(&self) -> u64 {
         if self.shard.is_some() { 50 } else { 100 }
     }
@@ -243,7 +243,8 @@
         self.shared.catalog.as_ref()
     }
 
-    /// What was not sent has no effect later, and says nothing of whom it was for.
+    /// Handles a request that was not sent: it cannot take effect later, and its failure says nothing about its
+    /// destination.
     fn unsent(&mut self, tag: u64) {
         let term = self.term;
         let Some(pending) = self.pending.remove(&tag) else {
@@ -278,13 +279,13 @@
             self.note_state_health(response.as_ref());
         }
         self.note_write_refusal(&pending, response.as_ref());
-        // What belongs to an earlier term of leadership no longer concerns us.
+        // Answers to requests of an earlier term of leadership are ignored.
         if pending.term().is_none_or(|term| term == self.term) {
             self.dispatch(pending, response);
         }
     }
 
-    /// Notes a write that the state service can't take, or not now.
+    /// Notes a write that the state service refused, as unacceptable (400) or because of its rate limit (429).
     fn note_write_refusal(&mut self, pending: &Pending, response: Option<&Response>) {
         let (Some(kind), Some(refused)) = (pending.transaction_kind(), response) else {
             return;
@@ -307,13 +308,13 @@
         if !failed {
             self.state_good_at = Some(now);
         }
-        // Looked at again and again until it serves us; the leader's renewals do the same.
+        // A follower keeps reading until the service serves it again. The leader's renewals have the same effect.
         if failed && self.shared.known && !self.leads() {
             self.reread_shared(STATE_REREAD_DELAY_MS);
         }
     }
 
-    /// Hands an answer to whoever waits for it.
+    /// Passes an answer to the module that waits for it.
     fn dispatch(&mut self, pending: Pending, response: Option<Response>) {
         match pending {
             Pending::SharedRead => self.shared_read(response),
@@ -383,7 +384,7 @@
     }
 }
 
-/// A worker's answer, out of the peer's that it came by.
+/// A worker's answer, extracted from the peer's answer if it was relayed by one.
 fn unwrap_relayed(response: Option<Response>, via: bool) -> Option<Response> {
     if via {
         relay::relayed_answer(response)
--- a/crates/control/src/outgoing.rs
+++ b/crates/control/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! What a controller sends: requests, answers to those who asked it, and how it reads what others have answered.
+//! Sending requests and answers, and decoding the answers of others.
 
 use crate::event::{Destination, Effect};
 use crate::node::Node;
@@ -6,9 +6,9 @@
 use serde::de::DeserializeOwned;
 use wire::http::Response;
 
-/// Largest answer that is read from the state service; watches have no limit of their own.
+/// Maximum size of an answer of the state service or the cloud. Watches have no separate limit.
 const MAX_STATE_ANSWER: usize = 8 << 20;
-/// Largest answer of a peer, with orders for many workers.
+/// Maximum size of an answer of a peer, which may contain orders for many workers.
 const MAX_PEER_ANSWER: usize = 1 << 20;
 const MAX_WORKER_ANSWER: usize = 128 << 10;
 
@@ -24,7 +24,7 @@
 }
 
 impl Node {
-    /// Sends a request; its answer belongs to `what`.
+    /// Sends a request; `pending` determines how its answer is handled.
     pub(crate) fn send(
         &mut self,
         to: Destination,
@@ -52,7 +52,7 @@
         });
     }
 
-    /// Answers whoever asked by this connection.
+    /// Answers the request that arrived on the connection `conn`.
     pub(crate) fn respond(
         &mut self,
         conn: u64,
@@ -69,7 +69,7 @@
         self.effects.push(Effect::Respond { conn, response });
     }
 
-    /// Reads a body of somebody else's; an unreadable one is as good as no answer.
+    /// Decodes the body of an answer; one that cannot be decoded is treated as no answer.
     pub(crate) fn read<T: DeserializeOwned>(
         &mut self,
         from: &str,
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -1,62 +1,63 @@
-//! Requests of this controller's that are not answered yet, and what each answer belongs to.
+//! This controller's outstanding requests, and how their answers are handled.
 
 use crate::documents::{self, county_audit};
 use crate::jobs::{admission, feasibility, forwarding, query};
 use crate::models::{demand, wake_up};
 use crate::store::recovery;
 
-/// A user or a peer that waits for an answer.
+/// A user or a peer that waits for an answer, by its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Requester {
     User(u64),
     Peer(u64),
 }
 
-/// What an answer that is still out belongs to. `term` ties it to one term of leadership.
+/// An outstanding request. A request with a `term` belongs to that term of leadership; its answer is ignored
+/// afterwards.
 pub(crate) enum Pending {
-    /// A read of what all controllers follow.
+    /// A read of the state that all controllers watch.
     SharedRead,
-    /// A watch of what all controllers follow.
+    /// A watch of the state that all controllers watch.
     SharedWatch { generation: u64 },
-    /// A candidate asks for a lease.
+    /// A candidate requests a lease.
     GrantLease { sent: u64 },
     /// The leader renews its lease.
     RenewLease { lease: u64, sent: u64 },
-    /// A candidate puts its leader record.
+    /// A candidate writes its leader record.
     WriteLeaderRecord { lease: u64, token: u64 },
-    /// A peer is asked for its status.
+    /// A status request to a peer.
     PeerStatus { sent: u64, peer: usize },
-    /// Heartbeats that were handed on to the leader.
+    /// Heartbeats that were relayed to the leader.
     Relayed { conns: Vec<u64> },
-    /// A command that is handed on to a worker for the leader.
+    /// A command that is relayed to a worker on behalf of the leader.
     Tell { conn: u64 },
-    /// Nobody waits for it.
+    /// A request whose answer is ignored.
     IgnoreAnswer,
-    /// A page of what is read back after a failover.
+    /// A page of the state that a new leader reads back after a failover.
     Load { term: u64, what: recovery::Load },
     /// The watch of accepted jobs.
     LiveWatch { term: u64 },
-    /// A transaction of the leader's.
+    /// The leader's transaction.
     Commit { term: u64 },
-    /// Whether a transaction whose outcome is unknown is in place.
+    /// A check whether a transaction with unknown outcome was committed.
     Verify { term: u64 },
-    /// A job is put into the state service.
+    /// A submitted job is written to the state service.
     Accept {
         submission: admission::Submission,
         denied: Option<feasibility::Infeasible>,
         mark: u64,
     },
-    /// Whether a job is live.
+    /// A read of a job's live record.
     ReadLive { question: query::Question },
-    /// Whether a job has ended.
+    /// A read of a job's end record.
     ReadEnd { question: query::Question },
-    /// A peer is asked for a job's state.
+    /// A query of a job's state to a peer.
     PeerQuery {
         question: query::Question,
         peer: usize,
         sent: u64,
     },
-    /// A peer is asked to cancel a job.
+    /// A request to a peer to cancel a job.
     PeerCancel { conn: u64, job: String },
     /// A user's request that was forwarded to a peer.
     Forward {
@@ -67,45 +68,45 @@
     },
     /// An operator's request that was forwarded to the leader.
     Admin { conn: u64 },
-    /// What another front end of this process has asked.
+    /// A request of another front end of this process.
     Frontend { tag: u64 },
-    /// Counts by county are read back.
+    /// A read of the counts by county.
     Sheets { term: u64 },
-    /// Records are read for an audit of the counts by county.
+    /// A read of records for an audit of the counts by county.
     Audit {
         term: u64,
         record_set: county_audit::RecordSet,
     },
-    /// Records of models are read back.
+    /// A read of the models' records.
     Models { term: u64 },
-    /// The watch of records of models.
+    /// The watch of the models' records.
     ModelWatch { term: u64 },
-    /// A record of a model is written.
+    /// A write of a model's record.
     ModelWrite { term: u64, model: String },
-    /// A model's record is read or written for demand.
+    /// A read or write of a model's record because of demand for the model.
     WakeUp { model: String, step: wake_up::Step },
     /// Demand for a model that was forwarded to the leader.
     WakeForward { waiter: demand::Waiter },
-    /// The leader is told of demand for a model.
+    /// A notification of the leader of demand for a model.
     LeaderNotified { model: String },
-    /// Parts of a document are read.
+    /// A read of parts of a document.
     Parts { term: u64, kind: documents::KindId },
-    /// The cloud is asked for its machine types.
+    /// A request to the cloud for its machine types.
     Catalog,
-    /// The cloud is asked for our machines.
+    /// A request to the cloud for the list of rented machines.
     List { term: u64 },
-    /// The cloud is asked for more machines.
+    /// A request to the cloud for more machines.
     Rental { term: u64, name: String },
-    /// Machines are returned to the cloud.
+    /// A return of machines to the cloud.
     Delete { term: u64, machines: Vec<usize> },
-    /// Orders are sent to a worker, by way of a peer or not.
+    /// Orders for a worker, sent through a peer if `via`.
     Direct {
         term: u64,
         machine: usize,
         serial: u64,
         via: bool,
     },
-    /// A worker is asked what it runs, by way of a peer or not.
+    /// A probe of what a worker runs, sent through a peer if `via`.
     Probe {
         term: u64,
         machine: usize,
@@ -115,7 +116,7 @@
 }
 
 impl Pending {
-    /// The term of leadership that it was sent in, if it belongs to one.
+    /// The term of leadership that the request belongs to, if any.
     pub(crate) fn term(&self) -> Option<u64> {
         use Pending::{
             Accept, Admin, Audit, Catalog, Commit, Delete, Direct, Forward, Frontend, GrantLease,
@@ -164,7 +165,7 @@
         }
     }
 
-    /// What is written, where it is a transaction.
+    /// For log messages, the kind of the transaction that the request contains, if any.
     pub(crate) fn transaction_kind(&self) -> Option<&'static str> {
         match self {
             Pending::Commit { .. } => Some("the leader's transaction"),
@@ -179,7 +180,8 @@
         }
     }
 
-    /// A question to the state service that is answered at once if it serves us.
+    /// Whether the answer shows if the state service serves this node: requests to it that it answers at once, which
+    /// excludes watches.
     pub(crate) fn shows_state_health(&self) -> bool {
         use Pending::{
             Accept, Audit, Commit, Frontend, GrantLease, Load, ModelWrite, Models, Parts, ReadEnd,
--- a/crates/control/src/state_requests.rs
+++ b/crates/control/src/state_requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the state service in the forms that several modules use: a page of a prefix, a key, a transaction.
+//! Requests to the state service that several modules share: reads of keys and of pages of a prefix, and transactions.
 
 use crate::{Destination, Node, Pending};
 use serde::de::DeserializeOwned;
@@ -8,14 +8,14 @@
 /// The state service's name in log lines.
 const STATE_SERVICE: &str = "state service";
 
-/// How far a prefix has been read, page by page.
+/// The position in a prefix that is read page by page.
 #[derive(Debug, Default)]
 pub(crate) struct PageCursor {
     after: Option<String>,
 }
 
 impl PageCursor {
-    /// No page has been read yet.
+    /// Whether no page has been read yet.
     pub fn is_at_start(&self) -> bool {
         self.after.is_none()
     }
@@ -25,21 +25,21 @@
         page_path(prefix, limit, self.after.as_deref())
     }
 
-    /// Moves behind a page; true if another follows.
+    /// Advances past a page; returns whether another one follows.
     pub fn advance<T>(&mut self, page: &Range<T>) -> bool {
         self.after = page.items.last().map(|item| item.key.clone());
         page.more && !page.items.is_empty()
     }
 }
 
-/// The path of a page of the keys below a prefix, from the first one after a key.
+/// The path of a page of the keys below a prefix, starting after the key `after`.
 pub(crate) fn page_path(prefix: &str, limit: usize, after: Option<&str>) -> String {
     let from = after.map(|key| format!("&from={key}")).unwrap_or_default();
     format!("/keys?under={prefix}&limit={limit}{from}")
 }
 
 impl Node {
-    /// Reads from the state service.
+    /// Sends a read to the state service.
     pub(crate) fn get_state(&mut self, path: String, timeout_ms: u64, pending: Pending) {
         self.send(
             Destination::State,
@@ -51,13 +51,13 @@
         );
     }
 
-    /// Sends a transaction, as it was encoded, to the state service.
+    /// Sends an encoded transaction to the state service.
     pub(crate) fn post_transaction(&mut self, body: Vec<u8>, timeout_ms: u64, pending: Pending) {
         let path = "/txn".to_owned();
         self.send(Destination::State, "POST", path, body, timeout_ms, pending);
     }
 
-    /// What the state service has answered, if it has served the request and its answer can be read.
+    /// Decodes an answer of the state service; `None` if it did not serve the request or its answer cannot be decoded.
     pub(crate) fn read_state<T: DeserializeOwned>(
         &mut self,
         response: Option<Response>,
@@ -67,7 +67,7 @@
     }
 }
 
-/// A transaction's body.
+/// Encodes the body of a transaction.
 pub(crate) fn encode_transaction(
     conditions: Vec<wire::api::Condition>,
     writes: Vec<wire::api::Write>,
--- a/crates/control/src/stats.rs
+++ b/crates/control/src/stats.rs
@@ -1,26 +1,26 @@
-//! What a controller counts for the operators' log.
+//! The counters that a controller writes to the log.
 
-/// Counts since the controller began.
+/// Counters since the start of the controller.
 #[derive(Debug, Default, Clone)]
 pub struct Stats {
-    /// Jobs that were accepted here.
+    /// Jobs that this controller accepted.
     pub accepted: u64,
-    /// Requests that were refused for now, with a time at which to come again.
+    /// Requests that were refused with a time after which to retry.
     pub shed: u64,
     /// Users' requests that were forwarded to a peer.
     pub forwarded: u64,
-    /// Questions about jobs that nobody could answer.
+    /// Queries of jobs that no controller could answer.
     pub unanswered: u64,
-    /// Answers of others that could not be read, or could not be true.
+    /// Answers that could not be decoded or were implausible.
     pub bad_answers: u64,
-    /// Plans that were made, and their steps.
+    /// Plans that were made, and the number of their steps.
     pub plans: u64,
     pub plan_steps: u64,
-    /// Tasks that plans have started and preempted.
+    /// Tasks that plans started and preempted.
     pub starts: u64,
     pub preempts: u64,
-    /// Heartbeats that came by way of a peer.
+    /// Heartbeats that were relayed by a peer.
     pub relayed: u64,
-    /// Writes that the state service refused as it can't take them.
+    /// Writes that the state service refused with status 400.
     pub refused_writes: u64,
 }
--- a/crates/control/src/tuning.rs
+++ b/crates/control/src/tuning.rs
@@ -1,8 +1,8 @@
-//! The operators' own settings, with working defaults.
+//! The settings that operators may change, with their defaults.
 
 use std::fmt;
 
-/// What is wrong with a setting.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TuningError {
     section: String,
@@ -32,7 +32,7 @@
 
 impl std::error::Error for TuningError {}
 
-/// Reads a value that is within its bounds.
+/// Parses a number and checks its bounds.
 fn parse(value: &str, low: f64, high: f64) -> Result<f64, Fault> {
     let number: f64 = value
         .trim()
@@ -51,7 +51,7 @@
 
 macro_rules! tuning {
     ($($section:literal: { $($field:ident = $default:literal in $low:literal ..= $high:literal, $doc:literal;)* })*) => {
-        /// What operators may set in their INI file.
+        /// The settings of the operators' INI file.
         #[derive(Debug, Clone, PartialEq)]
         pub struct Tuning { $($(#[doc = $doc] pub $field: f64,)*)* }
 
@@ -62,7 +62,7 @@
         }
 
         impl Tuning {
-            /// Sets one value by its name; the error says what is wrong with it.
+            /// Sets one value by its section and key.
             pub fn set(&mut self, section: &str, key: &str, value: &str) -> Result<(), TuningError> {
                 self.try_set(section, key, value).map_err(|fault| TuningError {
                     section: section.to_owned(),
@@ -81,7 +81,7 @@
                 }
             }
 
-            /// Section, name, value and meaning of each setting.
+            /// Section, key, value and description of each setting.
             pub fn list(&self) -> Vec<(&'static str, &'static str, f64, &'static str)> {
                 vec![$($(($section, stringify!($field), self.$field, $doc),)*)*]
             }
