--- a/crates/control/src/leadership/shared_state.rs
+++ b/crates/control/src/leadership/shared_state.rs
@@ -165,7 +165,7 @@
     }
 
     /// Handles the answer to a full read.
-    pub(crate) fn shared_read(&mut self, response: Option<Response>) {
+    pub(crate) fn shared_read_received(&mut self, response: Option<Response>) {
         self.shared.request_in_flight = false;
         let range = response
             .filter(|r| r.status == 200)
@@ -185,7 +185,7 @@
     }
 
     /// Handles the answer to a watch; `None` if there was none.
-    pub(crate) fn shared_changes(&mut self, generation: u64, response: Option<Response>) {
+    pub(crate) fn shared_changes_received(&mut self, generation: u64, response: Option<Response>) {
         if generation != self.shared.generation {
             return;
         }
@@ -239,11 +239,11 @@
         }
         let now = self.now.mono;
         let newest = self
-            .announced
+            .announced_leader
             .as_ref()
             .is_none_or(|a| a.token <= token || a.until <= now);
         if newest && self.settings.peers.iter().any(|p| p.node == node) {
-            self.announced = Some(AnnouncedLeader {
+            self.announced_leader = Some(AnnouncedLeader {
                 node,
                 token,
                 until: now + ANNOUNCEMENT_TTL_MS,
@@ -253,7 +253,7 @@
 
     /// The highest token that this node knows of, from the state service or from the latest announcement by a peer.
     pub(crate) fn highest_token(&self) -> u64 {
-        let announced = self.announced.as_ref().map_or(0, |a| a.token);
+        let announced = self.announced_leader.as_ref().map_or(0, |a| a.token);
         self.shared.highest.max(announced)
     }
 
@@ -271,7 +271,7 @@
         let observed = self.shared.leader.as_ref();
         let observed = observed.map(|o| (o.record.token, o.record.node.as_str()));
         let announced = self
-            .announced
+            .announced_leader
             .as_ref()
             .filter(|a| a.until > self.now.mono)
             .map(|a| (a.token, a.node.as_str()));
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -50,7 +50,7 @@
     pub(crate) shared: Shared,
     pub(crate) role: Role,
     pub(crate) incarnation: incarnation::Incarnation,
-    pub(crate) announced: Option<AnnouncedLeader>,
+    pub(crate) announced_leader: Option<AnnouncedLeader>,
     pub(crate) term: u64,
     pub(crate) shard: Option<Shard>,
     /// Remaining budget of requests and writes to the state service.
@@ -118,7 +118,7 @@
             next_tag: 1,
             shared: Shared::default(),
             role: Role::FOLLOWER,
-            announced: None,
+            announced_leader: None,
             term: 0,
             shard: None,
             final_states: answer_history::FinalStates::new(final_states),
@@ -317,8 +317,10 @@
     /// Passes an answer to the module that waits for it.
     fn dispatch(&mut self, pending: Pending, response: Option<Response>) {
         match pending {
-            Pending::SharedRead => self.shared_read(response),
-            Pending::SharedWatch { generation } => self.shared_changes(generation, response),
+            Pending::SharedRead => self.shared_read_received(response),
+            Pending::SharedWatch { generation } => {
+                self.shared_changes_received(generation, response)
+            }
             Pending::GrantLease { sent } => self.grant_answered(sent, response),
             Pending::RenewLease { lease, sent } => self.renewal_answered(lease, sent, response),
             Pending::WriteLeaderRecord { lease, token } => {
