--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! One controller: its state, and the dispatch of events and answers to the modules that own them.
+//! A controller's state, and the dispatch of events and answers to the modules that handle them.
 
 use crate::agents::{relay, routing};
 use crate::documents::for_kind;
@@ -23,23 +23,23 @@
 use wire::http::Response;
 use wire::settings::Settings;
 
-/// Share of the state service's requests that the controllers divide among themselves until one of them leads.
-const STATE_REQUESTS: f64 = 0.9;
-/// Share of the cloud's calls that a controller may use.
-const CLOUD_CALLS: f64 = 0.8;
+/// Share of the state service's request rate that the controllers divide equally until one of them leads.
+const STATE_REQUEST_SHARE: f64 = 0.9;
+/// Share of the cloud's call rate that a controller may use.
+const CLOUD_CALL_SHARE: f64 = 0.8;
 
-/// Share of the memory, in bytes of each of its megabytes, that final states may take.
-const FINAL_STATES_PER_MB: f64 = 1e5;
-/// What a final state takes, in bytes.
-const FINAL_STATE_SIZE: f64 = 150.0;
+/// Share of the memory that cached final job states may take, in bytes per megabyte.
+const FINAL_STATE_BYTES_PER_MB: f64 = 1e5;
+/// Memory that one final state takes.
+const FINAL_STATE_BYTES: f64 = 150.0;
 
-/// After how long a follower that the state service does not serve reads from it again.
-const STATE_AGAIN_MS: u64 = 300;
+/// Delay before a follower that the state service does not serve reads from it again.
+const STATE_REREAD_DELAY_MS: u64 = 300;
 
-/// One controller.
+/// A controller.
 pub struct Node {
     pub(crate) settings: Settings,
-    /// What records and transactions are built to.
+    /// The sizes and rates of writes that the state service accepts; records and transactions are built to them.
     pub(crate) write_limits: WriteLimits,
     pub(crate) tuning: Tuning,
     pub(crate) rng: fastrand::Rng,
@@ -50,66 +50,67 @@
     pub(crate) shared: Shared,
     pub(crate) role: Role,
     pub(crate) incarnation: incarnation::Incarnation,
-    pub(crate) announced: Option<AnnouncedLeader>,
+    pub(crate) announced_leader: Option<AnnouncedLeader>,
     pub(crate) term: u64,
     pub(crate) shard: Option<Shard>,
-    /// Requests to the state service and writes to it that this node may still make.
+    /// Remaining budget of requests and writes to the state service.
     pub(crate) requests: Bucket,
     pub(crate) writes: Bucket,
     pub(crate) cloud: Bucket,
     pub(crate) final_states: answer_history::FinalStates,
     pub(crate) answer_history: answer_history::AnswerHistory,
-    /// Accepts that the state service was too busy for, with the time of the next try.
+    /// Submissions that the state service was too busy to store, with the time of the next attempt.
     pub(crate) retries: VecDeque<(u64, admission::Submission)>,
-    /// When the state service last refused or did not answer us, unless it has answered since.
+    /// When the state service last failed to serve this node, unless it has served it since.
     pub(crate) state_bad_at: Option<u64>,
-    /// When it last answered us.
+    /// When the state service last served this node.
     pub(crate) state_good_at: Option<u64>,
-    /// What the other nodes say.
+    /// The latest status of each peer.
     pub(crate) peer_statuses: peer_status::PeerStatusTable,
-    /// How they answer what is forwarded to them.
+    /// How well peers answer forwarded requests.
     pub(crate) responsiveness: forwarding::PeerResponsiveness,
-    /// What we hand on for them.
+    /// Heartbeats and commands that this node relays between the leader and workers.
     pub(crate) relay: relay::Relay,
     /// Which controllers workers send their heartbeats to.
     pub(crate) routing: routing::Routing,
     pub(crate) plan_pacing: plan_pacing::PlanPacing,
     pub(crate) load_shedding: load_shedding::LoadShedding,
-    /// What the leader has us keep.
+    /// The leader's delegation to renew workers' leases.
     pub(crate) delegation: Option<lease_delegate::Delegation>,
     pub(crate) catalog_at: u64,
-    /// When we last gave the fleet up because most machines could not be heard.
+    /// When this node last gave up leadership because it heard nothing from most machines.
     pub(crate) stood_aside_at: Option<u64>,
-    /// Something may be there to be written. Without it, only ticks look.
+    /// Whether there may be changes to write. If not, only ticks check for them.
     pub(crate) to_write: bool,
-    /// Another front end of this process is open, and has job ids of its own.
+    /// Whether another front end of this process is open, which has reserved job ids.
     pub(crate) beside: bool,
     pub(crate) frontend: frontend::Frontend,
     pub(crate) models: models::Models,
     /// Writes that the state service has refused.
     pub(crate) refusals: Refusals,
-    /// What they say of the rate of changes.
+    /// The rate of changes that the state service accepts, as inferred from refused writes.
     pub(crate) write_rate: WriteRate,
     pub(crate) stats: Stats,
 }
 
 impl Node {
-    /// A node that knows nothing yet. All its randomness comes from the seed.
+    /// A node that has not read any state yet. All its randomness is derived from `seed`.
     pub fn new(settings: Settings, tuning: Tuning, seed: u64, now: Now) -> Self {
-        let c = &settings.cluster;
+        let cluster = &settings.cluster;
         let write_limits = WriteLimits::of(&settings);
         let nodes = settings.peers.len() as f64 + 1.0;
         let limits = settings.limits();
-        let final_states = ((limits.mem_mb * FINAL_STATES_PER_MB / FINAL_STATE_SIZE) as usize)
+        let final_states = ((limits.mem_mb * FINAL_STATE_BYTES_PER_MB / FINAL_STATE_BYTES)
+            as usize)
             .clamp(1000, 1_000_000);
         Node {
-            requests: Bucket::new(write_limits.requests_per_s() * STATE_REQUESTS / nodes),
-            writes: Bucket::new(c.state.write_rps * election::OTHER_WRITES),
-            cloud: Bucket::new(c.cloud.rps * CLOUD_CALLS),
+            requests: Bucket::new(write_limits.requests_per_s() * STATE_REQUEST_SHARE / nodes),
+            writes: Bucket::new(cluster.state.write_rps * election::OTHER_WRITES),
+            cloud: Bucket::new(cluster.cloud.rps * CLOUD_CALL_SHARE),
             settings,
             write_limits,
             tuning,
-            incarnation: incarnation::Incarnation::begin(seed),
+            incarnation: incarnation::Incarnation::new(seed),
             rng: fastrand::Rng::with_seed(seed),
             now,
             effects: Vec::new(),
@@ -117,7 +118,7 @@
             next_tag: 1,
             shared: Shared::default(),
             role: Role::FOLLOWER,
-            announced: None,
+            announced_leader: None,
             term: 0,
             shard: None,
             final_states: answer_history::FinalStates::new(final_states),
@@ -144,31 +145,31 @@
         }
     }
 
-    /// The same, with a quota tree to begin with. It is put in place only if there has never been one.
+    /// Sets an initial quota tree, which is stored only if there has never been one.
     pub fn with_first_tree(mut self, spec: Option<quota::Spec>) -> Self {
         self.shared.documents.quota.first = spec;
         self
     }
 
-    /// The same, with a calendar of release hours to begin with.
+    /// Sets an initial calendar of release hours.
     pub fn with_first_hours(mut self, spec: Option<::hours::Spec>) -> Self {
         self.shared.documents.hours.first = spec;
         self
     }
 
-    /// The same with counties to begin with.
+    /// Sets initial counties.
     pub fn with_first_counties(mut self, spec: Option<county::Spec>) -> Self {
         self.shared.documents.counties.first = spec;
         self
     }
 
-    /// The same, with a list of models to begin with.
+    /// Sets an initial list of models.
     pub fn with_first_models(mut self, spec: Option<model::Spec>) -> Self {
         self.shared.documents.models.first = spec;
         self
     }
 
-    /// The same with another door beside it, whose job ids users can't take.
+    /// Notes that another front end of this process is open; users cannot use the job ids reserved for it.
     pub fn with_frontend(self) -> Self {
         Node {
             beside: true,
@@ -176,17 +177,17 @@
         }
     }
 
-    /// What records and transactions are built to.
+    /// The sizes and rates of writes that the state service accepts.
     pub fn write_limits(&self) -> &WriteLimits {
         &self.write_limits
     }
 
-    /// What this node has counted.
+    /// This node's counters.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// Takes one event and returns what is to be done.
+    /// Handles one event and returns the effects to carry out.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
         self.now = now;
         self.to_write |= matches!(event, Event::Tick);
@@ -203,7 +204,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// How long the caller may wait until the next tick.
+    /// The interval between ticks, in milliseconds.
     pub fn wait_ms(&self) -> u64 {
         if self.shard.is_some() { 50 } else { 100 }
     }
@@ -242,50 +243,51 @@
         self.shared.catalog.as_ref()
     }
 
-    /// What was not sent has no effect later, and says nothing of whom it was for.
+    /// Handles a request that was not sent: it cannot take effect later, and its failure says nothing about its
+    /// destination.
     fn unsent(&mut self, tag: u64) {
         let term = self.term;
-        let Some(what) = self.pending.remove(&tag) else {
+        let Some(pending) = self.pending.remove(&tag) else {
             return;
         };
-        match what {
+        match pending {
             Pending::Direct {
-                term: e,
+                term: sent_in,
                 machine,
                 serial,
                 ..
-            } if e == term => self.direct_received(machine, serial, Some(relay::not_sent())),
+            } if sent_in == term => self.direct_received(machine, serial, Some(relay::not_sent())),
             Pending::Probe {
-                term: e,
+                term: sent_in,
                 machine,
                 serial,
                 ..
-            } if e == term => self.probe_unsent(machine, serial),
+            } if sent_in == term => self.probe_unsent(machine, serial),
             Pending::Tell { conn } => self.relayed_command_unsent(conn),
-            what => self.answered(what, None),
+            pending => self.answer_received(pending, None),
         }
     }
 
     fn reply(&mut self, tag: u64, response: Option<Response>) {
-        if let Some(what) = self.pending.remove(&tag) {
-            self.answered(what, response);
+        if let Some(pending) = self.pending.remove(&tag) {
+            self.answer_received(pending, response);
         }
     }
 
-    fn answered(&mut self, what: Pending, response: Option<Response>) {
-        if what.asks_state() {
-            self.state_answered(response.as_ref());
+    fn answer_received(&mut self, pending: Pending, response: Option<Response>) {
+        if pending.shows_state_health() {
+            self.note_state_health(response.as_ref());
         }
-        self.note_refusal(&what, response.as_ref());
-        // What belongs to an earlier term of leadership no longer concerns us.
-        if what.term().is_none_or(|term| term == self.term) {
-            self.dispatch(what, response);
+        self.note_write_refusal(&pending, response.as_ref());
+        // Answers to requests of an earlier term of leadership are ignored.
+        if pending.term().is_none_or(|term| term == self.term) {
+            self.dispatch(pending, response);
         }
     }
 
-    /// Notes a write that the state service can't take, or not now.
-    fn note_refusal(&mut self, what: &Pending, response: Option<&Response>) {
-        let (Some(kind), Some(refused)) = (what.writes(), response) else {
+    /// Notes a write that the state service refused, as unacceptable (400) or because of its rate limit (429).
+    fn note_write_refusal(&mut self, pending: &Pending, response: Option<&Response>) {
+        let (Some(kind), Some(refused)) = (pending.transaction_kind(), response) else {
             return;
         };
         match refused.status {
@@ -299,28 +301,32 @@
     }
 
     /// Notes whether the state service serves this node.
-    fn state_answered(&mut self, response: Option<&Response>) {
+    fn note_state_health(&mut self, response: Option<&Response>) {
         let now = self.now.mono;
-        let bad = response.is_none_or(|r| r.status == 503);
-        self.state_bad_at = bad.then_some(now);
-        if !bad {
+        let failed = response.is_none_or(|r| r.status == 503);
+        self.state_bad_at = failed.then_some(now);
+        if !failed {
             self.state_good_at = Some(now);
         }
-        // Looked at again and again until it serves us; the leader's renewals do the same.
-        if bad && self.shared.known && !self.leads() {
-            self.reread_shared(STATE_AGAIN_MS);
+        // A follower keeps reading until the service serves it again. The leader's renewals have the same effect.
+        if failed && self.shared.known && !self.leads() {
+            self.reread_shared(STATE_REREAD_DELAY_MS);
         }
     }
 
-    /// Hands an answer to whoever waits for it.
-    fn dispatch(&mut self, what: Pending, response: Option<Response>) {
-        match what {
-            Pending::SharedRead => self.shared_read(response),
-            Pending::SharedWatch { round } => self.shared_changes(round, response),
-            Pending::Grant { sent } => self.granted(sent, response),
-            Pending::Renew { lease, sent } => self.renewed(lease, sent, response),
-            Pending::Take { lease, token } => self.took(lease, token, response),
-            Pending::Release => {}
+    /// Passes an answer to the module that waits for it.
+    fn dispatch(&mut self, pending: Pending, response: Option<Response>) {
+        match pending {
+            Pending::SharedRead => self.shared_read_received(response),
+            Pending::SharedWatch { generation } => {
+                self.shared_changes_received(generation, response)
+            }
+            Pending::GrantLease { sent } => self.grant_answered(sent, response),
+            Pending::RenewLease { lease, sent } => self.renewal_answered(lease, sent, response),
+            Pending::WriteLeaderRecord { lease, token } => {
+                self.takeover_answered(lease, token, response)
+            }
+            Pending::IgnoreAnswer => {}
             Pending::PeerStatus { sent, peer } => self.peer_status_received(sent, peer, response),
             Pending::Relayed { conns } => self.relayed_heartbeats_answered(conns, response),
             Pending::Tell { conn } => self.relayed_command_answered(conn, response),
@@ -369,19 +375,19 @@
                 serial,
                 via,
                 ..
-            } => self.direct_received(machine, serial, of_worker(response, via)),
+            } => self.direct_received(machine, serial, unwrap_relayed(response, via)),
             Pending::Probe {
                 machine,
                 serial,
                 via,
                 ..
-            } => self.probe_received(machine, serial, of_worker(response, via)),
+            } => self.probe_received(machine, serial, unwrap_relayed(response, via)),
         }
     }
 }
 
-/// A worker's answer, out of the peer's that it came by.
-fn of_worker(response: Option<Response>, via: bool) -> Option<Response> {
+/// A worker's answer, extracted from the peer's answer if it was relayed by one.
+fn unwrap_relayed(response: Option<Response>, via: bool) -> Option<Response> {
     if via {
         relay::relayed_answer(response)
     } else {
