--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -56,7 +56,7 @@
             }
             PendingWrite::Log(log) => shard.log_recorded(log, revision),
             PendingWrite::CounterSheets(fold) => shard.counter_sheets_written(&fold, revision),
-            PendingWrite::LogOver(number) => {
+            PendingWrite::RemoveLog(number) => {
                 shard.claim_log.segments.remove(&number);
             }
             PendingWrite::InventoryShard(number, machines)
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -212,7 +212,7 @@
 
 impl TransactionDraft {
     /// One log record: claims as far as they fit, then results, then what is moved out of the oldest record.
-    pub(super) fn put_log(&mut self, shard: &mut Shard) {
+    pub(super) fn put_log_record(&mut self, shard: &mut Shard) {
         let ended = self.counts.take();
         let mut builder = LogBuilder::new(shard.next_log(), ended, self.write_limits());
         if !self.add_fresh_claims(shard, &mut builder) {
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -14,7 +14,7 @@
 use wire::records;
 
 /// An answer that takes longer is none.
-const ANSWER_MS: u64 = 2000;
+const ANSWER_TIMEOUT_MS: u64 = 2000;
 
 /// After how long a transaction that was not answered, or refused for now, is sent again.
 const RETRY_MS: ops::Range<u64> = 50..250;
@@ -22,7 +22,7 @@
 /// After how long it is sent again where the question whether it is in place was not answered.
 const RETRY_UNVERIFIED_MS: u64 = 200;
 
-const STEP_DOWN_NOT_OURS: &str = "a transaction failed though nothing stood against it";
+const STEP_DOWN_UNEXPLAINED_CONFLICT: &str = "a transaction failed though nothing stood against it";
 
 /// The transaction that is under way, if there is one.
 #[derive(Default)]
@@ -37,9 +37,9 @@
     retry_at: u64,
     writes: usize,
     /// When the token was last to be raised.
-    pub(super) raised_at: u64,
+    pub(super) token_attempted_at: u64,
     /// When results and losses alone were last worth a write.
-    pub(super) tidied_at: u64,
+    pub(super) last_cleanup_at: u64,
 }
 
 impl Commit {
@@ -80,7 +80,7 @@
     }
 
     /// The transaction under way is not sent again. Returns what it would have recorded.
-    pub fn give_up(&mut self) -> Vec<PendingWrite> {
+    pub fn abandon(&mut self) -> Vec<PendingWrite> {
         self.end()
     }
 
@@ -107,8 +107,8 @@
 /// The version that an item stands at, whatever it says.
 fn version_of(response: &Response) -> Option<u64> {
     #[derive(serde::Deserialize)]
-    struct Any {}
-    let item = wire::decode::<Item<Any>>(&response.body).ok()?;
+    struct IgnoredValue {}
+    let item = wire::decode::<Item<IgnoredValue>>(&response.body).ok()?;
     Some(item.version)
 }
 
@@ -162,7 +162,7 @@
             "POST",
             "/txn".into(),
             body,
-            ANSWER_MS,
+            ANSWER_TIMEOUT_MS,
             Pending::Commit { term },
         );
     }
@@ -177,7 +177,7 @@
         let Some(response) = response else {
             shard.commit.outcome_unknown = true;
             shard.commit.retry_at = retry_at;
-            return self.ends_may_stand();
+            return self.update_possibly_ended_jobs();
         };
         match response.status {
             200 => match wire::decode::<Revision>(&response.body) {
@@ -193,7 +193,7 @@
             }
             // Only this term's transactions write these keys, so an earlier try is what makes this one fail.
             // Refused for its size, it may have stood since one, before the limits changed.
-            409 | 400 if shard.commit.outcome_unknown => self.verify(),
+            409 | 400 if shard.commit.outcome_unknown => self.probe_outcome(),
             400 => self.cut_anew(),
             429 | 503 => shard.commit.retry_at = retry_at,
             other => {
@@ -204,7 +204,7 @@
     }
 
     /// Asks whether an earlier try is in place.
-    fn verify(&mut self) {
+    fn probe_outcome(&mut self) {
         let term = self.term;
         let Some(shard) = &mut self.shard else { return };
         let Some(probe) = &shard.commit.probe else {
@@ -217,14 +217,14 @@
             "GET",
             path,
             Vec::new(),
-            ANSWER_MS,
+            ANSWER_TIMEOUT_MS,
             Pending::Verify { term },
         );
     }
 
     /// Ends that were not answered may be recorded, and others may read them and tell of them before we hear: from then
     /// on the tasks of what was cancelled have to go.
-    fn ends_may_stand(&mut self) {
+    fn update_possibly_ended_jobs(&mut self) {
         let Some(shard) = &self.shard else { return };
         for job in shard.commit.ended_jobs() {
             self.job_changed(job);
@@ -243,10 +243,10 @@
                 Some(version) if !probe.removed && version != probe.version_before => {
                     self.apply(version)
                 }
-                _ => self.step_down(STEP_DOWN_NOT_OURS),
+                _ => self.step_down(STEP_DOWN_UNEXPLAINED_CONFLICT),
             },
             Some(r) if r.status == 404 && probe.removed => self.apply(0),
-            Some(r) if r.status == 404 => self.step_down(STEP_DOWN_NOT_OURS),
+            Some(r) if r.status == 404 => self.step_down(STEP_DOWN_UNEXPLAINED_CONFLICT),
             // Asked again by way of the next try of the transaction.
             _ => shard.commit.retry_at = self.now.mono + RETRY_UNVERIFIED_MS,
         }
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -15,17 +15,17 @@
 use wire::records::{self, EndRecord, Record, TokenRecord};
 
 /// Results and returned machines wait this long for something to travel with.
-const TIDY_MS: u64 = 1000;
+const CLEANUP_INTERVAL_MS: u64 = 1000;
 
 /// Larger transactions are cut: one more record, and the longer form that the service counts in, still stay below
 /// its 64 KiB.
-const MAX_SIZE: usize = 24 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 24 * 1024;
 
 /// A token that did not rise is tried again after this time.
-const RAISE_TOKEN_AGAIN_MS: u64 = 3000;
+const TOKEN_RETRY_MS: u64 = 3000;
 
 /// The state service's own form of a value takes up to so many times our own.
-const SERVICE_FORM: f64 = 1.3;
+const SERVICE_ENCODING_FACTOR: f64 = 1.3;
 
 /// A write of a transaction, as what it changes in memory once it is in place.
 pub(crate) enum PendingWrite {
@@ -34,7 +34,7 @@
     Rental(String),
     RemoveRental(String),
     Log(PendingLog),
-    LogOver(u64),
+    RemoveLog(u64),
     CounterSheets(county::Fold),
     /// An inventory shard with the names of its machines: by the time that it stands, a place in memory may be
     /// another one's.
@@ -65,10 +65,10 @@
 
 /// Bounds of one transaction.
 #[derive(Clone, Copy)]
-struct Limits {
-    writes: usize,
+struct TransactionLimits {
+    max_writes: usize,
     /// What records and transactions are built to.
-    write: WriteLimits,
+    write_limits: WriteLimits,
 }
 
 /// A transaction that is being filled.
@@ -78,7 +78,7 @@
     pub(super) writes: Vec<Write>,
     pub(super) probe: Option<Probe>,
     size: usize,
-    limits: Limits,
+    limits: TransactionLimits,
     /// Counts of the jobs that it ends, for its log record.
     pub counts: EndedCounts,
 }
@@ -93,9 +93,9 @@
         now: Now,
     ) -> Option<Self> {
         let mut draft = TransactionDraft::new(shard.leader_version, limits, budget);
-        let tidies = now.mono >= shard.commit.tidied_at + TIDY_MS;
+        let cleanup_due = now.mono >= shard.commit.last_cleanup_at + CLEANUP_INTERVAL_MS;
         let head = TransactionDraft::head_due(&shared.documents, shard, budget);
-        if tidies && head.is_none() {
+        if cleanup_due && head.is_none() {
             draft.put_split_inventory(shard);
         }
         draft.put_ends(shard, head.map(|(_, writes)| writes), now.wall);
@@ -106,13 +106,13 @@
         draft.put_token(shard, shared, now.mono);
         draft.put_new_rentals(shard);
         draft.hour_moves(shard, now.wall, limits.value_bytes(), Self::has_room);
-        draft.put_logs(shard, tidies);
+        draft.put_log_records(shard, cleanup_due);
         draft.put_grown_inventory(shard);
         draft.remove_rentals(shard);
         draft.put_catalog(shard, shared, limits.value_kb());
         draft.parts(&mut shared.documents, Self::has_room);
-        if tidies {
-            shard.commit.tidied_at = now.mono;
+        if cleanup_due {
+            shard.commit.last_cleanup_at = now.mono;
             draft.counter_sheets(shard, now.mono, Self::has_room);
             draft.remove_unreferenced_parts(&shared.documents, Self::has_room);
             draft.put_shrunk_inventory(shard);
@@ -131,9 +131,9 @@
             writes: Vec::new(),
             probe: None,
             size: 0,
-            limits: Limits {
-                writes: budget,
-                write: *limits,
+            limits: TransactionLimits {
+                max_writes: budget,
+                write_limits: *limits,
             },
             counts: EndedCounts::new(limits.value_bytes()),
         }
@@ -187,29 +187,29 @@
 
     /// What records and transactions are built to.
     pub(super) fn write_limits(&self) -> &WriteLimits {
-        &self.limits.write
+        &self.limits.write_limits
     }
 
     /// Writes that the transaction has room for.
     fn writes_left(&self) -> usize {
-        self.limits.writes.saturating_sub(self.writes.len())
+        self.limits.max_writes.saturating_sub(self.writes.len())
     }
 
     pub(super) fn has_room_for_conditions(&self) -> bool {
-        self.conditions.len() + 2 < self.limits.write.guards()
+        self.conditions.len() + 2 < self.limits.write_limits.guards()
     }
 
     fn has_room(&self) -> bool {
-        self.writes.len() + self.counts.log_records_due() < self.limits.writes
-            && self.size < MAX_SIZE
+        self.writes.len() + self.counts.log_records_due() < self.limits.max_writes
+            && self.size < MAX_TRANSACTION_BYTES
             && self.has_room_for_conditions()
     }
 
     /// Ends come first, but they do not keep claims waiting for ever. So does a document's head, with what is written
     /// beside it: `head_writes` in all.
     fn put_ends(&mut self, shard: &mut Shard, head_writes: Option<usize>, wall: u64) {
-        let most = self.writes_for_ends(shard, head_writes);
-        while self.writes.len() + 2 <= most
+        let max_writes = self.writes_for_ends(shard, head_writes);
+        while self.writes.len() + 2 <= max_writes
             && self.has_room_for_conditions()
             && !self.counts.is_full()
         {
@@ -222,14 +222,14 @@
 
     /// What is counted needs a log record in the same transaction; one for claims does for both.
     fn writes_for_ends(&self, shard: &Shard, head_writes: Option<usize>) -> usize {
-        let budget = self.limits.writes;
+        let budget = self.limits.max_writes;
         let for_counts = shard.county_counts.reserved_writes(budget);
         let for_claims = usize::from(budget > 2 && !shard.claim_log.fresh.is_empty());
-        let kept = match head_writes {
+        let reserved = match head_writes {
             Some(writes) => writes + for_counts,
             None => for_claims.max(for_counts),
         };
-        budget.saturating_sub(kept)
+        budget.saturating_sub(reserved)
     }
 
     fn put_end(&mut self, shard: &mut Shard, index: JobIndex, wall: u64) {
@@ -263,7 +263,7 @@
     }
 
     fn put_token(&mut self, shard: &mut Shard, shared: &Shared, now: u64) {
-        let due = shard.raise_token && now >= shard.commit.raised_at + RAISE_TOKEN_AGAIN_MS;
+        let due = shard.raise_token && now >= shard.commit.token_attempted_at + TOKEN_RETRY_MS;
         if !due || !self.has_room() {
             return;
         }
@@ -274,7 +274,7 @@
             Record::Token(TokenRecord { token }),
         );
         self.pending_writes.push(PendingWrite::Token(token));
-        shard.commit.raised_at = now;
+        shard.commit.token_attempted_at = now;
     }
 
     fn put_new_rentals(&mut self, shard: &Shard) {
@@ -289,16 +289,16 @@
     }
 
     /// Claims, with the results that have gathered. Room is left for the guards on the claims' jobs.
-    fn put_logs(&mut self, shard: &mut Shard, tidies: bool) {
+    fn put_log_records(&mut self, shard: &mut Shard, cleanup_due: bool) {
         if self.counts.log_records_due() > 0 {
-            self.put_log(shard);
+            self.put_log_record(shard);
         }
         while self.has_room()
             && (!shard.claim_log.fresh.is_empty()
-                || (tidies && !shard.claim_log.unsaved.is_empty()))
+                || (cleanup_due && !shard.claim_log.unsaved.is_empty()))
         {
             let before = self.pending_writes.len();
-            self.put_log(shard);
+            self.put_log_record(shard);
             if self.pending_writes.len() == before {
                 return;
             }
@@ -307,8 +307,8 @@
 
     /// An inventory shard that needs most of a transaction for itself, once in a while.
     fn put_split_inventory(&mut self, shard: &mut Shard) {
-        let budget = self.limits.writes;
-        if budget == self.limits.write.changes()
+        let budget = self.limits.max_writes;
+        if budget == self.limits.write_limits.changes()
             && let Some(number) = shard.claim_log.to_split.take()
         {
             self.put_inventory_shard(shard, number, budget);
@@ -341,8 +341,8 @@
 
     /// A rental goes only together with, or after, the record of its machines.
     fn remove_rentals(&mut self, shard: &Shard) {
-        let is_over = |state: RentalState| state == RentalState::Over;
-        for (name, rental) in shard.rentals.iter().filter(|(_, r)| is_over(r.state)) {
+        let is_answered = |state: RentalState| state == RentalState::Over;
+        for (name, rental) in shard.rentals.iter().filter(|(_, r)| is_answered(r.state)) {
             if !shard.claim_log.grown_inventory.is_empty() || !self.has_room() {
                 return;
             }
@@ -360,7 +360,7 @@
             return;
         };
         shard.cloud_calls.catalog_dirty = false;
-        if wire::encode(catalog).len() as f64 * SERVICE_FORM >= value_kb * 1024.0 {
+        if wire::encode(catalog).len() as f64 * SERVICE_ENCODING_FACTOR >= value_kb * 1024.0 {
             return;
         }
         self.put(
@@ -379,7 +379,7 @@
                 continue;
             };
             self.remove(records::log_key(SHARD, number), segment.version);
-            self.pending_writes.push(PendingWrite::LogOver(number));
+            self.pending_writes.push(PendingWrite::RemoveLog(number));
         }
     }
 }
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -56,7 +56,7 @@
     pub(crate) fn cut_anew(&mut self) {
         let Some(shard) = &mut self.shard else { return };
         let changes = shard.commit.size().0;
-        let pending_writes = shard.commit.give_up();
+        let pending_writes = shard.commit.abandon();
         let smaller = self.write_limits.refused(changes);
         shard.limits = self.write_limits;
         let mut given_up = BTreeSet::new();
@@ -96,7 +96,7 @@
                 }
             }
             PendingWrite::Log(log) => self.log_taken_back(log),
-            PendingWrite::LogOver(number) => {
+            PendingWrite::RemoveLog(number) => {
                 self.claim_log.garbage.insert(number);
             }
             PendingWrite::InventoryShard(number, _) => {
