--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -6,7 +6,7 @@
 use crate::documents::{KindId, for_kind, hours};
 use crate::jobs::job::{Ending, JobIndex};
 use crate::store::claim_log::Segment;
-use crate::store::claim_records::{PendingLog, PendingResults, Scope};
+use crate::store::claim_records::{PendingLogRecord, PendingResults, ResultScope};
 use crate::store::rental::RentalState;
 use crate::store::shard::Shard;
 use crate::store::transaction::PendingWrite;
@@ -15,40 +15,40 @@
 
 /// What follows once all writes of a transaction are applied: it may look at any of them.
 #[derive(Default)]
-struct Aftermath {
-    changed: BTreeSet<JobIndex>,
+struct PostCommitActions {
+    changed_jobs: BTreeSet<JobIndex>,
     answers: Vec<(Requester, JobState)>,
-    heads: Vec<KindId>,
-    moved: Vec<(hours::HourMove, u64)>,
+    written_heads: Vec<KindId>,
+    moved_hours: Vec<(hours::HourMove, u64)>,
 }
 
 impl Node {
     /// The transaction is in place at this revision.
     pub(super) fn apply(&mut self, revision: u64) {
         let Some(shard) = &mut self.shard else { return };
-        let mut aftermath = Aftermath::default();
+        let mut actions = PostCommitActions::default();
         for write in shard.commit.take_applied() {
-            self.apply_write(write, revision, &mut aftermath);
+            self.apply_write(write, revision, &mut actions);
         }
-        for (hour, wall) in aftermath.moved {
+        for (hour, wall) in actions.moved_hours {
             self.hour_moved(hour, wall, revision);
         }
-        for kind in aftermath.heads {
+        for kind in actions.written_heads {
             for_kind!(kind, K => self.head_written::<K>(revision));
         }
-        for (requester, state) in aftermath.answers {
+        for (requester, state) in actions.answers {
             self.tell(requester, state);
         }
-        for job in aftermath.changed {
+        for job in actions.changed_jobs {
             self.job_changed(job);
         }
         self.push_orders();
     }
 
-    fn apply_write(&mut self, write: PendingWrite, revision: u64, aftermath: &mut Aftermath) {
+    fn apply_write(&mut self, write: PendingWrite, revision: u64, actions: &mut PostCommitActions) {
         let Some(shard) = &mut self.shard else { return };
         match write {
-            PendingWrite::End(job) => self.end_recorded(job, aftermath),
+            PendingWrite::End(job) => self.end_recorded(job, actions),
             PendingWrite::Token(token) => self.token_raised(token, revision),
             PendingWrite::Rental(name) => shard.rental_recorded(&name, revision),
             PendingWrite::RemoveRental(name) => {
@@ -71,20 +71,20 @@
             PendingWrite::RemoveDocumentPart(kind, name) => {
                 self.shared.documents.part_removed(kind, &name)
             }
-            PendingWrite::Head(kind) => aftermath.heads.push(kind),
-            PendingWrite::Hour(hour, wall) => aftermath.moved.push((hour, wall)),
+            PendingWrite::Head(kind) => actions.written_heads.push(kind),
+            PendingWrite::Hour(hour, wall) => actions.moved_hours.push((hour, wall)),
             PendingWrite::Catalog => {
                 self.shared.catalog_version = self.shared.catalog_version.max(revision);
             }
         }
     }
 
-    fn end_recorded(&mut self, index: JobIndex, aftermath: &mut Aftermath) {
+    fn end_recorded(&mut self, index: JobIndex, actions: &mut PostCommitActions) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job_mut(index) else {
             return;
         };
-        aftermath.changed.insert(index);
+        actions.changed_jobs.insert(index);
         let Ending::Writing(stage) = job.ending else {
             return;
         };
@@ -94,12 +94,12 @@
         let waiters = std::mem::take(&mut job.waiters);
         self.final_states.put(&job.id, stage, job.done_count);
         let answers = waiters.into_iter().map(|w| (w, state.clone()));
-        aftermath.answers.extend(answers);
+        actions.answers.extend(answers);
         let segments = std::mem::take(&mut job.segments);
         if let Some(job) = shard.jobs.get(index) {
             shard.hours.ended(job, index, stage);
         }
-        shard.claim_log.results_over(index, segments);
+        shard.claim_log.release_results(index, segments);
     }
 
     fn token_raised(&mut self, token: u64, revision: u64) {
@@ -146,10 +146,10 @@
     }
 
     /// A log record is in place: its claims may be sent, its results reaped.
-    fn log_recorded(&mut self, log: PendingLog, revision: u64) {
+    fn log_recorded(&mut self, log: PendingLogRecord, revision: u64) {
         let mut segment = Segment {
             version: revision,
-            counts: self
+            has_unfolded_counts: self
                 .county_counts
                 .log_recorded(log.number, log.ended, revision),
             ..Segment::default()
@@ -162,7 +162,7 @@
             let from = std::mem::replace(&mut claim.segment, log.number);
             let first = claim.state == ClaimState::Writing;
             claim.state = ClaimState::Recorded;
-            segment.live += 1;
+            segment.live_claims += 1;
             segment.claims.push(id);
             if first {
                 self.push.insert(id.machine);
@@ -186,11 +186,11 @@
             return false;
         };
         match results.scope {
-            Scope::All => {
+            ResultScope::All => {
                 let old = std::mem::replace(&mut job.segments, BTreeSet::from([segment]));
-                self.claim_log.results_over(index, old);
+                self.claim_log.release_results(index, old);
             }
-            Scope::Unsaved => {
+            ResultScope::Unsaved => {
                 for task in results.tasks {
                     job.unsaved.remove(&task);
                 }
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -21,7 +21,7 @@
 
 impl ClaimId {
     /// Whether a claim on its machine is this one.
-    pub fn is_of(&self, claim: &Claim) -> bool {
+    pub fn matches(&self, claim: &Claim) -> bool {
         claim.job == self.job && claim.task == self.task && claim.attempt == self.attempt
     }
 }
@@ -31,23 +31,23 @@
 pub(crate) struct Segment {
     pub version: u64,
     /// Claims in it that hold.
-    pub live: u32,
+    pub live_claims: u32,
     /// Jobs that have not ended and whose results it holds.
     pub jobs: BTreeSet<JobIndex>,
     /// All its claims, for moving those that still hold.
     pub claims: Vec<ClaimId>,
     /// It has counts that are not in their sheets yet.
-    pub counts: bool,
+    pub has_unfolded_counts: bool,
 }
 
 impl Segment {
     /// It says nothing any more.
-    fn is_over(&self) -> bool {
-        !self.holds() && !self.counts
+    fn is_garbage(&self) -> bool {
+        !self.has_live_entries() && !self.has_unfolded_counts
     }
     /// It has claims or results that are still wanted.
-    pub fn holds(&self) -> bool {
-        self.live > 0 || !self.jobs.is_empty()
+    pub fn has_live_entries(&self) -> bool {
+        self.live_claims > 0 || !self.jobs.is_empty()
     }
 }
 
@@ -84,10 +84,10 @@
 
 impl ClaimLog {
     /// Changes a segment, which may be over then.
-    fn change(&mut self, number: u64, change: impl FnOnce(&mut Segment)) {
+    fn update_segment(&mut self, number: u64, update: impl FnOnce(&mut Segment)) {
         if let Some(segment) = self.segments.get_mut(&number) {
-            change(segment);
-            if segment.is_over() {
+            update(segment);
+            if segment.is_garbage() {
                 self.garbage.insert(number);
             }
         }
@@ -95,13 +95,13 @@
 
     /// A claim of this segment has ended.
     pub fn ended(&mut self, segment: u64) {
-        self.change(segment, |s| s.live = s.live.saturating_sub(1));
+        self.update_segment(segment, |s| s.live_claims = s.live_claims.saturating_sub(1));
     }
 
     /// A job's results need no longer stand in these segments.
-    pub fn results_over(&mut self, job: JobIndex, segments: impl IntoIterator<Item = u64>) {
+    pub fn release_results(&mut self, job: JobIndex, segments: impl IntoIterator<Item = u64>) {
         for number in segments {
-            self.change(number, |s| {
+            self.update_segment(number, |s| {
                 s.jobs.remove(&job);
             });
         }
@@ -110,12 +110,12 @@
     /// The counts of these segments are in their sheets.
     pub fn counted(&mut self, segments: impl IntoIterator<Item = u64>) {
         for number in segments {
-            self.change(number, |s| s.counts = false);
+            self.update_segment(number, |s| s.has_unfolded_counts = false);
         }
     }
 
     /// A job's end is to be recorded; its results need not be.
-    fn end_wanted(&mut self, job: JobIndex, stage: Stage) {
+    fn queue_end(&mut self, job: JobIndex, stage: Stage) {
         self.unsaved.remove(&job);
         if self.ending.contains(&job) {
             return;
@@ -130,14 +130,14 @@
 
     /// A segment is in place, or was read back.
     pub fn add_segment(&mut self, number: u64, segment: Segment) {
-        if segment.is_over() {
+        if segment.is_garbage() {
             self.garbage.insert(number);
         }
         self.segments.insert(number, segment);
     }
 
     /// The inventory shard for a machine that adds so much to a record of at most `limit`.
-    pub fn inventory_shard_for(&mut self, machine: usize, size: usize, limit: usize) -> u64 {
+    pub fn assign_inventory_shard(&mut self, machine: usize, size: usize, limit: usize) -> u64 {
         // The last one, or a new one: inventory shards that lost machines shrink until they are gone.
         let open = self
             .inventory
@@ -178,7 +178,7 @@
     }
 
     /// Puts an inventory shard that was never recorded into another, and returns its machines.
-    pub fn join_inventory_shard(&mut self, number: u64, into: u64) -> Vec<usize> {
+    pub fn merge_inventory_shard(&mut self, number: u64, into: u64) -> Vec<usize> {
         let Some(inventory_shard) = self.inventory.remove(&number) else {
             return Vec::new();
         };
@@ -192,7 +192,7 @@
     }
 
     /// A machine is gone from its inventory shard.
-    pub fn leave_inventory_shard(&mut self, number: u64, machine: usize, size: usize) {
+    pub fn remove_from_inventory_shard(&mut self, number: u64, machine: usize, size: usize) {
         if let Some(inventory_shard) = self.inventory.get_mut(&number)
             && inventory_shard.machines.remove(&machine)
         {
@@ -220,7 +220,7 @@
     /// The claim, while it holds.
     pub fn claim_mut(&mut self, id: &ClaimId) -> Option<&mut Claim> {
         let machine = self.machines.get_mut(id.machine)?;
-        machine.claims.iter_mut().find(|c| id.is_of(c))
+        machine.claims.iter_mut().find(|c| id.matches(c))
     }
 
     /// Notes that results of a job, or its end, are to be recorded.
@@ -232,7 +232,7 @@
             Ending::No if !job.unsaved.is_empty() => {
                 self.claim_log.unsaved.insert(index);
             }
-            Ending::Wanted(stage) => self.claim_log.end_wanted(index, stage),
+            Ending::Wanted(stage) => self.claim_log.queue_end(index, stage),
             _ => {}
         }
     }
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -5,7 +5,7 @@
 use crate::jobs::job::{Ending, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::store::claim_log::{ClaimId, ClaimLog};
-use crate::store::inventory_split::Piece;
+use crate::store::inventory_split::InventoryPiece;
 use crate::store::record_sizes;
 use crate::store::shard::Shard;
 use crate::store::transaction::{PendingWrite, TransactionDraft};
@@ -22,10 +22,10 @@
 }
 
 /// What a log record takes besides its entries.
-const LOG_FRAME: usize = 64;
+const LOG_RECORD_OVERHEAD: usize = 64;
 
 /// A log record on its way.
-pub(crate) struct PendingLog {
+pub(crate) struct PendingLogRecord {
     pub number: u64,
     pub claims: Vec<ClaimId>,
     pub results: Vec<PendingResults>,
@@ -36,12 +36,12 @@
 pub(crate) struct PendingResults {
     pub job: JobIndex,
     pub tasks: Vec<u32>,
-    pub scope: Scope,
+    pub scope: ResultScope,
 }
 
 /// Which of a job's results a record holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Scope {
+pub(crate) enum ResultScope {
     /// Those that stand in no record yet.
     Unsaved,
     /// All that are known, so that earlier records need not hold them.
@@ -49,8 +49,8 @@
 }
 
 /// A log record that is being filled.
-struct LogBuilder {
-    log: PendingLog,
+struct LogRecordBuilder {
+    log: PendingLogRecord,
     /// Tasks by machine, by the job and the attempt that they are claimed for.
     groups: BTreeMap<(JobIndex, u64), BTreeMap<usize, BTreeSet<u32>>>,
     record: LogRecord,
@@ -59,15 +59,15 @@
     max_size: usize,
 }
 
-impl LogBuilder {
+impl LogRecordBuilder {
     fn new(number: u64, ended: Vec<county::Delta>, limits: &WriteLimits) -> Self {
-        LogBuilder {
-            size: LOG_FRAME + county_counts::deltas_bytes(&ended),
+        LogRecordBuilder {
+            size: LOG_RECORD_OVERHEAD + county_counts::deltas_bytes(&ended),
             record: LogRecord {
                 ended: ended.clone(),
                 ..LogRecord::default()
             },
-            log: PendingLog {
+            log: PendingLogRecord {
                 number,
                 claims: Vec::new(),
                 results: Vec::new(),
@@ -84,21 +84,21 @@
         let (Some(job), Some(machine)) = (shard.job(id.job), shard.machine(id.machine)) else {
             return false;
         };
-        let mut more = record_sizes::claims_entry(&self.limits, &machine.name);
+        let mut added_bytes = record_sizes::claims_entry(&self.limits, &machine.name);
         if !self.groups.contains_key(&(id.job, id.attempt)) {
-            more += record_sizes::claims_frame(&self.limits, job);
+            added_bytes += record_sizes::claims_frame(&self.limits, job);
         }
-        if self.size + more > self.max_size {
+        if self.size + added_bytes > self.max_size {
             return false;
         }
-        self.size += more;
+        self.size += added_bytes;
         let group = self.groups.entry((id.job, id.attempt)).or_default();
         group.entry(id.machine).or_default().insert(id.task);
         true
     }
 
     /// The oldest record's claims that still hold.
-    fn move_claims(&mut self, shard: &mut Shard, oldest: u64) {
+    fn move_live_claims(&mut self, shard: &mut Shard, oldest: u64) {
         let segment = shard.claim_log.segments.get(&oldest);
         for id in segment.map(|s| s.claims.clone()).unwrap_or_default() {
             let holds = shard
@@ -129,26 +129,26 @@
         }
     }
 
-    fn write_results(&mut self, shard: &mut Shard, index: JobIndex, scope: Scope) {
+    fn write_results(&mut self, shard: &mut Shard, index: JobIndex, scope: ResultScope) {
         let Some(job) = shard.job(index).filter(|j| j.ending == Ending::No) else {
             shard.claim_log.unsaved.remove(&index);
             return;
         };
         let mut tasks: Vec<u32> = match scope {
-            Scope::All => job.saved().collect(),
-            Scope::Unsaved => job.unsaved.iter().copied().collect(),
+            ResultScope::All => job.saved().collect(),
+            ResultScope::Unsaved => job.unsaved.iter().copied().collect(),
         };
         let mut ranges = records::ranges(tasks.iter().copied());
         let frame = self.size + DoneRecord::frame(&job.id);
-        let fits = self.max_size.saturating_sub(frame) / DoneRecord::ENTRY;
-        if fits == 0 || (scope == Scope::All && ranges.len() > fits) {
+        let max_ranges = self.max_size.saturating_sub(frame) / DoneRecord::ENTRY;
+        if max_ranges == 0 || (scope == ResultScope::All && ranges.len() > max_ranges) {
             return;
         }
         let id = job.id.clone();
-        if ranges.len() > fits {
-            ranges.truncate(fits);
+        if ranges.len() > max_ranges {
+            ranges.truncate(max_ranges);
             tasks.truncate(records::unrange(&ranges).count());
-        } else if scope == Scope::Unsaved {
+        } else if scope == ResultScope::Unsaved {
             shard.claim_log.unsaved.remove(&index);
         }
         self.size = frame + ranges.len() * DoneRecord::ENTRY;
@@ -164,11 +164,11 @@
     }
 
     /// The record and what it changes; `None` if it says nothing.
-    fn finish(self) -> Option<(LogRecord, PendingLog)> {
+    fn finish(self) -> Option<(LogRecord, PendingLogRecord)> {
         let record = &self.record;
-        let says_nothing =
+        let is_empty =
             record.claims.is_empty() && record.done.is_empty() && record.ended.is_empty();
-        (!says_nothing).then_some((self.record, self.log))
+        (!is_empty).then_some((self.record, self.log))
     }
 }
 
@@ -194,18 +194,18 @@
         if self.segments.len() <= max_segments(limits, machines) {
             return None;
         }
-        let (number, _) = self.segments.iter().find(|(_, s)| s.holds())?;
+        let (number, _) = self.segments.iter().find(|(_, s)| s.has_live_entries())?;
         Some(*number)
     }
 
     /// Jobs whose results are to be written, those of a compacted record last.
-    fn results_to_write(&self, compacted: Option<u64>) -> Vec<(JobIndex, Scope)> {
-        let unsaved = self.unsaved.iter().map(|job| (*job, Scope::Unsaved));
+    fn results_to_write(&self, compacted: Option<u64>) -> Vec<(JobIndex, ResultScope)> {
+        let unsaved = self.unsaved.iter().map(|job| (*job, ResultScope::Unsaved));
         let moved = compacted
             .and_then(|number| self.segments.get(&number))
             .into_iter()
             .flat_map(|s| &s.jobs)
-            .map(|job| (*job, Scope::All));
+            .map(|job| (*job, ResultScope::All));
         unsaved.chain(moved).collect()
     }
 }
@@ -214,7 +214,7 @@
     /// One log record: claims as far as they fit, then results, then what is moved out of the oldest record.
     pub(super) fn put_log_record(&mut self, shard: &mut Shard) {
         let ended = self.counts.take();
-        let mut builder = LogBuilder::new(shard.next_log(), ended, self.write_limits());
+        let mut builder = LogRecordBuilder::new(shard.next_log(), ended, self.write_limits());
         if !self.add_fresh_claims(shard, &mut builder) {
             return;
         }
@@ -223,7 +223,7 @@
             .claim_log
             .segment_to_compact(self.write_limits(), machines);
         if let Some(oldest) = oldest {
-            builder.move_claims(shard, oldest);
+            builder.move_live_claims(shard, oldest);
         }
         builder.write_claims(shard);
         for (job, scope) in shard.claim_log.results_to_write(oldest) {
@@ -236,7 +236,7 @@
     }
 
     /// False if a claim names a job that nobody knows: then there is no record.
-    fn add_fresh_claims(&mut self, shard: &mut Shard, builder: &mut LogBuilder) -> bool {
+    fn add_fresh_claims(&mut self, shard: &mut Shard, builder: &mut LogRecordBuilder) -> bool {
         while let Some(id) = shard.claim_log.fresh.front().copied() {
             let Some(claim) = shard.claim_mut(&id).filter(|c| c.state == ClaimState::New) else {
                 shard.claim_log.fresh.pop_front();
@@ -276,7 +276,7 @@
         &mut self,
         shard: &mut Shard,
         number: u64,
-        room: usize,
+        max_records: usize,
     ) -> bool {
         shard.claim_log.shrunk_inventory.remove(&number);
         let Some(inventory_shard) = shard.claim_log.inventory.get(&number) else {
@@ -295,17 +295,17 @@
             }
             return true;
         }
-        let value = shard.limits.value_bytes();
-        let mut pieces = shard.inventory_pieces(&inventory_shard.machines, value);
-        if pieces.len() > 1 && shard.split_unrecorded(number, value) {
+        let max_bytes = shard.limits.value_bytes();
+        let mut pieces = shard.inventory_pieces(&inventory_shard.machines, max_bytes);
+        if pieces.len() > 1 && shard.split_unrecorded(number, max_bytes) {
             // What has never been recorded needs not move in one transaction with the rest.
-            return self.put_inventory_shard(shard, number, room);
+            return self.put_inventory_shard(shard, number, max_records);
         }
         if pieces.len() > shard.limits.changes() {
             // As it stands, until enough of its machines are gone.
             return true;
         }
-        if pieces.len() > room {
+        if pieces.len() > max_records {
             return false;
         }
         let first = pieces.remove(0);
@@ -319,7 +319,7 @@
         true
     }
 
-    fn put_inventory_piece(&mut self, shard: &mut Shard, from: u64, piece: Piece) {
+    fn put_inventory_piece(&mut self, shard: &mut Shard, from: u64, piece: InventoryPiece) {
         let number = shard.move_to_new_inventory_shard(from, &piece.machines);
         let names = piece.names();
         self.put(
--- a/crates/control/src/store/inventory_split.rs
+++ b/crates/control/src/store/inventory_split.rs
@@ -12,7 +12,7 @@
 use wire::records::{InventoryRecord, KindRecord};
 
 /// What an inventory shard's record takes without its machines.
-const FRAME: usize = 16;
+const RECORD_OVERHEAD: usize = 16;
 
 fn is_kind(kind: &KindRecord, machine: &Machine) -> bool {
     kind.machine_type == machine.machine_type
@@ -25,23 +25,23 @@
 }
 
 /// Some machines with their record.
-pub(crate) struct Piece {
+pub(crate) struct InventoryPiece {
     pub machines: Vec<usize>,
     pub record: InventoryRecord,
     size: usize,
 }
 
-impl Default for Piece {
+impl Default for InventoryPiece {
     fn default() -> Self {
-        Piece {
+        InventoryPiece {
             machines: Vec::new(),
             record: InventoryRecord::default(),
-            size: FRAME,
+            size: RECORD_OVERHEAD,
         }
     }
 }
 
-impl Piece {
+impl InventoryPiece {
     /// What a machine would add to the record.
     fn added_by(&self, machine: &Machine) -> usize {
         let known = self.record.kinds.iter().any(|k| is_kind(k, machine));
@@ -77,7 +77,7 @@
 
 impl Shard {
     /// Takes machines that were never recorded out of an inventory shard, into new ones. False if there are none.
-    pub fn split_unrecorded(&mut self, number: u64, value: usize) -> bool {
+    pub fn split_unrecorded(&mut self, number: u64, max_bytes: usize) -> bool {
         let Some(inventory_shard) = self.claim_log.inventory.get(&number) else {
             return false;
         };
@@ -91,7 +91,7 @@
         if new.is_empty() {
             return false;
         }
-        for piece in self.inventory_pieces(&new, value) {
+        for piece in self.inventory_pieces(&new, max_bytes) {
             let into = self.move_to_new_inventory_shard(number, &piece.machines);
             self.claim_log.grown_inventory.insert(into);
         }
@@ -100,20 +100,22 @@
 
     /// An inventory shard's machines in records of at most `value` bytes each: one, unless it was recorded when values
     /// were larger.
-    pub fn inventory_pieces(&self, of: &BTreeSet<usize>, value: usize) -> Vec<Piece> {
+    pub fn inventory_pieces(&self, of: &BTreeSet<usize>, max_bytes: usize) -> Vec<InventoryPiece> {
         let machines = || of.iter().filter_map(|m| Some((*m, self.machine(*m)?)));
-        let mut whole = Piece::default();
+        let mut whole = InventoryPiece::default();
         for (m, machine) in machines() {
             whole.add(m, machine);
         }
-        if record_sizes::length(&whole.record) <= value {
+        if record_sizes::length(&whole.record) <= max_bytes {
             return vec![whole];
         }
-        let mut pieces = vec![Piece::default()];
+        let mut pieces = vec![InventoryPiece::default()];
         for (m, machine) in machines() {
-            let full = |p: &Piece| !p.machines.is_empty() && p.size + p.added_by(machine) > value;
+            let full = |p: &InventoryPiece| {
+                !p.machines.is_empty() && p.size + p.added_by(machine) > max_bytes
+            };
             if pieces.last().is_none_or(full) {
-                pieces.push(Piece::default());
+                pieces.push(InventoryPiece::default());
             }
             if let Some(piece) = pieces.last_mut() {
                 piece.add(m, machine);
@@ -136,8 +138,8 @@
     }
 
     /// Puts all machines of an inventory shard that was not recorded back into the one that they came from.
-    pub fn move_back(&mut self, number: u64, from: u64) {
-        for m in self.claim_log.join_inventory_shard(number, from) {
+    pub fn undo_inventory_split(&mut self, number: u64, from: u64) {
+        for m in self.claim_log.merge_inventory_shard(number, from) {
             if let Some(machine) = self.machine_mut(m) {
                 machine.inventory_shard = from;
             }
@@ -145,8 +147,8 @@
     }
 
     /// The inventory shard for a machine that is to be recorded, where lengths are counted exactly.
-    pub fn tight_inventory_shard_for(&mut self, m: usize) -> u64 {
-        let limit = self.limits.value_bytes().saturating_sub(FRAME);
+    pub fn assign_inventory_shard_exact(&mut self, m: usize) -> u64 {
+        let limit = self.limits.value_bytes().saturating_sub(RECORD_OVERHEAD);
         let Some(machine) = self.machine(m) else {
             return 0;
         };
@@ -165,6 +167,6 @@
         if let Some(machine) = self.machine_mut(m) {
             machine.size = size;
         }
-        self.claim_log.inventory_shard_for(m, size, limit)
+        self.claim_log.assign_inventory_shard(m, size, limit)
     }
 }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -64,7 +64,7 @@
     fn load_segment(&mut self, number: u64, version: u64, record: LogRecord) {
         let mut segment = Segment {
             version,
-            counts: self.county_counts.log_recorded(number, record.ended, 0),
+            has_unfolded_counts: self.county_counts.log_recorded(number, record.ended, 0),
             ..Segment::default()
         };
         for group in record.claims {
@@ -93,7 +93,7 @@
                     attempt: group.attempt,
                 };
                 if self.load_claim(number, &id) {
-                    segment.live += 1;
+                    segment.live_claims += 1;
                     segment.claims.push(id);
                 }
             }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -206,10 +206,10 @@
         let size = machine.size;
         let index = self.insert_machine(machine);
         let inventory_shard = if self.limits.are_tight() {
-            self.tight_inventory_shard_for(index)
+            self.assign_inventory_shard_exact(index)
         } else {
             let limit = self.limits.value_bytes();
-            self.claim_log.inventory_shard_for(index, size, limit)
+            self.claim_log.assign_inventory_shard(index, size, limit)
         };
         if let Some(machine) = self.machine_mut(index) {
             machine.inventory_shard = inventory_shard;
@@ -229,13 +229,13 @@
         };
         self.push.remove(&index);
         self.claim_log
-            .leave_inventory_shard(machine.inventory_shard, index, machine.size);
+            .remove_from_inventory_shard(machine.inventory_shard, index, machine.size);
     }
 
     /// Takes a claim back of which nothing was sent.
     pub fn drop_claim(&mut self, id: &ClaimId) {
         if let Some(machine) = self.machine_mut(id.machine) {
-            machine.claims.retain(|c| !id.is_of(c));
+            machine.claims.retain(|c| !id.matches(c));
         }
         if let Some(job) = self.job_mut(id.job) {
             job.unclaim(id.task, id.machine, id.attempt);
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -7,7 +7,7 @@
 use crate::leadership::election::SHARD;
 use crate::leadership::shared_state::Shared;
 use crate::store::allotment::AllotmentState;
-use crate::store::claim_records::PendingLog;
+use crate::store::claim_records::PendingLogRecord;
 use crate::store::rental::RentalState;
 use crate::store::shard::Shard;
 use crate::store::write_limits::WriteLimits;
@@ -33,7 +33,7 @@
     Token(u64),
     Rental(String),
     RemoveRental(String),
-    Log(PendingLog),
+    Log(PendingLogRecord),
     RemoveLog(u64),
     CounterSheets(county::Fold),
     /// An inventory shard with the names of its machines: by the time that it stands, a place in memory may be
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -9,7 +9,7 @@
 use crate::documents::{ALL, KindId, for_kind};
 use crate::jobs::job::Ending;
 use crate::store::claim_log::InventoryShard;
-use crate::store::claim_records::PendingLog;
+use crate::store::claim_records::PendingLogRecord;
 use crate::store::shard::Shard;
 use crate::store::transaction::PendingWrite;
 use std::collections::BTreeSet;
@@ -61,7 +61,7 @@
         shard.limits = self.write_limits;
         let mut given_up = BTreeSet::new();
         for write in pending_writes.into_iter().rev() {
-            if let Some(kind) = shard.take_back(write) {
+            if let Some(kind) = shard.revert_write(write) {
                 given_up.insert(kind as usize);
             }
         }
@@ -85,7 +85,7 @@
 impl Shard {
     /// Undoes what was noted of one thing when it went into a transaction that was refused. A change of a document has
     /// to be cut into other parts: its kind is returned.
-    fn take_back(&mut self, write: PendingWrite) -> Option<KindId> {
+    fn revert_write(&mut self, write: PendingWrite) -> Option<KindId> {
         match write {
             PendingWrite::End(index) => {
                 if let Some(job) = self.job_mut(index)
@@ -95,14 +95,16 @@
                     self.claim_log.ending.push_front(index);
                 }
             }
-            PendingWrite::Log(log) => self.log_taken_back(log),
+            PendingWrite::Log(log) => self.restore_log_entries(log),
             PendingWrite::RemoveLog(number) => {
                 self.claim_log.garbage.insert(number);
             }
             PendingWrite::InventoryShard(number, _) => {
                 self.claim_log.grown_inventory.insert(number);
             }
-            PendingWrite::InventoryPiece(number, from, _) => self.move_back(number, from),
+            PendingWrite::InventoryPiece(number, from, _) => {
+                self.undo_inventory_split(number, from)
+            }
             PendingWrite::RemoveInventoryShard(number, version) => {
                 let inventory_shard = InventoryShard {
                     version,
@@ -125,7 +127,7 @@
         None
     }
 
-    fn log_taken_back(&mut self, log: PendingLog) {
+    fn restore_log_entries(&mut self, log: PendingLogRecord) {
         for id in log.claims.into_iter().rev() {
             if let Some(claim) = self.claim_mut(&id)
                 && claim.state == ClaimState::Writing
