--- a/crates/control/src/store/allotment.rs
+++ b/crates/control/src/store/allotment.rs
@@ -71,20 +71,20 @@
             self.version,
             Record::Allotment(allotment.clone()),
         );
-        let before = AllotmentState {
+        let previous = AllotmentState {
             current: self.current.replace(allotment),
             version: std::mem::take(&mut self.version),
             wanted,
         };
         draft
             .pending_writes
-            .push(PendingWrite::Allotment(Box::new(before)));
+            .push(PendingWrite::Allotment(Box::new(previous)));
     }
 
     /// What was written was refused: this stood before it. One that has come to be wanted meanwhile stays wanted.
-    pub fn take_back(&mut self, before: AllotmentState) {
-        let wanted = self.wanted.take().or(before.wanted);
-        *self = AllotmentState { wanted, ..before };
+    pub fn revert(&mut self, previous: AllotmentState) {
+        let wanted = self.wanted.take().or(previous.wanted);
+        *self = AllotmentState { wanted, ..previous };
     }
 
     /// What was written is in place at this revision.
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -18,7 +18,9 @@
 
 /// Log records that a fleet of so many machines may have before the oldest are moved.
 fn max_segments(limits: &WriteLimits, machines: usize) -> usize {
-    limits.log_records().max(machines / MACHINES_PER_SEGMENT)
+    limits
+        .compaction_threshold()
+        .max(machines / MACHINES_PER_SEGMENT)
 }
 
 /// What a log record takes besides its entries.
--- a/crates/control/src/store/cloud_calls.rs
+++ b/crates/control/src/store/cloud_calls.rs
@@ -4,11 +4,11 @@
 use std::collections::HashMap;
 
 /// A kind of machine that got fewer than asked for is not asked for again within this time.
-const PARTLY_REFUSED_MS: u64 = 20_000;
+const PARTIAL_REFUSAL_DELAY_MS: u64 = 20_000;
 
 /// One that got none is not asked for again within this time, times the refusals in a row, up to a bound.
-const REFUSED_MS: u64 = 8000;
-const MAX_REFUSED_TIMES: u32 = 4;
+const REFUSAL_DELAY_MS: u64 = 8000;
+const MAX_DELAY_FACTOR: u32 = 4;
 
 /// Machines that can be rented alike: their type, their zone, and whether they are spot.
 pub(crate) type MachineKind = (String, String, bool);
@@ -18,7 +18,7 @@
 struct Refusal {
     until: u64,
     /// How often in a row.
-    times: u32,
+    consecutive: u32,
 }
 
 /// What is under way with the cloud, and what it has refused.
@@ -66,17 +66,17 @@
     /// Fewer than were asked for came.
     pub fn partly_refused(&mut self, kind: MachineKind, now: u64) {
         let refusal = Refusal {
-            until: now + PARTLY_REFUSED_MS,
-            times: 1,
+            until: now + PARTIAL_REFUSAL_DELAY_MS,
+            consecutive: 1,
         };
         self.refused.insert(kind, refusal);
     }
 
     /// None came.
     pub fn refused(&mut self, kind: MachineKind, now: u64) {
-        let times = self.refused.get(&kind).map_or(0, |r| r.times) + 1;
-        let wait = REFUSED_MS * u64::from(times.min(MAX_REFUSED_TIMES));
+        let consecutive = self.refused.get(&kind).map_or(0, |r| r.consecutive) + 1;
+        let wait = REFUSAL_DELAY_MS * u64::from(consecutive.min(MAX_DELAY_FACTOR));
         let until = now + wait;
-        self.refused.insert(kind, Refusal { until, times });
+        self.refused.insert(kind, Refusal { until, consecutive });
     }
 }
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -182,7 +182,7 @@
         match response.status {
             200 => match wire::decode::<Revision>(&response.body) {
                 Ok(r) => {
-                    self.refusals.over();
+                    self.refusals.reset();
                     self.apply(r.revision)
                 }
                 Err(_) => self.step_down("an unreadable answer to a transaction"),
@@ -194,7 +194,7 @@
             // Only this term's transactions write these keys, so an earlier try is what makes this one fail.
             // Refused for its size, it may have stood since one, before the limits changed.
             409 | 400 if shard.commit.outcome_unknown => self.probe_outcome(),
-            400 => self.cut_anew(),
+            400 => self.split_refused_transaction(),
             429 | 503 => shard.commit.retry_at = retry_at,
             other => {
                 let body = String::from_utf8_lossy(&response.body);
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -196,7 +196,7 @@
     }
 
     pub(super) fn has_room_for_conditions(&self) -> bool {
-        self.conditions.len() + 2 < self.limits.write_limits.guards()
+        self.conditions.len() + 2 < self.limits.write_limits.max_conditions()
     }
 
     fn has_room(&self) -> bool {
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -16,23 +16,23 @@
 use std::ops::Range;
 
 /// After a refusal the next try waits so long, in milliseconds, and longer with each that follows.
-const WAIT_MS: Range<u64> = 20..80;
-const MOST_DOUBLINGS: u32 = 6;
+const RETRY_DELAY_MS: Range<u64> = 20..80;
+const MAX_DELAY_DOUBLINGS: u32 = 6;
 /// A leader whose smallest transactions are refused leaves the fleet to others for so long.
-const STAND_BACK_MS: Range<u64> = 2000..6000;
+const ABSTAIN_MS: Range<u64> = 2000..6000;
 
 /// What of one kind was refused for its size, for the operators' log.
 #[derive(Debug, Default)]
 pub(crate) struct Refusals {
     /// Kinds that were logged.
     logged: BTreeSet<&'static str>,
-    in_a_row: u32,
+    consecutive: u32,
 }
 
 impl Refusals {
     /// One of the leader's transactions was applied.
-    pub fn over(&mut self) {
-        self.in_a_row = 0;
+    pub fn reset(&mut self) {
+        self.consecutive = 0;
     }
 }
 
@@ -53,11 +53,11 @@
     }
 
     /// The leader's transaction was refused, and no earlier try of it can stand.
-    pub(crate) fn cut_anew(&mut self) {
+    pub(crate) fn split_refused_transaction(&mut self) {
         let Some(shard) = &mut self.shard else { return };
         let changes = shard.commit.size().0;
         let pending_writes = shard.commit.abandon();
-        let smaller = self.write_limits.refused(changes);
+        let limits_shrank = self.write_limits.shrink_after_refusal(changes);
         shard.limits = self.write_limits;
         let mut given_up = BTreeSet::new();
         for write in pending_writes.into_iter().rev() {
@@ -65,18 +65,18 @@
                 given_up.insert(kind as usize);
             }
         }
-        let row = self.refusals.in_a_row.min(MOST_DOUBLINGS);
-        self.refusals.in_a_row = row + 1;
-        let wait = self.rng.u64(WAIT_MS) << row;
-        shard.commit.wait_until(self.now.mono + wait);
+        let doublings = self.refusals.consecutive.min(MAX_DELAY_DOUBLINGS);
+        self.refusals.consecutive = doublings + 1;
+        let delay = self.rng.u64(RETRY_DELAY_MS) << doublings;
+        shard.commit.wait_until(self.now.mono + delay);
         for kind in ALL {
             if given_up.contains(&(kind as usize)) {
                 for_kind!(kind, K => self.change_given_up::<K>());
             }
         }
-        if !smaller && row >= MOST_DOUBLINGS {
+        if !limits_shrank && doublings >= MAX_DELAY_DOUBLINGS {
             self.step_down("its smallest transactions are refused");
-            let ms = self.rng.u64(STAND_BACK_MS);
+            let ms = self.rng.u64(ABSTAIN_MS);
             self.stand_aside(ms);
         }
     }
@@ -114,7 +114,7 @@
                 self.claim_log.shrunk_inventory.insert(number);
             }
             PendingWrite::Catalog => self.cloud_calls.catalog_dirty = true,
-            PendingWrite::Allotment(before) => self.allotment.take_back(*before),
+            PendingWrite::Allotment(previous) => self.allotment.revert(*previous),
             PendingWrite::Hour(hour, _) => self.hours.take_back(hour),
             PendingWrite::DocumentPart(kind, _) | PendingWrite::Head(kind) => return Some(kind),
             // Their states say that they are still to be written.
--- a/crates/control/src/store/write_limits.rs
+++ b/crates/control/src/store/write_limits.rs
@@ -10,15 +10,15 @@
 use wire::settings::{Settings, StateLimits};
 
 /// Part of a value's limit that records are built to: some distance to the service's own count.
-const FILLED: f64 = 0.95;
+const FILL_FACTOR: f64 = 0.95;
 /// The service allows so many conditions for each change.
-const GUARDS_A_CHANGE: usize = 4;
+const CONDITIONS_PER_CHANGE: usize = 4;
 /// Refusals teach no smaller limits than these: every record has a form that fits them.
-pub const LEAST_CHANGES: usize = 4;
-pub const LEAST_VALUE_KB: f64 = 1.0;
+pub const MIN_CHANGES: usize = 4;
+pub const MIN_VALUE_KB: f64 = 1.0;
 /// Log records that stand before the oldest are moved, and how many more there may be where records are smaller.
-const LOG_RECORDS: f64 = 400.0;
-const MOST_TIMES_AS_MANY: f64 = 4.0;
+const COMPACTION_THRESHOLD: f64 = 400.0;
+const MAX_THRESHOLD_FACTOR: f64 = 4.0;
 
 /// The limits that everything written is built to.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -31,27 +31,27 @@
     /// The largest value that the settings name.
     stored_kb: f64,
     /// Records are as small as they may have to be: their lengths are counted, not bounded roughly.
-    tight: bool,
+    exact_lengths: bool,
 }
 
 impl WriteLimits {
     /// The smaller of all limits that the settings name.
     pub fn of(settings: &Settings) -> Self {
-        let now: &StateLimits = &settings.cluster.state;
+        let current: &StateLimits = &settings.cluster.state;
         let mut limits = WriteLimits {
-            value_kb: now.value_kb,
-            changes: now.txn_ops,
-            requests_per_s: now.rps,
-            changes_per_s: now.write_rps,
-            stored_kb: now.value_kb,
-            tight: false,
+            value_kb: current.value_kb,
+            changes: current.txn_ops,
+            requests_per_s: current.rps,
+            changes_per_s: current.write_rps,
+            stored_kb: current.value_kb,
+            exact_lengths: false,
         };
-        if let Some(next) = now.next_limits() {
+        if let Some(next) = current.next_limits() {
             limits.value_kb = limits.value_kb.min(next.value_kb);
             limits.changes = limits.changes.min(next.txn_ops);
             limits.requests_per_s = limits.requests_per_s.min(next.rps);
             limits.changes_per_s = limits.changes_per_s.min(next.write_rps);
-            limits.tight = true;
+            limits.exact_lengths = true;
         }
         limits
     }
@@ -65,7 +65,7 @@
             requests_per_s: 150.0,
             changes_per_s: 35.0,
             stored_kb: value_kb,
-            tight: false,
+            exact_lengths: false,
         }
     }
 
@@ -76,7 +76,7 @@
 
     /// The same in bytes, with some distance.
     pub fn value_bytes(&self) -> usize {
-        (self.value_kb * 1024.0 * FILLED) as usize
+        (self.value_kb * 1024.0 * FILL_FACTOR) as usize
     }
 
     /// Most changes of one transaction.
@@ -85,8 +85,8 @@
     }
 
     /// Most conditions of one transaction.
-    pub fn guards(&self) -> usize {
-        self.changes * GUARDS_A_CHANGE
+    pub fn max_conditions(&self) -> usize {
+        self.changes * CONDITIONS_PER_CHANGE
     }
 
     /// Requests that all controllers together may make in a second.
@@ -101,22 +101,22 @@
 
     /// Whether lengths are counted exactly.
     pub fn are_tight(&self) -> bool {
-        self.tight
+        self.exact_lengths
     }
 
     /// Log records that may stand before the oldest are moved: about the same bytes whatever a record takes.
-    pub fn log_records(&self) -> usize {
-        let smaller = (self.stored_kb / self.value_kb).clamp(1.0, MOST_TIMES_AS_MANY);
-        (LOG_RECORDS * smaller) as usize
+    pub fn compaction_threshold(&self) -> usize {
+        let factor = (self.stored_kb / self.value_kb).clamp(1.0, MAX_THRESHOLD_FACTOR);
+        (COMPACTION_THRESHOLD * factor) as usize
     }
 
     /// A transaction of so many changes was refused for its size. Returns whether there is anything left to make
     /// smaller.
-    pub fn refused(&mut self, changes: usize) -> bool {
+    pub fn shrink_after_refusal(&mut self, changes: usize) -> bool {
         let before = *self;
-        self.changes = self.changes.min((changes / 2).max(LEAST_CHANGES));
-        self.value_kb = (self.value_kb / 2.0).max(LEAST_VALUE_KB).min(self.value_kb);
-        self.tight = true;
+        self.changes = self.changes.min((changes / 2).max(MIN_CHANGES));
+        self.value_kb = (self.value_kb / 2.0).max(MIN_VALUE_KB).min(self.value_kb);
+        self.exact_lengths = true;
         (self.changes, self.value_kb) != (before.changes, before.value_kb)
     }
 }
