--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -7,7 +7,7 @@
 use wire::records::{self, JobRecord};
 
 /// The service answers a watch without changes after 5 s; one that says nothing for so long is cut off.
-const WATCH_ANSWER_MS: u64 = 7000;
+const WATCH_TIMEOUT_MS: u64 = 7000;
 
 /// After how long a watch that ended badly is begun again.
 const RETRY_MS: ops::Range<u64> = 100..400;
@@ -47,7 +47,7 @@
         self.retry_at = retry_at;
     }
 
-    fn reached(&mut self, revision: u64) {
+    fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 }
@@ -67,7 +67,7 @@
             "GET",
             path,
             Vec::new(),
-            WATCH_ANSWER_MS,
+            WATCH_TIMEOUT_MS,
             Pending::LiveWatch { term },
         );
     }
@@ -93,7 +93,7 @@
             }
         }
         if let Some(shard) = &mut self.shard {
-            shard.live_watch.reached(changes.revision);
+            shard.live_watch.advance_to(changes.revision);
         }
         self.watch_live();
     }
--- a/crates/control/src/store/plan_triggers.rs
+++ b/crates/control/src/store/plan_triggers.rs
@@ -4,7 +4,7 @@
 use crate::scheduling::urgent::Urgent;
 
 /// Rentals are looked at this far apart.
-const RENTALS_EVERY_MS: u64 = 1000;
+const RENTALS_INTERVAL_MS: u64 = 1000;
 
 /// What asks for a plan, and when the last ones were made.
 pub(crate) struct PlanTriggers {
@@ -38,8 +38,9 @@
     }
 
     /// Whether a full plan is due, where plans are this far apart; without any request half as often.
-    pub fn is_due(&self, now: u64, every: u64) -> bool {
-        (self.requested && now >= self.planned_at + every) || now >= self.planned_at + 2 * every
+    pub fn is_due(&self, now: u64, interval: u64) -> bool {
+        (self.requested && now >= self.planned_at + interval)
+            || now >= self.planned_at + 2 * interval
     }
 
     /// A full plan is made now.
@@ -55,6 +56,6 @@
 
     /// Rentals are looked at now.
     pub fn rentals_considered(&mut self, now: u64) {
-        self.rentals_due_at = now + RENTALS_EVERY_MS;
+        self.rentals_due_at = now + RENTALS_INTERVAL_MS;
     }
 }
--- a/crates/control/src/store/rate_budget.rs
+++ b/crates/control/src/store/rate_budget.rs
@@ -31,9 +31,9 @@
 
     /// What may be spent now.
     pub fn level(&mut self, now: u64) -> f64 {
-        let gone = now.saturating_sub(self.at) as f64 / 1000.0;
+        let elapsed_s = now.saturating_sub(self.at) as f64 / 1000.0;
         self.at = self.at.max(now);
-        self.level = (self.level + gone * self.rate).min(self.rate.max(1.0));
+        self.level = (self.level + elapsed_s * self.rate).min(self.rate.max(1.0));
         self.level
     }
 
--- a/crates/control/src/store/record_sizes.rs
+++ b/crates/control/src/store/record_sizes.rs
@@ -7,7 +7,7 @@
 use wire::records::{ClaimsRecord, KindRecord};
 
 /// Characters between the parts of an entry: `["",,],` around a name and two numbers.
-const ENTRY_MARKS: usize = 7;
+const ENTRY_PUNCTUATION: usize = 7;
 /// Digits of the longest task number or count of tasks.
 const TASK_DIGITS: usize = 6;
 /// Digits of a time of day in milliseconds, with room for a later century.
@@ -40,7 +40,7 @@
 /// What one claim on a machine adds to those of its job.
 pub(crate) fn claims_entry(limits: &WriteLimits, machine: &str) -> usize {
     if limits.are_tight() {
-        length(&machine) + 2 * TASK_DIGITS + ENTRY_MARKS
+        length(&machine) + 2 * TASK_DIGITS + ENTRY_PUNCTUATION
     } else {
         ClaimsRecord::entry(machine)
     }
@@ -48,7 +48,7 @@
 
 /// What a machine adds to an inventory shard that has machines of its kind already.
 pub(crate) fn inventory_entry(machine: &str) -> usize {
-    length(&machine) + TIME_DIGITS + ENTRY_MARKS
+    length(&machine) + TIME_DIGITS + ENTRY_PUNCTUATION
 }
 
 /// What its kind adds to an inventory shard.
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -31,23 +31,23 @@
 }
 
 /// After how long what could not be read is read again.
-const LOAD_AGAIN_MS: ops::Range<u64> = 100..400;
+const LOAD_RETRY_MS: ops::Range<u64> = 100..400;
 
 /// An answer to a read that takes longer is none.
-const LOAD_ANSWER_MS: u64 = 3000;
+const LOAD_TIMEOUT_MS: u64 = 3000;
 
 /// How far the reading has come.
 #[derive(Debug, Default)]
 pub(crate) struct RecoveryProgress {
     /// The last key of the pages that were read of a kind.
-    after: Option<String>,
+    last_key: Option<String>,
     /// What could not be read, and when it is tried again.
-    again: Option<(Load, u64)>,
+    retry: Option<(Load, u64)>,
 }
 
 impl RecoveryProgress {
     fn take_due(&mut self, now: u64) -> Option<Load> {
-        let (what, _) = self.again.take_if(|(_, at)| *at <= now)?;
+        let (what, _) = self.retry.take_if(|(_, at)| *at <= now)?;
         Some(what)
     }
 }
@@ -84,7 +84,7 @@
             let Some(machine) = self.machines.index_of(name) else {
                 continue;
             };
-            let job = self.claimed_job(&group);
+            let job = self.job_of_claims(&group);
             for task in records::unrange(&[(*first, *n)]) {
                 let id = ClaimId {
                     machine,
@@ -102,7 +102,7 @@
 
     /// The job that claims are for. One that has ended may still have tasks there: they count until they are proved
     /// gone.
-    fn claimed_job(&mut self, group: &ClaimsRecord) -> JobIndex {
+    fn job_of_claims(&mut self, group: &ClaimsRecord) -> JobIndex {
         if let Some(index) = self.jobs.index_of(&group.job) {
             return index;
         }
@@ -180,22 +180,22 @@
 
     /// An attempt is made only once all earlier ones of its task were proved gone: where the log holds several,
     /// the last alone can still be there.
-    fn drop_overtaken(&mut self) {
-        for id in self.overtaken_claims() {
+    fn drop_superseded_claims(&mut self) {
+        for id in self.superseded_claims() {
             let segment = self.claim_mut(&id).map(|c| c.segment);
             self.drop_claim(&id);
             self.claim_log.ended(segment.unwrap_or(0));
         }
     }
 
-    fn overtaken_claims(&self) -> Vec<ClaimId> {
-        let mut overtaken = Vec::new();
+    fn superseded_claims(&self) -> Vec<ClaimId> {
+        let mut superseded = Vec::new();
         for (index, job) in self.jobs.iter().enumerate() {
             let Some(job) = job else { continue };
             for (task, claims) in job.claimed.iter().filter(|(_, c)| c.len() > 1) {
                 let last = claims.iter().map(|(_, a)| *a).max().unwrap_or(0);
                 let earlier = claims.iter().filter(|(_, a)| *a != last);
-                overtaken.extend(earlier.map(|(machine, attempt)| ClaimId {
+                superseded.extend(earlier.map(|(machine, attempt)| ClaimId {
                     machine: *machine,
                     job: index,
                     task: *task,
@@ -203,7 +203,7 @@
                 }));
             }
         }
-        overtaken
+        superseded
     }
 }
 
@@ -224,7 +224,7 @@
             Load::Models => return self.read_models(),
         };
         let mut path = format!("/keys?under={prefix}&limit=1000");
-        if let Some(after) = &shard.recovery.after {
+        if let Some(after) = &shard.recovery.last_key {
             path.push_str(&format!("&from={after}"));
         }
         let what = Pending::Load {
@@ -236,7 +236,7 @@
             "GET",
             path,
             Vec::new(),
-            LOAD_ANSWER_MS,
+            LOAD_TIMEOUT_MS,
             what,
         );
     }
@@ -244,9 +244,9 @@
     /// From the same place again, after a while: who reads back must not use up what renewals and others' accepts need
     /// of the state service. A leader that can't read keeps its lease or loses it.
     pub(crate) fn load_later(&mut self, what: Load) {
-        let at = self.now.mono + self.rng.u64(LOAD_AGAIN_MS);
+        let at = self.now.mono + self.rng.u64(LOAD_RETRY_MS);
         if let Some(shard) = &mut self.shard {
-            shard.recovery.again = Some((what, at));
+            shard.recovery.retry = Some((what, at));
         }
     }
 
@@ -294,7 +294,7 @@
     /// Goes on with the next kind.
     fn load_next(&mut self, what: Load) {
         if let Some(shard) = &mut self.shard {
-            shard.recovery.after = None;
+            shard.recovery.last_key = None;
         }
         match what {
             Load::Jobs => self.load(Load::Inventory),
@@ -326,7 +326,7 @@
         if let Some(shard) = &mut self.shard {
             shard.live_watch.start_from(range.revision);
             if let Some(last) = range.items.last() {
-                shard.recovery.after = Some(last.key.clone());
+                shard.recovery.last_key = Some(last.key.clone());
             }
         }
         if range.more && !range.items.is_empty() {
@@ -411,7 +411,7 @@
         for machine in shard.machines.iter_mut().flatten() {
             (machine.heard_at, machine.heartbeat_at) = (now, now);
         }
-        shard.drop_overtaken();
+        shard.drop_superseded_claims();
         log::info!(
             "token {}: read {} jobs, {} machines, {} rentals",
             shard.token,
--- a/crates/control/src/store/returned_machines.rs
+++ b/crates/control/src/store/returned_machines.rs
@@ -4,7 +4,7 @@
 
 /// Lists and heartbeats that come later than this after a machine's return are taken for a machine's that nobody knows;
 /// names never come back, so only memory speaks for forgetting them.
-const REMEMBERED_MS: u64 = 600_000;
+const RETENTION_MS: u64 = 600_000;
 
 /// Names of returned machines, each with the time of its return.
 #[derive(Debug, Default)]
@@ -25,6 +25,6 @@
 
     /// Keeps only what later lists may still need.
     pub fn forget_old(&mut self, now: u64) {
-        self.returned_at.retain(|_, at| *at + REMEMBERED_MS > now);
+        self.returned_at.retain(|_, at| *at + RETENTION_MS > now);
     }
 }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -41,8 +41,8 @@
 }
 
 /// Of so many machines some come by themselves, or answer a probe, within this time of a new term.
-const HEARS_NOBODY_MACHINES: usize = 4;
-const HEARS_NOBODY_MS: u64 = 2000;
+const SILENCE_MIN_MACHINES: usize = 4;
+const SILENCE_MS: u64 = 2000;
 
 /// The leader's memory of its shard, for one term.
 pub(crate) struct Shard {
@@ -137,8 +137,8 @@
     pub fn hears_no_agents(&self, now: u64) -> bool {
         self.loaded
             && !self.heard_itself
-            && self.machines.count() >= HEARS_NOBODY_MACHINES
-            && now >= self.since + HEARS_NOBODY_MS
+            && self.machines.count() >= SILENCE_MIN_MACHINES
+            && now >= self.since + SILENCE_MS
     }
 
     /// Numbers below a token are unique for ever, since tokens are.
@@ -253,14 +253,14 @@
     }
 
     /// Whether a job is one that is not wanted any more and still has claims.
-    fn is_left_over(&self, index: JobIndex) -> bool {
+    fn is_unwanted_with_claims(&self, index: JobIndex) -> bool {
         self.job(index)
             .is_some_and(|j| j.is_unwanted() && !j.claimed.is_empty())
     }
 
     /// Notes whether a job is one that is not wanted any more and still has claims.
     pub fn note_unwanted(&mut self, index: JobIndex) {
-        if self.is_left_over(index) {
+        if self.is_unwanted_with_claims(index) {
             self.unwanted.insert(index);
         } else {
             self.unwanted.remove(&index);
@@ -269,7 +269,8 @@
 
     /// Whether looking at all jobs finds none that is missing.
     pub fn unwanted_is_right(&self) -> bool {
-        (0..self.jobs.slots()).all(|job| self.unwanted.contains(&job) || !self.is_left_over(job))
+        (0..self.jobs.slots())
+            .all(|job| self.unwanted.contains(&job) || !self.is_unwanted_with_claims(job))
     }
 
     /// Forgets an ended job once nothing of it is on any machine.
--- a/crates/control/src/store/zone_reachability.rs
+++ b/crates/control/src/store/zone_reachability.rs
@@ -8,7 +8,7 @@
     /// Zones most of whose machines can't be heard: rather the network than the machines.
     cut: BTreeSet<String>,
     /// Zones some of whose machines are heard by way of a peer.
-    detour: BTreeSet<String>,
+    relayed: BTreeSet<String>,
 }
 
 impl ZoneReachability {
@@ -19,15 +19,15 @@
 
     /// Whether a silent machine of this zone may rather be one that can't be heard.
     pub fn is_doubtful(&self, zone: &str) -> bool {
-        self.cut.contains(zone) || self.detour.contains(zone)
+        self.cut.contains(zone) || self.relayed.contains(zone)
     }
 
     /// Takes in what was seen at the last look.
-    pub fn observe(&mut self, cut: BTreeSet<String>, detour: BTreeSet<String>) {
+    pub fn observe(&mut self, cut: BTreeSet<String>, relayed: BTreeSet<String>) {
         for zone in cut.difference(&self.cut) {
             log::warn!("zone {zone}: many of its machines can't be heard");
         }
         self.cut = cut;
-        self.detour = detour;
+        self.relayed = relayed;
     }
 }
