--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -1,4 +1,4 @@
-//! Records of the write-ahead log, with claims and results, and of the inventory, with machines.
+//! Builds the records of the write-ahead log, with claims and results, and of the inventory, with machines.
 
 use crate::agents::machine::ClaimState;
 use crate::documents::county_counts;
@@ -13,20 +13,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::records::{self, ClaimsRecord, DoneRecord, LogRecord, Record};
 
-/// Log records may be one for so many machines, if not more, before the oldest are moved into new ones.
+/// The log may hold one record per this many machines before it is compacted, if that is more than the limits'
+/// threshold.
 const MACHINES_PER_SEGMENT: usize = 5;
 
-/// Log records that a fleet of so many machines may have before the oldest are moved.
+/// Number of log records above which the oldest is compacted, in a fleet of this many machines.
 fn max_segments(limits: &WriteLimits, machines: usize) -> usize {
     limits
         .compaction_threshold()
         .max(machines / MACHINES_PER_SEGMENT)
 }
 
-/// What a log record takes besides its entries.
+/// Length of a log record besides its entries.
 const LOG_RECORD_OVERHEAD: usize = 64;
 
-/// A log record on its way.
+/// A log record in a transaction that is not yet committed.
 pub(crate) struct PendingLogRecord {
     pub number: u64,
     pub claims: Vec<ClaimId>,
@@ -34,26 +35,26 @@
     pub ended: Vec<county::Delta>,
 }
 
-/// Results of a job's in a log record on its way.
+/// Results of one job in a pending log record.
 pub(crate) struct PendingResults {
     pub job: JobIndex,
     pub tasks: Vec<u32>,
     pub scope: ResultScope,
 }
 
-/// Which of a job's results a record holds.
+/// Which of a job's results a log record holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ResultScope {
-    /// Those that stand in no record yet.
+    /// Results that no record holds yet.
     Unsaved,
-    /// All that are known, so that earlier records need not hold them.
+    /// All known results, so that earlier records no longer have to hold them.
     All,
 }
 
-/// A log record that is being filled.
+/// A log record under construction.
 struct LogRecordBuilder {
     log: PendingLogRecord,
-    /// Tasks by machine, by the job and the attempt that they are claimed for.
+    /// Claimed tasks by machine, grouped by job and attempt.
     groups: BTreeMap<(JobIndex, u64), BTreeMap<usize, BTreeSet<u32>>>,
     record: LogRecord,
     size: usize,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Takes a claim in if it fits.
+    /// Adds a claim. Returns false if it does not fit, or if its job or its machine is unknown.
     fn try_add(&mut self, shard: &Shard, id: &ClaimId) -> bool {
         let (Some(job), Some(machine)) = (shard.job(id.job), shard.machine(id.machine)) else {
             return false;
@@ -99,7 +100,7 @@
         true
     }
 
-    /// The oldest record's claims that still hold.
+    /// Adds the claims of the oldest segment that are still valid.
     fn move_live_claims(&mut self, shard: &mut Shard, oldest: u64) {
         let segment = shard.claim_log.segments.get(&oldest);
         for id in segment.map(|s| s.claims.clone()).unwrap_or_default() {
@@ -165,7 +166,7 @@
         });
     }
 
-    /// The record and what it changes; `None` if it says nothing.
+    /// Returns the record and its pending entries, or `None` if the record is empty.
     fn finish(self) -> Option<(LogRecord, PendingLogRecord)> {
         let record = &self.record;
         let is_empty =
@@ -174,7 +175,7 @@
     }
 }
 
-/// Ranges of tasks, each as its machine's name, its first task and its length.
+/// Ranges of tasks, each as machine name, first task and length.
 fn ranges_by_machine(
     shard: &Shard,
     machines: BTreeMap<usize, BTreeSet<u32>>,
@@ -191,7 +192,7 @@
 }
 
 impl ClaimLog {
-    /// The oldest record that still holds something, where there are too many records.
+    /// The oldest segment with live entries, if the log has more segments than allowed.
     fn segment_to_compact(&self, limits: &WriteLimits, machines: usize) -> Option<u64> {
         if self.segments.len() <= max_segments(limits, machines) {
             return None;
@@ -200,7 +201,7 @@
         Some(*number)
     }
 
-    /// Jobs whose results are to be written, those of a compacted record last.
+    /// Jobs whose results are to be written; those of the compacted segment come last.
     fn results_to_write(&self, compacted: Option<u64>) -> Vec<(JobIndex, ResultScope)> {
         let unsaved = self.unsaved.iter().map(|job| (*job, ResultScope::Unsaved));
         let moved = compacted
@@ -213,7 +214,8 @@
 }
 
 impl TransactionDraft {
-    /// One log record: claims as far as they fit, then results, then what is moved out of the oldest record.
+    /// Writes one log record: new claims as far as they fit, claims moved from the segment under compaction, then
+    /// results.
     pub(super) fn put_log_record(&mut self, shard: &mut Shard) {
         let ended = self.counts.take();
         let mut builder = LogRecordBuilder::new(shard.next_log(), ended, self.write_limits());
@@ -237,7 +239,7 @@
         }
     }
 
-    /// False if a claim names a job that nobody knows: then there is no record.
+    /// Adds claims that are not recorded yet. Returns false if a claim's job is unknown; no record is written then.
     fn add_fresh_claims(&mut self, shard: &mut Shard, builder: &mut LogRecordBuilder) -> bool {
         while let Some(id) = shard.claim_log.fresh.front().copied() {
             let Some(claim) = shard.claim_mut(&id).filter(|c| c.state == ClaimState::New) else {
@@ -248,14 +250,14 @@
             let Some(job) = shard.job(id.job) else {
                 return false;
             };
-            // What was planned for a job that has ended meanwhile is dropped: nothing was sent, and a guard on
-            // the job's record would fail the whole transaction.
+            // A planned claim that was not sent is dropped if its job has ended since: a condition on the job's
+            // record would fail the whole transaction.
             if job.is_ending() && !sent {
                 shard.claim_log.fresh.pop_front();
                 shard.drop_claim(&id);
                 continue;
             }
-            // The claims' jobs are guarded too: a claim must not come after its job's end.
+            // A condition on the job's record keeps a claim from being committed after its job's end.
             let (key, version) = (records::live_key(&job.id), job.version);
             let guarded = job.is_ending() || self.writes_to(&key);
             if (!guarded && !self.has_room_for_conditions()) || !builder.try_add(shard, &id) {
@@ -273,7 +275,8 @@
         true
     }
 
-    /// Writes an inventory shard as it stands now, or removes it. False if there is not room for all of its pieces.
+    /// Writes the current machines of an inventory shard, or removes its record if there are none. Returns false if
+    /// it has to be split into more than `max_records` records.
     pub(super) fn put_inventory_shard(
         &mut self,
         shard: &mut Shard,
@@ -287,8 +290,8 @@
         let key = records::inventory_key(SHARD, number);
         let version = inventory_shard.version;
         if inventory_shard.machines.is_empty() {
-            // Its number is not used again in this term. A late copy of the transaction that first wrote it finds
-            // no inventory shard of other machines in its place, and is taken for none.
+            // The number is not reused in this term: a delayed copy of the transaction that first wrote this shard
+            // never meets a shard of other machines under its key.
             shard.claim_log.inventory.remove(&number);
             if version > 0 {
                 self.remove(key, version);
@@ -300,11 +303,11 @@
         let max_bytes = shard.limits.value_bytes();
         let mut pieces = shard.inventory_pieces(&inventory_shard.machines, max_bytes);
         if pieces.len() > 1 && shard.split_unrecorded(number, max_bytes) {
-            // What has never been recorded needs not move in one transaction with the rest.
+            // Machines that were never recorded do not have to move in the same transaction as the others.
             return self.put_inventory_shard(shard, number, max_records);
         }
         if pieces.len() > shard.limits.changes() {
-            // As it stands, until enough of its machines are gone.
+            // Too many pieces for one transaction: the record stays as it is until enough machines are gone.
             return true;
         }
         if pieces.len() > max_records {
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The leader's records in the state service: its compare-and-swap transactions, the log of write-ahead claims, and how
-//! all of it is read back after a failover.
+//! The leader's persistent state: compare-and-swap transactions against the state service, the write-ahead log of
+//! claims, and recovery of both after a failover.
 
 pub(crate) mod allotment;
 pub(crate) mod apply;
--- a/crates/control/src/store/returned_machines.rs
+++ b/crates/control/src/store/returned_machines.rs
@@ -1,29 +1,28 @@
-//! Machines that were returned to the cloud: old lists and heartbeats may still name them.
+//! Machines recently returned to the cloud, which outdated lists and heartbeats may still name.
 
 use std::collections::HashMap;
 
-/// Lists and heartbeats that come later than this after a machine's return are taken for a machine's that nobody knows;
-/// names never come back, so only memory speaks for forgetting them.
+/// How long a returned machine is remembered. A list or heartbeat that names it later is taken to name an unknown
+/// machine. Names are never reused, so entries are dropped only to save memory.
 const RETENTION_MS: u64 = 600_000;
 
-/// Names of returned machines, each with the time of its return.
+/// Return times of machines, by name.
 #[derive(Debug, Default)]
 pub(crate) struct ReturnedMachines {
     returned_at: HashMap<String, u64>,
 }
 
 impl ReturnedMachines {
-    /// A machine has been returned.
     pub fn add(&mut self, name: String, now: u64) {
         self.returned_at.insert(name, now);
     }
 
-    /// Whether a machine was returned lately.
+    /// Whether a machine was returned recently.
     pub fn contains(&self, name: &str) -> bool {
         self.returned_at.contains_key(name)
     }
 
-    /// Keeps only what later lists may still need.
+    /// Drops entries older than the retention time.
     pub fn forget_old(&mut self, now: u64) {
         self.returned_at.retain(|_, at| *at + RETENTION_MS > now);
     }
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -1,8 +1,9 @@
-//! A transaction of the leader's that the state service has refused for its size. It was not applied: what it would
-//! have recorded goes back to where it was gathered, in its order, and is cut anew by smaller limits.
+//! Handles a transaction of the leader that the state service refused for its size. It was not applied: its contents
+//! go back to the queues they came from, in the same order, and are written in smaller transactions.
 //!
-//! A transaction that was tried before without an answer is another case: an earlier try may stand, or may yet land.
-//! [`crate::store::commit`] reads what stands, and the leader steps down where that does not say.
+//! A transaction with an earlier unanswered attempt is handled by [`crate::store::commit`] instead: that attempt may
+//! have been applied, or may be applied later. The current state is read then, and the leader steps down if that does
+//! not settle the outcome.
 
 use crate::Node;
 use crate::agents::machine::ClaimState;
@@ -15,44 +16,46 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// After a refusal the next try waits so long, in milliseconds, and longer with each that follows.
+/// Delay before the next transaction after a refusal, in milliseconds. It doubles with each further refusal in a row.
 const RETRY_DELAY_MS: Range<u64> = 20..80;
 const MAX_DELAY_DOUBLINGS: u32 = 6;
-/// A leader whose smallest transactions are refused leaves the fleet to others for so long.
+/// How long a leader whose smallest transactions are refused stays out of the election after stepping down, in
+/// milliseconds.
 const ABSTAIN_MS: Range<u64> = 2000..6000;
 
-/// What of one kind was refused for its size, for the operators' log.
+/// Writes that were refused as invalid, for logging and for the back-off.
 #[derive(Debug, Default)]
 pub(crate) struct Refusals {
-    /// Kinds that were logged.
+    /// Kinds of write whose refusal was logged; each kind is logged once.
     logged: BTreeSet<&'static str>,
     consecutive: u32,
 }
 
 impl Refusals {
-    /// One of the leader's transactions was applied.
+    /// Resets the back-off, once a transaction of the leader was applied.
     pub fn reset(&mut self) {
         self.consecutive = 0;
     }
 }
 
 impl Node {
-    /// A write was refused as it can't be taken, whatever it was of.
+    /// Counts a write that the state service refused as invalid, and logs the first of each kind.
     pub(crate) fn write_refused(&mut self, kind: &'static str, what: &str) {
         self.stats.refused_writes += 1;
         if self.refusals.logged.insert(kind) {
             let (value, changes) = (self.write_limits.value_kb(), self.write_limits.changes());
             let out = self.shard.as_ref().map_or((0, 0), |p| p.commit.size());
             log::error!(
-                "{kind}: refused by the state service with 400: {what}; written for values of {value} KiB and \
-                 {changes} changes a transaction; the leader's own has {} changes in {} bytes",
+                "{kind}: refused by the state service with 400: {what}; current limits are values of {value} KiB and \
+                 {changes} changes per transaction; the leader's transaction has {} changes in {} bytes",
                 out.0,
                 out.1
             );
         }
     }
 
-    /// The leader's transaction was refused, and no earlier try of it can stand.
+    /// Reverts the leader's refused transaction, so that its contents are written in smaller ones. No earlier attempt
+    /// of it can have been applied.
     pub(crate) fn split_refused_transaction(&mut self) {
         let Some(shard) = &mut self.shard else { return };
         let changes = shard.commit.size().0;
@@ -75,7 +78,7 @@
             }
         }
         if !limits_shrank && doublings >= MAX_DELAY_DOUBLINGS {
-            self.step_down("its smallest transactions are refused");
+            self.step_down("the state service refuses even the smallest transactions");
             let ms = self.rng.u64(ABSTAIN_MS);
             self.stand_aside(ms);
         }
@@ -83,8 +86,8 @@
 }
 
 impl Shard {
-    /// Undoes what was noted of one thing when it went into a transaction that was refused. A change of a document has
-    /// to be cut into other parts: its kind is returned.
+    /// Reverts the in-memory changes made when a write was added to the transaction that was refused. Returns the
+    /// kind of a document whose change has to be divided into other parts.
     fn revert_write(&mut self, write: PendingWrite) -> Option<KindId> {
         match write {
             PendingWrite::End(index) => {
@@ -117,7 +120,7 @@
             PendingWrite::Allotment(previous) => self.allotment.revert(*previous),
             PendingWrite::Hour(hour, _) => self.hours.take_back(hour),
             PendingWrite::DocumentPart(kind, _) | PendingWrite::Head(kind) => return Some(kind),
-            // Their states say that they are still to be written.
+            // Their own state still marks them as to be written.
             PendingWrite::Token(_)
             | PendingWrite::Rental(_)
             | PendingWrite::RemoveRental(_)
--- a/crates/control/src/store/write_rate.rs
+++ b/crates/control/src/store/write_rate.rs
@@ -1,19 +1,19 @@
-//! How many changes a second the state service is taken to bear, where the settings name a smaller rate to come.
+//! Estimates how many changes per second the state service accepts, if the settings announce a lower rate.
 //!
-//! When it begins is not said: it shows by refused writes. From some of them in a short time on, the smaller rate is
-//! kept to, until none was refused for a while. A wrong guess either way costs refusals or a little time and nothing
-//! else, so unlike the sizes of records this one is taken back.
+//! The settings do not say when the lower rate takes effect; only refused writes show it. After several refusals
+//! within a short time, this node keeps to the lower rate until no write has been refused for a while. A wrong
+//! estimate costs no more than some refusals or a short delay, so unlike the limits on record sizes it is reverted.
 
 use crate::Node;
 use crate::leadership::election::{LEADER_WRITES, OTHER_WRITES};
 
-/// So many refusals within this time, in milliseconds, say that the smaller rate holds.
+/// This many refusals within `REFUSAL_WINDOW_MS` mean that the lower rate is in effect.
 const REFUSAL_THRESHOLD: u32 = 3;
 const REFUSAL_WINDOW_MS: u64 = 2000;
-/// After the last of them it is kept to for so long.
+/// How long the lower rate is kept to after the last refusal.
 const REDUCED_RATE_MS: u64 = 30_000;
 
-/// What refusals have said so far. Times are of this node's steady clock.
+/// The current estimate, and the refusals it is based on. Times are of this node's monotonic clock.
 #[derive(Debug, Default)]
 pub(crate) struct WriteRate {
     refusals: u32,
@@ -23,7 +23,7 @@
 }
 
 impl WriteRate {
-    /// A write was refused since there were too many.
+    /// Records a write that was refused because of the rate of changes.
     pub fn note_refusal(&mut self, now: u64) {
         if now >= self.window_start + REFUSAL_WINDOW_MS {
             (self.refusals, self.window_start) = (0, now);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Whether the smaller rate is to be kept to; the second says that this is new.
+    /// Returns whether the lower rate applies, and whether that has changed since the last call.
     fn update(&mut self, now: u64) -> (bool, bool) {
         let reduced = now < self.reduced_until;
         (
@@ -45,7 +45,7 @@
 }
 
 impl Node {
-    /// Changes that all controllers together may make in a second, as far as is known.
+    /// Changes per second that all controllers together may make, by the current estimate.
     pub(crate) fn changes_per_s(&self) -> f64 {
         if self.write_rate.is_reduced {
             self.write_limits.changes_per_s()
@@ -54,7 +54,7 @@
         }
     }
 
-    /// This node's own part of them.
+    /// This node's share of that rate.
     fn share_of_writes(&self) -> f64 {
         let share = if self.leads() {
             LEADER_WRITES
@@ -64,7 +64,7 @@
         self.changes_per_s() * share
     }
 
-    /// A write was refused since there were too many.
+    /// Records a write that was refused because of the rate of changes, if the settings announce a lower rate.
     pub(crate) fn note_rate_refusal(&mut self) {
         if self.write_limits.changes_per_s() < self.settings.cluster.state.write_rps {
             self.write_rate.note_refusal(self.now.mono);
