--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -1,8 +1,9 @@
-//! What stands of the shard in the state service, and what is still to be written there.
+//! The shard's contents in the state service, and what is still to be written there.
 //!
-//! Claims and results go into a log: one record a turn, whatever the number of machines. A record is removed when
-//! all its claims have ended and all jobs whose results it holds have; so it may name claims that are over, which
-//! costs a new leader a moment's caution and nothing else. Machines stand in inventory shards, many to a record.
+//! Claims and results are appended to a log in batches: one record per turn, whatever the number of machines. A
+//! record is removed once all its claims and all jobs whose results it holds have ended. It may therefore name claims
+//! that are over, which only makes a new leader cautious for a moment. Machines are recorded in inventory shards,
+//! many to a record.
 
 use crate::agents::machine::Claim;
 use crate::jobs::job::{Ending, JobIndex};
@@ -10,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wire::api::Stage;
 
-/// One claim, for ever: attempts never repeat.
+/// Identifies a claim permanently, as attempt numbers are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ClaimId {
     pub machine: usize,
@@ -20,7 +21,7 @@
 }
 
 impl ClaimId {
-    /// Whether a claim on its machine is this one.
+    /// Whether this identifies the given claim on its machine.
     pub fn matches(&self, claim: &Claim) -> bool {
         claim.job == self.job && claim.task == self.task && claim.attempt == self.attempt
     }
@@ -30,22 +31,23 @@
 #[derive(Default)]
 pub(crate) struct Segment {
     pub version: u64,
-    /// Claims in it that hold.
+    /// Number of its claims that are still valid.
     pub live_claims: u32,
     /// Jobs that have not ended and whose results it holds.
     pub jobs: BTreeSet<JobIndex>,
-    /// All its claims, for moving those that still hold.
+    /// All its claims; compaction moves those that are still valid.
     pub claims: Vec<ClaimId>,
-    /// It has counts that are not in their sheets yet.
+    /// Whether it holds county counts that are not in their counter sheets yet.
     pub has_unfolded_counts: bool,
 }
 
 impl Segment {
-    /// It says nothing any more.
+    /// Whether nothing in it is needed any more.
     fn is_garbage(&self) -> bool {
         !self.has_live_entries() && !self.has_unfolded_counts
     }
-    /// It has claims or results that are still wanted.
+
+    /// Whether it has claims or results that are still needed.
     pub fn has_live_entries(&self) -> bool {
         self.live_claims > 0 || !self.jobs.is_empty()
     }
@@ -57,15 +59,15 @@
     /// 0 until it is recorded.
     pub version: u64,
     pub machines: BTreeSet<usize>,
-    /// Bound on its record's length.
+    /// Upper bound on the length of its record.
     pub size: usize,
 }
 
-/// The log of write-ahead claims and the inventory, as they stand and as they are to be written.
+/// The write-ahead log of claims and the inventory: what is recorded, and what is to be written.
 #[derive(Default)]
 pub(crate) struct ClaimLog {
     pub segments: BTreeMap<u64, Segment>,
-    /// Segments that say nothing any more.
+    /// Segments whose records are to be removed.
     pub garbage: BTreeSet<u64>,
     /// Claims to be recorded, most urgent first.
     pub fresh: VecDeque<ClaimId>,
@@ -74,16 +76,16 @@
     /// Jobs whose end is to be recorded, cancelled ones first.
     pub ending: VecDeque<JobIndex>,
     pub inventory: BTreeMap<u64, InventoryShard>,
-    /// Inventory shards to be written: those with machines that are new, and those that only lost some.
+    /// Inventory shards to be written: those with new machines, and those that only lost machines.
     pub grown_inventory: BTreeSet<u64>,
     pub shrunk_inventory: BTreeSet<u64>,
-    /// An inventory shard that a transaction had no room for.
+    /// An inventory shard whose pieces did not fit into a transaction.
     pub to_split: Option<u64>,
     next_inventory_shard: u64,
 }
 
 impl ClaimLog {
-    /// Changes a segment, which may be over then.
+    /// Updates a segment, and marks it for removal if nothing in it is needed any more.
     fn update_segment(&mut self, number: u64, update: impl FnOnce(&mut Segment)) {
         if let Some(segment) = self.segments.get_mut(&number) {
             update(segment);
@@ -93,12 +95,12 @@
         }
     }
 
-    /// A claim of this segment has ended.
+    /// Records that a claim of this segment has ended.
     pub fn ended(&mut self, segment: u64) {
         self.update_segment(segment, |s| s.live_claims = s.live_claims.saturating_sub(1));
     }
 
-    /// A job's results need no longer stand in these segments.
+    /// Records that a job's results no longer have to be in these segments.
     pub fn release_results(&mut self, job: JobIndex, segments: impl IntoIterator<Item = u64>) {
         for number in segments {
             self.update_segment(number, |s| {
@@ -107,20 +109,20 @@
         }
     }
 
-    /// The counts of these segments are in their sheets.
+    /// Records that the counts of these segments are in their counter sheets.
     pub fn counted(&mut self, segments: impl IntoIterator<Item = u64>) {
         for number in segments {
             self.update_segment(number, |s| s.has_unfolded_counts = false);
         }
     }
 
-    /// A job's end is to be recorded; its results need not be.
+    /// Queues a job's end to be recorded; its results no longer have to be.
     fn queue_end(&mut self, job: JobIndex, stage: Stage) {
         self.unsaved.remove(&job);
         if self.ending.contains(&job) {
             return;
         }
-        // A cancel has somebody waiting for it, and tasks that run for nobody.
+        // Cancellations come first: a client waits for each, and its tasks use machines for no purpose.
         if stage == Stage::Cancelled {
             self.ending.push_front(job);
         } else {
@@ -128,7 +130,7 @@
         }
     }
 
-    /// A segment is in place, or was read back.
+    /// Adds a segment that was committed or read back.
     pub fn add_segment(&mut self, number: u64, segment: Segment) {
         if segment.is_garbage() {
             self.garbage.insert(number);
@@ -136,9 +138,10 @@
         self.segments.insert(number, segment);
     }
 
-    /// The inventory shard for a machine that adds so much to a record of at most `limit`.
+    /// Assigns a machine to an inventory shard, and returns the shard's number. The machine adds `size` bytes to the
+    /// record, which may have at most `limit`.
     pub fn assign_inventory_shard(&mut self, machine: usize, size: usize, limit: usize) -> u64 {
-        // The last one, or a new one: inventory shards that lost machines shrink until they are gone.
+        // The last shard or a new one: shards that lost machines are not refilled, but shrink until they are removed.
         let open = self
             .inventory
             .iter()
@@ -154,13 +157,13 @@
         number
     }
 
-    /// An inventory shard as it was read back.
+    /// Adds an inventory shard that was read back.
     pub fn load_inventory_shard(&mut self, number: u64, inventory_shard: InventoryShard) {
         self.next_inventory_shard = self.next_inventory_shard.max(number + 1);
         self.inventory.insert(number, inventory_shard);
     }
 
-    /// Takes machines that add up to this size out of an inventory shard, into a new one.
+    /// Moves machines that add up to `size` bytes from an inventory shard to a new one, and returns its number.
     pub fn split_inventory_shard(&mut self, from: u64, machines: &[usize], size: usize) -> u64 {
         if let Some(inventory_shard) = self.inventory.get_mut(&from) {
             inventory_shard.machines.retain(|m| !machines.contains(m));
@@ -177,7 +180,7 @@
         number
     }
 
-    /// Puts an inventory shard that was never recorded into another, and returns its machines.
+    /// Merges an inventory shard that was never recorded into another one, and returns its machines.
     pub fn merge_inventory_shard(&mut self, number: u64, into: u64) -> Vec<usize> {
         let Some(inventory_shard) = self.inventory.remove(&number) else {
             return Vec::new();
@@ -191,7 +194,7 @@
         inventory_shard.machines.into_iter().collect()
     }
 
-    /// A machine is gone from its inventory shard.
+    /// Removes a machine from its inventory shard.
     pub fn remove_from_inventory_shard(&mut self, number: u64, machine: usize, size: usize) {
         if let Some(inventory_shard) = self.inventory.get_mut(&number)
             && inventory_shard.machines.remove(&machine)
@@ -203,7 +206,7 @@
 }
 
 impl Shard {
-    /// Puts a claim on a machine, to be recorded.
+    /// Adds a claim to its machine and its job, and queues it to be recorded.
     pub fn make_claim(&mut self, id: ClaimId, claim: Claim) {
         if self.job(id.job).is_none() || self.machine(id.machine).is_none() {
             return;
@@ -217,13 +220,13 @@
         self.claim_log.fresh.push_back(id);
     }
 
-    /// The claim, while it holds.
+    /// The claim, if it is still valid.
     pub fn claim_mut(&mut self, id: &ClaimId) -> Option<&mut Claim> {
         let machine = self.machines.get_mut(id.machine)?;
         machine.claims.iter_mut().find(|c| id.matches(c))
     }
 
-    /// Notes that results of a job, or its end, are to be recorded.
+    /// Queues a job's results, or its end, to be recorded.
     pub fn job_to_write(&mut self, index: JobIndex) {
         let Some(job) = self.jobs.get(index) else {
             return;
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -1,8 +1,8 @@
-//! The leader's writes: one transaction at a time, each taking along all that has gathered.
+//! Commits the leader's writes, one transaction at a time, each with the changes that have accumulated.
 //!
-//! Every transaction is guarded by the leader record and by the version of each key it changes, so that one
-//! that lands late, or from an earlier leader, changes nothing. Without an answer the same bytes are sent
-//! again: either the first or the second is applied, never both.
+//! Every transaction has conditions on the leader record and on the version of each key it changes, so that one that
+//! arrives late, or that an earlier leader sent, changes nothing. If no answer arrives, the same bytes are sent
+//! again: at most one of the attempts is applied.
 
 use crate::jobs::job::JobIndex;
 use crate::leadership::election::SHARD;
@@ -13,37 +13,38 @@
 use wire::http::Response;
 use wire::records;
 
-/// An answer that takes longer is none.
+/// Timeout of a transaction or of a probe of its outcome.
 const ANSWER_TIMEOUT_MS: u64 = 2000;
 
-/// After how long a transaction that was not answered, or refused for now, is sent again.
+/// Delay before a transaction is sent again that was not answered or was refused temporarily.
 const RETRY_MS: ops::Range<u64> = 50..250;
 
-/// After how long it is sent again where the question whether it is in place was not answered.
+/// Delay before a transaction is sent again if the probe of its outcome was not answered.
 const RETRY_UNVERIFIED_MS: u64 = 200;
 
-const STEP_DOWN_UNEXPLAINED_CONFLICT: &str = "a transaction failed though nothing stood against it";
+const STEP_DOWN_UNEXPLAINED_CONFLICT: &str =
+    "a transaction was refused, and no earlier attempt of it was applied";
 
-/// The transaction that is under way, if there is one.
+/// The pending transaction, if there is one.
 #[derive(Default)]
 pub(crate) struct Commit {
     pending_writes: Vec<PendingWrite>,
-    /// Empty while there is none.
+    /// The encoded transaction; empty if there is none.
     body: Vec<u8>,
     probe: Option<Probe>,
     in_flight: bool,
-    /// A try was not answered: it may have been applied, or may yet be.
+    /// An attempt was not answered: it may have been applied, or may be applied later.
     outcome_unknown: bool,
     retry_at: u64,
     writes: usize,
-    /// When the token was last to be raised.
+    /// When raising the token was last attempted.
     pub(super) token_attempted_at: u64,
-    /// When results and losses alone were last worth a write.
+    /// When results and removed machines were last written without waiting for other writes.
     pub(super) last_cleanup_at: u64,
 }
 
 impl Commit {
-    /// A transaction is under way, or may be.
+    /// Whether a transaction is pending: it was begun, and its outcome is not known yet.
     pub fn is_out(&self) -> bool {
         !self.body.is_empty()
     }
@@ -63,7 +64,7 @@
         self.outcome_unknown = false;
     }
 
-    /// Ends the transaction, which is in place: what it changes in memory.
+    /// Ends the transaction after it was applied, and returns its writes, to be applied in memory.
     pub(super) fn take_applied(&mut self) -> Vec<PendingWrite> {
         self.end()
     }
@@ -74,17 +75,17 @@
         std::mem::take(&mut self.pending_writes)
     }
 
-    /// Changes of the transaction that is under way, and its bytes.
+    /// The number of changes and of bytes of the pending transaction.
     pub fn size(&self) -> (usize, usize) {
         (self.writes, self.body.len())
     }
 
-    /// The transaction under way is not sent again. Returns what it would have recorded.
+    /// Ends the transaction without sending it again, and returns its writes, to be reverted.
     pub fn abandon(&mut self) -> Vec<PendingWrite> {
         self.end()
     }
 
-    /// No transaction begins before.
+    /// No transaction is sent before this time.
     pub fn wait_until(&mut self, time: u64) {
         self.retry_at = time;
     }
@@ -98,13 +99,13 @@
     }
 }
 
-/// Whether a transaction failed since our leader record no longer stands, or for reasons that can't be read.
+/// Whether a transaction failed because our leader record has been replaced or removed, or for an unreadable reason.
 fn leadership_lost(response: Option<&Response>) -> bool {
     let conflict = response.and_then(|r| wire::decode::<Conflict>(&r.body).ok());
     conflict.is_none_or(|c| c.failed.contains(&records::leader_key(SHARD)))
 }
 
-/// The version that an item stands at, whatever it says.
+/// The version of an item, whatever its value.
 fn version_of(response: &Response) -> Option<u64> {
     #[derive(serde::Deserialize)]
     struct IgnoredValue {}
@@ -113,7 +114,7 @@
 }
 
 impl Node {
-    /// Sends the next transaction, or the last one again, if it is time.
+    /// Sends the next transaction, or the pending one again, if it is time.
     pub(crate) fn flush_commit(&mut self) {
         let now = self.now.mono;
         let has_valid_lease = self.may_decide();
@@ -122,7 +123,7 @@
             return;
         }
         if shard.commit.is_out() {
-            // The last transaction again, as it was.
+            // The pending transaction is sent again unchanged.
             if self.requests.level(now) >= 1.0 {
                 self.send_transaction();
             }
@@ -167,12 +168,12 @@
         );
     }
 
-    /// The answer to a transaction, or that there is none.
+    /// Handles the answer to a transaction; `None` if there was no answer.
     pub(crate) fn committed(&mut self, response: Option<Response>) {
         let retry_at = self.now.mono + self.rng.u64(RETRY_MS);
         let Some(shard) = &mut self.shard else { return };
         shard.commit.in_flight = false;
-        // Whatever has gathered meanwhile.
+        // Changes may have accumulated meanwhile.
         self.to_write = true;
         let Some(response) = response else {
             shard.commit.outcome_unknown = true;
@@ -185,30 +186,33 @@
                     self.refusals.reset();
                     self.apply(r.revision)
                 }
-                Err(_) => self.step_down("an unreadable answer to a transaction"),
+                Err(_) => self.step_down("the answer to a transaction is unreadable"),
             },
             409 if shard.commit.outcome_unknown && leadership_lost(Some(&response)) => {
-                // A later leader may have written the same keys: what stands there says nothing of our own tries.
+                // A later leader may have written the same keys: their versions say nothing about our own attempts.
                 self.step_down("another leader, or none, stands in the state service");
             }
-            // Only this term's transactions write these keys, so an earlier try is what makes this one fail.
-            // Refused for its size, it may have stood since one, before the limits changed.
+            // Only this term's transactions write these keys, so a conflict means that an earlier attempt was
+            // applied. A transaction refused for its size may also have been applied by an earlier attempt, before
+            // the limits changed.
             409 | 400 if shard.commit.outcome_unknown => self.probe_outcome(),
             400 => self.split_refused_transaction(),
             429 | 503 => shard.commit.retry_at = retry_at,
             other => {
                 let body = String::from_utf8_lossy(&response.body);
-                self.step_down(&format!("a transaction was refused with {other}: {body:?}"));
+                self.step_down(&format!(
+                    "a transaction was refused with status {other}: {body:?}"
+                ));
             }
         }
     }
 
-    /// Asks whether an earlier try is in place.
+    /// Reads the probe's key to find out whether an earlier attempt was applied.
     fn probe_outcome(&mut self) {
         let term = self.term;
         let Some(shard) = &mut self.shard else { return };
         let Some(probe) = &shard.commit.probe else {
-            return self.step_down("a transaction without keys");
+            return self.step_down("a transaction with an unknown outcome has no key to check");
         };
         let path = format!("/keys/{}", probe.key);
         shard.commit.in_flight = true;
@@ -222,8 +226,9 @@
         );
     }
 
-    /// Ends that were not answered may be recorded, and others may read them and tell of them before we hear: from then
-    /// on the tasks of what was cancelled have to go.
+    /// Updates the jobs whose ends are in an unanswered transaction. The ends may have been recorded, and other
+    /// controllers may read and report them before this one knows; from then on the tasks of cancelled jobs have to
+    /// be stopped.
     fn update_possibly_ended_jobs(&mut self) {
         let Some(shard) = &self.shard else { return };
         for job in shard.commit.ended_jobs() {
@@ -231,7 +236,7 @@
         }
     }
 
-    /// What stands where a transaction whose outcome is unknown would have written.
+    /// Handles the answer to the probe of a transaction whose outcome is unknown.
     pub(crate) fn verified(&mut self, response: Option<Response>) {
         let Some(shard) = &mut self.shard else { return };
         shard.commit.in_flight = false;
@@ -247,7 +252,7 @@
             },
             Some(r) if r.status == 404 && probe.removed => self.apply(0),
             Some(r) if r.status == 404 => self.step_down(STEP_DOWN_UNEXPLAINED_CONFLICT),
-            // Asked again by way of the next try of the transaction.
+            // The next attempt of the transaction leads to another probe.
             _ => shard.commit.retry_at = self.now.mono + RETRY_UNVERIFIED_MS,
         }
     }
--- a/crates/control/src/store/rate_budget.rs
+++ b/crates/control/src/store/rate_budget.rs
@@ -1,6 +1,6 @@
-//! Shares of limits that all controllers live under.
+//! Token buckets for this controller's share of rate limits that apply to all controllers together.
 
-/// A token bucket with bursts of one second's worth.
+/// A token bucket that allows bursts of one second's worth of tokens.
 pub(crate) struct Bucket {
     rate: f64,
     level: f64,
@@ -24,12 +24,12 @@
         self.rate
     }
 
-    /// What `share` of a second's worth is.
+    /// Number of tokens that make up this share of one second's worth.
     pub fn share_of_second(&self, share: f64) -> f64 {
         self.rate * share
     }
 
-    /// What may be spent now.
+    /// Number of tokens available now; negative while the bucket is overdrawn.
     pub fn level(&mut self, now: u64) -> f64 {
         let elapsed_s = now.saturating_sub(self.at) as f64 / 1000.0;
         self.at = self.at.max(now);
@@ -37,7 +37,7 @@
         self.level
     }
 
-    /// Spends, into debt if need be: for what can't wait.
+    /// Takes tokens even if that overdraws the bucket, for requests that cannot be delayed.
     pub fn take(&mut self, now: u64, n: f64) {
         self.level(now);
         self.level -= n;
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -1,4 +1,4 @@
-//! What one transaction of the leader's carries, and how it is filled: most urgent first, as far as there is room.
+//! The contents of one transaction of the leader: pending writes, most urgent first, as far as there is room.
 
 use crate::documents::county_counts::EndedCounts;
 use crate::documents::{KindId, hours};
@@ -14,20 +14,20 @@
 use wire::api::{Condition, Write};
 use wire::records::{self, EndRecord, Record, TokenRecord};
 
-/// Results and returned machines wait this long for something to travel with.
+/// Results and returned machines wait up to this long for other writes to share a transaction with.
 const CLEANUP_INTERVAL_MS: u64 = 1000;
 
-/// Larger transactions are cut: one more record, and the longer form that the service counts in, still stay below
-/// its 64 KiB.
+/// Nothing is added to a transaction that has reached this size: with one more record, and in the longer encoding
+/// that the service counts, it still stays below the service's limit of 64 KiB.
 const MAX_TRANSACTION_BYTES: usize = 24 * 1024;
 
-/// A token that did not rise is tried again after this time.
+/// Minimum time between two attempts to raise the token.
 const TOKEN_RETRY_MS: u64 = 3000;
 
-/// The state service's own form of a value takes up to so many times our own.
+/// Upper bound on the length of a value in the state service's encoding, relative to ours.
 const SERVICE_ENCODING_FACTOR: f64 = 1.3;
 
-/// A write of a transaction, as what it changes in memory once it is in place.
+/// A write of a pending transaction, with what is needed to apply it in memory once it is committed.
 pub(crate) enum PendingWrite {
     End(JobIndex),
     Token(u64),
@@ -36,42 +36,43 @@
     Log(PendingLogRecord),
     RemoveLog(u64),
     CounterSheets(county::Fold),
-    /// An inventory shard with the names of its machines: by the time that it stands, a place in memory may be
-    /// another one's.
+    /// An inventory shard, with the names of its machines: by the time it is committed, a machine's slot may hold
+    /// another machine.
     InventoryShard(u64, Vec<String>),
-    /// The same for machines that were moved out of another inventory shard, which is rewritten in this transaction.
+    /// A new inventory shard, the shard its machines were moved out of, which the same transaction rewrites, and the
+    /// machines' names.
     InventoryPiece(u64, u64, Vec<String>),
-    /// An empty inventory shard's removal, with its version.
+    /// The removal of an empty inventory shard, with its version.
     RemoveInventoryShard(u64, u64),
     Catalog,
-    /// An allotment, with what stood before it.
+    /// An allotment, with the state before the write.
     Allotment(Box<AllotmentState>),
-    /// A document's part, its removal, its head.
+    /// The write or the removal of a part of a document, or the write of its head.
     DocumentPart(KindId, String),
     RemoveDocumentPart(KindId, String),
     Head(KindId),
-    /// A moved hour, with the time of the move.
+    /// A moved release hour, with the wall-clock time of the move.
     Hour(hours::HourMove, u64),
 }
 
-/// A key that tells whether a transaction whose answer was lost is in place.
+/// A key that shows whether a transaction whose answer was lost has been applied.
 #[derive(Clone)]
 pub(crate) struct Probe {
     pub key: String,
     pub version_before: u64,
-    /// The transaction removes the key.
+    /// Whether the transaction removes the key.
     pub removed: bool,
 }
 
-/// Bounds of one transaction.
+/// Limits of one transaction.
 #[derive(Clone, Copy)]
 struct TransactionLimits {
     max_writes: usize,
-    /// What records and transactions are built to.
+    /// Limits on the sizes of records and transactions.
     write_limits: WriteLimits,
 }
 
-/// A transaction that is being filled.
+/// A transaction under construction.
 pub(crate) struct TransactionDraft {
     pub pending_writes: Vec<PendingWrite>,
     pub(super) conditions: Vec<Condition>,
@@ -79,12 +80,12 @@
     pub(super) probe: Option<Probe>,
     size: usize,
     limits: TransactionLimits,
-    /// Counts of the jobs that it ends, for its log record.
+    /// Counts of the jobs that the transaction ends, for its log record.
     pub counts: EndedCounts,
 }
 
 impl TransactionDraft {
-    /// Gathers what is to be written. `None` if there is nothing.
+    /// Collects pending writes. Returns `None` if there are none.
     pub fn fill(
         shard: &mut Shard,
         shared: &mut Shared,
@@ -139,11 +140,11 @@
         }
     }
 
-    /// Puts a record in the place of the version that is known; 0 for none.
+    /// Writes a record, on condition that its key is at this version; 0 if it must not exist.
     pub fn put(&mut self, key: String, version: u64, record: Record) {
         self.size += wire::encode(&record).len() + key.len();
-        // A record that is put also tells at which revision; guards against versions taken from a removal,
-        // which has none.
+        // A written record is preferred to a removed one as the probe, because it also shows at which revision the
+        // transaction was applied.
         if self.probe.as_ref().is_none_or(|p| p.removed) {
             self.probe = Some(Probe {
                 key: key.clone(),
@@ -155,14 +156,14 @@
         self.writes.push(Write::put(key, record));
     }
 
-    /// Writes what is named by its own digest: whatever stands there already is the same. So it can't tell whether
-    /// this transaction was applied, and has no guard but the leader's.
+    /// Writes a record whose key contains its digest: a record that exists under this key is identical. It therefore
+    /// cannot show whether this transaction was applied, and needs no condition besides that on the leader record.
     pub fn put_part(&mut self, key: String, record: Record) {
         self.size += wire::encode(&record).len() + key.len();
         self.writes.push(Write::put(key, record));
     }
 
-    /// Removes a record of which this version is known.
+    /// Removes a record, on condition that it is at this version.
     pub fn remove(&mut self, key: String, version: u64) {
         if self.probe.is_none() {
             self.probe = Some(Probe {
@@ -175,22 +176,22 @@
         self.writes.push(Write::Remove { key });
     }
 
-    /// Lets the transaction fail unless this version of the key stands.
+    /// Adds a condition: the transaction fails unless the key is at this version.
     pub(super) fn guard(&mut self, key: String, version: u64) {
         self.conditions.push(Condition { key, version });
     }
 
-    /// Whether it changes this key already.
+    /// Whether the transaction has a condition on this key, as for every key that `put` or `remove` was called with.
     pub fn writes_to(&self, key: &str) -> bool {
         self.conditions.iter().any(|g| g.key == key)
     }
 
-    /// What records and transactions are built to.
+    /// Limits on the sizes of records and transactions.
     pub(super) fn write_limits(&self) -> &WriteLimits {
         &self.limits.write_limits
     }
 
-    /// Writes that the transaction has room for.
+    /// Number of writes that the transaction still has room for.
     fn writes_left(&self) -> usize {
         self.limits.max_writes.saturating_sub(self.writes.len())
     }
@@ -205,8 +206,8 @@
             && self.has_room_for_conditions()
     }
 
-    /// Ends come first, but they do not keep claims waiting for ever. So does a document's head, with what is written
-    /// beside it: `head_writes` in all.
+    /// Adds ends of jobs. They come first, but leave room for a log record of waiting claims, so that these are not
+    /// delayed indefinitely, or for a document's head and the writes that accompany it, `head_writes` in total.
     fn put_ends(&mut self, shard: &mut Shard, head_writes: Option<usize>, wall: u64) {
         let max_writes = self.writes_for_ends(shard, head_writes);
         while self.writes.len() + 2 <= max_writes
@@ -220,7 +221,8 @@
         }
     }
 
-    /// What is counted needs a log record in the same transaction; one for claims does for both.
+    /// Number of writes up to which ends are added. Counts of ended jobs need a log record in the same transaction;
+    /// if claims are waiting, one record serves both.
     fn writes_for_ends(&self, shard: &Shard, head_writes: Option<usize>) -> usize {
         let budget = self.limits.max_writes;
         let for_counts = shard.county_counts.reserved_writes(budget);
@@ -288,7 +290,7 @@
         }
     }
 
-    /// Claims, with the results that have gathered. Room is left for the guards on the claims' jobs.
+    /// Adds log records with claims and accumulated results, while there is room for conditions on the claims' jobs.
     fn put_log_records(&mut self, shard: &mut Shard, cleanup_due: bool) {
         if self.counts.log_records_due() > 0 {
             self.put_log_record(shard);
@@ -305,7 +307,8 @@
         }
     }
 
-    /// An inventory shard that needs most of a transaction for itself, once in a while.
+    /// Adds an inventory shard that did not fit into an earlier transaction, if this one may use all its changes:
+    /// splitting the shard may take most of them.
     fn put_split_inventory(&mut self, shard: &mut Shard) {
         let budget = self.limits.max_writes;
         if budget == self.limits.write_limits.changes()
@@ -339,7 +342,7 @@
         }
     }
 
-    /// A rental goes only together with, or after, the record of its machines.
+    /// Removes answered rentals. A rental's record is removed in the transaction that records its machines, or later.
     fn remove_rentals(&mut self, shard: &Shard) {
         let is_answered = |state: RentalState| state == RentalState::Over;
         for (name, rental) in shard.rentals.iter().filter(|(_, r)| is_answered(r.state)) {
