--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -1,9 +1,8 @@
 //! The shard's contents in the state service, and what is still to be written there.
 //!
-//! Claims and results are appended to a log in batches: one record per turn, whatever the number of machines. A
-//! record is removed once all its claims and all jobs whose results it holds have ended. It may therefore name claims
-//! that are over, which only makes a new leader cautious for a moment. Machines are recorded in inventory shards,
-//! many to a record.
+//! Claims and results are appended to a log in batches, one record for many machines. A record is removed once all
+//! its claims and all jobs whose results it holds have ended. It may therefore name claims that are over, which only
+//! makes a new leader cautious for a moment. Machines are recorded in inventory shards, many to a record.
 
 use crate::agents::machine::Claim;
 use crate::jobs::job::{Ending, JobIndex};
--- a/crates/control/src/store/cloud_calls.rs
+++ b/crates/control/src/store/cloud_calls.rs
@@ -1,31 +1,32 @@
-//! The leader's calls to the cloud: which are out, and what the cloud could not give.
+//! The leader's requests to the cloud: which are in flight, and which kinds of machine the cloud refused.
 
 use crate::provisioning::listing::Listing;
 use std::collections::HashMap;
 
-/// A kind of machine that got fewer than asked for is not asked for again within this time.
+/// Delay before a kind of machine is requested again of which fewer were supplied than requested.
 const PARTIAL_REFUSAL_DELAY_MS: u64 = 20_000;
 
-/// One that got none is not asked for again within this time, times the refusals in a row, up to a bound.
+/// Delay before a kind is requested again of which none was supplied. It is multiplied by the number of such refusals
+/// in a row, up to `MAX_DELAY_FACTOR`.
 const REFUSAL_DELAY_MS: u64 = 8000;
 const MAX_DELAY_FACTOR: u32 = 4;
 
-/// Machines that can be rented alike: their type, their zone, and whether they are spot.
+/// A kind of interchangeable machines: their type, their zone, and whether they are spot machines.
 pub(crate) type MachineKind = (String, String, bool);
 
 /// A refusal of a kind of machine.
 #[derive(Debug, Clone, Copy)]
 struct Refusal {
     until: u64,
-    /// How often in a row.
+    /// Number of refusals in a row.
     consecutive: u32,
 }
 
-/// What is under way with the cloud, and what it has refused.
+/// Requests to the cloud that are in flight, and recent refusals.
 #[derive(Default)]
 pub(crate) struct CloudCalls {
     pub listing: Listing,
-    /// The catalog has changed and is to be recorded.
+    /// Whether the catalog has changed and is to be recorded.
     pub catalog_dirty: bool,
     deletion_busy: bool,
     deletion_retry_at: u64,
@@ -33,37 +34,37 @@
 }
 
 impl CloudCalls {
-    /// Whether machines may be returned now: no such call is out.
+    /// Whether machines may be returned now: no such request is in flight or waiting to be retried.
     pub fn may_delete(&self, now: u64) -> bool {
         !self.deletion_busy && now >= self.deletion_retry_at
     }
 
-    /// Machines are being returned.
+    /// Records that a request to return machines was sent.
     pub fn deletion_sent(&mut self) {
         self.deletion_busy = true;
     }
 
-    /// There is an answer to the return of machines, or none.
+    /// Records that a request to return machines was answered or timed out.
     pub fn deletion_ended(&mut self) {
         self.deletion_busy = false;
     }
 
-    /// The return failed, and is tried again then.
+    /// Sets the time of the next attempt after a request to return machines failed.
     pub fn delete_again_at(&mut self, at: u64) {
         self.deletion_retry_at = at;
     }
 
-    /// Whether a kind was refused so lately that it is not asked for.
+    /// Whether a kind was refused so recently that it is not requested.
     pub fn is_refused(&self, kind: &MachineKind, now: u64) -> bool {
         self.refused.get(kind).is_some_and(|r| r.until > now)
     }
 
-    /// All that were asked for came.
+    /// Records that all requested machines were supplied.
     pub fn supplied(&mut self, kind: &MachineKind) {
         self.refused.remove(kind);
     }
 
-    /// Fewer than were asked for came.
+    /// Records that fewer machines were supplied than requested.
     pub fn partly_refused(&mut self, kind: MachineKind, now: u64) {
         let refusal = Refusal {
             until: now + PARTIAL_REFUSAL_DELAY_MS,
@@ -72,7 +73,7 @@
         self.refused.insert(kind, refusal);
     }
 
-    /// None came.
+    /// Records that no machine was supplied.
     pub fn refused(&mut self, kind: MachineKind, now: u64) {
         let consecutive = self.refused.get(&kind).map_or(0, |r| r.consecutive) + 1;
         let wait = REFUSAL_DELAY_MS * u64::from(consecutive.min(MAX_DELAY_FACTOR));
--- a/crates/control/src/store/inventory_split.rs
+++ b/crates/control/src/store/inventory_split.rs
@@ -1,9 +1,9 @@
-//! Inventory shards whose record would be larger than a value may be now: their machines are spread over several, in the
-//! transaction that rewrites the first, so that every machine stands in exactly one inventory shard at any time.
+//! Splits inventory shards whose records exceed the current limit on values. The transaction that rewrites the shard
+//! also distributes its machines over new shards, so that every machine is in exactly one shard at any time.
 //!
-//! An inventory shard that would need more changes than a transaction has stays as it is recorded until enough of its
-//! machines are gone. Until then a new leader finds machines in it that are gone already: it takes them for silent, and has the
-//! cloud's word for it that they are gone, as for any other.
+//! A shard whose split would need more changes than a transaction may have keeps its recorded contents until enough
+//! of its machines are gone. Until then, a new leader finds machines in it that no longer exist. It treats them as
+//! silent, and learns from the cloud that they are gone, as it does for any other machine.
 
 use crate::agents::machine::Machine;
 use crate::store::record_sizes;
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use wire::records::{InventoryRecord, KindRecord};
 
-/// What an inventory shard's record takes without its machines.
+/// Length of an inventory shard's record without its machines.
 const RECORD_OVERHEAD: usize = 16;
 
 fn is_kind(kind: &KindRecord, machine: &Machine) -> bool {
@@ -24,7 +24,7 @@
     a.machine_type == b.machine_type && a.zone == b.zone && a.spot == b.spot
 }
 
-/// Some machines with their record.
+/// Some of an inventory shard's machines, with a record of their own.
 pub(crate) struct InventoryPiece {
     pub machines: Vec<usize>,
     pub record: InventoryRecord,
@@ -42,7 +42,7 @@
 }
 
 impl InventoryPiece {
-    /// What a machine would add to the record.
+    /// Length that a machine would add to the record.
     fn added_by(&self, machine: &Machine) -> usize {
         let known = self.record.kinds.iter().any(|k| is_kind(k, machine));
         let kind = if known {
@@ -76,7 +76,8 @@
 }
 
 impl Shard {
-    /// Takes machines that were never recorded out of an inventory shard, into new ones. False if there are none.
+    /// Moves the machines of an inventory shard that were never recorded to new shards. Returns false if there are
+    /// none.
     pub fn split_unrecorded(&mut self, number: u64, max_bytes: usize) -> bool {
         let Some(inventory_shard) = self.claim_log.inventory.get(&number) else {
             return false;
@@ -98,8 +99,8 @@
         true
     }
 
-    /// An inventory shard's machines in records of at most `value` bytes each: one, unless it was recorded when values
-    /// were larger.
+    /// Distributes machines of an inventory shard over records of at most `max_bytes` bytes each. One record is
+    /// enough unless the shard was recorded when values could be larger.
     pub fn inventory_pieces(&self, of: &BTreeSet<usize>, max_bytes: usize) -> Vec<InventoryPiece> {
         let machines = || of.iter().filter_map(|m| Some((*m, self.machine(*m)?)));
         let mut whole = InventoryPiece::default();
@@ -124,7 +125,7 @@
         pieces
     }
 
-    /// Moves some machines of an inventory shard to a new one, which is yet to be recorded. Returns its number.
+    /// Moves machines of an inventory shard to a new one, which is not recorded yet. Returns its number.
     pub fn move_to_new_inventory_shard(&mut self, from: u64, machines: &[usize]) -> u64 {
         let sizes = machines.iter().filter_map(|m| self.machine(*m));
         let size: usize = sizes.map(|m| m.size).sum();
@@ -137,7 +138,7 @@
         number
     }
 
-    /// Puts all machines of an inventory shard that was not recorded back into the one that they came from.
+    /// Moves all machines of an inventory shard that was not recorded back to the shard they came from.
     pub fn undo_inventory_split(&mut self, number: u64, from: u64) {
         for m in self.claim_log.merge_inventory_shard(number, from) {
             if let Some(machine) = self.machine_mut(m) {
@@ -146,7 +147,8 @@
         }
     }
 
-    /// The inventory shard for a machine that is to be recorded, where lengths are counted exactly.
+    /// Assigns a machine that is to be recorded to an inventory shard, where lengths are computed exactly. Returns
+    /// the shard's number.
     pub fn assign_inventory_shard_exact(&mut self, m: usize) -> u64 {
         let limit = self.limits.value_bytes().saturating_sub(RECORD_OVERHEAD);
         let Some(machine) = self.machine(m) else {
--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -1,4 +1,4 @@
-//! The watch of accepted jobs: any controller accepts, and the leader hears of it here.
+//! Watch on accepted jobs: any controller may accept a job, and the leader learns of it through the watch.
 
 use crate::{Destination, Node, Pending};
 use std::ops;
@@ -6,13 +6,13 @@
 use wire::http::Response;
 use wire::records::{self, JobRecord};
 
-/// The service answers a watch without changes after 5 s; one that says nothing for so long is cut off.
+/// Timeout of a watch request. The service answers after 5 s even if there are no changes.
 const WATCH_TIMEOUT_MS: u64 = 7000;
 
-/// After how long a watch that ended badly is begun again.
+/// Delay before a failed watch is restarted.
 const RETRY_MS: ops::Range<u64> = 100..400;
 
-/// How far the watch has come, and whether it is out.
+/// The watch's progress, and whether a request is in flight.
 #[derive(Debug, Default)]
 pub(crate) struct LiveWatch {
     revision: u64,
@@ -26,12 +26,13 @@
         self.revision
     }
 
-    /// Whether it is to be begun again.
+    /// Whether a watch request is to be sent.
     pub fn is_due(&self, now: u64) -> bool {
         !self.busy && now >= self.retry_at
     }
 
-    /// Everything was read as of this revision or later; the first page says it.
+    /// Sets the revision from which changes are watched: that of the first page read during recovery, as everything
+    /// was read at this revision or later.
     pub fn start_from(&mut self, revision: u64) {
         if self.revision == 0 {
             self.revision = revision;
@@ -80,7 +81,11 @@
         let Some(response) = response else { return };
         match response.status {
             200 => {}
-            410 => return self.step_down("too many changes were missed; reading everything again"),
+            410 => {
+                return self.step_down(
+                    "the watch missed too many changes, so that all records have to be read again",
+                );
+            }
             _ => return,
         }
         let Some(changes) = self.read::<Changes<JobRecord>>("state service", &response) else {
--- a/crates/control/src/store/record_sizes.rs
+++ b/crates/control/src/store/record_sizes.rs
@@ -1,4 +1,4 @@
-//! Lengths of records and of what is added to them, in the form that the state service counts: JSON.
+//! Lengths of records and of their entries in JSON, which is the encoding that the state service counts.
 
 use crate::documents::county_counts;
 use crate::jobs::job::Job;
@@ -6,24 +6,24 @@
 use serde::Serialize;
 use wire::records::{ClaimsRecord, KindRecord};
 
-/// Characters between the parts of an entry: `["",,],` around a name and two numbers.
+/// Punctuation characters of an entry: `["",,],` around a name and two numbers.
 const ENTRY_PUNCTUATION: usize = 7;
-/// Digits of the longest task number or count of tasks.
+/// Maximum number of digits of a task number or of a number of tasks.
 const TASK_DIGITS: usize = 6;
-/// Digits of a time of day in milliseconds, with room for a later century.
+/// Number of digits of a wall-clock time in milliseconds, including one in reserve for later centuries.
 const TIME_DIGITS: usize = 14;
 
-/// How long a record is as the service counts it.
+/// The length of a record as the service counts it.
 pub(crate) fn length<T: Serialize>(record: &T) -> usize {
     document::text(record).len()
 }
 
-/// What claims on a job's tasks add to a log record, without the machines.
+/// Length that claims on a job's tasks add to a log record, without the machines.
 pub(crate) fn claims_frame(limits: &WriteLimits, job: &Job) -> usize {
     if !limits.are_tight() {
         return ClaimsRecord::frame(&job.id, &job.team) + county_counts::claims_bytes(job);
     }
-    // With a comma. Attempts have at most twenty digits.
+    // `u64::MAX` has as many digits as any attempt number; one more byte is for the comma.
     length(&ClaimsRecord {
         job: job.id.clone(),
         team: job.team.clone(),
@@ -37,7 +37,7 @@
     }) + 1
 }
 
-/// What one claim on a machine adds to those of its job.
+/// Length that a claim on a machine adds to the claims of its job.
 pub(crate) fn claims_entry(limits: &WriteLimits, machine: &str) -> usize {
     if limits.are_tight() {
         length(&machine) + 2 * TASK_DIGITS + ENTRY_PUNCTUATION
@@ -46,12 +46,12 @@
     }
 }
 
-/// What a machine adds to an inventory shard that has machines of its kind already.
+/// Length that a machine adds to an inventory shard that already has machines of its kind.
 pub(crate) fn inventory_entry(machine: &str) -> usize {
     length(&machine) + TIME_DIGITS + ENTRY_PUNCTUATION
 }
 
-/// What its kind adds to an inventory shard.
+/// Length that a kind of machine adds to an inventory shard.
 pub(crate) fn inventory_kind(machine_type: &str, zone: &str) -> usize {
     let kind = KindRecord {
         machine_type: machine_type.to_owned(),
--- a/crates/control/src/store/rental.rs
+++ b/crates/control/src/store/rental.rs
@@ -1,19 +1,19 @@
-//! Rentals: machines that are asked of the cloud.
+//! Rentals: requests to the cloud for machines.
 
 use wire::records::RentalRecord;
 
-/// Machines that are being rented: a request to the cloud under a name, repeated until there is an answer.
+/// A named request to the cloud for machines, repeated until it is answered.
 pub(crate) struct Rental {
     pub record: RentalRecord,
     pub version: u64,
-    /// The request is out.
+    /// Whether the request is in flight.
     pub busy: bool,
     pub retry_at: u64,
     pub state: RentalState,
 }
 
 impl Rental {
-    /// One that was read back.
+    /// A rental that was read back from the state service.
     pub fn recorded(record: RentalRecord, version: u64) -> Self {
         Rental {
             record,
@@ -27,9 +27,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RentalState {
-    /// Not yet in the state service.
+    /// Not recorded in the state service yet.
     New,
     Recorded,
-    /// Answered, and to be taken out of the state service.
+    /// Answered; its record is to be removed.
     Over,
 }
--- a/crates/control/src/store/table.rs
+++ b/crates/control/src/store/table.rs
@@ -1,8 +1,8 @@
-//! Values in numbered slots, which are found by their names too.
+//! A slot table whose values can also be looked up by name.
 
 use std::collections::HashMap;
 
-/// A table of named values. A value keeps its slot's index until it is removed; then the slot is used again.
+/// A table of named values. A value keeps its index until it is removed; its slot is then reused.
 pub(crate) struct Table<T> {
     slots: Vec<Option<T>>,
     free: Vec<usize>,
@@ -20,7 +20,7 @@
 }
 
 impl<T> Table<T> {
-    /// Puts a value into a free slot, and returns the slot's index.
+    /// Inserts a value into a free slot, and returns the slot's index.
     pub fn insert(&mut self, name: String, value: T) -> usize {
         let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push(None);
@@ -31,7 +31,7 @@
         index
     }
 
-    /// Frees a slot. `name_of` tells the name that its value was put in under.
+    /// Removes a value and frees its slot. `name_of` must return the name that the value was inserted under.
     pub fn remove(&mut self, index: usize, name_of: impl Fn(&T) -> &str) -> Option<T> {
         let value = self.slots.get_mut(index)?.take()?;
         self.by_name.remove(name_of(&value));
@@ -55,22 +55,22 @@
         self.by_name.contains_key(name)
     }
 
-    /// How many values there are.
+    /// Number of values.
     pub fn count(&self) -> usize {
         self.by_name.len()
     }
 
-    /// How many slots there are, free ones too: all indices are below.
+    /// Number of slots, including free ones. All indices are less than this.
     pub fn slots(&self) -> usize {
         self.slots.len()
     }
 
-    /// All slots in order, `None` for those that are free.
+    /// All slots in order; free ones are `None`.
     pub fn iter(&self) -> impl Iterator<Item = Option<&T>> {
         self.slots.iter().map(Option::as_ref)
     }
 
-    /// All slots in order, `None` for those that are free.
+    /// All slots in order; free ones are `None`.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = Option<&mut T>> {
         self.slots.iter_mut().map(Option::as_mut)
     }
--- a/crates/control/src/store/write_limits.rs
+++ b/crates/control/src/store/write_limits.rs
@@ -1,41 +1,43 @@
-//! What one record and one transaction may take. Whoever writes to the state service asks here.
+//! Limits on the sizes of records and transactions, for everything that is written to the state service.
 //!
-//! Where the settings name the limits that will hold some day without notice, what is written fits both sets from the
-//! start: then nothing has to be found out, and nothing that is stored by this version is ever too large. What was
-//! stored larger before stays readable, and is rewritten by `store::inventory_split` and the writers of each kind.
+//! The settings may announce limits that will take effect without notice. Everything written then fits both sets from
+//! the start, so that the change does not have to be detected and nothing stored by this version is ever too large.
+//! Larger records stored before stay readable; `store::inventory_split` and the writers of each kind of record
+//! rewrite them.
 //!
-//! A transaction that is refused for its size all the same teaches smaller limits ([`WriteLimits::refused`]). They are
-//! never raised again while the process lives: a guess that fails costs writes.
+//! A transaction that is refused for its size nevertheless lowers the limits ([`WriteLimits::shrink_after_refusal`]).
+//! They are not raised again while the process runs, because each wrong guess costs writes.
 
 use wire::settings::{Settings, StateLimits};
 
-/// Part of a value's limit that records are built to: some distance to the service's own count.
+/// Fraction of the limit on values that records may fill, as a margin to the length that the service counts.
 const FILL_FACTOR: f64 = 0.95;
-/// The service allows so many conditions for each change.
+/// The service allows this many conditions per change of a transaction.
 const CONDITIONS_PER_CHANGE: usize = 4;
-/// Refusals teach no smaller limits than these: every record has a form that fits them.
+/// Refusals lower the limits no further than this: every record has a form that fits.
 pub const MIN_CHANGES: usize = 4;
 pub const MIN_VALUE_KB: f64 = 1.0;
-/// Log records that stand before the oldest are moved, and how many more there may be where records are smaller.
+/// Number of log records above which the oldest is compacted, and how far it is raised where records are smaller.
 const COMPACTION_THRESHOLD: f64 = 400.0;
 const MAX_THRESHOLD_FACTOR: f64 = 4.0;
 
-/// The limits that everything written is built to.
+/// Limits that everything written keeps to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WriteLimits {
     value_kb: f64,
-    /// Changes of one transaction.
+    /// Maximum number of changes per transaction.
     changes: usize,
     requests_per_s: f64,
     changes_per_s: f64,
-    /// The largest value that the settings name.
+    /// The limit on values that the settings give as current, before any reduction.
     stored_kb: f64,
-    /// Records are as small as they may have to be: their lengths are counted, not bounded roughly.
+    /// Whether the lengths of records are computed exactly instead of bounded roughly, because records may have to be
+    /// as small as possible.
     exact_lengths: bool,
 }
 
 impl WriteLimits {
-    /// The smaller of all limits that the settings name.
+    /// The smaller of the current and the announced limits in the settings.
     pub fn of(settings: &Settings) -> Self {
         let current: &StateLimits = &settings.cluster.state;
         let mut limits = WriteLimits {
@@ -56,7 +58,7 @@
         limits
     }
 
-    /// Usual limits with values of this size.
+    /// Typical limits, with values of this size.
     #[cfg(test)]
     pub(crate) fn of_values(value_kb: f64) -> Self {
         WriteLimits {
@@ -69,49 +71,50 @@
         }
     }
 
-    /// Largest value, as the service counts it.
+    /// Maximum length of a value in KiB, as the service counts it.
     pub fn value_kb(&self) -> f64 {
         self.value_kb
     }
 
-    /// The same in bytes, with some distance.
+    /// Maximum length of a record in bytes, with a margin to the limit on values.
     pub fn value_bytes(&self) -> usize {
         (self.value_kb * 1024.0 * FILL_FACTOR) as usize
     }
 
-    /// Most changes of one transaction.
+    /// Maximum number of changes per transaction.
     pub fn changes(&self) -> usize {
         self.changes
     }
 
-    /// Most conditions of one transaction.
+    /// Maximum number of conditions per transaction.
     pub fn max_conditions(&self) -> usize {
         self.changes * CONDITIONS_PER_CHANGE
     }
 
-    /// Requests that all controllers together may make in a second.
+    /// Requests per second that all controllers together may make.
     pub fn requests_per_s(&self) -> f64 {
         self.requests_per_s
     }
 
-    /// Changes that all controllers together may make in a second.
+    /// Changes per second that all controllers together may make.
     pub fn changes_per_s(&self) -> f64 {
         self.changes_per_s
     }
 
-    /// Whether lengths are counted exactly.
+    /// Whether the lengths of records are computed exactly.
     pub fn are_tight(&self) -> bool {
         self.exact_lengths
     }
 
-    /// Log records that may stand before the oldest are moved: about the same bytes whatever a record takes.
+    /// Number of log records above which the oldest is compacted. It is higher where records are smaller, so that the
+    /// log takes about the same number of bytes.
     pub fn compaction_threshold(&self) -> usize {
         let factor = (self.stored_kb / self.value_kb).clamp(1.0, MAX_THRESHOLD_FACTOR);
         (COMPACTION_THRESHOLD * factor) as usize
     }
 
-    /// A transaction of so many changes was refused for its size. Returns whether there is anything left to make
-    /// smaller.
+    /// Lowers the limits after a transaction with this many changes was refused for its size. Returns false if they
+    /// could not be lowered further.
     pub fn shrink_after_refusal(&mut self, changes: usize) -> bool {
         let before = *self;
         self.changes = self.changes.min((changes / 2).max(MIN_CHANGES));
