--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -1,4 +1,4 @@
-//! What a committed transaction changes in memory.
+//! Applies committed transactions to the state in memory.
 
 use crate::Node;
 use crate::Requester;
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 use wire::api::JobState;
 
-/// What follows once all writes of a transaction are applied: it may look at any of them.
+/// Actions that follow once all writes of a transaction are applied, since they may depend on any of them.
 #[derive(Default)]
 struct PostCommitActions {
     changed_jobs: BTreeSet<JobIndex>,
@@ -23,7 +23,7 @@
 }
 
 impl Node {
-    /// The transaction is in place at this revision.
+    /// Applies the pending transaction, which was committed at this revision.
     pub(super) fn apply(&mut self, revision: u64) {
         let Some(shard) = &mut self.shard else { return };
         let mut actions = PostCommitActions::default();
@@ -145,7 +145,8 @@
         }
     }
 
-    /// A log record is in place: its claims may be sent, its results reaped.
+    /// Applies a committed log record: its claims may be sent to workers, and tasks with recorded results may be
+    /// reaped.
     fn log_recorded(&mut self, log: PendingLogRecord, revision: u64) {
         let mut segment = Segment {
             version: revision,
@@ -155,7 +156,7 @@
             ..Segment::default()
         };
         for id in log.claims {
-            // What has ended meanwhile stands in the record all the same, as in any that is older.
+            // A claim that has ended meanwhile is in the record all the same, as in any older record.
             let Some(claim) = self.claim_mut(&id) else {
                 continue;
             };
@@ -179,7 +180,7 @@
         self.claim_log.add_segment(log.number, segment);
     }
 
-    /// Whether the job still needs them to stand there.
+    /// Applies recorded results. Returns whether the job still needs them to be in this segment.
     fn results_recorded(&mut self, results: PendingResults, segment: u64) -> bool {
         let index = results.job;
         let Some(job) = self.job_mut(index).filter(|j| j.ending == Ending::No) else {
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -1,4 +1,4 @@
-//! Reading the shard's records back after a failover, before its new leader decides anything.
+//! Reads the shard's records back after a failover, before the new leader makes any decision.
 
 use crate::agents::machine::{Claim, ClaimState, Machine, Need};
 use crate::documents::county_counts;
@@ -18,7 +18,7 @@
     RentalRecord, TeamAllotment,
 };
 
-/// What is read one after the other after a failover.
+/// The steps of recovery, in their order: what is read from the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Load {
     Jobs,
@@ -30,18 +30,18 @@
     Models,
 }
 
-/// After how long what could not be read is read again.
+/// Delay before a failed read is repeated.
 const LOAD_RETRY_MS: ops::Range<u64> = 100..400;
 
-/// An answer to a read that takes longer is none.
+/// Timeout of a read.
 const LOAD_TIMEOUT_MS: u64 = 3000;
 
-/// How far the reading has come.
+/// Progress of recovery.
 #[derive(Debug, Default)]
 pub(crate) struct RecoveryProgress {
-    /// The last key of the pages that were read of a kind.
+    /// The last key on the pages read so far in the current step.
     last_key: Option<String>,
-    /// What could not be read, and when it is tried again.
+    /// A step whose read failed, and when it is repeated.
     retry: Option<(Load, u64)>,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Whether there are more pages of a kind.
+/// Whether a step has more pages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Page {
     More,
@@ -60,7 +60,7 @@
 }
 
 impl Shard {
-    /// Takes in a log record of earlier leaders.
+    /// Loads a log record of an earlier leader.
     fn load_segment(&mut self, number: u64, version: u64, record: LogRecord) {
         let mut segment = Segment {
             version,
@@ -80,7 +80,7 @@
 
     fn load_claims(&mut self, number: u64, segment: &mut Segment, group: ClaimsRecord) {
         for (name, first, n) in &group.on {
-            // A machine in no inventory shard is gone, and all that was on it.
+            // A machine in no inventory shard is gone, and so are all tasks that were on it.
             let Some(machine) = self.machines.index_of(name) else {
                 continue;
             };
@@ -100,8 +100,8 @@
         }
     }
 
-    /// The job that claims are for. One that has ended may still have tasks there: they count until they are proved
-    /// gone.
+    /// The job that claims belong to. A job that has ended may still have tasks on machines; they are counted until
+    /// they are proved gone.
     fn job_of_claims(&mut self, group: &ClaimsRecord) -> JobIndex {
         if let Some(index) = self.jobs.index_of(&group.job) {
             return index;
@@ -116,7 +116,7 @@
         self.add_job(job)
     }
 
-    /// False if it is known already: a claim that was moved may stand in two records.
+    /// Loads a claim. Returns false if it is known already: a claim moved by compaction may be in two records.
     fn load_claim(&mut self, segment: u64, id: &ClaimId) -> bool {
         if self.claim_mut(id).is_some() {
             return false;
@@ -135,7 +135,7 @@
         true
     }
 
-    /// The job whose results they are, if it has not ended.
+    /// Loads results. Returns the job that they belong to, unless it has ended.
     fn load_results(&mut self, segment: u64, done: DoneRecord) -> Option<JobIndex> {
         let index = self.jobs.index_of(&done.job)?;
         let job = self.job_mut(index).filter(|j| j.spec.is_some())?;
@@ -144,7 +144,7 @@
         Some(index)
     }
 
-    /// Takes in an inventory shard of earlier leaders.
+    /// Loads an inventory shard of an earlier leader.
     fn load_inventory_shard(
         &mut self,
         number: u64,
@@ -178,8 +178,8 @@
         self.claim_log.load_inventory_shard(number, inventory_shard);
     }
 
-    /// An attempt is made only once all earlier ones of its task were proved gone: where the log holds several,
-    /// the last alone can still be there.
+    /// Drops claims of earlier attempts of a task. An attempt is made only once all earlier ones were proved gone, so
+    /// that of several in the log only the last can still be running.
     fn drop_superseded_claims(&mut self) {
         for id in self.superseded_claims() {
             let segment = self.claim_mut(&id).map(|c| c.segment);
@@ -241,8 +241,9 @@
         );
     }
 
-    /// From the same place again, after a while: who reads back must not use up what renewals and others' accepts need
-    /// of the state service. A leader that can't read keeps its lease or loses it.
+    /// Schedules a read to be repeated from the same position. The delay keeps recovery from using up the request
+    /// rate that lease renewals and acceptances of jobs by other controllers need. A leader that cannot read keeps or
+    /// loses its lease independently of this.
     pub(crate) fn load_later(&mut self, what: Load) {
         let at = self.now.mono + self.rng.u64(LOAD_RETRY_MS);
         if let Some(shard) = &mut self.shard {
@@ -258,7 +259,7 @@
         }
     }
 
-    /// The answer to a read, or that there is none.
+    /// Handles the answer to a read; `None` if there was no answer.
     pub(crate) fn load_received(&mut self, what: Load, response: Option<Response>) {
         let page = response
             .filter(|r| r.status == 200)
@@ -286,12 +287,12 @@
                 self.load_heads(range);
                 Some(Page::Last)
             }
-            // Their pages come to [`Node::models_received`].
+            // Their pages are handled by [`Node::models_received`].
             Load::Models => None,
         }
     }
 
-    /// Goes on with the next kind.
+    /// Continues with the next step.
     fn load_next(&mut self, what: Load) {
         if let Some(shard) = &mut self.shard {
             shard.recovery.last_key = None;
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Takes in each item of a page. `None` if the page can't be read.
+    /// Loads each item of a page. Returns `None` if the page cannot be decoded.
     fn load_items<T: DeserializeOwned>(
         &mut self,
         response: &Response,
@@ -321,7 +322,7 @@
         Some(page)
     }
 
-    /// Notes where the next page goes on.
+    /// Records where the next page starts, and returns whether there is one.
     fn page_end<T>(&mut self, range: &Range<T>) -> Page {
         if let Some(shard) = &mut self.shard {
             shard.live_watch.start_from(range.revision);
@@ -373,7 +374,8 @@
         }
     }
 
-    /// The only part has all of every team's limit. Written down all the same: limits are kept by the record.
+    /// The allotment of the only shard: the full limit of every team. It is recorded nevertheless, because limits are
+    /// enforced by the record.
     pub(crate) fn whole_allotment(&self) -> AllotmentRecord {
         let teams = self.settings.cluster.teams.iter();
         let teams = teams
@@ -383,7 +385,8 @@
                 gpus_max: t.gpus_max,
             })
             .collect();
-        // While no version can be acted on, the one that was recorded stays, and nothing starts.
+        // While no version of the quota document can be applied, the recorded version is kept, and nothing is
+        // started.
         let recorded = self
             .shard
             .as_ref()
@@ -413,13 +416,14 @@
         }
         shard.drop_superseded_claims();
         log::info!(
-            "token {}: read {} jobs, {} machines, {} rentals",
+            "token {}: recovered {} jobs, {} machines, {} rentals",
             shard.token,
             shard.jobs.iter().flatten().count(),
             shard.machines.count(),
             shard.rentals.len()
         );
-        // A job may have been left with all tasks done but not ended, or with a gang half claimed.
+        // The earlier leader may have left a job with all tasks done but not ended, or with its gang claimed only in
+        // part.
         let all: Vec<JobIndex> = (0..shard.jobs.slots())
             .filter(|job| shard.job(*job).is_some())
             .collect();
@@ -430,7 +434,7 @@
     }
 
     pub(crate) fn job_known(&mut self, record: JobRecord, version: u64) {
-        // The watch may lag behind our own end of the job.
+        // The watch may report a job whose end this controller has recorded already.
         if self.final_states.get(&record.spec.id).is_some() {
             return;
         }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -1,4 +1,4 @@
-//! What the leader of a shard holds in memory.
+//! The in-memory state of a shard's leader.
 
 use crate::Requester;
 use crate::agents::machine::Machine;
@@ -22,14 +22,14 @@
 use crate::store::zone_reachability::ZoneReachability;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Names of a kind, as dense indices.
+/// Assigns dense indices to names of one kind.
 #[derive(Default)]
 pub(crate) struct Names {
     index: HashMap<String, u32>,
 }
 
 impl Names {
-    /// The index of a name; one that is new gets the next.
+    /// Returns the index of a name; a new name gets the next index.
     pub fn get(&mut self, name: &str) -> u32 {
         if let Some(i) = self.index.get(name) {
             return *i;
@@ -40,22 +40,22 @@
     }
 }
 
-/// Of so many machines some come by themselves, or answer a probe, within this time of a new term.
+/// Among at least this many machines, some report or answer a probe within `SILENCE_MS` of the start of a term.
 const SILENCE_MIN_MACHINES: usize = 4;
 const SILENCE_MS: u64 = 2000;
 
-/// The leader's memory of its shard, for one term.
+/// The leader's state of its shard, for one term.
 pub(crate) struct Shard {
     pub token: u64,
-    /// Version of our leader record: every write is guarded by it.
+    /// Version of our leader record, which every transaction has as a condition.
     pub leader_version: u64,
-    /// All has been read back.
+    /// Whether recovery is complete.
     pub loaded: bool,
-    /// The leader was sure of its lease at the last tick.
+    /// Whether the lease was certainly valid at the last tick.
     pub had_valid_lease: bool,
-    /// What the other nodes say while we are unsure.
+    /// Attestations of the other nodes while it is uncertain whether the lease is valid.
     pub attestations: Attestations,
-    /// Some worker has reported or answered without a peer in between.
+    /// Whether some worker has reported or answered directly, not through a peer.
     pub heard_itself: bool,
     /// When this term began.
     pub since: u64,
@@ -67,18 +67,18 @@
     serial: u64,
     pub commit: Commit,
     pub claim_log: ClaimLog,
-    /// What records and transactions are built to.
+    /// Limits on the sizes of records and transactions.
     pub limits: WriteLimits,
-    /// Machines whose workers are to be told something at once.
+    /// Machines whose workers are to be sent orders immediately.
     pub push: BTreeSet<usize>,
-    /// A command may still land late under this token: a higher one is to be taken.
+    /// Whether the token is to be raised, because a command sent under it may still be executed late.
     pub raise_token: bool,
-    /// What is known of the jobs of each class.
+    /// Statistics of the jobs of each class.
     pub classes: BTreeMap<String, Class>,
-    /// Images, as the planner counts them.
+    /// Images, as indices for the planner.
     pub images: Names,
     pub returned: ReturnedMachines,
-    /// When silent machines were last looked for.
+    /// When machines were last checked for silence.
     pub looked_at: u64,
     pub zones: ZoneReachability,
     pub cloud_calls: CloudCalls,
@@ -86,13 +86,13 @@
     pub allotment: AllotmentState,
     /// Jobs that may have changed since the last plan.
     touched: Vec<JobIndex>,
-    /// Jobs that are not wanted any more and still have claims.
+    /// Unwanted jobs, such as cancelled ones, that still have claims.
     pub unwanted: BTreeSet<JobIndex>,
-    /// The tree's counts, by the version that they belong to.
+    /// Usage of the quota tree, with the tree's version.
     pub counted: Option<(u64, Counted)>,
-    /// Release hours of its jobs.
+    /// Release hours of the shard's jobs.
     pub hours: DeadlineWatch,
-    /// Counts by county.
+    /// Counts of jobs by county.
     pub county_counts: CountyCounts,
 }
 
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Whether a fleet should have been heard by now, and nobody was.
+    /// Whether no worker has reached this leader directly although a fleet of this size should have by now.
     pub fn hears_no_agents(&self, now: u64) -> bool {
         self.loaded
             && !self.heard_itself
@@ -141,19 +141,19 @@
             && now >= self.since + SILENCE_MS
     }
 
-    /// Numbers below a token are unique for ever, since tokens are.
+    /// The next serial number of this term. Together with the token, which is unique, it is never reused.
     pub fn next_serial(&mut self) -> u64 {
         self.serial += 1;
         self.serial
     }
 
-    /// A new attempt: higher than all of earlier leaders, never used before.
+    /// A new attempt number: higher than those of all earlier leaders, and never reused.
     pub fn next_attempt(&mut self) -> u64 {
         let n = self.next_serial();
         (self.token << 32) | (n & 0xffff_ffff)
     }
 
-    /// A new log record's number: unique as attempts are.
+    /// The number of a new log record, unique in the same way as attempt numbers.
     pub fn next_log(&mut self) -> u64 {
         self.next_attempt()
     }
@@ -162,7 +162,7 @@
         self.jobs.get(index)
     }
 
-    /// Whoever changes a job gets it here, so that plans know which ones changed.
+    /// Returns a job for modification, and marks it as changed for the next plan.
     pub fn job_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
         let job = self.jobs.get_mut(index)?;
         if !std::mem::replace(&mut job.touched, true) {
@@ -171,7 +171,7 @@
         Some(job)
     }
 
-    /// The jobs that may have changed, come or gone since this was asked last; some perhaps twice.
+    /// Returns the jobs that may have been changed, added or removed since the last call; some may be listed twice.
     pub fn take_touched(&mut self) -> Vec<JobIndex> {
         let all = std::mem::take(&mut self.touched);
         for index in &all {
@@ -190,7 +190,7 @@
         self.machines.get_mut(index)
     }
 
-    /// Takes in a job that was accepted, or of which claims are left.
+    /// Adds a job that was accepted, or of which only claims are left.
     pub fn add_job(&mut self, mut job: Job) -> JobIndex {
         job.tenant = self.county_counts.tenant(job.county.as_ref());
         let index = self.jobs.insert(job.id.clone(), job);
@@ -201,7 +201,7 @@
         index
     }
 
-    /// Takes in a machine that has to be recorded.
+    /// Adds a machine that has to be recorded.
     pub fn add_machine(&mut self, machine: Machine) -> usize {
         let size = machine.size;
         let index = self.insert_machine(machine);
@@ -217,12 +217,12 @@
         index
     }
 
-    /// Takes in a machine that stands in an inventory shard.
+    /// Adds a machine without assigning it to an inventory shard.
     pub fn insert_machine(&mut self, machine: Machine) -> usize {
         self.machines.insert(machine.name.clone(), machine)
     }
 
-    /// Forgets a machine that is proved gone and has no claims left.
+    /// Removes a machine that is proved gone and has no claims left.
     pub fn remove_machine(&mut self, index: usize) {
         let Some(machine) = self.machines.remove(index, |m| &m.name) else {
             return;
@@ -232,7 +232,7 @@
             .remove_from_inventory_shard(machine.inventory_shard, index, machine.size);
     }
 
-    /// Takes a claim back of which nothing was sent.
+    /// Removes a claim of which nothing was sent, or whose task is proved gone.
     pub fn drop_claim(&mut self, id: &ClaimId) {
         if let Some(machine) = self.machine_mut(id.machine) {
             machine.claims.retain(|c| !id.matches(c));
@@ -252,13 +252,13 @@
         }
     }
 
-    /// Whether a job is one that is not wanted any more and still has claims.
+    /// Whether a job is unwanted and still has claims.
     fn is_unwanted_with_claims(&self, index: JobIndex) -> bool {
         self.job(index)
             .is_some_and(|j| j.is_unwanted() && !j.claimed.is_empty())
     }
 
-    /// Notes whether a job is one that is not wanted any more and still has claims.
+    /// Updates a job's membership in the set of unwanted jobs that still have claims.
     pub fn note_unwanted(&mut self, index: JobIndex) {
         if self.is_unwanted_with_claims(index) {
             self.unwanted.insert(index);
@@ -267,13 +267,13 @@
         }
     }
 
-    /// Whether looking at all jobs finds none that is missing.
+    /// Whether the set of unwanted jobs is complete, by a check of all jobs.
     pub fn unwanted_is_right(&self) -> bool {
         (0..self.jobs.slots())
             .all(|job| self.unwanted.contains(&job) || !self.is_unwanted_with_claims(job))
     }
 
-    /// Forgets an ended job once nothing of it is on any machine.
+    /// Removes an ended job once it has no claims on any machine.
     pub fn maybe_forget_job(&mut self, index: JobIndex) {
         let gone = self
             .job(index)
@@ -284,7 +284,7 @@
         }
     }
 
-    /// All who wait for the end of a job. None of them waits any longer.
+    /// Takes all requesters that wait for the end of a job.
     pub fn take_waiters(&mut self) -> Vec<Requester> {
         self.jobs
             .iter_mut()
