--- a/crates/control/src/store/allotment.rs
+++ b/crates/control/src/store/allotment.rs
@@ -42,7 +42,7 @@
         self.wanted = Some(allotment);
     }
 
-    /// Requests that an allotment be written unless it is current. Replaces any earlier request.
+    /// Requests that an allotment be written unless it is current. Any earlier request is dropped.
     pub fn want_if_other(&mut self, allotment: AllotmentRecord) {
         self.wanted = (self.current.as_ref() != Some(&allotment)).then_some(allotment);
     }
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -275,8 +275,9 @@
         true
     }
 
-    /// Writes the current machines of an inventory shard, or removes its record if there are none. Returns false if
-    /// it has to be split into more than `max_records` records.
+    /// Writes the current machines of an inventory shard, or removes its record if there are none. Returns false, and
+    /// writes nothing, if the shard has to be split into more than `max_records` records but a full transaction could
+    /// take them.
     pub(super) fn put_inventory_shard(
         &mut self,
         shard: &mut Shard,
--- a/crates/control/src/store/cloud_calls.rs
+++ b/crates/control/src/store/cloud_calls.rs
@@ -3,11 +3,11 @@
 use crate::provisioning::listing::Listing;
 use std::collections::HashMap;
 
-/// Delay before a kind of machine is requested again of which fewer were supplied than requested.
+/// Delay before a kind of machine is requested again after fewer were supplied than requested.
 const PARTIAL_REFUSAL_DELAY_MS: u64 = 20_000;
 
-/// Delay before a kind is requested again of which none was supplied. It is multiplied by the number of such refusals
-/// in a row, up to `MAX_DELAY_FACTOR`.
+/// Delay before a kind is requested again after none was supplied. It is multiplied by the number of such refusals in
+/// a row, up to `MAX_DELAY_FACTOR`.
 const REFUSAL_DELAY_MS: u64 = 8000;
 const MAX_DELAY_FACTOR: u32 = 4;
 
--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -81,11 +81,7 @@
         let Some(response) = response else { return };
         match response.status {
             200 => {}
-            410 => {
-                return self.step_down(
-                    "the watch missed too many changes, so that all records have to be read again",
-                );
-            }
+            410 => return self.step_down("the watch missed changes; all records are read again"),
             _ => return,
         }
         let Some(changes) = self.read::<Changes<JobRecord>>("state service", &response) else {
--- a/crates/control/src/store/write_rate.rs
+++ b/crates/control/src/store/write_rate.rs
@@ -10,7 +10,7 @@
 /// This many refusals within `REFUSAL_WINDOW_MS` mean that the lower rate is in effect.
 const REFUSAL_THRESHOLD: u32 = 3;
 const REFUSAL_WINDOW_MS: u64 = 2000;
-/// How long the lower rate is kept to after the last refusal.
+/// How long this node keeps to the lower rate after the last refusal.
 const REDUCED_RATE_MS: u64 = 30_000;
 
 /// The current estimate, and the refusals it is based on. Times are of this node's monotonic clock.
