--- a/crates/control/src/store/allotment.rs
+++ b/crates/control/src/store/allotment.rs
@@ -12,7 +12,7 @@
     /// Its version in the state service; 0 while it is being written, and if there is none.
     version: u64,
     /// The allotment that is to be written in its place.
-    wanted: Option<AllotmentRecord>,
+    requested: Option<AllotmentRecord>,
 }
 
 impl AllotmentState {
@@ -23,12 +23,12 @@
 
     /// Whether an allotment is recorded, and none is waiting to replace it.
     pub fn is_settled(&self) -> bool {
-        self.version > 0 && self.wanted.is_none()
+        self.version > 0 && self.requested.is_none()
     }
 
     /// Whether this allotment is current, and none is waiting to replace it.
     pub fn is_settled_on(&self, allotment: &AllotmentRecord) -> bool {
-        self.current.as_ref() == Some(allotment) && self.wanted.is_none()
+        self.current.as_ref() == Some(allotment) && self.requested.is_none()
     }
 
     /// Sets the allotment that was read from the state service.
@@ -39,17 +39,17 @@
 
     /// Requests that an allotment be written.
     pub fn want(&mut self, allotment: AllotmentRecord) {
-        self.wanted = Some(allotment);
+        self.requested = Some(allotment);
     }
 
     /// Requests that an allotment be written unless it is current. Any earlier request is dropped.
-    pub fn want_if_other(&mut self, allotment: AllotmentRecord) {
-        self.wanted = (self.current.as_ref() != Some(&allotment)).then_some(allotment);
+    pub fn request_if_different(&mut self, allotment: AllotmentRecord) {
+        self.requested = (self.current.as_ref() != Some(&allotment)).then_some(allotment);
     }
 
     /// Adds the requested allotment, if there is one, to a transaction.
-    pub fn write_wanted(&mut self, draft: &mut TransactionDraft) {
-        if let Some(allotment) = self.wanted.take() {
+    pub fn write_requested(&mut self, draft: &mut TransactionDraft) {
+        if let Some(allotment) = self.requested.take() {
             self.put(draft, allotment.clone(), Some(allotment));
         }
     }
@@ -59,12 +59,12 @@
         self.put(draft, allotment, None);
     }
 
-    /// `wanted` is the request to be restored if the transaction is refused.
+    /// `requested` is the request to be restored if the transaction is refused.
     fn put(
         &mut self,
         draft: &mut TransactionDraft,
         allotment: AllotmentRecord,
-        wanted: Option<AllotmentRecord>,
+        requested: Option<AllotmentRecord>,
     ) {
         draft.put(
             records::allotment_key(SHARD),
@@ -74,7 +74,7 @@
         let previous = AllotmentState {
             current: self.current.replace(allotment),
             version: std::mem::take(&mut self.version),
-            wanted,
+            requested,
         };
         draft
             .pending_writes
@@ -83,8 +83,11 @@
 
     /// Restores the state before a write that was refused. An allotment requested meanwhile stays requested.
     pub fn revert(&mut self, previous: AllotmentState) {
-        let wanted = self.wanted.take().or(previous.wanted);
-        *self = AllotmentState { wanted, ..previous };
+        let requested = self.requested.take().or(previous.requested);
+        *self = AllotmentState {
+            requested,
+            ..previous
+        };
     }
 
     /// Records that the written allotment was committed at this revision.
--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -160,15 +160,15 @@
             let Some(claim) = self.claim_mut(&id) else {
                 continue;
             };
-            let from = std::mem::replace(&mut claim.segment, log.number);
-            let first = claim.state == ClaimState::Writing;
+            let previous_segment = std::mem::replace(&mut claim.segment, log.number);
+            let is_new = claim.state == ClaimState::Writing;
             claim.state = ClaimState::Recorded;
             segment.live_claims += 1;
             segment.claims.push(id);
-            if first {
+            if is_new {
                 self.push.insert(id.machine);
             } else {
-                self.claim_log.ended(from);
+                self.claim_log.ended(previous_segment);
             }
         }
         for results in log.results {
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -141,13 +141,13 @@
     /// record, which may have at most `limit`.
     pub fn assign_inventory_shard(&mut self, machine: usize, size: usize, limit: usize) -> u64 {
         // The last shard or a new one: shards that lost machines are not refilled, but shrink until they are removed.
-        let open = self
+        let last_with_room = self
             .inventory
             .iter()
             .next_back()
             .filter(|(_, r)| r.size + size <= limit)
             .map(|(n, _)| *n);
-        let number = open.unwrap_or(self.next_inventory_shard);
+        let number = last_with_room.unwrap_or(self.next_inventory_shard);
         self.next_inventory_shard = self.next_inventory_shard.max(number + 1);
         let inventory_shard = self.inventory.entry(number).or_default();
         inventory_shard.machines.insert(machine);
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -53,7 +53,7 @@
 
 /// A log record under construction.
 struct LogRecordBuilder {
-    log: PendingLogRecord,
+    pending: PendingLogRecord,
     /// Claimed tasks by machine, grouped by job and attempt.
     groups: BTreeMap<(JobIndex, u64), BTreeMap<usize, BTreeSet<u32>>>,
     record: LogRecord,
@@ -70,7 +70,7 @@
                 ended: ended.clone(),
                 ..LogRecord::default()
             },
-            log: PendingLogRecord {
+            pending: PendingLogRecord {
                 number,
                 claims: Vec::new(),
                 results: Vec::new(),
@@ -104,11 +104,11 @@
     fn move_live_claims(&mut self, shard: &mut Shard, oldest: u64) {
         let segment = shard.claim_log.segments.get(&oldest);
         for id in segment.map(|s| s.claims.clone()).unwrap_or_default() {
-            let holds = shard
+            let is_live = shard
                 .claim_mut(&id)
                 .is_some_and(|c| c.state == ClaimState::Recorded && c.segment == oldest);
-            if holds && self.try_add(shard, &id) {
-                self.log.claims.push(id);
+            if is_live && self.try_add(shard, &id) {
+                self.pending.claims.push(id);
             }
         }
     }
@@ -142,8 +142,8 @@
             ResultScope::Unsaved => job.unsaved.iter().copied().collect(),
         };
         let mut ranges = records::ranges(tasks.iter().copied());
-        let frame = self.size + DoneRecord::frame(&job.id);
-        let max_ranges = self.max_size.saturating_sub(frame) / DoneRecord::ENTRY;
+        let base_size = self.size + DoneRecord::frame(&job.id);
+        let max_ranges = self.max_size.saturating_sub(base_size) / DoneRecord::ENTRY;
         if max_ranges == 0 || (scope == ResultScope::All && ranges.len() > max_ranges) {
             return;
         }
@@ -154,12 +154,12 @@
         } else if scope == ResultScope::Unsaved {
             shard.claim_log.unsaved.remove(&index);
         }
-        self.size = frame + ranges.len() * DoneRecord::ENTRY;
+        self.size = base_size + ranges.len() * DoneRecord::ENTRY;
         self.record.done.push(DoneRecord {
             job: id,
             tasks: ranges,
         });
-        self.log.results.push(PendingResults {
+        self.pending.results.push(PendingResults {
             job: index,
             tasks,
             scope,
@@ -171,7 +171,7 @@
         let record = &self.record;
         let is_empty =
             record.claims.is_empty() && record.done.is_empty() && record.ended.is_empty();
-        (!is_empty).then_some((self.record, self.log))
+        (!is_empty).then_some((self.record, self.pending))
     }
 }
 
@@ -259,18 +259,18 @@
             }
             // A condition on the job's record keeps a claim from being committed after its job's end.
             let (key, version) = (records::live_key(&job.id), job.version);
-            let guarded = job.is_ending() || self.writes_to(&key);
-            if (!guarded && !self.has_room_for_conditions()) || !builder.try_add(shard, &id) {
+            let has_condition = job.is_ending() || self.writes_to(&key);
+            if (!has_condition && !self.has_room_for_conditions()) || !builder.try_add(shard, &id) {
                 break;
             }
-            if !guarded {
+            if !has_condition {
                 self.guard(key, version);
             }
             if let Some(claim) = shard.claim_mut(&id) {
                 claim.state = ClaimState::Writing;
             }
             shard.claim_log.fresh.pop_front();
-            builder.log.claims.push(id);
+            builder.pending.claims.push(id);
         }
         true
     }
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -20,9 +20,9 @@
 const RETRY_MS: ops::Range<u64> = 50..250;
 
 /// Delay before a transaction is sent again if the probe of its outcome was not answered.
-const RETRY_UNVERIFIED_MS: u64 = 200;
+const PROBE_RETRY_MS: u64 = 200;
 
-const STEP_DOWN_UNEXPLAINED_CONFLICT: &str =
+const STEP_DOWN_NOT_APPLIED: &str =
     "a transaction was refused, and no earlier attempt of it was applied";
 
 /// The pending transaction, if there is one.
@@ -248,12 +248,12 @@
                 Some(version) if !probe.removed && version != probe.version_before => {
                     self.apply(version)
                 }
-                _ => self.step_down(STEP_DOWN_UNEXPLAINED_CONFLICT),
+                _ => self.step_down(STEP_DOWN_NOT_APPLIED),
             },
             Some(r) if r.status == 404 && probe.removed => self.apply(0),
-            Some(r) if r.status == 404 => self.step_down(STEP_DOWN_UNEXPLAINED_CONFLICT),
+            Some(r) if r.status == 404 => self.step_down(STEP_DOWN_NOT_APPLIED),
             // The next attempt of the transaction leads to another probe.
-            _ => shard.commit.retry_at = self.now.mono + RETRY_UNVERIFIED_MS,
+            _ => shard.commit.retry_at = self.now.mono + PROBE_RETRY_MS,
         }
     }
 }
--- a/crates/control/src/store/inventory_split.rs
+++ b/crates/control/src/store/inventory_split.rs
@@ -101,8 +101,12 @@
 
     /// Distributes machines of an inventory shard over records of at most `max_bytes` bytes each. One record is
     /// enough unless the shard was recorded when values could be larger.
-    pub fn inventory_pieces(&self, of: &BTreeSet<usize>, max_bytes: usize) -> Vec<InventoryPiece> {
-        let machines = || of.iter().filter_map(|m| Some((*m, self.machine(*m)?)));
+    pub fn inventory_pieces(
+        &self,
+        indices: &BTreeSet<usize>,
+        max_bytes: usize,
+    ) -> Vec<InventoryPiece> {
+        let machines = || indices.iter().filter_map(|m| Some((*m, self.machine(*m)?)));
         let mut whole = InventoryPiece::default();
         for (m, machine) in machines() {
             whole.add(m, machine);
@@ -156,16 +160,20 @@
         };
         let entry = record_sizes::inventory_entry(&machine.name);
         let kind = record_sizes::inventory_kind(&machine.machine_type, &machine.zone);
-        let beside = self
-            .claim_log
-            .inventory
-            .iter()
-            .next_back()
-            .is_some_and(|(_, r)| {
-                let mut others = r.machines.iter().filter_map(|o| self.machine(*o));
-                r.size + entry <= limit && others.any(|o| are_one_kind(o, machine))
-            });
-        let size = if beside { entry } else { entry + kind };
+        let fits_with_same_kind =
+            self.claim_log
+                .inventory
+                .iter()
+                .next_back()
+                .is_some_and(|(_, r)| {
+                    let mut others = r.machines.iter().filter_map(|o| self.machine(*o));
+                    r.size + entry <= limit && others.any(|o| are_one_kind(o, machine))
+                });
+        let size = if fits_with_same_kind {
+            entry
+        } else {
+            entry + kind
+        };
         if let Some(machine) = self.machine_mut(m) {
             machine.size = size;
         }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -408,7 +408,7 @@
         let whole = self.whole_allotment();
         self.refit_hours();
         let Some(shard) = &mut self.shard else { return };
-        shard.allotment.want_if_other(whole);
+        shard.allotment.request_if_different(whole);
         shard.loaded = true;
         shard.since = now;
         for machine in shard.machines.iter_mut().flatten() {
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -261,7 +261,7 @@
         if !self.has_room() {
             return;
         }
-        shard.allotment.write_wanted(self);
+        shard.allotment.write_requested(self);
     }
 
     fn put_token(&mut self, shard: &mut Shard, shared: &Shared, now: u64) {
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -44,12 +44,12 @@
         self.stats.refused_writes += 1;
         if self.refusals.logged.insert(kind) {
             let (value, changes) = (self.write_limits.value_kb(), self.write_limits.changes());
-            let out = self.shard.as_ref().map_or((0, 0), |p| p.commit.size());
+            let pending_size = self.shard.as_ref().map_or((0, 0), |p| p.commit.size());
             log::error!(
                 "{kind}: refused by the state service with 400: {what}; current limits are values of {value} KiB and \
                  {changes} changes per transaction; the leader's transaction has {} changes in {} bytes",
-                out.0,
-                out.1
+                pending_size.0,
+                pending_size.1
             );
         }
     }
@@ -62,10 +62,10 @@
         let pending_writes = shard.commit.abandon();
         let limits_shrank = self.write_limits.shrink_after_refusal(changes);
         shard.limits = self.write_limits;
-        let mut given_up = BTreeSet::new();
+        let mut reverted_kinds = BTreeSet::new();
         for write in pending_writes.into_iter().rev() {
             if let Some(kind) = shard.revert_write(write) {
-                given_up.insert(kind as usize);
+                reverted_kinds.insert(kind as usize);
             }
         }
         let doublings = self.refusals.consecutive.min(MAX_DELAY_DOUBLINGS);
@@ -73,7 +73,7 @@
         let delay = self.rng.u64(RETRY_DELAY_MS) << doublings;
         shard.commit.wait_until(self.now.mono + delay);
         for kind in ALL {
-            if given_up.contains(&(kind as usize)) {
+            if reverted_kinds.contains(&(kind as usize)) {
                 for_kind!(kind, K => self.change_given_up::<K>());
             }
         }
--- a/crates/control/src/store/write_limits.rs
+++ b/crates/control/src/store/write_limits.rs
@@ -116,10 +116,10 @@
     /// Lowers the limits after a transaction with this many changes was refused for its size. Returns false if they
     /// could not be lowered further.
     pub fn shrink_after_refusal(&mut self, changes: usize) -> bool {
-        let before = *self;
+        let previous = *self;
         self.changes = self.changes.min((changes / 2).max(MIN_CHANGES));
         self.value_kb = (self.value_kb / 2.0).max(MIN_VALUE_KB).min(self.value_kb);
         self.exact_lengths = true;
-        (self.changes, self.value_kb) != (before.changes, before.value_kb)
+        (self.changes, self.value_kb) != (previous.changes, previous.value_kb)
     }
 }
