--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Among at least this many machines, some report or answer a probe within `SILENCE_MS` of the start of a term.
+/// Among at least this many machines, some report or answer a probe within `SILENCE_MS` of the end of recovery.
 const SILENCE_MIN_MACHINES: usize = 4;
 const SILENCE_MS: u64 = 2000;
 
@@ -57,7 +57,7 @@
     pub attestations: Attestations,
     /// Whether some worker has reported or answered directly, not through a peer.
     pub heard_itself: bool,
-    /// When this term began.
+    /// When this term began or, once recovery is complete, when it was completed.
     pub since: u64,
     pub recovery: RecoveryProgress,
     pub live_watch: LiveWatch,
@@ -88,7 +88,7 @@
     touched: Vec<JobIndex>,
     /// Unwanted jobs, such as cancelled ones, that still have claims.
     pub unwanted: BTreeSet<JobIndex>,
-    /// Usage of the quota tree, with the tree's version.
+    /// Use and demand in the quota tree, with the tree's version.
     pub counted: Option<(u64, Counted)>,
     /// Release hours of the shard's jobs.
     pub hours: DeadlineWatch,
