--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -1,11 +1,11 @@
-//! Records of the write-ahead log, with claims and results, and of the inventory, with machines.
+//! Builds the records of the write-ahead log, with claims and results, and of the inventory, with machines.
 
 use crate::agents::machine::ClaimState;
 use crate::documents::county_counts;
 use crate::jobs::job::{Ending, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::store::claim_log::{ClaimId, ClaimLog};
-use crate::store::inventory_split::Piece;
+use crate::store::inventory_split::InventoryPiece;
 use crate::store::record_sizes;
 use crate::store::shard::Shard;
 use crate::store::transaction::{PendingWrite, TransactionDraft};
@@ -13,45 +13,48 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::records::{self, ClaimsRecord, DoneRecord, LogRecord, Record};
 
-/// Log records may be one for so many machines, if not more, before the oldest are moved into new ones.
+/// The log may hold one record per this many machines before it is compacted, if that is more than the limits'
+/// threshold.
 const MACHINES_PER_SEGMENT: usize = 5;
 
-/// Log records that a fleet of so many machines may have before the oldest are moved.
+/// Number of log records above which the oldest is compacted, in a fleet of this many machines.
 fn max_segments(limits: &WriteLimits, machines: usize) -> usize {
-    limits.log_records().max(machines / MACHINES_PER_SEGMENT)
+    limits
+        .compaction_threshold()
+        .max(machines / MACHINES_PER_SEGMENT)
 }
 
-/// What a log record takes besides its entries.
-const LOG_FRAME: usize = 64;
+/// Length of a log record besides its entries.
+const LOG_RECORD_OVERHEAD: usize = 64;
 
-/// A log record on its way.
-pub(crate) struct PendingLog {
+/// A log record in a transaction that is not yet committed.
+pub(crate) struct PendingLogRecord {
     pub number: u64,
     pub claims: Vec<ClaimId>,
     pub results: Vec<PendingResults>,
     pub ended: Vec<county::Delta>,
 }
 
-/// Results of a job's in a log record on its way.
+/// Results of one job in a pending log record.
 pub(crate) struct PendingResults {
     pub job: JobIndex,
     pub tasks: Vec<u32>,
-    pub scope: Scope,
+    pub scope: ResultScope,
 }
 
-/// Which of a job's results a record holds.
+/// Which of a job's results a log record holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Scope {
-    /// Those that stand in no record yet.
+pub(crate) enum ResultScope {
+    /// Results that no record holds yet.
     Unsaved,
-    /// All that are known, so that earlier records need not hold them.
+    /// All known results, so that earlier records no longer have to hold them.
     All,
 }
 
-/// A log record that is being filled.
-struct LogBuilder {
-    log: PendingLog,
-    /// Tasks by machine, by the job and the attempt that they are claimed for.
+/// A log record under construction.
+struct LogRecordBuilder {
+    pending: PendingLogRecord,
+    /// Claimed tasks by machine, grouped by job and attempt.
     groups: BTreeMap<(JobIndex, u64), BTreeMap<usize, BTreeSet<u32>>>,
     record: LogRecord,
     size: usize,
@@ -59,15 +62,15 @@
     max_size: usize,
 }
 
-impl LogBuilder {
+impl LogRecordBuilder {
     fn new(number: u64, ended: Vec<county::Delta>, limits: &WriteLimits) -> Self {
-        LogBuilder {
-            size: LOG_FRAME + county_counts::deltas_bytes(&ended),
+        LogRecordBuilder {
+            size: LOG_RECORD_OVERHEAD + county_counts::deltas_bytes(&ended),
             record: LogRecord {
                 ended: ended.clone(),
                 ..LogRecord::default()
             },
-            log: PendingLog {
+            pending: PendingLogRecord {
                 number,
                 claims: Vec::new(),
                 results: Vec::new(),
@@ -79,33 +82,33 @@
         }
     }
 
-    /// Takes a claim in if it fits.
+    /// Adds a claim. Returns false if it does not fit, or if its job or its machine is unknown.
     fn try_add(&mut self, shard: &Shard, id: &ClaimId) -> bool {
         let (Some(job), Some(machine)) = (shard.job(id.job), shard.machine(id.machine)) else {
             return false;
         };
-        let mut more = record_sizes::claims_entry(&self.limits, &machine.name);
+        let mut added_bytes = record_sizes::claims_entry(&self.limits, &machine.name);
         if !self.groups.contains_key(&(id.job, id.attempt)) {
-            more += record_sizes::claims_frame(&self.limits, job);
+            added_bytes += record_sizes::claims_frame(&self.limits, job);
         }
-        if self.size + more > self.max_size {
+        if self.size + added_bytes > self.max_size {
             return false;
         }
-        self.size += more;
+        self.size += added_bytes;
         let group = self.groups.entry((id.job, id.attempt)).or_default();
         group.entry(id.machine).or_default().insert(id.task);
         true
     }
 
-    /// The oldest record's claims that still hold.
-    fn move_claims(&mut self, shard: &mut Shard, oldest: u64) {
+    /// Adds the claims of the oldest segment that are still valid.
+    fn move_live_claims(&mut self, shard: &mut Shard, oldest: u64) {
         let segment = shard.claim_log.segments.get(&oldest);
         for id in segment.map(|s| s.claims.clone()).unwrap_or_default() {
-            let holds = shard
+            let is_live = shard
                 .claim_mut(&id)
                 .is_some_and(|c| c.state == ClaimState::Recorded && c.segment == oldest);
-            if holds && self.try_add(shard, &id) {
-                self.log.claims.push(id);
+            if is_live && self.try_add(shard, &id) {
+                self.pending.claims.push(id);
             }
         }
     }
@@ -129,50 +132,50 @@
         }
     }
 
-    fn write_results(&mut self, shard: &mut Shard, index: JobIndex, scope: Scope) {
+    fn write_results(&mut self, shard: &mut Shard, index: JobIndex, scope: ResultScope) {
         let Some(job) = shard.job(index).filter(|j| j.ending == Ending::No) else {
             shard.claim_log.unsaved.remove(&index);
             return;
         };
         let mut tasks: Vec<u32> = match scope {
-            Scope::All => job.saved().collect(),
-            Scope::Unsaved => job.unsaved.iter().copied().collect(),
+            ResultScope::All => job.saved().collect(),
+            ResultScope::Unsaved => job.unsaved.iter().copied().collect(),
         };
         let mut ranges = records::ranges(tasks.iter().copied());
-        let frame = self.size + DoneRecord::frame(&job.id);
-        let fits = self.max_size.saturating_sub(frame) / DoneRecord::ENTRY;
-        if fits == 0 || (scope == Scope::All && ranges.len() > fits) {
+        let base_size = self.size + DoneRecord::frame(&job.id);
+        let max_ranges = self.max_size.saturating_sub(base_size) / DoneRecord::ENTRY;
+        if max_ranges == 0 || (scope == ResultScope::All && ranges.len() > max_ranges) {
             return;
         }
         let id = job.id.clone();
-        if ranges.len() > fits {
-            ranges.truncate(fits);
+        if ranges.len() > max_ranges {
+            ranges.truncate(max_ranges);
             tasks.truncate(records::unrange(&ranges).count());
-        } else if scope == Scope::Unsaved {
+        } else if scope == ResultScope::Unsaved {
             shard.claim_log.unsaved.remove(&index);
         }
-        self.size = frame + ranges.len() * DoneRecord::ENTRY;
+        self.size = base_size + ranges.len() * DoneRecord::ENTRY;
         self.record.done.push(DoneRecord {
             job: id,
             tasks: ranges,
         });
-        self.log.results.push(PendingResults {
+        self.pending.results.push(PendingResults {
             job: index,
             tasks,
             scope,
         });
     }
 
-    /// The record and what it changes; `None` if it says nothing.
-    fn finish(self) -> Option<(LogRecord, PendingLog)> {
+    /// Returns the record and its pending entries, or `None` if the record is empty.
+    fn finish(self) -> Option<(LogRecord, PendingLogRecord)> {
         let record = &self.record;
-        let says_nothing =
+        let is_empty =
             record.claims.is_empty() && record.done.is_empty() && record.ended.is_empty();
-        (!says_nothing).then_some((self.record, self.log))
+        (!is_empty).then_some((self.record, self.pending))
     }
 }
 
-/// Ranges of tasks, each as its machine's name, its first task and its length.
+/// Ranges of tasks, each as machine name, first task and length.
 fn ranges_by_machine(
     shard: &Shard,
     machines: BTreeMap<usize, BTreeSet<u32>>,
@@ -189,32 +192,33 @@
 }
 
 impl ClaimLog {
-    /// The oldest record that still holds something, where there are too many records.
+    /// The oldest segment with live entries, if the log has more segments than allowed.
     fn segment_to_compact(&self, limits: &WriteLimits, machines: usize) -> Option<u64> {
         if self.segments.len() <= max_segments(limits, machines) {
             return None;
         }
-        let (number, _) = self.segments.iter().find(|(_, s)| s.holds())?;
+        let (number, _) = self.segments.iter().find(|(_, s)| s.has_live_entries())?;
         Some(*number)
     }
 
-    /// Jobs whose results are to be written, those of a compacted record last.
-    fn results_to_write(&self, compacted: Option<u64>) -> Vec<(JobIndex, Scope)> {
-        let unsaved = self.unsaved.iter().map(|job| (*job, Scope::Unsaved));
+    /// Jobs whose results are to be written; those of the compacted segment come last.
+    fn results_to_write(&self, compacted: Option<u64>) -> Vec<(JobIndex, ResultScope)> {
+        let unsaved = self.unsaved.iter().map(|job| (*job, ResultScope::Unsaved));
         let moved = compacted
             .and_then(|number| self.segments.get(&number))
             .into_iter()
             .flat_map(|s| &s.jobs)
-            .map(|job| (*job, Scope::All));
+            .map(|job| (*job, ResultScope::All));
         unsaved.chain(moved).collect()
     }
 }
 
 impl TransactionDraft {
-    /// One log record: claims as far as they fit, then results, then what is moved out of the oldest record.
-    pub(super) fn put_log(&mut self, shard: &mut Shard) {
+    /// Writes one log record: new claims as far as they fit, claims moved from the segment under compaction, then
+    /// results.
+    pub(super) fn put_log_record(&mut self, shard: &mut Shard) {
         let ended = self.counts.take();
-        let mut builder = LogBuilder::new(shard.next_log(), ended, self.write_limits());
+        let mut builder = LogRecordBuilder::new(shard.next_log(), ended, self.write_limits());
         if !self.add_fresh_claims(shard, &mut builder) {
             return;
         }
@@ -223,7 +227,7 @@
             .claim_log
             .segment_to_compact(self.write_limits(), machines);
         if let Some(oldest) = oldest {
-            builder.move_claims(shard, oldest);
+            builder.move_live_claims(shard, oldest);
         }
         builder.write_claims(shard);
         for (job, scope) in shard.claim_log.results_to_write(oldest) {
@@ -235,8 +239,8 @@
         }
     }
 
-    /// False if a claim names a job that nobody knows: then there is no record.
-    fn add_fresh_claims(&mut self, shard: &mut Shard, builder: &mut LogBuilder) -> bool {
+    /// Adds claims that are not recorded yet. Returns false if a claim's job is unknown; no record is written then.
+    fn add_fresh_claims(&mut self, shard: &mut Shard, builder: &mut LogRecordBuilder) -> bool {
         while let Some(id) = shard.claim_log.fresh.front().copied() {
             let Some(claim) = shard.claim_mut(&id).filter(|c| c.state == ClaimState::New) else {
                 shard.claim_log.fresh.pop_front();
@@ -246,37 +250,39 @@
             let Some(job) = shard.job(id.job) else {
                 return false;
             };
-            // What was planned for a job that has ended meanwhile is dropped: nothing was sent, and a guard on
-            // the job's record would fail the whole transaction.
+            // A planned claim that was not sent is dropped if its job has ended since: a condition on the job's
+            // record would fail the whole transaction.
             if job.is_ending() && !sent {
                 shard.claim_log.fresh.pop_front();
                 shard.drop_claim(&id);
                 continue;
             }
-            // The claims' jobs are guarded too: a claim must not come after its job's end.
+            // A condition on the job's record keeps a claim from being committed after its job's end.
             let (key, version) = (records::live_key(&job.id), job.version);
-            let guarded = job.is_ending() || self.writes_to(&key);
-            if (!guarded && !self.has_room_for_conditions()) || !builder.try_add(shard, &id) {
+            let has_condition = job.is_ending() || self.writes_to(&key);
+            if (!has_condition && !self.has_room_for_conditions()) || !builder.try_add(shard, &id) {
                 break;
             }
-            if !guarded {
+            if !has_condition {
                 self.guard(key, version);
             }
             if let Some(claim) = shard.claim_mut(&id) {
                 claim.state = ClaimState::Writing;
             }
             shard.claim_log.fresh.pop_front();
-            builder.log.claims.push(id);
+            builder.pending.claims.push(id);
         }
         true
     }
 
-    /// Writes an inventory shard as it stands now, or removes it. False if there is not room for all of its pieces.
+    /// Writes the current machines of an inventory shard, or removes its record if there are none. Returns false, and
+    /// writes nothing, if the shard has to be split into more than `max_records` records but a full transaction could
+    /// take them.
     pub(super) fn put_inventory_shard(
         &mut self,
         shard: &mut Shard,
         number: u64,
-        room: usize,
+        max_records: usize,
     ) -> bool {
         shard.claim_log.shrunk_inventory.remove(&number);
         let Some(inventory_shard) = shard.claim_log.inventory.get(&number) else {
@@ -285,8 +291,8 @@
         let key = records::inventory_key(SHARD, number);
         let version = inventory_shard.version;
         if inventory_shard.machines.is_empty() {
-            // Its number is not used again in this term. A late copy of the transaction that first wrote it finds
-            // no inventory shard of other machines in its place, and is taken for none.
+            // The number is not reused in this term: a delayed copy of the transaction that first wrote this shard
+            // never meets a shard of other machines under its key.
             shard.claim_log.inventory.remove(&number);
             if version > 0 {
                 self.remove(key, version);
@@ -295,17 +301,17 @@
             }
             return true;
         }
-        let value = shard.limits.value_bytes();
-        let mut pieces = shard.inventory_pieces(&inventory_shard.machines, value);
-        if pieces.len() > 1 && shard.split_unrecorded(number, value) {
-            // What has never been recorded needs not move in one transaction with the rest.
-            return self.put_inventory_shard(shard, number, room);
+        let max_bytes = shard.limits.value_bytes();
+        let mut pieces = shard.inventory_pieces(&inventory_shard.machines, max_bytes);
+        if pieces.len() > 1 && shard.split_unrecorded(number, max_bytes) {
+            // Machines that were never recorded do not have to move in the same transaction as the others.
+            return self.put_inventory_shard(shard, number, max_records);
         }
         if pieces.len() > shard.limits.changes() {
-            // As it stands, until enough of its machines are gone.
+            // Too many pieces for one transaction: the record stays as it is until enough machines are gone.
             return true;
         }
-        if pieces.len() > room {
+        if pieces.len() > max_records {
             return false;
         }
         let first = pieces.remove(0);
@@ -319,7 +325,7 @@
         true
     }
 
-    fn put_inventory_piece(&mut self, shard: &mut Shard, from: u64, piece: Piece) {
+    fn put_inventory_piece(&mut self, shard: &mut Shard, from: u64, piece: InventoryPiece) {
         let number = shard.move_to_new_inventory_shard(from, &piece.machines);
         let names = piece.names();
         self.put(
--- a/crates/control/src/store/inventory_split.rs
+++ b/crates/control/src/store/inventory_split.rs
@@ -1,9 +1,9 @@
-//! Inventory shards whose record would be larger than a value may be now: their machines are spread over several, in the
-//! transaction that rewrites the first, so that every machine stands in exactly one inventory shard at any time.
+//! Splits inventory shards whose records exceed the current limit on values. The transaction that rewrites the shard
+//! also distributes its machines over new shards, so that every machine is in exactly one shard at any time.
 //!
-//! An inventory shard that would need more changes than a transaction has stays as it is recorded until enough of its
-//! machines are gone. Until then a new leader finds machines in it that are gone already: it takes them for silent, and has the
-//! cloud's word for it that they are gone, as for any other.
+//! A shard whose split would need more changes than a transaction may have keeps its recorded contents until enough
+//! of its machines are gone. Until then, a new leader finds machines in it that no longer exist. It treats them as
+//! silent, and learns from the cloud that they are gone, as it does for any other machine.
 
 use crate::agents::machine::Machine;
 use crate::store::record_sizes;
@@ -11,8 +11,8 @@
 use std::collections::BTreeSet;
 use wire::records::{InventoryRecord, KindRecord};
 
-/// What an inventory shard's record takes without its machines.
-const FRAME: usize = 16;
+/// Length of an inventory shard's record without its machines.
+const RECORD_OVERHEAD: usize = 16;
 
 fn is_kind(kind: &KindRecord, machine: &Machine) -> bool {
     kind.machine_type == machine.machine_type
@@ -24,25 +24,25 @@
     a.machine_type == b.machine_type && a.zone == b.zone && a.spot == b.spot
 }
 
-/// Some machines with their record.
-pub(crate) struct Piece {
+/// Some of an inventory shard's machines, with a record of their own.
+pub(crate) struct InventoryPiece {
     pub machines: Vec<usize>,
     pub record: InventoryRecord,
     size: usize,
 }
 
-impl Default for Piece {
+impl Default for InventoryPiece {
     fn default() -> Self {
-        Piece {
+        InventoryPiece {
             machines: Vec::new(),
             record: InventoryRecord::default(),
-            size: FRAME,
+            size: RECORD_OVERHEAD,
         }
     }
 }
 
-impl Piece {
-    /// What a machine would add to the record.
+impl InventoryPiece {
+    /// Length that a machine would add to the record.
     fn added_by(&self, machine: &Machine) -> usize {
         let known = self.record.kinds.iter().any(|k| is_kind(k, machine));
         let kind = if known {
@@ -76,8 +76,9 @@
 }
 
 impl Shard {
-    /// Takes machines that were never recorded out of an inventory shard, into new ones. False if there are none.
-    pub fn split_unrecorded(&mut self, number: u64, value: usize) -> bool {
+    /// Moves the machines of an inventory shard that were never recorded to new shards. Returns false if there are
+    /// none.
+    pub fn split_unrecorded(&mut self, number: u64, max_bytes: usize) -> bool {
         let Some(inventory_shard) = self.claim_log.inventory.get(&number) else {
             return false;
         };
@@ -91,29 +92,35 @@
         if new.is_empty() {
             return false;
         }
-        for piece in self.inventory_pieces(&new, value) {
+        for piece in self.inventory_pieces(&new, max_bytes) {
             let into = self.move_to_new_inventory_shard(number, &piece.machines);
             self.claim_log.grown_inventory.insert(into);
         }
         true
     }
 
-    /// An inventory shard's machines in records of at most `value` bytes each: one, unless it was recorded when values
-    /// were larger.
-    pub fn inventory_pieces(&self, of: &BTreeSet<usize>, value: usize) -> Vec<Piece> {
-        let machines = || of.iter().filter_map(|m| Some((*m, self.machine(*m)?)));
-        let mut whole = Piece::default();
+    /// Distributes machines of an inventory shard over records of at most `max_bytes` bytes each. One record is
+    /// enough unless the shard was recorded when values could be larger.
+    pub fn inventory_pieces(
+        &self,
+        indices: &BTreeSet<usize>,
+        max_bytes: usize,
+    ) -> Vec<InventoryPiece> {
+        let machines = || indices.iter().filter_map(|m| Some((*m, self.machine(*m)?)));
+        let mut whole = InventoryPiece::default();
         for (m, machine) in machines() {
             whole.add(m, machine);
         }
-        if record_sizes::length(&whole.record) <= value {
+        if record_sizes::length(&whole.record) <= max_bytes {
             return vec![whole];
         }
-        let mut pieces = vec![Piece::default()];
+        let mut pieces = vec![InventoryPiece::default()];
         for (m, machine) in machines() {
-            let full = |p: &Piece| !p.machines.is_empty() && p.size + p.added_by(machine) > value;
+            let full = |p: &InventoryPiece| {
+                !p.machines.is_empty() && p.size + p.added_by(machine) > max_bytes
+            };
             if pieces.last().is_none_or(full) {
-                pieces.push(Piece::default());
+                pieces.push(InventoryPiece::default());
             }
             if let Some(piece) = pieces.last_mut() {
                 piece.add(m, machine);
@@ -122,7 +129,7 @@
         pieces
     }
 
-    /// Moves some machines of an inventory shard to a new one, which is yet to be recorded. Returns its number.
+    /// Moves machines of an inventory shard to a new one, which is not recorded yet. Returns its number.
     pub fn move_to_new_inventory_shard(&mut self, from: u64, machines: &[usize]) -> u64 {
         let sizes = machines.iter().filter_map(|m| self.machine(*m));
         let size: usize = sizes.map(|m| m.size).sum();
@@ -135,36 +142,41 @@
         number
     }
 
-    /// Puts all machines of an inventory shard that was not recorded back into the one that they came from.
-    pub fn move_back(&mut self, number: u64, from: u64) {
-        for m in self.claim_log.join_inventory_shard(number, from) {
+    /// Moves all machines of an inventory shard that was not recorded back to the shard they came from.
+    pub fn undo_inventory_split(&mut self, number: u64, from: u64) {
+        for m in self.claim_log.merge_inventory_shard(number, from) {
             if let Some(machine) = self.machine_mut(m) {
                 machine.inventory_shard = from;
             }
         }
     }
 
-    /// The inventory shard for a machine that is to be recorded, where lengths are counted exactly.
-    pub fn tight_inventory_shard_for(&mut self, m: usize) -> u64 {
-        let limit = self.limits.value_bytes().saturating_sub(FRAME);
+    /// Assigns a machine that is to be recorded to an inventory shard, where lengths are computed exactly. Returns
+    /// the shard's number.
+    pub fn assign_inventory_shard_exact(&mut self, m: usize) -> u64 {
+        let limit = self.limits.value_bytes().saturating_sub(RECORD_OVERHEAD);
         let Some(machine) = self.machine(m) else {
             return 0;
         };
         let entry = record_sizes::inventory_entry(&machine.name);
         let kind = record_sizes::inventory_kind(&machine.machine_type, &machine.zone);
-        let beside = self
-            .claim_log
-            .inventory
-            .iter()
-            .next_back()
-            .is_some_and(|(_, r)| {
-                let mut others = r.machines.iter().filter_map(|o| self.machine(*o));
-                r.size + entry <= limit && others.any(|o| are_one_kind(o, machine))
-            });
-        let size = if beside { entry } else { entry + kind };
+        let fits_with_same_kind =
+            self.claim_log
+                .inventory
+                .iter()
+                .next_back()
+                .is_some_and(|(_, r)| {
+                    let mut others = r.machines.iter().filter_map(|o| self.machine(*o));
+                    r.size + entry <= limit && others.any(|o| are_one_kind(o, machine))
+                });
+        let size = if fits_with_same_kind {
+            entry
+        } else {
+            entry + kind
+        };
         if let Some(machine) = self.machine_mut(m) {
             machine.size = size;
         }
-        self.claim_log.inventory_shard_for(m, size, limit)
+        self.claim_log.assign_inventory_shard(m, size, limit)
     }
 }
--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -1,4 +1,4 @@
-//! The watch of accepted jobs: any controller accepts, and the leader hears of it here.
+//! Watch on accepted jobs: any controller may accept a job, and the leader learns of it through the watch.
 
 use crate::{Destination, Node, Pending};
 use std::ops;
@@ -6,13 +6,13 @@
 use wire::http::Response;
 use wire::records::{self, JobRecord};
 
-/// The service answers a watch without changes after 5 s; one that says nothing for so long is cut off.
-const WATCH_ANSWER_MS: u64 = 7000;
+/// Timeout of a watch request. The service answers after 5 s even if there are no changes.
+const WATCH_TIMEOUT_MS: u64 = 7000;
 
-/// After how long a watch that ended badly is begun again.
+/// Delay before a failed watch is restarted.
 const RETRY_MS: ops::Range<u64> = 100..400;
 
-/// How far the watch has come, and whether it is out.
+/// The watch's progress, and whether a request is in flight.
 #[derive(Debug, Default)]
 pub(crate) struct LiveWatch {
     revision: u64,
@@ -26,12 +26,13 @@
         self.revision
     }
 
-    /// Whether it is to be begun again.
+    /// Whether a watch request is to be sent.
     pub fn is_due(&self, now: u64) -> bool {
         !self.busy && now >= self.retry_at
     }
 
-    /// Everything was read as of this revision or later; the first page says it.
+    /// Sets the revision from which changes are watched: that of the first page read during recovery, as everything
+    /// was read at this revision or later.
     pub fn start_from(&mut self, revision: u64) {
         if self.revision == 0 {
             self.revision = revision;
@@ -47,7 +48,7 @@
         self.retry_at = retry_at;
     }
 
-    fn reached(&mut self, revision: u64) {
+    fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 }
@@ -67,7 +68,7 @@
             "GET",
             path,
             Vec::new(),
-            WATCH_ANSWER_MS,
+            WATCH_TIMEOUT_MS,
             Pending::LiveWatch { term },
         );
     }
@@ -80,7 +81,7 @@
         let Some(response) = response else { return };
         match response.status {
             200 => {}
-            410 => return self.step_down("too many changes were missed; reading everything again"),
+            410 => return self.step_down("the watch missed changes; all records are read again"),
             _ => return,
         }
         let Some(changes) = self.read::<Changes<JobRecord>>("state service", &response) else {
@@ -93,7 +94,7 @@
             }
         }
         if let Some(shard) = &mut self.shard {
-            shard.live_watch.reached(changes.revision);
+            shard.live_watch.advance_to(changes.revision);
         }
         self.watch_live();
     }
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -1,4 +1,4 @@
-//! What one transaction of the leader's carries, and how it is filled: most urgent first, as far as there is room.
+//! The contents of one transaction of the leader: pending writes, most urgent first, as far as there is room.
 
 use crate::documents::county_counts::EndedCounts;
 use crate::documents::{KindId, hours};
@@ -7,84 +7,85 @@
 use crate::leadership::election::SHARD;
 use crate::leadership::shared_state::Shared;
 use crate::store::allotment::AllotmentState;
-use crate::store::claim_records::PendingLog;
+use crate::store::claim_records::PendingLogRecord;
 use crate::store::rental::RentalState;
 use crate::store::shard::Shard;
 use crate::store::write_limits::WriteLimits;
 use wire::api::{Condition, Write};
 use wire::records::{self, EndRecord, Record, TokenRecord};
 
-/// Results and returned machines wait this long for something to travel with.
-const TIDY_MS: u64 = 1000;
+/// Results and returned machines wait up to this long for other writes to share a transaction with.
+const CLEANUP_INTERVAL_MS: u64 = 1000;
 
-/// Larger transactions are cut: one more record, and the longer form that the service counts in, still stay below
-/// its 64 KiB.
-const MAX_SIZE: usize = 24 * 1024;
+/// Nothing is added to a transaction that has reached this size: with one more record, and in the longer encoding
+/// that the service counts, it still stays below the service's limit of 64 KiB.
+const MAX_TRANSACTION_BYTES: usize = 24 * 1024;
 
-/// A token that did not rise is tried again after this time.
-const RAISE_TOKEN_AGAIN_MS: u64 = 3000;
+/// Minimum time between two attempts to raise the token.
+const TOKEN_RETRY_MS: u64 = 3000;
 
-/// The state service's own form of a value takes up to so many times our own.
-const SERVICE_FORM: f64 = 1.3;
+/// Upper bound on the length of a value in the state service's encoding, relative to ours.
+const SERVICE_ENCODING_FACTOR: f64 = 1.3;
 
-/// A write of a transaction, as what it changes in memory once it is in place.
+/// A write of a pending transaction, with what is needed to apply it in memory once it is committed.
 pub(crate) enum PendingWrite {
     End(JobIndex),
     Token(u64),
     Rental(String),
     RemoveRental(String),
-    Log(PendingLog),
-    LogOver(u64),
+    Log(PendingLogRecord),
+    RemoveLog(u64),
     CounterSheets(county::Fold),
-    /// An inventory shard with the names of its machines: by the time that it stands, a place in memory may be
-    /// another one's.
+    /// An inventory shard, with the names of its machines: by the time it is committed, a machine's slot may hold
+    /// another machine.
     InventoryShard(u64, Vec<String>),
-    /// The same for machines that were moved out of another inventory shard, which is rewritten in this transaction.
+    /// A new inventory shard, the shard its machines were moved out of, which the same transaction rewrites, and the
+    /// machines' names.
     InventoryPiece(u64, u64, Vec<String>),
-    /// An empty inventory shard's removal, with its version.
+    /// The removal of an empty inventory shard, with its version.
     RemoveInventoryShard(u64, u64),
     Catalog,
-    /// An allotment, with what stood before it.
+    /// An allotment, with the state before the write.
     Allotment(Box<AllotmentState>),
-    /// A document's part, its removal, its head.
+    /// The write or the removal of a part of a document, or the write of its head.
     DocumentPart(KindId, String),
     RemoveDocumentPart(KindId, String),
     Head(KindId),
-    /// A moved hour, with the time of the move.
+    /// A moved release hour, with the wall-clock time of the move.
     Hour(hours::HourMove, u64),
 }
 
-/// A key that tells whether a transaction whose answer was lost is in place.
+/// A key that shows whether a transaction whose answer was lost has been applied.
 #[derive(Clone)]
 pub(crate) struct Probe {
     pub key: String,
     pub version_before: u64,
-    /// The transaction removes the key.
+    /// Whether the transaction removes the key.
     pub removed: bool,
 }
 
-/// Bounds of one transaction.
+/// Limits of one transaction.
 #[derive(Clone, Copy)]
-struct Limits {
-    writes: usize,
-    /// What records and transactions are built to.
-    write: WriteLimits,
+struct TransactionLimits {
+    max_writes: usize,
+    /// Limits on the sizes of records and transactions.
+    write_limits: WriteLimits,
 }
 
-/// A transaction that is being filled.
+/// A transaction under construction.
 pub(crate) struct TransactionDraft {
     pub pending_writes: Vec<PendingWrite>,
     pub(super) conditions: Vec<Condition>,
     pub(super) writes: Vec<Write>,
     pub(super) probe: Option<Probe>,
     size: usize,
-    limits: Limits,
-    /// Counts of the jobs that it ends, for its log record.
+    limits: TransactionLimits,
+    /// Counts of the jobs that the transaction ends, for its log record.
     pub counts: EndedCounts,
 }
 
 impl TransactionDraft {
-    /// Gathers what is to be written. `None` if there is nothing.
+    /// Collects pending writes. Returns `None` if there are none.
     pub fn fill(
         shard: &mut Shard,
         shared: &mut Shared,
@@ -93,9 +94,9 @@
         now: Now,
     ) -> Option<Self> {
         let mut draft = TransactionDraft::new(shard.leader_version, limits, budget);
-        let tidies = now.mono >= shard.commit.tidied_at + TIDY_MS;
+        let cleanup_due = now.mono >= shard.commit.last_cleanup_at + CLEANUP_INTERVAL_MS;
         let head = TransactionDraft::head_due(&shared.documents, shard, budget);
-        if tidies && head.is_none() {
+        if cleanup_due && head.is_none() {
             draft.put_split_inventory(shard);
         }
         draft.put_ends(shard, head.map(|(_, writes)| writes), now.wall);
@@ -106,13 +107,13 @@
         draft.put_token(shard, shared, now.mono);
         draft.put_new_rentals(shard);
         draft.hour_moves(shard, now.wall, limits.value_bytes(), Self::has_room);
-        draft.put_logs(shard, tidies);
+        draft.put_log_records(shard, cleanup_due);
         draft.put_grown_inventory(shard);
         draft.remove_rentals(shard);
         draft.put_catalog(shard, shared, limits.value_kb());
         draft.parts(&mut shared.documents, Self::has_room);
-        if tidies {
-            shard.commit.tidied_at = now.mono;
+        if cleanup_due {
+            shard.commit.last_cleanup_at = now.mono;
             draft.counter_sheets(shard, now.mono, Self::has_room);
             draft.remove_unreferenced_parts(&shared.documents, Self::has_room);
             draft.put_shrunk_inventory(shard);
@@ -131,19 +132,19 @@
             writes: Vec::new(),
             probe: None,
             size: 0,
-            limits: Limits {
-                writes: budget,
-                write: *limits,
+            limits: TransactionLimits {
+                max_writes: budget,
+                write_limits: *limits,
             },
             counts: EndedCounts::new(limits.value_bytes()),
         }
     }
 
-    /// Puts a record in the place of the version that is known; 0 for none.
+    /// Writes a record, on condition that its key is at this version; 0 if it must not exist.
     pub fn put(&mut self, key: String, version: u64, record: Record) {
         self.size += wire::encode(&record).len() + key.len();
-        // A record that is put also tells at which revision; guards against versions taken from a removal,
-        // which has none.
+        // A written record is preferred to a removed one as the probe, because it also shows at which revision the
+        // transaction was applied.
         if self.probe.as_ref().is_none_or(|p| p.removed) {
             self.probe = Some(Probe {
                 key: key.clone(),
@@ -155,14 +156,14 @@
         self.writes.push(Write::put(key, record));
     }
 
-    /// Writes what is named by its own digest: whatever stands there already is the same. So it can't tell whether
-    /// this transaction was applied, and has no guard but the leader's.
+    /// Writes a record whose key contains its digest: a record that exists under this key is identical. It therefore
+    /// cannot show whether this transaction was applied, and needs no condition besides that on the leader record.
     pub fn put_part(&mut self, key: String, record: Record) {
         self.size += wire::encode(&record).len() + key.len();
         self.writes.push(Write::put(key, record));
     }
 
-    /// Removes a record of which this version is known.
+    /// Removes a record, on condition that it is at this version.
     pub fn remove(&mut self, key: String, version: u64) {
         if self.probe.is_none() {
             self.probe = Some(Probe {
@@ -175,41 +176,41 @@
         self.writes.push(Write::Remove { key });
     }
 
-    /// Lets the transaction fail unless this version of the key stands.
+    /// Adds a condition: the transaction fails unless the key is at this version.
     pub(super) fn guard(&mut self, key: String, version: u64) {
         self.conditions.push(Condition { key, version });
     }
 
-    /// Whether it changes this key already.
+    /// Whether the transaction has a condition on this key, as for every key that `put` or `remove` was called with.
     pub fn writes_to(&self, key: &str) -> bool {
         self.conditions.iter().any(|g| g.key == key)
     }
 
-    /// What records and transactions are built to.
+    /// Limits on the sizes of records and transactions.
     pub(super) fn write_limits(&self) -> &WriteLimits {
-        &self.limits.write
+        &self.limits.write_limits
     }
 
-    /// Writes that the transaction has room for.
+    /// Number of writes that the transaction still has room for.
     fn writes_left(&self) -> usize {
-        self.limits.writes.saturating_sub(self.writes.len())
+        self.limits.max_writes.saturating_sub(self.writes.len())
     }
 
     pub(super) fn has_room_for_conditions(&self) -> bool {
-        self.conditions.len() + 2 < self.limits.write.guards()
+        self.conditions.len() + 2 < self.limits.write_limits.max_conditions()
     }
 
     fn has_room(&self) -> bool {
-        self.writes.len() + self.counts.log_records_due() < self.limits.writes
-            && self.size < MAX_SIZE
+        self.writes.len() + self.counts.log_records_due() < self.limits.max_writes
+            && self.size < MAX_TRANSACTION_BYTES
             && self.has_room_for_conditions()
     }
 
-    /// Ends come first, but they do not keep claims waiting for ever. So does a document's head, with what is written
-    /// beside it: `head_writes` in all.
+    /// Adds ends of jobs. They come first, but leave room for a log record of waiting claims, so that these are not
+    /// delayed indefinitely, or for a document's head and the writes that accompany it, `head_writes` in total.
     fn put_ends(&mut self, shard: &mut Shard, head_writes: Option<usize>, wall: u64) {
-        let most = self.writes_for_ends(shard, head_writes);
-        while self.writes.len() + 2 <= most
+        let max_writes = self.writes_for_ends(shard, head_writes);
+        while self.writes.len() + 2 <= max_writes
             && self.has_room_for_conditions()
             && !self.counts.is_full()
         {
@@ -220,16 +221,17 @@
         }
     }
 
-    /// What is counted needs a log record in the same transaction; one for claims does for both.
+    /// Number of writes up to which ends are added. Counts of ended jobs need a log record in the same transaction;
+    /// if claims are waiting, one record serves both.
     fn writes_for_ends(&self, shard: &Shard, head_writes: Option<usize>) -> usize {
-        let budget = self.limits.writes;
+        let budget = self.limits.max_writes;
         let for_counts = shard.county_counts.reserved_writes(budget);
         let for_claims = usize::from(budget > 2 && !shard.claim_log.fresh.is_empty());
-        let kept = match head_writes {
+        let reserved = match head_writes {
             Some(writes) => writes + for_counts,
             None => for_claims.max(for_counts),
         };
-        budget.saturating_sub(kept)
+        budget.saturating_sub(reserved)
     }
 
     fn put_end(&mut self, shard: &mut Shard, index: JobIndex, wall: u64) {
@@ -259,11 +261,11 @@
         if !self.has_room() {
             return;
         }
-        shard.allotment.write_wanted(self);
+        shard.allotment.write_requested(self);
     }
 
     fn put_token(&mut self, shard: &mut Shard, shared: &Shared, now: u64) {
-        let due = shard.raise_token && now >= shard.commit.raised_at + RAISE_TOKEN_AGAIN_MS;
+        let due = shard.raise_token && now >= shard.commit.token_attempted_at + TOKEN_RETRY_MS;
         if !due || !self.has_room() {
             return;
         }
@@ -274,7 +276,7 @@
             Record::Token(TokenRecord { token }),
         );
         self.pending_writes.push(PendingWrite::Token(token));
-        shard.commit.raised_at = now;
+        shard.commit.token_attempted_at = now;
     }
 
     fn put_new_rentals(&mut self, shard: &Shard) {
@@ -288,27 +290,28 @@
         }
     }
 
-    /// Claims, with the results that have gathered. Room is left for the guards on the claims' jobs.
-    fn put_logs(&mut self, shard: &mut Shard, tidies: bool) {
+    /// Adds log records with claims and accumulated results, while there is room for conditions on the claims' jobs.
+    fn put_log_records(&mut self, shard: &mut Shard, cleanup_due: bool) {
         if self.counts.log_records_due() > 0 {
-            self.put_log(shard);
+            self.put_log_record(shard);
         }
         while self.has_room()
             && (!shard.claim_log.fresh.is_empty()
-                || (tidies && !shard.claim_log.unsaved.is_empty()))
+                || (cleanup_due && !shard.claim_log.unsaved.is_empty()))
         {
             let before = self.pending_writes.len();
-            self.put_log(shard);
+            self.put_log_record(shard);
             if self.pending_writes.len() == before {
                 return;
             }
         }
     }
 
-    /// An inventory shard that needs most of a transaction for itself, once in a while.
+    /// Adds an inventory shard that did not fit into an earlier transaction, if this one may use all its changes:
+    /// splitting the shard may take most of them.
     fn put_split_inventory(&mut self, shard: &mut Shard) {
-        let budget = self.limits.writes;
-        if budget == self.limits.write.changes()
+        let budget = self.limits.max_writes;
+        if budget == self.limits.write_limits.changes()
             && let Some(number) = shard.claim_log.to_split.take()
         {
             self.put_inventory_shard(shard, number, budget);
@@ -339,10 +342,10 @@
         }
     }
 
-    /// A rental goes only together with, or after, the record of its machines.
+    /// Removes answered rentals. A rental's record is removed in the transaction that records its machines, or later.
     fn remove_rentals(&mut self, shard: &Shard) {
-        let is_over = |state: RentalState| state == RentalState::Over;
-        for (name, rental) in shard.rentals.iter().filter(|(_, r)| is_over(r.state)) {
+        let is_answered = |state: RentalState| state == RentalState::Over;
+        for (name, rental) in shard.rentals.iter().filter(|(_, r)| is_answered(r.state)) {
             if !shard.claim_log.grown_inventory.is_empty() || !self.has_room() {
                 return;
             }
@@ -360,7 +363,7 @@
             return;
         };
         shard.cloud_calls.catalog_dirty = false;
-        if wire::encode(catalog).len() as f64 * SERVICE_FORM >= value_kb * 1024.0 {
+        if wire::encode(catalog).len() as f64 * SERVICE_ENCODING_FACTOR >= value_kb * 1024.0 {
             return;
         }
         self.put(
@@ -379,7 +382,7 @@
                 continue;
             };
             self.remove(records::log_key(SHARD, number), segment.version);
-            self.pending_writes.push(PendingWrite::LogOver(number));
+            self.pending_writes.push(PendingWrite::RemoveLog(number));
         }
     }
 }
