--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -16,11 +16,11 @@
 
 const ACCEPT_TIMEOUT_MS: u64 = 700;
 /// A submission that the state service was too busy for is tried again so often, for so long, each time after this long.
-const MOST_RETRIES: u32 = 3;
-const RETRY_UNTIL_MS: u64 = 700;
-const RETRY_MS: Range<u64> = 60..200;
+const MAX_RETRIES: u32 = 3;
+const RETRY_WINDOW_MS: u64 = 700;
+const RETRY_DELAY_MS: Range<u64> = 60..200;
 /// Users wait 5 s for a submission, of which our own try has taken some.
-const SUBMIT_WAITS_MS: u64 = 3500;
+const FORWARDED_SUBMIT_DEADLINE_MS: u64 = 3500;
 
 /// A submission that is being accepted, since when, and how often that was tried before.
 pub(crate) struct Submission {
@@ -71,7 +71,7 @@
     /// A submission with a fault. A repeat of an accepted job is told its state whatever came with its id.
     fn malformed(&mut self, requester: Requester, id: String, fault: Fault) {
         if !wire::ids::valid_job_id(&id) {
-            return self.deny(requester, 400, &fault.to_string());
+            return self.answer_error(requester, 400, &fault.to_string());
         }
         self.query_for(requester, id, Purpose::Malformed(fault));
     }
@@ -99,7 +99,7 @@
         // What can never run writes nothing.
         let writes = self.validated(&spec, self.now.wall).is_ok();
         if !self.has_room_to_admit(requester, writes) {
-            return self.deny(requester, 429, "busy");
+            return self.answer_error(requester, 429, "busy");
         }
         // The leader sees all accepts, its own too, and counts them when they have been made.
         let counted_here = writes && !self.leads();
@@ -133,7 +133,7 @@
     fn submit_without_catalog(&mut self, requester: Requester, spec: JobSpec) {
         match requester {
             Requester::User(conn) => self.forward_submission(conn, Box::new(spec)),
-            Requester::Peer(_) => self.deny(requester, 503, "machine types not known yet"),
+            Requester::Peer(_) => self.answer_error(requester, 503, "machine types not known yet"),
         }
     }
 
@@ -174,7 +174,7 @@
                 Requester::User(conn) if self.shared.revision == 0 => {
                     self.forward_submission(*conn, submission.spec)
                 }
-                _ => self.accept_later(submission),
+                _ => self.retry_accept_later(submission),
             };
         };
         conditions.extend(absence_conditions(&spec.id));
@@ -203,7 +203,7 @@
     }
 
     /// Once more in a moment, if there is time for it.
-    fn accept_later(&mut self, submission: Submission) {
+    fn retry_accept_later(&mut self, submission: Submission) {
         let now = self.now.mono;
         let Submission {
             requester,
@@ -211,11 +211,11 @@
             tries,
             ..
         } = submission;
-        if tries >= MOST_RETRIES || now >= at + RETRY_UNTIL_MS {
+        if tries >= MAX_RETRIES || now >= at + RETRY_WINDOW_MS {
             // It may be accepted all the same: the retry will be told.
-            return self.deny(requester, 503, "state service not available");
+            return self.answer_error(requester, 503, "state service not available");
         }
-        let again = now + self.rng.u64(RETRY_MS);
+        let again = now + self.rng.u64(RETRY_DELAY_MS);
         self.retries.push_back((
             again,
             Submission {
@@ -242,31 +242,31 @@
             }
             // The denial is as old as its transaction: what this node has told since is newer.
             (Some(200), Some(_)) if self.answer_history.since(&submission.spec.id, mark) => {
-                self.query_for(requester, submission.spec.id, Purpose::Known)
+                self.query_for(requester, submission.spec.id, Purpose::Resubmission)
             }
             (Some(200), Some(why)) => {
                 log::debug!("job {}: can never run: {why}", submission.spec.id);
-                self.deny(requester, 422, &format!("can never run: {why}"))
+                self.answer_error(requester, 422, &format!("can never run: {why}"))
             }
             (Some(200), None) => {
                 self.stats.accepted += 1;
                 log::debug!("job {}: accepted", submission.spec.id);
-                self.tell_accepted(requester, unstarted(submission.spec.id))
+                self.answer_accepted(requester, unstarted(submission.spec.id))
             }
             // Judged and bound by a version that is no longer in force, and neither accepted nor refused.
             (Some(409), _) if response.is_some_and(|r| only_heads_failed(&r)) => {
                 self.reread_shared(0);
-                self.accept_later(submission)
+                self.retry_accept_later(submission)
             }
-            (Some(409), _) => self.query_for(requester, submission.spec.id, Purpose::Known),
-            (Some(429 | 503), _) => self.accept_later(submission),
+            (Some(409), _) => self.query_for(requester, submission.spec.id, Purpose::Resubmission),
+            (Some(429 | 503), _) => self.retry_accept_later(submission),
             // It may be accepted all the same: the retry will be told.
-            _ => self.deny(requester, 503, "state service not available"),
+            _ => self.answer_error(requester, 503, "state service not available"),
         }
     }
 
     fn forward_submission(&mut self, conn: u64, spec: Box<JobSpec>) {
-        let deadline = self.now.mono + SUBMIT_WAITS_MS;
+        let deadline = self.now.mono + FORWARDED_SUBMIT_DEADLINE_MS;
         self.forward(ForwardedRequest {
             conn,
             ask: Box::new(PeerRequest::Submit { spec }),
--- a/crates/control/src/jobs/answer_history.rs
+++ b/crates/control/src/jobs/answer_history.rs
@@ -50,18 +50,18 @@
 }
 
 /// So many words are remembered.
-const MOST_SAID: usize = 4096;
+const MAX_ANSWERS: usize = 4096;
 
 /// Which jobs were lately said to be there. It only speaks against a denial that was under way meanwhile, and gives no
 /// answer itself: what it says is read anew.
 #[derive(Default)]
 pub(crate) struct AnswerHistory {
     /// The last word on each job, by the count of all words.
-    last: HashMap<String, u64>,
+    last_seq: HashMap<String, u64>,
     order: VecDeque<(u64, String)>,
     count: u64,
     /// Words up to this one were dropped. They may have been about any job.
-    dropped: u64,
+    dropped_seq: u64,
 }
 
 impl AnswerHistory {
@@ -73,20 +73,20 @@
     /// A job was said to be there.
     pub fn note(&mut self, job: &str) {
         self.count += 1;
-        self.last.insert(job.to_owned(), self.count);
+        self.last_seq.insert(job.to_owned(), self.count);
         self.order.push_back((self.count, job.to_owned()));
-        if self.order.len() > MOST_SAID
-            && let Some((word, job)) = self.order.pop_front()
+        if self.order.len() > MAX_ANSWERS
+            && let Some((seq, job)) = self.order.pop_front()
         {
-            self.dropped = word;
-            if self.last.get(&job) == Some(&word) {
-                self.last.remove(&job);
+            self.dropped_seq = seq;
+            if self.last_seq.get(&job) == Some(&seq) {
+                self.last_seq.remove(&job);
             }
         }
     }
 
     /// Whether the job may have been said to be there since.
     pub fn since(&self, job: &str, mark: u64) -> bool {
-        self.dropped > mark || self.last.get(job).is_some_and(|word| *word > mark)
+        self.dropped_seq > mark || self.last_seq.get(job).is_some_and(|seq| *seq > mark)
     }
 }
--- a/crates/control/src/jobs/answers.rs
+++ b/crates/control/src/jobs/answers.rs
@@ -7,7 +7,7 @@
 
 impl Node {
     /// An error for a requester, as [`Node::refuse`] says it to a user.
-    pub(crate) fn deny(&mut self, requester: Requester, status: u16, why: &str) {
+    pub(crate) fn answer_error(&mut self, requester: Requester, status: u16, why: &str) {
         match requester {
             Requester::User(conn) => self.refuse(conn, status, why),
             Requester::Peer(conn) => self.answer_peer(conn, &PeerResponse::refused(status, why)),
@@ -29,7 +29,7 @@
     }
 
     /// Tells that a job has been accepted just now. That may have taken longer than its life.
-    pub(crate) fn tell_accepted(&mut self, requester: Requester, state: JobState) {
+    pub(crate) fn answer_accepted(&mut self, requester: Requester, state: JobState) {
         if self.final_states.get(&state.id).is_some() {
             return self.tell(requester, state);
         }
--- a/crates/control/src/jobs/api.rs
+++ b/crates/control/src/jobs/api.rs
@@ -13,7 +13,7 @@
 const CANCEL_SUFFIX: &str = "/cancel";
 
 /// Whoever meets trouble that may be over at any time comes back after so many seconds.
-const SOON_S: u32 = 1;
+const RETRY_SOON_S: u32 = 1;
 
 impl Node {
     /// A request of a user's or a worker's.
@@ -23,7 +23,7 @@
         match (request.method.as_str(), path, job) {
             ("POST", HEARTBEAT_PATH, _) => self.heartbeat_received(conn, &request.body),
             ("POST", SUBMISSION_PATH, _) => self.submission_received(conn, &request.body),
-            ("GET", READY_PATH, _) => self.ready(conn),
+            ("GET", READY_PATH, _) => self.answer_readiness_probe(conn),
             ("GET", _, Some(id)) if !id.contains('/') => {
                 let id = id.to_owned();
                 self.query_for(Requester::User(conn), id, Purpose::Query)
@@ -46,8 +46,8 @@
     /// then over by and by.
     pub(crate) fn refuse(&mut self, conn: u64, status: u16, why: &str) {
         let retry_after_s = match status {
-            429 => Some(self.turn_away()),
-            503 => Some(SOON_S),
+            429 => Some(self.record_shed_request()),
+            503 => Some(RETRY_SOON_S),
             _ => None,
         };
         self.stats.shed += u64::from(retry_after_s.is_some());
@@ -58,7 +58,7 @@
     }
 
     /// Counts one more who is turned away, and says when to come back.
-    fn turn_away(&mut self) -> u32 {
+    fn record_shed_request(&mut self) -> u32 {
         let served_per_s = self.accepts_per_s();
         self.load_shedding.turn_away(self.now.mono, served_per_s)
     }
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -11,7 +11,7 @@
 /// The leader has this long to answer a cancel that is forwarded to it.
 const CANCEL_TIMEOUT_MS: u64 = 3500;
 /// So many requesters may wait for the end of one job.
-const MOST_WAITERS: usize = 16;
+const MAX_WAITERS: usize = 16;
 
 impl Node {
     /// A user's cancel: decided by the leader, here or where it is.
@@ -56,9 +56,9 @@
         shard.job_to_write(ix);
         let Some(job) = shard.job_mut(ix) else { return };
         if job.kind() == Kind::Gang && !job.is_ending() {
-            job.broken = !job.claimed.is_empty() && !job.is_whole_gang();
+            job.broken = !job.claimed.is_empty() && !job.has_whole_gang_claimed();
         }
-        if job.is_void() || job.broken {
+        if job.must_stop_tasks() || job.broken {
             for m in job.machines() {
                 shard.stop_job(ix, m, 0.0);
             }
@@ -96,7 +96,7 @@
             // Whatever end is recorded, the requester is told.
             _ => {}
         }
-        if job.waiters.len() >= MOST_WAITERS {
+        if job.waiters.len() >= MAX_WAITERS {
             return self.not_now(requester);
         }
         job.waiters.push(requester);
--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -14,7 +14,7 @@
 /// Amounts that differ by less are equal, as for the planner.
 const EPS: f64 = 1e-6;
 /// The state service counts values in another form, which takes somewhat more.
-const STORED_FORM: f64 = 1.3;
+const STORED_SIZE_FACTOR: f64 = 1.3;
 
 /// Why a job can never run. Its user reads the text.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -62,7 +62,7 @@
             .county_for(spec)
             .map_err(|why| Infeasible::County(why.to_string()))?;
         let catalog = self.catalog().ok_or(Infeasible::CatalogUnknown)?;
-        has_places(spec, catalog, county.as_ref().map_or(&[], |c| &c.zones))?;
+        check_zones(spec, catalog, county.as_ref().map_or(&[], |c| &c.zones))?;
         let rec = JobRecord {
             hour: self.hour_for(spec, wall),
             county,
@@ -83,7 +83,7 @@
             return record_sizes::length(rec) <= self.write_limits.value_bytes();
         }
         let limit = (self.settings.cluster.state.value_kb * 1024.0).min(BODY_LIMIT as f64);
-        wire::encode(rec).len() as f64 * STORED_FORM <= limit
+        wire::encode(rec).len() as f64 * STORED_SIZE_FACTOR <= limit
     }
 
     /// Whether the team's limit, and all above it, would let the job run if nothing else ran. Of an array one task has to.
@@ -93,7 +93,7 @@
             .iter()
             .find(|t| t.name == spec.team)
             .ok_or(Infeasible::UnknownTeam)?;
-        let tasks = f64::from(at_once(spec));
+        let tasks = f64::from(concurrent_tasks(spec));
         let over = |max: f64, need: f64| max > 0.0 && need * tasks > max + EPS;
         if over(team.cpus_max, spec.cores) || over(team.gpus_max, spec.gpus) {
             return Err(Infeasible::AboveTeamLimit);
@@ -120,7 +120,7 @@
 }
 
 /// Tasks that have to run at one time, or the job never does what it is for.
-fn at_once(spec: &JobSpec) -> u32 {
+fn concurrent_tasks(spec: &JobSpec) -> u32 {
     if spec.kind == Kind::Array {
         1
     } else {
@@ -130,7 +130,7 @@
 
 /// Whether some zones have machine types for all tasks that must run at one time. How many machines there are is known
 /// to nobody.
-fn has_places(spec: &JobSpec, catalog: &Catalog, county: &[String]) -> Result<(), Infeasible> {
+fn check_zones(spec: &JobSpec, catalog: &Catalog, county: &[String]) -> Result<(), Infeasible> {
     let zones = zones_for(spec, catalog, county);
     if zones.is_empty() {
         let elsewhere = !zones_for(spec, catalog, &[]).is_empty();
@@ -143,7 +143,7 @@
     // One zone has half of the tasks, rounded up; two zones have all. An array goes on with the other half when the
     // first is done.
     let half = spec.tasks.div_ceil(2);
-    if spec.spread && at_once(spec) > half && (spec.one_zone || zones.len() < 2) {
+    if spec.spread && concurrent_tasks(spec) > half && (spec.one_zone || zones.len() < 2) {
         return Err(Infeasible::CannotSpread);
     }
     Ok(())
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -10,11 +10,11 @@
 /// A peer has this long to answer for us.
 const FORWARD_TIMEOUT_MS: u64 = 1500;
 /// A peer that has left something unanswered is not asked for so long, unless it says something.
-const REST_MS: u64 = 1000;
+const PEER_BACKOFF_MS: u64 = 1000;
 /// After a refusal, or silence, the state service is taken to be out of reach for so long.
-const STATE_BAD_MS: u64 = 3000;
+const STATE_DOWN_MS: u64 = 3000;
 /// With less time left than this, nobody else is asked.
-const LEAST_MS: u64 = 100;
+const MIN_REMAINING_MS: u64 = 100;
 
 /// How peers have answered what they were asked for users.
 #[derive(Debug, Default)]
@@ -26,11 +26,11 @@
 struct Responsiveness {
     answered_at: u64,
     /// It is passed over until then.
-    rests_until: u64,
+    backoff_until: u64,
 }
 
 impl PeerResponsiveness {
-    fn of(&mut self, peer: usize) -> &mut Responsiveness {
+    fn entry(&mut self, peer: usize) -> &mut Responsiveness {
         if self.by_peer.len() <= peer {
             self.by_peer.resize(peer + 1, Responsiveness::default());
         }
@@ -38,19 +38,19 @@
     }
 
     /// Whether a peer is passed over now.
-    pub fn rests(&self, peer: usize, now: u64) -> bool {
+    pub fn is_backing_off(&self, peer: usize, now: u64) -> bool {
         let peer = self.by_peer.get(peer);
-        peer.is_some_and(|peer| now < peer.rests_until)
+        peer.is_some_and(|peer| now < peer.backoff_until)
     }
 
     /// What was sent then has been answered, or not. Silence counts only if nothing has been answered since.
-    fn heard(&mut self, peer: usize, sent: u64, answered: bool, now: u64) {
-        let peer = self.of(peer);
+    fn record_outcome(&mut self, peer: usize, sent: u64, answered: bool, now: u64) {
+        let peer = self.entry(peer);
         if answered {
             peer.answered_at = now;
-            peer.rests_until = 0;
+            peer.backoff_until = 0;
         } else if peer.answered_at <= sent {
-            peer.rests_until = now + REST_MS;
+            peer.backoff_until = now + PEER_BACKOFF_MS;
         }
     }
 }
@@ -77,9 +77,9 @@
 
 impl Node {
     /// A peer has answered what was sent to it then, or not.
-    pub(crate) fn peer_heard(&mut self, peer: usize, sent: u64, answered: bool) {
+    pub(crate) fn record_peer_outcome(&mut self, peer: usize, sent: u64, answered: bool) {
         self.responsiveness
-            .heard(peer, sent, answered, self.now.mono);
+            .record_outcome(peer, sent, answered, self.now.mono);
     }
 
     /// The peer that leads the fleet, as far as is known here.
@@ -96,7 +96,7 @@
     /// Whether the state service seems not to serve this node now; others may be served.
     pub(crate) fn state_down(&self) -> bool {
         self.state_bad_at
-            .is_some_and(|at| self.now.mono < at + STATE_BAD_MS)
+            .is_some_and(|at| self.now.mono < at + STATE_DOWN_MS)
     }
 
     /// Whom a request is forwarded to: the leader, or another that says it is served, or one that says nothing. If all say
@@ -104,14 +104,16 @@
     fn forwarding_target(&mut self, ask: &PeerRequest) -> Option<usize> {
         let now = self.now.mono;
         let peers = 0..self.settings.peers.len();
-        let able: Vec<usize> = peers
-            .filter(|p| !self.responsiveness.rests(*p, now))
+        let candidates: Vec<usize> = peers
+            .filter(|p| !self.responsiveness.is_backing_off(*p, now))
             .collect();
-        let who_say = |down: Option<bool>| -> Vec<usize> {
-            let able = able.iter().copied();
-            able.filter(|peer| self.says_down(*peer) == down).collect()
+        let reporting_down = |down: Option<bool>| -> Vec<usize> {
+            let candidates = candidates.iter().copied();
+            candidates
+                .filter(|peer| self.says_down(*peer) == down)
+                .collect()
         };
-        let (up, silent) = (who_say(Some(false)), who_say(None));
+        let (served, unreported) = (reporting_down(Some(false)), reporting_down(None));
         let is_lookup = matches!(ask, PeerRequest::Lookup { .. });
         let past_leader = matches!(
             ask,
@@ -122,21 +124,25 @@
         );
         let leader = self
             .leader_peer()
-            .filter(|p| !past_leader && able.contains(p));
+            .filter(|p| !past_leader && candidates.contains(p));
         if let Some(leader) = leader.filter(|p| self.says_down(*p) != Some(true)) {
             return Some(leader);
         }
-        let any = if up.is_empty() { silent } else { up };
-        if any.is_empty() {
+        let targets = if served.is_empty() {
+            unreported
+        } else {
+            served
+        };
+        if targets.is_empty() {
             return leader.filter(|_| is_lookup);
         }
-        Some(any[self.rng.usize(0..any.len())])
+        Some(targets[self.rng.usize(0..targets.len())])
     }
 
     /// Forwards a user's request on.
     pub(crate) fn forward(&mut self, forwarded: ForwardedRequest) {
         let now = self.now.mono;
-        let target = if forwarded.deadline < now + LEAST_MS {
+        let target = if forwarded.deadline < now + MIN_REMAINING_MS {
             None
         } else {
             self.forwarding_target(&forwarded.ask)
@@ -174,14 +180,16 @@
         mark: u64,
         response: Option<Response>,
     ) {
-        self.peer_heard(peer, sent, response.is_some());
-        if response.is_none() && self.responsiveness.rests(peer, self.now.mono) {
+        self.record_peer_outcome(peer, sent, response.is_some());
+        if response.is_none() && self.responsiveness.is_backing_off(peer, self.now.mono) {
             return self.forward(forwarded);
         }
         let conn = forwarded.conn;
         match peer_answer(response) {
             Some(PeerResponse::State(state)) => self.tell(Requester::User(conn), state),
-            Some(PeerResponse::Accepted(state)) => self.tell_accepted(Requester::User(conn), state),
+            Some(PeerResponse::Accepted(state)) => {
+                self.answer_accepted(Requester::User(conn), state)
+            }
             Some(PeerResponse::Refused { status, why }) => {
                 self.refused_by_peer(&forwarded, mark, status, &why)
             }
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -44,8 +44,8 @@
     done: Vec<u64>,
     pub done_count: u32,
     /// Tasks that are neither done nor claimed, as ranges of fresh ones and single returned ones.
-    fresh: u32,
-    returned: BTreeSet<u32>,
+    next_fresh: u32,
+    freed: BTreeSet<u32>,
     /// Claims by task: the machines and attempts. More than one only until the old ones are proved gone.
     pub claimed: HashMap<u32, Vec<(usize, u64)>>,
     /// Tasks that run or save.
@@ -123,8 +123,8 @@
             tasks: 0,
             done: Vec::new(),
             done_count: 0,
-            fresh: 0,
-            returned: BTreeSet::new(),
+            next_fresh: 0,
+            freed: BTreeSet::new(),
             claimed: HashMap::new(),
             running: 0,
             unsaved: BTreeSet::new(),
@@ -167,7 +167,7 @@
     }
     /// Its tasks are to be stopped, since their user has cancelled it or it had ended before our time. While the end is
     /// on its way, others may have read it already.
-    pub fn is_void(&self) -> bool {
+    pub fn must_stop_tasks(&self) -> bool {
         use Ending::{Before, Recorded, Writing};
         matches!(
             self.ending,
@@ -176,7 +176,7 @@
     }
 
     /// Whether its end may be recorded though we have not heard so: only a read tells.
-    pub fn may_be_over(&self) -> bool {
+    pub fn may_have_ended(&self) -> bool {
         matches!(self.ending, Ending::Writing(_))
     }
 
@@ -203,7 +203,7 @@
         }
         self.done[task as usize / 64] |= 1 << (task % 64);
         self.done_count += 1;
-        self.returned.remove(&task);
+        self.freed.remove(&task);
         true
     }
 
@@ -259,7 +259,7 @@
             .entry(task)
             .or_default()
             .push((machine, attempt));
-        self.returned.remove(&task);
+        self.freed.remove(&task);
     }
 
     /// A claim has ended. The task is free again unless it is done or claimed elsewhere.
@@ -268,15 +268,15 @@
             claims.retain(|c| *c != (machine, attempt));
             if claims.is_empty() {
                 self.claimed.remove(&task);
-                if task < self.fresh && !self.is_done(task) {
-                    self.returned.insert(task);
+                if task < self.next_fresh && !self.is_done(task) {
+                    self.freed.insert(task);
                 }
             }
         }
     }
 
     /// Whether all tasks of a gang have claims, of the same attempt.
-    pub fn is_whole_gang(&self) -> bool {
+    pub fn has_whole_gang_claimed(&self) -> bool {
         let claims = self.claimed.values().flatten();
         let attempts: BTreeSet<u64> = claims.map(|(_, attempt)| *attempt).collect();
         self.claimed.len() == self.tasks as usize && attempts.len() == 1
@@ -291,24 +291,24 @@
     /// How many tasks could be started.
     pub fn pending(&self) -> u32 {
         let open = self.tasks - self.done_count.min(self.tasks);
-        let busy = self.claimed.keys().filter(|t| !self.is_done(**t)).count() as u32;
-        let all = open.saturating_sub(busy);
+        let claimed_open = self.claimed.keys().filter(|t| !self.is_done(**t)).count() as u32;
+        let unclaimed = open.saturating_sub(claimed_open);
         // Whatever still holds a place, also on its way out, is one of its replicas.
-        self.replicas.map_or(all, |n| {
-            n.saturating_sub(self.claimed.len() as u32).min(all)
+        self.replicas.map_or(unclaimed, |n| {
+            n.saturating_sub(self.claimed.len() as u32).min(unclaimed)
         })
     }
 
     /// Takes a task that is neither done nor claimed.
     pub fn next_task(&mut self) -> Option<u32> {
-        while let Some(t) = self.returned.pop_first() {
+        while let Some(t) = self.freed.pop_first() {
             if !self.is_done(t) && !self.claimed.contains_key(&t) {
                 return Some(t);
             }
         }
-        while self.fresh < self.tasks {
-            let t = self.fresh;
-            self.fresh += 1;
+        while self.next_fresh < self.tasks {
+            let t = self.next_fresh;
+            self.next_fresh += 1;
             if !self.is_done(t) && !self.claimed.contains_key(&t) {
                 return Some(t);
             }
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -20,12 +20,12 @@
         }
         let is_ask = request.method == "POST" && request.path == peer::PATH;
         match is_ask.then(|| peer::decode::<PeerRequest>(&request.body).ok()) {
-            Some(Some(ask)) => self.asked_by_peer(conn, ask),
+            Some(Some(ask)) => self.dispatch_peer_request(conn, ask),
             _ => self.refuse(conn, 400, "not understood"),
         }
     }
 
-    fn asked_by_peer(&mut self, conn: u64, ask: PeerRequest) {
+    fn dispatch_peer_request(&mut self, conn: u64, ask: PeerRequest) {
         match ask {
             PeerRequest::Query { job } => self.queried_as_leader(conn, &job),
             PeerRequest::Cancel { job } => self.cancel(&job, Requester::Peer(conn)),
@@ -41,7 +41,7 @@
                 self.leader_asserted(node, token);
                 self.answer_peer(conn, &PeerResponse::NotNow);
             }
-            PeerRequest::PeerStatus(status) => self.peer_status_asked(conn, status),
+            PeerRequest::PeerStatus(status) => self.exchange_peer_status(conn, status),
             PeerRequest::Reports { node, reports } => {
                 self.relayed_heartbeats_received(conn, &node, reports)
             }
@@ -73,7 +73,7 @@
 
     /// A peer takes this node for the leader. A leader that is sure may also say that it does not know the job.
     fn queried_as_leader(&mut self, conn: u64, job: &str) {
-        match self.state_here(job) {
+        match self.state_as_leader(job) {
             Some(state) => self.tell(Requester::Peer(conn), state),
             None if self.may_decide() => self.answer_peer(conn, &PeerResponse::Unknown),
             None => self.answer_peer(conn, &PeerResponse::NotNow),
@@ -81,7 +81,7 @@
     }
 
     /// A peer tells its status, and is told ours with what it is to keep for the leader.
-    fn peer_status_asked(&mut self, conn: u64, status: PeerStatus) {
+    fn exchange_peer_status(&mut self, conn: u64, status: PeerStatus) {
         let Some(peer) = self.peer_status_seen(status) else {
             let why = "view: from nobody we know, or a token that can't be";
             return self.refuse(conn, 400, why);
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -17,7 +17,7 @@
     /// A user asks.
     Query,
     /// A repeated submission, to be answered with the current state.
-    Known,
+    Resubmission,
     /// A submission with a fault. Its job may have been accepted all the same.
     Malformed(Fault),
     /// A cancel of a job that the leader does not know.
@@ -39,16 +39,18 @@
 }
 
 /// Users wait 2 s for a state, and peers that ask for them less.
-const USER_WAITS_MS: u64 = 1800;
-const PEER_WAITS_MS: u64 = 1000;
+const USER_DEADLINE_MS: u64 = 1800;
+const PEER_DEADLINE_MS: u64 = 1000;
 const READ_TIMEOUT_MS: u64 = 900;
 const LEADER_TIMEOUT_MS: u64 = 700;
 /// With less time left than this, nobody else is asked.
-const LEAST_MS: u64 = 50;
+const MIN_REMAINING_MS: u64 = 50;
 
 impl Question {
-    fn timeout(&self, now: u64, most: u64) -> u64 {
-        self.deadline.saturating_sub(now).clamp(LEAST_MS, most)
+    fn timeout(&self, now: u64, max_ms: u64) -> u64 {
+        self.deadline
+            .saturating_sub(now)
+            .clamp(MIN_REMAINING_MS, max_ms)
     }
 
     /// The user that another node may answer as well as this one.
@@ -63,16 +65,16 @@
 impl Node {
     /// A question that was asked just now.
     pub(crate) fn question(&self, requester: Requester, job: String, purpose: Purpose) -> Question {
-        let waits = if matches!(requester, Requester::User(_)) {
-            USER_WAITS_MS
+        let wait_ms = if matches!(requester, Requester::User(_)) {
+            USER_DEADLINE_MS
         } else {
-            PEER_WAITS_MS
+            PEER_DEADLINE_MS
         };
         Question {
             requester,
             job,
             purpose,
-            deadline: self.now.mono + waits,
+            deadline: self.now.mono + wait_ms,
             past_leader: false,
             mark: 0,
         }
@@ -87,16 +89,16 @@
     /// Answers a question from what is known here, else from the leader, else by a read.
     pub(crate) fn query(&mut self, mut question: Question) {
         if !wire::ids::valid_job_id(&question.job) {
-            return self.deny(question.requester, 404, "no such job");
+            return self.answer_error(question.requester, 404, "no such job");
         }
-        if let Some(state) = self.known_here(&question.job) {
+        if let Some(state) = self.local_state(&question.job) {
             return self.tell(question.requester, state);
         }
         question.past_leader |= self.leads();
         let now = self.now.mono;
-        let leader = self
-            .leader_peer()
-            .filter(|peer| !question.past_leader && !self.responsiveness.rests(*peer, now));
+        let leader = self.leader_peer().filter(|peer| {
+            !question.past_leader && !self.responsiveness.is_backing_off(*peer, now)
+        });
         match leader {
             Some(peer) => {
                 let ask = PeerRequest::Query {
@@ -115,12 +117,14 @@
     }
 
     /// What is known without asking anybody.
-    fn known_here(&self, id: &str) -> Option<JobState> {
-        self.final_states.get(id).or_else(|| self.state_here(id))
+    fn local_state(&self, id: &str) -> Option<JobState> {
+        self.final_states
+            .get(id)
+            .or_else(|| self.state_as_leader(id))
     }
 
     /// Whether the leader has read the job.
-    fn has_read(&self, id: &str) -> bool {
+    fn has_loaded_job(&self, id: &str) -> bool {
         let shard = self.shard.as_ref();
         let job = shard.and_then(|shard| shard.job(shard.jobs.index_of(id)?));
         job.is_some_and(|job| job.spec.is_some())
@@ -128,9 +132,9 @@
 
     /// What the leader knows, while it is sure. Jobs that it has read back are live even before all else has been read:
     /// nobody but itself can end them. One whose end is on its way may have ended: others may have read and told so.
-    pub(crate) fn state_here(&self, id: &str) -> Option<JobState> {
+    pub(crate) fn state_as_leader(&self, id: &str) -> Option<JobState> {
         let shard = self.shard.as_ref().filter(|_| self.has_valid_lease())?;
-        let known = |j: &&Job| j.spec.is_some() && !j.may_be_over();
+        let known = |j: &&Job| j.spec.is_some() && !j.may_have_ended();
         shard
             .job(shard.jobs.index_of(id)?)
             .filter(known)
@@ -145,7 +149,7 @@
         sent: u64,
         response: Option<Response>,
     ) {
-        self.peer_heard(peer, sent, response.is_some());
+        self.record_peer_outcome(peer, sent, response.is_some());
         match peer_answer(response) {
             Some(PeerResponse::State(state)) if state.id == question.job => {
                 self.tell(question.requester, state)
@@ -169,7 +173,7 @@
             return self.forward_lookup(conn, question);
         }
         if self.requests.level(now) < 1.0 {
-            return self.unanswered(&question, "busy");
+            return self.refuse_unanswered(&question, "busy");
         }
         let timeout = question.timeout(now, READ_TIMEOUT_MS);
         let key = records::live_key(&question.job);
@@ -191,16 +195,18 @@
     /// The job's live record was read, or is not there.
     pub(crate) fn live_record_received(&mut self, question: Question, response: Option<Response>) {
         match response.map(|r| r.status) {
-            Some(200) if question.purpose == Purpose::Cancel && self.has_read(&question.job) => {
+            Some(200)
+                if question.purpose == Purpose::Cancel && self.has_loaded_job(&question.job) =>
+            {
                 self.cancel(&question.job, question.requester)
             }
-            Some(200) if question.purpose == Purpose::Cancel => self.deny(
+            Some(200) if question.purpose == Purpose::Cancel => self.answer_error(
                 question.requester,
                 503,
                 "the owner does not know the job yet",
             ),
             Some(200) => {
-                let known = self.known_here(&question.job);
+                let known = self.local_state(&question.job);
                 let state = known.unwrap_or(unstarted(question.job));
                 self.tell(question.requester, state);
             }
@@ -221,7 +227,7 @@
             other => return self.read_failed(question, other.map(|r| r.status)),
         };
         let Some(item) = self.read::<Item<EndRecord>>("state service", &response) else {
-            return self.unanswered(&question, "unreadable record");
+            return self.refuse_unanswered(&question, "unreadable record");
         };
         let EndRecord { stage, done, .. } = item.value;
         let state = JobState {
@@ -235,29 +241,35 @@
 
     /// A job was in neither place. What this node has learned since it began to look is newer.
     fn not_found(&mut self, question: Question) {
-        if question.purpose == Purpose::Cancel && self.has_read(&question.job) {
+        if question.purpose == Purpose::Cancel && self.has_loaded_job(&question.job) {
             return self.cancel(&question.job, question.requester);
         }
-        if let Some(state) = self.known_here(&question.job) {
+        if let Some(state) = self.local_state(&question.job) {
             return self.tell(question.requester, state);
         }
-        if self.has_read(&question.job) || self.answer_history.since(&question.job, question.mark) {
-            return self.read_again(question);
+        if self.has_loaded_job(&question.job)
+            || self.answer_history.since(&question.job, question.mark)
+        {
+            return self.reread_job(question);
         }
         match question.purpose {
-            Purpose::Malformed(fault) => self.deny(question.requester, 400, &fault.to_string()),
+            Purpose::Malformed(fault) => {
+                self.answer_error(question.requester, 400, &fault.to_string())
+            }
             // Its record was in the way a moment ago; the user's retry will find out.
-            Purpose::Known => self.deny(question.requester, 503, "undecided"),
-            Purpose::Query | Purpose::Cancel => self.deny(question.requester, 404, "no such job"),
+            Purpose::Resubmission => self.answer_error(question.requester, 503, "undecided"),
+            Purpose::Query | Purpose::Cancel => {
+                self.answer_error(question.requester, 404, "no such job")
+            }
         }
     }
 
     /// Once more, if whoever asks still waits for that long.
-    fn read_again(&mut self, question: Question) {
-        if self.now.mono + LEAST_MS < question.deadline {
+    fn reread_job(&mut self, question: Question) {
+        if self.now.mono + MIN_REMAINING_MS < question.deadline {
             self.read_job(question)
         } else {
-            self.unanswered(&question, "undecided")
+            self.refuse_unanswered(&question, "undecided")
         }
     }
 
@@ -268,7 +280,7 @@
             .filter(|_| matches!(status, None | Some(503)))
         {
             Some(conn) => self.forward_lookup(conn, question),
-            None => self.unanswered(&question, "state service not available"),
+            None => self.refuse_unanswered(&question, "state service not available"),
         }
     }
 
@@ -290,8 +302,8 @@
         });
     }
 
-    fn unanswered(&mut self, question: &Question, why: &str) {
+    fn refuse_unanswered(&mut self, question: &Question, why: &str) {
         self.stats.unanswered += 1;
-        self.deny(question.requester, 503, why);
+        self.answer_error(question.requester, 503, why);
     }
 }
--- a/crates/control/src/jobs/readiness.rs
+++ b/crates/control/src/jobs/readiness.rs
@@ -8,7 +8,7 @@
     /// A node that lives is healthy. It may know nothing yet, or not be served: it still tells what others know or can
     /// take, and refuses the rest at once, where a removal sends its users away for up to a minute and can't tell one
     /// node's trouble from all nodes'.
-    pub(super) fn ready(&mut self, conn: u64) {
+    pub(super) fn answer_readiness_probe(&mut self, conn: u64) {
         self.respond(
             conn,
             200,
