--- a/crates/control/src/provisioning/catalog.rs
+++ b/crates/control/src/provisioning/catalog.rs
@@ -1,25 +1,25 @@
 //! The cloud's catalogue of machine types: read anew every minute, by the leader, or by whoever has none yet.
 
-use crate::provisioning::REQUEST;
+use crate::provisioning::REQUEST_COST;
 use crate::{Node, Pending};
 use std::ops::Range;
 use wire::api::Catalog;
 use wire::http::Response;
 
-const CATALOG_EVERY_MS: u64 = 60_000;
+const CATALOG_INTERVAL_MS: u64 = 60_000;
 /// After a failure it is read again within this time.
-const RETRY_MS: Range<u64> = 1000..2500;
+const RETRY_DELAY_MS: Range<u64> = 1000..2500;
 /// Machine types beyond these are not looked at.
-const MOST_TYPES: usize = 64;
+const MAX_TYPES: usize = 64;
 
 impl Node {
     /// Reads the catalogue where that is due.
     pub(crate) fn catalog_tick(&mut self) {
         let now = self.now.mono;
-        if now < self.catalog_at || !self.cloud.try_take(now, REQUEST) {
+        if now < self.catalog_at || !self.cloud.try_take(now, REQUEST_COST) {
             return;
         }
-        self.catalog_at = now + CATALOG_EVERY_MS;
+        self.catalog_at = now + CATALOG_INTERVAL_MS;
         self.ask_cloud("GET", "/catalog".into(), Vec::new(), Pending::Catalog);
     }
 
@@ -29,10 +29,10 @@
             .filter(|r| r.status == 200)
             .and_then(|r| self.read::<Catalog>("cloud", &r));
         let Some(mut catalog) = catalog else {
-            self.catalog_at = self.now.mono + self.rng.u64(RETRY_MS);
+            self.catalog_at = self.now.mono + self.rng.u64(RETRY_DELAY_MS);
             return;
         };
-        catalog.types.truncate(MOST_TYPES);
+        catalog.types.truncate(MAX_TYPES);
         let is_recorded = self.shared.catalog_version > 0
             && self
                 .shared
--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -7,11 +7,11 @@
 use wire::api::Catalog;
 
 /// After standing aside for silence, this node does not do so again for so long.
-const STAND_ASIDE_MEMORY_MS: u64 = 180_000;
+const STAND_ASIDE_INTERVAL_MS: u64 = 180_000;
 /// How long another node then has to take over.
 const STAND_ASIDE_MS: u64 = 15_000;
 /// Silence is looked for this often.
-const LOOK_MS: u64 = 500;
+const SURVEY_INTERVAL_MS: u64 = 500;
 /// A silent machine is asked for its heartbeat this often.
 const SILENT_PROBE_MS: u64 = 1000;
 /// Machines that answer commands and send no heartbeats are asked this often what became of their tasks.
@@ -19,12 +19,12 @@
 /// When a new leader asks machines that it has not heard of, and how many at a time.
 const PROBE_AFTER_MS: u64 = 500;
 const PROBE_UNTIL_MS: u64 = 8000;
-const PROBES_A_TICK: usize = 12;
+const PROBES_PER_TICK: usize = 12;
 const TICKS_TO_PROBE_ALL: usize = 150;
 /// How long a machine of unknown type takes to boot.
-const USUAL_BOOT_S: f64 = 60.0;
+const DEFAULT_BOOT_S: f64 = 60.0;
 /// Fewer machines than this prove nothing by their silence.
-const LEAST_MACHINES: u32 = 4;
+const MIN_MACHINES: u32 = 4;
 
 /// What a look at all machines has found.
 #[derive(Default)]
@@ -33,7 +33,7 @@
     /// Machines that get no orders and have claims of which nothing was sent.
     unsent: Vec<usize>,
     up: u32,
-    quiet: u32,
+    unreachable: u32,
 }
 
 impl Survey {
@@ -44,7 +44,7 @@
         // Only who was asked and has not answered can't be heard: mute machines are as late, all at a time.
         let was_asked = machine.probed_at > machine.heard_at || machine.addr.is_none();
         self.up += 1;
-        self.quiet += u32::from(is_silent && was_asked);
+        self.unreachable += u32::from(is_silent && was_asked);
         let interval = if is_silent {
             SILENT_PROBE_MS
         } else if is_overdue && !machine.claims.is_empty() {
@@ -57,8 +57,8 @@
         }
     }
 
-    fn most_are_quiet(&self) -> bool {
-        self.up >= LEAST_MACHINES && self.quiet * 2 > self.up
+    fn most_are_unreachable(&self) -> bool {
+        self.up >= MIN_MACHINES && self.unreachable * 2 > self.up
     }
 }
 
@@ -66,14 +66,14 @@
 fn boot_s(catalog: Option<&Catalog>, machine: &Machine) -> f64 {
     catalog
         .and_then(|c| c.types.iter().find(|t| t.name == machine.machine_type))
-        .map_or(USUAL_BOOT_S, |t| t.boot_s)
+        .map_or(DEFAULT_BOOT_S, |t| t.boot_s)
 }
 
 /// Whether a machine is overdue to come up. After a failover one that is up has to find us first.
 fn never_came_up(machine: &Machine, boot_s: f64, patience: f64, now: Now) -> bool {
     let age_s = now.wall.saturating_sub(machine.rented_ms) as f64 / 1000.0;
-    let gap_ms = now.mono.saturating_sub(machine.heard_at) as f64;
-    age_s > boot_s * patience && gap_ms > boot_s * 500.0
+    let silent_for_ms = now.mono.saturating_sub(machine.heard_at) as f64;
+    age_s > boot_s * patience && silent_for_ms > boot_s * 500.0
 }
 
 impl Node {
@@ -83,23 +83,23 @@
         if !self.may_decide() {
             return;
         }
-        self.probe_round();
+        self.probe_unheard_machines();
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
-        if now < shard.looked_at + LOOK_MS {
+        if now < shard.looked_at + SURVEY_INTERVAL_MS {
             return;
         }
         shard.looked_at = now;
-        self.look_at_zones();
-        let can_follow = self.could_be_followed();
+        self.survey_zones();
+        let has_successor = self.could_be_followed();
         let Some(survey) = self.survey_machines() else {
             return;
         };
-        if can_follow && survey.most_are_quiet() && !self.stood_aside_lately() {
+        if has_successor && survey.most_are_unreachable() && !self.stood_aside_recently() {
             return self.stand_aside_for_silence();
         }
         for m in survey.unsent {
-            self.drop_unsent(m);
+            self.release_unsent_claims(m);
         }
         for m in survey.to_probe {
             self.probe_or_return(m);
@@ -143,9 +143,9 @@
 
     /// Only once in a while: where most machines did fail, every node would hand them on for ever and none would return
     /// them.
-    fn stood_aside_lately(&self) -> bool {
+    fn stood_aside_recently(&self) -> bool {
         let now = self.now.mono;
-        let until = |at| at + STAND_ASIDE_MEMORY_MS;
+        let until = |at| at + STAND_ASIDE_INTERVAL_MS;
         self.stood_aside_at.is_some_and(|at| now <= until(at))
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Takes claims back of which nothing was sent, from a machine that gets no orders.
-    fn drop_unsent(&mut self, m: usize) {
+    fn release_unsent_claims(&mut self, m: usize) {
         let machine = self.shard.as_ref().and_then(|shard| shard.machine(m));
         let claims: Vec<usize> = machine.map(|x| x.unsent().collect()).unwrap_or_default();
         self.never_started(m, &claims);
@@ -183,7 +183,7 @@
 
     /// Which zones seem to be cut off: those where a third of the machines is later than heartbeats ever are. That is
     /// enough, since the first machines would be returned before half of them are late.
-    pub(crate) fn look_at_zones(&mut self) {
+    pub(crate) fn survey_zones(&mut self) {
         let now = self.now.mono;
         let late = (self.settings.cluster.workers.report_s * 1250.0) as u64 + 1000;
         let is_spread = self.is_spread();
@@ -195,11 +195,11 @@
             .flatten()
             .filter(|m| m.is_known_up() && !m.deleting)
         {
-            let (up, quiet, relayed) = zones.entry(machine.zone.as_str()).or_default();
+            let (up, overdue, relayed) = zones.entry(machine.zone.as_str()).or_default();
             *up += 1;
             // Where all heartbeats go by way of peers, that says nothing of a zone.
             *relayed += u32::from(machine.via.is_some() && !is_spread);
-            *quiet += u32::from(now.saturating_sub(machine.heard_at) > late);
+            *overdue += u32::from(now.saturating_sub(machine.heard_at) > late);
         }
         // Where some are heard by way of a peer, the others are likely to find it too.
         let detour = zones
@@ -208,14 +208,14 @@
         let detour: BTreeSet<String> = detour.map(|(zone, _)| (*zone).to_owned()).collect();
         let cut = zones
             .iter()
-            .filter(|(_, (up, quiet, _))| *up >= LEAST_MACHINES && quiet * 3 > *up);
+            .filter(|(_, (up, overdue, _))| *up >= MIN_MACHINES && overdue * 3 > *up);
         let cut: BTreeSet<String> = cut.map(|(zone, _)| (*zone).to_owned()).collect();
         shard.zones.observe(cut, detour);
     }
 
     /// After a failover: asks the machines that have not come by themselves, a few at a time. Their workers may
     /// still be with an earlier leader, and what they say is needed before much can be decided.
-    fn probe_round(&mut self) {
+    fn probe_unheard_machines(&mut self) {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
         if now < shard.since + PROBE_AFTER_MS || now >= shard.since + PROBE_UNTIL_MS {
@@ -234,7 +234,7 @@
             .iter()
             .enumerate()
             .filter(|(_, m)| m.is_some_and(unheard));
-        let most = PROBES_A_TICK.max(shard.machines.count().div_ceil(TICKS_TO_PROBE_ALL));
+        let most = PROBES_PER_TICK.max(shard.machines.count().div_ceil(TICKS_TO_PROBE_ALL));
         let due: Vec<usize> = due.map(|(m, _)| m).take(most).collect();
         for m in due {
             self.probe_machine(m);
@@ -252,19 +252,19 @@
         if !machine.is_some_and(is_silent) {
             return;
         }
-        self.look_at_zones();
+        self.survey_zones();
         let Some(machine) = self.shard.as_ref().and_then(|shard| shard.machine(m)) else {
             return;
         };
-        let kept = self.delegated_ms(&machine.zone, machine.heard_at);
-        let lease = self.lease_ms() + silent + kept;
+        let delegated = self.delegated_ms(&machine.zone, machine.heard_at);
+        let lease = self.lease_ms() + silent + delegated;
         let Some(shard) = &mut self.shard else { return };
         let Some(machine) = shard.machines.get_mut(m) else {
             return;
         };
         let may_come_back = shard.zones.is_doubtful(&machine.zone);
-        let gap = now.saturating_sub(machine.heard_at);
-        if may_come_back && (machine.claims.is_empty() || gap <= lease) {
+        let silent_for = now.saturating_sub(machine.heard_at);
+        if may_come_back && (machine.claims.is_empty() || silent_for <= lease) {
             return;
         }
         log::warn!(
--- a/crates/control/src/provisioning/mod.rs
+++ b/crates/control/src/provisioning/mod.rs
@@ -11,7 +11,7 @@
 /// The cloud has this long to answer.
 const CLOUD_TIMEOUT_MS: u64 = 5000;
 /// What a request to the cloud takes of the rate that it allows.
-const REQUEST: f64 = 1.0;
+const REQUEST_COST: f64 = 1.0;
 
 impl Node {
     /// Follows the live jobs, and asks the cloud for what is due while the lease holds: rentals first, then returns, then
@@ -28,7 +28,7 @@
         }
         self.send_rentals();
         self.send_returns();
-        self.read_list();
+        self.request_list_page();
     }
 
     fn ask_cloud(&mut self, method: &'static str, path: String, body: Vec<u8>, what: Pending) {
--- a/crates/control/src/provisioning/rentals.rs
+++ b/crates/control/src/provisioning/rentals.rs
@@ -2,7 +2,7 @@
 
 use crate::agents::machine::Machine;
 use crate::leadership::election::SHARD;
-use crate::provisioning::REQUEST;
+use crate::provisioning::REQUEST_COST;
 use crate::store::cloud_calls::MachineKind;
 use crate::store::rental::{Rental, RentalState};
 use crate::store::shard::Shard;
@@ -13,16 +13,16 @@
 use wire::records::RentalRecord;
 
 /// Machines in one rental.
-const MOST_RENTED: u32 = 50;
+const MAX_MACHINES_PER_RENTAL: u32 = 50;
 /// After no answer a rental is requested again within this time.
-const RETRY_MS: Range<u64> = 500..1500;
+const RETRY_DELAY_MS: Range<u64> = 500..1500;
 /// How the cloud says that there is none.
 const NO_CAPACITY: &str = "no capacity";
 
 /// What a request for machines came to.
 enum RentalAnswer {
     Granted(Vec<String>),
-    NoneToBeHad,
+    Refused,
     /// Not known: it is requested again, under the same name.
     Unknown,
 }
@@ -39,7 +39,7 @@
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
-            count: count.min(MOST_RENTED),
+            count: count.min(MAX_MACHINES_PER_RENTAL),
             at_ms: wall,
         };
         shard.rentals.insert(
@@ -68,7 +68,7 @@
             .map(|(name, rental)| (name.clone(), rental.record.clone()))
             .collect();
         for (name, rec) in due {
-            if !self.cloud.try_take(now, REQUEST) {
+            if !self.cloud.try_take(now, REQUEST_COST) {
                 break;
             }
             if let Some(rental) = self.shard.as_mut().and_then(|p| p.rentals.get_mut(&name)) {
@@ -90,7 +90,7 @@
     pub(crate) fn rental_answered(&mut self, name: String, response: Option<Response>) {
         let now = self.now.mono;
         let answer = self.rental_answer(response);
-        let wait = self.rng.u64(RETRY_MS);
+        let wait = self.rng.u64(RETRY_DELAY_MS);
         let Some(shard) = &mut self.shard else { return };
         let Some(rental) = shard.rentals.get_mut(&name) else {
             return;
@@ -103,7 +103,7 @@
                 rental.state = RentalState::Over;
                 shard.rental_granted(&rec, machines, now);
             }
-            RentalAnswer::NoneToBeHad => {
+            RentalAnswer::Refused => {
                 log::info!("rental {name}: none to be had");
                 rental.state = RentalState::Over;
                 shard.rental_refused(&rec, now);
@@ -126,8 +126,8 @@
                 .map_or(RentalAnswer::Unknown, |got| {
                     RentalAnswer::Granted(got.machines)
                 }),
-            400 => RentalAnswer::NoneToBeHad,
-            503 if has_no_capacity() => RentalAnswer::NoneToBeHad,
+            400 => RentalAnswer::Refused,
+            503 if has_no_capacity() => RentalAnswer::Refused,
             _ => RentalAnswer::Unknown,
         }
     }
--- a/crates/control/src/provisioning/returns.rs
+++ b/crates/control/src/provisioning/returns.rs
@@ -2,7 +2,7 @@
 
 use crate::agents::reconciliation::EndedClaim;
 use crate::jobs::job::JobIndex;
-use crate::provisioning::REQUEST;
+use crate::provisioning::REQUEST_COST;
 use crate::{Node, Pending};
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -10,9 +10,9 @@
 use wire::http::Response;
 
 /// Machines that are returned in one request.
-const MOST_RETURNED: usize = 100;
+const MAX_MACHINES_PER_REQUEST: usize = 100;
 /// After a failure they are returned again within this time.
-const RETRY_MS: Range<u64> = 500..1500;
+const RETRY_DELAY_MS: Range<u64> = 500..1500;
 
 impl Node {
     /// Gives back machines that are to go, some at a time.
@@ -24,9 +24,9 @@
         }
         let machines: Vec<usize> = (0..shard.machines.slots())
             .filter(|m| shard.machine(*m).is_some_and(|machine| machine.deleting))
-            .take(MOST_RETURNED)
+            .take(MAX_MACHINES_PER_REQUEST)
             .collect();
-        if machines.is_empty() || !self.cloud.try_take(now, REQUEST) {
+        if machines.is_empty() || !self.cloud.try_take(now, REQUEST_COST) {
             return;
         }
         shard.cloud_calls.deletion_sent();
@@ -42,7 +42,7 @@
     /// Machines were returned, or not.
     pub(crate) fn returns_received(&mut self, machines: Vec<usize>, response: Option<Response>) {
         let now = self.now.mono;
-        let wait = self.rng.u64(RETRY_MS);
+        let wait = self.rng.u64(RETRY_DELAY_MS);
         let Some(shard) = &mut self.shard else { return };
         shard.cloud_calls.deletion_ended();
         if response.is_none_or(|r| r.status != 200) {
