--- a/crates/control/src/provisioning/catalog.rs
+++ b/crates/control/src/provisioning/catalog.rs
@@ -1,4 +1,4 @@
-//! The cloud's catalogue of machine types: read anew every minute, by the leader, or by whoever has none yet.
+//! The cloud's catalog of machine types, read periodically by the leader, and by a controller that has none yet.
 
 use crate::provisioning::REQUEST_COST;
 use crate::{Node, Pending};
@@ -6,14 +6,15 @@
 use wire::api::Catalog;
 use wire::http::Response;
 
+/// How often the catalog is read.
 const CATALOG_INTERVAL_MS: u64 = 60_000;
-/// After a failure it is read again within this time.
+/// Delay before the catalog is read again after a failure.
 const RETRY_DELAY_MS: Range<u64> = 1000..2500;
-/// Machine types beyond these are not looked at.
+/// Further machine types in the catalog are ignored.
 const MAX_TYPES: usize = 64;
 
 impl Node {
-    /// Reads the catalogue where that is due.
+    /// Requests the catalog if that is due and the cloud request budget allows it.
     pub(crate) fn catalog_tick(&mut self) {
         let now = self.now.mono;
         if now < self.catalog_at || !self.cloud.try_take(now, REQUEST_COST) {
@@ -23,7 +24,7 @@
         self.ask_cloud("GET", "/catalog".into(), Vec::new(), Pending::Catalog);
     }
 
-    /// The catalogue was read, or not.
+    /// Handles the cloud's answer to a catalog request, or its absence.
     pub(crate) fn catalog_received(&mut self, response: Option<Response>) {
         let catalog = response
             .filter(|r| r.status == 200)
@@ -47,8 +48,8 @@
     }
 }
 
-/// Whether two catalogues name the same types in the same zones. Prices move all the time; the record is for those who
-/// start without the cloud.
+/// Whether two catalogs name the same types in the same zones. Prices change all the time and are ignored: the recorded
+/// catalog serves controllers that start while the cloud does not answer.
 fn has_same_types(a: &Catalog, b: &Catalog) -> bool {
     let names = |catalog: &Catalog| -> Vec<(String, Vec<String>)> {
         let types = catalog.types.iter();
--- a/crates/control/src/provisioning/listing.rs
+++ b/crates/control/src/provisioning/listing.rs
@@ -1,5 +1,5 @@
-//! The cloud's list of our machines, which may be late: it names machines that nobody else told of, and those that
-//! failed.
+//! The cloud's list of rented machines. It may lag behind, but it names machines that are known from nowhere else, and
+//! those that have failed.
 
 use crate::agents::machine::Machine;
 use crate::provisioning::REQUEST_COST;
@@ -7,26 +7,27 @@
 use wire::api::{ListedMachine, MachineList};
 use wire::http::Response;
 
-/// The list is read no more often than this, and otherwise twice in the time that it may be late.
+/// Minimum time between reads of the list. Otherwise it is read twice within the list's maximum lag.
 const MIN_INTERVAL_MS: u64 = 1500;
-/// Machines on a page of the list.
+/// Maximum number of machines on one page of the list.
 const PAGE: usize = 500;
-/// Nothing that the cloud says of a machine's age beyond this, in seconds, is taken for true.
+/// Upper bound of the age of a machine, in seconds. Greater values in the list are reduced to it.
 const MAX_AGE_S: f64 = 1e6;
-/// The stage in which the cloud lists a machine that failed.
+/// The `stage` of a failed machine in the list.
 const FAILED_STAGE: &str = "failed";
 
-/// How far the cloud's list has been read.
+/// Progress of reading the cloud's list.
 #[derive(Default)]
 pub(crate) struct Listing {
-    /// The last machine of the page before, if there are more.
+    /// The last machine of the previous page, if more pages follow.
     resume_after: Option<String>,
+    /// A request for a page is in flight.
     in_flight: bool,
     next_at: u64,
 }
 
 impl Node {
-    /// Asks for the next page of the list where that is due.
+    /// Requests the next page of the list if that is due and the cloud request budget allows it.
     pub(super) fn request_list_page(&mut self) {
         let (now, term) = (self.now.mono, self.term);
         let interval = (self.settings.cluster.cloud.list_lag_s * 500.0) as u64;
@@ -45,7 +46,7 @@
         self.ask_cloud("GET", path, Vec::new(), Pending::List { term });
     }
 
-    /// A page of the list.
+    /// Handles a page of the list, or the absence of an answer.
     pub(crate) fn list_received(&mut self, response: Option<Response>) {
         let list = response
             .filter(|r| r.status == 200)
@@ -67,7 +68,7 @@
         }
     }
 
-    /// One machine of the list: known, or taken in.
+    /// Updates a known machine from its entry in the list, or adds one that is not known and was not returned lately.
     fn apply_listed_machine(&mut self, listed: ListedMachine) {
         let Some(shard) = &mut self.shard else { return };
         if let Some(m) = shard.machines.index_of(&listed.name) {
@@ -77,9 +78,12 @@
             if machine.addr.is_none() {
                 machine.addr = listed.addr.parse().ok();
             }
-            // A machine that failed costs nothing more, but its tasks are proved gone only by its return.
+            // A failed machine costs nothing more, but only its return to the cloud proves that its tasks have ended.
             if listed.stage == FAILED_STAGE && !machine.deleting {
-                log::info!("machine {}: failed", machine.name);
+                log::info!(
+                    "machine {}: reported as failed by the cloud, to be returned",
+                    machine.name
+                );
                 machine.failed = true;
                 machine.deleting = true;
             }
@@ -90,11 +94,15 @@
         }
     }
 
-    /// Machines of a rental whose answer is still out are expected, but taken in all the same.
+    /// Adds a machine that only the list names. It may belong to a rental that the cloud has not answered yet; it is
+    /// added all the same.
     fn add_listed_machine(&mut self, listed: &ListedMachine) {
         let now = self.now;
         let Some(shard) = &mut self.shard else { return };
-        log::info!("machine {}: listed, taken in", listed.name);
+        log::info!(
+            "machine {}: in the cloud's list but not known, added",
+            listed.name
+        );
         let age_ms = (listed.age_s.clamp(0.0, MAX_AGE_S) * 1000.0) as u64;
         let mut machine = Machine::unrecorded(
             &listed.name,
--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -1,47 +1,52 @@
-//! Machines that fall silent, never come up or fail their tasks; zones that seem cut off; and standing aside where the
-//! fault is more likely this node's own.
+//! Health of machines: those that fall silent, never come up or fail their tasks, and zones that seem cut off. The
+//! leader steps down where its own connectivity is the more likely fault.
 
 use crate::agents::machine::Machine;
 use crate::{Node, Now};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::Catalog;
 
-/// After standing aside for silence, this node does not do so again for so long.
+/// Minimum time between two step-downs because most machines are silent.
 const STAND_ASIDE_INTERVAL_MS: u64 = 180_000;
-/// How long another node then has to take over.
+/// How long this node then stays out of elections, so that another can take over.
 const STAND_ASIDE_MS: u64 = 15_000;
-/// Silence is looked for this often.
+/// How often all machines are checked.
 const SURVEY_INTERVAL_MS: u64 = 500;
-/// A silent machine is asked for its heartbeat this often.
+/// How often a silent machine is probed for its heartbeat.
 const SILENT_PROBE_MS: u64 = 1000;
-/// Machines that answer commands and send no heartbeats are asked this often what became of their tasks.
+/// How often a machine with claims is probed for the state of its tasks if it answers commands but its heartbeats are
+/// overdue.
 const OVERDUE_PROBE_MS: u64 = 2000;
-/// When a new leader asks machines that it has not heard of, and how many at a time.
+/// A new leader probes machines that it has not heard from, between these times after the start of its term.
 const PROBE_AFTER_MS: u64 = 500;
 const PROBE_UNTIL_MS: u64 = 8000;
+/// Each tick probes this many machines, or more if needed to probe all within `TICKS_TO_PROBE_ALL` ticks.
 const PROBES_PER_TICK: usize = 12;
 const TICKS_TO_PROBE_ALL: usize = 150;
-/// How long a machine of unknown type takes to boot.
+/// Boot time that is assumed for a machine of unknown type.
 const DEFAULT_BOOT_S: f64 = 60.0;
-/// Fewer machines than this prove nothing by their silence.
+/// With fewer machines than this, silence is not taken as evidence of a wider failure.
 const MIN_MACHINES: u32 = 4;
 
-/// What a look at all machines has found.
+/// Result of a check of all machines.
 #[derive(Default)]
 struct Survey {
     to_probe: Vec<usize>,
-    /// Machines that get no orders and have claims of which nothing was sent.
+    /// Machines that receive no orders and have claims whose start was never sent.
     unsent: Vec<usize>,
+    /// Machines that are known to be up.
     up: u32,
+    /// Those of them that are silent and did not answer a probe, or cannot be probed.
     unreachable: u32,
 }
 
 impl Survey {
-    /// Counts a machine that should be heard, and finds out whether it is to be asked.
+    /// Counts a machine that is known to be up, and decides whether to probe it.
     fn add_known_up(&mut self, m: usize, machine: &Machine, now: u64, silent: u64) {
         let is_silent = now.saturating_sub(machine.heard_at) > silent;
         let is_overdue = machine.is_heartbeat_overdue(now, silent);
-        // Only who was asked and has not answered can't be heard: mute machines are as late, all at a time.
+        // A machine counts as unreachable only if a probe had no answer. Machines that send no heartbeats but still
+        // answer probes are as late, and many may be so at the same time.
         let was_asked = machine.probed_at > machine.heard_at || machine.addr.is_none();
         self.up += 1;
         self.unreachable += u32::from(is_silent && was_asked);
@@ -62,14 +67,15 @@
     }
 }
 
-/// How long machines of this one's type take to boot.
+/// Boot time of the machine's type.
 fn boot_s(catalog: Option<&Catalog>, machine: &Machine) -> f64 {
     catalog
         .and_then(|c| c.types.iter().find(|t| t.name == machine.machine_type))
         .map_or(DEFAULT_BOOT_S, |t| t.boot_s)
 }
 
-/// Whether a machine is overdue to come up. After a failover one that is up has to find us first.
+/// Whether a machine should have come up by now. It must also have been silent for half its boot time: after a
+/// failover, a machine that is up has to find the new leader first.
 fn never_came_up(machine: &Machine, boot_s: f64, patience: f64, now: Now) -> bool {
     let age_s = now.wall.saturating_sub(machine.rented_ms) as f64 / 1000.0;
     let silent_for_ms = now.mono.saturating_sub(machine.heard_at) as f64;
@@ -77,7 +83,7 @@
 }
 
 impl Node {
-    /// Looks after machines that are silent, never came up, or have nothing to do.
+    /// Sends pending orders, and handles machines that are silent, never came up, or are to be returned.
     pub(crate) fn machines_tick(&mut self) {
         self.push_orders();
         if !self.may_decide() {
@@ -106,8 +112,8 @@
         }
     }
 
-    /// Looks at every machine, and marks those that are to be returned. `None` while a new leader has not given the
-    /// workers time to find it.
+    /// Checks every machine, and marks those that are to be returned. `None` until the workers have had one heartbeat
+    /// interval to find a new leader.
     fn survey_machines(&mut self) -> Option<Survey> {
         let now = self.now;
         let silent = self.silent_ms();
@@ -131,7 +137,7 @@
             if machine.is_known_up() {
                 survey.add_known_up(m, machine, now.mono, silent);
             } else if never_came_up(machine, boot_s(catalog, machine), patience, now) {
-                log::info!("machine {}: did not come up", machine.name);
+                log::info!("machine {}: did not come up, to be returned", machine.name);
                 machine.deleting = true;
             }
             if machine.cordoned && machine.claims.is_empty() {
@@ -141,30 +147,31 @@
         Some(survey)
     }
 
-    /// Only once in a while: where most machines did fail, every node would hand them on for ever and none would return
-    /// them.
+    /// Whether this node stepped down because of silent machines recently. If most machines have really failed, nodes
+    /// that stepped down each time would pass leadership round forever, and none would return the machines.
     fn stood_aside_recently(&self) -> bool {
         let now = self.now.mono;
         let until = |at| at + STAND_ASIDE_INTERVAL_MS;
         self.stood_aside_at.is_some_and(|at| now <= until(at))
     }
 
-    /// That many machines seldom fail at once: more likely we are cut off from them, and another node is not.
+    /// Steps down because most machines are silent. So many machines seldom fail at once: more likely this node is cut
+    /// off from them, and another is not.
     fn stand_aside_for_silence(&mut self) {
         self.stood_aside_at = Some(self.now.mono);
-        self.step_down("most machines can't be heard here");
+        self.step_down("most machines are unreachable from this node");
         self.stand_aside(STAND_ASIDE_MS);
     }
 
-    /// Takes claims back of which nothing was sent, from a machine that gets no orders.
+    /// Releases the claims whose start was never sent, on a machine that receives no orders.
     fn release_unsent_claims(&mut self, m: usize) {
         let machine = self.shard.as_ref().and_then(|shard| shard.machine(m));
         let claims: Vec<usize> = machine.map(|x| x.unsent().collect()).unwrap_or_default();
         self.never_started(m, &claims);
     }
 
-    /// Asks a machine for its heartbeat. One whose address neither its worker nor the cloud's list has told can't be
-    /// asked, and is returned in the end.
+    /// Probes a machine for its heartbeat. One whose address is known neither from its worker nor from the cloud's list
+    /// can't be probed, and is returned after a worker lease without a heartbeat.
     fn probe_or_return(&mut self, m: usize) {
         let now = self.now.mono;
         let lease = self.lease_ms();
@@ -174,15 +181,16 @@
             self.probe_machine(m);
         } else if now.saturating_sub(machine.heard_at) > lease {
             log::warn!(
-                "machine {}: silent and without address, to be returned",
+                "machine {}: silent and without a known address, to be returned",
                 machine.name
             );
             machine.deleting = true;
         }
     }
 
-    /// Which zones seem to be cut off: those where a third of the machines is later than heartbeats ever are. That is
-    /// enough, since the first machines would be returned before half of them are late.
+    /// Finds the zones that seem to be cut off: those where more than a third of the machines are later than heartbeats
+    /// normally are. A higher threshold would be too late: the first machines would be returned before half of them are
+    /// late.
     pub(crate) fn survey_zones(&mut self) {
         let now = self.now.mono;
         let late = (self.settings.cluster.workers.report_s * 1250.0) as u64 + 1000;
@@ -197,11 +205,11 @@
         {
             let (up, overdue, relayed) = zones.entry(machine.zone.as_str()).or_default();
             *up += 1;
-            // Where all heartbeats go by way of peers, that says nothing of a zone.
+            // While workers send their heartbeats to any controller, a relayed heartbeat says nothing about the zone.
             *relayed += u32::from(machine.via.is_some() && !is_spread);
             *overdue += u32::from(now.saturating_sub(machine.heard_at) > late);
         }
-        // Where some are heard by way of a peer, the others are likely to find it too.
+        // If some machines of a zone are heard through a peer, the others are likely to find that peer too.
         let detour = zones
             .iter()
             .filter(|(_, (up, _, relayed))| relayed * 8 > *up);
@@ -213,8 +221,8 @@
         shard.zones.observe(cut, detour);
     }
 
-    /// After a failover: asks the machines that have not come by themselves, a few at a time. Their workers may
-    /// still be with an earlier leader, and what they say is needed before much can be decided.
+    /// After a failover, probes the machines that have not sent a heartbeat by themselves, a few per tick. Their
+    /// workers may still report to an earlier leader, and many decisions have to wait for their reports.
     fn probe_unheard_machines(&mut self) {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
@@ -241,9 +249,9 @@
         }
     }
 
-    /// A machine that was asked has not answered. Where a whole zone is silent, its machines are likely to come back,
-    /// with their tasks if that is before their leases end. Only then is it better to return those that hold tasks, so
-    /// that these can go on elsewhere.
+    /// Handles a probe that had no answer: a silent machine is to be returned. If its whole zone seems cut off, the
+    /// machine is likely to come back, with its tasks if their leases have not ended by then. It is then returned only
+    /// if it holds claims and the leases have ended, so that the tasks can be run elsewhere.
     pub(crate) fn probe_failed(&mut self, m: usize) {
         let now = self.now.mono;
         let silent = self.silent_ms();
@@ -268,18 +276,19 @@
             return;
         }
         log::warn!(
-            "machine {}: silent and unreachable, to be returned",
+            "machine {}: silent and did not answer a probe, to be returned",
             machine.name
         );
         machine.deleting = true;
     }
 
-    /// How long a worker's tasks outlive its last heartbeat.
+    /// The worker lease: how long a worker keeps its tasks running after its last heartbeat.
     fn lease_ms(&self) -> u64 {
         (self.settings.cluster.workers.lease_s * 1000.0) as u64
     }
 
-    /// A machine that says nothing for so long is asked. Heartbeats come a quarter late at times.
+    /// A machine without a heartbeat for this long is silent, and is probed. Heartbeats can be a quarter of their
+    /// interval late.
     pub(crate) fn silent_ms(&self) -> u64 {
         let heartbeats = self.settings.cluster.workers.report_s * 1.5 + 1.0;
         (self.tuning.silent_s.max(heartbeats) * 1000.0) as u64
--- a/crates/control/src/provisioning/mod.rs
+++ b/crates/control/src/provisioning/mod.rs
@@ -1,4 +1,4 @@
-//! Provisioning: the cloud catalogue, scaling out and in, and machines that fail.
+//! Provisioning: the cloud's catalog, rentals and returns of machines, and machine health.
 
 pub(crate) mod catalog;
 pub(crate) mod listing;
@@ -8,14 +8,14 @@
 
 use crate::{Destination, Node, Pending};
 
-/// The cloud has this long to answer.
+/// Timeout of a request to the cloud.
 const CLOUD_TIMEOUT_MS: u64 = 5000;
-/// What a request to the cloud takes of the rate that it allows.
+/// Cost of one request in the cloud request budget.
 const REQUEST_COST: f64 = 1.0;
 
 impl Node {
-    /// Follows the live jobs, and asks the cloud for what is due while the lease holds: rentals first, then returns, then
-    /// the list.
+    /// Watches the live jobs if that is due. While the lease is valid, it also sends the requests that are due to the
+    /// cloud: rentals first, then returns, then the list.
     pub(crate) fn fleet_tick(&mut self) {
         let now = self.now.mono;
         let has_valid_lease = self.has_valid_lease();
@@ -31,6 +31,7 @@
         self.request_list_page();
     }
 
+    /// Sends a request to the cloud. `what` says what its answer belongs to.
     fn ask_cloud(&mut self, method: &'static str, path: String, body: Vec<u8>, what: Pending) {
         self.send(
             Destination::Cloud,
--- a/crates/control/src/provisioning/rentals.rs
+++ b/crates/control/src/provisioning/rentals.rs
@@ -1,4 +1,4 @@
-//! Scaling out: rentals, which are recorded before they are requested from the cloud.
+//! Scaling out by rentals. Each is recorded in the state service before it is requested from the cloud.
 
 use crate::agents::machine::Machine;
 use crate::leadership::election::SHARD;
@@ -12,23 +12,25 @@
 use wire::http::Response;
 use wire::records::RentalRecord;
 
-/// Machines in one rental.
+/// Maximum number of machines in one rental.
 const MAX_MACHINES_PER_RENTAL: u32 = 50;
-/// After no answer a rental is requested again within this time.
+/// Delay before a rental is requested again after an attempt whose outcome is unknown.
 const RETRY_DELAY_MS: Range<u64> = 500..1500;
-/// How the cloud says that there is none.
+/// The cloud's error text when it has no machines of the kind.
 const NO_CAPACITY: &str = "no capacity";
 
-/// What a request for machines came to.
+/// Outcome of a request for machines.
 enum RentalAnswer {
+    /// The machines that were rented, possibly fewer than requested.
     Granted(Vec<String>),
+    /// No machines, for lack of capacity or because the cloud rejects the request.
     Refused,
-    /// Not known: it is requested again, under the same name.
+    /// The outcome is not known: the rental is requested again under the same name.
     Unknown,
 }
 
 impl Node {
-    /// Writes a rental down; it is sent once the record stands.
+    /// Adds a rental. It is sent to the cloud once its record is stored.
     pub(crate) fn rental(&mut self, machine_type: &str, zone: &str, spot: bool, count: u32) {
         let wall = self.now.wall;
         let Some(shard) = &mut self.shard else { return };
@@ -54,7 +56,7 @@
         );
     }
 
-    /// Requests rentals that are recorded; the same name again until there is an answer.
+    /// Requests the rentals that are recorded and due. A request is repeated under the same name until it is answered.
     pub(super) fn send_rentals(&mut self) {
         let (now, term) = (self.now.mono, self.term);
         let Some(shard) = &self.shard else { return };
@@ -86,7 +88,7 @@
         }
     }
 
-    /// A rental was answered, or not.
+    /// Handles the cloud's answer to a rental, or its absence.
     pub(crate) fn rental_answered(&mut self, name: String, response: Option<Response>) {
         let now = self.now.mono;
         let answer = self.rental_answer(response);
@@ -104,7 +106,7 @@
                 shard.rental_granted(&rec, machines, now);
             }
             RentalAnswer::Refused => {
-                log::info!("rental {name}: none to be had");
+                log::info!("rental {name}: refused, or no capacity");
                 rental.state = RentalState::Over;
                 shard.rental_refused(&rec, now);
             }
@@ -134,7 +136,7 @@
 }
 
 impl Shard {
-    /// Takes in the machines of a rental, unless they are known from elsewhere.
+    /// Adds the machines of a rental, except those that are already known or were returned.
     fn rental_granted(&mut self, rec: &RentalRecord, machines: Vec<String>, now: u64) {
         let kind = kind_of(rec);
         if (machines.len() as u32) < rec.count {
@@ -152,13 +154,13 @@
         }
     }
 
-    /// Leaves a kind of machine alone for a while, longer with each refusal in a row.
+    /// Pauses rentals of this kind of machine, for longer with each consecutive refusal.
     fn rental_refused(&mut self, rec: &RentalRecord, now: u64) {
         self.cloud_calls.refused(kind_of(rec), now);
     }
 }
 
-/// Type, zone and whether it is spot capacity: what the cloud may have none of.
+/// Machine type, zone and whether it is spot: the unit in which the cloud may lack capacity.
 fn kind_of(rec: &RentalRecord) -> MachineKind {
     (rec.machine_type.clone(), rec.zone.clone(), rec.spot)
 }
--- a/crates/control/src/provisioning/returns.rs
+++ b/crates/control/src/provisioning/returns.rs
@@ -1,4 +1,4 @@
-//! Scaling in: machines that are given back to the cloud.
+//! Scaling in: return of machines to the cloud.
 
 use crate::agents::reconciliation::EndedClaim;
 use crate::jobs::job::JobIndex;
@@ -9,13 +9,13 @@
 use wire::api::MachineNames;
 use wire::http::Response;
 
-/// Machines that are returned in one request.
+/// Maximum number of machines that are returned in one request.
 const MAX_MACHINES_PER_REQUEST: usize = 100;
-/// After a failure they are returned again within this time.
+/// Delay before a failed return is requested again.
 const RETRY_DELAY_MS: Range<u64> = 500..1500;
 
 impl Node {
-    /// Gives back machines that are to go, some at a time.
+    /// Requests the return of machines that are marked for it, one batch at a time.
     pub(super) fn send_returns(&mut self) {
         let (now, term) = (self.now.mono, self.term);
         let Some(shard) = &mut self.shard else { return };
@@ -39,7 +39,7 @@
         self.ask_cloud("POST", "/machines/delete".into(), body, what);
     }
 
-    /// Machines were returned, or not.
+    /// Handles the cloud's answer to a return of machines, or its absence.
     pub(crate) fn returns_received(&mut self, machines: Vec<usize>, response: Option<Response>) {
         let now = self.now.mono;
         let wait = self.rng.u64(RETRY_DELAY_MS);
@@ -58,7 +58,8 @@
         }
     }
 
-    /// The cloud's word is proof: everything on the machine is gone. Returns the jobs that had claims there.
+    /// Removes a returned machine. The cloud's confirmation proves that all its tasks have ended. The result is the set
+    /// of jobs that had claims there.
     fn machine_returned(&mut self, m: usize) -> BTreeSet<JobIndex> {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else {
