--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -28,8 +28,8 @@
 pub(crate) struct Submission {
     pub requester: Requester,
     pub spec: Box<JobSpec>,
-    pub at: u64,
-    pub tries: u32,
+    pub started_at: u64,
+    pub retries: u32,
 }
 
 /// Whether a transaction failed only on conditions about the versions of documents.
@@ -109,8 +109,8 @@
         self.accept(Submission {
             requester,
             spec: Box::new(spec),
-            at: now,
-            tries: 0,
+            started_at: now,
+            retries: 0,
         });
     }
 
@@ -165,11 +165,11 @@
         let Submission {
             requester,
             spec,
-            at,
+            started_at,
             ..
         } = &submission;
         // The time of acceptance is that of the first attempt.
-        let wall = self.now.wall - (self.now.mono - at);
+        let wall = self.now.wall - (self.now.mono - started_at);
         // What is bound to the job depends on the document versions in force, so these must be known.
         let Some(mut conditions) = self.head_conditions() else {
             // This node has not read the shared state yet; a peer may have.
@@ -210,19 +210,19 @@
         let now = self.now.mono;
         let Submission {
             requester,
-            at,
-            tries,
+            started_at,
+            retries,
             ..
         } = submission;
-        if tries >= MAX_RETRIES || now >= at + RETRY_WINDOW_MS {
+        if retries >= MAX_RETRIES || now >= started_at + RETRY_WINDOW_MS {
             // An earlier attempt may have been accepted; a retry by the requester gets the outcome.
             return self.answer_error(requester, 503, "state service not available");
         }
-        let again = now + self.rng.u64(RETRY_DELAY_MS);
+        let due = now + self.rng.u64(RETRY_DELAY_MS);
         self.retries.push_back((
-            again,
+            due,
             Submission {
-                tries: tries + 1,
+                retries: retries + 1,
                 ..submission
             },
         ));
@@ -244,7 +244,11 @@
                 self.forward_submission(conn, submission.spec)
             }
             // The refusal is as old as its transaction, so whatever this node has answered since takes precedence.
-            (Some(200), Some(_)) if self.answer_history.since(&submission.spec.id, mark) => {
+            (Some(200), Some(_))
+                if self
+                    .answer_history
+                    .may_have_answered_since(&submission.spec.id, mark) =>
+            {
                 self.query_for(requester, submission.spec.id, Purpose::Resubmission)
             }
             (Some(200), Some(why)) => {
@@ -272,7 +276,7 @@
         let deadline = self.now.mono + FORWARDED_SUBMIT_DEADLINE_MS;
         self.forward(ForwardedRequest {
             conn,
-            ask: Box::new(PeerRequest::Submit { spec }),
+            request: Box::new(PeerRequest::Submit { spec }),
             deadline,
             fault: None,
         });
--- a/crates/control/src/jobs/answer_history.rs
+++ b/crates/control/src/jobs/answer_history.rs
@@ -9,16 +9,16 @@
 pub(crate) struct FinalStates {
     known: HashMap<String, (Stage, u32)>,
     order: VecDeque<String>,
-    cap: usize,
+    capacity: usize,
 }
 
 impl FinalStates {
     /// A cache of at most `cap` states.
-    pub fn new(cap: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         FinalStates {
             known: HashMap::new(),
             order: VecDeque::new(),
-            cap,
+            capacity,
         }
     }
 
@@ -41,10 +41,10 @@
         }
         self.known.insert(job.to_owned(), (stage, done));
         self.order.push_back(job.to_owned());
-        if self.order.len() > self.cap
-            && let Some(old) = self.order.pop_front()
+        if self.order.len() > self.capacity
+            && let Some(oldest) = self.order.pop_front()
         {
-            self.known.remove(&old);
+            self.known.remove(&oldest);
         }
     }
 }
@@ -65,13 +65,13 @@
 }
 
 impl AnswerHistory {
-    /// Number of answers so far, as a mark for [`AnswerHistory::since`].
+    /// Number of answers so far, as a mark for [`AnswerHistory::may_have_answered_since`].
     pub fn mark(&self) -> u64 {
         self.count
     }
 
     /// Records that an answer said that the job exists.
-    pub fn note(&mut self, job: &str) {
+    pub fn record(&mut self, job: &str) {
         self.count += 1;
         self.last_seq.insert(job.to_owned(), self.count);
         self.order.push_back((self.count, job.to_owned()));
@@ -86,7 +86,7 @@
     }
 
     /// Whether an answer since the mark may have said that the job exists.
-    pub fn since(&self, job: &str, mark: u64) -> bool {
+    pub fn may_have_answered_since(&self, job: &str, mark: u64) -> bool {
         self.dropped_seq > mark || self.last_seq.get(job).is_some_and(|seq| *seq > mark)
     }
 }
--- a/crates/control/src/jobs/answers.rs
+++ b/crates/control/src/jobs/answers.rs
@@ -21,7 +21,7 @@
         if state.stage.is_final() {
             self.final_states.put(&state.id, state.stage, state.done);
         }
-        self.answer_history.note(&state.id);
+        self.answer_history.record(&state.id);
         let state = self.final_states.get(&state.id).unwrap_or(state);
         match requester {
             Requester::User(conn) => self.respond(conn, 200, wire::encode(&state), None),
@@ -35,7 +35,7 @@
         if self.final_states.get(&state.id).is_some() {
             return self.tell(requester, state);
         }
-        self.answer_history.note(&state.id);
+        self.answer_history.record(&state.id);
         match requester {
             Requester::User(conn) => self.respond(conn, 201, wire::encode(&state), None),
             Requester::Peer(conn) => self.answer_peer(conn, &PeerResponse::Accepted(state)),
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -29,9 +29,9 @@
         let Some(peer) = self.leader_peer() else {
             return self.refuse(conn, 503, "no owner now");
         };
-        let ask = PeerRequest::Cancel { job: id.clone() };
+        let request = PeerRequest::Cancel { job: id.clone() };
         let what = Pending::PeerCancel { conn, job: id };
-        self.ask_peer(peer, &ask, CANCEL_TIMEOUT_MS, what);
+        self.ask_peer(peer, &request, CANCEL_TIMEOUT_MS, what);
     }
 
     /// The leader's answer to a forwarded cancellation. A job that the leader does not hold in memory may have ended,
--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -96,8 +96,8 @@
             .find(|t| t.name == spec.team)
             .ok_or(Infeasible::UnknownTeam)?;
         let tasks = f64::from(concurrent_tasks(spec));
-        let over = |max: f64, need: f64| max > 0.0 && need * tasks > max + EPS;
-        if over(team.cpus_max, spec.cores) || over(team.gpus_max, spec.gpus) {
+        let exceeds = |max: f64, need: f64| max > 0.0 && need * tasks > max + EPS;
+        if exceeds(team.cpus_max, spec.cores) || exceeds(team.gpus_max, spec.gpus) {
             return Err(Infeasible::AboveTeamLimit);
         }
         let all = takes(spec.cores * tasks, spec.gpus * tasks, spec.mem_gb * tasks);
@@ -135,8 +135,8 @@
 fn check_zones(spec: &JobSpec, catalog: &Catalog, county: &[String]) -> Result<(), Infeasible> {
     let zones = zones_for(spec, catalog, county);
     if zones.is_empty() {
-        let elsewhere = !zones_for(spec, catalog, &[]).is_empty();
-        return Err(if elsewhere {
+        let fits_outside_county = !zones_for(spec, catalog, &[]).is_empty();
+        return Err(if fits_outside_county {
             Infeasible::FitsNoMachineTypeInCounty
         } else {
             Infeasible::FitsNoMachineType
@@ -151,8 +151,8 @@
     Ok(())
 }
 
-/// Zones that offer a machine type large enough for a task. Only the zones in `only` count, or all if it is empty.
-fn zones_for<'a>(spec: &JobSpec, catalog: &'a Catalog, only: &[String]) -> BTreeSet<&'a str> {
+/// Zones that offer a machine type large enough for a task. Only the zones in `allowed` count, or all if it is empty.
+fn zones_for<'a>(spec: &JobSpec, catalog: &'a Catalog, allowed: &[String]) -> BTreeSet<&'a str> {
     let fits = |t: &&MachineType| {
         spec.types
             .as_ref()
@@ -164,7 +164,7 @@
     let zones = catalog.types.iter().filter(fits).flat_map(|t| &t.zones);
     zones
         .filter(|z| spec.zone.as_ref().is_none_or(|own| own == *z))
-        .filter(|z| only.is_empty() || only.contains(z))
+        .filter(|z| allowed.is_empty() || allowed.contains(z))
         .map(String::as_str)
         .collect()
 }
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -59,7 +59,7 @@
 /// A user's request that is forwarded to a peer.
 pub(crate) struct ForwardedRequest {
     pub conn: u64,
-    pub ask: Box<PeerRequest>,
+    pub request: Box<PeerRequest>,
     /// The user does not wait beyond this time.
     pub deadline: u64,
     /// The fault of a malformed submission, which is forwarded as a lookup. It is the answer if the job was never
@@ -69,7 +69,7 @@
 
 impl ForwardedRequest {
     fn job(&self) -> Option<&str> {
-        match &*self.ask {
+        match &*self.request {
             PeerRequest::Submit { spec } => Some(&spec.id),
             PeerRequest::Lookup { job, .. } => Some(job),
             _ => None,
@@ -104,7 +104,7 @@
     /// Chooses the peer for a forwarded request: the leader, else a peer that reports the state service as available,
     /// else a peer without a recent report. If all report it as unavailable, a lookup still goes to the leader, which
     /// is the most likely to know the end of a job.
-    fn forwarding_target(&mut self, ask: &PeerRequest) -> Option<usize> {
+    fn forwarding_target(&mut self, request: &PeerRequest) -> Option<usize> {
         let now = self.now.mono;
         let peers = 0..self.settings.peers.len();
         let candidates: Vec<usize> = peers
@@ -117,9 +117,9 @@
                 .collect()
         };
         let (served, unreported) = (reporting_down(Some(false)), reporting_down(None));
-        let is_lookup = matches!(ask, PeerRequest::Lookup { .. });
+        let is_lookup = matches!(request, PeerRequest::Lookup { .. });
         let past_leader = matches!(
-            ask,
+            request,
             PeerRequest::Lookup {
                 past_leader: true,
                 ..
@@ -148,15 +148,15 @@
         let target = if forwarded.deadline < now + MIN_REMAINING_MS {
             None
         } else {
-            self.forwarding_target(&forwarded.ask)
+            self.forwarding_target(&forwarded.request)
         };
         let Some(peer) = target else {
             self.stats.unanswered +=
-                u64::from(matches!(*forwarded.ask, PeerRequest::Lookup { .. }));
+                u64::from(matches!(*forwarded.request, PeerRequest::Lookup { .. }));
             return self.refuse(forwarded.conn, 503, "state service not available");
         };
         self.stats.forwarded += 1;
-        let body = peer::encode(&*forwarded.ask);
+        let body = peer::encode(&*forwarded.request);
         let timeout = (forwarded.deadline - now).min(FORWARD_TIMEOUT_MS);
         let what = Pending::Forward {
             forwarded,
@@ -217,7 +217,7 @@
             if let Some(state) = self.final_states.get(job) {
                 return self.tell(Requester::User(conn), state);
             }
-            if self.answer_history.since(job, mark) {
+            if self.answer_history.may_have_answered_since(job, mark) {
                 return self.refuse(conn, 503, "undecided");
             }
         }
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -295,9 +295,9 @@
 
     /// Number of tasks that could be started.
     pub fn pending(&self) -> u32 {
-        let open = self.tasks - self.done_count.min(self.tasks);
-        let claimed_open = self.claimed.keys().filter(|t| !self.is_done(**t)).count() as u32;
-        let unclaimed = open.saturating_sub(claimed_open);
+        let unfinished = self.tasks - self.done_count.min(self.tasks);
+        let claimed_unfinished = self.claimed.keys().filter(|t| !self.is_done(**t)).count() as u32;
+        let unclaimed = unfinished.saturating_sub(claimed_unfinished);
         // Every claimed task counts as a replica, also one that is being stopped.
         self.replicas.map_or(unclaimed, |n| {
             n.saturating_sub(self.claimed.len() as u32).min(unclaimed)
@@ -329,11 +329,11 @@
             _ => Stage::Pending,
         };
         // All tasks are reported as done only once the job is recorded as done.
-        let open = u32::from(stage != Stage::Done && self.done_count == self.tasks);
+        let unreported = u32::from(stage != Stage::Done && self.done_count == self.tasks);
         JobState {
             id: self.id.clone(),
             stage,
-            done: self.done_count - open.min(self.done_count),
+            done: self.done_count - unreported.min(self.done_count),
             running: self.running,
         }
     }
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -19,16 +19,16 @@
         if self.operator_demand(conn, request) || self.admin_requested(conn, request) {
             return;
         }
-        let is_ask = request.method == "POST" && request.path == peer::PATH;
-        match is_ask.then(|| peer::decode::<PeerRequest>(&request.body).ok()) {
-            Some(Some(ask)) => self.dispatch_peer_request(conn, ask),
+        let is_peer_request = request.method == "POST" && request.path == peer::PATH;
+        match is_peer_request.then(|| peer::decode::<PeerRequest>(&request.body).ok()) {
+            Some(Some(decoded)) => self.dispatch_peer_request(conn, decoded),
             _ => self.refuse(conn, 400, "unreadable peer request"),
         }
     }
 
     /// Dispatches a request from a peer by its kind.
-    fn dispatch_peer_request(&mut self, conn: u64, ask: PeerRequest) {
-        match ask {
+    fn dispatch_peer_request(&mut self, conn: u64, request: PeerRequest) {
+        match request {
             PeerRequest::Query { job } => self.queried_as_leader(conn, &job),
             PeerRequest::Cancel { job } => self.cancel(&job, Requester::Peer(conn)),
             PeerRequest::Submit { spec } => self.submit(Requester::Peer(conn), *spec),
@@ -60,11 +60,11 @@
     pub(crate) fn ask_peer(
         &mut self,
         peer: usize,
-        ask: &PeerRequest,
+        request: &PeerRequest,
         timeout_ms: u64,
         what: Pending,
     ) {
-        let (to, body) = (Destination::Peer(peer), peer::encode(ask));
+        let (to, body) = (Destination::Peer(peer), peer::encode(request));
         self.send(to, "POST", peer::PATH.into(), body, timeout_ms, what);
     }
 
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -102,7 +102,7 @@
         });
         match leader {
             Some(peer) => {
-                let ask = PeerRequest::Query {
+                let request = PeerRequest::Query {
                     job: question.job.clone(),
                 };
                 let timeout = question.timeout(now, LEADER_TIMEOUT_MS);
@@ -111,7 +111,7 @@
                     peer,
                     sent: now,
                 };
-                self.ask_peer(peer, &ask, timeout, what);
+                self.ask_peer(peer, &request, timeout, what);
             }
             None => self.read_job(question),
         }
@@ -251,7 +251,9 @@
             return self.tell(question.requester, state);
         }
         if self.has_loaded_job(&question.job)
-            || self.answer_history.since(&question.job, question.mark)
+            || self
+                .answer_history
+                .may_have_answered_since(&question.job, question.mark)
         {
             return self.reread_job(question);
         }
@@ -291,7 +293,7 @@
 
     /// Forwards a question to a peer that the state service may be answering.
     fn forward_lookup(&mut self, conn: u64, question: Question) {
-        let ask = PeerRequest::Lookup {
+        let request = PeerRequest::Lookup {
             job: question.job,
             past_leader: question.past_leader,
         };
@@ -301,7 +303,7 @@
         };
         self.forward(ForwardedRequest {
             conn,
-            ask: Box::new(ask),
+            request: Box::new(request),
             deadline: question.deadline,
             fault,
         });
