--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -42,9 +42,9 @@
 
 impl Survey {
     /// Counts a machine that is known to be up, and decides whether to probe it.
-    fn add_known_up(&mut self, m: usize, machine: &Machine, now: u64, silent: u64) {
-        let is_silent = now.saturating_sub(machine.heard_at) > silent;
-        let is_overdue = machine.is_heartbeat_overdue(now, silent);
+    fn add_known_up(&mut self, m: usize, machine: &Machine, now: u64, silent_ms: u64) {
+        let is_silent = now.saturating_sub(machine.heard_at) > silent_ms;
+        let is_overdue = machine.is_heartbeat_overdue(now, silent_ms);
         // A machine counts as unreachable only if a probe had no answer. Machines that send no heartbeats but still
         // answer probes are as late, and many may be so at the same time.
         let was_asked = machine.probed_at > machine.heard_at || machine.addr.is_none();
@@ -116,7 +116,7 @@
     /// interval to find a new leader.
     fn survey_machines(&mut self) -> Option<Survey> {
         let now = self.now;
-        let silent = self.silent_ms();
+        let silent_ms = self.silent_ms();
         let patience = self.tuning.boot_patience;
         let catalog = self.shared.catalog.as_ref();
         let settle_ms = (self.settings.cluster.workers.report_s * 1000.0) as u64;
@@ -127,7 +127,7 @@
         let mut survey = Survey::default();
         for (m, machine) in shard.machines.iter_mut().enumerate() {
             let Some(machine) = machine else { continue };
-            let is_overdue = machine.is_heartbeat_overdue(now.mono, silent);
+            let is_overdue = machine.is_heartbeat_overdue(now.mono, silent_ms);
             if (is_overdue || machine.deleting) && machine.unsent().next().is_some() {
                 survey.unsent.push(m);
             }
@@ -135,7 +135,7 @@
                 continue;
             }
             if machine.is_known_up() {
-                survey.add_known_up(m, machine, now.mono, silent);
+                survey.add_known_up(m, machine, now.mono, silent_ms);
             } else if never_came_up(machine, boot_s(catalog, machine), patience, now) {
                 log::info!("machine {}: did not come up, to be returned", machine.name);
                 machine.deleting = true;
@@ -174,12 +174,12 @@
     /// can't be probed, and is returned after a worker lease without a heartbeat.
     fn probe_or_return(&mut self, m: usize) {
         let now = self.now.mono;
-        let lease = self.lease_ms();
+        let lease_ms = self.lease_ms();
         let machine = self.shard.as_mut().and_then(|shard| shard.machine_mut(m));
         let Some(machine) = machine else { return };
         if machine.addr.is_some() {
             self.probe_machine(m);
-        } else if now.saturating_sub(machine.heard_at) > lease {
+        } else if now.saturating_sub(machine.heard_at) > lease_ms {
             log::warn!(
                 "machine {}: silent and without a known address, to be returned",
                 machine.name
@@ -193,7 +193,7 @@
     /// late.
     pub(crate) fn survey_zones(&mut self) {
         let now = self.now.mono;
-        let late = (self.settings.cluster.workers.report_s * 1250.0) as u64 + 1000;
+        let late_ms = (self.settings.cluster.workers.report_s * 1250.0) as u64 + 1000;
         let is_spread = self.is_spread();
         let Some(shard) = &mut self.shard else { return };
         let mut zones: BTreeMap<&str, (u32, u32, u32)> = BTreeMap::new();
@@ -207,7 +207,7 @@
             *up += 1;
             // While workers send their heartbeats to any controller, a relayed heartbeat says nothing about the zone.
             *relayed += u32::from(machine.via.is_some() && !is_spread);
-            *overdue += u32::from(now.saturating_sub(machine.heard_at) > late);
+            *overdue += u32::from(now.saturating_sub(machine.heard_at) > late_ms);
         }
         // If some machines of a zone are heard through a peer, the others are likely to find that peer too.
         let detour = zones
@@ -242,8 +242,8 @@
             .iter()
             .enumerate()
             .filter(|(_, m)| m.is_some_and(unheard));
-        let most = PROBES_PER_TICK.max(shard.machines.count().div_ceil(TICKS_TO_PROBE_ALL));
-        let due: Vec<usize> = due.map(|(m, _)| m).take(most).collect();
+        let max_probes = PROBES_PER_TICK.max(shard.machines.count().div_ceil(TICKS_TO_PROBE_ALL));
+        let due: Vec<usize> = due.map(|(m, _)| m).take(max_probes).collect();
         for m in due {
             self.probe_machine(m);
         }
@@ -254,8 +254,8 @@
     /// if it holds claims and the leases have ended, so that the tasks can be run elsewhere.
     pub(crate) fn probe_failed(&mut self, m: usize) {
         let now = self.now.mono;
-        let silent = self.silent_ms();
-        let is_silent = |machine: &Machine| now.saturating_sub(machine.heard_at) > silent;
+        let silent_ms = self.silent_ms();
+        let is_silent = |machine: &Machine| now.saturating_sub(machine.heard_at) > silent_ms;
         let machine = self.shard.as_ref().and_then(|shard| shard.machine(m));
         if !machine.is_some_and(is_silent) {
             return;
@@ -264,15 +264,15 @@
         let Some(machine) = self.shard.as_ref().and_then(|shard| shard.machine(m)) else {
             return;
         };
-        let delegated = self.delegated_ms(&machine.zone, machine.heard_at);
-        let lease = self.lease_ms() + silent + delegated;
+        let delegated_ms = self.delegated_ms(&machine.zone, machine.heard_at);
+        let lease_ms = self.lease_ms() + silent_ms + delegated_ms;
         let Some(shard) = &mut self.shard else { return };
         let Some(machine) = shard.machines.get_mut(m) else {
             return;
         };
         let may_come_back = shard.zones.is_doubtful(&machine.zone);
-        let silent_for = now.saturating_sub(machine.heard_at);
-        if may_come_back && (machine.claims.is_empty() || silent_for <= lease) {
+        let silent_for_ms = now.saturating_sub(machine.heard_at);
+        if may_come_back && (machine.claims.is_empty() || silent_for_ms <= lease_ms) {
             return;
         }
         log::warn!(
--- a/crates/control/src/provisioning/rentals.rs
+++ b/crates/control/src/provisioning/rentals.rs
@@ -73,7 +73,11 @@
             if !self.cloud.try_take(now, REQUEST_COST) {
                 break;
             }
-            if let Some(rental) = self.shard.as_mut().and_then(|p| p.rentals.get_mut(&name)) {
+            if let Some(rental) = self
+                .shard
+                .as_mut()
+                .and_then(|shard| shard.rentals.get_mut(&name))
+            {
                 rental.busy = true;
             }
             let body = wire::encode(&HireRequest {
