--- a/crates/control/src/jobs/answer_history.rs
+++ b/crates/control/src/jobs/answer_history.rs
@@ -1,28 +1,28 @@
-//! What this node has told of jobs: the floor below which none of its answers goes, also of those that were under way
-//! when it told something newer.
+//! Answers that this node has given about jobs. They guarantee monotonic reads: no later answer is older than one
+//! already given, not even an answer whose read was in flight when the newer one was sent.
 
 use std::collections::{HashMap, VecDeque};
 use wire::api::{JobState, Stage};
 
-/// Final states that were seen: they never change, so any copy is as good as the record. What is dropped is read again;
-/// there is room for far more ends than can come while one answer is under way.
+/// Cache of final job states. They never change, so a cached copy is as good as the record, and an evicted one is read
+/// again. The capacity far exceeds the number of jobs that can end while one answer is in flight.
 pub(crate) struct FinalStates {
     known: HashMap<String, (Stage, u32)>,
     order: VecDeque<String>,
-    cap: usize,
+    capacity: usize,
 }
 
 impl FinalStates {
-    /// Room for so many.
-    pub fn new(cap: usize) -> Self {
+    /// A cache of at most `cap` states.
+    pub fn new(capacity: usize) -> Self {
         FinalStates {
             known: HashMap::new(),
             order: VecDeque::new(),
-            cap,
+            capacity,
         }
     }
 
-    /// The final state of a job, if it is remembered.
+    /// The final state of a job, if it is in the cache.
     pub fn get(&self, job: &str) -> Option<JobState> {
         let (stage, done) = self.known.get(job).copied()?;
         Some(JobState {
@@ -33,7 +33,7 @@
         })
     }
 
-    /// The first word stands.
+    /// Adds a final state. A state that is already cached is kept.
     pub fn put(&mut self, job: &str, stage: Stage, done: u32) {
         debug_assert!(stage.is_final());
         if self.known.contains_key(job) {
@@ -41,52 +41,52 @@
         }
         self.known.insert(job.to_owned(), (stage, done));
         self.order.push_back(job.to_owned());
-        if self.order.len() > self.cap
-            && let Some(old) = self.order.pop_front()
+        if self.order.len() > self.capacity
+            && let Some(oldest) = self.order.pop_front()
         {
-            self.known.remove(&old);
+            self.known.remove(&oldest);
         }
     }
 }
 
-/// So many words are remembered.
-const MOST_SAID: usize = 4096;
+/// Maximum number of answers that are remembered.
+const MAX_ANSWERS: usize = 4096;
 
-/// Which jobs were lately said to be there. It only speaks against a denial that was under way meanwhile, and gives no
-/// answer itself: what it says is read anew.
+/// Jobs that recent answers said to exist. The history serves only to detect that a negative answer in flight is
+/// outdated; it gives no state itself, and the job is then read again.
 #[derive(Default)]
 pub(crate) struct AnswerHistory {
-    /// The last word on each job, by the count of all words.
-    last: HashMap<String, u64>,
+    /// Sequence number of the latest answer about each job.
+    last_seq: HashMap<String, u64>,
     order: VecDeque<(u64, String)>,
     count: u64,
-    /// Words up to this one were dropped. They may have been about any job.
-    dropped: u64,
+    /// Answers up to this sequence number have been dropped. They may have been about any job.
+    dropped_seq: u64,
 }
 
 impl AnswerHistory {
-    /// How much has been said so far.
+    /// Number of answers so far, as a mark for [`AnswerHistory::may_have_answered_since`].
     pub fn mark(&self) -> u64 {
         self.count
     }
 
-    /// A job was said to be there.
-    pub fn note(&mut self, job: &str) {
+    /// Records that an answer said that the job exists.
+    pub fn record(&mut self, job: &str) {
         self.count += 1;
-        self.last.insert(job.to_owned(), self.count);
+        self.last_seq.insert(job.to_owned(), self.count);
         self.order.push_back((self.count, job.to_owned()));
-        if self.order.len() > MOST_SAID
-            && let Some((word, job)) = self.order.pop_front()
+        if self.order.len() > MAX_ANSWERS
+            && let Some((seq, job)) = self.order.pop_front()
         {
-            self.dropped = word;
-            if self.last.get(&job) == Some(&word) {
-                self.last.remove(&job);
+            self.dropped_seq = seq;
+            if self.last_seq.get(&job) == Some(&seq) {
+                self.last_seq.remove(&job);
             }
         }
     }
 
-    /// Whether the job may have been said to be there since.
-    pub fn since(&self, job: &str, mark: u64) -> bool {
-        self.dropped > mark || self.last.get(job).is_some_and(|word| *word > mark)
+    /// Whether an answer since the mark may have said that the job exists.
+    pub fn may_have_answered_since(&self, job: &str, mark: u64) -> bool {
+        self.dropped_seq > mark || self.last_seq.get(job).is_some_and(|seq| *seq > mark)
     }
 }
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -1,11 +1,12 @@
-//! Peers' requests. What a peer forwards for a user goes no further than to the leader and the state service.
+//! Requests from peers. A request that a peer forwards on behalf of a user goes only to the leader and the state
+//! service; it is not forwarded a second time.
 
 use crate::jobs::query::{Purpose, Question};
 use crate::{Destination, Node, Pending, Requester};
 use wire::http::{Request, Response};
 use wire::peer::{self, PeerRequest, PeerResponse, PeerStatus};
 
-/// What a peer answered; anything else than an answer is none.
+/// A peer's answer; `None` for an error status or an unreadable body.
 pub(crate) fn peer_answer(response: Option<Response>) -> Option<PeerResponse> {
     response
         .filter(|r| r.status == 200)
@@ -13,20 +14,21 @@
 }
 
 impl Node {
-    /// A request at the peers' port.
+    /// Handles a request on the peers' port. Operators' requests arrive there too.
     pub(crate) fn peer_request(&mut self, conn: u64, request: &Request) {
         if self.operator_demand(conn, request) || self.admin_requested(conn, request) {
             return;
         }
-        let is_ask = request.method == "POST" && request.path == peer::PATH;
-        match is_ask.then(|| peer::decode::<PeerRequest>(&request.body).ok()) {
-            Some(Some(ask)) => self.asked_by_peer(conn, ask),
-            _ => self.refuse(conn, 400, "not understood"),
+        let is_peer_request = request.method == "POST" && request.path == peer::PATH;
+        match is_peer_request.then(|| peer::decode::<PeerRequest>(&request.body).ok()) {
+            Some(Some(decoded)) => self.dispatch_peer_request(conn, decoded),
+            _ => self.refuse(conn, 400, "unreadable peer request"),
         }
     }
 
-    fn asked_by_peer(&mut self, conn: u64, ask: PeerRequest) {
-        match ask {
+    /// Dispatches a request from a peer by its kind.
+    fn dispatch_peer_request(&mut self, conn: u64, request: PeerRequest) {
+        match request {
             PeerRequest::Query { job } => self.queried_as_leader(conn, &job),
             PeerRequest::Cancel { job } => self.cancel(&job, Requester::Peer(conn)),
             PeerRequest::Submit { spec } => self.submit(Requester::Peer(conn), *spec),
@@ -41,7 +43,7 @@
                 self.leader_asserted(node, token);
                 self.answer_peer(conn, &PeerResponse::NotNow);
             }
-            PeerRequest::PeerStatus(status) => self.peer_status_asked(conn, status),
+            PeerRequest::PeerStatus(status) => self.exchange_peer_status(conn, status),
             PeerRequest::Reports { node, reports } => {
                 self.relayed_heartbeats_received(conn, &node, reports)
             }
@@ -54,15 +56,15 @@
         }
     }
 
-    /// Asks a peer something. `what` says what its answer belongs to.
+    /// Sends a request to a peer. `what` says what its answer belongs to.
     pub(crate) fn ask_peer(
         &mut self,
         peer: usize,
-        ask: &PeerRequest,
+        request: &PeerRequest,
         timeout_ms: u64,
         what: Pending,
     ) {
-        let (to, body) = (Destination::Peer(peer), peer::encode(ask));
+        let (to, body) = (Destination::Peer(peer), peer::encode(request));
         self.send(to, "POST", peer::PATH.into(), body, timeout_ms, what);
     }
 
@@ -71,19 +73,20 @@
         self.respond(conn, 200, peer::encode(answer), None);
     }
 
-    /// A peer takes this node for the leader. A leader that is sure may also say that it does not know the job.
+    /// Answers a query by a peer that takes this node for the leader. Only a leader that may decide can say that it
+    /// does not know the job.
     fn queried_as_leader(&mut self, conn: u64, job: &str) {
-        match self.state_here(job) {
+        match self.state_as_leader(job) {
             Some(state) => self.tell(Requester::Peer(conn), state),
             None if self.may_decide() => self.answer_peer(conn, &PeerResponse::Unknown),
             None => self.answer_peer(conn, &PeerResponse::NotNow),
         }
     }
 
-    /// A peer tells its status, and is told ours with what it is to keep for the leader.
-    fn peer_status_asked(&mut self, conn: u64, status: PeerStatus) {
+    /// Handles a peer's status, and answers with this node's status and the lease delegation for the peer.
+    fn exchange_peer_status(&mut self, conn: u64, status: PeerStatus) {
         let Some(peer) = self.peer_status_seen(status) else {
-            let why = "view: from nobody we know, or a token that can't be";
+            let why = "peer status: unknown node, or an impossible token";
             return self.refuse(conn, 400, why);
         };
         let status = PeerStatus {
--- a/crates/control/src/provisioning/returns.rs
+++ b/crates/control/src/provisioning/returns.rs
@@ -1,21 +1,21 @@
-//! Scaling in: machines that are given back to the cloud.
+//! Scaling in: return of machines to the cloud.
 
 use crate::agents::reconciliation::EndedClaim;
 use crate::jobs::job::JobIndex;
-use crate::provisioning::REQUEST;
+use crate::provisioning::REQUEST_COST;
 use crate::{Node, Pending};
 use std::collections::BTreeSet;
 use std::ops::Range;
 use wire::api::MachineNames;
 use wire::http::Response;
 
-/// Machines that are returned in one request.
-const MOST_RETURNED: usize = 100;
-/// After a failure they are returned again within this time.
-const RETRY_MS: Range<u64> = 500..1500;
+/// Maximum number of machines that are returned in one request.
+const MAX_MACHINES_PER_REQUEST: usize = 100;
+/// Delay before a failed return is requested again.
+const RETRY_DELAY_MS: Range<u64> = 500..1500;
 
 impl Node {
-    /// Gives back machines that are to go, some at a time.
+    /// Requests the return of machines that are marked for it, one batch at a time.
     pub(super) fn send_returns(&mut self) {
         let (now, term) = (self.now.mono, self.term);
         let Some(shard) = &mut self.shard else { return };
@@ -24,9 +24,9 @@
         }
         let machines: Vec<usize> = (0..shard.machines.slots())
             .filter(|m| shard.machine(*m).is_some_and(|machine| machine.deleting))
-            .take(MOST_RETURNED)
+            .take(MAX_MACHINES_PER_REQUEST)
             .collect();
-        if machines.is_empty() || !self.cloud.try_take(now, REQUEST) {
+        if machines.is_empty() || !self.cloud.try_take(now, REQUEST_COST) {
             return;
         }
         shard.cloud_calls.deletion_sent();
@@ -39,10 +39,10 @@
         self.ask_cloud("POST", "/machines/delete".into(), body, what);
     }
 
-    /// Machines were returned, or not.
+    /// Handles the cloud's answer to a return of machines, or its absence.
     pub(crate) fn returns_received(&mut self, machines: Vec<usize>, response: Option<Response>) {
         let now = self.now.mono;
-        let wait = self.rng.u64(RETRY_MS);
+        let wait = self.rng.u64(RETRY_DELAY_MS);
         let Some(shard) = &mut self.shard else { return };
         shard.cloud_calls.deletion_ended();
         if response.is_none_or(|r| r.status != 200) {
@@ -58,7 +58,8 @@
         }
     }
 
-    /// The cloud's word is proof: everything on the machine is gone. Returns the jobs that had claims there.
+    /// Removes a returned machine. The cloud's confirmation proves that all its tasks have ended. The result is the set
+    /// of jobs that had claims there.
     fn machine_returned(&mut self, m: usize) -> BTreeSet<JobIndex> {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else {
