--- a/crates/control/src/agents/commands.rs
+++ b/crates/control/src/agents/commands.rs
@@ -75,7 +75,7 @@
         match heartbeat {
             Some(heartbeat) if heartbeat.machine == machine.name => {
                 machine.unconfirmed_token = None;
-                self.absorb(m, &heartbeat);
+                self.reconcile(m, &heartbeat);
             }
             // Nothing of it can ever be executed; its next heartbeat brings what is missing to light.
             _ if unsent => {}
@@ -143,7 +143,7 @@
             Some(heartbeat) => {
                 machine.unconfirmed_token = None;
                 shard.heard_itself |= direct;
-                self.absorb(m, &heartbeat);
+                self.reconcile(m, &heartbeat);
             }
             None => self.probe_failed(m),
         }
--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use wire::api::{Heartbeat, Order, Orders, Redirect};
 
-const LONGEST_NAME: usize = 100;
+const MAX_MACHINE_NAME_BYTES: usize = 100;
 
 /// What a heartbeat is answered.
 pub(crate) enum HeartbeatReply {
@@ -20,7 +20,7 @@
 pub(crate) enum HeartbeatRefusal {
     NotLeader,
     /// The leader's lease may have run out, for longer than it may renew the leases of others.
-    UnsureForLong,
+    LeaseUncertain,
     /// The worker obeys a token that no leader can have had.
     ImpossibleToken,
     /// The worker obeys a higher token, and the leader goes above it.
@@ -33,7 +33,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             HeartbeatRefusal::NotLeader => "not the owner",
-            HeartbeatRefusal::UnsureForLong => "not sure for too long",
+            HeartbeatRefusal::LeaseUncertain => "not sure for too long",
             HeartbeatRefusal::ImpossibleToken => "that token was never given out",
             HeartbeatRefusal::RaisingToken => "raising the token",
             HeartbeatRefusal::SteppedDown => "not the owner any more",
@@ -54,7 +54,7 @@
         if let Some(node) = self.redirect_target(&heartbeat) {
             return self.redirect(conn, node);
         }
-        match self.take_heartbeat(&heartbeat, None) {
+        match self.handle_heartbeat(&heartbeat, None) {
             HeartbeatReply::Orders(body) => self.respond(conn, 200, body, None),
             HeartbeatReply::Refused(why) => self.refuse(conn, 503, &why.to_string()),
         }
@@ -86,7 +86,7 @@
     }
 
     /// A heartbeat to the leader, from the worker itself or by way of a peer.
-    pub(crate) fn take_heartbeat(
+    pub(crate) fn handle_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         via: Option<usize>,
@@ -109,10 +109,10 @@
             return HeartbeatReply::Orders(body);
         }
         if !self.may_renew() {
-            return HeartbeatReply::Refused(HeartbeatRefusal::UnsureForLong);
+            return HeartbeatReply::Refused(HeartbeatRefusal::LeaseUncertain);
         }
-        let orders = match self.sender_of(heartbeat) {
-            Some(m) if self.heard(m, heartbeat, via) => {
+        let orders = match self.find_or_add_sender(heartbeat) {
+            Some(m) if self.note_heartbeat(m, heartbeat, via) => {
                 let orders = self.orders_for(m);
                 self.note_unacknowledged_start(m, &orders);
                 orders
@@ -141,28 +141,28 @@
 
     /// A heartbeat that a worker has made of itself; true if it is the newest. It waits for no answer to an earlier one
     /// any more, so nothing of that can still be executed.
-    fn heard(&mut self, m: usize, heartbeat: &Heartbeat, via: Option<usize>) -> bool {
+    fn note_heartbeat(&mut self, m: usize, heartbeat: &Heartbeat, via: Option<usize>) -> bool {
         let Some(shard) = &mut self.shard else {
             return false;
         };
-        let (ours, now) = (shard.token, self.now.mono);
+        let (own_token, now) = (shard.token, self.now.mono);
         shard.heard_itself |= via.is_none();
         let Some(machine) = shard.machine_mut(m) else {
             return false;
         };
-        let number = (heartbeat.agent_epoch, heartbeat.seq);
-        if number > machine.seen {
+        let sequence = (heartbeat.agent_epoch, heartbeat.seq);
+        if sequence > machine.seen {
             machine.via = via;
             machine.heartbeat_at = now;
             // It has heard of us after that first heartbeat, if it obeys a token now that it did not know then.
             machine.unconfirmed_token = machine
                 .unconfirmed_token
-                .filter(|token| *token >= ours || heartbeat.token < ours);
+                .filter(|token| *token >= own_token || heartbeat.token < own_token);
             machine.unacknowledged_start = machine
                 .unacknowledged_start
-                .filter(|start| *start >= number);
+                .filter(|start| *start >= sequence);
         }
-        self.absorb(m, heartbeat)
+        self.reconcile(m, heartbeat)
     }
 
     /// Its worker obeys a higher token than ours. While sure of our lease that can only be a stray number, and
@@ -185,7 +185,7 @@
     }
 
     /// The machine that a heartbeat comes from; one that nobody expected is taken in.
-    fn sender_of(&mut self, heartbeat: &Heartbeat) -> Option<usize> {
+    fn find_or_add_sender(&mut self, heartbeat: &Heartbeat) -> Option<usize> {
         let now = self.now;
         let shard = self.shard.as_mut()?;
         if let Some(m) = shard.machines.index_of(&heartbeat.machine) {
@@ -217,7 +217,7 @@
 /// Whether a machine may be called so.
 fn is_valid_name(name: &str) -> bool {
     !name.is_empty()
-        && name.len() <= LONGEST_NAME
+        && name.len() <= MAX_MACHINE_NAME_BYTES
         && name
             .bytes()
             .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -131,7 +131,7 @@
     /// Agent epoch and number of the newest message.
     pub seen: (u64, u64),
     /// When the cloud takes it away, if it has said so.
-    pub notice_until: Option<u64>,
+    pub reclaim_at: Option<u64>,
     pub claims: Vec<Claim>,
     /// Exited tasks that its worker listed in the newest message.
     pub exited: Vec<Exited>,
@@ -156,7 +156,7 @@
     /// Cordoned: it fails its tasks, gets no more, and is returned once it is empty.
     pub cordoned: bool,
     /// It gets no tasks until then, after an error or a refusal.
-    pub rest_until: u64,
+    pub unschedulable_until: u64,
 }
 
 impl Machine {
@@ -179,7 +179,7 @@
             heard_at: 0,
             heartbeat_at: 0,
             seen: (0, 0),
-            notice_until: None,
+            reclaim_at: None,
             claims: Vec::new(),
             exited: Vec::new(),
             command_in_flight: None,
@@ -193,7 +193,7 @@
             errors: 0,
             error_jobs: BTreeMap::new(),
             cordoned: false,
-            rest_until: 0,
+            unschedulable_until: 0,
         }
     }
 
@@ -220,8 +220,8 @@
             && !self.deleting
             && !self.failed
             && !self.cordoned
-            && self.notice_until.is_none()
-            && self.rest_until <= now
+            && self.reclaim_at.is_none()
+            && self.unschedulable_until <= now
             && self.unanswered_command.is_none()
     }
 
@@ -263,19 +263,19 @@
 
     /// Marks all tasks of a job as to be stopped; true if the worker is to be told.
     pub fn stop_job(&mut self, job: JobIndex, grace_s: f64) -> bool {
-        let mut news = false;
+        let mut changed = false;
         for claim in self.claims.iter_mut().filter(|c| c.job == job) {
             if claim.stop.is_none_or(|g| grace_s < g) {
                 claim.stop = Some(grace_s);
                 claim.stop_sent = None;
-                news = true;
+                changed = true;
             }
         }
-        news
+        changed
     }
 
     /// An image was fetched for a task here; the cache keeps the most recently used.
-    pub fn has_image(&mut self, image: u32, gb: f64, cache_gb: f64) {
+    pub fn note_cached_image(&mut self, image: u32, gb: f64, cache_gb: f64) {
         self.images.retain(|(i, _)| *i != image);
         self.images.push((image, gb));
         while self.images.len() > 1 && self.images.iter().map(|(_, g)| g).sum::<f64>() > cache_gb {
--- a/crates/control/src/agents/orders.rs
+++ b/crates/control/src/agents/orders.rs
@@ -11,10 +11,10 @@
 use wire::ids;
 
 /// Orders that one machine is given at a time.
-const MOST_ORDERS: usize = 400;
+const MAX_ORDERS: usize = 400;
 /// A stop that shows no effect is repeated after so long; one without grace sooner, also while its task saves.
-const STOP_AGAIN_MS: u64 = 1500;
-const STOP_AT_ONCE_AGAIN_MS: u64 = 500;
+const STOP_RETRY_MS: u64 = 1500;
+const IMMEDIATE_STOP_RETRY_MS: u64 = 500;
 
 /// Whether a claimed task may be started now. A gang starts only when all its claims stand.
 fn is_startable(claim: &Claim, job: &Job) -> bool {
@@ -46,11 +46,11 @@
 fn stop_if_due(claim: &mut Claim, job: &Job, grace_s: f64, now: u64) -> Option<Order> {
     let is_told = claim
         .stop_sent
-        .is_some_and(|at| claim.stage == Some(TaskStage::Saving) || at + STOP_AGAIN_MS > now);
+        .is_some_and(|at| claim.stage == Some(TaskStage::Saving) || at + STOP_RETRY_MS > now);
     let is_urgent = grace_s == 0.0
         && claim
             .stop_sent
-            .is_none_or(|at| at + STOP_AT_ONCE_AGAIN_MS <= now);
+            .is_none_or(|at| at + IMMEDIATE_STOP_RETRY_MS <= now);
     if is_told && !is_urgent {
         return None;
     }
@@ -65,11 +65,11 @@
             return Vec::new();
         };
         let may_reap = |exited: &&Exited| {
-            let ix = self.jobs.index_of(&exited.job);
-            let job = ix.and_then(|ix| self.job(ix));
-            let is_claimed = ix.is_some_and(|ix| {
+            let job_index = self.jobs.index_of(&exited.job);
+            let job = job_index.and_then(|job_index| self.job(job_index));
+            let is_claimed = job_index.is_some_and(|job_index| {
                 machine
-                    .claim_position(ix, exited.task, exited.attempt)
+                    .claim_position(job_index, exited.task, exited.attempt)
                     .is_some()
             });
             // The result first, then the reaping.
@@ -104,10 +104,11 @@
             return Vec::new();
         }
         shard.push.remove(&m);
-        let has_doubt = machine.unanswered_command.is_some();
+        let has_unanswered_command = machine.unanswered_command.is_some();
         // Nothing begins in the last of a lease, or on a machine that goes.
-        let may_start =
-            !has_doubt && !machine.deleting && !machine.is_heartbeat_overdue(now, silent);
+        let may_start = !has_unanswered_command
+            && !machine.deleting
+            && !machine.is_heartbeat_overdue(now, silent);
         let agent_epoch = machine.seen.0;
         let mut orders = Vec::new();
         let mut never_started = Vec::new();
@@ -125,11 +126,11 @@
                 None => {}
             }
         }
-        if !has_doubt {
+        if !has_unanswered_command {
             orders.extend(shard.reaps(m));
         }
         self.never_started(m, &never_started);
-        orders.truncate(MOST_ORDERS);
+        orders.truncate(MAX_ORDERS);
         orders
     }
 
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -14,16 +14,16 @@
 use wire::ids;
 
 /// A job that has failed on so many machines, and succeeded nowhere, is at fault itself.
-const BAD_JOB_MACHINES: usize = 3;
+const FAILING_JOB_MACHINES: usize = 3;
 /// Such a job waits for so long, doubled by each failure up to so many.
-const BAD_JOB_BACKOFF_MS: u64 = 1000;
-const BAD_JOB_DOUBLINGS: u32 = 5;
-const LONGEST_BACKOFF_MS: u64 = 30_000;
+const FAILING_JOB_BACKOFF_MS: u64 = 1000;
+const FAILING_JOB_DOUBLINGS: u32 = 5;
+const MAX_BACKOFF_MS: u64 = 30_000;
 /// After an error that may be the machine's, its job waits for so long, and the machine gets nothing for longer.
 const ERROR_BACKOFF_MS: u64 = 200;
-const ERROR_REST_MS: u64 = 3000;
+const ERROR_PAUSE_MS: u64 = 3000;
 /// After a refusal the machine gets nothing for so long; a job that its worker does not know yet waits too.
-const REFUSAL_REST_MS: u64 = 2000;
+const REFUSAL_PAUSE_MS: u64 = 2000;
 const UNKNOWN_BACKOFF_MS: u64 = 1000;
 
 /// A claim whose task is proved gone, by its position among its machine's claims.
@@ -112,8 +112,8 @@
             .notice_s
             .filter(|n| n.is_finite() && *n >= 0.0)
             .map(|n| now + (n * 1000.0) as u64);
-        let is_new = noticed.is_some() && machine.notice_until.is_none();
-        machine.notice_until = noticed.or(machine.notice_until);
+        let is_new = noticed.is_some() && machine.reclaim_at.is_none();
+        machine.reclaim_at = noticed.or(machine.reclaim_at);
         is_new
     }
 
@@ -134,10 +134,11 @@
             let Some((id, task)) = ids::parse_task(&status.task) else {
                 continue;
             };
-            let ix = self.jobs.index_of(id);
-            let position = ix.and_then(|ix| {
-                comparison.listed.push((ix, task, status.attempt));
-                self.machine(m)?.claim_position(ix, task, status.attempt)
+            let job_index = self.jobs.index_of(id);
+            let position = job_index.and_then(|job_index| {
+                comparison.listed.push((job_index, task, status.attempt));
+                self.machine(m)?
+                    .claim_position(job_index, task, status.attempt)
             });
             match position {
                 _ if status.stage == TaskStage::Exited => {
@@ -147,7 +148,7 @@
                         attempt: status.attempt,
                         cause: status.cause,
                     });
-                    comparison.note_exited(ix, task, position, status);
+                    comparison.note_exited(job_index, task, position, status);
                 }
                 Some(position) => self.note_stage(m, position, status.stage, catalog, now),
                 // A heartbeat from before our time may be a copy of one that was overtaken long ago.
@@ -160,9 +161,9 @@
                         status.task,
                         status.attempt
                     );
-                    comparison
-                        .strays
-                        .extend(ix.map(|ix| Claim::stray(ix, task, status.attempt)));
+                    comparison.strays.extend(
+                        job_index.map(|job_index| Claim::stray(job_index, task, status.attempt)),
+                    );
                 }
             }
         }
@@ -204,7 +205,7 @@
         {
             let image = self.images.get(&spec.image);
             let cache_gb = catalog.and_then(|catalog| cache_of(catalog, &machine.machine_type));
-            machine.has_image(image, spec.image_gb, cache_gb.unwrap_or(0.0));
+            machine.note_cached_image(image, spec.image_gb, cache_gb.unwrap_or(0.0));
         }
     }
 
@@ -235,7 +236,7 @@
     }
 
     /// Records claims for tasks that have none. Returns their jobs.
-    fn take_in_strays(&mut self, m: usize, strays: Vec<Claim>) -> BTreeSet<JobIndex> {
+    fn add_stray_claims(&mut self, m: usize, strays: Vec<Claim>) -> BTreeSet<JobIndex> {
         let mut jobs = BTreeSet::new();
         for stray in strays {
             let id = ClaimId {
@@ -253,11 +254,11 @@
     /// Notes results of tasks without a claim. Returns their jobs.
     fn complete_finished(&mut self, finished: Vec<(JobIndex, u32)>) -> BTreeSet<JobIndex> {
         let mut jobs = BTreeSet::new();
-        for (ix, task) in finished {
-            if let Some(job) = self.job_mut(ix) {
+        for (job_index, task) in finished {
+            if let Some(job) = self.job_mut(job_index) {
                 job.complete(task);
             }
-            jobs.insert(ix);
+            jobs.insert(job_index);
         }
         jobs
     }
@@ -267,7 +268,7 @@
     /// An exited task: the end of its claim, or a result that counts without one.
     fn note_exited(
         &mut self,
-        ix: Option<JobIndex>,
+        job_index: Option<JobIndex>,
         task: u32,
         position: Option<usize>,
         status: &TaskStatus,
@@ -279,7 +280,8 @@
                 saved: status.saved.unwrap_or(false),
             }),
             None if status.cause == Some(Cause::Done) => {
-                self.finished.extend(ix.map(|ix| (ix, task)));
+                self.finished
+                    .extend(job_index.map(|job_index| (job_index, task)));
             }
             None => {}
         }
@@ -303,17 +305,17 @@
 fn task_failed(job: &mut Job, machine: &mut Machine, m: usize, claim: &Claim, now: u64) {
     job.failures += 1;
     job.failed_on.insert(m);
-    if job.failed_on.len() >= BAD_JOB_MACHINES && !job.succeeded {
-        let backoff = BAD_JOB_BACKOFF_MS << job.failures.min(BAD_JOB_DOUBLINGS);
-        job.backoff_until = now + backoff.min(LONGEST_BACKOFF_MS);
+    if job.failed_on.len() >= FAILING_JOB_MACHINES && !job.succeeded {
+        let backoff = FAILING_JOB_BACKOFF_MS << job.failures.min(FAILING_JOB_DOUBLINGS);
+        job.backoff_until = now + backoff.min(MAX_BACKOFF_MS);
         return;
     }
     job.backoff_until = now + ERROR_BACKOFF_MS;
     machine.errors += 1;
     *machine.error_jobs.entry(claim.job).or_default() += 1;
     // One job alone proves nothing against a machine, unless it succeeds elsewhere.
-    let several = machine.error_jobs.len() >= 2;
-    if several || (job.succeeded && machine.errors >= 2) {
+    let several_jobs_failed = machine.error_jobs.len() >= 2;
+    if several_jobs_failed || (job.succeeded && machine.errors >= 2) {
         log::warn!(
             "machine {}: cordoned after {} errors",
             machine.name,
@@ -321,7 +323,7 @@
         );
         machine.cordoned = true;
     } else {
-        machine.rest_until = now + ERROR_REST_MS;
+        machine.unschedulable_until = now + ERROR_PAUSE_MS;
     }
 }
 
@@ -334,7 +336,7 @@
         machine.name,
         Some(cause)
     );
-    machine.rest_until = now + REFUSAL_REST_MS;
+    machine.unschedulable_until = now + REFUSAL_PAUSE_MS;
     if cause == Cause::Unknown {
         job.backoff_until = now + UNKNOWN_BACKOFF_MS;
     }
@@ -346,18 +348,18 @@
         return;
     };
     if spec.checkpoint_s > 0.0 {
-        let whole = job.progress_s + ran_s;
+        let total_s = job.progress_s + ran_s;
         job.progress_s = if saved {
-            whole
+            total_s
         } else {
-            (whole / spec.checkpoint_s).floor() * spec.checkpoint_s
+            (total_s / spec.checkpoint_s).floor() * spec.checkpoint_s
         };
     }
 }
 
 impl Node {
     /// Takes in a heartbeat, unless a newer one was seen. True if it is the newest.
-    pub(crate) fn absorb(&mut self, m: usize, heartbeat: &Heartbeat) -> bool {
+    pub(crate) fn reconcile(&mut self, m: usize, heartbeat: &Heartbeat) -> bool {
         let now = self.now.mono;
         let catalog = self.shared.catalog.as_ref();
         let Some(shard) = &mut self.shard else {
@@ -376,14 +378,14 @@
         if proves_absence {
             shard.find_absent(m, heartbeat.agent_epoch, &mut comparison);
         }
-        let mut changed = shard.take_in_strays(m, comparison.strays);
+        let mut changed = shard.add_stray_claims(m, comparison.strays);
         changed.extend(shard.complete_finished(comparison.finished));
         changed.extend(self.end_claims(m, comparison.ended));
         if has_new_notice {
             self.drain_for_notice(m);
         }
-        for ix in changed {
-            self.job_changed(ix);
+        for job_index in changed {
+            self.job_changed(job_index);
         }
         true
     }
@@ -450,8 +452,8 @@
     /// Claims of which nothing was sent are over at once: no proof is needed.
     pub(crate) fn never_started(&mut self, m: usize, claims: &[usize]) {
         let ended = claims.iter().copied().map(EndedClaim::unexplained);
-        for ix in self.end_claims(m, ended.collect()) {
-            self.job_changed(ix);
+        for job_index in self.end_claims(m, ended.collect()) {
+            self.job_changed(job_index);
         }
     }
 
@@ -464,34 +466,34 @@
             return;
         };
         log::info!("machine {}: is about to be taken", machine.name);
-        let left = machine.notice_until.unwrap_or(now).saturating_sub(now) as f64 / 1000.0;
+        let left_s = machine.reclaim_at.unwrap_or(now).saturating_sub(now) as f64 / 1000.0;
         let mut stops: Vec<(JobIndex, f64)> = Vec::new();
         for claim in &machine.claims {
             let Some(spec) = shard.job(claim.job).and_then(|job| job.spec.as_ref()) else {
                 continue;
             };
             let can_save = spec.checkpoint_s > 0.0;
-            let rest = spec.estimate_s - claim.ran_s(now).unwrap_or(0.0);
-            if can_save || claim.running_since.is_none() || rest > left {
+            let remaining_s = spec.estimate_s - claim.ran_s(now).unwrap_or(0.0);
+            if can_save || claim.running_since.is_none() || remaining_s > left_s {
                 stops.push((claim.job, grace(spec)));
             }
         }
-        for (ix, grace) in stops {
-            self.stop_here(ix, m, grace);
+        for (job_index, grace) in stops {
+            self.stop_on_machine(job_index, m, grace);
         }
     }
 
     /// Stops a job's tasks on one machine; a gang's on all, since they end together.
-    pub(crate) fn stop_here(&mut self, ix: JobIndex, m: usize, grace_s: f64) {
+    pub(crate) fn stop_on_machine(&mut self, index: JobIndex, m: usize, grace_s: f64) {
         let Some(shard) = &mut self.shard else { return };
-        let Some(job) = shard.job(ix) else { return };
+        let Some(job) = shard.job(index) else { return };
         let machines: BTreeSet<usize> = if job.kind() == Kind::Gang {
             job.machines()
         } else {
             BTreeSet::from([m])
         };
         for m in machines {
-            shard.stop_job(ix, m, grace_s);
+            shard.stop_job(index, m, grace_s);
         }
     }
 }
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -17,16 +17,16 @@
 
 /// Heartbeats in a message, their bytes, and messages that are out at once. What is beyond is refused: relays are the
 /// first thing that overload sheds.
-const MOST_HEARTBEATS: usize = 32;
-const MOST_BYTES: usize = 256 << 10;
-const MOST_MESSAGES: usize = 16;
+const MAX_BATCH_HEARTBEATS: usize = 32;
+const MAX_BATCH_BYTES: usize = 256 << 10;
+const MAX_BATCHES_IN_FLIGHT: usize = 16;
 /// Spread heartbeats wait so long for a fuller batch while the leader has not answered the one before: a leader that is
 /// slow gets fewer messages, and more in each.
-const GATHER_MS: u64 = 400;
+const MAX_BATCH_DELAY_MS: u64 = 400;
 /// A worker waits 4 s for its answer.
-const HEARTBEATS_TIMEOUT_MS: u64 = 2500;
+const BATCH_TIMEOUT_MS: u64 = 2500;
 /// A leader that does not take what is forwarded to it is left alone for so long.
-const REST_MS: u64 = 1000;
+const PAUSE_MS: u64 = 1000;
 /// Shorter than a leader waits for the answer to a command.
 const COMMAND_TIMEOUT_MS: u64 = 1500;
 
@@ -46,7 +46,7 @@
     /// Messages that are not answered yet.
     in_flight: usize,
     /// The leader did not take a message: nothing is forwarded until then.
-    rests_until: u64,
+    paused_until: u64,
 }
 
 impl Node {
@@ -64,7 +64,8 @@
     ) -> bool {
         let now = self.now.mono;
         let leader = self.leader_peer().zip(self.leader_token());
-        let Some((node, token)) = leader.filter(|_| self.relays() && now >= self.relay.rests_until)
+        let Some((node, token)) =
+            leader.filter(|_| self.relays() && now >= self.relay.paused_until)
         else {
             return false;
         };
@@ -86,7 +87,7 @@
         }
         self.relay.bytes += body.len();
         self.relay.queue.push((conn, ByteBuf::from(body)));
-        if self.relay.queue.len() >= MOST_HEARTBEATS || self.relay.bytes >= MOST_BYTES {
+        if self.relay.queue.len() >= MAX_BATCH_HEARTBEATS || self.relay.bytes >= MAX_BATCH_BYTES {
             self.send_batch();
         }
         true
@@ -97,39 +98,39 @@
     pub(crate) fn leader_is_slow(&self) -> bool {
         let is_heard = |peer| self.is_heard(peer);
         self.is_spread()
-            && self.now.mono < self.relay.rests_until
+            && self.now.mono < self.relay.paused_until
             && self.leader_peer().is_some_and(is_heard)
     }
 
     /// Sends what has come since the last tick, unless it may still gather.
     pub(crate) fn relay_tick(&mut self) {
-        if !self.relay.queue.is_empty() && !self.gathers() {
+        if !self.relay.queue.is_empty() && !self.is_batching() {
             self.send_batch();
         }
     }
 
     /// Whether heartbeats wait for a fuller batch, while one before is not answered.
-    fn gathers(&self) -> bool {
-        let waits = self.now.mono < self.relay.queued_at + GATHER_MS;
+    fn is_batching(&self) -> bool {
+        let waits = self.now.mono < self.relay.queued_at + MAX_BATCH_DELAY_MS;
         self.is_spread() && self.relay.in_flight > 0 && waits
     }
 
     fn send_batch(&mut self) {
         let Some(peer) = self
             .leader_peer()
-            .filter(|_| self.relay.in_flight < MOST_MESSAGES)
+            .filter(|_| self.relay.in_flight < MAX_BATCHES_IN_FLIGHT)
         else {
             return self.refuse_queue();
         };
         self.relay.bytes = 0;
         let (conns, heartbeats): (Vec<u64>, Vec<ByteBuf>) = self.relay.queue.drain(..).unzip();
         self.relay.in_flight += 1;
-        let ask = PeerRequest::Reports {
+        let request = PeerRequest::Reports {
             node: self.settings.node.clone(),
             reports: heartbeats,
         };
         let what = Pending::Relayed { conns };
-        self.ask_peer(peer, &ask, HEARTBEATS_TIMEOUT_MS, what);
+        self.ask_peer(peer, &request, BATCH_TIMEOUT_MS, what);
     }
 
     fn refuse_queue(&mut self) {
@@ -149,7 +150,7 @@
         let bodies = match peer_answer(response) {
             Some(PeerResponse::Orders(bodies)) if bodies.len() == conns.len() => bodies,
             _ => {
-                self.relay.rests_until = self.now.mono + REST_MS;
+                self.relay.paused_until = self.now.mono + PAUSE_MS;
                 conns.iter().map(|_| ByteBuf::new()).collect()
             }
         };
@@ -171,7 +172,7 @@
     ) {
         let peer = self
             .peer_named(node)
-            .filter(|_| heartbeats.len() <= MOST_HEARTBEATS);
+            .filter(|_| heartbeats.len() <= MAX_BATCH_HEARTBEATS);
         let Some(peer) = peer else {
             self.stats.bad_answers += 1;
             return self.refuse(conn, 400, "reports: from nobody we know, or too many");
@@ -192,7 +193,7 @@
             return ByteBuf::new();
         };
         self.stats.relayed += 1;
-        match self.take_heartbeat(&heartbeat, Some(peer)) {
+        match self.handle_heartbeat(&heartbeat, Some(peer)) {
             HeartbeatReply::Orders(body) => ByteBuf::from(body),
             HeartbeatReply::Refused(_) => ByteBuf::new(),
         }
@@ -241,19 +242,19 @@
         let via = machine.and_then(|m| Some((m.via?, m.name.clone())));
         match via {
             Some((peer, machine)) => {
-                let ask = PeerRequest::Command {
+                let request = PeerRequest::Command {
                     machine,
                     addr: addr.to_string(),
                     body: body.into(),
                 };
-                self.ask_peer(peer, &ask, timeout_ms, what);
+                self.ask_peer(peer, &request, timeout_ms, what);
             }
             None => self.post_command(addr, body, timeout_ms, what),
         }
     }
 }
 
-fn as_worker(status: u16, body: Vec<u8>) -> Response {
+fn worker_response(status: u16, body: Vec<u8>) -> Response {
     Response {
         status,
         body,
@@ -264,16 +265,16 @@
 
 /// The end of a command that has not left this host.
 pub(crate) fn not_sent() -> Response {
-    as_worker(NOT_SENT, Vec::new())
+    worker_response(NOT_SENT, Vec::new())
 }
 
 /// What a worker answered, where a peer tells it. A peer's own answer that is none is as good as silence.
 pub(crate) fn relayed_answer(response: Option<Response>) -> Option<Response> {
     match peer_answer(response)? {
         PeerResponse::CommandResult { status, body } if status != NOT_SENT => {
-            Some(as_worker(status, body.into_vec()))
+            Some(worker_response(status, body.into_vec()))
         }
-        PeerResponse::Refused { status, .. } => Some(as_worker(status, Vec::new())),
+        PeerResponse::Refused { status, .. } => Some(worker_response(status, Vec::new())),
         _ => None,
     }
 }
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -13,23 +13,23 @@
 
 /// Workers that the leader sends to another controller in a second, so that they don't all arrive at once: at least so
 /// many, and as many as send all of them away in so many seconds.
-const MOVES_PER_S: f64 = 50.0;
-const MOVED_WITHIN_S: f64 = 40.0;
+const MIN_REDIRECTS_PER_S: f64 = 50.0;
+const REDIRECT_ALL_WITHIN_S: f64 = 40.0;
 /// To [`reach`], the other controllers are one host, which never changes and whose token no worker has seen: all that
 /// it judges by is who was sent there and comes back.
-const OTHERS: Leader = Leader {
+const OTHER_CONTROLLERS: Leader = Leader {
     node: 0,
     token: 1,
     avoided: false,
 };
 const UNSEEN_TOKEN: u64 = 0;
 /// Heartbeats are spread until this part of the machines that spread them is left.
-const SPREAD_UNTIL: f64 = 0.8;
+const SPREAD_STOP_SHARE: f64 = 0.8;
 
 /// Whether heartbeats go by way of all controllers, as far as this one knows.
 pub(crate) struct Routing {
     is_spread: bool,
-    moves: Bucket,
+    redirects: Bucket,
     /// Which workers were sent away, and whether they reached where they were sent.
     ways: Ways,
 }
@@ -39,7 +39,7 @@
     pub fn new() -> Self {
         Routing {
             is_spread: false,
-            moves: Bucket::new(MOVES_PER_S),
+            redirects: Bucket::new(MIN_REDIRECTS_PER_S),
             ways: Ways::default(),
         }
     }
@@ -65,13 +65,13 @@
             return;
         };
         let machines = shard.machines.count() as f64;
-        let most = match self.routing.is_spread {
-            true => self.tuning.direct_machines * SPREAD_UNTIL,
+        let threshold = match self.routing.is_spread {
+            true => self.tuning.direct_machines * SPREAD_STOP_SHARE,
             false => self.tuning.direct_machines,
         };
-        let is_spread = machines > most && !self.settings.peers.is_empty();
-        let moves_per_s = (machines / MOVED_WITHIN_S).max(MOVES_PER_S);
-        self.routing.moves.set_rate(moves_per_s);
+        let is_spread = machines > threshold && !self.settings.peers.is_empty();
+        let redirects_per_s = (machines / REDIRECT_ALL_WITHIN_S).max(MIN_REDIRECTS_PER_S);
+        self.routing.redirects.set_rate(redirects_per_s);
         if is_spread != self.routing.is_spread {
             log::info!(
                 "heartbeats by way of all controllers: {is_spread}, for {machines} machines"
@@ -84,7 +84,7 @@
     /// with the leader, and others of its zone too until one of them got there.
     pub(crate) fn redirect_target(&mut self, heartbeat: &Heartbeat) -> Option<String> {
         let now = self.now.mono;
-        if !self.is_spread() || !self.may_decide() || self.routing.moves.level(now) < 1.0 {
+        if !self.is_spread() || !self.may_decide() || self.routing.redirects.level(now) < 1.0 {
             return None;
         }
         let shard = self.shard.as_ref()?;
@@ -97,10 +97,10 @@
             zone: &heartbeat.zone,
             token: UNSEEN_TOKEN,
         };
-        if self.routing.ways.came(now, &caller, OTHERS) == Turn::Take {
+        if self.routing.ways.came(now, &caller, OTHER_CONTROLLERS) == Turn::Take {
             return None;
         }
-        self.routing.moves.take(now, 1.0);
+        self.routing.redirects.take(now, 1.0);
         Some(self.settings.peers[peer].node.clone())
     }
 
@@ -109,11 +109,15 @@
         let peers = 0..self.settings.peers.len();
         let alive: Vec<usize> = peers.filter(|peer| self.is_heard(*peer)).collect();
         let in_zone = |peer: &&usize| self.settings.peers[**peer].zone == heartbeat.zone;
-        let near: Vec<usize> = alive.iter().filter(in_zone).copied().collect();
-        let able = if near.is_empty() { alive } else { near };
+        let same_zone: Vec<usize> = alive.iter().filter(in_zone).copied().collect();
+        let candidates = if same_zone.is_empty() {
+            alive
+        } else {
+            same_zone
+        };
         let mut hasher = DefaultHasher::new();
         heartbeat.machine.hash(&mut hasher);
-        let index = hasher.finish().checked_rem(able.len() as u64)?;
-        able.get(index as usize).copied()
+        let index = hasher.finish().checked_rem(candidates.len() as u64)?;
+        candidates.get(index as usize).copied()
     }
 }
--- a/crates/control/src/scheduling/apply_plan.rs
+++ b/crates/control/src/scheduling/apply_plan.rs
@@ -108,7 +108,7 @@
         };
         log::info!("job {}: stopped to give another team its guarantee", job.id);
         self.stats.preempts += u64::from(job.tasks);
-        self.stop_here(job_index, machine, grace);
+        self.stop_on_machine(job_index, machine, grace);
     }
 
     /// Stops the task of one claim, with the time to save.
