--- a/crates/control/src/agents/commands.rs
+++ b/crates/control/src/agents/commands.rs
@@ -1,4 +1,5 @@
-//! Direct commands: orders sent to a worker ahead of its next heartbeat, and probes, which ask a silent worker for one.
+//! Direct commands, which send orders to a worker without waiting for its next heartbeat, and probes, which ask a
+//! silent worker for a heartbeat.
 
 use crate::agents::machine::Machine;
 use crate::agents::relay::NOT_SENT;
@@ -6,11 +7,11 @@
 use wire::api::{Heartbeat, Order, Orders};
 use wire::http::Response;
 
-/// A worker that does not answer a command for so long is taken not to.
+/// Time after which a command counts as unanswered.
 const DIRECT_TIMEOUT_MS: u64 = 2000;
 
 impl Node {
-    /// Tells workers at once what they would otherwise hear with their next heartbeat.
+    /// Sends pending orders to the machines in `shard.push` now instead of in the reply to their next heartbeat.
     pub(crate) fn push_orders(&mut self) {
         if !self.may_decide() {
             return;
@@ -20,7 +21,7 @@
         let due: Vec<usize> = shard.push.iter().copied().filter(is_ready).collect();
         for m in due {
             let orders = self.orders_for(m);
-            // What there is to reap can wait.
+            // Reaping is not urgent: it waits for the next heartbeat.
             if orders.iter().all(|o| matches!(o, Order::Reap { .. })) {
                 continue;
             }
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Sends a direct command, unless the machine's address is not known.
+    /// Sends a direct command if the machine's address is known.
     fn send_orders(&mut self, m: usize, orders: Vec<Order>) {
         let term = self.term;
         let Some(shard) = &mut self.shard else { return };
@@ -53,13 +54,13 @@
         self.send_command(m, addr, body, DIRECT_TIMEOUT_MS, what);
     }
 
-    /// The heartbeat that answers a command, executed or not.
+    /// Decodes the heartbeat in a worker's response to a command. A worker that rejects the command (409) sends one too.
     fn command_heartbeat(&mut self, response: Option<Response>) -> Option<Heartbeat> {
         let response = response.filter(|r| r.status == 200 || r.status == 409)?;
         self.read("worker", &response)
     }
 
-    /// A direct command was answered, or not.
+    /// Handles the outcome of a direct command; `response` is `None` if none arrived in time.
     pub(crate) fn direct_received(&mut self, m: usize, serial: u64, response: Option<Response>) {
         let unsent = response.as_ref().is_some_and(|r| r.status == NOT_SENT);
         let heartbeat = self.command_heartbeat(response);
@@ -77,21 +78,23 @@
                 machine.unconfirmed_token = None;
                 self.reconcile(m, &heartbeat);
             }
-            // Nothing of it can ever be executed; its next heartbeat brings what is missing to light.
+            // The command was never sent, so it can't be executed later. The next heartbeat shows which orders are
+            // still needed.
             _ if unsent => {}
             _ => {
-                // It may be executed minutes from now. Only a higher token, once the worker has seen it, rules
-                // that out; until then nothing here is reaped or proved gone, and nothing new is placed.
-                log::info!("machine {}: a command was not answered", machine.name);
+                // The command may still be executed minutes from now. Only a higher token, once the worker has seen
+                // it, rules that out. Until then no exited task is reaped, a task missing from a heartbeat does not
+                // count as gone, and no new task is placed on this machine.
+                log::info!("machine {}: no response to a direct command", machine.name);
                 machine.unanswered_command = Some((token, machine.seen.0));
                 shard.raise_token = true;
             }
         }
     }
 
-    /// Asks a worker for its heartbeat, by a command: it also shows our token to a worker that still obeys an earlier one.
-    /// All that it orders are stops of what was cancelled, so that it can be executed at any time without harm, and a
-    /// machine that hung hears of them first.
+    /// Asks a worker for its heartbeat with a command, which also carries our token to a worker that still follows an
+    /// earlier leader. The command's only orders stop tasks of cancelled jobs: those are safe to execute at any time,
+    /// however late, and a machine that resumes after a hang receives them first.
     pub(crate) fn probe_machine(&mut self, m: usize) {
         let (now, term) = (self.now.mono, self.term);
         let orders = self.last_orders(m);
@@ -106,7 +109,8 @@
         let via = machine.via.is_some();
         let body = wire::encode(&Orders {
             token,
-            // Most have never lost their lease; otherwise the refusal tells the agent epoch.
+            // Most agents are in their first epoch, having never lost their lease. If this one is not, its rejection
+            // carries the current epoch.
             agent_epoch: Some(machine.seen.0.max(1)),
             orders,
         });
@@ -119,7 +123,7 @@
         self.send_command(m, addr, body, DIRECT_TIMEOUT_MS, what);
     }
 
-    /// The machine was not asked: it will be.
+    /// Handles a probe that could not be sent: clears it so that the machine can be probed again.
     pub(crate) fn probe_unsent(&mut self, m: usize, serial: u64) {
         let machine = self.shard.as_mut().and_then(|p| p.machine_mut(m));
         if let Some(machine) = machine.filter(|x| x.probe_in_flight == Some(serial)) {
@@ -127,7 +131,7 @@
         }
     }
 
-    /// A probe was answered, or not: silence speaks for returning the machine.
+    /// Handles the outcome of a probe. A missing response counts as a reason to return the machine.
     pub(crate) fn probe_received(&mut self, m: usize, serial: u64, response: Option<Response>) {
         let heartbeat = self.command_heartbeat(response);
         let Some(shard) = &mut self.shard else { return };
--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: receiving one from a worker or by way of a peer, and what it is answered.
+//! Receives heartbeats, from workers or relayed by a peer, and builds the replies.
 
 use crate::Node;
 use crate::agents::machine::Machine;
@@ -8,41 +8,44 @@
 
 const MAX_MACHINE_NAME_BYTES: usize = 100;
 
-/// What a heartbeat is answered.
+/// The reply to a heartbeat.
 pub(crate) enum HeartbeatReply {
-    /// The body of a 200.
+    /// The body of a response with status 200.
     Orders(Vec<u8>),
     Refused(HeartbeatRefusal),
 }
 
-/// Why a heartbeat is not taken. Its sender reads the text.
+/// Why a heartbeat is rejected. The text is sent to the worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeartbeatRefusal {
     NotLeader,
-    /// The leader's lease may have run out, for longer than it may renew the leases of others.
+    /// The leader has been unable to confirm its own lease for longer than it may still renew the leases of workers.
     LeaseUncertain,
-    /// The worker obeys a token that no leader can have had.
+    /// The worker reports a token that no leader can have held.
     ImpossibleToken,
-    /// The worker obeys a higher token, and the leader goes above it.
+    /// The worker reports a higher token, and the leader raises its own above it.
     RaisingToken,
-    /// The worker obeys a later leader.
+    /// The worker follows a later leader.
     SteppedDown,
 }
 
 impl fmt::Display for HeartbeatRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            HeartbeatRefusal::NotLeader => "not the owner",
-            HeartbeatRefusal::LeaseUncertain => "not sure for too long",
-            HeartbeatRefusal::ImpossibleToken => "that token was never given out",
-            HeartbeatRefusal::RaisingToken => "raising the token",
-            HeartbeatRefusal::SteppedDown => "not the owner any more",
+            HeartbeatRefusal::NotLeader => "not the leader",
+            HeartbeatRefusal::LeaseUncertain => {
+                "the leader could not confirm its lease for too long"
+            }
+            HeartbeatRefusal::ImpossibleToken => "the token was never issued",
+            HeartbeatRefusal::RaisingToken => "the leader is raising its token",
+            HeartbeatRefusal::SteppedDown => "no longer the leader",
         })
     }
 }
 
 impl Node {
-    /// A worker's heartbeat. A node that leads no fleet forwards it, or names the leader.
+    /// Handles a worker's heartbeat. A node that does not lead the fleet forwards it or redirects the worker to the
+    /// leader.
     pub(crate) fn heartbeat_received(&mut self, conn: u64, body: &[u8]) {
         let heartbeat: Heartbeat = match wire::decode(body) {
             Ok(heartbeat) => heartbeat,
@@ -60,7 +63,8 @@
         }
     }
 
-    /// A heartbeat to a node that does not lead the fleet: kept alive on the leader's behalf, forwarded, or sent on.
+    /// Handles a heartbeat on a node that does not lead the fleet: renews the worker's lease as a lease delegate,
+    /// forwards the heartbeat, or redirects the worker to the leader.
     fn heartbeat_for_leader(&mut self, conn: u64, heartbeat: &Heartbeat, body: &[u8]) {
         if let Some(body) = self.delegate_answer(heartbeat) {
             return self.respond(conn, 200, body, None);
@@ -69,15 +73,15 @@
             return;
         }
         if self.leader_is_slow() {
-            return self.refuse(conn, 503, "the owner does not answer");
+            return self.refuse(conn, 503, "the leader does not respond");
         }
         match self.leader_name().filter(|o| *o != self.settings.node) {
             Some(node) => self.redirect(conn, node),
-            None => self.refuse(conn, 503, "no owner yet"),
+            None => self.refuse(conn, 503, "no leader is known yet"),
         }
     }
 
-    /// Sends a worker to another controller.
+    /// Redirects a worker to another controller.
     fn redirect(&mut self, conn: u64, node: String) {
         let body = wire::encode(&Redirect {
             report_to: Some(node),
@@ -85,7 +89,7 @@
         self.respond(conn, 421, body, None);
     }
 
-    /// A heartbeat to the leader, from the worker itself or by way of a peer.
+    /// Handles a heartbeat as the leader. `via` is the peer that relayed it, if any.
     pub(crate) fn handle_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -99,8 +103,8 @@
         }
         let token = shard.token;
         if !shard.loaded {
-            // What runs there may have been cancelled long ago, so its lease is not renewed: the worker drops what
-            // has no token, but stays.
+            // The state is not loaded yet, and the worker's tasks may belong to jobs cancelled long ago, so its lease
+            // must not be renewed. A worker ignores orders with token 0 and keeps sending its heartbeats here.
             let body = wire::encode(&Orders {
                 token: 0,
                 agent_epoch: None,
@@ -117,8 +121,8 @@
                 self.note_unacknowledged_start(m, &orders);
                 orders
             }
-            // Its worker may wait for the answer all the same, and its lease is renewed by it: not without the stops of
-            // what was cancelled.
+            // An older heartbeat. The worker may still be waiting for this reply, which renews its lease, so the reply
+            // has to stop the tasks of cancelled jobs.
             Some(m) => self.last_orders(m),
             None => Vec::new(),
         };
@@ -129,8 +133,8 @@
         }))
     }
 
-    /// A start in the answer to a heartbeat may overtake a command, or be overtaken: until the next heartbeat, what a worker
-    /// answers to commands proves nothing about it.
+    /// Notes that the reply to a heartbeat contains a start. It may arrive before or after a command that is sent
+    /// concurrently, so until the next heartbeat a response to a command doesn't prove that the task is absent.
     fn note_unacknowledged_start(&mut self, m: usize, orders: &[Order]) {
         if orders.iter().any(|o| matches!(o, Order::Start { .. }))
             && let Some(machine) = self.shard.as_mut().and_then(|p| p.machine_mut(m))
@@ -139,8 +143,9 @@
         }
     }
 
-    /// A heartbeat that a worker has made of itself; true if it is the newest. It waits for no answer to an earlier one
-    /// any more, so nothing of that can still be executed.
+    /// Applies a heartbeat that the worker sent on its own, not in response to a command. Returns true if it is the
+    /// newest. Its sender no longer waits for the replies to earlier heartbeats, so orders in those can't be executed
+    /// any more.
     fn note_heartbeat(&mut self, m: usize, heartbeat: &Heartbeat, via: Option<usize>) -> bool {
         let Some(shard) = &mut self.shard else {
             return false;
@@ -154,7 +159,8 @@
         if sequence > machine.seen {
             machine.via = via;
             machine.heartbeat_at = now;
-            // It has heard of us after that first heartbeat, if it obeys a token now that it did not know then.
+            // The worker reports our token, which it did not know at its first heartbeat: it has heard from us since,
+            // so the heartbeat is not an old copy.
             machine.unconfirmed_token = machine
                 .unconfirmed_token
                 .filter(|token| *token >= own_token || heartbeat.token < own_token);
@@ -165,12 +171,12 @@
         self.reconcile(m, heartbeat)
     }
 
-    /// Its worker obeys a higher token than ours. While sure of our lease that can only be a stray number, and
-    /// we go above it; otherwise there is a new leader.
+    /// Handles a worker that reports a higher token than ours. While our lease is valid there can't be a newer leader,
+    /// so the token is spurious and we raise ours above it. Otherwise a new leader has been elected, and we step down.
     fn outranked(&mut self, token: u64) -> HeartbeatRefusal {
-        log::warn!("a worker obeys token {token}, above ours");
+        log::warn!("a worker reports token {token}, higher than ours");
         if self.has_valid_lease() {
-            // One worker's absurd number must neither use up the counter nor unseat a rightful leader.
+            // A corrupt value from one worker must neither exhaust the token counter nor depose a valid leader.
             if token >= TOKEN_BOUND {
                 return HeartbeatRefusal::ImpossibleToken;
             }
@@ -180,11 +186,11 @@
             }
             return HeartbeatRefusal::RaisingToken;
         }
-        self.step_down("workers obey a higher token");
+        self.step_down("a worker reports a higher token");
         HeartbeatRefusal::SteppedDown
     }
 
-    /// The machine that a heartbeat comes from; one that nobody expected is taken in.
+    /// Returns the machine that sent a heartbeat, and adds it if it is unknown and was not returned to the cloud.
     fn find_or_add_sender(&mut self, heartbeat: &Heartbeat) -> Option<usize> {
         let now = self.now;
         let shard = self.shard.as_mut()?;
@@ -214,7 +220,7 @@
     }
 }
 
-/// Whether a machine may be called so.
+/// Whether `name` is a valid machine name.
 fn is_valid_name(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= MAX_MACHINE_NAME_BYTES
--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -1,7 +1,7 @@
 //! Machines and the claims on them.
 //!
-//! A claim is (task, attempt, machine). It is recorded before its start is sent, and it ends only on proof
-//! that the task is gone and can't come back.
+//! A claim assigns an attempt of a task to a machine. It is recorded before the start order is sent, and it ends only
+//! on proof that the task is gone and can't be started again.
 
 use crate::jobs::job::JobIndex;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 use wire::api::{Cause, TaskStage};
 use wire::records::KindRecord;
 
-/// What one task takes of a machine.
+/// Resources that one task takes on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct Need {
     pub cores: f64,
@@ -17,12 +17,12 @@
     pub mem_gb: f64,
 }
 
-/// How far the record of a claim has come.
+/// Whether a claim is in the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ClaimState {
-    /// Not recorded yet; nothing was sent.
+    /// Not recorded yet, and no order was sent.
     New,
-    /// The record is on its way.
+    /// The write is in progress.
     Writing,
     Recorded,
 }
@@ -34,26 +34,26 @@
     pub task: u32,
     pub attempt: u64,
     pub state: ClaimState,
-    /// The log record that it stands in, once it is recorded.
+    /// The claim log record that contains the claim, once it is recorded.
     pub segment: u64,
-    /// Read back after a failover: it may have ended long ago.
+    /// Read from the state service after a failover: the task may have ended long ago.
     pub loaded: bool,
-    /// A start may have been sent, by us or by an earlier leader.
+    /// A start may have been sent, by this leader or an earlier one.
     pub sent: bool,
-    /// The worker's agent epoch that our last start was for; in a later one it is never executed.
+    /// The agent epoch that the last start was sent for. A start for an earlier epoch is never executed.
     pub agent_epoch: u64,
-    /// As last listed, if it ever was.
+    /// The stage that the worker last listed, if any.
     pub stage: Option<TaskStage>,
-    /// When it was first seen running.
+    /// When the task was first seen running.
     pub running_since: Option<u64>,
-    /// It is to be stopped, with this grace.
+    /// Set if the task is to be stopped: the grace period in seconds.
     pub stop: Option<f64>,
-    /// When its worker was last told so.
+    /// When the last stop order was sent.
     pub stop_sent: Option<u64>,
 }
 
 impl Claim {
-    /// A claim that has to be recorded.
+    /// A new claim, which has to be recorded.
     pub fn new(job: JobIndex, task: u32, attempt: u64) -> Self {
         Claim {
             job,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A claim for a task that is there without one: it counts, and is to be stopped at once.
+    /// A claim for a task that runs without one: its resources count as used, and it is to be stopped immediately.
     pub fn stray(job: JobIndex, task: u32, attempt: u64) -> Self {
         Claim {
             sent: true,
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Whether it is the claim of this attempt.
+    /// Whether the claim is for this attempt.
     pub fn is_for(&self, job: JobIndex, task: u32, attempt: u64) -> bool {
         self.job == job && self.task == task && self.attempt == attempt
     }
 
-    /// Seconds for which its task has been seen running, if it has.
+    /// How long the task has been seen running, in seconds, if it has.
     pub fn ran_s(&self, now: u64) -> Option<f64> {
         self.running_since
             .map(|since| now.saturating_sub(since) as f64 / 1000.0)
@@ -101,66 +101,66 @@
     pub cause: Option<Cause>,
 }
 
-/// A machine of the fleet, and what its worker last said.
+/// A machine of the fleet and the last known state of its worker.
 pub(crate) struct Machine {
     pub name: String,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    /// The time of day of its rental.
+    /// Wall-clock time of its rental.
     pub rented_ms: u64,
-    /// The inventory shard that it stands in, and what it adds to its record's length.
+    /// The inventory shard that lists the machine, and the bytes that its entry adds to the shard's record.
     pub inventory_shard: u64,
     pub size: usize,
-    /// It stands in that record.
+    /// The inventory record lists the machine.
     pub recorded: bool,
     pub addr: Option<SocketAddr>,
-    /// The peer by way of which its worker heartbeats, if not by itself.
+    /// The peer that relays the worker's heartbeats; `None` if they come directly.
     pub via: Option<usize>,
-    /// A heartbeat whose answer carried a start, which may still be on its way to the worker.
+    /// Agent epoch and number of a heartbeat whose reply contained a start that the worker may not have received yet.
     pub unacknowledged_start: Option<(u64, u64)>,
-    /// Its worker has heartbeated to us.
+    /// Its worker has been heard by this leader.
     pub up: bool,
-    /// All that speaks for it is a heartbeat, made under this token, which may be a copy of one that is long past: it gets
-    /// no tasks until its worker has answered us.
+    /// Set while the only evidence for the machine is a heartbeat with this token, which may be a delayed copy of an old
+    /// one. The machine gets no tasks until its worker has responded to this leader.
     pub unconfirmed_token: Option<u64>,
-    /// When its worker was last heard, by a heartbeat or by the answer to a command.
+    /// When its worker was last heard, by a heartbeat or a response to a command.
     pub heard_at: u64,
-    /// When its worker last heartbeated, by itself or by way of a peer. Answers to commands renew no lease.
+    /// When the last heartbeat arrived, directly or through a peer. Responses to commands don't count: they renew no lease.
     pub heartbeat_at: u64,
-    /// Agent epoch and number of the newest message.
+    /// Agent epoch and sequence number of the newest message.
     pub seen: (u64, u64),
-    /// When the cloud takes it away, if it has said so.
+    /// When the cloud reclaims the machine, if it has given notice.
     pub reclaim_at: Option<u64>,
     pub claims: Vec<Claim>,
     /// Exited tasks that its worker listed in the newest message.
     pub exited: Vec<Exited>,
-    /// Serial of the direct command that is out.
+    /// Serial of the direct command that awaits a response.
     pub command_in_flight: Option<u64>,
-    /// A direct command was not answered: it may still be executed, until the worker has seen a token
-    /// above this one or has begun a later agent epoch.
+    /// Token and agent epoch of a direct command that got no response. It may still be executed, until the worker has
+    /// seen a higher token or begun a later agent epoch.
     pub unanswered_command: Option<(u64, u64)>,
-    /// Serial of the probe that is out.
+    /// Serial of the probe that awaits a response.
     pub probe_in_flight: Option<u64>,
     pub probed_at: u64,
-    /// It is to be returned to the cloud.
+    /// The machine is to be returned to the cloud.
     pub deleting: bool,
     /// The cloud lists it as failed.
     pub failed: bool,
     pub idle_since: u64,
-    /// Images that its tasks have fetched, newest last.
+    /// Images in its cache with their sizes in GB, most recently used last.
     pub images: Vec<(u32, f64)>,
-    /// Tasks that failed here since one was done, and how many of which job.
+    /// Tasks that failed here since the last one succeeded, in total and by job.
     pub errors: u32,
     pub error_jobs: BTreeMap<JobIndex, u32>,
-    /// Cordoned: it fails its tasks, gets no more, and is returned once it is empty.
+    /// Tasks fail here, so the machine gets no more and is returned once its claims have ended.
     pub cordoned: bool,
-    /// It gets no tasks until then, after an error or a refusal.
+    /// After a failed or refused task, the machine gets no tasks until this time.
     pub unschedulable_until: u64,
 }
 
 impl Machine {
-    /// One that stands in a record.
+    /// A machine from an inventory record.
     pub fn new(name: &str, machine_type: &str, zone: &str, spot: bool, rented_ms: u64) -> Self {
         Machine {
             name: name.to_owned(),
@@ -197,7 +197,7 @@
         }
     }
 
-    /// One that has to be recorded: rented, listed or heard of just now.
+    /// A machine that has to be recorded: it was just rented, listed by the cloud or heard for the first time.
     pub fn unrecorded(
         name: &str,
         machine_type: &str,
@@ -212,7 +212,7 @@
         machine
     }
 
-    /// May be given new tasks.
+    /// Whether it may be given new tasks.
     pub fn usable(&self, now: u64) -> bool {
         self.up
             && self.unconfirmed_token.is_none()
@@ -225,7 +225,7 @@
             && self.unanswered_command.is_none()
     }
 
-    /// May be sent a direct command: no other is out or in doubt.
+    /// Whether it may be sent a direct command: no other awaits a response or went unanswered.
     pub fn takes_commands(&self) -> bool {
         self.up
             && self.addr.is_some()
@@ -234,24 +234,24 @@
             && !self.deleting
     }
 
-    /// It has heartbeated to us, or to an earlier leader who gave it tasks.
+    /// Whether its worker has been heard by this leader, or by an earlier one that placed tasks on it.
     pub fn is_known_up(&self) -> bool {
         self.up || !self.claims.is_empty()
     }
 
-    /// Its worker may have told nobody for so long that its lease is ending, though it answers commands.
+    /// Whether the last heartbeat is so old that the worker's lease may be ending, even if it responds to commands.
     pub fn is_heartbeat_overdue(&self, now: u64, silent_ms: u64) -> bool {
         now.saturating_sub(self.heartbeat_at) > silent_ms
     }
 
-    /// Where the claim of an attempt is in its list.
+    /// The position of an attempt's claim in `claims`.
     pub fn claim_position(&self, job: JobIndex, task: u32, attempt: u64) -> Option<usize> {
         self.claims
             .iter()
             .position(|claim| claim.is_for(job, task, attempt))
     }
 
-    /// Claims whose start was never sent, nor will be by an earlier leader.
+    /// Positions of the recorded claims whose start was never sent, by this leader or an earlier one.
     pub fn unsent(&self) -> impl Iterator<Item = usize> + '_ {
         let unsent = |c: &Claim| c.state == ClaimState::Recorded && !c.sent;
         self.claims
@@ -261,7 +261,7 @@
             .map(|(k, _)| k)
     }
 
-    /// Marks all tasks of a job as to be stopped; true if the worker is to be told.
+    /// Marks all tasks of a job as to be stopped. Returns true if the worker has to be told.
     pub fn stop_job(&mut self, job: JobIndex, grace_s: f64) -> bool {
         let mut changed = false;
         for claim in self.claims.iter_mut().filter(|c| c.job == job) {
@@ -274,7 +274,7 @@
         changed
     }
 
-    /// An image was fetched for a task here; the cache keeps the most recently used.
+    /// Notes that an image was fetched for a task. The cache keeps the most recently used images.
     pub fn note_cached_image(&mut self, image: u32, gb: f64, cache_gb: f64) {
         self.images.retain(|(i, _)| *i != image);
         self.images.push((image, gb));
--- a/crates/control/src/agents/mod.rs
+++ b/crates/control/src/agents/mod.rs
@@ -1,4 +1,5 @@
-//! Agents: the machines and their heartbeats, the orders that answer them, direct commands, and relays.
+//! Communication with the agents on worker machines: heartbeats, the orders sent in reply, direct commands, and
+//! relaying by other controllers.
 
 pub(crate) mod commands;
 pub(crate) mod heartbeat;
--- a/crates/control/src/agents/orders.rs
+++ b/crates/control/src/agents/orders.rs
@@ -1,7 +1,7 @@
-//! Orders: what a machine is to be told.
+//! Orders to workers: start, stop and reap.
 //!
-//! They are derived from the difference between the recorded claims and the newest heartbeat, so that a lost message
-//! only costs time.
+//! They are derived from the difference between the recorded claims and the newest heartbeat, so a lost message only
+//! costs time.
 
 use crate::Node;
 use crate::agents::machine::{Claim, ClaimState, Exited};
@@ -10,20 +10,21 @@
 use wire::api::{Cause, Kind, Order, TaskStage};
 use wire::ids;
 
-/// Orders that one machine is given at a time.
+/// The most orders in one message to a machine.
 const MAX_ORDERS: usize = 400;
-/// A stop that shows no effect is repeated after so long; one without grace sooner, also while its task saves.
+/// A stop without effect is repeated after this time.
 const STOP_RETRY_MS: u64 = 1500;
+/// The same for a stop without a grace period, which is repeated even while its task saves.
 const IMMEDIATE_STOP_RETRY_MS: u64 = 500;
 
-/// Whether a claimed task may be started now. A gang starts only when all its claims stand.
+/// Whether a claimed task may be started now. A gang starts only once all its tasks are claimed.
 fn is_startable(claim: &Claim, job: &Job) -> bool {
     let is_whole = !job.broken && job.claimed.len() == job.tasks as usize;
     let is_unstarted = claim.stage.is_none() && !claim.sent;
     is_unstarted && !job.is_ending() && (job.kind() != Kind::Gang || is_whole)
 }
 
-/// The start of a claimed task, which is noted as sent.
+/// Builds the start order for a claimed task and marks it as sent.
 fn start(claim: &mut Claim, job: &Job, agent_epoch: u64) -> Order {
     claim.sent = true;
     claim.agent_epoch = agent_epoch;
@@ -41,8 +42,8 @@
     }
 }
 
-/// The stop of a started task, unless its worker has been told. Saving takes its time: told once, unless it is to end
-/// at once.
+/// Builds the stop order for a started task unless one was sent lately. While the task saves, the order is repeated only
+/// if the grace period is 0.
 fn stop_if_due(claim: &mut Claim, job: &Job, grace_s: f64, now: u64) -> Option<Order> {
     let is_told = claim
         .stop_sent
@@ -59,7 +60,7 @@
 }
 
 impl Shard {
-    /// Exited tasks that the worker may forget: those without a claim whose result is safe.
+    /// Reap orders for the exited tasks that the worker may forget: those without a claim whose result is recorded.
     fn reaps(&self, m: usize) -> Vec<Order> {
         let Some(machine) = self.machine(m) else {
             return Vec::new();
@@ -72,7 +73,7 @@
                     .claim_position(job_index, exited.task, exited.attempt)
                     .is_some()
             });
-            // The result first, then the reaping.
+            // The worker keeps a successful result until it is recorded.
             let is_safe = exited.cause != Some(Cause::Done)
                 || job.is_none_or(|job| job.recorded(exited.task));
             !is_claimed && is_safe
@@ -86,7 +87,7 @@
 }
 
 impl Node {
-    /// What the worker is to do now. Only a leader that is sure of its lease gives orders.
+    /// The orders for a worker now. A leader whose lease may have expired only stops tasks of cancelled jobs.
     pub(crate) fn orders_for(&mut self, m: usize) -> Vec<Order> {
         if !self.may_decide() {
             return self.last_orders(m);
@@ -99,13 +100,13 @@
         let Some(machine) = shard.machines.get_mut(m) else {
             return Vec::new();
         };
-        // Two ways at once would make an absence in a heartbeat prove nothing.
+        // With orders on two paths at once, a task missing from a heartbeat could still be started by the other path.
         if machine.command_in_flight.is_some() {
             return Vec::new();
         }
         shard.push.remove(&m);
         let has_unanswered_command = machine.unanswered_command.is_some();
-        // Nothing begins in the last of a lease, or on a machine that goes.
+        // No task starts shortly before the worker's lease ends, or on a machine that is to be returned.
         let may_start = !has_unanswered_command
             && !machine.deleting
             && !machine.is_heartbeat_overdue(now, silent);
@@ -134,8 +135,8 @@
         orders
     }
 
-    /// All that a leader says that is unsure, or that asks: jobs that their users have cancelled here are to stop. Their
-    /// ends are never taken back, and no worker is told to live on without it.
+    /// The only orders in a probe, or from a leader whose lease may have expired: stops for the tasks of cancelled jobs.
+    /// A cancellation is never undone, and no worker's lease may be renewed without delivering it.
     pub(crate) fn last_orders(&self, m: usize) -> Vec<Order> {
         let Some(shard) = &self.shard else {
             return Vec::new();
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -1,7 +1,7 @@
-//! Reconciliation: squaring what an agent lists with the recorded claims.
+//! Reconciles the tasks that an agent lists with the recorded claims.
 //!
-//! A claim ends only on proof that its task is gone and can't come back. A heartbeat is such proof only while nothing
-//! is under way that could still start the task.
+//! A claim ends only on proof that its task is gone and can't be started again. A task's absence from a heartbeat is
+//! such proof only while no message is in flight that could still start it.
 
 use crate::Node;
 use crate::agents::machine::{Claim, ClaimState, Exited, Machine};
@@ -13,30 +13,31 @@
 use wire::api::{Catalog, Cause, Heartbeat, Kind, TaskStage, TaskStatus};
 use wire::ids;
 
-/// A job that has failed on so many machines, and succeeded nowhere, is at fault itself.
+/// A job whose tasks failed on this many machines, and succeeded on none, is itself taken to be the cause.
 const FAILING_JOB_MACHINES: usize = 3;
-/// Such a job waits for so long, doubled by each failure up to so many.
+/// The first backoff of such a job, doubled with each failure up to [`FAILING_JOB_DOUBLINGS`] times.
 const FAILING_JOB_BACKOFF_MS: u64 = 1000;
 const FAILING_JOB_DOUBLINGS: u32 = 5;
 const MAX_BACKOFF_MS: u64 = 30_000;
-/// After an error that may be the machine's, its job waits for so long, and the machine gets nothing for longer.
+/// After an error that the machine may have caused, the job backs off, and the machine gets no tasks for longer.
 const ERROR_BACKOFF_MS: u64 = 200;
 const ERROR_PAUSE_MS: u64 = 3000;
-/// After a refusal the machine gets nothing for so long; a job that its worker does not know yet waits too.
+/// After a worker refuses a task, the machine gets no tasks for this time. If the worker does not know the job yet, the
+/// job backs off too.
 const REFUSAL_PAUSE_MS: u64 = 2000;
 const UNKNOWN_BACKOFF_MS: u64 = 1000;
 
-/// A claim whose task is proved gone, by its position among its machine's claims.
+/// A claim whose task is proved gone, identified by its position in the machine's claims.
 pub(crate) struct EndedClaim {
     pub position: usize,
-    /// What the worker says of the end; `None` if only the task's absence proves it.
+    /// The cause that the worker reported; `None` if only the task's absence shows that it ended.
     pub cause: Option<Cause>,
     /// Whether the task's progress was saved before it ended.
     pub saved: bool,
 }
 
 impl EndedClaim {
-    /// A claim that ended without a word of the worker's.
+    /// A claim that ended without a cause from the worker.
     pub fn unexplained(position: usize) -> Self {
         EndedClaim {
             position,
@@ -46,34 +47,35 @@
     }
 }
 
-/// A task as it is listed: job, task and attempt.
+/// A task listed in a heartbeat: job, task and attempt.
 type ListedTask = (JobIndex, u32, u64);
 
-/// What comparing a heartbeat with the recorded claims has brought to light.
+/// The differences between a heartbeat and the recorded claims.
 #[derive(Default)]
 struct Comparison {
     listed: Vec<ListedTask>,
     ended: Vec<EndedClaim>,
-    /// Tasks that are there without a claim.
+    /// Claims for tasks that run without one.
     strays: Vec<Claim>,
-    /// Results of tasks whose claims an earlier leader has struck off already.
+    /// Successful tasks whose claims have ended already, under an earlier leader.
     finished: Vec<(JobIndex, u32)>,
 }
 
-/// Whether a task in this stage takes part in its job's count of running tasks.
+/// Whether a task in this stage counts as running for its job.
 fn is_running(stage: Option<TaskStage>) -> bool {
     matches!(stage, Some(TaskStage::Running | TaskStage::Saving))
 }
 
 impl Shard {
-    /// The machine has been heard of: what is known of it by that alone.
+    /// Updates what any message from a machine shows about it, whatever tasks it lists.
     fn note_contact(&mut self, m: usize, heartbeat: &Heartbeat, now: u64) {
         let Some(machine) = self.machines.get_mut(m) else {
             return;
         };
         machine.seen = (heartbeat.agent_epoch, heartbeat.seq);
         machine.heard_at = now;
-        // Answers to heartbeats of an earlier agent epoch are dropped. A worker that answers commands alone says no more of it.
+        // A worker ignores replies to heartbeats of an earlier agent epoch. While a worker only responds to
+        // commands, a new epoch is the only proof that the start can't be executed any more.
         machine.unacknowledged_start = machine
             .unacknowledged_start
             .filter(|(agent_epoch, _)| *agent_epoch >= heartbeat.agent_epoch);
@@ -92,8 +94,9 @@
         }
     }
 
-    /// Whether what is not listed now is gone: only if nothing that could start it is still under way, that is no command
-    /// of an earlier token, no direct command unanswered, no start in an answer that a worker still waits for.
+    /// Whether a task that is not listed is gone for good. It is not if a message that could start it may still be in
+    /// flight: a command with an earlier token, a direct command without a response, or a start in the reply to a
+    /// heartbeat.
     fn proves_absence(&self, m: usize, heartbeat: &Heartbeat) -> bool {
         self.machine(m).is_some_and(|machine| {
             heartbeat.token >= self.token
@@ -103,7 +106,7 @@
         })
     }
 
-    /// Notes when the cloud takes the machine away, if the heartbeat says so. True if that is news.
+    /// Notes when the cloud reclaims the machine, if the heartbeat says so. Returns true if that was not known before.
     fn note_notice(&mut self, m: usize, heartbeat: &Heartbeat, now: u64) -> bool {
         let Some(machine) = self.machine_mut(m) else {
             return false;
@@ -117,7 +120,7 @@
         is_new
     }
 
-    /// Compares what the worker lists with the claims on its machine, and brings these up to date.
+    /// Compares the tasks that the worker lists with the claims on its machine, and updates the claims' stages.
     fn compare_listed(
         &mut self,
         m: usize,
@@ -151,10 +154,10 @@
                     comparison.note_exited(job_index, task, position, status);
                 }
                 Some(position) => self.note_stage(m, position, status.stage, catalog, now),
-                // A heartbeat from before our time may be a copy of one that was overtaken long ago.
+                // A heartbeat with an earlier leader's token may be a delayed copy of an old one.
                 None if heartbeat.token < self.token => {}
                 None => {
-                    // Not expected to happen; it counts and is stopped all the same.
+                    // Not expected to happen, but the task uses resources, so it gets a claim and is stopped.
                     log::warn!(
                         "machine {}: task {} attempt {} without a claim",
                         heartbeat.machine,
@@ -173,7 +176,7 @@
         comparison
     }
 
-    /// A claimed task is listed, and has not exited.
+    /// Updates the stage of a claimed task that is listed and has not exited.
     fn note_stage(
         &mut self,
         m: usize,
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Claims whose tasks are not listed, by a heartbeat that proves their absence.
+    /// Finds the claims whose tasks are missing from a heartbeat that proves their absence.
     fn find_absent(&mut self, m: usize, agent_epoch: u64, comparison: &mut Comparison) {
         let Some(machine) = self.machines.get_mut(m) else {
             return;
@@ -221,21 +224,21 @@
             if claim.state != ClaimState::Recorded || !claim.sent || is_listed {
                 continue;
             }
-            // One that was read back may have ended and been reaped before our time.
-            // Nor is an attempt begun in two agent epochs: what it came to in the first would be taken for its end in
-            // the second, where a copy of an old heartbeat comes to a later leader.
+            // A loaded claim's task may have ended and been reaped under an earlier leader.
+            // An attempt is never started in two agent epochs: a later leader that receives a delayed copy of an old
+            // heartbeat would take the outcome in the first epoch for that in the second.
             let is_earlier = claim.agent_epoch < agent_epoch;
             if claim.stage.is_some() || claim.stop.is_some() || claim.loaded || is_earlier {
                 comparison.ended.push(EndedClaim::unexplained(position));
             } else {
-                // It never got there: the same attempt can be sent again, since nothing was reaped.
+                // The start never arrived. The attempt was not reaped, so it can be started again.
                 claim.sent = false;
                 self.push.insert(m);
             }
         }
     }
 
-    /// Records claims for tasks that have none. Returns their jobs.
+    /// Adds claims for tasks that have none. Returns their jobs.
     fn add_stray_claims(&mut self, m: usize, strays: Vec<Claim>) -> BTreeSet<JobIndex> {
         let mut jobs = BTreeSet::new();
         for stray in strays {
@@ -251,7 +254,7 @@
         jobs
     }
 
-    /// Notes results of tasks without a claim. Returns their jobs.
+    /// Marks successful tasks without a claim as done. Returns their jobs.
     fn complete_finished(&mut self, finished: Vec<(JobIndex, u32)>) -> BTreeSet<JobIndex> {
         let mut jobs = BTreeSet::new();
         for (job_index, task) in finished {
@@ -265,7 +268,7 @@
 }
 
 impl Comparison {
-    /// An exited task: the end of its claim, or a result that counts without one.
+    /// Notes an exited task: its claim has ended, or, without a claim, its success still counts.
     fn note_exited(
         &mut self,
         job_index: Option<JobIndex>,
@@ -293,7 +296,7 @@
     known.map(|t| t.cache_gb)
 }
 
-/// The class of a job, and how long its task ran against the estimate, if that says something of later tasks.
+/// The class of a job and the ratio of its task's run time to the estimate, if the run is representative of later tasks.
 fn measured_ratio(job: &Job, claim: &Claim, now: u64) -> Option<(String, f64)> {
     let spec = job.spec.as_ref()?;
     let ran_s = claim.ran_s(now)?;
@@ -301,7 +304,8 @@
     (spec.estimate_s > 0.0 && is_whole_run).then(|| (spec.class.clone(), ran_s / spec.estimate_s))
 }
 
-/// A task failed. Where a job failed on several machines and succeeded nowhere, the fault is its own.
+/// Handles a failed task. A job that failed on several machines and succeeded on none backs off; otherwise the machine
+/// may be at fault, and is paused or cordoned.
 fn task_failed(job: &mut Job, machine: &mut Machine, m: usize, claim: &Claim, now: u64) {
     job.failures += 1;
     job.failed_on.insert(m);
@@ -313,7 +317,7 @@
     job.backoff_until = now + ERROR_BACKOFF_MS;
     machine.errors += 1;
     *machine.error_jobs.entry(claim.job).or_default() += 1;
-    // One job alone proves nothing against a machine, unless it succeeds elsewhere.
+    // Failures of a single job don't show that the machine is at fault, unless the job succeeds elsewhere.
     let several_jobs_failed = machine.error_jobs.len() >= 2;
     if several_jobs_failed || (job.succeeded && machine.errors >= 2) {
         log::warn!(
@@ -327,7 +331,7 @@
     }
 }
 
-/// A worker did not begin a task, for want of room or since it does not know the job yet.
+/// Handles a task that a worker refused to start, for lack of room or because it does not know the job yet.
 fn task_refused(job: &mut Job, machine: &mut Machine, claim: &Claim, cause: Cause, now: u64) {
     log::warn!(
         "task {}/{} refused by {}: {:?}",
@@ -342,7 +346,7 @@
     }
 }
 
-/// A task was stopped or lost: what it had saved by then counts for the next attempt.
+/// Notes the progress of a task that was stopped or lost: what it saved counts for the next attempt.
 fn note_progress(job: &mut Job, claim: &Claim, saved: bool, now: u64) {
     let (Some(ran_s), Some(spec)) = (claim.ran_s(now), &job.spec) else {
         return;
@@ -358,7 +362,8 @@
 }
 
 impl Node {
-    /// Takes in a heartbeat, unless a newer one was seen. True if it is the newest.
+    /// Applies a heartbeat to the machine, its claims and their jobs, unless a newer one was seen. Returns true if it is
+    /// the newest.
     pub(crate) fn reconcile(&mut self, m: usize, heartbeat: &Heartbeat) -> bool {
         let now = self.now.mono;
         let catalog = self.shared.catalog.as_ref();
@@ -396,7 +401,7 @@
         m: usize,
         mut ended: Vec<EndedClaim>,
     ) -> BTreeSet<JobIndex> {
-        // From the last to the first, since each leaves the list.
+        // From last to first, because each removal shifts the positions after it.
         ended.sort_unstable_by_key(|end| std::cmp::Reverse(end.position));
         ended
             .into_iter()
@@ -404,7 +409,7 @@
             .collect()
     }
 
-    /// A task is proved gone. Returns its job.
+    /// Ends the claim of a task that is proved gone. Returns its job.
     fn claim_ended(&mut self, m: usize, end: EndedClaim) -> Option<JobIndex> {
         let now = self.now.mono;
         let shard = self.shard.as_mut()?;
@@ -449,7 +454,7 @@
         Some(claim.job)
     }
 
-    /// Claims of which nothing was sent are over at once: no proof is needed.
+    /// Ends claims whose start was never sent, which needs no proof.
     pub(crate) fn never_started(&mut self, m: usize, claims: &[usize]) {
         let ended = claims.iter().copied().map(EndedClaim::unexplained);
         for job_index in self.end_claims(m, ended.collect()) {
@@ -457,15 +462,15 @@
         }
     }
 
-    /// The cloud takes the machine away soon: what can save does so now, and what can't end in time is freed
-    /// to start elsewhere.
+    /// Drains a machine that the cloud is about to reclaim: stops the tasks that can save, that have not begun to run or
+    /// that would not end in time, so that they can start elsewhere.
     fn drain_for_notice(&mut self, m: usize) {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
         let Some(machine) = shard.machine(m) else {
             return;
         };
-        log::info!("machine {}: is about to be taken", machine.name);
+        log::info!("machine {}: the cloud is about to reclaim it", machine.name);
         let left_s = machine.reclaim_at.unwrap_or(now).saturating_sub(now) as f64 / 1000.0;
         let mut stops: Vec<(JobIndex, f64)> = Vec::new();
         for claim in &machine.claims {
@@ -483,7 +488,7 @@
         }
     }
 
-    /// Stops a job's tasks on one machine; a gang's on all, since they end together.
+    /// Stops a job's tasks on one machine; those of a gang on all, since they end together.
     pub(crate) fn stop_on_machine(&mut self, index: JobIndex, m: usize, grace_s: f64) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(index) else { return };
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -1,9 +1,10 @@
-//! Heartbeats that come to a node which does not lead the fleet, from workers that can't reach the one that does: forwarded to
-//! the leader, many to a message, and its orders handed back within the time that a worker waits. Commands to such
-//! workers go the same way.
+//! Relaying between the leader and workers that send their heartbeats to another node, for example because they can't
+//! reach the leader. The node forwards heartbeats to the leader in batches, and returns the leader's orders while the
+//! workers wait. Commands to such workers take the same path.
 //!
-//! A relayed heartbeat is the worker's own, with its agent epoch and number, and a relayed answer is the leader's own, with
-//! its token: a relay judges, renews and orders nothing. It asks only the leader, so that nothing goes in circles.
+//! A relayed heartbeat is the worker's own, with its agent epoch and sequence number, and a relayed reply is the
+//! leader's own, with its token: a relay makes no decisions, renews no leases and issues no orders. It forwards only to
+//! the leader, so that messages can't loop.
 
 use crate::agents::heartbeat::HeartbeatReply;
 use crate::jobs::peer_requests::peer_answer;
@@ -15,47 +16,47 @@
 use wire::http::Response;
 use wire::peer::{PeerRequest, PeerResponse};
 
-/// Heartbeats in a message, their bytes, and messages that are out at once. What is beyond is refused: relays are the
-/// first thing that overload sheds.
+/// The most heartbeats in a batch, the bytes from which a batch is sent, and the most batches in flight. Heartbeats
+/// beyond that are rejected: relaying is shed first under overload.
 const MAX_BATCH_HEARTBEATS: usize = 32;
 const MAX_BATCH_BYTES: usize = 256 << 10;
 const MAX_BATCHES_IN_FLIGHT: usize = 16;
-/// Spread heartbeats wait so long for a fuller batch while the leader has not answered the one before: a leader that is
-/// slow gets fewer messages, and more in each.
+/// While heartbeats are spread and an earlier batch is unanswered, the next one is delayed by up to this time:
+/// a slow leader gets fewer and larger messages.
 const MAX_BATCH_DELAY_MS: u64 = 400;
-/// A worker waits 4 s for its answer.
+/// Shorter than the 4 s that a worker waits for the reply to its heartbeat.
 const BATCH_TIMEOUT_MS: u64 = 2500;
-/// A leader that does not take what is forwarded to it is left alone for so long.
+/// Nothing is forwarded to the leader for this time after it did not accept a batch.
 const PAUSE_MS: u64 = 1000;
-/// Shorter than a leader waits for the answer to a command.
+/// Shorter than the time that the leader waits for the response to a command.
 const COMMAND_TIMEOUT_MS: u64 = 1500;
 
-/// What the end of a command is called that a peer has not sent, since it does not serve that worker.
+/// The status of a command that a peer did not send, for example because it does not serve that worker.
 pub(crate) const NOT_SENT: u16 = 421;
 
-/// What a relay holds.
+/// The state of a relay.
 #[derive(Default)]
 pub(crate) struct Relay {
-    /// Which workers reach the leader by themselves.
+    /// Estimates which workers can reach the leader directly.
     pub ways: Ways,
-    /// Heartbeats that wait for the next message, with their connections, and their bytes.
+    /// Heartbeats that wait for the next batch, with their connections, and their total size in bytes.
     queue: Vec<(u64, ByteBuf)>,
     bytes: usize,
-    /// When the first heartbeat in the queue came.
+    /// When the first heartbeat in the queue arrived.
     queued_at: u64,
-    /// Messages that are not answered yet.
+    /// Batches that are not answered yet.
     in_flight: usize,
-    /// The leader did not take a message: nothing is forwarded until then.
+    /// Nothing is forwarded until this time, because the leader did not accept a batch.
     paused_until: u64,
 }
 
 impl Node {
-    /// Whether heartbeats and commands may go by way of peers.
+    /// Whether heartbeats and commands may be relayed by peers.
     pub(crate) fn relays(&self) -> bool {
         self.tuning.relays > 0.0
     }
 
-    /// A heartbeat to a node that does not lead the fleet: true if it is forwarded.
+    /// Queues a heartbeat for the leader. Returns false if it is not to be forwarded.
     pub(crate) fn forward_heartbeat(
         &mut self,
         conn: u64,
@@ -93,8 +94,8 @@
         true
     }
 
-    /// Whether the leader is slow and not cut off: heartbeats are spread, it is heard, and has let a batch time out just
-    /// now. Workers that were redirected to it then would all connect to it at once and add to what slows it.
+    /// Whether the leader is slow but reachable: heartbeats are spread, its status messages arrive, and it has just
+    /// not accepted a batch, usually by a timeout. Workers redirected to it then would all connect at once and slow it further.
     pub(crate) fn leader_is_slow(&self) -> bool {
         let is_heard = |peer| self.is_heard(peer);
         self.is_spread()
@@ -102,14 +103,14 @@
             && self.leader_peer().is_some_and(is_heard)
     }
 
-    /// Sends what has come since the last tick, unless it may still gather.
+    /// Sends the queued heartbeats, unless they still wait for a fuller batch.
     pub(crate) fn relay_tick(&mut self) {
         if !self.relay.queue.is_empty() && !self.is_batching() {
             self.send_batch();
         }
     }
 
-    /// Whether heartbeats wait for a fuller batch, while one before is not answered.
+    /// Whether heartbeats wait for a fuller batch because an earlier one is unanswered.
     fn is_batching(&self) -> bool {
         let waits = self.now.mono < self.relay.queued_at + MAX_BATCH_DELAY_MS;
         self.is_spread() && self.relay.in_flight > 0 && waits
@@ -136,11 +137,11 @@
     fn refuse_queue(&mut self) {
         self.relay.bytes = 0;
         for (conn, _) in std::mem::take(&mut self.relay.queue) {
-            self.refuse(conn, 503, "the owner can't be reached from here");
+            self.refuse(conn, 503, "the leader can't be reached from this node");
         }
     }
 
-    /// The leader's answer to a batch of heartbeats: each goes to its worker.
+    /// Handles the leader's answer to a batch by sending each worker its reply.
     pub(crate) fn relayed_heartbeats_answered(
         &mut self,
         conns: Vec<u64>,
@@ -156,14 +157,14 @@
         };
         for (conn, body) in conns.into_iter().zip(bodies) {
             if body.is_empty() {
-                self.refuse(conn, 503, "the owner does not answer");
+                self.refuse(conn, 503, "the leader does not respond");
             } else {
                 self.respond(conn, 200, body.into_vec(), None);
             }
         }
     }
 
-    /// Heartbeats that a peer hands on. What can't be taken is refused one by one, and nothing else is lost.
+    /// Handles a batch of heartbeats from a peer. Each one is accepted or rejected on its own; an empty body rejects it.
     pub(crate) fn relayed_heartbeats_received(
         &mut self,
         conn: u64,
@@ -175,7 +176,11 @@
             .filter(|_| heartbeats.len() <= MAX_BATCH_HEARTBEATS);
         let Some(peer) = peer else {
             self.stats.bad_answers += 1;
-            return self.refuse(conn, 400, "reports: from nobody we know, or too many");
+            return self.refuse(
+                conn,
+                400,
+                "reports: the sender is not a known peer, or there are too many",
+            );
         };
         if self.shard.is_none() {
             return self.answer_peer(conn, &PeerResponse::NotNow);
@@ -199,7 +204,7 @@
         }
     }
 
-    /// The leader has something to say to a worker that is served here.
+    /// Forwards a command from the leader to a worker that sends its heartbeats to this node.
     pub(crate) fn relay_command(&mut self, conn: u64, machine: &str, addr: &str, body: Vec<u8>) {
         let is_served = self.relay.ways.serves(self.now.mono, machine) && self.relays();
         match addr.parse::<SocketAddr>() {
@@ -215,12 +220,12 @@
         self.send(to, "POST", "/commands".into(), body, timeout_ms, what);
     }
 
-    /// Tells the leader that its command has not left this host.
+    /// Tells the leader that its command was not sent.
     pub(crate) fn relayed_command_unsent(&mut self, conn: u64) {
         self.answer_peer(conn, &PeerResponse::refused(NOT_SENT, ""));
     }
 
-    /// Tells the leader what the worker has answered.
+    /// Sends the worker's response to a relayed command to the leader.
     pub(crate) fn relayed_command_answered(&mut self, conn: u64, response: Option<Response>) {
         let answer = response.map_or(PeerResponse::NotNow, |r| PeerResponse::CommandResult {
             status: r.status,
@@ -229,7 +234,7 @@
         self.answer_peer(conn, &answer);
     }
 
-    /// A command to a worker, by way of the node that it heartbeats to.
+    /// Sends a command to a worker, through the peer that relays its heartbeats if there is one.
     pub(crate) fn send_command(
         &mut self,
         m: usize,
@@ -263,12 +268,12 @@
     }
 }
 
-/// The end of a command that has not left this host.
+/// The response that stands for a command that was not sent.
 pub(crate) fn not_sent() -> Response {
     worker_response(NOT_SENT, Vec::new())
 }
 
-/// What a worker answered, where a peer tells it. A peer's own answer that is none is as good as silence.
+/// The worker's response in a peer's answer to a relayed command. If the peer got no response, there is none.
 pub(crate) fn relayed_answer(response: Option<Response>) -> Option<Response> {
     match peer_answer(response)? {
         PeerResponse::CommandResult { status, body } if status != NOT_SENT => {
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -1,9 +1,9 @@
-//! Which controller a worker heartbeats to.
+//! Decides which controller a worker sends its heartbeats to.
 //!
-//! A small fleet heartbeats to the leader. With more machines than an operator's setting allows, the leader sends its
-//! workers to the other controllers, which hand their heartbeats on in batches ([`crate::agents::relay`]): the leader then serves
-//! a few connections instead of thousands. Only the way changes. A heartbeat that is forwarded is the worker's own, and
-//! its answer is the leader's own, with its token.
+//! In a small fleet, all workers send them to the leader. With more machines than the operator's setting
+//! `direct_machines`, the leader redirects workers to the other controllers, which forward heartbeats in batches
+//! ([`crate::agents::relay`]), so that it serves a few connections instead of thousands. Only the path changes: a
+//! forwarded heartbeat is the worker's own, and the reply is the leader's own, with its token.
 
 use crate::Node;
 use crate::store::rate_budget::Bucket;
@@ -11,31 +11,31 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use wire::api::Heartbeat;
 
-/// Workers that the leader sends to another controller in a second, so that they don't all arrive at once: at least so
-/// many, and as many as send all of them away in so many seconds.
+/// The leader limits how many workers it redirects per second, so that they don't all arrive at once: this many or,
+/// in a larger fleet, as many as redirect all of them within [`REDIRECT_ALL_WITHIN_S`].
 const MIN_REDIRECTS_PER_S: f64 = 50.0;
 const REDIRECT_ALL_WITHIN_S: f64 = 40.0;
-/// To [`reach`], the other controllers are one host, which never changes and whose token no worker has seen: all that
-/// it judges by is who was sent there and comes back.
+/// All other controllers, as one host that never changes and whose token no worker has seen. With that, [`reach`]
+/// estimates reachability only from the workers that were redirected there and come back.
 const OTHER_CONTROLLERS: Leader = Leader {
     node: 0,
     token: 1,
     avoided: false,
 };
 const UNSEEN_TOKEN: u64 = 0;
-/// Heartbeats are spread until this part of the machines that spread them is left.
+/// Spreading stops when the machines fall below this share of the number that starts it, to avoid flapping.
 const SPREAD_STOP_SHARE: f64 = 0.8;
 
-/// Whether heartbeats go by way of all controllers, as far as this one knows.
+/// Whether heartbeats are spread over all controllers, as far as this one knows.
 pub(crate) struct Routing {
     is_spread: bool,
     redirects: Bucket,
-    /// Which workers were sent away, and whether they reached where they were sent.
+    /// Which workers were redirected, and whether they reached their target.
     ways: Ways,
 }
 
 impl Routing {
-    /// All heartbeats go to the leader, until it says otherwise.
+    /// All heartbeats go to the leader until it says otherwise.
     pub fn new() -> Self {
         Routing {
             is_spread: false,
@@ -46,20 +46,20 @@
 }
 
 impl Node {
-    /// Whether workers send their heartbeats to any controller, by the leader's last word.
+    /// Whether workers send their heartbeats to any controller, according to the leader's last status.
     pub(crate) fn is_spread(&self) -> bool {
         self.routing.is_spread && self.relays()
     }
 
-    /// The leader's word, as a peer hears it. It is kept while the leader changes, so that the next leader is not met by
-    /// the whole fleet at once.
+    /// Notes whether heartbeats are spread, according to the leader's status. The value is kept while the leader
+    /// changes, so that the next leader doesn't receive the heartbeats of the whole fleet at once.
     pub(crate) fn spread_heard(&mut self, is_spread: bool) {
         if !self.leads() {
             self.routing.is_spread = is_spread;
         }
     }
 
-    /// The leader looks at the number of its machines.
+    /// On the leader, decides from the number of machines whether to spread heartbeats.
     pub(crate) fn routing_tick(&mut self) {
         let Some(shard) = self.shard.as_ref().filter(|shard| shard.loaded) else {
             return;
@@ -74,14 +74,15 @@
         self.routing.redirects.set_rate(redirects_per_s);
         if is_spread != self.routing.is_spread {
             log::info!(
-                "heartbeats by way of all controllers: {is_spread}, for {machines} machines"
+                "heartbeats spread over all controllers: {is_spread}, with {machines} machines"
             );
             self.routing.is_spread = is_spread;
         }
     }
 
-    /// The controller that a worker that sends its heartbeats to the leader should rather send them to. One that comes back is left
-    /// with the leader, and others of its zone too until one of them got there.
+    /// The controller to redirect a worker to that sent its heartbeat to the leader, if any. A worker that was
+    /// redirected and comes back stays with the leader, and after repeated failures so do others of its zone, until
+    /// one of them has reached its target.
     pub(crate) fn redirect_target(&mut self, heartbeat: &Heartbeat) -> Option<String> {
         let now = self.now.mono;
         if !self.is_spread() || !self.may_decide() || self.routing.redirects.level(now) < 1.0 {
@@ -104,7 +105,8 @@
         Some(self.settings.peers[peer].node.clone())
     }
 
-    /// One of the controllers that were heard of lately: in the worker's zone if there is one, else by its name.
+    /// A controller that was heard recently, in the worker's zone if there is one. A hash of the machine's name selects
+    /// among several.
     fn relay_for(&self, heartbeat: &Heartbeat) -> Option<usize> {
         let peers = 0..self.settings.peers.len();
         let alive: Vec<usize> = peers.filter(|peer| self.is_heard(*peer)).collect();
