--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -41,7 +41,7 @@
     /// Levels that hold the task that is the `k`th of a job.
     pub fn held(&self, job: JobIndex, k: u32) -> u8 {
         match self.nested.get(&job) {
-            Some(levels) => levels_holding(levels, k),
+            Some(levels) => covering_levels(levels, k),
             None => u8::from(self.flat.contains(&job)),
         }
     }
@@ -55,8 +55,8 @@
         claimed: u32,
         pending: u32,
     ) -> Vec<(u8, u32)> {
-        let parted = spec.kind == Kind::Array && !spec.spread && !spec.one_zone;
-        if !parted || !self.nested.contains_key(&job_index) {
+        let is_divisible = spec.kind == Kind::Array && !spec.spread && !spec.one_zone;
+        if !is_divisible || !self.nested.contains_key(&job_index) {
             return vec![(self.held(job_index, claimed), pending)];
         }
         let mut out: Vec<(u8, u32)> = Vec::new();
@@ -80,7 +80,7 @@
 type Levels = Vec<u32>;
 
 /// How many levels hold the task that is the `k`th of its job, those that run first.
-fn levels_holding(levels: &Levels, k: u32) -> u8 {
+fn covering_levels(levels: &Levels, k: u32) -> u8 {
     levels.iter().take_while(|n| **n > k).count() as u8
 }
 
@@ -109,7 +109,7 @@
         let tasks = shard.job(*job_index).map_or(0, |job| open_tasks(job, spec));
         out.insert(
             *job_index,
-            take_levels(
+            allocate_levels(
                 left,
                 &takes(spec.cores, spec.gpus, spec.mem_gb),
                 tasks,
@@ -121,7 +121,7 @@
 }
 
 /// Takes a job's tasks out of what its team is entitled to on each level, as far as they fit.
-fn take_levels(left: &mut [Share], need: &Amount, tasks: u32, kind: Kind) -> Levels {
+fn allocate_levels(left: &mut [Share], need: &Amount, tasks: u32, kind: Kind) -> Levels {
     let mut levels = vec![0; left.len()];
     let mut deeper = 0;
     for (at, share) in left.iter_mut().enumerate().rev() {
@@ -167,13 +167,13 @@
 }
 
 /// What is left of a team's own guarantee.
-struct GuaranteeLeft<'a> {
+struct RemainingGuarantee<'a> {
     team: &'a Team,
     cpus: f64,
     gpus: f64,
 }
 
-impl GuaranteeLeft<'_> {
+impl RemainingGuarantee<'_> {
     /// Takes so many tasks out of the guarantee, also beyond it; whether they fitted.
     fn take(&mut self, spec: &JobSpec, tasks: f64) -> bool {
         self.cpus -= spec.cores * tasks;
@@ -183,13 +183,14 @@
         let is_counted = |guaranteed: f64, need: f64| guaranteed > 0.0 && need > 0.0;
         let by_cpus = is_counted(self.team.cpus, spec.cores);
         let by_gpus = is_counted(self.team.gpus, spec.gpus);
-        let is_over = by_cpus && self.cpus < -ROUNDING || by_gpus && self.gpus < -ROUNDING;
+        let is_over = by_cpus && self.cpus < -ROUNDING_TOLERANCE
+            || by_gpus && self.gpus < -ROUNDING_TOLERANCE;
         (by_cpus || by_gpus) && !is_over
     }
 }
 
 /// Sums of amounts are off by no more than this.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// Open jobs that fit into their team's guarantee together with the team's earlier ones.
 fn within_guarantee(
@@ -197,12 +198,12 @@
     open: &[(JobIndex, &JobSpec)],
     teams: &[Team],
 ) -> HashSet<JobIndex> {
-    let all_left = |team| GuaranteeLeft {
+    let all_left = |team| RemainingGuarantee {
         team,
         cpus: team.cpus,
         gpus: team.gpus,
     };
-    let mut left: HashMap<&str, GuaranteeLeft<'_>> = teams
+    let mut left: HashMap<&str, RemainingGuarantee<'_>> = teams
         .iter()
         .map(|team| (team.name.as_str(), all_left(team)))
         .collect();
@@ -228,16 +229,16 @@
     team_index: &HashMap<&str, u16>,
 ) -> Entitlement {
     let touched = shard.take_touched();
-    let kept = shard.counted.take();
+    let previous = shard.counted.take();
     let Some(active) = active else {
         return Entitlement::flat(within_guarantee(shard, &open_jobs(shard), teams));
     };
     let tree = &active.built;
-    let guarantees = cut_guarantees(teams, active);
+    let guarantees = override_guarantees(teams, active);
     if tree.nodes.is_empty() {
         return Entitlement::flat(within_guarantee(shard, &open_jobs(shard), &guarantees));
     }
-    let mut counted = match kept.filter(|(version, _)| *version == active.version) {
+    let mut counted = match previous.filter(|(version, _)| *version == active.version) {
         Some((_, mut counted)) => {
             counted.update(shard, touched);
             counted
@@ -275,14 +276,14 @@
 }
 
 /// The teams of the settings, with the smaller guarantees that a tree may give them.
-fn cut_guarantees(teams: &[Team], active: &ActiveTree) -> Vec<Team> {
+fn override_guarantees(teams: &[Team], active: &ActiveTree) -> Vec<Team> {
     let own = active
         .spec
         .teams
         .iter()
         .filter_map(|t| Some((t.name.as_str(), t.guarantee.as_ref()?)));
     let own: HashMap<&str, &quota::Amounts> = own.collect();
-    let cut = |t: &Team| match own.get(t.name.as_str()) {
+    let overridden = |t: &Team| match own.get(t.name.as_str()) {
         Some(own) => {
             let of = |name: &str| own.get(name).copied().unwrap_or(0.0);
             Team {
@@ -293,5 +294,5 @@
         }
         None => t.clone(),
     };
-    teams.iter().map(cut).collect()
+    teams.iter().map(overridden).collect()
 }
--- a/crates/control/src/scheduling/entitlement/tests.rs
+++ b/crates/control/src/scheduling/entitlement/tests.rs
@@ -39,7 +39,7 @@
 
 /// 100,000 jobs of 10,000 teams on six levels: a start or an end costs steps on its own path, not on the others'.
 #[test]
-fn a_start_among_many_jobs_touches_its_path() {
+fn quota_update_costs_steps_only_on_the_path_of_the_changed_job() {
     let mut spec_of_tree = quota::Spec::default();
     for i in 0..1111u32 {
         // Ten below each: levels of 1, 10, 100 and 1,000, and the last with a thin path of two more.
@@ -80,16 +80,16 @@
     shard.take_touched();
     let mut counted = Counted::new(&shard, tree);
     let all = counted.live.steps;
-    for ix in [0, 999, 55_555] {
-        shard.job_mut(ix).expect("there").claim(0, 7, 1);
+    for job_index in [0, 999, 55_555] {
+        shard.job_mut(job_index).expect("there").claim(0, 7, 1);
         let touched = shard.take_touched();
-        assert_eq!(touched, [ix]);
+        assert_eq!(touched, [job_index]);
         let before = counted.live.steps;
         counted.update(&shard, touched);
         let steps = counted.live.steps - before;
         assert!(
             steps <= 2 * 7 && steps * 1000 < all,
-            "job {ix}: {steps} steps of {all}"
+            "job {job_index}: {steps} steps of {all}"
         );
     }
     assert!(counted.is_consistent(&shard));
@@ -102,7 +102,7 @@
 /// The wait that a guarantee allows shrinks with what the node furthest below has of what it is due; in a flat tree,
 /// and for what nothing is due to, it stays as it is.
 #[test]
-fn the_furthest_below_has_the_earliest_deadline() {
+fn least_fulfilled_node_determines_the_fulfilled_share() {
     let gpus = |n: f64| [("gpus".to_owned(), n)].into();
     let node = |name: &str, parent, n| quota::NodeSpec {
         guarantee: gpus(n),
@@ -140,28 +140,28 @@
 
 /// An array is held task by task, a gang whole or not at all, and what is held below is held above.
 #[test]
-fn tasks_are_held_as_far_as_they_fit() {
+fn guarantee_levels_cover_tasks_as_far_as_they_fit() {
     let mut left = [share(10), share(6), share(3)];
     let two = takes(1.0, 2.0, 1.0);
-    assert_eq!(take_levels(&mut left, &two, 4, Kind::Array), [4, 3, 1]);
+    assert_eq!(allocate_levels(&mut left, &two, 4, Kind::Array), [4, 3, 1]);
     // 2, 0 and 1 GPUs are left.
     assert_eq!(
-        take_levels(&mut left, &takes(0.0, 1.0, 0.0), 2, Kind::Gang),
+        allocate_levels(&mut left, &takes(0.0, 1.0, 0.0), 2, Kind::Gang),
         [2, 0, 0]
     );
     assert_eq!(
-        take_levels(&mut left, &takes(0.0, 1.0, 0.0), 1, Kind::Service),
+        allocate_levels(&mut left, &takes(0.0, 1.0, 0.0), 1, Kind::Service),
         [1, 1, 1]
     );
     assert_eq!(
-        take_levels(&mut left, &takes(8.0, 0.0, 1.0), 9, Kind::Array),
+        allocate_levels(&mut left, &takes(8.0, 0.0, 1.0), 9, Kind::Array),
         [0, 0, 0],
         "nothing of it is guaranteed"
     );
     let levels = vec![4, 3, 1];
     assert_eq!(
         (0..5)
-            .map(|k| levels_holding(&levels, k))
+            .map(|k| covering_levels(&levels, k))
             .collect::<Vec<_>>(),
         [3, 2, 2, 1, 0]
     );
@@ -179,7 +179,7 @@
 
 /// GPU jobs of a team that has only processors guaranteed were never within its guarantee.
 #[test]
-fn a_guarantee_counts_by_the_resources_that_are_guaranteed() {
+fn only_guaranteed_resources_count_against_a_guarantee() {
     let teams = [
         team("cpus", 20.0, 0.0),
         team("gpus", 0.0, 4.0),
@@ -212,7 +212,7 @@
 
 /// A flat tree that repeats the settings, and no tree, hold the same jobs; so decisions are the same, one for one.
 #[test]
-fn a_flat_tree_holds_what_the_settings_do() {
+fn flat_tree_and_settings_give_the_same_entitlement() {
     let teams = [
         team("a", 20.0, 0.0),
         team("b", 0.3333, 4.0),
--- a/crates/control/src/scheduling/fair_share.rs
+++ b/crates/control/src/scheduling/fair_share.rs
@@ -20,7 +20,7 @@
 }
 
 /// Whether something on a team's path is guaranteed anything.
-fn may_be_held(tree: &Tree, team: TeamId) -> bool {
+fn may_have_guarantee(tree: &Tree, team: TeamId) -> bool {
     let leaf = &tree.leaves[team.0 as usize];
     let path = tree.path(team);
     path.is_empty()
@@ -30,10 +30,13 @@
 
 /// Teams on whose path nothing is guaranteed.
 pub(super) fn unguaranteed_teams(tree: &Tree, teams: &HashMap<&str, u16>) -> Vec<u16> {
-    let none = |name: &str| tree.team(name).is_some_and(|t| !may_be_held(tree, t));
+    let lacks_guarantee = |name: &str| {
+        tree.team(name)
+            .is_some_and(|t| !may_have_guarantee(tree, t))
+    };
     teams
         .iter()
-        .filter(|(name, _)| none(name))
+        .filter(|(name, _)| lacks_guarantee(name))
         .map(|(_, t)| *t)
         .collect()
 }
--- a/crates/control/src/scheduling/objectives/tests.rs
+++ b/crates/control/src/scheduling/objectives/tests.rs
@@ -4,7 +4,7 @@
 
 /// A gang that had missed one objective for good stood before those that could still keep it.
 #[test]
-fn the_first_objective_that_can_still_be_kept_counts() {
+fn earliest_objective_still_achievable_is_used() {
     let objective = |class: &str, within: f64| Objective {
         kind: "wait".into(),
         class: Some(class.into()),
--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -60,7 +60,7 @@
 }
 
 /// Names as dense indices, in the order of the settings.
-pub(super) fn index<'a>(names: impl Iterator<Item = &'a String>) -> HashMap<&'a str, u16> {
+pub(super) fn index_names<'a>(names: impl Iterator<Item = &'a String>) -> HashMap<&'a str, u16> {
     names
         .enumerate()
         .map(|(i, name)| (name.as_str(), i as u16))
@@ -127,7 +127,7 @@
     /// By job index, as the shard's jobs are.
     pub claimed_jobs: Vec<Option<ClaimedJob>>,
     /// By job index, claims that stay: they count as held before what waits.
-    pub staying: Vec<u32>,
+    pub continuing_claims: Vec<u32>,
     /// The planner's index of each machine that it is shown.
     pub machine_index: HashMap<usize, u32>,
     pub input: plan::Input,
@@ -154,7 +154,7 @@
             .iter()
             .map(|job| Some(ClaimedJob::of(job?, teams, classes, images)))
             .collect();
-        self.staying = vec![0; jobs.slots()];
+        self.continuing_claims = vec![0; jobs.slots()];
     }
 
     fn add_reservations(&mut self, tuning: &Tuning) {
@@ -187,7 +187,7 @@
         let Some(shard) = &mut self.shard else {
             return (input, PlanIndex::default());
         };
-        let teams = index(cluster.teams.iter().map(|team| &team.name));
+        let teams = index_names(cluster.teams.iter().map(|team| &team.name));
         let entitlement = entitlement::entitlement(shard, &cluster.teams, active.as_ref(), &teams);
         if let (Some(tree), Some((_, counted))) = (&tree, &shard.counted) {
             input.groups = fair_share::planner_groups(tree, &counted.live);
@@ -198,8 +198,8 @@
             .collect();
         let names = NameIndex {
             catalog,
-            types: index(catalog.types.iter().map(|t| &t.name)),
-            zones: index(cluster.zones.iter()),
+            types: index_names(catalog.types.iter().map(|t| &t.name)),
+            zones: index_names(cluster.zones.iter()),
             teams,
             unguaranteed_teams,
         };
@@ -213,7 +213,7 @@
             silent_ms,
             max_claims: ((record_bytes - MACHINE_RECORD_BYTES) / CLAIM_BYTES) as u32,
             claimed_jobs: Vec::new(),
-            staying: Vec::new(),
+            continuing_claims: Vec::new(),
             machine_index: HashMap::new(),
             input,
             index: PlanIndex::default(),
@@ -266,13 +266,13 @@
                 .get(team.name.as_str())
                 .map(|listed| (listed.cpus_max, listed.gpus_max));
             let whole_limits = is_whole.then_some((team.cpus_max, team.gpus_max));
-            let (cpus_max, gpus_max) = listed_limits.or(whole_limits).unwrap_or(NOTHING_ALLOWED);
+            let (cpus_max, gpus_max) = listed_limits.or(whole_limits).unwrap_or(NO_ALLOTMENT);
             plan::Team {
                 path: path.into_iter().map(|node| node.0 as u16).collect(),
                 cores_used: 0.0,
                 gpus_used: 0.0,
-                cores_max: limit(cpus_max),
-                gpus_max: limit(gpus_max),
+                cores_max: planner_limit(cpus_max),
+                gpus_max: planner_limit(gpus_max),
             }
         };
         self.settings
@@ -285,10 +285,10 @@
 }
 
 /// Limits of a team that nothing is allotted to, in the terms of the settings, where 0 is no limit.
-const NOTHING_ALLOWED: (f64, f64) = (-1.0, -1.0);
+const NO_ALLOTMENT: (f64, f64) = (-1.0, -1.0);
 
 /// A limit of the settings as the planner has it.
-fn limit(max: f64) -> f64 {
+fn planner_limit(max: f64) -> f64 {
     if max == 0.0 {
         f64::INFINITY
     } else {
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -12,8 +12,8 @@
 impl InputBuilder<'_> {
     pub(super) fn add_jobs(&mut self, scope: Scope) {
         let zone_of = self.zones_by_machine();
-        for ix in 0..self.shard.jobs.slots() {
-            self.add_job(ix, scope, &zone_of);
+        for job_index in 0..self.shard.jobs.slots() {
+            self.add_job(job_index, scope, &zone_of);
         }
     }
 
@@ -28,10 +28,10 @@
     }
 
     /// Adds a job's waiting tasks, if it has any in this scope: one planner's job for each level of guarantee.
-    fn add_job(&mut self, ix: JobIndex, scope: Scope, zone_of: &[Option<u16>]) {
+    fn add_job(&mut self, job_index: JobIndex, scope: Scope, zone_of: &[Option<u16>]) {
         let now = self.now;
         let shard = &mut *self.shard;
-        let Some(job) = shard.jobs.get(ix) else {
+        let Some(job) = shard.jobs.get(job_index) else {
             return;
         };
         let Some(spec) = &job.spec else { return };
@@ -52,7 +52,7 @@
             return;
         }
         let factor = shard.classes.get(&spec.class).map_or(1.0, Class::factor);
-        let like = plan::Job {
+        let template = plan::Job {
             arrival: -age_s,
             estimate: (spec.estimate_s * factor - job.progress_s).max(1.0),
             zones: tasks_by_zone(job, zone_of),
@@ -70,9 +70,9 @@
             all: self.objectives,
         };
         let nested = !self.input.groups.is_empty();
-        let parts = self
-            .entitlement
-            .waiting(ix, spec, self.staying[ix], pending);
+        let parts =
+            self.entitlement
+                .waiting(job_index, spec, self.continuing_claims[job_index], pending);
         for (k, (held, pending)) in parts.into_iter().enumerate() {
             // Where quotas nest, what is borrowed has its turn after all that is held, also if it is urgent.
             let is_due = held > 0 || !nested || is_old;
@@ -82,11 +82,11 @@
             let part = plan::Job {
                 pending,
                 held,
-                waits: like.waits && k == 0,
-                ..like.clone()
+                waits: template.waits && k == 0,
+                ..template.clone()
             };
-            let part = objectives.with_deadline(part, spec, &self.entitlement, ix);
-            self.index.jobs.push(ix);
+            let part = objectives.with_deadline(part, spec, &self.entitlement, job_index);
+            self.index.jobs.push(job_index);
             self.input.jobs.push(match &job.hour {
                 Some(hour) => hour.cap(part, spec, self.names.catalog, now.wall),
                 None => part,
--- a/crates/control/src/scheduling/plan_machines.rs
+++ b/crates/control/src/scheduling/plan_machines.rs
@@ -5,14 +5,14 @@
 use crate::jobs::job::Job;
 use wire::api::Kind;
 
-/// A machine or a task that is late is expected after this part of the time by which it is late, and [`LATE_S`] more.
-const LATE_SHARE: f64 = 0.5;
+/// A machine or a task that is late is expected after this part of the time by which it is late, and [`OVERDUE_MIN_S`] more.
+const OVERDUE_FACTOR: f64 = 0.5;
 /// The least further time that something late is expected to take, in seconds.
-const LATE_S: f64 = 5.0;
+const OVERDUE_MIN_S: f64 = 5.0;
 /// A task that was told to stop is expected to be gone after so many seconds.
-const STOPPING_S: f64 = 1.0;
+const EXPECTED_STOP_S: f64 = 1.0;
 /// A task that saves loses at most so many seconds of its run when it is stopped.
-const SAVED_LOSS_S: f64 = 2.0;
+const MAX_CHECKPOINT_LOSS_S: f64 = 2.0;
 
 impl InputBuilder<'_> {
     /// Counts all claims against their teams, wherever they are.
@@ -63,7 +63,7 @@
             let mut task = running_task(claim, job, known, now.mono);
             // What is on its way out holds no place any more.
             if !task.leaving {
-                let nth = &mut self.staying[claim.job];
+                let nth = &mut self.continuing_claims[claim.job];
                 task.held = self.entitlement.held(claim.job, *nth);
                 task.spared = is_spared(job, *nth, &self.input.aging, now.wall);
                 *nth += 1;
@@ -98,13 +98,13 @@
     plan::Running {
         need: job.need.into(),
         ends: if is_leaving {
-            STOPPING_S
+            EXPECTED_STOP_S
         } else {
             remaining_s(ran_s, known.expected_s)
         },
         priority: job.priority() as u8,
         lost: if known.checkpoint_s > 0.0 {
-            ran_s.min(SAVED_LOSS_S)
+            ran_s.min(MAX_CHECKPOINT_LOSS_S)
         } else {
             ran_s
         },
@@ -123,7 +123,7 @@
     if ran_s < expected_s {
         expected_s - ran_s
     } else {
-        (ran_s - expected_s) * LATE_SHARE + LATE_S
+        (ran_s - expected_s) * OVERDUE_FACTOR + OVERDUE_MIN_S
     }
 }
 
@@ -136,7 +136,7 @@
     if age_s < boot_s {
         boot_s - age_s + 1.0
     } else {
-        (age_s - boot_s) * LATE_SHARE + LATE_S
+        (age_s - boot_s) * OVERDUE_FACTOR + OVERDUE_MIN_S
     }
 }
 
--- a/crates/control/src/scheduling/quota_usage.rs
+++ b/crates/control/src/scheduling/quota_usage.rs
@@ -28,7 +28,7 @@
 }
 
 /// What a job adds to its team's counts: all open tasks, and all claims, wherever they are.
-fn counts(job: &Job, tree: &Tree) -> Option<(TeamId, Count)> {
+fn job_usage(job: &Job, tree: &Tree) -> Option<(TeamId, Count)> {
     let team = tree.team(&job.team)?;
     let need = takes(job.need.cores, job.need.gpus, job.need.mem_gb);
     let claims: usize = job.claimed.values().map(Vec::len).sum();
@@ -63,7 +63,7 @@
 
     pub(super) fn update(&mut self, shard: &Shard, touched: impl IntoIterator<Item = JobIndex>) {
         let mut teams: HashMap<TeamId, Count> = HashMap::new();
-        let mut shift = |live: &Live, team: TeamId, by: &Count, sign: i64| {
+        let mut add_to_team = |live: &Live, team: TeamId, by: &Count, sign: i64| {
             let count = teams.entry(team).or_insert_with(|| live.team(team));
             add(&mut count.demand, &by.demand, sign);
             add(&mut count.used, &by.used, sign);
@@ -71,7 +71,7 @@
         for job_index in touched {
             let after = shard
                 .job(job_index)
-                .and_then(|job| counts(job, self.live.tree()));
+                .and_then(|job| job_usage(job, self.live.tree()));
             let before = match after {
                 Some(after) => self.by_job.insert(job_index, after),
                 None => self.by_job.remove(&job_index),
@@ -79,10 +79,10 @@
             if before != after {
                 before
                     .iter()
-                    .for_each(|(team, count)| shift(&self.live, *team, count, -1));
+                    .for_each(|(team, count)| add_to_team(&self.live, *team, count, -1));
                 after
                     .iter()
-                    .for_each(|(team, count)| shift(&self.live, *team, count, 1));
+                    .for_each(|(team, count)| add_to_team(&self.live, *team, count, 1));
             }
         }
         for (team, count) in teams {
@@ -93,9 +93,9 @@
 
     /// Whether counting everything anew gives the same.
     pub(super) fn is_consistent(&self, shard: &Shard) -> bool {
-        let anew = Counted::new(shard, self.live.tree().clone());
+        let recounted = Counted::new(shard, self.live.tree().clone());
         (0..self.live.tree().leaves.len() as u32)
             .map(TeamId)
-            .all(|t| anew.live.team(t) == self.live.team(t))
+            .all(|t| recounted.live.team(t) == self.live.team(t))
     }
 }
--- a/crates/control/src/scheduling/reservations.rs
+++ b/crates/control/src/scheduling/reservations.rs
@@ -10,7 +10,7 @@
 use wire::settings::Objective;
 
 /// Images are taken to come no slower than this, in GB a second.
-const SLOWEST_FETCH: f64 = 0.01;
+const MIN_FETCH_GB_PER_S: f64 = 0.01;
 /// No more than this is expected of the square of a class's tasks per job.
 const MAX_TASKS_SQUARED: f64 = 40_000.0;
 
@@ -23,7 +23,7 @@
     tuning: &Tuning,
     wall: u64,
 ) -> Vec<plan::Reservation> {
-    let expected = Expected {
+    let context = ReservationContext {
         objectives,
         names,
         tuning,
@@ -34,21 +34,21 @@
     } = shard;
     let mut reservations: Vec<plan::Reservation> = classes
         .iter()
-        .filter_map(|(name, class)| expected.reservation(name, class, images))
+        .filter_map(|(name, class)| context.reservation(name, class, images))
         .collect();
     reservations.sort_by_key(|r| (std::cmp::Reverse(r.like.priority), r.like.image));
     reservations
 }
 
 /// What reservations are computed from, besides the classes of jobs.
-struct Expected<'a> {
+struct ReservationContext<'a> {
     objectives: &'a [Objective],
     names: &'a NameIndex<'a>,
     tuning: &'a Tuning,
     wall: u64,
 }
 
-impl Expected<'_> {
+impl ReservationContext<'_> {
     /// The capacity to reserve for a class, if any.
     fn reservation(
         &self,
@@ -80,7 +80,8 @@
 
     /// The least time until a rented machine of these types runs a task, in seconds.
     fn lead_s(&self, spec: &JobSpec, types: u64) -> Option<f64> {
-        let lead = |t: &MachineType| t.boot_s + spec.image_gb / t.fetch_gb_per_s.max(SLOWEST_FETCH);
+        let lead =
+            |t: &MachineType| t.boot_s + spec.image_gb / t.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
         self.names
             .catalog
             .types
--- a/crates/control/src/scheduling/scaling.rs
+++ b/crates/control/src/scheduling/scaling.rs
@@ -1,6 +1,6 @@
 //! Scaling of the fleet after a plan: which machines to rent and which to return.
 
-use super::plan_input::{Scope, index, total_of};
+use super::plan_input::{Scope, index_names, total_of};
 use super::planning::Planned;
 use crate::Node;
 use crate::agents::machine::Machine;
@@ -12,7 +12,7 @@
 /// The most machines that the cloud rents out in one call.
 const MAX_PER_CALL: u32 = 50;
 /// No more machines than this are on their way at once.
-const MAX_COMING: usize = 8000;
+const MAX_PENDING_MACHINES: usize = 8000;
 
 /// Machine type, zone, and whether it is a spot machine.
 type OfferName = (String, String, bool);
@@ -76,7 +76,7 @@
 
     /// Offers that may be rented now. The zone with fewest machines comes first, so that one zone's loss takes the
     /// least.
-    fn open(&self, shard: &Shard, now: u64) -> Vec<usize> {
+    fn rentable(&self, shard: &Shard, now: u64) -> Vec<usize> {
         let mut machines_in: HashMap<&str, u32> = HashMap::new();
         for machine in shard.machines.iter().flatten() {
             *machines_in.entry(machine.zone.as_str()).or_default() += 1;
@@ -84,14 +84,14 @@
         let is_refused = |name: &OfferName| shard.cloud_calls.is_refused(name, now);
         // A new machine in a zone that can't be heard is paid for nothing.
         let is_cut_off = |name: &OfferName| shard.zones.is_cut(&name.1);
-        let mut open: Vec<usize> = (0..self.names.len())
+        let mut rentable: Vec<usize> = (0..self.names.len())
             .filter(|i| !is_refused(&self.names[*i]) && !is_cut_off(&self.names[*i]))
             .collect();
-        open.sort_by_key(|i| {
+        rentable.sort_by_key(|i| {
             let zone = self.names[*i].1.as_str();
             machines_in.get(zone).copied().unwrap_or(0)
         });
-        open
+        rentable
     }
 }
 
@@ -131,7 +131,7 @@
     /// Rents the machines that waiting tasks and reservations lack.
     fn scale_out(&mut self, planned: &Planned, catalog: &Catalog) {
         let now = self.now.mono;
-        let zones = index(self.settings.cluster.zones.iter());
+        let zones = index_names(self.settings.cluster.zones.iter());
         let Some(shard) = &mut self.shard else { return };
         // Records first: what is still to be written down would be rented twice.
         let mut rentals = shard.rentals.values();
@@ -141,19 +141,19 @@
         shard.plan_triggers.rentals_considered(now);
         let offers = Offers::of(catalog, &zones);
         let coming = offers.coming(shard);
-        let open = offers.open(shard, now);
-        let open_offers: Vec<plan::MachineOffer> =
-            open.iter().map(|i| offers.offers[*i].clone()).collect();
+        let rentable = offers.rentable(shard, now);
+        let rentable_offers: Vec<plan::MachineOffer> =
+            rentable.iter().map(|i| offers.offers[*i].clone()).collect();
         let requests = plan::scale_out(&plan::ScaleOutInput {
             input: &planned.input,
             output: &planned.output,
-            offers: &open_offers,
+            offers: &rentable_offers,
             coming: &coming,
             horizon: self.tuning.horizon_s,
-            max_machines: MAX_COMING,
+            max_machines: MAX_PENDING_MACHINES,
         });
         for request in requests {
-            self.rent(&offers.names[open[request.offer]], request.count);
+            self.rent(&offers.names[rentable[request.offer]], request.count);
         }
     }
 
--- a/crates/control/src/scheduling/urgent.rs
+++ b/crates/control/src/scheduling/urgent.rs
@@ -5,9 +5,9 @@
 use wire::api::{JobSpec, Kind, Priority};
 
 /// Urgent plans are at least this far apart, in milliseconds.
-const MIN_PAUSE_MS: u64 = 150;
+const MIN_INTERVAL_MS: u64 = 150;
 /// While they bring nothing, up to this far.
-const MAX_PAUSE_MS: u64 = 1000;
+const MAX_INTERVAL_MS: u64 = 1000;
 
 /// Whether a job is placed as it arrives. Services run for long, and can wait for a full plan.
 pub(crate) fn is_urgent(spec: &JobSpec) -> bool {
@@ -17,17 +17,17 @@
 /// When the next urgent plan is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Urgent {
-    waits: bool,
+    has_waiting: bool,
     planned_at: u64,
-    pause_ms: u64,
+    interval_ms: u64,
 }
 
 impl Default for Urgent {
     fn default() -> Self {
         Urgent {
-            waits: false,
+            has_waiting: false,
             planned_at: 0,
-            pause_ms: MIN_PAUSE_MS,
+            interval_ms: MIN_INTERVAL_MS,
         }
     }
 }
@@ -36,25 +36,25 @@
     /// A job has come.
     pub fn arrived(&mut self, spec: &JobSpec) {
         if is_urgent(spec) {
-            self.waits = true;
-            self.pause_ms = MIN_PAUSE_MS;
+            self.has_waiting = true;
+            self.interval_ms = MIN_INTERVAL_MS;
         }
     }
 
     /// Whether a plan is due, of a node that keeps this pace.
     pub fn is_due(&self, now: u64, plan_pacing: &PlanPacing) -> bool {
-        self.waits && now >= self.planned_at + plan_pacing.interval(self.pause_ms)
+        self.has_waiting && now >= self.planned_at + plan_pacing.interval(self.interval_ms)
     }
 
     /// A plan that had urgent work in it, or none: whether some still waits, and whether it made progress. Plans that bring
     /// nothing come ever less often, so that what fits nowhere takes no time from others.
     pub fn planned(&mut self, now: u64, still_waits: bool, made_progress: bool) {
         self.planned_at = now;
-        self.waits = still_waits;
-        self.pause_ms = if made_progress {
-            MIN_PAUSE_MS
+        self.has_waiting = still_waits;
+        self.interval_ms = if made_progress {
+            MIN_INTERVAL_MS
         } else {
-            (self.pause_ms * 2).min(MAX_PAUSE_MS)
+            (self.interval_ms * 2).min(MAX_INTERVAL_MS)
         };
     }
 }
