--- a/crates/control/src/agents/commands.rs
+++ b/crates/control/src/agents/commands.rs
@@ -54,7 +54,8 @@
         self.send_command(m, addr, body, DIRECT_TIMEOUT_MS, what);
     }
 
-    /// Decodes the heartbeat in a worker's response to a command. A worker that rejects the command (409) sends one too.
+    /// Decodes the heartbeat in a worker's response to a command. A worker that rejects the command (409) sends one
+    /// too.
     fn command_heartbeat(&mut self, response: Option<Response>) -> Option<Heartbeat> {
         let response = response.filter(|r| r.status == 200 || r.status == 409)?;
         self.read("worker", &response)
--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -121,12 +121,13 @@
     pub unacknowledged_start: Option<(u64, u64)>,
     /// Its worker has been heard by this leader.
     pub up: bool,
-    /// Set while the only evidence for the machine is a heartbeat with this token, which may be a delayed copy of an old
-    /// one. The machine gets no tasks until its worker has responded to this leader.
+    /// Set while the only evidence for the machine is a heartbeat with this token, which may be a delayed copy of an
+    /// old one. The machine gets no tasks until its worker has responded to this leader.
     pub unconfirmed_token: Option<u64>,
     /// When its worker was last heard, by a heartbeat or a response to a command.
     pub heard_at: u64,
-    /// When the last heartbeat arrived, directly or through a peer. Responses to commands don't count: they renew no lease.
+    /// When the last heartbeat arrived, directly or through a peer. Responses to commands don't count: they renew no
+    /// lease.
     pub heartbeat_at: u64,
     /// Agent epoch and sequence number of the newest message.
     pub seen: (u64, u64),
--- a/crates/control/src/agents/orders.rs
+++ b/crates/control/src/agents/orders.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// Builds the stop order for a started task unless one was sent lately. While the task saves, the order is repeated only
-/// if the grace period is 0.
+/// Builds the stop order for a started task unless one was sent lately. While the task saves, the order is repeated
+/// only if the grace period is 0.
 fn stop_if_due(claim: &mut Claim, job: &Job, grace_s: f64, now: u64) -> Option<Order> {
     let is_told = claim
         .stop_sent
@@ -60,7 +60,8 @@
 }
 
 impl Shard {
-    /// Reap orders for the exited tasks that the worker may forget: those without a claim whose result is recorded.
+    /// Reap orders for the exited tasks that the worker may forget: those without a claim whose success, if any,
+    /// is recorded.
     fn reaps(&self, m: usize) -> Vec<Order> {
         let Some(machine) = self.machine(m) else {
             return Vec::new();
@@ -135,8 +136,8 @@
         orders
     }
 
-    /// The only orders in a probe, or from a leader whose lease may have expired: stops for the tasks of cancelled jobs.
-    /// A cancellation is never undone, and no worker's lease may be renewed without delivering it.
+    /// The only orders in a probe, or from a leader whose lease may have expired: stops for the tasks of cancelled
+    /// jobs. A cancellation is never undone, and no worker's lease may be renewed without delivering it.
     pub(crate) fn last_orders(&self, m: usize) -> Vec<Order> {
         let Some(shard) = &self.shard else {
             return Vec::new();
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -15,7 +15,7 @@
 
 /// A job whose tasks failed on this many machines, and succeeded on none, is itself taken to be the cause.
 const FAILING_JOB_MACHINES: usize = 3;
-/// The first backoff of such a job, doubled with each failure up to [`FAILING_JOB_DOUBLINGS`] times.
+/// The base backoff of such a job, doubled with each failure up to [`FAILING_JOB_DOUBLINGS`] times.
 const FAILING_JOB_BACKOFF_MS: u64 = 1000;
 const FAILING_JOB_DOUBLINGS: u32 = 5;
 const MAX_BACKOFF_MS: u64 = 30_000;
@@ -296,7 +296,8 @@
     known.map(|t| t.cache_gb)
 }
 
-/// The class of a job and the ratio of its task's run time to the estimate, if the run is representative of later tasks.
+/// The class of a job and the ratio of its task's run time to the estimate, if the run is representative of later
+/// tasks.
 fn measured_ratio(job: &Job, claim: &Claim, now: u64) -> Option<(String, f64)> {
     let spec = job.spec.as_ref()?;
     let ran_s = claim.ran_s(now)?;
@@ -362,8 +363,8 @@
 }
 
 impl Node {
-    /// Applies a heartbeat to the machine, its claims and their jobs, unless a newer one was seen. Returns true if it is
-    /// the newest.
+    /// Applies a heartbeat to the machine, its claims and their jobs, unless a newer one was seen. Returns true if it
+    /// is the newest.
     pub(crate) fn reconcile(&mut self, m: usize, heartbeat: &Heartbeat) -> bool {
         let now = self.now.mono;
         let catalog = self.shared.catalog.as_ref();
@@ -462,8 +463,8 @@
         }
     }
 
-    /// Drains a machine that the cloud is about to reclaim: stops the tasks that can save, that have not begun to run or
-    /// that would not end in time, so that they can start elsewhere.
+    /// Drains a machine that the cloud is about to reclaim: stops the tasks that can save, that have not begun to run
+    /// or that would not end in time, so that they can start elsewhere.
     fn drain_for_notice(&mut self, m: usize) {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -95,7 +95,8 @@
     }
 
     /// Whether the leader is slow but reachable: heartbeats are spread, its status messages arrive, and it has just
-    /// not accepted a batch, usually by a timeout. Workers redirected to it then would all connect at once and slow it further.
+    /// not accepted a batch, usually by a timeout. Workers redirected to it then would all connect at once and slow
+    /// it further.
     pub(crate) fn leader_is_slow(&self) -> bool {
         let is_heard = |peer| self.is_heard(peer);
         self.is_spread()
@@ -164,7 +165,8 @@
         }
     }
 
-    /// Handles a batch of heartbeats from a peer. Each one is accepted or rejected on its own; an empty body rejects it.
+    /// Handles a batch of heartbeats from a peer. Each one is accepted or rejected on its own; an empty body rejects
+    /// it.
     pub(crate) fn relayed_heartbeats_received(
         &mut self,
         conn: u64,
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -23,7 +23,7 @@
     avoided: false,
 };
 const UNSEEN_TOKEN: u64 = 0;
-/// Spreading stops when the machines fall below this share of the number that starts it, to avoid flapping.
+/// Hysteresis: spreading stops when the machines fall to this share of the number that starts it.
 const SPREAD_STOP_SHARE: f64 = 0.8;
 
 /// Whether heartbeats are spread over all controllers, as far as this one knows.
