--- a/crates/control/src/scheduling/apply_plan.rs
+++ b/crates/control/src/scheduling/apply_plan.rs
@@ -1,4 +1,4 @@
-//! Carries out a plan's decisions about tasks: starts, preemptions, and gangs that are stopped whole.
+//! Applies a plan's decisions about tasks: starts, and preemptions of single tasks and of whole gangs.
 
 use super::planning::Planned;
 use crate::Node;
@@ -8,12 +8,12 @@
 use std::collections::HashMap;
 use wire::api::{JobSpec, Kind};
 
-/// A saving task is given this many times the time that it says saving takes, and [`GRACE_MARGIN_S`] more.
+/// The grace period is this multiple of the job's declared saving time, plus [`GRACE_MARGIN_S`].
 const GRACE_FACTOR: f64 = 1.2;
-/// Time for the order to stop and its answer, in seconds.
+/// Time for delivering the stop order and its response, in seconds.
 const GRACE_MARGIN_S: f64 = 1.0;
 
-/// The time that a stopped task is given to save, if it can.
+/// The grace period in which a stopped task may save; 0 if it can't.
 pub(crate) fn grace(spec: &JobSpec) -> f64 {
     if spec.checkpoint_s > 0.0 {
         spec.save_s * GRACE_FACTOR + GRACE_MARGIN_S
@@ -23,7 +23,7 @@
 }
 
 impl Node {
-    /// Claims the places that a plan gives to waiting tasks, with one attempt for each job.
+    /// Creates claims for the tasks that a plan starts, with one attempt number for each job.
     pub(super) fn apply_starts(&mut self, planned: &Planned) {
         let mut attempts: HashMap<u32, u64> = HashMap::new();
         for start in &planned.output.starts {
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Stops what a plan preempts. Right after a failover most machines have not been heard of yet, and the room on
-    /// them is not seen. Heartbeats come a quarter late at times.
+    /// Stops what a plan preempts, except right after a failover: most machines have not sent a heartbeat yet, so their
+    /// free room is unknown. Heartbeats are late by up to a quarter of the interval at times.
     pub(super) fn apply_preemptions(&mut self, planned: &Planned) {
         let Some(shard) = &self.shard else { return };
         if self.now.mono < shard.since + self.heartbeat_interval_ms() * 5 / 4 {
@@ -54,13 +54,13 @@
         }
     }
 
-    /// The time between two heartbeats of a machine.
+    /// The interval between a machine's heartbeats.
     pub(super) fn heartbeat_interval_ms(&self) -> u64 {
         (self.settings.cluster.workers.report_s * 1000.0) as u64
     }
 
-    /// Claims places for a job's tasks; they are sent once recorded. One attempt for all: by it the tasks of a
-    /// gang find each other.
+    /// Creates claims for tasks of a job; their starts are sent once the claims are recorded. All have the same attempt
+    /// number, by which the tasks of a gang find each other.
     fn start(&mut self, job_index: JobIndex, machine_index: usize, count: u32, attempt: u64) {
         let Some(shard) = &mut self.shard else { return };
         for _ in 0..count {
@@ -96,7 +96,7 @@
         self.to_write = true;
     }
 
-    /// Stops a gang that runs beyond its team's guarantee, with the time to save.
+    /// Stops a gang that runs beyond its team's guarantee, with a grace period to save.
     fn preempt_gang(&mut self, job_index: JobIndex) {
         let Some(job) = self.shard.as_ref().and_then(|shard| shard.job(job_index)) else {
             return;
@@ -106,12 +106,12 @@
         let Some((machine, _)) = job.claimed.values().flatten().next().copied() else {
             return;
         };
-        log::info!("job {}: stopped to give another team its guarantee", job.id);
+        log::info!("job {}: preempted for another team's guarantee", job.id);
         self.stats.preempts += u64::from(job.tasks);
         self.stop_on_machine(job_index, machine, grace);
     }
 
-    /// Stops the task of one claim, with the time to save.
+    /// Stops the task of one claim, with a grace period to save.
     fn preempt(&mut self, machine_index: usize, claim_index: usize) {
         let Some(shard) = &mut self.shard else { return };
         let Some(machine) = shard.machine(machine_index) else {
@@ -125,7 +125,7 @@
         };
         let grace = job.spec.as_deref().map_or(0.0, grace);
         log::info!(
-            "task {}/{} on {}: stopped to make room",
+            "task {}/{} on {}: preempted to make room",
             job.id,
             claim.task,
             machine.name
--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -1,5 +1,7 @@
-//! Entitlement: how far guarantees hold each job. Where quotas nest, a job may be held by its team's own guarantee, by what
-//! its siblings leave of their common parent's, by what others leave of the root's, and so on up.
+//! Entitlement: how many levels of guarantees cover each job's tasks. In nested quotas a task may be covered by its
+//! team's own guarantee, by what sibling teams leave of their parent's guarantee, and so on up to the root's.
+//!
+//! A task that guarantees cover is called held, as in [`plan::Job::held`].
 
 use super::fair_share::fulfilled_share;
 use super::quota_usage::open_tasks;
@@ -15,16 +17,17 @@
 #[cfg(test)]
 mod tests;
 
-/// How far guarantees hold what there is: by the team's own alone, or by those of the nodes above it too.
+/// The guarantees that cover the open jobs: the team's own alone in flat quotas, those of the nodes above it too in
+/// nested ones.
 pub(crate) struct Entitlement {
     flat: HashSet<JobIndex>,
     nested: HashMap<JobIndex, Levels>,
-    /// By team, as far as quotas nest: how much of what its nodes are due is used.
+    /// By team, in nested quotas: the share of its due guarantee that its least fulfilled node uses.
     pub fulfilled: HashMap<u16, f64>,
 }
 
 impl Entitlement {
-    /// Guarantees of the teams alone.
+    /// An entitlement by the teams' own guarantees alone.
     fn flat(flat: HashSet<JobIndex>) -> Self {
         Entitlement {
             flat,
@@ -33,12 +36,12 @@
         }
     }
 
-    /// Whether a job's team hangs below a node.
+    /// Whether a job's team is below a node of the quota tree.
     pub fn is_nested(&self, job: JobIndex) -> bool {
         self.nested.contains_key(&job)
     }
 
-    /// Levels that hold the task that is the `k`th of a job.
+    /// The number of levels that hold the `k`th task of a job.
     pub fn held(&self, job: JobIndex, k: u32) -> u8 {
         match self.nested.get(&job) {
             Some(levels) => covering_levels(levels, k),
@@ -46,8 +49,8 @@
         }
     }
 
-    /// The job's waiting tasks by the levels that hold them, when so many are claimed; one entry for all that must
-    /// not be parted.
+    /// A job's waiting tasks by the number of levels that hold them, given how many are claimed. Tasks that must be
+    /// planned together get a single entry.
     pub fn waiting(
         &self,
         job_index: JobIndex,
@@ -64,7 +67,7 @@
             let held = self.held(job_index, k);
             match out.last_mut() {
                 Some((same, n)) if *same == held => *n += 1,
-                // What is held least comes last: the rest is all alike.
+                // The number of levels never rises with `k`, so no later task is held either.
                 _ if held == 0 => {
                     out.push((0, claimed + pending - k));
                     break;
@@ -76,16 +79,16 @@
     }
 }
 
-/// How many tasks of a job are held on at least one, two, ... levels, from the root down; the first is the largest.
+/// How many tasks of a job are held on at least one, two, ... levels, counted from the root. Never increasing.
 type Levels = Vec<u32>;
 
-/// How many levels hold the task that is the `k`th of its job, those that run first.
+/// How many levels hold the `k`th task of a job, where running tasks come first.
 fn covering_levels(levels: &Levels, k: u32) -> u8 {
     levels.iter().take_while(|n| **n > k).count() as u8
 }
 
-/// The jobs of teams below some node, each with how far its tasks are held. The earlier accepted come first, and an
-/// array is held task by task.
+/// The levels of the jobs whose teams are below a node. `open` is in the order of acceptance: earlier jobs take their
+/// share of a guarantee first.
 fn nested_levels(
     shard: &Shard,
     open: &[(JobIndex, &JobSpec)],
@@ -120,7 +123,8 @@
     out
 }
 
-/// Takes a job's tasks out of what its team is entitled to on each level, as far as they fit.
+/// Deducts a job's tasks from what its team is entitled to on each level, as far as they fit. Tasks of an array are
+/// counted one by one, those of other jobs all or none.
 fn allocate_levels(left: &mut [Share], need: &Amount, tasks: u32, kind: Kind) -> Levels {
     let mut levels = vec![0; left.len()];
     let mut deeper = 0;
@@ -131,13 +135,13 @@
             .map(|r| share[r].unwrap_or(0).max(0) / need[r])
             .min();
         let fits = fits.unwrap_or(0).min(i64::from(tasks)) as u32;
-        // Half a gang is of no use; nor is half a service.
+        // Part of a gang or a service is of no use.
         let fits = if kind == Kind::Array || fits == tasks {
             fits
         } else {
             0
         };
-        // What a deeper level holds, this one does.
+        // A task that a deeper level holds is held on this one too.
         deeper = fits.max(deeper);
         levels[at] = deeper;
         for r in 0..MAX_RESOURCES {
@@ -149,7 +153,7 @@
     levels
 }
 
-/// Jobs that have not ended, the earlier accepted first.
+/// Jobs that have not ended, in the order of acceptance.
 fn open_jobs(shard: &Shard) -> Vec<(JobIndex, &JobSpec)> {
     let mut open: Vec<(u64, JobIndex, &JobSpec)> = Vec::new();
     for (job_index, job) in shard.jobs.iter().enumerate() {
@@ -174,12 +178,12 @@
 }
 
 impl RemainingGuarantee<'_> {
-    /// Takes so many tasks out of the guarantee, also beyond it; whether they fitted.
+    /// Deducts tasks from the guarantee, even beyond it. Returns whether they fit.
     fn take(&mut self, spec: &JobSpec, tasks: f64) -> bool {
         self.cpus -= spec.cores * tasks;
         self.gpus -= spec.gpus * tasks;
-        // A team that has one resource guaranteed has its jobs counted by that one, whatever else they take; one
-        // that takes none of what is guaranteed has no guarantee.
+        // Only resources that the team is guaranteed count, whatever else its jobs use. A job that uses none of them
+        // is not covered.
         let is_counted = |guaranteed: f64, need: f64| guaranteed > 0.0 && need > 0.0;
         let by_cpus = is_counted(self.team.cpus, spec.cores);
         let by_gpus = is_counted(self.team.gpus, spec.gpus);
@@ -189,10 +193,10 @@
     }
 }
 
-/// Sums of amounts are off by no more than this.
+/// Upper bound of the rounding error in sums of amounts.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Open jobs that fit into their team's guarantee together with the team's earlier ones.
+/// Open jobs that fit into their team's own guarantee together with the team's earlier ones.
 fn within_guarantee(
     shard: &Shard,
     open: &[(JobIndex, &JobSpec)],
@@ -221,7 +225,7 @@
     within
 }
 
-/// How far guarantees hold all open jobs. Brings the tree's counts up to date on the way.
+/// Computes the entitlement of all open jobs, and updates the usage counts of the quota tree.
 pub(super) fn entitlement(
     shard: &mut Shard,
     teams: &[Team],
@@ -247,7 +251,7 @@
     };
     debug_assert!(
         counted.is_consistent(shard),
-        "a job was changed that plans did not hear of"
+        "a job changed without being marked as touched"
     );
     let open = open_jobs(shard);
     let entitlement = Entitlement {
@@ -259,7 +263,7 @@
     entitlement
 }
 
-/// Of each team below a node, how much of what its nodes are due is used.
+/// For each team below a node, the share of its due guarantee that its least fulfilled node uses.
 fn fulfilled_by_team(
     tree: &Tree,
     live: &Live,
@@ -275,7 +279,7 @@
         .collect()
 }
 
-/// The teams of the settings, with the smaller guarantees that a tree may give them.
+/// The teams of the settings, with the smaller guarantees that the quota tree may set for them.
 fn override_guarantees(teams: &[Team], active: &ActiveTree) -> Vec<Team> {
     let own = active
         .spec
--- a/crates/control/src/scheduling/entitlement/tests.rs
+++ b/crates/control/src/scheduling/entitlement/tests.rs
@@ -1,4 +1,5 @@
-//! Which jobs guarantees hold, in flat and in nested quotas.
+//! Which tasks guarantees cover, in flat and nested quotas.
+
 use super::*;
 use crate::jobs::job::Job;
 use quota::{Tree, amount};
@@ -37,12 +38,12 @@
     out
 }
 
-/// 100,000 jobs of 10,000 teams on six levels: a start or an end costs steps on its own path, not on the others'.
+/// With 100,000 jobs of 10,000 teams on six levels, a start costs steps only on the path of its own team.
 #[test]
 fn quota_update_costs_steps_only_on_the_path_of_the_changed_job() {
     let mut spec_of_tree = quota::Spec::default();
     for i in 0..1111u32 {
-        // Ten below each: levels of 1, 10, 100 and 1,000, and the last with a thin path of two more.
+        // Ten children each: levels of 1, 10, 100 and 1,000 nodes, and below the last node one more with its teams.
         let parent = (i > 0).then(|| format!("n{}", (i - 1) / 10));
         spec_of_tree
             .nodes
@@ -99,8 +100,8 @@
     );
 }
 
-/// The wait that a guarantee allows shrinks with what the node furthest below has of what it is due; in a flat tree,
-/// and for what nothing is due to, it stays as it is.
+/// The wait objective of a guarantee is scaled by the share of its due guarantee that the least fulfilled node uses.
+/// In a flat tree, and where nothing is due, the share is 1.
 #[test]
 fn least_fulfilled_node_determines_the_fulfilled_share() {
     let gpus = |n: f64| [("gpus".to_owned(), n)].into();
@@ -126,7 +127,7 @@
         live.set_demand(TeamId(team), at(demand));
         live.set_used(TeamId(team), at(used));
     }
-    // Desk a has 2 of 10, desk b 8 of 10, the house 10 of 20.
+    // Node a uses 2 of 10, node b 8 of 10, and their parent 10 of 20.
     assert_eq!(
         [0, 1, 2].map(|t| fulfilled_share(&live, TeamId(t))),
         [0.2, 0.5, 1.0]
@@ -138,7 +139,7 @@
     assert_eq!(fulfilled_share(&live, TeamId(1)), 1.0, "nothing is due");
 }
 
-/// An array is held task by task, a gang whole or not at all, and what is held below is held above.
+/// Arrays are covered task by task, gangs all or nothing, and tasks covered on a level are covered on those above.
 #[test]
 fn guarantee_levels_cover_tasks_as_far_as_they_fit() {
     let mut left = [share(10), share(6), share(3)];
@@ -177,7 +178,8 @@
     }
 }
 
-/// GPU jobs of a team that has only processors guaranteed were never within its guarantee.
+/// Guards against counting resources that are not guaranteed: GPU jobs of a team that is guaranteed only CPUs were
+/// never within its guarantee.
 #[test]
 fn only_guaranteed_resources_count_against_a_guarantee() {
     let teams = [
@@ -193,9 +195,9 @@
     );
     let jobs = [
         ("cpus", 3, 6.0, 1.0, true), // 18 of 20 CPUs, though no GPU is guaranteed.
-        ("cpus", 1, 6.0, 0.0, false), // Past them, with the job before.
+        ("cpus", 1, 6.0, 0.0, false), // Beyond the guarantee together with the job before.
         ("gpus", 4, 60.0, 1.0, true), // The CPUs do not count.
-        ("gpus", 1, 1.0, 0.0, false), // Takes nothing of what is guaranteed.
+        ("gpus", 1, 1.0, 0.0, false), // Uses none of the guaranteed resources.
         ("both", 4, 2.0, 1.0, true), // Fits in both.
         ("both", 1, 2.0, 1.0, false), // No GPU is left.
         ("none", 1, 1.0, 0.0, false), // An unknown team.
@@ -210,7 +212,7 @@
     }
 }
 
-/// A flat tree that repeats the settings, and no tree, hold the same jobs; so decisions are the same, one for one.
+/// A flat tree with the guarantees of the settings covers the same jobs as no tree, so that plans are identical.
 #[test]
 fn flat_tree_and_settings_give_the_same_entitlement() {
     let teams = [
--- a/crates/control/src/scheduling/fair_share.rs
+++ b/crates/control/src/scheduling/fair_share.rs
@@ -1,10 +1,10 @@
-//! Fair share in the quota tree: how much of what a team is due it has, and the tree as the planner sees it.
+//! Fair share in the quota tree: how much of its due guarantee a team uses, and the tree in the planner's form.
 
 use quota::{Amount, Live, MAX_RESOURCES, NOTHING, TeamId, Tree};
 use std::collections::HashMap;
 
-/// How much of what the nodes above a team are entitled to is used: that of the node furthest below, at most 1. The
-/// wait that a guarantee allows shrinks with it, so that who is furthest below has the earliest deadline.
+/// The used share of the guarantee that is due to a node above the team, for the least fulfilled of them; at most 1.
+/// The wait objective of guaranteed work is scaled by it, so that the least fulfilled team has the earliest deadline.
 pub(super) fn fulfilled_share(live: &Live, team: TeamId) -> f64 {
     let tree = live.tree();
     let node = |n: &quota::NodeId| {
@@ -19,7 +19,8 @@
     tree.path(team).iter().filter_map(node).fold(1.0, f64::min)
 }
 
-/// Whether something on a team's path is guaranteed anything.
+/// Whether the team or the root of its path has a guarantee. A team outside any node counts as having
+/// one.
 fn may_have_guarantee(tree: &Tree, team: TeamId) -> bool {
     let leaf = &tree.leaves[team.0 as usize];
     let path = tree.path(team);
@@ -28,7 +29,7 @@
         || tree.nodes[path[0].0 as usize].guarantee != NOTHING
 }
 
-/// Teams on whose path nothing is guaranteed.
+/// Teams without a guarantee of their own or at the root of their path.
 pub(super) fn unguaranteed_teams(tree: &Tree, teams: &HashMap<&str, u16>) -> Vec<u16> {
     let lacks_guarantee = |name: &str| {
         tree.team(name)
@@ -41,7 +42,7 @@
         .collect()
 }
 
-/// The tree's nodes as the planner knows them; all claims below one count against its bound.
+/// The tree's nodes as groups of the planner. All claims below a node count against its maximum.
 pub(super) fn planner_groups(tree: &Tree, live: &Live) -> Vec<plan::Group> {
     let units = |v: i64| {
         if v == quota::UNBOUNDED {
--- a/crates/control/src/scheduling/mod.rs
+++ b/crates/control/src/scheduling/mod.rs
@@ -1,4 +1,5 @@
-//! Scheduling: the planner's input, what follows from its plan, urgent placement and quota entitlement.
+//! Scheduling: builds the planner's input and applies its output, including urgent placement, scaling and quota
+//! entitlement. The planner itself is the `plan` crate.
 
 pub(crate) mod apply_plan;
 pub(crate) mod entitlement;
--- a/crates/control/src/scheduling/objectives.rs
+++ b/crates/control/src/scheduling/objectives.rs
@@ -1,4 +1,4 @@
-//! Service-level objectives as deadlines of the jobs that they cover.
+//! Turns service-level objectives into deadlines of the jobs that they cover.
 
 use crate::jobs::job::JobIndex;
 use crate::scheduling::entitlement::Entitlement;
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-/// How soon jobs of a class are expected to start, by each objective for it.
+/// The wait objectives of a class, in seconds.
 pub(super) fn wait_objectives<'a>(
     objectives: &'a [Objective],
     class: &'a str,
@@ -19,7 +19,7 @@
     own.filter_map(|o| o.within_s)
 }
 
-/// How soon work within a guarantee is expected to start.
+/// The strictest wait objective for work within a guarantee, in seconds.
 pub(super) fn guarantee_objective(objectives: &[Objective]) -> Option<f64> {
     objectives
         .iter()
@@ -28,7 +28,7 @@
         .reduce(f64::min)
 }
 
-/// How soon after its arrival a job that has waited for `age_s` should start: the first objective that can still be kept.
+/// The wait objective to plan for, in seconds after arrival: the earliest that a job of age `age_s` can still meet.
 fn wait_target(
     objectives: &[Objective],
     class: &str,
@@ -41,14 +41,14 @@
         .reduce(f64::min)
 }
 
-/// What users were told to expect.
+/// The service-level objectives of the cluster's settings.
 pub(super) struct Objectives<'a> {
     pub all: &'a [Objective],
 }
 
 impl Objectives<'_> {
-    /// What users were told to expect is a deadline too: the first that can still be kept. Who is furthest below what
-    /// it is due by the tree has the earliest of those alike.
+    /// Sets the deadline of a job: the earlier of its own and the first objective that can still be met. For guaranteed
+    /// work, the objective is scaled by the fulfilled share, so that the least fulfilled team goes first.
     pub fn with_deadline(
         &self,
         job: plan::Job,
@@ -62,12 +62,12 @@
             .map(|within| within * share);
         let target = match spec.kind {
             Kind::Gang => wait_target(self.all, &spec.class, guaranteed, -job.arrival),
-            // An array starts task by task: what is left of it is no less promised for being late.
+            // An array starts task by task: its remaining tasks keep the objective even if it was missed.
             _ => guaranteed,
         };
         let target = target.map(|within| within + job.estimate);
         let due = spec.deadline_s.into_iter().chain(target).reduce(f64::min);
-        // What a tree entitles to stays due, also when the wait that users were told is over.
+        // With nested quotas, work within a guarantee stays due even after the wait objective was missed.
         let promised = if entitlement.is_nested(job_index) {
             job.held > 0
         } else {
--- a/crates/control/src/scheduling/objectives/tests.rs
+++ b/crates/control/src/scheduling/objectives/tests.rs
@@ -1,8 +1,8 @@
-//! The deadline of a job by the objectives that cover it.
+//! Deadlines by objectives.
 
 use super::*;
 
-/// A gang that had missed one objective for good stood before those that could still keep it.
+/// Guards against a gang that has already missed an objective going before those that can still meet it.
 #[test]
 fn earliest_objective_still_achievable_is_used() {
     let objective = |class: &str, within: f64| Objective {
--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -1,4 +1,4 @@
-//! What the planner is shown: parameters, teams and quotas, and the index by which its answers are read. Machines are
+//! Builds the planner's input: parameters, teams and quotas, and the index that maps its output back. Machines are
 //! added by `plan_machines`, jobs by `plan_jobs`.
 
 use super::reservations::reservations;
@@ -14,24 +14,24 @@
 use wire::records::TeamAllotment;
 use wire::settings::{Objective, Team};
 
-/// Steps of a plan that a whole core may spend; with a share of a core it is that share.
+/// Bound on a plan's steps with one core; it scales with the cores of the node's limits.
 const STEPS_PER_CORE: f64 = 4e6;
-/// Run time of a task that nothing is known of, in seconds.
+/// Expected run time of a task whose job's spec is unknown, in seconds.
 const UNKNOWN_RUN_S: f64 = 60.0;
-/// What a machine's record takes in the state service besides its claims, in bytes.
+/// Size of a machine's record in the state service without its claims, in bytes.
 const MACHINE_RECORD_BYTES: f64 = 600.0;
-/// What each claim adds to it, in bytes.
+/// Size that each claim adds to the record, in bytes.
 const CLAIM_BYTES: f64 = 40.0;
 
 /// The jobs that a plan covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Scope {
     All,
-    /// Urgent jobs, and those that have waited so long that they go before all others.
+    /// Urgent jobs, and others except services that have waited longer than the tuning value `wait_s`.
     Urgent,
 }
 
-/// Maps the planner's indices to those of the leader's memory.
+/// Maps the planner's indices to those of the leader's shard.
 #[derive(Default)]
 pub(super) struct PlanIndex {
     pub machines: Vec<usize>,
@@ -50,7 +50,7 @@
     }
 }
 
-/// All that a machine of this type has.
+/// The total resources of a machine type.
 pub(super) fn total_of(machine_type: &MachineType) -> plan::Resources {
     plan::Resources {
         cores: machine_type.cores,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Names as dense indices, in the order of the settings.
+/// Maps names to their position in the list.
 pub(super) fn index_names<'a>(names: impl Iterator<Item = &'a String>) -> HashMap<&'a str, u16> {
     names
         .enumerate()
@@ -67,22 +67,22 @@
         .collect()
 }
 
-/// The dense indices by which a plan knows machine types, zones and teams.
+/// The indices of machine types, zones and teams in a plan.
 pub(super) struct NameIndex<'a> {
     pub catalog: &'a Catalog,
     pub types: HashMap<&'a str, u16>,
     pub zones: HashMap<&'a str, u16>,
     pub teams: HashMap<&'a str, u16>,
-    /// Teams on whose path nothing is guaranteed, where quotas nest.
+    /// In nested quotas, teams without a guarantee of their own or at the root of their path.
     pub unguaranteed_teams: HashSet<u16>,
 }
 
-/// What a plan needs of a job for each of its claims, looked up once.
+/// Values of a job that a plan needs for each of its claims, looked up once.
 pub(super) struct ClaimedJob {
     pub team: Option<u16>,
     /// Expected run time of a task, in seconds.
     pub expected_s: f64,
-    /// Run time after which a task saves, 0 if it never does.
+    /// Interval between checkpoints in seconds, 0 if the task never saves.
     pub checkpoint_s: f64,
     pub image: Option<u32>,
 }
@@ -113,7 +113,7 @@
     }
 }
 
-/// A planner's input while it is built from a shard, step by step.
+/// Builds the planner's input from a shard.
 pub(super) struct InputBuilder<'a> {
     pub now: Now,
     pub shard: &'a mut Shard,
@@ -122,20 +122,20 @@
     pub entitlement: Entitlement,
     /// Machines whose last heartbeat is older take no tasks.
     pub silent_ms: u64,
-    /// Claims that fit into a machine's record.
+    /// The most claims that fit into a machine's record.
     pub max_claims: u32,
-    /// By job index, as the shard's jobs are.
+    /// By job index.
     pub claimed_jobs: Vec<Option<ClaimedJob>>,
-    /// By job index, claims that stay: they count as held before what waits.
+    /// By job index, the number of claims that are not being stopped. Guarantees cover these before waiting tasks.
     pub continuing_claims: Vec<u32>,
-    /// The planner's index of each machine that it is shown.
+    /// The planner's index of each machine in the input, by machine index.
     pub machine_index: HashMap<usize, u32>,
     pub input: plan::Input,
     pub index: PlanIndex,
 }
 
 impl InputBuilder<'_> {
-    /// Notes which jobs have begun to run, before the plan asks whether they still wait.
+    /// Marks the jobs that have begun to run. This precedes `add_jobs`, which reads whether jobs still wait.
     fn note_begun_jobs(&mut self) {
         for job in self.shard.jobs.iter_mut().flatten() {
             job.began |= job.running > 0;
@@ -169,7 +169,7 @@
 }
 
 impl Node {
-    /// The planner's input for this moment, and the index of what it names.
+    /// The planner's input at this time, and the index that maps its output back.
     pub(super) fn plan_input(
         &mut self,
         catalog: &Catalog,
@@ -227,7 +227,7 @@
         (builder.input, builder.index)
     }
 
-    /// An input with the planner's parameters and nothing else.
+    /// An input that contains only the planner's parameters.
     fn plan_parameters(&self) -> plan::Input {
         plan::Input {
             online_factor: self.tuning.online_factor,
@@ -241,8 +241,8 @@
         }
     }
 
-    /// Teams with their limits: those of the recorded allotment, the tree's by the version that stands there. Without
-    /// one, or with another version in force, there is no room at all.
+    /// Teams with the limits of the recorded allotment. Without an allotment, or if it was recorded for a version of
+    /// the quota tree other than the one in force, teams may use nothing.
     fn plan_teams(&self, tree: Option<&quota::Tree>) -> Vec<plan::Team> {
         let version = self.shared.documents.quota.version();
         let is_recorded = |shard: &&Shard| shard.allotment.is_settled();
@@ -284,10 +284,10 @@
     }
 }
 
-/// Limits of a team that nothing is allotted to, in the terms of the settings, where 0 is no limit.
+/// Limits of a team without an allotment. In the settings 0 means unlimited, so these are negative.
 const NO_ALLOTMENT: (f64, f64) = (-1.0, -1.0);
 
-/// A limit of the settings as the planner has it.
+/// Converts a limit of the settings, where 0 means unlimited, to the planner's.
 fn planner_limit(max: f64) -> f64 {
     if max == 0.0 {
         f64::INFINITY
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -1,4 +1,4 @@
-//! Waiting jobs of the planner's input.
+//! Adds waiting jobs to the planner's input.
 
 use super::objectives::Objectives;
 use super::plan_input::{InputBuilder, NameIndex, Scope};
@@ -17,7 +17,7 @@
         }
     }
 
-    /// By machine, the zone that it is in.
+    /// The zone of each machine, by machine index.
     fn zones_by_machine(&self) -> Vec<Option<u16>> {
         let zone = |name: &str| self.names.zones.get(name).copied();
         self.shard
@@ -27,7 +27,8 @@
             .collect()
     }
 
-    /// Adds a job's waiting tasks, if it has any in this scope: one planner's job for each level of guarantee.
+    /// Adds a job's waiting tasks, if it has any in this scope, as one planner job for each number of guarantee
+    /// levels that hold them.
     fn add_job(&mut self, job_index: JobIndex, scope: Scope, zone_of: &[Option<u16>]) {
         let now = self.now;
         let shard = &mut *self.shard;
@@ -74,7 +75,7 @@
             self.entitlement
                 .waiting(job_index, spec, self.continuing_claims[job_index], pending);
         for (k, (held, pending)) in parts.into_iter().enumerate() {
-            // Where quotas nest, what is borrowed has its turn after all that is held, also if it is urgent.
+            // In nested quotas, tasks beyond the guarantees come after all tasks within them, even if urgent.
             let is_due = held > 0 || !nested || is_old;
             if scope == Scope::Urgent && !is_due {
                 continue;
@@ -95,7 +96,7 @@
     }
 }
 
-/// A job as the planner sees it, as far as its description says.
+/// The planner's form of a job, from its spec alone.
 pub(super) fn planner_job(
     spec: &JobSpec,
     images: &mut shard::Names,
@@ -138,7 +139,7 @@
     }
 }
 
-/// Machine types that a job may use, a bit each.
+/// Machine types that a job may use, as a bit set.
 fn allowed_types(spec: &JobSpec, names: &NameIndex<'_>) -> u64 {
     match &spec.types {
         Some(list) => list
@@ -149,7 +150,7 @@
     }
 }
 
-/// Tasks that may start now. A gang starts whole, once nothing of its last attempt is left.
+/// The number of tasks that may start now. A gang starts as a whole, once no claim of its previous attempt is left.
 fn startable_tasks(job: &Job, spec: &JobSpec) -> u32 {
     if spec.kind == Kind::Gang && !job.claimed.is_empty() {
         0
@@ -158,7 +159,7 @@
     }
 }
 
-/// Tasks of a job that hold a place now, by zone.
+/// The number of a job's claimed tasks in each zone.
 fn tasks_by_zone(job: &Job, zone_of: &[Option<u16>]) -> Vec<(u16, u32)> {
     let mut by_zone: Vec<(u16, u32)> = Vec::new();
     for (m, _) in job.claimed.values().flatten() {
--- a/crates/control/src/scheduling/plan_machines.rs
+++ b/crates/control/src/scheduling/plan_machines.rs
@@ -1,21 +1,21 @@
-//! Machines of the planner's input, with the tasks that run on them.
+//! Adds machines and the tasks on them to the planner's input.
 
 use super::plan_input::{ClaimedJob, InputBuilder, total_of};
 use crate::agents::machine::{Claim, Machine};
 use crate::jobs::job::Job;
 use wire::api::Kind;
 
-/// A machine or a task that is late is expected after this part of the time by which it is late, and [`OVERDUE_MIN_S`] more.
+/// An overdue machine or task is expected to take this fraction of the time that it is overdue, plus [`OVERDUE_MIN_S`].
 const OVERDUE_FACTOR: f64 = 0.5;
-/// The least further time that something late is expected to take, in seconds.
+/// The least time that an overdue machine or task is expected to take, in seconds.
 const OVERDUE_MIN_S: f64 = 5.0;
-/// A task that was told to stop is expected to be gone after so many seconds.
+/// Time until a task that is being stopped is expected to be gone, in seconds.
 const EXPECTED_STOP_S: f64 = 1.0;
-/// A task that saves loses at most so many seconds of its run when it is stopped.
+/// The most run time that a task with checkpoints is assumed to lose when it is stopped, in seconds.
 const MAX_CHECKPOINT_LOSS_S: f64 = 2.0;
 
 impl InputBuilder<'_> {
-    /// Counts all claims against their teams, wherever they are.
+    /// Counts the resources of all claims as used by their teams, including those on machines that the plan leaves out.
     pub(super) fn count_team_usage(&mut self) {
         let claims = self.shard.machines.iter().flatten().flat_map(|m| &m.claims);
         for claim in claims {
@@ -44,7 +44,8 @@
         }
     }
 
-    /// A machine as the planner sees it, with the claims behind its running tasks. None if its type or zone is unknown.
+    /// The planner's form of a machine, and the positions of the claims behind its running tasks. `None` if its type or
+    /// zone is unknown.
     fn planner_machine(&mut self, m: usize) -> Option<(plan::Machine, Vec<usize>)> {
         let now = self.now;
         let machine = self.shard.machines.get(m)?;
@@ -61,7 +62,7 @@
                 continue;
             };
             let mut task = running_task(claim, job, known, now.mono);
-            // What is on its way out holds no place any more.
+            // Tasks that are being stopped don't count against the guarantee any more.
             if !task.leaving {
                 let nth = &mut self.continuing_claims[claim.job];
                 task.held = self.entitlement.held(claim.job, *nth);
@@ -89,7 +90,7 @@
     }
 }
 
-/// A claim as the planner sees it, held by no guarantee.
+/// The planner's form of a claim, before guarantees are applied.
 fn running_task(claim: &Claim, job: &Job, known: &ClaimedJob, now_ms: u64) -> plan::Running {
     let is_leaving = claim.stop.is_some();
     let ran_s = claim
@@ -118,7 +119,7 @@
     }
 }
 
-/// How long a task is expected to run on. One that is overdue is expected to run for a while yet.
+/// The expected remaining run time of a task, also if it is overdue.
 fn remaining_s(ran_s: f64, expected_s: f64) -> f64 {
     if ran_s < expected_s {
         expected_s - ran_s
@@ -127,7 +128,7 @@
     }
 }
 
-/// When a machine that boots is expected to take tasks. One that is late is expected a while from now.
+/// The time in which a booting machine is expected to take tasks, also if it is overdue. Infinite if it is not booting.
 fn ready_in(machine: &Machine, boot_s: f64, wall: u64) -> f64 {
     if machine.up || machine.deleting || machine.failed {
         return f64::INFINITY;
@@ -140,8 +141,9 @@
     }
 }
 
-/// Whether the `nth` claim of a job is not stopped for urgency alone: of an old array a first share until some of it is
-/// done, of one that has waited as long as any may all.
+/// Whether the `nth` claim of a job is protected from preemption for more urgent work. For an array older than
+/// `aging.old` that is its first share until one of its tasks is done, for one older than `aging.latest` all its
+/// claims.
 fn is_spared(job: &Job, nth: u32, aging: &plan::AgingThresholds, wall: u64) -> bool {
     let Some(spec) = job.spec.as_deref().filter(|s| s.kind == Kind::Array) else {
         return false;
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -1,4 +1,4 @@
-//! When a plan is due, for which jobs, and the order in which its decisions are carried out.
+//! Decides when a plan is due and for which jobs, makes it, and applies its decisions in order.
 
 use super::plan_input::{PlanIndex, Scope};
 use crate::Node;
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use wire::api::Catalog;
 
-/// A plan with what it was made from.
+/// A plan with the input that it was made from.
 pub(super) struct Planned {
     pub scope: Scope,
     pub input: plan::Input,
@@ -15,7 +15,7 @@
 }
 
 impl Node {
-    /// Makes a plan if one is due, and carries it out.
+    /// Makes and applies a plan if one is due.
     pub(crate) fn sched_tick(&mut self) {
         if !self.may_decide() {
             return;
@@ -34,7 +34,7 @@
         self.scale(&planned, &catalog);
     }
 
-    /// The jobs for which a plan is due, if any. Notes that a full plan is made.
+    /// The scope of the plan that is due, if any. Marks a full plan as made.
     fn due_scope(&mut self) -> Option<Scope> {
         let now = self.now.mono;
         let interval = self.plan_pacing.interval(self.tuning.every_ms as u64);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Takes a plan into the counts, the log and the state that later plans start from.
+    /// Updates statistics, the log and the state for later plans.
     fn note_planned(&mut self, planned: &Planned) {
         let Planned {
             scope,
@@ -100,7 +100,7 @@
     );
 }
 
-/// Notes whether urgent work still waits, and whether this plan made progress with it.
+/// Notes whether urgent work still waits, and whether this plan made progress on it.
 fn note_urgent(shard: &mut Shard, now: u64, input: &plan::Input, output: &plan::Output) {
     let is_urgent = |job: usize| {
         let job = &input.jobs[job];
--- a/crates/control/src/scheduling/quota_usage.rs
+++ b/crates/control/src/scheduling/quota_usage.rs
@@ -1,4 +1,4 @@
-//! What jobs use and ask for, counted per team in the quota tree.
+//! Resource usage and demand of jobs, counted by team in the quota tree.
 
 use crate::jobs::job::{Job, JobIndex};
 use crate::store::shard::Shard;
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use wire::api::{JobSpec, Kind};
 
-/// What tasks take, in the tree's resources.
+/// The resources of a task as an amount of the quota tree.
 pub(crate) fn takes(cores: f64, gpus: f64, mem_gb: f64) -> Amount {
     amount(&[("cpus", cores), ("gpus", gpus), ("mem_gb", mem_gb)])
 }
@@ -18,16 +18,16 @@
         .for_each(|(a, b)| *a = a.saturating_add(b.saturating_mul(n)));
 }
 
-/// Tasks of a job that are not done, a gang's always all.
+/// The number of a job's tasks that still need resources. A gang or service counts all, whatever is done.
 pub(super) fn open_tasks(job: &Job, spec: &JobSpec) -> u32 {
     if spec.kind == Kind::Array {
         return spec.tasks - job.done_count.min(spec.tasks);
     }
-    // Nothing is held for a model that is asleep.
+    // A model that is asleep has no open tasks: its replicas are 0.
     job.replicas.map_or(spec.tasks, |n| n.min(spec.tasks))
 }
 
-/// What a job adds to its team's counts: all open tasks, and all claims, wherever they are.
+/// What a job adds to its team's demand and usage: all open tasks, and all claims on any machine.
 fn job_usage(job: &Job, tree: &Tree) -> Option<(TeamId, Count)> {
     let team = tree.team(&job.team)?;
     let need = takes(job.need.cores, job.need.gpus, job.need.mem_gb);
@@ -39,19 +39,19 @@
         .map_or(0, |spec| open_tasks(job, spec));
     let mut count = Count::default();
     add(&mut count.used, &need, claims as i64);
-    // What still runs of an ended job is wanted too, until it is gone.
+    // Tasks of an ended job that still run count as demand until they are gone.
     add(&mut count.demand, &need, i64::from(open).max(claims as i64));
     Some((team, count))
 }
 
-/// A tree with what its teams want and have. It is brought up to date by the jobs that changed, and no others.
+/// A quota tree with the demand and usage of its teams, updated incrementally from the jobs that changed.
 pub(crate) struct Counted {
     pub live: Live,
     by_job: HashMap<JobIndex, (TeamId, Count)>,
 }
 
 impl Counted {
-    /// All jobs, counted anew.
+    /// Counts all jobs.
     pub fn new(shard: &Shard, tree: Arc<Tree>) -> Self {
         let mut out = Counted {
             live: Live::new(tree),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether counting everything anew gives the same.
+    /// Whether a full recount gives the same result.
     pub(super) fn is_consistent(&self, shard: &Shard) -> bool {
         let recounted = Counted::new(shard, self.live.tree().clone());
         (0..self.live.tree().leaves.len() as u32)
--- a/crates/control/src/scheduling/reservations.rs
+++ b/crates/control/src/scheduling/reservations.rs
@@ -1,4 +1,4 @@
-//! Expected arrivals as reservations of capacity, for jobs that should start sooner than a rented machine boots.
+//! Reserves capacity for expected arrivals of jobs that should start sooner than a rented machine boots.
 
 use super::objectives::{guarantee_objective, wait_objectives};
 use super::plan_input::NameIndex;
@@ -9,13 +9,13 @@
 use wire::api::{JobSpec, Kind, MachineType, Priority};
 use wire::settings::Objective;
 
-/// Images are taken to come no slower than this, in GB a second.
+/// Lower bound on the speed at which images are fetched, in GB/s.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
-/// No more than this is expected of the square of a class's tasks per job.
+/// Upper bound on the mean square of a class's tasks per job.
 const MAX_TASKS_SQUARED: f64 = 40_000.0;
 
-/// Reserved capacity for the jobs that arrive while a machine boots and fetches, in classes whose users expect a start
-/// within less than that: by an objective for the class, or for all work within its team's guarantee.
+/// Reservations for jobs that arrive while a machine boots and fetches its image. Covers the classes that should start
+/// sooner than that, by an objective for the class or for all work within its team's guarantee.
 pub(super) fn reservations(
     shard: &mut Shard,
     objectives: &[Objective],
@@ -40,7 +40,7 @@
     reservations
 }
 
-/// What reservations are computed from, besides the classes of jobs.
+/// The inputs of a reservation besides the job class.
 struct ReservationContext<'a> {
     objectives: &'a [Objective],
     names: &'a NameIndex<'a>,
@@ -61,8 +61,8 @@
         let like = planner_job(spec, images, self.names, team);
         let lead_s = self.lead_s(spec, like.types)?;
         let share = self.share(name, spec, team, lead_s)?;
-        // Machines that end their work make room for as many jobs as come; what is reserved is for the difference
-        // between the two, which has the deviation of the arrivals in the time that a new machine takes.
+        // On average, ending tasks free as much room as arriving jobs need. The reservation covers the fluctuation
+        // around that: the standard deviation of the arrivals during the lead time.
         let tasks_squared = class.tasks_squared.clamp(1.0, MAX_TASKS_SQUARED);
         let deviation = (class.rate(self.wall) * lead_s * tasks_squared).sqrt();
         let count = (deviation * share).round() as u32;
@@ -78,7 +78,7 @@
         })
     }
 
-    /// The least time until a rented machine of these types runs a task, in seconds.
+    /// The shortest time in which a newly rented machine of these types runs a task, in seconds.
     fn lead_s(&self, spec: &JobSpec, types: u64) -> Option<f64> {
         let lead =
             |t: &MachineType| t.boot_s + spec.image_gb / t.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
@@ -92,8 +92,8 @@
             .reduce(f64::min)
     }
 
-    /// The part of the arrivals' deviation to reserve for a class; none if all of it may wait for a rented machine.
-    /// A class may have a patient objective of its own and yet do work that is guaranteed to start soon.
+    /// The multiple of the arrivals' standard deviation to reserve for a class. `None` if all its jobs may wait for a
+    /// rented machine. A class with a lenient objective of its own may still do guaranteed work that should start soon.
     fn share(&self, name: &str, spec: &JobSpec, team: u16, lead_s: f64) -> Option<f64> {
         let own =
             wait_objectives(self.objectives, name).map(|within_s| (within_s, self.tuning.spare));
@@ -104,15 +104,15 @@
             .reduce(f64::max)
     }
 
-    /// How soon work within the team's guarantee should start, and the share to reserve for that.
+    /// The wait objective for work within the team's guarantee, and the multiple of the deviation to reserve for it.
     fn guaranteed_share(&self, spec: &JobSpec, team: u16, lead_s: f64) -> Option<(f64, f64)> {
-        // What is of low urgency waits for a machine to boot.
+        // Low-priority work waits for a machine to boot.
         if spec.priority <= Priority::Low || self.names.unguaranteed_teams.contains(&team) {
             return None;
         }
         let within_s = guarantee_objective(self.objectives)?;
-        // A gang that lacks one place has none, while an array starts with what there is. Who may wait for a while
-        // needs room only for what comes in the rest of the time.
+        // A gang can't start unless there is room for all its tasks, while an array starts with the room there is. Work
+        // that may wait for part of the lead time needs room only for the arrivals in the rest of it.
         let share = match spec.kind {
             Kind::Gang => self.tuning.spare,
             _ => self.tuning.spare_guaranteed * (1.0 - within_s / lead_s).max(0.0).sqrt(),
--- a/crates/control/src/scheduling/scaling.rs
+++ b/crates/control/src/scheduling/scaling.rs
@@ -1,4 +1,4 @@
-//! Scaling of the fleet after a plan: which machines to rent and which to return.
+//! Scales the fleet after a plan: decides which machines to rent and which to return.
 
 use super::plan_input::{Scope, index_names, total_of};
 use super::planning::Planned;
@@ -9,22 +9,22 @@
 use std::collections::HashMap;
 use wire::api::{Catalog, Cause, MachineType};
 
-/// The most machines that the cloud rents out in one call.
+/// The most machines that the cloud provides in one call.
 const MAX_PER_CALL: u32 = 50;
-/// No more machines than this are on their way at once.
+/// The most machines that may be booting or on order at once.
 const MAX_PENDING_MACHINES: usize = 8000;
 
 /// Machine type, zone, and whether it is a spot machine.
 type OfferName = (String, String, bool);
 
-/// What the cloud rents out, as the planner has it and by its names; one offer has the same place in both.
+/// The machines that the cloud offers, in the planner's form and by name. Both lists have the same order.
 struct Offers {
     offers: Vec<plan::MachineOffer>,
     names: Vec<OfferName>,
 }
 
 impl Offers {
-    /// Every machine type in every zone, spot before ordinary.
+    /// Every machine type in each of its zones, spot before on-demand.
     fn of(catalog: &Catalog, zones: &HashMap<&str, u16>) -> Self {
         let mut all = Offers {
             offers: Vec::new(),
@@ -51,7 +51,7 @@
         Some(&self.offers[at])
     }
 
-    /// Machines that boot, and those that are rented but not listed yet.
+    /// Machines that are booting, and those of recorded rentals that the cloud has not answered yet.
     fn coming(&self, shard: &Shard) -> Vec<(plan::MachineOffer, u32)> {
         let booting = shard
             .machines
@@ -74,15 +74,15 @@
             .collect()
     }
 
-    /// Offers that may be rented now. The zone with fewest machines comes first, so that one zone's loss takes the
-    /// least.
+    /// Indices of the offers that may be rented now. Zones with the fewest machines come first, to limit what the
+    /// loss of one zone takes away.
     fn rentable(&self, shard: &Shard, now: u64) -> Vec<usize> {
         let mut machines_in: HashMap<&str, u32> = HashMap::new();
         for machine in shard.machines.iter().flatten() {
             *machines_in.entry(machine.zone.as_str()).or_default() += 1;
         }
         let is_refused = |name: &OfferName| shard.cloud_calls.is_refused(name, now);
-        // A new machine in a zone that can't be heard is paid for nothing.
+        // A new machine in an unreachable zone would cost money and run nothing.
         let is_cut_off = |name: &OfferName| shard.zones.is_cut(&name.1);
         let mut rentable: Vec<usize> = (0..self.names.len())
             .filter(|i| !is_refused(&self.names[*i]) && !is_cut_off(&self.names[*i]))
@@ -117,7 +117,8 @@
 }
 
 impl Node {
-    /// Rents and returns machines after a full plan, once a new leader has heard from those that there are.
+    /// Rents and returns machines after a full plan. A new leader waits two heartbeat intervals first, to hear from the
+    /// existing machines.
     pub(super) fn scale(&mut self, planned: &Planned, catalog: &Catalog) {
         let Some(shard) = &self.shard else { return };
         let is_settled = self.now.mono >= shard.since + 2 * self.heartbeat_interval_ms();
@@ -128,12 +129,12 @@
         self.return_idle(planned);
     }
 
-    /// Rents the machines that waiting tasks and reservations lack.
+    /// Rents the machines that waiting tasks and reservations still need.
     fn scale_out(&mut self, planned: &Planned, catalog: &Catalog) {
         let now = self.now.mono;
         let zones = index_names(self.settings.cluster.zones.iter());
         let Some(shard) = &mut self.shard else { return };
-        // Records first: what is still to be written down would be rented twice.
+        // Wait until earlier rentals are recorded, otherwise the same machines would be rented twice.
         let mut rentals = shard.rentals.values();
         if !shard.plan_triggers.rentals_due(now) || rentals.any(|r| r.state == RentalState::New) {
             return;
@@ -157,7 +158,8 @@
         }
     }
 
-    /// Rents machines in as many calls as half a second's budget allows; the rest is asked for again.
+    /// Rents machines in as many calls as the cloud's rate limit allows in half a second. A later plan requests the
+    /// rest.
     fn rent(&mut self, (machine_type, zone, spot): &OfferName, count: u32) {
         let calls = (self.settings.cluster.cloud.rps / 2.0).ceil() as u32;
         let mut left = count.min(calls * MAX_PER_CALL);
@@ -168,9 +170,8 @@
         }
     }
 
-    /// Returns machines that have had nothing to do for a while, but for those that the plan or models keep. Also
-    /// while tasks wait: a machine that is idle all the same is none that they may use, and it may stand in the way
-    /// of one.
+    /// Returns machines that have been idle for a while, except those that the plan or models keep. It does so even
+    /// while tasks wait: an idle machine is one that they can't use, and it may take the place of one that they can.
     fn return_idle(&mut self, planned: &Planned) {
         let kept_by_plan = planned.output.kept.iter();
         let mut kept: Vec<usize> = kept_by_plan
@@ -186,14 +187,14 @@
             .collect();
         for m in returned {
             if let Some(machine) = shard.machines.get_mut(m) {
-                log::info!("machine {}: idle, to be returned", machine.name);
+                log::info!("machine {}: idle, will be returned", machine.name);
                 machine.deleting = true;
             }
         }
     }
 }
 
-/// Whether a machine has had nothing to do for so long.
+/// Whether a machine has been idle for `idle_ms` and may be returned.
 fn is_idle(shard: &Shard, m: usize, now: u64, idle_ms: u64) -> bool {
     shard.machine(m).is_some_and(|machine| {
         machine.up
@@ -204,8 +205,8 @@
     })
 }
 
-/// Whether a result is known to this machine and leader alone: were this leader to end too, it would be gone with the
-/// machine.
+/// Whether a task's success is known only to this machine and leader. If the machine were returned and this leader
+/// failed, the result would be lost.
 fn has_unrecorded_result(shard: &Shard, machine: &Machine) -> bool {
     let mut results = machine
         .exited
--- a/crates/control/src/scheduling/urgent.rs
+++ b/crates/control/src/scheduling/urgent.rs
@@ -1,15 +1,15 @@
-//! Work of the highest priority does not wait for the next full plan: a plan for it alone is made as it arrives, and
-//! again while it lacks places, so often as it gets on.
+//! Timing of urgent plans. Jobs of the highest priority don't wait for the next full plan: a plan for them alone is
+//! made when one arrives, and repeated while some wait, less often when it makes no progress.
 
 use crate::overload::plan_pacing::PlanPacing;
 use wire::api::{JobSpec, Kind, Priority};
 
-/// Urgent plans are at least this far apart, in milliseconds.
+/// The shortest interval between urgent plans, in milliseconds.
 const MIN_INTERVAL_MS: u64 = 150;
-/// While they bring nothing, up to this far.
+/// The longest interval, after repeated plans without progress.
 const MAX_INTERVAL_MS: u64 = 1000;
 
-/// Whether a job is placed as it arrives. Services run for long, and can wait for a full plan.
+/// Whether a job is planned as soon as it arrives. Services run for long, so they can wait for a full plan.
 pub(crate) fn is_urgent(spec: &JobSpec) -> bool {
     spec.priority == Priority::Production && spec.kind != Kind::Service
 }
@@ -33,7 +33,7 @@
 }
 
 impl Urgent {
-    /// A job has come.
+    /// Notes the arrival of a job.
     pub fn arrived(&mut self, spec: &JobSpec) {
         if is_urgent(spec) {
             self.has_waiting = true;
@@ -41,13 +41,13 @@
         }
     }
 
-    /// Whether a plan is due, of a node that keeps this pace.
+    /// Whether an urgent plan is due, given how much the node's pacing stretches the interval.
     pub fn is_due(&self, now: u64, plan_pacing: &PlanPacing) -> bool {
         self.has_waiting && now >= self.planned_at + plan_pacing.interval(self.interval_ms)
     }
 
-    /// A plan that had urgent work in it, or none: whether some still waits, and whether it made progress. Plans that bring
-    /// nothing come ever less often, so that what fits nowhere takes no time from others.
+    /// Notes a plan: whether urgent work still waits, and whether the plan made progress. Without progress the interval
+    /// doubles, so that jobs that fit nowhere don't take processor time from others.
     pub fn planned(&mut self, now: u64, still_waits: bool, made_progress: bool) {
         self.planned_at = now;
         self.has_waiting = still_waits;
