--- a/crates/control/src/scheduling/entitlement/tests.rs
+++ b/crates/control/src/scheduling/entitlement/tests.rs
@@ -1,4 +1,5 @@
-//! Which jobs guarantees hold, in flat and in nested quotas.
+//! Which tasks guarantees cover, in flat and nested quotas.
+
 use super::*;
 use crate::jobs::job::Job;
 use quota::{Tree, amount};
@@ -37,12 +38,12 @@
     out
 }
 
-/// 100,000 jobs of 10,000 teams on six levels: a start or an end costs steps on its own path, not on the others'.
+/// With 100,000 jobs of 10,000 teams on six levels, a start costs steps only on the path of its own team.
 #[test]
-fn a_start_among_many_jobs_touches_its_path() {
+fn quota_update_costs_steps_only_on_the_path_of_the_changed_job() {
     let mut spec_of_tree = quota::Spec::default();
     for i in 0..1111u32 {
-        // Ten below each: levels of 1, 10, 100 and 1,000, and the last with a thin path of two more.
+        // Ten children each: levels of 1, 10, 100 and 1,000 nodes, and below the last node one more with its teams.
         let parent = (i > 0).then(|| format!("n{}", (i - 1) / 10));
         spec_of_tree
             .nodes
@@ -80,16 +81,16 @@
     shard.take_touched();
     let mut counted = Counted::new(&shard, tree);
     let all = counted.live.steps;
-    for ix in [0, 999, 55_555] {
-        shard.job_mut(ix).expect("there").claim(0, 7, 1);
+    for job_index in [0, 999, 55_555] {
+        shard.job_mut(job_index).expect("there").claim(0, 7, 1);
         let touched = shard.take_touched();
-        assert_eq!(touched, [ix]);
+        assert_eq!(touched, [job_index]);
         let before = counted.live.steps;
         counted.update(&shard, touched);
         let steps = counted.live.steps - before;
         assert!(
             steps <= 2 * 7 && steps * 1000 < all,
-            "job {ix}: {steps} steps of {all}"
+            "job {job_index}: {steps} steps of {all}"
         );
     }
     assert!(counted.is_consistent(&shard));
@@ -99,10 +100,10 @@
     );
 }
 
-/// The wait that a guarantee allows shrinks with what the node furthest below has of what it is due; in a flat tree,
-/// and for what nothing is due to, it stays as it is.
+/// The wait objective of a guarantee is scaled by the share of its due guarantee that the least fulfilled node uses.
+/// In a flat tree, and where nothing is due, the share is 1.
 #[test]
-fn the_furthest_below_has_the_earliest_deadline() {
+fn least_fulfilled_node_determines_the_fulfilled_share() {
     let gpus = |n: f64| [("gpus".to_owned(), n)].into();
     let node = |name: &str, parent, n| quota::NodeSpec {
         guarantee: gpus(n),
@@ -126,7 +127,7 @@
         live.set_demand(TeamId(team), at(demand));
         live.set_used(TeamId(team), at(used));
     }
-    // Desk a has 2 of 10, desk b 8 of 10, the house 10 of 20.
+    // Node a uses 2 of 10, node b 8 of 10, and their parent 10 of 20.
     assert_eq!(
         [0, 1, 2].map(|t| fulfilled_share(&live, TeamId(t))),
         [0.2, 0.5, 1.0]
@@ -138,30 +139,30 @@
     assert_eq!(fulfilled_share(&live, TeamId(1)), 1.0, "nothing is due");
 }
 
-/// An array is held task by task, a gang whole or not at all, and what is held below is held above.
+/// Arrays are covered task by task, gangs all or nothing, and tasks covered on a level are covered on those above.
 #[test]
-fn tasks_are_held_as_far_as_they_fit() {
+fn guarantee_levels_cover_tasks_as_far_as_they_fit() {
     let mut left = [share(10), share(6), share(3)];
     let two = takes(1.0, 2.0, 1.0);
-    assert_eq!(take_levels(&mut left, &two, 4, Kind::Array), [4, 3, 1]);
+    assert_eq!(allocate_levels(&mut left, &two, 4, Kind::Array), [4, 3, 1]);
     // 2, 0 and 1 GPUs are left.
     assert_eq!(
-        take_levels(&mut left, &takes(0.0, 1.0, 0.0), 2, Kind::Gang),
+        allocate_levels(&mut left, &takes(0.0, 1.0, 0.0), 2, Kind::Gang),
         [2, 0, 0]
     );
     assert_eq!(
-        take_levels(&mut left, &takes(0.0, 1.0, 0.0), 1, Kind::Service),
+        allocate_levels(&mut left, &takes(0.0, 1.0, 0.0), 1, Kind::Service),
         [1, 1, 1]
     );
     assert_eq!(
-        take_levels(&mut left, &takes(8.0, 0.0, 1.0), 9, Kind::Array),
+        allocate_levels(&mut left, &takes(8.0, 0.0, 1.0), 9, Kind::Array),
         [0, 0, 0],
         "nothing of it is guaranteed"
     );
     let levels = vec![4, 3, 1];
     assert_eq!(
         (0..5)
-            .map(|k| levels_holding(&levels, k))
+            .map(|k| covering_levels(&levels, k))
             .collect::<Vec<_>>(),
         [3, 2, 2, 1, 0]
     );
@@ -177,9 +178,10 @@
     }
 }
 
-/// GPU jobs of a team that has only processors guaranteed were never within its guarantee.
+/// Guards against counting resources that are not guaranteed: GPU jobs of a team that is guaranteed only CPUs were
+/// never within its guarantee.
 #[test]
-fn a_guarantee_counts_by_the_resources_that_are_guaranteed() {
+fn only_guaranteed_resources_count_against_a_guarantee() {
     let teams = [
         team("cpus", 20.0, 0.0),
         team("gpus", 0.0, 4.0),
@@ -193,9 +195,9 @@
     );
     let jobs = [
         ("cpus", 3, 6.0, 1.0, true), // 18 of 20 CPUs, though no GPU is guaranteed.
-        ("cpus", 1, 6.0, 0.0, false), // Past them, with the job before.
+        ("cpus", 1, 6.0, 0.0, false), // Beyond the guarantee together with the job before.
         ("gpus", 4, 60.0, 1.0, true), // The CPUs do not count.
-        ("gpus", 1, 1.0, 0.0, false), // Takes nothing of what is guaranteed.
+        ("gpus", 1, 1.0, 0.0, false), // Uses none of the guaranteed resources.
         ("both", 4, 2.0, 1.0, true), // Fits in both.
         ("both", 1, 2.0, 1.0, false), // No GPU is left.
         ("none", 1, 1.0, 0.0, false), // An unknown team.
@@ -210,9 +212,9 @@
     }
 }
 
-/// A flat tree that repeats the settings, and no tree, hold the same jobs; so decisions are the same, one for one.
+/// A flat tree with the guarantees of the settings covers the same jobs as no tree, so that plans are identical.
 #[test]
-fn a_flat_tree_holds_what_the_settings_do() {
+fn flat_tree_and_settings_give_the_same_entitlement() {
     let teams = [
         team("a", 20.0, 0.0),
         team("b", 0.3333, 4.0),
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -1,4 +1,4 @@
-//! Waiting jobs of the planner's input.
+//! Adds waiting jobs to the planner's input.
 
 use super::objectives::Objectives;
 use super::plan_input::{InputBuilder, NameIndex, Scope};
@@ -12,12 +12,12 @@
 impl InputBuilder<'_> {
     pub(super) fn add_jobs(&mut self, scope: Scope) {
         let zone_of = self.zones_by_machine();
-        for ix in 0..self.shard.jobs.slots() {
-            self.add_job(ix, scope, &zone_of);
+        for job_index in 0..self.shard.jobs.slots() {
+            self.add_job(job_index, scope, &zone_of);
         }
     }
 
-    /// By machine, the zone that it is in.
+    /// The zone of each machine, by machine index.
     fn zones_by_machine(&self) -> Vec<Option<u16>> {
         let zone = |name: &str| self.names.zones.get(name).copied();
         self.shard
@@ -27,11 +27,12 @@
             .collect()
     }
 
-    /// Adds a job's waiting tasks, if it has any in this scope: one planner's job for each level of guarantee.
-    fn add_job(&mut self, ix: JobIndex, scope: Scope, zone_of: &[Option<u16>]) {
+    /// Adds a job's waiting tasks, if it has any in this scope, as one planner job for each number of guarantee
+    /// levels that hold them.
+    fn add_job(&mut self, job_index: JobIndex, scope: Scope, zone_of: &[Option<u16>]) {
         let now = self.now;
         let shard = &mut *self.shard;
-        let Some(job) = shard.jobs.get(ix) else {
+        let Some(job) = shard.jobs.get(job_index) else {
             return;
         };
         let Some(spec) = &job.spec else { return };
@@ -52,7 +53,7 @@
             return;
         }
         let factor = shard.classes.get(&spec.class).map_or(1.0, Class::factor);
-        let like = plan::Job {
+        let template = plan::Job {
             arrival: -age_s,
             estimate: (spec.estimate_s * factor - job.progress_s).max(1.0),
             zones: tasks_by_zone(job, zone_of),
@@ -70,11 +71,11 @@
             all: self.objectives,
         };
         let nested = !self.input.groups.is_empty();
-        let parts = self
-            .entitlement
-            .waiting(ix, spec, self.staying[ix], pending);
+        let parts =
+            self.entitlement
+                .waiting(job_index, spec, self.continuing_claims[job_index], pending);
         for (k, (held, pending)) in parts.into_iter().enumerate() {
-            // Where quotas nest, what is borrowed has its turn after all that is held, also if it is urgent.
+            // In nested quotas, tasks beyond the guarantees come after all tasks within them, even if urgent.
             let is_due = held > 0 || !nested || is_old;
             if scope == Scope::Urgent && !is_due {
                 continue;
@@ -82,11 +83,11 @@
             let part = plan::Job {
                 pending,
                 held,
-                waits: like.waits && k == 0,
-                ..like.clone()
+                waits: template.waits && k == 0,
+                ..template.clone()
             };
-            let part = objectives.with_deadline(part, spec, &self.entitlement, ix);
-            self.index.jobs.push(ix);
+            let part = objectives.with_deadline(part, spec, &self.entitlement, job_index);
+            self.index.jobs.push(job_index);
             self.input.jobs.push(match &job.hour {
                 Some(hour) => hour.cap(part, spec, self.names.catalog, now.wall),
                 None => part,
@@ -95,7 +96,7 @@
     }
 }
 
-/// A job as the planner sees it, as far as its description says.
+/// The planner's form of a job, from its spec alone.
 pub(super) fn planner_job(
     spec: &JobSpec,
     images: &mut shard::Names,
@@ -138,7 +139,7 @@
     }
 }
 
-/// Machine types that a job may use, a bit each.
+/// Machine types that a job may use, as a bit set.
 fn allowed_types(spec: &JobSpec, names: &NameIndex<'_>) -> u64 {
     match &spec.types {
         Some(list) => list
@@ -149,7 +150,7 @@
     }
 }
 
-/// Tasks that may start now. A gang starts whole, once nothing of its last attempt is left.
+/// The number of tasks that may start now. A gang starts as a whole, once no claim of its previous attempt is left.
 fn startable_tasks(job: &Job, spec: &JobSpec) -> u32 {
     if spec.kind == Kind::Gang && !job.claimed.is_empty() {
         0
@@ -158,7 +159,7 @@
     }
 }
 
-/// Tasks of a job that hold a place now, by zone.
+/// The number of a job's claimed tasks in each zone.
 fn tasks_by_zone(job: &Job, zone_of: &[Option<u16>]) -> Vec<(u16, u32)> {
     let mut by_zone: Vec<(u16, u32)> = Vec::new();
     for (m, _) in job.claimed.values().flatten() {
--- a/crates/control/src/scheduling/urgent.rs
+++ b/crates/control/src/scheduling/urgent.rs
@@ -1,15 +1,15 @@
-//! Work of the highest priority does not wait for the next full plan: a plan for it alone is made as it arrives, and
-//! again while it lacks places, so often as it gets on.
+//! Timing of urgent plans. Jobs of the highest priority don't wait for the next full plan: a plan for them alone is
+//! made when one arrives, and repeated while some wait, less often when it makes no progress.
 
 use crate::overload::plan_pacing::PlanPacing;
 use wire::api::{JobSpec, Kind, Priority};
 
-/// Urgent plans are at least this far apart, in milliseconds.
-const MIN_PAUSE_MS: u64 = 150;
-/// While they bring nothing, up to this far.
-const MAX_PAUSE_MS: u64 = 1000;
+/// The shortest interval between urgent plans, in milliseconds.
+const MIN_INTERVAL_MS: u64 = 150;
+/// The longest interval, after repeated plans without progress.
+const MAX_INTERVAL_MS: u64 = 1000;
 
-/// Whether a job is placed as it arrives. Services run for long, and can wait for a full plan.
+/// Whether a job is planned as soon as it arrives. Services run for long, so they can wait for a full plan.
 pub(crate) fn is_urgent(spec: &JobSpec) -> bool {
     spec.priority == Priority::Production && spec.kind != Kind::Service
 }
@@ -17,44 +17,44 @@
 /// When the next urgent plan is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Urgent {
-    waits: bool,
+    has_waiting: bool,
     planned_at: u64,
-    pause_ms: u64,
+    interval_ms: u64,
 }
 
 impl Default for Urgent {
     fn default() -> Self {
         Urgent {
-            waits: false,
+            has_waiting: false,
             planned_at: 0,
-            pause_ms: MIN_PAUSE_MS,
+            interval_ms: MIN_INTERVAL_MS,
         }
     }
 }
 
 impl Urgent {
-    /// A job has come.
+    /// Notes the arrival of a job.
     pub fn arrived(&mut self, spec: &JobSpec) {
         if is_urgent(spec) {
-            self.waits = true;
-            self.pause_ms = MIN_PAUSE_MS;
+            self.has_waiting = true;
+            self.interval_ms = MIN_INTERVAL_MS;
         }
     }
 
-    /// Whether a plan is due, of a node that keeps this pace.
+    /// Whether an urgent plan is due, given how much the node's pacing stretches the interval.
     pub fn is_due(&self, now: u64, plan_pacing: &PlanPacing) -> bool {
-        self.waits && now >= self.planned_at + plan_pacing.interval(self.pause_ms)
+        self.has_waiting && now >= self.planned_at + plan_pacing.interval(self.interval_ms)
     }
 
-    /// A plan that had urgent work in it, or none: whether some still waits, and whether it made progress. Plans that bring
-    /// nothing come ever less often, so that what fits nowhere takes no time from others.
+    /// Notes a plan: whether urgent work still waits, and whether the plan made progress. Without progress the interval
+    /// doubles, so that jobs that fit nowhere don't take processor time from others.
     pub fn planned(&mut self, now: u64, still_waits: bool, made_progress: bool) {
         self.planned_at = now;
-        self.waits = still_waits;
-        self.pause_ms = if made_progress {
-            MIN_PAUSE_MS
+        self.has_waiting = still_waits;
+        self.interval_ms = if made_progress {
+            MIN_INTERVAL_MS
         } else {
-            (self.pause_ms * 2).min(MAX_PAUSE_MS)
+            (self.interval_ms * 2).min(MAX_INTERVAL_MS)
         };
     }
 }
