--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -3,7 +3,7 @@
 
 use crate::Node;
 use crate::documents::kind::{ALL, PartOf};
-use crate::documents::operator_api::{faulty, refused};
+use crate::documents::operator_api::{refused, refused_with_faults};
 use crate::documents::{ActiveVersion, Document, Kind, for_kind};
 use document::{Content, Head, Past, SHORT};
 use std::collections::VecDeque;
@@ -12,7 +12,7 @@
 use wire::admin::{self, ChangeOf, Changed, Refused};
 
 /// Differences that an answer lists.
-const DIFFERENCES: usize = 200;
+const MAX_DIFFERENCES: usize = 200;
 
 /// A change on its way into the state service.
 pub(super) struct PendingChange<K: Kind> {
@@ -37,7 +37,7 @@
     /// The same change is on its way: whoever sent it last waits for it.
     Joined,
     /// A repeat after a lost answer: the change was made, with this version.
-    Made(u64),
+    AlreadyMade(u64),
     Conflict(Conflict),
 }
 
@@ -79,7 +79,7 @@
 }
 
 /// What a change did, in the few words that the history keeps.
-fn summary(differences: &[String]) -> String {
+fn summarize(differences: &[String]) -> String {
     match differences {
         [] => "nothing".to_owned(),
         [only] => only.clone(),
@@ -91,7 +91,7 @@
     /// Holds a change against what was made already, the version in force and what is on its way.
     fn admit(&mut self, conn: u64, change: &ChangeOf<K::Edit>) -> Admission {
         if let Some(past) = self.head.made(&change.id) {
-            return Admission::Made(past.version);
+            return Admission::AlreadyMade(past.version);
         }
         let version = self.head.version;
         if let Some(expected) = change.expect.filter(|expected| *expected != version) {
@@ -135,7 +135,7 @@
         match K::document_mut(&mut self.shared.documents).admit(conn, &change) {
             Admission::New => self.prepare_or_refuse::<K>(conn, &change),
             Admission::Joined => {}
-            Admission::Made(version) => self.answer_changed(
+            Admission::AlreadyMade(version) => self.answer_changed(
                 conn,
                 &Changed {
                     version,
@@ -149,15 +149,15 @@
     fn prepare_or_refuse<K: Kind>(&mut self, conn: u64, change: &ChangeOf<K::Edit>) {
         match self.prepare::<K>(Some(conn), change) {
             Err(why) => self.deny_admin(conn, 422, why),
-            Ok(ready) if change.dry_run => {
+            Ok(prepared) if change.dry_run => {
                 let answer = Changed {
                     version: K::document(&self.shared.documents).head.version,
                     dry_run: true,
-                    ..ready.answer
+                    ..prepared.answer
                 };
                 self.answer_changed(conn, &answer);
             }
-            Ok(ready) => self.begin(ready, &change.by),
+            Ok(prepared) => self.start_change(prepared, &change.by),
         }
     }
 
@@ -165,13 +165,13 @@
         self.respond(conn, 200, admin::encode(answer), None);
     }
 
-    fn begin<K: Kind>(&mut self, ready: PendingChange<K>, by: &str) {
+    fn start_change<K: Kind>(&mut self, prepared: PendingChange<K>, by: &str) {
         log::info!(
             "{}: version {} by {by:?} is to be written",
             K::Content::NAME,
-            ready.head.version
+            prepared.head.version
         );
-        K::document_mut(&mut self.shared.documents).pending_change = Some(ready);
+        K::document_mut(&mut self.shared.documents).pending_change = Some(prepared);
         self.to_write = true;
     }
 
@@ -185,18 +185,18 @@
         let context = K::context(self);
         let old = document.fitting(&context);
         let spec = K::apply_edit(&change.edit, &old, &context)
-            .map_err(|fault| faulty::<K>(vec![fault]))?;
-        let built = Arc::new(spec.build(&context).map_err(faulty::<K>)?);
-        K::check_change(self, &built).map_err(faulty::<K>)?;
+            .map_err(|fault| refused_with_faults::<K>(vec![fault]))?;
+        let built = Arc::new(spec.build(&context).map_err(refused_with_faults::<K>)?);
+        K::check_change(self, &built).map_err(refused_with_faults::<K>)?;
         let value_limit = self.write_limits.value_bytes();
         let parts = document::split(&spec, value_limit).map_err(|e| refused(&e))?;
-        let differences = K::Content::differences(&old, &spec, DIFFERENCES);
+        let differences = K::Content::differences(&old, &spec, MAX_DIFFERENCES);
         let past = Past::new(
             document.head.version + 1,
             &change.id,
             self.now.wall,
             &change.by,
-            &summary(&differences),
+            &summarize(&differences),
         );
         let names = parts.iter().map(|(name, _)| name.clone()).collect();
         let head = document
@@ -231,13 +231,13 @@
     }
 
     /// Puts the document in place that this node was started with, if there has never been any.
-    pub(super) fn first_version<K: Kind>(&mut self) {
+    pub(super) fn write_initial_version<K: Kind>(&mut self) {
         let document = K::document(&self.shared.documents);
-        let is_wanted = document.first.is_some()
+        let is_needed = document.first.is_some()
             && document.head.version == 0
             && document.pending_change.is_none()
             && self.shared.known;
-        if !is_wanted || !self.may_decide() {
+        if !is_needed || !self.may_decide() {
             return;
         }
         let Some(spec) = K::document_mut(&mut self.shared.documents).first.take() else {
@@ -252,13 +252,13 @@
             edit: K::replacement(spec),
         };
         match self.prepare::<K>(None, &change) {
-            Ok(ready) => self.begin(ready, &change.by),
-            Err(why) => {
-                let faults: String = why.faults.iter().map(|f| format!("; {f}")).collect();
+            Ok(prepared) => self.start_change(prepared, &change.by),
+            Err(refusal) => {
+                let faults: String = refusal.faults.iter().map(|f| format!("; {f}")).collect();
                 log::error!(
                     "the first {} is refused: {}{faults}",
                     K::Content::NAME,
-                    why.error
+                    refusal.error
                 );
             }
         }
@@ -266,11 +266,11 @@
 
     /// A head goes into the next transaction.
     pub(crate) fn before_heads(&mut self, budget: usize) {
-        let due = self
+        let due_kind = self
             .shard
             .as_ref()
-            .and_then(|shard| self.shared.documents.due(shard, budget));
-        if let Some(kind) = due {
+            .and_then(|shard| self.shared.documents.kind_with_due_head(shard, budget));
+        if let Some(kind) = due_kind {
             for_kind!(kind, K => K::before_head_write(self));
         }
     }
@@ -278,14 +278,14 @@
     /// The head of a change stands in the state service, at this revision.
     pub(crate) fn head_written<K: Kind>(&mut self, revision: u64) {
         let document = K::document_mut(&mut self.shared.documents);
-        let Some(done) = document.pending_change.take() else {
+        let Some(change) = document.pending_change.take() else {
             return;
         };
-        document.observe_head(done.head, revision);
-        document.activate(done.active);
+        document.observe_head(change.head, revision);
+        document.activate(change.active);
         K::version_activated(self);
-        if let Some(conn) = done.conn {
-            self.answer_changed(conn, &done.answer);
+        if let Some(conn) = change.conn {
+            self.answer_changed(conn, &change.answer);
         }
     }
 
--- a/crates/control/src/documents/change_writes.rs
+++ b/crates/control/src/documents/change_writes.rs
@@ -18,14 +18,14 @@
 
     /// Parts that no version names any more, unless a change is about to.
     fn unreferenced_parts(&self) -> Vec<(String, u64)> {
-        let stands = self.pending_change.is_none() && self.version() == Some(self.head.version);
-        if !stands || self.parts.len() <= self.head.parts.len() {
+        let is_settled = self.pending_change.is_none() && self.version() == Some(self.head.version);
+        if !is_settled || self.parts.len() <= self.head.parts.len() {
             return Vec::new();
         }
-        let over = |(name, _): &(&String, &u64)| !self.head.parts.contains(name);
+        let is_unreferenced = |(name, _): &(&String, &u64)| !self.head.parts.contains(name);
         self.parts
             .iter()
-            .filter(over)
+            .filter(is_unreferenced)
             .map(|(name, stamp)| (name.clone(), *stamp))
             .collect()
     }
@@ -33,7 +33,7 @@
 
 impl Documents {
     /// The kind whose head may be written now, if the transaction has room for it.
-    pub(super) fn due(&self, shard: &Shard, budget: usize) -> Option<KindId> {
+    pub(super) fn kind_with_due_head(&self, shard: &Shard, budget: usize) -> Option<KindId> {
         ALL.into_iter().find(
             |kind| for_kind!(*kind, K => budget >= K::HEAD_WRITES && K::document(self).is_due() && K::may_write_head(shard)),
         )
@@ -44,16 +44,16 @@
 impl TransactionDraft {
     /// The changes that the head takes which is due, if one is.
     pub fn head_due(all: &Documents, shard: &Shard, budget: usize) -> Option<(KindId, usize)> {
-        let kind = all.due(shard, budget)?;
+        let kind = all.kind_with_due_head(shard, budget)?;
         Some((kind, for_kind!(kind, K => K::HEAD_WRITES)))
     }
 
     /// Writes the head of a change whose parts are all in place.
     pub fn head(&mut self, all: &Documents, shard: &mut Shard, kind: KindId) {
-        for_kind!(kind, K => self.head_of::<K>(all, shard));
+        for_kind!(kind, K => self.put_head_of::<K>(all, shard));
     }
 
-    fn head_of<K: Kind>(&mut self, all: &Documents, shard: &mut Shard) {
+    fn put_head_of<K: Kind>(&mut self, all: &Documents, shard: &mut Shard) {
         let Some(change) = &K::document(all).pending_change else {
             return;
         };
@@ -70,11 +70,11 @@
     /// Parts of versions to come, as far as there is room.
     pub fn parts(&mut self, all: &mut Documents, room: impl Fn(&TransactionDraft) -> bool) {
         for kind in ALL {
-            for_kind!(kind, K => self.parts_of::<K>(K::document_mut(all), &room));
+            for_kind!(kind, K => self.put_parts_of::<K>(K::document_mut(all), &room));
         }
     }
 
-    fn parts_of<K: Kind>(
+    fn put_parts_of<K: Kind>(
         &mut self,
         document: &mut Document<K>,
         room: impl Fn(&TransactionDraft) -> bool,
@@ -83,9 +83,9 @@
             return;
         };
         while room(self)
-            && let Some((name, piece)) = change.parts.pop_front()
+            && let Some((name, part)) = change.parts.pop_front()
         {
-            let value = serde_json::to_value(&piece).unwrap_or_default();
+            let value = serde_json::to_value(&part).unwrap_or_default();
             self.put_part(format!("{}{name}", prefix::<K>()), Record::Other(value));
             change.parts_in_flight += 1;
             self.pending_writes
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -46,7 +46,7 @@
         Whole::Set { spec }
     }
     fn check_change(node: &Node, new: &Counties) -> Result<(), Vec<Fault>> {
-        let faults = node.lost_by(new);
+        let faults = node.check_references(new);
         if faults.is_empty() {
             Ok(())
         } else {
@@ -54,7 +54,7 @@
         }
     }
     fn consequences(node: &Node, new: &Arc<Counties>) -> Vec<String> {
-        let live = node.live_by_county();
+        let live = node.live_jobs_by_county();
         let closed = new.spec().counties.iter().filter(|c| c.closed);
         let bound = closed.filter_map(|c| Some((c, live.get(&c.id)?)));
         bound
@@ -69,7 +69,7 @@
     }
 }
 
-fn why(unbound: Unbound) -> &'static str {
+fn unbound_message(unbound: Unbound) -> &'static str {
     match unbound {
         Unbound::NoCounty => "no county: no rule fits the job",
         Unbound::ForeignZone => "it asks for a zone that its county may not use",
@@ -88,7 +88,7 @@
         let tree = Quota::document(&self.shared.documents)
             .active
             .as_ref()
-            .map(|g| &g.built);
+            .map(|active| &active.built);
         let path = tree
             .and_then(|tree| Some(tree.path(tree.team(&spec.team)?)))
             .unwrap_or_default();
@@ -104,7 +104,7 @@
             zone: spec.zone.as_deref(),
             image: &spec.image,
         };
-        let bound = active.built.bind(&job).map_err(why)?;
+        let bound = active.built.bind(&job).map_err(unbound_message)?;
         let (county, version) = (bound.county, active.version);
         Ok(Some(CountyRecord {
             county,
@@ -114,41 +114,44 @@
         }))
     }
 
-    fn live_by_county(&self) -> BTreeMap<String, u64> {
+    fn live_jobs_by_county(&self) -> BTreeMap<String, u64> {
         let mut live: BTreeMap<String, u64> = BTreeMap::new();
         let jobs = self
             .shard
             .iter()
-            .flat_map(|p| p.jobs.iter().flatten())
-            .filter(|j| !j.is_over());
-        for county in jobs.filter_map(|j| j.county.as_ref()) {
+            .flat_map(|shard| shard.jobs.iter().flatten())
+            .filter(|job| !job.is_over());
+        for county in jobs.filter_map(|job| job.county.as_ref()) {
             *live.entry(county.county.clone()).or_default() += 1;
         }
         live
     }
 
     /// What a new document has no place for any more: bindings, and nodes of the quota tree.
-    fn lost_by(&self, new: &Counties) -> Vec<Fault> {
+    fn check_references(&self, new: &Counties) -> Vec<Fault> {
         let counties = &self.shared.documents.counties;
         let mut faults = Vec::new();
         if let Some(old) = &counties.active {
-            faults = county::lost(&old.spec, new.spec(), &self.live_by_county());
+            faults = county::lost(&old.spec, new.spec(), &self.live_jobs_by_county());
             // A county that was closed may have been bound to until then.
-            let seen = self.shard.as_ref().map_or(0, |p| p.live_watch.revision());
-            let drops = old
+            let seen_revision = self
+                .shard
+                .as_ref()
+                .map_or(0, |shard| shard.live_watch.revision());
+            let drops_county = old
                 .spec
                 .counties
                 .iter()
                 .any(|c| new.county(&c.id).is_none());
-            if drops && seen < counties.stamp {
+            if drops_county && seen_revision < counties.stamp {
                 let what = "what was accepted under the version in force was not seen yet; again in a second";
                 faults.push(Fault::whole("county", what));
             }
         }
         let tree = Quota::document(&self.shared.documents).active.as_ref();
-        let known =
+        let is_known =
             |desk: &String| tree.is_some_and(|t| t.built.nodes.iter().any(|n| n.name == *desk));
-        for (c, r, desk) in new.desks().filter(|(_, _, desk)| !known(desk)) {
+        for (c, r, desk) in new.desks().filter(|(_, _, desk)| !is_known(desk)) {
             let path = format!("county {c:?}.rule[{r}].desks");
             faults.push(Fault::whole(
                 &path,
@@ -163,15 +166,16 @@
         let Some(shard) = &mut self.shard else { return };
         let (revision, rows) = match shard.counts_by_county() {
             Ok(counts) => counts,
-            Err(why) => return self.deny_admin(conn, 503, refused(unavailable(why))),
+            Err(why) => return self.deny_admin(conn, 503, refused(unavailable_message(why))),
         };
         let active = self.shared.documents.counties.active.as_ref();
-        let name = |id: &str| active.and_then(|g| g.built.county(id)?.name.clone());
-        let wanted = |cell: &Cell| county.is_none_or(|c| c == cell.county);
-        let known = |c: &str| c == OTHER || active.is_some_and(|g| g.built.county(c).is_some());
+        let name = |id: &str| active.and_then(|active| active.built.county(id)?.name.clone());
+        let is_wanted = |cell: &Cell| county.is_none_or(|c| c == cell.county);
+        let is_known =
+            |c: &str| c == OTHER || active.is_some_and(|active| active.built.county(c).is_some());
         let lines: Vec<Line> = rows
             .into_iter()
-            .filter(|(cell, _)| wanted(cell))
+            .filter(|(cell, _)| is_wanted(cell))
             .map(|(cell, row)| Line {
                 name: name(&cell.county),
                 county: cell.county,
@@ -183,7 +187,7 @@
                 done_tasks: row.ended.tasks,
             })
             .collect();
-        if let Some(c) = county.filter(|c| lines.is_empty() && !known(c)) {
+        if let Some(c) = county.filter(|c| lines.is_empty() && !is_known(c)) {
             return self.deny_admin(conn, 404, refused(&format!("no county {c:?}")));
         }
         self.respond(conn, 200, admin::encode(&Counts { revision, lines }), None);
@@ -192,14 +196,14 @@
     fn audit_queried(&mut self, conn: u64, id: &str) {
         let Some(shard) = &mut self.shard else { return };
         match shard.audit(id) {
-            Ok(Some(told)) => self.respond(conn, 200, admin::encode(&told), None),
+            Ok(Some(progress)) => self.respond(conn, 200, admin::encode(&progress), None),
             Ok(None) => self.deny_admin(conn, 409, refused("another audit is under way")),
-            Err(why) => self.deny_admin(conn, 503, refused(unavailable(why))),
+            Err(why) => self.deny_admin(conn, 503, refused(unavailable_message(why))),
         }
     }
 }
 
-fn unavailable(why: CountsUnavailable) -> &'static str {
+fn unavailable_message(why: CountsUnavailable) -> &'static str {
     match why {
         CountsUnavailable::Unread(Unread::NotYet) => {
             "counts are held back: their records are being read"
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -17,9 +17,9 @@
 use wire::tally::{self, DIFFERENCES};
 
 /// Requests that an audit leaves to others.
-const SPARED_REQUESTS: f64 = 5.0;
+const RESERVED_REQUESTS: f64 = 5.0;
 const TIMEOUT_MS: u64 = 3000;
-const PAGE: usize = 1000;
+const PAGE_SIZE: usize = 1000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RecordSet {
@@ -32,15 +32,15 @@
     id: String,
     revision: u64,
     /// Acceptances were seen up to here.
-    seen: u64,
+    seen_revision: u64,
     counts: BTreeMap<Cell, Count>,
     /// Jobs that lived and were not found yet, with their counties.
-    live: HashMap<String, String>,
+    unmatched_live: HashMap<String, String>,
     recounted: BTreeMap<Cell, Count>,
     record_set: RecordSet,
     cursor: PageCursor,
     in_flight: bool,
-    read: u64,
+    records_read: u64,
     differences: Vec<String>,
     is_done: bool,
 }
@@ -52,11 +52,11 @@
         }
     }
 
-    fn live_found(&mut self, record: &JobRecord, stamp: u64) {
+    fn compare_live_record(&mut self, record: &JobRecord, stamp: u64) {
         let Some(county) = &record.county else { return };
-        match self.live.remove(&record.spec.id) {
+        match self.unmatched_live.remove(&record.spec.id) {
             Some(known) if known == county.county => {}
-            None if stamp > self.seen => {}
+            None if stamp > self.seen_revision => {}
             Some(known) => self.add_difference(format!(
                 "{}: bound to {}, counted for {known}",
                 record.spec.id, county.county
@@ -68,14 +68,14 @@
         }
     }
 
-    fn end_found(&mut self, job: &str, record: &EndRecord, stamp: u64) {
+    fn compare_end_record(&mut self, job: &str, record: &EndRecord, stamp: u64) {
         let Some(counted) = &record.county else {
             return;
         };
         if stamp > self.revision {
             // It lived then, if it was there.
             if let Some(known) = self
-                .live
+                .unmatched_live
                 .remove(job)
                 .filter(|known| *known != counted.county)
             {
@@ -100,16 +100,18 @@
 
     /// All records were read.
     fn finish(&mut self) {
-        self.add_lost_jobs();
+        self.add_jobs_without_record();
         self.add_count_differences();
         self.is_done = true;
     }
 
     /// Jobs that were counted and have no record.
-    fn add_lost_jobs(&mut self) {
-        let mut lost: Vec<_> = std::mem::take(&mut self.live).into_iter().collect();
-        lost.sort();
-        for (job, county) in lost {
+    fn add_jobs_without_record(&mut self) {
+        let mut unmatched: Vec<_> = std::mem::take(&mut self.unmatched_live)
+            .into_iter()
+            .collect();
+        unmatched.sort();
+        for (job, county) in unmatched {
             self.add_difference(format!("{job}: counted for {county}, has no record"));
         }
     }
@@ -139,7 +141,7 @@
 
     /// How far it is, or what it has found.
     pub fn progress(&self) -> tally::Audit {
-        let (revision, read) = (self.revision, self.read);
+        let (revision, read) = (self.revision, self.records_read);
         match self.is_done {
             true => tally::Audit::Done {
                 revision,
@@ -167,14 +169,14 @@
         let audit = Audit {
             id: id.to_owned(),
             revision,
-            seen: self.live_watch.revision(),
+            seen_revision: self.live_watch.revision(),
             counts,
-            live: self.live_counties(),
+            unmatched_live: self.live_counties(),
             recounted: BTreeMap::new(),
             record_set: RecordSet::Live,
             cursor: PageCursor::default(),
             in_flight: false,
-            read: 0,
+            records_read: 0,
             differences: Vec::new(),
             is_done: false,
         };
@@ -199,11 +201,11 @@
     /// The next page, if there is room for it.
     pub(crate) fn audit_tick(&mut self) {
         let term = self.term;
-        let spare = self.requests.level(self.now.mono) > SPARED_REQUESTS;
+        let has_spare_requests = self.requests.level(self.now.mono) > RESERVED_REQUESTS;
         let Some(audit) = self.audit_mut() else {
             return;
         };
-        if audit.is_done || audit.in_flight || !spare {
+        if audit.is_done || audit.in_flight || !has_spare_requests {
             return;
         }
         audit.in_flight = true;
@@ -212,7 +214,7 @@
         } else {
             records::ENDED
         };
-        let path = audit.cursor.path(prefix, PAGE);
+        let path = audit.cursor.path(prefix, PAGE_SIZE);
         let pending = Pending::Audit {
             term,
             record_set: audit.record_set,
@@ -225,12 +227,12 @@
         let page = match record_set {
             RecordSet::Live => self.read_state(response).map(|page| {
                 self.audit_page(page, |audit, job: JobRecord, _, stamp| {
-                    audit.live_found(&job, stamp)
+                    audit.compare_live_record(&job, stamp)
                 })
             }),
             RecordSet::Ended => self.read_state(response).map(|page| {
                 self.audit_page(page, |audit, end: EndRecord, key, stamp| {
-                    audit.end_found(key, &end, stamp)
+                    audit.compare_end_record(key, &end, stamp)
                 })
             }),
         };
@@ -253,8 +255,8 @@
         let Some(audit) = self.audit_mut() else {
             return false;
         };
-        let more = audit.cursor.advance(&page);
-        audit.read += page.items.len() as u64;
+        let has_more = audit.cursor.advance(&page);
+        audit.records_read += page.items.len() as u64;
         for Item {
             key,
             value,
@@ -264,6 +266,6 @@
             let job = key.rsplit('/').next().unwrap_or("");
             count(audit, value, job, version);
         }
-        more
+        has_more
     }
 }
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -18,19 +18,19 @@
 
 /// Sheets are written so often, so many at a time, and no longer than this. With more log records than this waiting
 /// for them, they are written with each tidying, and more at a time.
-const WRITE_SHEETS_MS: u64 = 5_000;
-const SHEETS_AT_ONCE: usize = 2;
-const SHEET_BYTES: usize = 8 * 1024;
-const BEHIND: usize = 150;
-const SHEETS_AT_ONCE_BEHIND: usize = 4;
+const SHEET_WRITE_INTERVAL_MS: u64 = 5_000;
+const SHEETS_PER_TRANSACTION: usize = 2;
+const MAX_SHEET_BYTES: usize = 8 * 1024;
+const MAX_BACKLOG: usize = 150;
+const SHEETS_PER_TRANSACTION_BEHIND: usize = 4;
 /// Sheets are read again so long after they could not be reached, or understood.
 const RETRY_MS: u64 = 500;
-const BAD_MS: u64 = 30_000;
+const UNREADABLE_RETRY_MS: u64 = 30_000;
 const TIMEOUT_MS: u64 = 3000;
 /// Sheets of one page: an answer may be 8 MiB.
-const PAGE: usize = 200;
+const PAGE_SIZE: usize = 200;
 /// Transactions with ends that are remembered until the watch has come past them.
-const RECENT: usize = 4_000;
+const MAX_RECENT_TRANSACTIONS: usize = 4_000;
 
 /// The counts by county of one term of leadership.
 pub(crate) struct CountyCounts {
@@ -38,14 +38,14 @@
     /// Some job or record has a county. Without any, nothing is read, kept free or written.
     in_use: bool,
     reading: Option<Reading>,
-    read_at: u64,
+    next_read_at: u64,
     sheets_written_at: u64,
     /// Ends that were recorded at a revision which the watch may not have come to.
-    recent: VecDeque<(u64, Vec<Delta>)>,
+    recent_ends: VecDeque<(u64, Vec<Delta>)>,
     /// Ends up to here were forgotten too early: nothing can be said as of an earlier revision.
-    forgotten: u64,
+    forgotten_revision: u64,
     /// The last transaction with ends that is known to stand.
-    last_end: u64,
+    last_end_revision: u64,
     tenants: HashMap<String, u16>,
     /// The last audit, running or done.
     pub audit: Option<crate::documents::county_audit::Audit>,
@@ -54,14 +54,14 @@
 /// Sheets as they come in, page by page.
 struct Reading {
     cursor: PageCursor,
-    all_good: bool,
+    all_decoded: bool,
 }
 
 /// Counts of the jobs that one transaction ends.
 pub(crate) struct EndedCounts {
     deltas: Vec<Delta>,
     /// What they may take of the log record.
-    most: usize,
+    max_bytes: usize,
 }
 
 /// What a job's claims say of its county, for those who find them after its end.
@@ -107,10 +107,10 @@
 
 impl EndedCounts {
     /// Counts for a transaction whose records may have this length.
-    pub fn new(value: usize) -> Self {
+    pub fn new(value_bytes: usize) -> Self {
         EndedCounts {
             deltas: Vec::new(),
-            most: value / 2,
+            max_bytes: value_bytes / 2,
         }
     }
 
@@ -121,10 +121,10 @@
             job.county.as_ref()?.county.clone(),
             job.spec.as_ref()?.class.clone(),
         );
-        let cancelled = stage == Stage::Cancelled;
+        let is_cancelled = stage == Stage::Cancelled;
         let count = Count {
-            done: u64::from(!cancelled),
-            cancelled: u64::from(cancelled),
+            done: u64::from(!is_cancelled),
+            cancelled: u64::from(is_cancelled),
             tasks: u64::from(job.done_count),
         };
         let cell = shard.county_counts.counts.cell(&county, &class);
@@ -142,7 +142,7 @@
 
     /// No more ends should be taken along.
     pub fn is_full(&self) -> bool {
-        deltas_bytes(&self.deltas) > self.most
+        deltas_bytes(&self.deltas) > self.max_bytes
     }
 
     /// Writes that the transaction still needs for them.
@@ -153,17 +153,17 @@
 
 impl CountyCounts {
     /// Counts whose sheets may be as long as a record.
-    pub fn new(value: usize) -> Self {
+    pub fn new(value_bytes: usize) -> Self {
         CountyCounts {
-            counts: Tally::new(value.min(SHEET_BYTES)),
+            counts: Tally::new(value_bytes.min(MAX_SHEET_BYTES)),
             in_use: false,
             reading: None,
-            read_at: 0,
+            next_read_at: 0,
             sheets_written_at: 0,
-            recent: VecDeque::new(),
-            forgotten: 0,
+            recent_ends: VecDeque::new(),
+            forgotten_revision: 0,
             tenants: HashMap::new(),
-            last_end: 0,
+            last_end_revision: 0,
             audit: None,
         }
     }
@@ -200,12 +200,12 @@
         }
         self.in_use = true;
         if revision > 0 {
-            self.last_end = revision;
-            self.recent.push_back((revision, ended.clone()));
-            if self.recent.len() > RECENT
-                && let Some((old, _)) = self.recent.pop_front()
+            self.last_end_revision = revision;
+            self.recent_ends.push_back((revision, ended.clone()));
+            if self.recent_ends.len() > MAX_RECENT_TRANSACTIONS
+                && let Some((old, _)) = self.recent_ends.pop_front()
             {
-                self.forgotten = old;
+                self.forgotten_revision = old;
             }
         }
         self.counts.noted(number, ended)
@@ -218,10 +218,14 @@
 
     /// Takes back what ended after a revision: there it still lives.
     fn undo_after(&mut self, revision: u64, rows: &mut BTreeMap<Cell, Row>) {
-        while self.recent.front().is_some_and(|(r, _)| *r <= revision) {
-            self.recent.pop_front();
+        while self
+            .recent_ends
+            .front()
+            .is_some_and(|(r, _)| *r <= revision)
+        {
+            self.recent_ends.pop_front();
         }
-        for delta in self.recent.iter().flat_map(|(_, deltas)| deltas) {
+        for delta in self.recent_ends.iter().flat_map(|(_, deltas)| deltas) {
             let row = rows.entry(delta.cell()).or_default();
             row.live += delta.done + delta.cancelled;
             row.ended.done = row.ended.done.saturating_sub(delta.done);
@@ -231,18 +235,18 @@
     }
 
     fn is_due(&self, now: u64) -> bool {
-        self.in_use && (now >= self.sheets_written_at + WRITE_SHEETS_MS || self.is_behind())
+        self.in_use && (now >= self.sheets_written_at + SHEET_WRITE_INTERVAL_MS || self.is_behind())
     }
 
     fn is_behind(&self) -> bool {
-        self.counts.backlog().0 > BEHIND
+        self.counts.backlog().0 > MAX_BACKLOG
     }
 
     /// Takes a page of sheets; true if another follows, `None` if none is waited for.
     fn page_read(&mut self, page: Range<serde_json::Value>) -> Option<bool> {
         let reading = self.reading.as_mut()?;
         let prefix = records::tally_prefix(SHARD);
-        let more = reading.cursor.advance(&page);
+        let has_more = reading.cursor.advance(&page);
         for Item {
             key,
             value,
@@ -253,22 +257,27 @@
             match (number, serde_json::from_value::<Sheet>(value)) {
                 (Some(number), Ok(sheet)) => self.counts.sheet_read(number, version, sheet),
                 _ => {
-                    reading.all_good = false;
+                    reading.all_decoded = false;
                     log::error!("{key} can't be understood: counts by county are held back");
                 }
             }
         }
-        Some(more)
+        Some(has_more)
     }
 
     /// Ends a reading, until a time at the earliest; true if all sheets were understood.
-    fn stop_reading(&mut self, read_at: u64) -> bool {
-        self.read_at = read_at;
-        self.reading.take().is_some_and(|reading| reading.all_good)
+    fn stop_reading(&mut self, next_read_at: u64) -> bool {
+        self.next_read_at = next_read_at;
+        self.reading
+            .take()
+            .is_some_and(|reading| reading.all_decoded)
     }
 
-    fn wants_reading(&self, now: u64) -> bool {
-        self.in_use && self.counts.state().is_err() && self.reading.is_none() && now >= self.read_at
+    fn needs_read(&self, now: u64) -> bool {
+        self.in_use
+            && self.counts.state().is_err()
+            && self.reading.is_none()
+            && now >= self.next_read_at
     }
 }
 
@@ -283,12 +292,12 @@
         if !shard.county_counts.is_due(now) {
             return;
         }
-        let most = if shard.county_counts.is_behind() {
-            SHEETS_AT_ONCE_BEHIND
+        let max_sheets = if shard.county_counts.is_behind() {
+            SHEETS_PER_TRANSACTION_BEHIND
         } else {
-            SHEETS_AT_ONCE
+            SHEETS_PER_TRANSACTION
         };
-        let Some(fold) = shard.county_counts.counts.fold(most) else {
+        let Some(fold) = shard.county_counts.counts.fold(max_sheets) else {
             return;
         };
         let mut puts = Vec::new();
@@ -314,8 +323,8 @@
 impl Shard {
     /// Sheets are in place: log records that have waited for them alone may go.
     pub fn counter_sheets_written(&mut self, fold: &Fold, revision: u64) {
-        let over = self.county_counts.counts.folded(fold, revision);
-        self.claim_log.counted(over);
+        let releasable = self.county_counts.counts.folded(fold, revision);
+        self.claim_log.counted(releasable);
     }
 }
 
@@ -324,16 +333,16 @@
     /// what ends meanwhile stays in the log.
     pub(crate) fn county_counts_tick(&mut self) {
         let now = self.now.mono;
-        let known = self.shared.documents.counties.head.version > 0;
+        let has_document = self.shared.documents.counties.head.version > 0;
         let Some(shard) = &mut self.shard else { return };
-        shard.county_counts.in_use |= known;
-        if !shard.county_counts.wants_reading(now) {
+        shard.county_counts.in_use |= has_document;
+        if !shard.county_counts.needs_read(now) {
             return;
         }
         shard.county_counts.counts.begin_reading();
         shard.county_counts.reading = Some(Reading {
             cursor: PageCursor::default(),
-            all_good: true,
+            all_decoded: true,
         });
         self.read_sheets();
     }
@@ -343,11 +352,13 @@
         let Some(reading) = self
             .shard
             .as_ref()
-            .and_then(|p| p.county_counts.reading.as_ref())
+            .and_then(|shard| shard.county_counts.reading.as_ref())
         else {
             return;
         };
-        let path = reading.cursor.path(&records::tally_prefix(SHARD), PAGE);
+        let path = reading
+            .cursor
+            .path(&records::tally_prefix(SHARD), PAGE_SIZE);
         self.get_state(path, TIMEOUT_MS, Pending::Sheets { term });
     }
 
@@ -364,9 +375,9 @@
             None => {}
             Some(true) => self.read_sheets(),
             Some(false) => {
-                let all_good = shard.county_counts.stop_reading(now + BAD_MS);
-                let over = shard.county_counts.counts.reading_over(all_good);
-                shard.claim_log.counted(over);
+                let all_decoded = shard.county_counts.stop_reading(now + UNREADABLE_RETRY_MS);
+                let releasable = shard.county_counts.counts.reading_over(all_decoded);
+                shard.claim_log.counted(releasable);
             }
         }
     }
@@ -392,7 +403,9 @@
 impl Shard {
     /// The last revision at which something ended, as far as is known: earlier leaders' were before our term.
     pub fn last_known_end(&self) -> u64 {
-        self.county_counts.last_end.max(self.leader_version)
+        self.county_counts
+            .last_end_revision
+            .max(self.leader_version)
     }
 
     /// All counts as of one revision, the latest that is known: what ended after it still lives there, and what was
@@ -403,7 +416,7 @@
             .county_counts
             .ended()
             .map_err(CountsUnavailable::Unread)?;
-        if self.county_counts.forgotten > revision {
+        if self.county_counts.forgotten_revision > revision {
             return Err(CountsUnavailable::Behind);
         }
         let mut rows: BTreeMap<Cell, Row> = ended
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -16,7 +16,7 @@
 use wire::records::{self, SharedRecord};
 
 /// What the watch of the heads has not said for so long may be otherwise: it is asked every five seconds.
-const STALE_MS: u64 = 6000;
+const HEADS_STALE_MS: u64 = 6000;
 
 #[derive(Default)]
 pub(crate) struct Documents {
@@ -105,9 +105,9 @@
 
     /// Nothing newer is known than what was taken or refused.
     pub(super) fn is_current(&self) -> bool {
-        let known = self.active.as_ref().map_or(0, |g| g.version);
+        let active_version = self.active.as_ref().map_or(0, |active| active.version);
         let rejected = self.rejected.as_ref().map_or(0, |(version, _)| *version);
-        self.head.version == known || self.head.version == rejected
+        self.head.version == active_version || self.head.version == rejected
     }
 
     /// Acts on a version from now on.
@@ -142,7 +142,7 @@
                 let kept = self
                     .active
                     .as_ref()
-                    .map_or("none".to_owned(), |g| g.version.to_string());
+                    .map_or("none".to_owned(), |active| active.version.to_string());
                 let name = K::Content::NAME;
                 log::error!("{name}: version {version} is refused, {kept} stays in force: {why}");
                 self.rejected = Some((version, why));
@@ -161,7 +161,9 @@
 impl Documents {
     /// A head that was read or watched.
     pub fn observe_head(&mut self, key: &str, record: &SharedRecord, stamp: u64) {
-        let kind = key.strip_prefix(records::SHARED).and_then(KindId::named);
+        let kind = key
+            .strip_prefix(records::SHARED)
+            .and_then(KindId::from_name);
         if let (Some(kind), Some(head)) = (kind, &record.document) {
             for_kind!(kind, K => K::document_mut(self).observe_head(head.clone(), stamp));
         }
@@ -185,24 +187,24 @@
         if self.shared.revision == 0 {
             return None;
         }
-        let mut out = Vec::new();
-        let stale = self.now.mono >= self.shared.heard_at + STALE_MS;
+        let mut conditions = Vec::new();
+        let stale = self.now.mono >= self.shared.heard_at + HEADS_STALE_MS;
         for kind in ALL {
-            let (binds, stamp, current) = for_kind!(kind, K => {
+            let (guards, stamp, is_current) = for_kind!(kind, K => {
                 let document = K::document(&self.shared.documents);
                 (K::GUARDS_ACCEPTANCE, document.stamp, document.is_current() && document.version().is_some())
             });
-            if binds && (stamp > 0 || stale) {
-                if !current {
+            if guards && (stamp > 0 || stale) {
+                if !is_current {
                     return None;
                 }
                 let key = records::head_key(for_kind!(kind, K => <K as Kind>::Content::KIND));
-                out.push(Condition {
+                conditions.push(Condition {
                     key,
                     version: stamp,
                 });
             }
         }
-        Some(out)
+        Some(conditions)
     }
 }
--- a/crates/control/src/documents/kind.rs
+++ b/crates/control/src/documents/kind.rs
@@ -28,23 +28,23 @@
 
 /// Does something for a kind that is known by its id alone.
 macro_rules! for_kind {
-    ($id:expr, $K:ident => $what:expr) => {
-        match $id {
+    ($kind:expr, $K:ident => $body:expr) => {
+        match $kind {
             $crate::documents::KindId::Quota => {
                 type $K = $crate::documents::quotas::Quota;
-                $what
+                $body
             }
             $crate::documents::KindId::Hours => {
                 type $K = $crate::documents::hours::Hours;
-                $what
+                $body
             }
             $crate::documents::KindId::Counties => {
                 type $K = $crate::documents::counties::County;
-                $what
+                $body
             }
             $crate::documents::KindId::Models => {
                 type $K = $crate::models::ModelRules;
-                $what
+                $body
             }
         }
     };
@@ -77,7 +77,7 @@
     fn answer_query(node: &mut Node, conn: u64, query: Self::Query);
     /// The document's answer to "show".
     fn show(node: &Node) -> Vec<u8> {
-        Self::document(&node.shared.documents).shown()
+        Self::document(&node.shared.documents).encode_shown()
     }
     /// Whether what is there now stands against a new version.
     fn check_change(
@@ -115,8 +115,8 @@
 
 impl KindId {
     /// The kind with this word.
-    pub fn named(word: &str) -> Option<KindId> {
+    pub fn from_name(name: &str) -> Option<KindId> {
         ALL.into_iter()
-            .find(|id| for_kind!(*id, K => <K as Kind>::Content::KIND) == word)
+            .find(|id| for_kind!(*id, K => <K as Kind>::Content::KIND) == name)
     }
 }
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -8,12 +8,12 @@
 use wire::http::{Request, Response};
 
 /// A controller has this long to have the leader answer, a whole change included.
-const FORWARD_MS: u64 = 15_000;
+const FORWARD_TIMEOUT_MS: u64 = 15_000;
 
 impl Node {
     /// Serves a request if it is one for this API.
     pub(crate) fn admin_requested(&mut self, conn: u64, request: &Request) -> bool {
-        let kind = admin::kind_of(&request.path).and_then(KindId::named);
+        let kind = admin::kind_of(&request.path).and_then(KindId::from_name);
         let Some(kind) = kind.filter(|_| self.tuning.door >= 1.0) else {
             return false;
         };
@@ -47,15 +47,15 @@
         let Some(peer) = self.leader_peer() else {
             return self.deny_admin(conn, 503, refused("no owner now"));
         };
-        let what = Pending::Admin { conn };
+        let pending = Pending::Admin { conn };
         let (path, body) = (request.path.clone(), request.body.clone());
         self.send(
             Destination::Peer(peer),
             "POST",
             path,
             body,
-            FORWARD_MS,
-            what,
+            FORWARD_TIMEOUT_MS,
+            pending,
         );
     }
 
@@ -80,19 +80,19 @@
 
 impl<K: Kind> Document<K> {
     /// The document's answer to "show".
-    pub(super) fn shown(&self) -> Vec<u8> {
+    pub(super) fn encode_shown(&self) -> Vec<u8> {
         let (version, spec) = self
             .active
             .as_ref()
-            .map_or((0, K::Content::default()), |g| {
-                (g.version, (*g.spec).clone())
+            .map_or((0, K::Content::default()), |active| {
+                (active.version, (*active.spec).clone())
             });
-        let (history, refused) = (self.head.history.clone(), self.rejection());
+        let (history, rejection) = (self.head.history.clone(), self.rejection());
         admin::encode(&Shown {
             version,
             spec,
             history,
-            refused,
+            refused: rejection,
         })
     }
 }
@@ -106,7 +106,7 @@
 }
 
 /// The refusal of a version with these faults.
-pub(super) fn faulty<K: Kind>(faults: Vec<Fault>) -> Refused {
+pub(super) fn refused_with_faults<K: Kind>(faults: Vec<Fault>) -> Refused {
     let why = format!(
         "the {} is refused; the one in force stays",
         K::Content::NAME
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -55,7 +55,9 @@
         Edit::Set { spec }
     }
     fn answer_query(node: &mut Node, conn: u64, Question::Why { team }: Question) {
-        let live = node.tree_here().and_then(|tree| node.counted(&tree));
+        let live = node
+            .active_or_default_tree()
+            .and_then(|tree| node.live_usage(&tree));
         let found = live.and_then(|mut live| live.tree().team(&team).map(|t| live.why(t)));
         match found {
             Some(why) => node.respond(conn, 200, admin::encode(&why), None),
@@ -67,35 +69,39 @@
     }
     /// The tree with the counts of this moment.
     fn show(node: &Node) -> Vec<u8> {
-        let q = &node.shared.documents.quota;
-        let (version, spec) = q
+        let document = &node.shared.documents.quota;
+        let (version, spec) = document
             .active
             .as_ref()
-            .map_or((0, Spec::default()), |g| (g.version, (*g.spec).clone()));
-        let live = node.tree_here().and_then(|tree| node.counted(&tree));
+            .map_or((0, Spec::default()), |active| {
+                (active.version, (*active.spec).clone())
+            });
+        let live = node
+            .active_or_default_tree()
+            .and_then(|tree| node.live_usage(&tree));
         admin::encode(&admin::Tree {
             version,
             spec,
             nodes: live.as_ref().map(Live::nodes).unwrap_or_default(),
             teams: live.as_ref().map(Live::teams).unwrap_or_default(),
-            history: q.head.history.clone(),
-            refused: q.rejection(),
+            history: document.head.history.clone(),
+            refused: document.rejection(),
         })
     }
     fn consequences(node: &Node, tree: &Arc<Tree>) -> Vec<String> {
-        node.counted(tree)
-            .map(|live| above(&live))
+        node.live_usage(tree)
+            .map(|live| nodes_above_maximum(&live))
             .unwrap_or_default()
     }
     fn version_activated(node: &mut Node) {
-        node.tree_in_force();
+        node.apply_active_tree();
     }
     fn may_write_head(shard: &Shard) -> bool {
         shard.allotment.is_settled()
     }
     /// What was planned under the old bounds must not be recorded with the new ones.
     fn before_head_write(node: &mut Node) {
-        node.drop_unrecorded();
+        node.drop_unrecorded_claims();
     }
     /// The allotment that names the tree.
     fn write_with_head(draft: &mut TransactionDraft, shard: &mut Shard, version: u64) {
@@ -114,9 +120,9 @@
 }
 
 /// What is above its bound, and what becomes of it.
-fn above(live: &Live) -> Vec<String> {
+fn nodes_above_maximum(live: &Live) -> Vec<String> {
     let tree = live.tree();
-    let mut out = Vec::new();
+    let mut lines = Vec::new();
     for (i, node) in tree.nodes.iter().enumerate() {
         let used = live.used(quota::NodeId(i as u32));
         for (r, name) in tree
@@ -125,28 +131,28 @@
             .enumerate()
             .filter(|(r, _)| used[*r] > node.max[*r])
         {
-            let over = (used[r] - node.max[r]) as f64 / 1000.0;
-            let then = match node.over {
+            let excess = (used[r] - node.max[r]) as f64 / 1000.0;
+            let consequence = match node.over {
                 quota::Over::Reclaim => "stopped with the time to save",
                 quota::Over::LetEnd => "left to end",
             };
-            out.push(format!(
-                "{}: {over} {name} above the new maximum, {then}",
+            lines.push(format!(
+                "{}: {excess} {name} above the new maximum, {consequence}",
                 node.name
             ));
         }
     }
-    out
+    lines
 }
 
 impl Node {
     /// The tree with the counts of this moment.
-    fn counted(&self, tree: &Arc<Tree>) -> Option<Live> {
+    fn live_usage(&self, tree: &Arc<Tree>) -> Option<Live> {
         Some(Counted::new(self.shard.as_ref()?, tree.clone()).live)
     }
 
     /// The tree in force; without one, the teams alone.
-    fn tree_here(&self) -> Option<Arc<Tree>> {
+    fn active_or_default_tree(&self) -> Option<Arc<Tree>> {
         match &self.shared.documents.quota.active {
             Some(active) => Some(active.built.clone()),
             None => Tree::build(&Spec::default(), &self.settings.quota_teams())
@@ -156,10 +162,10 @@
     }
 
     /// Where we are the leader, the bounds of a new version are recorded before anything starts under them.
-    pub(crate) fn tree_in_force(&mut self) {
+    pub(crate) fn apply_active_tree(&mut self) {
         self.refit_hours();
         let whole = self.whole_allotment();
-        let Some(shard) = self.shard.as_mut().filter(|p| p.loaded) else {
+        let Some(shard) = self.shard.as_mut().filter(|shard| shard.loaded) else {
             return;
         };
         if shard.allotment.is_settled_on(&whole) {
@@ -169,19 +175,19 @@
         shard.plan_triggers.request();
         self.to_write = true;
         // What was planned under the old bounds and not recorded yet is planned anew.
-        self.drop_unrecorded();
+        self.drop_unrecorded_claims();
     }
 
     /// Takes back all claims of which neither a record nor a start is on its way.
-    pub(crate) fn drop_unrecorded(&mut self) {
+    pub(crate) fn drop_unrecorded_claims(&mut self) {
         let Some(shard) = &mut self.shard else { return };
         let mut jobs = BTreeSet::new();
         let fresh: Vec<_> = shard.claim_log.fresh.drain(..).collect();
         for id in fresh {
-            let new = shard
+            let is_unsent = shard
                 .claim_mut(&id)
                 .is_some_and(|c| c.state == crate::agents::machine::ClaimState::New && !c.sent);
-            if new {
+            if is_unsent {
                 shard.drop_claim(&id);
                 jobs.insert(id.job);
             } else {
@@ -200,10 +206,10 @@
         };
         let tree = &active.built;
         let path = tree.team(team).map(|t| tree.path(t)).unwrap_or_default();
-        let over = |n: &quota::NodeId| {
+        let exceeds_max = |n: &quota::NodeId| {
             let max = &tree.nodes[n.0 as usize].max;
             all.iter().zip(max).any(|(need, max)| need > max)
         };
-        path.iter().any(over)
+        path.iter().any(exceeds_max)
     }
 }
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -12,9 +12,9 @@
 
 const TIMEOUT_MS: u64 = 3000;
 /// Parts that one page has at most.
-const PAGE: usize = 1000;
+const PAGE_SIZE: usize = 1000;
 /// A new version's parts are read so long after the last time at the earliest.
-const RETRY_MS: u64 = 1000;
+const REREAD_INTERVAL_MS: u64 = 1000;
 
 /// Parts as they come in, page by page.
 pub(super) struct Reading<P> {
@@ -25,7 +25,7 @@
 impl<P> Reading<P> {
     /// Takes the parts of a page; true if another page follows.
     fn add(&mut self, page: Range<P>, prefix: &str) -> bool {
-        let more = self.cursor.advance(&page);
+        let has_more = self.cursor.advance(&page);
         for Item {
             key,
             value,
@@ -36,7 +36,7 @@
                 self.found.insert(name.to_owned(), (version, value));
             }
         }
-        more
+        has_more
     }
 }
 
@@ -52,7 +52,7 @@
     /// Reads the parts of a new version, as soon as its head was seen; puts the first one in place.
     fn document_tick<K: Kind>(&mut self) {
         let now = self.now.mono;
-        let leader_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
+        let leader_loads = self.shard.as_ref().is_some_and(|shard| !shard.loaded);
         let document = K::document_mut(&mut self.shared.documents);
         if !document.is_current()
             && document.reading.is_none()
@@ -60,10 +60,10 @@
             && !leader_loads
         {
             // Not the leader's budget for claims: once a second at most.
-            document.retry_at = now + RETRY_MS;
+            document.retry_at = now + REREAD_INTERVAL_MS;
             self.read_parts::<K>();
         }
-        self.first_version::<K>();
+        self.write_initial_version::<K>();
     }
 
     /// Starts to read all parts, from the first page.
@@ -80,7 +80,7 @@
         let Some(reading) = &K::document(&self.shared.documents).reading else {
             return;
         };
-        let path = reading.cursor.path(&prefix::<K>(), PAGE);
+        let path = reading.cursor.path(&prefix::<K>(), PAGE_SIZE);
         let pending = Pending::Parts {
             term: self.term,
             kind: K::ID,
@@ -94,7 +94,7 @@
         let document = K::document_mut(&mut self.shared.documents);
         let Some(page) = page else {
             document.reading = None;
-            return self.document_read::<K>();
+            return self.finish_document_read::<K>();
         };
         let Some(reading) = &mut document.reading else {
             return;
@@ -103,7 +103,7 @@
             return self.read_page::<K>();
         }
         self.all_parts_read::<K>();
-        self.document_read::<K>();
+        self.finish_document_read::<K>();
     }
 
     /// Takes the version that the head names, now that all parts are here.
@@ -111,7 +111,11 @@
         let context = K::context(self);
         let term = self.term;
         let document = K::document_mut(&mut self.shared.documents);
-        let found = document.reading.take().map(|r| r.found).unwrap_or_default();
+        let found = document
+            .reading
+            .take()
+            .map(|reading| reading.found)
+            .unwrap_or_default();
         document.read_in_term = term;
         document.parts = found
             .iter()
@@ -130,11 +134,11 @@
     }
 
     /// A document was read, or could not be.
-    fn document_read<K: Kind>(&mut self) {
+    fn finish_document_read<K: Kind>(&mut self) {
         let document = K::document(&self.shared.documents);
-        let whole = document.read_in_term == self.term && document.is_current();
-        let leader_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
-        match (leader_loads, whole) {
+        let is_complete = document.read_in_term == self.term && document.is_current();
+        let leader_loads = self.shard.as_ref().is_some_and(|shard| !shard.loaded);
+        match (leader_loads, is_complete) {
             (false, _) => K::version_activated(self),
             (true, true) => self.load_documents(),
             // Without it nothing may start: again, from the heads.
@@ -158,11 +162,11 @@
     /// none a second time.
     pub(crate) fn load_documents(&mut self) {
         for kind in ALL {
-            let lacks = for_kind!(kind, K => {
+            let is_missing = for_kind!(kind, K => {
                 let document = K::document(&self.shared.documents);
                 document.head.version > 0 && (document.read_in_term != self.term || !document.is_current())
             });
-            if lacks {
+            if is_missing {
                 return for_kind!(kind, K => self.read_parts::<K>());
             }
         }
