--- a/crates/control/src/documents/hours/listing.rs
+++ b/crates/control/src/documents/hours/listing.rs
@@ -1,7 +1,7 @@
 //! The list of hours that operators see: those that are past, those to come, and those of ended jobs.
 
 use crate::Node;
-use crate::documents::hours::watch::Ended;
+use crate::documents::hours::watch::EndedHour;
 use crate::jobs::job::Job;
 use ::hours::Calendar;
 use std::sync::Arc;
@@ -45,7 +45,7 @@
         })
     }
 
-    fn of_ended(ended: &Ended) -> Entry<'_> {
+    fn of_ended(ended: &EndedHour) -> Entry<'_> {
         Entry {
             job: &ended.job,
             team: &ended.team,
--- a/crates/control/src/documents/hours/mod.rs
+++ b/crates/control/src/documents/hours/mod.rs
@@ -18,7 +18,7 @@
 use document::{Content, Fault};
 use std::sync::Arc;
 use wire::admin::Whole;
-use wire::api::{JobSpec, Kind as Shape};
+use wire::api::{JobSpec, Kind as JobKind};
 use wire::hours::Ask;
 use wire::records::HourRecord;
 
@@ -40,7 +40,7 @@
     }
     fn context(node: &Node) -> Around {
         let tree = node.quota_tree();
-        let path = |team: &str| {
+        let node_path = |team: &str| {
             let tree = tree.as_ref()?;
             let path = tree.path(tree.team(team)?);
             Some(
@@ -52,7 +52,7 @@
         let teams = node.settings.cluster.teams.iter();
         let teams = teams.map(|t| TeamAt {
             name: t.name.clone(),
-            path: path(&t.name).unwrap_or_default(),
+            path: node_path(&t.name).unwrap_or_default(),
         });
         let nodes = tree.iter().flat_map(|t| &t.nodes).map(|n| n.name.clone());
         Around {
@@ -87,7 +87,7 @@
     /// The hour of a job that is accepted now, by the calendar in force. Services have none: they do not end.
     pub(crate) fn hour_for(&self, spec: &JobSpec, accepted_ms: u64) -> Option<HourRecord> {
         let active = self.shared.documents.hours.active.as_ref()?;
-        if spec.kind == Shape::Service {
+        if spec.kind == JobKind::Service {
             return None;
         }
         let due = active
@@ -108,7 +108,7 @@
             .hours
             .active
             .clone()
-            .filter(|g| g.spec.follows_tree())
+            .filter(|active| active.spec.follows_tree())
         else {
             return;
         };
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -10,7 +10,7 @@
 use ::hours::Calendar;
 use std::fmt;
 use wire::admin;
-use wire::api::Kind as Shape;
+use wire::api::Kind as JobKind;
 use wire::hours::Moved;
 use wire::records::{self, HourRecord, JobRecord, MovedRecord, Record};
 
@@ -21,7 +21,7 @@
 /// Lines of what moves that an answer lists.
 const MAX_MOVED_LINES: usize = 200;
 /// The state service counts a record in another form than ours, which takes somewhat more.
-const RECORD_FORM: f64 = 1.3;
+const STATE_SIZE_FACTOR: f64 = 1.3;
 
 #[derive(Debug)]
 pub(crate) struct HourMove {
@@ -38,11 +38,11 @@
 enum MoveError {
     UnknownJob(String),
     /// The job has ended or is ending, or is a service.
-    NeverEnds(String),
+    NotMovable(String),
     NoSuchTime(String),
     NoCalendar,
     UnknownStudio(String),
-    TooMany,
+    TooManyMoves,
 }
 
 impl MoveError {
@@ -50,9 +50,9 @@
     fn status(&self) -> u16 {
         match self {
             MoveError::UnknownJob(_) | MoveError::NoCalendar | MoveError::UnknownStudio(_) => 404,
-            MoveError::NeverEnds(_) => 409,
+            MoveError::NotMovable(_) => 409,
             MoveError::NoSuchTime(_) => 422,
-            MoveError::TooMany => 503,
+            MoveError::TooManyMoves => 503,
         }
     }
 }
@@ -61,13 +61,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             MoveError::UnknownJob(job) => write!(f, "no job {job:?} that has not ended"),
-            MoveError::NeverEnds(job) => write!(f, "{job}: it has ended, or never does"),
+            MoveError::NotMovable(job) => write!(f, "{job}: it has ended, or never does"),
             MoveError::NoSuchTime(why) => f.write_str(why),
             MoveError::NoCalendar => f.write_str("no calendar is in force"),
             MoveError::UnknownStudio(studio) => {
                 write!(f, "{studio:?} is no studio of the calendar")
             }
-            MoveError::TooMany => f.write_str("too many moves are under way"),
+            MoveError::TooManyMoves => f.write_str("too many moves are under way"),
         }
     }
 }
@@ -115,7 +115,7 @@
             }));
         }
         if shard.hours.moves.len() >= MAX_WAITING_MOVES {
-            return Err(MoveError::TooMany);
+            return Err(MoveError::TooManyMoves);
         }
         log::info!("hour of {line} by {by:?} is to be written");
         shard.hours.waiting_operators.insert(conn);
@@ -124,7 +124,7 @@
             job: id.to_owned(),
             due_ms,
             version,
-            by: bounded_name(by),
+            by: sanitized_name(by),
             conn: Some(conn),
         });
         self.to_write = true;
@@ -165,14 +165,14 @@
                 job: job.id.clone(),
                 due_ms,
                 version: active.version,
-                by: bounded_name(by),
+                by: sanitized_name(by),
                 conn: None,
             });
         }
         let jobs = moves.len();
         if !dry_run {
             if shard.hours.moves.len() + jobs > MAX_WAITING_MOVES {
-                return Err(MoveError::TooMany);
+                return Err(MoveError::TooManyMoves);
             }
             log::info!("hours of {jobs} jobs of {studio} by {by:?} are to be written");
             shard.hours.moves.extend(moves);
@@ -195,8 +195,8 @@
     let (ix, job) = found
         .filter(|(_, job)| job.spec.is_some())
         .ok_or_else(|| MoveError::UnknownJob(id.to_owned()))?;
-    if job.is_ending() || job.kind() == Shape::Service {
-        return Err(MoveError::NeverEnds(id.to_owned()));
+    if job.is_ending() || job.kind() == JobKind::Service {
+        return Err(MoveError::NotMovable(id.to_owned()));
     }
     Ok((ix, job))
 }
@@ -209,7 +209,7 @@
 ) -> impl Iterator<Item = (JobIndex, &'a Job, u64)> {
     shard.jobs.iter().enumerate().filter_map(move |(ix, job)| {
         let job = job.filter(|job| job.ending == Ending::No)?;
-        let spec = job.spec.as_ref().filter(|s| s.kind != Shape::Service)?;
+        let spec = job.spec.as_ref().filter(|s| s.kind != JobKind::Service)?;
         if calendar.studio_of(&job.team) != Some(studio) {
             return None;
         }
@@ -224,7 +224,7 @@
         .is_some_and(|hour| hour.record.due_ms == due_ms)
 }
 
-fn bounded_name(by: &str) -> String {
+fn sanitized_name(by: &str) -> String {
     by.chars()
         .filter(|c| !c.is_control())
         .take(document::SHORT)
@@ -252,45 +252,46 @@
         &mut self,
         shard: &mut Shard,
         wall: u64,
-        value: usize,
+        value_bytes: usize,
         room: impl Fn(&TransactionDraft) -> bool,
     ) {
-        let most = if shard.claim_log.fresh.is_empty() {
+        let max_moves = if shard.claim_log.fresh.is_empty() {
             usize::MAX
         } else {
             MOVES_PER_TRANSACTION
         };
-        for _ in 0..most {
+        for _ in 0..max_moves {
             if !room(self) {
                 return;
             }
-            let Some(hour) = shard.hours.moves.pop_front() else {
+            let Some(hour_move) = shard.hours.moves.pop_front() else {
                 return;
             };
             let job = shard
-                .job(hour.ix)
-                .filter(|j| j.id == hour.job && j.ending == Ending::No);
-            let Some((job, spec)) = job.and_then(|j| Some((j, j.spec.as_ref()?))) else {
-                shard.hours.rejected_moves.push(hour);
+                .job(hour_move.ix)
+                .filter(|job| job.id == hour_move.job && job.ending == Ending::No);
+            let Some((job, spec)) = job.and_then(|job| Some((job, job.spec.as_ref()?))) else {
+                shard.hours.rejected_moves.push(hour_move);
                 continue;
             };
             let key = records::live_key(&job.id);
             if self.writes_to(&key) {
                 // Moved twice: the second follows when the first is in place.
-                shard.hours.moves.push_front(hour);
+                shard.hours.moves.push_front(hour_move);
                 return;
             }
             let record = JobRecord {
-                hour: Some(hour.record(job, wall)),
+                hour: Some(hour_move.record(job, wall)),
                 county: job.county.clone(),
                 ..JobRecord::new((**spec).clone(), job.at_ms, SHARD)
             };
-            if wire::encode(&record).len() as f64 * RECORD_FORM > value as f64 {
-                shard.hours.rejected_moves.push(hour);
+            if wire::encode(&record).len() as f64 * STATE_SIZE_FACTOR > value_bytes as f64 {
+                shard.hours.rejected_moves.push(hour_move);
                 continue;
             }
             self.put(key, job.version, Record::Job(Box::new(record)));
-            self.pending_writes.push(PendingWrite::Hour(hour, wall));
+            self.pending_writes
+                .push(PendingWrite::Hour(hour_move, wall));
         }
     }
 }
@@ -313,27 +314,27 @@
 
 impl Node {
     /// The record of a moved hour is in place at this revision.
-    pub(crate) fn hour_moved(&mut self, hour: HourMove, wall: u64, revision: u64) {
+    pub(crate) fn hour_moved(&mut self, hour_move: HourMove, wall: u64, revision: u64) {
         let Some(shard) = &mut self.shard else { return };
-        hour.conn.iter().for_each(|c| {
-            shard.hours.waiting_operators.remove(c);
+        hour_move.conn.iter().for_each(|conn| {
+            shard.hours.waiting_operators.remove(conn);
         });
-        let Some(job) = shard.job_mut(hour.ix) else {
+        let Some(job) = shard.job_mut(hour_move.ix) else {
             return;
         };
-        let record = hour.record(job, wall);
-        let from = record.moved.as_ref().map_or(0, |m| m.from_ms);
+        let record = hour_move.record(job, wall);
+        let from_ms = record.moved.as_ref().map_or(0, |m| m.from_ms);
         job.version = revision;
         job.hour = Some(Hour::new(record));
-        let job = shard.jobs.get(hour.ix);
-        shard.hours.forget(from, hour.ix);
+        let job = shard.jobs.get(hour_move.ix);
+        shard.hours.forget(from_ms, hour_move.ix);
         if let Some(job) = job {
-            shard.hours.add(job, hour.ix);
+            shard.hours.add(job, hour_move.ix);
         }
         shard.plan_triggers.request();
         let line = format!(
-            "{}: from {from} to {} ms by {:?}",
-            hour.job, hour.due_ms, hour.by
+            "{}: from {from_ms} to {} ms by {:?}",
+            hour_move.job, hour_move.due_ms, hour_move.by
         );
         log::info!("hour of {line} is moved");
         let answer = Moved {
@@ -341,7 +342,8 @@
             jobs: 1,
             lines: vec![line],
         };
-        hour.conn
+        hour_move
+            .conn
             .into_iter()
             .for_each(|conn| self.respond(conn, 200, admin::encode(&answer), None));
     }
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -5,41 +5,41 @@
 use crate::jobs::job::{Job, JobIndex};
 use crate::store::shard::Shard;
 use std::collections::BTreeMap;
-use wire::api::{Catalog, JobSpec, Kind as Shape};
+use wire::api::{Catalog, JobSpec, Kind as JobKind};
 use wire::hours::{Risk, State};
 
 /// Between the plan that a job is in and the start of its tasks: its record, and the way to the worker.
-const START_S: f64 = 2.0;
+const START_DELAY_S: f64 = 2.0;
 
 /// In the plan.
 impl Hour {
     /// Caps a planned job's deadline: the hour, less what start, fetch and saving take. One that can't be kept any
     /// more caps nothing: it must not stand before those that can. The planner itself leaves arrays time to fetch.
     pub fn cap(&self, job: plan::Job, spec: &JobSpec, catalog: &Catalog, wall: u64) -> plan::Job {
-        let left = self.left(wall) - START_S - spec.save_s;
-        let fetch = fetch_s(spec, catalog);
-        if left - fetch < job.estimate {
+        let remaining_s = self.seconds_left(wall) - START_DELAY_S - spec.save_s;
+        let fetch_s = least_fetch_s(spec, catalog);
+        if remaining_s - fetch_s < job.estimate {
             return job;
         }
-        let own = if spec.kind == Shape::Gang {
-            left - fetch
+        let cap_s = if spec.kind == JobKind::Gang {
+            remaining_s - fetch_s
         } else {
-            left
+            remaining_s
         };
         plan::Job {
-            due: Some(job.due.map_or(own, |due| due.min(own))),
+            due: Some(job.due.map_or(cap_s, |due| due.min(cap_s))),
             ..job
         }
     }
 
     /// Seconds until the hour.
-    pub(super) fn left(&self, wall: u64) -> f64 {
+    pub(super) fn seconds_left(&self, wall: u64) -> f64 {
         (self.record.due_ms as f64 - wall as f64) / 1000.0
     }
 }
 
 /// The least time that the image takes.
-fn fetch_s(spec: &JobSpec, catalog: &Catalog) -> f64 {
+fn least_fetch_s(spec: &JobSpec, catalog: &Catalog) -> f64 {
     let allowed = |name: &String| spec.types.as_ref().is_none_or(|list| list.contains(name));
     let rates = catalog
         .types
@@ -67,16 +67,16 @@
 ) -> BTreeMap<JobIndex, Planned> {
     let mut planned: BTreeMap<JobIndex, Planned> = BTreeMap::new();
     for (index, ix) in jobs.iter().enumerate() {
-        if shard.job(*ix).is_some_and(|j| j.hour.is_some()) {
-            let of_job = planned.entry(*ix).or_default();
-            of_job.pending += input.jobs[index].pending;
-            of_job.index = index;
+        if shard.job(*ix).is_some_and(|job| job.hour.is_some()) {
+            let planned_job = planned.entry(*ix).or_default();
+            planned_job.pending += input.jobs[index].pending;
+            planned_job.index = index;
         }
     }
     for start in &output.starts {
         let job = jobs.get(start.job as usize);
-        if let Some(of_job) = job.and_then(|ix| planned.get_mut(ix)) {
-            of_job.started += start.count;
+        if let Some(planned_job) = job.and_then(|ix| planned.get_mut(ix)) {
+            planned_job.started += start.count;
         }
     }
     planned
@@ -90,7 +90,7 @@
     zones: &'a [String],
     wall: u64,
     /// Some machine is on its way.
-    booting: bool,
+    has_booting_machine: bool,
 }
 
 impl Assessment<'_> {
@@ -100,38 +100,42 @@
         if hour.state == State::Missed || job.is_ending() {
             return None;
         }
-        let places = job.claimed.len() as u32 + planned.started;
-        let is_late = hour.left(self.wall) < self.needed_s(spec, planned, places);
+        let placed_tasks = job.claimed.len() as u32 + planned.started;
+        let is_late = hour.seconds_left(self.wall) < self.needed_s(spec, planned, placed_tasks);
         Some(if is_late {
-            State::AtRisk(self.risk(job, spec, planned, places))
+            State::AtRisk(self.risk(job, spec, planned, placed_tasks))
         } else {
             State::Due
         })
     }
 
     /// Seconds until the job is done, with the places that it has.
-    fn needed_s(&self, spec: &JobSpec, planned: &Planned, places: u32) -> f64 {
-        let later = planned
+    fn needed_s(&self, spec: &JobSpec, planned: &Planned, placed_tasks: u32) -> f64 {
+        let later_rounds = planned
             .pending
             .saturating_sub(planned.started)
-            .div_ceil(places.max(1));
-        let rounds = if places == 0 { 1 } else { later + 1 };
+            .div_ceil(placed_tasks.max(1));
+        let rounds = if placed_tasks == 0 {
+            1
+        } else {
+            later_rounds + 1
+        };
         self.input.jobs[planned.index].estimate * f64::from(rounds)
-            + fetch_s(spec, self.catalog)
-            + START_S
+            + least_fetch_s(spec, self.catalog)
+            + START_DELAY_S
             + spec.save_s
     }
 
     /// Why an hour can't be kept.
-    fn risk(&self, job: &Job, spec: &JobSpec, planned: &Planned, places: u32) -> Risk {
+    fn risk(&self, job: &Job, spec: &JobSpec, planned: &Planned, placed_tasks: u32) -> Risk {
         let planned = &self.input.jobs[planned.index];
         if self.is_cut_off(spec) {
             Risk::Cut
-        } else if places == 0 && self.is_beyond_quota(planned) {
+        } else if placed_tasks == 0 && self.is_beyond_quota(planned) {
             Risk::Quota
-        } else if places > 0 && job.running == 0 {
+        } else if placed_tasks > 0 && job.running == 0 {
             Risk::Image
-        } else if self.booting {
+        } else if self.has_booting_machine {
             Risk::Boot
         } else {
             Risk::Room
@@ -186,7 +190,7 @@
             catalog,
             zones: &self.settings.cluster.zones,
             wall,
-            booting: shard
+            has_booting_machine: shard
                 .machines
                 .iter()
                 .flatten()
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -38,7 +38,7 @@
 }
 
 /// The hour of a job that has ended, for lists.
-pub(super) struct Ended {
+pub(super) struct EndedHour {
     pub(super) job: String,
     pub(super) team: String,
     pub(super) class: String,
@@ -54,7 +54,7 @@
     pub(super) upcoming: BTreeSet<(u64, JobIndex)>,
     pub(super) passed: BTreeSet<(u64, JobIndex)>,
     /// The last jobs that ended.
-    pub(super) ended: VecDeque<Ended>,
+    pub(super) ended: VecDeque<EndedHour>,
     /// Moves that wait for a transaction.
     pub(super) moves: VecDeque<HourMove>,
     /// Moves of jobs that have ended meanwhile.
@@ -72,8 +72,8 @@
     }
 
     /// A move whose transaction was refused is still to be written, before those that came after it.
-    pub fn take_back(&mut self, hour: HourMove) {
-        self.moves.push_front(hour);
+    pub fn take_back(&mut self, hour_move: HourMove) {
+        self.moves.push_front(hour_move);
     }
 
     /// Watches an hour no longer.
@@ -95,12 +95,12 @@
         };
         match late_s {
             Some(late) => log::warn!("job {}: released {late:.1} s after its hour", job.id),
-            None => log::info!("job {}: its hour is {}", job.id, describe(state)),
+            None => log::info!("job {}: its hour is {}", job.id, describe_state(state)),
         }
         if self.ended.len() >= MAX_ENDED {
             self.ended.pop_front();
         }
-        self.ended.push_back(Ended {
+        self.ended.push_back(EndedHour {
             job: job.id.clone(),
             team: job.team.clone(),
             class: job
@@ -120,7 +120,7 @@
     }
 }
 
-fn describe(state: State) -> String {
+fn describe_state(state: State) -> String {
     match state {
         State::Due => "to be kept".into(),
         State::AtRisk(risk) => format!("at risk: {}", format!("{risk:?}").to_lowercase()),
@@ -147,18 +147,18 @@
         let Some(shard) = &mut self.shard else { return };
         let missed = shard.missed_hours(wall);
         shard.set_states(missed, wall);
-        for hour in std::mem::take(&mut shard.hours.rejected_moves) {
-            self.refuse_move(hour);
+        for hour_move in std::mem::take(&mut shard.hours.rejected_moves) {
+            self.refuse_move(hour_move);
         }
     }
 
-    fn refuse_move(&mut self, hour: HourMove) {
+    fn refuse_move(&mut self, hour_move: HourMove) {
         let why = format!(
             "{}: it has ended meanwhile, or its record has no room for the move",
-            hour.job
+            hour_move.job
         );
         log::info!("hour of {why}");
-        let Some(conn) = hour.conn else { return };
+        let Some(conn) = hour_move.conn else { return };
         if let Some(shard) = &mut self.shard {
             shard.hours.waiting_operators.remove(&conn);
         }
@@ -185,7 +185,7 @@
 
     /// Notes how hours stand from now on, and logs the first of them.
     pub(super) fn set_states(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
-        let more = changes.len().saturating_sub(MAX_LOGGED);
+        let unlogged = changes.len().saturating_sub(MAX_LOGGED);
         for (n, (ix, state)) in changes.into_iter().enumerate() {
             let Some(job) = self.jobs.get_mut(ix) else {
                 continue;
@@ -196,13 +196,13 @@
                 log::info!(
                     "job {}: its hour, {:.0} s from now, is {}",
                     job.id,
-                    hour.left(wall),
-                    describe(state)
+                    hour.seconds_left(wall),
+                    describe_state(state)
                 );
             }
         }
-        if more > 0 {
-            log::info!("and {more} more hours");
+        if unlogged > 0 {
+            log::info!("and {unlogged} more hours");
         }
     }
 }
