--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -20,10 +20,10 @@
 const TIMEOUT_MS: u64 = 900;
 const FORWARD_TIMEOUT_MS: u64 = 3000;
 /// What is too old is forgotten so often, and demand after so long: longer than any model may be idle and awake.
-const SWEEP_MS: u64 = 10_000;
-const DEMAND_KEPT_MS: u64 = 8 * 86_400_000;
+const SWEEP_INTERVAL_MS: u64 = 10_000;
+const DEMAND_RETENTION_MS: u64 = 8 * 86_400_000;
 /// What was read of a model that is up is told again for so long.
-const CACHED_MS: u64 = 500;
+const CACHE_TTL_MS: u64 = 500;
 /// Wake-ups at once, and who may wait for all of them; who comes beyond is told to come again.
 const MAX_WAKE_UPS: usize = 256;
 const MAX_WAITERS: usize = 4096;
@@ -56,7 +56,7 @@
 pub(super) struct CachedStatus {
     pub(super) at: u64,
     pub(super) status: ModelStatus,
-    pub(super) say_again_ms: u64,
+    pub(super) notify_interval_ms: u64,
 }
 
 impl DemandState {
@@ -124,10 +124,14 @@
             demand.waiting += 1;
             return;
         }
-        if let Some(cached) = demand.cached.get(model).filter(|f| now < f.at + CACHED_MS) {
-            let (status, again) = (cached.status.clone(), cached.say_again_ms);
+        if let Some(cached) = demand
+            .cached
+            .get(model)
+            .filter(|cached| now < cached.at + CACHE_TTL_MS)
+        {
+            let (status, notify_interval_ms) = (cached.status.clone(), cached.notify_interval_ms);
             demand.note_demand(model, now);
-            self.notify_leader(model, again);
+            self.notify_leader(model, notify_interval_ms);
             return self.answer_demand(waiter, &status);
         }
         if demand.wake_ups.len() >= MAX_WAKE_UPS {
@@ -147,7 +151,7 @@
     }
 
     /// Demand for a model that is up: its leader is told, unless it was not long ago.
-    pub(super) fn notify_leader(&mut self, model: &str, again_ms: u64) {
+    pub(super) fn notify_leader(&mut self, model: &str, notify_interval_ms: u64) {
         let now = self.now.mono;
         if self.leads()
             || self
@@ -155,7 +159,7 @@
                 .demand
                 .notified_at
                 .get(model)
-                .is_some_and(|at| now < at + again_ms)
+                .is_some_and(|at| now < at + notify_interval_ms)
         {
             return;
         }
@@ -171,7 +175,7 @@
             model: model.to_owned(),
             leader: true,
         });
-        let what = Pending::LeaderNotified {
+        let pending = Pending::LeaderNotified {
             model: model.to_owned(),
         };
         self.send(
@@ -180,7 +184,7 @@
             peer::PATH.into(),
             body,
             TIMEOUT_MS,
-            what,
+            pending,
         );
     }
 
@@ -277,16 +281,18 @@
     pub(crate) fn demand_tick(&mut self) {
         let now = self.now.mono;
         let demand = &mut self.models.demand;
-        if now < demand.swept_at + SWEEP_MS {
+        if now < demand.swept_at + SWEEP_INTERVAL_MS {
             return;
         }
         demand.swept_at = now;
-        demand.cached.retain(|_, f| now < f.at + CACHED_MS);
+        demand
+            .cached
+            .retain(|_, cached| now < cached.at + CACHE_TTL_MS);
         demand
             .demanded_at
-            .retain(|_, at| now < *at + DEMAND_KEPT_MS);
+            .retain(|_, at| now < *at + DEMAND_RETENTION_MS);
         demand
             .notified_at
-            .retain(|_, at| now < *at + DEMAND_KEPT_MS);
+            .retain(|_, at| now < *at + DEMAND_RETENTION_MS);
     }
 }
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -4,14 +4,14 @@
 use crate::Node;
 use crate::agents::machine::Machine;
 use crate::jobs::job::{Ending, Job, JobIndex};
-use crate::models::Known;
+use crate::models::VersionedRecord;
 use crate::models::weights::machines_with_weights;
 use crate::scheduling::apply_plan::grace;
 use model::{Asked, Begin, Phase, Rec, Rule, Seen, asked};
 use std::collections::BTreeSet;
 
 /// Models that are up, or on their way, are looked at this often.
-const CHECK_MS: u64 = 250;
+const CHECK_INTERVAL_MS: u64 = 250;
 /// The leader's transactions for models that are out at once; the rest wait for the next look.
 const MAX_WRITES_IN_FLIGHT: usize = 32;
 
@@ -19,7 +19,7 @@
 struct Observation {
     ix: JobIndex,
     rule: Rule,
-    known: Known,
+    known: VersionedRecord,
     seen: Seen,
     tasks: u32,
     job_version: u64,
@@ -40,10 +40,10 @@
             return;
         }
         let now = self.now.mono;
-        if !self.models.leader_state.watching && now >= self.models.leader_state.watch_at {
+        if !self.models.leader_state.watching && now >= self.models.leader_state.next_watch_at {
             self.watch_models();
         }
-        if now < self.models.leader_state.checked_at + CHECK_MS {
+        if now < self.models.leader_state.checked_at + CHECK_INTERVAL_MS {
             return;
         }
         self.models.leader_state.checked_at = now;
@@ -57,9 +57,9 @@
         leader_state
             .retained_machines
             .retain(|_, (until, _)| *until > wall);
-        for model in std::mem::take(&mut leader_state.due) {
+        for model in std::mem::take(&mut leader_state.to_check) {
             if self.check_model(&model) {
-                self.models.is_due(&model);
+                self.models.mark_due(&model);
             }
         }
     }
@@ -67,17 +67,17 @@
     /// What the leader sees of a model.
     pub(super) fn seen(&self, job: &Job) -> Seen {
         let now = self.now.mono;
-        let since = self.shard.as_ref().map_or(0, |p| p.since);
-        let heard = self.models.demand.last_demand(&job.id).max(since);
+        let since = self.shard.as_ref().map_or(0, |shard| shard.since);
+        let last_demand = self.models.demand.last_demand(&job.id).max(since);
         let near = self
             .shard
             .as_ref()
-            .map(|p| machines_with_weights(p, job))
+            .map(|shard| machines_with_weights(shard, job))
             .unwrap_or_default();
         Seen {
             claimed: job.claimed.len() as u32,
             running: job.running,
-            quiet_ms: now.saturating_sub(heard),
+            quiet_ms: now.saturating_sub(last_demand),
             near,
         }
     }
@@ -144,9 +144,9 @@
         } = observation;
         let (node, wall) = (self.settings.node.as_str(), self.now.wall);
         let is_first = known.stamp == 0 && (rule.begin == Begin::Awake || seen.claimed > 0);
-        let is_missed =
+        let is_wanted_again =
             observation.is_asleep() && self.demanded_since(model, known.record.since_ms);
-        if (is_first || is_missed)
+        if (is_first || is_wanted_again)
             && let Asked::Wake(record) = asked(&known.record, rule, *tasks, node, wall)
         {
             return Some(*record);
@@ -156,21 +156,21 @@
 
     /// Whether somebody has asked for it here after it was put to sleep: what had been decided before that came late.
     fn demanded_since(&self, model: &str, since_ms: u64) -> bool {
-        let heard = self.models.demand.last_demand(model);
-        heard > 0
+        let last_demand = self.models.demand.last_demand(model);
+        last_demand > 0
             && self
                 .now
                 .wall
-                .saturating_sub(self.now.mono.saturating_sub(heard))
+                .saturating_sub(self.now.mono.saturating_sub(last_demand))
                 > since_ms
     }
 
     /// Stops all replicas but the first few.
-    fn stop_replicas(&mut self, ix: JobIndex, stay: u32) {
+    fn stop_replicas(&mut self, ix: JobIndex, keep: u32) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
         let grace = job.spec.as_deref().map_or(0.0, grace);
-        let surplus = surplus_tasks(job, stay);
+        let surplus = surplus_tasks(job, keep);
         let machines: BTreeSet<usize> = job
             .claimed
             .iter()
@@ -190,19 +190,19 @@
 }
 
 /// The tasks with claims beyond the first few.
-fn surplus_tasks(job: &Job, stay: u32) -> BTreeSet<u32> {
+fn surplus_tasks(job: &Job, keep: u32) -> BTreeSet<u32> {
     let mut tasks: Vec<u32> = job.claimed.keys().copied().collect();
     tasks.sort_unstable();
-    tasks.into_iter().skip(stay as usize).collect()
+    tasks.into_iter().skip(keep as usize).collect()
 }
 
 /// Stops a job's claims for some tasks on a machine; true if it has to be told.
 fn stop_claims(machine: &mut Machine, job: JobIndex, tasks: &BTreeSet<u32>, grace: f64) -> bool {
-    let mut is_news = false;
+    let mut is_changed = false;
     let claims = machine.claims.iter_mut();
     for claim in claims.filter(|c| c.job == job && tasks.contains(&c.task)) {
-        is_news |= claim.stop.is_none();
+        is_changed |= claim.stop.is_none();
         claim.stop.get_or_insert(grace);
     }
-    is_news
+    is_changed
 }
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -12,7 +12,7 @@
 mod idle_watch;
 mod record_writes;
 mod records;
-mod standing;
+mod status;
 pub(crate) mod wake_up;
 mod weights;
 
@@ -77,7 +77,7 @@
 
 /// A record as it was read or written, and its stamp.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Known {
+pub(crate) struct VersionedRecord {
     pub record: Rec,
     pub stamp: u64,
 }
@@ -98,9 +98,9 @@
     term: u64,
     read: ReadState,
     cursor: PageCursor,
-    records: HashMap<String, Known>,
+    records: HashMap<String, VersionedRecord>,
     /// Models to be looked at: those that are not asleep, and those that changed.
-    due: BTreeSet<String>,
+    to_check: BTreeSet<String>,
     checked_at: u64,
     /// Transactions that are out, by model.
     writes: HashMap<String, RecordWrite>,
@@ -108,17 +108,17 @@
     retained_machines: BTreeMap<String, (u64, Vec<String>)>,
     revision: u64,
     watching: bool,
-    watch_at: u64,
+    next_watch_at: u64,
     /// Models whose record goes, their jobs being over.
-    ended: BTreeSet<String>,
+    ended_models: BTreeSet<String>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 enum ReadState {
     #[default]
-    Not,
-    Asked,
-    All,
+    NotRead,
+    InProgress,
+    Complete,
 }
 
 impl Models {
@@ -140,8 +140,8 @@
     }
 
     /// What the leader of the fleet knows of a model, if it has read all.
-    pub fn known(&self, model: &str) -> Option<Known> {
-        (self.leader_state.read == ReadState::All).then(|| {
+    pub fn known(&self, model: &str) -> Option<VersionedRecord> {
+        (self.leader_state.read == ReadState::Complete).then(|| {
             self.leader_state
                 .records
                 .get(model)
@@ -150,8 +150,8 @@
         })
     }
 
-    fn is_due(&mut self, model: &str) {
-        self.leader_state.due.insert(model.to_owned());
+    fn mark_due(&mut self, model: &str) {
+        self.leader_state.to_check.insert(model.to_owned());
     }
 }
 
@@ -164,13 +164,13 @@
             .models
             .active
             .as_ref()
-            .map(|g| g.built.clone());
+            .map(|active| active.built.clone());
         let spec = spec.filter(|s| !s.rules.is_empty());
-        let same = match (&self.models.spec, &spec) {
+        let is_unchanged = match (&self.models.spec, &spec) {
             (Some(old), Some(new)) => Arc::ptr_eq(old, new),
             (old, new) => old.is_none() && new.is_none(),
         };
-        if same {
+        if is_unchanged {
             return;
         }
         self.models.spec = spec;
@@ -192,11 +192,13 @@
         }
         let Some(shard) = &self.shard else { return };
         let leader_state = &mut self.models.leader_state;
-        let gone = leader_state
+        let without_job = leader_state
             .records
             .keys()
-            .filter(|m| !shard.jobs.contains(m));
-        leader_state.ended.extend(gone.cloned().collect::<Vec<_>>());
+            .filter(|model| !shard.jobs.contains(model));
+        leader_state
+            .ended_models
+            .extend(without_job.cloned().collect::<Vec<_>>());
     }
 
     /// A job has come to the leader's memory, or may have become a model.
@@ -218,10 +220,10 @@
         let known = self.models.known(&id);
         let replicas = known
             .as_ref()
-            .map_or(0, |k| k.record.replicas(&rule, job.tasks));
+            .map_or(0, |known| known.record.replicas(&rule, job.tasks));
         set_replicas(shard, ix, replicas);
         if let Some(known) = known {
-            self.models.is_due(&id);
+            self.models.mark_due(&id);
             self.restore_weights(ix, &known.record);
             self.retain_machines(&id, &rule, &known.record);
         }
@@ -229,7 +231,7 @@
 
     /// Something about a job has changed; it matters here only if that is a model.
     pub(crate) fn model_changed(&mut self, ix: JobIndex) {
-        let Some(job) = self.shard.as_ref().and_then(|p| p.job(ix)) else {
+        let Some(job) = self.shard.as_ref().and_then(|shard| shard.job(ix)) else {
             return;
         };
         if job.replicas.is_none() {
@@ -237,15 +239,18 @@
         }
         let id = job.id.clone();
         if matches!(job.ending, Ending::Recorded(_)) {
-            self.models.leader_state.ended.insert(id);
+            self.models.leader_state.ended_models.insert(id);
         } else {
-            self.models.is_due(&id);
+            self.models.mark_due(&id);
         }
     }
 }
 
 fn set_replicas(shard: &mut Shard, ix: JobIndex, replicas: u32) {
-    if shard.job(ix).is_some_and(|j| j.replicas != Some(replicas)) {
+    if shard
+        .job(ix)
+        .is_some_and(|job| job.replicas != Some(replicas))
+    {
         if let Some(job) = shard.job_mut(ix) {
             job.replicas = Some(replicas);
         }
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -1,7 +1,7 @@
 //! The leader's transactions for models' records: each under guards, and sent again until its outcome is known.
 
 use crate::leadership::election::SHARD;
-use crate::models::Known;
+use crate::models::VersionedRecord;
 use crate::state_requests::encode_transaction;
 use crate::{Node, Pending};
 use model::Rec;
@@ -51,7 +51,7 @@
         model: &str,
         record: Option<Rec>,
         stamp: u64,
-        job: Option<u64>,
+        job_version: Option<u64>,
     ) {
         let Some(shard) = &self.shard else { return };
         let key = records::model_key(model);
@@ -65,7 +65,7 @@
                 version: stamp,
             },
         ];
-        conditions.extend(job.map(|version| Condition {
+        conditions.extend(job_version.map(|version| Condition {
             key: records::live_key(model),
             version,
         }));
@@ -98,33 +98,33 @@
             return;
         };
         write.state = SendState::InFlight;
-        let what = Pending::ModelWrite {
+        let pending = Pending::ModelWrite {
             term,
             model: model.to_owned(),
         };
         if let WriteStep::ReadBack = write.step {
             let path = format!("/keys/{}", records::model_key(model));
-            return self.get_state(path, TIMEOUT_MS, what);
+            return self.get_state(path, TIMEOUT_MS, pending);
         }
         let body = write.body.clone();
         self.writes.take(now, 1.0);
-        self.post_transaction(body, TIMEOUT_MS, what);
+        self.post_transaction(body, TIMEOUT_MS, pending);
     }
 
     /// The end of a transaction, or of the read that follows one whose end is not known.
     pub(crate) fn model_written(&mut self, model: String, response: Option<Response>) {
         let now = self.now.mono;
-        let wait = self.rng.u64(RETRY_MS);
+        let delay_ms = self.rng.u64(RETRY_MS);
         let Some(write) = self.models.leader_state.writes.get_mut(&model) else {
             return;
         };
-        write.state = SendState::Due { at: now + wait };
-        let is_understood = match write.step {
+        write.state = SendState::Due { at: now + delay_ms };
+        let is_decoded = match write.step {
             WriteStep::Transaction => self.transaction_answered(&model, response),
             WriteStep::ReadBack => self.record_read_back(&model, response),
         };
-        if is_understood {
-            self.models.is_due(&model);
+        if is_decoded {
+            self.models.mark_due(&model);
         }
     }
 
@@ -160,7 +160,7 @@
     fn record_written(&mut self, model: &str, record: Rec, stamp: u64) {
         let (phase, generation) = (record.phase, record.generation);
         log::info!("model {model}: {phase:?}, generation {generation}");
-        self.record_observed(model, Known { record, stamp });
+        self.record_observed(model, VersionedRecord { record, stamp });
     }
 
     /// What stands where the outcome of a transaction was not known; false if the answer can't be read.
@@ -177,7 +177,7 @@
         let item = response.and_then(|r| wire::decode::<Item<Rec>>(&r.body).ok());
         let Some(item) = item else { return false };
         self.models.leader_state.writes.remove(model);
-        let known = Known {
+        let known = VersionedRecord {
             record: item.value,
             stamp: item.version,
         };
@@ -195,24 +195,24 @@
     pub(super) fn remove_ended_record(&mut self) {
         let Some(shard) = &self.shard else { return };
         let leader_state = &mut self.models.leader_state;
-        let Some(model) = leader_state.ended.pop_first() else {
+        let Some(model) = leader_state.ended_models.pop_first() else {
             return;
         };
-        let open = shard
+        let is_live = shard
             .jobs
             .index_of(&model)
             .and_then(|ix| shard.job(ix))
-            .is_some_and(|j| !j.is_over());
+            .is_some_and(|job| !job.is_over());
         let Some(stamp) = leader_state
             .records
             .get(&model)
-            .map(|k| k.stamp)
-            .filter(|_| !open)
+            .map(|known| known.stamp)
+            .filter(|_| !is_live)
         else {
             return;
         };
         if leader_state.writes.contains_key(&model) {
-            leader_state.ended.insert(model);
+            leader_state.ended_models.insert(model);
             return;
         }
         // Only of a job that is over: one that was accepted a moment ago may be unknown here.
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -1,6 +1,6 @@
 //! The records of models as the leader of the fleet knows them: read before its first start, then watched.
 
-use crate::models::{Known, LeaderState, ReadState, set_replicas};
+use crate::models::{LeaderState, ReadState, VersionedRecord, set_replicas};
 use crate::state_requests::PageCursor;
 use crate::store::recovery::Load;
 use crate::{Node, Pending};
@@ -13,7 +13,7 @@
 /// Longer than the state service holds a watch open.
 const WATCH_TIMEOUT_MS: u64 = 7000;
 /// Records that are read after a failover, a page each.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 
 impl Node {
     /// Whether a leader that takes over has to read records before its first start. If so they are read, and the load
@@ -30,17 +30,17 @@
                 ..LeaderState::default()
             };
         }
-        if self.models.leader_state.read == ReadState::Not {
+        if self.models.leader_state.read == ReadState::NotRead {
             self.read_models();
         }
-        self.models.leader_state.read != ReadState::All
+        self.models.leader_state.read != ReadState::Complete
     }
 
     /// Reads the next page of records.
     pub(crate) fn read_models(&mut self) {
         let leader_state = &mut self.models.leader_state;
-        leader_state.read = ReadState::Asked;
-        let path = leader_state.cursor.path(records::MODELS, PAGE);
+        leader_state.read = ReadState::InProgress;
+        let path = leader_state.cursor.path(records::MODELS, PAGE_SIZE);
         let pending = Pending::Models { term: self.term };
         self.get_state(path, READ_TIMEOUT_MS, pending);
     }
@@ -54,7 +54,7 @@
         if leader_state.cursor.is_at_start() {
             leader_state.revision = page.revision;
         }
-        let more = leader_state.cursor.advance(&page);
+        let has_more = leader_state.cursor.advance(&page);
         for Item {
             key,
             value,
@@ -64,37 +64,37 @@
             if let Some(model) = key.strip_prefix(records::MODELS) {
                 leader_state.records.insert(
                     model.to_owned(),
-                    Known {
+                    VersionedRecord {
                         record: value,
                         stamp: version,
                     },
                 );
             }
         }
-        if more {
+        if has_more {
             return self.read_models();
         }
         let leader_state = &mut self.models.leader_state;
-        (leader_state.read, leader_state.cursor) = (ReadState::All, PageCursor::default());
+        (leader_state.read, leader_state.cursor) = (ReadState::Complete, PageCursor::default());
         self.bind_models();
-        if self.shard.as_ref().is_some_and(|p| !p.loaded) {
+        if self.shard.as_ref().is_some_and(|shard| !shard.loaded) {
             self.load_ended();
         }
     }
 
     /// The leader has read or written a record: what may run follows it.
-    pub(crate) fn record_observed(&mut self, model: &str, known: Known) {
+    pub(crate) fn record_observed(&mut self, model: &str, known: VersionedRecord) {
         let leader_state = &mut self.models.leader_state;
         // A read that comes late changes nothing.
         if leader_state
             .records
             .get(model)
-            .is_some_and(|k| k.stamp > known.stamp)
+            .is_some_and(|current| current.stamp > known.stamp)
         {
             return;
         }
         leader_state.records.insert(model.to_owned(), known.clone());
-        leader_state.due.insert(model.to_owned());
+        leader_state.to_check.insert(model.to_owned());
         let Some(shard) = &mut self.shard else { return };
         let Some(ix) = shard.jobs.index_of(model) else {
             return;
@@ -120,11 +120,11 @@
         let retry = self.now.mono + self.rng.u64(100..400);
         let leader_state = &mut self.models.leader_state;
         leader_state.watching = false;
-        leader_state.watch_at = retry;
+        leader_state.next_watch_at = retry;
         let Some(response) = response else { return };
         if response.status == 410 {
             // Too much was missed: all of them again.
-            (leader_state.read, leader_state.cursor) = (ReadState::Not, PageCursor::default());
+            (leader_state.read, leader_state.cursor) = (ReadState::NotRead, PageCursor::default());
             return;
         }
         if response.status != 200 {
@@ -134,7 +134,7 @@
             return;
         };
         let leader_state = &mut self.models.leader_state;
-        leader_state.watch_at = 0;
+        leader_state.next_watch_at = 0;
         leader_state.revision = leader_state.revision.max(changes.revision);
         for change in changes.events {
             self.record_changed(change);
@@ -152,12 +152,12 @@
         };
         let stamp = change.version;
         match change.value {
-            Some(record) => self.record_observed(&model, Known { record, stamp }),
+            Some(record) => self.record_observed(&model, VersionedRecord { record, stamp }),
             None => self
                 .models
                 .leader_state
                 .records
-                .retain(|m, known| *m != model || known.stamp > stamp),
+                .retain(|name, known| *name != model || known.stamp > stamp),
         }
     }
 }
--- a/crates/control/src/models/standing.rs
+++ b/crates/control/src/models/status.rs
@@ -8,7 +8,7 @@
 impl Node {
     /// How a model stands for whoever asks.
     pub(crate) fn model_status(&self, spec: &JobSpec, record: &Rec, asked: &Asked) -> ModelStatus {
-        let (why, until) = match asked {
+        let (why, not_before_ms) = match asked {
             Asked::NotNow { why, until_ms } => (Some(why.clone()), Some(*until_ms)),
             _ => (None, None),
         };
@@ -16,7 +16,7 @@
             .catalog()
             .map(|c| c.types.as_slice())
             .unwrap_or_default();
-        let lead = types
+        let lead_s = types
             .iter()
             .filter(|t| {
                 spec.types
@@ -25,7 +25,7 @@
             })
             .map(|t| t.boot_s + spec.image_gb / t.fetch_gb_per_s.max(0.01))
             .reduce(f64::min);
-        let due = lead
+        let due_ms = lead_s
             .map(|s| record.since_ms + (s * 1000.0) as u64)
             .filter(|_| record.phase == Phase::Waking);
         ModelStatus {
@@ -33,9 +33,9 @@
             phase: record.phase,
             generation: record.generation,
             since_ms: record.since_ms,
-            due_ms: due,
+            due_ms,
             why,
-            not_before_ms: until,
+            not_before_ms,
         }
     }
 
@@ -45,7 +45,12 @@
             return Vec::new();
         };
         let mut models = Vec::new();
-        for job in shard.jobs.iter().flatten().filter(|j| j.replicas.is_some()) {
+        for job in shard
+            .jobs
+            .iter()
+            .flatten()
+            .filter(|job| job.replicas.is_some())
+        {
             let Some(spec) = job.spec.as_ref().filter(|_| !job.is_ending()) else {
                 continue;
             };
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -1,7 +1,7 @@
 //! A wake-up: one request for all at this node who want the same model. It reads the job and the model's record, and
 //! begins the next generation where the model is asleep, by one transaction that is guarded by both.
 
-use crate::models::Known;
+use crate::models::VersionedRecord;
 use crate::models::demand::{CachedStatus, MAX_MODELS, UNAVAILABLE, Waiter};
 use crate::state_requests::encode_transaction;
 use crate::{Node, Pending};
@@ -87,18 +87,18 @@
             .wake_ups
             .insert(model.to_owned(), wake_up);
         // The leader has read all, and knows of each change that it has not made itself soon enough.
-        let here = self
+        let known = self
             .may_decide()
             .then(|| self.models.known(model))
             .flatten();
         let job = self
             .shard
             .as_ref()
-            .and_then(|p| p.job(p.jobs.index_of(model)?));
+            .and_then(|shard| shard.job(shard.jobs.index_of(model)?));
         let job = job
-            .filter(|j| !j.is_ending())
-            .and_then(|j| Some((j.spec.clone()?, j.version)));
-        if let Some((known, (spec, version))) = here.zip(job) {
+            .filter(|job| !job.is_ending())
+            .and_then(|job| Some((job.spec.clone()?, job.version)));
+        if let Some((known, (spec, version))) = known.zip(job) {
             if self.rule_found(model, spec, version) {
                 self.record_found(model, known);
             }
@@ -113,11 +113,11 @@
         } else {
             records::model_key(model)
         };
-        let what = Pending::WakeUp {
+        let pending = Pending::WakeUp {
             model: model.to_owned(),
             step,
         };
-        self.get_state(format!("/keys/{key}"), TIMEOUT_MS, what);
+        self.get_state(format!("/keys/{key}"), TIMEOUT_MS, pending);
     }
 
     /// The rule that the wake-up's job belongs to; without one the wake-up ends.
@@ -172,13 +172,13 @@
     fn wake_up_record_read(&mut self, model: &str, response: Option<Response>) {
         match response.as_ref().map(|r| r.status) {
             Some(200) => {}
-            Some(404) => return self.record_found(model, Known::default()),
+            Some(404) => return self.record_found(model, VersionedRecord::default()),
             _ => return self.fail_wake_up(model, 503, UNAVAILABLE),
         }
         let Some(item) = self.read_state::<Item<Rec>>(response) else {
             return self.fail_wake_up(model, 503, "unreadable record");
         };
-        let known = Known {
+        let known = VersionedRecord {
             record: item.value,
             stamp: item.version,
         };
@@ -202,7 +202,7 @@
             log::info!("model {model}: generation {} begins", record.generation);
         }
         if self.may_decide() {
-            let known = Known {
+            let known = VersionedRecord {
                 record: record.clone(),
                 stamp: revision,
             };
@@ -224,7 +224,7 @@
         self.read_for_wake_up(model, Step::Job);
     }
 
-    fn record_found(&mut self, model: &str, known: Known) {
+    fn record_found(&mut self, model: &str, known: VersionedRecord) {
         let (now, wall) = (self.now.mono, self.now.wall);
         let node = self.settings.node.clone();
         let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) else {
@@ -256,11 +256,11 @@
         if let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) {
             wake_up.record = Some(record);
         }
-        let what = Pending::WakeUp {
+        let pending = Pending::WakeUp {
             model: model.to_owned(),
             step: Step::Write,
         };
-        self.post_transaction(body, TIMEOUT_MS, what);
+        self.post_transaction(body, TIMEOUT_MS, pending);
     }
 
     fn remove_wake_up(&mut self, model: &str) -> Option<WakeUp> {
@@ -290,7 +290,7 @@
     fn model_is_up(
         &mut self,
         model: &str,
-        say_again_ms: u64,
+        notify_interval_ms: u64,
         wake_up: &WakeUp,
         status: &ModelStatus,
     ) {
@@ -302,14 +302,14 @@
         let cached = CachedStatus {
             at: now,
             status: status.clone(),
-            say_again_ms,
+            notify_interval_ms,
         };
         demand.cached.insert(model.to_owned(), cached);
         if !wake_up.waiters.is_empty() {
             demand.note_demand(model, now);
         }
         if !wake_up.touch {
-            self.notify_leader(model, say_again_ms);
+            self.notify_leader(model, notify_interval_ms);
         }
     }
 
--- a/crates/control/src/models/weights.rs
+++ b/crates/control/src/models/weights.rs
@@ -14,18 +14,19 @@
     pub(super) fn restore_weights(&mut self, ix: JobIndex, record: &Rec) {
         let caches: HashMap<String, f64> = self
             .catalog()
-            .map(|c| {
-                c.types
+            .map(|catalog| {
+                catalog
+                    .types
                     .iter()
                     .map(|t| (t.name.clone(), t.cache_gb))
                     .collect()
             })
             .unwrap_or_default();
         let Some(shard) = &mut self.shard else { return };
-        let Some(spec) = shard.job(ix).and_then(|j| j.spec.as_deref()) else {
+        let Some(spec) = shard.job(ix).and_then(|job| job.spec.as_deref()) else {
             return;
         };
-        let (image, gb) = (spec.image.clone(), spec.image_gb);
+        let (image, image_gb) = (spec.image.clone(), spec.image_gb);
         let image = shard.images.get(&image);
         for name in record.near.iter().take(MAX_NEAR) {
             let Some(m) = shard.machines.index_of(name) else {
@@ -34,27 +35,28 @@
             let Some(machine) = shard.machine_mut(m) else {
                 continue;
             };
-            let cache = caches.get(&machine.machine_type).copied().unwrap_or(0.0);
-            let held: f64 = machine.images.iter().map(|(_, gb)| gb).sum();
+            let cache_gb = caches.get(&machine.machine_type).copied().unwrap_or(0.0);
+            let held_gb: f64 = machine.images.iter().map(|(_, gb)| gb).sum();
             // What a machine was seen to fetch is newer than the hint.
-            if held + gb <= cache && machine.images.iter().all(|(i, _)| *i != image) {
-                machine.images.insert(0, (image, gb));
+            if held_gb + image_gb <= cache_gb && machine.images.iter().all(|(i, _)| *i != image) {
+                machine.images.insert(0, (image, image_gb));
             }
         }
     }
 
     /// Where the document says so, a machine with the weights of a model that sleeps is kept for a while.
     pub(super) fn retain_machines(&mut self, model: &str, rule: &Rule, record: &Rec) {
-        let until = record
+        let until_ms = record
             .since_ms
             .saturating_add((rule.keep_s * 1000.0) as u64);
-        let asleep =
-            record.phase == Phase::Asleep && !record.near.is_empty() && until > self.now.wall;
-        if asleep && self.models.leader_state.retained_machines.len() < MAX_RETAINED_MACHINES {
+        let should_retain =
+            record.phase == Phase::Asleep && !record.near.is_empty() && until_ms > self.now.wall;
+        if should_retain && self.models.leader_state.retained_machines.len() < MAX_RETAINED_MACHINES
+        {
             self.models
                 .leader_state
                 .retained_machines
-                .insert(model.to_owned(), (until, record.near.clone()));
+                .insert(model.to_owned(), (until_ms, record.near.clone()));
         }
     }
 
@@ -64,19 +66,21 @@
             return Vec::new();
         };
         let leader_state = &self.models.leader_state;
-        let first = |names: &Vec<String>| names.iter().find_map(|n| shard.machines.index_of(n));
+        let first_known =
+            |names: &Vec<String>| names.iter().find_map(|n| shard.machines.index_of(n));
         leader_state
             .retained_machines
             .values()
-            .filter_map(|(_, names)| first(names))
+            .filter_map(|(_, names)| first_known(names))
             .collect()
     }
 }
 
 /// Machines on which replicas of a model are, and so its weights.
 pub(super) fn machines_with_weights(shard: &Shard, job: &Job) -> Vec<String> {
-    let on: BTreeSet<usize> = job.claimed.values().flatten().map(|(m, _)| *m).collect();
-    on.into_iter()
+    let machines: BTreeSet<usize> = job.claimed.values().flatten().map(|(m, _)| *m).collect();
+    machines
+        .into_iter()
         .filter_map(|m| shard.machine(m))
         .map(|m| m.name.clone())
         .take(MAX_NEAR)
