--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -29,12 +29,12 @@
 const RESERVED_SHARE: f64 = 0.25;
 /// The share of this node's changes that such a front end has while it asks for any, and how long that lasts.
 const WRITE_SHARE: f64 = 0.2;
-const ACTIVE_MS: u64 = 2000;
+const ACTIVE_WINDOW_MS: u64 = 2000;
 /// A transaction may take this long, and a page twice as long.
 const TIMEOUT_MS: u64 = 900;
 const PAGE_TIMEOUT_MS: u64 = 2 * TIMEOUT_MS;
 /// Records that one page has at most.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 /// Most keys that one transaction may change, where the settings allow more.
 const MAX_WRITES: usize = 16;
 
@@ -43,7 +43,7 @@
     writes: Bucket,
     /// It has a share now.
     has_share: bool,
-    requested_at: u64,
+    last_requested_at: u64,
 }
 
 impl Frontend {
@@ -52,7 +52,7 @@
         Frontend {
             writes: Bucket::new(0.0),
             has_share: false,
-            requested_at: 0,
+            last_requested_at: 0,
         }
     }
 }
@@ -197,11 +197,11 @@
     /// while it asks, or of what users leave. Theirs are never driven into debt by it.
     fn take_spare_writes(&mut self, cost: f64) -> bool {
         let now = self.now.mono;
-        self.frontend.requested_at = now;
+        self.frontend.last_requested_at = now;
         self.share_writes();
-        let own =
+        let has_own_share =
             self.frontend.writes.level(now) >= cost.min(self.frontend.writes.share_of_second(0.9));
-        if own {
+        if has_own_share {
             self.frontend.writes.take(now, cost);
         } else if self.writes.level(now) >= cost + self.writes.share_of_second(RESERVED_SHARE) {
             self.writes.take(now, cost);
@@ -213,18 +213,19 @@
 
     /// A front end beside has a share of this node's changes while it asks for any.
     pub(crate) fn share_writes(&mut self) {
-        let asks = self.beside && self.now.mono < self.frontend.requested_at + ACTIVE_MS;
-        if asks == self.frontend.has_share {
+        let is_active =
+            self.beside && self.now.mono < self.frontend.last_requested_at + ACTIVE_WINDOW_MS;
+        if is_active == self.frontend.has_share {
             return;
         }
-        self.frontend.has_share = asks;
-        let (own, all) = (self.frontend.writes.rate(), self.writes.rate());
-        if asks {
-            self.frontend.writes.set_rate(all * WRITE_SHARE);
-            self.writes.set_rate(all * (1.0 - WRITE_SHARE));
+        self.frontend.has_share = is_active;
+        let (own_rate, node_rate) = (self.frontend.writes.rate(), self.writes.rate());
+        if is_active {
+            self.frontend.writes.set_rate(node_rate * WRITE_SHARE);
+            self.writes.set_rate(node_rate * (1.0 - WRITE_SHARE));
         } else {
             self.frontend.writes.set_rate(0.0);
-            self.writes.set_rate(all + own);
+            self.writes.set_rate(node_rate + own_rate);
         }
     }
 
@@ -244,27 +245,28 @@
     /// Whether a job that comes in now can be written down: those who come by another front end go behind users.
     pub(crate) fn has_room_for(&mut self, conn: Option<u64>) -> bool {
         let now = self.now.mono;
-        if conn.is_some_and(|c| c >= FIRST_CONNECTION) {
+        if conn.is_some_and(|conn| conn >= FIRST_CONNECTION) {
             return self.requests.level(now) >= 1.0 + self.requests.share_of_second(RESERVED_SHARE)
                 && self.take_spare_writes(1.0);
         }
         // The leader answers questions from memory, and has claims to write.
-        let (asks, changes) = if self.leads() {
+        let (reserved_requests, reserved_writes) = if self.leads() {
             (
                 0.0,
-                self.accepting() + self.writes.share_of_second(RESERVED_FOR_CLAIMS),
+                self.accepts_in_flight() + self.writes.share_of_second(RESERVED_FOR_CLAIMS),
             )
         } else {
             (self.requests.share_of_second(RESERVED_SHARE), 0.0)
         };
-        self.requests.level(now) >= 1.0 + asks && self.writes.level(now) >= 1.0 + changes
+        self.requests.level(now) >= 1.0 + reserved_requests
+            && self.writes.level(now) >= 1.0 + reserved_writes
     }
 
     /// Acceptances on their way. The leader counts what its watch has seen, so these are not counted yet.
-    fn accepting(&self) -> f64 {
+    fn accepts_in_flight(&self) -> f64 {
         self.pending
             .values()
-            .filter(|p| matches!(p, Pending::Accept { .. }))
+            .filter(|pending| matches!(pending, Pending::Accept { .. }))
             .count() as f64
     }
 
@@ -279,7 +281,7 @@
         }
         match request {
             Request::Page { under, after } => {
-                let path = page_path(&under, PAGE, after.as_deref());
+                let path = page_path(&under, PAGE_SIZE, after.as_deref());
                 self.get_state(path, PAGE_TIMEOUT_MS, Pending::Frontend { tag });
             }
             Request::Change { writes } => self.frontend_change(tag, writes),
@@ -289,17 +291,19 @@
 
     /// Changes its records in one transaction, under the guard of the leader's own record.
     fn frontend_change(&mut self, tag: u64, writes: Vec<Change>) {
-        let leader = self
+        let leader_version = self
             .shard
             .as_ref()
-            .map(|p| p.leader_version)
+            .map(|shard| shard.leader_version)
             .filter(|_| self.may_decide());
-        let Some(leader) = leader.filter(|_| self.take_spare_writes(writes.len() as f64)) else {
+        let Some(leader_version) =
+            leader_version.filter(|_| self.take_spare_writes(writes.len() as f64))
+        else {
             return self.answer_frontend(tag, Answer::Busy);
         };
         let mut conditions = vec![Condition {
             key: records::leader_key(SHARD),
-            version: leader,
+            version: leader_version,
         }];
         let mut state_writes = Vec::new();
         for change in writes {
@@ -325,7 +329,7 @@
         self.shard
             .as_ref()
             .filter(|_| self.may_decide())
-            .map(|p| p.token)
+            .map(|shard| shard.token)
     }
 
     /// Which peer leads the fleet, as far as this node knows; `None` if nobody does, or this node itself.
@@ -354,23 +358,28 @@
             .quota
             .active
             .as_ref()
-            .map(|g| g.built.clone())
+            .map(|active| active.built.clone())
     }
 
     /// How many machines the fleet has.
     pub fn machine_count(&self) -> usize {
-        self.shard.as_ref().map_or(0, |p| p.machines.count())
+        self.shard
+            .as_ref()
+            .map_or(0, |shard| shard.machines.count())
     }
 
     /// Machines of the fleet with what their claims take; nothing unless this node leads the fleet.
     pub fn machines(&self) -> impl Iterator<Item = MachineView<'_>> {
-        let all = self.shard.iter().flat_map(|p| p.machines.iter().flatten());
-        all.map(|m| MachineView {
-            name: &m.name,
-            machine_type: &m.machine_type,
-            zone: &m.zone,
-            tasks: m.claims.len(),
-            up: m.up,
+        let machines = self
+            .shard
+            .iter()
+            .flat_map(|shard| shard.machines.iter().flatten());
+        machines.map(|machine| MachineView {
+            name: &machine.name,
+            machine_type: &machine.machine_type,
+            zone: &machine.zone,
+            tasks: machine.claims.len(),
+            up: machine.up,
         })
     }
 }
