--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -1,4 +1,4 @@
-//! How a version is made: a change is admitted, checked under optimistic concurrency, and handed to the leader's
+//! Creates new versions: a change is checked under optimistic concurrency, validated, and handed to the leader's
 //! transactions.
 
 use crate::Node;
@@ -11,41 +11,41 @@
 use std::sync::Arc;
 use wire::admin::{self, ChangeOf, Changed, Refused};
 
-/// Differences that an answer lists.
+/// The most differences that an answer lists.
 const MAX_DIFFERENCES: usize = 200;
 
-/// A change on its way into the state service.
+/// A change that is being written to the state service.
 pub(super) struct PendingChange<K: Kind> {
     id: String,
-    /// Who waits for it; nobody for the first version.
+    /// The connection of the operator who waits for the answer; `None` for the initial version.
     pub(super) conn: Option<u64>,
     /// The head that is to be written.
     pub(super) head: Head,
     active: ActiveVersion<K::Content>,
-    /// Stamp of the head that it follows.
+    /// Version of the record of the head that this change replaces.
     pub(super) stamp: u64,
-    /// Parts still to be written, and how many of them are on their way.
+    /// Parts that are not part of a transaction yet.
     pub(super) parts: VecDeque<(String, PartOf<K>)>,
-    /// Parts that are written by a transaction in flight.
+    /// Number of parts in transactions whose outcome is not known yet.
     pub(super) parts_in_flight: usize,
     answer: Changed,
 }
 
-/// What becomes of a change before it is prepared.
+/// The result of comparing a change with the history and the pending change.
 enum Admission {
     New,
-    /// The same change is on its way: whoever sent it last waits for it.
+    /// The same change is already pending; its latest sender gets the answer.
     Joined,
-    /// A repeat after a lost answer: the change was made, with this version.
+    /// A retry after a lost answer: the change was already made, as this version.
     AlreadyMade(u64),
     Conflict(Conflict),
 }
 
-/// Why a change can't follow the version in force.
+/// Why a change can't be applied to the version in force.
 enum Conflict {
-    /// It was made for another version.
+    /// The change expects another version than the one in force.
     Outdated { expected: u64, version: u64 },
-    /// Another change is on its way.
+    /// Another change is pending.
     InProgress { version: u64 },
 }
 
@@ -73,12 +73,12 @@
     }
 }
 
-/// A longer id would be remembered cut, and a repeat taken for another change.
+/// The history truncates longer ids, so that a retry would be taken for another change.
 fn is_valid_id(id: &str) -> bool {
     !id.is_empty() && id.len() <= SHORT && !id.chars().any(char::is_control)
 }
 
-/// What a change did, in the few words that the history keeps.
+/// A summary of a change, in one line, for the history.
 fn summarize(differences: &[String]) -> String {
     match differences {
         [] => "nothing".to_owned(),
@@ -88,7 +88,7 @@
 }
 
 impl<K: Kind> Document<K> {
-    /// Holds a change against what was made already, the version in force and what is on its way.
+    /// Compares a change with the history, the version in force and the pending change.
     fn admit(&mut self, conn: u64, change: &ChangeOf<K::Edit>) -> Admission {
         if let Some(past) = self.head.made(&change.id) {
             return Admission::AlreadyMade(past.version);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The content in force, as it fits what surrounds it now.
+    /// The content in force, without references to anything that has left the context since.
     fn fitting(&self, context: &<K::Content as Content>::Context) -> K::Content {
         let active = self.active.as_ref();
         active
@@ -115,7 +115,7 @@
             .unwrap_or_default()
     }
 
-    /// The parts that the state service has not yet.
+    /// The parts that the state service does not have yet.
     fn missing(&self, parts: Vec<(String, PartOf<K>)>) -> VecDeque<(String, PartOf<K>)> {
         parts
             .into_iter()
@@ -124,9 +124,8 @@
     }
 }
 
-/// How versions are made.
 impl Node {
-    /// An operator's change: made, refused, or only tried out.
+    /// Handles an operator's change: starts it, refuses it, or answers a dry run.
     pub(crate) fn change<K: Kind>(&mut self, conn: u64, change: ChangeOf<K::Edit>) {
         if !is_valid_id(&change.id) {
             let why = format!("id: must be 1 to {SHORT} bytes without control characters");
@@ -167,7 +166,7 @@
 
     fn start_change<K: Kind>(&mut self, prepared: PendingChange<K>, by: &str) {
         log::info!(
-            "{}: version {} by {by:?} is to be written",
+            "{}: writing version {}, requested by {by:?}",
             K::Content::NAME,
             prepared.head.version
         );
@@ -175,7 +174,7 @@
         self.to_write = true;
     }
 
-    /// Makes the new version and checks it; nothing is changed yet.
+    /// Builds and validates the new version; no state is changed yet.
     fn prepare<K: Kind>(
         &self,
         conn: Option<u64>,
@@ -230,7 +229,7 @@
         })
     }
 
-    /// Puts the document in place that this node was started with, if there has never been any.
+    /// Starts to write the document that this node was started with, if no version has ever existed.
     pub(super) fn write_initial_version<K: Kind>(&mut self) {
         let document = K::document(&self.shared.documents);
         let is_needed = document.first.is_some()
@@ -256,7 +255,7 @@
             Err(refusal) => {
                 let faults: String = refusal.faults.iter().map(|f| format!("; {f}")).collect();
                 log::error!(
-                    "the first {} is refused: {}{faults}",
+                    "the initial {} is refused: {}{faults}",
                     K::Content::NAME,
                     refusal.error
                 );
@@ -264,7 +263,7 @@
         }
     }
 
-    /// A head goes into the next transaction.
+    /// Lets the kind whose head is due prepare for the next transaction.
     pub(crate) fn before_heads(&mut self, budget: usize) {
         let due_kind = self
             .shard
@@ -275,7 +274,7 @@
         }
     }
 
-    /// The head of a change stands in the state service, at this revision.
+    /// The head of a change was committed at this revision: the new version is in force.
     pub(crate) fn head_written<K: Kind>(&mut self, revision: u64) {
         let document = K::document_mut(&mut self.shared.documents);
         let Some(change) = document.pending_change.take() else {
@@ -289,7 +288,8 @@
         }
     }
 
-    /// A change was cut for larger records than can be written: nothing of it is in force, and it is asked for again.
+    /// Drops a change whose parts are larger than the records that may be written now. Nothing of it is in force: an
+    /// operator has to send it again, and the initial version is prepared again.
     pub(crate) fn change_given_up<K: Kind>(&mut self) {
         let document = K::document_mut(&mut self.shared.documents);
         let Some(change) = document.pending_change.take() else {
@@ -297,14 +297,16 @@
         };
         match change.conn {
             Some(conn) => {
-                let why = "records may hold less than before; the change was not made, ask again";
+                let why =
+                    "records must be smaller than before; the change was not made, send it again";
                 self.deny_admin(conn, 503, refused(why));
             }
             None => document.first = Some((*change.active.spec).clone()),
         }
     }
 
-    /// A term of leadership is over: whether a change was made is for its record to say.
+    /// Answers the operators of pending changes when a term of leadership ends. Whether a change was made can only be
+    /// read from the head.
     pub(crate) fn abandon_document_changes(&mut self) {
         self.shared.documents.forget_readings();
         for kind in ALL {
@@ -312,7 +314,7 @@
                 K::document_mut(&mut self.shared.documents).pending_change.take().and_then(|c| c.conn)
             });
             if let Some(conn) = conn {
-                let why = "the owner changed; ask for the history whether the change was made";
+                let why = "the leader changed; see the history for whether the change was made";
                 self.deny_admin(conn, 503, refused(why));
             }
         }
--- a/crates/control/src/documents/change_writes.rs
+++ b/crates/control/src/documents/change_writes.rs
@@ -1,5 +1,5 @@
-//! What a change adds to the leader's transactions: its parts first, then the head; and the removal of parts that no
-//! version names any more.
+//! What document changes add to the leader's transactions: first the parts, then the head; and the removal of parts
+//! that no version references any more.
 
 use crate::documents::kind::{ALL, prefix};
 use crate::documents::{Document, Documents, Kind, KindId, for_kind};
@@ -9,14 +9,14 @@
 use wire::records::{self, Record};
 
 impl<K: Kind> Document<K> {
-    /// All that its change needs is in place but the head.
+    /// Whether all parts of the pending change are written, so that only the head is missing.
     fn is_due(&self) -> bool {
         self.pending_change
             .as_ref()
             .is_some_and(|c| c.parts.is_empty() && c.parts_in_flight == 0)
     }
 
-    /// Parts that no version names any more, unless a change is about to.
+    /// Parts that the version in force does not reference; none while a change is pending, which may reference them.
     fn unreferenced_parts(&self) -> Vec<(String, u64)> {
         let is_settled = self.pending_change.is_none() && self.version() == Some(self.head.version);
         if !is_settled || self.parts.len() <= self.head.parts.len() {
@@ -32,7 +32,7 @@
 }
 
 impl Documents {
-    /// The kind whose head may be written now, if the transaction has room for it.
+    /// A kind whose head is due and may be written now, if the transaction has room for it.
     pub(super) fn kind_with_due_head(&self, shard: &Shard, budget: usize) -> Option<KindId> {
         ALL.into_iter().find(
             |kind| for_kind!(*kind, K => budget >= K::HEAD_WRITES && K::document(self).is_due() && K::may_write_head(shard)),
@@ -40,15 +40,14 @@
     }
 }
 
-/// The leader's writes.
 impl TransactionDraft {
-    /// The changes that the head takes which is due, if one is.
+    /// The kind whose head is due, if any, with the number of records that its transaction changes.
     pub fn head_due(all: &Documents, shard: &Shard, budget: usize) -> Option<(KindId, usize)> {
         let kind = all.kind_with_due_head(shard, budget)?;
         Some((kind, for_kind!(kind, K => K::HEAD_WRITES)))
     }
 
-    /// Writes the head of a change whose parts are all in place.
+    /// Writes the head of a change whose parts are all written.
     pub fn head(&mut self, all: &Documents, shard: &mut Shard, kind: KindId) {
         for_kind!(kind, K => self.put_head_of::<K>(all, shard));
     }
@@ -67,7 +66,7 @@
         self.pending_writes.push(PendingWrite::Head(K::ID));
     }
 
-    /// Parts of versions to come, as far as there is room.
+    /// Writes parts of pending changes, as far as there is room.
     pub fn parts(&mut self, all: &mut Documents, room: impl Fn(&TransactionDraft) -> bool) {
         for kind in ALL {
             for_kind!(kind, K => self.put_parts_of::<K>(K::document_mut(all), &room));
@@ -93,7 +92,7 @@
         }
     }
 
-    /// Takes away what no version names.
+    /// Removes parts that no version references.
     pub fn remove_unreferenced_parts(
         &mut self,
         all: &Documents,
@@ -116,7 +115,7 @@
 }
 
 impl Documents {
-    /// A part is in the state service, at this revision.
+    /// A part was committed at this revision.
     pub fn part_written(&mut self, kind: KindId, name: String, revision: u64) {
         for_kind!(kind, K => {
             let document = K::document_mut(self);
@@ -127,7 +126,7 @@
         });
     }
 
-    /// A part that no version names is gone.
+    /// A part that no version references was removed.
     pub fn part_removed(&mut self, kind: KindId, name: &str) {
         for_kind!(kind, K => K::document_mut(self).parts.remove(name));
     }
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -1,4 +1,4 @@
-//! Which counties are in force, and which of them a job is bound to when it is accepted.
+//! Counties: the document in force, and the county that a job is bound to when it is accepted.
 
 use crate::documents::county_counts::CountsUnavailable;
 use crate::documents::{Document, Documents, Kind, KindId, refused};
@@ -28,7 +28,8 @@
     fn document_mut(all: &mut Documents) -> &mut Document<Self> {
         &mut all.counties
     }
-    /// Without the quota tree's nodes: they come and go, and only a change is held against them.
+    /// Without the nodes of the quota tree, which change independently: only a change of the counties is checked
+    /// against them.
     fn context(node: &Node) -> Known {
         let cluster = &node.settings.cluster;
         let teams = cluster.teams.iter().map(|t| t.name.clone()).collect();
@@ -71,13 +72,13 @@
 
 fn unbound_message(unbound: Unbound) -> &'static str {
     match unbound {
-        Unbound::NoCounty => "no county: no rule fits the job",
-        Unbound::ForeignZone => "it asks for a zone that its county may not use",
+        Unbound::NoCounty => "no county: no rule matches the job",
+        Unbound::ForeignZone => "the job requests a zone that its county may not use",
     }
 }
 
 impl Node {
-    /// The county that a job accepted now belongs to; none without a document.
+    /// The county of a job that is accepted now; `None` if no counties are configured.
     pub(crate) fn county_for(&self, spec: &JobSpec) -> Result<Option<CountyRecord>, &'static str> {
         let Some(active) = &self.shared.documents.counties.active else {
             return Ok(None);
@@ -127,13 +128,14 @@
         live
     }
 
-    /// What a new document has no place for any more: bindings, and nodes of the quota tree.
+    /// Faults of a new document in the current state: counties that it drops although they are open or have live jobs,
+    /// and nodes that the quota tree does not have.
     fn check_references(&self, new: &Counties) -> Vec<Fault> {
         let counties = &self.shared.documents.counties;
         let mut faults = Vec::new();
         if let Some(old) = &counties.active {
             faults = county::lost(&old.spec, new.spec(), &self.live_jobs_by_county());
-            // A county that was closed may have been bound to until then.
+            // Until a county was closed, jobs may have been bound to it whose acceptance this leader has not seen yet.
             let seen_revision = self
                 .shard
                 .as_ref()
@@ -144,7 +146,7 @@
                 .iter()
                 .any(|c| new.county(&c.id).is_none());
             if drops_county && seen_revision < counties.stamp {
-                let what = "what was accepted under the version in force was not seen yet; again in a second";
+                let what = "jobs accepted under the version in force were not all seen yet; retry in a second";
                 faults.push(Fault::whole("county", what));
             }
         }
@@ -206,11 +208,13 @@
 fn unavailable_message(why: CountsUnavailable) -> &'static str {
     match why {
         CountsUnavailable::Unread(Unread::NotYet) => {
-            "counts are held back: their records are being read"
+            "counts are unavailable: their records are being read"
         }
         CountsUnavailable::Unread(Unread::Bad) => {
-            "counts are held back: a record of them can't be understood"
+            "counts are unavailable: one of their records can't be decoded"
+        }
+        CountsUnavailable::Behind => {
+            "counts are unavailable: the watch of live jobs is too far behind"
         }
-        CountsUnavailable::Behind => "counts are held back: acceptances were not seen far enough",
     }
 }
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -1,9 +1,10 @@
-//! An audit of the counts by county: they are made again from the records, and held against those that are kept.
+//! An audit of the counts by county: jobs are counted again from their records, and the result is compared with the
+//! counts that are kept.
 //!
-//! The counts are noted as of the last transaction with ends that is known to stand, and with them the jobs that live;
-//! after that all live records are read, and then all ended ones, since jobs only move that way. What was recorded
-//! later is told apart by its stamp. One audit at a time, page by page, and only with what the leader's other work
-//! leaves of its requests.
+//! An audit begins with a snapshot of the counts, as of the last known transaction with ends, and of the live jobs.
+//! Then it reads the records of all live jobs, and after these the records of all ended jobs, since jobs only move that
+//! way. Records that were written after the snapshot are told apart by their versions. One audit runs at a time, page
+//! by page, and only with requests that the leader's other work leaves over.
 
 use crate::documents::county_counts::CountsUnavailable;
 use crate::state_requests::PageCursor;
@@ -16,7 +17,7 @@
 use wire::records::{self, EndRecord, JobRecord};
 use wire::tally::{self, DIFFERENCES};
 
-/// Requests that an audit leaves to others.
+/// Requests that an audit leaves to other work.
 const RESERVED_REQUESTS: f64 = 5.0;
 const TIMEOUT_MS: u64 = 3000;
 const PAGE_SIZE: usize = 1000;
@@ -27,14 +28,14 @@
     Ended,
 }
 
-/// A comparison of the counts with the records, as far as it has come.
+/// A comparison of the counts with the records, and its progress.
 pub(crate) struct Audit {
     id: String,
     revision: u64,
-    /// Acceptances were seen up to here.
+    /// Acceptances up to this revision are in the snapshot.
     seen_revision: u64,
     counts: BTreeMap<Cell, Count>,
-    /// Jobs that lived and were not found yet, with their counties.
+    /// Live jobs of the snapshot whose records were not found yet, with their counties.
     unmatched_live: HashMap<String, String>,
     recounted: BTreeMap<Cell, Count>,
     record_set: RecordSet,
@@ -73,7 +74,7 @@
             return;
         };
         if stamp > self.revision {
-            // It lived then, if it was there.
+            // It ended after the snapshot, so the snapshot has it as live, if at all.
             if let Some(known) = self
                 .unmatched_live
                 .remove(job)
@@ -98,14 +99,14 @@
         row.tasks += u64::from(record.done);
     }
 
-    /// All records were read.
+    /// Compares the counts, once all records were read.
     fn finish(&mut self) {
         self.add_jobs_without_record();
         self.add_count_differences();
         self.is_done = true;
     }
 
-    /// Jobs that were counted and have no record.
+    /// Reports jobs that were counted but have no record.
     fn add_jobs_without_record(&mut self) {
         let mut unmatched: Vec<_> = std::mem::take(&mut self.unmatched_live)
             .into_iter()
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Cells whose counts are not what the records say.
+    /// Reports cells whose counts differ from the records.
     fn add_count_differences(&mut self) {
         let counts = std::mem::take(&mut self.counts);
         let recounted = std::mem::take(&mut self.recounted);
@@ -139,7 +140,7 @@
         }
     }
 
-    /// How far it is, or what it has found.
+    /// The progress of the audit, or its result.
     pub fn progress(&self) -> tally::Audit {
         let (revision, read) = (self.revision, self.records_read);
         match self.is_done {
@@ -154,7 +155,8 @@
 }
 
 impl Shard {
-    /// The audit with this id, which is begun if none is running; `None` while another one is.
+    /// The progress of the audit with this id, which is started if none is running; `None` while another one is
+    /// running.
     pub fn audit(&mut self, id: &str) -> Result<Option<tally::Audit>, CountsUnavailable> {
         match &self.county_counts.audit {
             Some(audit) if audit.id == id => return Ok(Some(audit.progress())),
@@ -185,7 +187,7 @@
         Ok(Some(progress))
     }
 
-    /// The counties of the jobs that live, by job.
+    /// The counties of live jobs, by job id.
     fn live_counties(&self) -> HashMap<String, String> {
         let live = self.jobs.iter().flatten().filter(|job| !job.is_over());
         live.filter_map(|job| Some((job.id.clone(), job.county.as_ref()?.county.clone())))
@@ -198,7 +200,7 @@
         self.shard.as_mut()?.county_counts.audit.as_mut()
     }
 
-    /// The next page, if there is room for it.
+    /// Requests the next page, if the request budget has room for it.
     pub(crate) fn audit_tick(&mut self) {
         let term = self.term;
         let has_spare_requests = self.requests.level(self.now.mono) > RESERVED_REQUESTS;
@@ -222,7 +224,7 @@
         self.get_state(path, TIMEOUT_MS, pending);
     }
 
-    /// A page of records, or none.
+    /// Handles a page of records; `None` if there was no answer.
     pub(crate) fn audit_received(&mut self, record_set: RecordSet, response: Option<Response>) {
         let page = match record_set {
             RecordSet::Live => self.read_state(response).map(|page| {
@@ -245,12 +247,12 @@
                 (audit.record_set, audit.cursor) = (RecordSet::Ended, PageCursor::default())
             }
             (Some(false), RecordSet::Ended) => audit.finish(),
-            // The next page, or the same again.
+            // The next tick requests the next page, or the same page again.
             _ => {}
         }
     }
 
-    /// Counts what a page has; true if there is another.
+    /// Processes a page; true if another page follows.
     fn audit_page<T>(&mut self, page: Range<T>, count: impl Fn(&mut Audit, T, &str, u64)) -> bool {
         let Some(audit) = self.audit_mut() else {
             return false;
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -1,8 +1,10 @@
-//! Counts by county as the leader keeps them: deltas that ride in the log, and the counter sheets that they are added to.
+//! Job counts by county, as the leader keeps them: deltas in the records of the log, and the counter sheets to which
+//! the deltas are added.
 //!
-//! What ends is counted in the transaction that records its end, by way of its log record; a job that lives counts by
-//! its own record. So counting costs no write at an acceptance, and at an end none where a log record goes along
-//! anyway. `county::Tally` has the rules; this is what the part adds to them.
+//! The end of a job is counted by a delta in the log record of the transaction that records the end; a live job is
+//! counted by its own record. Counting therefore costs no write when a job is accepted, and none at an end whose
+//! transaction writes a log record anyway. The rules of counting are in `county::Tally`; this module reads, writes and
+//! serves the counts.
 
 use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::election::SHARD;
@@ -16,42 +18,46 @@
 use wire::http::Response;
 use wire::records::{self, ClaimsRecord, CountedRecord, CountyRecord, Record};
 
-/// Sheets are written so often, so many at a time, and no longer than this. With more log records than this waiting
-/// for them, they are written with each tidying, and more at a time.
+/// Interval between writes of sheets.
 const SHEET_WRITE_INTERVAL_MS: u64 = 5_000;
+/// The most sheets in one transaction.
 const SHEETS_PER_TRANSACTION: usize = 2;
+/// The most bytes of a sheet.
 const MAX_SHEET_BYTES: usize = 8 * 1024;
+/// With more log records than this waiting to be added to sheets, sheets are written each time that a transaction
+/// cleans up, and more of them at once.
 const MAX_BACKLOG: usize = 150;
 const SHEETS_PER_TRANSACTION_BEHIND: usize = 4;
-/// Sheets are read again so long after they could not be reached, or understood.
+/// Delay before sheets are read again after the state service did not answer.
 const RETRY_MS: u64 = 500;
+/// Delay before sheets are read again after one could not be decoded.
 const UNREADABLE_RETRY_MS: u64 = 30_000;
 const TIMEOUT_MS: u64 = 3000;
-/// Sheets of one page: an answer may be 8 MiB.
+/// Sheets in one page: an answer may have 8 MiB.
 const PAGE_SIZE: usize = 200;
-/// Transactions with ends that are remembered until the watch has come past them.
+/// The most transactions with ends that are remembered until the watch of live jobs has passed them.
 const MAX_RECENT_TRANSACTIONS: usize = 4_000;
 
 /// The counts by county of one term of leadership.
 pub(crate) struct CountyCounts {
     counts: Tally,
-    /// Some job or record has a county. Without any, nothing is read, kept free or written.
+    /// Whether any job or record has a county. If none has, no counts are read or written, and no writes are reserved.
     in_use: bool,
     reading: Option<Reading>,
     next_read_at: u64,
     sheets_written_at: u64,
-    /// Ends that were recorded at a revision which the watch may not have come to.
+    /// Ends, with the revisions that recorded them, which the watch of live jobs may not have reached.
     recent_ends: VecDeque<(u64, Vec<Delta>)>,
-    /// Ends up to here were forgotten too early: nothing can be said as of an earlier revision.
+    /// Ends up to this revision were dropped for lack of room: counts as of an earlier revision are unavailable.
     forgotten_revision: u64,
-    /// The last transaction with ends that is known to stand.
+    /// Revision of the last committed transaction with ends.
     last_end_revision: u64,
     tenants: HashMap<String, u16>,
     /// The last audit, running or done.
     pub audit: Option<crate::documents::county_audit::Audit>,
 }
 
-/// Sheets as they come in, page by page.
+/// A read in progress of all sheets, page by page.
 struct Reading {
     cursor: PageCursor,
     all_decoded: bool,
@@ -60,11 +66,11 @@
 /// Counts of the jobs that one transaction ends.
 pub(crate) struct EndedCounts {
     deltas: Vec<Delta>,
-    /// What they may take of the log record.
+    /// Bytes of the log record that the deltas may take.
     max_bytes: usize,
 }
 
-/// What a job's claims say of its county, for those who find them after its end.
+/// The county that a job's claims are recorded with, for a leader that reads the claims after the job's end.
 pub(crate) fn claims_county(job: &Job) -> Option<String> {
     job.county
         .as_ref()
@@ -82,14 +88,14 @@
     })
 }
 
-/// Bounds what a job's county adds to its claims' length.
+/// Upper bound of the bytes that a job's county adds to a record of its claims.
 pub(crate) fn claims_bytes(job: &Job) -> usize {
     job.county
         .as_ref()
         .map_or(0, |c| ClaimsRecord::county(&c.county))
 }
 
-/// The same of counts.
+/// Upper bound of the bytes that deltas add to a log record.
 pub(crate) fn deltas_bytes(deltas: &[Delta]) -> usize {
     deltas
         .iter()
@@ -97,7 +103,8 @@
         .sum()
 }
 
-/// The only zones for a job, as the planner's indices; one that does not exist where none of them does any more.
+/// The zones that a job's county restricts it to, as indices for the planner. A zone that does not exist any more
+/// becomes `u16::MAX`, so that the restriction remains if none of them exists.
 pub(crate) fn zones(job: &Job, index: &HashMap<&str, u16>) -> Vec<u16> {
     let names = job.county.iter().flat_map(|c| &c.zones);
     names
@@ -106,7 +113,7 @@
 }
 
 impl EndedCounts {
-    /// Counts for a transaction whose records may have this length.
+    /// Empty counts for a transaction whose records may have this many bytes.
     pub fn new(value_bytes: usize) -> Self {
         EndedCounts {
             deltas: Vec::new(),
@@ -135,24 +142,24 @@
         })
     }
 
-    /// What was counted, for the log record.
+    /// Takes the deltas, for the log record.
     pub fn take(&mut self) -> Vec<Delta> {
         std::mem::take(&mut self.deltas)
     }
 
-    /// No more ends should be taken along.
+    /// Whether the transaction should take no more ends.
     pub fn is_full(&self) -> bool {
         deltas_bytes(&self.deltas) > self.max_bytes
     }
 
-    /// Writes that the transaction still needs for them.
+    /// Writes that the transaction still needs for the deltas.
     pub fn log_records_due(&self) -> usize {
         usize::from(!self.deltas.is_empty())
     }
 }
 
 impl CountyCounts {
-    /// Counts whose sheets may be as long as a record.
+    /// Empty counts, with sheets that fit into records of this many bytes.
     pub fn new(value_bytes: usize) -> Self {
         CountyCounts {
             counts: Tally::new(value_bytes.min(MAX_SHEET_BYTES)),
@@ -168,7 +175,7 @@
         }
     }
 
-    /// Whose work a job is, for the planner; numbers hold for this term.
+    /// The tenant of a job, for the planner; tenant numbers are valid in this term only.
     pub fn tenant(&mut self, county: Option<&CountyRecord>) -> plan::Tenant {
         let Some(c) = county else {
             return plan::Tenant::default();
@@ -188,12 +195,13 @@
         }
     }
 
-    /// Writes that are kept free of ends for the log record that counts them.
+    /// Writes of a transaction that are reserved for the log record with its deltas.
     pub fn reserved_writes(&self, budget: usize) -> usize {
         usize::from(self.in_use && budget > 2)
     }
 
-    /// A log record with counts stands, at this revision, or was read back. True if it has to stay for them.
+    /// Notes the deltas of a log record that was committed at this revision, or read back (revision 0). True if the
+    /// record has to be kept until they are in sheets.
     pub fn log_recorded(&mut self, number: u64, ended: Vec<Delta>, revision: u64) -> bool {
         if ended.is_empty() {
             return false;
@@ -211,12 +219,12 @@
         self.counts.noted(number, ended)
     }
 
-    /// All that has ended, as of the last transaction with ends.
+    /// Counts of all ended jobs, as of the last transaction with ends.
     pub fn ended(&self) -> Result<BTreeMap<Cell, Count>, Unread> {
         self.counts.counts()
     }
 
-    /// Takes back what ended after a revision: there it still lives.
+    /// Reverts ends after a revision, as of which these jobs were still live.
     fn undo_after(&mut self, revision: u64, rows: &mut BTreeMap<Cell, Row>) {
         while self
             .recent_ends
@@ -242,7 +250,7 @@
         self.counts.backlog().0 > MAX_BACKLOG
     }
 
-    /// Takes a page of sheets; true if another follows, `None` if none is waited for.
+    /// Adds a page of sheets; true if another page follows, `None` if no read is in progress.
     fn page_read(&mut self, page: Range<serde_json::Value>) -> Option<bool> {
         let reading = self.reading.as_mut()?;
         let prefix = records::tally_prefix(SHARD);
@@ -258,14 +266,14 @@
                 (Some(number), Ok(sheet)) => self.counts.sheet_read(number, version, sheet),
                 _ => {
                     reading.all_decoded = false;
-                    log::error!("{key} can't be understood: counts by county are held back");
+                    log::error!("{key} can't be decoded: counts by county are unavailable");
                 }
             }
         }
         Some(has_more)
     }
 
-    /// Ends a reading, until a time at the earliest; true if all sheets were understood.
+    /// Ends a read, and sets the earliest time of the next; true if all sheets could be decoded.
     fn stop_reading(&mut self, next_read_at: u64) -> bool {
         self.next_read_at = next_read_at;
         self.reading
@@ -282,7 +290,7 @@
 }
 
 impl TransactionDraft {
-    /// Puts the sheets that have waited longest, as many as there is room for.
+    /// Writes the sheets whose deltas have waited longest, as many as there is room for.
     pub fn counter_sheets(
         &mut self,
         shard: &mut Shard,
@@ -321,7 +329,7 @@
 }
 
 impl Shard {
-    /// Sheets are in place: log records that have waited for them alone may go.
+    /// Sheets were committed: log records that were kept for their deltas alone may be removed.
     pub fn counter_sheets_written(&mut self, fold: &Fold, revision: u64) {
         let releasable = self.county_counts.counts.folded(fold, revision);
         self.claim_log.counted(releasable);
@@ -329,8 +337,8 @@
 }
 
 impl Node {
-    /// Reads the sheets once something has a county. Nothing else waits for that: until then counts are held back, and
-    /// what ends meanwhile stays in the log.
+    /// Reads the sheets once there is a document or anything with a county. Nothing else waits for this: until the
+    /// sheets are read, counts are unavailable, and the deltas of ended jobs stay in the log.
     pub(crate) fn county_counts_tick(&mut self) {
         let now = self.now.mono;
         let has_document = self.shared.documents.counties.head.version > 0;
@@ -362,7 +370,7 @@
         self.get_state(path, TIMEOUT_MS, Pending::Sheets { term });
     }
 
-    /// A page of sheets, or none.
+    /// Handles a page of sheets; `None` if there was no answer.
     pub(crate) fn sheets_received(&mut self, response: Option<Response>) {
         let now = self.now.mono;
         let page = self.read_state::<Range<serde_json::Value>>(response);
@@ -383,7 +391,7 @@
     }
 }
 
-/// One class of a county, as of one revision.
+/// Counts of one class of a county, as of one revision.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Row {
     /// Jobs that were accepted and have not ended.
@@ -392,24 +400,25 @@
     pub ended: Count,
 }
 
-/// Why there is nothing to tell now.
+/// Why no counts can be given now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CountsUnavailable {
     Unread(Unread),
-    /// Acceptances were not seen up to the latest revision yet.
+    /// The watch of live jobs is too far behind: ends after its revision were already dropped.
     Behind,
 }
 
 impl Shard {
-    /// The last revision at which something ended, as far as is known: earlier leaders' were before our term.
+    /// The last revision at which a job ended, as far as is known. Ends that earlier leaders recorded came before this
+    /// term.
     pub fn last_known_end(&self) -> u64 {
         self.county_counts
             .last_end_revision
             .max(self.leader_version)
     }
 
-    /// All counts as of one revision, the latest that is known: what ended after it still lives there, and what was
-    /// accepted after it does not yet.
+    /// All counts as of the latest revision for which they are known: jobs that ended after it are counted as live, and
+    /// jobs that were accepted after it are not counted.
     pub fn counts_by_county(&mut self) -> Result<(u64, BTreeMap<Cell, Row>), CountsUnavailable> {
         let revision = self.counted_revision();
         let ended = self
@@ -430,7 +439,7 @@
 
     /// The latest revision up to which both acceptances and ends are known.
     fn counted_revision(&self) -> u64 {
-        // What is under way may have been recorded already, after all that is known to stand.
+        // A transaction in flight may have been committed already, after the last known end.
         let last_known_end = if self.commit.is_out() {
             self.last_known_end()
         } else {
@@ -439,7 +448,7 @@
         self.live_watch.revision().min(last_known_end)
     }
 
-    /// Counts the jobs that live and were accepted up to a revision.
+    /// Adds live jobs that were accepted up to a revision.
     fn add_live(&mut self, revision: u64, rows: &mut BTreeMap<Cell, Row>) {
         let counts = &mut self.county_counts.counts;
         let live = self.jobs.iter().flatten().filter(|job| !job.is_over());
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -1,4 +1,4 @@
-//! The versions in force: what this controller acts on of each kind, and how it follows the heads.
+//! The versions in force on this controller, one of each kind, and how they follow the heads.
 
 use crate::Node;
 use crate::documents::change::PendingChange;
@@ -15,7 +15,7 @@
 use wire::api::Condition;
 use wire::records::{self, SharedRecord};
 
-/// What the watch of the heads has not said for so long may be otherwise: it is asked every five seconds.
+/// The heads are stale if nothing was heard of them for this long: the watch on them is renewed every five seconds.
 const HEADS_STALE_MS: u64 = 6000;
 
 #[derive(Default)]
@@ -26,13 +26,13 @@
     pub models: Document<ModelRules>,
 }
 
-/// A version that checks out.
+/// A validated version.
 pub(crate) struct ActiveVersion<C: Content> {
-    /// Its number; they rise by one.
+    /// The version number; numbers rise by one.
     pub version: u64,
     /// The content as operators wrote it.
     pub spec: Arc<C>,
-    /// The content as it is acted on.
+    /// The validated form of the content, which the controller acts on.
     pub built: Arc<C::Built>,
 }
 
@@ -48,24 +48,25 @@
 
 /// A kind's document, as this controller knows it.
 pub(crate) struct Document<K: Kind> {
-    /// The head as last seen, and its stamp; 0 if there is none.
+    /// The head as last seen.
     pub head: Head,
+    /// The version of the head's record in the state service; 0 if there is none.
     pub stamp: u64,
-    /// The version that is acted on.
+    /// The version in force on this controller.
     pub active: Option<ActiveVersion<K::Content>>,
-    /// A version that did not check out, and why.
+    /// The latest version that failed validation, and the reason.
     pub(super) rejected: Option<(u64, String)>,
-    /// Parts that are in the state service, by name, with their stamps.
+    /// Parts that are in the state service, by name, with the versions of their records.
     pub(super) parts: BTreeMap<String, u64>,
-    /// The parts that are being read.
+    /// The read of parts that is in progress.
     pub(super) reading: Option<Reading<PartOf<K>>>,
     /// The term of leadership in which all parts were last read.
     pub(super) read_in_term: u64,
-    /// Parts are not read again before this.
+    /// Parts are not read again before this time.
     pub(super) retry_at: u64,
-    /// A change on its way into the state service, where we are the leader.
+    /// A change that this node, as the leader, is writing to the state service.
     pub(super) pending_change: Option<PendingChange<K>>,
-    /// The one to begin with, where there has never been any.
+    /// The initial content that this node was started with, for when no version has ever existed.
     pub first: Option<K::Content>,
 }
 
@@ -87,7 +88,8 @@
 }
 
 impl<K: Kind> Document<K> {
-    /// The version that is acted on here; 0 without one. `None` if there is one that can't be acted on.
+    /// The version in force on this controller; 0 if no version exists. `None` if versions exist but none could be
+    /// activated.
     pub fn version(&self) -> Option<u64> {
         match &self.active {
             Some(active) => Some(active.version),
@@ -96,29 +98,32 @@
         }
     }
 
-    /// A head that was read or watched; older ones change nothing.
+    /// Notes a head that was read or watched, unless it is older than the known one.
     pub(super) fn observe_head(&mut self, head: Head, stamp: u64) {
         if stamp >= self.stamp {
             (self.head, self.stamp) = (head, stamp);
         }
     }
 
-    /// Nothing newer is known than what was taken or refused.
+    /// Whether the latest known version has been activated or rejected.
     pub(super) fn is_current(&self) -> bool {
         let active_version = self.active.as_ref().map_or(0, |active| active.version);
         let rejected = self.rejected.as_ref().map_or(0, |(version, _)| *version);
         self.head.version == active_version || self.head.version == rejected
     }
 
-    /// Acts on a version from now on.
+    /// Puts a version in force on this controller.
     pub(super) fn activate(&mut self, active: ActiveVersion<K::Content>) {
         let (name, size) = (K::Content::NAME, K::Content::size(&active.built));
-        log::info!("{name}: version {} with {size}", active.version);
+        log::info!(
+            "{name}: version {} is in force here, with {size}",
+            active.version
+        );
         self.active = Some(active);
         self.rejected = None;
     }
 
-    /// Takes a version that was put together from the head's parts, or refuses it.
+    /// Validates a version that was joined from its parts, and activates or rejects it.
     pub(super) fn activate_or_reject(
         &mut self,
         spec: Result<K::Content, String>,
@@ -150,7 +155,7 @@
         }
     }
 
-    /// The version that did not check out, and why, in words.
+    /// The rejected version and the reason, as text for operators.
     pub fn rejection(&self) -> Option<String> {
         self.rejected
             .as_ref()
@@ -159,7 +164,7 @@
 }
 
 impl Documents {
-    /// A head that was read or watched.
+    /// Notes a head that was read or watched.
     pub fn observe_head(&mut self, key: &str, record: &SharedRecord, stamp: u64) {
         let kind = key
             .strip_prefix(records::SHARED)
@@ -169,7 +174,7 @@
         }
     }
 
-    /// Nothing that was asked for in another term of leadership is waited for.
+    /// Drops reads in progress, which belong to another term of leadership.
     pub fn forget_readings(&mut self) {
         for kind in ALL {
             for_kind!(kind, K => K::document_mut(self).reading = None);
@@ -177,13 +182,12 @@
     }
 }
 
-/// What binds a job at its acceptance.
 impl Node {
-    /// Guards by which an accept fails where another version is in force than the one that it was bound by. Nothing
-    /// without such documents, unless this node has not heard for a while whether there are any. `None` while the heads, or
-    /// a version that was seen, have not been read.
+    /// Guards for a transaction that accepts a job: it fails if another version of a document is in force than the one
+    /// that the job was bound by. A kind without any version adds no guard, unless the heads are stale and a version
+    /// may exist by now. `None` while the heads, or a version whose head was seen, have not been read.
     pub(crate) fn head_conditions(&self) -> Option<Vec<Condition>> {
-        // A node that has just begun may know the machine types and not yet whether there are documents.
+        // A node that has just started may know the machine types before it knows whether there are documents.
         if self.shared.revision == 0 {
             return None;
         }
--- a/crates/control/src/documents/kind.rs
+++ b/crates/control/src/documents/kind.rs
@@ -1,4 +1,4 @@
-//! What makes a kind of document, and the registry of those there are.
+//! The trait that a kind of document implements, and the registry of kinds.
 
 use crate::Node;
 use crate::documents::{Document, Documents};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use wire::records::{self, Record};
 
-/// The kinds there are. A new one has a line here, in [`for_kind`] and in [`Documents`].
+/// All kinds of documents. A new kind is added here, to [`ALL`], to [`for_kind`] and to [`Documents`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum KindId {
     Quota,
@@ -26,7 +26,7 @@
     KindId::Models,
 ];
 
-/// Does something for a kind that is known by its id alone.
+/// Evaluates an expression with the type of the kind that an id stands for.
 macro_rules! for_kind {
     ($kind:expr, $K:ident => $body:expr) => {
         match $kind {
@@ -51,16 +51,18 @@
 }
 pub(crate) use for_kind;
 
-/// A kind of document, as controllers act on it.
+/// A kind of document: what controllers need to follow, change and serve it.
 pub(crate) trait Kind: Sized + 'static {
     type Content: Content;
-    /// Its changes, and the questions that it alone has.
+    /// Changes that operators can make.
     type Edit: DeserializeOwned;
+    /// Queries that only this kind answers.
     type Query: DeserializeOwned;
     const ID: KindId;
-    /// What is accepted is bound by it: accepts are guarded by its head's stamp.
+    /// Whether jobs are bound by the document when they are accepted. If so, accepting transactions are guarded by the
+    /// version of its head.
     const GUARDS_ACCEPTANCE: bool = false;
-    /// Changes that its head's transaction makes.
+    /// Number of records that the head's transaction changes.
     const HEAD_WRITES: usize = 1;
 
     fn document(all: &Documents) -> &Document<Self>;
@@ -71,41 +73,41 @@
         old: &Self::Content,
         context: &<Self::Content as Content>::Context,
     ) -> Result<Self::Content, Fault>;
-    /// The change that puts a document in place as a whole.
+    /// The change that replaces the whole document.
     fn replacement(spec: Self::Content) -> Self::Edit;
-    /// A question that no other kind has, asked of the leader.
+    /// Answers a query of this kind; only called on the leader.
     fn answer_query(node: &mut Node, conn: u64, query: Self::Query);
-    /// The document's answer to "show".
+    /// The answer to the request "show".
     fn show(node: &Node) -> Vec<u8> {
         Self::document(&node.shared.documents).encode_shown()
     }
-    /// Whether what is there now stands against a new version.
+    /// Checks a new version against the current state; a change with faults is refused.
     fn check_change(
         _node: &Node,
         _new: &<Self::Content as Content>::Built,
     ) -> Result<(), Vec<Fault>> {
         Ok(())
     }
-    /// What comes of a new version, for whoever asks for it.
+    /// Consequences of a new version, a line each, for the operator who changes it.
     fn consequences(_node: &Node, _new: &Arc<<Self::Content as Content>::Built>) -> Vec<String> {
         Vec::new()
     }
-    /// Another version has come into force here.
+    /// Called when another version may have come into force on this node.
     fn version_activated(_node: &mut Node) {}
     /// Whether the head may be written now.
     fn may_write_head(_shard: &Shard) -> bool {
         true
     }
-    /// The head goes into the next transaction.
+    /// Called before the head is put into a transaction.
     fn before_head_write(_node: &mut Node) {}
-    /// Writes beside the head, in its transaction.
+    /// Adds the other writes that belong into the head's transaction.
     fn write_with_head(_draft: &mut TransactionDraft, _shard: &mut Shard, _version: u64) {}
     fn record(head: Head) -> Record {
         Record::Document(records::HeadRecord { document: head })
     }
 }
 
-/// A piece of a kind's content, of the size of a record.
+/// A part of a kind's content, small enough for one record.
 pub(super) type PartOf<K> = <<K as Kind>::Content as Content>::Part;
 
 /// The prefix of the keys of a kind's parts.
@@ -114,7 +116,7 @@
 }
 
 impl KindId {
-    /// The kind with this word.
+    /// The kind with this name, as in keys and paths.
     pub fn from_name(name: &str) -> Option<KindId> {
         ALL.into_iter()
             .find(|id| for_kind!(*id, K => <K as Kind>::Content::KIND) == name)
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -1,14 +1,14 @@
-//! Versioned configuration: which version of each kind of document is in force, as every controller follows it, and
-//! how it is changed under optimistic concurrency.
+//! Versioned configuration documents: which version of each kind is in force, how every controller follows it, and how
+//! it is changed under optimistic concurrency.
 //!
-//! A controller acts on one whole version. It reads the parts of a new one, checks that it holds together with what
-//! it must fit, and only then takes it; one that does not check out is refused, and the last valid one stays. A new
-//! leader reads all kinds before its first start.
+//! A controller always acts on one complete version. It reads the parts of a new version, validates it against its
+//! context (the settings and the quota tree), and only then activates it. A version that fails validation is rejected,
+//! and the last valid one stays in force. A new leader reads all kinds before it starts any task.
 //!
-//! A change is made by the leader's own transactions, one after the other: parts that the state service has not yet,
-//! then the head, with whatever its kind writes beside it. So a change is in place as a whole or not at all, whoever
-//! dies in its midst; what a leader that died had written of parts is in the way of nothing, and is tidied away by
-//! the next.
+//! The leader makes a change by a sequence of transactions: first the parts that the state service does not have yet,
+//! then the head together with whatever else its kind writes. A change is therefore made completely or not at all, even
+//! if the leader crashes in between. Parts that a crashed leader has written do no harm and are removed by its
+//! successor.
 
 mod change;
 mod change_writes;
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -1,5 +1,5 @@
-//! The operators' API, served on the peers' address: what is in force of each kind of document, changes of it, and
-//! what its kind alone can be asked. Any controller takes a request; the leader answers it.
+//! The operators' API, served on the peers' address: it shows and changes each kind of document and answers the queries
+//! of its kind. Any controller accepts a request; the leader answers it.
 
 use crate::documents::{Document, Kind, KindId, for_kind};
 use crate::{Destination, Node, Pending};
@@ -7,11 +7,11 @@
 use wire::admin::{self, AskOf, Refused, Shown};
 use wire::http::{Request, Response};
 
-/// A controller has this long to have the leader answer, a whole change included.
+/// Timeout of a request that is forwarded to the leader, which may have to make a complete change.
 const FORWARD_TIMEOUT_MS: u64 = 15_000;
 
 impl Node {
-    /// Serves a request if it is one for this API.
+    /// Serves a request; false if it is not one for this API.
     pub(crate) fn admin_requested(&mut self, conn: u64, request: &Request) -> bool {
         let kind = admin::kind_of(&request.path).and_then(KindId::from_name);
         let Some(kind) = kind.filter(|_| self.tuning.door >= 1.0) else {
@@ -22,7 +22,11 @@
         } else if !self.leads() {
             self.forward_admin(conn, request);
         } else if !self.may_decide() {
-            self.deny_admin(conn, 503, refused("the owner is not sure of itself now"));
+            self.deny_admin(
+                conn,
+                503,
+                refused("the leader is still loading, or its lease is not certain"),
+            );
         } else {
             for_kind!(kind, K => self.serve::<K>(conn, &request.body));
         }
@@ -45,7 +49,7 @@
 
     fn forward_admin(&mut self, conn: u64, request: &Request) {
         let Some(peer) = self.leader_peer() else {
-            return self.deny_admin(conn, 503, refused("no owner now"));
+            return self.deny_admin(conn, 503, refused("no leader is known"));
         };
         let pending = Pending::Admin { conn };
         let (path, body) = (request.path.clone(), request.body.clone());
@@ -59,19 +63,19 @@
         );
     }
 
-    /// The leader's answer to a request that was handed on to it.
+    /// Handles the leader's answer to a forwarded request.
     pub(crate) fn admin_answered(&mut self, conn: u64, response: Option<Response>) {
         match response {
             Some(r) => self.respond(conn, r.status, r.body, r.retry_after_s),
             None => self.deny_admin(
                 conn,
                 503,
-                refused("the owner does not answer; a change may have been made"),
+                refused("the leader does not answer; a change may have been made"),
             ),
         }
     }
 
-    /// Refuses a request; one that may be served later with the time to come back.
+    /// Refuses a request; a 503 says when to retry.
     pub(crate) fn deny_admin(&mut self, conn: u64, status: u16, why: Refused) {
         let retry = (status == 503).then_some(1);
         self.respond(conn, status, admin::encode(&why), retry);
@@ -79,7 +83,7 @@
 }
 
 impl<K: Kind> Document<K> {
-    /// The document's answer to "show".
+    /// The answer to the request "show".
     pub(super) fn encode_shown(&self) -> Vec<u8> {
         let (version, spec) = self
             .active
@@ -97,7 +101,7 @@
     }
 }
 
-/// A refusal with its reason alone.
+/// A refusal that has only a reason.
 pub(crate) fn refused(why: &str) -> Refused {
     Refused {
         error: why.to_owned(),
@@ -105,7 +109,7 @@
     }
 }
 
-/// The refusal of a version with these faults.
+/// The refusal of a version because of these faults.
 pub(super) fn refused_with_faults<K: Kind>(faults: Vec<Fault>) -> Refused {
     let why = format!(
         "the {} is refused; the one in force stays",
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -1,5 +1,5 @@
-//! The quota tree as a document in force: its bounds are recorded as the shard's allotment before anything starts
-//! under them, and a new version comes in one transaction with the allotment that names it.
+//! The quota tree as a kind of document. Its bounds are recorded as the shard's allotment before any task starts under
+//! them, and a new version is written in one transaction with the allotment that refers to it.
 
 use crate::documents::{Document, Documents, Kind, KindId};
 use crate::scheduling::quota_usage::Counted;
@@ -17,7 +17,7 @@
 /// The quota tree, as a kind of document.
 pub(crate) struct Quota;
 
-/// A version of the quota tree that checks out.
+/// A validated version of the quota tree.
 pub(crate) type ActiveTree = documents::ActiveVersion<Spec>;
 
 impl Kind for Quota {
@@ -25,7 +25,7 @@
     type Edit = Edit;
     type Query = Question;
     const ID: KindId = KindId::Quota;
-    /// Each job is held against its team's path, and studios and counties may be nodes of the tree.
+    /// Each job is checked against its team's path, and studios and counties may refer to nodes of the tree.
     const GUARDS_ACCEPTANCE: bool = true;
     /// The head, and the allotment.
     const HEAD_WRITES: usize = 2;
@@ -67,7 +67,7 @@
             }
         }
     }
-    /// The tree with the counts of this moment.
+    /// The tree with its current usage.
     fn show(node: &Node) -> Vec<u8> {
         let document = &node.shared.documents.quota;
         let (version, spec) = document
@@ -99,11 +99,11 @@
     fn may_write_head(shard: &Shard) -> bool {
         shard.allotment.is_settled()
     }
-    /// What was planned under the old bounds must not be recorded with the new ones.
+    /// Claims that were planned under the old bounds must not be recorded with the new ones.
     fn before_head_write(node: &mut Node) {
         node.drop_unrecorded_claims();
     }
-    /// The allotment that names the tree.
+    /// Writes the allotment that refers to this version.
     fn write_with_head(draft: &mut TransactionDraft, shard: &mut Shard, version: u64) {
         let Some(allotment) = shard.allotment.current().cloned() else {
             return;
@@ -119,7 +119,7 @@
     }
 }
 
-/// What is above its bound, and what becomes of it.
+/// Nodes whose usage is above their maximum, and what happens to the excess, a line each.
 fn nodes_above_maximum(live: &Live) -> Vec<String> {
     let tree = live.tree();
     let mut lines = Vec::new();
@@ -133,8 +133,8 @@
         {
             let excess = (used[r] - node.max[r]) as f64 / 1000.0;
             let consequence = match node.over {
-                quota::Over::Reclaim => "stopped with the time to save",
-                quota::Over::LetEnd => "left to end",
+                quota::Over::Reclaim => "stopped with time to save",
+                quota::Over::LetEnd => "left to finish",
             };
             lines.push(format!(
                 "{}: {excess} {name} above the new maximum, {consequence}",
@@ -146,12 +146,12 @@
 }
 
 impl Node {
-    /// The tree with the counts of this moment.
+    /// The usage of a tree at this moment.
     fn live_usage(&self, tree: &Arc<Tree>) -> Option<Live> {
         Some(Counted::new(self.shard.as_ref()?, tree.clone()).live)
     }
 
-    /// The tree in force; without one, the teams alone.
+    /// The tree in force, or a tree of the teams alone if there is none.
     fn active_or_default_tree(&self) -> Option<Arc<Tree>> {
         match &self.shared.documents.quota.active {
             Some(active) => Some(active.built.clone()),
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Where we are the leader, the bounds of a new version are recorded before anything starts under them.
+    /// On the leader, has the bounds of a new version recorded before any task starts under them.
     pub(crate) fn apply_active_tree(&mut self) {
         self.refit_hours();
         let whole = self.whole_allotment();
@@ -174,11 +174,11 @@
         shard.allotment.want(whole);
         shard.plan_triggers.request();
         self.to_write = true;
-        // What was planned under the old bounds and not recorded yet is planned anew.
+        // Claims that were planned under the old bounds and are not recorded yet are planned again.
         self.drop_unrecorded_claims();
     }
 
-    /// Takes back all claims of which neither a record nor a start is on its way.
+    /// Drops all claims that are neither being recorded nor sent to their machine.
     pub(crate) fn drop_unrecorded_claims(&mut self) {
         let Some(shard) = &mut self.shard else { return };
         let mut jobs = BTreeSet::new();
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Whether this is more than some node above a team may use at all.
+    /// Whether an amount exceeds the maximum of any node on a team's path.
     pub(crate) fn above_its_tree(&self, team: &str, all: &quota::Amount) -> bool {
         let Some(active) = &self.shared.documents.quota.active else {
             return false;
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -1,4 +1,4 @@
-//! How a version is read: the parts that its head names, page by page.
+//! Reads versions: all parts of a kind, page by page, which are then joined as the head says.
 
 use crate::documents::kind::{ALL, PartOf, prefix};
 use crate::documents::{Kind, for_kind};
@@ -11,19 +11,19 @@
 use wire::records::SharedRecord;
 
 const TIMEOUT_MS: u64 = 3000;
-/// Parts that one page has at most.
+/// The most parts in one page.
 const PAGE_SIZE: usize = 1000;
-/// A new version's parts are read so long after the last time at the earliest.
+/// The shortest time between two reads of the parts of a kind.
 const REREAD_INTERVAL_MS: u64 = 1000;
 
-/// Parts as they come in, page by page.
+/// A read in progress of all parts of a kind, page by page.
 pub(super) struct Reading<P> {
     found: BTreeMap<String, (u64, P)>,
     cursor: PageCursor,
 }
 
 impl<P> Reading<P> {
-    /// Takes the parts of a page; true if another page follows.
+    /// Adds the parts of a page; true if another page follows.
     fn add(&mut self, page: Range<P>, prefix: &str) -> bool {
         let has_more = self.cursor.advance(&page);
         for Item {
@@ -40,7 +40,6 @@
     }
 }
 
-/// How versions are read.
 impl Node {
     /// Follows the heads of all kinds.
     pub(crate) fn documents_tick(&mut self) {
@@ -49,7 +48,7 @@
         }
     }
 
-    /// Reads the parts of a new version, as soon as its head was seen; puts the first one in place.
+    /// Starts to read the parts of a version whose head was seen; writes the initial version if there is none.
     fn document_tick<K: Kind>(&mut self) {
         let now = self.now.mono;
         let leader_loads = self.shard.as_ref().is_some_and(|shard| !shard.loaded);
@@ -59,7 +58,7 @@
             && now >= document.retry_at
             && !leader_loads
         {
-            // Not the leader's budget for claims: once a second at most.
+            // At most once a second, so that retries don't use up the leader's request budget for claims.
             document.retry_at = now + REREAD_INTERVAL_MS;
             self.read_parts::<K>();
         }
@@ -88,7 +87,7 @@
         self.get_state(path, TIMEOUT_MS, pending);
     }
 
-    /// A page of parts, or none.
+    /// Handles a page of parts; `None` if there was no answer.
     pub(crate) fn parts_received<K: Kind>(&mut self, response: Option<Response>) {
         let page = self.read_state::<Range<PartOf<K>>>(response);
         let document = K::document_mut(&mut self.shared.documents);
@@ -106,7 +105,7 @@
         self.finish_document_read::<K>();
     }
 
-    /// Takes the version that the head names, now that all parts are here.
+    /// Activates or rejects the version that the head describes, once all parts were read.
     fn all_parts_read<K: Kind>(&mut self) {
         let context = K::context(self);
         let term = self.term;
@@ -128,12 +127,12 @@
             .into_iter()
             .map(|(name, (_, part))| (name, part))
             .collect();
-        // A version after this one may have taken its parts away: its head is on its way to us.
+        // Parts are missing if a later version has already removed them; its head will be seen soon.
         let spec = document::join(&document.head, &parts);
         document.activate_or_reject(spec, &context);
     }
 
-    /// A document was read, or could not be.
+    /// Continues after a document was read, or could not be read.
     fn finish_document_read<K: Kind>(&mut self) {
         let document = K::document(&self.shared.documents);
         let is_complete = document.read_in_term == self.term && document.is_current();
@@ -141,25 +140,25 @@
         match (leader_loads, is_complete) {
             (false, _) => K::version_activated(self),
             (true, true) => self.load_documents(),
-            // Without it nothing may start: again, from the heads.
+            // A new leader starts no task without the document: it reads again, beginning with the heads.
             (true, false) => self.load_later(Load::Heads),
         }
     }
 
-    /// The heads that a leader reads before its first start.
+    /// Notes the heads that a new leader reads before it starts any task.
     pub(crate) fn load_heads(&mut self, range: Range<SharedRecord>) {
         let all = &mut self.shared.documents;
         for item in &range.items {
             all.observe_head(&item.key, &item.value, item.version);
         }
         for kind in ALL {
-            // What was refused may have been incomplete for us alone.
+            // The version may have been rejected only because this node had read it incompletely.
             for_kind!(kind, K => K::document_mut(all).rejected = None);
         }
     }
 
-    /// Then the parts: all of them, also those that no version names, so that a leader can take them away and writes
-    /// none a second time.
+    /// Reads the parts, after the heads: all of them, including those that no version references, so that the leader
+    /// can remove these and does not write a part that already exists.
     pub(crate) fn load_documents(&mut self) {
         for kind in ALL {
             let is_missing = for_kind!(kind, K => {
