--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -3,7 +3,7 @@
 //!
 //! An audit begins with a snapshot of the counts, as of the last known transaction with ends, and of the live jobs.
 //! Then it reads the records of all live jobs, and after these the records of all ended jobs, since jobs only move that
-//! way. Records that were written after the snapshot are told apart by their versions. One audit runs at a time, page
+//! way. Records that were written after the snapshot are recognized by their versions. One audit runs at a time, page
 //! by page, and only with requests that the leader's other work leaves over.
 
 use crate::documents::county_counts::CountsUnavailable;
--- a/crates/control/src/documents/hours/listing.rs
+++ b/crates/control/src/documents/hours/listing.rs
@@ -1,4 +1,4 @@
-//! The list of hours that operators see: those that are past, those to come, and those of ended jobs.
+//! The list of hours for operators: hours that have passed, upcoming hours, and hours of ended jobs.
 
 use crate::Node;
 use crate::documents::hours::watch::EndedHour;
@@ -9,10 +9,10 @@
 use wire::hours::{Line, List, State};
 use wire::records::HourRecord;
 
-/// Jobs that an answer lists.
+/// The most jobs that an answer lists.
 const MAX_LINES: usize = 5_000;
 
-/// Lines of an answer, as far as it has room for them.
+/// The lines of an answer, up to [`MAX_LINES`].
 struct Listing<'a> {
     calendar: Arc<Calendar>,
     /// Only this studio's jobs are listed.
@@ -20,7 +20,7 @@
     list: List,
 }
 
-/// What a line says of a job.
+/// The data of one line.
 struct Entry<'a> {
     job: &'a str,
     team: &'a str,
@@ -31,7 +31,7 @@
 }
 
 impl Entry<'_> {
-    /// Of a job that has not ended; nothing if it has no hour.
+    /// The entry of a job that has not ended; `None` if it has no hour.
     fn of_job(job: &Job, due_ms: u64, wall: u64) -> Option<Entry<'_>> {
         let (hour, spec) = (job.hour.as_ref()?, job.spec.as_ref()?);
         let is_missed = hour.state == State::Missed;
--- a/crates/control/src/documents/hours/mod.rs
+++ b/crates/control/src/documents/hours/mod.rs
@@ -1,8 +1,9 @@
-//! Release hours: bound at acceptance, caps of deadlines in the plan, and what is told of them.
+//! Release hours: the time by which a job should be done, by the calendar of its studio. An hour is bound when its job
+//! is accepted, caps the job's deadline in the plan, and is reported to operators.
 //!
-//! A job's hour is worked out once, from the recorded time of its acceptance, and stands in its record from the
-//! accepting transaction on. Here it is only read. What moves it is an operator's move: a transaction of the leader's
-//! that writes the job's record anew, with who, when and from what.
+//! A job's hour is computed once, from the recorded time of its acceptance, and is part of the job's record from the
+//! accepting transaction on. Only an operator can move it: the leader then writes the job's record again, with the
+//! operator's name, the time and the hour before.
 
 mod listing;
 mod moving;
@@ -22,7 +23,7 @@
 use wire::hours::Ask;
 use wire::records::HourRecord;
 
-/// The kind of document.
+/// The calendar of release hours, as a kind of document.
 pub(crate) struct Hours;
 
 impl Kind for Hours {
@@ -100,7 +101,7 @@
         })
     }
 
-    /// Another quota tree is in force: studios that are nodes of it have other teams from now on.
+    /// Builds the calendar again for a new quota tree: studios that refer to its nodes may have other teams now.
     pub(crate) fn refit_hours(&mut self) {
         let Some(active) = self
             .shared
@@ -122,7 +123,7 @@
                 self.shared.documents.hours.active = Some(active);
             }
             Err(faults) => log::error!(
-                "release hours with the new quota tree: {}; studios stay",
+                "release hours do not fit the new quota tree: {}; studios keep their teams",
                 faults[0]
             ),
         }
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -1,4 +1,4 @@
-//! Moves of hours: an operator's move of one job, or of all that a studio agrees on anew, until they are recorded.
+//! Moves of hours that operators request: of one job, or of all jobs of a studio to what the calendar in force says.
 
 use crate::Node;
 use crate::documents::hours::Hour;
@@ -14,15 +14,17 @@
 use wire::hours::Moved;
 use wire::records::{self, HourRecord, JobRecord, MovedRecord, Record};
 
-/// Moves that wait for their transactions.
+/// The most moves that wait for a transaction.
 const MAX_WAITING_MOVES: usize = 20_000;
-/// Moves that one transaction takes while claims wait too.
+/// The most moves in one transaction while claims are waiting too.
 const MOVES_PER_TRANSACTION: usize = 4;
-/// Lines of what moves that an answer lists.
+/// The most moves that an answer lists.
 const MAX_MOVED_LINES: usize = 200;
-/// The state service counts a record in another form than ours, which takes somewhat more.
+/// Factor for the size of a record: the state service counts it in another encoding than ours, which is somewhat
+/// larger.
 const STATE_SIZE_FACTOR: f64 = 1.3;
 
+/// A move of a job's hour that is not recorded yet.
 #[derive(Debug)]
 pub(crate) struct HourMove {
     ix: JobIndex,
@@ -30,11 +32,11 @@
     due_ms: u64,
     version: u64,
     by: String,
-    /// Who waits for it alone.
+    /// The connection of the operator who waits for this move; `None` if it is one of a studio's moves.
     pub(super) conn: Option<u64>,
 }
 
-/// Why an hour is not moved.
+/// Why an hour can't be moved.
 enum MoveError {
     UnknownJob(String),
     /// The job has ended or is ending, or is a service.
@@ -46,7 +48,7 @@
 }
 
 impl MoveError {
-    /// The status of its answer.
+    /// The HTTP status of the answer.
     fn status(&self) -> u16 {
         match self {
             MoveError::UnknownJob(_) | MoveError::NoCalendar | MoveError::UnknownStudio(_) => 404,
@@ -60,21 +62,22 @@
 impl fmt::Display for MoveError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MoveError::UnknownJob(job) => write!(f, "no job {job:?} that has not ended"),
-            MoveError::NotMovable(job) => write!(f, "{job}: it has ended, or never does"),
+            MoveError::UnknownJob(job) => write!(f, "no live job {job:?}"),
+            MoveError::NotMovable(job) => {
+                write!(f, "{job}: it has ended, or is a service, which has no hour")
+            }
             MoveError::NoSuchTime(why) => f.write_str(why),
             MoveError::NoCalendar => f.write_str("no calendar is in force"),
             MoveError::UnknownStudio(studio) => {
-                write!(f, "{studio:?} is no studio of the calendar")
+                write!(f, "the calendar has no studio {studio:?}")
             }
-            MoveError::TooManyMoves => f.write_str("too many moves are under way"),
+            MoveError::TooManyMoves => f.write_str("too many moves are waiting to be recorded"),
         }
     }
 }
 
-/// What operators ask.
 impl Node {
-    /// Moves the hour of one job; the operator is answered once that is recorded.
+    /// Moves the hour of one job; the operator is answered once the move is recorded.
     pub(super) fn move_hour(&mut self, conn: u64, id: &str, to: &str, by: &str) {
         match self.begin_move(conn, id, to, by) {
             Ok(None) => {}
@@ -87,7 +90,7 @@
         self.deny_admin(conn, error.status(), refused(&error.to_string()));
     }
 
-    /// Puts a job's move among those that wait; what to answer if its hour stands there already.
+    /// Queues the move of a job's hour; returns the answer if the hour is already the requested one.
     fn begin_move(
         &mut self,
         conn: u64,
@@ -107,8 +110,8 @@
         let due_ms = calendar.moment(studio, to).map_err(MoveError::NoSuchTime)?;
         let line = moved_line(job, due_ms, &calendar);
         if is_due_at(job, due_ms) {
-            // A repeat after a lost answer, or nothing to do.
-            let line = format!("{id}: stands at {}", calendar.local(studio, due_ms));
+            // A retry after a lost answer, or a move to the same hour.
+            let line = format!("{id}: is already at {}", calendar.local(studio, due_ms));
             return Ok(Some(Moved {
                 lines: vec![line],
                 ..Moved::default()
@@ -117,7 +120,7 @@
         if shard.hours.moves.len() >= MAX_WAITING_MOVES {
             return Err(MoveError::TooManyMoves);
         }
-        log::info!("hour of {line} by {by:?} is to be written");
+        log::info!("writing move of hour: {line}, requested by {by:?}");
         shard.hours.waiting_operators.insert(conn);
         shard.hours.moves.push_back(HourMove {
             ix,
@@ -174,7 +177,9 @@
             if shard.hours.moves.len() + jobs > MAX_WAITING_MOVES {
                 return Err(MoveError::TooManyMoves);
             }
-            log::info!("hours of {jobs} jobs of {studio} by {by:?} are to be written");
+            log::info!(
+                "writing moves of the hours of {jobs} jobs of {studio}, requested by {by:?}"
+            );
             shard.hours.moves.extend(moves);
             self.to_write = true;
         }
@@ -201,7 +206,7 @@
     Ok((ix, job))
 }
 
-/// A studio's jobs whose hours are other than the calendar says now, with what it says.
+/// A studio's jobs whose hours differ from the calendar in force, with the hours that it gives them.
 fn jobs_to_reagree<'a>(
     shard: &'a Shard,
     calendar: &'a Calendar,
@@ -245,9 +250,9 @@
     format!("{}: from {from} to {}{before}", job.id, local(due_ms))
 }
 
-/// Moves on their way.
 impl TransactionDraft {
-    /// Writes the records of jobs whose hours move. Their ends, which come first, are in nobody's way.
+    /// Writes the records of jobs whose hours move. Ends of jobs are put into the transaction earlier, so moves don't
+    /// delay them.
     pub fn hour_moves(
         &mut self,
         shard: &mut Shard,
@@ -276,7 +281,7 @@
             };
             let key = records::live_key(&job.id);
             if self.writes_to(&key) {
-                // Moved twice: the second follows when the first is in place.
+                // Moved twice: the second move is written once the first is committed.
                 shard.hours.moves.push_front(hour_move);
                 return;
             }
@@ -313,7 +318,7 @@
 }
 
 impl Node {
-    /// The record of a moved hour is in place at this revision.
+    /// The record of a moved hour was committed at this revision.
     pub(crate) fn hour_moved(&mut self, hour_move: HourMove, wall: u64, revision: u64) {
         let Some(shard) = &mut self.shard else { return };
         hour_move.conn.iter().for_each(|conn| {
@@ -336,7 +341,7 @@
             "{}: from {from_ms} to {} ms by {:?}",
             hour_move.job, hour_move.due_ms, hour_move.by
         );
-        log::info!("hour of {line} is moved");
+        log::info!("moved hour: {line}");
         let answer = Moved {
             dry_run: false,
             jobs: 1,
@@ -348,13 +353,14 @@
             .for_each(|conn| self.respond(conn, 200, admin::encode(&answer), None));
     }
 
-    /// A term of leadership is over: whether an hour was moved is for the job's record to say.
+    /// Answers the operators of pending moves when a term of leadership ends. Whether an hour was moved can only be
+    /// read from the job's record.
     pub(crate) fn abandon_hour_moves(&mut self, mut shard: Shard) -> Shard {
         for conn in shard.hours.unanswered() {
             self.deny_admin(
                 conn,
                 503,
-                refused("the owner changed; the list tells whether the hour was moved"),
+                refused("the leader changed; see the list of hours for whether the hour was moved"),
             );
         }
         shard
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -1,4 +1,4 @@
-//! Hours in the plan: they cap deadlines, and the plan tells which of them are at risk, and why.
+//! Hours in the plan: they cap the deadlines of jobs, and the plan shows which hours are at risk, and why.
 
 use crate::Node;
 use crate::documents::hours::Hour;
@@ -8,13 +8,13 @@
 use wire::api::{Catalog, JobSpec, Kind as JobKind};
 use wire::hours::{Risk, State};
 
-/// Between the plan that a job is in and the start of its tasks: its record, and the way to the worker.
+/// Time between a plan and the start of its tasks: their claims are recorded, then sent to the worker.
 const START_DELAY_S: f64 = 2.0;
 
-/// In the plan.
 impl Hour {
-    /// Caps a planned job's deadline: the hour, less what start, fetch and saving take. One that can't be kept any
-    /// more caps nothing: it must not stand before those that can. The planner itself leaves arrays time to fetch.
+    /// Caps a planned job's deadline at its hour, less the time to start, to fetch the image and to save. An hour that
+    /// can't be kept any more caps nothing, since its job must not come before jobs whose hours can be kept. The
+    /// planner itself leaves arrays time to fetch.
     pub fn cap(&self, job: plan::Job, spec: &JobSpec, catalog: &Catalog, wall: u64) -> plan::Job {
         let remaining_s = self.seconds_left(wall) - START_DELAY_S - spec.save_s;
         let fetch_s = least_fetch_s(spec, catalog);
@@ -32,13 +32,13 @@
         }
     }
 
-    /// Seconds until the hour.
+    /// Seconds until the hour; negative once it has passed.
     pub(super) fn seconds_left(&self, wall: u64) -> f64 {
         (self.record.due_ms as f64 - wall as f64) / 1000.0
     }
 }
 
-/// The least time that the image takes.
+/// The time to fetch a job's image on the fastest machine type that the job allows, in seconds.
 fn least_fetch_s(spec: &JobSpec, catalog: &Catalog) -> f64 {
     let allowed = |name: &String| spec.types.as_ref().is_none_or(|list| list.contains(name));
     let rates = catalog
@@ -49,16 +49,16 @@
     spec.image_gb / rates.fold(0.01, f64::max)
 }
 
-/// What a plan means for a job in it.
+/// A job's part in a plan.
 #[derive(Default)]
 struct Planned {
     pending: u32,
     started: u32,
-    /// Its index among the planned jobs, the last if it has several.
+    /// The job's index in the plan's input; the last one if it has several.
     index: usize,
 }
 
-/// What a plan means for the jobs with hours, by job.
+/// The parts of jobs with hours in a plan.
 fn planned_jobs(
     shard: &Shard,
     input: &plan::Input,
@@ -82,19 +82,19 @@
     planned
 }
 
-/// What is needed to tell whether hours can be kept.
+/// What hours are assessed by.
 struct Assessment<'a> {
     shard: &'a Shard,
     input: &'a plan::Input,
     catalog: &'a Catalog,
     zones: &'a [String],
     wall: u64,
-    /// Some machine is on its way.
+    /// Whether a machine was ordered and has not reported yet.
     has_booting_machine: bool,
 }
 
 impl Assessment<'_> {
-    /// How a job's hour stands; `None` if nothing new can be said of it.
+    /// The state of a job's hour; `None` if it does not change any more.
     fn state(&self, job: &Job, planned: &Planned) -> Option<State> {
         let (hour, spec) = (job.hour.as_ref()?, job.spec.as_ref()?);
         if hour.state == State::Missed || job.is_ending() {
@@ -109,7 +109,7 @@
         })
     }
 
-    /// Seconds until the job is done, with the places that it has.
+    /// Estimated seconds until the job is done, with as many tasks at a time as are placed now.
     fn needed_s(&self, spec: &JobSpec, planned: &Planned, placed_tasks: u32) -> f64 {
         let later_rounds = planned
             .pending
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The job's zone is cut off, or all zones are where it names none.
+    /// Whether the job's zone is cut off from the leader, or all zones are if it names none.
     fn is_cut_off(&self, spec: &JobSpec) -> bool {
         let is_cut = |zone: &String| self.shard.zones.is_cut(zone);
         match &spec.zone {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Its team, or a group above it, has no room for one more task of the job.
+    /// Whether the quota of the job's team, or of a group above it, has no room for one more task of the job.
     fn is_beyond_quota(&self, job: &plan::Job) -> bool {
         let team = &self.input.teams[usize::from(job.team)];
         let is_full = |group: &u16| {
@@ -169,7 +169,8 @@
 }
 
 impl Node {
-    /// Says what a plan means for hours: whether each can be kept with the places that its job has now.
+    /// Updates the states of hours after a plan: whether each can be kept with the tasks of its job that are claimed or
+    /// about to start.
     pub(crate) fn hours_planned(
         &mut self,
         input: &plan::Input,
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of deadlines: which hours are to come, which are past, and what is said of them.
+//! The watch of deadlines: which hours are upcoming or have passed, and the state of each.
 
 use crate::Node;
 use crate::documents::hours::HourMove;
@@ -10,19 +10,19 @@
 use wire::hours::State;
 use wire::records::{EndHourRecord, HourRecord};
 
-/// Ended jobs that are remembered for lists.
+/// The most ended jobs that are remembered for lists.
 const MAX_ENDED: usize = 10_000;
-/// Changes of state that are logged one by one in a turn; of more only the number.
+/// The most changes of state that are logged one by one at a time; of the others, only the number is logged.
 const MAX_LOGGED: usize = 20;
 
 /// A job's hour in the leader's memory.
 #[derive(Debug, Clone)]
 pub(crate) struct Hour {
-    /// As it stands in the job's record.
+    /// The hour in the job's record.
     pub record: HourRecord,
-    /// How it stands, as was last logged.
+    /// The state that was last determined.
     pub(super) state: State,
-    /// When its job's end was written.
+    /// The time of the job's end, as recorded.
     ended_ms: u64,
 }
 
@@ -50,39 +50,40 @@
 /// The hours of the shard's jobs.
 #[derive(Default)]
 pub(crate) struct DeadlineWatch {
-    /// Jobs that have not ended, by hour: those whose hour is yet to come, and the others.
+    /// Jobs that have not ended and whose hour is in the future, by hour.
     pub(super) upcoming: BTreeSet<(u64, JobIndex)>,
+    /// Likewise, those whose hour has passed.
     pub(super) passed: BTreeSet<(u64, JobIndex)>,
-    /// The last jobs that ended.
+    /// The jobs that ended last.
     pub(super) ended: VecDeque<EndedHour>,
     /// Moves that wait for a transaction.
     pub(super) moves: VecDeque<HourMove>,
-    /// Moves of jobs that have ended meanwhile.
+    /// Moves that can't be made: their jobs have ended meanwhile, or have records without room for a move.
     pub(super) rejected_moves: Vec<HourMove>,
-    /// Operators whose moves are not recorded yet.
+    /// Connections of operators whose moves are not recorded yet.
     pub(super) waiting_operators: BTreeSet<u64>,
 }
 
 impl DeadlineWatch {
-    /// Watches the hour of a job, if it has one.
+    /// Adds the hour of a job, if it has one.
     pub fn add(&mut self, job: &Job, ix: JobIndex) {
         if let Some(hour) = &job.hour {
             self.upcoming.insert((hour.record.due_ms, ix));
         }
     }
 
-    /// A move whose transaction was refused is still to be written, before those that came after it.
+    /// Queues a move again after its transaction was refused, before moves that came after it.
     pub fn take_back(&mut self, hour_move: HourMove) {
         self.moves.push_front(hour_move);
     }
 
-    /// Watches an hour no longer.
+    /// Removes an hour.
     pub(super) fn forget(&mut self, due_ms: u64, ix: JobIndex) {
         self.upcoming.remove(&(due_ms, ix));
         self.passed.remove(&(due_ms, ix));
     }
 
-    /// A job's end is recorded.
+    /// Determines whether a job's hour was kept, once the job's end is recorded.
     pub fn ended(&mut self, job: &Job, ix: JobIndex, stage: Stage) {
         let Some(hour) = &job.hour else { return };
         let due = hour.record.due_ms;
@@ -94,8 +95,15 @@
             _ => (State::Kept, None),
         };
         match late_s {
-            Some(late) => log::warn!("job {}: released {late:.1} s after its hour", job.id),
-            None => log::info!("job {}: its hour is {}", job.id, describe_state(state)),
+            Some(late) => log::warn!(
+                "job {}: released {late:.1} s after its release hour",
+                job.id
+            ),
+            None => log::info!(
+                "job {}: its release hour is {}",
+                job.id,
+                describe_state(state)
+            ),
         }
         if self.ended.len() >= MAX_ENDED {
             self.ended.pop_front();
@@ -114,7 +122,7 @@
         });
     }
 
-    /// Operators who have not been answered.
+    /// Takes the connections of operators who have not been answered.
     pub fn unanswered(&mut self) -> BTreeSet<u64> {
         std::mem::take(&mut self.waiting_operators)
     }
@@ -122,7 +130,7 @@
 
 fn describe_state(state: State) -> String {
     match state {
-        State::Due => "to be kept".into(),
+        State::Due => "expected to be kept".into(),
         State::AtRisk(risk) => format!("at risk: {}", format!("{risk:?}").to_lowercase()),
         State::Missed => "missed".into(),
         State::Kept => "kept".into(),
@@ -130,7 +138,7 @@
     }
 }
 
-/// What the end of a job with an hour says of it.
+/// The hour in the record of a job's end.
 pub(crate) fn end_record(job: &mut Job, ended_ms: u64) -> Option<EndHourRecord> {
     let hour = job.hour.as_mut()?;
     hour.ended_ms = ended_ms;
@@ -141,7 +149,7 @@
 }
 
 impl Node {
-    /// Notes hours that have passed, and refuses moves that came too late.
+    /// Marks hours that have passed as missed, and refuses moves that can't be made.
     pub(crate) fn hours_tick(&mut self) {
         let wall = self.now.wall;
         let Some(shard) = &mut self.shard else { return };
@@ -154,10 +162,10 @@
 
     fn refuse_move(&mut self, hour_move: HourMove) {
         let why = format!(
-            "{}: it has ended meanwhile, or its record has no room for the move",
+            "{}: the job has ended meanwhile, or its record has no room for the move",
             hour_move.job
         );
-        log::info!("hour of {why}");
+        log::info!("hour not moved: {why}");
         let Some(conn) = hour_move.conn else { return };
         if let Some(shard) = &mut self.shard {
             shard.hours.waiting_operators.remove(&conn);
@@ -167,7 +175,7 @@
 }
 
 impl Shard {
-    /// Hours that have passed since the last look, of jobs that are not about to end.
+    /// Hours that have passed since the last call, of jobs that are not ending.
     fn missed_hours(&mut self, wall: u64) -> Vec<(JobIndex, State)> {
         let mut missed = Vec::new();
         while let Some(first) = self.hours.upcoming.first().copied()
@@ -175,7 +183,7 @@
         {
             self.hours.upcoming.pop_first();
             self.hours.passed.insert(first);
-            // The end of what has ended meanwhile says whether its hour was kept.
+            // If the job is ending, the recorded time of its end decides whether the hour was kept.
             if self.job(first.1).is_some_and(|job| !job.is_ending()) {
                 missed.push((first.1, State::Missed));
             }
@@ -183,7 +191,7 @@
         missed
     }
 
-    /// Notes how hours stand from now on, and logs the first of them.
+    /// Sets new states of hours, and logs the first ones.
     pub(super) fn set_states(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
         let unlogged = changes.len().saturating_sub(MAX_LOGGED);
         for (n, (ix, state)) in changes.into_iter().enumerate() {
@@ -194,7 +202,7 @@
             hour.state = state;
             if n < MAX_LOGGED {
                 log::info!(
-                    "job {}: its hour, {:.0} s from now, is {}",
+                    "job {}: its release hour, {:.0} s from now, is {}",
                     job.id,
                     hour.seconds_left(wall),
                     describe_state(state)
@@ -202,7 +210,7 @@
             }
         }
         if unlogged > 0 {
-            log::info!("and {unlogged} more hours");
+            log::info!("{unlogged} more release hours have changed their state");
         }
     }
 }
