--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -1,10 +1,10 @@
 //! Demand for models, at any controller and whether or not there is a leader.
 //!
-//! Requests are coalesced: of all who ask for one model at one node, one wake-up is sent out
-//! ([`crate::models::wake_up`]). It reads the job and the model's record, and where the model is asleep it begins the
-//! next generation by one transaction, guarded by both. Whoever loses reads again and follows what stands there. A node
-//! that hears of demand for a model that is up tells the leader now and then; where it can't, it says so in the record,
-//! and a sleep that was decided without it fails on its guard.
+//! Requests are coalesced: a node has one wake-up for all who request the same model ([`crate::models::wake_up`]). It
+//! reads the job and the model's record, and if the model is asleep, begins the next generation by one transaction
+//! that is guarded by both. A node whose transaction conflicts reads again and follows the record that it finds. A node
+//! that sees demand for a model that is up notifies the leader from time to time. If it can't, it writes the demand to
+//! the record, so that the guard fails for a sleep that was decided without knowing of it.
 
 use crate::jobs::peer_requests::peer_answer;
 use crate::models::wake_up::WakeUp;
@@ -15,22 +15,24 @@
 use wire::models::{DEMAND, Demand, ModelStatus};
 use wire::peer::{self, PeerRequest, PeerResponse};
 
-/// What whoever waits is told while the state service does not serve this node.
-pub(super) const UNAVAILABLE: &str = "state service not available";
+/// The answer to waiters while the state service does not serve this node.
+pub(super) const UNAVAILABLE: &str = "the state service is not available";
 const TIMEOUT_MS: u64 = 900;
 const FORWARD_TIMEOUT_MS: u64 = 3000;
-/// What is too old is forgotten so often, and demand after so long: longer than any model may be idle and awake.
+/// Interval between removals of old entries.
 const SWEEP_INTERVAL_MS: u64 = 10_000;
+/// How long demand is remembered: longer than any model may be idle and awake.
 const DEMAND_RETENTION_MS: u64 = 8 * 86_400_000;
-/// What was read of a model that is up is told again for so long.
+/// How long the status of a model that is up is served from the cache.
 const CACHE_TTL_MS: u64 = 500;
-/// Wake-ups at once, and who may wait for all of them; who comes beyond is told to come again.
+/// The most wake-ups at a time; further requests are refused for now.
 const MAX_WAKE_UPS: usize = 256;
+/// The most waiters of all wake-ups; further requests are refused for now.
 const MAX_WAITERS: usize = 4096;
-/// Models that a node remembers demand for.
+/// The most models that a node remembers demand for.
 pub(super) const MAX_MODELS: usize = 16_384;
 
-/// Who waits to hear how a model stands.
+/// Who waits for the status of a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Waiter {
     Operator(u64),
@@ -40,14 +42,15 @@
 
 #[derive(Default)]
 pub(crate) struct DemandState {
-    /// When each model was last wanted, as this node has heard, and when it last told the leader.
+    /// When this node last saw demand for each model.
     demanded_at: HashMap<String, u64>,
+    /// When this node last notified the leader of it.
     notified_at: HashMap<String, u64>,
-    /// How models stood that were up a moment ago.
+    /// Statuses of models that were up a moment ago.
     pub(super) cached: HashMap<String, CachedStatus>,
     /// Wake-ups in flight, by model.
     pub(super) wake_ups: HashMap<String, WakeUp>,
-    /// Those who wait for all of them.
+    /// The number of waiters of all wake-ups.
     pub(super) waiting: usize,
     swept_at: u64,
 }
@@ -60,24 +63,24 @@
 }
 
 impl DemandState {
-    /// When a model was last wanted; 0 for never.
+    /// When this node last saw demand for a model; 0 for never.
     pub fn last_demand(&self, model: &str) -> u64 {
         self.demanded_at.get(model).copied().unwrap_or(0)
     }
 
-    /// Forgets a model that is gone.
+    /// Removes all entries of a model that does not exist any more.
     pub fn forget(&mut self, model: &str) {
         self.demanded_at.remove(model);
         self.notified_at.remove(model);
         self.cached.remove(model);
     }
 
-    /// Forgets how models stood: other rules are in force.
+    /// Clears the cache, after the rules have changed.
     pub fn forget_cached(&mut self) {
         self.cached.clear();
     }
 
-    /// A model is wanted now.
+    /// Notes demand for a model.
     pub(super) fn note_demand(&mut self, model: &str, now: u64) {
         if self.demanded_at.len() < MAX_MODELS || self.demanded_at.contains_key(model) {
             self.demanded_at.insert(model.to_owned(), now);
@@ -86,7 +89,7 @@
 }
 
 impl Node {
-    /// A model is wanted: true if this was a request for it to the operators' API.
+    /// Serves a request of the operators' API for a model; false if the request is another one.
     pub(crate) fn operator_demand(&mut self, conn: u64, request: &Request) -> bool {
         if request.path != DEMAND || self.tuning.door < 1.0 {
             return false;
@@ -101,7 +104,7 @@
         true
     }
 
-    /// The same from a peer.
+    /// Serves a peer's request for a model; one that is meant for the leader only is refused by other nodes.
     pub(crate) fn peer_demand(&mut self, conn: u64, model: &str, leader: bool) {
         if leader && !self.may_decide() {
             return self.respond(conn, 200, peer::encode(&PeerResponse::NotNow), None);
@@ -109,7 +112,7 @@
         self.demand(model, Waiter::Peer(conn));
     }
 
-    /// Somebody wants a model, and is told how it stands once that is sure.
+    /// Serves demand for a model; the waiter is answered once the model's status is certain.
     pub(crate) fn demand(&mut self, model: &str, waiter: Waiter) {
         let now = self.now.mono;
         if !self.models.in_force() || !wire::ids::valid_job_id(model) {
@@ -118,7 +121,7 @@
         let demand = &mut self.models.demand;
         if let Some(wake_up) = demand.wake_ups.get_mut(model) {
             if demand.waiting >= MAX_WAITERS {
-                return self.deny_demand(waiter, 503, "too many ask at once");
+                return self.deny_demand(waiter, 503, "too many requests are waiting");
             }
             wake_up.waiters.push(waiter);
             demand.waiting += 1;
@@ -135,9 +138,9 @@
             return self.answer_demand(waiter, &status);
         }
         if demand.wake_ups.len() >= MAX_WAKE_UPS {
-            return self.deny_demand(waiter, 503, "too many models are asked for at once");
+            return self.deny_demand(waiter, 503, "too many models are being woken up");
         }
-        // A node that the state service does not serve hands it on, once.
+        // A node that the state service does not serve forwards the demand, at most once.
         let forwarded = matches!(waiter, Waiter::Peer(_));
         if self.state_down() && !forwarded && !self.settings.peers.is_empty() {
             return self.forward_demand(model, waiter);
@@ -150,7 +153,7 @@
         self.start_wake_up(model, wake_up);
     }
 
-    /// Demand for a model that is up: its leader is told, unless it was not long ago.
+    /// Notifies the leader of demand for a model that is up, unless this was done a short time ago.
     pub(super) fn notify_leader(&mut self, model: &str, notify_interval_ms: u64) {
         let now = self.now.mono;
         if self.leads()
@@ -188,14 +191,14 @@
         );
     }
 
-    /// Whether the leader has heard of the demand.
+    /// Handles the leader's answer to a notification of demand.
     pub(crate) fn leader_notified(&mut self, model: &str, response: Option<Response>) {
         if !matches!(peer_answer(response), Some(PeerResponse::Model(_))) {
             self.touch_record(model);
         }
     }
 
-    /// The leader could not be told, so the record is.
+    /// Writes demand to the record, since the leader could not be notified.
     fn touch_record(&mut self, model: &str) {
         if let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) {
             wake_up.touch = true;
@@ -204,7 +207,7 @@
         {
             self.start_wake_up(model, WakeUp::for_leader());
         } else {
-            // Said again with the next demand.
+            // The next demand tries again.
             self.models.demand.notified_at.remove(model);
         }
     }
@@ -226,7 +229,7 @@
         );
     }
 
-    /// What a peer has answered to a demand that was handed on.
+    /// Handles a peer's answer to demand that was forwarded to it.
     pub(crate) fn demand_forwarded(&mut self, waiter: Waiter, response: Option<Response>) {
         match peer_answer(response) {
             Some(PeerResponse::Model(status)) => self.answer_demand(waiter, &status),
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Tells whoever waits how a model stands.
+    /// Answers a waiter with the status of a model.
     pub(super) fn answer_demand(&mut self, waiter: Waiter, status: &ModelStatus) {
         match waiter {
             Waiter::Operator(conn) => self.respond(conn, 200, admin::encode(status), None),
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Tells whoever waits why that can't be said.
+    /// Refuses a waiter's request.
     pub(super) fn deny_demand(&mut self, waiter: Waiter, status: u16, why: &str) {
         match waiter {
             Waiter::Operator(conn) => {
@@ -277,7 +280,7 @@
         }
     }
 
-    /// Forgets, now and then, what is too old to matter.
+    /// Removes old entries from time to time.
     pub(crate) fn demand_tick(&mut self) {
         let now = self.now.mono;
         let demand = &mut self.models.demand;
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -1,5 +1,5 @@
-//! The idle watch: the leader looks at all models that are up or on their way, scales those to zero that nobody has
-//! asked for, and stops the replicas that a record does not want.
+//! The idle watch: the leader checks all models that are up or waking, scales those to zero that there is no demand
+//! for, and stops replicas that a record does not ask for.
 
 use crate::Node;
 use crate::agents::machine::Machine;
@@ -10,12 +10,12 @@
 use model::{Asked, Begin, Phase, Rec, Rule, Seen, asked};
 use std::collections::BTreeSet;
 
-/// Models that are up, or on their way, are looked at this often.
+/// Interval between checks of models that are up or waking.
 const CHECK_INTERVAL_MS: u64 = 250;
-/// The leader's transactions for models that are out at once; the rest wait for the next look.
+/// The most transactions for models at a time; others wait for the next check.
 const MAX_WRITES_IN_FLIGHT: usize = 32;
 
-/// What a look at a model finds.
+/// What the leader sees when it checks a model.
 struct Observation {
     ix: JobIndex,
     rule: Rule,
@@ -26,14 +26,14 @@
 }
 
 impl Observation {
-    /// Its record stands and says that no replicas are to run.
+    /// Whether a record exists and says that the model is not up.
     fn is_asleep(&self) -> bool {
         self.known.stamp > 0 && !self.known.record.is_up()
     }
 }
 
 impl Node {
-    /// Forgets old demand; where we lead, watches the records and checks the models.
+    /// Removes old demand; on the leader, watches the records and checks the models.
     pub(crate) fn models_tick(&mut self) {
         self.demand_tick();
         if !self.models.in_force() || !self.may_decide() || self.models_to_read() {
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Writes what follows for a model, and stops what is no longer wanted. True if it is to be looked at again.
+    /// Writes the next record of a model, and stops replicas that are not wanted any more. True if the model has to be
+    /// checked again.
     fn check_model(&mut self, model: &str) -> bool {
         if let Some(write) = self.models.leader_state.writes.get(model) {
             if write.is_due(self.now.mono) {
@@ -117,7 +118,7 @@
         true
     }
 
-    /// What the leader knows of a model now; nothing unless it is the job of a rule and is not about to end.
+    /// What the leader sees of a model now; `None` unless a rule matches its job and the job is not ending.
     fn observe(&self, model: &str) -> Option<Observation> {
         let shard = self.shard.as_ref()?;
         let ix = shard.jobs.index_of(model)?;
@@ -133,7 +134,7 @@
         })
     }
 
-    /// The record that a model should have from now on, if it is another one.
+    /// The record that a model should have now, if it differs from the known one.
     fn next_record(&self, model: &str, observation: &Observation) -> Option<Rec> {
         let Observation {
             known,
@@ -154,7 +155,8 @@
         known.record.next(rule, *tasks, node, wall, seen)
     }
 
-    /// Whether somebody has asked for it here after it was put to sleep: what had been decided before that came late.
+    /// Whether this node has seen demand after the model was put to sleep, by a decision that was made before the
+    /// demand and recorded late.
     fn demanded_since(&self, model: &str, since_ms: u64) -> bool {
         let last_demand = self.models.demand.last_demand(model);
         last_demand > 0
@@ -165,7 +167,7 @@
                 > since_ms
     }
 
-    /// Stops all replicas but the first few.
+    /// Stops all replicas but the first `keep` ones.
     fn stop_replicas(&mut self, ix: JobIndex, keep: u32) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
@@ -189,14 +191,14 @@
     }
 }
 
-/// The tasks with claims beyond the first few.
+/// The tasks with claims, in order, without the first `keep` ones.
 fn surplus_tasks(job: &Job, keep: u32) -> BTreeSet<u32> {
     let mut tasks: Vec<u32> = job.claimed.keys().copied().collect();
     tasks.sort_unstable();
     tasks.into_iter().skip(keep as usize).collect()
 }
 
-/// Stops a job's claims for some tasks on a machine; true if it has to be told.
+/// Stops a job's claims for some tasks on a machine; true if the machine has to be notified.
 fn stop_claims(machine: &mut Machine, job: JobIndex, tasks: &BTreeSet<u32>, grace: f64) -> bool {
     let mut is_changed = false;
     let claims = machine.claims.iter_mut();
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -1,12 +1,13 @@
-//! Scale to zero for models: standing jobs that give their machines back while nobody asks for them, and are started
-//! again, once, by the first who does.
+//! Scale to zero for models: services that give their machines back while there is no demand for them, and are started
+//! again, once, by the first demand.
 //!
-//! A model's record says whether it is asleep and which generation it is in. Any controller begins the next generation,
-//! by one transaction under a guard on the record as it was read ([`crate::models::demand`]); everything else about it is written
-//! here, by the leader of the fleet and under the guard of its record too. What is started and stopped follows from the
-//! record, by claims and proofs as for any job: so nothing starts that a record does not want, whoever leads the fleet.
+//! A model's record says whether the model is asleep, and which generation it is in; each wake-up begins a new one. Any
+//! controller may begin the next generation, by a transaction that is guarded by the record as it was read
+//! ([`crate::models::demand`]). Everything else about a record is written here, by the leader and guarded by the
+//! leader's record as well. What is started and stopped follows from the model's record, by claims that end only on
+//! proof, as for any job. So no replica is started that the record does not ask for, whichever node leads.
 //!
-//! Without a document nothing is read, watched or written here.
+//! Without a document, nothing is read, watched or written here.
 
 pub(crate) mod demand;
 mod idle_watch;
@@ -31,7 +32,7 @@
 use wire::api::{JobSpec, Kind};
 use wire::models::Ask;
 
-/// The kind of document.
+/// The rules by which jobs are models, as a kind of document.
 pub(crate) struct ModelRules;
 
 impl documents::Kind for ModelRules {
@@ -75,7 +76,7 @@
     }
 }
 
-/// A record as it was read or written, and its stamp.
+/// A model's record as it was read or written, and its version in the state service.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct VersionedRecord {
     pub record: Rec,
@@ -84,32 +85,32 @@
 
 #[derive(Default)]
 pub(crate) struct Models {
-    /// The document that is in force.
+    /// The document in force; `None` also if it has no rules.
     spec: Option<Arc<Spec>>,
-    /// Demand as this node hears of it.
+    /// Demand that this node has seen.
     pub demand: DemandState,
     leader_state: LeaderState,
 }
 
-/// What the leader of the fleet knows of all models.
+/// What the leader knows of all models.
 #[derive(Default)]
 struct LeaderState {
-    /// The term that it is of.
+    /// The term of leadership that this belongs to.
     term: u64,
     read: ReadState,
     cursor: PageCursor,
     records: HashMap<String, VersionedRecord>,
-    /// Models to be looked at: those that are not asleep, and those that changed.
+    /// Models to be checked: those that are not asleep, and those that have changed.
     to_check: BTreeSet<String>,
     checked_at: u64,
-    /// Transactions that are out, by model.
+    /// Transactions without a known outcome, by model.
     writes: HashMap<String, RecordWrite>,
-    /// Machines that are kept for a model, until when.
+    /// Machines that are retained for a model, and until when.
     retained_machines: BTreeMap<String, (u64, Vec<String>)>,
     revision: u64,
     watching: bool,
     next_watch_at: u64,
-    /// Models whose record goes, their jobs being over.
+    /// Models whose jobs are over, so that their records have to be removed.
     ended_models: BTreeSet<String>,
 }
 
@@ -139,7 +140,7 @@
         self.spec.is_some()
     }
 
-    /// What the leader of the fleet knows of a model, if it has read all.
+    /// The leader's copy of a model's record; `None` until all records were read.
     pub fn known(&self, model: &str) -> Option<VersionedRecord> {
         (self.leader_state.read == ReadState::Complete).then(|| {
             self.leader_state
@@ -156,7 +157,7 @@
 }
 
 impl Node {
-    /// Another document is in force, or none any more.
+    /// Applies the document in force, if it has changed.
     fn models_in_force(&mut self) {
         let spec = self
             .shared
@@ -181,7 +182,7 @@
         self.bind_models();
     }
 
-    /// Which jobs are models, after all of them or the document may have changed.
+    /// Determines again which jobs are models, after the document or the set of jobs may have changed.
     fn bind_models(&mut self) {
         let Some(shard) = &self.shard else { return };
         let all: Vec<JobIndex> = (0..shard.jobs.slots())
@@ -201,7 +202,7 @@
             .extend(without_job.cloned().collect::<Vec<_>>());
     }
 
-    /// A job has come to the leader's memory, or may have become a model.
+    /// Determines whether a job is a model, after the job was loaded or accepted or the rules have changed.
     pub(crate) fn bind_model(&mut self, ix: JobIndex) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Something about a job has changed; it matters here only if that is a model.
+    /// Handles a change of a job, if the job is a model.
     pub(crate) fn model_changed(&mut self, ix: JobIndex) {
         let Some(job) = self.shard.as_ref().and_then(|shard| shard.job(ix)) else {
             return;
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -1,4 +1,4 @@
-//! The leader's transactions for models' records: each under guards, and sent again until its outcome is known.
+//! The leader's guarded transactions for models' records, which are retried until their outcome is known.
 
 use crate::leadership::election::SHARD;
 use crate::models::VersionedRecord;
@@ -11,10 +11,10 @@
 use wire::records::{self, Record};
 
 const TIMEOUT_MS: u64 = 1500;
-/// A transaction is sent again after this long.
+/// Delay before a transaction is sent again.
 const RETRY_MS: Range<u64> = 100..400;
 
-/// A transaction of the leader's: what it writes, or that it takes the record away; and when it is sent again.
+/// A transaction of the leader: the record that it writes (`None` if it removes the record), and when it is sent again.
 pub(super) struct RecordWrite {
     record: Option<Rec>,
     body: Vec<u8>,
@@ -24,7 +24,7 @@
 
 enum WriteStep {
     Transaction,
-    /// A try was not answered: what stands there has to be read before anything else is written.
+    /// The transaction failed or was not answered: the record has to be read before anything else is written.
     ReadBack,
 }
 
@@ -44,8 +44,8 @@
 }
 
 impl Node {
-    /// One transaction of the leader's about a model: under the guard of its own record, of the model's record as it was
-    /// known, and of the job, which must not have ended.
+    /// Starts a transaction for a model's record. Its guards are the leader's record, the known version of the model's
+    /// record, and the version of the job's record if one is given (0: the job must not exist).
     pub(super) fn write_record(
         &mut self,
         model: &str,
@@ -87,7 +87,7 @@
         self.send_record_write(model);
     }
 
-    /// Sends a transaction, or the read that tells the outcome of one, if the rate budgets have room.
+    /// Sends a transaction, or the read that determines its outcome, if the rate budgets have room.
     pub(super) fn send_record_write(&mut self, model: &str) {
         let now = self.now.mono;
         if self.requests.level(now) < 1.0 || self.writes.level(now) < 1.0 {
@@ -111,7 +111,7 @@
         self.post_transaction(body, TIMEOUT_MS, pending);
     }
 
-    /// The end of a transaction, or of the read that follows one whose end is not known.
+    /// Handles the answer to a transaction, or to the read that determines its outcome.
     pub(crate) fn model_written(&mut self, model: String, response: Option<Response>) {
         let now = self.now.mono;
         let delay_ms = self.rng.u64(RETRY_MS);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// False if the transaction was made, but its answer can't be read.
+    /// Returns false if the transaction was made but its answer can't be decoded.
     fn transaction_answered(&mut self, model: &str, response: Option<Response>) -> bool {
         let status = response.as_ref().map(|response| response.status);
         let Some(write) = self.models.leader_state.writes.get_mut(model) else {
@@ -137,7 +137,7 @@
         match status {
             Some(200) => {}
             Some(429 | 503) => return true,
-            // Another node has written it meanwhile, or the job has ended: what stands there is read.
+            // Another node has written the record or the job has ended, or nothing is known: the record is read.
             _ => {
                 write.step = WriteStep::ReadBack;
                 return true;
@@ -163,7 +163,7 @@
         self.record_observed(model, VersionedRecord { record, stamp });
     }
 
-    /// What stands where the outcome of a transaction was not known; false if the answer can't be read.
+    /// Handles the record that was read to learn the outcome of a transaction; false if it can't be decoded.
     fn record_read_back(&mut self, model: &str, response: Option<Response>) -> bool {
         match response.as_ref().map(|response| response.status) {
             Some(200) => {}
@@ -191,7 +191,7 @@
         self.models.demand.forget(model);
     }
 
-    /// Records of jobs that are over go, one at a time.
+    /// Removes the record of one model whose job is over.
     pub(super) fn remove_ended_record(&mut self) {
         let Some(shard) = &self.shard else { return };
         let leader_state = &mut self.models.leader_state;
@@ -215,7 +215,8 @@
             leader_state.ended_models.insert(model);
             return;
         }
-        // Only of a job that is over: one that was accepted a moment ago may be unknown here.
+        // The guard requires that the job has no record: this node may not know yet of a job that was accepted a moment
+        // ago.
         self.write_record(&model, None, stamp, Some(0));
     }
 }
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -1,4 +1,4 @@
-//! The records of models as the leader of the fleet knows them: read before its first start, then watched.
+//! The leader's copy of the records of models: read before it starts any task, then kept up to date by a watch.
 
 use crate::models::{LeaderState, ReadState, VersionedRecord, set_replicas};
 use crate::state_requests::PageCursor;
@@ -12,12 +12,12 @@
 const READ_TIMEOUT_MS: u64 = 3000;
 /// Longer than the state service holds a watch open.
 const WATCH_TIMEOUT_MS: u64 = 7000;
-/// Records that are read after a failover, a page each.
+/// The most records in one page, when they are read after a failover.
 const PAGE_SIZE: usize = 500;
 
 impl Node {
-    /// Whether a leader that takes over has to read records before its first start. If so they are read, and the load
-    /// goes on after that.
+    /// Whether a new leader still has to read records before it starts any task. If so, they are read, and the load
+    /// continues after that.
     pub(crate) fn models_to_read(&mut self) -> bool {
         self.models_in_force();
         if !self.models.in_force() {
@@ -45,7 +45,7 @@
         self.get_state(path, READ_TIMEOUT_MS, pending);
     }
 
-    /// A page of records, or none.
+    /// Handles a page of records; `None` if there was no answer.
     pub(crate) fn models_received(&mut self, response: Option<Response>) {
         let Some(page) = self.read_state::<Range<Rec>>(response) else {
             return self.load_later(Load::Models);
@@ -82,10 +82,10 @@
         }
     }
 
-    /// The leader has read or written a record: what may run follows it.
+    /// Updates the leader's copy of a record that was read or written, and the replicas that may run.
     pub(crate) fn record_observed(&mut self, model: &str, known: VersionedRecord) {
         let leader_state = &mut self.models.leader_state;
-        // A read that comes late changes nothing.
+        // The answer to a late read must not replace a newer record.
         if leader_state
             .records
             .get(model)
@@ -106,7 +106,7 @@
         set_replicas(shard, ix, known.record.replicas(&rule, job.tasks));
     }
 
-    /// Waits for changes of records since the last that was seen.
+    /// Requests changes of records after the last known revision.
     pub(super) fn watch_models(&mut self) {
         let term = self.term;
         self.models.leader_state.watching = true;
@@ -115,7 +115,7 @@
         self.get_state(path, WATCH_TIMEOUT_MS, Pending::ModelWatch { term });
     }
 
-    /// Changes of records, or the end of a watch without any.
+    /// Handles changes of records; a watch may also end without any.
     pub(crate) fn model_changes_received(&mut self, response: Option<Response>) {
         let retry = self.now.mono + self.rng.u64(100..400);
         let leader_state = &mut self.models.leader_state;
@@ -123,7 +123,7 @@
         leader_state.next_watch_at = retry;
         let Some(response) = response else { return };
         if response.status == 410 {
-            // Too much was missed: all of them again.
+            // The changes since then are not available any more (410): all records are read again.
             (leader_state.read, leader_state.cursor) = (ReadState::NotRead, PageCursor::default());
             return;
         }
--- a/crates/control/src/models/status.rs
+++ b/crates/control/src/models/status.rs
@@ -1,4 +1,4 @@
-//! How models stand, for those who ask: one of them, or all as their leader sees them.
+//! The status of models: of one model for whoever requests it, or of all models on the leader.
 
 use crate::Node;
 use model::{Asked, Phase, Rec, asked};
@@ -6,7 +6,7 @@
 use wire::models::{ModelStatus, Standing};
 
 impl Node {
-    /// How a model stands for whoever asks.
+    /// The status of a model, given the result of a request for it.
     pub(crate) fn model_status(&self, spec: &JobSpec, record: &Rec, asked: &Asked) -> ModelStatus {
         let (why, not_before_ms) = match asked {
             Asked::NotNow { why, until_ms } => (Some(why.clone()), Some(*until_ms)),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// All models, as their leader sees them.
+    /// All models, as the leader sees them.
     pub(crate) fn list_models(&self) -> Vec<Standing> {
         let Some(shard) = &self.shard else {
             return Vec::new();
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -1,5 +1,5 @@
-//! A wake-up: one request for all at this node who want the same model. It reads the job and the model's record, and
-//! begins the next generation where the model is asleep, by one transaction that is guarded by both.
+//! A wake-up serves all who request the same model at this node. It reads the job and the model's record, and begins
+//! the next generation if the model is asleep, by one transaction that is guarded by both.
 
 use crate::models::VersionedRecord;
 use crate::models::demand::{CachedStatus, MAX_MODELS, UNAVAILABLE, Waiter};
@@ -12,7 +12,7 @@
 use wire::records::{self, JobRecord, Record};
 
 const TIMEOUT_MS: u64 = 900;
-/// Times that a wake-up begins anew after it was overtaken.
+/// The most attempts of a wake-up whose transactions conflict with others or have no known outcome.
 const MAX_TRIES: u32 = 5;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,13 +24,13 @@
 
 #[derive(Default)]
 pub(super) struct WakeUp {
-    /// Those who are told how it ends.
+    /// Who is answered when the wake-up ends.
     pub(super) waiters: Vec<Waiter>,
-    /// The leader could not be told: the record is to say that the model is wanted.
+    /// The leader could not be notified, so the demand has to be written to the record.
     pub(super) touch: bool,
     tries: u32,
     job: Option<WantedJob>,
-    /// What is being written.
+    /// The record that is being written.
     record: Option<Rec>,
 }
 
@@ -38,12 +38,12 @@
 struct WantedJob {
     spec: Box<JobSpec>,
     rule: Rule,
-    /// The version of its record, which guards the transaction.
+    /// The version of the job's record, which guards the transaction.
     version: u64,
 }
 
 impl WakeUp {
-    /// The first who wants a model.
+    /// The wake-up for the first request for a model.
     pub fn for_waiter(waiter: Waiter) -> WakeUp {
         WakeUp {
             waiters: vec![waiter],
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Nobody waits for it: it writes down a demand that the leader could not be told of.
+    /// A wake-up without a waiter: it records a demand that the leader could not be notified of.
     pub fn for_leader() -> WakeUp {
         WakeUp {
             touch: true,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Writes a model's record, if neither the record nor its job has changed since they were read.
+/// A transaction that writes a model's record if neither the record nor the job has changed since they were read.
 fn record_transaction(model: &str, record: &Rec, stamp: u64, job_version: u64) -> Vec<u8> {
     let key = records::model_key(model);
     let conditions = vec![
@@ -80,13 +80,13 @@
 }
 
 impl Node {
-    /// Begins with what this node knows if it is the leader, and reads otherwise.
+    /// Starts a wake-up: from the leader's memory on the leader, otherwise by reading the records.
     pub(super) fn start_wake_up(&mut self, model: &str, wake_up: WakeUp) {
         self.models
             .demand
             .wake_ups
             .insert(model.to_owned(), wake_up);
-        // The leader has read all, and knows of each change that it has not made itself soon enough.
+        // The leader has read all records, and learns soon enough of changes that it has not made itself.
         let known = self
             .may_decide()
             .then(|| self.models.known(model))
@@ -120,7 +120,7 @@
         self.get_state(format!("/keys/{key}"), TIMEOUT_MS, pending);
     }
 
-    /// The rule that the wake-up's job belongs to; without one the wake-up ends.
+    /// Finds the rule for the wake-up's job; without one, the wake-up fails and this returns false.
     fn rule_found(&mut self, model: &str, spec: Box<JobSpec>, version: u64) -> bool {
         let rule = self.models.rule(&spec);
         if let Some((wake_up, rule)) = self.models.demand.wake_ups.get_mut(model).zip(rule) {
@@ -131,11 +131,11 @@
             });
             return true;
         }
-        self.fail_wake_up(model, 404, "no rule makes it a model");
+        self.fail_wake_up(model, 404, "no rule matches this job, so it is not a model");
         false
     }
 
-    /// The answer to a step of a wake-up that has not ended.
+    /// Handles the answer to a step of a wake-up that has not ended.
     pub(crate) fn wake_up_received(
         &mut self,
         model: String,
@@ -162,7 +162,7 @@
             _ => return self.fail_wake_up(model, 503, UNAVAILABLE),
         }
         let Some(item) = self.read_state::<Item<JobRecord>>(response) else {
-            return self.fail_wake_up(model, 503, "unreadable record");
+            return self.fail_wake_up(model, 503, "the record can't be decoded");
         };
         if self.rule_found(model, Box::new(item.value.spec), item.version) {
             self.read_for_wake_up(model, Step::Record);
@@ -176,7 +176,7 @@
             _ => return self.fail_wake_up(model, 503, UNAVAILABLE),
         }
         let Some(item) = self.read_state::<Item<Rec>>(response) else {
-            return self.fail_wake_up(model, 503, "unreadable record");
+            return self.fail_wake_up(model, 503, "the record can't be decoded");
         };
         let known = VersionedRecord {
             record: item.value,
@@ -188,7 +188,7 @@
     fn wake_up_written(&mut self, model: &str, response: Option<Response>) {
         match response.as_ref().map(|r| r.status) {
             Some(200) => {}
-            // Somebody else was first, or the job has ended; or nobody can say whether this one went through.
+            // Another node was first or the job has ended (409), or it is not known whether the transaction was made.
             Some(409) | None => return self.retry_wake_up(model),
             _ => return self.fail_wake_up(model, 503, UNAVAILABLE),
         }
@@ -211,8 +211,8 @@
         self.complete_wake_up(model, &record, &Asked::Follow);
     }
 
-    /// Reads again what stands there: a transaction that may have gone through shows there, and one that comes late
-    /// finds another stamp.
+    /// Reads the job and the record again: a transaction that was made shows in the record, and one that arrives late
+    /// finds another version of the record.
     fn retry_wake_up(&mut self, model: &str) {
         let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) else {
             return;
@@ -269,7 +269,7 @@
         Some(wake_up)
     }
 
-    /// The model stands so: everybody who waits is told.
+    /// Ends a wake-up and answers all its waiters with the model's status.
     fn complete_wake_up(&mut self, model: &str, record: &Rec, asked: &Asked) {
         let Some(wake_up) = self.remove_wake_up(model) else {
             return;
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Remembers how a model stands that is up, for those who ask next, and tells the leader of the demand.
+    /// Caches the status of a model that is up, for the next requests, and notifies the leader of the demand.
     fn model_is_up(
         &mut self,
         model: &str,
--- a/crates/control/src/models/weights.rs
+++ b/crates/control/src/models/weights.rs
@@ -1,4 +1,4 @@
-//! Where the weights of models are: machines that hold them, and those that are kept for them while a model sleeps.
+//! Weights of models: which machines hold them, and which machines are retained while a model is asleep.
 
 use crate::Node;
 use crate::jobs::job::{Job, JobIndex};
@@ -6,11 +6,11 @@
 use model::{MAX_NEAR, Phase, Rec, Rule};
 use std::collections::{BTreeSet, HashMap};
 
-/// Machines that are kept for their weights at once.
+/// The most models that machines are retained for at a time.
 const MAX_RETAINED_MACHINES: usize = 256;
 
 impl Node {
-    /// What the record says of machines with the weights, for a leader that has not seen that itself.
+    /// Takes from the record which machines hold a model's weights, for a leader that has not seen this itself.
     pub(super) fn restore_weights(&mut self, ix: JobIndex, record: &Rec) {
         let caches: HashMap<String, f64> = self
             .catalog()
@@ -37,14 +37,14 @@
             };
             let cache_gb = caches.get(&machine.machine_type).copied().unwrap_or(0.0);
             let held_gb: f64 = machine.images.iter().map(|(_, gb)| gb).sum();
-            // What a machine was seen to fetch is newer than the hint.
+            // Images that the machine was seen to fetch are more recent than the record, which is a hint only.
             if held_gb + image_gb <= cache_gb && machine.images.iter().all(|(i, _)| *i != image) {
                 machine.images.insert(0, (image, image_gb));
             }
         }
     }
 
-    /// Where the document says so, a machine with the weights of a model that sleeps is kept for a while.
+    /// Retains machines with the weights of a model that is asleep, for as long as the rule says.
     pub(super) fn retain_machines(&mut self, model: &str, rule: &Rule, record: &Rec) {
         let until_ms = record
             .since_ms
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Machines that are kept for the weights that they hold: one a model.
+    /// Machines that are retained for the weights that they hold, one for each model.
     pub(crate) fn machines_retained_for_models(&self) -> Vec<usize> {
         let Some(shard) = &self.shard else {
             return Vec::new();
@@ -76,7 +76,7 @@
     }
 }
 
-/// Machines on which replicas of a model are, and so its weights.
+/// Machines with replicas of a model, which therefore hold its weights.
 pub(super) fn machines_with_weights(shard: &Shard, job: &Job) -> Vec<String> {
     let machines: BTreeSet<usize> = job.claimed.values().flatten().map(|(m, _)| *m).collect();
     machines
