--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -1,8 +1,10 @@
-//! What another front end of the same process may ask: its own records in the state service, and a look at the deployment.
+//! The interface for another front end in the same process: its own records in the state service, and a view of the
+//! deployment.
 //!
-//! Such a front end submits, asks and cancels as users do, by [`Event::Client`] with connection numbers from [`FIRST_CONNECTION`] on.
-//! Its records stand under [`wire::records::FRONTEND_PREFIX`] and are written by the leader of the fleet only, under the guard of
-//! its record. They come last: a request is refused at once while the node has little left of what it may ask.
+//! Such a front end submits, queries and cancels jobs as users do, by [`Event::Client`] with connection numbers from
+//! [`FIRST_CONNECTION`] on. Its records are kept under [`wire::records::FRONTEND_PREFIX`] and written by the leader
+//! only, guarded by the leader's record. Its requests have the lowest priority: one is refused at once while little is
+//! left of the node's rate budgets.
 
 use crate::leadership::election::SHARD;
 use crate::models::demand::Waiter;
@@ -20,34 +22,35 @@
 #[cfg(doc)]
 use crate::Event;
 
-/// What the leader's own users leave of a second's changes: claims and ends go before what is new.
+/// The share of a second's changes that new jobs of the leader's own users leave free: claims and ends come first.
 const RESERVED_FOR_CLAIMS: f64 = 0.1;
-/// Connection numbers of the front end beside; users' are below.
+/// The first connection number of the front end; those of users are lower.
 pub const FIRST_CONNECTION: u64 = 1 << 63;
-/// So much of a second's requests and changes is left to claims, accepts and reads; users' new work leaves as much of a
-/// second's requests to questions about work that was accepted.
+/// The share of a second's requests and changes that the front end leaves to claims, accepts and reads. New jobs of
+/// users leave the same share of a second's requests to queries about accepted jobs.
 const RESERVED_SHARE: f64 = 0.25;
-/// The share of this node's changes that such a front end has while it asks for any, and how long that lasts.
+/// The share of this node's changes that the front end has while it makes any requests for changes.
 const WRITE_SHARE: f64 = 0.2;
+/// How long that share lasts after a request.
 const ACTIVE_WINDOW_MS: u64 = 2000;
-/// A transaction may take this long, and a page twice as long.
+/// Timeout of a transaction; that of a page is twice as long.
 const TIMEOUT_MS: u64 = 900;
 const PAGE_TIMEOUT_MS: u64 = 2 * TIMEOUT_MS;
-/// Records that one page has at most.
+/// The most records in one page.
 const PAGE_SIZE: usize = 500;
-/// Most keys that one transaction may change, where the settings allow more.
+/// The most keys that one transaction may change, even if the settings allow more.
 const MAX_WRITES: usize = 16;
 
-/// What this node allows a front end beside.
+/// The rate limits of the front end at this node.
 pub(crate) struct Frontend {
     writes: Bucket,
-    /// It has a share now.
+    /// Whether the front end has its share of the node's changes now.
     has_share: bool,
     last_requested_at: u64,
 }
 
 impl Frontend {
-    /// Nothing was requested yet.
+    /// Limits of a front end that has not made any request.
     pub fn new() -> Self {
         Frontend {
             writes: Bucket::new(0.0),
@@ -57,7 +60,7 @@
     }
 }
 
-/// What a front end asks of its node.
+/// A request of the front end to its node.
 #[derive(Debug, Clone)]
 pub enum Request {
     /// All records below a prefix, a page at a time, after a key.
@@ -67,12 +70,12 @@
         /// The last key of the page before; the first page without one.
         after: Option<String>,
     },
-    /// Changes of some records, by the leader.
+    /// Changes of some records; the leader only.
     Change {
         /// At most [`writes_at_once`], made as a whole or not at all.
         writes: Vec<Change>,
     },
-    /// A model is wanted: as good as demand through the operators' API.
+    /// Demand for a model, the same as demand through the operators' API.
     Demand {
         /// The job id of the model.
         model: String,
@@ -80,7 +83,7 @@
 }
 
 impl Request {
-    /// It names the front end's own records only, and not too many of them.
+    /// Whether the request names only the front end's own records, and not too many of them.
     fn is_allowed(&self) -> bool {
         let is_own = |key: &str| key.starts_with(records::FRONTEND_PREFIX);
         match self {
@@ -98,14 +101,15 @@
 pub struct Change {
     /// The record's key in the state service.
     pub key: String,
-    /// The version that it must have (0: it does not exist); none for what can only have one content.
+    /// The version that the record must have (0: it must not exist); `None` for a record that can have one content
+    /// only.
     pub version: Option<u64>,
-    /// None if it is to be removed.
+    /// The new content; `None` removes the record.
     pub value: Option<Value>,
 }
 
 impl Change {
-    /// Holds if the record has the version that it must have.
+    /// The condition that the record has the required version.
     fn guard(&self) -> Option<Condition> {
         self.version.map(|version| Condition {
             key: self.key.clone(),
@@ -122,7 +126,7 @@
     }
 }
 
-/// How a request has ended.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     /// A page of records.
@@ -132,20 +136,20 @@
         /// Another page follows.
         more: bool,
     },
-    /// All changes are made, at this revision.
+    /// All changes were committed at this revision.
     Changed {
         /// The state service's revision of the transaction.
         revision: u64,
     },
     /// A key has another version, or the node is no longer the leader: nothing was changed by this request.
     Conflict,
-    /// Nothing was sent: too much is being asked, or this node is not sure that it leads the fleet.
+    /// The request is not served now: there are too many, or this node is not certain to be the leader.
     Busy,
-    /// No answer. It may be changed, or may yet be.
+    /// There was no answer: the changes may have been made, or may still be.
     Unknown,
-    /// It can't be asked like that.
+    /// The request is invalid.
     Refused,
-    /// How the model stands.
+    /// The status of the model.
     Model(Box<wire::models::ModelStatus>),
 }
 
@@ -163,7 +167,7 @@
         }
     }
 
-    /// A page, or the revision of a transaction.
+    /// Decodes a page, or the revision of a transaction.
     fn of_body(body: &[u8]) -> Answer {
         if let Ok(page) = wire::decode::<Range<Value>>(body) {
             return Answer::Page {
@@ -180,7 +184,7 @@
 
 /// How many keys one [`Request::Change`] may name.
 pub fn writes_at_once(limits: &WriteLimits) -> usize {
-    // No more at once than a few seconds of the front end's own share.
+    // No more than a few seconds of the front end's own share.
     limits
         .changes()
         .min((limits.changes_per_s() / 3.0) as usize)
@@ -188,13 +192,13 @@
 }
 
 impl Node {
-    /// Whether a user has named an id that only jobs of the front end beside may have.
+    /// Whether a user has named a job id that is reserved for jobs of the front end.
     pub(crate) fn is_reserved_for_frontend(&self, conn: u64, id: &str) -> bool {
         self.beside && conn < FIRST_CONNECTION && wire::ids::reserved_job_id(id)
     }
 
-    /// Whether so many changes can be spared for a front end beside, and takes them: of its own share, which it has only
-    /// while it asks, or of what users leave. Theirs are never driven into debt by it.
+    /// Takes changes for the front end, if they can be spared: from its own share, which it has only while it makes
+    /// requests, or from what users leave. The front end never drives the users' budget into debt.
     fn take_spare_writes(&mut self, cost: f64) -> bool {
         let now = self.now.mono;
         self.frontend.last_requested_at = now;
@@ -211,7 +215,7 @@
         true
     }
 
-    /// A front end beside has a share of this node's changes while it asks for any.
+    /// Gives the front end a share of this node's changes while it makes requests, and takes it back afterwards.
     pub(crate) fn share_writes(&mut self) {
         let is_active =
             self.beside && self.now.mono < self.frontend.last_requested_at + ACTIVE_WINDOW_MS;
@@ -229,27 +233,27 @@
         }
     }
 
-    /// This node may make another number of changes from now on: whatever a front end beside had of them is its own again.
+    /// Sets the rate of this node's changes; the share of the front end goes back to the node.
     pub(crate) fn set_write_rate(&mut self, rate: f64) {
         self.frontend.has_share = false;
         self.frontend.writes.set_rate(0.0);
         self.writes.set_rate(rate);
     }
 
-    /// New jobs that this node can write down in a second, if it does nothing else.
+    /// The number of new jobs that this node can record in a second, if it does nothing else.
     pub(crate) fn accepts_per_s(&self) -> f64 {
         let requests = self.requests.share_of_second(1.0 - RESERVED_SHARE);
         requests.min(self.writes.rate())
     }
 
-    /// Whether a job that comes in now can be written down: those who come by another front end go behind users.
+    /// Whether a new job can be recorded now. Jobs from the front end come after those of users.
     pub(crate) fn has_room_for(&mut self, conn: Option<u64>) -> bool {
         let now = self.now.mono;
         if conn.is_some_and(|conn| conn >= FIRST_CONNECTION) {
             return self.requests.level(now) >= 1.0 + self.requests.share_of_second(RESERVED_SHARE)
                 && self.take_spare_writes(1.0);
         }
-        // The leader answers questions from memory, and has claims to write.
+        // The leader answers queries from memory, but has claims to write.
         let (reserved_requests, reserved_writes) = if self.leads() {
             (
                 0.0,
@@ -262,7 +266,8 @@
             && self.writes.level(now) >= 1.0 + reserved_writes
     }
 
-    /// Acceptances on their way. The leader counts what its watch has seen, so these are not counted yet.
+    /// Acceptances in flight. The leader charges its budget for those that its watch has seen, so these are not charged
+    /// yet.
     fn accepts_in_flight(&self) -> f64 {
         self.pending
             .values()
@@ -270,7 +275,7 @@
             .count() as f64
     }
 
-    /// Serves a request of the front end beside, or refuses it at once.
+    /// Serves a request of the front end, or refuses it at once.
     pub(crate) fn frontend_requested(&mut self, tag: u64, request: Request) {
         if !request.is_allowed() {
             return self.answer_frontend(tag, Answer::Refused);
@@ -289,7 +294,7 @@
         }
     }
 
-    /// Changes its records in one transaction, under the guard of the leader's own record.
+    /// Changes the front end's records in one transaction that is guarded by the leader's record.
     fn frontend_change(&mut self, tag: u64, writes: Vec<Change>) {
         let leader_version = self
             .shard
@@ -324,7 +329,7 @@
         self.effects.push(crate::Effect::Frontend { tag, answer });
     }
 
-    /// The term in which this node is sure that it leads the fleet; rises with each take-over, of any node.
+    /// The leadership token of this node while it is certain to be the leader; tokens rise with each change of leader.
     pub fn term(&self) -> Option<u64> {
         self.shard
             .as_ref()
@@ -332,7 +337,7 @@
             .map(|shard| shard.token)
     }
 
-    /// Which peer leads the fleet, as far as this node knows; `None` if nobody does, or this node itself.
+    /// The peer that is the leader, as far as this node knows; `None` if there is none, or if it is this node itself.
     pub fn leader_among_peers(&self) -> Option<usize> {
         if self.leads() {
             None
@@ -346,12 +351,12 @@
         &self.settings
     }
 
-    /// The machine types of the catalog, once it was read.
+    /// The machine types of the catalog, once it has been read.
     pub fn machine_types(&self) -> Option<&Catalog> {
         self.catalog()
     }
 
-    /// The quota tree that this node acts on, if there is one.
+    /// The quota tree in force on this node, if there is one.
     pub fn quota_tree(&self) -> Option<Arc<quota::Tree>> {
         self.shared
             .documents
@@ -361,14 +366,14 @@
             .map(|active| active.built.clone())
     }
 
-    /// How many machines the fleet has.
+    /// The number of machines in the fleet.
     pub fn machine_count(&self) -> usize {
         self.shard
             .as_ref()
             .map_or(0, |shard| shard.machines.count())
     }
 
-    /// Machines of the fleet with what their claims take; nothing unless this node leads the fleet.
+    /// The machines of the fleet with the numbers of their claims; none unless this node is the leader.
     pub fn machines(&self) -> impl Iterator<Item = MachineView<'_>> {
         let machines = self
             .shard
@@ -384,7 +389,7 @@
     }
 }
 
-/// A machine as a front end beside may see it.
+/// A machine, as the front end sees it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MachineView<'a> {
     /// Its name.
@@ -393,8 +398,8 @@
     pub machine_type: &'a str,
     /// The zone that it is in.
     pub zone: &'a str,
-    /// Claims on it.
+    /// The number of claims on it.
     pub tasks: usize,
-    /// It has reported.
+    /// Whether it has reported.
     pub up: bool,
 }
