--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -47,7 +47,7 @@
         Whole::Set { spec }
     }
     fn check_change(node: &Node, new: &Counties) -> Result<(), Vec<Fault>> {
-        let faults = node.check_references(new);
+        let faults = node.check_against_state(new);
         if faults.is_empty() {
             Ok(())
         } else {
@@ -130,7 +130,7 @@
 
     /// Faults of a new document in the current state: counties that it drops although they are open or have live jobs,
     /// and nodes that the quota tree does not have.
-    fn check_references(&self, new: &Counties) -> Vec<Fault> {
+    fn check_against_state(&self, new: &Counties) -> Vec<Fault> {
         let counties = &self.shared.documents.counties;
         let mut faults = Vec::new();
         if let Some(old) = &counties.active {
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -59,7 +59,7 @@
             .retain(|_, (until, _)| *until > wall);
         for model in std::mem::take(&mut leader_state.to_check) {
             if self.check_model(&model) {
-                self.models.mark_due(&model);
+                self.models.mark_for_check(&model);
             }
         }
     }
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -151,7 +151,7 @@
         })
     }
 
-    fn mark_due(&mut self, model: &str) {
+    fn mark_for_check(&mut self, model: &str) {
         self.leader_state.to_check.insert(model.to_owned());
     }
 }
@@ -224,7 +224,7 @@
             .map_or(0, |known| known.record.replicas(&rule, job.tasks));
         set_replicas(shard, ix, replicas);
         if let Some(known) = known {
-            self.models.mark_due(&id);
+            self.models.mark_for_check(&id);
             self.restore_weights(ix, &known.record);
             self.retain_machines(&id, &rule, &known.record);
         }
@@ -242,7 +242,7 @@
         if matches!(job.ending, Ending::Recorded(_)) {
             self.models.leader_state.ended_models.insert(id);
         } else {
-            self.models.mark_due(&id);
+            self.models.mark_for_check(&id);
         }
     }
 }
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -124,7 +124,7 @@
             WriteStep::ReadBack => self.record_read_back(&model, response),
         };
         if is_decoded {
-            self.models.mark_due(&model);
+            self.models.mark_for_check(&model);
         }
     }
 
