--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -1,5 +1,5 @@
-//! Job counts by county, as the leader keeps them: deltas in the records of the log, and the counter sheets to which
-//! the deltas are added.
+//! Job counts by county, as the leader keeps them: deltas in the records of the log, and counter sheets, which are
+//! records of totals that the deltas are added to.
 //!
 //! The end of a job is counted by a delta in the log record of the transaction that records the end; a live job is
 //! counted by its own record. Counting therefore costs no write when a job is accepted, and none at an end whose
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -82,14 +82,14 @@
     planned
 }
 
-/// What hours are assessed by.
+/// The plan and the state of the shard that hours are assessed by.
 struct Assessment<'a> {
     shard: &'a Shard,
     input: &'a plan::Input,
     catalog: &'a Catalog,
     zones: &'a [String],
     wall: u64,
-    /// Whether a machine was ordered and has not reported yet.
+    /// Whether a machine was requested and has not reported yet.
     has_booting_machine: bool,
 }
 
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -1,7 +1,7 @@
 //! Demand for models, at any controller and whether or not there is a leader.
 //!
 //! Requests are coalesced: a node has one wake-up for all who request the same model ([`crate::models::wake_up`]). It
-//! reads the job and the model's record, and if the model is asleep, begins the next generation by one transaction
+//! reads the job and the model's record and, if the model is asleep, begins the next generation by one transaction
 //! that is guarded by both. A node whose transaction conflicts reads again and follows the record that it finds. A node
 //! that sees demand for a model that is up notifies the leader from time to time. If it can't, it writes the demand to
 //! the record, so that the guard fails for a sleep that was decided without knowing of it.
