--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -1,9 +1,9 @@
-//! How a version is made: a change is admitted, checked under optimistic concurrency, and handed to the leader's
+//! Creates new versions: a change is checked under optimistic concurrency, validated, and handed to the leader's
 //! transactions.
 
 use crate::Node;
 use crate::documents::kind::{ALL, PartOf};
-use crate::documents::operator_api::{faulty, refused};
+use crate::documents::operator_api::{refused, refused_with_faults};
 use crate::documents::{ActiveVersion, Document, Kind, for_kind};
 use document::{Content, Head, Past, SHORT};
 use std::collections::VecDeque;
@@ -11,41 +11,41 @@
 use std::sync::Arc;
 use wire::admin::{self, ChangeOf, Changed, Refused};
 
-/// Differences that an answer lists.
-const DIFFERENCES: usize = 200;
+/// The most differences that an answer lists.
+const MAX_DIFFERENCES: usize = 200;
 
-/// A change on its way into the state service.
+/// A change that is being written to the state service.
 pub(super) struct PendingChange<K: Kind> {
     id: String,
-    /// Who waits for it; nobody for the first version.
+    /// The connection of the operator who waits for the answer; `None` for the initial version.
     pub(super) conn: Option<u64>,
     /// The head that is to be written.
     pub(super) head: Head,
     active: ActiveVersion<K::Content>,
-    /// Stamp of the head that it follows.
+    /// Version of the record of the head that this change replaces.
     pub(super) stamp: u64,
-    /// Parts still to be written, and how many of them are on their way.
+    /// Parts that are not part of a transaction yet.
     pub(super) parts: VecDeque<(String, PartOf<K>)>,
-    /// Parts that are written by a transaction in flight.
+    /// Number of parts in transactions whose outcome is not known yet.
     pub(super) parts_in_flight: usize,
     answer: Changed,
 }
 
-/// What becomes of a change before it is prepared.
+/// The result of comparing a change with the history and the pending change.
 enum Admission {
     New,
-    /// The same change is on its way: whoever sent it last waits for it.
+    /// The same change is already pending; its latest sender gets the answer.
     Joined,
-    /// A repeat after a lost answer: the change was made, with this version.
-    Made(u64),
+    /// A retry after a lost answer: the change was already made, as this version.
+    AlreadyMade(u64),
     Conflict(Conflict),
 }
 
-/// Why a change can't follow the version in force.
+/// Why a change can't be applied to the version in force.
 enum Conflict {
-    /// It was made for another version.
+    /// The change expects another version than the one in force.
     Outdated { expected: u64, version: u64 },
-    /// Another change is on its way.
+    /// Another change is pending.
     InProgress { version: u64 },
 }
 
@@ -73,13 +73,13 @@
     }
 }
 
-/// A longer id would be remembered cut, and a repeat taken for another change.
+/// The history truncates longer ids, so that a retry would be taken for another change.
 fn is_valid_id(id: &str) -> bool {
     !id.is_empty() && id.len() <= SHORT && !id.chars().any(char::is_control)
 }
 
-/// What a change did, in the few words that the history keeps.
-fn summary(differences: &[String]) -> String {
+/// A summary of a change, in one line, for the history.
+fn summarize(differences: &[String]) -> String {
     match differences {
         [] => "nothing".to_owned(),
         [only] => only.clone(),
@@ -88,10 +88,10 @@
 }
 
 impl<K: Kind> Document<K> {
-    /// Holds a change against what was made already, the version in force and what is on its way.
+    /// Compares a change with the history, the version in force and the pending change.
     fn admit(&mut self, conn: u64, change: &ChangeOf<K::Edit>) -> Admission {
         if let Some(past) = self.head.made(&change.id) {
-            return Admission::Made(past.version);
+            return Admission::AlreadyMade(past.version);
         }
         let version = self.head.version;
         if let Some(expected) = change.expect.filter(|expected| *expected != version) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The content in force, as it fits what surrounds it now.
+    /// The content in force, without references to anything that has left the context since.
     fn fitting(&self, context: &<K::Content as Content>::Context) -> K::Content {
         let active = self.active.as_ref();
         active
@@ -115,7 +115,7 @@
             .unwrap_or_default()
     }
 
-    /// The parts that the state service has not yet.
+    /// The parts that the state service does not have yet.
     fn missing(&self, parts: Vec<(String, PartOf<K>)>) -> VecDeque<(String, PartOf<K>)> {
         parts
             .into_iter()
@@ -124,9 +124,8 @@
     }
 }
 
-/// How versions are made.
 impl Node {
-    /// An operator's change: made, refused, or only tried out.
+    /// Handles an operator's change: starts it, refuses it, or answers a dry run.
     pub(crate) fn change<K: Kind>(&mut self, conn: u64, change: ChangeOf<K::Edit>) {
         if !is_valid_id(&change.id) {
             let why = format!("id: must be 1 to {SHORT} bytes without control characters");
@@ -135,7 +134,7 @@
         match K::document_mut(&mut self.shared.documents).admit(conn, &change) {
             Admission::New => self.prepare_or_refuse::<K>(conn, &change),
             Admission::Joined => {}
-            Admission::Made(version) => self.answer_changed(
+            Admission::AlreadyMade(version) => self.answer_changed(
                 conn,
                 &Changed {
                     version,
@@ -149,15 +148,15 @@
     fn prepare_or_refuse<K: Kind>(&mut self, conn: u64, change: &ChangeOf<K::Edit>) {
         match self.prepare::<K>(Some(conn), change) {
             Err(why) => self.deny_admin(conn, 422, why),
-            Ok(ready) if change.dry_run => {
+            Ok(prepared) if change.dry_run => {
                 let answer = Changed {
                     version: K::document(&self.shared.documents).head.version,
                     dry_run: true,
-                    ..ready.answer
+                    ..prepared.answer
                 };
                 self.answer_changed(conn, &answer);
             }
-            Ok(ready) => self.begin(ready, &change.by),
+            Ok(prepared) => self.start_change(prepared, &change.by),
         }
     }
 
@@ -165,17 +164,17 @@
         self.respond(conn, 200, admin::encode(answer), None);
     }
 
-    fn begin<K: Kind>(&mut self, ready: PendingChange<K>, by: &str) {
+    fn start_change<K: Kind>(&mut self, prepared: PendingChange<K>, by: &str) {
         log::info!(
-            "{}: version {} by {by:?} is to be written",
+            "{}: writing version {}, requested by {by:?}",
             K::Content::NAME,
-            ready.head.version
+            prepared.head.version
         );
-        K::document_mut(&mut self.shared.documents).pending_change = Some(ready);
+        K::document_mut(&mut self.shared.documents).pending_change = Some(prepared);
         self.to_write = true;
     }
 
-    /// Makes the new version and checks it; nothing is changed yet.
+    /// Builds and validates the new version; no state is changed yet.
     fn prepare<K: Kind>(
         &self,
         conn: Option<u64>,
@@ -185,18 +184,18 @@
         let context = K::context(self);
         let old = document.fitting(&context);
         let spec = K::apply_edit(&change.edit, &old, &context)
-            .map_err(|fault| faulty::<K>(vec![fault]))?;
-        let built = Arc::new(spec.build(&context).map_err(faulty::<K>)?);
-        K::check_change(self, &built).map_err(faulty::<K>)?;
+            .map_err(|fault| refused_with_faults::<K>(vec![fault]))?;
+        let built = Arc::new(spec.build(&context).map_err(refused_with_faults::<K>)?);
+        K::check_change(self, &built).map_err(refused_with_faults::<K>)?;
         let value_limit = self.write_limits.value_bytes();
         let parts = document::split(&spec, value_limit).map_err(|e| refused(&e))?;
-        let differences = K::Content::differences(&old, &spec, DIFFERENCES);
+        let differences = K::Content::differences(&old, &spec, MAX_DIFFERENCES);
         let past = Past::new(
             document.head.version + 1,
             &change.id,
             self.now.wall,
             &change.by,
-            &summary(&differences),
+            &summarize(&differences),
         );
         let names = parts.iter().map(|(name, _)| name.clone()).collect();
         let head = document
@@ -230,14 +229,14 @@
         })
     }
 
-    /// Puts the document in place that this node was started with, if there has never been any.
-    pub(super) fn first_version<K: Kind>(&mut self) {
+    /// Starts to write the document that this node was started with, if no version has ever existed.
+    pub(super) fn write_initial_version<K: Kind>(&mut self) {
         let document = K::document(&self.shared.documents);
-        let is_wanted = document.first.is_some()
+        let is_needed = document.first.is_some()
             && document.head.version == 0
             && document.pending_change.is_none()
             && self.shared.known;
-        if !is_wanted || !self.may_decide() {
+        if !is_needed || !self.may_decide() {
             return;
         }
         let Some(spec) = K::document_mut(&mut self.shared.documents).first.take() else {
@@ -252,44 +251,45 @@
             edit: K::replacement(spec),
         };
         match self.prepare::<K>(None, &change) {
-            Ok(ready) => self.begin(ready, &change.by),
-            Err(why) => {
-                let faults: String = why.faults.iter().map(|f| format!("; {f}")).collect();
+            Ok(prepared) => self.start_change(prepared, &change.by),
+            Err(refusal) => {
+                let faults: String = refusal.faults.iter().map(|f| format!("; {f}")).collect();
                 log::error!(
-                    "the first {} is refused: {}{faults}",
+                    "the initial {} is refused: {}{faults}",
                     K::Content::NAME,
-                    why.error
+                    refusal.error
                 );
             }
         }
     }
 
-    /// A head goes into the next transaction.
+    /// Lets the kind whose head is due prepare for the next transaction.
     pub(crate) fn before_heads(&mut self, budget: usize) {
-        let due = self
+        let due_kind = self
             .shard
             .as_ref()
-            .and_then(|shard| self.shared.documents.due(shard, budget));
-        if let Some(kind) = due {
+            .and_then(|shard| self.shared.documents.kind_with_due_head(shard, budget));
+        if let Some(kind) = due_kind {
             for_kind!(kind, K => K::before_head_write(self));
         }
     }
 
-    /// The head of a change stands in the state service, at this revision.
+    /// The head of a change was committed at this revision: the new version is in force.
     pub(crate) fn head_written<K: Kind>(&mut self, revision: u64) {
         let document = K::document_mut(&mut self.shared.documents);
-        let Some(done) = document.pending_change.take() else {
+        let Some(change) = document.pending_change.take() else {
             return;
         };
-        document.observe_head(done.head, revision);
-        document.activate(done.active);
+        document.observe_head(change.head, revision);
+        document.activate(change.active);
         K::version_activated(self);
-        if let Some(conn) = done.conn {
-            self.answer_changed(conn, &done.answer);
+        if let Some(conn) = change.conn {
+            self.answer_changed(conn, &change.answer);
         }
     }
 
-    /// A change was cut for larger records than can be written: nothing of it is in force, and it is asked for again.
+    /// Drops a change whose parts are larger than the records that may be written now. Nothing of it is in force: an
+    /// operator has to send it again, and the initial version is prepared again.
     pub(crate) fn change_given_up<K: Kind>(&mut self) {
         let document = K::document_mut(&mut self.shared.documents);
         let Some(change) = document.pending_change.take() else {
@@ -297,14 +297,16 @@
         };
         match change.conn {
             Some(conn) => {
-                let why = "records may hold less than before; the change was not made, ask again";
+                let why =
+                    "records must be smaller than before; the change was not made, send it again";
                 self.deny_admin(conn, 503, refused(why));
             }
             None => document.first = Some((*change.active.spec).clone()),
         }
     }
 
-    /// A term of leadership is over: whether a change was made is for its record to say.
+    /// Answers the operators of pending changes when a term of leadership ends. Whether a change was made can only be
+    /// read from the head.
     pub(crate) fn abandon_document_changes(&mut self) {
         self.shared.documents.forget_readings();
         for kind in ALL {
@@ -312,7 +314,7 @@
                 K::document_mut(&mut self.shared.documents).pending_change.take().and_then(|c| c.conn)
             });
             if let Some(conn) = conn {
-                let why = "the owner changed; ask for the history whether the change was made";
+                let why = "the leader changed; see the history for whether the change was made";
                 self.deny_admin(conn, 503, refused(why));
             }
         }
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -1,4 +1,4 @@
-//! Which counties are in force, and which of them a job is bound to when it is accepted.
+//! Counties: the document in force, and the county that a job is bound to when it is accepted.
 
 use crate::documents::county_counts::CountsUnavailable;
 use crate::documents::{Document, Documents, Kind, KindId, refused};
@@ -28,7 +28,8 @@
     fn document_mut(all: &mut Documents) -> &mut Document<Self> {
         &mut all.counties
     }
-    /// Without the quota tree's nodes: they come and go, and only a change is held against them.
+    /// Without the nodes of the quota tree, which change independently: only a change of the counties is checked
+    /// against them.
     fn context(node: &Node) -> Known {
         let cluster = &node.settings.cluster;
         let teams = cluster.teams.iter().map(|t| t.name.clone()).collect();
@@ -46,7 +47,7 @@
         Whole::Set { spec }
     }
     fn check_change(node: &Node, new: &Counties) -> Result<(), Vec<Fault>> {
-        let faults = node.lost_by(new);
+        let faults = node.check_against_state(new);
         if faults.is_empty() {
             Ok(())
         } else {
@@ -54,7 +55,7 @@
         }
     }
     fn consequences(node: &Node, new: &Arc<Counties>) -> Vec<String> {
-        let live = node.live_by_county();
+        let live = node.live_jobs_by_county();
         let closed = new.spec().counties.iter().filter(|c| c.closed);
         let bound = closed.filter_map(|c| Some((c, live.get(&c.id)?)));
         bound
@@ -69,15 +70,15 @@
     }
 }
 
-fn why(unbound: Unbound) -> &'static str {
+fn unbound_message(unbound: Unbound) -> &'static str {
     match unbound {
-        Unbound::NoCounty => "no county: no rule fits the job",
-        Unbound::ForeignZone => "it asks for a zone that its county may not use",
+        Unbound::NoCounty => "no county: no rule matches the job",
+        Unbound::ForeignZone => "the job requests a zone that its county may not use",
     }
 }
 
 impl Node {
-    /// The county that a job accepted now belongs to; none without a document.
+    /// The county of a job that is accepted now; `None` if no counties are configured.
     pub(crate) fn county_for(&self, spec: &JobSpec) -> Result<Option<CountyRecord>, &'static str> {
         let Some(active) = &self.shared.documents.counties.active else {
             return Ok(None);
@@ -88,7 +89,7 @@
         let tree = Quota::document(&self.shared.documents)
             .active
             .as_ref()
-            .map(|g| &g.built);
+            .map(|active| &active.built);
         let path = tree
             .and_then(|tree| Some(tree.path(tree.team(&spec.team)?)))
             .unwrap_or_default();
@@ -104,7 +105,7 @@
             zone: spec.zone.as_deref(),
             image: &spec.image,
         };
-        let bound = active.built.bind(&job).map_err(why)?;
+        let bound = active.built.bind(&job).map_err(unbound_message)?;
         let (county, version) = (bound.county, active.version);
         Ok(Some(CountyRecord {
             county,
@@ -114,41 +115,45 @@
         }))
     }
 
-    fn live_by_county(&self) -> BTreeMap<String, u64> {
+    fn live_jobs_by_county(&self) -> BTreeMap<String, u64> {
         let mut live: BTreeMap<String, u64> = BTreeMap::new();
         let jobs = self
             .shard
             .iter()
-            .flat_map(|p| p.jobs.iter().flatten())
-            .filter(|j| !j.is_over());
-        for county in jobs.filter_map(|j| j.county.as_ref()) {
+            .flat_map(|shard| shard.jobs.iter().flatten())
+            .filter(|job| !job.is_over());
+        for county in jobs.filter_map(|job| job.county.as_ref()) {
             *live.entry(county.county.clone()).or_default() += 1;
         }
         live
     }
 
-    /// What a new document has no place for any more: bindings, and nodes of the quota tree.
-    fn lost_by(&self, new: &Counties) -> Vec<Fault> {
+    /// Faults of a new document in the current state: counties that it drops although they are open or have live jobs,
+    /// and nodes that the quota tree does not have.
+    fn check_against_state(&self, new: &Counties) -> Vec<Fault> {
         let counties = &self.shared.documents.counties;
         let mut faults = Vec::new();
         if let Some(old) = &counties.active {
-            faults = county::lost(&old.spec, new.spec(), &self.live_by_county());
-            // A county that was closed may have been bound to until then.
-            let seen = self.shard.as_ref().map_or(0, |p| p.live_watch.revision());
-            let drops = old
+            faults = county::lost(&old.spec, new.spec(), &self.live_jobs_by_county());
+            // Until a county was closed, jobs may have been bound to it whose acceptance this leader has not seen yet.
+            let seen_revision = self
+                .shard
+                .as_ref()
+                .map_or(0, |shard| shard.live_watch.revision());
+            let drops_county = old
                 .spec
                 .counties
                 .iter()
                 .any(|c| new.county(&c.id).is_none());
-            if drops && seen < counties.stamp {
-                let what = "what was accepted under the version in force was not seen yet; again in a second";
+            if drops_county && seen_revision < counties.stamp {
+                let what = "jobs accepted under the version in force were not all seen yet; retry in a second";
                 faults.push(Fault::whole("county", what));
             }
         }
         let tree = Quota::document(&self.shared.documents).active.as_ref();
-        let known =
+        let is_known =
             |desk: &String| tree.is_some_and(|t| t.built.nodes.iter().any(|n| n.name == *desk));
-        for (c, r, desk) in new.desks().filter(|(_, _, desk)| !known(desk)) {
+        for (c, r, desk) in new.desks().filter(|(_, _, desk)| !is_known(desk)) {
             let path = format!("county {c:?}.rule[{r}].desks");
             faults.push(Fault::whole(
                 &path,
@@ -163,15 +168,16 @@
         let Some(shard) = &mut self.shard else { return };
         let (revision, rows) = match shard.counts_by_county() {
             Ok(counts) => counts,
-            Err(why) => return self.deny_admin(conn, 503, refused(unavailable(why))),
+            Err(why) => return self.deny_admin(conn, 503, refused(unavailable_message(why))),
         };
         let active = self.shared.documents.counties.active.as_ref();
-        let name = |id: &str| active.and_then(|g| g.built.county(id)?.name.clone());
-        let wanted = |cell: &Cell| county.is_none_or(|c| c == cell.county);
-        let known = |c: &str| c == OTHER || active.is_some_and(|g| g.built.county(c).is_some());
+        let name = |id: &str| active.and_then(|active| active.built.county(id)?.name.clone());
+        let is_wanted = |cell: &Cell| county.is_none_or(|c| c == cell.county);
+        let is_known =
+            |c: &str| c == OTHER || active.is_some_and(|active| active.built.county(c).is_some());
         let lines: Vec<Line> = rows
             .into_iter()
-            .filter(|(cell, _)| wanted(cell))
+            .filter(|(cell, _)| is_wanted(cell))
             .map(|(cell, row)| Line {
                 name: name(&cell.county),
                 county: cell.county,
@@ -183,7 +189,7 @@
                 done_tasks: row.ended.tasks,
             })
             .collect();
-        if let Some(c) = county.filter(|c| lines.is_empty() && !known(c)) {
+        if let Some(c) = county.filter(|c| lines.is_empty() && !is_known(c)) {
             return self.deny_admin(conn, 404, refused(&format!("no county {c:?}")));
         }
         self.respond(conn, 200, admin::encode(&Counts { revision, lines }), None);
@@ -192,21 +198,23 @@
     fn audit_queried(&mut self, conn: u64, id: &str) {
         let Some(shard) = &mut self.shard else { return };
         match shard.audit(id) {
-            Ok(Some(told)) => self.respond(conn, 200, admin::encode(&told), None),
+            Ok(Some(progress)) => self.respond(conn, 200, admin::encode(&progress), None),
             Ok(None) => self.deny_admin(conn, 409, refused("another audit is under way")),
-            Err(why) => self.deny_admin(conn, 503, refused(unavailable(why))),
+            Err(why) => self.deny_admin(conn, 503, refused(unavailable_message(why))),
         }
     }
 }
 
-fn unavailable(why: CountsUnavailable) -> &'static str {
+fn unavailable_message(why: CountsUnavailable) -> &'static str {
     match why {
         CountsUnavailable::Unread(Unread::NotYet) => {
-            "counts are held back: their records are being read"
+            "counts are unavailable: their records are being read"
         }
         CountsUnavailable::Unread(Unread::Bad) => {
-            "counts are held back: a record of them can't be understood"
+            "counts are unavailable: one of their records can't be decoded"
+        }
+        CountsUnavailable::Behind => {
+            "counts are unavailable: the watch of live jobs is too far behind"
         }
-        CountsUnavailable::Behind => "counts are held back: acceptances were not seen far enough",
     }
 }
--- a/crates/control/src/documents/hours/mod.rs
+++ b/crates/control/src/documents/hours/mod.rs
@@ -1,8 +1,9 @@
-//! Release hours: bound at acceptance, caps of deadlines in the plan, and what is told of them.
+//! Release hours: the time by which a job should be done, by the calendar of its studio. An hour is bound when its job
+//! is accepted, caps the job's deadline in the plan, and is reported to operators.
 //!
-//! A job's hour is worked out once, from the recorded time of its acceptance, and stands in its record from the
-//! accepting transaction on. Here it is only read. What moves it is an operator's move: a transaction of the leader's
-//! that writes the job's record anew, with who, when and from what.
+//! A job's hour is computed once, from the recorded time of its acceptance, and is part of the job's record from the
+//! accepting transaction on. Only an operator can move it: the leader then writes the job's record again, with the
+//! operator's name, the time and the hour before.
 
 mod listing;
 mod moving;
@@ -18,11 +19,11 @@
 use document::{Content, Fault};
 use std::sync::Arc;
 use wire::admin::Whole;
-use wire::api::{JobSpec, Kind as Shape};
+use wire::api::{JobSpec, Kind as JobKind};
 use wire::hours::Ask;
 use wire::records::HourRecord;
 
-/// The kind of document.
+/// The calendar of release hours, as a kind of document.
 pub(crate) struct Hours;
 
 impl Kind for Hours {
@@ -40,7 +41,7 @@
     }
     fn context(node: &Node) -> Around {
         let tree = node.quota_tree();
-        let path = |team: &str| {
+        let node_path = |team: &str| {
             let tree = tree.as_ref()?;
             let path = tree.path(tree.team(team)?);
             Some(
@@ -52,7 +53,7 @@
         let teams = node.settings.cluster.teams.iter();
         let teams = teams.map(|t| TeamAt {
             name: t.name.clone(),
-            path: path(&t.name).unwrap_or_default(),
+            path: node_path(&t.name).unwrap_or_default(),
         });
         let nodes = tree.iter().flat_map(|t| &t.nodes).map(|n| n.name.clone());
         Around {
@@ -87,7 +88,7 @@
     /// The hour of a job that is accepted now, by the calendar in force. Services have none: they do not end.
     pub(crate) fn hour_for(&self, spec: &JobSpec, accepted_ms: u64) -> Option<HourRecord> {
         let active = self.shared.documents.hours.active.as_ref()?;
-        if spec.kind == Shape::Service {
+        if spec.kind == JobKind::Service {
             return None;
         }
         let due = active
@@ -100,7 +101,7 @@
         })
     }
 
-    /// Another quota tree is in force: studios that are nodes of it have other teams from now on.
+    /// Builds the calendar again for a new quota tree: studios that refer to its nodes may have other teams now.
     pub(crate) fn refit_hours(&mut self) {
         let Some(active) = self
             .shared
@@ -108,7 +109,7 @@
             .hours
             .active
             .clone()
-            .filter(|g| g.spec.follows_tree())
+            .filter(|active| active.spec.follows_tree())
         else {
             return;
         };
@@ -122,7 +123,7 @@
                 self.shared.documents.hours.active = Some(active);
             }
             Err(faults) => log::error!(
-                "release hours with the new quota tree: {}; studios stay",
+                "release hours do not fit the new quota tree: {}; studios keep their teams",
                 faults[0]
             ),
         }
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -1,4 +1,4 @@
-//! Moves of hours: an operator's move of one job, or of all that a studio agrees on anew, until they are recorded.
+//! Moves of hours that operators request: of one job, or of all jobs of a studio to what the calendar in force says.
 
 use crate::Node;
 use crate::documents::hours::Hour;
@@ -10,19 +10,21 @@
 use ::hours::Calendar;
 use std::fmt;
 use wire::admin;
-use wire::api::Kind as Shape;
+use wire::api::Kind as JobKind;
 use wire::hours::Moved;
 use wire::records::{self, HourRecord, JobRecord, MovedRecord, Record};
 
-/// Moves that wait for their transactions.
+/// The most moves that wait for a transaction.
 const MAX_WAITING_MOVES: usize = 20_000;
-/// Moves that one transaction takes while claims wait too.
+/// The most moves in one transaction while claims are waiting too.
 const MOVES_PER_TRANSACTION: usize = 4;
-/// Lines of what moves that an answer lists.
+/// The most moves that an answer lists.
 const MAX_MOVED_LINES: usize = 200;
-/// The state service counts a record in another form than ours, which takes somewhat more.
-const RECORD_FORM: f64 = 1.3;
+/// Factor for the size of a record: the state service counts it in another encoding than ours, which is somewhat
+/// larger.
+const STATE_SIZE_FACTOR: f64 = 1.3;
 
+/// A move of a job's hour that is not recorded yet.
 #[derive(Debug)]
 pub(crate) struct HourMove {
     ix: JobIndex,
@@ -30,29 +32,29 @@
     due_ms: u64,
     version: u64,
     by: String,
-    /// Who waits for it alone.
+    /// The connection of the operator who waits for this move; `None` if it is one of a studio's moves.
     pub(super) conn: Option<u64>,
 }
 
-/// Why an hour is not moved.
+/// Why an hour can't be moved.
 enum MoveError {
     UnknownJob(String),
     /// The job has ended or is ending, or is a service.
-    NeverEnds(String),
+    NotMovable(String),
     NoSuchTime(String),
     NoCalendar,
     UnknownStudio(String),
-    TooMany,
+    TooManyMoves,
 }
 
 impl MoveError {
-    /// The status of its answer.
+    /// The HTTP status of the answer.
     fn status(&self) -> u16 {
         match self {
             MoveError::UnknownJob(_) | MoveError::NoCalendar | MoveError::UnknownStudio(_) => 404,
-            MoveError::NeverEnds(_) => 409,
+            MoveError::NotMovable(_) => 409,
             MoveError::NoSuchTime(_) => 422,
-            MoveError::TooMany => 503,
+            MoveError::TooManyMoves => 503,
         }
     }
 }
@@ -60,21 +62,22 @@
 impl fmt::Display for MoveError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MoveError::UnknownJob(job) => write!(f, "no job {job:?} that has not ended"),
-            MoveError::NeverEnds(job) => write!(f, "{job}: it has ended, or never does"),
+            MoveError::UnknownJob(job) => write!(f, "no live job {job:?}"),
+            MoveError::NotMovable(job) => {
+                write!(f, "{job}: it has ended, or is a service, which has no hour")
+            }
             MoveError::NoSuchTime(why) => f.write_str(why),
             MoveError::NoCalendar => f.write_str("no calendar is in force"),
             MoveError::UnknownStudio(studio) => {
-                write!(f, "{studio:?} is no studio of the calendar")
+                write!(f, "the calendar has no studio {studio:?}")
             }
-            MoveError::TooMany => f.write_str("too many moves are under way"),
+            MoveError::TooManyMoves => f.write_str("too many moves are waiting to be recorded"),
         }
     }
 }
 
-/// What operators ask.
 impl Node {
-    /// Moves the hour of one job; the operator is answered once that is recorded.
+    /// Moves the hour of one job; the operator is answered once the move is recorded.
     pub(super) fn move_hour(&mut self, conn: u64, id: &str, to: &str, by: &str) {
         match self.begin_move(conn, id, to, by) {
             Ok(None) => {}
@@ -87,7 +90,7 @@
         self.deny_admin(conn, error.status(), refused(&error.to_string()));
     }
 
-    /// Puts a job's move among those that wait; what to answer if its hour stands there already.
+    /// Queues the move of a job's hour; returns the answer if the hour is already the requested one.
     fn begin_move(
         &mut self,
         conn: u64,
@@ -107,24 +110,24 @@
         let due_ms = calendar.moment(studio, to).map_err(MoveError::NoSuchTime)?;
         let line = moved_line(job, due_ms, &calendar);
         if is_due_at(job, due_ms) {
-            // A repeat after a lost answer, or nothing to do.
-            let line = format!("{id}: stands at {}", calendar.local(studio, due_ms));
+            // A retry after a lost answer, or a move to the same hour.
+            let line = format!("{id}: is already at {}", calendar.local(studio, due_ms));
             return Ok(Some(Moved {
                 lines: vec![line],
                 ..Moved::default()
             }));
         }
         if shard.hours.moves.len() >= MAX_WAITING_MOVES {
-            return Err(MoveError::TooMany);
+            return Err(MoveError::TooManyMoves);
         }
-        log::info!("hour of {line} by {by:?} is to be written");
+        log::info!("writing move of hour: {line}, requested by {by:?}");
         shard.hours.waiting_operators.insert(conn);
         shard.hours.moves.push_back(HourMove {
             ix,
             job: id.to_owned(),
             due_ms,
             version,
-            by: bounded_name(by),
+            by: sanitized_name(by),
             conn: Some(conn),
         });
         self.to_write = true;
@@ -165,16 +168,18 @@
                 job: job.id.clone(),
                 due_ms,
                 version: active.version,
-                by: bounded_name(by),
+                by: sanitized_name(by),
                 conn: None,
             });
         }
         let jobs = moves.len();
         if !dry_run {
             if shard.hours.moves.len() + jobs > MAX_WAITING_MOVES {
-                return Err(MoveError::TooMany);
+                return Err(MoveError::TooManyMoves);
             }
-            log::info!("hours of {jobs} jobs of {studio} by {by:?} are to be written");
+            log::info!(
+                "writing moves of the hours of {jobs} jobs of {studio}, requested by {by:?}"
+            );
             shard.hours.moves.extend(moves);
             self.to_write = true;
         }
@@ -195,13 +200,13 @@
     let (ix, job) = found
         .filter(|(_, job)| job.spec.is_some())
         .ok_or_else(|| MoveError::UnknownJob(id.to_owned()))?;
-    if job.is_ending() || job.kind() == Shape::Service {
-        return Err(MoveError::NeverEnds(id.to_owned()));
+    if job.is_ending() || job.kind() == JobKind::Service {
+        return Err(MoveError::NotMovable(id.to_owned()));
     }
     Ok((ix, job))
 }
 
-/// A studio's jobs whose hours are other than the calendar says now, with what it says.
+/// A studio's jobs whose hours differ from the calendar in force, with the hours that it gives them.
 fn jobs_to_reagree<'a>(
     shard: &'a Shard,
     calendar: &'a Calendar,
@@ -209,7 +214,7 @@
 ) -> impl Iterator<Item = (JobIndex, &'a Job, u64)> {
     shard.jobs.iter().enumerate().filter_map(move |(ix, job)| {
         let job = job.filter(|job| job.ending == Ending::No)?;
-        let spec = job.spec.as_ref().filter(|s| s.kind != Shape::Service)?;
+        let spec = job.spec.as_ref().filter(|s| s.kind != JobKind::Service)?;
         if calendar.studio_of(&job.team) != Some(studio) {
             return None;
         }
@@ -224,7 +229,7 @@
         .is_some_and(|hour| hour.record.due_ms == due_ms)
 }
 
-fn bounded_name(by: &str) -> String {
+fn sanitized_name(by: &str) -> String {
     by.chars()
         .filter(|c| !c.is_control())
         .take(document::SHORT)
@@ -245,52 +250,53 @@
     format!("{}: from {from} to {}{before}", job.id, local(due_ms))
 }
 
-/// Moves on their way.
 impl TransactionDraft {
-    /// Writes the records of jobs whose hours move. Their ends, which come first, are in nobody's way.
+    /// Writes the records of jobs whose hours move. Ends of jobs are put into the transaction earlier, so moves don't
+    /// delay them.
     pub fn hour_moves(
         &mut self,
         shard: &mut Shard,
         wall: u64,
-        value: usize,
+        value_bytes: usize,
         room: impl Fn(&TransactionDraft) -> bool,
     ) {
-        let most = if shard.claim_log.fresh.is_empty() {
+        let max_moves = if shard.claim_log.fresh.is_empty() {
             usize::MAX
         } else {
             MOVES_PER_TRANSACTION
         };
-        for _ in 0..most {
+        for _ in 0..max_moves {
             if !room(self) {
                 return;
             }
-            let Some(hour) = shard.hours.moves.pop_front() else {
+            let Some(hour_move) = shard.hours.moves.pop_front() else {
                 return;
             };
             let job = shard
-                .job(hour.ix)
-                .filter(|j| j.id == hour.job && j.ending == Ending::No);
-            let Some((job, spec)) = job.and_then(|j| Some((j, j.spec.as_ref()?))) else {
-                shard.hours.rejected_moves.push(hour);
+                .job(hour_move.ix)
+                .filter(|job| job.id == hour_move.job && job.ending == Ending::No);
+            let Some((job, spec)) = job.and_then(|job| Some((job, job.spec.as_ref()?))) else {
+                shard.hours.rejected_moves.push(hour_move);
                 continue;
             };
             let key = records::live_key(&job.id);
             if self.writes_to(&key) {
-                // Moved twice: the second follows when the first is in place.
-                shard.hours.moves.push_front(hour);
+                // Moved twice: the second move is written once the first is committed.
+                shard.hours.moves.push_front(hour_move);
                 return;
             }
             let record = JobRecord {
-                hour: Some(hour.record(job, wall)),
+                hour: Some(hour_move.record(job, wall)),
                 county: job.county.clone(),
                 ..JobRecord::new((**spec).clone(), job.at_ms, SHARD)
             };
-            if wire::encode(&record).len() as f64 * RECORD_FORM > value as f64 {
-                shard.hours.rejected_moves.push(hour);
+            if wire::encode(&record).len() as f64 * STATE_SIZE_FACTOR > value_bytes as f64 {
+                shard.hours.rejected_moves.push(hour_move);
                 continue;
             }
             self.put(key, job.version, Record::Job(Box::new(record)));
-            self.pending_writes.push(PendingWrite::Hour(hour, wall));
+            self.pending_writes
+                .push(PendingWrite::Hour(hour_move, wall));
         }
     }
 }
@@ -312,47 +318,49 @@
 }
 
 impl Node {
-    /// The record of a moved hour is in place at this revision.
-    pub(crate) fn hour_moved(&mut self, hour: HourMove, wall: u64, revision: u64) {
+    /// The record of a moved hour was committed at this revision.
+    pub(crate) fn hour_moved(&mut self, hour_move: HourMove, wall: u64, revision: u64) {
         let Some(shard) = &mut self.shard else { return };
-        hour.conn.iter().for_each(|c| {
-            shard.hours.waiting_operators.remove(c);
+        hour_move.conn.iter().for_each(|conn| {
+            shard.hours.waiting_operators.remove(conn);
         });
-        let Some(job) = shard.job_mut(hour.ix) else {
+        let Some(job) = shard.job_mut(hour_move.ix) else {
             return;
         };
-        let record = hour.record(job, wall);
-        let from = record.moved.as_ref().map_or(0, |m| m.from_ms);
+        let record = hour_move.record(job, wall);
+        let from_ms = record.moved.as_ref().map_or(0, |m| m.from_ms);
         job.version = revision;
         job.hour = Some(Hour::new(record));
-        let job = shard.jobs.get(hour.ix);
-        shard.hours.forget(from, hour.ix);
+        let job = shard.jobs.get(hour_move.ix);
+        shard.hours.forget(from_ms, hour_move.ix);
         if let Some(job) = job {
-            shard.hours.add(job, hour.ix);
+            shard.hours.add(job, hour_move.ix);
         }
         shard.plan_triggers.request();
         let line = format!(
-            "{}: from {from} to {} ms by {:?}",
-            hour.job, hour.due_ms, hour.by
+            "{}: from {from_ms} to {} ms by {:?}",
+            hour_move.job, hour_move.due_ms, hour_move.by
         );
-        log::info!("hour of {line} is moved");
+        log::info!("moved hour: {line}");
         let answer = Moved {
             dry_run: false,
             jobs: 1,
             lines: vec![line],
         };
-        hour.conn
+        hour_move
+            .conn
             .into_iter()
             .for_each(|conn| self.respond(conn, 200, admin::encode(&answer), None));
     }
 
-    /// A term of leadership is over: whether an hour was moved is for the job's record to say.
+    /// Answers the operators of pending moves when a term of leadership ends. Whether an hour was moved can only be
+    /// read from the job's record.
     pub(crate) fn abandon_hour_moves(&mut self, mut shard: Shard) -> Shard {
         for conn in shard.hours.unanswered() {
             self.deny_admin(
                 conn,
                 503,
-                refused("the owner changed; the list tells whether the hour was moved"),
+                refused("the leader changed; see the list of hours for whether the hour was moved"),
             );
         }
         shard
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -1,4 +1,4 @@
-//! How a version is read: the parts that its head names, page by page.
+//! Reads versions: all parts of a kind, page by page, which are then joined as the head says.
 
 use crate::documents::kind::{ALL, PartOf, prefix};
 use crate::documents::{Kind, for_kind};
@@ -11,21 +11,21 @@
 use wire::records::SharedRecord;
 
 const TIMEOUT_MS: u64 = 3000;
-/// Parts that one page has at most.
-const PAGE: usize = 1000;
-/// A new version's parts are read so long after the last time at the earliest.
-const RETRY_MS: u64 = 1000;
+/// The most parts in one page.
+const PAGE_SIZE: usize = 1000;
+/// The shortest time between two reads of the parts of a kind.
+const REREAD_INTERVAL_MS: u64 = 1000;
 
-/// Parts as they come in, page by page.
+/// A read in progress of all parts of a kind, page by page.
 pub(super) struct Reading<P> {
     found: BTreeMap<String, (u64, P)>,
     cursor: PageCursor,
 }
 
 impl<P> Reading<P> {
-    /// Takes the parts of a page; true if another page follows.
+    /// Adds the parts of a page; true if another page follows.
     fn add(&mut self, page: Range<P>, prefix: &str) -> bool {
-        let more = self.cursor.advance(&page);
+        let has_more = self.cursor.advance(&page);
         for Item {
             key,
             value,
@@ -36,11 +36,10 @@
                 self.found.insert(name.to_owned(), (version, value));
             }
         }
-        more
+        has_more
     }
 }
 
-/// How versions are read.
 impl Node {
     /// Follows the heads of all kinds.
     pub(crate) fn documents_tick(&mut self) {
@@ -49,21 +48,21 @@
         }
     }
 
-    /// Reads the parts of a new version, as soon as its head was seen; puts the first one in place.
+    /// Starts to read the parts of a version whose head was seen; writes the initial version if there is none.
     fn document_tick<K: Kind>(&mut self) {
         let now = self.now.mono;
-        let leader_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
+        let leader_loads = self.shard.as_ref().is_some_and(|shard| !shard.loaded);
         let document = K::document_mut(&mut self.shared.documents);
         if !document.is_current()
             && document.reading.is_none()
             && now >= document.retry_at
             && !leader_loads
         {
-            // Not the leader's budget for claims: once a second at most.
-            document.retry_at = now + RETRY_MS;
+            // At most once a second, so that retries don't use up the leader's request budget for claims.
+            document.retry_at = now + REREAD_INTERVAL_MS;
             self.read_parts::<K>();
         }
-        self.first_version::<K>();
+        self.write_initial_version::<K>();
     }
 
     /// Starts to read all parts, from the first page.
@@ -80,7 +79,7 @@
         let Some(reading) = &K::document(&self.shared.documents).reading else {
             return;
         };
-        let path = reading.cursor.path(&prefix::<K>(), PAGE);
+        let path = reading.cursor.path(&prefix::<K>(), PAGE_SIZE);
         let pending = Pending::Parts {
             term: self.term,
             kind: K::ID,
@@ -88,13 +87,13 @@
         self.get_state(path, TIMEOUT_MS, pending);
     }
 
-    /// A page of parts, or none.
+    /// Handles a page of parts; `None` if there was no answer.
     pub(crate) fn parts_received<K: Kind>(&mut self, response: Option<Response>) {
         let page = self.read_state::<Range<PartOf<K>>>(response);
         let document = K::document_mut(&mut self.shared.documents);
         let Some(page) = page else {
             document.reading = None;
-            return self.document_read::<K>();
+            return self.finish_document_read::<K>();
         };
         let Some(reading) = &mut document.reading else {
             return;
@@ -103,15 +102,19 @@
             return self.read_page::<K>();
         }
         self.all_parts_read::<K>();
-        self.document_read::<K>();
+        self.finish_document_read::<K>();
     }
 
-    /// Takes the version that the head names, now that all parts are here.
+    /// Activates or rejects the version that the head describes, once all parts were read.
     fn all_parts_read<K: Kind>(&mut self) {
         let context = K::context(self);
         let term = self.term;
         let document = K::document_mut(&mut self.shared.documents);
-        let found = document.reading.take().map(|r| r.found).unwrap_or_default();
+        let found = document
+            .reading
+            .take()
+            .map(|reading| reading.found)
+            .unwrap_or_default();
         document.read_in_term = term;
         document.parts = found
             .iter()
@@ -124,45 +127,45 @@
             .into_iter()
             .map(|(name, (_, part))| (name, part))
             .collect();
-        // A version after this one may have taken its parts away: its head is on its way to us.
+        // Parts are missing if a later version has already removed them; its head will be seen soon.
         let spec = document::join(&document.head, &parts);
         document.activate_or_reject(spec, &context);
     }
 
-    /// A document was read, or could not be.
-    fn document_read<K: Kind>(&mut self) {
+    /// Continues after a document was read, or could not be read.
+    fn finish_document_read<K: Kind>(&mut self) {
         let document = K::document(&self.shared.documents);
-        let whole = document.read_in_term == self.term && document.is_current();
-        let leader_loads = self.shard.as_ref().is_some_and(|p| !p.loaded);
-        match (leader_loads, whole) {
+        let is_complete = document.read_in_term == self.term && document.is_current();
+        let leader_loads = self.shard.as_ref().is_some_and(|shard| !shard.loaded);
+        match (leader_loads, is_complete) {
             (false, _) => K::version_activated(self),
             (true, true) => self.load_documents(),
-            // Without it nothing may start: again, from the heads.
+            // A new leader starts no task without the document: it reads again, beginning with the heads.
             (true, false) => self.load_later(Load::Heads),
         }
     }
 
-    /// The heads that a leader reads before its first start.
+    /// Notes the heads that a new leader reads before it starts any task.
     pub(crate) fn load_heads(&mut self, range: Range<SharedRecord>) {
         let all = &mut self.shared.documents;
         for item in &range.items {
             all.observe_head(&item.key, &item.value, item.version);
         }
         for kind in ALL {
-            // What was refused may have been incomplete for us alone.
+            // The version may have been rejected only because this node had read it incompletely.
             for_kind!(kind, K => K::document_mut(all).rejected = None);
         }
     }
 
-    /// Then the parts: all of them, also those that no version names, so that a leader can take them away and writes
-    /// none a second time.
+    /// Reads the parts, after the heads: all of them, including those that no version references, so that the leader
+    /// can remove these and does not write a part that already exists.
     pub(crate) fn load_documents(&mut self) {
         for kind in ALL {
-            let lacks = for_kind!(kind, K => {
+            let is_missing = for_kind!(kind, K => {
                 let document = K::document(&self.shared.documents);
                 document.head.version > 0 && (document.read_in_term != self.term || !document.is_current())
             });
-            if lacks {
+            if is_missing {
                 return for_kind!(kind, K => self.read_parts::<K>());
             }
         }
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -1,18 +1,19 @@
-//! Scale to zero for models: standing jobs that give their machines back while nobody asks for them, and are started
-//! again, once, by the first who does.
+//! Scale to zero for models: services that give their machines back while there is no demand for them, and are started
+//! again, once, by the first demand.
 //!
-//! A model's record says whether it is asleep and which generation it is in. Any controller begins the next generation,
-//! by one transaction under a guard on the record as it was read ([`crate::models::demand`]); everything else about it is written
-//! here, by the leader of the fleet and under the guard of its record too. What is started and stopped follows from the
-//! record, by claims and proofs as for any job: so nothing starts that a record does not want, whoever leads the fleet.
+//! A model's record says whether the model is asleep, and which generation it is in; each wake-up begins a new one. Any
+//! controller may begin the next generation, by a transaction that is guarded by the record as it was read
+//! ([`crate::models::demand`]). Everything else about a record is written here, by the leader and guarded by the
+//! leader's record as well. What is started and stopped follows from the model's record, by claims that end only on
+//! proof, as for any job. So no replica is started that the record does not ask for, whichever node leads.
 //!
-//! Without a document nothing is read, watched or written here.
+//! Without a document, nothing is read, watched or written here.
 
 pub(crate) mod demand;
 mod idle_watch;
 mod record_writes;
 mod records;
-mod standing;
+mod status;
 pub(crate) mod wake_up;
 mod weights;
 
@@ -31,7 +32,7 @@
 use wire::api::{JobSpec, Kind};
 use wire::models::Ask;
 
-/// The kind of document.
+/// The rules by which jobs are models, as a kind of document.
 pub(crate) struct ModelRules;
 
 impl documents::Kind for ModelRules {
@@ -75,50 +76,50 @@
     }
 }
 
-/// A record as it was read or written, and its stamp.
+/// A model's record as it was read or written, and its version in the state service.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Known {
+pub(crate) struct VersionedRecord {
     pub record: Rec,
     pub stamp: u64,
 }
 
 #[derive(Default)]
 pub(crate) struct Models {
-    /// The document that is in force.
+    /// The document in force; `None` also if it has no rules.
     spec: Option<Arc<Spec>>,
-    /// Demand as this node hears of it.
+    /// Demand that this node has seen.
     pub demand: DemandState,
     leader_state: LeaderState,
 }
 
-/// What the leader of the fleet knows of all models.
+/// What the leader knows of all models.
 #[derive(Default)]
 struct LeaderState {
-    /// The term that it is of.
+    /// The term of leadership that this belongs to.
     term: u64,
     read: ReadState,
     cursor: PageCursor,
-    records: HashMap<String, Known>,
-    /// Models to be looked at: those that are not asleep, and those that changed.
-    due: BTreeSet<String>,
+    records: HashMap<String, VersionedRecord>,
+    /// Models to be checked: those that are not asleep, and those that have changed.
+    to_check: BTreeSet<String>,
     checked_at: u64,
-    /// Transactions that are out, by model.
+    /// Transactions without a known outcome, by model.
     writes: HashMap<String, RecordWrite>,
-    /// Machines that are kept for a model, until when.
+    /// Machines that are retained for a model, and until when.
     retained_machines: BTreeMap<String, (u64, Vec<String>)>,
     revision: u64,
     watching: bool,
-    watch_at: u64,
-    /// Models whose record goes, their jobs being over.
-    ended: BTreeSet<String>,
+    next_watch_at: u64,
+    /// Models whose jobs are over, so that their records have to be removed.
+    ended_models: BTreeSet<String>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 enum ReadState {
     #[default]
-    Not,
-    Asked,
-    All,
+    NotRead,
+    InProgress,
+    Complete,
 }
 
 impl Models {
@@ -139,9 +140,9 @@
         self.spec.is_some()
     }
 
-    /// What the leader of the fleet knows of a model, if it has read all.
-    pub fn known(&self, model: &str) -> Option<Known> {
-        (self.leader_state.read == ReadState::All).then(|| {
+    /// The leader's copy of a model's record; `None` until all records were read.
+    pub fn known(&self, model: &str) -> Option<VersionedRecord> {
+        (self.leader_state.read == ReadState::Complete).then(|| {
             self.leader_state
                 .records
                 .get(model)
@@ -150,13 +151,13 @@
         })
     }
 
-    fn is_due(&mut self, model: &str) {
-        self.leader_state.due.insert(model.to_owned());
+    fn mark_for_check(&mut self, model: &str) {
+        self.leader_state.to_check.insert(model.to_owned());
     }
 }
 
 impl Node {
-    /// Another document is in force, or none any more.
+    /// Applies the document in force, if it has changed.
     fn models_in_force(&mut self) {
         let spec = self
             .shared
@@ -164,13 +165,13 @@
             .models
             .active
             .as_ref()
-            .map(|g| g.built.clone());
+            .map(|active| active.built.clone());
         let spec = spec.filter(|s| !s.rules.is_empty());
-        let same = match (&self.models.spec, &spec) {
+        let is_unchanged = match (&self.models.spec, &spec) {
             (Some(old), Some(new)) => Arc::ptr_eq(old, new),
             (old, new) => old.is_none() && new.is_none(),
         };
-        if same {
+        if is_unchanged {
             return;
         }
         self.models.spec = spec;
@@ -181,7 +182,7 @@
         self.bind_models();
     }
 
-    /// Which jobs are models, after all of them or the document may have changed.
+    /// Determines again which jobs are models, after the document or the set of jobs may have changed.
     fn bind_models(&mut self) {
         let Some(shard) = &self.shard else { return };
         let all: Vec<JobIndex> = (0..shard.jobs.slots())
@@ -192,14 +193,16 @@
         }
         let Some(shard) = &self.shard else { return };
         let leader_state = &mut self.models.leader_state;
-        let gone = leader_state
+        let without_job = leader_state
             .records
             .keys()
-            .filter(|m| !shard.jobs.contains(m));
-        leader_state.ended.extend(gone.cloned().collect::<Vec<_>>());
+            .filter(|model| !shard.jobs.contains(model));
+        leader_state
+            .ended_models
+            .extend(without_job.cloned().collect::<Vec<_>>());
     }
 
-    /// A job has come to the leader's memory, or may have become a model.
+    /// Determines whether a job is a model, after the job was loaded or accepted or the rules have changed.
     pub(crate) fn bind_model(&mut self, ix: JobIndex) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
@@ -218,18 +221,18 @@
         let known = self.models.known(&id);
         let replicas = known
             .as_ref()
-            .map_or(0, |k| k.record.replicas(&rule, job.tasks));
+            .map_or(0, |known| known.record.replicas(&rule, job.tasks));
         set_replicas(shard, ix, replicas);
         if let Some(known) = known {
-            self.models.is_due(&id);
+            self.models.mark_for_check(&id);
             self.restore_weights(ix, &known.record);
             self.retain_machines(&id, &rule, &known.record);
         }
     }
 
-    /// Something about a job has changed; it matters here only if that is a model.
+    /// Handles a change of a job, if the job is a model.
     pub(crate) fn model_changed(&mut self, ix: JobIndex) {
-        let Some(job) = self.shard.as_ref().and_then(|p| p.job(ix)) else {
+        let Some(job) = self.shard.as_ref().and_then(|shard| shard.job(ix)) else {
             return;
         };
         if job.replicas.is_none() {
@@ -237,15 +240,18 @@
         }
         let id = job.id.clone();
         if matches!(job.ending, Ending::Recorded(_)) {
-            self.models.leader_state.ended.insert(id);
+            self.models.leader_state.ended_models.insert(id);
         } else {
-            self.models.is_due(&id);
+            self.models.mark_for_check(&id);
         }
     }
 }
 
 fn set_replicas(shard: &mut Shard, ix: JobIndex, replicas: u32) {
-    if shard.job(ix).is_some_and(|j| j.replicas != Some(replicas)) {
+    if shard
+        .job(ix)
+        .is_some_and(|job| job.replicas != Some(replicas))
+    {
         if let Some(job) = shard.job_mut(ix) {
             job.replicas = Some(replicas);
         }
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -1,7 +1,7 @@
-//! The leader's transactions for models' records: each under guards, and sent again until its outcome is known.
+//! The leader's guarded transactions for models' records, which are retried until their outcome is known.
 
 use crate::leadership::election::SHARD;
-use crate::models::Known;
+use crate::models::VersionedRecord;
 use crate::state_requests::encode_transaction;
 use crate::{Node, Pending};
 use model::Rec;
@@ -11,10 +11,10 @@
 use wire::records::{self, Record};
 
 const TIMEOUT_MS: u64 = 1500;
-/// A transaction is sent again after this long.
+/// Delay before a transaction is sent again.
 const RETRY_MS: Range<u64> = 100..400;
 
-/// A transaction of the leader's: what it writes, or that it takes the record away; and when it is sent again.
+/// A transaction of the leader: the record that it writes (`None` if it removes the record), and when it is sent again.
 pub(super) struct RecordWrite {
     record: Option<Rec>,
     body: Vec<u8>,
@@ -24,7 +24,7 @@
 
 enum WriteStep {
     Transaction,
-    /// A try was not answered: what stands there has to be read before anything else is written.
+    /// The transaction failed or was not answered: the record has to be read before anything else is written.
     ReadBack,
 }
 
@@ -44,14 +44,14 @@
 }
 
 impl Node {
-    /// One transaction of the leader's about a model: under the guard of its own record, of the model's record as it was
-    /// known, and of the job, which must not have ended.
+    /// Starts a transaction for a model's record. Its guards are the leader's record, the known version of the model's
+    /// record, and the version of the job's record if one is given (0: the job must not exist).
     pub(super) fn write_record(
         &mut self,
         model: &str,
         record: Option<Rec>,
         stamp: u64,
-        job: Option<u64>,
+        job_version: Option<u64>,
     ) {
         let Some(shard) = &self.shard else { return };
         let key = records::model_key(model);
@@ -65,7 +65,7 @@
                 version: stamp,
             },
         ];
-        conditions.extend(job.map(|version| Condition {
+        conditions.extend(job_version.map(|version| Condition {
             key: records::live_key(model),
             version,
         }));
@@ -87,7 +87,7 @@
         self.send_record_write(model);
     }
 
-    /// Sends a transaction, or the read that tells the outcome of one, if the rate budgets have room.
+    /// Sends a transaction, or the read that determines its outcome, if the rate budgets have room.
     pub(super) fn send_record_write(&mut self, model: &str) {
         let now = self.now.mono;
         if self.requests.level(now) < 1.0 || self.writes.level(now) < 1.0 {
@@ -98,37 +98,37 @@
             return;
         };
         write.state = SendState::InFlight;
-        let what = Pending::ModelWrite {
+        let pending = Pending::ModelWrite {
             term,
             model: model.to_owned(),
         };
         if let WriteStep::ReadBack = write.step {
             let path = format!("/keys/{}", records::model_key(model));
-            return self.get_state(path, TIMEOUT_MS, what);
+            return self.get_state(path, TIMEOUT_MS, pending);
         }
         let body = write.body.clone();
         self.writes.take(now, 1.0);
-        self.post_transaction(body, TIMEOUT_MS, what);
+        self.post_transaction(body, TIMEOUT_MS, pending);
     }
 
-    /// The end of a transaction, or of the read that follows one whose end is not known.
+    /// Handles the answer to a transaction, or to the read that determines its outcome.
     pub(crate) fn model_written(&mut self, model: String, response: Option<Response>) {
         let now = self.now.mono;
-        let wait = self.rng.u64(RETRY_MS);
+        let delay_ms = self.rng.u64(RETRY_MS);
         let Some(write) = self.models.leader_state.writes.get_mut(&model) else {
             return;
         };
-        write.state = SendState::Due { at: now + wait };
-        let is_understood = match write.step {
+        write.state = SendState::Due { at: now + delay_ms };
+        let is_decoded = match write.step {
             WriteStep::Transaction => self.transaction_answered(&model, response),
             WriteStep::ReadBack => self.record_read_back(&model, response),
         };
-        if is_understood {
-            self.models.is_due(&model);
+        if is_decoded {
+            self.models.mark_for_check(&model);
         }
     }
 
-    /// False if the transaction was made, but its answer can't be read.
+    /// Returns false if the transaction was made but its answer can't be decoded.
     fn transaction_answered(&mut self, model: &str, response: Option<Response>) -> bool {
         let status = response.as_ref().map(|response| response.status);
         let Some(write) = self.models.leader_state.writes.get_mut(model) else {
@@ -137,7 +137,7 @@
         match status {
             Some(200) => {}
             Some(429 | 503) => return true,
-            // Another node has written it meanwhile, or the job has ended: what stands there is read.
+            // Another node has written the record or the job has ended, or nothing is known: the record is read.
             _ => {
                 write.step = WriteStep::ReadBack;
                 return true;
@@ -160,10 +160,10 @@
     fn record_written(&mut self, model: &str, record: Rec, stamp: u64) {
         let (phase, generation) = (record.phase, record.generation);
         log::info!("model {model}: {phase:?}, generation {generation}");
-        self.record_observed(model, Known { record, stamp });
+        self.record_observed(model, VersionedRecord { record, stamp });
     }
 
-    /// What stands where the outcome of a transaction was not known; false if the answer can't be read.
+    /// Handles the record that was read to learn the outcome of a transaction; false if it can't be decoded.
     fn record_read_back(&mut self, model: &str, response: Option<Response>) -> bool {
         match response.as_ref().map(|response| response.status) {
             Some(200) => {}
@@ -177,7 +177,7 @@
         let item = response.and_then(|r| wire::decode::<Item<Rec>>(&r.body).ok());
         let Some(item) = item else { return false };
         self.models.leader_state.writes.remove(model);
-        let known = Known {
+        let known = VersionedRecord {
             record: item.value,
             stamp: item.version,
         };
@@ -191,31 +191,32 @@
         self.models.demand.forget(model);
     }
 
-    /// Records of jobs that are over go, one at a time.
+    /// Removes the record of one model whose job is over.
     pub(super) fn remove_ended_record(&mut self) {
         let Some(shard) = &self.shard else { return };
         let leader_state = &mut self.models.leader_state;
-        let Some(model) = leader_state.ended.pop_first() else {
+        let Some(model) = leader_state.ended_models.pop_first() else {
             return;
         };
-        let open = shard
+        let is_live = shard
             .jobs
             .index_of(&model)
             .and_then(|ix| shard.job(ix))
-            .is_some_and(|j| !j.is_over());
+            .is_some_and(|job| !job.is_over());
         let Some(stamp) = leader_state
             .records
             .get(&model)
-            .map(|k| k.stamp)
-            .filter(|_| !open)
+            .map(|known| known.stamp)
+            .filter(|_| !is_live)
         else {
             return;
         };
         if leader_state.writes.contains_key(&model) {
-            leader_state.ended.insert(model);
+            leader_state.ended_models.insert(model);
             return;
         }
-        // Only of a job that is over: one that was accepted a moment ago may be unknown here.
+        // The guard requires that the job has no record: this node may not know yet of a job that was accepted a moment
+        // ago.
         self.write_record(&model, None, stamp, Some(0));
     }
 }
