--- a/crates/plan/src/promises.rs
+++ b/crates/plan/src/advance_reservations.rs
@@ -7,22 +7,22 @@
 use crate::failed_searches::Search;
 use crate::job_kind::JobKind;
 use crate::state::PlanState;
-use crate::timeline::{Opening, RoomsToCome};
+use crate::timeline::{FutureCapacity, Release};
 use crate::{Job, Resources, Secs, count_in};
 
 /// More places on one machine are not counted.
-const MOST_PLACES: u32 = 100_000;
+const MAX_TASKS_PER_MACHINE: u32 = 100_000;
 
 /// The first time at which a gang has all its places, and in which list.
 #[derive(Clone, Copy)]
-struct First {
+struct EarliestStart {
     at: Secs,
     list: usize,
 }
 
 impl PlanState<'_> {
     /// What is free on a machine at a time, without what is promised from no later than `until`.
-    pub(crate) fn room_at(&self, m: usize, at: Secs, until: Secs) -> Resources {
+    pub(crate) fn free_at(&self, m: usize, at: Secs, until: Secs) -> Resources {
         let mut room = self.free[m];
         let running = self.input.machines[m]
             .running
@@ -36,7 +36,7 @@
             room.add(need, 1.0);
         }
         for (_, need, _) in self.timelines[m]
-            .promised
+            .reserved
             .iter()
             .filter(|(from, _, _)| *from <= until)
         {
@@ -48,37 +48,37 @@
     /// How many tasks of a job, at most `cap`, a machine takes now without breaking a promise.
     pub(crate) fn free_places(&self, job: &Job, m: usize, cap: u32) -> u32 {
         let mut n = self.free[m].count(&job.need, cap.min(self.slots[m]));
-        let ends = self.length(job, m);
-        for (from, _, tenant) in &self.timelines[m].promised {
+        let ends = self.expected_end(job, m);
+        for (from, _, tenant) in &self.timelines[m].reserved {
             if n == 0 {
                 break;
             }
             if *from < ends && tenant.conflicts_with(&job.tenant) {
                 n = 0;
             } else if *from < ends {
-                n = self.room_at(m, *from, *from).count(&job.need, n);
+                n = self.free_at(m, *from, *from).count(&job.need, n);
             }
         }
         n
     }
 
     /// The same where it is not known how long they would stay.
-    pub(crate) fn unpromised_places(&self, job: &Job, m: usize) -> u32 {
-        if self.is_promised_to_others(job, m) {
+    pub(crate) fn unreserved_places(&self, job: &Job, m: usize) -> u32 {
+        if self.is_reserved_for_conflicting_tenant(job, m) {
             return 0;
         }
-        self.room_at(m, 0.0, f64::INFINITY)
+        self.free_at(m, 0.0, f64::INFINITY)
             .count(&job.need, self.slots[m])
     }
 
     /// Until when a task that starts on this machine now is expected to stay.
-    fn length(&self, job: &Job, m: usize) -> Secs {
+    fn expected_end(&self, job: &Job, m: usize) -> Secs {
         self.fetch(job, m) + job.estimate
     }
 
     /// Notes that tasks start on a machine.
     pub(crate) fn note_start(&mut self, job: &Job, m: usize, n: u32) {
-        let end = self.length(job, m);
+        let end = self.expected_end(job, m);
         self.timelines[m]
             .ends
             .push((end, job.need.times(n), job.tenant));
@@ -86,7 +86,7 @@
 
     /// Plans a gang for later: in the room that others must give back to its team's guarantee, or in the first that
     /// falls free by itself.
-    pub(crate) fn wait_for_room(&mut self, i: usize, want: u32) {
+    pub(crate) fn plan_later_start(&mut self, i: usize, want: u32) {
         let job = &self.input.jobs[i];
         if !self.is_linear_search() && self.failed_searches.is_hopeless(job, Search::Promise, want)
         {
@@ -95,44 +95,49 @@
             }
             return;
         }
-        let rooms = self.rooms_to_come(job);
-        let first = self.earliest(i, want, &rooms);
+        let capacity = self.future_capacity(job);
+        let first = self.earliest_start(i, want, &capacity);
         if first.is_none() {
             self.failed_searches.add(job, Search::Promise, want - 1);
         }
         let soon = first.is_some_and(|first| first.at <= self.input.patience);
         let is_made = job.promised && !soon && self.preempt_for_quota(i, want);
         if let Some(first) = first.filter(|_| !is_made) {
-            self.promise(i, want, &rooms, first);
+            self.reserve_places(i, want, &capacity, first);
         }
-        self.remember(job, rooms);
+        self.cache_future_capacity(job, capacity);
     }
 
     /// Promises a job its first places that fall free by themselves.
-    pub(crate) fn promise_first(&mut self, i: usize, want: u32) {
+    pub(crate) fn reserve_earliest(&mut self, i: usize, want: u32) {
         let job = &self.input.jobs[i];
-        let rooms = self.rooms_to_come(job);
-        if let Some(first) = self.earliest(i, want, &rooms) {
-            self.promise(i, want, &rooms, first);
+        let capacity = self.future_capacity(job);
+        if let Some(first) = self.earliest_start(i, want, &capacity) {
+            self.reserve_places(i, want, &capacity, first);
         }
-        self.remember(job, rooms);
+        self.cache_future_capacity(job, capacity);
     }
 
     /// When, and in which list of places, a gang can first have all its places.
-    fn earliest(&mut self, i: usize, want: u32, rooms: &RoomsToCome) -> Option<First> {
-        let mut best: Option<First> = None;
-        for (number, list) in rooms.lists.iter().enumerate() {
+    fn earliest_start(
+        &mut self,
+        i: usize,
+        want: u32,
+        capacity: &FutureCapacity,
+    ) -> Option<EarliestStart> {
+        let mut best: Option<EarliestStart> = None;
+        for (number, list) in capacity.lists.iter().enumerate() {
             let mut left = want;
             let mut taken: Vec<(u16, u32)> = Vec::new();
-            for opening in list.openings() {
+            for release in list.releases() {
                 self.output.steps += 1;
-                if best.as_ref().is_some_and(|best| opening.at >= best.at) {
+                if best.as_ref().is_some_and(|best| release.at >= best.at) {
                     break;
                 }
-                left -= self.usable_part(i, &opening, &mut taken).min(left);
+                left -= self.usable_count(i, &release, &mut taken).min(left);
                 if left == 0 {
-                    best = Some(First {
-                        at: opening.at,
+                    best = Some(EarliestStart {
+                        at: release.at,
                         list: number,
                     });
                     break;
@@ -143,20 +148,26 @@
     }
 
     /// Promises a gang its places from a time on.
-    fn promise(&mut self, i: usize, want: u32, rooms: &RoomsToCome, first: First) {
+    fn reserve_places(
+        &mut self,
+        i: usize,
+        want: u32,
+        capacity: &FutureCapacity,
+        first: EarliestStart,
+    ) {
         let job = &self.input.jobs[i];
         // Of all that is free by then, the places that suit it best; if it is old, the first, so that what is
         // free already stays its own however wrong the rest was expected.
         let is_old = self.is_old(job);
-        let rank = |o: &Opening| {
+        let rank = |o: &Release| {
             if is_old {
                 o.at
             } else {
                 self.score(job, o.machine)
             }
         };
-        let openings = rooms.lists[first.list].openings();
-        let mut chosen: Vec<(Secs, Opening)> = openings
+        let releases = capacity.lists[first.list].releases();
+        let mut chosen: Vec<(Secs, Release)> = releases
             .take_while(|o| o.at <= first.at)
             .map(|o| (rank(&o), o))
             .collect();
@@ -164,12 +175,12 @@
         chosen.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.machine.cmp(&b.1.machine)));
         let mut left = want;
         let mut taken: Vec<(u16, u32)> = Vec::new();
-        for (_, opening) in chosen {
-            let n = self.usable_part(i, &opening, &mut taken).min(left);
+        for (_, release) in chosen {
+            let n = self.usable_count(i, &release, &mut taken).min(left);
             if n == 0 {
                 continue;
             }
-            self.hold(job, opening.machine, n, first.at);
+            self.reserve_from(job, release.machine, n, first.at);
             left -= n;
             if left == 0 {
                 break;
@@ -178,77 +189,80 @@
     }
 
     /// Keeps room on a machine for tasks of a job from a time on.
-    pub(crate) fn hold(&mut self, job: &Job, m: usize, n: u32, at: Secs) {
+    pub(crate) fn reserve_from(&mut self, job: &Job, m: usize, n: u32, at: Secs) {
         self.timelines[m]
-            .promised
+            .reserved
             .push((at, job.need.times(n), job.tenant));
-        self.changed.push(m as u32);
+        self.changed_machines.push(m as u32);
         self.output.kept.push(m as u32);
     }
 
     /// How much of an opening the gang may use, given what it takes elsewhere.
-    fn usable_part(&self, i: usize, opening: &Opening, taken: &mut Vec<(u16, u32)>) -> u32 {
-        let zone = self.input.machines[opening.machine].zone;
+    fn usable_count(&self, i: usize, release: &Release, taken: &mut Vec<(u16, u32)>) -> u32 {
+        let zone = self.input.machines[release.machine].zone;
         let there = count_in(taken, zone);
         let room = self.zone_room(i, zone).saturating_sub(*there);
-        let n = opening.count.min(room);
+        let n = release.count.min(room);
         *there += n;
         n
     }
 
     /// All places that a job's tasks could have, now or later. What was found for a job alike is brought up to date
     /// where room has changed since.
-    fn rooms_to_come(&mut self, job: &Job) -> RoomsToCome {
+    fn future_capacity(&mut self, job: &Job) -> FutureCapacity {
         let known = if can_share(job) && !self.is_linear_search() {
-            self.rooms_to_come.remove(&JobKind::of(job))
+            self.future_capacity.remove(&JobKind::of(job))
         } else {
             None
         };
-        let since = known.as_ref().map(|rooms| rooms.seen);
-        let mut rooms = known.unwrap_or_else(|| {
+        let since = known.as_ref().map(|capacity| capacity.changes_seen);
+        let mut capacity = known.unwrap_or_else(|| {
             let zones = self.zones_for(job);
-            RoomsToCome::new(&zones)
+            FutureCapacity::new(&zones)
         });
         let mut stale: Vec<usize> = match since {
-            Some(seen) => self.changed[seen..].iter().map(|m| *m as usize).collect(),
+            Some(seen) => self.changed_machines[seen..]
+                .iter()
+                .map(|m| *m as usize)
+                .collect(),
             None => (0..self.input.machines.len()).collect(),
         };
         stale.sort_unstable();
         stale.dedup();
         for m in stale {
-            self.update_openings(job, &mut rooms, m);
+            self.update_releases(job, &mut capacity, m);
         }
-        rooms.seen = self.changed.len();
-        rooms
+        capacity.changes_seen = self.changed_machines.len();
+        capacity
     }
 
-    fn remember(&mut self, job: &Job, rooms: RoomsToCome) {
+    fn cache_future_capacity(&mut self, job: &Job, capacity: FutureCapacity) {
         if can_share(job) && !self.is_linear_search() {
-            self.rooms_to_come.insert(JobKind::of(job), rooms);
+            self.future_capacity.insert(JobKind::of(job), capacity);
         }
     }
 
     /// Finds out anew what falls free on a machine.
-    fn update_openings(&mut self, job: &Job, rooms: &mut RoomsToCome, m: usize) {
+    fn update_releases(&mut self, job: &Job, capacity: &mut FutureCapacity, m: usize) {
         self.output.steps += 1;
         let zone = self.input.machines[m].zone;
-        let Some(list) = rooms
+        let Some(list) = capacity
             .lists
             .iter_mut()
             .find(|l| l.zone.is_none_or(|z| z == zone))
         else {
             return;
         };
-        list.forget(m);
+        list.remove_machine(m);
         let machine = &self.input.machines[m];
         let from = if machine.usable { 0.0 } else { machine.ready };
         if !from.is_finite() || !self.suits(job, m) || self.reserved_until[m].is_some() {
             return;
         }
-        if self.is_promised_to_others(job, m) {
+        if self.is_reserved_for_conflicting_tenant(job, m) {
             return;
         }
-        let from = from.max(self.free_of_others(job, m));
+        let from = from.max(self.free_of_conflicts_at(job, m));
         let running = machine.running.iter().map(|r| r.ends);
         let started = self.timelines[m].ends.iter().map(|e| e.0);
         let mut times: Vec<Secs> = running
@@ -260,8 +274,8 @@
         self.output.steps += times.len() as u64;
         let mut before = 0;
         for at in times {
-            let room = self.room_at(m, at, f64::INFINITY);
-            let n = room.count(&job.need, MOST_PLACES);
+            let room = self.free_at(m, at, f64::INFINITY);
+            let n = room.count(&job.need, MAX_TASKS_PER_MACHINE);
             if n > before {
                 list.add(at, m, n - before);
                 before = n;
--- a/crates/plan/src/anti_affinity.rs
+++ b/crates/plan/src/anti_affinity.rs
@@ -7,7 +7,7 @@
 
 impl PlanState<'_> {
     /// When the last work that a job may not share this machine with is expected to end.
-    pub(crate) fn free_of_others(&self, job: &Job, m: usize) -> Secs {
+    pub(crate) fn free_of_conflicts_at(&self, job: &Job, m: usize) -> Secs {
         if self.tenants[m].admits(&job.tenant) {
             return 0.0;
         }
@@ -26,16 +26,16 @@
     }
 
     /// Whether a promise on this machine is to a job that this one may not share it with.
-    pub(crate) fn is_promised_to_others(&self, job: &Job, m: usize) -> bool {
+    pub(crate) fn is_reserved_for_conflicting_tenant(&self, job: &Job, m: usize) -> bool {
         self.timelines[m]
-            .promised
+            .reserved
             .iter()
             .any(|(_, _, tenant)| tenant.conflicts_with(&job.tenant))
     }
 
     /// Promises one place to a job none of whose tasks runs or finds a machine free of others' work: the first that
     /// will be. One for each county and plan, so that what is kept free for them is bounded.
-    pub(crate) fn wait_for_others(&mut self, i: usize) {
+    pub(crate) fn reserve_machine_for_tenant(&mut self, i: usize) {
         let job = &self.input.jobs[i];
         if !self.has_isolated_tenants
             || job.zones.iter().any(|(_, n)| *n > 0)
@@ -46,8 +46,8 @@
         self.output.steps += self.input.machines.len() as u64;
         let barred = |m: usize| self.suits(job, m) && !self.tenants[m].admits(&job.tenant);
         let any = (0..self.input.machines.len()).any(barred);
-        if any && self.tenants_promised.insert(job.tenant.county) {
-            self.promise_first(i, 1);
+        if any && self.tenants_with_reservation.insert(job.tenant.county) {
+            self.reserve_earliest(i, 1);
         }
     }
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -3,6 +3,7 @@
 
 #![warn(missing_docs)]
 
+mod advance_reservations;
 mod anti_affinity;
 mod candidates;
 mod clearing;
@@ -16,7 +17,6 @@
 mod placement;
 mod planner;
 mod priority_preemption;
-mod promises;
 mod quota_preemption;
 mod reservations;
 mod resources;
--- a/crates/plan/src/placement.rs
+++ b/crates/plan/src/placement.rs
@@ -116,7 +116,7 @@
             self.images[m].push(job.image);
         }
         self.index(m);
-        self.changed.push(m as u32);
+        self.changed_machines.push(m as u32);
         self.output.starts.push(Start {
             job: i as u32,
             machine: m as u32,
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -42,7 +42,7 @@
             }
             left[i] -= self.start_tasks(i, left[i], false);
             if left[i] > 0 {
-                self.wait_for_others(i);
+                self.reserve_machine_for_tenant(i);
             }
         }
     }
@@ -159,7 +159,7 @@
         let started = self.start_tasks(i, width.min(left[i]), true);
         left[i] -= started;
         if started == 0 && left[i] > 0 {
-            self.wait_for_others(i);
+            self.reserve_machine_for_tenant(i);
         }
         if job.priority >= URGENT && left[i] > 0 && !self.is_past_soft_limit() {
             self.make_room_for_tasks(i, left);
@@ -221,7 +221,7 @@
         if self.start_gang(i, want) {
             left[i] = 0;
         } else if !self.is_past_soft_limit() && !self.gather_room(i, want) {
-            self.wait_for_room(i, want);
+            self.plan_later_start(i, want);
         }
     }
 }
--- a/crates/plan/src/priority_preemption.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -62,7 +62,7 @@
         for option in chosen {
             let m = option.machine;
             self.reserved_until[m] = Some(option.at);
-            self.changed.push(m as u32);
+            self.changed_machines.push(m as u32);
             self.output.kept.push(m as u32);
             let stops = option.stops.iter().map(|t| Preempt {
                 machine: m as u32,
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -81,7 +81,7 @@
         for (m, n) in best.places {
             let n = n.min(left);
             if n > 0 {
-                self.hold(job, m, n, LEAVING);
+                self.reserve_from(job, m, n, LEAVING);
                 left -= n;
             }
         }
@@ -126,11 +126,13 @@
                 continue;
             }
             // Room where the job may have no more tasks would be made in vain, and held.
-            if self.is_promised_to_others(job, m) || self.zone_room(i, machine.zone) == 0 {
+            if self.is_reserved_for_conflicting_tenant(job, m)
+                || self.zone_room(i, machine.zone) == 0
+            {
                 continue;
             }
             self.output.steps += 1 + machine.running.len() as u64;
-            let mut room = self.room_at(m, 0.0, f64::INFINITY);
+            let mut room = self.free_at(m, 0.0, f64::INFINITY);
             for task in machine.running.iter().filter(|task| task.leaving) {
                 room.add(&task.need, 1.0);
             }
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -64,7 +64,7 @@
         let has_room = |m: &usize| {
             self.allowed(job, *m)
                 && self.reserved_until[*m].is_none()
-                && self.unpromised_places(job, *m) > 0
+                && self.unreserved_places(job, *m) > 0
         };
         let mut order: Vec<(f64, usize)> = (0..input.machines.len())
             .filter(has_room)
@@ -77,9 +77,9 @@
 
     fn reserve_on(&mut self, job: &Job, m: usize) -> u32 {
         self.reserved_until[m] = Some(0.0);
-        self.changed.push(m as u32);
+        self.changed_machines.push(m as u32);
         self.output.kept.push(m as u32);
-        self.unpromised_places(job, m)
+        self.unreserved_places(job, m)
     }
 
     /// An array that has waited for long and has no task on any machine.
--- a/crates/plan/src/state.rs
+++ b/crates/plan/src/state.rs
@@ -7,7 +7,7 @@
 use crate::failed_searches::FailedSearches;
 use crate::job_kind::JobKind;
 use crate::tenant::Tenants;
-use crate::timeline::{RoomsToCome, Timeline};
+use crate::timeline::{FutureCapacity, Timeline};
 use crate::{Group, Input, Job, Machine, Output, Resources, Search, Secs, Team};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -32,15 +32,15 @@
     /// Machines of each zone.
     pub machines_by_zone: BTreeMap<u16, Vec<usize>>,
     /// Machines whose room has changed, in order, once for each change.
-    pub changed: Vec<u32>,
+    pub changed_machines: Vec<u32>,
     /// Room to come for jobs of a kind, once it was asked for.
-    pub rooms_to_come: HashMap<JobKind, RoomsToCome>,
+    pub future_capacity: HashMap<JobKind, FutureCapacity>,
     /// Of each machine, whose work is on it.
     pub tenants: Vec<Tenants>,
     /// Some work shares no machine with that of others.
     pub has_isolated_tenants: bool,
     /// Tenants that were promised a machine free of others' work.
-    pub tenants_promised: BTreeSet<u16>,
+    pub tenants_with_reservation: BTreeSet<u16>,
     /// The highest urgency that waits.
     pub most_urgent: u8,
     /// Teams with what they use after this plan's starts.
@@ -79,14 +79,14 @@
             candidates: Candidates::new(machines, input.jobs.iter().map(|j| j.image)),
             failed_searches: FailedSearches::default(),
             machines_by_zone,
-            changed: Vec::new(),
-            rooms_to_come: HashMap::new(),
+            changed_machines: Vec::new(),
+            future_capacity: HashMap::new(),
             tenants: machines
                 .iter()
                 .map(|m| Tenants::of(m.running.iter().map(|r| &r.tenant)))
                 .collect(),
             has_isolated_tenants: tenants.any(|t| t.alone),
-            tenants_promised: BTreeSet::new(),
+            tenants_with_reservation: BTreeSet::new(),
             teams: input.teams.clone(),
             groups: input.groups.clone(),
             tasks_by_zone: input.jobs.iter().map(|j| j.zones.clone()).collect(),
