--- a/crates/plan/src/gang.rs
+++ b/crates/plan/src/gang.rs
@@ -7,7 +7,7 @@
 use crate::{EPS, Secs, count_in};
 
 /// How long it takes until a stopped task has gone and the next plan is made.
-const CLEARING: Secs = 3.0;
+const PREEMPTION_DELAY: Secs = 3.0;
 
 /// Machines for all tasks of a gang, with how many each takes.
 struct Places {
@@ -39,7 +39,7 @@
             self.failed_searches.add(job, Search::Gang, most);
             return false;
         };
-        if self.is_clearing_better(i, want, &best.chosen) {
+        if self.is_preemption_better(i, want, &best.chosen) {
             return false;
         }
         for (m, n) in best.chosen {
@@ -85,7 +85,7 @@
 
     /// A long fetch leaves the room idle and the user waiting. Where the image is already, young tasks of lower urgency
     /// may be the smaller loss.
-    fn is_clearing_better(&mut self, i: usize, want: u32, chosen: &[(usize, u32)]) -> bool {
+    fn is_preemption_better(&mut self, i: usize, want: u32, chosen: &[(usize, u32)]) -> bool {
         let job = &self.input.jobs[i];
         let share = |m: usize| self.input.machines[m].total.share(&job.need);
         let idle = |(m, n): &(usize, u32)| self.fetch(job, *m) * share(*m) * f64::from(*n);
@@ -93,8 +93,8 @@
         if idle <= EPS || self.is_past_soft_limit() {
             return false;
         }
-        let wait = share(chosen[0].0) * f64::from(want) * CLEARING;
-        self.cheapest(i, want)
+        let wait = share(chosen[0].0) * f64::from(want) * PREEMPTION_DELAY;
+        self.cheapest_preemption(i, want)
             .is_some_and(|(cost, _)| cost + wait < idle)
     }
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -6,7 +6,6 @@
 mod advance_reservations;
 mod anti_affinity;
 mod candidates;
-mod clearing;
 mod failed_searches;
 mod gang;
 mod independent_tasks;
@@ -16,6 +15,7 @@
 mod output;
 mod placement;
 mod planner;
+mod preemption_options;
 mod priority_preemption;
 mod quota_preemption;
 mod reservations;
--- a/crates/plan/src/limit_enforcement.rs
+++ b/crates/plan/src/limit_enforcement.rs
@@ -6,32 +6,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What stops together: one task, or a whole gang.
-struct Excess {
+struct PreemptionUnit {
     /// Services last, since they would only start again elsewhere; then the least held, the least urgent.
     rank: (bool, u8, u8),
     lost: Secs,
     gang: Option<u32>,
     tasks: Vec<(usize, usize)>,
-    takes: Resources,
+    freed: Resources,
 }
 
-impl Excess {
+impl PreemptionUnit {
     /// Nothing yet of what stops with this task.
     fn new(task: &Running) -> Self {
         let is_service = !task.stoppable && task.gang.is_none();
-        Excess {
+        PreemptionUnit {
             rank: (is_service, task.held, task.priority),
             lost: 0.0,
             gang: task.gang,
             tasks: Vec::new(),
-            takes: Resources::default(),
+            freed: Resources::default(),
         }
     }
 
     fn add(&mut self, machine: usize, index: usize, task: &Running) {
         self.lost += task.lost;
         self.tasks.push((machine, index));
-        self.takes.add(&task.need, 1.0);
+        self.freed.add(&task.need, 1.0);
     }
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    fn below(&self, r: &Running, group: u16) -> bool {
+    fn is_below(&self, r: &Running, group: u16) -> bool {
         self.input
             .teams
             .get(usize::from(r.team))
@@ -70,26 +70,26 @@
         let mut candidates = self.preemptible_below(group, &mut used);
         candidates.sort_by(|a, b| a.rank.cmp(&b.rank).then(a.lost.total_cmp(&b.lost)));
         for candidate in candidates {
-            if helps(&bound.max, &used, &candidate.takes) {
-                used.add(&candidate.takes, -1.0);
-                self.preempt_excess(&candidate);
+            if reduces_excess(&bound.max, &used, &candidate.freed) {
+                used.add(&candidate.freed, -1.0);
+                self.preempt_unit(&candidate);
             }
         }
     }
 
     /// All below a group that may be stopped. What is on its way out already, or stopped by this plan, is taken off
     /// the use instead.
-    fn preemptible_below(&mut self, group: u16, used: &mut Resources) -> Vec<Excess> {
+    fn preemptible_below(&mut self, group: u16, used: &mut Resources) -> Vec<PreemptionUnit> {
         let input = self.input;
-        let mut found: Vec<Excess> = Vec::new();
-        let mut gangs: BTreeMap<u32, Excess> = BTreeMap::new();
+        let mut found: Vec<PreemptionUnit> = Vec::new();
+        let mut gangs: BTreeMap<u32, PreemptionUnit> = BTreeMap::new();
         let preempts = self.output.preempts.iter();
         let preempted: BTreeSet<(u32, u32)> = preempts.map(|p| (p.machine, p.task)).collect();
         let preempted_gangs: BTreeSet<u32> = self.output.preempted_gangs.iter().copied().collect();
         for (m, machine) in input.machines.iter().enumerate() {
             self.output.steps += 1 + machine.running.len() as u64;
             let tasks = machine.running.iter().enumerate();
-            for (k, task) in tasks.filter(|(_, task)| self.below(task, group)) {
+            for (k, task) in tasks.filter(|(_, task)| self.is_below(task, group)) {
                 let is_leaving = task.leaving
                     || task
                         .gang
@@ -102,12 +102,12 @@
                 match task.gang {
                     Some(gang) => gangs
                         .entry(gang)
-                        .or_insert_with(|| Excess::new(task))
+                        .or_insert_with(|| PreemptionUnit::new(task))
                         .add(m, k, task),
                     None => {
-                        let mut alone = Excess::new(task);
-                        alone.add(m, k, task);
-                        found.push(alone);
+                        let mut unit = PreemptionUnit::new(task);
+                        unit.add(m, k, task);
+                        found.push(unit);
                     }
                 }
             }
@@ -116,12 +116,12 @@
         found
     }
 
-    fn preempt_excess(&mut self, excess: &Excess) {
-        if let Some(gang) = excess.gang {
+    fn preempt_unit(&mut self, unit: &PreemptionUnit) {
+        if let Some(gang) = unit.gang {
             self.output.preempted_gangs.push(gang);
             return;
         }
-        let preempts = excess.tasks.iter().map(|(m, k)| Preempt {
+        let preempts = unit.tasks.iter().map(|(m, k)| Preempt {
             machine: *m as u32,
             task: *k as u32,
         });
@@ -130,9 +130,9 @@
 }
 
 /// Whether ending this brings the use nearer to a bound that it is above.
-fn helps(max: &Resources, used: &Resources, takes: &Resources) -> bool {
-    let over = |max: f64, used: f64, takes: f64| used > max + EPS && takes > EPS;
-    over(max.cores, used.cores, takes.cores)
-        || over(max.gpus, used.gpus, takes.gpus)
-        || over(max.mem, used.mem, takes.mem)
+fn reduces_excess(max: &Resources, used: &Resources, freed: &Resources) -> bool {
+    let over = |max: f64, used: f64, freed: f64| used > max + EPS && freed > EPS;
+    over(max.cores, used.cores, freed.cores)
+        || over(max.gpus, used.gpus, freed.gpus)
+        || over(max.mem, used.mem, freed.mem)
 }
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -162,7 +162,7 @@
             self.reserve_machine_for_tenant(i);
         }
         if job.priority >= URGENT && left[i] > 0 && !self.is_past_soft_limit() {
-            self.make_room_for_tasks(i, left);
+            self.start_urgent_tasks(i, left);
         }
         // What a nested guarantee holds is due at once, whatever the width; others give it back.
         let nested = !self.input.groups.is_empty();
@@ -177,11 +177,11 @@
     }
 
     /// Urgent tasks take all room there is, and what is less urgent is stopped for the rest.
-    fn make_room_for_tasks(&mut self, i: usize, left: &mut [u32]) {
+    fn start_urgent_tasks(&mut self, i: usize, left: &mut [u32]) {
         left[i] -= self.start_tasks(i, left[i], true);
         let want = self.allows(&self.input.jobs[i], left[i]);
         if want > 0 {
-            self.clear_for_tasks(i, want);
+            self.preempt_for_tasks(i, want);
         }
     }
 
@@ -220,7 +220,7 @@
         }
         if self.start_gang(i, want) {
             left[i] = 0;
-        } else if !self.is_past_soft_limit() && !self.gather_room(i, want) {
+        } else if !self.is_past_soft_limit() && !self.preempt_for_gang(i, want) {
             self.plan_later_start(i, want);
         }
     }
--- a/crates/plan/src/priority_preemption.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -1,9 +1,9 @@
 //! Preemption by priority: for jobs that find no room, machines that are free soon are held, and tasks of lower priority
 //! are stopped.
 
-use crate::clearing::{Clearing, Clearings, drop_at};
 use crate::failed_searches::Search;
 use crate::job_kind::JobKind;
+use crate::preemption_options::{PreemptionOption, PreemptionOptions, remove_at};
 use crate::state::PlanState;
 use crate::{Job, Preempt, Secs, URGENT, count_in};
 use std::collections::BTreeMap;
@@ -12,16 +12,16 @@
 const URGENT_PATIENCE: Secs = 0.3;
 
 /// Tasks of one urgent array that machines are cleared for in one plan.
-const MOST_CLEARED: u32 = 64;
+const MAX_MACHINES_PER_ARRAY: u32 = 64;
 
 impl PlanState<'_> {
     /// A gang that finds no room has it gathered: the machines that are free for it first are held, and tasks of
     /// lower priority are stopped where waiting would take longer than the patience. False if that does not do.
-    pub(crate) fn gather_room(&mut self, i: usize, want: u32) -> bool {
-        let Some((_, chosen)) = self.cheapest(i, want) else {
+    pub(crate) fn preempt_for_gang(&mut self, i: usize, want: u32) -> bool {
+        let Some((_, chosen)) = self.cheapest_preemption(i, want) else {
             return false;
         };
-        self.clear(chosen);
+        self.reserve_and_preempt(chosen);
         true
     }
 
@@ -35,59 +35,63 @@
     }
 
     /// Makes room for single tasks of an urgent array, a machine for each, as many as there are.
-    pub(crate) fn clear_for_tasks(&mut self, i: usize, want: u32) {
+    pub(crate) fn preempt_for_tasks(&mut self, i: usize, want: u32) {
         let job = &self.input.jobs[i];
         // Machines of several zones are of no use to tasks that share one.
         if job.one_zone && want > 1 {
             return;
         }
-        let want = want.min(MOST_CLEARED);
+        let want = want.min(MAX_MACHINES_PER_ARRAY);
         let key = JobKind::of(job);
-        let known = self.clearable.remove(&key);
-        let mut options = known.unwrap_or_else(|| self.options(job));
+        let known = self.preemption_options.remove(&key);
+        let mut options = known.unwrap_or_else(|| self.find_preemption_options(job));
         let mut left = want;
         for list in &mut options.lists {
             if left == 0 {
                 break;
             }
-            let (_, chosen) = self.cheapest_in(i, left, list, None);
+            let (_, chosen) = self.cheapest_in_list(i, left, list, None);
             left -= chosen.len() as u32;
-            self.clear(chosen);
+            self.reserve_and_preempt(chosen);
         }
-        self.clearable.insert(key, options);
+        self.preemption_options.insert(key, options);
     }
 
     /// Holds machines, and stops what has to go from them.
-    fn clear(&mut self, chosen: Vec<Clearing>) {
+    fn reserve_and_preempt(&mut self, chosen: Vec<PreemptionOption>) {
         for option in chosen {
             let m = option.machine;
             self.reserved_until[m] = Some(option.at);
             self.changed_machines.push(m as u32);
             self.output.kept.push(m as u32);
-            let stops = option.stops.iter().map(|t| Preempt {
+            let victims = option.victims.iter().map(|t| Preempt {
                 machine: m as u32,
                 task: *t as u32,
             });
-            self.output.preempts.extend(stops);
+            self.output.preempts.extend(victims);
         }
     }
 
     /// The machines that can be had for all tasks of a gang at the least loss, and that loss.
-    pub(crate) fn cheapest(&mut self, i: usize, want: u32) -> Option<(f64, Vec<Clearing>)> {
+    pub(crate) fn cheapest_preemption(
+        &mut self,
+        i: usize,
+        want: u32,
+    ) -> Option<(f64, Vec<PreemptionOption>)> {
         let input = self.input;
         let job = &input.jobs[i];
         if !self.is_linear_search() && self.failed_searches.is_hopeless(job, Search::Clear, want) {
             return None;
         }
         let key = JobKind::of(job);
-        let known = self.clearable.remove(&key);
-        let mut options = known.unwrap_or_else(|| self.options(job));
+        let known = self.preemption_options.remove(&key);
+        let mut options = known.unwrap_or_else(|| self.find_preemption_options(job));
         // Per zone where all must be in one; what takes the least of waiting and of lost work is taken.
-        let mut best: Option<(f64, Vec<Clearing>)> = None;
+        let mut best: Option<(f64, Vec<PreemptionOption>)> = None;
         let mut most = 0;
         for list in &mut options.lists {
             let limit = best.as_ref().map(|(cost, _)| *cost);
-            let (cost, chosen) = self.cheapest_in(i, want, list, limit);
+            let (cost, chosen) = self.cheapest_in_list(i, want, list, limit);
             most = most.max(chosen.len() as u32);
             if chosen.len() as u32 == want {
                 best = Some((cost, chosen));
@@ -96,19 +100,19 @@
         if best.is_none() {
             self.failed_searches.add(job, Search::Clear, most);
         }
-        self.clearable.insert(key, options);
+        self.preemption_options.insert(key, options);
         best
     }
 
     /// The cheapest machines of one list, as many as there are of those wanted, while they cost less than `limit`. Those that are no longer as
     /// they were found are dropped.
-    fn cheapest_in(
+    fn cheapest_in_list(
         &mut self,
         i: usize,
         want: u32,
-        list: &mut Vec<Clearing>,
+        list: &mut Vec<PreemptionOption>,
         limit: Option<f64>,
-    ) -> (f64, Vec<Clearing>) {
+    ) -> (f64, Vec<PreemptionOption>) {
         let mut cost = 0.0;
         let mut chosen = Vec::new();
         let mut taken: Vec<(u16, u32)> = Vec::new();
@@ -135,13 +139,13 @@
                 break;
             }
         }
-        drop_at(list, &stale);
+        remove_at(list, &stale);
         (cost, chosen)
     }
 
     /// Every machine that a task like this could have, the cheapest first: those that are free soon by themselves,
     /// then those where stopping others loses the least.
-    fn options(&mut self, job: &Job) -> Clearings {
+    fn find_preemption_options(&mut self, job: &Job) -> PreemptionOptions {
         let mut options = Vec::new();
         for m in 0..self.input.machines.len() {
             let machine = &self.input.machines[m];
@@ -168,41 +172,41 @@
             }
             if at <= self.patience(job) {
                 let cost = (at + self.fetch(job, m)) * machine.total.share(&job.need);
-                options.push(Clearing {
+                options.push(PreemptionOption {
                     machine: m,
                     at,
                     cost,
-                    stops: Vec::new(),
+                    victims: Vec::new(),
                     free: before,
                 });
-            } else if let Some((cost, stops)) = self.evictable(job, m) {
-                options.push(Clearing {
+            } else if let Some((cost, victims)) = self.cheapest_victims(job, m) {
+                options.push(PreemptionOption {
                     machine: m,
                     at: 0.0,
                     cost,
-                    stops,
+                    victims,
                     free: before,
                 });
             }
         }
         options.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(a.machine.cmp(&b.machine)));
         if !job.one_zone {
-            return Clearings {
+            return PreemptionOptions {
                 lists: vec![options],
             };
         }
-        let mut by_zone: BTreeMap<u16, Vec<Clearing>> = BTreeMap::new();
+        let mut by_zone: BTreeMap<u16, Vec<PreemptionOption>> = BTreeMap::new();
         for option in options {
             let zone = self.input.machines[option.machine].zone;
             by_zone.entry(zone).or_default().push(option);
         }
-        Clearings {
+        PreemptionOptions {
             lists: by_zone.into_values().collect(),
         }
     }
 
     /// The tasks of lower priority whose end gives the job room on this machine at the least lost work.
-    pub(crate) fn evictable(&self, job: &Job, m: usize) -> Option<(f64, Vec<usize>)> {
+    pub(crate) fn cheapest_victims(&self, job: &Job, m: usize) -> Option<(f64, Vec<usize>)> {
         let machine = &self.input.machines[m];
         let mut free = self.free[m];
         for r in machine.running.iter().filter(|r| r.leaving) {
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -9,9 +9,9 @@
 use std::collections::{BTreeMap, HashSet};
 
 /// How long it takes until a stopped task has saved and gone.
-const LEAVING: Secs = 4.0;
+const STOP_DELAY: Secs = 4.0;
 /// What ends within this time is waited for.
-const NEARLY_OVER: Secs = 15.0;
+const ENDING_SOON: Secs = 15.0;
 /// What a gang loses besides its work: it has to wait for room for all its tasks again.
 const GANG_LOSS: Secs = 20.0;
 /// The same for a single task.
@@ -40,11 +40,14 @@
 }
 
 /// Room by machine.
-type Rooms = BTreeMap<usize, Resources>;
+type FreeByMachine = BTreeMap<usize, Resources>;
 
 /// Places for tasks of a job, at most `cap` on each machine.
-fn count_places(job: &Job, cap: u32, rooms: &Rooms) -> u32 {
-    rooms.values().map(|room| room.count(&job.need, cap)).sum()
+fn count_placements(job: &Job, cap: u32, free_by_machine: &FreeByMachine) -> u32 {
+    free_by_machine
+        .values()
+        .map(|free| free.count(&job.need, cap))
+        .sum()
 }
 
 impl PlanState<'_> {
@@ -71,17 +74,17 @@
                 self.output.preempted_gangs.push(gang);
                 continue;
             }
-            let stops = victim.tasks.iter().map(|(m, k)| Preempt {
+            let preempts = victim.tasks.iter().map(|(m, k)| Preempt {
                 machine: *m as u32,
                 task: *k as u32,
             });
-            self.output.preempts.extend(stops);
+            self.output.preempts.extend(preempts);
         }
         let mut left = want;
         for (m, n) in best.places {
             let n = n.min(left);
             if n > 0 {
-                self.reserve_from(job, m, n, LEAVING);
+                self.reserve_from(job, m, n, STOP_DELAY);
                 left -= n;
             }
         }
@@ -96,17 +99,17 @@
         zone: Option<u16>,
     ) -> Option<QuotaPreemption> {
         let job = &self.input.jobs[i];
-        let mut rooms = self.rooms_with_leaving(i, zone);
-        let mut victims = self.choose_victims(job, want, &mut rooms);
-        let places = count_places(job, want, &rooms);
+        let mut free_by_machine = self.free_after_leaving(i, zone);
+        let mut victims = self.choose_victims(job, want, &mut free_by_machine);
+        let places = count_placements(job, want, &free_by_machine);
         if places < want && job.shape == Shape::Gang {
             return None;
         }
         let enough = places.min(want);
-        self.drop_needless_victims(job, want, enough, &mut victims, &mut rooms);
-        let places = rooms
+        self.drop_unneeded_victims(job, want, enough, &mut victims, &mut free_by_machine);
+        let places = free_by_machine
             .iter()
-            .map(|(m, room)| (*m, room.count(&job.need, want)))
+            .map(|(m, free)| (*m, free.count(&job.need, want)))
             .collect();
         Some(QuotaPreemption {
             missing: want - enough,
@@ -117,9 +120,9 @@
     }
 
     /// Room on the machines that a job may use, once what is on its way out has gone.
-    fn rooms_with_leaving(&mut self, i: usize, zone: Option<u16>) -> Rooms {
+    fn free_after_leaving(&mut self, i: usize, zone: Option<u16>) -> FreeByMachine {
         let job = &self.input.jobs[i];
-        let mut rooms = Rooms::new();
+        let mut free_by_machine = FreeByMachine::new();
         for m in self.machines_in(zone) {
             let machine = &self.input.machines[m];
             if !self.allowed(job, m) || self.reserved_until[m].is_some() {
@@ -132,34 +135,39 @@
                 continue;
             }
             self.output.steps += 1 + machine.running.len() as u64;
-            let mut room = self.free_at(m, 0.0, f64::INFINITY);
+            let mut free = self.free_at(m, 0.0, f64::INFINITY);
             for task in machine.running.iter().filter(|task| task.leaving) {
-                room.add(&task.need, 1.0);
+                free.add(&task.need, 1.0);
             }
-            rooms.insert(m, room);
+            free_by_machine.insert(m, free);
         }
-        rooms
+        free_by_machine
     }
 
     /// Takes victims until a job has the places that it wants, or none is left that brings it nearer, and adds their
     /// room.
-    fn choose_victims(&mut self, job: &Job, want: u32, rooms: &mut Rooms) -> Vec<Victim> {
-        let mut victims = self.victims(job, rooms);
+    fn choose_victims(
+        &mut self,
+        job: &Job,
+        want: u32,
+        free_by_machine: &mut FreeByMachine,
+    ) -> Vec<Victim> {
+        let mut victims = self.victims(job, free_by_machine);
         let mut chosen = Vec::new();
-        let mut have = count_places(job, want, rooms);
+        let mut have = count_placements(job, want, free_by_machine);
         while have < want {
             // Clearing has its bound of steps, as elsewhere.
-            self.output.steps += rooms.len() as u64;
+            self.output.steps += free_by_machine.len() as u64;
             if self.is_past_soft_limit() {
                 break;
             }
-            let Some(best) = self.best_victim(job, want - have, &victims, rooms) else {
+            let Some(best) = self.best_victim(job, want - have, &victims, free_by_machine) else {
                 break;
             };
             let victim = victims.swap_remove(best);
-            self.give_back(&victim, rooms, 1.0);
+            self.add_freed(&victim, free_by_machine, 1.0);
             chosen.push(victim);
-            have = count_places(job, want, rooms);
+            have = count_placements(job, want, free_by_machine);
         }
         chosen
     }
@@ -171,14 +179,19 @@
         job: &Job,
         missing: u32,
         victims: &[Victim],
-        rooms: &Rooms,
+        free_by_machine: &FreeByMachine,
     ) -> Option<usize> {
         let mut best: Option<((Reverse<u8>, f64), usize)> = None;
         for (at, victim) in victims.iter().enumerate() {
             self.output.steps += victim.tasks.len() as u64;
-            let gain = self.gain(job, victim, rooms).min(f64::from(missing));
-            let rank = (Reverse(victim.common_groups), victim.cost / gain);
-            if gain > 0.0 && best.is_none_or(|(best_rank, _)| rank < best_rank) {
+            let placements_gained = self
+                .placements_gained(job, victim, free_by_machine)
+                .min(f64::from(missing));
+            let rank = (
+                Reverse(victim.common_groups),
+                victim.cost / placements_gained,
+            );
+            if placements_gained > 0.0 && best.is_none_or(|(best_rank, _)| rank < best_rank) {
                 best = Some((rank, at));
             }
         }
@@ -186,38 +199,45 @@
     }
 
     /// What turned out not to be needed for `enough` places stays.
-    fn drop_needless_victims(
+    fn drop_unneeded_victims(
         &self,
         job: &Job,
         want: u32,
         enough: u32,
         chosen: &mut Vec<Victim>,
-        rooms: &mut Rooms,
+        free_by_machine: &mut FreeByMachine,
     ) {
         for k in (0..chosen.len()).rev() {
-            self.give_back(&chosen[k], rooms, -1.0);
-            if count_places(job, want, rooms) >= enough {
+            self.add_freed(&chosen[k], free_by_machine, -1.0);
+            if count_placements(job, want, free_by_machine) >= enough {
                 chosen.remove(k);
             } else {
-                self.give_back(&chosen[k], rooms, 1.0);
+                self.add_freed(&chosen[k], free_by_machine, 1.0);
             }
         }
     }
 
     /// Places that a victim's end brings nearer: whole ones count most, parts of one a little.
-    fn gain(&self, job: &Job, victim: &Victim, rooms: &Rooms) -> f64 {
-        let mut gain = 0.0;
+    fn placements_gained(
+        &self,
+        job: &Job,
+        victim: &Victim,
+        free_by_machine: &FreeByMachine,
+    ) -> f64 {
+        let mut placements_gained = 0.0;
         let mut seen = usize::MAX;
         let mut after = Resources::default();
         for (m, k) in &victim.tasks {
-            let Some(room) = rooms.get(m) else { continue };
+            let Some(free) = free_by_machine.get(m) else {
+                continue;
+            };
             if *m != seen {
-                (seen, after) = (*m, *room);
+                (seen, after) = (*m, *free);
             }
             let before = after.count(&job.need, u32::MAX);
             after.add(&self.input.machines[*m].running[*k].need, 1.0);
             let whole = after.count(&job.need, u32::MAX) - before;
-            gain += if whole > 0 {
+            placements_gained += if whole > 0 {
                 f64::from(whole)
             } else if victim.gang.is_none() {
                 0.4
@@ -225,19 +245,19 @@
                 0.0
             };
         }
-        gain
+        placements_gained
     }
 
-    fn give_back(&self, victim: &Victim, rooms: &mut Rooms, times: f64) {
+    fn add_freed(&self, victim: &Victim, free_by_machine: &mut FreeByMachine, times: f64) {
         for (m, k) in &victim.tasks {
-            if let Some(room) = rooms.get_mut(m) {
-                room.add(&self.input.machines[*m].running[*k].need, times);
+            if let Some(free) = free_by_machine.get_mut(m) {
+                free.add(&self.input.machines[*m].running[*k].need, times);
             }
         }
     }
 
     /// All that may be stopped for a job on these machines, with what that loses.
-    fn victims(&self, job: &Job, rooms: &Rooms) -> Vec<Victim> {
+    fn victims(&self, job: &Job, free_by_machine: &FreeByMachine) -> Vec<Victim> {
         let mut out = Vec::new();
         let mut gangs: BTreeMap<u32, Victim> = BTreeMap::new();
         let preempts = self.output.preempts.iter();
@@ -249,7 +269,7 @@
                     || r.gang.is_some_and(|g| preempted_gangs.contains(&g));
                 if !self.input.may_be_reclaimed_for(r, job)
                     || r.leaving
-                    || r.ends < NEARLY_OVER
+                    || r.ends < ENDING_SOON
                     || stopping
                 {
                     continue;
@@ -267,7 +287,7 @@
                         victim.tasks.push((m, k));
                         victim.cost += r.lost + GANG_LOSS;
                     }
-                    None if r.stoppable && rooms.contains_key(&m) => {
+                    None if r.stoppable && free_by_machine.contains_key(&m) => {
                         let spared = if r.spared { SPARED_LOSS } else { 0.0 };
                         let cost = r.lost + TASK_LOSS + spared;
                         out.push(Victim {
--- a/crates/plan/src/state.rs
+++ b/crates/plan/src/state.rs
@@ -3,9 +3,9 @@
 //! The modules that decide add methods to [`PlanState`]; this one imports none of them.
 
 use crate::candidates::Candidates;
-use crate::clearing::Clearings;
 use crate::failed_searches::FailedSearches;
 use crate::job_kind::JobKind;
+use crate::preemption_options::PreemptionOptions;
 use crate::tenant::Tenants;
 use crate::timeline::{FutureCapacity, Timeline};
 use crate::{Group, Input, Job, Machine, Output, Resources, Search, Secs, Team};
@@ -50,7 +50,7 @@
     /// Of each job, tasks that hold a place by zone.
     pub tasks_by_zone: Vec<Vec<(u16, u32)>>,
     /// What can be cleared for tasks of a kind, once it was asked for.
-    pub clearable: HashMap<JobKind, Clearings>,
+    pub preemption_options: HashMap<JobKind, PreemptionOptions>,
     /// What has been decided.
     pub output: Output,
 }
@@ -90,7 +90,7 @@
             teams: input.teams.clone(),
             groups: input.groups.clone(),
             tasks_by_zone: input.jobs.iter().map(|j| j.zones.clone()).collect(),
-            clearable: HashMap::new(),
+            preemption_options: HashMap::new(),
             output: Output::default(),
         };
         state.index_all();
