--- a/crates/plan/src/advance_reservations.rs
+++ b/crates/plan/src/advance_reservations.rs
@@ -4,7 +4,7 @@
 //! planned for the earliest moment at which one zone has it, and its places are promised from then on. Jobs that
 //! come later in the order move no promise: they take what ends in time, or what is left beside it.
 
-use crate::failed_searches::Search;
+use crate::failed_searches::SearchKind;
 use crate::job_kind::JobKind;
 use crate::state::PlanState;
 use crate::timeline::{FutureCapacity, Release};
@@ -46,7 +46,7 @@
     }
 
     /// How many tasks of a job, at most `cap`, a machine takes now without breaking a promise.
-    pub(crate) fn free_places(&self, job: &Job, m: usize, cap: u32) -> u32 {
+    pub(crate) fn placeable_tasks(&self, job: &Job, m: usize, cap: u32) -> u32 {
         let mut n = self.free[m].count(&job.need, cap.min(self.slots[m]));
         let ends = self.expected_end(job, m);
         for (from, _, tenant) in &self.timelines[m].reserved {
@@ -63,7 +63,7 @@
     }
 
     /// The same where it is not known how long they would stay.
-    pub(crate) fn unreserved_places(&self, job: &Job, m: usize) -> u32 {
+    pub(crate) fn unreserved_capacity(&self, job: &Job, m: usize) -> u32 {
         if self.is_reserved_for_conflicting_tenant(job, m) {
             return 0;
         }
@@ -73,7 +73,7 @@
 
     /// Until when a task that starts on this machine now is expected to stay.
     fn expected_end(&self, job: &Job, m: usize) -> Secs {
-        self.fetch(job, m) + job.estimate
+        self.fetch_time(job, m) + job.estimate
     }
 
     /// Notes that tasks start on a machine.
@@ -88,7 +88,10 @@
     /// falls free by itself.
     pub(crate) fn plan_later_start(&mut self, i: usize, want: u32) {
         let job = &self.input.jobs[i];
-        if !self.is_linear_search() && self.failed_searches.is_hopeless(job, Search::Promise, want)
+        if !self.is_linear_search()
+            && self
+                .failed_searches
+                .is_known_to_fail(job, SearchKind::FutureCapacity, want)
         {
             if job.promised {
                 self.preempt_for_quota(i, want);
@@ -98,7 +101,8 @@
         let capacity = self.future_capacity(job);
         let first = self.earliest_start(i, want, &capacity);
         if first.is_none() {
-            self.failed_searches.add(job, Search::Promise, want - 1);
+            self.failed_searches
+                .add(job, SearchKind::FutureCapacity, want - 1);
         }
         let soon = first.is_some_and(|first| first.at <= self.input.patience);
         let is_made = job.promised && !soon && self.preempt_for_quota(i, want);
@@ -201,7 +205,7 @@
     fn usable_count(&self, i: usize, release: &Release, taken: &mut Vec<(u16, u32)>) -> u32 {
         let zone = self.input.machines[release.machine].zone;
         let there = count_in(taken, zone);
-        let room = self.zone_room(i, zone).saturating_sub(*there);
+        let room = self.zone_headroom(i, zone).saturating_sub(*there);
         let n = release.count.min(room);
         *there += n;
         n
@@ -256,7 +260,7 @@
         list.remove_machine(m);
         let machine = &self.input.machines[m];
         let from = if machine.usable { 0.0 } else { machine.ready };
-        if !from.is_finite() || !self.suits(job, m) || self.reserved_until[m].is_some() {
+        if !from.is_finite() || !self.is_eligible(job, m) || self.reserved_until[m].is_some() {
             return;
         }
         if self.is_reserved_for_conflicting_tenant(job, m) {
--- a/crates/plan/src/anti_affinity.rs
+++ b/crates/plan/src/anti_affinity.rs
@@ -44,7 +44,7 @@
             return;
         }
         self.output.steps += self.input.machines.len() as u64;
-        let barred = |m: usize| self.suits(job, m) && !self.tenants[m].admits(&job.tenant);
+        let barred = |m: usize| self.is_eligible(job, m) && !self.tenants[m].admits(&job.tenant);
         let any = (0..self.input.machines.len()).any(barred);
         if any && self.tenants_with_reservation.insert(job.tenant.county) {
             self.reserve_earliest(i, 1);
--- a/crates/plan/src/candidates.rs
+++ b/crates/plan/src/candidates.rs
@@ -10,16 +10,16 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 
 /// Free room is grouped to a thousandth of a unit.
-const GRAIN: f64 = 1000.0;
+const QUANTA_PER_UNIT: f64 = 1000.0;
 
 /// What an ordinary machine costs in the order of places, against a spot one: as much as two seconds of fetching.
-const ORDINARY: Secs = 2.0;
+const ON_DEMAND_PENALTY: Secs = 2.0;
 /// What a whole machine left free weighs, in seconds of fetching.
-const LOOSE_FIT: Secs = 4.0;
+const LOOSE_FIT_PENALTY: Secs = 4.0;
 
 /// What machines have in common whatever runs on them.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Class {
+pub(crate) struct MachineClass {
     machine_type: u16,
     pub zone: u16,
     spot: bool,
@@ -27,9 +27,9 @@
     fetch_gb_per_s: f64,
 }
 
-impl Class {
+impl MachineClass {
     fn of(machine: &Machine) -> Self {
-        Class {
+        MachineClass {
             machine_type: machine.machine_type,
             zone: machine.zone,
             spot: machine.spot,
@@ -39,7 +39,7 @@
     }
 
     /// Whether a job may use such machines at all.
-    pub fn suits(&self, job: &Job) -> bool {
+    pub fn accepts(&self, job: &Job) -> bool {
         job.types >> self.machine_type & 1 == 1
             && job.zone.is_none_or(|zone| zone == self.zone)
             && (job.only.is_empty() || job.only.contains(&self.zone))
@@ -47,7 +47,7 @@
     }
 
     /// How long the job's image takes to come to such a machine.
-    pub fn fetch(&self, job: &Job) -> Secs {
+    pub fn fetch_time(&self, job: &Job) -> Secs {
         job.image_gb / self.fetch_gb_per_s.max(0.01)
     }
 
@@ -55,37 +55,37 @@
     pub fn place_score(&self, job: &Job, free: &Resources) -> Secs {
         let used = 1.0 - free.gpus / self.total.gpus.max(crate::EPS);
         let left = 1.0 - self.total.share(&job.need) - used;
-        let dear = if self.spot { 0.0 } else { ORDINARY };
-        dear + left.max(0.0) * LOOSE_FIT
+        let price_penalty = if self.spot { 0.0 } else { ON_DEMAND_PENALTY };
+        price_penalty + left.max(0.0) * LOOSE_FIT_PENALTY
     }
 }
 
 /// Machines of one class with the same free room.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Group {
+struct CapacityGroup {
     class: usize,
     gpus: u64,
     cores: u64,
 }
 
-fn grains(amount: f64) -> u64 {
-    (amount * GRAIN).round().max(0.0) as u64
+fn quantize(amount: f64) -> u64 {
+    (amount * QUANTA_PER_UNIT).round().max(0.0) as u64
 }
 
-type Machines = BTreeMap<Group, BTreeSet<u32>>;
+type MachinesByCapacity = BTreeMap<CapacityGroup, BTreeSet<u32>>;
 
 /// All machines that take tasks, by class and free room.
 pub(crate) struct Candidates {
-    classes: Vec<Class>,
+    classes: Vec<MachineClass>,
     class_of: Vec<usize>,
-    group_of: Vec<Option<Group>>,
-    groups: Machines,
+    group_of: Vec<Option<CapacityGroup>>,
+    groups: MachinesByCapacity,
     /// Of each image that a job may ask for, the machines that have it.
-    with_image: HashMap<u32, Machines>,
+    with_image: HashMap<u32, MachinesByCapacity>,
 }
 
 /// Which machines a search is for.
-pub(crate) struct Wanted<'a> {
+pub(crate) struct MachineQuery<'a> {
     pub job: &'a Job,
     /// Only those of this zone.
     pub zone: Option<u16>,
@@ -94,10 +94,10 @@
 impl Candidates {
     /// `images` are those that jobs may ask for; others are not kept.
     pub fn new(machines: &[Machine], images: impl Iterator<Item = u32>) -> Self {
-        let mut classes: Vec<Class> = Vec::new();
+        let mut classes: Vec<MachineClass> = Vec::new();
         let mut class_of = Vec::with_capacity(machines.len());
         for machine in machines {
-            let class = Class::of(machine);
+            let class = MachineClass::of(machine);
             let at = classes.iter().position(|c| *c == class);
             class_of.push(at.unwrap_or_else(|| {
                 classes.push(class);
@@ -108,17 +108,19 @@
             classes,
             class_of,
             group_of: vec![None; machines.len()],
-            groups: Machines::new(),
-            with_image: images.map(|image| (image, Machines::new())).collect(),
+            groups: MachinesByCapacity::new(),
+            with_image: images
+                .map(|image| (image, MachinesByCapacity::new()))
+                .collect(),
         }
     }
 
-    pub fn class(&self, machine: usize) -> &Class {
+    pub fn class(&self, machine: usize) -> &MachineClass {
         &self.classes[self.class_of[machine]]
     }
 
     /// The slowest fetch among the machine types that the job may use, in GB a second.
-    pub fn slowest_fetch(&self, job: &Job) -> f64 {
+    pub fn slowest_fetch_gb_per_s(&self, job: &Job) -> f64 {
         let classes = self.classes.iter();
         let usable = classes.filter(|class| job.types >> class.machine_type & 1 == 1);
         usable
@@ -128,11 +130,11 @@
     }
 
     /// Puts a machine where its free room says. One without a slot takes no task and is left out.
-    pub fn put(&mut self, machine: usize, free: &Resources, slots: u32, images: &[u32]) {
-        let group = (slots > 0).then(|| Group {
+    pub fn update(&mut self, machine: usize, free: &Resources, slots: u32, images: &[u32]) {
+        let group = (slots > 0).then(|| CapacityGroup {
             class: self.class_of[machine],
-            gpus: grains(free.gpus),
-            cores: grains(free.cores),
+            gpus: quantize(free.gpus),
+            cores: quantize(free.cores),
         });
         let before = std::mem::replace(&mut self.group_of[machine], group);
         for image in images {
@@ -145,21 +147,21 @@
 
     /// Machines whose free processors and GPUs are enough for a task of the job, best first, ties in their order; with
     /// each its score. `steps` counts groups that were looked at.
-    pub fn best_first<'a>(&'a self, wanted: &Wanted<'a>, steps: &mut u64) -> BestFirst<'a> {
-        let job = wanted.job;
+    pub fn best_first<'a>(&'a self, query: &MachineQuery<'a>, steps: &mut u64) -> BestFirst<'a> {
+        let job = query.job;
         let with_image = self.with_image.get(&job.image);
-        let least = |class| Group {
+        let least = |class| CapacityGroup {
             class,
-            gpus: grains(job.need.gpus).saturating_sub(1),
+            gpus: quantize(job.need.gpus).saturating_sub(1),
             cores: 0,
         };
-        let least_cores = grains(job.need.cores).saturating_sub(1);
+        let least_cores = quantize(job.need.cores).saturating_sub(1);
         let mut found = BestFirst {
             heap: BinaryHeap::new(),
             sources: Vec::new(),
         };
         for (number, class) in self.classes.iter().enumerate() {
-            if !class.suits(job) || wanted.zone.is_some_and(|zone| zone != class.zone) {
+            if !class.accepts(job) || query.zone.is_some_and(|zone| zone != class.zone) {
                 continue;
             }
             for (group, machines) in self.groups.range(least(number)..least(number + 1)) {
@@ -168,7 +170,7 @@
                     continue;
                 }
                 let free = Resources {
-                    gpus: group.gpus as f64 / GRAIN,
+                    gpus: group.gpus as f64 / QUANTA_PER_UNIT,
                     ..Resources::default()
                 };
                 let score = class.place_score(job, &free);
@@ -176,14 +178,19 @@
                 if let Some(cached) = cached {
                     found.add(score, cached.iter(), None);
                 }
-                found.add(class.fetch(job) + score, machines.iter(), cached);
+                found.add(class.fetch_time(job) + score, machines.iter(), cached);
             }
         }
         found
     }
 }
 
-fn move_between(machines: &mut Machines, machine: u32, from: Option<Group>, to: Option<Group>) {
+fn move_between(
+    machines: &mut MachinesByCapacity,
+    machine: u32,
+    from: Option<CapacityGroup>,
+    to: Option<CapacityGroup>,
+) {
     if let Some(from) = from
         && let Some(set) = machines.get_mut(&from)
     {
@@ -201,16 +208,16 @@
 struct Source<'a> {
     machines: Iter<'a, u32>,
     /// These come from another source already.
-    without: Option<&'a BTreeSet<u32>>,
+    exclude: Option<&'a BTreeSet<u32>>,
 }
 
 impl Source<'_> {
     fn next(&mut self) -> Option<u32> {
-        let without = self.without;
+        let exclude = self.exclude;
         self.machines
             .by_ref()
             .copied()
-            .find(|machine| without.is_none_or(|set| !set.contains(machine)))
+            .find(|machine| exclude.is_none_or(|set| !set.contains(machine)))
     }
 }
 
@@ -222,8 +229,8 @@
 }
 
 impl<'a> BestFirst<'a> {
-    fn add(&mut self, score: Secs, machines: Iter<'a, u32>, without: Option<&'a BTreeSet<u32>>) {
-        let mut source = Source { machines, without };
+    fn add(&mut self, score: Secs, machines: Iter<'a, u32>, exclude: Option<&'a BTreeSet<u32>>) {
+        let mut source = Source { machines, exclude };
         if let Some(machine) = source.next() {
             // Scores are 0 or more, so their bits have their order.
             let key = (score.to_bits(), machine, self.sources.len());
--- a/crates/plan/src/independent_tasks.rs
+++ b/crates/plan/src/independent_tasks.rs
@@ -1,7 +1,7 @@
 //! Starts of tasks that need no gang: those of arrays and services, each by itself.
 
-use crate::candidates::Wanted;
-use crate::failed_searches::Search;
+use crate::candidates::MachineQuery;
+use crate::failed_searches::SearchKind;
 use crate::placement::Visit;
 use crate::state::PlanState;
 use crate::{Job, count_in};
@@ -15,15 +15,15 @@
             return 0;
         }
         let search = if respect_reservations {
-            Search::Tasks
+            SearchKind::Tasks
         } else {
-            Search::Service
+            SearchKind::Service
         };
-        if !self.is_linear_search() && self.failed_searches.is_hopeless(job, search, 1) {
+        if !self.is_linear_search() && self.failed_searches.is_known_to_fail(job, search, 1) {
             return 0;
         }
         let zone = self.shared_zone(i, respect_reservations);
-        let chosen = self.choose(i, granted, zone, respect_reservations);
+        let chosen = self.choose_machines(i, granted, zone, respect_reservations);
         if chosen.is_empty() && zone.is_none() {
             self.failed_searches.add(job, search, 0);
         }
@@ -36,7 +36,7 @@
     }
 
     /// The best machines for up to `want` tasks, with how many each takes.
-    fn choose(
+    fn choose_machines(
         &mut self,
         i: usize,
         want: u32,
@@ -47,14 +47,14 @@
         let mut chosen = Vec::new();
         let mut left = want;
         let mut by_zone: Vec<(u16, u32)> = Vec::new();
-        self.visit_machines(&Wanted { job, zone }, |state, _, m| {
+        self.visit_machines(&MachineQuery { job, zone }, |state, _, m| {
             if respect_reservations && !state.may_use_until_reserved(job, m) {
                 return Visit::Continue;
             }
             let there = count_in(&mut by_zone, state.input.machines[m].zone);
-            let bound = state.zone_room(i, state.input.machines[m].zone);
+            let bound = state.zone_headroom(i, state.input.machines[m].zone);
             let n = state
-                .free_places(job, m, left)
+                .placeable_tasks(job, m, left)
                 .min(bound.saturating_sub(*there));
             if n > 0 {
                 chosen.push((m, n));
@@ -86,7 +86,7 @@
             return Some(*zone);
         }
         let mut room: Vec<(u16, u32)> = Vec::new();
-        self.visit_machines(&Wanted { job, zone: None }, |state, _, m| {
+        self.visit_machines(&MachineQuery { job, zone: None }, |state, _, m| {
             if respect_reservations && !state.may_use_until_reserved(job, m) {
                 return Visit::Continue;
             }
--- a/crates/plan/src/placement.rs
+++ b/crates/plan/src/placement.rs
@@ -1,25 +1,25 @@
 //! Whether, and how well, a task fits on a machine, and what taking a place changes.
 
-use crate::candidates::Wanted;
+use crate::candidates::MachineQuery;
 use crate::state::PlanState;
 use crate::{Job, Secs, Start, count_in};
 
 impl PlanState<'_> {
-    pub(crate) fn allowed(&self, job: &Job, m: usize) -> bool {
+    pub(crate) fn can_start_on(&self, job: &Job, m: usize) -> bool {
         let machine = &self.input.machines[m];
         machine.usable
             && self.slots[m] > 0
-            && self.suits(job, m)
+            && self.is_eligible(job, m)
             && self.tenants[m].admits(&job.tenant)
     }
 
     /// Whether a job may use a machine at all.
-    pub(crate) fn suits(&self, job: &Job, m: usize) -> bool {
-        self.candidates.class(m).suits(job) && !job.avoid.contains(&(m as u32))
+    pub(crate) fn is_eligible(&self, job: &Job, m: usize) -> bool {
+        self.candidates.class(m).accepts(job) && !job.avoid.contains(&(m as u32))
     }
 
     /// How many more tasks the job may have in this zone, given those it has.
-    pub(crate) fn zone_room(&self, i: usize, zone: u16) -> u32 {
+    pub(crate) fn zone_headroom(&self, i: usize, zone: u16) -> u32 {
         let job = &self.input.jobs[i];
         let there = |z: u16| {
             self.tasks_by_zone[i]
@@ -42,16 +42,16 @@
     }
 
     /// How long the job's image takes to come to this machine.
-    pub(crate) fn fetch(&self, job: &Job, m: usize) -> Secs {
+    pub(crate) fn fetch_time(&self, job: &Job, m: usize) -> Secs {
         if self.images[m].contains(&job.image) {
             return 0.0;
         }
-        self.candidates.class(m).fetch(job)
+        self.candidates.class(m).fetch_time(job)
     }
 
     /// Lower is better: fetch time first, then spot before ordinary, then the tightest fit.
     pub(crate) fn score(&self, job: &Job, m: usize) -> f64 {
-        self.fetch(job, m) + self.place_score(job, m)
+        self.fetch_time(job, m) + self.place_score(job, m)
     }
 
     pub(crate) fn place_score(&self, job: &Job, m: usize) -> f64 {
@@ -61,12 +61,12 @@
     /// Machines where a task of the job fits now, best first, until `visit` has enough. Steps are counted.
     pub(crate) fn visit_machines(
         &mut self,
-        wanted: &Wanted<'_>,
+        query: &MachineQuery<'_>,
         mut visit: impl FnMut(&Self, Secs, usize) -> Visit,
     ) {
         let mut steps = 0;
         if self.is_linear_search() {
-            let order = self.walk_all(wanted);
+            let order = self.scan_all(query);
             steps += self.input.machines.len() as u64;
             for (score, m) in order {
                 if visit(self, score, m) == Visit::Stop {
@@ -74,9 +74,9 @@
                 }
             }
         } else {
-            for (score, m) in self.candidates.best_first(wanted, &mut steps) {
+            for (score, m) in self.candidates.best_first(query, &mut steps) {
                 steps += 1;
-                let fits = self.allowed(wanted.job, m) && self.free[m].fits(&wanted.job.need);
+                let fits = self.can_start_on(query.job, m) && self.free[m].fits(&query.job.need);
                 if fits && visit(self, score, m) == Visit::Stop {
                     break;
                 }
@@ -86,12 +86,12 @@
     }
 
     /// The same by a walk over all machines.
-    fn walk_all(&self, wanted: &Wanted<'_>) -> Vec<(Secs, usize)> {
-        let job = wanted.job;
+    fn scan_all(&self, query: &MachineQuery<'_>) -> Vec<(Secs, usize)> {
+        let job = query.job;
         let machines = &self.input.machines;
         let mut order: Vec<(Secs, usize)> = (0..machines.len())
-            .filter(|m| wanted.zone.is_none_or(|zone| zone == machines[*m].zone))
-            .filter(|m| self.allowed(job, *m) && self.free[*m].fits(&job.need))
+            .filter(|m| query.zone.is_none_or(|zone| zone == machines[*m].zone))
+            .filter(|m| self.can_start_on(job, *m) && self.free[*m].fits(&job.need))
             .map(|m| (self.score(job, m), m))
             .collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -151,7 +151,7 @@
     fn serve_array(&mut self, ranked: &Ranked, left: &mut [u32]) {
         let i = ranked.job;
         let job = &self.input.jobs[i];
-        let time = ranked.due - job.image_gb / self.candidates.slowest_fetch(job);
+        let time = ranked.due - job.image_gb / self.candidates.slowest_fetch_gb_per_s(job);
         let rounds = (time / (job.estimate.max(1.0) * RUN_TIME_SLACK))
             .floor()
             .max(1.0);
--- a/crates/plan/src/priority_preemption.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -1,7 +1,7 @@
 //! Preemption by priority: for jobs that find no room, machines that are free soon are held, and tasks of lower priority
 //! are stopped.
 
-use crate::failed_searches::Search;
+use crate::failed_searches::SearchKind;
 use crate::job_kind::JobKind;
 use crate::preemption_options::{PreemptionOption, PreemptionOptions, remove_at};
 use crate::state::PlanState;
@@ -80,7 +80,11 @@
     ) -> Option<(f64, Vec<PreemptionOption>)> {
         let input = self.input;
         let job = &input.jobs[i];
-        if !self.is_linear_search() && self.failed_searches.is_hopeless(job, Search::Clear, want) {
+        if !self.is_linear_search()
+            && self
+                .failed_searches
+                .is_known_to_fail(job, SearchKind::Preemption, want)
+        {
             return None;
         }
         let key = JobKind::of(job);
@@ -98,7 +102,7 @@
             }
         }
         if best.is_none() {
-            self.failed_searches.add(job, Search::Clear, most);
+            self.failed_searches.add(job, SearchKind::Preemption, most);
         }
         self.preemption_options.insert(key, options);
         best
@@ -126,7 +130,7 @@
             }
             let zone = self.input.machines[m].zone;
             let there = count_in(&mut taken, zone);
-            if self.zone_room(i, zone) <= *there {
+            if self.zone_headroom(i, zone) <= *there {
                 continue;
             }
             *there += 1;
@@ -149,7 +153,7 @@
         let mut options = Vec::new();
         for m in 0..self.input.machines.len() {
             let machine = &self.input.machines[m];
-            if !self.allowed(job, m) || !machine.total.fits(&job.need) {
+            if !self.can_start_on(job, m) || !machine.total.fits(&job.need) {
                 continue;
             }
             self.output.steps += 1 + machine.running.len() as u64;
@@ -171,7 +175,7 @@
                 at = end;
             }
             if at <= self.patience(job) {
-                let cost = (at + self.fetch(job, m)) * machine.total.share(&job.need);
+                let cost = (at + self.fetch_time(job, m)) * machine.total.share(&job.need);
                 options.push(PreemptionOption {
                     machine: m,
                     at,
@@ -222,7 +226,7 @@
             |k: &usize| machine.running[*k].lost * machine.total.share(&machine.running[*k].need);
         victims.sort_by(|a, b| cost(a).total_cmp(&cost(b)));
         // A machine that fetches the image first loses that time too, with all that the job takes.
-        let mut lost = self.fetch(job, m) * machine.total.share(&job.need);
+        let mut lost = self.fetch_time(job, m) * machine.total.share(&job.need);
         let mut chosen = Vec::new();
         for k in victims {
             if free.fits(&job.need) {
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -125,12 +125,12 @@
         let mut free_by_machine = FreeByMachine::new();
         for m in self.machines_in(zone) {
             let machine = &self.input.machines[m];
-            if !self.allowed(job, m) || self.reserved_until[m].is_some() {
+            if !self.can_start_on(job, m) || self.reserved_until[m].is_some() {
                 continue;
             }
             // Room where the job may have no more tasks would be made in vain, and held.
             if self.is_reserved_for_conflicting_tenant(job, m)
-                || self.zone_room(i, machine.zone) == 0
+                || self.zone_headroom(i, machine.zone) == 0
             {
                 continue;
             }
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -62,9 +62,9 @@
             gb / input.machines[m].fetch_gb_per_s.max(0.01)
         };
         let has_room = |m: &usize| {
-            self.allowed(job, *m)
+            self.can_start_on(job, *m)
                 && self.reserved_until[*m].is_none()
-                && self.unreserved_places(job, *m) > 0
+                && self.unreserved_capacity(job, *m) > 0
         };
         let mut order: Vec<(f64, usize)> = (0..input.machines.len())
             .filter(has_room)
@@ -79,7 +79,7 @@
         self.reserved_until[m] = Some(0.0);
         self.changed_machines.push(m as u32);
         self.output.kept.push(m as u32);
-        self.unreserved_places(job, m)
+        self.unreserved_capacity(job, m)
     }
 
     /// An array that has waited for long and has no task on any machine.
@@ -98,9 +98,9 @@
         let kept = self.output.kept.clone();
         kept.iter()
             .for_each(|m| self.reserved_until[*m as usize] = None);
-        self.failed_searches.forget();
+        self.failed_searches.clear();
         let started = self.start_tasks(i, 1, true);
-        self.failed_searches.forget();
+        self.failed_searches.clear();
         kept.iter()
             .for_each(|m| self.reserved_until[*m as usize] = Some(0.0));
         started
--- a/crates/plan/src/state.rs
+++ b/crates/plan/src/state.rs
@@ -109,7 +109,7 @@
     /// Puts a machine where the index has it by its room.
     pub fn index(&mut self, m: usize) {
         self.candidates
-            .put(m, &self.free[m], self.slots[m], &self.images[m]);
+            .update(m, &self.free[m], self.slots[m], &self.images[m]);
     }
 
     pub fn is_linear_search(&self) -> bool {
