--- a/crates/plan/src/advance_reservations.rs
+++ b/crates/plan/src/advance_reservations.rs
@@ -162,9 +162,9 @@
         let job = &self.input.jobs[i];
         // Of all that is free by then, the places that suit it best; if it is old, the first, so that what is
         // free already stays its own however wrong the rest was expected.
-        let is_old = self.is_old(job);
+        let is_aged = self.is_aged(job);
         let rank = |o: &Release| {
-            if is_old {
+            if is_aged {
                 o.at
             } else {
                 self.score(job, o.machine)
--- a/crates/plan/src/sizes.rs
+++ b/crates/plan/src/job_sizes.rs
@@ -3,14 +3,14 @@
 use crate::{Job, Machine, Resources, stretch};
 
 /// Tasks of one machine that are counted at most.
-const MOST_TASKS: u32 = 10_000;
+const MAX_TASKS_PER_MACHINE: u32 = 10_000;
 
 /// The fleet's machines by size, so that slots are counted once for each size.
-pub(crate) struct Slots {
+pub(crate) struct FleetCapacity {
     sizes: Vec<(Resources, u32)>,
 }
 
-impl Slots {
+impl FleetCapacity {
     pub fn of(machines: &[Machine]) -> Self {
         let mut sizes: Vec<(Resources, u32)> = Vec::new();
         for machine in machines {
@@ -19,21 +19,21 @@
                 None => sizes.push((machine.total, 1)),
             }
         }
-        Slots { sizes }
+        FleetCapacity { sizes }
     }
 
     /// A job against the slots that it would have alone.
-    pub fn size(&self, job: &Job) -> stretch::Sized {
+    pub fn size(&self, job: &Job) -> stretch::SizedJob {
         let tasks = |(total, count): &(Resources, u32)| {
-            f64::from(total.count(&job.need, MOST_TASKS)) * f64::from(*count)
+            f64::from(total.count(&job.need, MAX_TASKS_PER_MACHINE)) * f64::from(*count)
         };
         let slots: f64 = self.sizes.iter().map(tasks).sum();
         let estimate = job.estimate.max(1.0);
-        stretch::Sized {
+        stretch::SizedJob {
             arrival: job.arrival,
             work: estimate * f64::from(job.tasks.max(1)),
             left: estimate * f64::from(job.pending) / slots.max(1.0),
-            shortest: estimate,
+            min_run_time: estimate,
         }
     }
 }
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -2,17 +2,17 @@
 //! nothing that is placed already.
 
 use crate::state::PlanState;
-use crate::{Input, Output, RUN_TIME_SLACK, Secs, Shape, URGENT, sizes, stretch};
+use crate::{Input, Output, RUN_TIME_SLACK, Secs, Shape, URGENT, job_sizes, stretch};
 
 /// A job in the order in which jobs are served.
-struct Ranked {
+struct RankedJob {
     job: usize,
     /// Held by a nested guarantee.
-    held: bool,
+    is_guaranteed: bool,
     priority: u8,
     /// Old, or a gang within its guarantee.
-    first: bool,
-    due: Secs,
+    goes_first: bool,
+    deadline: Secs,
 }
 
 /// Makes a plan for this moment.
@@ -53,40 +53,41 @@
     /// have what its team is guaranteed goes first among them; room made for it by stopping others would be theirs
     /// again otherwise. Where quotas nest, what a guarantee holds comes before what is borrowed, whose places it would
     /// call back. What is old goes before the younger of its urgency, the longest wait first.
-    fn rank(&mut self, left: &[u32]) -> Vec<Ranked> {
+    fn rank(&mut self, left: &[u32]) -> Vec<RankedJob> {
         let input = self.input;
         let jobs = &input.jobs;
         let planned: Vec<usize> = (0..jobs.len())
             .filter(|i| left[*i] > 0 && jobs[*i].shape != Shape::Service)
             .filter(|i| jobs[*i].priority >= input.least_priority)
             .collect();
-        let slots = sizes::Slots::of(&input.machines);
-        let sized: Vec<stretch::Sized> = planned.iter().map(|i| slots.size(&jobs[*i])).collect();
+        let capacity = job_sizes::FleetCapacity::of(&input.machines);
+        let sized: Vec<stretch::SizedJob> =
+            planned.iter().map(|i| capacity.size(&jobs[*i])).collect();
         let s = stretch::smallest_stretch(&sized, &mut self.output.steps);
         self.output.stretch = s;
         let s = s * input.online_factor.max(1.0);
         let nested = !input.groups.is_empty();
         let ranked = planned.iter().zip(&sized).map(|(i, size)| {
             let job = &jobs[*i];
-            let due = job.arrival + size.work * s;
-            let is_old = self.is_old(job);
-            Ranked {
+            let deadline = job.arrival + size.work * s;
+            let is_aged = self.is_aged(job);
+            RankedJob {
                 job: *i,
-                held: nested && job.held > 0,
+                is_guaranteed: nested && job.held > 0,
                 priority: job.priority,
-                first: is_old || job.promised && job.shape == Shape::Gang,
-                due: if is_old {
+                goes_first: is_aged || job.promised && job.shape == Shape::Gang,
+                deadline: if is_aged {
                     job.arrival
                 } else {
-                    job.due.map_or(due, |own| own.min(due))
+                    job.due.map_or(deadline, |own| own.min(deadline))
                 },
             }
         });
-        let mut order: Vec<Ranked> = ranked.collect();
+        let mut order: Vec<RankedJob> = ranked.collect();
         order.sort_by(|a, b| {
-            (b.held, b.priority, b.first)
-                .cmp(&(a.held, a.priority, a.first))
-                .then(a.due.total_cmp(&b.due))
+            (b.is_guaranteed, b.priority, b.goes_first)
+                .cmp(&(a.is_guaranteed, a.priority, a.goes_first))
+                .then(a.deadline.total_cmp(&b.deadline))
                 .then(a.job.cmp(&b.job))
         });
         order
@@ -94,19 +95,19 @@
 
     /// Serves jobs in their order. Where the bound stops a plan, the next one gives its first half to the head of the
     /// order and goes on where this one stopped, so that nobody waits for ever behind jobs that cost much.
-    fn serve(&mut self, order: &[Ranked], left: &mut [u32]) {
+    fn serve(&mut self, order: &[RankedJob], left: &mut [u32]) {
         let resume = self.input.resume;
         let mut resume = order
             .iter()
             .position(|ranked| resume == Some(ranked.job as u32));
-        let mut kept = false;
+        let mut reservations_made = false;
         let mut next = 0;
         while let Some(ranked) = order.get(next) {
             // The head has had its half, or more if one job of it took more.
-            let goes_on = self.is_past_soft_limit() && resume.is_some_and(|at| at >= next);
-            if goes_on && let Some(at) = resume.take() {
+            let resumes = self.is_past_soft_limit() && resume.is_some_and(|at| at >= next);
+            if resumes && let Some(at) = resume.take() {
                 next = at;
-                self.serve_one(&order[next], left, &mut kept);
+                self.serve_one(&order[next], left, &mut reservations_made);
                 next += 1;
                 continue;
             }
@@ -114,23 +115,23 @@
                 self.output.resume = Some(ranked.job as u32);
                 break;
             }
-            self.serve_one(ranked, left, &mut kept);
+            self.serve_one(ranked, left, &mut reservations_made);
             next += 1;
         }
-        if !kept {
+        if !reservations_made {
             self.keep_reservations();
         }
     }
 
     /// Serves a job, once room is kept for what is expected and more urgent.
-    fn serve_one(&mut self, ranked: &Ranked, left: &mut [u32], kept: &mut bool) {
+    fn serve_one(&mut self, ranked: &RankedJob, left: &mut [u32], reservations_made: &mut bool) {
         let reservations = &self.input.reservations;
-        if !*kept
+        if !*reservations_made
             && reservations
                 .iter()
                 .all(|s| s.like.priority > ranked.priority)
         {
-            *kept = true;
+            *reservations_made = true;
             self.keep_reservations();
         }
         match self.input.jobs[ranked.job].shape {
@@ -141,17 +142,17 @@
 
     fn serve_gang(&mut self, i: usize, left: &mut [u32]) {
         // What is old has had its turn.
-        if !self.is_old(&self.input.jobs[i]) {
+        if !self.is_aged(&self.input.jobs[i]) {
             self.start_or_wait(i, left);
         }
     }
 
     /// Gives an array the narrowest width whose rounds, of one estimate each, end by the deadline. Most rounds start
     /// with the image there; the first may have to fetch it.
-    fn serve_array(&mut self, ranked: &Ranked, left: &mut [u32]) {
+    fn serve_array(&mut self, ranked: &RankedJob, left: &mut [u32]) {
         let i = ranked.job;
         let job = &self.input.jobs[i];
-        let time = ranked.due - job.image_gb / self.candidates.slowest_fetch_gb_per_s(job);
+        let time = ranked.deadline - job.image_gb / self.candidates.slowest_fetch_gb_per_s(job);
         let rounds = (time / (job.estimate.max(1.0) * RUN_TIME_SLACK))
             .floor()
             .max(1.0);
@@ -166,8 +167,8 @@
         }
         // What a nested guarantee holds is due at once, whatever the width; others give it back.
         let nested = !self.input.groups.is_empty();
-        let due_back = nested && job.promised && -job.arrival > self.input.patience;
-        if due_back && left[i] > 0 && !self.is_past_soft_limit() {
+        let is_reclaim_due = nested && job.promised && -job.arrival > self.input.patience;
+        if is_reclaim_due && left[i] > 0 && !self.is_past_soft_limit() {
             left[i] -= self.start_tasks(i, left[i], true);
             let want = self.allows(job, left[i]);
             if want > 0 {
@@ -187,7 +188,7 @@
 
     /// Arrays also fill room that no planned job needs within one task estimate, and a first task of those that have
     /// waited for long goes where room is kept.
-    fn backfill(&mut self, order: &[Ranked], left: &mut [u32]) {
+    fn backfill(&mut self, order: &[RankedJob], left: &mut [u32]) {
         for ranked in order {
             let i = ranked.job;
             let is_array = self.input.jobs[i].shape == Shape::Array;
@@ -197,7 +198,7 @@
         }
         for ranked in order {
             let i = ranked.job;
-            if left[i] > 0 && !self.is_past_hard_limit() && self.waits_beside_reservations(i) {
+            if left[i] > 0 && !self.is_past_hard_limit() && self.may_use_reservations(i) {
                 left[i] -= self.start_from_reservations(i);
             }
         }
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -4,7 +4,7 @@
 use crate::{EPS, Job, Reservation, Secs, Shape};
 
 /// Whoever has waited for so long with nothing running gets a place also where room is kept for what is expected.
-const BESIDE_RESERVATIONS: Secs = 45.0;
+const RESERVATION_WAIT_LIMIT: Secs = 45.0;
 
 impl PlanState<'_> {
     /// Keeps the rest from machines with room for jobs that are expected: for each image as many as its share that have
@@ -20,7 +20,7 @@
     /// How much of it finds no room.
     fn keep_reservation(&mut self, reservation: &Reservation) -> u32 {
         let job = &reservation.like;
-        let order = self.machines_for(reservation);
+        let order = self.machines_for_reservation(reservation);
         let mut left = reservation.count;
         let all: f64 = reservation.images.iter().map(|(_, _, share)| share).sum();
         for (image, _, share) in &reservation.images {
@@ -49,7 +49,7 @@
     }
 
     /// Machines with room for it, those first where what is expected is soonest.
-    fn machines_for(&mut self, reservation: &Reservation) -> Vec<usize> {
+    fn machines_for_reservation(&mut self, reservation: &Reservation) -> Vec<usize> {
         let input = self.input;
         let job = &reservation.like;
         // The time that all expected images together, by their shares, take to come here.
@@ -83,11 +83,11 @@
     }
 
     /// An array that has waited for long and has no task on any machine.
-    pub(crate) fn waits_beside_reservations(&self, i: usize) -> bool {
+    pub(crate) fn may_use_reservations(&self, i: usize) -> bool {
         let job = &self.input.jobs[i];
         let none = self.tasks_by_zone[i].iter().all(|(_, n)| *n == 0);
         job.shape == Shape::Array
-            && -job.arrival >= BESIDE_RESERVATIONS
+            && -job.arrival >= RESERVATION_WAIT_LIMIT
             && none
             && !self.output.kept.is_empty()
     }
--- a/crates/plan/src/starvation_aging.rs
+++ b/crates/plan/src/starvation_aging.rs
@@ -9,7 +9,7 @@
 use std::cmp::Reverse;
 
 /// One task in so many of an array that is old starts before the rest has its turn.
-const SHARE: u32 = 16;
+const FIRST_SHARE_DIVISOR: u32 = 16;
 
 /// How long jobs wait before their age counts.
 #[derive(Debug, Clone, Copy)]
@@ -32,7 +32,7 @@
 /// What an old job has before others: so many of its tasks, counting those that have places.
 pub fn first_share(shape: Shape, tasks: u32) -> u32 {
     if shape == Shape::Array {
-        tasks.div_ceil(SHARE)
+        tasks.div_ceil(FIRST_SHARE_DIVISOR)
     } else {
         tasks
     }
@@ -40,7 +40,7 @@
 
 impl AgingThresholds {
     /// How many of a job's waiting tasks go before all others.
-    fn before_all(&self, job: &Job) -> u32 {
+    fn tasks_before_all(&self, job: &Job) -> u32 {
         if job.shape == Shape::Gang || -job.arrival >= self.latest {
             return job.pending;
         }
@@ -54,10 +54,10 @@
 impl PlanState<'_> {
     /// Whether a job's age counts. That of a gang does only before what is more urgent: among its own, whole machines for
     /// who is late already would make others late too.
-    pub(crate) fn is_old(&self, job: &Job) -> bool {
+    pub(crate) fn is_aged(&self, job: &Job) -> bool {
         let counts = match job.shape {
             Shape::Array => true,
-            Shape::Gang => job.priority < self.most_urgent,
+            Shape::Gang => job.priority < self.highest_pending_priority,
             Shape::Service => false,
         };
         counts && job.waits && -job.arrival >= self.input.aging.old
@@ -66,7 +66,9 @@
     /// Serves the old, the longest wait first.
     pub(crate) fn serve_aged(&mut self, left: &mut [u32]) {
         let (jobs, aging) = (&self.input.jobs, &self.input.aging);
-        let mut order: Vec<usize> = (0..jobs.len()).filter(|i| self.is_old(&jobs[*i])).collect();
+        let mut order: Vec<usize> = (0..jobs.len())
+            .filter(|i| self.is_aged(&jobs[*i]))
+            .collect();
         // What a tree entitles to would call its places back.
         let nested = !self.input.groups.is_empty();
         let key = |j: &Job| Reverse(nested && j.held > 0);
@@ -85,7 +87,7 @@
             if job.shape == Shape::Gang {
                 self.start_or_wait(i, left);
             } else {
-                let want = aging.before_all(job).min(left[i]);
+                let want = aging.tasks_before_all(job).min(left[i]);
                 left[i] -= self.start_tasks(i, want, true);
             }
         }
--- a/crates/plan/src/state.rs
+++ b/crates/plan/src/state.rs
@@ -42,7 +42,7 @@
     /// Tenants that were promised a machine free of others' work.
     pub tenants_with_reservation: BTreeSet<u16>,
     /// The highest urgency that waits.
-    pub most_urgent: u8,
+    pub highest_pending_priority: u8,
     /// Teams with what they use after this plan's starts.
     pub teams: Vec<Team>,
     /// Groups with what they use after this plan's starts.
@@ -74,7 +74,7 @@
             slots: machines.iter().map(|m| m.slots).collect(),
             timelines: vec![Timeline::default(); machines.len()],
             reserved_until: vec![None; machines.len()],
-            most_urgent: input.jobs.iter().map(|j| j.priority).max().unwrap_or(0),
+            highest_pending_priority: input.jobs.iter().map(|j| j.priority).max().unwrap_or(0),
             images: machines.iter().map(|m| m.images.clone()).collect(),
             candidates: Candidates::new(machines, input.jobs.iter().map(|j| j.image)),
             failed_searches: FailedSearches::default(),
--- a/crates/plan/src/stretch.rs
+++ b/crates/plan/src/stretch.rs
@@ -4,7 +4,7 @@
 
 /// A job as the search sees it: when it came and its work on one slot, in slot-seconds of the whole fleet.
 #[derive(Debug, Clone, Copy)]
-pub struct Sized {
+pub struct SizedJob {
     /// When it was submitted, 0 or less.
     pub arrival: Secs,
     /// p: one-slot work, which the stretch is measured in.
@@ -12,11 +12,11 @@
     /// What is left of it, as a share of the fleet's time.
     pub left: Secs,
     /// It can't end before this, whatever its width.
-    pub shortest: Secs,
+    pub min_run_time: Secs,
 }
 
 /// The paper's test for EDF: in deadline order, each deadline leaves time for all work before it.
-fn feasible(jobs: &[Sized], order: &mut Vec<(Secs, usize)>, s: f64, steps: &mut u64) -> bool {
+fn feasible(jobs: &[SizedJob], order: &mut Vec<(Secs, usize)>, s: f64, steps: &mut u64) -> bool {
     order.clear();
     order.extend(
         jobs.iter()
@@ -29,7 +29,7 @@
         *steps += 1;
         let j = &jobs[*i];
         sum += j.left;
-        if sum.max(j.shortest) > due + 1e-9 {
+        if sum.max(j.min_run_time) > due + 1e-9 {
             return false;
         }
     }
@@ -38,15 +38,15 @@
 
 /// Smallest S, within a hundredth, for which all deadlines r + p·S can hold. Between the bound that all end
 /// at once and the bound that they run one after the other, both as in the paper.
-pub fn smallest_stretch(jobs: &[Sized], steps: &mut u64) -> f64 {
+pub fn smallest_stretch(jobs: &[SizedJob], steps: &mut u64) -> f64 {
     if jobs.is_empty() {
         return 1.0;
     }
     let lower = jobs
         .iter()
-        .map(|j| (j.shortest - j.arrival) / j.work.max(1e-6))
+        .map(|j| (j.min_run_time - j.arrival) / j.work.max(1e-6))
         .fold(0.0, f64::max);
-    let total: f64 = jobs.iter().map(|j| j.left + j.shortest).sum();
+    let total: f64 = jobs.iter().map(|j| j.left + j.min_run_time).sum();
     let upper = jobs
         .iter()
         .map(|j| (total - j.arrival) / j.work.max(1e-6))
--- a/crates/plan/src/tenant.rs
+++ b/crates/plan/src/tenant.rs
@@ -20,8 +20,8 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Tenants {
     county: Option<u16>,
-    mixed: bool,
-    alone: bool,
+    has_several: bool,
+    has_isolated: bool,
 }
 
 impl Tenants {
@@ -33,13 +33,13 @@
     pub fn admits(&self, new: &Tenant) -> bool {
         match self.county {
             None => true,
-            Some(county) if !self.mixed && county == new.county => true,
-            Some(_) => !self.alone && !new.alone,
+            Some(county) if !self.has_several && county == new.county => true,
+            Some(_) => !self.has_isolated && !new.alone,
         }
     }
     pub fn add(&mut self, new: &Tenant) {
-        self.mixed |= self.county.is_some_and(|c| c != new.county);
+        self.has_several |= self.county.is_some_and(|c| c != new.county);
         self.county = Some(new.county);
-        self.alone |= new.alone;
+        self.has_isolated |= new.alone;
     }
 }
