--- a/crates/plan/src/input.rs
+++ b/crates/plan/src/input.rs
@@ -1,61 +1,61 @@
-//! What a plan is made from.
+//! The input of the planner.
 
 use crate::{AgingThresholds, Resources, Secs, Tenant};
 
-/// A task that is on a machine, or may be.
+/// A task that runs on a machine, or may run there (its start or its end is not confirmed).
 #[derive(Debug, Clone)]
 pub struct Running {
-    /// What it takes.
+    /// Resources that it uses.
     pub need: Resources,
     /// When it is expected to end.
     pub ends: Secs,
-    /// Its priority; more is more urgent.
+    /// Its priority; higher is more urgent.
     pub priority: u8,
-    /// Run time that is lost if it is stopped now.
+    /// Run time that is lost if it is preempted now.
     pub lost: Secs,
-    /// It may be stopped for others (single tasks that are running; not those being stopped already).
+    /// It may be preempted by itself: a task of an array that is not being stopped already.
     pub stoppable: bool,
-    /// It is on its way out: its room is coming, and must not be made a second time.
+    /// It is being stopped. Its resources become free soon, so nothing else needs to be preempted for them.
     pub leaving: bool,
-    /// Its team, as an index.
+    /// Index of its team.
     pub team: u16,
-    /// How far its team's guarantees hold it, see [`Job::held`].
+    /// How many levels of its team's guarantees cover it, see [`Job::held`].
     pub held: u8,
-    /// Of the first share of an old job: not stopped for urgency alone.
+    /// It belongs to the first share of an aged job: it is not preempted for priority alone.
     pub spared: bool,
-    /// The gang that it belongs to, all of which stops with it.
+    /// The gang that it belongs to; a gang is preempted as a whole.
     pub gang: Option<u32>,
-    /// Whose work it is.
+    /// The tenant that owns it.
     pub tenant: Tenant,
 }
 
 /// A machine of the fleet.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Its type, as an index.
+    /// Index of its machine type.
     pub machine_type: u16,
-    /// Its zone, as an index.
+    /// Index of its zone.
     pub zone: u16,
-    /// The cloud may take it back at any time.
+    /// A spot machine: the cloud may reclaim it at any time.
     pub spot: bool,
-    /// Takes new tasks.
+    /// It accepts new tasks.
     pub usable: bool,
-    /// One that does not, when it is expected to; infinity if it is not.
+    /// When an unusable machine is expected to accept tasks; infinity if it is not expected to.
     pub ready: Secs,
-    /// All that it has.
+    /// Its total resources.
     pub total: Resources,
     /// Tasks on it.
     pub running: Vec<Running>,
-    /// Images that are or will soon be on it.
+    /// Images that are on it or are being fetched.
     pub images: Vec<u32>,
-    /// How fast it fetches images.
+    /// Its rate of fetching images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Most tasks that may still be added.
+    /// How many more tasks may be added, whatever their resources.
     pub slots: u32,
 }
 
 impl Machine {
-    /// What no task on it takes.
+    /// Resources that none of its tasks uses.
     pub fn free(&self) -> Resources {
         let mut free = self.total;
         for r in &self.running {
@@ -65,98 +65,99 @@
     }
 }
 
-/// How the tasks of a job belong together.
+/// Whether the tasks of a job start and end together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shape {
-    /// Tasks that run each by itself.
+    /// Independent tasks.
     Array,
-    /// Tasks that all run at the same time or not at all.
+    /// Tasks that run all at the same time or not at all.
     Gang,
     /// Tasks that run until they are cancelled.
     Service,
 }
 
-/// A job with waiting tasks.
+/// A job with pending tasks.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// How its tasks belong together.
+    /// Whether its tasks start and end together.
     pub shape: Shape,
-    /// More is more urgent.
+    /// Higher is more urgent.
     pub priority: u8,
-    /// When it was submitted, 0 or less.
+    /// When it was submitted; 0 or less.
     pub arrival: Secs,
     /// Expected run time of one task.
     pub estimate: Secs,
-    /// All its tasks.
+    /// Number of all its tasks.
     pub tasks: u32,
-    /// Tasks that wait for a machine.
+    /// Number of tasks that wait for a machine.
     pub pending: u32,
-    /// What one task takes.
+    /// Resources that one task needs.
     pub need: Resources,
-    /// Allowed machine types, a bit each.
+    /// Allowed machine types, as a bit mask of their indices.
     pub types: u64,
-    /// The only zone for it, if any.
+    /// The zone that it must run in, if it asks for one.
     pub zone: Option<u16>,
-    /// All its tasks share a zone.
+    /// All its tasks must run in one zone.
     pub one_zone: bool,
-    /// No zone has more than half of its tasks.
+    /// No zone may have more than half of its tasks, rounded up.
     pub spread: bool,
     /// It may run on spot machines.
     pub spot: bool,
-    /// The image that its tasks need, as an index.
+    /// Index of the image that its tasks need.
     pub image: u32,
-    /// The size of that image.
+    /// Size of that image in GB.
     pub image_gb: f64,
-    /// Its team, as an index.
+    /// Index of its team.
     pub team: u16,
-    /// Some of it has not run yet, so that the time since its arrival is a wait.
+    /// Its pending tasks wait for their first start, as far as is known, so that the time since its arrival is a wait.
     pub waits: bool,
-    /// Its own deadline, from now.
+    /// The deadline that it was submitted with, from now.
     pub due: Option<Secs>,
-    /// Within a guarantee, and not yet late for it.
+    /// Its start is covered by a guarantee and not yet late for it, so that tasks beyond their guarantees may be
+    /// preempted for it.
     pub promised: bool,
-    /// How many levels of guarantees hold it, from the root down: 0 if none does; 1 if what is guaranteed to the
-    /// uppermost group of its team holds it, as that is divided below it; one more than the groups of its team if
-    /// the team's own guarantee does. What holds it on one level holds it on all above.
+    /// How many levels of guarantees cover it, counted from the root: 0 if none does; 1 if its share of the guarantee
+    /// of its team's topmost group does; one more than the number of its team's groups if the team's own guarantee
+    /// does. A guarantee that covers it on one level covers it on all levels above.
     pub held: u8,
-    /// Tasks that hold a place now, by zone.
+    /// Number of its tasks that are on machines now, by zone.
     pub zones: Vec<(u16, u32)>,
-    /// Machines that it should keep away from.
+    /// Machines that it must not use.
     pub avoid: Vec<u32>,
-    /// Whose work it is.
+    /// The tenant that owns it.
     pub tenant: Tenant,
-    /// The only zones for it; none for all.
+    /// The zones that it is restricted to; empty if it may use all.
     pub only: Vec<u16>,
 }
 
-/// Teams that share a bound: a node of the quota tree. All claims below it count.
+/// A node of the quota tree, whose limit applies to the sum of all teams below it.
 #[derive(Debug, Clone)]
 pub struct Group {
-    /// What all below it use.
+    /// Resources used by all teams below it.
     pub used: Resources,
-    /// Infinity where there is none.
+    /// Its limit; infinity where there is none.
     pub max: Resources,
-    /// What is above the bound is stopped; otherwise it may run to its end.
+    /// Tasks above a lowered limit are preempted; otherwise they may run to their end.
     pub preempts_excess: bool,
 }
 
-/// A team's use and bounds; bounds of infinity where there is none.
+/// Usage and limits of a team; a limit is infinity where there is none.
 #[derive(Debug, Clone)]
 pub struct Team {
-    /// Its groups as indices, the uppermost first; none where quotas do not nest.
+    /// Indices of its groups, the topmost first; empty without nested quotas.
     pub path: Vec<u16>,
-    /// Cores that its tasks use.
+    /// Cores used by its tasks.
     pub cores_used: f64,
-    /// GPUs that its tasks use.
+    /// GPUs used by its tasks.
     pub gpus_used: f64,
-    /// Most cores that it may use.
+    /// Limit of cores.
     pub cores_max: f64,
-    /// Most GPUs that it may use.
+    /// Limit of GPUs.
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// How many more tasks of `need` the limit allows, at most `cap`.
+    /// How many more tasks that need `need` the limits allow, at most `cap`.
     pub fn allows(&self, need: &Resources, cap: u32) -> u32 {
         let room = Resources {
             cores: self.cores_max - self.cores_used,
@@ -171,48 +172,50 @@
     }
 }
 
-/// Room that is kept free for jobs that are expected soon and may not wait for a machine to boot.
+/// Capacity kept free for jobs that are expected soon and must not wait for a machine to boot.
 #[derive(Debug, Clone)]
 pub struct Reservation {
-    /// What one of the expected tasks looks like.
+    /// A job like the expected ones.
     pub like: Job,
-    /// How many such tasks are expected.
+    /// Number of expected tasks.
     pub count: u32,
-    /// Images that they are expected to need, with their size and their share of the jobs.
+    /// Images that they are expected to need: index, size in GB and share of the jobs.
     pub images: Vec<(u32, f64, f64)>,
 }
 
-/// All that a plan is made from; plans of equal inputs are equal.
+/// The whole input of a plan. The planner is deterministic: equal inputs give equal plans.
 #[derive(Debug, Clone, Default)]
 pub struct Input {
     /// The fleet.
     pub machines: Vec<Machine>,
-    /// Jobs with waiting tasks.
+    /// Jobs with pending tasks.
     pub jobs: Vec<Job>,
     /// Teams by index.
     pub teams: Vec<Team>,
-    /// Groups of teams by index; none where quotas do not nest.
+    /// Groups of teams by index; empty without nested quotas.
     pub groups: Vec<Group>,
-    /// Room to keep for expected jobs, the most urgent first.
+    /// Capacity to keep free for expected jobs, the highest priority first.
     pub reservations: Vec<Reservation>,
-    /// The online factor: the smallest stretch is relaxed by it.
+    /// The smallest stretch is multiplied by this, since later arrivals are not known yet.
     pub online_factor: f64,
-    /// A job of higher priority waits this long for room before others are stopped for it.
+    /// How long a job waits for capacity to become free before tasks are preempted for it.
     pub patience: Secs,
-    /// When the age of a waiting job counts.
+    /// From which waiting times on jobs are aged.
     pub aging: AgingThresholds,
-    /// Past so many steps nothing is cleared any more, and past twice as many the rest waits for the next plan.
+    /// The soft limit of steps, past which nothing is preempted or reserved in advance any more. Past twice as many,
+    /// the hard limit, the remaining jobs wait for the next plan.
     pub max_steps: u64,
-    /// The job at which the plan before this one was stopped by that bound.
+    /// Index of the job at which the hard limit stopped the previous plan.
     pub resume: Option<u32>,
-    /// Jobs below this priority have only what their age gives them before all others; their turn is in another plan.
+    /// Jobs below this priority start only the tasks that aging puts before all others; the rest is left to other
+    /// plans.
     pub least_priority: u8,
-    /// How machines are found.
+    /// How machines are searched for.
     pub search: Search,
 }
 
 impl Input {
-    /// Groups that two teams have in common.
+    /// Number of groups that two teams have in common, counted from the root.
     pub fn common_groups(&self, a: u16, b: u16) -> u8 {
         let path = |t: u16| {
             self.teams
@@ -226,15 +229,16 @@
             .count() as u8
     }
 
-    /// Whether a running task has its place beyond the guarantees that a job may call on: the job's side of the
-    /// tree is held at the level where the two part, and the task's is not.
+    /// Whether a running task may be preempted to give a job the capacity it is guaranteed: at the level of the tree
+    /// where their teams part, a guarantee covers the job and none covers the task.
     pub fn may_be_reclaimed_for(&self, r: &Running, job: &Job) -> bool {
         let common_groups = self.common_groups(r.team, job.team);
         r.team != job.team && r.held <= common_groups && job.held > common_groups
     }
 
-    /// Whether a task may be stopped for a more urgent job. Not the first share of an old one. Where quotas nest, urgency of what is borrowed does not
-    /// count against what is held.
+    /// Whether a task may be preempted for a job of higher priority. The first share of an aged job may not. With
+    /// nested quotas, a job that borrows capacity may not preempt a task that a guarantee covers, whatever its
+    /// priority.
     pub fn may_be_preempted_for(&self, r: &Running, job: &Job) -> bool {
         let borrows = || {
             let common_groups = self.common_groups(r.team, job.team);
@@ -244,12 +248,12 @@
     }
 }
 
-/// How machines are found for a job.
+/// How machines are searched for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Search {
-    /// By an index; what is known of one job serves others alike.
+    /// With an index, and with results that are shared between equivalent jobs.
     #[default]
     Indexed,
-    /// By a walk over all machines for each job: the reference that the index is tested against.
+    /// By a scan of all machines for each job: the reference that the index is tested against.
     Linear,
 }
--- a/crates/plan/src/output.rs
+++ b/crates/plan/src/output.rs
@@ -1,4 +1,4 @@
-//! What a plan decides.
+//! The output of the planner.
 
 /// Tasks of a job that start on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -7,11 +7,11 @@
     pub job: u32,
     /// Index of the machine.
     pub machine: u32,
-    /// How many tasks start there.
+    /// Number of tasks that start there.
     pub count: u32,
 }
 
-/// A task that is to be stopped.
+/// A task to preempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Preempt {
     /// Index of the machine.
@@ -25,20 +25,21 @@
 pub struct Output {
     /// Tasks that start now.
     pub starts: Vec<Start>,
-    /// Tasks to be stopped.
+    /// Tasks to preempt.
     pub preempts: Vec<Preempt>,
-    /// Gangs to be stopped whole.
+    /// Gangs to preempt as a whole.
     pub preempted_gangs: Vec<u32>,
-    /// Tasks that found no room now though their team's limit allows them: job and count.
+    /// Tasks that were not placed though their team's limit allows them: index of the job, and count.
     pub waiting: Vec<(u32, u32)>,
-    /// Machines whose free room is kept, for the expected or for a gang that gathers room.
+    /// Machines on which capacity is reserved: for expected jobs, for a job that others are preempted for, or for a
+    /// gang that starts later.
     pub kept: Vec<u32>,
-    /// For each reservation, how much of it found no room.
+    /// For each reservation, the number of its tasks that no capacity was found for.
     pub reservations_short: Vec<u32>,
-    /// The smallest stretch found.
+    /// The smallest feasible stretch.
     pub stretch: f64,
-    /// The first job that the bound of steps left for the next plan.
+    /// Index of the first job that the hard limit of steps left for the next plan.
     pub resume: Option<u32>,
-    /// Work done, in units that do not depend on the machine it runs on.
+    /// Work done by the planner, counted so that it does not depend on the speed of the host.
     pub steps: u64,
 }
