--- a/crates/plan/src/job_kind.rs
+++ b/crates/plan/src/job_kind.rs
@@ -1,8 +1,8 @@
-//! What jobs alike have in common, so that what is found for one serves the others.
+//! Equivalence of jobs: results of a search for one job are reused for equivalent ones.
 
 use crate::{Job, Tenant};
 
-/// What jobs have in common that can use the same machines.
+/// The properties that decide which machines a job can use; jobs with equal ones are equivalent.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub(crate) struct JobKind {
     need: [u64; 3],
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,4 +1,4 @@
-//! The planner: pure functions from jobs, machines and the time to starts, preemptions and rentals.
+//! The planner: pure functions from jobs and machines to task starts, preemptions and machine rentals.
 //! No I/O, clock or randomness. The design and its sources are in `docs/design.md`.
 
 #![warn(missing_docs)]
@@ -39,16 +39,17 @@
 
 pub(crate) use resources::EPS;
 
-/// Work of this priority is placed as it arrives.
+/// Jobs of this priority and above are planned as they arrive.
 pub const URGENT: u8 = 3;
 
-/// Seconds. `now` is 0; the past is negative.
+/// Seconds relative to the time of the plan: now is 0, the past is negative.
 pub type Secs = f64;
 
-/// Run times of a job's tasks differ from each other and from the estimate: a round is planned this much longer.
+/// Factor by which a round of tasks is planned longer than its estimate, since the run times of a job's tasks differ
+/// from each other and from the estimate.
 pub(crate) const RUN_TIME_SLACK: f64 = 1.25;
 
-/// How many tasks are in a zone.
+/// The count of a zone in a list of counts, added as 0 if it is missing.
 fn count_in(zones: &mut Vec<(u16, u32)>, zone: u16) -> &mut u32 {
     let at = zones
         .iter()
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -1,21 +1,21 @@
-//! One pass of `MoldableEDF`: by rising deadline, each job takes the narrowest width that meets its deadline, moving
-//! nothing that is placed already.
+//! One pass of `MoldableEDF`: in order of deadlines, each job gets the smallest width that meets its deadline. Tasks
+//! that are placed already are not moved.
 
 use crate::state::PlanState;
 use crate::{Input, Output, RUN_TIME_SLACK, Secs, Shape, URGENT, job_sizes, stretch};
 
-/// A job in the order in which jobs are served.
+/// A job with what decides its position in the order of service.
 struct RankedJob {
     job: usize,
-    /// Held by a nested guarantee.
+    /// Covered by a nested guarantee.
     is_guaranteed: bool,
     priority: u8,
-    /// Old, or a gang within its guarantee.
+    /// Aged, or a gang within its guarantee.
     goes_first: bool,
     deadline: Secs,
 }
 
-/// Makes a plan for this moment.
+/// Makes a plan for the present.
 pub fn plan(input: &Input) -> Output {
     let mut state = PlanState::new(input);
     state.run();
@@ -34,7 +34,7 @@
         self.report_waiting(&left);
     }
 
-    /// Services go at once, outside the plan; their room is busy for everybody else.
+    /// Starts services first, outside the deadline order; the other jobs share the capacity that is left.
     fn start_services(&mut self, left: &mut [u32]) {
         for (i, job) in self.input.jobs.iter().enumerate() {
             if job.shape != Shape::Service {
@@ -47,12 +47,12 @@
         }
     }
 
-    /// All that is planned, in the order in which it is served.
+    /// The jobs to plan, in the order in which they are served.
     ///
-    /// Urgency comes before the deadline: between jobs of one urgency the paper's order decides. A gang that can still
-    /// have what its team is guaranteed goes first among them; room made for it by stopping others would be theirs
-    /// again otherwise. Where quotas nest, what a guarantee holds comes before what is borrowed, whose places it would
-    /// call back. What is old goes before the younger of its urgency, the longest wait first.
+    /// Jobs are ordered by priority, then by deadline as in the paper. Among jobs of one priority, a gang within its
+    /// team's guarantee goes first: otherwise the capacity that was preempted for it could go back to the preempted
+    /// jobs. With nested quotas, jobs that a guarantee covers come before those that borrow capacity, which would only
+    /// be preempted again. Aged jobs go before younger ones of their priority, the longest wait first.
     fn rank(&mut self, left: &[u32]) -> Vec<RankedJob> {
         let input = self.input;
         let jobs = &input.jobs;
@@ -93,8 +93,9 @@
         order
     }
 
-    /// Serves jobs in their order. Where the bound stops a plan, the next one gives its first half to the head of the
-    /// order and goes on where this one stopped, so that nobody waits for ever behind jobs that cost much.
+    /// Serves jobs in order. If the hard limit of steps stops a plan and the next one is told where, that one spends
+    /// its first half on the head of the order and resumes there with the rest, so that jobs are not starved behind
+    /// others whose searches are expensive.
     fn serve(&mut self, order: &[RankedJob], left: &mut [u32]) {
         let resume = self.input.resume;
         let mut resume = order
@@ -103,7 +104,7 @@
         let mut reservations_made = false;
         let mut next = 0;
         while let Some(ranked) = order.get(next) {
-            // The head has had its half, or more if one job of it took more.
+            // The head of the order has used its half of the steps, or more if its last job took more.
             let resumes = self.is_past_soft_limit() && resume.is_some_and(|at| at >= next);
             if resumes && let Some(at) = resume.take() {
                 next = at;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Serves a job, once room is kept for what is expected and more urgent.
+    /// Serves a job, after capacity is reserved for expected jobs of higher priority.
     fn serve_one(&mut self, ranked: &RankedJob, left: &mut [u32], reservations_made: &mut bool) {
         let reservations = &self.input.reservations;
         if !*reservations_made
@@ -141,14 +142,14 @@
     }
 
     fn serve_gang(&mut self, i: usize, left: &mut [u32]) {
-        // What is old has had its turn.
+        // Aged gangs were served before.
         if !self.is_aged(&self.input.jobs[i]) {
             self.start_or_wait(i, left);
         }
     }
 
-    /// Gives an array the narrowest width whose rounds, of one estimate each, end by the deadline. Most rounds start
-    /// with the image there; the first may have to fetch it.
+    /// Gives an array the smallest width whose rounds, of one estimate each, end by the deadline. Only the first round
+    /// may have to fetch the image.
     fn serve_array(&mut self, ranked: &RankedJob, left: &mut [u32]) {
         let i = ranked.job;
         let job = &self.input.jobs[i];
@@ -165,7 +166,7 @@
         if job.priority >= URGENT && left[i] > 0 && !self.is_past_soft_limit() {
             self.start_urgent_tasks(i, left);
         }
-        // What a nested guarantee holds is due at once, whatever the width; others give it back.
+        // Capacity that a nested guarantee covers is due at once, whatever the width: borrowers are preempted for it.
         let nested = !self.input.groups.is_empty();
         let is_reclaim_due = nested && job.promised && -job.arrival > self.input.patience;
         if is_reclaim_due && left[i] > 0 && !self.is_past_soft_limit() {
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Urgent tasks take all room there is, and what is less urgent is stopped for the rest.
+    /// Starts as many urgent tasks as fit, and preempts tasks of lower priority for the rest.
     fn start_urgent_tasks(&mut self, i: usize, left: &mut [u32]) {
         left[i] -= self.start_tasks(i, left[i], true);
         let want = self.allows(&self.input.jobs[i], left[i]);
@@ -186,8 +187,8 @@
         }
     }
 
-    /// Arrays also fill room that no planned job needs within one task estimate, and a first task of those that have
-    /// waited for long goes where room is kept.
+    /// Starts further tasks of arrays where no advance reservation needs the capacity before they are expected to end.
+    /// An array that has waited for long may start its first task on capacity reserved for expected jobs.
     fn backfill(&mut self, order: &[RankedJob], left: &mut [u32]) {
         for ranked in order {
             let i = ranked.job;
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Starts a gang whole, or sees to the room that it waits for.
+    /// Starts all tasks of a gang, or else preempts others or reserves future capacity for it.
     pub(crate) fn start_or_wait(&mut self, i: usize, left: &mut [u32]) {
         let want = left[i];
         if want == 0 || self.allows(&self.input.jobs[i], want) < want {
--- a/crates/plan/src/resources.rs
+++ b/crates/plan/src/resources.rs
@@ -1,6 +1,6 @@
-//! Amounts of resources: what tasks take and machines have.
+//! Amounts of resources.
 
-/// What a task takes, or a machine has.
+/// Resources that a task needs or a machine has.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
     /// Processor cores.
@@ -15,7 +15,7 @@
 pub(crate) const EPS: f64 = 1e-6;
 
 impl Resources {
-    /// Whether a task that takes `need` fits in.
+    /// Whether a task that needs `need` fits.
     pub fn fits(&self, need: &Resources) -> bool {
         need.cores <= self.cores + EPS && need.gpus <= self.gpus + EPS && need.mem <= self.mem + EPS
     }
@@ -25,13 +25,13 @@
         self.gpus += o.gpus * n;
         self.mem += o.mem * n;
     }
-    /// What `n` such tasks take.
+    /// The sum of `n` times these resources.
     pub(crate) fn times(&self, n: u32) -> Resources {
         let mut all = Resources::default();
         all.add(self, f64::from(n));
         all
     }
-    /// How many tasks of `need` fit in, at most `cap`.
+    /// How many tasks that need `need` fit, at most `cap`.
     pub fn count(&self, need: &Resources, cap: u32) -> u32 {
         let per = |have: f64, want: f64| {
             if want <= EPS {
@@ -49,7 +49,7 @@
             n.max(0.0) as u32
         }
     }
-    /// The share of `self` that `need` takes in its scarcest resource.
+    /// The dominant share of `need` in `self`: the largest of its shares of cores, GPUs and memory.
     pub fn share(&self, need: &Resources) -> f64 {
         let part = |have: f64, want: f64| {
             if want <= EPS {
--- a/crates/plan/src/state.rs
+++ b/crates/plan/src/state.rs
@@ -1,6 +1,6 @@
-//! The state of one plan while it is made: what is known of the fleet, and what has been decided so far.
+//! The state of one planning pass: the fleet as it will be after the decisions so far, and these decisions.
 //!
-//! The modules that decide add methods to [`PlanState`]; this one imports none of them.
+//! The modules that make decisions add methods to [`PlanState`]; this one imports none of them.
 
 use crate::candidates::Candidates;
 use crate::failed_searches::FailedSearches;
@@ -11,47 +11,45 @@
 use crate::{Group, Input, Job, Machine, Output, Resources, Search, Secs, Team};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// What is known of the fleet while a plan is made.
+/// The state of one planning pass.
 pub(crate) struct PlanState<'a> {
-    /// What the plan is made from.
     pub input: &'a Input,
-    /// Of each machine, what is free now.
+    /// Free resources by machine.
     pub free: Vec<Resources>,
-    /// Of each machine, tasks that may still be added.
+    /// How many more tasks may be added, by machine.
     pub slots: Vec<u32>,
-    /// Of each machine, what is known of its room beyond this moment.
+    /// Changes of capacity after now, by machine.
     pub timelines: Vec<Timeline>,
-    /// Until when a machine's whole room is kept: for the expected, or for a gang that others make room for.
+    /// Until when a whole machine is reserved: for expected jobs, or for a job that others are preempted for.
     pub reserved_until: Vec<Option<Secs>>,
-    /// Of each machine, the images that are or will soon be on it.
+    /// Images that are on a machine or are being fetched, by machine.
     pub images: Vec<Vec<u32>>,
-    /// Machines that take tasks, by what places are chosen by.
+    /// Index of the machines that accept tasks.
     pub candidates: Candidates,
-    /// Kinds of jobs that found no place, so that others alike need not look.
+    /// Searches that failed, so that equivalent jobs need not repeat them.
     pub failed_searches: FailedSearches,
-    /// Machines of each zone.
+    /// Machines by zone.
     pub machines_by_zone: BTreeMap<u16, Vec<usize>>,
-    /// Machines whose room has changed, in order, once for each change.
+    /// Log of changes of capacity: the machine of each change, in order.
     pub changed_machines: Vec<u32>,
-    /// Room to come for jobs of a kind, once it was asked for.
+    /// Cache of the future capacity for equivalent jobs.
     pub future_capacity: HashMap<JobKind, FutureCapacity>,
-    /// Of each machine, whose work is on it.
+    /// Tenants with tasks on a machine, by machine.
     pub tenants: Vec<Tenants>,
-    /// Some work shares no machine with that of others.
+    /// Some tenant shares no machine with others.
     pub has_isolated_tenants: bool,
-    /// Tenants that were promised a machine free of others' work.
+    /// Tenants for which this plan has reserved a machine without conflicting tenants.
     pub tenants_with_reservation: BTreeSet<u16>,
-    /// The highest urgency that waits.
+    /// The highest priority of all jobs with pending tasks.
     pub highest_pending_priority: u8,
-    /// Teams with what they use after this plan's starts.
+    /// Teams, their usage including this plan's starts.
     pub teams: Vec<Team>,
-    /// Groups with what they use after this plan's starts.
+    /// Groups, their usage including this plan's starts.
     pub groups: Vec<Group>,
-    /// Of each job, tasks that hold a place by zone.
+    /// Number of tasks on machines by zone, by job; including this plan's starts.
     pub tasks_by_zone: Vec<Vec<(u16, u32)>>,
-    /// What can be cleared for tasks of a kind, once it was asked for.
+    /// Cache of the preemption options for equivalent jobs.
     pub preemption_options: HashMap<JobKind, PreemptionOptions>,
-    /// What has been decided.
     pub output: Output,
 }
 
@@ -106,7 +104,7 @@
         self.output.steps += self.input.machines.len() as u64;
     }
 
-    /// Puts a machine where the index has it by its room.
+    /// Updates the index after a change of a machine's free capacity or images.
     pub fn index(&mut self, m: usize) {
         self.candidates
             .update(m, &self.free[m], self.slots[m], &self.images[m]);
@@ -116,17 +114,17 @@
         self.input.search == Search::Linear
     }
 
-    /// Past this nothing is cleared or promised any more.
+    /// Past this limit nothing is preempted or reserved in advance any more.
     pub fn is_past_soft_limit(&self) -> bool {
         self.output.steps > self.input.max_steps
     }
 
-    /// Past this what is left waits for the next plan.
+    /// Past this limit the remaining jobs wait for the next plan.
     pub fn is_past_hard_limit(&self) -> bool {
         self.output.steps > 2 * self.input.max_steps
     }
 
-    /// How many more of a job's tasks, at most `cap`, its team's limit and all above it allow.
+    /// How many more of a job's tasks the limits of its team and its team's groups allow, at most `cap`.
     pub fn allows(&self, job: &Job, cap: u32) -> u32 {
         let team = &self.teams[job.team as usize];
         let above = team.path.iter().map(|g| &self.groups[*g as usize]);
@@ -137,7 +135,7 @@
         })
     }
 
-    /// Machines of a zone, or all.
+    /// The machines of a zone, or all machines.
     pub fn machines_in(&self, zone: Option<u16>) -> Vec<usize> {
         match zone {
             Some(zone) => self
@@ -149,7 +147,7 @@
         }
     }
 
-    /// Zones to be tried one by one where all tasks share one; else all at once.
+    /// Zones to try one by one if all tasks must share one; otherwise `None`, for all zones at once.
     pub fn zones_for(&self, job: &Job) -> Vec<Option<u16>> {
         if !job.one_zone {
             return vec![None];
--- a/crates/plan/src/tenant.rs
+++ b/crates/plan/src/tenant.rs
@@ -1,22 +1,22 @@
-//! Whose work a task is, and what of that is on a machine.
+//! The tenants of tasks and of machines.
 
-/// Whose work something is: a county as a number, 0 for none, and whether it shares no machine with others.
+/// The owner of a task for anti-affinity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Tenant {
-    /// The tenant as a number, 0 for none.
+    /// Number of the county, 0 for none.
     pub county: u16,
-    /// Its work shares no machine with that of others.
+    /// Its tasks share no machine with those of other counties.
     pub alone: bool,
 }
 
 impl Tenant {
-    /// The two may not be on one machine at the same time.
+    /// Whether tasks of the two must not be on one machine at the same time.
     pub fn conflicts_with(&self, other: &Tenant) -> bool {
         self.county != other.county && (self.alone || other.alone)
     }
 }
 
-/// All that is on a machine, as far as it matters to who wants to join.
+/// Summary of the tenants on a machine, which decides who else may use it.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Tenants {
     county: Option<u16>,
