--- a/crates/plan/src/job_sizes.rs
+++ b/crates/plan/src/job_sizes.rs
@@ -1,11 +1,11 @@
-//! Jobs as the search of the stretch sees them.
+//! The sizes of jobs relative to the fleet, as the search for the smallest stretch needs them.
 
 use crate::{Job, Machine, Resources, stretch};
 
-/// Tasks of one machine that are counted at most.
+/// The number of tasks on one machine is counted up to this.
 const MAX_TASKS_PER_MACHINE: u32 = 10_000;
 
-/// The fleet's machines by size, so that slots are counted once for each size.
+/// The fleet's machines by size, so that the tasks that fit are counted only once for each size.
 pub(crate) struct FleetCapacity {
     sizes: Vec<(Resources, u32)>,
 }
@@ -22,7 +22,7 @@
         FleetCapacity { sizes }
     }
 
-    /// A job against the slots that it would have alone.
+    /// The size of a job, given how many of its tasks would fit on an empty fleet at once.
     pub fn size(&self, job: &Job) -> stretch::SizedJob {
         let tasks = |(total, count): &(Resources, u32)| {
             f64::from(total.count(&job.need, MAX_TASKS_PER_MACHINE)) * f64::from(*count)
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -1,14 +1,14 @@
-//! Reservations: room that is kept for jobs that are expected.
+//! Reservations: machines that are kept free for expected jobs.
 
 use crate::state::PlanState;
 use crate::{EPS, Job, Reservation, Secs, Shape};
 
-/// Whoever has waited for so long with nothing running gets a place also where room is kept for what is expected.
+/// An array that has waited this long without a running task may start one on a reserved machine.
 const RESERVATION_WAIT_LIMIT: Secs = 45.0;
 
 impl PlanState<'_> {
-    /// Keeps the rest from machines with room for jobs that are expected: for each image as many as its share that have
-    /// it, so that what comes need not fetch.
+    /// Reserves machines for expected jobs. For each expected image, its share of them should have the image, so that
+    /// the jobs need not fetch it.
     pub(crate) fn keep_reservations(&mut self) {
         let input = self.input;
         for reservation in &input.reservations {
@@ -17,7 +17,7 @@
         }
     }
 
-    /// How much of it finds no room.
+    /// Reserves machines; returns the number of expected tasks that no capacity was found for.
     fn keep_reservation(&mut self, reservation: &Reservation) -> u32 {
         let job = &reservation.like;
         let order = self.machines_for_reservation(reservation);
@@ -48,11 +48,11 @@
         left
     }
 
-    /// Machines with room for it, those first where what is expected is soonest.
+    /// Machines that expected tasks fit on, those first where they would start soonest.
     fn machines_for_reservation(&mut self, reservation: &Reservation) -> Vec<usize> {
         let input = self.input;
         let job = &reservation.like;
-        // The time that all expected images together, by their shares, take to come here.
+        // The mean fetch time of the expected jobs on this machine.
         let missing = |m: usize| {
             let away = reservation
                 .images
@@ -82,7 +82,7 @@
         self.unreserved_capacity(job, m)
     }
 
-    /// An array that has waited for long and has no task on any machine.
+    /// Whether a job may use reserved machines: an array that has waited for long without a task on any machine.
     pub(crate) fn may_use_reservations(&self, i: usize) -> bool {
         let job = &self.input.jobs[i];
         let none = self.tasks_by_zone[i].iter().all(|(_, n)| *n == 0);
@@ -92,8 +92,8 @@
             && !self.output.kept.is_empty()
     }
 
-    /// A first task where room is kept for jobs that are only expected: nobody waits for ever beside it. The rest of it
-    /// stays kept, so that it goes task by task.
+    /// Starts a first task of an array on a reserved machine, so that it is not starved by jobs that are only expected.
+    /// The remaining capacity stays reserved, so that it is given away one task at a time.
     pub(crate) fn start_from_reservations(&mut self, i: usize) -> u32 {
         let kept = self.output.kept.clone();
         kept.iter()
--- a/crates/plan/src/starvation_aging.rs
+++ b/crates/plan/src/starvation_aging.rs
@@ -1,22 +1,22 @@
-//! Jobs that have waited long go before younger ones: first among their own urgency, at last before all.
+//! Aging against starvation: jobs that have waited for long go before younger ones, at first among jobs of their own
+//! priority and at last before all.
 //!
-//! The stretch weighs a wait against the work, so the largest jobs wait longest, and urgency has no end to its
-//! precedence at all. This is the bound to both: a promised start at the latest. Nothing is stopped for it that would
-//! not be stopped without it.
+//! The stretch weighs a wait against the work, so the largest jobs wait longest, and jobs of higher priority may keep
+//! coming without end. Aging bounds both waits. It causes no additional preemptions.
 
 use crate::state::PlanState;
 use crate::{Job, Secs, Shape};
 use std::cmp::Reverse;
 
-/// One task in so many of an array that is old starts before the rest has its turn.
+/// One in this many tasks of an aged array belongs to its first share, which starts before all other jobs.
 const FIRST_SHARE_DIVISOR: u32 = 16;
 
-/// How long jobs wait before their age counts.
+/// The waiting times from which on jobs are aged.
 #[derive(Debug, Clone, Copy)]
 pub struct AgingThresholds {
-    /// From then on a job goes before younger ones of its urgency, and with a first share before all others.
+    /// From this wait on a job goes before younger ones of its priority, and its first share before all others.
     pub old: Secs,
-    /// From then on all of it goes before others.
+    /// From this wait on all of its tasks go before all others.
     pub latest: Secs,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// What an old job has before others: so many of its tasks, counting those that have places.
+/// How many tasks of an aged job go before all other jobs, those on machines included.
 pub fn first_share(shape: Shape, tasks: u32) -> u32 {
     if shape == Shape::Array {
         tasks.div_ceil(FIRST_SHARE_DIVISOR)
@@ -39,7 +39,7 @@
 }
 
 impl AgingThresholds {
-    /// How many of a job's waiting tasks go before all others.
+    /// How many of an aged job's pending tasks go before all other jobs.
     fn tasks_before_all(&self, job: &Job) -> u32 {
         if job.shape == Shape::Gang || -job.arrival >= self.latest {
             return job.pending;
@@ -52,8 +52,8 @@
 }
 
 impl PlanState<'_> {
-    /// Whether a job's age counts. That of a gang does only before what is more urgent: among its own, whole machines for
-    /// who is late already would make others late too.
+    /// Whether a job is aged. A gang is only while jobs of higher priority are pending: among jobs of its own priority,
+    /// whole machines for a gang that is late already would make others late too.
     pub(crate) fn is_aged(&self, job: &Job) -> bool {
         let counts = match job.shape {
             Shape::Array => true,
@@ -63,13 +63,13 @@
         counts && job.waits && -job.arrival >= self.input.aging.old
     }
 
-    /// Serves the old, the longest wait first.
+    /// Serves aged jobs, the longest wait first.
     pub(crate) fn serve_aged(&mut self, left: &mut [u32]) {
         let (jobs, aging) = (&self.input.jobs, &self.input.aging);
         let mut order: Vec<usize> = (0..jobs.len())
             .filter(|i| self.is_aged(&jobs[*i]))
             .collect();
-        // What a tree entitles to would call its places back.
+        // Jobs that nested guarantees cover go first: they would only preempt the others again.
         let nested = !self.input.groups.is_empty();
         let key = |j: &Job| Reverse(nested && j.held > 0);
         order.sort_by(|a, b| {
--- a/crates/plan/src/stretch.rs
+++ b/crates/plan/src/stretch.rs
@@ -1,21 +1,21 @@
-//! The smallest stretch: DASEDF's search (section 3.2 of the paper) on the fleet's slots.
+//! The smallest feasible stretch, by the search of DASEDF (section 3.2 of the paper).
 
 use crate::Secs;
 
-/// A job as the search sees it: when it came and its work on one slot, in slot-seconds of the whole fleet.
+/// A job as the search sees it. Its work is the total run time of its tasks one after the other.
 #[derive(Debug, Clone, Copy)]
 pub struct SizedJob {
-    /// When it was submitted, 0 or less.
+    /// When it was submitted; 0 or less.
     pub arrival: Secs,
-    /// p: one-slot work, which the stretch is measured in.
+    /// Work of all its tasks, the paper's p, which the stretch is measured in.
     pub work: Secs,
-    /// What is left of it, as a share of the fleet's time.
+    /// Time that its remaining work takes on the whole fleet.
     pub left: Secs,
-    /// It can't end before this, whatever its width.
+    /// The least time until it can end, whatever its width.
     pub min_run_time: Secs,
 }
 
-/// The paper's test for EDF: in deadline order, each deadline leaves time for all work before it.
+/// The paper's feasibility test for EDF: in deadline order, each deadline leaves time for all work up to it.
 fn feasible(jobs: &[SizedJob], order: &mut Vec<(Secs, usize)>, s: f64, steps: &mut u64) -> bool {
     order.clear();
     order.extend(
@@ -36,8 +36,8 @@
     true
 }
 
-/// Smallest S, within a hundredth, for which all deadlines r + p·S can hold. Between the bound that all end
-/// at once and the bound that they run one after the other, both as in the paper.
+/// The smallest stretch S, to within 1 %, for which all deadlines r + p·S can be met. Bisects, as in the paper, between
+/// the bound that all jobs run at the same time and the bound that they run one after the other.
 pub fn smallest_stretch(jobs: &[SizedJob], steps: &mut u64) -> f64 {
     if jobs.is_empty() {
         return 1.0;
