--- a/crates/plan/src/advance_reservations.rs
+++ b/crates/plan/src/advance_reservations.rs
@@ -1,8 +1,8 @@
-//! Promises of room to come.
+//! Advance reservations of future capacity.
 //!
-//! This is `MoldableEDF`'s "earliest free time" for jobs that must start whole. A gang that finds no room now is
-//! planned for the earliest moment at which one zone has it, and its places are promised from then on. Jobs that
-//! come later in the order move no promise: they take what ends in time, or what is left beside it.
+//! This is `MoldableEDF`'s "earliest free time" for gangs. A gang that does not fit now is planned for the earliest
+//! time at which it is expected to, and capacity is reserved for it from then on. Jobs later in the order don't delay
+//! it: their tasks start only if they are expected to end before, or if they fit beside it (conservative backfilling).
 
 use crate::failed_searches::SearchKind;
 use crate::job_kind::JobKind;
@@ -10,10 +10,10 @@
 use crate::timeline::{FutureCapacity, Release};
 use crate::{Job, Resources, Secs, count_in};
 
-/// More places on one machine are not counted.
+/// The number of tasks on one machine is counted up to this.
 const MAX_TASKS_PER_MACHINE: u32 = 100_000;
 
-/// The first time at which a gang has all its places, and in which list.
+/// The first time at which all tasks of a gang fit, and the list of releases in which they do.
 #[derive(Clone, Copy)]
 struct EarliestStart {
     at: Secs,
@@ -21,7 +21,7 @@
 }
 
 impl PlanState<'_> {
-    /// What is free on a machine at a time, without what is promised from no later than `until`.
+    /// Free resources of a machine at time `at`, less the advance reservations that begin no later than `until`.
     pub(crate) fn free_at(&self, m: usize, at: Secs, until: Secs) -> Resources {
         let mut room = self.free[m];
         let running = self.input.machines[m]
@@ -45,7 +45,7 @@
         room
     }
 
-    /// How many tasks of a job, at most `cap`, a machine takes now without breaking a promise.
+    /// How many tasks of a job, at most `cap`, can start on a machine now without delaying an advance reservation.
     pub(crate) fn placeable_tasks(&self, job: &Job, m: usize, cap: u32) -> u32 {
         let mut n = self.free[m].count(&job.need, cap.min(self.slots[m]));
         let ends = self.expected_end(job, m);
@@ -62,7 +62,7 @@
         n
     }
 
-    /// The same where it is not known how long they would stay.
+    /// How many tasks of a job of unknown run time fit on a machine beside all its advance reservations.
     pub(crate) fn unreserved_capacity(&self, job: &Job, m: usize) -> u32 {
         if self.is_reserved_for_conflicting_tenant(job, m) {
             return 0;
@@ -71,12 +71,12 @@
             .count(&job.need, self.slots[m])
     }
 
-    /// Until when a task that starts on this machine now is expected to stay.
+    /// When a task that starts on this machine now is expected to end.
     fn expected_end(&self, job: &Job, m: usize) -> Secs {
         self.fetch_time(job, m) + job.estimate
     }
 
-    /// Notes that tasks start on a machine.
+    /// Records the expected end of tasks that start on a machine.
     pub(crate) fn note_start(&mut self, job: &Job, m: usize, n: u32) {
         let end = self.expected_end(job, m);
         self.timelines[m]
@@ -84,8 +84,8 @@
             .push((end, job.need.times(n), job.tenant));
     }
 
-    /// Plans a gang for later: in the room that others must give back to its team's guarantee, or in the first that
-    /// falls free by itself.
+    /// Plans a gang for later: on the first capacity that becomes free, or, if that takes longer than its patience, on
+    /// capacity that is preempted for its team's guarantee.
     pub(crate) fn plan_later_start(&mut self, i: usize, want: u32) {
         let job = &self.input.jobs[i];
         if !self.is_linear_search()
@@ -112,7 +112,7 @@
         self.cache_future_capacity(job, capacity);
     }
 
-    /// Promises a job its first places that fall free by themselves.
+    /// Reserves for a job the first capacity that becomes free without preemption.
     pub(crate) fn reserve_earliest(&mut self, i: usize, want: u32) {
         let job = &self.input.jobs[i];
         let capacity = self.future_capacity(job);
@@ -122,7 +122,7 @@
         self.cache_future_capacity(job, capacity);
     }
 
-    /// When, and in which list of places, a gang can first have all its places.
+    /// The first time at which all tasks of a gang are expected to fit.
     fn earliest_start(
         &mut self,
         i: usize,
@@ -151,7 +151,7 @@
         best
     }
 
-    /// Promises a gang its places from a time on.
+    /// Reserves capacity for all tasks of a gang from a time on.
     fn reserve_places(
         &mut self,
         i: usize,
@@ -160,8 +160,9 @@
         first: EarliestStart,
     ) {
         let job = &self.input.jobs[i];
-        // Of all that is free by then, the places that suit it best; if it is old, the first, so that what is
-        // free already stays its own however wrong the rest was expected.
+        // Of all machines that are free by then, takes those with the best score. For an aged gang it takes the
+        // earliest: capacity that is free already stays reserved for it even if tasks elsewhere end later than
+        // expected.
         let is_aged = self.is_aged(job);
         let rank = |o: &Release| {
             if is_aged {
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Keeps room on a machine for tasks of a job from a time on.
+    /// Reserves capacity on a machine for tasks of a job from a time on.
     pub(crate) fn reserve_from(&mut self, job: &Job, m: usize, n: u32, at: Secs) {
         self.timelines[m]
             .reserved
@@ -201,7 +202,7 @@
         self.output.kept.push(m as u32);
     }
 
-    /// How much of an opening the gang may use, given what it takes elsewhere.
+    /// How many tasks of a gang may use a release, given the tasks that it has in the zone, and counts them there.
     fn usable_count(&self, i: usize, release: &Release, taken: &mut Vec<(u16, u32)>) -> u32 {
         let zone = self.input.machines[release.machine].zone;
         let there = count_in(taken, zone);
@@ -211,8 +212,8 @@
         n
     }
 
-    /// All places that a job's tasks could have, now or later. What was found for a job alike is brought up to date
-    /// where room has changed since.
+    /// All capacity that a job could use, now or later. The cached result for an equivalent job is brought up to date
+    /// on machines whose capacity has changed since.
     fn future_capacity(&mut self, job: &Job) -> FutureCapacity {
         let known = if can_share(job) && !self.is_linear_search() {
             self.future_capacity.remove(&JobKind::of(job))
@@ -246,7 +247,7 @@
         }
     }
 
-    /// Finds out anew what falls free on a machine.
+    /// Computes the releases of a machine anew.
     fn update_releases(&mut self, job: &Job, capacity: &mut FutureCapacity, m: usize) {
         self.output.steps += 1;
         let zone = self.input.machines[m].zone;
@@ -288,7 +289,7 @@
     }
 }
 
-/// Whether other jobs alike may use what is found for this one.
+/// Whether equivalent jobs may use the future capacity that is found for this one.
 fn can_share(job: &Job) -> bool {
     job.avoid.is_empty()
 }
--- a/crates/plan/src/anti_affinity.rs
+++ b/crates/plan/src/anti_affinity.rs
@@ -1,12 +1,12 @@
-//! Anti-affinity between tenants: work that must not share a machine. What holds a machine for its tenant is all that is
-//! on it until that is proved gone; a job of another tenant that finds no machine free of others' work has one
-//! promised, so that it does not wait for ever while work of theirs comes and goes.
+//! Anti-affinity between tenants whose tasks must not share a machine. A machine is closed to conflicting tenants until
+//! all tasks on it are known to be gone. A job that finds no machine free of conflicting tasks has one reserved in
+//! advance, since otherwise new tasks of other tenants could keep it waiting without end.
 
 use crate::state::PlanState;
 use crate::{Job, Secs};
 
 impl PlanState<'_> {
-    /// When the last work that a job may not share this machine with is expected to end.
+    /// When the last task that conflicts with a job's tenant is expected to end on this machine.
     pub(crate) fn free_of_conflicts_at(&self, job: &Job, m: usize) -> Secs {
         if self.tenants[m].admits(&job.tenant) {
             return 0.0;
@@ -25,7 +25,7 @@
         barred.map(|(end, _)| end).fold(0.0, f64::max)
     }
 
-    /// Whether a promise on this machine is to a job that this one may not share it with.
+    /// Whether this machine has an advance reservation for a job of a conflicting tenant.
     pub(crate) fn is_reserved_for_conflicting_tenant(&self, job: &Job, m: usize) -> bool {
         self.timelines[m]
             .reserved
@@ -33,8 +33,9 @@
             .any(|(_, _, tenant)| tenant.conflicts_with(&job.tenant))
     }
 
-    /// Promises one place to a job none of whose tasks runs or finds a machine free of others' work: the first that
-    /// will be. One for each county and plan, so that what is kept free for them is bounded.
+    /// Reserves a place for one task of a job that has no task on any machine and is kept off some by conflicting
+    /// tenants, on the first machine that is expected to be free of them. At most one for each county in a plan, so
+    /// that the capacity reserved this way is bounded.
     pub(crate) fn reserve_machine_for_tenant(&mut self, i: usize) {
         let job = &self.input.jobs[i];
         if !self.has_isolated_tenants
--- a/crates/plan/src/timeline.rs
+++ b/crates/plan/src/timeline.rs
@@ -1,18 +1,18 @@
-//! Room to come: when what runs now is expected to end, and what of that is promised to gangs.
+//! Future capacity: when running tasks are expected to end, and what is reserved in advance.
 
 use crate::{Resources, Secs, Tenant};
 use std::collections::{BTreeMap, HashMap};
 
-/// What is known of a machine's room beyond this moment.
+/// Changes of a machine's free capacity after now that this plan makes.
 #[derive(Clone, Default)]
 pub(crate) struct Timeline {
-    /// Ends of the tasks that this plan starts.
+    /// Expected ends of the tasks that this plan starts.
     pub ends: Vec<(Secs, Resources, Tenant)>,
-    /// Room that belongs to a gang from a time on.
+    /// Advance reservations: capacity that belongs to a job from a time on.
     pub reserved: Vec<(Secs, Resources, Tenant)>,
 }
 
-/// Places that fall free on a machine at a time.
+/// The number of further tasks that fit on a machine from a time on.
 #[derive(Clone, Copy)]
 pub(crate) struct Release {
     pub at: Secs,
@@ -20,10 +20,10 @@
     pub count: u32,
 }
 
-/// Places by the time at which they fall free, in one zone or in all.
+/// Releases of capacity by time, in one zone or in all.
 pub(crate) struct Releases {
     pub zone: Option<u16>,
-    /// Times are 0 or more, so their bits have their order.
+    /// By the bits of the time, which order like the time since it is never negative, and machine.
     pub by_time: BTreeMap<(u64, usize), u32>,
     pub by_machine: HashMap<usize, Vec<u64>>,
 }
@@ -51,10 +51,10 @@
     }
 }
 
-/// What falls free for tasks of a kind: a list for each zone where all must be in one, else one list.
+/// Releases of capacity for equivalent jobs: a list for each zone if all tasks must share one, else a single list.
 pub(crate) struct FutureCapacity {
     pub lists: Vec<Releases>,
-    /// Changes of room that were looked at.
+    /// Number of changes of capacity that are taken into account, see `PlanState::changed_machines`.
     pub changes_seen: usize,
 }
 
