--- a/crates/plan/src/candidates.rs
+++ b/crates/plan/src/candidates.rs
@@ -1,23 +1,23 @@
-//! An index of machines by what places are chosen by: their kind, their free room and their images.
+//! An index of machines by the properties that placement depends on: class, free capacity and images.
 //!
-//! A job that looks for places gets machines best first, one after the other, and stops at the last that it needs; what
-//! is full is never looked at. The order is that of a walk over all machines sorted by score, which
-//! [`Search::Linear`](crate::Search) still makes as the reference.
+//! A search yields machines lazily, best first, so that it can stop at the last that it needs; full machines are never
+//! visited. The order equals that of a scan of all machines sorted by score, which
+//! [`Search::Linear`](crate::Search) makes as the reference.
 
 use crate::{Job, Machine, Resources, Secs};
 use std::cmp::Reverse;
 use std::collections::btree_set::Iter;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 
-/// Free room is grouped to a thousandth of a unit.
+/// Free capacity is grouped with a resolution of a thousandth of a core or GPU.
 const QUANTA_PER_UNIT: f64 = 1000.0;
 
-/// What an ordinary machine costs in the order of places, against a spot one: as much as two seconds of fetching.
+/// Penalty of an on-demand machine against a spot machine, equal to as many seconds of fetching.
 const ON_DEMAND_PENALTY: Secs = 2.0;
-/// What a whole machine left free weighs, in seconds of fetching.
+/// Penalty of leaving all resources of a machine unused, equal to as many seconds of fetching.
 const LOOSE_FIT_PENALTY: Secs = 4.0;
 
-/// What machines have in common whatever runs on them.
+/// The properties of machines that do not depend on what runs on them.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct MachineClass {
     machine_type: u16,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether a job may use such machines at all.
+    /// Whether a job may use machines of this class.
     pub fn accepts(&self, job: &Job) -> bool {
         job.types >> self.machine_type & 1 == 1
             && job.zone.is_none_or(|zone| zone == self.zone)
@@ -46,12 +46,12 @@
             && (job.spot || !self.spot)
     }
 
-    /// How long the job's image takes to come to such a machine.
+    /// Time that a machine of this class takes to fetch the job's image.
     pub fn fetch_time(&self, job: &Job) -> Secs {
         job.image_gb / self.fetch_gb_per_s.max(0.01)
     }
 
-    /// Lower is better: spot before ordinary, then the tightest fit.
+    /// Lower is better: prefers spot to on-demand machines, and a tight fit.
     pub fn place_score(&self, job: &Job, free: &Resources) -> Secs {
         let used = 1.0 - free.gpus / self.total.gpus.max(crate::EPS);
         let left = 1.0 - self.total.share(&job.need) - used;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Machines of one class with the same free room.
+/// Key of the machines of one class with the same free capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CapacityGroup {
     class: usize,
@@ -74,25 +74,25 @@
 
 type MachinesByCapacity = BTreeMap<CapacityGroup, BTreeSet<u32>>;
 
-/// All machines that take tasks, by class and free room.
+/// All machines that accept tasks, by class and free capacity.
 pub(crate) struct Candidates {
     classes: Vec<MachineClass>,
     class_of: Vec<usize>,
     group_of: Vec<Option<CapacityGroup>>,
     groups: MachinesByCapacity,
-    /// Of each image that a job may ask for, the machines that have it.
+    /// For each image that a job may need, the machines that have it.
     with_image: HashMap<u32, MachinesByCapacity>,
 }
 
-/// Which machines a search is for.
+/// What a search for machines looks for.
 pub(crate) struct MachineQuery<'a> {
     pub job: &'a Job,
-    /// Only those of this zone.
+    /// Only machines of this zone, if given.
     pub zone: Option<u16>,
 }
 
 impl Candidates {
-    /// `images` are those that jobs may ask for; others are not kept.
+    /// `images` are those that jobs may need; others are not indexed.
     pub fn new(machines: &[Machine], images: impl Iterator<Item = u32>) -> Self {
         let mut classes: Vec<MachineClass> = Vec::new();
         let mut class_of = Vec::with_capacity(machines.len());
@@ -119,7 +119,7 @@
         &self.classes[self.class_of[machine]]
     }
 
-    /// The slowest fetch among the machine types that the job may use, in GB a second.
+    /// The slowest fetch rate among the machine types that the job may use, in GB per second.
     pub fn slowest_fetch_gb_per_s(&self, job: &Job) -> f64 {
         let classes = self.classes.iter();
         let usable = classes.filter(|class| job.types >> class.machine_type & 1 == 1);
@@ -129,7 +129,7 @@
             .max(0.01)
     }
 
-    /// Puts a machine where its free room says. One without a slot takes no task and is left out.
+    /// Indexes a machine by its free capacity. A machine without free slots accepts no task and is left out.
     pub fn update(&mut self, machine: usize, free: &Resources, slots: u32, images: &[u32]) {
         let group = (slots > 0).then(|| CapacityGroup {
             class: self.class_of[machine],
@@ -145,8 +145,8 @@
         move_between(&mut self.groups, machine as u32, before, group);
     }
 
-    /// Machines whose free processors and GPUs are enough for a task of the job, best first, ties in their order; with
-    /// each its score. `steps` counts groups that were looked at.
+    /// Machines with enough free cores and GPUs for a task of the job, with their scores; best first, ties by index.
+    /// `steps` counts the groups that were examined.
     pub fn best_first<'a>(&'a self, query: &MachineQuery<'a>, steps: &mut u64) -> BestFirst<'a> {
         let job = query.job;
         let with_image = self.with_image.get(&job.image);
@@ -204,10 +204,10 @@
     }
 }
 
-/// Machines of one group with one score, in their order.
+/// Machines of one group with the same score, by index.
 struct Source<'a> {
     machines: Iter<'a, u32>,
-    /// These come from another source already.
+    /// Machines to skip: those that have the image, which another source yields without the fetch time.
     exclude: Option<&'a BTreeSet<u32>>,
 }
 
@@ -221,9 +221,9 @@
     }
 }
 
-/// Machines by score, merged from groups as they are asked for.
+/// Iterator over machines by score: a lazy merge of the sorted groups.
 pub(crate) struct BestFirst<'a> {
-    /// Score as ordered bits, the machine, and its source.
+    /// The bits of the score, the machine, and the index of its source.
     heap: BinaryHeap<Reverse<(u64, u32, usize)>>,
     sources: Vec<Source<'a>>,
 }
@@ -232,7 +232,7 @@
     fn add(&mut self, score: Secs, machines: Iter<'a, u32>, exclude: Option<&'a BTreeSet<u32>>) {
         let mut source = Source { machines, exclude };
         if let Some(machine) = source.next() {
-            // Scores are 0 or more, so their bits have their order.
+            // Scores are never negative, so their bits order like the scores.
             let key = (score.to_bits(), machine, self.sources.len());
             self.heap.push(Reverse(key));
             self.sources.push(source);
--- a/crates/plan/src/failed_searches.rs
+++ b/crates/plan/src/failed_searches.rs
@@ -1,50 +1,50 @@
-//! What is known without a look: a job finds no place where one alike has found none, since room only shrinks while a
-//! plan is made.
+//! Cache of failed searches: a job finds no machines where an equivalent one found none, since free capacity only
+//! shrinks while a plan is made.
 
 use crate::Job;
 use crate::job_kind::JobKind;
 use std::collections::HashMap;
 
-/// Ways to look for places; each has machines that it passes over.
+/// Kinds of searches, which differ in the machines that they skip.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum SearchKind {
     Service,
     Tasks,
     Gang,
-    /// Machines that can be cleared.
+    /// For machines that can be freed by preemption.
     Preemption,
-    /// Room to come.
+    /// For capacity that becomes free later.
     FutureCapacity,
 }
 
 /// A search that failed.
 struct FailedSearch {
-    /// A job that stays longer finds no more.
+    /// Run time of the job. A job that runs longer finds no more places.
     estimate: f64,
-    /// Places that were found all the same.
+    /// Number of tasks that were found a place for.
     found: u32,
 }
 
-/// Searches that failed in this plan.
+/// The searches that failed in this plan.
 #[derive(Default)]
 pub(crate) struct FailedSearches {
     failed: HashMap<(JobKind, SearchKind), Vec<FailedSearch>>,
 }
 
-/// Jobs whose places depend on nothing but what [`JobKind`] says.
+/// Whether the machines that a job can use depend on nothing but its [`JobKind`].
 fn depends_on_kind_only(job: &Job) -> bool {
     let has_zone = job.one_zone && job.zones.iter().any(|(_, n)| *n > 0);
     job.avoid.is_empty() && !job.spread && !has_zone
 }
 
 impl FailedSearches {
-    /// A job has found only so many places.
+    /// Records that a search found places for only `found` tasks of a job.
     pub fn add(&mut self, job: &Job, search: SearchKind, found: u32) {
         if !depends_on_kind_only(job) {
             return;
         }
         let all = self.failed.entry((JobKind::of(job), search)).or_default();
-        // What says less than the new one is not needed any more.
+        // Entries that the new one implies are dropped.
         all.retain(|old| old.estimate < job.estimate || old.found < found);
         all.push(FailedSearch {
             estimate: job.estimate,
@@ -52,7 +52,7 @@
         });
     }
 
-    /// Whether a job is known to find fewer than `want` places.
+    /// Whether it is known that fewer than `want` tasks of a job would be found a place.
     pub fn is_known_to_fail(&self, job: &Job, search: SearchKind, want: u32) -> bool {
         let Some(all) = self.failed.get(&(JobKind::of(job), search)) else {
             return false;
@@ -63,7 +63,7 @@
                 .any(|failed| failed.estimate <= job.estimate && failed.found < want)
     }
 
-    /// Room that was kept is open for a while: nothing is known.
+    /// Forgets all failed searches. Needed when reserved machines are opened or closed, since capacity has grown then.
     pub fn clear(&mut self) {
         self.failed.clear();
     }
--- a/crates/plan/src/gang.rs
+++ b/crates/plan/src/gang.rs
@@ -1,4 +1,4 @@
-//! Places for gangs: all tasks or none.
+//! Placement of gangs: all tasks or none.
 
 use crate::candidates::MachineQuery;
 use crate::failed_searches::SearchKind;
@@ -6,12 +6,12 @@
 use crate::state::PlanState;
 use crate::{EPS, Secs, count_in};
 
-/// How long it takes until a stopped task has gone and the next plan is made.
+/// How long it takes until a preempted task is gone and the next plan is made.
 const PREEMPTION_DELAY: Secs = 3.0;
 
-/// Machines for all tasks of a gang, with how many each takes.
+/// Machines for the tasks of a gang.
 struct GangPlacement {
-    /// The slowest place decides when the gang starts.
+    /// The worst score of the chosen machines, since the slowest one decides when the gang starts.
     cost: Secs,
     chosen: Vec<(usize, u32)>,
     found: u32,
@@ -52,7 +52,7 @@
         true
     }
 
-    /// The best places in a zone, or in all. It is given up where it can't be better than what costs `limit`.
+    /// The best placement in a zone, or in all. The search ends early if the placement can't cost less than `limit`.
     fn find_placement(
         &mut self,
         i: usize,
@@ -95,8 +95,8 @@
         placement
     }
 
-    /// A long fetch leaves the room idle and the user waiting. Where the image is already, young tasks of lower urgency
-    /// may be the smaller loss.
+    /// Whether it costs less to preempt for a gang than to start it here. While an image is fetched the machines are
+    /// idle and the user waits; to preempt young tasks of lower priority on machines that have the image may lose less.
     fn is_preemption_better(&mut self, i: usize, want: u32, chosen: &[(usize, u32)]) -> bool {
         let job = &self.input.jobs[i];
         let share = |m: usize| self.input.machines[m].total.share(&job.need);
--- a/crates/plan/src/independent_tasks.rs
+++ b/crates/plan/src/independent_tasks.rs
@@ -1,4 +1,4 @@
-//! Starts of tasks that need no gang: those of arrays and services, each by itself.
+//! Placement of independent tasks: those of arrays and services.
 
 use crate::candidates::MachineQuery;
 use crate::failed_searches::SearchKind;
@@ -7,7 +7,7 @@
 use crate::{Job, count_in};
 
 impl PlanState<'_> {
-    /// Starts up to `want` tasks of a job that needs no gang; returns how many.
+    /// Starts up to `want` tasks of an array or service; returns how many.
     pub(crate) fn start_tasks(&mut self, i: usize, want: u32, respect_reservations: bool) -> u32 {
         let job = &self.input.jobs[i];
         let granted = self.allows(job, want);
@@ -35,7 +35,7 @@
         started
     }
 
-    /// The best machines for up to `want` tasks, with how many each takes.
+    /// The best machines for up to `want` tasks, with the number of tasks for each.
     fn choose_machines(
         &mut self,
         i: usize,
@@ -70,13 +70,14 @@
         chosen
     }
 
-    /// Whether a machine whose room is kept is free again before that.
+    /// Whether a task may start on a machine: it is not reserved, or the task is expected to end before the reservation
+    /// begins.
     fn may_use_until_reserved(&self, job: &Job, m: usize) -> bool {
         self.reserved_until[m].is_none_or(|until| job.estimate <= until)
     }
 
-    /// Where all tasks share a zone, that of the tasks it has; else the one with most room, chosen before anything is
-    /// placed.
+    /// The zone for a job whose tasks must share one: that of its tasks on machines, or else the one where most of its
+    /// pending tasks fit, chosen before any is placed. None for other jobs.
     fn shared_zone(&mut self, i: usize, respect_reservations: bool) -> Option<u16> {
         let job = &self.input.jobs[i];
         if !job.one_zone {
@@ -95,7 +96,7 @@
             *there = there.saturating_add(n);
             Visit::Continue
         });
-        // With equal room the zone of the best machine wins, since it came first.
+        // If as many fit in several zones, the zone of the best machine wins, since it was visited first.
         let most = room.iter().map(|(_, n)| (*n).min(job.pending)).max()?;
         let roomiest = room.iter().find(|(_, n)| (*n).min(job.pending) == most);
         roomiest.map(|(zone, _)| *zone)
--- a/crates/plan/src/placement.rs
+++ b/crates/plan/src/placement.rs
@@ -1,4 +1,4 @@
-//! Whether, and how well, a task fits on a machine, and what taking a place changes.
+//! Whether and how well a task fits on a machine, and the bookkeeping of its start.
 
 use crate::candidates::MachineQuery;
 use crate::state::PlanState;
@@ -13,12 +13,12 @@
             && self.tenants[m].admits(&job.tenant)
     }
 
-    /// Whether a job may use a machine at all.
+    /// Whether a job may ever use a machine, whatever runs on it now.
     pub(crate) fn is_eligible(&self, job: &Job, m: usize) -> bool {
         self.candidates.class(m).accepts(job) && !job.avoid.contains(&(m as u32))
     }
 
-    /// How many more tasks the job may have in this zone, given those it has.
+    /// How many more tasks the job may have in a zone, given the tasks that it has.
     pub(crate) fn zone_headroom(&self, i: usize, zone: u16) -> u32 {
         let job = &self.input.jobs[i];
         let there = |z: u16| {
@@ -35,13 +35,13 @@
             return 0;
         }
         if job.spread {
-            // The bound is half of all tasks, rounded up; it holds however few are placed so far.
+            // Half of all tasks, rounded up, however few are placed so far.
             return job.tasks.div_ceil(2).saturating_sub(there(zone));
         }
         u32::MAX
     }
 
-    /// How long the job's image takes to come to this machine.
+    /// Time that this machine takes to fetch the job's image; 0 if it has it.
     pub(crate) fn fetch_time(&self, job: &Job, m: usize) -> Secs {
         if self.images[m].contains(&job.image) {
             return 0.0;
@@ -49,7 +49,7 @@
         self.candidates.class(m).fetch_time(job)
     }
 
-    /// Lower is better: fetch time first, then spot before ordinary, then the tightest fit.
+    /// Lower is better: fetch time, plus penalties for on-demand machines and a loose fit.
     pub(crate) fn score(&self, job: &Job, m: usize) -> f64 {
         self.fetch_time(job, m) + self.place_score(job, m)
     }
@@ -58,7 +58,8 @@
         self.candidates.class(m).place_score(job, &self.free[m])
     }
 
-    /// Machines where a task of the job fits now, best first, until `visit` has enough. Steps are counted.
+    /// Visits machines where a task of the job fits now, best first, until `visit` returns [`Visit::Stop`]. Counts
+    /// steps.
     pub(crate) fn visit_machines(
         &mut self,
         query: &MachineQuery<'_>,
@@ -85,7 +86,7 @@
         self.output.steps += steps;
     }
 
-    /// The same by a walk over all machines.
+    /// The machines for [`Self::visit_machines`], by a scan of all machines.
     fn scan_all(&self, query: &MachineQuery<'_>) -> Vec<(Secs, usize)> {
         let job = query.job;
         let machines = &self.input.machines;
@@ -98,7 +99,7 @@
         order
     }
 
-    /// Notes that `n` tasks of a job start on a machine.
+    /// Starts `n` tasks of a job on a machine, and updates all state that depends on it.
     pub(crate) fn start_on(&mut self, i: usize, m: usize, n: u32) {
         let input = self.input;
         let job = &input.jobs[i];
@@ -125,7 +126,7 @@
     }
 }
 
-/// Whether a search goes on.
+/// Whether a search continues after a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Visit {
     Continue,
