--- a/crates/plan/src/limit_enforcement.rs
+++ b/crates/plan/src/limit_enforcement.rs
@@ -1,13 +1,14 @@
-//! Enforcement of limits: what runs above a bound that has shrunk is stopped: with the time to save, the least held and least urgent first,
-//! and no more than the excess.
+//! Enforcement of limits: tasks above a limit that was lowered are preempted, with time to save their state. Those that
+//! the fewest levels of guarantees cover go first, then those of the lowest priority, and no more than the excess.
 
 use crate::state::PlanState;
 use crate::{EPS, Preempt, Resources, Running, Secs};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What stops together: one task, or a whole gang.
+/// Tasks that are preempted together: a single task, or a whole gang.
 struct PreemptionUnit {
-    /// Services last, since they would only start again elsewhere; then the least held, the least urgent.
+    /// Order of preemption: services last, since they would only start again elsewhere; then by the levels of
+    /// guarantees that cover the tasks, then by priority.
     rank: (bool, u8, u8),
     lost: Secs,
     gang: Option<u32>,
@@ -16,7 +17,7 @@
 }
 
 impl PreemptionUnit {
-    /// Nothing yet of what stops with this task.
+    /// An empty unit, ranked like this task.
     fn new(task: &Running) -> Self {
         let is_service = !task.stoppable && task.gang.is_none();
         PreemptionUnit {
@@ -36,7 +37,8 @@
 }
 
 impl PlanState<'_> {
-    /// Brings each group back to its bound. Deeper ones first: what they stop counts for those above.
+    /// Brings the usage of each group back within its limit. Deeper groups come first, since what is preempted there
+    /// also reduces the usage of the groups above.
     pub(crate) fn enforce_limits(&mut self) {
         let input = self.input;
         let depth = |g: usize| {
@@ -63,7 +65,7 @@
             .is_some_and(|t| t.path.contains(&group))
     }
 
-    /// Preempts tasks and gangs below a group until its use is within its bound.
+    /// Preempts tasks and gangs below a group until its usage is within its limit.
     fn enforce_group_limit(&mut self, group: u16) {
         let bound = &self.input.groups[usize::from(group)];
         let mut used = bound.used;
@@ -77,8 +79,8 @@
         }
     }
 
-    /// All below a group that may be stopped. What is on its way out already, or stopped by this plan, is taken off
-    /// the use instead.
+    /// Everything below a group that can be preempted. Tasks that are being stopped already, or are preempted by this
+    /// plan, are subtracted from the usage instead.
     fn preemptible_below(&mut self, group: u16, used: &mut Resources) -> Vec<PreemptionUnit> {
         let input = self.input;
         let mut found: Vec<PreemptionUnit> = Vec::new();
@@ -129,7 +131,7 @@
     }
 }
 
-/// Whether ending this brings the use nearer to a bound that it is above.
+/// Whether freeing these resources reduces a usage that is above its limit.
 fn reduces_excess(max: &Resources, used: &Resources, freed: &Resources) -> bool {
     let over = |max: f64, used: f64, freed: f64| used > max + EPS && freed > EPS;
     over(max.cores, used.cores, freed.cores)
--- a/crates/plan/src/preemption_options.rs
+++ b/crates/plan/src/preemption_options.rs
@@ -1,27 +1,27 @@
-//! Machines that can be cleared for a task, by cost.
+//! Ways to make capacity for a task, with their costs.
 
 use crate::{Resources, Secs};
 
-/// A machine that can be had for a task.
+/// A machine that a task can have after a short wait or after preemptions.
 #[derive(Clone)]
 pub(crate) struct PreemptionOption {
     pub machine: usize,
-    /// When it is free by itself.
+    /// When the capacity is expected to be free; 0 if tasks are preempted for it.
     pub at: Secs,
-    /// Machine-seconds that are lost: work of the stopped, and the time that the image takes.
+    /// Machine-seconds that are lost: the wait or the work of the victims, and the time to fetch the image.
     pub cost: f64,
-    /// Tasks that have to be stopped.
+    /// Tasks to preempt.
     pub victims: Vec<usize>,
-    /// Its room when this was found out.
+    /// Free resources when the option was computed; it is stale once they differ.
     pub free: Resources,
 }
 
-/// What can be had for tasks of a kind, cheapest first: a list for each zone where all must be in one, else one list.
+/// Options for equivalent jobs, cheapest first: a list for each zone if all tasks must share one, else a single list.
 pub(crate) struct PreemptionOptions {
     pub lists: Vec<Vec<PreemptionOption>>,
 }
 
-/// Takes out what stands at these places, given in their order.
+/// Removes the elements at these positions, given in ascending order.
 pub(crate) fn remove_at(list: &mut Vec<PreemptionOption>, positions: &[usize]) {
     let Some(last) = positions.last() else {
         return;
--- a/crates/plan/src/priority_preemption.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption by priority: for jobs that find no room, machines that are free soon are held, and tasks of lower priority
-//! are stopped.
+//! Preemption by priority: for jobs that do not fit, machines that are free soon are reserved and tasks of lower
+//! priority are preempted.
 
 use crate::failed_searches::SearchKind;
 use crate::job_kind::JobKind;
@@ -8,15 +8,15 @@
 use crate::{Job, Preempt, Secs, URGENT, count_in};
 use std::collections::BTreeMap;
 
-/// An urgent job waits this long for room that falls free by itself.
+/// An urgent job waits this long for capacity to become free before tasks are preempted for it.
 const URGENT_PATIENCE: Secs = 0.3;
 
-/// Tasks of one urgent array that machines are cleared for in one plan.
+/// At most this many machines are reserved for the tasks of one urgent array in one plan.
 const MAX_MACHINES_PER_ARRAY: u32 = 64;
 
 impl PlanState<'_> {
-    /// A gang that finds no room has it gathered: the machines that are free for it first are held, and tasks of
-    /// lower priority are stopped where waiting would take longer than the patience. False if that does not do.
+    /// Makes capacity for a gang that does not fit: reserves machines that are free soon, and preempts tasks of lower
+    /// priority where waiting would take longer than the patience. False if that is not enough for all its tasks.
     pub(crate) fn preempt_for_gang(&mut self, i: usize, want: u32) -> bool {
         let Some((_, chosen)) = self.cheapest_preemption(i, want) else {
             return false;
@@ -25,7 +25,7 @@
         true
     }
 
-    /// How long a job waits for room before others are stopped for it.
+    /// How long a job waits for capacity to become free before tasks are preempted for it.
     fn patience(&self, job: &Job) -> Secs {
         if job.priority >= URGENT {
             self.input.patience.min(URGENT_PATIENCE)
@@ -34,10 +34,10 @@
         }
     }
 
-    /// Makes room for single tasks of an urgent array, a machine for each, as many as there are.
+    /// Makes capacity for tasks of an urgent array, one machine for each, for as many as possible.
     pub(crate) fn preempt_for_tasks(&mut self, i: usize, want: u32) {
         let job = &self.input.jobs[i];
-        // Machines of several zones are of no use to tasks that share one.
+        // The options may lie in several zones, which tasks that must share one cannot use.
         if job.one_zone && want > 1 {
             return;
         }
@@ -57,7 +57,7 @@
         self.preemption_options.insert(key, options);
     }
 
-    /// Holds machines, and stops what has to go from them.
+    /// Reserves machines, and preempts the victims on them.
     fn reserve_and_preempt(&mut self, chosen: Vec<PreemptionOption>) {
         for option in chosen {
             let m = option.machine;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The machines that can be had for all tasks of a gang at the least loss, and that loss.
+    /// The options for all tasks of a gang with the least total cost, and that cost.
     pub(crate) fn cheapest_preemption(
         &mut self,
         i: usize,
@@ -90,7 +90,7 @@
         let key = JobKind::of(job);
         let known = self.preemption_options.remove(&key);
         let mut options = known.unwrap_or_else(|| self.find_preemption_options(job));
-        // Per zone where all must be in one; what takes the least of waiting and of lost work is taken.
+        // If all tasks must share a zone there is a list for each zone; the cheapest is taken.
         let mut best: Option<(f64, Vec<PreemptionOption>)> = None;
         let mut most = 0;
         for list in &mut options.lists {
@@ -108,8 +108,8 @@
         best
     }
 
-    /// The cheapest machines of one list, as many as there are of those wanted, while they cost less than `limit`. Those that are no longer as
-    /// they were found are dropped.
+    /// The cheapest options of one list, up to `want`, while they cost less than `limit` together. Stale options are
+    /// removed from the list.
     fn cheapest_in_list(
         &mut self,
         i: usize,
@@ -147,8 +147,8 @@
         (cost, chosen)
     }
 
-    /// Every machine that a task like this could have, the cheapest first: those that are free soon by themselves,
-    /// then those where stopping others loses the least.
+    /// All options for a task of this job, the cheapest first. A machine that is free within the job's patience is
+    /// waited for; on others, tasks are preempted.
     fn find_preemption_options(&mut self, job: &Job) -> PreemptionOptions {
         let mut options = Vec::new();
         for m in 0..self.input.machines.len() {
@@ -209,7 +209,8 @@
         }
     }
 
-    /// The tasks of lower priority whose end gives the job room on this machine at the least lost work.
+    /// The tasks of lower priority to preempt so that a task of the job fits on this machine, those with the least lost
+    /// work first, and the cost.
     pub(crate) fn cheapest_victims(&self, job: &Job, m: usize) -> Option<(f64, Vec<usize>)> {
         let machine = &self.input.machines[m];
         let mut free = self.free[m];
@@ -225,7 +226,7 @@
         let cost =
             |k: &usize| machine.running[*k].lost * machine.total.share(&machine.running[*k].need);
         victims.sort_by(|a, b| cost(a).total_cmp(&cost(b)));
-        // A machine that fetches the image first loses that time too, with all that the job takes.
+        // While a machine fetches the image, the resources of the new task are idle; that counts as lost too.
         let mut lost = self.fetch_time(job, m) * machine.total.share(&job.need);
         let mut chosen = Vec::new();
         for k in victims {
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -1,48 +1,49 @@
-//! Preemption for quota: to give a team its guarantee, what other teams run beyond theirs is stopped, of any priority.
+//! Preemption for quota: to give a team its guarantee, tasks that other teams run beyond theirs are preempted, whatever
+//! their priority.
 //!
-//! Where quotas nest, those that are nearest in the tree give back first: what a sibling has borrowed within the same
-//! group goes before what the next group has, and so on up.
+//! With nested quotas, the borrowers nearest in the tree are preempted first: those within the same group go before
+//! those of the next group up, and so on.
 
 use crate::state::PlanState;
 use crate::{Job, Preempt, Resources, Secs, Shape};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashSet};
 
-/// How long it takes until a stopped task has saved and gone.
+/// How long a stopped task takes to save its state and exit.
 const STOP_DELAY: Secs = 4.0;
-/// What ends within this time is waited for.
+/// A task that is expected to end within this time is not preempted.
 const ENDING_SOON: Secs = 15.0;
-/// What a gang loses besides its work: it has to wait for room for all its tasks again.
+/// Cost of preempting a task of a gang besides its lost work: the gang must wait until all its tasks fit again.
 const GANG_LOSS: Secs = 20.0;
-/// The same for a single task.
+/// Cost of preempting a single task besides its lost work.
 const TASK_LOSS: Secs = 5.0;
 
-/// What else is lost of an old job's first share: it goes last.
+/// Additional cost of a task of an aged job's first share, so that it is preempted last.
 const SPARED_LOSS: Secs = 120.0;
 
-/// What stops together: one task, or a whole gang.
+/// Tasks that are preempted together: a single task, or a whole gang.
 struct Victim {
     gang: Option<u32>,
-    /// Machines and tasks.
+    /// Indices of the machine, and of the task among its running ones.
     tasks: Vec<(usize, usize)>,
     cost: Secs,
-    /// Groups that it has in common with the job.
+    /// Number of groups that it has in common with the job.
     common_groups: u8,
 }
 
-/// What is to be stopped, with the loss, and the room on each machine then.
+/// A set of victims with its cost, and how many tasks of the job fit afterwards.
 struct QuotaPreemption {
-    /// Places that an array still lacks.
+    /// Number of tasks of an array that still do not fit.
     missing: u32,
     cost: Secs,
     victims: Vec<Victim>,
     places: Vec<(usize, u32)>,
 }
 
-/// Room by machine.
+/// Free resources by machine.
 type FreeByMachine = BTreeMap<usize, Resources>;
 
-/// Places for tasks of a job, at most `cap` on each machine.
+/// How many tasks of a job fit, at most `cap` on each machine.
 fn count_placements(job: &Job, cap: u32, free_by_machine: &FreeByMachine) -> u32 {
     free_by_machine
         .values()
@@ -51,8 +52,8 @@
 }
 
 impl PlanState<'_> {
-    /// Stops for a job within a guarantee what other teams run beyond theirs, and holds the room. A gang needs all its
-    /// places, an array takes what there is. False if that does not make enough.
+    /// Preempts for a job within a guarantee tasks that other teams run beyond theirs, and reserves the capacity. An
+    /// array takes what can be had. False for a gang if not all its tasks would fit.
     pub(crate) fn preempt_for_quota(&mut self, i: usize, want: u32) -> bool {
         let job = &self.input.jobs[i];
         let zones = self.zones_for(job);
@@ -91,7 +92,7 @@
         true
     }
 
-    /// What would be stopped in a zone, or in all; none for a gang that would still lack places.
+    /// The victims to preempt in a zone, or in all; none for a gang that would still not fit.
     fn quota_preemption_in(
         &mut self,
         i: usize,
@@ -119,7 +120,7 @@
         })
     }
 
-    /// Room on the machines that a job may use, once what is on its way out has gone.
+    /// Free resources of the machines that a job may use, once the tasks that are being stopped are gone.
     fn free_after_leaving(&mut self, i: usize, zone: Option<u16>) -> FreeByMachine {
         let job = &self.input.jobs[i];
         let mut free_by_machine = FreeByMachine::new();
@@ -128,7 +129,7 @@
             if !self.can_start_on(job, m) || self.reserved_until[m].is_some() {
                 continue;
             }
-            // Room where the job may have no more tasks would be made in vain, and held.
+            // Capacity where the job may have no more tasks would be freed and reserved in vain.
             if self.is_reserved_for_conflicting_tenant(job, m)
                 || self.zone_headroom(i, machine.zone) == 0
             {
@@ -144,8 +145,8 @@
         free_by_machine
     }
 
-    /// Takes victims until a job has the places that it wants, or none is left that brings it nearer, and adds their
-    /// room.
+    /// Chooses victims until the wanted tasks of a job fit or no victim helps any more, and adds the resources that
+    /// they free.
     fn choose_victims(
         &mut self,
         job: &Job,
@@ -156,7 +157,7 @@
         let mut chosen = Vec::new();
         let mut have = count_placements(job, want, free_by_machine);
         while have < want {
-            // Clearing has its bound of steps, as elsewhere.
+            // Past the soft limit of steps nothing more is preempted, as elsewhere.
             self.output.steps += free_by_machine.len() as u64;
             if self.is_past_soft_limit() {
                 break;
@@ -172,8 +173,8 @@
         chosen
     }
 
-    /// The victim that is nearest in the tree, and of those the one with the least loss for each place that is gained.
-    /// What gains none by itself may do so with another.
+    /// Index of the victim nearest in the tree, and among those with the least cost for each task that fits thanks to
+    /// it. A single task that frees too little by itself counts a little, since it may do with another.
     fn best_victim(
         &mut self,
         job: &Job,
@@ -198,7 +199,7 @@
         best.map(|(_, at)| at)
     }
 
-    /// What turned out not to be needed for `enough` places stays.
+    /// Drops victims without which `enough` tasks still fit, the last chosen first.
     fn drop_unneeded_victims(
         &self,
         job: &Job,
@@ -217,7 +218,8 @@
         }
     }
 
-    /// Places that a victim's end brings nearer: whole ones count most, parts of one a little.
+    /// How many more tasks fit once a victim is gone. A single task after which no more fit counts 0.4, as a part of a
+    /// place.
     fn placements_gained(
         &self,
         job: &Job,
@@ -256,7 +258,7 @@
         }
     }
 
-    /// All that may be stopped for a job on these machines, with what that loses.
+    /// The victims that may be preempted for a job on these machines, with their costs.
     fn victims(&self, job: &Job, free_by_machine: &FreeByMachine) -> Vec<Victim> {
         let mut out = Vec::new();
         let mut gangs: BTreeMap<u32, Victim> = BTreeMap::new();
@@ -276,7 +278,7 @@
                 }
                 let common_groups = self.input.common_groups(r.team, job.team);
                 match r.gang {
-                    // All of a gang stops, also where that makes no room for the job.
+                    // A gang stops as a whole, also on machines that the job cannot use.
                     Some(gang) => {
                         let victim = gangs.entry(gang).or_insert(Victim {
                             gang: Some(gang),
