--- a/crates/plan/examples/scale.rs
+++ b/crates/plan/examples/scale.rs
@@ -1,7 +1,7 @@
-//! What a plan costs as the fleet grows: `cargo run --release -q -p plan --example scale`. Counted steps, never times.
+//! The cost of a plan by fleet size, in counted steps, never in time: `cargo run --release -q -p plan --example scale`.
 //!
-//! 500 to 16,000 machines in 12 zones, a fifth as many waiting jobs of 86 teams; the walk over all machines beside the
-//! index. It ends with code 1 where what is wanted is missed.
+//! Plans for 500 to 16,000 machines in 12 zones and a fifth as many pending jobs of 86 teams, with the linear search
+//! and with the index. Exits with code 1 if a target is missed.
 
 #[path = "../tests/fleets/mod.rs"]
 mod fleets;
@@ -11,16 +11,16 @@
 
 const SEED: u64 = 1;
 const FLEETS: [u32; 4] = [500, 2000, 3300, 16_000];
-/// Steps at which the share of a small controller stops clearing; twice as many stop the plan.
+/// Soft limit of steps on the share of a small controller; twice as many are the hard limit.
 const BOUND: u64 = 240_000;
 const PLANNED: u32 = 3300;
 const LARGEST: u32 = 16_000;
-/// A plan of the planned size takes no more, and starts this part of what one without a bound starts.
+/// Targets for the planned size: at most so many steps, and at least this share of the starts of a plan without limit.
 const PLANNED_STEPS: u64 = 480_000;
 const PLANNED_STARTS: f64 = 0.95;
-/// A plan of the largest fleet takes no more.
+/// Target for the largest fleet: at most so many steps.
 const LARGEST_STEPS: u64 = 3_000_000;
-/// Past this the walk is not played: it would take minutes and show nothing new.
+/// Above this size the linear search without limit is not run: it would take minutes and show nothing new.
 const WALKED: u32 = 3300;
 
 fn starts(output: &Output) -> u32 {
--- a/crates/plan/src/scale_out.rs
+++ b/crates/plan/src/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale out, what to rent: enough for the tasks that found no room, where renting is worth its price.
+//! Scale-out: which machines to rent for the tasks that a plan could not place.
 
 use crate::tenant::Tenants;
 use crate::{EPS, Input, Job, Output, RUN_TIME_SLACK, Resources, Secs, Shape, count_in};
@@ -7,35 +7,35 @@
 /// A kind of machine that can be rented now.
 #[derive(Debug, Clone)]
 pub struct MachineOffer {
-    /// Its type, as an index.
+    /// Index of its machine type.
     pub machine_type: u16,
-    /// Its zone, as an index.
+    /// Index of its zone.
     pub zone: u16,
-    /// The cloud may take it back at any time.
+    /// A spot machine: the cloud may reclaim it at any time.
     pub spot: bool,
-    /// All that such a machine has.
+    /// Total resources of such a machine.
     pub total: Resources,
-    /// What it costs, in any unit that all offers share.
+    /// Its price, in the same unit for all offers.
     pub price: f64,
-    /// Time from the order until it takes tasks.
+    /// Time from the request until it accepts tasks.
     pub boot: Secs,
-    /// How fast it fetches images.
+    /// Its rate of fetching images, in GB per second.
     pub fetch_gb_per_s: f64,
 }
 
-/// What is decided on: a plan, and what the cloud offers.
+/// The input of the decision: a plan, and the offers of the cloud.
 pub struct ScaleOutInput<'a> {
-    /// What the plan was made from.
+    /// The input of the plan.
     pub input: &'a Input,
     /// The plan.
     pub output: &'a Output,
-    /// What can be rented.
+    /// The machines that can be rented.
     pub offers: &'a [MachineOffer],
-    /// Machines that are on their way, as indices into `offers`' kinds: type, zone, spot and how many.
+    /// Machines that are rented and not usable yet: their kind, and how many.
     pub coming: &'a [(MachineOffer, u32)],
-    /// An array's waiting work is spread over this time: less makes it faster and dearer.
+    /// Time within which an array's pending work should be done; a shorter one makes it faster and more expensive.
     pub horizon: Secs,
-    /// Bound on the machines that are looked at, those on their way included.
+    /// Limit of the machines considered, those in `coming` included.
     pub max_machines: usize,
 }
 
@@ -44,11 +44,11 @@
 pub struct RentalRequest {
     /// Index into the offers.
     pub offer: usize,
-    /// How many machines.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// The machines to rent now, cheapest kind that the job allows first.
+/// The machines to rent now. For each job, the cheapest kind that it allows is chosen.
 pub fn scale_out(scale: &ScaleOutInput<'_>) -> Vec<RentalRequest> {
     let mut fleet = VirtualFleet::new(scale);
     for (job, tasks) in unplaced(scale) {
@@ -60,7 +60,7 @@
     fleet.into_requests()
 }
 
-/// Tasks that found no room, the most urgent first, and then what is reserved for and found none.
+/// Tasks that were not placed, those of the highest priority first, and then the unmet reservations.
 fn unplaced<'a>(scale: &ScaleOutInput<'a>) -> Vec<(&'a Job, u32)> {
     let waiting = scale.output.waiting.iter();
     let mut unplaced: Vec<(&Job, u32)> = waiting
@@ -73,7 +73,7 @@
     unplaced
 }
 
-/// Whether a task of the job may run on such a machine, and fits on an empty one.
+/// Whether a task of the job may run on a machine of this offer, and fits on an empty one.
 fn fits(job: &Job, offer: &MachineOffer) -> bool {
     job.types >> offer.machine_type & 1 == 1
         && job.zone.is_none_or(|zone| zone == offer.zone)
@@ -82,13 +82,13 @@
         && offer.total.fits(&job.need)
 }
 
-/// Places that a job's waiting tasks should have. An array need not run all at once: as many as finish its work within
-/// the horizon.
+/// How many tasks of a job to provide capacity for. An array need not run all its tasks at once: as many as finish its
+/// pending work within the horizon are enough.
 fn places_wanted(job: &Job, tasks: u32, scale: &ScaleOutInput<'_>) -> u32 {
     if job.shape != Shape::Array {
         return tasks;
     }
-    // Of its own deadline, what is left once a machine is up with the image.
+    // Time that passes of the job's own deadline until a new machine has booted and fetched the image.
     let lead = |o: &MachineOffer| o.boot + job.image_gb / o.fetch_gb_per_s.max(SLOWEST_FETCH);
     let usable = scale.offers.iter().filter(|offer| fits(job, offer));
     let lead = usable.map(lead).fold(0.0, f64::max);
@@ -101,20 +101,20 @@
     (f64::from(tasks) / rounds).ceil() as u32
 }
 
-/// Images are taken to come no slower than this, in GB a second.
+/// Lower bound of the fetch rate in estimates, in GB per second.
 const SLOWEST_FETCH: f64 = 0.01;
 
-/// A machine that is on its way or to be rented.
+/// A machine that is rented but not usable yet, or is to be rented.
 struct VirtualMachine {
     offer: MachineOffer,
     free: Resources,
-    /// The index of its offer, if it is to be rented.
+    /// Index of its offer, if it is to be rented.
     new: Option<usize>,
     tenants: Tenants,
 }
 
 impl VirtualMachine {
-    /// Gives a job up to `cap` places; returns how many.
+    /// Places up to `cap` tasks of a job; returns how many.
     fn place(&mut self, job: &Job, cap: u32) -> u32 {
         let placed = self.free.count(&job.need, cap);
         self.free.add(&job.need, -f64::from(placed));
@@ -128,14 +128,14 @@
     }
 }
 
-/// Places that a job still lacks.
+/// The tasks of a job that still need capacity.
 struct Demand<'a> {
     job: &'a Job,
     left: u32,
-    /// Tasks that one zone may have: those that must not crowd in one need machines in several.
+    /// Most tasks in one zone: jobs that must be spread need machines in several zones.
     max_per_zone: u32,
     tasks_by_zone: Vec<(u16, u32)>,
-    /// Where all tasks share a zone, that one; none while any will do.
+    /// The zone for all tasks of a job whose tasks must share one; none while any will do.
     home_zone: Option<u16>,
 }
 
@@ -146,7 +146,7 @@
         } else {
             u32::MAX
         };
-        // Where all tasks share a zone, a machine in another one would stand idle.
+        // If all tasks must share a zone, a machine in another one would be idle.
         let home_zone = if job.one_zone {
             fleet.home_zone(job, places)
         } else {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Whether a machine that is rented or on its way may have tasks of the job.
+    /// Whether a machine of the virtual fleet may have tasks of the job.
     fn may_use(&self, machine: &VirtualMachine) -> bool {
         let in_reach = !self.job.one_zone || self.home_zone == Some(machine.offer.zone);
         fits(self.job, &machine.offer) && in_reach && machine.tenants.admits(&self.job.tenant)
@@ -183,17 +183,17 @@
     }
 }
 
-/// Machines on their way and to be rented, with the places that are still free on them.
+/// The machines that are rented but not usable yet, and those to be rented, with their free capacity.
 struct VirtualFleet<'a> {
     offers: &'a [MachineOffer],
     max_machines: usize,
     open: Vec<VirtualMachine>,
-    /// Offers of the full machines that are to be rented.
+    /// Offers of the machines to be rented that are full.
     full: Vec<usize>,
 }
 
 impl<'a> VirtualFleet<'a> {
-    /// The machines that are on their way.
+    /// A fleet of the machines that are rented but not usable yet.
     fn new(scale: &ScaleOutInput<'a>) -> Self {
         let coming = scale.coming.iter();
         let open = coming.flat_map(|(offer, count)| {
@@ -212,8 +212,9 @@
         }
     }
 
-    /// The zone of a job whose tasks share one: that of the tasks it has, or else the one where most of its places are
-    /// on their way, if the rest can be rented there. None while any zone will do.
+    /// The zone for a job whose tasks must share one: that of its tasks on machines, or else the one where most of its
+    /// pending tasks fit on machines of this fleet, if capacity for the rest can be rented there. None while any zone
+    /// will do.
     fn home_zone(&self, job: &Job, places: u32) -> Option<u16> {
         if let Some((zone, _)) = job.zones.iter().find(|(_, n)| *n > 0) {
             return Some(*zone);
@@ -229,7 +230,7 @@
         }
         let is_rentable = |zone| self.offers.iter().any(|o| o.zone == zone && fits(job, o));
         coming.retain(|(zone, n)| *n > 0 && (*n >= places || is_rentable(*zone)));
-        // With equal room the first wins.
+        // If as many fit in several zones, the first wins.
         let most = coming.iter().map(|(_, n)| *n).max()?;
         coming
             .iter()
@@ -241,7 +242,7 @@
         self.full.len() + self.open.len() >= self.max_machines
     }
 
-    /// Gives a job places on machines that are on their way or asked for already.
+    /// Places tasks of a job on machines that the virtual fleet has already.
     fn use_open_machines(&mut self, demand: &mut Demand<'_>) {
         let mut k = 0;
         while demand.left > 0 && k < self.open.len() {
@@ -256,7 +257,7 @@
                     machine.tenants.add(&demand.job.tenant);
                 }
             }
-            // What is full is not looked at again.
+            // Full machines are not visited again.
             if machine.is_full() {
                 self.full.extend(self.open.swap_remove(k).new);
             } else {
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Adds machines for the places that a job still lacks.
+    /// Adds machines for the tasks that still need capacity.
     fn add_machines(&mut self, demand: &mut Demand<'_>) {
         let before = self.open.len();
         while demand.left > 0 && !self.is_at_limit() {
@@ -274,13 +275,14 @@
             };
             self.add_machines_of(index, demand);
         }
-        // Half a gang starts nowhere.
+        // A gang starts only as a whole.
         if demand.job.shape == Shape::Gang && demand.left > 0 {
             self.open.truncate(before);
         }
     }
 
-    /// Adds all machines that are needed of one offer; another offer is looked for only where this one's zone is full.
+    /// Adds as many machines of one offer as are needed, until the job has the most tasks allowed in that zone or the
+    /// limit of machines is reached.
     fn add_machines_of(&mut self, index: usize, demand: &mut Demand<'_>) {
         let offer = &self.offers[index];
         let job = demand.job;
@@ -295,7 +297,7 @@
                 new: Some(index),
                 tenants: Tenants::of([&job.tenant]),
             };
-            // At least one, so that this ends.
+            // At least one, so that the loop ends.
             let cap = demand.left.min(demand.max_per_zone - *there);
             let placed = machine.free.count(&job.need, cap).max(1);
             machine.free.add(&job.need, -f64::from(placed));
@@ -309,7 +311,7 @@
         }
     }
 
-    /// The new machines by offer, in the order in which the offers were first chosen.
+    /// The machines to rent, by offer.
     fn into_requests(self) -> Vec<RentalRequest> {
         let mut requests: Vec<RentalRequest> = Vec::new();
         let open = self.open.into_iter().filter_map(|machine| machine.new);
