--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -220,21 +220,14 @@
 
     /// How many more tasks fit once a victim is gone. A single task after which no more fit counts 0.4, as a part of a
     /// place.
-    fn placements_gained(
-        &self,
-        job: &Job,
-        victim: &Victim,
-        free_by_machine: &FreeByMachine,
-    ) -> f64 {
+    fn placements_gained(&self, job: &Job, victim: &Victim, free: &FreeByMachine) -> f64 {
         let mut placements_gained = 0.0;
         let mut seen = usize::MAX;
         let mut after = Resources::default();
         for (m, k) in &victim.tasks {
-            let Some(free) = free_by_machine.get(m) else {
-                continue;
-            };
+            let Some(now) = free.get(m) else { continue };
             if *m != seen {
-                (seen, after) = (*m, *free);
+                (seen, after) = (*m, *now);
             }
             let before = after.count(&job.need, u32::MAX);
             after.add(&self.input.machines[*m].running[*k].need, 1.0);
