--- a/crates/plan/tests/anti_affinity.rs
+++ b/crates/plan/tests/anti_affinity.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn nothing_waits_for_ever_for_a_machine_of_its_county() {
+fn isolated_jobs_start_on_a_busy_fleet() {
     let alone = Tenant {
         county: 1,
         alone: true,
@@ -126,7 +126,7 @@
 
 /// Machines are hired for each county by itself: one that has room for both is none for the second.
 #[test]
-fn machines_are_hired_for_each_county() {
+fn machines_are_rented_per_county() {
     let jobs = (1..4)
         .map(|county| {
             job(
@@ -158,7 +158,7 @@
         fetch_gb_per_s: 1.0,
     };
     let (offers, coming) = ([offer.clone()], [(offer, 1)]);
-    let hire = ScaleOutInput {
+    let scale = ScaleOutInput {
         input: &input,
         output: &output,
         offers: &offers,
@@ -166,7 +166,7 @@
         horizon: 60.0,
         max_machines: 50,
     };
-    assert_eq!(scale_out(&hire).iter().map(|w| w.count).sum::<u32>(), 2);
+    assert_eq!(scale_out(&scale).iter().map(|r| r.count).sum::<u32>(), 2);
     let mut input = input.clone();
     input
         .jobs
@@ -175,10 +175,10 @@
     assert_eq!(
         scale_out(&ScaleOutInput {
             input: &input,
-            ..hire
+            ..scale
         })
         .iter()
-        .map(|w| w.count)
+        .map(|r| r.count)
         .sum::<u32>(),
         1
     );
@@ -186,7 +186,7 @@
 
 /// A county's own work shares its machines, and keeps others off.
 #[test]
-fn an_own_county_shares() {
+fn tasks_of_one_county_share_its_machines() {
     let alone = Tenant {
         county: 1,
         alone: true,
--- a/crates/plan/tests/fleets/mod.rs
+++ b/crates/plan/tests/fleets/mod.rs
@@ -8,11 +8,11 @@
 pub const IMAGES: u32 = 8;
 pub const IMAGE_GB: f64 = 6.0;
 const GPUS: u32 = 8;
-const WIDEST: u32 = 64;
+const MAX_GANG_TASKS: u32 = 64;
 const PRIORITIES: [u8; 3] = [0, 1, 2];
 
 /// So much of a machine as this many GPUs have.
-pub fn part(gpus: f64) -> Resources {
+pub fn resources_of_gpus(gpus: f64) -> Resources {
     Resources {
         cores: gpus * 6.0,
         gpus,
@@ -23,7 +23,7 @@
 fn running(rng: &mut fastrand::Rng, gpus: u32, gang: Option<u32>) -> Running {
     let ends = 5.0 + rng.f64() * 200.0;
     Running {
-        need: part(f64::from(gpus)),
+        need: resources_of_gpus(f64::from(gpus)),
         ends,
         priority: if gang.is_some() { 2 } else { 0 },
         lost: rng.f64() * 60.0,
@@ -45,7 +45,7 @@
         spot: rng.bool(),
         usable: rng.u32(0..50) > 0,
         ready: f64::INFINITY,
-        total: part(f64::from(GPUS)),
+        total: resources_of_gpus(f64::from(GPUS)),
         running: Vec::new(),
         images: (0..IMAGES).filter(|_| rng.u32(0..3) == 0).collect(),
         fetch_gb_per_s: 0.8,
@@ -70,7 +70,7 @@
 pub fn job(rng: &mut fastrand::Rng) -> Job {
     let is_gang = rng.bool();
     let tasks = if is_gang {
-        1 << rng.u32(0..=WIDEST.ilog2())
+        1 << rng.u32(0..=MAX_GANG_TASKS.ilog2())
     } else {
         rng.u32(1..60)
     };
@@ -82,8 +82,8 @@
     // Arrays differ in what they need, as users' do.
     let vary = if is_gang { 1.0 } else { 0.6 + rng.f64() * 0.8 };
     let need = Resources {
-        cores: (part(gpus).cores * vary).round(),
-        ..part(gpus)
+        cores: (resources_of_gpus(gpus).cores * vary).round(),
+        ..resources_of_gpus(gpus)
     };
     Job {
         shape: if is_gang { Shape::Gang } else { Shape::Array },
--- a/crates/plan/tests/floods.rs
+++ b/crates/plan/tests/floods.rs
@@ -62,7 +62,7 @@
     job: usize,
     machine: usize,
     ends: i32,
-    began: i32,
+    started_at: i32,
 }
 
 /// A fleet that does as it is told, a plan a turn.
@@ -71,23 +71,23 @@
     jobs: Vec<(i32, Job)>,
     placed: Vec<Placed>,
     done: Vec<u32>,
-    began: Vec<Option<i32>>,
+    first_start: Vec<Option<i32>>,
     /// Of each job, tasks that were stopped.
     stopped: Vec<u32>,
-    bound: bool,
+    with_aging: bool,
 }
 
 impl Fleet {
-    fn new(machines: usize, jobs: Vec<(i32, Job)>, bound: bool) -> Self {
+    fn new(machines: usize, jobs: Vec<(i32, Job)>, with_aging: bool) -> Self {
         let n = jobs.len();
         Fleet {
             machines,
             jobs,
             placed: vec![],
             done: vec![0; n],
-            began: vec![None; n],
+            first_start: vec![None; n],
             stopped: vec![0; n],
-            bound,
+            with_aging,
         }
     }
 
@@ -98,7 +98,7 @@
             online_factor: 1.5,
             patience: 3.0,
             max_steps: u64::MAX / 4,
-            aging: if self.bound {
+            aging: if self.with_aging {
                 AGING
             } else {
                 AgingThresholds::default()
@@ -113,14 +113,15 @@
             let (array, first) = (job.shape == Shape::Array, first_share(job.shape, job.tasks));
             let age = f64::from(now - self.jobs[p.job].0);
             let share = self.done[p.job] == 0 && claims[p.job] < first;
-            let spared = self.bound && array && (age >= AGING.latest || share && age >= AGING.old);
+            let spared =
+                self.with_aging && array && (age >= AGING.latest || share && age >= AGING.old);
             claims[p.job] += 1;
             on[p.machine].push(k);
             input.machines[p.machine].running.push(Running {
                 need: job.need,
                 ends: f64::from(p.ends - now),
                 priority: job.priority,
-                lost: f64::from(now - p.began),
+                lost: f64::from(now - p.started_at),
                 stoppable: array,
                 spared,
                 gang: (!array).then_some(p.job as u32),
@@ -138,7 +139,7 @@
             } else {
                 vec![]
             };
-            let waits = job.shape == Shape::Array || self.began[j].is_none();
+            let waits = job.shape == Shape::Array || self.first_start[j].is_none();
             input.jobs.push(Job {
                 arrival: f64::from(at - now),
                 pending: left,
@@ -151,7 +152,7 @@
         (input, map, on)
     }
 
-    fn turn(&mut self, now: i32) -> Result<(), TestCaseError> {
+    fn run_turn(&mut self, now: i32) -> Result<(), TestCaseError> {
         let over: Vec<usize> = self
             .placed
             .iter()
@@ -169,13 +170,13 @@
         );
         for s in &out.starts {
             let j = map[s.job as usize];
-            self.began[j].get_or_insert(now);
+            self.first_start[j].get_or_insert(now);
             let ends = now + self.jobs[j].1.estimate as i32;
             let new = || Placed {
                 job: j,
                 machine: s.machine as usize,
                 ends,
-                began: now,
+                started_at: now,
             };
             self.placed.extend((0..s.count).map(|_| new()));
         }
@@ -213,18 +214,18 @@
 }
 
 /// When the first `n` jobs of a flood began, and how many of their tasks were stopped.
-fn play(
+fn run_fleet(
     jobs: Vec<(i32, Job)>,
     machines: usize,
     n: usize,
     turns: i32,
-    bound: bool,
+    with_aging: bool,
 ) -> Result<Fleet, TestCaseError> {
-    let mut fleet = Fleet::new(machines, jobs, bound);
+    let mut fleet = Fleet::new(machines, jobs, with_aging);
     for now in 0..turns {
-        fleet.turn(now)?;
+        fleet.run_turn(now)?;
     }
-    fleet.began.truncate(n);
+    fleet.first_start.truncate(n);
     Ok(fleet)
 }
 
@@ -240,11 +241,11 @@
     /// Whoever waits begins within the bound, twice the longest run and what other large jobs before it take, though
     /// twice the work that the fleet can do keeps coming; without the bound nobody does.
     #[test]
-    fn the_largest_begin_in_a_flood(machines in 6usize..10, large in prop::collection::vec(large(), 1..4)) {
+    fn large_jobs_start_within_the_aging_bound_during_a_flood(machines in 6usize..10, large in prop::collection::vec(large(), 1..4)) {
         let turns = 130;
         let jobs = flood(machines, turns, &large);
-        let fleet = play(jobs.clone(), machines, large.len(), turns, true)?;
-        for (k, (began, (at, shape, tasks))) in fleet.began.iter().zip(&large).enumerate() {
+        let fleet = run_fleet(jobs.clone(), machines, large.len(), turns, true)?;
+        for (k, (began, (at, shape, tasks))) in fleet.first_start.iter().zip(&large).enumerate() {
             let before = large.iter().enumerate().filter(|(o, l)| *o != k && l.0 <= *at);
             let loads: u32 = before.map(|(_, (_, s, n))| if *s == Shape::Array { n.div_ceil(PLACES) } else { *n }).sum();
             let bound = AGING.old as i32 + 12 + (loads * 6).div_ceil(machines as u32) as i32;
@@ -252,27 +253,27 @@
             prop_assert!(waited.is_some_and(|w| w <= bound), "{shape:?} of {tasks}: {waited:?}, {bound}");
         }
         let started: Vec<i32> = large.iter().filter(|l| l.0 > 1).map(|l| l.0).collect();
-        let forgotten = play(jobs, machines, large.len(), turns, false)?;
-        let late = forgotten.began.iter().zip(&large).filter(|(b, l)| l.0 > 1 && b.is_none()).count();
+        let without_aging = run_fleet(jobs, machines, large.len(), turns, false)?;
+        let late = without_aging.first_start.iter().zip(&large).filter(|(b, l)| l.0 > 1 && b.is_none()).count();
         prop_assert_eq!(late, started.len(), "a flood in which they begin anyway shows nothing");
     }
 
     /// What has begun so late is not stopped at once by the next urgent gang: some of it ends.
     #[test]
-    fn what_began_late_gets_to_an_end(machines in 6usize..10, tasks in 60u32..300) {
+    fn late_started_array_completes_tasks_during_a_flood(machines in 6usize..10, tasks in 60u32..300) {
         let turns = 70;
-        let fleet = play(flood(machines, turns, &[(2, Shape::Array, tasks)]), machines, 1, turns, true)?;
+        let fleet = run_fleet(flood(machines, turns, &[(2, Shape::Array, tasks)]), machines, 1, turns, true)?;
         prop_assert!(fleet.done[0] >= first_share(Shape::Array, tasks).min(PLACES), "done: {}", fleet.done[0]);
     }
 
     /// Who has its share stands where it stood, and nothing else is moved.
     #[test]
-    fn with_its_share_a_job_has_no_more_before_others(machines in 3usize..6, tasks in 17u32..100, gangs in 0usize..6) {
+    fn aged_job_with_its_first_share_gets_no_further_precedence(machines in 3usize..6, tasks in 17u32..100, gangs in 0usize..6) {
         let mut jobs = flood(machines, 1, &[(0, Shape::Array, tasks)]);
         jobs.extend((0..gangs).map(|_| (0, job(Shape::Gang, 2, 1))));
         let mut fleet = Fleet::new(machines, jobs, true);
         let has = first_share(Shape::Array, tasks);
-        fleet.placed.extend((0..has).map(|k| Placed { job: 0, machine: (k / PLACES) as usize, ends: 50, began: -5 }));
+        fleet.placed.extend((0..has).map(|k| Placed { job: 0, machine: (k / PLACES) as usize, ends: 50, started_at: -5 }));
         let (mut input, _, _) = fleet.input(0);
         let young = plan(&input);
         // Alone of its urgency, it has nobody to go before there.
@@ -289,7 +290,7 @@
 }
 
 /// Starts of an array that came so long ago, beside a machine that is kept for expected gangs.
-fn starts_beside_spares(waited: f64, running: u32) -> u32 {
+fn starts_beside_reservation(waited: f64, running: u32) -> u32 {
     let mut array = Job {
         arrival: -waited,
         ..job(Shape::Array, 1, 3)
@@ -322,8 +323,8 @@
 
 /// Room that is kept for expected gangs stays kept, but nobody waits beside it for ever.
 #[test]
-fn nobody_waits_for_ever_beside_spares() {
-    assert_eq!(starts_beside_spares(10.0, 0), 0);
-    assert_eq!(starts_beside_spares(60.0, 0), 1);
-    assert_eq!(starts_beside_spares(60.0, 1), 0);
+fn array_is_not_starved_by_reservations() {
+    assert_eq!(starts_beside_reservation(10.0, 0), 0);
+    assert_eq!(starts_beside_reservation(60.0, 0), 1);
+    assert_eq!(starts_beside_reservation(60.0, 1), 0);
 }
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 
 /// Work of the second county and of the third shares no machine.
-fn of(county: u16) -> Tenant {
+fn tenant_of(county: u16) -> Tenant {
     Tenant {
         county,
         alone: county > 1,
@@ -25,7 +25,7 @@
                  running in prop::collection::vec((1u32..4, 0.0f64..60.0, 0u8..3, any::<bool>(), prop::option::of(0u32..3), 0u16..3), 0..3),
                  images in prop::collection::vec(0u32..3, 0..2)) -> Machine {
         let total = res(32.0, f64::from(kind + 1) * 4.0, 128.0);
-         let running = running.into_iter().map(|(g, ends, priority, beyond, gang, county)| Running { need: res(2.0 * f64::from(g), f64::from(g), 8.0), ends, priority, lost: 5.0, stoppable: gang.is_none(), team: 1, held: u8::from(!beyond), gang, tenant: of(county), ..defaults::running() }).collect();
+         let running = running.into_iter().map(|(g, ends, priority, beyond, gang, county)| Running { need: res(2.0 * f64::from(g), f64::from(g), 8.0), ends, priority, lost: 5.0, stoppable: gang.is_none(), team: 1, held: u8::from(!beyond), gang, tenant: tenant_of(county), ..defaults::running() }).collect();
         let mut m = Machine { machine_type: kind, zone, spot, usable, ready: 20.0, total, running, images, ..defaults::machine() };
         while m.free().gpus < 0.0 {
             m.running.pop();
@@ -40,7 +40,7 @@
              flags in (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>()), image in 0u32..3, team in 0u16..2, county in 0u16..4,
              only in prop::collection::vec(0u16..2, 0..2)) -> Job {
         let shape = [Shape::Array, Shape::Gang, Shape::Service][shape as usize];
-        Job { shape, priority, arrival, estimate, tasks, pending: tasks, need: res(4.0, f64::from(gpus), 16.0), types, zone, one_zone: flags.0, spread: flags.1 && !flags.0, spot: flags.2, image, image_gb: 4.0, team, promised: flags.3, held: u8::from(flags.3), tenant: of(county), only, ..defaults::job() }
+        Job { shape, priority, arrival, estimate, tasks, pending: tasks, need: res(4.0, f64::from(gpus), 16.0), types, zone, one_zone: flags.0, spread: flags.1 && !flags.0, spot: flags.2, image, image_gb: 4.0, team, promised: flags.3, held: u8::from(flags.3), tenant: tenant_of(county), only, ..defaults::job() }
     }
 }
 
@@ -103,11 +103,11 @@
 
     /// A lone array that has room for all takes it: nothing that could start is left waiting.
     #[test]
-    fn room_is_used(tasks in 1u32..20, n in 1usize..6) {
+    fn array_fills_free_capacity(tasks in 1u32..20, n in 1usize..6) {
         let total = res(32.0, 4.0, 128.0);
         let machine = Machine { ready: 0.0, total, slots: 50, ..defaults::machine() };
         let job = Job { shape: Shape::Array, priority: 1, arrival: 0.0, estimate: 10.0, tasks, pending: tasks, need: res(1.0, 1.0, 1.0), image_gb: 1.0, ..defaults::job() };
-        let team = unbounded(&[]);
+        let team = unlimited_team(&[]);
         let input = Input { machines: vec![machine; n], jobs: vec![job], teams: vec![team], online_factor: 1.0, patience: 1.0, max_steps: u64::MAX / 4, ..Input::default() };
         let out = plan(&input);
         let started: u32 = out.starts.iter().map(|s| s.count).sum();
@@ -117,7 +117,7 @@
     /// The search against the paper's property checked directly: at S all deadlines leave time for the work before
     /// them, and a little below S some do not.
     #[test]
-    fn the_stretch_is_the_smallest(jobs in prop::collection::vec((0.0f64..100.0, 1.0f64..50.0, 1.0f64..9.0), 1..12)) {
+    fn stretch_is_minimal(jobs in prop::collection::vec((0.0f64..100.0, 1.0f64..50.0, 1.0f64..9.0), 1..12)) {
         let jobs: Vec<SizedJob> = jobs.into_iter()
             .map(|(age, work, m)| SizedJob { arrival: -age, work, left: work / m, min_run_time: 0.5f64.min(work / m) }).collect();
         let holds = |s: f64| {
@@ -173,7 +173,7 @@
     }
 }
 
-fn unbounded(path: &[u16]) -> Team {
+fn unlimited_team(path: &[u16]) -> Team {
     let path = path.to_vec();
     Team {
         path,
@@ -181,8 +181,8 @@
     }
 }
 
-fn crowded(machines: Vec<Machine>, jobs: Vec<Job>) -> Input {
-    let team = unbounded(&[]);
+fn input_of(machines: Vec<Machine>, jobs: Vec<Job>) -> Input {
+    let team = unlimited_team(&[]);
     Input {
         machines,
         jobs,
@@ -196,8 +196,8 @@
 
 /// An urgent gang that fits nowhere has the cheapest machine cleared for it, and only by the less urgent.
 #[test]
-fn room_is_made_for_the_urgent_at_the_least_loss() {
-    let mut input = crowded(
+fn gang_preempts_lower_priority_tasks_with_the_least_loss() {
+    let mut input = input_of(
         vec![busy(0, 40.0, 0), busy(0, 10.0, 0), busy(0, 1.0, 2)],
         vec![gang(1, false)],
     );
@@ -216,27 +216,34 @@
 
 /// Gangs of four waited up to two minutes where only room for single tasks was made.
 #[test]
-fn room_is_made_for_wide_gangs_too() {
+fn preemption_frees_capacity_for_all_tasks_of_a_gang() {
     let lost = [40.0, 10.0, 30.0, 20.0, 50.0];
     let machines = lost
         .iter()
         .zip([0, 1, 0, 1, 0])
         .map(|(l, z)| busy(z, *l, 0))
         .collect();
-    let mut input = crowded(machines, vec![gang(2, false)]);
-    let cleared = |input: &Input| {
+    let mut input = input_of(machines, vec![gang(2, false)]);
+    let preempted_machines = |input: &Input| {
         let mut machines: Vec<u32> = plan(input).preempts.iter().map(|p| p.machine).collect();
         machines.sort_unstable();
         machines
     };
-    assert_eq!(cleared(&input), [1, 3], "where the least is lost");
+    assert_eq!(
+        preempted_machines(&input),
+        [1, 3],
+        "where the least is lost"
+    );
     input.jobs = vec![gang(3, true)];
-    assert_eq!(cleared(&input), [0, 2, 4], "three in one zone");
+    assert_eq!(preempted_machines(&input), [0, 2, 4], "three in one zone");
     input.jobs = vec![gang(4, true)];
-    assert!(cleared(&input).is_empty(), "nothing is stopped in vain");
+    assert!(
+        preempted_machines(&input).is_empty(),
+        "nothing is stopped in vain"
+    );
     // Two gangs do not count on the same machines.
     input.jobs = vec![gang(2, false), gang(2, false)];
-    assert_eq!(cleared(&input), [0, 1, 2, 3]);
+    assert_eq!(preempted_machines(&input), [0, 1, 2, 3]);
 }
 
 fn offer(zone: u16, price: f64) -> MachineOffer {
@@ -254,10 +261,10 @@
 
 /// Machines were rented without end in one zone for a gang that had to be spread over two.
 #[test]
-fn spread_tasks_are_rented_for_in_several_zones() {
+fn machines_for_spread_jobs_are_rented_in_several_zones() {
     let offers = [offer(0, 1.0), offer(1, 2.0)];
-    let wished = |job: Job| {
-        let input = crowded(vec![], vec![job]);
+    let rentals = |job: Job| {
+        let input = input_of(vec![], vec![job]);
         let output = plan(&input);
         let (input, output) = (&input, &output);
         scale_out(&ScaleOutInput {
@@ -274,19 +281,19 @@
         ..gang(5, false)
     };
     assert_eq!(
-        wished(gang(5, false)),
+        rentals(gang(5, false)),
         [RentalRequest { offer: 0, count: 5 }],
         "where it is cheapest"
     );
     assert_eq!(
-        wished(spread.clone()),
+        rentals(spread.clone()),
         [
             RentalRequest { offer: 0, count: 3 },
             RentalRequest { offer: 1, count: 2 }
         ]
     );
     assert!(
-        wished(Job {
+        rentals(Job {
             zone: Some(0),
             ..spread
         })
@@ -298,7 +305,7 @@
 /// A plan's work is bounded whatever waits: hundreds of gangs for which room would have to be made, and an array of
 /// 100,000 tasks. What is urgent goes first all the same.
 #[test]
-fn steps_are_bounded() {
+fn steps_of_a_plan_are_bounded() {
     let mut machines: Vec<Machine> = (0..1000).map(|i| busy(i % 2, f64::from(i), 0)).collect();
     machines.extend((0..3u16).map(|z| Machine {
         running: vec![],
@@ -317,7 +324,7 @@
         image: i,
         ..gang(2, i % 2 == 0)
     }));
-    let mut input = crowded(machines, jobs);
+    let mut input = input_of(machines, jobs);
     let all = plan(&input).steps;
     input.max_steps = 200_000;
     let out = plan(&input);
@@ -336,7 +343,7 @@
 
 /// Smaller work took each place as it fell free, and wide gangs slipped for as long as any came.
 #[test]
-fn a_wide_gang_is_promised_the_first_room_to_come() {
+fn wide_gang_reserves_the_earliest_future_capacity() {
     let mut machines = vec![busy(0, 5.0, 2), busy(0, 5.0, 2), busy(0, 5.0, 2)];
     machines[0].running.clear();
     machines[1].running[0].ends = 30.0;
@@ -357,7 +364,7 @@
             ..small.clone()
         };
         for other in [small, array] {
-            let out = plan(&crowded(machines.clone(), vec![wide.clone(), other]));
+            let out = plan(&input_of(machines.clone(), vec![wide.clone(), other]));
             let started: Vec<u32> = out.starts.iter().map(|s| s.job).collect();
             assert_eq!(
                 started,
@@ -370,7 +377,7 @@
 }
 
 /// Beyond its team's guarantee, and of the same urgency as the gang that wants its place.
-fn borrowed(zone: u16, gang: Option<u32>) -> Machine {
+fn machine_over_guarantee(zone: u16, gang: Option<u32>) -> Machine {
     let mut m = busy(zone, 0.0, 2);
     m.running[0].held = 0;
     m.running[0].gang = gang;
@@ -379,7 +386,7 @@
 
 /// Guaranteed gangs waited for work that other teams ran beyond their guarantees.
 #[test]
-fn what_runs_beyond_a_guarantee_gives_room_to_what_is_within() {
+fn tasks_beyond_a_guarantee_are_preempted_for_a_guaranteed_gang() {
     let wide = Job {
         promised: true,
         held: 1,
@@ -387,18 +394,18 @@
     };
     // One zone has tasks that may be stopped one by one, the other a gang of three that stops whole.
     let machines = vec![
-        borrowed(0, None),
-        borrowed(0, None),
-        borrowed(1, Some(7)),
-        borrowed(1, Some(7)),
-        borrowed(1, Some(7)),
+        machine_over_guarantee(0, None),
+        machine_over_guarantee(0, None),
+        machine_over_guarantee(1, Some(7)),
+        machine_over_guarantee(1, Some(7)),
+        machine_over_guarantee(1, Some(7)),
     ];
-    let out = plan(&crowded(machines.clone(), vec![wide.clone()]));
+    let out = plan(&input_of(machines.clone(), vec![wide.clone()]));
     let stopped: Vec<u32> = out.preempts.iter().map(|p| p.machine).collect();
     assert_eq!((stopped, out.preempted_gangs.len()), (vec![0, 1], 0));
     assert!(out.kept.contains(&0) && out.kept.contains(&1));
     // Where only the gang does, it stops whole.
-    let out = plan(&crowded(machines[1..].to_vec(), vec![wide.clone()]));
+    let out = plan(&input_of(machines[1..].to_vec(), vec![wide.clone()]));
     assert_eq!((out.preempts.len(), out.preempted_gangs), (0, vec![7]));
     // Never for a gang without the promise, nor the work of its own team, nor what leaves already.
     let late = Job {
@@ -409,7 +416,7 @@
         team: 1,
         ..wide.clone()
     };
-    let mut input = crowded(machines.clone(), vec![late]);
+    let mut input = input_of(machines.clone(), vec![late]);
     input.teams.push(input.teams[0].clone());
     let mut leaving = input.clone();
     for m in &mut leaving.machines {
@@ -428,7 +435,7 @@
 
 /// The room that was made went back to the gang that had been stopped for it, which stood earlier in the order.
 #[test]
-fn room_made_for_a_guarantee_is_not_taken_back() {
+fn preempted_gang_does_not_retake_capacity_freed_for_a_guarantee() {
     let machines: Vec<Machine> = (0..2)
         .map(|_| Machine {
             running: vec![],
@@ -447,17 +454,17 @@
         due: Some(60.0),
         ..gang(2, true)
     };
-    let mut input = crowded(machines, vec![stopped, guaranteed]);
+    let mut input = input_of(machines, vec![stopped, guaranteed]);
     input.teams.push(input.teams[0].clone());
     assert!(plan(&input).starts.iter().all(|s| s.job == 1));
 }
 
 /// Team 0 and team 1 share desk 1 of house 0, team 2 is at its desk 2, team 3 in a house of its own (3).
-fn houses(machines: Vec<Machine>, jobs: Vec<Job>) -> Input {
+fn nested_quotas(machines: Vec<Machine>, jobs: Vec<Job>) -> Input {
     let paths: [&[u16]; 4] = [&[0, 1], &[0, 1], &[0, 2], &[3]];
     let none = res(f64::INFINITY, f64::INFINITY, f64::INFINITY);
     Input {
-        teams: paths.iter().map(|p| unbounded(p)).collect(),
+        teams: paths.iter().map(|p| unlimited_team(p)).collect(),
         groups: vec![
             Group {
                 used: res(0.0, 0.0, 0.0),
@@ -466,12 +473,12 @@
             };
             4
         ],
-        ..crowded(machines, jobs)
+        ..input_of(machines, jobs)
     }
 }
 
 /// A machine taken by one task of this team, held on so many levels.
-fn taken(team: u16, held: u8, lost: f64) -> Machine {
+fn machine_with_task(team: u16, held: u8, lost: f64) -> Machine {
     let mut m = busy(0, lost, 2);
     (m.running[0].team, m.running[0].held) = (team, held);
     m
@@ -480,19 +487,19 @@
 /// Siblings' borrowers give back first, whatever it costs, then the next desk, then other houses; and nobody what
 /// is held at the level where the two part.
 #[test]
-fn the_nearest_borrowers_give_back_first() {
+fn borrowers_nearest_in_the_tree_are_preempted_first() {
     let wide = Job {
         promised: true,
         held: 3,
         ..gang(1, false)
     };
     let all = [
-        taken(3, 0, 1.0),
-        taken(2, 1, 5.0),
-        taken(1, 2, 50.0),
-        taken(1, 3, 0.0),
-        taken(2, 2, 0.0),
-        taken(3, 1, 0.0),
+        machine_with_task(3, 0, 1.0),
+        machine_with_task(2, 1, 5.0),
+        machine_with_task(1, 2, 50.0),
+        machine_with_task(1, 3, 0.0),
+        machine_with_task(2, 2, 0.0),
+        machine_with_task(3, 1, 0.0),
     ];
     for (gone, expected) in [(0, Some(2)), (1, Some(1)), (2, Some(0)), (3, None)] {
         // Without the nearest ones, the next give back.
@@ -500,13 +507,13 @@
         for k in 0..gone {
             machines[2 - k].running[0].held = 3;
         }
-        let out = plan(&houses(machines, vec![wide.clone()]));
+        let out = plan(&nested_quotas(machines, vec![wide.clone()]));
         let stopped: Vec<u32> = out.preempts.iter().map(|p| p.machine).collect();
         assert_eq!(stopped, Vec::from_iter(expected), "without {gone}");
     }
     // What only the house's guarantee holds has no claim on its own siblings.
     let lent = Job { held: 1, ..wide };
-    let out = plan(&houses(all.to_vec(), vec![lent]));
+    let out = plan(&nested_quotas(all.to_vec(), vec![lent]));
     assert_eq!(
         out.preempts.iter().map(|p| p.machine).collect::<Vec<_>>(),
         [0]
@@ -515,7 +522,7 @@
 
 /// An array takes back one place for each task that is due to it, no more, and none twice.
 #[test]
-fn an_array_gets_back_what_is_due_to_it() {
+fn guaranteed_array_preempts_one_borrower_per_pending_task() {
     let array = Job {
         shape: Shape::Array,
         promised: true,
@@ -523,8 +530,10 @@
         image_gb: 0.0,
         ..gang(2, false)
     };
-    let mut machines: Vec<Machine> = (0..4).map(|i| taken(1, 0, f64::from(i))).collect();
-    let out = plan(&houses(machines.clone(), vec![array.clone()]));
+    let mut machines: Vec<Machine> = (0..4)
+        .map(|i| machine_with_task(1, 0, f64::from(i)))
+        .collect();
+    let out = plan(&nested_quotas(machines.clone(), vec![array.clone()]));
     assert_eq!(
         out.preempts.iter().map(|p| p.machine).collect::<Vec<_>>(),
         [0, 1]
@@ -532,11 +541,11 @@
     machines[0].running[0].leaving = true;
     machines[1].running[0].leaving = true;
     assert_eq!(
-        plan(&houses(machines.clone(), vec![array.clone()])).preempts,
+        plan(&nested_quotas(machines.clone(), vec![array.clone()])).preempts,
         []
     );
     // Without nested quotas arrays wait, as ever.
-    let mut flat = crowded(
+    let mut flat = input_of(
         machines,
         vec![Job {
             held: 1,
@@ -544,21 +553,21 @@
             ..array
         }],
     );
-    flat.teams = vec![unbounded(&[]), unbounded(&[])];
+    flat.teams = vec![unlimited_team(&[]), unlimited_team(&[])];
     assert_eq!(plan(&flat).preempts, []);
 }
 
 /// A neighbour's flood of urgent work stopped what others had by their guarantee, and had to give it back at once.
 #[test]
-fn urgency_of_what_is_borrowed_does_not_stop_what_is_held() {
+fn urgent_borrower_does_not_preempt_guaranteed_tasks() {
     let urgent = Job {
         priority: 3,
         team: 1,
         ..gang(1, false)
     };
-    let held = taken(0, 3, 0.0);
+    let held = machine_with_task(0, 3, 0.0);
     assert_eq!(
-        plan(&houses(vec![held.clone()], vec![urgent.clone()])).preempts,
+        plan(&nested_quotas(vec![held.clone()], vec![urgent.clone()])).preempts,
         []
     );
     let own = Job {
@@ -567,7 +576,7 @@
         ..urgent.clone()
     };
     assert_eq!(
-        plan(&houses(vec![held], vec![own])).preempts.len(),
+        plan(&nested_quotas(vec![held], vec![own])).preempts.len(),
         1,
         "within its own guarantee it may"
     );
@@ -583,7 +592,7 @@
         ..gang(1, false)
     };
     assert_eq!(
-        plan(&houses(vec![free], vec![urgent, modest]))
+        plan(&nested_quotas(vec![free], vec![urgent, modest]))
             .starts
             .iter()
             .map(|s| s.job)
@@ -595,7 +604,7 @@
 /// Nothing starts above a group's bound, and what is above a bound that shrank is stopped: no more than the excess,
 /// the least held first, and only where its policy says so.
 #[test]
-fn groups_keep_their_bounds() {
+fn group_limits_are_enforced_down_to_the_excess() {
     let free = Machine {
         running: vec![],
         ..busy(0, 0.0, 0)
@@ -607,17 +616,17 @@
             ..gang(1, false)
         },
     ];
-    let mut input = houses(vec![free; 3], jobs);
+    let mut input = nested_quotas(vec![free; 3], jobs);
     input.groups[0].max = res(1e9, 4.0, 1e9);
     assert_eq!(plan(&input).starts.len(), 1, "one for the house");
     let machines = vec![
-        taken(0, 3, 9.0),
-        taken(1, 1, 3.0),
-        taken(1, 1, 2.0),
-        taken(2, 0, 9.0),
-        taken(3, 0, 0.0),
+        machine_with_task(0, 3, 9.0),
+        machine_with_task(1, 1, 3.0),
+        machine_with_task(1, 1, 2.0),
+        machine_with_task(2, 0, 9.0),
+        machine_with_task(3, 0, 0.0),
     ];
-    let mut input = houses(machines, vec![]);
+    let mut input = nested_quotas(machines, vec![]);
     input.groups[0].used = res(32.0, 16.0, 32.0);
     input.groups[1].used = res(24.0, 12.0, 24.0);
     input.groups[0].max = res(1e9, 8.0, 1e9);
--- a/crates/plan/tests/search.rs
+++ b/crates/plan/tests/search.rs
@@ -9,7 +9,7 @@
     output.starts.iter().map(|s| s.count).sum()
 }
 
-fn played(input: &Input, search: Search) -> Output {
+fn run_plan(input: &Input, search: Search) -> Output {
     plan(&Input {
         search,
         ..input.clone()
@@ -18,10 +18,10 @@
 
 /// A fleet with much that is seldom: guarantees, reservations, work that shares no machine, zones and machines that are
 /// avoided, jobs with tasks on machines, services, machines that boot.
-fn mixed(seed: u64, machines: u32, jobs: usize) -> Input {
+fn varied_fleet(seed: u64, machines: u32, jobs: usize) -> Input {
     let mut input = fleets::input(seed, machines, jobs);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0xF1EE);
-    let apart = rng.u32(0..3) == 0;
+    let has_isolated_tenants = rng.u32(0..3) == 0;
     for machine in &mut input.machines {
         if !machine.usable && rng.bool() {
             machine.ready = rng.f64() * 60.0;
@@ -31,17 +31,17 @@
             running.held = rng.u8(0..2);
             running.leaving = rng.u32(0..10) == 0;
             running.spared = rng.u32(0..10) == 0;
-            if apart {
-                running.tenant = tenant(&mut rng);
+            if has_isolated_tenants {
+                running.tenant = random_tenant(&mut rng);
             }
         }
     }
     for job in &mut input.jobs {
-        vary(&mut rng, job, machines, apart);
+        vary_job(&mut rng, job, machines, has_isolated_tenants);
     }
     for number in 1..input.jobs.len() {
         if rng.bool() {
-            input.jobs[number] = alike(&mut rng, &input.jobs[number - 1]);
+            input.jobs[number] = equivalent_job(&mut rng, &input.jobs[number - 1]);
         }
     }
     if rng.bool() {
@@ -65,7 +65,7 @@
 }
 
 /// A job that may use the same machines as another.
-fn alike(rng: &mut fastrand::Rng, job: &Job) -> Job {
+fn equivalent_job(rng: &mut fastrand::Rng, job: &Job) -> Job {
     let tasks = rng.u32(1..40);
     Job {
         tasks,
@@ -78,14 +78,14 @@
     }
 }
 
-fn tenant(rng: &mut fastrand::Rng) -> Tenant {
+fn random_tenant(rng: &mut fastrand::Rng) -> Tenant {
     Tenant {
         county: rng.u16(0..3),
         alone: rng.u32(0..3) == 0,
     }
 }
 
-fn vary(rng: &mut fastrand::Rng, job: &mut Job, machines: u32, apart: bool) {
+fn vary_job(rng: &mut fastrand::Rng, job: &mut Job, machines: u32, has_isolated_tenants: bool) {
     match rng.u32(0..8) {
         0 => job.shape = Shape::Service,
         1 => job.avoid = vec![rng.u32(0..machines)],
@@ -101,8 +101,8 @@
     }
     job.promised = rng.u32(0..4) == 0;
     job.held = u8::from(job.promised);
-    if apart {
-        job.tenant = tenant(rng);
+    if has_isolated_tenants {
+        job.tenant = random_tenant(rng);
     }
 }
 
@@ -111,36 +111,36 @@
 
     /// The index and what is remembered of jobs alike change nothing in what is planned.
     #[test]
-    fn the_index_plans_as_the_walk_does(seed in 0u64..1_000_000, machines in 1u32..600, jobs in 0usize..150) {
-        let input = mixed(seed, machines, jobs);
-        let indexed = played(&input, Search::Indexed);
-        let walked = played(&input, Search::Linear);
-        prop_assert_eq!(indexed.starts, walked.starts);
-        prop_assert_eq!(indexed.preempts, walked.preempts);
-        prop_assert_eq!(indexed.preempted_gangs, walked.preempted_gangs);
-        prop_assert_eq!(indexed.kept, walked.kept);
-        prop_assert_eq!(indexed.reservations_short, walked.reservations_short);
-        prop_assert_eq!(indexed.waiting, walked.waiting);
-        prop_assert!(indexed.stretch <= walked.stretch);
+    fn indexed_search_plans_like_linear_search(seed in 0u64..1_000_000, machines in 1u32..600, jobs in 0usize..150) {
+        let input = varied_fleet(seed, machines, jobs);
+        let indexed = run_plan(&input, Search::Indexed);
+        let linear = run_plan(&input, Search::Linear);
+        prop_assert_eq!(indexed.starts, linear.starts);
+        prop_assert_eq!(indexed.preempts, linear.preempts);
+        prop_assert_eq!(indexed.preempted_gangs, linear.preempted_gangs);
+        prop_assert_eq!(indexed.kept, linear.kept);
+        prop_assert_eq!(indexed.reservations_short, linear.reservations_short);
+        prop_assert_eq!(indexed.waiting, linear.waiting);
+        prop_assert!(indexed.stretch <= linear.stretch);
     }
 
     /// Whatever the bound, plans that go on where the one before stopped look at every job: one that fits is started
     /// however many stand before it that do not.
     #[test]
-    fn every_bound_makes_progress(seed in 0u64..1_000_000, bound in 0u64..3_000, blocked in 1usize..30) {
+    fn plans_make_progress_under_any_step_limit(seed in 0u64..1_000_000, bound in 0u64..3_000, blocked in 1usize..30) {
         let mut input = fleets::input(seed, 20, 0);
         let mut rng = fastrand::Rng::with_seed(seed);
-        let widest = |job: &mut Job| {
+        let make_unplaceable = |job: &mut Job| {
             // No fleet of this size has room for it.
             (job.shape, job.tasks, job.pending, job.priority) = (Shape::Gang, 1000, 1000, 3);
         };
         for _ in 0..blocked {
             let mut job = fleets::job(&mut rng);
-            widest(&mut job);
+            make_unplaceable(&mut job);
             input.jobs.push(job);
         }
         let mut last = fleets::job(&mut rng);
-        last.need = fleets::part(1.0);
+        last.need = fleets::resources_of_gpus(1.0);
         (last.shape, last.tasks, last.pending, last.priority, last.spot) = (Shape::Gang, 1, 1, 0, true);
         // Nothing is cleared for it.
         last.image_gb = 0.0;
@@ -160,7 +160,7 @@
 
 /// At the planned size a plan within its bound starts nearly all that one without a bound starts.
 #[test]
-fn the_planned_size_fits_its_bound() {
+fn planned_fleet_size_fits_the_step_limit() {
     let mut input = fleets::input(7, 3300, 660);
     let unbounded = plan(&input);
     input.max_steps = 240_000;
@@ -172,7 +172,7 @@
 
 /// What can't be placed is known without a look: many jobs alike cost little more than a few.
 #[test]
-fn jobs_alike_are_looked_at_once() {
+fn equivalent_jobs_share_failed_searches() {
     let mut input = fleets::input(3, 400, 0);
     let mut rng = fastrand::Rng::with_seed(3);
     let mut job = fleets::job(&mut rng);
@@ -183,16 +183,16 @@
     input.jobs = vec![input.jobs[0].clone(); 200];
     let many = plan(&input).steps;
     assert!(many < 4 * few, "{many} steps for 200 jobs, {few} for 2");
-    let walked = played(&input, Search::Linear).steps;
+    let linear = run_plan(&input, Search::Linear).steps;
     assert!(
-        walked > 20 * many,
-        "the walk takes {walked}: the test shows nothing"
+        linear > 20 * many,
+        "the walk takes {linear}: the test shows nothing"
     );
 }
 
 /// A bound that stops a plan names the job at which it stopped.
 #[test]
-fn a_stopped_plan_says_where() {
+fn plan_stopped_by_the_step_limit_names_the_job_to_resume_at() {
     let mut input = fleets::input(5, 200, 60);
     assert_eq!(plan(&input).resume, None);
     input.max_steps = 100;
@@ -201,11 +201,12 @@
 
 /// A plan for urgent work alone starts of what is old no more than its age gives it before all others.
 #[test]
-fn a_plan_for_the_urgent_leaves_the_rest_its_turn() {
+fn urgent_plan_starts_only_the_first_share_of_aged_jobs() {
     let mut input = fleets::input(11, 40, 0);
     let mut rng = fastrand::Rng::with_seed(11);
     let mut old = fleets::job(&mut rng);
-    (old.shape, old.priority, old.arrival, old.need) = (Shape::Array, 0, -100.0, fleets::part(1.0));
+    (old.shape, old.priority, old.arrival, old.need) =
+        (Shape::Array, 0, -100.0, fleets::resources_of_gpus(1.0));
     (old.tasks, old.pending, old.spot) = (160, 160, true);
     let mut young = old.clone();
     (young.arrival, young.tasks, young.pending) = (0.0, 5, 5);
--- a/crates/plan/tests/zones.rs
+++ b/crates/plan/tests/zones.rs
@@ -91,7 +91,11 @@
     }
 }
 
-fn wished(job: Job, offers: &[MachineOffer], coming: &[(MachineOffer, u32)]) -> Vec<RentalRequest> {
+fn rentals(
+    job: Job,
+    offers: &[MachineOffer],
+    coming: &[(MachineOffer, u32)],
+) -> Vec<RentalRequest> {
     let input = input(vec![], vec![job]);
     let output = plan(&input);
     scale_out(&ScaleOutInput {
@@ -107,24 +111,24 @@
 /// Machines were rented in the zone with the fewest for an array whose tasks stood in another one: they idled, were
 /// returned and rented again, while the array went on with the places it had.
 #[test]
-fn machines_are_rented_where_the_other_tasks_stand() {
+fn machines_are_rented_in_the_zone_of_running_tasks() {
     let offers = [offer(0, 1.0), offer(1, 1.0)];
     assert_eq!(
-        wished(array(8, &[]), &offers, &[]),
+        rentals(array(8, &[]), &offers, &[]),
         [RentalRequest { offer: 0, count: 2 }],
         "any zone will do"
     );
     assert_eq!(
-        wished(array(8, &[(1, 3)]), &offers, &[]),
+        rentals(array(8, &[(1, 3)]), &offers, &[]),
         [RentalRequest { offer: 1, count: 2 }]
     );
     assert_eq!(
-        wished(array(8, &[(0, 0), (1, 1)]), &offers, &[]),
+        rentals(array(8, &[(0, 0), (1, 1)]), &offers, &[]),
         [RentalRequest { offer: 1, count: 2 }],
         "none is left in 0"
     );
     assert_eq!(
-        wished(array(8, &[(1, 3)]), &offers[..1], &[]),
+        rentals(array(8, &[(1, 3)]), &offers[..1], &[]),
         [],
         "none to be had there"
     );
@@ -132,7 +136,7 @@
 
 /// What comes in one zone and is rented in another is no room for tasks that share one.
 #[test]
-fn what_is_on_its_way_counts_in_one_zone() {
+fn booting_machines_count_only_for_their_zone() {
     let offers = [offer(0, 1.0), offer(1, 1.0)];
     let gang = Job {
         shape: Shape::Gang,
@@ -141,18 +145,18 @@
     for job in [gang, array(8, &[])] {
         let coming = [(offer(1, 1.0), 1)];
         assert_eq!(
-            wished(job.clone(), &offers, &coming),
+            rentals(job.clone(), &offers, &coming),
             [RentalRequest { offer: 1, count: 1 }],
             "the rest beside it"
         );
         assert_eq!(
-            wished(job.clone(), &offers, &[(offer(1, 1.0), 2)]),
+            rentals(job.clone(), &offers, &[(offer(1, 1.0), 2)]),
             [],
             "enough is coming"
         );
         // Where no more can be had beside it, all of it goes elsewhere.
         assert_eq!(
-            wished(job, &offers[..1], &coming),
+            rentals(job, &offers[..1], &coming),
             [RentalRequest { offer: 0, count: 2 }]
         );
     }
@@ -161,7 +165,7 @@
 /// For an array that gets back what is due to it, others were stopped in a zone where it could not go, plan after plan,
 /// and the room was held for it.
 #[test]
-fn nothing_is_stopped_where_the_job_cannot_go() {
+fn no_preemption_in_zones_that_the_job_cannot_use() {
     let due = |zones: &[(u16, u32)]| Job {
         promised: true,
         held: 2,
