--- a/crates/plan/tests/anti_affinity.rs
+++ b/crates/plan/tests/anti_affinity.rs
@@ -1,4 +1,4 @@
-//! Work that shares no machine gets one, however busy the fleet is with work that comes and goes.
+//! Jobs of isolated tenants get machines of their own, also on a fleet that is kept busy by short tasks of others.
 
 mod defaults;
 
@@ -44,7 +44,8 @@
     }
 }
 
-/// Seconds until a job of county 1 starts whole on two machines that others' tasks keep busy, never all at one time.
+/// Seconds until all tasks of a job have started on two machines that tasks of other tenants keep busy; these do not
+/// all end at the same time.
 fn starts_after(mut waits: Job, others: Tenant) -> Option<u32> {
     let mut machines = vec![machine(), machine()];
     let mut rng = 7u64;
@@ -53,7 +54,7 @@
             m.running.iter_mut().for_each(|r| r.ends -= 1.0);
             m.running.retain(|r| r.ends > 0.0);
         }
-        // An array that never ends, as old as the other, and one that has just come.
+        // The job, and an array of the others that is as old and always has pending tasks; that one starts first.
         let mut jobs = vec![waits.clone(), job(Shape::Array, 1000, others)];
         if now == 0 {
             jobs.remove(0);
@@ -112,19 +113,19 @@
     for shape in [Shape::Array, Shape::Gang, Shape::Service] {
         for others in [others, plain, Tenant::default()] {
             let after = starts_after(job(shape, 2, alone), others);
-            // Longer than the longest task, but not much.
+            // Somewhat longer than the longest task.
             assert!(
                 after.is_some_and(|s| s <= 60),
                 "{shape:?} beside {others:?}: {after:?}"
             );
         }
-        // Also what would share a machine, if others did.
+        // The same for a job that is not isolated itself, beside tenants that are.
         let after = starts_after(job(shape, 2, Tenant::default()), others);
         assert!(after.is_some_and(|s| s <= 60), "{shape:?}: {after:?}");
     }
 }
 
-/// Machines are hired for each county by itself: one that has room for both is none for the second.
+/// Machines are rented for each isolated county by itself, also if the tasks of two would fit on one.
 #[test]
 fn machines_are_rented_per_county() {
     let jobs = (1..4)
@@ -184,7 +185,7 @@
     );
 }
 
-/// A county's own work shares its machines, and keeps others off.
+/// Tasks of one county share its machines, and keep those of others off.
 #[test]
 fn tasks_of_one_county_share_its_machines() {
     let alone = Tenant {
--- a/crates/plan/tests/defaults/mod.rs
+++ b/crates/plan/tests/defaults/mod.rs
@@ -1,11 +1,11 @@
-//! Plain values of the planner's input, from which tests describe what matters to them.
+//! Default values of the planner's input, of which tests override what matters to them.
 
-// Each test file uses some of these.
+// Each test file uses only some of these.
 #![allow(dead_code)]
 
 use plan::{Job, Machine, Resources, Running, Shape, Team, Tenant};
 
-/// An array of one task that may run anywhere, has come now and belongs to nobody in particular.
+/// An array of one task that may run anywhere, was submitted now and has no tenant.
 pub fn job() -> Job {
     Job {
         shape: Shape::Array,
@@ -34,7 +34,7 @@
     }
 }
 
-/// An empty machine that takes tasks, of no size.
+/// An empty machine that accepts tasks, without resources.
 pub fn machine() -> Machine {
     Machine {
         machine_type: 0,
@@ -50,7 +50,7 @@
     }
 }
 
-/// A task that nothing may stop.
+/// A task that may not be preempted.
 pub fn running() -> Running {
     Running {
         need: Resources::default(),
@@ -67,7 +67,7 @@
     }
 }
 
-/// A team below no group, without limits.
+/// A team without groups and limits.
 pub fn team() -> Team {
     Team {
         path: Vec::new(),
--- a/crates/plan/tests/fleets/mod.rs
+++ b/crates/plan/tests/fleets/mod.rs
@@ -1,5 +1,5 @@
-//! Generated fleets of any size, for tests and the scale example: machines in zones, most of them busy, with waiting
-//! gangs and arrays of many teams.
+//! Random fleets of any size, for tests and the scale example: machines in several zones, most of them busy, and
+//! pending gangs and arrays of many teams.
 
 use plan::{Input, Job, Machine, Resources, Running, Shape, Team, Tenant};
 
@@ -11,7 +11,7 @@
 const MAX_GANG_TASKS: u32 = 64;
 const PRIORITIES: [u8; 3] = [0, 1, 2];
 
-/// So much of a machine as this many GPUs have.
+/// This many GPUs with their share of a machine's cores and memory.
 pub fn resources_of_gpus(gpus: f64) -> Resources {
     Resources {
         cores: gpus * 6.0,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A machine in its zone: idle, with a gang's task, or with tasks of arrays.
+/// A random machine: idle, with a task of a gang, or with tasks of arrays.
 pub fn machine(rng: &mut fastrand::Rng, number: u32, zones: u16) -> Machine {
     let mut machine = Machine {
         machine_type: 0,
@@ -66,7 +66,7 @@
     machine
 }
 
-/// A gang or an array that waits.
+/// A random pending gang or array.
 pub fn job(rng: &mut fastrand::Rng) -> Job {
     let is_gang = rng.bool();
     let tasks = if is_gang {
@@ -79,7 +79,7 @@
     } else {
         1.0
     };
-    // Arrays differ in what they need, as users' do.
+    // Arrays need different resources, as those of users do.
     let vary = if is_gang { 1.0 } else { 0.6 + rng.f64() * 0.8 };
     let need = Resources {
         cores: (resources_of_gpus(gpus).cores * vary).round(),
@@ -126,7 +126,7 @@
     }
 }
 
-/// A fleet with waiting jobs; nothing bounds its plan.
+/// A fleet with pending jobs, and no limit of steps.
 pub fn input(seed: u64, machines: u32, jobs: usize) -> Input {
     let mut rng = fastrand::Rng::with_seed(seed);
     Input {
--- a/crates/plan/tests/floods.rs
+++ b/crates/plan/tests/floods.rs
@@ -1,4 +1,5 @@
-//! Floods of urgent work played in plan turns: who waits long begins, and nothing is stopped for it against its urgency.
+//! Simulated floods of jobs of high priority, a plan a turn: jobs that have waited for long start, and no task is
+//! preempted for work of no higher priority.
 
 mod defaults;
 
@@ -24,7 +25,7 @@
 }
 
 fn job(shape: Shape, priority: u8, tasks: u32) -> Job {
-    // A task of an urgent gang takes a whole machine.
+    // A task of a gang fills a machine.
     let places = if shape == Shape::Gang { PLACES } else { 1 };
     let mut need = Resources::default();
     need.add(&task(), f64::from(places));
@@ -42,7 +43,7 @@
     }
 }
 
-/// One with [`PLACES`] places.
+/// A machine that [`PLACES`] tasks of an array fit on.
 fn machine() -> Machine {
     Machine {
         ready: 0.0,
@@ -57,7 +58,7 @@
     }
 }
 
-/// A task on a machine: its job, when it ends, and when it began.
+/// A task on a machine: its job, when it ends, and when it started.
 struct Placed {
     job: usize,
     machine: usize,
@@ -65,14 +66,14 @@
     started_at: i32,
 }
 
-/// A fleet that does as it is told, a plan a turn.
+/// A simulated fleet that carries out one plan a turn.
 struct Fleet {
     machines: usize,
     jobs: Vec<(i32, Job)>,
     placed: Vec<Placed>,
     done: Vec<u32>,
     first_start: Vec<Option<i32>>,
-    /// Of each job, tasks that were stopped.
+    /// Number of preempted tasks, by job.
     stopped: Vec<u32>,
     with_aging: bool,
 }
@@ -91,7 +92,7 @@
         }
     }
 
-    /// What the planner is shown, with our indices of the jobs, and of the tasks on each machine.
+    /// The planner's input, with the index of each of its jobs here, and those of the tasks on each machine.
     fn input(&self, now: i32) -> (Input, Vec<usize>, Vec<Vec<usize>>) {
         let mut input = Input {
             machines: vec![machine(); self.machines],
@@ -166,7 +167,7 @@
         prop_assert_eq!(
             &out.preempted_gangs,
             &Vec::<u32>::new(),
-            "no guarantee, so no gang stops"
+            "without guarantees no gang is preempted"
         );
         for s in &out.starts {
             let j = map[s.job as usize];
@@ -190,7 +191,7 @@
             let j = self.placed[*k].job;
             prop_assert!(
                 self.jobs[j].1.priority < most,
-                "stopped for work that is no more urgent"
+                "preempted for work of no higher priority"
             );
             self.stopped[j] += 1;
         }
@@ -203,7 +204,8 @@
     }
 }
 
-/// A flood that lasts: urgent gangs, twice as many a turn as the fleet ends; and some large jobs of low urgency.
+/// A lasting flood: gangs of high priority, in each turn twice as many as the fleet completes, and some large jobs of
+/// low priority.
 fn flood(machines: usize, until: i32, large: &[(i32, Shape, u32)]) -> Vec<(i32, Job)> {
     let a_turn = machines.div_ceil(3);
     let urgent = (0..until).flat_map(|t| (0..a_turn).map(move |_| (t, job(Shape::Gang, 2, 1))));
@@ -213,7 +215,7 @@
     large.chain(urgent).collect()
 }
 
-/// When the first `n` jobs of a flood began, and how many of their tasks were stopped.
+/// Runs a flood; keeps the first starts of its first `n` jobs.
 fn run_fleet(
     jobs: Vec<(i32, Job)>,
     machines: usize,
@@ -238,8 +240,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(26), ..ProptestConfig::default() })]
 
-    /// Whoever waits begins within the bound, twice the longest run and what other large jobs before it take, though
-    /// twice the work that the fleet can do keeps coming; without the bound nobody does.
+    /// Each large job starts within the aging threshold, twice the longest run time and the time that large jobs before
+    /// it take, though twice the work that the fleet can do keeps coming. Without aging none does.
     #[test]
     fn large_jobs_start_within_the_aging_bound_during_a_flood(machines in 6usize..10, large in prop::collection::vec(large(), 1..4)) {
         let turns = 130;
@@ -255,10 +257,11 @@
         let started: Vec<i32> = large.iter().filter(|l| l.0 > 1).map(|l| l.0).collect();
         let without_aging = run_fleet(jobs, machines, large.len(), turns, false)?;
         let late = without_aging.first_start.iter().zip(&large).filter(|(b, l)| l.0 > 1 && b.is_none()).count();
-        prop_assert_eq!(late, started.len(), "a flood in which they begin anyway shows nothing");
+        prop_assert_eq!(late, started.len(), "large jobs start without aging too: the flood shows nothing");
     }
 
-    /// What has begun so late is not stopped at once by the next urgent gang: some of it ends.
+    /// A job that started so late is not preempted at once by the next gang of high priority: some of its tasks
+    /// complete.
     #[test]
     fn late_started_array_completes_tasks_during_a_flood(machines in 6usize..10, tasks in 60u32..300) {
         let turns = 70;
@@ -266,7 +269,7 @@
         prop_assert!(fleet.done[0] >= first_share(Shape::Array, tasks).min(PLACES), "done: {}", fleet.done[0]);
     }
 
-    /// Who has its share stands where it stood, and nothing else is moved.
+    /// A job whose first share has started is served as if it were not aged, and no other job is affected.
     #[test]
     fn aged_job_with_its_first_share_gets_no_further_precedence(machines in 3usize..6, tasks in 17u32..100, gangs in 0usize..6) {
         let mut jobs = flood(machines, 1, &[(0, Shape::Array, tasks)]);
@@ -276,7 +279,7 @@
         fleet.placed.extend((0..has).map(|k| Placed { job: 0, machine: (k / PLACES) as usize, ends: 50, started_at: -5 }));
         let (mut input, _, _) = fleet.input(0);
         let young = plan(&input);
-        // Alone of its urgency, it has nobody to go before there.
+        // It is the only job of its priority, so that aging has no effect within it.
         input.jobs[0].arrival = -AGING.old;
         let old = plan(&input);
         let sums = |out: &Output| {
@@ -289,7 +292,7 @@
     }
 }
 
-/// Starts of an array that came so long ago, beside a machine that is kept for expected gangs.
+/// Starts of an array that was submitted so long ago, on a machine that is reserved for expected gangs.
 fn starts_beside_reservation(waited: f64, running: u32) -> u32 {
     let mut array = Job {
         arrival: -waited,
@@ -321,7 +324,7 @@
     plan(&input).starts.iter().map(|s| s.count).sum()
 }
 
-/// Room that is kept for expected gangs stays kept, but nobody waits beside it for ever.
+/// Capacity for expected gangs stays reserved, except that an array that has waited for long may start a first task.
 #[test]
 fn array_is_not_starved_by_reservations() {
     assert_eq!(starts_beside_reservation(10.0, 0), 0);
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -1,4 +1,5 @@
-//! Plans of generated fleets: nothing overlaps, limits and places hold, the stretch is the smallest.
+//! Plans of random fleets: no machine is overcommitted, limits and placement constraints hold, the stretch is minimal.
+//! Then single cases of preemption, advance reservations, nested quotas and scale-out.
 
 mod defaults;
 
@@ -8,7 +9,7 @@
 };
 use proptest::prelude::*;
 
-/// Work of the second county and of the third shares no machine.
+/// A tenant; counties above 1 share no machine with others.
 fn tenant_of(county: u16) -> Tenant {
     Tenant {
         county,
@@ -66,7 +67,7 @@
             let (j, m) = (&input.jobs[s.job as usize], &input.machines[s.machine as usize]);
             prop_assert!(m.usable && j.types >> m.machine_type & 1 == 1);
             prop_assert!(j.zone.is_none_or(|z| z == m.zone) && (j.spot || !m.spot));
-            prop_assert!(j.only.is_empty() || j.only.contains(&m.zone), "outside its county's zones");
+            prop_assert!(j.only.is_empty() || j.only.contains(&m.zone), "outside the zones of its county");
             let there = m.running.iter().map(|r| r.tenant);
             let with = out.starts.iter().filter(|o| o.machine == s.machine).map(|o| input.jobs[o.job as usize].tenant);
             prop_assert!(!there.chain(with).any(|t| t.conflicts_with(&j.tenant)), "two counties on a machine");
@@ -76,24 +77,24 @@
             zones[s.job as usize][m.zone as usize] += s.count;
         }
         for f in &free {
-            prop_assert!(f.cores > -1e-6 && f.gpus > -1e-6 && f.mem > -1e-6, "a machine is overfull: {f:?}");
+            prop_assert!(f.cores > -1e-6 && f.gpus > -1e-6 && f.mem > -1e-6, "a machine is overcommitted: {f:?}");
         }
         for (u, t) in used.iter().zip(&input.teams) {
             prop_assert!(*u <= t.gpus_max + 1e-6, "a team is over its limit");
         }
         for ((j, n), z) in input.jobs.iter().zip(&started).zip(&zones) {
             prop_assert!(*n <= j.pending);
-            prop_assert!(j.shape != Shape::Gang || *n == 0 || *n == j.pending, "half a gang");
-            prop_assert!(!j.one_zone || z[0] == 0 || z[1] == 0, "two zones");
-            prop_assert!(!j.spread || z[0].max(z[1]) <= j.tasks.div_ceil(2), "crowded");
+            prop_assert!(j.shape != Shape::Gang || *n == 0 || *n == j.pending, "part of a gang was started");
+            prop_assert!(!j.one_zone || z[0] == 0 || z[1] == 0, "tasks that must share a zone are in two");
+            prop_assert!(!j.spread || z[0].max(z[1]) <= j.tasks.div_ceil(2), "more than half of a spread job in one zone");
         }
-        // Only the less urgent make room, or what runs beyond a guarantee for what is within.
+        // Only tasks of lower priority are preempted, or tasks beyond a guarantee for a job within one.
         for p in &out.preempts {
             let victim = &input.machines[p.machine as usize].running[p.task as usize];
             let waits = |j: &Job| victim.priority < j.priority || (j.promised && victim.held == 0 && j.team != victim.team);
             prop_assert!(victim.gang.is_none() && out.waiting.iter().any(|(j, _)| waits(&input.jobs[*j as usize])));
         }
-        // Gangs stop whole, and only for the guarantee of another team.
+        // Gangs are preempted only for a guarantee of another team.
         for g in &out.preempted_gangs {
             let mut of_it = input.machines.iter().flat_map(|m| &m.running).filter(|r| r.gang == Some(*g));
             prop_assert!(of_it.any(|r| r.held == 0 && r.team == 1));
@@ -101,7 +102,7 @@
         }
     }
 
-    /// A lone array that has room for all takes it: nothing that could start is left waiting.
+    /// A single array starts all tasks that fit.
     #[test]
     fn array_fills_free_capacity(tasks in 1u32..20, n in 1usize..6) {
         let total = res(32.0, 4.0, 128.0);
@@ -114,8 +115,8 @@
         prop_assert_eq!(started, tasks.min(4 * n as u32));
     }
 
-    /// The search against the paper's property checked directly: at S all deadlines leave time for the work before
-    /// them, and a little below S some do not.
+    /// Checks the search against the definition in the paper: at S all deadlines leave time for the work before them,
+    /// and a little below S some do not.
     #[test]
     fn stretch_is_minimal(jobs in prop::collection::vec((0.0f64..100.0, 1.0f64..50.0, 1.0f64..9.0), 1..12)) {
         let jobs: Vec<SizedJob> = jobs.into_iter()
@@ -134,7 +135,7 @@
     }
 }
 
-/// A machine whose room one task of this priority takes.
+/// A machine filled by one task of this priority.
 fn busy(zone: u16, lost: f64, priority: u8) -> Machine {
     let need = res(8.0, 4.0, 8.0);
     let running = Running {
@@ -157,7 +158,7 @@
     }
 }
 
-/// An urgent gang whose tasks take a machine each.
+/// A gang of priority 2 each of whose tasks fills a machine.
 fn gang(tasks: u32, one_zone: bool) -> Job {
     Job {
         shape: Shape::Gang,
@@ -194,7 +195,7 @@
     }
 }
 
-/// An urgent gang that fits nowhere has the cheapest machine cleared for it, and only by the less urgent.
+/// A gang that fits nowhere preempts the tasks with the least lost work, and only those of lower priority.
 #[test]
 fn gang_preempts_lower_priority_tasks_with_the_least_loss() {
     let mut input = input_of(
@@ -209,12 +210,12 @@
             task: 0
         }]
     );
-    // Room that is coming is not made a second time.
+    // While a task is being stopped, no other is preempted for the same gang.
     input.machines[1].running[0].leaving = true;
     assert!(plan(&input).preempts.is_empty());
 }
 
-/// Gangs of four waited up to two minutes where only room for single tasks was made.
+/// Guards against preemption for single tasks only: gangs of four then waited up to two minutes.
 #[test]
 fn preemption_frees_capacity_for_all_tasks_of_a_gang() {
     let lost = [40.0, 10.0, 30.0, 20.0, 50.0];
@@ -241,7 +242,7 @@
         preempted_machines(&input).is_empty(),
         "nothing is stopped in vain"
     );
-    // Two gangs do not count on the same machines.
+    // Two gangs do not get the same machines.
     input.jobs = vec![gang(2, false), gang(2, false)];
     assert_eq!(preempted_machines(&input), [0, 1, 2, 3]);
 }
@@ -259,7 +260,7 @@
     }
 }
 
-/// Machines were rented without end in one zone for a gang that had to be spread over two.
+/// Guards against renting without end in one zone for a gang that must be spread over two.
 #[test]
 fn machines_for_spread_jobs_are_rented_in_several_zones() {
     let offers = [offer(0, 1.0), offer(1, 2.0)];
@@ -302,8 +303,8 @@
     );
 }
 
-/// A plan's work is bounded whatever waits: hundreds of gangs for which room would have to be made, and an array of
-/// 100,000 tasks. What is urgent goes first all the same.
+/// The steps of a plan are bounded whatever is pending: here 3000 gangs that need preemption and an array of 100,000
+/// tasks. Jobs of higher priority still start first.
 #[test]
 fn steps_of_a_plan_are_bounded() {
     let mut machines: Vec<Machine> = (0..1000).map(|i| busy(i % 2, f64::from(i), 0)).collect();
@@ -319,7 +320,7 @@
         ..gang(1, false)
     };
     let mut jobs = vec![array];
-    // An image of its own each, so that nothing found for one serves another.
+    // Each has its own image, so that no two are equivalent and share results.
     jobs.extend((0..3000).map(|i| Job {
         image: i,
         ..gang(2, i % 2 == 0)
@@ -331,7 +332,7 @@
     let one_job = 4 * input.machines.len() as u64 + 2 * 40 * input.jobs.len() as u64;
     assert!(
         all > 10 * input.max_steps,
-        "the case is too easy: {all} steps"
+        "the case takes only {all} steps: it does not test the limit"
     );
     assert!(
         out.steps <= 2 * input.max_steps + one_job,
@@ -341,7 +342,7 @@
     assert!(out.starts.iter().any(|s| s.job > 0), "no gang was started");
 }
 
-/// Smaller work took each place as it fell free, and wide gangs slipped for as long as any came.
+/// Guards against starvation of wide gangs: smaller jobs took all capacity as it became free, for as long as any came.
 #[test]
 fn wide_gang_reserves_the_earliest_future_capacity() {
     let mut machines = vec![busy(0, 5.0, 2), busy(0, 5.0, 2), busy(0, 5.0, 2)];
@@ -352,7 +353,7 @@
             due: Some(1.0),
             ..gang(2, true)
         };
-        // Submitted later, so later in the order.
+        // Submitted later, so served later.
         let small = Job {
             arrival: 0.0,
             estimate,
@@ -376,7 +377,7 @@
     }
 }
 
-/// Beyond its team's guarantee, and of the same urgency as the gang that wants its place.
+/// A machine with a task beyond its team's guarantee, of the same priority as the gang that needs the machine.
 fn machine_over_guarantee(zone: u16, gang: Option<u32>) -> Machine {
     let mut m = busy(zone, 0.0, 2);
     m.running[0].held = 0;
@@ -384,7 +385,7 @@
     m
 }
 
-/// Guaranteed gangs waited for work that other teams ran beyond their guarantees.
+/// Guards against guaranteed gangs that wait for tasks that other teams run beyond their guarantees.
 #[test]
 fn tasks_beyond_a_guarantee_are_preempted_for_a_guaranteed_gang() {
     let wide = Job {
@@ -392,7 +393,7 @@
         held: 1,
         ..gang(2, true)
     };
-    // One zone has tasks that may be stopped one by one, the other a gang of three that stops whole.
+    // One zone has tasks that may be preempted one by one, the other a gang of three that is preempted as a whole.
     let machines = vec![
         machine_over_guarantee(0, None),
         machine_over_guarantee(0, None),
@@ -404,10 +405,10 @@
     let stopped: Vec<u32> = out.preempts.iter().map(|p| p.machine).collect();
     assert_eq!((stopped, out.preempted_gangs.len()), (vec![0, 1], 0));
     assert!(out.kept.contains(&0) && out.kept.contains(&1));
-    // Where only the gang does, it stops whole.
+    // If only the gang can free enough capacity, it is preempted as a whole.
     let out = plan(&input_of(machines[1..].to_vec(), vec![wide.clone()]));
     assert_eq!((out.preempts.len(), out.preempted_gangs), (0, vec![7]));
-    // Never for a gang without the promise, nor the work of its own team, nor what leaves already.
+    // Nothing is preempted for a gang that is not covered in time, from its own team, or if tasks are being stopped.
     let late = Job {
         promised: false,
         ..wide.clone()
@@ -433,7 +434,8 @@
     }
 }
 
-/// The room that was made went back to the gang that had been stopped for it, which stood earlier in the order.
+/// Guards against capacity going back to the gang that was preempted for a guarantee: its deadline is earlier, so it
+/// was served first.
 #[test]
 fn preempted_gang_does_not_retake_capacity_freed_for_a_guarantee() {
     let machines: Vec<Machine> = (0..2)
@@ -459,7 +461,7 @@
     assert!(plan(&input).starts.iter().all(|s| s.job == 1));
 }
 
-/// Team 0 and team 1 share desk 1 of house 0, team 2 is at its desk 2, team 3 in a house of its own (3).
+/// A quota tree: group 0 has the groups 1, with teams 0 and 1, and 2, with team 2; group 3 has team 3.
 fn nested_quotas(machines: Vec<Machine>, jobs: Vec<Job>) -> Input {
     let paths: [&[u16]; 4] = [&[0, 1], &[0, 1], &[0, 2], &[3]];
     let none = res(f64::INFINITY, f64::INFINITY, f64::INFINITY);
@@ -477,15 +479,15 @@
     }
 }
 
-/// A machine taken by one task of this team, held on so many levels.
+/// A machine filled by one task of this team that so many levels of guarantees cover.
 fn machine_with_task(team: u16, held: u8, lost: f64) -> Machine {
     let mut m = busy(0, lost, 2);
     (m.running[0].team, m.running[0].held) = (team, held);
     m
 }
 
-/// Siblings' borrowers give back first, whatever it costs, then the next desk, then other houses; and nobody what
-/// is held at the level where the two part.
+/// Borrowers within the same group are preempted first, whatever the cost, then those of the next group, then those
+/// elsewhere; never a task that a guarantee covers at the level where the teams part.
 #[test]
 fn borrowers_nearest_in_the_tree_are_preempted_first() {
     let wide = Job {
@@ -502,7 +504,7 @@
         machine_with_task(3, 1, 0.0),
     ];
     for (gone, expected) in [(0, Some(2)), (1, Some(1)), (2, Some(0)), (3, None)] {
-        // Without the nearest ones, the next give back.
+        // Without the nearest borrowers, the next ones are preempted.
         let mut machines = all.to_vec();
         for k in 0..gone {
             machines[2 - k].running[0].held = 3;
@@ -511,7 +513,7 @@
         let stopped: Vec<u32> = out.preempts.iter().map(|p| p.machine).collect();
         assert_eq!(stopped, Vec::from_iter(expected), "without {gone}");
     }
-    // What only the house's guarantee holds has no claim on its own siblings.
+    // A job that only the guarantee of the topmost group covers has no claim on teams below that group.
     let lent = Job { held: 1, ..wide };
     let out = plan(&nested_quotas(all.to_vec(), vec![lent]));
     assert_eq!(
@@ -520,7 +522,8 @@
     );
 }
 
-/// An array takes back one place for each task that is due to it, no more, and none twice.
+/// A guaranteed array preempts one borrower for each of its pending tasks, no more, and none for capacity that is being
+/// freed already.
 #[test]
 fn guaranteed_array_preempts_one_borrower_per_pending_task() {
     let array = Job {
@@ -544,7 +547,7 @@
         plan(&nested_quotas(machines.clone(), vec![array.clone()])).preempts,
         []
     );
-    // Without nested quotas arrays wait, as ever.
+    // Without nested quotas, nothing is preempted for the guarantee of an array.
     let mut flat = input_of(
         machines,
         vec![Job {
@@ -557,7 +560,8 @@
     assert_eq!(plan(&flat).preempts, []);
 }
 
-/// A neighbour's flood of urgent work stopped what others had by their guarantee, and had to give it back at once.
+/// Guards against preempting back and forth: urgent jobs of a team beyond its guarantee preempted tasks within the
+/// guarantees of others, which were preempted back at once.
 #[test]
 fn urgent_borrower_does_not_preempt_guaranteed_tasks() {
     let urgent = Job {
@@ -580,7 +584,7 @@
         1,
         "within its own guarantee it may"
     );
-    // What is held is placed first.
+    // A job that a guarantee covers is placed first, whatever its priority.
     let free = Machine {
         running: vec![],
         ..busy(0, 0.0, 0)
@@ -601,8 +605,8 @@
     );
 }
 
-/// Nothing starts above a group's bound, and what is above a bound that shrank is stopped: no more than the excess,
-/// the least held first, and only where its policy says so.
+/// Nothing starts above a group's limit. Tasks above a lowered limit are preempted: no more than the excess, those with
+/// the fewest levels of guarantees first, and only if the group's policy says so.
 #[test]
 fn group_limits_are_enforced_down_to_the_excess() {
     let free = Machine {
@@ -618,7 +622,11 @@
     ];
     let mut input = nested_quotas(vec![free; 3], jobs);
     input.groups[0].max = res(1e9, 4.0, 1e9);
-    assert_eq!(plan(&input).starts.len(), 1, "one for the house");
+    assert_eq!(
+        plan(&input).starts.len(),
+        1,
+        "the limit of group 0 allows one"
+    );
     let machines = vec![
         machine_with_task(0, 3, 9.0),
         machine_with_task(1, 1, 3.0),
@@ -641,10 +649,14 @@
     assert_eq!(
         stopped(&input),
         [2, 3],
-        "one of the desk, then one more of the house"
+        "one below group 1, then one more below group 0"
     );
     input.machines[2].running[0].leaving = true;
-    assert_eq!(stopped(&input), [3], "not a second time");
+    assert_eq!(
+        stopped(&input),
+        [3],
+        "a task that is being stopped counts as gone"
+    );
     input
         .groups
         .iter_mut()
--- a/crates/plan/tests/search.rs
+++ b/crates/plan/tests/search.rs
@@ -1,4 +1,4 @@
-//! The index against the walk over all machines: the same plan, for fewer steps.
+//! The indexed search against the linear one: equal plans, for fewer steps.
 
 mod fleets;
 
@@ -16,8 +16,8 @@
     })
 }
 
-/// A fleet with much that is seldom: guarantees, reservations, work that shares no machine, zones and machines that are
-/// avoided, jobs with tasks on machines, services, machines that boot.
+/// A fleet with many rare properties: guarantees, reservations, isolated tenants, restricted zones, avoided machines,
+/// jobs with tasks on machines, services, booting machines.
 fn varied_fleet(seed: u64, machines: u32, jobs: usize) -> Input {
     let mut input = fleets::input(seed, machines, jobs);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0xF1EE);
@@ -64,7 +64,7 @@
     input
 }
 
-/// A job that may use the same machines as another.
+/// An equivalent job: it may use the same machines.
 fn equivalent_job(rng: &mut fastrand::Rng, job: &Job) -> Job {
     let tasks = rng.u32(1..40);
     Job {
@@ -109,7 +109,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(40), ..ProptestConfig::default() })]
 
-    /// The index and what is remembered of jobs alike change nothing in what is planned.
+    /// The index and the results shared between equivalent jobs do not change the plan.
     #[test]
     fn indexed_search_plans_like_linear_search(seed in 0u64..1_000_000, machines in 1u32..600, jobs in 0usize..150) {
         let input = varied_fleet(seed, machines, jobs);
@@ -124,14 +124,14 @@
         prop_assert!(indexed.stretch <= linear.stretch);
     }
 
-    /// Whatever the bound, plans that go on where the one before stopped look at every job: one that fits is started
-    /// however many stand before it that do not.
+    /// Whatever the limit of steps, plans that resume where the previous one stopped get to every job: a job that fits
+    /// is started, however many that do not fit are served before it.
     #[test]
     fn plans_make_progress_under_any_step_limit(seed in 0u64..1_000_000, bound in 0u64..3_000, blocked in 1usize..30) {
         let mut input = fleets::input(seed, 20, 0);
         let mut rng = fastrand::Rng::with_seed(seed);
         let make_unplaceable = |job: &mut Job| {
-            // No fleet of this size has room for it.
+            // It fits on no fleet of this size.
             (job.shape, job.tasks, job.pending, job.priority) = (Shape::Gang, 1000, 1000, 3);
         };
         for _ in 0..blocked {
@@ -142,7 +142,7 @@
         let mut last = fleets::job(&mut rng);
         last.need = fleets::resources_of_gpus(1.0);
         (last.shape, last.tasks, last.pending, last.priority, last.spot) = (Shape::Gang, 1, 1, 0, true);
-        // Nothing is cleared for it.
+        // Without a fetch, a start now always costs less than preemption.
         last.image_gb = 0.0;
         input.machines[0].running.clear();
         (input.machines[0].usable, input.machines[0].spot) = (true, true);
@@ -154,11 +154,11 @@
             started |= output.starts.iter().any(|s| s.job as usize == blocked);
             input.resume = output.resume;
         }
-        prop_assert!(started, "the last of {} jobs never began", blocked + 1);
+        prop_assert!(started, "the last of {} jobs never started", blocked + 1);
     }
 }
 
-/// At the planned size a plan within its bound starts nearly all that one without a bound starts.
+/// At the planned fleet size, a plan with the limit of steps starts nearly as many tasks as one without.
 #[test]
 fn planned_fleet_size_fits_the_step_limit() {
     let mut input = fleets::input(7, 3300, 660);
@@ -170,7 +170,7 @@
     assert!(some * 100 >= all * 95, "{some} of {all} starts");
 }
 
-/// What can't be placed is known without a look: many jobs alike cost little more than a few.
+/// A failed search is not repeated for equivalent jobs, so many of them cost little more than a few.
 #[test]
 fn equivalent_jobs_share_failed_searches() {
     let mut input = fleets::input(3, 400, 0);
@@ -186,11 +186,11 @@
     let linear = run_plan(&input, Search::Linear).steps;
     assert!(
         linear > 20 * many,
-        "the walk takes {linear}: the test shows nothing"
+        "the linear search takes only {linear} steps: the test shows nothing"
     );
 }
 
-/// A bound that stops a plan names the job at which it stopped.
+/// A plan that the limit of steps stopped names the job at which it stopped.
 #[test]
 fn plan_stopped_by_the_step_limit_names_the_job_to_resume_at() {
     let mut input = fleets::input(5, 200, 60);
@@ -199,7 +199,7 @@
     assert_ne!(plan(&input).resume, None);
 }
 
-/// A plan for urgent work alone starts of what is old no more than its age gives it before all others.
+/// A plan for urgent jobs only starts, of aged jobs, no more than the first share that goes before all others.
 #[test]
 fn urgent_plan_starts_only_the_first_share_of_aged_jobs() {
     let mut input = fleets::input(11, 40, 0);
--- a/crates/plan/tests/zones.rs
+++ b/crates/plan/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Jobs whose tasks share a zone, and lose machines: nothing is rented, stopped or held where they can't go.
+//! Jobs whose tasks must share a zone: nothing is rented, preempted or reserved where they cannot run.
 
 mod defaults;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// An array of one-GPU tasks in one zone, with so many places by zone already.
+/// An array of tasks with one GPU that must share a zone, with so many tasks on machines by zone.
 fn array(pending: u32, zones: &[(u16, u32)]) -> Job {
     Job {
         shape: Shape::Array,
@@ -32,7 +32,7 @@
     }
 }
 
-/// A machine with so many tasks of another team, which runs them beyond its guarantee.
+/// A machine with so many tasks that another team runs beyond its guarantee.
 fn machine(zone: u16, busy: usize) -> Machine {
     let running = Running {
         need: res(1.0),
@@ -108,8 +108,8 @@
     })
 }
 
-/// Machines were rented in the zone with the fewest for an array whose tasks stood in another one: they idled, were
-/// returned and rented again, while the array went on with the places it had.
+/// Guards against renting in the zone with the fewest machines for an array whose tasks run in another one: the
+/// machines were idle, were returned and rented again, while the array had only its running tasks.
 #[test]
 fn machines_are_rented_in_the_zone_of_running_tasks() {
     let offers = [offer(0, 1.0), offer(1, 1.0)];
@@ -134,7 +134,7 @@
     );
 }
 
-/// What comes in one zone and is rented in another is no room for tasks that share one.
+/// Machines that boot in one zone and machines rented in another do not add up for tasks that must share a zone.
 #[test]
 fn booting_machines_count_only_for_their_zone() {
     let offers = [offer(0, 1.0), offer(1, 1.0)];
@@ -154,7 +154,7 @@
             [],
             "enough is coming"
         );
-        // Where no more can be had beside it, all of it goes elsewhere.
+        // If no more can be rented in that zone, machines for all tasks are rented elsewhere.
         assert_eq!(
             rentals(job, &offers[..1], &coming),
             [RentalRequest { offer: 0, count: 2 }]
@@ -162,8 +162,8 @@
     }
 }
 
-/// For an array that gets back what is due to it, others were stopped in a zone where it could not go, plan after plan,
-/// and the room was held for it.
+/// Guards against preemption where it is of no use: for a guaranteed array, tasks were preempted in a zone that it
+/// could not use, plan after plan, and the capacity was reserved for it.
 #[test]
 fn no_preemption_in_zones_that_the_job_cannot_use() {
     let due = |zones: &[(u16, u32)]| Job {
@@ -171,7 +171,7 @@
         held: 2,
         ..array(4, zones)
     };
-    // Zone 1 has what is cheaper to stop.
+    // Preemption costs less in zone 1.
     let mut machines = vec![machine(0, 4), machine(1, 4)];
     machines[0].running.iter_mut().for_each(|r| r.lost = 30.0);
     let stopped = |machines: &[Machine], job: Job| {
