--- a/crates/reach/src/lib.rs
+++ b/crates/reach/src/lib.rs
@@ -1,70 +1,72 @@
-//! Which ways between hosts seem open: from what is sent anyway, a node judges whether a zone's workers reach the leader
-//! by themselves, or should be served through this node.
+//! Reachability of the leader by zone. From the reports that workers send anyway, a node judges whether the workers of a
+//! zone reach the leader directly, or should be served through this node.
 //!
-//! Pure: no I/O, no clock, no randomness; times are milliseconds of the caller's steady clock. It only chooses who
-//! acts: nothing that must hold may rest on it, and it may not decide who owns, who is alive or what may start.
+//! Pure: no I/O, no clock, no randomness; times are milliseconds of the caller's monotonic clock. The result is a hint
+//! that only chooses the node that serves a worker: correctness must not depend on it, and it must not decide who leads,
+//! who is alive or what may start.
 //!
-//! Taken from the field: suspicion that grows with each failure and decays with time, as in the φ accrual detector
-//! (Hayashibara et al., 2004), and the indirect way through another member once the direct one has failed, as in SWIM
-//! (Das et al., 2002). Own to this place: what is measured is not a heartbeat but workers that flee from the leader.
+//! The suspicion that grows with each failure and decays with time follows the φ accrual failure detector (Hayashibara et
+//! al., 2004); the indirect path through another member after a failure of the direct one follows SWIM (Das et al., 2002).
+//! Unlike there, no heartbeats are measured, but workers that turn away from the leader.
 //!
 //! ```
 //! use reach::{Caller, Leader, Turn, Ways};
 //! let mut ways = Ways::default();
 //! let leader = Leader { node: 2, token: 7, avoided: false };
 //! let caller = |token| Caller { machine: "m1", zone: "a", token };
-//! // It has obeyed an earlier leader only: it may simply not have found the present one yet.
+//! // It has seen the token of an earlier leader only, so it may just not have found the present one yet.
 //! assert_eq!(ways.came(0, &caller(6), leader), Turn::Send);
-//! // It was sent there and comes back: it can't get there.
+//! // It was sent to the leader and is back: it cannot reach it.
 //! assert_eq!(ways.came(6_000, &caller(6), leader), Turn::Take);
 //! ```
 
 use std::collections::HashMap;
 
-/// Machines that are remembered at most.
+/// Most machines that are tracked.
 const MAX_MACHINES: usize = 8192;
-/// Zones that are remembered at most.
+/// Most zones that are tracked.
 const MAX_ZONES: usize = 64;
-/// A worker that was sent to the leader and is back within this time has not been served there.
+/// A worker that was sent to the leader and is back within this time was not served there.
 const RETURN_WINDOW_MS: u64 = 20_000;
-/// What is suspected falls to half in this time.
+/// Half-life of the suspicion.
 const SUSPICION_HALF_LIFE_MS: f64 = 15_000.0;
-/// From so many failures on, machines of a zone are not sent to the leader any more.
+/// From this suspicion on, in failures, machines of a zone are no longer sent to the leader.
 const SUSPICION_THRESHOLD: f64 = 1.5;
-/// How long after a failure one machine is sent there, to see whether the way is open again; doubled each time that it is not.
+/// Initial interval of probes: one machine is sent to the leader to find out whether the path is open again. Doubled by
+/// each probe that fails.
 const PROBE_INTERVAL_MS: u64 = 6000;
 const MAX_PROBE_INTERVAL_MS: u64 = 30_000;
-/// A machine that was sent as a probe and is not back by then has been served.
+/// A machine that was sent as a probe and is not back after this time has been served by the leader.
 const PROBE_SUCCESS_MS: u64 = 8000;
-/// The interval is halved for each such time without a failure, so that flapping ways are not believed at once.
+/// The probe interval is halved for each such period without a failure, so that a flapping path is not trusted at once.
 const INTERVAL_HALVING_MS: u64 = 60_000;
 
-/// A worker that reports to a node which does not lead the fleet.
+/// A worker that reports to a node that does not lead the fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Caller<'a> {
     pub machine: &'a str,
     pub zone: &'a str,
-    /// The highest token that it has seen.
+    /// The highest leader token that it has seen.
     pub token: u64,
 }
 
-/// Who leads the fleet, as far as the caller knows.
+/// The leader of the fleet, as far as this node knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Leader {
-    /// Any number that stands for its host.
+    /// A number that identifies its host.
     pub node: usize,
     pub token: u64,
-    /// Nobody is to be sent to it: it has heard no worker by itself since it became the leader, or has workers report by
-    /// way of all nodes.
+    /// No worker is to be sent to it: it has heard from none directly since it became the leader, or it spreads the
+    /// workers' reports over all nodes.
     pub avoided: bool,
 }
 
-/// What to do with it.
+/// What to do with a worker that reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Turn {
-    /// Send it to the leader.
+    /// Redirect it to the leader.
     Send,
-    /// Take its report and hand it on.
+    /// Accept its report and relay it to the leader.
     Take,
 }
 
@@ -80,17 +82,17 @@
     last: LastTurn,
 }
 
-/// How a zone's way to the leader looks.
+/// State of the path from a zone to the leader.
 #[derive(Debug, Clone)]
 struct ZonePath {
-    /// Failures, decaying; as of a time.
+    /// Decayed count of failures, as of `failed_at`.
     failures: f64,
     failed_at: u64,
     probe_interval_ms: u64,
     next_probe_at: u64,
-    /// The machine that was sent to try, and when.
+    /// The machine that was sent as a probe, and when.
     probe: Option<(String, u64)>,
-    /// A probe did not come back, and nobody has failed since: all are sent on.
+    /// A probe succeeded and no machine has failed since, so all are sent to the leader.
     is_open: bool,
 }
 
@@ -125,13 +127,13 @@
         }
     }
 
-    /// Whether this machine should try the way again.
+    /// Whether this machine should be sent to the leader, as a probe or since the path is open again.
     fn should_probe(&mut self, now: u64, machine: &str) -> bool {
         if let Some((_, since)) = &self.probe {
             if now < since + PROBE_SUCCESS_MS {
                 return false;
             }
-            // It has not come back: the way is open, and the others may go too.
+            // The probe is not back, so the path is open for the other machines too.
             self.probe = None;
             self.failures = 0.0;
             self.is_open = true;
@@ -145,18 +147,18 @@
     }
 }
 
-/// What a node that does not lead the fleet has seen of the workers that come to it.
+/// What a node that does not lead the fleet knows from the workers that report to it.
 #[derive(Debug, Default)]
 pub struct Ways {
-    /// The leader, with the first of its tokens that was heard of: it may raise it, and the ways stay the same. With
-    /// another leader, all ways are others.
+    /// The leader, with the first of its tokens that this node saw. The leader may raise its token, which keeps the
+    /// state; another leader resets it, since the paths to it are others.
     leader: Option<Leader>,
     machines: HashMap<String, SeenMachine>,
     zones: HashMap<String, ZonePath>,
 }
 
 impl Ways {
-    /// A worker reports here while somebody else leads the fleet under `leader`.
+    /// Decides what to do with a worker that reports to this node while `leader` leads the fleet.
     pub fn came(&mut self, now: u64, caller: &Caller<'_>, leader: Leader) -> Turn {
         if self.leader.is_none_or(|o| o.node != leader.node) {
             *self = Ways {
@@ -168,7 +170,7 @@
         let seen = self.machines.get(caller.machine).copied();
         let has_returned =
             seen.is_some_and(|s| s.last == LastTurn::Sent && now < s.at + RETURN_WINDOW_MS);
-        // It has obeyed this leader and does not report to it any more; or it was sent there, in vain.
+        // It has seen a token of this leader and reports here instead, or it was sent to the leader in vain.
         let has_failed =
             has_returned || (seen.is_none() && (since..=leader.token).contains(&caller.token));
         if self.zones.len() >= MAX_ZONES && !self.zones.contains_key(caller.zone) {
@@ -207,7 +209,7 @@
         if self.machines.len() >= MAX_MACHINES && !self.machines.contains_key(machine) {
             self.machines
                 .retain(|_, s| now < s.at + 2 * RETURN_WINDOW_MS);
-            // Still full: it is sent on as if it had never come.
+            // Still full: the machine is not tracked.
             if self.machines.len() >= MAX_MACHINES {
                 return;
             }
@@ -216,7 +218,7 @@
             .insert(machine.to_owned(), SeenMachine { at: now, last });
     }
 
-    /// How many workers are served through this node at present; its memory is bounded, and so is this.
+    /// Number of workers served through this node at present; bounded by the number of tracked machines.
     pub fn taken(&self, now: u64) -> usize {
         self.machines
             .values()
@@ -224,7 +226,7 @@
             .count()
     }
 
-    /// Whether this worker was taken lately; only such are told anything for the leader.
+    /// Whether a worker is served through this node at present. Only such workers are given anything from the leader.
     pub fn serves(&self, now: u64, machine: &str) -> bool {
         self.machines
             .get(machine)
--- a/crates/reach/tests/ways.rs
+++ b/crates/reach/tests/ways.rs
@@ -1,4 +1,4 @@
-//! Workers that come, flee and come back, in generated orders.
+//! Workers that report to a node, are redirected to the leader and return, in fixed and random orders.
 
 use proptest::prelude::*;
 use reach::{Caller, Leader, Turn, Ways};
@@ -21,7 +21,7 @@
     )
 }
 
-/// A worker that has left the leader is served here at once, and stays.
+/// A worker that has turned away from the leader is served here at once, and stays.
 #[test]
 fn worker_that_left_the_leader_is_served_here_and_stays() {
     let mut paths = Ways::default();
@@ -31,7 +31,7 @@
     assert_eq!(paths.taken(5000), 1);
 }
 
-/// Once some have come back in vain, others of the zone are not sent first; those of other zones are.
+/// Once some workers of a zone have returned, others of the zone are not sent to the leader; those of other zones are.
 #[test]
 fn zone_is_suspected_after_some_workers_return() {
     let mut paths = Ways::default();
@@ -50,7 +50,7 @@
     assert_eq!(paths.came(5600, &elsewhere, LEADER), Turn::Send);
 }
 
-/// One machine tries the way now and then. Where it comes back the next try is later; where it does not, all go.
+/// One machine probes the path from time to time. If it returns, the next probe is later; if not, all are sent.
 #[test]
 fn one_worker_probes_the_path_before_the_others_follow() {
     let mut paths = Ways::default();
@@ -59,7 +59,7 @@
     for step in 0..60u64 {
         let now = step * 1000;
         for (i, m) in names.iter().enumerate() {
-            // Reports every five seconds; who was sent is back after five.
+            // Each machine reports every five seconds; one that was sent is back after five.
             if step % 5 == i as u64 % 5 && sent.is_none_or(|(s, at)| s != i || now >= at + 5000) {
                 let turn = report(&mut paths, now, m, 7);
                 if sent.is_some_and(|(s, _)| s == i) {
@@ -73,7 +73,7 @@
         }
     }
     assert!((2..=5).contains(&probes.len()), "{probes:?}");
-    // The way opens: the next one that tries does not come back.
+    // The path opens: the next probe does not return.
     let (mut gone, mut now) = (std::collections::BTreeSet::new(), 60_000);
     while now < 160_000 {
         for m in &names {
@@ -86,7 +86,7 @@
     assert!(gone.len() >= 9, "{gone:?}");
 }
 
-/// Another leader, other ways.
+/// The paths to another leader are others, so nothing is known of them.
 #[test]
 fn suspicion_is_reset_for_another_leader() {
     let mut paths = Ways::default();
@@ -113,8 +113,8 @@
     assert_eq!(paths.taken(100), 0);
 }
 
-/// A leader that raised its token was taken for another one: all that it was served with here was forgotten, and the
-/// whole fleet was sent back to where it could not go.
+/// Guards against taking a leader that raised its token for another one: the state was reset, and the whole fleet was
+/// sent to the leader that it could not reach.
 #[test]
 fn leader_with_a_higher_token_keeps_its_state() {
     let mut paths = Ways::default();
@@ -141,7 +141,7 @@
     }
 }
 
-/// Nobody is sent to a leader that says it hears nobody, the first one neither.
+/// No worker, not even the first, is sent to a leader that says that it hears from none.
 #[test]
 fn no_worker_is_sent_to_a_leader_that_hears_none() {
     let mut paths = Ways::default();
@@ -163,7 +163,8 @@
     );
 }
 
-/// A leader that has reports spread is sent nobody, and nobody's coming is held against the way to it.
+/// No worker is sent to a leader that spreads reports over all nodes, and reports here do not count as failures of the
+/// path to it.
 #[test]
 fn no_worker_is_sent_to_a_leader_that_spreads_reports() {
     let mut paths = Ways::default();
@@ -188,7 +189,8 @@
 }
 
 proptest! {
-    /// Whatever comes: nobody is sent to the leader and back for ever, and memory is bounded.
+    /// In any order of reports, a worker that returns is not sent again at once, and the number of served workers is
+    /// bounded.
     #[test]
     fn returning_worker_is_taken(calls in prop::collection::vec((0u64..8000, 0usize..6, 0usize..2, 0u64..9), 1..400)) {
         let mut paths = Ways::default();
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Names and zones without end.
+    /// More machines and zones than are tracked.
     #[test]
     fn memory_is_bounded_for_any_number_of_names(seed in 0u64..4) {
         let mut paths = Ways::default();
