--- a/crates/reach/src/lib.rs
+++ b/crates/reach/src/lib.rs
@@ -1,13 +1,13 @@
-//! Reachability of the leader by zone. From the reports that workers send anyway, a node judges whether the workers of a
-//! zone reach the leader directly, or should be served through this node.
+//! Reachability of the leader by zone. From the reports that workers send anyway, a node judges whether the workers of
+//! a zone reach the leader directly, or should be served through this node.
 //!
 //! Pure: no I/O, no clock, no randomness; times are milliseconds of the caller's monotonic clock. The result is a hint
-//! that only chooses the node that serves a worker: correctness must not depend on it, and it must not decide who leads,
-//! who is alive or what may start.
+//! that only chooses the node that serves a worker: correctness must not depend on it, and it must not decide who
+//! leads, who is alive or what may start.
 //!
-//! The suspicion that grows with each failure and decays with time follows the φ accrual failure detector (Hayashibara et
-//! al., 2004); the indirect path through another member after a failure of the direct one follows SWIM (Das et al., 2002).
-//! Unlike there, no heartbeats are measured, but workers that turn away from the leader.
+//! The suspicion that grows with each failure and decays with time follows the φ accrual failure detector (Hayashibara
+//! et al., 2004); the indirect path through another member after a failure of the direct one follows SWIM (Das et al.,
+//! 2002). Unlike there, no heartbeats are measured, but workers that turn away from the leader.
 //!
 //! ```
 //! use reach::{Caller, Leader, Turn, Ways};
