--- a/crates/plan/src/advance_reservations.rs
+++ b/crates/plan/src/advance_reservations.rs
@@ -23,7 +23,7 @@
 impl PlanState<'_> {
     /// Free resources of a machine at time `at`, less the advance reservations that begin no later than `until`.
     pub(crate) fn free_at(&self, m: usize, at: Secs, until: Secs) -> Resources {
-        let mut room = self.free[m];
+        let mut free = self.free[m];
         let running = self.input.machines[m]
             .running
             .iter()
@@ -33,16 +33,16 @@
             .iter()
             .map(|(end, need, _)| (*end, need));
         for (_, need) in running.chain(started).filter(|(end, _)| *end <= at) {
-            room.add(need, 1.0);
+            free.add(need, 1.0);
         }
         for (_, need, _) in self.timelines[m]
             .reserved
             .iter()
             .filter(|(from, _, _)| *from <= until)
         {
-            room.add(need, -1.0);
+            free.add(need, -1.0);
         }
-        room
+        free
     }
 
     /// How many tasks of a job, at most `cap`, can start on a machine now without delaying an advance reservation.
@@ -104,10 +104,10 @@
             self.failed_searches
                 .add(job, SearchKind::FutureCapacity, want - 1);
         }
-        let soon = first.is_some_and(|first| first.at <= self.input.patience);
-        let is_made = job.promised && !soon && self.preempt_for_quota(i, want);
-        if let Some(first) = first.filter(|_| !is_made) {
-            self.reserve_places(i, want, &capacity, first);
+        let is_soon = first.is_some_and(|first| first.at <= self.input.patience);
+        let is_preempted = job.promised && !is_soon && self.preempt_for_quota(i, want);
+        if let Some(first) = first.filter(|_| !is_preempted) {
+            self.reserve_start(i, want, &capacity, first);
         }
         self.cache_future_capacity(job, capacity);
     }
@@ -117,7 +117,7 @@
         let job = &self.input.jobs[i];
         let capacity = self.future_capacity(job);
         if let Some(first) = self.earliest_start(i, want, &capacity) {
-            self.reserve_places(i, want, &capacity, first);
+            self.reserve_start(i, want, &capacity, first);
         }
         self.cache_future_capacity(job, capacity);
     }
@@ -152,7 +152,7 @@
     }
 
     /// Reserves capacity for all tasks of a gang from a time on.
-    fn reserve_places(
+    fn reserve_start(
         &mut self,
         i: usize,
         want: u32,
@@ -164,17 +164,17 @@
         // earliest: capacity that is free already stays reserved for it even if tasks elsewhere end later than
         // expected.
         let is_aged = self.is_aged(job);
-        let rank = |o: &Release| {
+        let rank = |release: &Release| {
             if is_aged {
-                o.at
+                release.at
             } else {
-                self.score(job, o.machine)
+                self.score(job, release.machine)
             }
         };
         let releases = capacity.lists[first.list].releases();
         let mut chosen: Vec<(Secs, Release)> = releases
-            .take_while(|o| o.at <= first.at)
-            .map(|o| (rank(&o), o))
+            .take_while(|release| release.at <= first.at)
+            .map(|release| (rank(&release), release))
             .collect();
         self.output.steps += chosen.len() as u64;
         chosen.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.machine.cmp(&b.1.machine)));
@@ -206,8 +206,8 @@
     fn usable_count(&self, i: usize, release: &Release, taken: &mut Vec<(u16, u32)>) -> u32 {
         let zone = self.input.machines[release.machine].zone;
         let there = count_in(taken, zone);
-        let room = self.zone_headroom(i, zone).saturating_sub(*there);
-        let n = release.count.min(room);
+        let headroom = self.zone_headroom(i, zone).saturating_sub(*there);
+        let n = release.count.min(headroom);
         *there += n;
         n
     }
@@ -279,8 +279,8 @@
         self.output.steps += times.len() as u64;
         let mut before = 0;
         for at in times {
-            let room = self.free_at(m, at, f64::INFINITY);
-            let n = room.count(&job.need, MAX_TASKS_PER_MACHINE);
+            let free = self.free_at(m, at, f64::INFINITY);
+            let n = free.count(&job.need, MAX_TASKS_PER_MACHINE);
             if n > before {
                 list.add(at, m, n - before);
                 before = n;
--- a/crates/plan/src/anti_affinity.rs
+++ b/crates/plan/src/anti_affinity.rs
@@ -19,10 +19,10 @@
             .ends
             .iter()
             .map(|(end, _, tenant)| (*end, tenant));
-        let barred = running
+        let conflicting = running
             .chain(started)
             .filter(|(_, t)| t.conflicts_with(&job.tenant));
-        barred.map(|(end, _)| end).fold(0.0, f64::max)
+        conflicting.map(|(end, _)| end).fold(0.0, f64::max)
     }
 
     /// Whether this machine has an advance reservation for a job of a conflicting tenant.
@@ -45,9 +45,9 @@
             return;
         }
         self.output.steps += self.input.machines.len() as u64;
-        let barred = |m: usize| self.is_eligible(job, m) && !self.tenants[m].admits(&job.tenant);
-        let any = (0..self.input.machines.len()).any(barred);
-        if any && self.tenants_with_reservation.insert(job.tenant.county) {
+        let is_closed = |m: usize| self.is_eligible(job, m) && !self.tenants[m].admits(&job.tenant);
+        let any_closed = (0..self.input.machines.len()).any(is_closed);
+        if any_closed && self.tenants_with_reservation.insert(job.tenant.county) {
             self.reserve_earliest(i, 1);
         }
     }
--- a/crates/plan/src/gang.rs
+++ b/crates/plan/src/gang.rs
@@ -29,18 +29,18 @@
             return false;
         }
         let mut best: Option<GangPlacement> = None;
-        let mut most = 0;
+        let mut most_found = 0;
         for zone in self.zones_for(job) {
             let limit = best.as_ref().map(|placement| placement.cost);
             let placement = self.find_placement(i, want, zone, limit);
-            most = most.max(placement.found);
+            most_found = most_found.max(placement.found);
             let is_better = limit.is_none_or(|cost| placement.cost < cost);
             if placement.found == want && is_better {
                 best = Some(placement);
             }
         }
         let Some(best) = best else {
-            self.failed_searches.add(job, SearchKind::Gang, most);
+            self.failed_searches.add(job, SearchKind::Gang, most_found);
             return false;
         };
         if self.is_preemption_better(i, want, &best.chosen) {
--- a/crates/plan/src/independent_tasks.rs
+++ b/crates/plan/src/independent_tasks.rs
@@ -86,19 +86,19 @@
         if let Some((zone, _)) = self.tasks_by_zone[i].iter().find(|(_, n)| *n > 0) {
             return Some(*zone);
         }
-        let mut room: Vec<(u16, u32)> = Vec::new();
+        let mut fitting: Vec<(u16, u32)> = Vec::new();
         self.visit_machines(&MachineQuery { job, zone: None }, |state, _, m| {
             if respect_reservations && !state.may_use_until_reserved(job, m) {
                 return Visit::Continue;
             }
             let n = state.free[m].count(&job.need, state.slots[m]);
-            let there = count_in(&mut room, state.input.machines[m].zone);
+            let there = count_in(&mut fitting, state.input.machines[m].zone);
             *there = there.saturating_add(n);
             Visit::Continue
         });
         // If as many fit in several zones, the zone of the best machine wins, since it was visited first.
-        let most = room.iter().map(|(_, n)| (*n).min(job.pending)).max()?;
-        let roomiest = room.iter().find(|(_, n)| (*n).min(job.pending) == most);
-        roomiest.map(|(zone, _)| *zone)
+        let most = fitting.iter().map(|(_, n)| (*n).min(job.pending)).max()?;
+        let best_zone = fitting.iter().find(|(_, n)| (*n).min(job.pending) == most);
+        best_zone.map(|(zone, _)| *zone)
     }
 }
--- a/crates/plan/src/input.rs
+++ b/crates/plan/src/input.rs
@@ -159,12 +159,12 @@
 impl Team {
     /// How many more tasks that need `need` the limits allow, at most `cap`.
     pub fn allows(&self, need: &Resources, cap: u32) -> u32 {
-        let room = Resources {
+        let headroom = Resources {
             cores: self.cores_max - self.cores_used,
             gpus: self.gpus_max - self.gpus_used,
             mem: 0.0,
         };
-        room.count(&Resources { mem: 0.0, ..*need }, cap)
+        headroom.count(&Resources { mem: 0.0, ..*need }, cap)
     }
     pub(crate) fn take(&mut self, need: &Resources, n: u32) {
         self.cores_used += need.cores * f64::from(n);
--- a/crates/plan/src/job_sizes.rs
+++ b/crates/plan/src/job_sizes.rs
@@ -27,12 +27,12 @@
         let tasks = |(total, count): &(Resources, u32)| {
             f64::from(total.count(&job.need, MAX_TASKS_PER_MACHINE)) * f64::from(*count)
         };
-        let slots: f64 = self.sizes.iter().map(tasks).sum();
+        let parallel_tasks: f64 = self.sizes.iter().map(tasks).sum();
         let estimate = job.estimate.max(1.0);
         stretch::SizedJob {
             arrival: job.arrival,
             work: estimate * f64::from(job.tasks.max(1)),
-            left: estimate * f64::from(job.pending) / slots.max(1.0),
+            left: estimate * f64::from(job.pending) / parallel_tasks.max(1.0),
             min_run_time: estimate,
         }
     }
--- a/crates/plan/src/limit_enforcement.rs
+++ b/crates/plan/src/limit_enforcement.rs
@@ -67,12 +67,12 @@
 
     /// Preempts tasks and gangs below a group until its usage is within its limit.
     fn enforce_group_limit(&mut self, group: u16) {
-        let bound = &self.input.groups[usize::from(group)];
-        let mut used = bound.used;
+        let limits = &self.input.groups[usize::from(group)];
+        let mut used = limits.used;
         let mut candidates = self.preemptible_below(group, &mut used);
         candidates.sort_by(|a, b| a.rank.cmp(&b.rank).then(a.lost.total_cmp(&b.lost)));
         for candidate in candidates {
-            if reduces_excess(&bound.max, &used, &candidate.freed) {
+            if reduces_excess(&limits.max, &used, &candidate.freed) {
                 used.add(&candidate.freed, -1.0);
                 self.preempt_unit(&candidate);
             }
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -25,23 +25,23 @@
 impl PlanState<'_> {
     fn run(&mut self) {
         self.enforce_limits();
-        let mut left: Vec<u32> = self.input.jobs.iter().map(|j| j.pending).collect();
-        self.start_services(&mut left);
-        let order = self.rank(&left);
-        self.serve_aged(&mut left);
-        self.serve(&order, &mut left);
-        self.backfill(&order, &mut left);
-        self.report_waiting(&left);
+        let mut remaining: Vec<u32> = self.input.jobs.iter().map(|j| j.pending).collect();
+        self.start_services(&mut remaining);
+        let order = self.rank(&remaining);
+        self.serve_aged(&mut remaining);
+        self.serve(&order, &mut remaining);
+        self.backfill(&order, &mut remaining);
+        self.report_waiting(&remaining);
     }
 
     /// Starts services first, outside the deadline order; the other jobs share the capacity that is left.
-    fn start_services(&mut self, left: &mut [u32]) {
+    fn start_services(&mut self, remaining: &mut [u32]) {
         for (i, job) in self.input.jobs.iter().enumerate() {
             if job.shape != Shape::Service {
                 continue;
             }
-            left[i] -= self.start_tasks(i, left[i], false);
-            if left[i] > 0 {
+            remaining[i] -= self.start_tasks(i, remaining[i], false);
+            if remaining[i] > 0 {
                 self.reserve_machine_for_tenant(i);
             }
         }
@@ -53,11 +53,11 @@
     /// team's guarantee goes first: otherwise the capacity that was preempted for it could go back to the preempted
     /// jobs. With nested quotas, jobs that a guarantee covers come before those that borrow capacity, which would only
     /// be preempted again. Aged jobs go before younger ones of their priority, the longest wait first.
-    fn rank(&mut self, left: &[u32]) -> Vec<RankedJob> {
+    fn rank(&mut self, remaining: &[u32]) -> Vec<RankedJob> {
         let input = self.input;
         let jobs = &input.jobs;
         let planned: Vec<usize> = (0..jobs.len())
-            .filter(|i| left[*i] > 0 && jobs[*i].shape != Shape::Service)
+            .filter(|i| remaining[*i] > 0 && jobs[*i].shape != Shape::Service)
             .filter(|i| jobs[*i].priority >= input.least_priority)
             .collect();
         let capacity = job_sizes::FleetCapacity::of(&input.machines);
@@ -66,14 +66,14 @@
         let s = stretch::smallest_stretch(&sized, &mut self.output.steps);
         self.output.stretch = s;
         let s = s * input.online_factor.max(1.0);
-        let nested = !input.groups.is_empty();
+        let has_nested_quotas = !input.groups.is_empty();
         let ranked = planned.iter().zip(&sized).map(|(i, size)| {
             let job = &jobs[*i];
             let deadline = job.arrival + size.work * s;
             let is_aged = self.is_aged(job);
             RankedJob {
                 job: *i,
-                is_guaranteed: nested && job.held > 0,
+                is_guaranteed: has_nested_quotas && job.held > 0,
                 priority: job.priority,
                 goes_first: is_aged || job.promised && job.shape == Shape::Gang,
                 deadline: if is_aged {
@@ -96,7 +96,7 @@
     /// Serves jobs in order. If the hard limit of steps stops a plan and the next one is told where, that one spends
     /// its first half on the head of the order and resumes there with the rest, so that jobs are not starved behind
     /// others whose searches are expensive.
-    fn serve(&mut self, order: &[RankedJob], left: &mut [u32]) {
+    fn serve(&mut self, order: &[RankedJob], remaining: &mut [u32]) {
         let resume = self.input.resume;
         let mut resume = order
             .iter()
@@ -108,7 +108,7 @@
             let resumes = self.is_past_soft_limit() && resume.is_some_and(|at| at >= next);
             if resumes && let Some(at) = resume.take() {
                 next = at;
-                self.serve_one(&order[next], left, &mut reservations_made);
+                self.serve_one(&order[next], remaining, &mut reservations_made);
                 next += 1;
                 continue;
             }
@@ -116,16 +116,21 @@
                 self.output.resume = Some(ranked.job as u32);
                 break;
             }
-            self.serve_one(ranked, left, &mut reservations_made);
+            self.serve_one(ranked, remaining, &mut reservations_made);
             next += 1;
         }
         if !reservations_made {
-            self.keep_reservations();
+            self.reserve_for_expected_jobs();
         }
     }
 
     /// Serves a job, after capacity is reserved for expected jobs of higher priority.
-    fn serve_one(&mut self, ranked: &RankedJob, left: &mut [u32], reservations_made: &mut bool) {
+    fn serve_one(
+        &mut self,
+        ranked: &RankedJob,
+        remaining: &mut [u32],
+        reservations_made: &mut bool,
+    ) {
         let reservations = &self.input.reservations;
         if !*reservations_made
             && reservations
@@ -133,45 +138,47 @@
                 .all(|s| s.like.priority > ranked.priority)
         {
             *reservations_made = true;
-            self.keep_reservations();
+            self.reserve_for_expected_jobs();
         }
         match self.input.jobs[ranked.job].shape {
-            Shape::Gang => self.serve_gang(ranked.job, left),
-            _ => self.serve_array(ranked, left),
+            Shape::Gang => self.serve_gang(ranked.job, remaining),
+            _ => self.serve_array(ranked, remaining),
         }
     }
 
-    fn serve_gang(&mut self, i: usize, left: &mut [u32]) {
+    fn serve_gang(&mut self, i: usize, remaining: &mut [u32]) {
         // Aged gangs were served before.
         if !self.is_aged(&self.input.jobs[i]) {
-            self.start_or_wait(i, left);
+            self.start_or_wait(i, remaining);
         }
     }
 
     /// Gives an array the smallest width whose rounds, of one estimate each, end by the deadline. Only the first round
     /// may have to fetch the image.
-    fn serve_array(&mut self, ranked: &RankedJob, left: &mut [u32]) {
+    fn serve_array(&mut self, ranked: &RankedJob, remaining: &mut [u32]) {
         let i = ranked.job;
         let job = &self.input.jobs[i];
-        let time = ranked.deadline - job.image_gb / self.candidates.slowest_fetch_gb_per_s(job);
-        let rounds = (time / (job.estimate.max(1.0) * RUN_TIME_SLACK))
+        let time_left =
+            ranked.deadline - job.image_gb / self.candidates.slowest_fetch_gb_per_s(job);
+        let rounds = (time_left / (job.estimate.max(1.0) * RUN_TIME_SLACK))
             .floor()
             .max(1.0);
-        let width = (f64::from(left[i]) / rounds).ceil() as u32;
-        let started = self.start_tasks(i, width.min(left[i]), true);
-        left[i] -= started;
-        if started == 0 && left[i] > 0 {
+        let width = (f64::from(remaining[i]) / rounds).ceil() as u32;
+        let started = self.start_tasks(i, width.min(remaining[i]), true);
+        remaining[i] -= started;
+        if started == 0 && remaining[i] > 0 {
             self.reserve_machine_for_tenant(i);
         }
-        if job.priority >= URGENT && left[i] > 0 && !self.is_past_soft_limit() {
-            self.start_urgent_tasks(i, left);
+        if job.priority >= URGENT && remaining[i] > 0 && !self.is_past_soft_limit() {
+            self.start_urgent_tasks(i, remaining);
         }
         // Capacity that a nested guarantee covers is due at once, whatever the width: borrowers are preempted for it.
-        let nested = !self.input.groups.is_empty();
-        let is_reclaim_due = nested && job.promised && -job.arrival > self.input.patience;
-        if is_reclaim_due && left[i] > 0 && !self.is_past_soft_limit() {
-            left[i] -= self.start_tasks(i, left[i], true);
-            let want = self.allows(job, left[i]);
+        let has_nested_quotas = !self.input.groups.is_empty();
+        let is_reclaim_due =
+            has_nested_quotas && job.promised && -job.arrival > self.input.patience;
+        if is_reclaim_due && remaining[i] > 0 && !self.is_past_soft_limit() {
+            remaining[i] -= self.start_tasks(i, remaining[i], true);
+            let want = self.allows(job, remaining[i]);
             if want > 0 {
                 self.preempt_for_quota(i, want);
             }
@@ -179,9 +186,9 @@
     }
 
     /// Starts as many urgent tasks as fit, and preempts tasks of lower priority for the rest.
-    fn start_urgent_tasks(&mut self, i: usize, left: &mut [u32]) {
-        left[i] -= self.start_tasks(i, left[i], true);
-        let want = self.allows(&self.input.jobs[i], left[i]);
+    fn start_urgent_tasks(&mut self, i: usize, remaining: &mut [u32]) {
+        remaining[i] -= self.start_tasks(i, remaining[i], true);
+        let want = self.allows(&self.input.jobs[i], remaining[i]);
         if want > 0 {
             self.preempt_for_tasks(i, want);
         }
@@ -189,39 +196,39 @@
 
     /// Starts further tasks of arrays where no advance reservation needs the capacity before they are expected to end.
     /// An array that has waited for long may start its first task on capacity reserved for expected jobs.
-    fn backfill(&mut self, order: &[RankedJob], left: &mut [u32]) {
+    fn backfill(&mut self, order: &[RankedJob], remaining: &mut [u32]) {
         for ranked in order {
             let i = ranked.job;
             let is_array = self.input.jobs[i].shape == Shape::Array;
-            if is_array && left[i] > 0 && !self.is_past_hard_limit() {
-                left[i] -= self.start_tasks(i, left[i], true);
+            if is_array && remaining[i] > 0 && !self.is_past_hard_limit() {
+                remaining[i] -= self.start_tasks(i, remaining[i], true);
             }
         }
         for ranked in order {
             let i = ranked.job;
-            if left[i] > 0 && !self.is_past_hard_limit() && self.may_use_reservations(i) {
-                left[i] -= self.start_from_reservations(i);
+            if remaining[i] > 0 && !self.is_past_hard_limit() && self.may_use_reservations(i) {
+                remaining[i] -= self.start_from_reservations(i);
             }
         }
     }
 
-    fn report_waiting(&mut self, left: &[u32]) {
+    fn report_waiting(&mut self, remaining: &[u32]) {
         for (i, job) in self.input.jobs.iter().enumerate() {
-            let n = self.allows(job, left[i]);
-            if n > 0 && (job.shape != Shape::Gang || n == left[i]) {
+            let n = self.allows(job, remaining[i]);
+            if n > 0 && (job.shape != Shape::Gang || n == remaining[i]) {
                 self.output.waiting.push((i as u32, n));
             }
         }
     }
 
     /// Starts all tasks of a gang, or else preempts others or reserves future capacity for it.
-    pub(crate) fn start_or_wait(&mut self, i: usize, left: &mut [u32]) {
-        let want = left[i];
+    pub(crate) fn start_or_wait(&mut self, i: usize, remaining: &mut [u32]) {
+        let want = remaining[i];
         if want == 0 || self.allows(&self.input.jobs[i], want) < want {
             return;
         }
         if self.start_gang(i, want) {
-            left[i] = 0;
+            remaining[i] = 0;
         } else if !self.is_past_soft_limit() && !self.preempt_for_gang(i, want) {
             self.plan_later_start(i, want);
         }
--- a/crates/plan/src/priority_preemption.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -92,17 +92,18 @@
         let mut options = known.unwrap_or_else(|| self.find_preemption_options(job));
         // If all tasks must share a zone there is a list for each zone; the cheapest is taken.
         let mut best: Option<(f64, Vec<PreemptionOption>)> = None;
-        let mut most = 0;
+        let mut most_found = 0;
         for list in &mut options.lists {
             let limit = best.as_ref().map(|(cost, _)| *cost);
             let (cost, chosen) = self.cheapest_in_list(i, want, list, limit);
-            most = most.max(chosen.len() as u32);
+            most_found = most_found.max(chosen.len() as u32);
             if chosen.len() as u32 == want {
                 best = Some((cost, chosen));
             }
         }
         if best.is_none() {
-            self.failed_searches.add(job, SearchKind::Preemption, most);
+            self.failed_searches
+                .add(job, SearchKind::Preemption, most_found);
         }
         self.preemption_options.insert(key, options);
         best
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -19,7 +19,7 @@
 const TASK_LOSS: Secs = 5.0;
 
 /// Additional cost of a task of an aged job's first share, so that it is preempted last.
-const SPARED_LOSS: Secs = 120.0;
+const FIRST_SHARE_LOSS: Secs = 120.0;
 
 /// Tasks that are preempted together: a single task, or a whole gang.
 struct Victim {
@@ -37,7 +37,7 @@
     missing: u32,
     cost: Secs,
     victims: Vec<Victim>,
-    places: Vec<(usize, u32)>,
+    placements: Vec<(usize, u32)>,
 }
 
 /// Free resources by machine.
@@ -82,7 +82,7 @@
             self.output.preempts.extend(preempts);
         }
         let mut left = want;
-        for (m, n) in best.places {
+        for (m, n) in best.placements {
             let n = n.min(left);
             if n > 0 {
                 self.reserve_from(job, m, n, STOP_DELAY);
@@ -102,13 +102,13 @@
         let job = &self.input.jobs[i];
         let mut free_by_machine = self.free_after_leaving(i, zone);
         let mut victims = self.choose_victims(job, want, &mut free_by_machine);
-        let places = count_placements(job, want, &free_by_machine);
-        if places < want && job.shape == Shape::Gang {
+        let placements = count_placements(job, want, &free_by_machine);
+        if placements < want && job.shape == Shape::Gang {
             return None;
         }
-        let enough = places.min(want);
+        let enough = placements.min(want);
         self.drop_unneeded_victims(job, want, enough, &mut victims, &mut free_by_machine);
-        let places = free_by_machine
+        let placements = free_by_machine
             .iter()
             .map(|(m, free)| (*m, free.count(&job.need, want)))
             .collect();
@@ -116,7 +116,7 @@
             missing: want - enough,
             cost: victims.iter().map(|v| v.cost).sum(),
             victims,
-            places,
+            placements,
         })
     }
 
@@ -283,7 +283,7 @@
                         victim.cost += r.lost + GANG_LOSS;
                     }
                     None if r.stoppable && free_by_machine.contains_key(&m) => {
-                        let spared = if r.spared { SPARED_LOSS } else { 0.0 };
+                        let spared = if r.spared { FIRST_SHARE_LOSS } else { 0.0 };
                         let cost = r.lost + TASK_LOSS + spared;
                         out.push(Victim {
                             gang: None,
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -9,29 +9,30 @@
 impl PlanState<'_> {
     /// Reserves machines for expected jobs. For each expected image, its share of them should have the image, so that
     /// the jobs need not fetch it.
-    pub(crate) fn keep_reservations(&mut self) {
+    pub(crate) fn reserve_for_expected_jobs(&mut self) {
         let input = self.input;
         for reservation in &input.reservations {
-            let short = self.keep_reservation(reservation);
-            self.output.reservations_short.push(short);
+            let unmet = self.reserve_for(reservation);
+            self.output.reservations_short.push(unmet);
         }
     }
 
     /// Reserves machines; returns the number of expected tasks that no capacity was found for.
-    fn keep_reservation(&mut self, reservation: &Reservation) -> u32 {
+    fn reserve_for(&mut self, reservation: &Reservation) -> u32 {
         let job = &reservation.like;
         let order = self.machines_for_reservation(reservation);
         let mut left = reservation.count;
-        let all: f64 = reservation.images.iter().map(|(_, _, share)| share).sum();
+        let total_share: f64 = reservation.images.iter().map(|(_, _, share)| share).sum();
         for (image, _, share) in &reservation.images {
-            let wanted = (f64::from(reservation.count) * share / all.max(EPS)).round() as u32;
+            let wanted =
+                (f64::from(reservation.count) * share / total_share.max(EPS)).round() as u32;
             let mut wanted = wanted.min(left);
             for m in &order {
                 if wanted == 0 {
                     break;
                 }
                 if self.reserved_until[*m].is_none() && self.images[*m].contains(image) {
-                    let n = self.reserve_on(job, *m);
+                    let n = self.reserve_machine(job, *m);
                     wanted = wanted.saturating_sub(n);
                     left = left.saturating_sub(n);
                 }
@@ -42,7 +43,7 @@
                 break;
             }
             if self.reserved_until[m].is_none() {
-                left = left.saturating_sub(self.reserve_on(job, m));
+                left = left.saturating_sub(self.reserve_machine(job, m));
             }
         }
         left
@@ -53,29 +54,29 @@
         let input = self.input;
         let job = &reservation.like;
         // The mean fetch time of the expected jobs on this machine.
-        let missing = |m: usize| {
-            let away = reservation
+        let mean_fetch_time = |m: usize| {
+            let missing = reservation
                 .images
                 .iter()
                 .filter(|(image, _, _)| !self.images[m].contains(image));
-            let gb: f64 = away.map(|(_, gb, share)| gb * share).sum();
+            let gb: f64 = missing.map(|(_, gb, share)| gb * share).sum();
             gb / input.machines[m].fetch_gb_per_s.max(0.01)
         };
-        let has_room = |m: &usize| {
+        let has_capacity = |m: &usize| {
             self.can_start_on(job, *m)
                 && self.reserved_until[*m].is_none()
                 && self.unreserved_capacity(job, *m) > 0
         };
         let mut order: Vec<(f64, usize)> = (0..input.machines.len())
-            .filter(has_room)
-            .map(|m| (missing(m) + self.place_score(job, m), m))
+            .filter(has_capacity)
+            .map(|m| (mean_fetch_time(m) + self.place_score(job, m), m))
             .collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         self.output.steps += input.machines.len() as u64;
         order.into_iter().map(|(_, m)| m).collect()
     }
 
-    fn reserve_on(&mut self, job: &Job, m: usize) -> u32 {
+    fn reserve_machine(&mut self, job: &Job, m: usize) -> u32 {
         self.reserved_until[m] = Some(0.0);
         self.changed_machines.push(m as u32);
         self.output.kept.push(m as u32);
@@ -85,10 +86,10 @@
     /// Whether a job may use reserved machines: an array that has waited for long without a task on any machine.
     pub(crate) fn may_use_reservations(&self, i: usize) -> bool {
         let job = &self.input.jobs[i];
-        let none = self.tasks_by_zone[i].iter().all(|(_, n)| *n == 0);
+        let has_no_tasks = self.tasks_by_zone[i].iter().all(|(_, n)| *n == 0);
         job.shape == Shape::Array
             && -job.arrival >= RESERVATION_WAIT_LIMIT
-            && none
+            && has_no_tasks
             && !self.output.kept.is_empty()
     }
 
--- a/crates/plan/src/scale_out.rs
+++ b/crates/plan/src/scale_out.rs
@@ -52,8 +52,8 @@
 pub fn scale_out(scale: &ScaleOutInput<'_>) -> Vec<RentalRequest> {
     let mut fleet = VirtualFleet::new(scale);
     for (job, tasks) in unplaced(scale) {
-        let places = places_wanted(job, tasks, scale);
-        let mut demand = Demand::new(job, places, &fleet);
+        let wanted = tasks_to_place(job, tasks, scale);
+        let mut demand = Demand::new(job, wanted, &fleet);
         fleet.use_open_machines(&mut demand);
         fleet.add_machines(&mut demand);
     }
@@ -84,17 +84,17 @@
 
 /// How many tasks of a job to provide capacity for. An array need not run all its tasks at once: as many as finish its
 /// pending work within the horizon are enough.
-fn places_wanted(job: &Job, tasks: u32, scale: &ScaleOutInput<'_>) -> u32 {
+fn tasks_to_place(job: &Job, tasks: u32, scale: &ScaleOutInput<'_>) -> u32 {
     if job.shape != Shape::Array {
         return tasks;
     }
     // Time that passes of the job's own deadline until a new machine has booted and fetched the image.
-    let lead = |o: &MachineOffer| o.boot + job.image_gb / o.fetch_gb_per_s.max(SLOWEST_FETCH);
+    let lead_time = |o: &MachineOffer| o.boot + job.image_gb / o.fetch_gb_per_s.max(SLOWEST_FETCH);
     let usable = scale.offers.iter().filter(|offer| fits(job, offer));
-    let lead = usable.map(lead).fold(0.0, f64::max);
+    let lead_time = usable.map(lead_time).fold(0.0, f64::max);
     let time = job
         .due
-        .map_or(scale.horizon, |due| scale.horizon.min(due - lead));
+        .map_or(scale.horizon, |due| scale.horizon.min(due - lead_time));
     let rounds = (time / (job.estimate.max(1.0) * RUN_TIME_SLACK))
         .floor()
         .max(1.0);
@@ -109,7 +109,7 @@
     offer: MachineOffer,
     free: Resources,
     /// Index of its offer, if it is to be rented.
-    new: Option<usize>,
+    new_offer: Option<usize>,
     tenants: Tenants,
 }
 
@@ -140,7 +140,7 @@
 }
 
 impl<'a> Demand<'a> {
-    fn new(job: &'a Job, places: u32, fleet: &VirtualFleet<'_>) -> Self {
+    fn new(job: &'a Job, tasks: u32, fleet: &VirtualFleet<'_>) -> Self {
         let max_per_zone = if job.spread {
             job.tasks.div_ceil(2)
         } else {
@@ -148,13 +148,13 @@
         };
         // If all tasks must share a zone, a machine in another one would be idle.
         let home_zone = if job.one_zone {
-            fleet.home_zone(job, places)
+            fleet.home_zone(job, tasks)
         } else {
             None
         };
         Demand {
             job,
-            left: places,
+            left: tasks,
             max_per_zone,
             tasks_by_zone: job.zones.clone(),
             home_zone,
@@ -163,8 +163,8 @@
 
     /// Whether a machine of the virtual fleet may have tasks of the job.
     fn may_use(&self, machine: &VirtualMachine) -> bool {
-        let in_reach = !self.job.one_zone || self.home_zone == Some(machine.offer.zone);
-        fits(self.job, &machine.offer) && in_reach && machine.tenants.admits(&self.job.tenant)
+        let is_in_zone = !self.job.one_zone || self.home_zone == Some(machine.offer.zone);
+        fits(self.job, &machine.offer) && is_in_zone && machine.tenants.admits(&self.job.tenant)
     }
 
     /// Whether a new machine of this offer may have tasks of the job.
@@ -200,7 +200,7 @@
             (0..*count).map(|_| VirtualMachine {
                 offer: offer.clone(),
                 free: offer.total,
-                new: None,
+                new_offer: None,
                 tenants: Tenants::default(),
             })
         });
@@ -215,7 +215,7 @@
     /// The zone for a job whose tasks must share one: that of its tasks on machines, or else the one where most of its
     /// pending tasks fit on machines of this fleet, if capacity for the rest can be rented there. None while any zone
     /// will do.
-    fn home_zone(&self, job: &Job, places: u32) -> Option<u16> {
+    fn home_zone(&self, job: &Job, tasks: u32) -> Option<u16> {
         if let Some((zone, _)) = job.zones.iter().find(|(_, n)| *n > 0) {
             return Some(*zone);
         }
@@ -226,10 +226,10 @@
             .filter(|m| fits(job, &m.offer) && m.tenants.admits(&job.tenant));
         for machine in usable {
             let there = count_in(&mut coming, machine.offer.zone);
-            *there = there.saturating_add(machine.free.count(&job.need, places));
+            *there = there.saturating_add(machine.free.count(&job.need, tasks));
         }
         let is_rentable = |zone| self.offers.iter().any(|o| o.zone == zone && fits(job, o));
-        coming.retain(|(zone, n)| *n > 0 && (*n >= places || is_rentable(*zone)));
+        coming.retain(|(zone, n)| *n > 0 && (*n >= tasks || is_rentable(*zone)));
         // If as many fit in several zones, the first wins.
         let most = coming.iter().map(|(_, n)| *n).max()?;
         coming
@@ -259,7 +259,7 @@
             }
             // Full machines are not visited again.
             if machine.is_full() {
-                self.full.extend(self.open.swap_remove(k).new);
+                self.full.extend(self.open.swap_remove(k).new_offer);
             } else {
                 k += 1;
             }
@@ -294,7 +294,7 @@
             let mut machine = VirtualMachine {
                 offer: offer.clone(),
                 free: offer.total,
-                new: Some(index),
+                new_offer: Some(index),
                 tenants: Tenants::of([&job.tenant]),
             };
             // At least one, so that the loop ends.
@@ -314,7 +314,10 @@
     /// The machines to rent, by offer.
     fn into_requests(self) -> Vec<RentalRequest> {
         let mut requests: Vec<RentalRequest> = Vec::new();
-        let open = self.open.into_iter().filter_map(|machine| machine.new);
+        let open = self
+            .open
+            .into_iter()
+            .filter_map(|machine| machine.new_offer);
         for offer in self.full.into_iter().chain(open) {
             match requests.iter_mut().find(|request| request.offer == offer) {
                 Some(request) => request.count += 1,
--- a/crates/plan/src/starvation_aging.rs
+++ b/crates/plan/src/starvation_aging.rs
@@ -64,14 +64,14 @@
     }
 
     /// Serves aged jobs, the longest wait first.
-    pub(crate) fn serve_aged(&mut self, left: &mut [u32]) {
+    pub(crate) fn serve_aged(&mut self, remaining: &mut [u32]) {
         let (jobs, aging) = (&self.input.jobs, &self.input.aging);
         let mut order: Vec<usize> = (0..jobs.len())
             .filter(|i| self.is_aged(&jobs[*i]))
             .collect();
         // Jobs that nested guarantees cover go first: they would only preempt the others again.
-        let nested = !self.input.groups.is_empty();
-        let key = |j: &Job| Reverse(nested && j.held > 0);
+        let has_nested_quotas = !self.input.groups.is_empty();
+        let key = |j: &Job| Reverse(has_nested_quotas && j.held > 0);
         order.sort_by(|a, b| {
             let (x, y) = (&jobs[*a], &jobs[*b]);
             key(x)
@@ -85,10 +85,10 @@
             }
             let job = &jobs[i];
             if job.shape == Shape::Gang {
-                self.start_or_wait(i, left);
+                self.start_or_wait(i, remaining);
             } else {
-                let want = aging.tasks_before_all(job).min(left[i]);
-                left[i] -= self.start_tasks(i, want, true);
+                let want = aging.tasks_before_all(job).min(remaining[i]);
+                remaining[i] -= self.start_tasks(i, want, true);
             }
         }
     }
--- a/crates/plan/src/state.rs
+++ b/crates/plan/src/state.rs
@@ -129,9 +129,9 @@
         let team = &self.teams[job.team as usize];
         let above = team.path.iter().map(|g| &self.groups[*g as usize]);
         above.fold(team.allows(&job.need, cap), |n, g| {
-            let mut room = g.max;
-            room.add(&g.used, -1.0);
-            room.count(&job.need, n)
+            let mut headroom = g.max;
+            headroom.add(&g.used, -1.0);
+            headroom.count(&job.need, n)
         })
     }
 
--- a/crates/plan/tests/floods.rs
+++ b/crates/plan/tests/floods.rs
@@ -74,7 +74,7 @@
     done: Vec<u32>,
     first_start: Vec<Option<i32>>,
     /// Number of preempted tasks, by job.
-    stopped: Vec<u32>,
+    preempted: Vec<u32>,
     with_aging: bool,
 }
 
@@ -87,7 +87,7 @@
             placed: vec![],
             done: vec![0; n],
             first_start: vec![None; n],
-            stopped: vec![0; n],
+            preempted: vec![0; n],
             with_aging,
         }
     }
@@ -107,7 +107,7 @@
             ..Input::default()
         };
         input.teams = vec![defaults::team()];
-        let mut on: Vec<Vec<usize>> = vec![vec![]; self.machines];
+        let mut tasks_on: Vec<Vec<usize>> = vec![vec![]; self.machines];
         let mut claims = vec![0u32; self.jobs.len()];
         for (k, p) in self.placed.iter().enumerate() {
             let job = &self.jobs[p.job].1;
@@ -117,7 +117,7 @@
             let spared =
                 self.with_aging && array && (age >= AGING.latest || share && age >= AGING.old);
             claims[p.job] += 1;
-            on[p.machine].push(k);
+            tasks_on[p.machine].push(k);
             input.machines[p.machine].running.push(Running {
                 need: job.need,
                 ends: f64::from(p.ends - now),
@@ -129,7 +129,7 @@
                 ..defaults::running()
             });
         }
-        let mut map = Vec::new();
+        let mut job_indices = Vec::new();
         for (j, (at, job)) in self.jobs.iter().enumerate() {
             let left = job.tasks - self.done[j] - claims[j];
             if *at > now || left == 0 || (job.shape == Shape::Gang && claims[j] > 0) {
@@ -148,9 +148,9 @@
                 waits,
                 ..job.clone()
             });
-            map.push(j);
+            job_indices.push(j);
         }
-        (input, map, on)
+        (input, job_indices, tasks_on)
     }
 
     fn run_turn(&mut self, now: i32) -> Result<(), TestCaseError> {
@@ -162,7 +162,7 @@
             .collect();
         over.into_iter().for_each(|j| self.done[j] += 1);
         self.placed.retain(|p| p.ends > now);
-        let (input, map, on) = self.input(now);
+        let (input, job_indices, tasks_on) = self.input(now);
         let out: Output = plan(&input);
         prop_assert_eq!(
             &out.preempted_gangs,
@@ -170,7 +170,7 @@
             "without guarantees no gang is preempted"
         );
         for s in &out.starts {
-            let j = map[s.job as usize];
+            let j = job_indices[s.job as usize];
             self.first_start[j].get_or_insert(now);
             let ends = now + self.jobs[j].1.estimate as i32;
             let new = || Placed {
@@ -184,7 +184,7 @@
         let stop: Vec<usize> = out
             .preempts
             .iter()
-            .map(|p| on[p.machine as usize][p.task as usize])
+            .map(|p| tasks_on[p.machine as usize][p.task as usize])
             .collect();
         let most = input.jobs.iter().map(|j| j.priority).max().unwrap_or(0);
         for k in &stop {
@@ -193,7 +193,7 @@
                 self.jobs[j].1.priority < most,
                 "preempted for work of no higher priority"
             );
-            self.stopped[j] += 1;
+            self.preempted[j] += 1;
         }
         let mut k = 0;
         self.placed.retain(|_| {
