--- a/crates/plan/src/anti_affinity.rs
+++ b/crates/plan/src/anti_affinity.rs
@@ -33,9 +33,9 @@
             .any(|(_, _, tenant)| tenant.conflicts_with(&job.tenant))
     }
 
-    /// Reserves a place for one task of a job that has no task on any machine and is kept off some by conflicting
-    /// tenants, on the first machine that is expected to be free of them. At most one for each county in a plan, so
-    /// that the capacity reserved this way is bounded.
+    /// Reserves capacity for one task of a job that has no task on any machine and that conflicting tenants bar from
+    /// some, on the first machine that is expected to be free of them. At most one reservation for each county in a
+    /// plan, so that the capacity reserved this way is bounded.
     pub(crate) fn reserve_machine_for_tenant(&mut self, i: usize) {
         let job = &self.input.jobs[i];
         if !self.has_isolated_tenants
--- a/crates/plan/src/failed_searches.rs
+++ b/crates/plan/src/failed_searches.rs
@@ -8,8 +8,11 @@
 /// Kinds of searches, which differ in the machines that they skip.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum SearchKind {
+    /// For machines for services, reserved ones included.
     Service,
+    /// For machines for tasks of arrays.
     Tasks,
+    /// For machines for all tasks of a gang.
     Gang,
     /// For machines that can be freed by preemption.
     Preemption,
--- a/crates/plan/src/gang.rs
+++ b/crates/plan/src/gang.rs
@@ -13,7 +13,9 @@
 struct GangPlacement {
     /// The worst score of the chosen machines, since the slowest one decides when the gang starts.
     cost: Secs,
+    /// Indices of machines, with the number of tasks for each.
     chosen: Vec<(usize, u32)>,
+    /// Number of tasks that are placed.
     found: u32,
 }
 
--- a/crates/plan/src/limit_enforcement.rs
+++ b/crates/plan/src/limit_enforcement.rs
@@ -12,7 +12,9 @@
     rank: (bool, u8, u8),
     lost: Secs,
     gang: Option<u32>,
+    /// Indices of the machine, and of the task among its running ones.
     tasks: Vec<(usize, usize)>,
+    /// Resources that the tasks use.
     freed: Resources,
 }
 
--- a/crates/plan/src/placement.rs
+++ b/crates/plan/src/placement.rs
@@ -5,6 +5,7 @@
 use crate::{Job, Secs, Start, count_in};
 
 impl PlanState<'_> {
+    /// Whether a task of a job may start on a machine now, apart from its resources and reservations.
     pub(crate) fn can_start_on(&self, job: &Job, m: usize) -> bool {
         let machine = &self.input.machines[m];
         machine.usable
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -4,7 +4,7 @@
 use crate::state::PlanState;
 use crate::{Input, Output, RUN_TIME_SLACK, Secs, Shape, URGENT, job_sizes, stretch};
 
-/// A job with what decides its position in the order of service.
+/// A job with the keys by which jobs are ordered.
 struct RankedJob {
     job: usize,
     /// Covered by a nested guarantee.
@@ -15,7 +15,7 @@
     deadline: Secs,
 }
 
-/// Makes a plan for the present.
+/// Plans what to start, preempt and reserve now.
 pub fn plan(input: &Input) -> Output {
     let mut state = PlanState::new(input);
     state.run();
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -37,6 +37,7 @@
     missing: u32,
     cost: Secs,
     victims: Vec<Victim>,
+    /// Machines, and how many tasks of the job fit on each.
     placements: Vec<(usize, u32)>,
 }
 
@@ -218,8 +219,8 @@
         }
     }
 
-    /// How many more tasks fit once a victim is gone. A single task after which no more fit counts 0.4, as a part of a
-    /// place.
+    /// How many more tasks fit once a victim is gone. A single task that makes none fit by itself counts 0.4, since it
+    /// may do so together with another.
     fn placements_gained(&self, job: &Job, victim: &Victim, free: &FreeByMachine) -> f64 {
         let mut placements_gained = 0.0;
         let mut seen = usize::MAX;
--- a/crates/plan/src/scale_out.rs
+++ b/crates/plan/src/scale_out.rs
@@ -187,6 +187,7 @@
 struct VirtualFleet<'a> {
     offers: &'a [MachineOffer],
     max_machines: usize,
+    /// Machines with free capacity.
     open: Vec<VirtualMachine>,
     /// Offers of the machines to be rented that are full.
     full: Vec<usize>,
--- a/crates/plan/src/timeline.rs
+++ b/crates/plan/src/timeline.rs
@@ -6,9 +6,9 @@
 /// Changes of a machine's free capacity after now that this plan makes.
 #[derive(Clone, Default)]
 pub(crate) struct Timeline {
-    /// Expected ends of the tasks that this plan starts.
+    /// Tasks that this plan starts: expected end, resources and tenant.
     pub ends: Vec<(Secs, Resources, Tenant)>,
-    /// Advance reservations: capacity that belongs to a job from a time on.
+    /// Advance reservations of capacity: begin, resources and tenant.
     pub reserved: Vec<(Secs, Resources, Tenant)>,
 }
 
