--- a/crates/plan/src/candidates.rs
+++ b/crates/plan/src/candidates.rs
@@ -54,7 +54,7 @@
     /// Lower is better: prefers spot to on-demand machines, and a tight fit.
     pub fn place_score(&self, job: &Job, free: &Resources) -> Secs {
         let used = 1.0 - free.gpus / self.total.gpus.max(crate::EPS);
-        let left = 1.0 - self.total.share(&job.need) - used;
+        let left = 1.0 - self.total.dominant_share(&job.need) - used;
         let price_penalty = if self.spot { 0.0 } else { ON_DEMAND_PENALTY };
         price_penalty + left.max(0.0) * LOOSE_FIT_PENALTY
     }
--- a/crates/plan/src/gang.rs
+++ b/crates/plan/src/gang.rs
@@ -101,7 +101,7 @@
     /// idle and the user waits; to preempt young tasks of lower priority on machines that have the image may lose less.
     fn is_preemption_better(&mut self, i: usize, want: u32, chosen: &[(usize, u32)]) -> bool {
         let job = &self.input.jobs[i];
-        let share = |m: usize| self.input.machines[m].total.share(&job.need);
+        let share = |m: usize| self.input.machines[m].total.dominant_share(&job.need);
         let idle = |(m, n): &(usize, u32)| self.fetch_time(job, *m) * share(*m) * f64::from(*n);
         let idle: f64 = chosen.iter().map(idle).sum();
         if idle <= EPS || self.is_past_soft_limit() {
--- a/crates/plan/src/job_sizes.rs
+++ b/crates/plan/src/job_sizes.rs
@@ -32,7 +32,7 @@
         stretch::SizedJob {
             arrival: job.arrival,
             work: estimate * f64::from(job.tasks.max(1)),
-            left: estimate * f64::from(job.pending) / parallel_tasks.max(1.0),
+            remaining: estimate * f64::from(job.pending) / parallel_tasks.max(1.0),
             min_run_time: estimate,
         }
     }
--- a/crates/plan/src/priority_preemption.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -176,7 +176,7 @@
                 at = end;
             }
             if at <= self.patience(job) {
-                let cost = (at + self.fetch_time(job, m)) * machine.total.share(&job.need);
+                let cost = (at + self.fetch_time(job, m)) * machine.total.dominant_share(&job.need);
                 options.push(PreemptionOption {
                     machine: m,
                     at,
@@ -224,11 +224,12 @@
                 r.stoppable && !r.leaving && self.input.may_be_preempted_for(r, job)
             })
             .collect();
-        let cost =
-            |k: &usize| machine.running[*k].lost * machine.total.share(&machine.running[*k].need);
+        let cost = |k: &usize| {
+            machine.running[*k].lost * machine.total.dominant_share(&machine.running[*k].need)
+        };
         victims.sort_by(|a, b| cost(a).total_cmp(&cost(b)));
         // While a machine fetches the image, the resources of the new task are idle; that counts as lost too.
-        let mut lost = self.fetch_time(job, m) * machine.total.share(&job.need);
+        let mut lost = self.fetch_time(job, m) * machine.total.dominant_share(&job.need);
         let mut chosen = Vec::new();
         for k in victims {
             if free.fits(&job.need) {
--- a/crates/plan/src/resources.rs
+++ b/crates/plan/src/resources.rs
@@ -19,11 +19,11 @@
     pub fn fits(&self, need: &Resources) -> bool {
         need.cores <= self.cores + EPS && need.gpus <= self.gpus + EPS && need.mem <= self.mem + EPS
     }
-    /// Adds `n` times `o`.
-    pub fn add(&mut self, o: &Resources, n: f64) {
-        self.cores += o.cores * n;
-        self.gpus += o.gpus * n;
-        self.mem += o.mem * n;
+    /// Adds `n` times `other`.
+    pub fn add(&mut self, other: &Resources, n: f64) {
+        self.cores += other.cores * n;
+        self.gpus += other.gpus * n;
+        self.mem += other.mem * n;
     }
     /// The sum of `n` times these resources.
     pub(crate) fn times(&self, n: u32) -> Resources {
@@ -50,7 +50,7 @@
         }
     }
     /// The dominant share of `need` in `self`: the largest of its shares of cores, GPUs and memory.
-    pub fn share(&self, need: &Resources) -> f64 {
+    pub fn dominant_share(&self, need: &Resources) -> f64 {
         let part = |have: f64, want: f64| {
             if want <= EPS {
                 0.0
--- a/crates/plan/src/scale_out.rs
+++ b/crates/plan/src/scale_out.rs
@@ -177,7 +177,7 @@
     /// The cheapest offer for a task of the job.
     fn cheapest(&mut self, offers: &[MachineOffer]) -> Option<usize> {
         let need = self.job.need;
-        let cost = |offer: &MachineOffer| offer.price * offer.total.share(&need);
+        let cost = |offer: &MachineOffer| offer.price * offer.total.dominant_share(&need);
         let usable = (0..offers.len()).filter(|i| self.may_rent(&offers[*i]));
         usable.min_by(|a, b| cost(&offers[*a]).total_cmp(&cost(&offers[*b])))
     }
--- a/crates/plan/src/stretch.rs
+++ b/crates/plan/src/stretch.rs
@@ -10,7 +10,7 @@
     /// Work of all its tasks, the paper's p, which the stretch is measured in.
     pub work: Secs,
     /// Time that its remaining work takes on the whole fleet.
-    pub left: Secs,
+    pub remaining: Secs,
     /// The least time until it can end, whatever its width.
     pub min_run_time: Secs,
 }
@@ -28,7 +28,7 @@
     for (due, i) in order.iter() {
         *steps += 1;
         let j = &jobs[*i];
-        sum += j.left;
+        sum += j.remaining;
         if sum.max(j.min_run_time) > due + 1e-9 {
             return false;
         }
@@ -46,7 +46,7 @@
         .iter()
         .map(|j| (j.min_run_time - j.arrival) / j.work.max(1e-6))
         .fold(0.0, f64::max);
-    let total: f64 = jobs.iter().map(|j| j.left + j.min_run_time).sum();
+    let total: f64 = jobs.iter().map(|j| j.remaining + j.min_run_time).sum();
     let upper = jobs
         .iter()
         .map(|j| (total - j.arrival) / j.work.max(1e-6))
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -120,12 +120,12 @@
     #[test]
     fn stretch_is_minimal(jobs in prop::collection::vec((0.0f64..100.0, 1.0f64..50.0, 1.0f64..9.0), 1..12)) {
         let jobs: Vec<SizedJob> = jobs.into_iter()
-            .map(|(age, work, m)| SizedJob { arrival: -age, work, left: work / m, min_run_time: 0.5f64.min(work / m) }).collect();
+            .map(|(age, work, m)| SizedJob { arrival: -age, work, remaining: work / m, min_run_time: 0.5f64.min(work / m) }).collect();
         let holds = |s: f64| {
             let mut by_due: Vec<&SizedJob> = jobs.iter().collect();
             by_due.sort_by(|a, b| (a.arrival + a.work * s).total_cmp(&(b.arrival + b.work * s)));
             let mut sum = 0.0;
-            by_due.iter().all(|j| { sum += j.left; sum.max(j.min_run_time) <= j.arrival + j.work * s + 1e-6 })
+            by_due.iter().all(|j| { sum += j.remaining; sum.max(j.min_run_time) <= j.arrival + j.work * s + 1e-6 })
         };
         let mut steps = 0;
         let s = smallest_stretch(&jobs, &mut steps);
