--- a/crates/plan/src/input.rs
+++ b/crates/plan/src/input.rs
@@ -209,7 +209,7 @@
     pub resume: Option<u32>,
     /// Jobs below this priority start only the tasks that aging puts before all others; the rest is left to other
     /// plans.
-    pub least_priority: u8,
+    pub min_priority: u8,
     /// How machines are searched for.
     pub search: Search,
 }
--- a/crates/plan/src/output.rs
+++ b/crates/plan/src/output.rs
@@ -35,7 +35,7 @@
     /// gang that starts later.
     pub kept: Vec<u32>,
     /// For each reservation, the number of its tasks that no capacity was found for.
-    pub reservations_short: Vec<u32>,
+    pub unmet_reservations: Vec<u32>,
     /// The smallest feasible stretch.
     pub stretch: f64,
     /// Index of the first job that the hard limit of steps left for the next plan.
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -58,7 +58,7 @@
         let jobs = &input.jobs;
         let planned: Vec<usize> = (0..jobs.len())
             .filter(|i| remaining[*i] > 0 && jobs[*i].shape != Shape::Service)
-            .filter(|i| jobs[*i].priority >= input.least_priority)
+            .filter(|i| jobs[*i].priority >= input.min_priority)
             .collect();
         let capacity = job_sizes::FleetCapacity::of(&input.machines);
         let sized: Vec<stretch::SizedJob> =
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -13,7 +13,7 @@
         let input = self.input;
         for reservation in &input.reservations {
             let unmet = self.reserve_for(reservation);
-            self.output.reservations_short.push(unmet);
+            self.output.unmet_reservations.push(unmet);
         }
     }
 
--- a/crates/plan/src/scale_out.rs
+++ b/crates/plan/src/scale_out.rs
@@ -67,7 +67,7 @@
         .map(|(job, tasks)| (&scale.input.jobs[*job as usize], *tasks))
         .collect();
     unplaced.sort_by_key(|(job, _)| Reverse(job.priority));
-    let short = scale.output.reservations_short.iter();
+    let short = scale.output.unmet_reservations.iter();
     let reserved = scale.input.reservations.iter().zip(short);
     unplaced.extend(reserved.map(|(reservation, tasks)| (&reservation.like, *tasks)));
     unplaced
--- a/crates/plan/tests/search.rs
+++ b/crates/plan/tests/search.rs
@@ -119,7 +119,7 @@
         prop_assert_eq!(indexed.preempts, linear.preempts);
         prop_assert_eq!(indexed.preempted_gangs, linear.preempted_gangs);
         prop_assert_eq!(indexed.kept, linear.kept);
-        prop_assert_eq!(indexed.reservations_short, linear.reservations_short);
+        prop_assert_eq!(indexed.unmet_reservations, linear.unmet_reservations);
         prop_assert_eq!(indexed.waiting, linear.waiting);
         prop_assert!(indexed.stretch <= linear.stretch);
     }
@@ -216,7 +216,7 @@
         latest: 900.0,
     };
     let full = starts(&plan(&input));
-    input.least_priority = plan::URGENT;
+    input.min_priority = plan::URGENT;
     let urgent = plan(&input);
     let share = plan::first_share(Shape::Array, 160);
     assert!(full > share + 5, "only {full} starts in a full plan");
