--- a/crates/plan/src/candidates.rs
+++ b/crates/plan/src/candidates.rs
@@ -1,25 +1,25 @@
-//! An index of machines by what places are chosen by: their kind, their free room and their images.
+//! An index of machines by the properties that placement depends on: class, free capacity and images.
 //!
-//! A job that looks for places gets machines best first, one after the other, and stops at the last that it needs; what
-//! is full is never looked at. The order is that of a walk over all machines sorted by score, which
-//! [`Search::Linear`](crate::Search) still makes as the reference.
+//! A search yields machines lazily, best first, so that it can stop at the last that it needs; full machines are never
+//! visited. The order equals that of a scan of all machines sorted by score, which
+//! [`Search::Linear`](crate::Search) makes as the reference.
 
 use crate::{Job, Machine, Resources, Secs};
 use std::cmp::Reverse;
 use std::collections::btree_set::Iter;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 
-/// Free room is grouped to a thousandth of a unit.
-const GRAIN: f64 = 1000.0;
+/// Free capacity is grouped with a resolution of a thousandth of a core or GPU.
+const QUANTA_PER_UNIT: f64 = 1000.0;
 
-/// What an ordinary machine costs in the order of places, against a spot one: as much as two seconds of fetching.
-const ORDINARY: Secs = 2.0;
-/// What a whole machine left free weighs, in seconds of fetching.
-const LOOSE_FIT: Secs = 4.0;
+/// Penalty of an on-demand machine against a spot machine, equal to as many seconds of fetching.
+const ON_DEMAND_PENALTY: Secs = 2.0;
+/// Penalty of leaving all resources of a machine unused, equal to as many seconds of fetching.
+const LOOSE_FIT_PENALTY: Secs = 4.0;
 
-/// What machines have in common whatever runs on them.
+/// The properties of machines that do not depend on what runs on them.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Class {
+pub(crate) struct MachineClass {
     machine_type: u16,
     pub zone: u16,
     spot: bool,
@@ -27,9 +27,9 @@
     fetch_gb_per_s: f64,
 }
 
-impl Class {
+impl MachineClass {
     fn of(machine: &Machine) -> Self {
-        Class {
+        MachineClass {
             machine_type: machine.machine_type,
             zone: machine.zone,
             spot: machine.spot,
@@ -38,66 +38,66 @@
         }
     }
 
-    /// Whether a job may use such machines at all.
-    pub fn suits(&self, job: &Job) -> bool {
+    /// Whether a job may use machines of this class.
+    pub fn accepts(&self, job: &Job) -> bool {
         job.types >> self.machine_type & 1 == 1
             && job.zone.is_none_or(|zone| zone == self.zone)
             && (job.only.is_empty() || job.only.contains(&self.zone))
             && (job.spot || !self.spot)
     }
 
-    /// How long the job's image takes to come to such a machine.
-    pub fn fetch(&self, job: &Job) -> Secs {
+    /// Time that a machine of this class takes to fetch the job's image.
+    pub fn fetch_time(&self, job: &Job) -> Secs {
         job.image_gb / self.fetch_gb_per_s.max(0.01)
     }
 
-    /// Lower is better: spot before ordinary, then the tightest fit.
+    /// Lower is better: prefers spot to on-demand machines, and a tight fit.
     pub fn place_score(&self, job: &Job, free: &Resources) -> Secs {
         let used = 1.0 - free.gpus / self.total.gpus.max(crate::EPS);
-        let left = 1.0 - self.total.share(&job.need) - used;
-        let dear = if self.spot { 0.0 } else { ORDINARY };
-        dear + left.max(0.0) * LOOSE_FIT
+        let left = 1.0 - self.total.dominant_share(&job.need) - used;
+        let price_penalty = if self.spot { 0.0 } else { ON_DEMAND_PENALTY };
+        price_penalty + left.max(0.0) * LOOSE_FIT_PENALTY
     }
 }
 
-/// Machines of one class with the same free room.
+/// Key of the machines of one class with the same free capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Group {
+struct CapacityGroup {
     class: usize,
     gpus: u64,
     cores: u64,
 }
 
-fn grains(amount: f64) -> u64 {
-    (amount * GRAIN).round().max(0.0) as u64
+fn quantize(amount: f64) -> u64 {
+    (amount * QUANTA_PER_UNIT).round().max(0.0) as u64
 }
 
-type Machines = BTreeMap<Group, BTreeSet<u32>>;
+type MachinesByCapacity = BTreeMap<CapacityGroup, BTreeSet<u32>>;
 
-/// All machines that take tasks, by class and free room.
+/// All machines that accept tasks, by class and free capacity.
 pub(crate) struct Candidates {
-    classes: Vec<Class>,
+    classes: Vec<MachineClass>,
     class_of: Vec<usize>,
-    group_of: Vec<Option<Group>>,
-    groups: Machines,
-    /// Of each image that a job may ask for, the machines that have it.
-    with_image: HashMap<u32, Machines>,
+    group_of: Vec<Option<CapacityGroup>>,
+    groups: MachinesByCapacity,
+    /// For each image that a job may need, the machines that have it.
+    with_image: HashMap<u32, MachinesByCapacity>,
 }
 
-/// Which machines a search is for.
-pub(crate) struct Wanted<'a> {
+/// What a search for machines looks for.
+pub(crate) struct MachineQuery<'a> {
     pub job: &'a Job,
-    /// Only those of this zone.
+    /// Only machines of this zone, if given.
     pub zone: Option<u16>,
 }
 
 impl Candidates {
-    /// `images` are those that jobs may ask for; others are not kept.
+    /// `images` are those that jobs may need; others are not indexed.
     pub fn new(machines: &[Machine], images: impl Iterator<Item = u32>) -> Self {
-        let mut classes: Vec<Class> = Vec::new();
+        let mut classes: Vec<MachineClass> = Vec::new();
         let mut class_of = Vec::with_capacity(machines.len());
         for machine in machines {
-            let class = Class::of(machine);
+            let class = MachineClass::of(machine);
             let at = classes.iter().position(|c| *c == class);
             class_of.push(at.unwrap_or_else(|| {
                 classes.push(class);
@@ -108,17 +108,19 @@
             classes,
             class_of,
             group_of: vec![None; machines.len()],
-            groups: Machines::new(),
-            with_image: images.map(|image| (image, Machines::new())).collect(),
+            groups: MachinesByCapacity::new(),
+            with_image: images
+                .map(|image| (image, MachinesByCapacity::new()))
+                .collect(),
         }
     }
 
-    pub fn class(&self, machine: usize) -> &Class {
+    pub fn class(&self, machine: usize) -> &MachineClass {
         &self.classes[self.class_of[machine]]
     }
 
-    /// The slowest fetch among the machine types that the job may use, in GB a second.
-    pub fn slowest_fetch(&self, job: &Job) -> f64 {
+    /// The slowest fetch rate among the machine types that the job may use, in GB per second.
+    pub fn slowest_fetch_gb_per_s(&self, job: &Job) -> f64 {
         let classes = self.classes.iter();
         let usable = classes.filter(|class| job.types >> class.machine_type & 1 == 1);
         usable
@@ -127,12 +129,12 @@
             .max(0.01)
     }
 
-    /// Puts a machine where its free room says. One without a slot takes no task and is left out.
-    pub fn put(&mut self, machine: usize, free: &Resources, slots: u32, images: &[u32]) {
-        let group = (slots > 0).then(|| Group {
+    /// Indexes a machine by its free capacity. A machine without free slots accepts no task and is left out.
+    pub fn update(&mut self, machine: usize, free: &Resources, slots: u32, images: &[u32]) {
+        let group = (slots > 0).then(|| CapacityGroup {
             class: self.class_of[machine],
-            gpus: grains(free.gpus),
-            cores: grains(free.cores),
+            gpus: quantize(free.gpus),
+            cores: quantize(free.cores),
         });
         let before = std::mem::replace(&mut self.group_of[machine], group);
         for image in images {
@@ -143,23 +145,23 @@
         move_between(&mut self.groups, machine as u32, before, group);
     }
 
-    /// Machines whose free processors and GPUs are enough for a task of the job, best first, ties in their order; with
-    /// each its score. `steps` counts groups that were looked at.
-    pub fn best_first<'a>(&'a self, wanted: &Wanted<'a>, steps: &mut u64) -> BestFirst<'a> {
-        let job = wanted.job;
+    /// Machines with enough free cores and GPUs for a task of the job, with their scores; best first, ties by index.
+    /// `steps` counts the groups that were examined.
+    pub fn best_first<'a>(&'a self, query: &MachineQuery<'a>, steps: &mut u64) -> BestFirst<'a> {
+        let job = query.job;
         let with_image = self.with_image.get(&job.image);
-        let least = |class| Group {
+        let least = |class| CapacityGroup {
             class,
-            gpus: grains(job.need.gpus).saturating_sub(1),
+            gpus: quantize(job.need.gpus).saturating_sub(1),
             cores: 0,
         };
-        let least_cores = grains(job.need.cores).saturating_sub(1);
+        let least_cores = quantize(job.need.cores).saturating_sub(1);
         let mut found = BestFirst {
             heap: BinaryHeap::new(),
             sources: Vec::new(),
         };
         for (number, class) in self.classes.iter().enumerate() {
-            if !class.suits(job) || wanted.zone.is_some_and(|zone| zone != class.zone) {
+            if !class.accepts(job) || query.zone.is_some_and(|zone| zone != class.zone) {
                 continue;
             }
             for (group, machines) in self.groups.range(least(number)..least(number + 1)) {
@@ -168,7 +170,7 @@
                     continue;
                 }
                 let free = Resources {
-                    gpus: group.gpus as f64 / GRAIN,
+                    gpus: group.gpus as f64 / QUANTA_PER_UNIT,
                     ..Resources::default()
                 };
                 let score = class.place_score(job, &free);
@@ -176,14 +178,19 @@
                 if let Some(cached) = cached {
                     found.add(score, cached.iter(), None);
                 }
-                found.add(class.fetch(job) + score, machines.iter(), cached);
+                found.add(class.fetch_time(job) + score, machines.iter(), cached);
             }
         }
         found
     }
 }
 
-fn move_between(machines: &mut Machines, machine: u32, from: Option<Group>, to: Option<Group>) {
+fn move_between(
+    machines: &mut MachinesByCapacity,
+    machine: u32,
+    from: Option<CapacityGroup>,
+    to: Option<CapacityGroup>,
+) {
     if let Some(from) = from
         && let Some(set) = machines.get_mut(&from)
     {
@@ -197,35 +204,35 @@
     }
 }
 
-/// Machines of one group with one score, in their order.
+/// Machines of one group with the same score, by index.
 struct Source<'a> {
     machines: Iter<'a, u32>,
-    /// These come from another source already.
-    without: Option<&'a BTreeSet<u32>>,
+    /// Machines to skip: those that have the image, which another source yields without the fetch time.
+    exclude: Option<&'a BTreeSet<u32>>,
 }
 
 impl Source<'_> {
     fn next(&mut self) -> Option<u32> {
-        let without = self.without;
+        let exclude = self.exclude;
         self.machines
             .by_ref()
             .copied()
-            .find(|machine| without.is_none_or(|set| !set.contains(machine)))
+            .find(|machine| exclude.is_none_or(|set| !set.contains(machine)))
     }
 }
 
-/// Machines by score, merged from groups as they are asked for.
+/// Iterator over machines by score: a lazy merge of the sorted groups.
 pub(crate) struct BestFirst<'a> {
-    /// Score as ordered bits, the machine, and its source.
+    /// The bits of the score, the machine, and the index of its source.
     heap: BinaryHeap<Reverse<(u64, u32, usize)>>,
     sources: Vec<Source<'a>>,
 }
 
 impl<'a> BestFirst<'a> {
-    fn add(&mut self, score: Secs, machines: Iter<'a, u32>, without: Option<&'a BTreeSet<u32>>) {
-        let mut source = Source { machines, without };
+    fn add(&mut self, score: Secs, machines: Iter<'a, u32>, exclude: Option<&'a BTreeSet<u32>>) {
+        let mut source = Source { machines, exclude };
         if let Some(machine) = source.next() {
-            // Scores are 0 or more, so their bits have their order.
+            // Scores are never negative, so their bits order like the scores.
             let key = (score.to_bits(), machine, self.sources.len());
             self.heap.push(Reverse(key));
             self.sources.push(source);
--- a/crates/plan/src/placement.rs
+++ b/crates/plan/src/placement.rs
@@ -1,25 +1,26 @@
-//! Whether, and how well, a task fits on a machine, and what taking a place changes.
+//! Whether and how well a task fits on a machine, and the bookkeeping of its start.
 
-use crate::candidates::Wanted;
+use crate::candidates::MachineQuery;
 use crate::state::PlanState;
 use crate::{Job, Secs, Start, count_in};
 
 impl PlanState<'_> {
-    pub(crate) fn allowed(&self, job: &Job, m: usize) -> bool {
+    /// Whether a task of a job may start on a machine now, apart from its resources and reservations.
+    pub(crate) fn can_start_on(&self, job: &Job, m: usize) -> bool {
         let machine = &self.input.machines[m];
         machine.usable
             && self.slots[m] > 0
-            && self.suits(job, m)
+            && self.is_eligible(job, m)
             && self.tenants[m].admits(&job.tenant)
     }
 
-    /// Whether a job may use a machine at all.
-    pub(crate) fn suits(&self, job: &Job, m: usize) -> bool {
-        self.candidates.class(m).suits(job) && !job.avoid.contains(&(m as u32))
+    /// Whether a job may ever use a machine, whatever runs on it now.
+    pub(crate) fn is_eligible(&self, job: &Job, m: usize) -> bool {
+        self.candidates.class(m).accepts(job) && !job.avoid.contains(&(m as u32))
     }
 
-    /// How many more tasks the job may have in this zone, given those it has.
-    pub(crate) fn zone_room(&self, i: usize, zone: u16) -> u32 {
+    /// How many more tasks the job may have in a zone, given the tasks that it has.
+    pub(crate) fn zone_headroom(&self, i: usize, zone: u16) -> u32 {
         let job = &self.input.jobs[i];
         let there = |z: u16| {
             self.tasks_by_zone[i]
@@ -35,38 +36,39 @@
             return 0;
         }
         if job.spread {
-            // The bound is half of all tasks, rounded up; it holds however few are placed so far.
+            // Half of all tasks, rounded up, however few are placed so far.
             return job.tasks.div_ceil(2).saturating_sub(there(zone));
         }
         u32::MAX
     }
 
-    /// How long the job's image takes to come to this machine.
-    pub(crate) fn fetch(&self, job: &Job, m: usize) -> Secs {
+    /// Time that this machine takes to fetch the job's image; 0 if it has it.
+    pub(crate) fn fetch_time(&self, job: &Job, m: usize) -> Secs {
         if self.images[m].contains(&job.image) {
             return 0.0;
         }
-        self.candidates.class(m).fetch(job)
+        self.candidates.class(m).fetch_time(job)
     }
 
-    /// Lower is better: fetch time first, then spot before ordinary, then the tightest fit.
+    /// Lower is better: fetch time, plus penalties for on-demand machines and a loose fit.
     pub(crate) fn score(&self, job: &Job, m: usize) -> f64 {
-        self.fetch(job, m) + self.place_score(job, m)
+        self.fetch_time(job, m) + self.place_score(job, m)
     }
 
     pub(crate) fn place_score(&self, job: &Job, m: usize) -> f64 {
         self.candidates.class(m).place_score(job, &self.free[m])
     }
 
-    /// Machines where a task of the job fits now, best first, until `visit` has enough. Steps are counted.
+    /// Visits machines where a task of the job fits now, best first, until `visit` returns [`Visit::Stop`]. Counts
+    /// steps.
     pub(crate) fn visit_machines(
         &mut self,
-        wanted: &Wanted<'_>,
+        query: &MachineQuery<'_>,
         mut visit: impl FnMut(&Self, Secs, usize) -> Visit,
     ) {
         let mut steps = 0;
         if self.is_linear_search() {
-            let order = self.walk_all(wanted);
+            let order = self.scan_all(query);
             steps += self.input.machines.len() as u64;
             for (score, m) in order {
                 if visit(self, score, m) == Visit::Stop {
@@ -74,9 +76,9 @@
                 }
             }
         } else {
-            for (score, m) in self.candidates.best_first(wanted, &mut steps) {
+            for (score, m) in self.candidates.best_first(query, &mut steps) {
                 steps += 1;
-                let fits = self.allowed(wanted.job, m) && self.free[m].fits(&wanted.job.need);
+                let fits = self.can_start_on(query.job, m) && self.free[m].fits(&query.job.need);
                 if fits && visit(self, score, m) == Visit::Stop {
                     break;
                 }
@@ -85,20 +87,20 @@
         self.output.steps += steps;
     }
 
-    /// The same by a walk over all machines.
-    fn walk_all(&self, wanted: &Wanted<'_>) -> Vec<(Secs, usize)> {
-        let job = wanted.job;
+    /// The machines for [`Self::visit_machines`], by a scan of all machines.
+    fn scan_all(&self, query: &MachineQuery<'_>) -> Vec<(Secs, usize)> {
+        let job = query.job;
         let machines = &self.input.machines;
         let mut order: Vec<(Secs, usize)> = (0..machines.len())
-            .filter(|m| wanted.zone.is_none_or(|zone| zone == machines[*m].zone))
-            .filter(|m| self.allowed(job, *m) && self.free[*m].fits(&job.need))
+            .filter(|m| query.zone.is_none_or(|zone| zone == machines[*m].zone))
+            .filter(|m| self.can_start_on(job, *m) && self.free[*m].fits(&job.need))
             .map(|m| (self.score(job, m), m))
             .collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         order
     }
 
-    /// Notes that `n` tasks of a job start on a machine.
+    /// Starts `n` tasks of a job on a machine, and updates all state that depends on it.
     pub(crate) fn start_on(&mut self, i: usize, m: usize, n: u32) {
         let input = self.input;
         let job = &input.jobs[i];
@@ -116,7 +118,7 @@
             self.images[m].push(job.image);
         }
         self.index(m);
-        self.changed.push(m as u32);
+        self.changed_machines.push(m as u32);
         self.output.starts.push(Start {
             job: i as u32,
             machine: m as u32,
@@ -125,7 +127,7 @@
     }
 }
 
-/// Whether a search goes on.
+/// Whether a search continues after a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Visit {
     Continue,
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -1,55 +1,60 @@
-//! Preemption for quota: to give a team its guarantee, what other teams run beyond theirs is stopped, of any priority.
+//! Preemption for quota: to give a team its guarantee, tasks that other teams run beyond theirs are preempted, whatever
+//! their priority.
 //!
-//! Where quotas nest, those that are nearest in the tree give back first: what a sibling has borrowed within the same
-//! group goes before what the next group has, and so on up.
+//! With nested quotas, the borrowers nearest in the tree are preempted first: those within the same group go before
+//! those of the next group up, and so on.
 
 use crate::state::PlanState;
 use crate::{Job, Preempt, Resources, Secs, Shape};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashSet};
 
-/// How long it takes until a stopped task has saved and gone.
-const LEAVING: Secs = 4.0;
-/// What ends within this time is waited for.
-const NEARLY_OVER: Secs = 15.0;
-/// What a gang loses besides its work: it has to wait for room for all its tasks again.
+/// How long a stopped task takes to save its state and exit.
+const STOP_DELAY: Secs = 4.0;
+/// A task that is expected to end within this time is not preempted.
+const ENDING_SOON: Secs = 15.0;
+/// Cost of preempting a task of a gang besides its lost work: the gang must wait until all its tasks fit again.
 const GANG_LOSS: Secs = 20.0;
-/// The same for a single task.
+/// Cost of preempting a single task besides its lost work.
 const TASK_LOSS: Secs = 5.0;
 
-/// What else is lost of an old job's first share: it goes last.
-const SPARED_LOSS: Secs = 120.0;
+/// Additional cost of a task of an aged job's first share, so that it is preempted last.
+const FIRST_SHARE_LOSS: Secs = 120.0;
 
-/// What stops together: one task, or a whole gang.
+/// Tasks that are preempted together: a single task, or a whole gang.
 struct Victim {
     gang: Option<u32>,
-    /// Machines and tasks.
+    /// Indices of the machine, and of the task among its running ones.
     tasks: Vec<(usize, usize)>,
     cost: Secs,
-    /// Groups that it has in common with the job.
+    /// Number of groups that it has in common with the job.
     common_groups: u8,
 }
 
-/// What is to be stopped, with the loss, and the room on each machine then.
+/// A set of victims with its cost, and how many tasks of the job fit afterwards.
 struct QuotaPreemption {
-    /// Places that an array still lacks.
+    /// Number of tasks of an array that still do not fit.
     missing: u32,
     cost: Secs,
     victims: Vec<Victim>,
-    places: Vec<(usize, u32)>,
+    /// Machines, and how many tasks of the job fit on each.
+    placements: Vec<(usize, u32)>,
 }
 
-/// Room by machine.
-type Rooms = BTreeMap<usize, Resources>;
+/// Free resources by machine.
+type FreeByMachine = BTreeMap<usize, Resources>;
 
-/// Places for tasks of a job, at most `cap` on each machine.
-fn count_places(job: &Job, cap: u32, rooms: &Rooms) -> u32 {
-    rooms.values().map(|room| room.count(&job.need, cap)).sum()
+/// How many tasks of a job fit, at most `cap` on each machine.
+fn count_placements(job: &Job, cap: u32, free_by_machine: &FreeByMachine) -> u32 {
+    free_by_machine
+        .values()
+        .map(|free| free.count(&job.need, cap))
+        .sum()
 }
 
 impl PlanState<'_> {
-    /// Stops for a job within a guarantee what other teams run beyond theirs, and holds the room. A gang needs all its
-    /// places, an array takes what there is. False if that does not make enough.
+    /// Preempts for a job within a guarantee tasks that other teams run beyond theirs, and reserves the capacity. An
+    /// array takes what can be had. False for a gang if not all its tasks would fit.
     pub(crate) fn preempt_for_quota(&mut self, i: usize, want: u32) -> bool {
         let job = &self.input.jobs[i];
         let zones = self.zones_for(job);
@@ -71,24 +76,24 @@
                 self.output.preempted_gangs.push(gang);
                 continue;
             }
-            let stops = victim.tasks.iter().map(|(m, k)| Preempt {
+            let preempts = victim.tasks.iter().map(|(m, k)| Preempt {
                 machine: *m as u32,
                 task: *k as u32,
             });
-            self.output.preempts.extend(stops);
+            self.output.preempts.extend(preempts);
         }
         let mut left = want;
-        for (m, n) in best.places {
+        for (m, n) in best.placements {
             let n = n.min(left);
             if n > 0 {
-                self.hold(job, m, n, LEAVING);
+                self.reserve_from(job, m, n, STOP_DELAY);
                 left -= n;
             }
         }
         true
     }
 
-    /// What would be stopped in a zone, or in all; none for a gang that would still lack places.
+    /// The victims to preempt in a zone, or in all; none for a gang that would still not fit.
     fn quota_preemption_in(
         &mut self,
         i: usize,
@@ -96,126 +101,139 @@
         zone: Option<u16>,
     ) -> Option<QuotaPreemption> {
         let job = &self.input.jobs[i];
-        let mut rooms = self.rooms_with_leaving(i, zone);
-        let mut victims = self.choose_victims(job, want, &mut rooms);
-        let places = count_places(job, want, &rooms);
-        if places < want && job.shape == Shape::Gang {
+        let mut free_by_machine = self.free_after_leaving(i, zone);
+        let mut victims = self.choose_victims(job, want, &mut free_by_machine);
+        let placements = count_placements(job, want, &free_by_machine);
+        if placements < want && job.shape == Shape::Gang {
             return None;
         }
-        let enough = places.min(want);
-        self.drop_needless_victims(job, want, enough, &mut victims, &mut rooms);
-        let places = rooms
+        let enough = placements.min(want);
+        self.drop_unneeded_victims(job, want, enough, &mut victims, &mut free_by_machine);
+        let placements = free_by_machine
             .iter()
-            .map(|(m, room)| (*m, room.count(&job.need, want)))
+            .map(|(m, free)| (*m, free.count(&job.need, want)))
             .collect();
         Some(QuotaPreemption {
             missing: want - enough,
             cost: victims.iter().map(|v| v.cost).sum(),
             victims,
-            places,
+            placements,
         })
     }
 
-    /// Room on the machines that a job may use, once what is on its way out has gone.
-    fn rooms_with_leaving(&mut self, i: usize, zone: Option<u16>) -> Rooms {
+    /// Free resources of the machines that a job may use, once the tasks that are being stopped are gone.
+    fn free_after_leaving(&mut self, i: usize, zone: Option<u16>) -> FreeByMachine {
         let job = &self.input.jobs[i];
-        let mut rooms = Rooms::new();
+        let mut free_by_machine = FreeByMachine::new();
         for m in self.machines_in(zone) {
             let machine = &self.input.machines[m];
-            if !self.allowed(job, m) || self.reserved_until[m].is_some() {
+            if !self.can_start_on(job, m) || self.reserved_until[m].is_some() {
                 continue;
             }
-            // Room where the job may have no more tasks would be made in vain, and held.
-            if self.is_promised_to_others(job, m) || self.zone_room(i, machine.zone) == 0 {
+            // Capacity where the job may have no more tasks would be freed and reserved in vain.
+            if self.is_reserved_for_conflicting_tenant(job, m)
+                || self.zone_headroom(i, machine.zone) == 0
+            {
                 continue;
             }
             self.output.steps += 1 + machine.running.len() as u64;
-            let mut room = self.room_at(m, 0.0, f64::INFINITY);
+            let mut free = self.free_at(m, 0.0, f64::INFINITY);
             for task in machine.running.iter().filter(|task| task.leaving) {
-                room.add(&task.need, 1.0);
+                free.add(&task.need, 1.0);
             }
-            rooms.insert(m, room);
+            free_by_machine.insert(m, free);
         }
-        rooms
+        free_by_machine
     }
 
-    /// Takes victims until a job has the places that it wants, or none is left that brings it nearer, and adds their
-    /// room.
-    fn choose_victims(&mut self, job: &Job, want: u32, rooms: &mut Rooms) -> Vec<Victim> {
-        let mut victims = self.victims(job, rooms);
+    /// Chooses victims until the wanted tasks of a job fit or no victim helps any more, and adds the resources that
+    /// they free.
+    fn choose_victims(
+        &mut self,
+        job: &Job,
+        want: u32,
+        free_by_machine: &mut FreeByMachine,
+    ) -> Vec<Victim> {
+        let mut victims = self.victims(job, free_by_machine);
         let mut chosen = Vec::new();
-        let mut have = count_places(job, want, rooms);
+        let mut have = count_placements(job, want, free_by_machine);
         while have < want {
-            // Clearing has its bound of steps, as elsewhere.
-            self.output.steps += rooms.len() as u64;
+            // Past the soft limit of steps nothing more is preempted, as elsewhere.
+            self.output.steps += free_by_machine.len() as u64;
             if self.is_past_soft_limit() {
                 break;
             }
-            let Some(best) = self.best_victim(job, want - have, &victims, rooms) else {
+            let Some(best) = self.best_victim(job, want - have, &victims, free_by_machine) else {
                 break;
             };
             let victim = victims.swap_remove(best);
-            self.give_back(&victim, rooms, 1.0);
+            self.add_freed(&victim, free_by_machine, 1.0);
             chosen.push(victim);
-            have = count_places(job, want, rooms);
+            have = count_placements(job, want, free_by_machine);
         }
         chosen
     }
 
-    /// The victim that is nearest in the tree, and of those the one with the least loss for each place that is gained.
-    /// What gains none by itself may do so with another.
+    /// Index of the victim nearest in the tree, and among those with the least cost for each task that fits thanks to
+    /// it. A single task that frees too little by itself counts a little, since it may do with another.
     fn best_victim(
         &mut self,
         job: &Job,
         missing: u32,
         victims: &[Victim],
-        rooms: &Rooms,
+        free_by_machine: &FreeByMachine,
     ) -> Option<usize> {
         let mut best: Option<((Reverse<u8>, f64), usize)> = None;
         for (at, victim) in victims.iter().enumerate() {
             self.output.steps += victim.tasks.len() as u64;
-            let gain = self.gain(job, victim, rooms).min(f64::from(missing));
-            let rank = (Reverse(victim.common_groups), victim.cost / gain);
-            if gain > 0.0 && best.is_none_or(|(best_rank, _)| rank < best_rank) {
+            let placements_gained = self
+                .placements_gained(job, victim, free_by_machine)
+                .min(f64::from(missing));
+            let rank = (
+                Reverse(victim.common_groups),
+                victim.cost / placements_gained,
+            );
+            if placements_gained > 0.0 && best.is_none_or(|(best_rank, _)| rank < best_rank) {
                 best = Some((rank, at));
             }
         }
         best.map(|(_, at)| at)
     }
 
-    /// What turned out not to be needed for `enough` places stays.
-    fn drop_needless_victims(
+    /// Drops victims without which `enough` tasks still fit, the last chosen first.
+    fn drop_unneeded_victims(
         &self,
         job: &Job,
         want: u32,
         enough: u32,
         chosen: &mut Vec<Victim>,
-        rooms: &mut Rooms,
+        free_by_machine: &mut FreeByMachine,
     ) {
         for k in (0..chosen.len()).rev() {
-            self.give_back(&chosen[k], rooms, -1.0);
-            if count_places(job, want, rooms) >= enough {
+            self.add_freed(&chosen[k], free_by_machine, -1.0);
+            if count_placements(job, want, free_by_machine) >= enough {
                 chosen.remove(k);
             } else {
-                self.give_back(&chosen[k], rooms, 1.0);
+                self.add_freed(&chosen[k], free_by_machine, 1.0);
             }
         }
     }
 
-    /// Places that a victim's end brings nearer: whole ones count most, parts of one a little.
-    fn gain(&self, job: &Job, victim: &Victim, rooms: &Rooms) -> f64 {
-        let mut gain = 0.0;
+    /// How many more tasks fit once a victim is gone. A single task that makes none fit by itself counts 0.4, since it
+    /// may do so together with another.
+    fn placements_gained(&self, job: &Job, victim: &Victim, free: &FreeByMachine) -> f64 {
+        let mut placements_gained = 0.0;
         let mut seen = usize::MAX;
         let mut after = Resources::default();
         for (m, k) in &victim.tasks {
-            let Some(room) = rooms.get(m) else { continue };
+            let Some(now) = free.get(m) else { continue };
             if *m != seen {
-                (seen, after) = (*m, *room);
+                (seen, after) = (*m, *now);
             }
             let before = after.count(&job.need, u32::MAX);
             after.add(&self.input.machines[*m].running[*k].need, 1.0);
             let whole = after.count(&job.need, u32::MAX) - before;
-            gain += if whole > 0 {
+            placements_gained += if whole > 0 {
                 f64::from(whole)
             } else if victim.gang.is_none() {
                 0.4
@@ -223,19 +241,19 @@
                 0.0
             };
         }
-        gain
+        placements_gained
     }
 
-    fn give_back(&self, victim: &Victim, rooms: &mut Rooms, times: f64) {
+    fn add_freed(&self, victim: &Victim, free_by_machine: &mut FreeByMachine, times: f64) {
         for (m, k) in &victim.tasks {
-            if let Some(room) = rooms.get_mut(m) {
-                room.add(&self.input.machines[*m].running[*k].need, times);
+            if let Some(free) = free_by_machine.get_mut(m) {
+                free.add(&self.input.machines[*m].running[*k].need, times);
             }
         }
     }
 
-    /// All that may be stopped for a job on these machines, with what that loses.
-    fn victims(&self, job: &Job, rooms: &Rooms) -> Vec<Victim> {
+    /// The victims that may be preempted for a job on these machines, with their costs.
+    fn victims(&self, job: &Job, free_by_machine: &FreeByMachine) -> Vec<Victim> {
         let mut out = Vec::new();
         let mut gangs: BTreeMap<u32, Victim> = BTreeMap::new();
         let preempts = self.output.preempts.iter();
@@ -247,14 +265,14 @@
                     || r.gang.is_some_and(|g| preempted_gangs.contains(&g));
                 if !self.input.may_be_reclaimed_for(r, job)
                     || r.leaving
-                    || r.ends < NEARLY_OVER
+                    || r.ends < ENDING_SOON
                     || stopping
                 {
                     continue;
                 }
                 let common_groups = self.input.common_groups(r.team, job.team);
                 match r.gang {
-                    // All of a gang stops, also where that makes no room for the job.
+                    // A gang stops as a whole, also on machines that the job cannot use.
                     Some(gang) => {
                         let victim = gangs.entry(gang).or_insert(Victim {
                             gang: Some(gang),
@@ -265,8 +283,8 @@
                         victim.tasks.push((m, k));
                         victim.cost += r.lost + GANG_LOSS;
                     }
-                    None if r.stoppable && rooms.contains_key(&m) => {
-                        let spared = if r.spared { SPARED_LOSS } else { 0.0 };
+                    None if r.stoppable && free_by_machine.contains_key(&m) => {
+                        let spared = if r.spared { FIRST_SHARE_LOSS } else { 0.0 };
                         let cost = r.lost + TASK_LOSS + spared;
                         out.push(Victim {
                             gang: None,
--- a/crates/plan/src/stretch.rs
+++ b/crates/plan/src/stretch.rs
@@ -1,22 +1,22 @@
-//! The smallest stretch: DASEDF's search (section 3.2 of the paper) on the fleet's slots.
+//! The smallest feasible stretch, by the search of DASEDF (section 3.2 of the paper).
 
 use crate::Secs;
 
-/// A job as the search sees it: when it came and its work on one slot, in slot-seconds of the whole fleet.
+/// A job as the search sees it. Its work is the total run time of its tasks one after the other.
 #[derive(Debug, Clone, Copy)]
-pub struct Sized {
-    /// When it was submitted, 0 or less.
+pub struct SizedJob {
+    /// When it was submitted; 0 or less.
     pub arrival: Secs,
-    /// p: one-slot work, which the stretch is measured in.
+    /// Work of all its tasks, the paper's p, which the stretch is measured in.
     pub work: Secs,
-    /// What is left of it, as a share of the fleet's time.
-    pub left: Secs,
-    /// It can't end before this, whatever its width.
-    pub shortest: Secs,
+    /// Time that its remaining work takes on the whole fleet.
+    pub remaining: Secs,
+    /// The least time until it can end, whatever its width.
+    pub min_run_time: Secs,
 }
 
-/// The paper's test for EDF: in deadline order, each deadline leaves time for all work before it.
-fn feasible(jobs: &[Sized], order: &mut Vec<(Secs, usize)>, s: f64, steps: &mut u64) -> bool {
+/// The paper's feasibility test for EDF: in deadline order, each deadline leaves time for all work up to it.
+fn feasible(jobs: &[SizedJob], order: &mut Vec<(Secs, usize)>, s: f64, steps: &mut u64) -> bool {
     order.clear();
     order.extend(
         jobs.iter()
@@ -28,25 +28,25 @@
     for (due, i) in order.iter() {
         *steps += 1;
         let j = &jobs[*i];
-        sum += j.left;
-        if sum.max(j.shortest) > due + 1e-9 {
+        sum += j.remaining;
+        if sum.max(j.min_run_time) > due + 1e-9 {
             return false;
         }
     }
     true
 }
 
-/// Smallest S, within a hundredth, for which all deadlines r + p·S can hold. Between the bound that all end
-/// at once and the bound that they run one after the other, both as in the paper.
-pub fn smallest_stretch(jobs: &[Sized], steps: &mut u64) -> f64 {
+/// The smallest stretch S, to within 1 %, for which all deadlines r + p·S can be met. Bisects, as in the paper, between
+/// the bound that all jobs run at the same time and the bound that they run one after the other.
+pub fn smallest_stretch(jobs: &[SizedJob], steps: &mut u64) -> f64 {
     if jobs.is_empty() {
         return 1.0;
     }
     let lower = jobs
         .iter()
-        .map(|j| (j.shortest - j.arrival) / j.work.max(1e-6))
+        .map(|j| (j.min_run_time - j.arrival) / j.work.max(1e-6))
         .fold(0.0, f64::max);
-    let total: f64 = jobs.iter().map(|j| j.left + j.shortest).sum();
+    let total: f64 = jobs.iter().map(|j| j.remaining + j.min_run_time).sum();
     let upper = jobs
         .iter()
         .map(|j| (total - j.arrival) / j.work.max(1e-6))
--- a/crates/plan/tests/floods.rs
+++ b/crates/plan/tests/floods.rs
@@ -1,4 +1,5 @@
-//! Floods of urgent work played in plan turns: who waits long begins, and nothing is stopped for it against its urgency.
+//! Simulated floods of jobs of high priority, a plan a turn: jobs that have waited for long start, and no task is
+//! preempted for work of no higher priority.
 
 mod defaults;
 
@@ -24,7 +25,7 @@
 }
 
 fn job(shape: Shape, priority: u8, tasks: u32) -> Job {
-    // A task of an urgent gang takes a whole machine.
+    // A task of a gang fills a machine.
     let places = if shape == Shape::Gang { PLACES } else { 1 };
     let mut need = Resources::default();
     need.add(&task(), f64::from(places));
@@ -42,7 +43,7 @@
     }
 }
 
-/// One with [`PLACES`] places.
+/// A machine that [`PLACES`] tasks of an array fit on.
 fn machine() -> Machine {
     Machine {
         ready: 0.0,
@@ -57,48 +58,48 @@
     }
 }
 
-/// A task on a machine: its job, when it ends, and when it began.
+/// A task on a machine: its job, when it ends, and when it started.
 struct Placed {
     job: usize,
     machine: usize,
     ends: i32,
-    began: i32,
+    started_at: i32,
 }
 
-/// A fleet that does as it is told, a plan a turn.
+/// A simulated fleet that carries out one plan a turn.
 struct Fleet {
     machines: usize,
     jobs: Vec<(i32, Job)>,
     placed: Vec<Placed>,
     done: Vec<u32>,
-    began: Vec<Option<i32>>,
-    /// Of each job, tasks that were stopped.
-    stopped: Vec<u32>,
-    bound: bool,
+    first_start: Vec<Option<i32>>,
+    /// Number of preempted tasks, by job.
+    preempted: Vec<u32>,
+    with_aging: bool,
 }
 
 impl Fleet {
-    fn new(machines: usize, jobs: Vec<(i32, Job)>, bound: bool) -> Self {
+    fn new(machines: usize, jobs: Vec<(i32, Job)>, with_aging: bool) -> Self {
         let n = jobs.len();
         Fleet {
             machines,
             jobs,
             placed: vec![],
             done: vec![0; n],
-            began: vec![None; n],
-            stopped: vec![0; n],
-            bound,
+            first_start: vec![None; n],
+            preempted: vec![0; n],
+            with_aging,
         }
     }
 
-    /// What the planner is shown, with our indices of the jobs, and of the tasks on each machine.
+    /// The planner's input, with the index of each of its jobs here, and those of the tasks on each machine.
     fn input(&self, now: i32) -> (Input, Vec<usize>, Vec<Vec<usize>>) {
         let mut input = Input {
             machines: vec![machine(); self.machines],
             online_factor: 1.5,
             patience: 3.0,
             max_steps: u64::MAX / 4,
-            aging: if self.bound {
+            aging: if self.with_aging {
                 AGING
             } else {
                 AgingThresholds::default()
@@ -106,28 +107,29 @@
             ..Input::default()
         };
         input.teams = vec![defaults::team()];
-        let mut on: Vec<Vec<usize>> = vec![vec![]; self.machines];
+        let mut tasks_on: Vec<Vec<usize>> = vec![vec![]; self.machines];
         let mut claims = vec![0u32; self.jobs.len()];
         for (k, p) in self.placed.iter().enumerate() {
             let job = &self.jobs[p.job].1;
             let (array, first) = (job.shape == Shape::Array, first_share(job.shape, job.tasks));
             let age = f64::from(now - self.jobs[p.job].0);
             let share = self.done[p.job] == 0 && claims[p.job] < first;
-            let spared = self.bound && array && (age >= AGING.latest || share && age >= AGING.old);
+            let spared =
+                self.with_aging && array && (age >= AGING.latest || share && age >= AGING.old);
             claims[p.job] += 1;
-            on[p.machine].push(k);
+            tasks_on[p.machine].push(k);
             input.machines[p.machine].running.push(Running {
                 need: job.need,
                 ends: f64::from(p.ends - now),
                 priority: job.priority,
-                lost: f64::from(now - p.began),
+                lost: f64::from(now - p.started_at),
                 stoppable: array,
                 spared,
                 gang: (!array).then_some(p.job as u32),
                 ..defaults::running()
             });
         }
-        let mut map = Vec::new();
+        let mut job_indices = Vec::new();
         for (j, (at, job)) in self.jobs.iter().enumerate() {
             let left = job.tasks - self.done[j] - claims[j];
             if *at > now || left == 0 || (job.shape == Shape::Gang && claims[j] > 0) {
@@ -138,7 +140,7 @@
             } else {
                 vec![]
             };
-            let waits = job.shape == Shape::Array || self.began[j].is_none();
+            let waits = job.shape == Shape::Array || self.first_start[j].is_none();
             input.jobs.push(Job {
                 arrival: f64::from(at - now),
                 pending: left,
@@ -146,12 +148,12 @@
                 waits,
                 ..job.clone()
             });
-            map.push(j);
+            job_indices.push(j);
         }
-        (input, map, on)
+        (input, job_indices, tasks_on)
     }
 
-    fn turn(&mut self, now: i32) -> Result<(), TestCaseError> {
+    fn run_turn(&mut self, now: i32) -> Result<(), TestCaseError> {
         let over: Vec<usize> = self
             .placed
             .iter()
@@ -160,38 +162,38 @@
             .collect();
         over.into_iter().for_each(|j| self.done[j] += 1);
         self.placed.retain(|p| p.ends > now);
-        let (input, map, on) = self.input(now);
+        let (input, job_indices, tasks_on) = self.input(now);
         let out: Output = plan(&input);
         prop_assert_eq!(
             &out.preempted_gangs,
             &Vec::<u32>::new(),
-            "no guarantee, so no gang stops"
+            "without guarantees no gang is preempted"
         );
         for s in &out.starts {
-            let j = map[s.job as usize];
-            self.began[j].get_or_insert(now);
+            let j = job_indices[s.job as usize];
+            self.first_start[j].get_or_insert(now);
             let ends = now + self.jobs[j].1.estimate as i32;
             let new = || Placed {
                 job: j,
                 machine: s.machine as usize,
                 ends,
-                began: now,
+                started_at: now,
             };
             self.placed.extend((0..s.count).map(|_| new()));
         }
         let stop: Vec<usize> = out
             .preempts
             .iter()
-            .map(|p| on[p.machine as usize][p.task as usize])
+            .map(|p| tasks_on[p.machine as usize][p.task as usize])
             .collect();
         let most = input.jobs.iter().map(|j| j.priority).max().unwrap_or(0);
         for k in &stop {
             let j = self.placed[*k].job;
             prop_assert!(
                 self.jobs[j].1.priority < most,
-                "stopped for work that is no more urgent"
+                "preempted for work of no higher priority"
             );
-            self.stopped[j] += 1;
+            self.preempted[j] += 1;
         }
         let mut k = 0;
         self.placed.retain(|_| {
@@ -202,7 +204,8 @@
     }
 }
 
-/// A flood that lasts: urgent gangs, twice as many a turn as the fleet ends; and some large jobs of low urgency.
+/// A lasting flood: gangs of high priority, in each turn twice as many as the fleet completes, and some large jobs of
+/// low priority.
 fn flood(machines: usize, until: i32, large: &[(i32, Shape, u32)]) -> Vec<(i32, Job)> {
     let a_turn = machines.div_ceil(3);
     let urgent = (0..until).flat_map(|t| (0..a_turn).map(move |_| (t, job(Shape::Gang, 2, 1))));
@@ -212,19 +215,19 @@
     large.chain(urgent).collect()
 }
 
-/// When the first `n` jobs of a flood began, and how many of their tasks were stopped.
-fn play(
+/// Runs a flood; keeps the first starts of its first `n` jobs.
+fn run_fleet(
     jobs: Vec<(i32, Job)>,
     machines: usize,
     n: usize,
     turns: i32,
-    bound: bool,
+    with_aging: bool,
 ) -> Result<Fleet, TestCaseError> {
-    let mut fleet = Fleet::new(machines, jobs, bound);
+    let mut fleet = Fleet::new(machines, jobs, with_aging);
     for now in 0..turns {
-        fleet.turn(now)?;
+        fleet.run_turn(now)?;
     }
-    fleet.began.truncate(n);
+    fleet.first_start.truncate(n);
     Ok(fleet)
 }
 
@@ -237,14 +240,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(26), ..ProptestConfig::default() })]
 
-    /// Whoever waits begins within the bound, twice the longest run and what other large jobs before it take, though
-    /// twice the work that the fleet can do keeps coming; without the bound nobody does.
+    /// Each large job starts within the aging threshold, twice the longest run time and the time that large jobs before
+    /// it take, though twice the work that the fleet can do keeps coming. Without aging none does.
     #[test]
-    fn the_largest_begin_in_a_flood(machines in 6usize..10, large in prop::collection::vec(large(), 1..4)) {
+    fn large_jobs_start_within_the_aging_bound_during_a_flood(machines in 6usize..10, large in prop::collection::vec(large(), 1..4)) {
         let turns = 130;
         let jobs = flood(machines, turns, &large);
-        let fleet = play(jobs.clone(), machines, large.len(), turns, true)?;
-        for (k, (began, (at, shape, tasks))) in fleet.began.iter().zip(&large).enumerate() {
+        let fleet = run_fleet(jobs.clone(), machines, large.len(), turns, true)?;
+        for (k, (began, (at, shape, tasks))) in fleet.first_start.iter().zip(&large).enumerate() {
             let before = large.iter().enumerate().filter(|(o, l)| *o != k && l.0 <= *at);
             let loads: u32 = before.map(|(_, (_, s, n))| if *s == Shape::Array { n.div_ceil(PLACES) } else { *n }).sum();
             let bound = AGING.old as i32 + 12 + (loads * 6).div_ceil(machines as u32) as i32;
@@ -252,30 +255,31 @@
             prop_assert!(waited.is_some_and(|w| w <= bound), "{shape:?} of {tasks}: {waited:?}, {bound}");
         }
         let started: Vec<i32> = large.iter().filter(|l| l.0 > 1).map(|l| l.0).collect();
-        let forgotten = play(jobs, machines, large.len(), turns, false)?;
-        let late = forgotten.began.iter().zip(&large).filter(|(b, l)| l.0 > 1 && b.is_none()).count();
-        prop_assert_eq!(late, started.len(), "a flood in which they begin anyway shows nothing");
+        let without_aging = run_fleet(jobs, machines, large.len(), turns, false)?;
+        let late = without_aging.first_start.iter().zip(&large).filter(|(b, l)| l.0 > 1 && b.is_none()).count();
+        prop_assert_eq!(late, started.len(), "large jobs start without aging too: the flood shows nothing");
     }
 
-    /// What has begun so late is not stopped at once by the next urgent gang: some of it ends.
+    /// A job that started so late is not preempted at once by the next gang of high priority: some of its tasks
+    /// complete.
     #[test]
-    fn what_began_late_gets_to_an_end(machines in 6usize..10, tasks in 60u32..300) {
+    fn late_started_array_completes_tasks_during_a_flood(machines in 6usize..10, tasks in 60u32..300) {
         let turns = 70;
-        let fleet = play(flood(machines, turns, &[(2, Shape::Array, tasks)]), machines, 1, turns, true)?;
+        let fleet = run_fleet(flood(machines, turns, &[(2, Shape::Array, tasks)]), machines, 1, turns, true)?;
         prop_assert!(fleet.done[0] >= first_share(Shape::Array, tasks).min(PLACES), "done: {}", fleet.done[0]);
     }
 
-    /// Who has its share stands where it stood, and nothing else is moved.
+    /// A job whose first share has started is served as if it were not aged, and no other job is affected.
     #[test]
-    fn with_its_share_a_job_has_no_more_before_others(machines in 3usize..6, tasks in 17u32..100, gangs in 0usize..6) {
+    fn aged_job_with_its_first_share_gets_no_further_precedence(machines in 3usize..6, tasks in 17u32..100, gangs in 0usize..6) {
         let mut jobs = flood(machines, 1, &[(0, Shape::Array, tasks)]);
         jobs.extend((0..gangs).map(|_| (0, job(Shape::Gang, 2, 1))));
         let mut fleet = Fleet::new(machines, jobs, true);
         let has = first_share(Shape::Array, tasks);
-        fleet.placed.extend((0..has).map(|k| Placed { job: 0, machine: (k / PLACES) as usize, ends: 50, began: -5 }));
+        fleet.placed.extend((0..has).map(|k| Placed { job: 0, machine: (k / PLACES) as usize, ends: 50, started_at: -5 }));
         let (mut input, _, _) = fleet.input(0);
         let young = plan(&input);
-        // Alone of its urgency, it has nobody to go before there.
+        // It is the only job of its priority, so that aging has no effect within it.
         input.jobs[0].arrival = -AGING.old;
         let old = plan(&input);
         let sums = |out: &Output| {
@@ -288,8 +292,8 @@
     }
 }
 
-/// Starts of an array that came so long ago, beside a machine that is kept for expected gangs.
-fn starts_beside_spares(waited: f64, running: u32) -> u32 {
+/// Starts of an array that was submitted so long ago, on a machine that is reserved for expected gangs.
+fn starts_beside_reservation(waited: f64, running: u32) -> u32 {
     let mut array = Job {
         arrival: -waited,
         ..job(Shape::Array, 1, 3)
@@ -320,10 +324,10 @@
     plan(&input).starts.iter().map(|s| s.count).sum()
 }
 
-/// Room that is kept for expected gangs stays kept, but nobody waits beside it for ever.
+/// Capacity for expected gangs stays reserved, except that an array that has waited for long may start a first task.
 #[test]
-fn nobody_waits_for_ever_beside_spares() {
-    assert_eq!(starts_beside_spares(10.0, 0), 0);
-    assert_eq!(starts_beside_spares(60.0, 0), 1);
-    assert_eq!(starts_beside_spares(60.0, 1), 0);
+fn array_is_not_starved_by_reservations() {
+    assert_eq!(starts_beside_reservation(10.0, 0), 0);
+    assert_eq!(starts_beside_reservation(60.0, 0), 1);
+    assert_eq!(starts_beside_reservation(60.0, 1), 0);
 }
--- a/crates/plan/tests/zones.rs
+++ b/crates/plan/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Jobs whose tasks share a zone, and lose machines: nothing is rented, stopped or held where they can't go.
+//! Jobs whose tasks must share a zone: nothing is rented, preempted or reserved where they cannot run.
 
 mod defaults;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// An array of one-GPU tasks in one zone, with so many places by zone already.
+/// An array of tasks with one GPU that must share a zone, with so many tasks on machines by zone.
 fn array(pending: u32, zones: &[(u16, u32)]) -> Job {
     Job {
         shape: Shape::Array,
@@ -32,7 +32,7 @@
     }
 }
 
-/// A machine with so many tasks of another team, which runs them beyond its guarantee.
+/// A machine with so many tasks that another team runs beyond its guarantee.
 fn machine(zone: u16, busy: usize) -> Machine {
     let running = Running {
         need: res(1.0),
@@ -91,7 +91,11 @@
     }
 }
 
-fn wished(job: Job, offers: &[MachineOffer], coming: &[(MachineOffer, u32)]) -> Vec<RentalRequest> {
+fn rentals(
+    job: Job,
+    offers: &[MachineOffer],
+    coming: &[(MachineOffer, u32)],
+) -> Vec<RentalRequest> {
     let input = input(vec![], vec![job]);
     let output = plan(&input);
     scale_out(&ScaleOutInput {
@@ -104,35 +108,35 @@
     })
 }
 
-/// Machines were rented in the zone with the fewest for an array whose tasks stood in another one: they idled, were
-/// returned and rented again, while the array went on with the places it had.
+/// Guards against renting in the zone with the fewest machines for an array whose tasks run in another one: the
+/// machines were idle, were returned and rented again, while the array had only its running tasks.
 #[test]
-fn machines_are_rented_where_the_other_tasks_stand() {
+fn machines_are_rented_in_the_zone_of_running_tasks() {
     let offers = [offer(0, 1.0), offer(1, 1.0)];
     assert_eq!(
-        wished(array(8, &[]), &offers, &[]),
+        rentals(array(8, &[]), &offers, &[]),
         [RentalRequest { offer: 0, count: 2 }],
         "any zone will do"
     );
     assert_eq!(
-        wished(array(8, &[(1, 3)]), &offers, &[]),
+        rentals(array(8, &[(1, 3)]), &offers, &[]),
         [RentalRequest { offer: 1, count: 2 }]
     );
     assert_eq!(
-        wished(array(8, &[(0, 0), (1, 1)]), &offers, &[]),
+        rentals(array(8, &[(0, 0), (1, 1)]), &offers, &[]),
         [RentalRequest { offer: 1, count: 2 }],
         "none is left in 0"
     );
     assert_eq!(
-        wished(array(8, &[(1, 3)]), &offers[..1], &[]),
+        rentals(array(8, &[(1, 3)]), &offers[..1], &[]),
         [],
         "none to be had there"
     );
 }
 
-/// What comes in one zone and is rented in another is no room for tasks that share one.
+/// Machines that boot in one zone and machines rented in another do not add up for tasks that must share a zone.
 #[test]
-fn what_is_on_its_way_counts_in_one_zone() {
+fn booting_machines_count_only_for_their_zone() {
     let offers = [offer(0, 1.0), offer(1, 1.0)];
     let gang = Job {
         shape: Shape::Gang,
@@ -141,33 +145,33 @@
     for job in [gang, array(8, &[])] {
         let coming = [(offer(1, 1.0), 1)];
         assert_eq!(
-            wished(job.clone(), &offers, &coming),
+            rentals(job.clone(), &offers, &coming),
             [RentalRequest { offer: 1, count: 1 }],
             "the rest beside it"
         );
         assert_eq!(
-            wished(job.clone(), &offers, &[(offer(1, 1.0), 2)]),
+            rentals(job.clone(), &offers, &[(offer(1, 1.0), 2)]),
             [],
             "enough is coming"
         );
-        // Where no more can be had beside it, all of it goes elsewhere.
+        // If no more can be rented in that zone, machines for all tasks are rented elsewhere.
         assert_eq!(
-            wished(job, &offers[..1], &coming),
+            rentals(job, &offers[..1], &coming),
             [RentalRequest { offer: 0, count: 2 }]
         );
     }
 }
 
-/// For an array that gets back what is due to it, others were stopped in a zone where it could not go, plan after plan,
-/// and the room was held for it.
+/// Guards against preemption where it is of no use: for a guaranteed array, tasks were preempted in a zone that it
+/// could not use, plan after plan, and the capacity was reserved for it.
 #[test]
-fn nothing_is_stopped_where_the_job_cannot_go() {
+fn no_preemption_in_zones_that_the_job_cannot_use() {
     let due = |zones: &[(u16, u32)]| Job {
         promised: true,
         held: 2,
         ..array(4, zones)
     };
-    // Zone 1 has what is cheaper to stop.
+    // Preemption costs less in zone 1.
     let mut machines = vec![machine(0, 4), machine(1, 4)];
     machines[0].running.iter_mut().for_each(|r| r.lost = 30.0);
     let stopped = |machines: &[Machine], job: Job| {
