--- a/crates/control/tests/search.rs
+++ b/crates/control/tests/search.rs
@@ -7,27 +7,27 @@
 #[path = "search/model.rs"]
 mod model;
 
-use model::{After, Bounds, Lengths, Planted, Step, World};
+use model::{Bounds, Durations, ModelState, Mutation, Outcome, Step};
 use std::collections::HashSet;
 use std::hash::{Hash, Hasher};
 use std::time::Instant;
 
 /// What a search has come to.
-struct Found {
-    worlds: usize,
+struct SearchResult {
+    states: usize,
     /// Steps from the beginning to the last world.
     depth: usize,
     /// All worlds were seen, not only as many as were asked for.
-    whole: bool,
-    broken: Option<(&'static str, Vec<Step>)>,
+    complete: bool,
+    violation: Option<(&'static str, Vec<Step>)>,
     seconds: f64,
 }
 
 /// A number of 64 bits for a world, the same in each run.
 #[derive(Default)]
-struct Print(u64);
+struct StateHasher(u64);
 
-impl Hasher for Print {
+impl Hasher for StateHasher {
     fn write(&mut self, bytes: &[u8]) {
         bytes.iter().for_each(|b| self.write_u64(u64::from(*b)));
     }
@@ -49,65 +49,65 @@
     }
 }
 
-fn print_of(world: &World) -> u64 {
-    let mut print = Print::default();
-    world.hash(&mut print);
-    print.finish()
+fn hash_of(state: &ModelState) -> u64 {
+    let mut hasher = StateHasher::default();
+    state.hash(&mut hasher);
+    hasher.finish()
 }
 
 /// All worlds that can be reached, those of the fewest steps first, up to a number; stops at the first that is broken.
 /// Of the worlds themselves only the newest are held, of the others a number of 64 bits.
-fn search(b: &Bounds, most: usize) -> Found {
-    let begun = Instant::now();
-    let steps = World::steps(b);
+fn search(b: &Bounds, max_states: usize) -> SearchResult {
+    let started = Instant::now();
+    let steps = ModelState::steps(b);
     let mut seen: HashSet<u64> = HashSet::new();
     // How each world came about: from which, and by which step.
-    let mut came: Vec<(u32, Step)> = vec![(0, Step::Tick)];
-    let mut newest = vec![(0u32, World::new(b.nodes).canonical(b).0)];
-    seen.insert(print_of(&newest[0].1));
-    let mut found = Found {
-        worlds: 1,
+    let mut origins: Vec<(u32, Step)> = vec![(0, Step::Tick)];
+    let mut frontier = vec![(0u32, ModelState::new(b.nodes).canonical(b).0)];
+    seen.insert(hash_of(&frontier[0].1));
+    let mut result = SearchResult {
+        states: 1,
         depth: 0,
-        whole: false,
-        broken: None,
+        complete: false,
+        violation: None,
         seconds: 0.0,
     };
-    'all: while !newest.is_empty() && came.len() < most {
+    'all: while !frontier.is_empty() && origins.len() < max_states {
         let mut next = Vec::new();
-        for (at, world) in &newest {
+        for (at, state) in &frontier {
             for step in &steps {
-                match world.step(*step, b) {
-                    After::Nothing | After::Gone => {}
-                    After::Broken(what) => {
-                        found.broken = Some((what, trace(&came, *at, *step)));
+                match state.step(*step, b) {
+                    Outcome::Unchanged | Outcome::TaskEnded => {}
+                    Outcome::Violation(what) => {
+                        result.violation = Some((what, trace(&origins, *at, *step)));
                         break 'all;
                     }
-                    After::World(w) => {
+                    Outcome::Next(w) => {
                         let w = w.canonical(b).0;
-                        if seen.insert(print_of(&w)) {
-                            next.push((came.len() as u32, w));
-                            came.push((*at, *step));
+                        if seen.insert(hash_of(&w)) {
+                            next.push((origins.len() as u32, w));
+                            origins.push((*at, *step));
                         }
                     }
                 }
             }
-            if came.len() >= most {
+            if origins.len() >= max_states {
                 break 'all;
             }
         }
-        found.depth += usize::from(!next.is_empty());
-        found.whole = next.is_empty();
-        newest = next;
+        result.depth += usize::from(!next.is_empty());
+        result.complete = next.is_empty();
+        frontier = next;
     }
-    found.worlds = came.len();
-    found.seconds = begun.elapsed().as_secs_f64();
-    found
+    result.states = origins.len();
+    result.seconds = started.elapsed().as_secs_f64();
+    result
 }
 
-fn trace(came: &[(u32, Step)], mut at: u32, last: Step) -> Vec<Step> {
+fn trace(origins: &[(u32, Step)], mut at: u32, last: Step) -> Vec<Step> {
     let mut steps = vec![last];
     while at != 0 {
-        let (from, step) = came[at as usize];
+        let (from, step) = origins[at as usize];
         steps.push(step);
         at = from;
     }
@@ -116,167 +116,171 @@
 }
 
 /// A history in words: nodes are called by where they stood at first, whatever order the worlds are kept in.
-fn told(b: &Bounds, steps: &[Step]) -> String {
-    let (mut world, mut names) = World::new(b.nodes).canonical(b);
+fn format_trace(b: &Bounds, steps: &[Step]) -> String {
+    let (mut state, mut names) = ModelState::new(b.nodes).canonical(b);
     let mut words = Vec::new();
     for step in steps {
         words.push(step.named(&names));
-        if let After::World(w) = world.step(*step, b) {
+        if let Outcome::Next(w) = state.step(*step, b) {
             let (next, order) = w.canonical(b);
             names = order.map(|n| names[n as usize]);
-            world = next;
+            state = next;
         }
     }
     words.join(", ")
 }
 
-const SHORT: Lengths = Lengths {
+const SHORT: Durations = Durations {
     ttl: 1,
     lease: 2,
     cancel: 4,
 };
-const LONG: Lengths = Lengths {
+const LONG: Durations = Durations {
     ttl: 2,
     lease: 3,
     cancel: 6,
 };
 
 /// No search goes further than this.
-const MOST: usize = 60_000_000;
+const MAX_STATES: usize = 60_000_000;
 
 fn bounds(
-    lengths: Lengths,
+    durations: Durations,
     nodes: usize,
     (restarts, outages, tokens): (u8, u8, u8),
     late: bool,
 ) -> Bounds {
     Bounds {
-        lengths,
+        durations,
         nodes,
         restarts,
         outages,
         tokens,
         late,
-        literal: false,
-        planted: Planted::Nothing,
+        unreduced: false,
+        mutation: Mutation::NoMutation,
     }
 }
 
-fn said(b: &Bounds, f: &Found) -> String {
+fn describe(b: &Bounds, f: &SearchResult) -> String {
     let Bounds {
         nodes,
         restarts,
         outages,
         tokens,
         late,
-        literal,
-        lengths,
-        planted,
+        unreduced,
+        durations,
+        mutation,
     } = b;
-    let end = match &f.broken {
-        Some((what, steps)) => format!("{what}: {}", told(b, steps)),
-        None if f.whole => "all of them".to_owned(),
+    let end = match &f.violation {
+        Some((what, steps)) => format!("{what}: {}", format_trace(b, steps)),
+        None if f.complete => "all of them".to_owned(),
         None => "not all of them".to_owned(),
     };
     format!(
-        "{planted:?}, {nodes} nodes, {restarts} restarts, {outages} outages, tokens to {tokens}, late {late}, literal {literal}, \
+        "{mutation:?}, {nodes} nodes, {restarts} restarts, {outages} outages, tokens to {tokens}, late {late}, literal {unreduced}, \
          {}/{}/{} ticks: {} worlds, {} steps deep, {:.1} s: {end}",
-        lengths.ttl, lengths.lease, lengths.cancel, f.worlds, f.depth, f.seconds
+        durations.ttl, durations.lease, durations.cancel, f.states, f.depth, f.seconds
     )
 }
 
 /// Searched whole, with the least number of worlds that it must have come to: a search of nothing proves nothing.
-fn holds(b: &Bounds, least: usize) {
-    let found = search(b, MOST);
-    println!("{}", said(b, &found));
-    assert!(found.broken.is_none(), "{}", said(b, &found));
-    assert!(found.whole && found.worlds >= least, "{}", said(b, &found));
+fn assert_no_violation(b: &Bounds, min_states: usize) {
+    let result = search(b, MAX_STATES);
+    println!("{}", describe(b, &result));
+    assert!(result.violation.is_none(), "{}", describe(b, &result));
+    assert!(
+        result.complete && result.states >= min_states,
+        "{}",
+        describe(b, &result)
+    );
 }
 
 /// Two nodes: the gap between a leader that lost the state service and its heir, with restarts and outages twice.
 #[test]
-fn a_cancelled_task_is_gone_in_time_between_two_nodes() {
-    holds(&bounds(SHORT, 2, (2, 2, 3), false), 500_000);
+fn cancelled_task_ends_in_time_with_two_nodes() {
+    assert_no_violation(&bounds(SHORT, 2, (2, 2, 3), false), 500_000);
 }
 
 /// The same without what the model takes at once, since it only lets a task live longer: each word, charge and renewal
 /// is a step that may be missing. What is found without a guard is found here too.
 #[test]
-fn a_cancelled_task_is_gone_in_time_step_by_step() {
-    use Planted::{CountsUnread, KeeperNoBound, LongBound, NoBound};
+fn cancelled_task_ends_in_time_in_the_unreduced_model() {
+    use Mutation::{DelegateNoBound, LongBound, NoBound, UnreadAttests};
     let b = Bounds {
-        literal: true,
+        unreduced: true,
         ..bounds(SHORT, 2, (1, 1, 2), false)
     };
-    holds(&b, 140_000);
-    for planted in [NoBound, LongBound, CountsUnread, KeeperNoBound] {
-        let b = Bounds { planted, ..b };
-        let found = search(&b, 600_000);
-        println!("{}", said(&b, &found));
-        assert!(found.broken.is_some(), "{}", said(&b, &found));
+    assert_no_violation(&b, 140_000);
+    for mutation in [NoBound, LongBound, UnreadAttests, DelegateNoBound] {
+        let b = Bounds { mutation, ..b };
+        let result = search(&b, 600_000);
+        println!("{}", describe(&b, &result));
+        assert!(result.violation.is_some(), "{}", describe(&b, &result));
     }
 }
 
 /// Lengths that leave a leader sure, and a bound running, over several ticks.
 #[test]
-fn a_cancelled_task_is_gone_in_time_with_longer_leases() {
-    holds(&bounds(LONG, 2, (1, 1, 2), false), 120_000);
+fn cancelled_task_ends_in_time_with_longer_leases() {
+    assert_no_violation(&bounds(LONG, 2, (1, 1, 2), false), 120_000);
 }
 
 /// Answers, words and transactions that come late, and transactions that come twice.
 #[test]
-fn a_cancelled_task_is_gone_in_time_though_messages_are_late() {
-    holds(&bounds(SHORT, 2, (1, 1, 2), true), 600_000);
+fn cancelled_task_ends_in_time_with_late_messages() {
+    assert_no_violation(&bounds(SHORT, 2, (1, 1, 2), true), 600_000);
 }
 
 /// Three nodes: one may confirm, one renew, and one vouch.
 #[test]
-fn a_cancelled_task_is_gone_in_time_among_three_nodes() {
-    holds(&bounds(SHORT, 3, (1, 1, 2), false), 450_000);
+fn cancelled_task_ends_in_time_with_three_nodes() {
+    assert_no_violation(&bounds(SHORT, 3, (1, 1, 2), false), 450_000);
 }
 
 /// Each guard that is taken out is noticed, in the rule that it is there for and within so many worlds.
 #[test]
-fn the_search_finds_each_guard_that_is_missing() {
-    use Planted::*;
-    let lives = "a cancelled task outlives its time";
-    let twice = "a token is given out twice";
-    let two = "two lives are sure that they own the fleet";
+fn search_detects_each_missing_guard() {
+    use Mutation::*;
+    let outlives = "a cancelled task outlives its time";
+    let token_reused = "a token is given out twice";
+    let two_leaders = "two lives are sure that they own the fleet";
     let plain = bounds(SHORT, 2, (1, 1, 3), false);
     let late = bounds(SHORT, 2, (1, 1, 2), true);
     let three = bounds(SHORT, 3, (0, 1, 2), false);
     let all = [
-        (NoBound, plain, lives),
-        (LongBound, plain, lives),
-        (Majority, three, lives),
-        (CountsUnread, plain, lives),
-        (CountsHearsay, plain, lives),
-        (VouchesForAnyToken, plain, lives),
-        (VouchesFromArrival, three, lives),
-        (KeeperNoBound, plain, lives),
-        (KeeperFromArrival, late, lives),
-        (KeepsCancelled, plain, lives),
-        (UnsureCharges, plain, lives),
-        (HeirKeepsToken, plain, twice),
-        (EarlyAnswer, plain, lives),
-        (RenewedFromAnswer, late, two),
-        (NoGuards, plain, twice),
-        (NoTokenGuard, plain, twice),
-        (SureTooLong, plain, two),
-        (TellsFirst, plain, lives),
-        (NoStops, plain, lives),
-        (WaitsForAnswer, plain, lives),
-        (UnguardedEnd, plain, lives),
+        (NoBound, plain, outlives),
+        (LongBound, plain, outlives),
+        (MajorityAttests, three, outlives),
+        (UnreadAttests, plain, outlives),
+        (HearsayAttests, plain, outlives),
+        (AttestsAnyToken, plain, outlives),
+        (AttestationFromArrival, three, outlives),
+        (DelegateNoBound, plain, outlives),
+        (DelegateFromArrival, late, outlives),
+        (DelegateKeepsCancelled, plain, outlives),
+        (UnsureLeaderDelegates, plain, outlives),
+        (SuccessorKeepsToken, plain, token_reused),
+        (RenewsBeforeLoaded, plain, outlives),
+        (RenewedFromAnswer, late, two_leaders),
+        (NoGuards, plain, token_reused),
+        (NoTokenGuard, plain, token_reused),
+        (LeaseTrustedTooLong, plain, two_leaders),
+        (ConfirmsBeforeCommit, plain, outlives),
+        (NoStops, plain, outlives),
+        (StopsAfterCommitAnswer, plain, outlives),
+        (UnguardedEnd, plain, outlives),
     ];
-    for (planted, b, rule) in all {
-        let b = Bounds { planted, ..b };
-        let found = search(&b, 600_000);
-        println!("{}", said(&b, &found));
+    for (mutation, b, rule) in all {
+        let b = Bounds { mutation, ..b };
+        let result = search(&b, 600_000);
+        println!("{}", describe(&b, &result));
         assert_eq!(
-            found.broken.as_ref().map(|(what, _)| *what),
+            result.violation.as_ref().map(|(what, _)| *what),
             Some(rule),
             "{}",
-            said(&b, &found)
+            describe(&b, &result)
         );
     }
 }
@@ -285,44 +289,44 @@
 /// covered by the token's, and not the other way round; a lease delegate that knows of a later leader by its own bound; the
 /// life's mark by both guards.
 #[test]
-fn some_guards_are_covered_by_others() {
-    for (planted, least) in [
-        (Planted::NoLeaderGuard, 80_000),
-        (Planted::KeepsBelow, 150_000),
-        (Planted::NoMark, 150_000),
+fn some_missing_guards_are_covered_by_others() {
+    for (mutation, min_states) in [
+        (Mutation::NoLeaderGuard, 80_000),
+        (Mutation::DelegateIgnoresHigherToken, 150_000),
+        (Mutation::NoIncarnationCheck, 150_000),
     ] {
-        let tokens = if planted == Planted::NoLeaderGuard {
+        let tokens = if mutation == Mutation::NoLeaderGuard {
             2
         } else {
             3
         };
-        holds(
+        assert_no_violation(
             &Bounds {
-                planted,
+                mutation,
                 ..bounds(SHORT, 2, (1, 1, tokens), false)
             },
-            least,
+            min_states,
         );
     }
 }
 
 /// Further, by command alone: minutes, and some gigabytes.
 #[test]
-fn a_larger_search_by_command() {
+fn larger_search_on_request() {
     if std::env::var("STOATHATCH_SEARCH").as_deref() != Ok("large") {
         return println!("not asked for: STOATHATCH_SEARCH=large");
     }
-    for (b, least) in [
+    for (b, min_states) in [
         (
             Bounds {
-                literal: true,
+                unreduced: true,
                 ..bounds(SHORT, 2, (1, 1, 3), false)
             },
             600_000,
         ),
         (
             Bounds {
-                literal: true,
+                unreduced: true,
                 ..bounds(SHORT, 3, (0, 1, 2), false)
             },
             400_000,
@@ -334,6 +338,6 @@
         (bounds(SHORT, 3, (1, 1, 3), false), 1_500_000),
         (bounds(LONG, 3, (1, 1, 2), false), 1_500_000),
     ] {
-        holds(&b, least);
+        assert_no_violation(&b, min_states);
     }
 }
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -19,15 +19,15 @@
 //! | `Node::highest`, `has_read` | `Node::highest_token` (`shared_state`), and `shared.revision > 0`, which is the same as to have read the counter in this life |
 //! | `Role`, `token`, `loaded` | `role::Role`, `Shard::token`, `Shard::loaded` |
 //! | `renewed` | `HeldLease::renewed`, or `Campaign::sent` |
-//! | `known` | the later of `renewed` and `Attestations::complete_at`, in `Node::may_renew` (`lease_bound`) |
-//! | `ask`, `answered` | `Attestations::asked`, `Attestations::answered` |
-//! | `knows` | the job is `Job::is_unwanted` (`jobs`): wanted, on its way, recorded, or ended before |
-//! | `owned` | `Incarnation::has_led` |
-//! | `Delegation` | `lease_delegate::Delegation`; `except` is whether the worker's machine is in `LeaseDelegation::except` |
-//! | `Rec`, `counter` | the leader record with its lease, and the token record (`wire::records`) |
-//! | `Rec::own_life` | the record's `incarnation` is the mark of its node's present life (`incarnation`) |
-//! | `ended` | the `EndRecord` of the job stands |
-//! | `Out` | an answer that a worker waits for, its leader's own or by way of a peer (`relay`): it outlives who gave it |
+//! | `last_attested` | the later of `renewed` and `Attestations::complete_at`, in `Node::may_renew` (`lease_bound`) |
+//! | `question_age`, `answered` | `Attestations::asked`, `Attestations::answered` |
+//! | `knows_cancel` | the job is `Job::is_unwanted` (`jobs`): wanted, on its way, recorded, or ended before |
+//! | `has_led` | `Incarnation::has_led` |
+//! | `Delegation` | `lease_delegate::Delegation`; `excludes_worker` is whether the worker's machine is in `LeaseDelegation::except` |
+//! | `LeaderRecord`, `token_counter` | the leader record with its lease, and the token record (`wire::records`) |
+//! | `LeaderRecord::current_incarnation` | the record's `incarnation` is the mark of its node's present life (`incarnation`) |
+//! | `end_recorded` | the `EndRecord` of the job stands |
+//! | `InFlightAnswer` | an answer that a worker waits for, its leader's own or by way of a peer (`relay`): it outlives who gave it |
 //!
 //! Left out: starts, reaps and proofs of absence (no task runs twice by other rules, played in `standins`); zones, so
 //! that any node may keep the one worker's lease; tokens raised for stray numbers, which need a sure leader; the drift of
@@ -40,13 +40,13 @@
 pub const NODES: usize = 3;
 /// `[leader] ttl_ms`, `lease_s` and `cancel_s`, in ticks.
 #[derive(Debug, Clone, Copy)]
-pub struct Lengths {
+pub struct Durations {
     pub ttl: u8,
     pub lease: u8,
     pub cancel: u8,
 }
 
-impl Lengths {
+impl Durations {
     /// `renewal::bound_ms`. A worker's lease is over at the tick at which it is `lease` old, so that an answer at the
     /// last tick of the bound ends with the cancel's time, to the tick.
     fn bound(&self) -> u8 {
@@ -55,44 +55,44 @@
 }
 
 /// A lease delegate's first answer: a quarter of `lease_s`.
-const KEEP_FROM: u8 = 1;
+const DELEGATE_FROM: u8 = 1;
 /// Workers wait 4 s for an answer.
-const PATIENCE: u8 = 1;
+const WORKER_WAIT: u8 = 1;
 /// No moment, or one that is too long ago to matter.
 const NEVER: u8 = 15;
 /// Transactions that may be under way at once.
-const ON_THE_WAY: usize = 2;
+const MAX_IN_FLIGHT: usize = 2;
 
 /// A guard that is taken out on purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Planted {
-    Nothing,
+pub enum Mutation {
+    NoMutation,
     /// `may_renew` without its bound.
     NoBound,
     /// The bound is one tick longer.
     LongBound,
     /// More than half of the nodes vouch, instead of all.
-    Majority,
+    MajorityAttests,
     /// Who has read nothing attestations too.
-    CountsUnread,
+    UnreadAttests,
     /// Who has not read the counter, but was told of a token, attestations by that.
-    CountsHearsay,
+    HearsayAttests,
     /// Peers vouch whatever token they know.
-    VouchesForAnyToken,
+    AttestsAnyToken,
     /// What all have vouched for counts from the last word's arrival, not from the question.
-    VouchesFromArrival,
+    AttestationFromArrival,
     /// `keeps` without its bound.
-    KeeperNoBound,
+    DelegateNoBound,
     /// A lease delegate's time runs from when the leader's word came.
-    KeeperFromArrival,
+    DelegateFromArrival,
     /// Machines with something cancelled are kept too.
-    KeepsCancelled,
+    DelegateKeepsCancelled,
     /// A node names lease delegates by its record, though it is no longer sure of its lease.
-    UnsureCharges,
+    UnsureLeaderDelegates,
     /// A new life writes its record under the former token.
-    HeirKeepsToken,
+    SuccessorKeepsToken,
     /// A new leader renews before everything is read.
-    EarlyAnswer,
+    RenewsBeforeLoaded,
     /// The last renewal counts from its answer, not from its sending.
     RenewedFromAnswer,
     /// Take-overs are not guarded by the leader record, nor by the token's.
@@ -102,17 +102,17 @@
     /// Only the guard on the token is missing.
     NoTokenGuard,
     /// A leader is sure for a tick longer than its lease.
-    SureTooLong,
+    LeaseTrustedTooLong,
     /// The cancel is told before it is recorded.
-    TellsFirst,
+    ConfirmsBeforeCommit,
     /// What an unsure leader's own users have cancelled is renewed without a stop.
     NoStops,
     /// A sure leader stops what was cancelled only once it has heard that the end is recorded: others may read it before.
-    WaitsForAnswer,
+    StopsAfterCommitAnswer,
     /// A lease delegate does not mind that it, or its worker, knows a higher token.
-    KeepsBelow,
+    DelegateIgnoresHigherToken,
     /// A life takes over from its own record too.
-    NoMark,
+    NoIncarnationCheck,
     /// The end of a job is not guarded by the leader record.
     UnguardedEnd,
 }
@@ -120,7 +120,7 @@
 /// How much may go wrong, so that the search ends.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    pub lengths: Lengths,
+    pub durations: Durations,
     pub nodes: usize,
     pub restarts: u8,
     pub outages: u8,
@@ -130,9 +130,9 @@
     /// transactions may come twice. Without it they come in the step in which they are given, or never; transactions
     /// may be late all the same.
     pub late: bool,
-    /// Nothing is taken at once (`World::tidy`): each word, charge and renewal is a step that may be missing.
-    pub literal: bool,
-    pub planted: Planted,
+    /// Nothing is taken at once (`ModelState::normalize`): each word, charge and renewal is a step that may be missing.
+    pub unreduced: bool,
+    pub mutation: Mutation,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -146,7 +146,7 @@
 pub struct Delegation {
     asked: u8,
     token: u8,
-    except: bool,
+    excludes_worker: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -157,15 +157,15 @@
     token: u8,
     loaded: bool,
     renewed: u8,
-    known: u8,
-    ask: u8,
+    last_attested: u8,
+    question_age: u8,
     answered: u8,
     /// Age of a renewal that the state service has carried out and whose answer is under way.
     renewing: u8,
-    knows: bool,
-    /// It has heard that the end stands (looked at with `Planted::WaitsForAnswer` alone).
-    heard: bool,
-    owned: bool,
+    knows_cancel: bool,
+    /// It has heard that the end stands (looked at with `Mutation::StopsAfterCommitAnswer` alone).
+    heard_end: bool,
+    has_led: bool,
     delegation: Option<Delegation>,
 }
 
@@ -177,75 +177,77 @@
         token: 0,
         loaded: false,
         renewed: NEVER,
-        known: NEVER,
-        ask: NEVER,
+        last_attested: NEVER,
+        question_age: NEVER,
         answered: 0,
         renewing: NEVER,
-        knows: false,
-        heard: false,
-        owned: false,
+        knows_cancel: false,
+        heard_end: false,
+        has_led: false,
         delegation: None,
     };
 
     /// `election::step_down`, of what the node itself remembers.
-    fn gives_up(&mut self) {
+    fn reset(&mut self) {
         let Node {
             has_read,
             highest,
-            owned,
+            has_led,
             delegation,
             ..
         } = *self;
         *self = Node {
             has_read,
             highest,
-            owned,
+            has_led,
             delegation,
             ..Node::NEW
         };
     }
 
     /// `election::sure`.
-    fn sure(&self, b: &Bounds) -> bool {
-        let incarnation = b.lengths.ttl + u8::from(b.planted == Planted::SureTooLong);
-        self.role == Role::Leader && self.renewed < incarnation
+    fn has_valid_lease(&self, b: &Bounds) -> bool {
+        let valid_for = b.durations.ttl + u8::from(b.mutation == Mutation::LeaseTrustedTooLong);
+        self.role == Role::Leader && self.renewed < valid_for
     }
 
     /// `election::decides`.
-    fn decides(&self, b: &Bounds) -> bool {
-        self.loaded && self.sure(b)
+    fn may_decide(&self, b: &Bounds) -> bool {
+        self.loaded && self.has_valid_lease(b)
     }
 
     /// `renewal::may_renew`.
     fn may_renew(&self, b: &Bounds) -> bool {
-        let bound = match b.planted {
-            Planted::NoBound => NEVER + 1,
-            Planted::LongBound => b.lengths.bound() + 1,
-            _ => b.lengths.bound(),
+        let bound = match b.mutation {
+            Mutation::NoBound => NEVER + 1,
+            Mutation::LongBound => b.durations.bound() + 1,
+            _ => b.durations.bound(),
         };
-        let loaded = self.loaded || b.planted == Planted::EarlyAnswer;
-        loaded && self.role == Role::Leader && (self.sure(b) || self.known < bound)
+        let loaded = self.loaded || b.mutation == Mutation::RenewsBeforeLoaded;
+        loaded
+            && self.role == Role::Leader
+            && (self.has_valid_lease(b) || self.last_attested < bound)
     }
 
     /// `word_came`: what it says of tokens proves that nobody above this one has told of a cancel.
-    fn vouches_for(&self, token: u8, b: &Bounds) -> bool {
-        self.word(b)
-            .is_some_and(|t| t <= token || b.planted == Planted::VouchesForAnyToken)
+    fn attests(&self, token: u8, b: &Bounds) -> bool {
+        self.attested_token(b)
+            .is_some_and(|t| t <= token || b.mutation == Mutation::AttestsAnyToken)
     }
 
     /// `lease delegate::delegation_for`.
-    fn charges(&self, b: &Bounds) -> bool {
-        match b.planted {
-            Planted::UnsureCharges => self.role == Role::Leader && self.loaded,
-            _ => self.decides(b),
+    fn may_delegate(&self, b: &Bounds) -> bool {
+        match b.mutation {
+            Mutation::UnsureLeaderDelegates => self.role == Role::Leader && self.loaded,
+            _ => self.may_decide(b),
         }
     }
 
     /// `PeerStatus::token` in `peer_statuses::peer_status`: what a node says of tokens, if it may say anything.
-    fn word(&self, b: &Bounds) -> Option<u8> {
-        let may = match b.planted {
-            Planted::CountsUnread => true,
-            Planted::CountsHearsay => self.has_read || self.highest > 0,
+    fn attested_token(&self, b: &Bounds) -> Option<u8> {
+        let may = match b.mutation {
+            Mutation::UnreadAttests => true,
+            Mutation::HearsayAttests => self.has_read || self.highest > 0,
             _ => self.has_read,
         };
         may.then_some(self.highest)
@@ -255,15 +257,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Transaction {
     /// The transaction of `election::granted`. `lease` is the age of the lease that the record is to be put on;
-    /// `awaited` whether its node still stands for it, `own_life` whether that life goes on.
-    Take {
+    /// `awaited` whether its node still stands for it, `current_incarnation` whether that life goes on.
+    TakeOver {
         node: u8,
         leader: u8,
-        counter: u8,
+        token_counter: u8,
         token: u8,
         lease: u8,
         awaited: bool,
-        own_life: bool,
+        current_incarnation: bool,
     },
     /// The end of the job (`commit::Draft::end`), guarded by its sender's leader record.
     End { leader: u8 },
@@ -271,11 +273,11 @@
 
 /// The leader record and its lease. Its token stands for its version too, since no two have the same (which is checked).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Rec {
+pub struct LeaderRecord {
     node: u8,
     token: u8,
     lease: u8,
-    own_life: bool,
+    current_incarnation: bool,
     /// Its node still waits for the answer to its take-over, and will know the record for its own.
     awaited: bool,
     /// Its node has sent the DELETE of `election::end_lease`.
@@ -284,35 +286,35 @@
 
 /// An answer to a report on its way to the worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Out {
+pub struct InFlightAnswer {
     sent: u8,
     token: u8,
 }
 
 /// The word of a leader on its way to a lease delegate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Word {
+pub struct InFlightDelegation {
     to: u8,
     delegation: Delegation,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct World {
+pub struct ModelState {
     nodes: [Node; NODES],
-    out: bool,
-    rec: Option<Rec>,
-    counter: u8,
-    ended: bool,
+    state_down: bool,
+    record: Option<LeaderRecord>,
+    token_counter: u8,
+    end_recorded: bool,
     /// A take-over came in under a token that had been given out before.
-    twice: bool,
-    way: [Option<Transaction>; ON_THE_WAY],
-    word: Option<Word>,
+    token_reused: bool,
+    in_flight: [Option<Transaction>; MAX_IN_FLIGHT],
+    delegation_in_flight: Option<InFlightDelegation>,
     /// The worker: its task is there as long as the world is looked at.
-    obeys: u8,
-    lease: u8,
-    answer: Option<Out>,
+    worker_token: u8,
+    worker_lease_age: u8,
+    answer_in_flight: Option<InFlightAnswer>,
     /// Age of the first confirmation of the cancel.
-    told: u8,
+    cancel_confirmed: u8,
     restarts: u8,
     outages: u8,
 }
@@ -324,8 +326,8 @@
     Lapse,
     Restart(u8),
     Read(u8),
-    Stand(u8),
-    GiveUp(u8),
+    Campaign(u8),
+    AbandonCampaign(u8),
     Comes(u8),
     ComesAgain(u8),
     ComesUnanswered(u8),
@@ -335,38 +337,38 @@
     Load(u8),
     Cancel(u8),
     SendEnd(u8),
-    Tell,
-    Ask(u8),
-    Vouch(u8, u8),
-    Leads(u8, u8),
-    Delegation(u8, u8),
-    ChargeLate(u8, u8),
-    ChargeComes,
-    Report(u8),
-    ReportLate(u8),
-    AnswerComes,
+    ConfirmCancel,
+    RequestAttestations(u8),
+    Attest(u8, u8),
+    AnnounceLeader(u8, u8),
+    Delegate(u8, u8),
+    DelegateLate(u8, u8),
+    DelegationArrives,
+    Heartbeat(u8),
+    HeartbeatLate(u8),
+    AnswerArrives,
 }
 
 /// What comes of a step.
-pub enum After {
+pub enum Outcome {
     /// It can't come now, or changes nothing.
-    Nothing,
-    World(World),
+    Unchanged,
+    Next(ModelState),
     /// The task is gone in time: nothing can break any more.
-    Gone,
-    Broken(&'static str),
+    TaskEnded,
+    Violation(&'static str),
 }
 
 /// `Attestations::note`: how many peers have to vouch.
-fn vouches_needed(b: &Bounds) -> usize {
-    if b.planted == Planted::Majority {
+fn attestations_needed(b: &Bounds) -> usize {
+    if b.mutation == Mutation::MajorityAttests {
         b.nodes / 2
     } else {
         b.nodes - 1
     }
 }
 
-fn older(age: &mut u8, most: u8) {
+fn advance_age(age: &mut u8, most: u8) {
     if *age < most {
         *age += 1;
     }
@@ -375,10 +377,10 @@
     }
 }
 
-impl World {
+impl ModelState {
     /// Node 0 leads the fleet and all know it; the task runs; nobody has cancelled anything.
     pub fn new(nodes: usize) -> Self {
-        let knows = Node {
+        let informed = Node {
             has_read: true,
             highest: 1,
             ..Node::NEW
@@ -388,34 +390,34 @@
             token: 1,
             loaded: true,
             renewed: 0,
-            known: 0,
-            owned: true,
-            ..knows
+            last_attested: 0,
+            has_led: true,
+            ..informed
         };
         let mut all = [Node::NEW; NODES];
-        all[..nodes].fill(knows);
+        all[..nodes].fill(informed);
         all[0] = leader;
-        let rec = Rec {
+        let record = LeaderRecord {
             node: 0,
             token: 1,
             lease: 0,
-            own_life: true,
+            current_incarnation: true,
             awaited: false,
             released: false,
         };
-        World {
+        ModelState {
             nodes: all,
-            out: false,
-            rec: Some(rec),
-            counter: 1,
-            ended: false,
-            twice: false,
-            way: [None; ON_THE_WAY],
-            word: None,
-            obeys: 1,
-            lease: 0,
-            answer: None,
-            told: NEVER,
+            state_down: false,
+            record: Some(record),
+            token_counter: 1,
+            end_recorded: false,
+            token_reused: false,
+            in_flight: [None; MAX_IN_FLIGHT],
+            delegation_in_flight: None,
+            worker_token: 1,
+            worker_lease_age: 0,
+            answer_in_flight: None,
+            cancel_confirmed: NEVER,
             restarts: 0,
             outages: 0,
         }
@@ -429,11 +431,11 @@
             Outage(true),
             Outage(false),
             Lapse,
-            Tell,
-            AnswerComes,
-            ChargeComes,
+            ConfirmCancel,
+            AnswerArrives,
+            DelegationArrives,
         ];
-        for i in 0..ON_THE_WAY as u8 {
+        for i in 0..MAX_IN_FLIGHT as u8 {
             all.extend([Comes(i), ComesUnanswered(i), ComesAgain(i)]);
         }
         let nodes = b.nodes as u8;
@@ -441,8 +443,8 @@
             all.extend([
                 Restart(n),
                 Read(n),
-                Stand(n),
-                GiveUp(n),
+                Campaign(n),
+                AbandonCampaign(n),
                 Renew(n),
                 RenewUnanswered(n),
             ]);
@@ -451,16 +453,16 @@
                 Load(n),
                 Cancel(n),
                 SendEnd(n),
-                Ask(n),
-                Report(n),
-                ReportLate(n),
+                RequestAttestations(n),
+                Heartbeat(n),
+                HeartbeatLate(n),
             ]);
             for to in (0..nodes).filter(|to| *to != n) {
                 all.extend([
-                    Vouch(n, to),
-                    Leads(n, to),
-                    Delegation(n, to),
-                    ChargeLate(n, to),
+                    Attest(n, to),
+                    AnnounceLeader(n, to),
+                    Delegate(n, to),
+                    DelegateLate(n, to),
                 ]);
             }
         }
@@ -468,82 +470,82 @@
     }
 
     /// One step, and what stands afterwards.
-    pub fn step(&self, step: Step, b: &Bounds) -> After {
+    pub fn step(&self, step: Step, b: &Bounds) -> Outcome {
         let mut w = *self;
         let done = match step {
             Step::Tick => return w.tick(b),
-            Step::AnswerComes => w.answer_comes(),
+            Step::AnswerArrives => w.answer_arrives(),
             Step::Outage(begins) => w.outage(begins, b),
             Step::Lapse => w.lapse(b),
             Step::Restart(n) => w.restart(n, b),
             Step::Read(n) => w.read(n),
-            Step::Stand(n) => w.stand(n, b),
-            Step::GiveUp(n) => w.give_up(n),
-            Step::Comes(i) => w.comes(i, true, false, b),
-            Step::ComesUnanswered(i) => w.comes(i, false, false, b),
-            Step::ComesAgain(i) => b.late && w.comes(i, false, true, b),
+            Step::Campaign(n) => w.campaign(n, b),
+            Step::AbandonCampaign(n) => w.abandon_campaign(n),
+            Step::Comes(i) => w.arrive(i, true, false, b),
+            Step::ComesUnanswered(i) => w.arrive(i, false, false, b),
+            Step::ComesAgain(i) => b.late && w.arrive(i, false, true, b),
             Step::Renew(n) => w.renew(n, true),
             Step::RenewUnanswered(n) => b.late && w.renew(n, false),
             Step::RenewAnswered(n) => w.renew_answered(n, b),
             Step::Load(n) => w.load(n),
             Step::Cancel(n) => w.cancel(n, b),
             Step::SendEnd(n) => w.send_end(n, b),
-            Step::Tell => w.tell(),
-            Step::Ask(n) => w.ask(n, b),
-            Step::Vouch(n, peer) => w.vouch(n, peer, b),
-            Step::Leads(n, peer) => w.leads(n, peer, b),
-            Step::Delegation(n, peer) => w.delegation(n, peer, false, b),
-            Step::ChargeLate(n, peer) => b.late && w.delegation(n, peer, true, b),
-            Step::ChargeComes => w.charge_comes(b),
-            Step::Report(n) => w.report(n, false, b),
-            Step::ReportLate(n) => b.late && w.report(n, true, b),
+            Step::ConfirmCancel => w.confirm_cancel(),
+            Step::RequestAttestations(n) => w.request_attestations(n, b),
+            Step::Attest(n, peer) => w.attest(n, peer, b),
+            Step::AnnounceLeader(n, peer) => w.announce_leader(n, peer, b),
+            Step::Delegate(n, peer) => w.delegate(n, peer, false, b),
+            Step::DelegateLate(n, peer) => b.late && w.delegate(n, peer, true, b),
+            Step::DelegationArrives => w.delegation_arrives(b),
+            Step::Heartbeat(n) => w.heartbeat(n, false, b),
+            Step::HeartbeatLate(n) => b.late && w.heartbeat(n, true, b),
         };
         if !done {
-            return After::Nothing;
+            return Outcome::Unchanged;
         }
-        w.tidy(b);
-        match w.broken(b) {
-            Some(what) => After::Broken(what),
-            None => After::World(w),
+        w.normalize(b);
+        match w.violation(b) {
+            Some(what) => Outcome::Violation(what),
+            None => Outcome::Next(w),
         }
     }
 
     /// What must never be, beside a cancelled task that lives too long (`tick`).
-    fn broken(&self, b: &Bounds) -> Option<&'static str> {
-        let sure = self.nodes.iter().filter(|n| n.sure(b)).count();
-        if sure > 1 {
+    fn violation(&self, b: &Bounds) -> Option<&'static str> {
+        let valid_leases = self.nodes.iter().filter(|n| n.has_valid_lease(b)).count();
+        if valid_leases > 1 {
             return Some("two lives are sure that they own the fleet");
         }
-        if self.twice {
+        if self.token_reused {
             return Some("a token is given out twice");
         }
         None
     }
 
     /// The same with its nodes in order, since they are alike but for what they know; and where each was before.
-    pub fn canonical(&self, b: &Bounds) -> (World, [u8; NODES]) {
+    pub fn canonical(&self, b: &Bounds) -> (ModelState, [u8; NODES]) {
         let mut order: [u8; NODES] = std::array::from_fn(|n| n as u8);
         let takes = |n: u8| {
-            self.way
+            self.in_flight
                 .iter()
                 .flatten()
-                .any(|t| matches!(t, Transaction::Take { node, .. } if *node == n))
+                .any(|t| matches!(t, Transaction::TakeOver { node, .. } if *node == n))
         };
         let asked = |n: u8| self.nodes.map(|other| other.answered >> n & 1);
-        let of = |n: u8| {
+        let references = |n: u8| {
             (
-                self.rec.map(|r| r.node == n),
+                self.record.map(|r| r.node == n),
                 takes(n),
-                self.word.map(|w| w.to == n),
+                self.delegation_in_flight.map(|w| w.to == n),
                 asked(n),
             )
         };
-        order[..b.nodes].sort_by_key(|n| (self.nodes[*n as usize], of(*n)));
+        order[..b.nodes].sort_by_key(|n| (self.nodes[*n as usize], references(*n)));
         let mut place = [0; NODES];
         for (to, from) in order.iter().enumerate() {
             place[*from as usize] = to as u8;
         }
-        let mut w = World {
+        let mut w = ModelState {
             nodes: order.map(|n| self.nodes[n as usize]),
             ..*self
         };
@@ -551,17 +553,17 @@
             let answered = (0..NODES).filter(|n| node.answered >> n & 1 == 1);
             node.answered = answered.map(|n| 1 << place[n]).sum();
         }
-        if let Some(rec) = &mut w.rec {
-            rec.node = place[rec.node as usize];
+        if let Some(record) = &mut w.record {
+            record.node = place[record.node as usize];
         }
-        for txn in w.way.iter_mut().flatten() {
-            if let Transaction::Take { node, .. } = txn {
+        for txn in w.in_flight.iter_mut().flatten() {
+            if let Transaction::TakeOver { node, .. } = txn {
                 *node = place[*node as usize];
             }
         }
-        w.way.sort_unstable();
-        if let Some(word) = &mut w.word {
-            word.to = place[word.to as usize];
+        w.in_flight.sort_unstable();
+        if let Some(delegation_in_flight) = &mut w.delegation_in_flight {
+            delegation_in_flight.to = place[delegation_in_flight.to as usize];
         }
         (w, order)
     }
@@ -571,7 +573,7 @@
     }
 
     fn send(&mut self, txn: Transaction) {
-        if let Some(free) = self.way.iter_mut().find(|t| t.is_none()) {
+        if let Some(free) = self.in_flight.iter_mut().find(|t| t.is_none()) {
             *free = Some(txn);
         }
     }
@@ -582,183 +584,195 @@
     /// is newer than the lease delegate's under the same token change nothing but how long answers may go on. Whatever can come
     /// of a world without them can come of the one with them, so the latter alone is looked at, and a task that lives
     /// too long is found all the same; `Bounds::literal` looks at both.
-    fn tidy(&mut self, b: &Bounds) {
+    fn normalize(&mut self, b: &Bounds) {
         for n in 0..b.nodes {
-            if !b.literal {
-                self.vouch_at_once(n, b);
-                self.charge_at_once(n, b);
+            if !b.unreduced {
+                self.attest_at_once(n, b);
+                self.delegate_at_once(n, b);
             }
-            self.nodes[n].heard &= b.planted == Planted::WaitsForAnswer;
+            self.nodes[n].heard_end &= b.mutation == Mutation::StopsAfterCommitAnswer;
             let node = &mut self.nodes[n];
             // A word that comes for an older question adds nothing.
-            if node.ask != NEVER
-                && node.ask >= node.known
-                && b.planted != Planted::VouchesFromArrival
+            if node.question_age != NEVER
+                && node.question_age >= node.last_attested
+                && b.mutation != Mutation::AttestationFromArrival
             {
-                (node.ask, node.answered) = (NEVER, 0);
+                (node.question_age, node.answered) = (NEVER, 0);
             }
-            let useless = |c: &Delegation| c.except && b.planted != Planted::KeepsCancelled;
-            let highest = if b.planted == Planted::KeepsBelow {
-                self.obeys
+            let excluded = |c: &Delegation| {
+                c.excludes_worker && b.mutation != Mutation::DelegateKeepsCancelled
+            };
+            let highest = if b.mutation == Mutation::DelegateIgnoresHigherToken {
+                self.worker_token
             } else {
-                self.obeys.max(node.highest)
+                self.worker_token.max(node.highest)
             };
-            let overtaken = |c: &Delegation| c.token < highest;
-            node.delegation = node.delegation.filter(|c| !useless(c) && !overtaken(c));
+            let superseded = |c: &Delegation| c.token < highest;
+            node.delegation = node.delegation.filter(|c| !excluded(c) && !superseded(c));
         }
-        if !b.literal && (0..b.nodes as u8).any(|n| self.answers(n, b) == Some(self.obeys)) {
-            self.lease = 0;
+        if !b.unreduced
+            && (0..b.nodes as u8).any(|n| self.answer_token(n, b) == Some(self.worker_token))
+        {
+            self.worker_lease_age = 0;
         }
-        for i in 0..ON_THE_WAY {
-            self.way[i] = self.way[i].filter(|t| !self.is_doomed(t, b));
+        for i in 0..MAX_IN_FLIGHT {
+            self.in_flight[i] = self.in_flight[i].filter(|t| !self.can_never_commit(t, b));
         }
-        self.way.sort_unstable();
+        self.in_flight.sort_unstable();
         // Whoever stands for nothing that may still come is given an answer, or gives up.
         for n in 0..b.nodes as u8 {
-            let mine = |t: &Transaction| matches!(t, Transaction::Take { node, awaited: true, .. } if *node == n);
-            let waits = self.way.iter().flatten().any(mine)
-                || self.rec.is_some_and(|r| r.node == n && r.awaited);
+            let mine = |t: &Transaction| matches!(t, Transaction::TakeOver { node, awaited: true, .. } if *node == n);
+            let waits = self.in_flight.iter().flatten().any(mine)
+                || self.record.is_some_and(|r| r.node == n && r.awaited);
             if self.node(n).role == Role::Candidate && !waits {
-                self.node(n).gives_up();
+                self.node(n).reset();
             }
         }
     }
 
-    fn vouch_at_once(&mut self, n: usize, b: &Bounds) {
+    fn attest_at_once(&mut self, n: usize, b: &Bounds) {
         let node = self.nodes[n];
-        if node.role != Role::Leader || node.known == 0 || b.planted == Planted::VouchesFromArrival
+        if node.role != Role::Leader
+            || node.last_attested == 0
+            || b.mutation == Mutation::AttestationFromArrival
         {
             return;
         }
         let peers = (0..b.nodes).filter(|p| *p != n);
-        let vouching = peers
-            .filter(|p| self.nodes[*p].vouches_for(node.token, b))
+        let attesting = peers
+            .filter(|p| self.nodes[*p].attests(node.token, b))
             .count();
-        if vouching >= vouches_needed(b) {
+        if attesting >= attestations_needed(b) {
             let node = &mut self.nodes[n];
-            (node.known, node.ask, node.answered) = (0, NEVER, 0);
+            (node.last_attested, node.question_age, node.answered) = (0, NEVER, 0);
         }
     }
 
-    fn charge_at_once(&mut self, n: usize, b: &Bounds) {
+    fn delegate_at_once(&mut self, n: usize, b: &Bounds) {
         let leader = self.nodes[n];
-        if !leader.charges(b) || leader.knows {
+        if !leader.may_delegate(b) || leader.knows_cancel {
             return;
         }
         for (p, peer) in self.nodes.iter_mut().enumerate().take(b.nodes) {
-            let older = peer.delegation.is_none_or(|c| c.token == leader.token);
-            if p != n && older && peer.highest == leader.token {
+            let replaceable = peer.delegation.is_none_or(|c| c.token == leader.token);
+            if p != n && replaceable && peer.highest == leader.token {
                 peer.delegation = Some(Delegation {
                     asked: 0,
                     token: leader.token,
-                    except: false,
+                    excludes_worker: false,
                 });
             }
         }
     }
 
     /// What comes too late to change anything, since its guards can't hold any more.
-    fn is_doomed(&self, txn: &Transaction, b: &Bounds) -> bool {
-        use Planted::{HeirKeepsToken, NoGuards, NoLeaderGuard, NoTokenGuard, UnguardedEnd};
-        let stands = self.rec.map_or(0, |r| r.token);
+    fn can_never_commit(&self, txn: &Transaction, b: &Bounds) -> bool {
+        use Mutation::{NoGuards, NoLeaderGuard, NoTokenGuard, SuccessorKeepsToken, UnguardedEnd};
+        let current_leader = self.record.map_or(0, |r| r.token);
         match *txn {
             Transaction::End { leader } => {
-                self.ended || stands != leader && b.planted != UnguardedEnd
+                self.end_recorded || current_leader != leader && b.mutation != UnguardedEnd
             }
-            Transaction::Take {
-                leader, counter, ..
+            Transaction::TakeOver {
+                leader,
+                token_counter,
+                ..
             } => {
                 let guarded = !matches!(
-                    b.planted,
-                    HeirKeepsToken | NoGuards | NoLeaderGuard | NoTokenGuard
+                    b.mutation,
+                    SuccessorKeepsToken | NoGuards | NoLeaderGuard | NoTokenGuard
                 );
-                guarded && (stands != leader || self.counter != counter)
+                guarded && (current_leader != leader || self.token_counter != token_counter)
             }
         }
     }
 
-    fn tick(mut self, b: &Bounds) -> After {
+    fn tick(mut self, b: &Bounds) -> Outcome {
         // A renewal's last moment: `lease_s` after the sending of the last report that was answered.
-        self.lease += 1;
-        if self.lease >= b.lengths.lease {
-            return After::Gone;
-        }
-        if self.told != NEVER {
-            self.told += 1;
-            if self.told >= b.lengths.cancel {
-                return After::Broken("a cancelled task outlives its time");
+        self.worker_lease_age += 1;
+        if self.worker_lease_age >= b.durations.lease {
+            return Outcome::TaskEnded;
+        }
+        if self.cancel_confirmed != NEVER {
+            self.cancel_confirmed += 1;
+            if self.cancel_confirmed >= b.durations.cancel {
+                return Outcome::Violation("a cancelled task outlives its time");
             }
         }
-        if let Some(rec) = &mut self.rec
-            && !self.out
+        if let Some(record) = &mut self.record
+            && !self.state_down
         {
-            rec.lease += 1;
+            record.lease += 1;
         }
         // It ends up to 100 ms late, never early.
-        if self.rec.is_some_and(|r| r.lease > b.lengths.ttl) {
-            self.rec = None;
+        if self.record.is_some_and(|r| r.lease > b.durations.ttl) {
+            self.record = None;
         }
-        for place in &mut self.way {
-            if let Some(Transaction::Take { lease, .. }) = place
-                && !self.out
+        for place in &mut self.in_flight {
+            if let Some(Transaction::TakeOver { lease, .. }) = place
+                && !self.state_down
             {
                 *lease += 1;
                 // 400 "no such lease".
-                if *lease > b.lengths.ttl {
+                if *lease > b.durations.ttl {
                     *place = None;
                 }
             }
         }
         for n in &mut self.nodes {
-            older(&mut n.renewed, b.lengths.ttl + 1);
-            older(&mut n.known, b.lengths.bound() + 1);
-            older(&mut n.ask, b.lengths.bound() + 1);
-            older(&mut n.renewing, b.lengths.ttl + 1);
-            if n.ask == NEVER {
+            advance_age(&mut n.renewed, b.durations.ttl + 1);
+            advance_age(&mut n.last_attested, b.durations.bound() + 1);
+            advance_age(&mut n.question_age, b.durations.bound() + 1);
+            advance_age(&mut n.renewing, b.durations.ttl + 1);
+            if n.question_age == NEVER {
                 n.answered = 0;
             }
             if let Some(c) = &mut n.delegation {
                 c.asked += 1;
-                if c.asked >= b.lengths.bound() {
-                    c.asked = b.lengths.bound();
-                    if b.planted != Planted::KeeperNoBound {
+                if c.asked >= b.durations.bound() {
+                    c.asked = b.durations.bound();
+                    if b.mutation != Mutation::DelegateNoBound {
                         n.delegation = None;
                     }
                 }
             }
         }
-        if let Some(word) = &mut self.word {
-            word.delegation.asked += 1;
-            if word.delegation.asked >= b.lengths.bound() && b.planted != Planted::KeeperFromArrival
+        if let Some(delegation_in_flight) = &mut self.delegation_in_flight {
+            delegation_in_flight.delegation.asked += 1;
+            if delegation_in_flight.delegation.asked >= b.durations.bound()
+                && b.mutation != Mutation::DelegateFromArrival
             {
-                self.word = None;
+                self.delegation_in_flight = None;
             }
         }
-        if self.word.is_some_and(|w| w.delegation.asked >= NEVER) {
-            self.word = None;
+        if self
+            .delegation_in_flight
+            .is_some_and(|w| w.delegation.asked >= NEVER)
+        {
+            self.delegation_in_flight = None;
         }
-        if let Some(answer) = &mut self.answer {
-            answer.sent += 1;
-            if answer.sent > PATIENCE {
-                self.answer = None;
+        if let Some(answer_in_flight) = &mut self.answer_in_flight {
+            answer_in_flight.sent += 1;
+            if answer_in_flight.sent > WORKER_WAIT {
+                self.answer_in_flight = None;
             }
         }
-        self.tidy(b);
-        After::World(self)
+        self.normalize(b);
+        Outcome::Next(self)
     }
 
     /// The state service answers nobody, or everybody again: then leases have their full time.
     fn outage(&mut self, begins: bool, b: &Bounds) -> bool {
-        if begins == self.out || begins && self.outages >= b.outages {
+        if begins == self.state_down || begins && self.outages >= b.outages {
             return false;
         }
-        self.out = begins;
+        self.state_down = begins;
         self.outages += u8::from(begins);
-        if let Some(rec) = self.rec.as_mut().filter(|_| !begins) {
-            rec.lease = 0;
+        if let Some(record) = self.record.as_mut().filter(|_| !begins) {
+            record.lease = 0;
         }
-        for txn in self.way.iter_mut().flatten().filter(|_| !begins) {
-            if let Transaction::Take { lease, .. } = txn {
+        for txn in self.in_flight.iter_mut().flatten().filter(|_| !begins) {
+            if let Transaction::TakeOver { lease, .. } = txn {
                 *lease = 0;
             }
         }
@@ -767,12 +781,12 @@
 
     /// The leader record's lease ends: in its time, or by the DELETE of `election::end_lease`, whenever that comes.
     fn lapse(&mut self, b: &Bounds) -> bool {
-        let due = !self.out
+        let due = !self.state_down
             && self
-                .rec
-                .is_some_and(|r| r.lease >= b.lengths.ttl || r.released);
+                .record
+                .is_some_and(|r| r.lease >= b.durations.ttl || r.released);
         if due {
-            self.rec = None;
+            self.record = None;
         }
         due
     }
@@ -785,38 +799,38 @@
         }
         self.restarts += 1;
         *self.node(n) = Node::NEW;
-        if let Some(rec) = self.rec.as_mut().filter(|r| r.node == n) {
-            (rec.own_life, rec.awaited) = (false, false);
+        if let Some(record) = self.record.as_mut().filter(|r| r.node == n) {
+            (record.current_incarnation, record.awaited) = (false, false);
         }
-        for txn in self.way.iter_mut().flatten() {
-            if let Transaction::Take {
+        for txn in self.in_flight.iter_mut().flatten() {
+            if let Transaction::TakeOver {
                 node,
                 awaited,
-                own_life,
+                current_incarnation,
                 ..
             } = txn
                 && *node == n
             {
-                (*awaited, *own_life) = (false, false);
+                (*awaited, *current_incarnation) = (false, false);
             }
         }
-        if self.word.is_some_and(|w| w.to == n) {
-            self.word = None;
+        if self.delegation_in_flight.is_some_and(|w| w.to == n) {
+            self.delegation_in_flight = None;
         }
         true
     }
 
     /// `shared_state::shared_read` or `shared_changes`, and `leader_observed` with what it says.
     fn read(&mut self, n: u8) -> bool {
-        if self.out {
+        if self.state_down {
             return false;
         }
-        let (counter, rec) = (self.counter, self.rec);
+        let (token_counter, record) = (self.token_counter, self.record);
         let node = self.node(n);
         let before = *node;
         node.has_read = true;
-        node.highest = node.highest.max(counter);
-        let mine = rec.filter(|r| r.node == n && r.own_life);
+        node.highest = node.highest.max(token_counter);
+        let mine = record.filter(|r| r.node == n && r.current_incarnation);
         match node.role {
             Role::Leader if mine.is_none_or(|r| r.token != node.token) => self.step_down(n),
             // The take-over went through although its answer was lost.
@@ -829,123 +843,127 @@
     /// `election::step_down`.
     fn step_down(&mut self, n: u8) {
         let token = self.node(n).token;
-        if let Some(rec) = self
-            .rec
+        if let Some(record) = self
+            .record
             .as_mut()
-            .filter(|r| r.node == n && r.own_life && r.token == token)
+            .filter(|r| r.node == n && r.current_incarnation && r.token == token)
         {
-            rec.released = true;
+            record.released = true;
         }
-        self.node(n).gives_up();
+        self.node(n).reset();
     }
 
     /// `election::follow` and `granted`. A node that has read something older than what stands now sends a transaction
     /// that fails; one that has read what stands sends this one, which may come late.
-    fn stand(&mut self, n: u8, b: &Bounds) -> bool {
+    fn campaign(&mut self, n: u8, b: &Bounds) -> bool {
         let node = *self.node(n);
-        let room = self.way.contains(&None) && self.counter < b.tokens;
-        if self.out || !room || !node.has_read || node.role != Role::Follower {
+        let room = self.in_flight.contains(&None) && self.token_counter < b.tokens;
+        if self.state_down || !room || !node.has_read || node.role != Role::Follower {
             return false;
         }
         // `election::replaceable` and `Incarnation::succeeds`.
-        let mark = |r: &Rec| !r.own_life && !node.owned || b.planted == Planted::NoMark;
-        let heir = self.rec.is_some_and(|r| r.node == n && mark(&r));
-        if self.rec.is_some() && !heir {
+        let is_replaceable = |r: &LeaderRecord| {
+            !r.current_incarnation && !node.has_led || b.mutation == Mutation::NoIncarnationCheck
+        };
+        let succeeds = self
+            .record
+            .is_some_and(|r| r.node == n && is_replaceable(&r));
+        if self.record.is_some() && !succeeds {
             return false;
         }
-        let leader = self.rec.map_or(0, |r| r.token);
-        let counter = self.counter;
-        let token = if heir && b.planted == Planted::HeirKeepsToken {
+        let leader = self.record.map_or(0, |r| r.token);
+        let token_counter = self.token_counter;
+        let token = if succeeds && b.mutation == Mutation::SuccessorKeepsToken {
             leader
         } else {
-            counter + 1
+            token_counter + 1
         };
-        self.send(Transaction::Take {
+        self.send(Transaction::TakeOver {
             node: n,
             leader,
-            counter,
+            token_counter,
             token,
             lease: 0,
             awaited: true,
-            own_life: true,
+            current_incarnation: true,
         });
         let node = self.node(n);
-        node.highest = node.highest.max(counter);
+        node.highest = node.highest.max(token_counter);
         node.role = Role::Candidate;
         // `Role::Candidate::sent`: when the lease was asked for.
-        (node.renewed, node.known) = (0, 0);
+        (node.renewed, node.last_attested) = (0, 0);
         true
     }
 
     /// `election_tick`, after `give_up_at`: the transaction may still come.
-    fn give_up(&mut self, n: u8) -> bool {
+    fn abandon_campaign(&mut self, n: u8) -> bool {
         if self.node(n).role != Role::Candidate {
             return false;
         }
-        for txn in self.way.iter_mut().flatten() {
-            if let Transaction::Take { node, awaited, .. } = txn
+        for txn in self.in_flight.iter_mut().flatten() {
+            if let Transaction::TakeOver { node, awaited, .. } = txn
                 && *node == n
             {
                 *awaited = false;
             }
         }
-        if let Some(rec) = self.rec.as_mut().filter(|r| r.node == n) {
-            rec.awaited = false;
+        if let Some(record) = self.record.as_mut().filter(|r| r.node == n) {
+            record.awaited = false;
         }
-        self.node(n).gives_up();
+        self.node(n).reset();
         true
     }
 
     /// A transaction comes to the state service; its sender hears of it or not, and it may come once more.
-    fn comes(&mut self, i: u8, answered: bool, again: bool, b: &Bounds) -> bool {
-        let Some(txn) = self.way[i as usize].filter(|_| !self.out) else {
+    fn arrive(&mut self, i: u8, answered: bool, again: bool, b: &Bounds) -> bool {
+        let Some(txn) = self.in_flight[i as usize].filter(|_| !self.state_down) else {
             return false;
         };
         if !again {
-            self.way[i as usize] = None;
+            self.in_flight[i as usize] = None;
         }
         match txn {
-            Transaction::Take {
+            Transaction::TakeOver {
                 node,
                 leader,
-                counter,
+                token_counter,
                 token,
                 lease,
                 awaited,
-                own_life,
+                current_incarnation,
             } => {
-                let stands = self.rec.map_or(0, |r| r.token);
-                let leader_ok = stands == leader
-                    || matches!(b.planted, Planted::NoGuards | Planted::NoLeaderGuard);
-                let token_ok = self.counter == counter
-                    || matches!(b.planted, Planted::NoGuards | Planted::NoTokenGuard);
+                let current_leader = self.record.map_or(0, |r| r.token);
+                let leader_ok = current_leader == leader
+                    || matches!(b.mutation, Mutation::NoGuards | Mutation::NoLeaderGuard);
+                let token_ok = self.token_counter == token_counter
+                    || matches!(b.mutation, Mutation::NoGuards | Mutation::NoTokenGuard);
                 if !leader_ok || !token_ok {
                     // `election::took` with a 409.
                     if answered && awaited && self.node(node).role == Role::Candidate {
-                        self.node(node).gives_up();
+                        self.node(node).reset();
                     }
                     return answered || !again;
                 }
-                self.twice = token <= self.counter;
-                self.rec = Some(Rec {
+                self.token_reused = token <= self.token_counter;
+                self.record = Some(LeaderRecord {
                     node,
                     token,
                     lease,
-                    own_life,
+                    current_incarnation,
                     awaited,
                     released: false,
                 });
-                self.counter = self.counter.max(token);
+                self.token_counter = self.token_counter.max(token);
                 if answered && awaited {
                     self.become_leader(node);
                 }
             }
             Transaction::End { leader } => {
-                let stands = self.rec.map_or(0, |r| r.token);
-                if stands == leader || b.planted == Planted::UnguardedEnd {
-                    self.ended = true;
+                let current_leader = self.record.map_or(0, |r| r.token);
+                if current_leader == leader || b.mutation == Mutation::UnguardedEnd {
+                    self.end_recorded = true;
                     if answered && let Some(n) = self.nodes.iter_mut().find(|n| n.token == leader) {
-                        n.heard = true;
+                        n.heard_end = true;
                     }
                 }
             }
@@ -955,14 +973,14 @@
 
     /// `election::became_leader`, of the record that stands.
     fn become_leader(&mut self, n: u8) {
-        let Some(rec) = &mut self.rec else { return };
+        let Some(rec) = &mut self.record else { return };
         rec.awaited = false;
         let token = rec.token;
         let node = self.node(n);
         node.role = Role::Leader;
         node.token = token;
         node.highest = node.highest.max(token);
-        node.owned = true;
+        node.has_led = true;
         node.loaded = false;
         // Another leader's charge is not dropped: only its time ends it. It is not looked at while this one owns.
     }
@@ -970,13 +988,13 @@
     /// `lease::renewed`; unanswered for now or for ever.
     fn renew(&mut self, n: u8, answered: bool) -> bool {
         let node = *self.node(n);
-        if self.out || node.role != Role::Leader || node.renewing != NEVER {
+        if self.state_down || node.role != Role::Leader || node.renewing != NEVER {
             return false;
         }
-        let Some(rec) = self
-            .rec
+        let Some(record) = self
+            .record
             .as_mut()
-            .filter(|r| r.node == n && r.own_life && r.token == node.token)
+            .filter(|r| r.node == n && r.current_incarnation && r.token == node.token)
         else {
             // 404: the lease has ended.
             if answered {
@@ -984,10 +1002,10 @@
             }
             return answered;
         };
-        rec.lease = 0;
+        record.lease = 0;
         let node = self.node(n);
         if answered {
-            (node.renewed, node.known) = (0, 0);
+            (node.renewed, node.last_attested) = (0, 0);
         } else {
             node.renewing = 0;
         }
@@ -999,42 +1017,42 @@
         if node.role != Role::Leader || node.renewing == NEVER {
             return false;
         }
-        let sent = if b.planted == Planted::RenewedFromAnswer {
+        let sent = if b.mutation == Mutation::RenewedFromAnswer {
             0
         } else {
             node.renewing
         };
         node.renewing = NEVER;
         node.renewed = node.renewed.min(sent);
-        node.known = node.known.min(sent);
+        node.last_attested = node.last_attested.min(sent);
         true
     }
 
     /// `shard::start_load` to `load_ended`: all is read back, after the own record stood.
     fn load(&mut self, n: u8) -> bool {
-        let ended = self.ended;
-        let out = self.out;
+        let end_recorded = self.end_recorded;
+        let state_down = self.state_down;
         let node = self.node(n);
-        if out || node.role != Role::Leader || node.loaded {
+        if state_down || node.role != Role::Leader || node.loaded {
             return false;
         }
         node.loaded = true;
         // `Ending::Before`.
-        node.knows = ended;
-        node.heard = ended;
+        node.knows_cancel = end_recorded;
+        node.heard_end = end_recorded;
         true
     }
 
     /// `jobs::cancel`, and the first of `send_end`.
     fn cancel(&mut self, n: u8, b: &Bounds) -> bool {
         let node = self.node(n);
-        if !node.decides(b) || node.knows {
+        if !node.may_decide(b) || node.knows_cancel {
             return false;
         }
-        node.knows = true;
-        if b.planted == Planted::TellsFirst {
-            if self.told == NEVER {
-                self.told = 0;
+        node.knows_cancel = true;
+        if b.mutation == Mutation::ConfirmsBeforeCommit {
+            if self.cancel_confirmed == NEVER {
+                self.cancel_confirmed = 0;
             }
             return true;
         }
@@ -1045,8 +1063,8 @@
     fn send_end(&mut self, n: u8, b: &Bounds) -> bool {
         let node = *self.node(n);
         let txn = Transaction::End { leader: node.token };
-        let again = self.way.contains(&Some(txn)) || !self.way.contains(&None);
-        if !node.decides(b) || !node.knows || self.ended || again {
+        let again = self.in_flight.contains(&Some(txn)) || !self.in_flight.contains(&None);
+        if !node.may_decide(b) || !node.knows_cancel || self.end_recorded || again {
             return false;
         }
         self.send(txn);
@@ -1055,78 +1073,82 @@
 
     /// Its user is told: by the leader whose transaction was answered (`commit::apply`) or looked at (`verified`), or
     /// by any node that reads the record (`lookup::end_read`). Later ones (`finals`) say nothing that is new.
-    fn tell(&mut self) -> bool {
-        let may = self.ended && !self.out && self.told == NEVER;
+    fn confirm_cancel(&mut self) -> bool {
+        let may = self.end_recorded && !self.state_down && self.cancel_confirmed == NEVER;
         if may {
-            self.told = 0;
+            self.cancel_confirmed = 0;
         }
         may
     }
 
     /// `peer_status_tick` and `ask_for_attestations`.
-    fn ask(&mut self, n: u8, b: &Bounds) -> bool {
+    fn request_attestations(&mut self, n: u8, b: &Bounds) -> bool {
         let node = self.node(n);
         // With one peer the question and its answer may as well come at once.
-        let newest = node.known == 0 && b.planted != Planted::VouchesFromArrival;
-        if b.nodes < 3 && !b.literal || node.role != Role::Leader || newest || node.ask == 0 {
+        let newest = node.last_attested == 0 && b.mutation != Mutation::AttestationFromArrival;
+        if b.nodes < 3 && !b.unreduced
+            || node.role != Role::Leader
+            || newest
+            || node.question_age == 0
+        {
             return false;
         }
-        (node.ask, node.answered) = (0, 0);
+        (node.question_age, node.answered) = (0, 0);
         true
     }
 
     /// A peer answers `Ask::PeerStatus`: `peer_statuses::peer_status`, then `peer_status_received`, `word_came` and `Attestations::note`.
-    fn vouch(&mut self, n: u8, peer: u8, b: &Bounds) -> bool {
+    fn attest(&mut self, n: u8, peer: u8, b: &Bounds) -> bool {
         let token = self.node(n).token;
-        let attestations = self.node(peer).vouches_for(token, b);
+        let attests = self.node(peer).attests(token, b);
         let node = self.node(n);
         if node.role != Role::Leader
-            || node.ask == NEVER
-            || !attestations
+            || node.question_age == NEVER
+            || !attests
             || node.answered >> peer & 1 == 1
         {
             return false;
         }
         node.answered |= 1 << peer;
-        if node.answered.count_ones() as usize >= vouches_needed(b) {
-            let since = if b.planted == Planted::VouchesFromArrival {
+        if node.answered.count_ones() as usize >= attestations_needed(b) {
+            let since = if b.mutation == Mutation::AttestationFromArrival {
                 0
             } else {
-                node.ask
+                node.question_age
             };
-            node.known = node.known.min(since);
-            (node.ask, node.answered) = (NEVER, 0);
+            node.last_attested = node.last_attested.min(since);
+            (node.question_age, node.answered) = (NEVER, 0);
         }
         true
     }
 
     /// `election::leader_asserted`, by `Ask::Leads` or a view, heard by a peer.
-    fn leads(&mut self, n: u8, peer: u8, b: &Bounds) -> bool {
+    fn announce_leader(&mut self, n: u8, peer: u8, b: &Bounds) -> bool {
         let leader = *self.node(n);
         let other = self.node(peer);
         if leader.role != Role::Leader || other.highest >= leader.token {
             return false;
         }
         other.highest = leader.token;
-        if other.role == Role::Leader && !other.sure(b) {
+        if other.role == Role::Leader && !other.has_valid_lease(b) {
             self.step_down(peer);
         }
         true
     }
 
     /// A peer's view is answered by the leader: `lease delegate::delegation_for` and `note_delegation`, at once or on its way.
-    fn delegation(&mut self, n: u8, peer: u8, late: bool, b: &Bounds) -> bool {
+    fn delegate(&mut self, n: u8, peer: u8, late: bool, b: &Bounds) -> bool {
         let leader = *self.node(n);
-        if !leader.charges(b) || late && self.word.is_some() {
+        if !leader.may_delegate(b) || late && self.delegation_in_flight.is_some() {
             return false;
         }
         let delegation = Delegation {
             asked: 0,
             token: leader.token,
-            except: leader.knows,
+            excludes_worker: leader.knows_cancel,
         };
         if late {
-            self.word = Some(Word {
+            self.delegation_in_flight = Some(InFlightDelegation {
                 to: peer,
                 delegation,
             });
@@ -1141,17 +1163,18 @@
         let before = *node;
         node.delegation = Some(delegation);
         node.highest = node.highest.max(delegation.token);
-        if node.role == Role::Leader && node.token < delegation.token && !node.sure(b) {
+        if node.role == Role::Leader && node.token < delegation.token && !node.has_valid_lease(b) {
             self.step_down(peer);
         }
         *self.node(peer) != before
     }
 
-    fn charge_comes(&mut self, b: &Bounds) -> bool {
-        let Some(Word { to, mut delegation }) = self.word.take() else {
+    fn delegation_arrives(&mut self, b: &Bounds) -> bool {
+        let Some(InFlightDelegation { to, mut delegation }) = self.delegation_in_flight.take()
+        else {
             return false;
         };
-        if b.planted == Planted::KeeperFromArrival {
+        if b.mutation == Mutation::DelegateFromArrival {
             delegation.asked = 0;
         }
         self.note_delegation(to, delegation, b)
@@ -1159,65 +1182,72 @@
 
     /// `reports::hello` and `take_report`: the token of the answer, or of none. An answer with a stop ends the task, so
     /// that only its loss is of interest, which is no answer.
-    fn answers(&self, n: u8, b: &Bounds) -> Option<u8> {
+    fn answer_token(&self, n: u8, b: &Bounds) -> Option<u8> {
         let node = &self.nodes[n as usize];
         if node.role == Role::Leader {
             // `orders_for` and `last_orders`. An end on its way that was not answered counts as recorded.
-            let stops = match b.planted {
-                Planted::NoStops => false,
-                Planted::WaitsForAnswer => node.knows && (node.heard || !node.sure(b)),
-                _ => node.knows,
+            let stops = match b.mutation {
+                Mutation::NoStops => false,
+                Mutation::StopsAfterCommitAnswer => {
+                    node.knows_cancel && (node.heard_end || !node.has_valid_lease(b))
+                }
+                _ => node.knows_cancel,
             };
-            return (self.obeys <= node.token && node.may_renew(b) && !stops).then_some(node.token);
+            return (self.worker_token <= node.token && node.may_renew(b) && !stops)
+                .then_some(node.token);
         }
         // `lease delegate::keeps`.
         let delegation = node.delegation?;
-        let bound = if b.planted == Planted::KeeperNoBound {
+        let bound = if b.mutation == Mutation::DelegateNoBound {
             NEVER
         } else {
-            b.lengths.bound()
+            b.durations.bound()
         };
-        let in_time = (KEEP_FROM..bound).contains(&delegation.asked);
-        let except = delegation.except && b.planted != Planted::KeepsCancelled;
-        let highest = self.obeys.max(node.highest);
-        let below = highest > delegation.token && b.planted != Planted::KeepsBelow;
-        (in_time && !except && !below).then_some(delegation.token)
+        let in_time = (DELEGATE_FROM..bound).contains(&delegation.asked);
+        let excludes_worker =
+            delegation.excludes_worker && b.mutation != Mutation::DelegateKeepsCancelled;
+        let highest = self.worker_token.max(node.highest);
+        let below =
+            highest > delegation.token && b.mutation != Mutation::DelegateIgnoresHigherToken;
+        (in_time && !excludes_worker && !below).then_some(delegation.token)
     }
 
     /// A report is answered; the answer comes in the same tick, or later.
-    fn report(&mut self, n: u8, late: bool, b: &Bounds) -> bool {
+    fn heartbeat(&mut self, n: u8, late: bool, b: &Bounds) -> bool {
         // `reports::outranked`.
         let node = *self.node(n);
-        if node.role == Role::Leader && self.obeys > node.token && !node.sure(b) {
+        if node.role == Role::Leader && self.worker_token > node.token && !node.has_valid_lease(b) {
             self.step_down(n);
             return true;
         }
-        let Some(token) = self.answers(n, b) else {
+        let Some(token) = self.answer_token(n, b) else {
             return false;
         };
         if late {
-            let free = self.answer.is_none();
-            self.answer = self.answer.or(Some(Out { sent: 0, token }));
+            let free = self.answer_in_flight.is_none();
+            self.answer_in_flight = self
+                .answer_in_flight
+                .or(Some(InFlightAnswer { sent: 0, token }));
             return free;
         }
-        self.obeyed(0, token)
+        self.apply_answer(0, token)
     }
 
     /// A worker takes an answer: one with a lower token it drops.
-    fn obeyed(&mut self, sent: u8, token: u8) -> bool {
-        let before = (self.obeys, self.lease);
-        if token >= self.obeys {
-            self.obeys = token;
-            self.lease = self.lease.min(sent);
+    fn apply_answer(&mut self, sent: u8, token: u8) -> bool {
+        let before = (self.worker_token, self.worker_lease_age);
+        if token >= self.worker_token {
+            self.worker_token = token;
+            self.worker_lease_age = self.worker_lease_age.min(sent);
         }
-        before != (self.obeys, self.lease)
+        before != (self.worker_token, self.worker_lease_age)
     }
 
-    fn answer_comes(&mut self) -> bool {
-        let Some(Out { sent, token }) = self.answer.take() else {
+    fn answer_arrives(&mut self) -> bool {
+        let Some(InFlightAnswer { sent, token }) = self.answer_in_flight.take() else {
             return false;
         };
-        self.obeyed(sent, token);
+        self.apply_answer(sent, token);
         true
     }
 }
