--- a/crates/control/tests/search.rs
+++ b/crates/control/tests/search.rs
@@ -1,8 +1,8 @@
-//! Ownership and the end of a cancelled task, searched exhaustively in small: two or three controllers, one worker and
-//! one job, whatever is lost, late or repeated, whoever ends and is back at once, and with the state service out.
+//! Exhaustive search of a small model of leadership and of the end of a cancelled task: two or three controllers, one
+//! worker and one job, with messages lost, delayed or repeated, processes restarted, and outages of the state service.
 //!
-//! Each guard that docs/safety.md derives its bounds from is taken out in turn, and the search has to notice.
-//! `STOATHATCH_SEARCH=large cargo test --release -p control --test search -- --nocapture` searches further.
+//! Each guard on which docs/safety.md bases its bounds is removed in turn, and the search has to detect that.
+//! `STOATHATCH_SEARCH=large cargo test --release -p control --test search -- --nocapture` runs larger searches.
 
 #[path = "search/model.rs"]
 mod model;
@@ -12,18 +12,17 @@
 use std::hash::{Hash, Hasher};
 use std::time::Instant;
 
-/// What a search has come to.
 struct SearchResult {
     states: usize,
-    /// Steps from the beginning to the last world.
+    /// Steps from the initial state to the last state.
     depth: usize,
-    /// All worlds were seen, not only as many as were asked for.
+    /// All reachable states were explored; the limit was not reached.
     complete: bool,
     violation: Option<(&'static str, Vec<Step>)>,
     seconds: f64,
 }
 
-/// A number of 64 bits for a world, the same in each run.
+/// Hashes a state to 64 bits, to the same value in each run.
 #[derive(Default)]
 struct StateHasher(u64);
 
@@ -55,13 +54,13 @@
     hasher.finish()
 }
 
-/// All worlds that can be reached, those of the fewest steps first, up to a number; stops at the first that is broken.
-/// Of the worlds themselves only the newest are held, of the others a number of 64 bits.
+/// Explores the reachable states breadth-first, up to a number of states; stops at the first violation. Only the states
+/// of the frontier are kept in memory, of all others a 64-bit hash.
 fn search(b: &Bounds, max_states: usize) -> SearchResult {
     let started = Instant::now();
     let steps = ModelState::steps(b);
     let mut seen: HashSet<u64> = HashSet::new();
-    // How each world came about: from which, and by which step.
+    // The predecessor of each state, and the step from it.
     let mut origins: Vec<(u32, Step)> = vec![(0, Step::Tick)];
     let mut frontier = vec![(0u32, ModelState::new(b.nodes).canonical(b).0)];
     seen.insert(hash_of(&frontier[0].1));
@@ -115,7 +114,7 @@
     steps
 }
 
-/// A history in words: nodes are called by where they stood at first, whatever order the worlds are kept in.
+/// A history as text. Nodes are named by their position in the initial state, although canonical states reorder them.
 fn format_trace(b: &Bounds, steps: &[Step]) -> String {
     let (mut state, mut names) = ModelState::new(b.nodes).canonical(b);
     let mut words = Vec::new();
@@ -141,7 +140,7 @@
     cancel: 6,
 };
 
-/// No search goes further than this.
+/// The limit on the number of states of any search.
 const MAX_STATES: usize = 60_000_000;
 
 fn bounds(
@@ -175,17 +174,17 @@
     } = b;
     let end = match &f.violation {
         Some((what, steps)) => format!("{what}: {}", format_trace(b, steps)),
-        None if f.complete => "all of them".to_owned(),
-        None => "not all of them".to_owned(),
+        None if f.complete => "all explored".to_owned(),
+        None => "not all explored".to_owned(),
     };
     format!(
-        "{mutation:?}, {nodes} nodes, {restarts} restarts, {outages} outages, tokens to {tokens}, late {late}, literal {unreduced}, \
-         {}/{}/{} ticks: {} worlds, {} steps deep, {:.1} s: {end}",
+        "{mutation:?}, {nodes} nodes, {restarts} restarts, {outages} outages, tokens to {tokens}, late {late}, unreduced {unreduced}, \
+         {}/{}/{} ticks: {} states, {} steps deep, {:.1} s: {end}",
         durations.ttl, durations.lease, durations.cancel, f.states, f.depth, f.seconds
     )
 }
 
-/// Searched whole, with the least number of worlds that it must have come to: a search of nothing proves nothing.
+/// The search completes without a violation and covers a minimum number of states, so that an empty search can't pass.
 fn assert_no_violation(b: &Bounds, min_states: usize) {
     let result = search(b, MAX_STATES);
     println!("{}", describe(b, &result));
@@ -197,14 +196,14 @@
     );
 }
 
-/// Two nodes: the gap between a leader that lost the state service and its heir, with restarts and outages twice.
+/// The gap between a leader that lost the state service and its successor, with up to two restarts and two outages.
 #[test]
 fn cancelled_task_ends_in_time_with_two_nodes() {
     assert_no_violation(&bounds(SHORT, 2, (2, 2, 3), false), 500_000);
 }
 
-/// The same without what the model takes at once, since it only lets a task live longer: each word, charge and renewal
-/// is a step that may be missing. What is found without a guard is found here too.
+/// Without the shortcuts of `ModelState::normalize`: each attestation, delegation and renewal is a step that may be
+/// missing. Removed guards are detected here too.
 #[test]
 fn cancelled_task_ends_in_time_in_the_unreduced_model() {
     use Mutation::{DelegateNoBound, LongBound, NoBound, UnreadAttests};
@@ -221,25 +220,25 @@
     }
 }
 
-/// Lengths that leave a leader sure, and a bound running, over several ticks.
+/// Durations with which a valid leader lease, and the bound on renewals, span several ticks.
 #[test]
 fn cancelled_task_ends_in_time_with_longer_leases() {
     assert_no_violation(&bounds(LONG, 2, (1, 1, 2), false), 120_000);
 }
 
-/// Answers, words and transactions that come late, and transactions that come twice.
+/// Answers, delegations and transactions that arrive late, and transactions that arrive twice.
 #[test]
 fn cancelled_task_ends_in_time_with_late_messages() {
     assert_no_violation(&bounds(SHORT, 2, (1, 1, 2), true), 600_000);
 }
 
-/// Three nodes: one may confirm, one renew, and one vouch.
+/// With three nodes one may confirm a cancel, one renew a worker's lease, and one attest.
 #[test]
 fn cancelled_task_ends_in_time_with_three_nodes() {
     assert_no_violation(&bounds(SHORT, 3, (1, 1, 2), false), 450_000);
 }
 
-/// Each guard that is taken out is noticed, in the rule that it is there for and within so many worlds.
+/// The removal of each guard is detected as a violation of the rule that it protects, within a limited number of states.
 #[test]
 fn search_detects_each_missing_guard() {
     use Mutation::*;
@@ -285,9 +284,9 @@
     }
 }
 
-/// What other guards cover: all worlds without it are seen, and nothing breaks in them. The leader record's guard is
-/// covered by the token's, and not the other way round; a lease delegate that knows of a later leader by its own bound; the
-/// life's mark by both guards.
+/// Guards whose removal causes no violation, since others cover them. The guard on the leader record is covered by the
+/// one on the token record, but not the other way round; a lease delegate's check for later leaders by its time bound;
+/// the incarnation's mark by both guards.
 #[test]
 fn some_missing_guards_are_covered_by_others() {
     for (mutation, min_states) in [
@@ -310,11 +309,11 @@
     }
 }
 
-/// Further, by command alone: minutes, and some gigabytes.
+/// Larger searches, which take minutes and some gigabytes and only run on request.
 #[test]
 fn larger_search_on_request() {
     if std::env::var("STOATHATCH_SEARCH").as_deref() != Ok("large") {
-        return println!("not asked for: STOATHATCH_SEARCH=large");
+        return println!("skipped: runs with STOATHATCH_SEARCH=large");
     }
     for (b, min_states) in [
         (
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -1,44 +1,55 @@
-//! Ownership, take-over, vouching, lease delegates and one cancel as a model of small numbers, for `search.rs`.
+//! A finite model of leader election, take-over, attestations, lease delegates and the cancellation of one job, explored
+//! by `search.rs`.
 //!
-//! The controllers themselves can't be searched: a `control::Node` has neither a copy nor a hash, and one second of
-//! its time takes some hundred events. So this is a model, and each of its steps names what it stands for in
-//! `crates/control/src`. What it leaves out is said at the end of this page.
+//! The controllers themselves can't be explored exhaustively: a `control::Node` can be neither copied nor hashed, and
+//! one second of its time takes some hundred events. The comment on each step of the model names the code in
+//! `crates/control/src` that it represents. What the model leaves out is listed at the end of this comment.
 //!
-//! Time goes in ticks, in which any number of steps may come in any order. All that is kept of a moment is its age, up
-//! to where it makes no difference any more, so that the worlds are finitely many without a last tick. The lengths
-//! stand in their real order: the leader's lease is shorter than a worker's, and that shorter than what a cancel may
-//! take.
+//! Time advances in ticks, and any number of steps may happen within one tick, in any order. Of every point in time the
+//! model keeps only its age, up to the age at which it no longer makes a difference, so that the number of states is
+//! finite although the number of ticks is not limited. The durations are ordered as in reality: the leader's lease is
+//! shorter than a worker's lease, which is shorter than the time that a cancel may take.
 //!
-//! Steps are never forced, but for what ends by time (leases, answers that a worker waits for). So a node that is cut
-//! off, refused by the state service, frozen or slow, and a message that is lost, need no steps of their own: they are
-//! the histories in which a node's or message's step comes late or never. An outage for all has steps, since leases
-//! don't end in it.
+//! No step is forced, except for what ends by time (leases, and answers that a worker waits for). A node that is cut
+//! off, refused by the state service, frozen or slow, and a message that is lost, therefore need no steps of their own:
+//! they are the histories in which a step of that node or message happens late or never. A full outage of the state
+//! service has steps, because leases don't expire during it.
 //!
 //! | in the model | in the code |
 //! | --- | --- |
-//! | `Node::highest`, `has_read` | `Node::highest_token` (`shared_state`), and `shared.revision > 0`, which is the same as to have read the counter in this life |
+//! | `Node::highest` | `Node::highest_token` (`shared_state`) |
+//! | `Node::has_read` | `shared.revision > 0`: this incarnation has read the token counter |
 //! | `Role`, `token`, `loaded` | `role::Role`, `Shard::token`, `Shard::loaded` |
 //! | `renewed` | `HeldLease::renewed`, or `Campaign::sent` |
 //! | `last_attested` | the later of `renewed` and `Attestations::complete_at`, in `Node::may_renew` (`lease_bound`) |
 //! | `question_age`, `answered` | `Attestations::asked`, `Attestations::answered` |
-//! | `knows_cancel` | the job is `Job::is_unwanted` (`jobs`): wanted, on its way, recorded, or ended before |
+//! | `knows_cancel` | `Job::is_unwanted`: the end is requested, in flight, recorded, or from an earlier term |
 //! | `has_led` | `Incarnation::has_led` |
-//! | `Delegation` | `lease_delegate::Delegation`; `excludes_worker` is whether the worker's machine is in `LeaseDelegation::except` |
+//! | `Delegation` | `lease_delegate::Delegation` |
+//! | `Delegation::excludes_worker` | the worker's machine is in `LeaseDelegation::except` |
 //! | `LeaderRecord`, `token_counter` | the leader record with its lease, and the token record (`wire::records`) |
-//! | `LeaderRecord::current_incarnation` | the record's `incarnation` is the mark of its node's present life (`incarnation`) |
-//! | `end_recorded` | the `EndRecord` of the job stands |
-//! | `InFlightAnswer` | an answer that a worker waits for, its leader's own or by way of a peer (`relay`): it outlives who gave it |
+//! | `LeaderRecord::current_incarnation` | the record's `incarnation` is the mark of the node's running process |
+//! | `end_recorded` | the `EndRecord` of the job is stored |
+//! | `InFlightAnswer` | an answer that a worker waits for, from the leader or forwarded by a peer (`relay`) |
 //!
-//! Left out: starts, reaps and proofs of absence (no task runs twice by other rules, played in `standins`); zones, so
-//! that any node may keep the one worker's lease; tokens raised for stray numbers, which need a sure leader; the drift of
-//! clocks and the 2 s for workers that look now and then, for which ticks are too coarse (`lease_bound` has a test); direct
-//! commands, which renew nothing; more than one worker and job; how long a node waits before it stands or asks again,
-//! since any step may come at any time. What a node hears of tokens is never unsaid here; in the code an announcement gives way
-//! to a lower one after ten seconds, which is as if it had not been heard.
+//! An `InFlightAnswer` outlives the process that gave it.
+//!
+//! Left out:
+//! - starts, reaps and proofs of absence; other rules, tested in `standins`, ensure that no task runs twice
+//! - zones, so that any node may be the delegate for the one worker's lease
+//! - tokens raised because of unexpected numbers, which need a leader with a valid lease
+//! - clock drift and the 2 s that allow for workers that check their lease only now and then, for which ticks are too
+//!   coarse (`lease_bound` has a test)
+//! - direct commands, which renew no lease
+//! - more than one worker and more than one job
+//! - how long a node waits before it campaigns or asks again, since any step may happen at any time
+//!
+//! In the model a node never forgets a token that it has heard of. In the code an announcement gives way to a lower one
+//! after ten seconds, which is equivalent to never having heard it.
 
-/// Most nodes.
+/// The largest number of nodes in a search.
 pub const NODES: usize = 3;
-/// `[leader] ttl_ms`, `lease_s` and `cancel_s`, in ticks.
+/// `[owner] ttl_ms`, `lease_s` and `cancel_s`, in ticks.
 #[derive(Debug, Clone, Copy)]
 pub struct Durations {
     pub ttl: u8,
@@ -47,23 +58,23 @@
 }
 
 impl Durations {
-    /// `renewal::bound_ms`. A worker's lease is over at the tick at which it is `lease` old, so that an answer at the
-    /// last tick of the bound ends with the cancel's time, to the tick.
+    /// `lease_bound::bound_ms`. A worker's lease ends at the tick at which it is `lease` old, so that a lease renewed in
+    /// the last tick of the bound ends exactly when the time for the cancel does.
     fn bound(&self) -> u8 {
         self.cancel - self.lease + 1
     }
 }
 
-/// A lease delegate's first answer: a quarter of `lease_s`.
+/// The age of a delegation from which its delegate answers: a quarter of `lease_s`.
 const DELEGATE_FROM: u8 = 1;
-/// Workers wait 4 s for an answer.
+/// How long a worker waits for an answer: 4 s.
 const WORKER_WAIT: u8 = 1;
-/// No moment, or one that is too long ago to matter.
+/// The age of something that has not happened, or too long ago to matter.
 const NEVER: u8 = 15;
-/// Transactions that may be under way at once.
+/// How many transactions may be in flight at once.
 const MAX_IN_FLIGHT: usize = 2;
 
-/// A guard that is taken out on purpose.
+/// A guard that is removed on purpose, to check that the search detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
     NoMutation,
@@ -71,66 +82,66 @@
     NoBound,
     /// The bound is one tick longer.
     LongBound,
-    /// More than half of the nodes vouch, instead of all.
+    /// Attestations by more than half of the nodes suffice, instead of all.
     MajorityAttests,
-    /// Who has read nothing attestations too.
+    /// A node that has read nothing attests too.
     UnreadAttests,
-    /// Who has not read the counter, but was told of a token, attestations by that.
+    /// A node that has not read the token counter attests by a token that a peer announced.
     HearsayAttests,
-    /// Peers vouch whatever token they know.
+    /// Peers attest whatever token they know.
     AttestsAnyToken,
-    /// What all have vouched for counts from the last word's arrival, not from the question.
+    /// The attestation of all peers counts from the last answer's arrival, not from the question.
     AttestationFromArrival,
-    /// `keeps` without its bound.
+    /// `delegate_answer` without its bound.
     DelegateNoBound,
-    /// A lease delegate's time runs from when the leader's word came.
+    /// A delegation's time counts from its arrival at the delegate, not from the delegate's question.
     DelegateFromArrival,
-    /// Machines with something cancelled are kept too.
+    /// The delegate also renews the leases of machines with cancelled tasks.
     DelegateKeepsCancelled,
-    /// A node names lease delegates by its record, though it is no longer sure of its lease.
+    /// A leader whose lease may have expired still names lease delegates.
     UnsureLeaderDelegates,
-    /// A new life writes its record under the former token.
+    /// A new incarnation writes its leader record with the former token.
     SuccessorKeepsToken,
-    /// A new leader renews before everything is read.
+    /// A new leader renews workers' leases before it has loaded all records.
     RenewsBeforeLoaded,
-    /// The last renewal counts from its answer, not from its sending.
+    /// The leader's last renewal counts from the answer, not from the request.
     RenewedFromAnswer,
-    /// Take-overs are not guarded by the leader record, nor by the token's.
+    /// Take-overs are guarded by neither the leader record nor the token record.
     NoGuards,
-    /// Only the guard on the leader record is missing.
+    /// Take-overs lack the guard on the leader record.
     NoLeaderGuard,
-    /// Only the guard on the token is missing.
+    /// Take-overs lack the guard on the token record.
     NoTokenGuard,
-    /// A leader is sure for a tick longer than its lease.
+    /// A leader trusts its lease for one tick too long.
     LeaseTrustedTooLong,
-    /// The cancel is told before it is recorded.
+    /// A cancel is confirmed to the user before it is recorded.
     ConfirmsBeforeCommit,
-    /// What an unsure leader's own users have cancelled is renewed without a stop.
+    /// A leader answers the worker of a cancelled task without a stop order.
     NoStops,
-    /// A sure leader stops what was cancelled only once it has heard that the end is recorded: others may read it before.
+    /// A leader with a valid lease stops a cancelled task only once it knows that the end is recorded, which others may
+    /// read earlier.
     StopsAfterCommitAnswer,
-    /// A lease delegate does not mind that it, or its worker, knows a higher token.
+    /// A lease delegate goes on although it, or its worker, knows a higher token.
     DelegateIgnoresHigherToken,
-    /// A life takes over from its own record too.
+    /// A process also replaces a leader record of its own incarnation.
     NoIncarnationCheck,
     /// The end of a job is not guarded by the leader record.
     UnguardedEnd,
 }
 
-/// How much may go wrong, so that the search ends.
+/// Limits on the faults in a history, which keep the search finite.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     pub durations: Durations,
     pub nodes: usize,
     pub restarts: u8,
     pub outages: u8,
-    /// The highest token that may be given out.
+    /// The highest token that may be issued.
     pub tokens: u8,
-    /// Answers to workers, answers to renewals and words to lease delegates may be under way while all else goes on, and
-    /// transactions may come twice. Without it they come in the step in which they are given, or never; transactions
-    /// may be late all the same.
+    /// Answers to workers, answers to renewals and delegations may be delayed, and transactions may arrive twice. Without
+    /// it they arrive in the step that sends them, or never; transactions may be delayed all the same.
     pub late: bool,
-    /// Nothing is taken at once (`ModelState::normalize`): each word, charge and renewal is a step that may be missing.
+    /// No shortcuts (see `ModelState::normalize`): each attestation, delegation and renewal is a step that may be missing.
     pub unreduced: bool,
     pub mutation: Mutation,
 }
@@ -160,10 +171,10 @@
     last_attested: u8,
     question_age: u8,
     answered: u8,
-    /// Age of a renewal that the state service has carried out and whose answer is under way.
+    /// Age of a renewal that the state service has carried out and whose answer is in flight.
     renewing: u8,
     knows_cancel: bool,
-    /// It has heard that the end stands (looked at with `Mutation::StopsAfterCommitAnswer` alone).
+    /// The node knows that the end is recorded (used by `Mutation::StopsAfterCommitAnswer` alone).
     heard_end: bool,
     has_led: bool,
     delegation: Option<Delegation>,
@@ -187,7 +198,7 @@
         delegation: None,
     };
 
-    /// `election::step_down`, of what the node itself remembers.
+    /// The part of `election::step_down` that concerns the node's own memory.
     fn reset(&mut self) {
         let Node {
             has_read,
@@ -205,18 +216,18 @@
         };
     }
 
-    /// `election::sure`.
+    /// `lease::has_valid_lease`.
     fn has_valid_lease(&self, b: &Bounds) -> bool {
         let valid_for = b.durations.ttl + u8::from(b.mutation == Mutation::LeaseTrustedTooLong);
         self.role == Role::Leader && self.renewed < valid_for
     }
 
-    /// `election::decides`.
+    /// `lease::may_decide`.
     fn may_decide(&self, b: &Bounds) -> bool {
         self.loaded && self.has_valid_lease(b)
     }
 
-    /// `renewal::may_renew`.
+    /// `lease_bound::may_renew`.
     fn may_renew(&self, b: &Bounds) -> bool {
         let bound = match b.mutation {
             Mutation::NoBound => NEVER + 1,
@@ -229,13 +240,14 @@
             && (self.has_valid_lease(b) || self.last_attested < bound)
     }
 
-    /// `word_came`: what it says of tokens proves that nobody above this one has told of a cancel.
+    /// `lease_bound::attestation_received`: the node knows no higher token, which proves that no later leader has
+    /// confirmed a cancel.
     fn attests(&self, token: u8, b: &Bounds) -> bool {
         self.attested_token(b)
             .is_some_and(|t| t <= token || b.mutation == Mutation::AttestsAnyToken)
     }
 
-    /// `lease delegate::delegation_for`.
+    /// `lease_delegate::delegation_for`.
     fn may_delegate(&self, b: &Bounds) -> bool {
         match b.mutation {
             Mutation::UnsureLeaderDelegates => self.role == Role::Leader && self.loaded,
@@ -243,7 +255,7 @@
         }
     }
 
-    /// `PeerStatus::token` in `peer_statuses::peer_status`: what a node says of tokens, if it may say anything.
+    /// `PeerStatus::token` in `peer_status::peer_status`: the highest token that a node knows, if it may attest one.
     fn attested_token(&self, b: &Bounds) -> Option<u8> {
         let may = match b.mutation {
             Mutation::UnreadAttests => true,
@@ -256,8 +268,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Transaction {
-    /// The transaction of `election::granted`. `lease` is the age of the lease that the record is to be put on;
-    /// `awaited` whether its node still stands for it, `current_incarnation` whether that life goes on.
+    /// The transaction of `election::write_own_record`. `lease` is the age of the lease that the record will be attached
+    /// to, `awaited` whether its sender is still a candidate with it, and `current_incarnation` whether the process that
+    /// sent it still runs. `leader` is the token of the leader record that it replaces, 0 for none.
     TakeOver {
         node: u8,
         leader: u8,
@@ -267,31 +280,32 @@
         awaited: bool,
         current_incarnation: bool,
     },
-    /// The end of the job (`commit::Draft::end`), guarded by its sender's leader record.
+    /// The end of the job, guarded by the leader record of its sender, whose token is `leader`.
     End { leader: u8 },
 }
 
-/// The leader record and its lease. Its token stands for its version too, since no two have the same (which is checked).
+/// The leader record and the age of its lease. The token also serves as the record's version, since no two records have
+/// the same token (which is checked).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaderRecord {
     node: u8,
     token: u8,
     lease: u8,
     current_incarnation: bool,
-    /// Its node still waits for the answer to its take-over, and will know the record for its own.
+    /// Its node still waits for the answer to its take-over, and will recognise the record as its own.
     awaited: bool,
-    /// Its node has sent the DELETE of `election::end_lease`.
+    /// Its node has sent the DELETE of `lease::end_lease`.
     released: bool,
 }
 
-/// An answer to a report on its way to the worker.
+/// An answer to a heartbeat in flight to the worker; `sent` is its age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct InFlightAnswer {
     sent: u8,
     token: u8,
 }
 
-/// The word of a leader on its way to a lease delegate.
+/// A delegation in flight from the leader to a lease delegate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct InFlightDelegation {
     to: u8,
@@ -305,15 +319,15 @@
     record: Option<LeaderRecord>,
     token_counter: u8,
     end_recorded: bool,
-    /// A take-over came in under a token that had been given out before.
+    /// A take-over was committed with a token that had been issued before.
     token_reused: bool,
     in_flight: [Option<Transaction>; MAX_IN_FLIGHT],
     delegation_in_flight: Option<InFlightDelegation>,
-    /// The worker: its task is there as long as the world is looked at.
+    /// The highest token that the worker has seen. Its task runs in every state that is explored.
     worker_token: u8,
     worker_lease_age: u8,
     answer_in_flight: Option<InFlightAnswer>,
-    /// Age of the first confirmation of the cancel.
+    /// Age of the first confirmation of the cancel to a user.
     cancel_confirmed: u8,
     restarts: u8,
     outages: u8,
@@ -349,17 +363,17 @@
     AnswerArrives,
 }
 
-/// What comes of a step.
+/// The result of a step.
 pub enum Outcome {
-    /// It can't come now, or changes nothing.
+    /// The step is not enabled, or changes nothing.
     Unchanged,
     Next(ModelState),
-    /// The task is gone in time: nothing can break any more.
+    /// The task has ended in time: no violation can follow.
     TaskEnded,
     Violation(&'static str),
 }
 
-/// `Attestations::note`: how many peers have to vouch.
+/// `Attestations::note`: how many peers have to attest.
 fn attestations_needed(b: &Bounds) -> usize {
     if b.mutation == Mutation::MajorityAttests {
         b.nodes / 2
@@ -378,7 +392,7 @@
 }
 
 impl ModelState {
-    /// Node 0 leads the fleet and all know it; the task runs; nobody has cancelled anything.
+    /// Node 0 leads the fleet and all nodes know it; the task runs; nothing has been cancelled.
     pub fn new(nodes: usize) -> Self {
         let informed = Node {
             has_read: true,
@@ -423,7 +437,7 @@
         }
     }
 
-    /// All steps that may come next, whether or not they can.
+    /// All steps, whether or not they are enabled.
     pub fn steps(b: &Bounds) -> Vec<Step> {
         use Step::*;
         let mut all = vec![
@@ -469,7 +483,7 @@
         all
     }
 
-    /// One step, and what stands afterwards.
+    /// Takes one step.
     pub fn step(&self, step: Step, b: &Bounds) -> Outcome {
         let mut w = *self;
         let done = match step {
@@ -510,7 +524,7 @@
         }
     }
 
-    /// What must never be, beside a cancelled task that lives too long (`tick`).
+    /// The invariant that this state violates. That cancelled tasks end in time is checked in `tick`.
     fn violation(&self, b: &Bounds) -> Option<&'static str> {
         let valid_leases = self.nodes.iter().filter(|n| n.has_valid_lease(b)).count();
         if valid_leases > 1 {
@@ -522,7 +536,7 @@
         None
     }
 
-    /// The same with its nodes in order, since they are alike but for what they know; and where each was before.
+    /// The same state with its nodes sorted, since they are interchangeable, and the former index of each.
     pub fn canonical(&self, b: &Bounds) -> (ModelState, [u8; NODES]) {
         let mut order: [u8; NODES] = std::array::from_fn(|n| n as u8);
         let takes = |n: u8| {
@@ -578,12 +592,12 @@
         }
     }
 
-    /// Makes worlds alike that can't differ in what follows, and takes at once what only helps a task to live.
+    /// Makes states equal that have the same future, and takes steps at once that only prolong a task's life.
     ///
-    /// A renewal of the worker's lease under the token that it obeys already, the word of all peers, and a charge that
-    /// is newer than the lease delegate's under the same token change nothing but how long answers may go on. Whatever can come
-    /// of a world without them can come of the one with them, so the latter alone is looked at, and a task that lives
-    /// too long is found all the same; `Bounds::literal` looks at both.
+    /// Three steps only extend how long leases may be renewed: a renewal of the worker's lease under the token that it
+    /// already obeys, the attestation of all peers, and a newer delegation under the same token. Whatever can follow a
+    /// state without them can also follow the state with them, so only the latter is explored, and a task that lives too
+    /// long is still found. With `Bounds::unreduced` both are explored.
     fn normalize(&mut self, b: &Bounds) {
         for n in 0..b.nodes {
             if !b.unreduced {
@@ -592,7 +606,7 @@
             }
             self.nodes[n].heard_end &= b.mutation == Mutation::StopsAfterCommitAnswer;
             let node = &mut self.nodes[n];
-            // A word that comes for an older question adds nothing.
+            // An answer to a question that is not newer than the last attestation adds nothing.
             if node.question_age != NEVER
                 && node.question_age >= node.last_attested
                 && b.mutation != Mutation::AttestationFromArrival
@@ -619,7 +633,7 @@
             self.in_flight[i] = self.in_flight[i].filter(|t| !self.can_never_commit(t, b));
         }
         self.in_flight.sort_unstable();
-        // Whoever stands for nothing that may still come is given an answer, or gives up.
+        // A candidate whose take-over can no longer arrive has been answered, or gives up.
         for n in 0..b.nodes as u8 {
             let mine = |t: &Transaction| matches!(t, Transaction::TakeOver { node, awaited: true, .. } if *node == n);
             let waits = self.in_flight.iter().flatten().any(mine)
@@ -665,7 +679,7 @@
         }
     }
 
-    /// What comes too late to change anything, since its guards can't hold any more.
+    /// Whether the transaction is too late to change anything, since its guards can no longer hold.
     fn can_never_commit(&self, txn: &Transaction, b: &Bounds) -> bool {
         use Mutation::{NoGuards, NoLeaderGuard, NoTokenGuard, SuccessorKeepsToken, UnguardedEnd};
         let current_leader = self.record.map_or(0, |r| r.token);
@@ -688,7 +702,7 @@
     }
 
     fn tick(mut self, b: &Bounds) -> Outcome {
-        // A renewal's last moment: `lease_s` after the sending of the last report that was answered.
+        // The worker's lease ends `lease_s` after the last answered heartbeat was sent.
         self.worker_lease_age += 1;
         if self.worker_lease_age >= b.durations.lease {
             return Outcome::TaskEnded;
@@ -704,7 +718,7 @@
         {
             record.lease += 1;
         }
-        // It ends up to 100 ms late, never early.
+        // The state service ends a lease up to 100 ms late, never early.
         if self.record.is_some_and(|r| r.lease > b.durations.ttl) {
             self.record = None;
         }
@@ -713,7 +727,7 @@
                 && !self.state_down
             {
                 *lease += 1;
-                // 400 "no such lease".
+                // The state service answers 400 "no such lease".
                 if *lease > b.durations.ttl {
                     *place = None;
                 }
@@ -761,7 +775,7 @@
         Outcome::Next(self)
     }
 
-    /// The state service answers nobody, or everybody again: then leases have their full time.
+    /// A full outage of the state service begins or ends. At its end all leases get their full time again.
     fn outage(&mut self, begins: bool, b: &Bounds) -> bool {
         if begins == self.state_down || begins && self.outages >= b.outages {
             return false;
@@ -779,7 +793,7 @@
         true
     }
 
-    /// The leader record's lease ends: in its time, or by the DELETE of `election::end_lease`, whenever that comes.
+    /// The leader record's lease ends: by expiry, or by the DELETE of `lease::end_lease`, whenever that arrives.
     fn lapse(&mut self, b: &Bounds) -> bool {
         let due = !self.state_down
             && self
@@ -791,8 +805,8 @@
         due
     }
 
-    /// The process ends, and another begins at once (`Node::new`). What it has sent to the state service is still on
-    /// its way, and so is an answer that it gave by way of a relay.
+    /// The process ends and another starts at once (`Node::new`). What it has sent to the state service remains in
+    /// flight, and so does an answer that a peer forwards.
     fn restart(&mut self, n: u8, b: &Bounds) -> bool {
         if self.restarts >= b.restarts {
             return false;
@@ -820,7 +834,7 @@
         true
     }
 
-    /// `shared_state::shared_read` or `shared_changes`, and `leader_observed` with what it says.
+    /// `shared_state::shared_read` or `shared_changes`, followed by `election::leader_observed`.
     fn read(&mut self, n: u8) -> bool {
         if self.state_down {
             return false;
@@ -833,7 +847,7 @@
         let mine = record.filter(|r| r.node == n && r.current_incarnation);
         match node.role {
             Role::Leader if mine.is_none_or(|r| r.token != node.token) => self.step_down(n),
-            // The take-over went through although its answer was lost.
+            // The take-over was committed although its answer was lost.
             Role::Candidate if mine.is_some_and(|r| r.awaited) => self.become_leader(n),
             _ => {}
         }
@@ -853,8 +867,8 @@
         self.node(n).reset();
     }
 
-    /// `election::follow` and `granted`. A node that has read something older than what stands now sends a transaction
-    /// that fails; one that has read what stands sends this one, which may come late.
+    /// `election::follow` and `granted`. A node with an outdated read would send a transaction that fails; one with a
+    /// current read sends this transaction, which may arrive late.
     fn campaign(&mut self, n: u8, b: &Bounds) -> bool {
         let node = *self.node(n);
         let room = self.in_flight.contains(&None) && self.token_counter < b.tokens;
@@ -890,12 +904,12 @@
         let node = self.node(n);
         node.highest = node.highest.max(token_counter);
         node.role = Role::Candidate;
-        // `Role::Candidate::sent`: when the lease was asked for.
+        // `Campaign::sent`: when the lease was requested.
         (node.renewed, node.last_attested) = (0, 0);
         true
     }
 
-    /// `election_tick`, after `give_up_at`: the transaction may still come.
+    /// `election::wait_for_outcome` after `give_up_at`: the transaction may still arrive.
     fn abandon_campaign(&mut self, n: u8) -> bool {
         if self.node(n).role != Role::Candidate {
             return false;
@@ -914,7 +928,7 @@
         true
     }
 
-    /// A transaction comes to the state service; its sender hears of it or not, and it may come once more.
+    /// A transaction arrives at the state service. Its sender may or may not get the answer, and it may arrive again.
     fn arrive(&mut self, i: u8, answered: bool, again: bool, b: &Bounds) -> bool {
         let Some(txn) = self.in_flight[i as usize].filter(|_| !self.state_down) else {
             return false;
@@ -971,7 +985,7 @@
         true
     }
 
-    /// `election::became_leader`, of the record that stands.
+    /// `election::become_leader`, with the stored record.
     fn become_leader(&mut self, n: u8) {
         let Some(rec) = &mut self.record else { return };
         rec.awaited = false;
@@ -982,10 +996,10 @@
         node.highest = node.highest.max(token);
         node.has_led = true;
         node.loaded = false;
-        // Another leader's charge is not dropped: only its time ends it. It is not looked at while this one owns.
+        // A delegation by another leader is not dropped, but ends by time. It is not used while this node leads.
     }
 
-    /// `lease::renewed`; unanswered for now or for ever.
+    /// `lease::renewed`. Without `answered` the answer comes later or never.
     fn renew(&mut self, n: u8, answered: bool) -> bool {
         let node = *self.node(n);
         if self.state_down || node.role != Role::Leader || node.renewing != NEVER {
@@ -1028,7 +1042,7 @@
         true
     }
 
-    /// `shard::start_load` to `load_ended`: all is read back, after the own record stood.
+    /// `recovery::start_load` to `load_ended`: everything is read after the node's own leader record was stored.
     fn load(&mut self, n: u8) -> bool {
         let end_recorded = self.end_recorded;
         let state_down = self.state_down;
@@ -1043,7 +1057,7 @@
         true
     }
 
-    /// `jobs::cancel`, and the first of `send_end`.
+    /// `cancellation::cancel`, and the first `send_end`.
     fn cancel(&mut self, n: u8, b: &Bounds) -> bool {
         let node = self.node(n);
         if !node.may_decide(b) || node.knows_cancel {
@@ -1059,7 +1073,7 @@
         self.send_end(n, b)
     }
 
-    /// `commit::flush_commit`, again after an answer that was lost.
+    /// `commit::flush_commit`, also when it sends again after a lost answer.
     fn send_end(&mut self, n: u8, b: &Bounds) -> bool {
         let node = *self.node(n);
         let txn = Transaction::End { leader: node.token };
@@ -1071,8 +1085,9 @@
         true
     }
 
-    /// Its user is told: by the leader whose transaction was answered (`commit::apply`) or looked at (`verified`), or
-    /// by any node that reads the record (`lookup::end_read`). Later ones (`finals`) say nothing that is new.
+    /// The cancel is confirmed to a user: by the leader whose transaction was answered (`apply::apply`) or verified
+    /// (`commit::verified`), or by any node that reads the record (`query::end_record_received`). Only the first
+    /// confirmation matters, so later ones from a node's answer history are left out.
     fn confirm_cancel(&mut self) -> bool {
         let may = self.end_recorded && !self.state_down && self.cancel_confirmed == NEVER;
         if may {
@@ -1081,10 +1096,10 @@
         may
     }
 
-    /// `peer_status_tick` and `ask_for_attestations`.
+    /// `peer_status::peer_status_tick` and `lease_bound::ask_for_attestations`.
     fn request_attestations(&mut self, n: u8, b: &Bounds) -> bool {
         let node = self.node(n);
-        // With one peer the question and its answer may as well come at once.
+        // With one peer the question and its answer may as well happen at once.
         let newest = node.last_attested == 0 && b.mutation != Mutation::AttestationFromArrival;
         if b.nodes < 3 && !b.unreduced
             || node.role != Role::Leader
@@ -1097,7 +1112,8 @@
         true
     }
 
-    /// A peer answers `Ask::PeerStatus`: `peer_statuses::peer_status`, then `peer_status_received`, `word_came` and `Attestations::note`.
+    /// A peer answers `PeerRequest::PeerStatus`: `peer_status::peer_status`, then `peer_status_received`,
+    /// `attestation_received` and `Attestations::note`.
     fn attest(&mut self, n: u8, peer: u8, b: &Bounds) -> bool {
         let token = self.node(n).token;
         let attests = self.node(peer).attests(token, b);
@@ -1122,7 +1138,7 @@
         true
     }
 
-    /// `election::leader_asserted`, by `Ask::Leads` or a view, heard by a peer.
+    /// `shared_state::leader_asserted`: a peer hears of the leader by `PeerRequest::Leads` or a peer status.
     fn announce_leader(&mut self, n: u8, peer: u8, b: &Bounds) -> bool {
         let leader = *self.node(n);
         let other = self.node(peer);
@@ -1136,7 +1152,8 @@
         true
     }
 
-    /// A peer's view is answered by the leader: `lease delegate::delegation_for` and `note_delegation`, at once or on its way.
+    /// The leader answers a peer status with `lease_delegate::delegation_for`; the peer handles it in `note_delegation`,
+    /// at once or later.
     fn delegate(&mut self, n: u8, peer: u8, late: bool, b: &Bounds) -> bool {
         let leader = *self.node(n);
         if !leader.may_delegate(b) || late && self.delegation_in_flight.is_some() {
@@ -1157,7 +1174,7 @@
         self.note_delegation(peer, delegation, b)
     }
 
-    /// `peer_statuses::peer_status_received`: who owns is heard with it.
+    /// `peer_status::peer_status_received`, which also tells the peer who leads.
     fn note_delegation(&mut self, peer: u8, delegation: Delegation, b: &Bounds) -> bool {
         let node = self.node(peer);
         let before = *node;
@@ -1180,12 +1197,12 @@
         self.note_delegation(to, delegation, b)
     }
 
-    /// `reports::hello` and `take_report`: the token of the answer, or of none. An answer with a stop ends the task, so
-    /// that only its loss is of interest, which is no answer.
+    /// `heartbeat::heartbeat_received` and `take_heartbeat`: the token of the answer, or `None` for no answer. An answer
+    /// with a stop order would end the task, so only its loss is modelled, which equals no answer.
     fn answer_token(&self, n: u8, b: &Bounds) -> Option<u8> {
         let node = &self.nodes[n as usize];
         if node.role == Role::Leader {
-            // `orders_for` and `last_orders`. An end on its way that was not answered counts as recorded.
+            // `orders_for` and `last_orders`. An end in flight that was not answered counts as recorded.
             let stops = match b.mutation {
                 Mutation::NoStops => false,
                 Mutation::StopsAfterCommitAnswer => {
@@ -1196,7 +1213,7 @@
             return (self.worker_token <= node.token && node.may_renew(b) && !stops)
                 .then_some(node.token);
         }
-        // `lease delegate::keeps`.
+        // `lease_delegate::delegate_answer`.
         let delegation = node.delegation?;
         let bound = if b.mutation == Mutation::DelegateNoBound {
             NEVER
@@ -1212,9 +1229,9 @@
         (in_time && !excludes_worker && !below).then_some(delegation.token)
     }
 
-    /// A report is answered; the answer comes in the same tick, or later.
+    /// A heartbeat is answered; the answer arrives in the same step, or later.
     fn heartbeat(&mut self, n: u8, late: bool, b: &Bounds) -> bool {
-        // `reports::outranked`.
+        // `heartbeat::outranked`.
         let node = *self.node(n);
         if node.role == Role::Leader && self.worker_token > node.token && !node.has_valid_lease(b) {
             self.step_down(n);
@@ -1233,7 +1250,7 @@
         self.apply_answer(0, token)
     }
 
-    /// A worker takes an answer: one with a lower token it drops.
+    /// The worker handles an answer; it drops one with a lower token than it has seen.
     fn apply_answer(&mut self, sent: u8, token: u8) -> bool {
         let before = (self.worker_token, self.worker_lease_age);
         if token >= self.worker_token {
@@ -1253,7 +1270,7 @@
 }
 
 impl Step {
-    /// The same with the nodes' first names.
+    /// The step as text, with nodes named by their position in the initial state.
     pub fn named(self, names: &[u8; NODES]) -> String {
         let text = format!("{self:?}");
         let Some((name, args)) = text.trim_end_matches(')').split_once('(') else {
