--- a/crates/control/tests/search.rs
+++ b/crates/control/tests/search.rs
@@ -157,7 +157,7 @@
         tokens,
         late,
         unreduced: false,
-        mutation: Mutation::NoMutation,
+        mutation: Mutation::Original,
     }
 }
 
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -77,7 +77,7 @@
 /// A guard that is removed on purpose, to check that the search detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    NoMutation,
+    Original,
     /// `may_renew` without its bound.
     NoBound,
     /// The bound is one tick longer.
