--- a/crates/control/tests/scripted/mod.rs
+++ b/crates/control/tests/scripted/mod.rs
@@ -30,7 +30,7 @@
 }
 
 impl SentRequest {
-    /// What a transaction puts or takes away below a prefix.
+    /// What a transaction puts or takes away below a under.
     pub fn writes_below(&self, under: &str) -> bool {
         let txn: Value = wire::decode(&self.body).unwrap_or_default();
         let keys = txn["writes"].as_array().into_iter().flatten();
@@ -144,10 +144,10 @@
     pub fn tick_until_sent(
         &mut self,
         what: &str,
-        which: impl Fn(&SentRequest) -> bool,
+        predicate: impl Fn(&SentRequest) -> bool,
     ) -> SentRequest {
         for _ in 0..30 {
-            if let Some(i) = self.sent.iter().position(&which) {
+            if let Some(i) = self.sent.iter().position(&predicate) {
                 return self.sent.remove(i);
             }
             self.now += 50;
@@ -292,12 +292,12 @@
             self.step(Event::Tick);
             for mut sent in std::mem::take(&mut self.sent) {
                 let renews = sent.path.starts_with("/grants/") && sent.method == "POST";
-                let said = if std::mem::replace(&mut sent.seen, true) {
+                let answer = if std::mem::replace(&mut sent.seen, true) {
                     None
                 } else {
                     script(&sent)
                 };
-                match said {
+                match answer {
                     Some(ScriptedAnswer::NoReply) => self.leave_unanswered(&sent),
                     Some(ScriptedAnswer::Reply(status, body)) => self.reply(&sent, status, body),
                     None if sent.path == "/txn" => {
@@ -316,13 +316,15 @@
     pub fn run_until_sent(
         &mut self,
         what: &str,
-        which: impl Fn(&SentRequest) -> bool,
+        predicate: impl Fn(&SentRequest) -> bool,
     ) -> SentRequest {
         for _ in 0..200 {
-            if let Some(i) = self.sent.iter().position(&which) {
+            if let Some(i) = self.sent.iter().position(&predicate) {
                 return self.sent.remove(i);
             }
-            self.run(50, &mut |s| which(s).then_some(ScriptedAnswer::Deferred));
+            self.run(50, &mut |s| {
+                predicate(s).then_some(ScriptedAnswer::Deferred)
+            });
         }
         panic!("{what}: was not sent")
     }
