--- a/crates/control/tests/answers.rs
+++ b/crates/control/tests/answers.rs
@@ -13,7 +13,7 @@
 
 const JOB: &str = "job-000001";
 
-fn state(stage: Stage) -> JobState {
+fn job_state(stage: Stage) -> JobState {
     JobState {
         id: JOB.into(),
         stage,
@@ -22,7 +22,7 @@
     }
 }
 
-fn told(stage: &str) -> Option<(u16, Option<String>)> {
+fn answered_with(stage: &str) -> Option<(u16, Option<String>)> {
     Some((200, Some(stage.into())))
 }
 
@@ -35,12 +35,12 @@
         p
     }
 
-    fn submit(&mut self, conn: u64) {
+    fn submit_job(&mut self, conn: u64) {
         self.client_request(conn, "POST", "/work", wire::encode(&job_spec()));
     }
 
     /// The next request to this path, or to a peer if there is none.
-    fn out(&mut self, path: &str) -> SentRequest {
+    fn expect_sent(&mut self, path: &str) -> SentRequest {
         let sent = self.take_sent(|s| {
             if path.is_empty() {
                 s.is_forwarded()
@@ -51,13 +51,13 @@
         sent.unwrap_or_else(|| panic!("no {path:?} among {:?}", self.sent))
     }
 
-    fn peer_says(&mut self, answer: &PeerResponse) {
-        let sent = self.out("");
+    fn reply_from_peer(&mut self, answer: &PeerResponse) {
+        let sent = self.expect_sent("");
         self.reply(&sent, 200, encode(answer));
     }
 
     /// Another user's cancel is confirmed here, by way of the leader.
-    fn cancel_is_told(&mut self) {
+    fn confirm_cancel_by_leader(&mut self) {
         self.cancel_job(50);
         let i = self
             .sent
@@ -68,57 +68,57 @@
         self.reply(
             &sent,
             200,
-            encode(&PeerResponse::State(state(Stage::Cancelled))),
+            encode(&PeerResponse::State(job_state(Stage::Cancelled))),
         );
-        assert_eq!(self.response_to(50), told("cancelled"));
+        assert_eq!(self.response_to(50), answered_with("cancelled"));
     }
 
-    fn peer_answer(&self, conn: u64) -> Option<PeerResponse> {
+    fn peer_response(&self, conn: u64) -> Option<PeerResponse> {
         let (_, _, body, _) = self.responses.iter().find(|t| t.0 == conn)?;
         decode(body).ok()
     }
 }
 
 /// Asks, and leaves one answer under way, with the body that it will have.
-type UnderWay = fn(&mut NodeHarness) -> (SentRequest, Vec<u8>);
+type PendingAnswer = fn(&mut NodeHarness) -> (SentRequest, Vec<u8>);
 
 /// The leader's word, a read, an acceptance and a peer's word were told as they came, after this node itself had told of
 /// the job's end.
 #[test]
-fn an_answer_under_way_gives_way_to_an_end_told_meanwhile() {
-    let leader: UnderWay = |p| {
+fn pending_answer_yields_to_end_confirmed_meanwhile() {
+    let leader: PendingAnswer = |p| {
         p.query_job(1);
         (
-            p.out(""),
-            encode(&PeerResponse::State(state(Stage::Running))),
+            p.expect_sent(""),
+            encode(&PeerResponse::State(job_state(Stage::Running))),
         )
     };
-    let read: UnderWay = |p| {
+    let read: PendingAnswer = |p| {
         p.query_job(1);
-        p.peer_says(&PeerResponse::Unknown);
-        (p.out("/keys/live/job-000001"), Vec::new())
+        p.reply_from_peer(&PeerResponse::Unknown);
+        (p.expect_sent("/keys/live/job-000001"), Vec::new())
     };
-    let acceptance: UnderWay = |p| {
-        p.submit(1);
-        (p.out("/txn"), wire::encode(&json!({"ledger": 30})))
+    let acceptance: PendingAnswer = |p| {
+        p.submit_job(1);
+        (p.expect_sent("/txn"), wire::encode(&json!({"ledger": 30})))
     };
-    let accepted_by_peer: UnderWay = |p| {
-        p.submit(1);
-        let own = p.out("/txn");
+    let accepted_by_peer: PendingAnswer = |p| {
+        p.submit_job(1);
+        let own = p.expect_sent("/txn");
         p.reply(&own, 503, Vec::new());
         (
-            p.out(""),
-            encode(&PeerResponse::Accepted(state(Stage::Pending))),
+            p.expect_sent(""),
+            encode(&PeerResponse::Accepted(job_state(Stage::Pending))),
         )
     };
-    let looked_up: UnderWay = |p| {
+    let looked_up: PendingAnswer = |p| {
         p.query_job(1);
-        p.peer_says(&PeerResponse::NotNow);
-        let read = p.out("/keys/live/job-000001");
+        p.reply_from_peer(&PeerResponse::NotNow);
+        let read = p.expect_sent("/keys/live/job-000001");
         p.reply(&read, 503, Vec::new());
         (
-            p.out(""),
-            encode(&PeerResponse::State(state(Stage::Pending))),
+            p.expect_sent(""),
+            encode(&PeerResponse::State(job_state(Stage::Pending))),
         )
     };
     let all = [
@@ -131,15 +131,15 @@
     for (what, ask) in all {
         let mut p = NodeHarness::follower();
         let (sent, body) = ask(&mut p);
-        p.cancel_is_told();
+        p.confirm_cancel_by_leader();
         p.reply(&sent, 200, body);
-        assert_eq!(p.response_to(1), told("cancelled"), "{what}");
+        assert_eq!(p.response_to(1), answered_with("cancelled"), "{what}");
     }
 }
 
 /// The same where a peer asks for its user.
 #[test]
-fn a_peer_s_question_is_held_against_the_end_too() {
+fn peer_request_is_answered_with_end_confirmed_meanwhile() {
     let mut p = NodeHarness::follower();
     p.receive_peer_request(&PeerRequest::Lookup {
         job: JOB.into(),
@@ -148,13 +148,19 @@
     p.receive_peer_request(&PeerRequest::Submit {
         spec: Box::new(serde_json::from_value(job_spec()).expect("a job")),
     });
-    let (read, accept) = (p.out("/keys/live/job-000001"), p.out("/txn"));
-    p.cancel_is_told();
+    let (read, accept) = (
+        p.expect_sent("/keys/live/job-000001"),
+        p.expect_sent("/txn"),
+    );
+    p.confirm_cancel_by_leader();
     p.responses.clear();
     for (sent, status) in [(read, 200), (accept, 200)] {
         p.reply(&sent, status, wire::encode(&json!({"ledger": 30})));
-        let answer = p.peer_answer(900);
-        assert_eq!(answer, Some(PeerResponse::State(state(Stage::Cancelled))));
+        let answer = p.peer_response(900);
+        assert_eq!(
+            answer,
+            Some(PeerResponse::State(job_state(Stage::Cancelled)))
+        );
         p.responses.clear();
     }
 }
@@ -162,38 +168,38 @@
 /// A job is accepted at this node while another question for it is between its two reads, the first of which found
 /// nothing: it was told 404 after 201. Now it is read once more.
 #[test]
-fn what_was_accepted_meanwhile_is_not_denied() {
+fn job_accepted_meanwhile_is_not_answered_as_unknown() {
     let mut p = NodeHarness::follower();
     p.query_job(1);
-    p.peer_says(&PeerResponse::Unknown);
-    let live = p.out("/keys/live/job-000001");
+    p.reply_from_peer(&PeerResponse::Unknown);
+    let live = p.expect_sent("/keys/live/job-000001");
     p.reply(&live, 404, Vec::new());
-    p.submit(2);
-    let accept = p.out("/txn");
+    p.submit_job(2);
+    let accept = p.expect_sent("/txn");
     p.reply(&accept, 200, wire::encode(&json!({"ledger": 30})));
     assert_eq!(p.response_to(2), Some((201, Some("pending".into()))));
-    let end = p.out("/keys/end/job-000001");
+    let end = p.expect_sent("/keys/end/job-000001");
     p.reply(&end, 404, Vec::new());
     assert_eq!(p.response_to(1), None, "it looks again");
-    let live = p.out("/keys/live/job-000001");
+    let live = p.expect_sent("/keys/live/job-000001");
     p.reply(&live, 200, Vec::new());
-    assert_eq!(p.response_to(1), told("pending"));
+    assert_eq!(p.response_to(1), answered_with("pending"));
 }
 
 /// A peer's 404 for a question that was handed to it, and a 422, are held against the same.
 #[test]
-fn a_refusal_gives_way_to_what_was_told_meanwhile() {
+fn refusal_yields_to_answer_given_meanwhile() {
     let mut p = NodeHarness::follower();
     p.query_job(1);
-    p.peer_says(&PeerResponse::Unknown);
-    let live = p.out("/keys/live/job-000001");
+    p.reply_from_peer(&PeerResponse::Unknown);
+    let live = p.expect_sent("/keys/live/job-000001");
     p.reply(&live, 503, Vec::new());
-    let handed = p.out("");
+    let handed = p.expect_sent("");
     // It is served again, and another submits the job here.
     p.receive_peer_request(&PeerRequest::Submit {
         spec: Box::new(serde_json::from_value(job_spec()).expect("a job")),
     });
-    let accept = p.out("/txn");
+    let accept = p.expect_sent("/txn");
     p.reply(&accept, 200, wire::encode(&json!({"ledger": 30})));
     p.reply(&handed, 200, encode(&PeerResponse::refused(404, "")));
     assert_eq!(p.response_to(1).map(|a| a.0), Some(503));
@@ -202,9 +208,9 @@
     let mut wide = job_spec();
     wide["cores"] = json!(1000.0);
     p.client_request(1, "POST", "/work", wire::encode(&wide));
-    let denial = p.out("/txn");
+    let denial = p.expect_sent("/txn");
     p.query_job(2);
-    p.peer_says(&PeerResponse::State(state(Stage::Running)));
+    p.reply_from_peer(&PeerResponse::State(job_state(Stage::Running)));
     p.reply(&denial, 200, wire::encode(&json!({"ledger": 30})));
     assert_eq!(p.response_to(1), None, "it looks again");
     p.run_without_answers(2500);
@@ -217,15 +223,15 @@
 
 /// What was told before a question came is no reason to doubt the reads made for it.
 #[test]
-fn an_old_word_does_not_hold_up_a_denial() {
+fn earlier_answer_does_not_delay_not_found() {
     let mut p = NodeHarness::follower();
-    p.submit(2);
-    let accept = p.out("/txn");
+    p.submit_job(2);
+    let accept = p.expect_sent("/txn");
     p.reply(&accept, 200, wire::encode(&json!({"ledger": 30})));
     p.query_job(1);
-    p.peer_says(&PeerResponse::Unknown);
+    p.reply_from_peer(&PeerResponse::Unknown);
     for path in ["/keys/live/job-000001", "/keys/end/job-000001"] {
-        let read = p.out(path);
+        let read = p.expect_sent(path);
         p.reply(&read, 404, Vec::new());
     }
     assert_eq!(p.response_to(1).map(|a| a.0), Some(404));
@@ -233,30 +239,30 @@
 
 /// A node that has become the leader and has read the job meanwhile says what it knows, not what its read found before.
 #[test]
-fn a_leader_holds_denials_against_what_it_knows() {
+fn new_leader_checks_not_found_against_loaded_jobs() {
     let mut p = NodeHarness::new();
     p.learn_shared_state(None);
     p.query_job(1);
-    let live = p.out("/keys/live/job-000001");
+    let live = p.expect_sent("/keys/live/job-000001");
     p.reply(&live, 404, Vec::new());
     for _ in 0..5 {
         p.now += 100;
         p.step(Event::Tick);
     }
-    let grant = p.out("/grants");
+    let grant = p.expect_sent("/grants");
     p.reply(&grant, 200, wire::encode(&json!({"tenancy": 7})));
-    let take = p.out("/txn");
+    let take = p.expect_sent("/txn");
     p.reply(&take, 200, wire::encode(&json!({"ledger": 12})));
     p.recover_one_job();
-    let end = p.out("/keys/end/job-000001");
+    let end = p.expect_sent("/keys/end/job-000001");
     p.reply(&end, 404, Vec::new());
-    assert_eq!(p.response_to(1), told("pending"));
+    assert_eq!(p.response_to(1), answered_with("pending"));
 }
 
 /// A cancel waits for its record. Where the leader can't tell any more whether it still leads, whoever waits was left
 /// without an answer until the connection was given up.
 #[test]
-fn who_waits_for_a_cancel_is_answered_when_the_leader_grows_unsure() {
+fn cancels_are_answered_when_leader_lease_may_have_expired() {
     let mut p = leader_with_one_job();
     p.cancel_job(1);
     p.receive_peer_request(&PeerRequest::Cancel { job: JOB.into() });
@@ -272,19 +278,19 @@
         "{user:?} after {}",
         user.3 - asked
     );
-    assert_eq!(p.peer_answer(900), Some(PeerResponse::NotNow));
+    assert_eq!(p.peer_response(900), Some(PeerResponse::NotNow));
 }
 
 /// A step down answers both kinds of waiters at once.
 #[test]
-fn who_waits_for_a_cancel_is_answered_when_the_leader_steps_down() {
+fn cancels_are_answered_when_leader_steps_down() {
     let mut p = leader_with_one_job();
     p.cancel_job(1);
     p.receive_peer_request(&PeerRequest::Cancel { job: JOB.into() });
-    let txn = p.out("/txn");
+    let txn = p.expect_sent("/txn");
     p.reply_conflict(&txn, &[LEADER_KEY]);
     assert_eq!(
-        (p.response_to(1).map(|a| a.0), p.peer_answer(900)),
+        (p.response_to(1).map(|a| a.0), p.peer_response(900)),
         (Some(503), Some(PeerResponse::NotNow))
     );
     // What it does not know it does not say: neither recorded nor told.
@@ -295,14 +301,14 @@
 /// A cancel comes to the leader before the leader's watch has brought the job, and reads. What the watch has brought by
 /// then is cancelled at once, where it was "come again": before its first start, in the best case.
 #[test]
-fn a_cancel_that_overtakes_the_watch_needs_no_repeat() {
+fn cancel_that_overtakes_the_watch_succeeds() {
     for found in [200, 404] {
         let mut p = NodeHarness::new();
         p.become_leader();
         p.recover_jobs(json!([]));
         p.run_accepting_writes(500);
         p.cancel_job(1);
-        let live = p.out("/keys/live/job-000001");
+        let live = p.expect_sent("/keys/live/job-000001");
         let watch = p
             .take_sent(|s| s.path.starts_with("/changes?under=live/"))
             .expect("watches");
@@ -317,17 +323,17 @@
         p.reply(&live, found, Vec::new());
         if found == 404 {
             // Read before the acceptance, as its answer was on its way for long.
-            let end = p.out("/keys/end/job-000001");
+            let end = p.expect_sent("/keys/end/job-000001");
             p.reply(&end, 404, Vec::new());
         }
         assert_eq!(p.response_to(1), None, "not before its record");
         p.run_accepting_writes(200);
-        assert_eq!(p.response_to(1), told("cancelled"), "{found}");
+        assert_eq!(p.response_to(1), answered_with("cancelled"), "{found}");
     }
 }
 
 /// A leader that has read back a job of three tasks on one machine, of which some are recorded as done.
-fn leader_with(done: u32) -> NodeHarness {
+fn leader_with_results(done: u32) -> NodeHarness {
     let mut p = NodeHarness::new();
     p.become_leader();
     p.learn_machine_types();
@@ -339,33 +345,33 @@
         "part/0/rack/",
         json!([{"key": "part/0/rack/0", "v": {"kinds": [machines]}, "stamp": 9}]),
     );
-    let claims = json!({"job": JOB, "team": "effects", "cores": 2.0, "gpus": 1.0, "mem_gb": 4.0, "attempt": ATTEMPT,
+    let claims = json!({"job": JOB, "team": "effects", "cores": 2.0, "gpus": 1.0, "mem_gb": 4.0, "attempt": EARLIER_ATTEMPT,
         "on": [["host-1", 0, 3]]});
     let results = json!({"job": JOB, "tasks": [[0, done]]});
     let log = json!({"claims": [claims], "done": [results]});
     p.answer_range_read(
         "part/0/log/",
-        json!([{"key": wire::records::log_key(0, ATTEMPT), "v": log, "stamp": 9}]),
+        json!([{"key": wire::records::log_key(0, EARLIER_ATTEMPT), "v": log, "stamp": 9}]),
     );
     p.answer_remaining_reads();
     p
 }
 
 /// An attempt of the leader before.
-const ATTEMPT: u64 = (3 << 32) | 1;
+const EARLIER_ATTEMPT: u64 = (3 << 32) | 1;
 
 impl NodeHarness {
     /// The last task of the job has completed on its machine.
-    fn last_result(&mut self) {
-        let done = |task: u32| json!({"piece": format!("{JOB}/{task}"), "try": ATTEMPT, "stage": "exited", "cause": "done"});
+    fn report_all_tasks_done(&mut self) {
+        let done = |task: u32| json!({"piece": format!("{JOB}/{task}"), "try": EARLIER_ATTEMPT, "stage": "exited", "cause": "done"});
         let report = json!({"burrow": "host-1", "addr": "10.1.0.1:9000", "build": "g8", "hall": "a", "loaners": false,
             "tenure": 1, "tick": 9, "baton": 3, "warningS": null, "pieces": [done(0), done(1), done(2)]});
         self.client_request(70, "POST", "/hello", wire::encode(&report));
     }
 
     /// The transaction under way that ends the job, and how.
-    fn end_under_way(&mut self) -> (SentRequest, String) {
-        let ends = |s: &SentRequest| {
+    fn take_end_transaction(&mut self) -> (SentRequest, String) {
+        let end_stage = |s: &SentRequest| {
             let txn = wire::decode::<Value>(&s.body).unwrap_or_default();
             let mut writes = txn["writes"]
                 .as_array()
@@ -377,7 +383,7 @@
         };
         for _ in 0..20 {
             while let Some(txn) = self.take_sent(|s| s.path == "/txn") {
-                if let Some(stage) = ends(&txn) {
+                if let Some(stage) = end_stage(&txn) {
                     return (txn, stage);
                 }
                 self.reply(&txn, 200, wire::encode(&json!({"ledger": 30 + self.now})));
@@ -392,27 +398,28 @@
 /// A cancel meets the end of the last task: whichever is written first is the end, and all who wait are told it, be they
 /// users or peers, whether the leader hears of its record or has to look for it.
 #[test]
-fn a_job_that_is_cancelled_as_it_ends_has_one_end() {
-    for (cancelled_first, heard) in [(true, true), (true, false), (false, true), (false, false)] {
-        let mut p = leader_with(2);
+fn job_cancelled_while_it_ends_has_one_end() {
+    for (cancelled_first, answered) in [(true, true), (true, false), (false, true), (false, false)]
+    {
+        let mut p = leader_with_results(2);
         if cancelled_first {
             p.cancel_job(1);
         } else {
-            p.last_result();
+            p.report_all_tasks_done();
         }
-        let (txn, stage) = p.end_under_way();
+        let (txn, stage) = p.take_end_transaction();
         assert_eq!(stage, if cancelled_first { "cancelled" } else { "done" });
-        p.last_result();
+        p.report_all_tasks_done();
         p.cancel_job(2);
         p.receive_peer_request(&PeerRequest::Cancel { job: JOB.into() });
-        p.submit(3);
+        p.submit_job(3);
         p.query_job(4);
         assert_eq!(
             [1, 2, 3, 4].map(|conn| p.response_to(conn)),
             [None, None, None, None],
             "nothing from memory"
         );
-        if heard {
+        if answered {
             p.reply(&txn, 200, wire::encode(&json!({"ledger": 2_000_000})));
         } else {
             p.step(Event::Reply {
@@ -421,7 +428,7 @@
             });
             p.now += 300;
             p.step(Event::Tick);
-            let again = p.out("/txn");
+            let again = p.expect_sent("/txn");
             p.reply_conflict(&again, &[END_KEY, LIVE_KEY]);
             while p.answer_end_read(&stage) {}
         }
@@ -435,11 +442,11 @@
         for conn in waited {
             assert_eq!(
                 p.response_to(conn),
-                told(&stage),
-                "{conn}: {cancelled_first} {heard}"
+                answered_with(&stage),
+                "{conn}: {cancelled_first} {answered}"
             );
         }
-        match p.peer_answer(900) {
+        match p.peer_response(900) {
             Some(PeerResponse::State(s)) => assert_eq!(s.stage == Stage::Done, !cancelled_first),
             other => panic!("the peer is told {other:?}"),
         }
@@ -449,7 +456,7 @@
         }
         assert_eq!(
             (p.response_to(3), p.response_to(4)),
-            (told(&stage), told(&stage))
+            (answered_with(&stage), answered_with(&stage))
         );
     }
 }
