--- a/crates/control/tests/commands.rs
+++ b/crates/control/tests/commands.rs
@@ -9,27 +9,27 @@
 use wire::peer::{self, PeerRequest, PeerResponse};
 
 /// The connection on which a peer forwards heartbeats.
-const PEER: u64 = 901;
+const PEER_CONN: u64 = 901;
 const SILENT_MS: u64 = 7000;
 
 /// How a worker's heartbeats and commands travel.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Path {
+enum Route {
     Direct,
-    ByPeer,
+    ViaPeer,
 }
 
-impl Path {
+impl Route {
     fn heartbeat(self, p: &mut ScriptedNode, worker: &mut ScriptedWorker) -> Value {
-        if self == Path::Direct {
+        if self == Route::Direct {
             return worker.send_heartbeat(p);
         }
         let body = wire::encode(&worker.next_heartbeat());
         let ask = PeerRequest::Reports {
-            node: p.node_of_a_peer(),
+            node: p.first_peer_name(),
             reports: vec![body.into()],
         };
-        let answer = p.ask_as_peer(&ask);
+        let answer = p.request_as_peer(&ask);
         let PeerResponse::Orders(bodies) = answer else {
             panic!("a forwarded heartbeat is answered by orders: {answer:?}");
         };
@@ -39,10 +39,10 @@
     }
 
     /// The orders of a command that travels this way.
-    fn command(self, sent: &SentRequest) -> Option<Value> {
+    fn command_orders(self, sent: &SentRequest) -> Option<Value> {
         match (self, sent.to) {
-            (Path::Direct, Destination::Worker(_)) => sent.command_body(),
-            (Path::ByPeer, Destination::Peer(_)) => match peer::decode(&sent.body) {
+            (Route::Direct, Destination::Worker(_)) => sent.command_body(),
+            (Route::ViaPeer, Destination::Peer(_)) => match peer::decode(&sent.body) {
                 Ok(PeerRequest::Command { body, .. }) => wire::decode(&body).ok(),
                 _ => None,
             },
@@ -50,26 +50,26 @@
         }
     }
 
-    fn starts(self, sent: &SentRequest) -> bool {
-        self.command(sent)
+    fn contains_start(self, sent: &SentRequest) -> bool {
+        self.command_orders(sent)
             .is_some_and(|orders| order_count(&orders, "start") > 0)
     }
 }
 
-trait Peers {
-    fn node_of_a_peer(&self) -> String;
-    fn ask_as_peer(&mut self, ask: &PeerRequest) -> PeerResponse;
+trait PeerRequests {
+    fn first_peer_name(&self) -> String;
+    fn request_as_peer(&mut self, ask: &PeerRequest) -> PeerResponse;
 }
 
-impl Peers for ScriptedNode {
-    fn node_of_a_peer(&self) -> String {
+impl PeerRequests for ScriptedNode {
+    fn first_peer_name(&self) -> String {
         let text = include_str!("../../../deploy/settings-example.json");
         let settings: wire::settings::Settings =
             serde_json::from_str(text).expect("the example is accepted");
         settings.peers[0].node.clone()
     }
 
-    fn ask_as_peer(&mut self, ask: &PeerRequest) -> PeerResponse {
+    fn request_as_peer(&mut self, ask: &PeerRequest) -> PeerResponse {
         let request = wire::http::Request {
             method: "POST".into(),
             path: peer::PATH.into(),
@@ -85,13 +85,13 @@
         for effect in self.node.handle(
             now,
             Event::Peer {
-                conn: PEER,
+                conn: PEER_CONN,
                 request,
             },
         ) {
             match effect {
                 Effect::Respond {
-                    conn: PEER,
+                    conn: PEER_CONN,
                     response,
                 } => {
                     answer = peer::decode(&response.body).ok();
@@ -134,48 +134,48 @@
 /// Without a socket nothing was sent, so nothing can be executed later: no token need be raised for it, and the starts
 /// go with the next heartbeat's answer. A command that was sent and not answered leaves both open.
 #[test]
-fn a_command_that_was_not_sent_casts_no_doubt() {
-    for (path, sent) in [
-        (Path::Direct, false),
-        (Path::ByPeer, false),
-        (Path::Direct, true),
+fn unsent_command_raises_no_token() {
+    for (route, sent) in [
+        (Route::Direct, false),
+        (Route::ViaPeer, false),
+        (Route::Direct, true),
     ] {
         let mut p = ScriptedNode::new();
         p.become_leader();
         let mut worker = ScriptedWorker::new("host-000001");
-        path.heartbeat(&mut p, &mut worker);
+        route.heartbeat(&mut p, &mut worker);
         p.run(1000, &mut |_| None);
-        path.heartbeat(&mut p, &mut worker);
-        let command = p.run_until_sent("the first starts", |s| path.starts(s));
+        route.heartbeat(&mut p, &mut worker);
+        let command = p.run_until_sent("the first starts", |s| route.contains_start(s));
         p.sent.retain(|s| !raises_token(s));
-        let answer = path.heartbeat(&mut p, &mut worker);
+        let answer = route.heartbeat(&mut p, &mut worker);
         assert_eq!(
             order_count(&answer, "start"),
             0,
-            "while the command is out: {path:?}"
+            "while the command is out: {route:?}"
         );
         if sent {
             p.leave_unanswered(&command);
         } else {
             p.step(Event::Unsent { tag: command.tag });
         }
-        let answer = path.heartbeat(&mut p, &mut worker);
+        let answer = route.heartbeat(&mut p, &mut worker);
         assert_eq!(
             order_count(&answer, "start") > 0,
             !sent,
-            "what is placed is sent again at once: {path:?}, {answer}"
+            "what is placed is sent again at once: {route:?}, {answer}"
         );
         let mut raised = p.sent.iter().any(raises_token);
         p.run(1000, &mut |s| {
             raised |= raises_token(s);
             None
         });
-        assert_eq!(raised, sent, "a higher token: {path:?}");
+        assert_eq!(raised, sent, "a higher token: {route:?}");
         if sent {
             // The command is no longer out: once the worker has seen the higher token, it gets its orders.
-            path.heartbeat(&mut p, &mut worker);
-            let answer = path.heartbeat(&mut p, &mut worker);
-            assert!(order_count(&answer, "start") > 0, "{path:?}: {answer}");
+            route.heartbeat(&mut p, &mut worker);
+            let answer = route.heartbeat(&mut p, &mut worker);
+            assert!(order_count(&answer, "start") > 0, "{route:?}: {answer}");
         }
     }
 }
@@ -183,7 +183,7 @@
 /// A machine that could not be asked for want of a socket has not failed to answer: it is asked again, and stays. One
 /// that was asked and does not answer is returned.
 #[test]
-fn a_machine_that_was_not_asked_is_not_returned() {
+fn machine_is_not_returned_for_unsent_probes() {
     for sent in [false, true] {
         let mut p = ScriptedNode::new();
         let worker = p.become_leader_with_machine();
