--- a/crates/control/tests/door.rs
+++ b/crates/control/tests/door.rs
@@ -13,7 +13,7 @@
 /// Where a restarted node called itself unhealthy until the state service had answered it, each restart in an outage
 /// was a removal, and each doubled the balancer's pause: three nodes up, and connections that found none.
 #[test]
-fn a_node_that_lives_is_healthy() {
+fn running_node_is_ready_without_state_service() {
     let mut p = NodeHarness::new();
     p.client_request(1, "GET", "/ready", Vec::new());
     p.run_without_answers(9000);
@@ -26,7 +26,7 @@
 
 /// Its users are none the worse for it: what it can't know yet, a peer may, and if that is silent, the other.
 #[test]
-fn a_node_that_knows_nothing_yet_hands_submissions_on() {
+fn new_node_forwards_submissions() {
     let mut p = NodeHarness::new();
     p.client_request(1, "POST", "/work", wire::encode(&job_spec()));
     let first = p.take_sent(SentRequest::is_forwarded).expect("handed on");
@@ -48,7 +48,7 @@
 
 /// If nobody is served, a submission is refused at once instead of going round.
 #[test]
-fn where_nobody_is_served_nobody_is_asked() {
+fn submission_is_refused_at_once_when_all_nodes_are_down() {
     let mut p = NodeHarness::new();
     p.receive_peer_status("burrow-1", true);
     p.receive_peer_status("burrow-2", true);
@@ -70,7 +70,7 @@
 
 /// Whoever asks waits 2 s. Leader, state service and peers were each given their own time, 4 s in all.
 #[test]
-fn a_question_ends_while_its_user_waits() {
+fn query_is_answered_within_two_seconds() {
     let mut p = NodeHarness::new();
     p.learn_shared_state(Some("burrow-1"));
     let asked = p.now;
@@ -82,17 +82,17 @@
         .expect("reads");
     p.reply(&read, 404, Vec::new());
     p.run_without_answers(4000);
-    let told = p.responses.iter().find(|t| t.0 == 1).expect("is answered");
+    let response = p.responses.iter().find(|t| t.0 == 1).expect("is answered");
     assert!(
-        told.1 == 503 && told.3 < asked + 2000,
-        "{told:?} after {}",
-        told.3 - asked
+        response.1 == 503 && response.3 < asked + 2000,
+        "{response:?} after {}",
+        response.3 - asked
     );
 }
 
 /// A node that can't read leaves it to one that can, and not to the leader who has just been asked.
 #[test]
-fn what_can_t_be_read_here_is_read_by_another() {
+fn failed_read_is_forwarded_to_a_peer() {
     let mut p = NodeHarness::new();
     p.learn_shared_state(Some("burrow-1"));
     p.query_job(1);
@@ -122,7 +122,7 @@
 
 /// The same for a node that has asked for all that it may.
 #[test]
-fn a_node_without_reads_left_leaves_questions_to_others() {
+fn node_out_of_reads_forwards_queries() {
     let mut p = NodeHarness::new();
     p.learn_shared_state(None);
     (1..200).for_each(|conn| p.query_job(conn));
@@ -131,16 +131,16 @@
         .iter()
         .filter(|s| s.path.starts_with("/keys/live/"))
         .count();
-    let handed = p.forwarded_requests().len();
+    let forwarded = p.forwarded_requests().len();
     assert!(
-        reads > 20 && handed == 199 - reads && p.responses.is_empty(),
-        "{reads} read, {handed} handed on"
+        reads > 20 && forwarded == 199 - reads && p.responses.is_empty(),
+        "{reads} read, {forwarded} handed on"
     );
 }
 
 /// Whoever is asked to look reads at once where the leader was asked before: no question goes in circles.
 #[test]
-fn a_question_does_not_go_back_to_the_leader() {
+fn lookup_past_leader_is_not_sent_back_to_leader() {
     let mut p = NodeHarness::new();
     p.learn_shared_state(Some("burrow-1"));
     p.receive_peer_request(&PeerRequest::Lookup {
@@ -161,7 +161,7 @@
 
 /// A new leader knows what is live from its first page on; nobody else can end it.
 #[test]
-fn a_new_leader_answers_for_what_it_has_read_back() {
+fn new_leader_answers_for_loaded_jobs() {
     let mut p = NodeHarness::new();
     p.become_leader();
     let rec = json!({"spec": job_spec(), "at_ms": 5, "part": 0});
@@ -179,7 +179,7 @@
 
 /// A cancel whose record landed though nobody heard of it: the repeat fails for it, and the user is told what stands.
 #[test]
-fn a_cancel_that_landed_unheard_is_told() {
+fn cancel_committed_without_answer_is_confirmed() {
     let mut p = leader_with_one_job();
     p.cancel_job(1);
     assert_eq!(p.response_to(1), None, "nothing is told before its record");
@@ -199,25 +199,25 @@
 /// A leader whose cancel never landed came back from a cut, found that the next leader had recorded an end, and took it
 /// for its own: it told its users of a cancel where the other had told `done`, and remembered it for good.
 #[test]
-fn another_leader_s_end_is_not_taken_for_one_s_own() {
+fn end_by_another_leader_is_not_taken_as_own() {
     let mut p = leader_with_one_job();
     p.cancel_job(1);
     let again = p.lose_transaction_answer();
     p.reply_conflict(&again, &[LEADER_KEY, END_KEY, LIVE_KEY]);
     p.answer_end_read("done");
-    let told = p.response_to(1);
+    let response = p.response_to(1);
     assert!(
-        told.as_ref().is_none_or(|(status, _)| *status == 503),
-        "told {told:?}"
+        response.as_ref().is_none_or(|(status, _)| *status == 503),
+        "told {response:?}"
     );
     // What it says from now on it has read anew.
     p.query_job(2);
     p.cancel_job(3);
     for conn in [2, 3] {
-        let told = p.response_to(conn);
+        let response = p.response_to(conn);
         assert!(
-            told.as_ref().is_none_or(|(status, _)| *status == 503),
-            "told {told:?}"
+            response.as_ref().is_none_or(|(status, _)| *status == 503),
+            "told {response:?}"
         );
     }
     if let Some(read) = p.take_sent(|s| s.path == "/keys/live/job-000001") {
@@ -230,7 +230,7 @@
 /// A process that stood still for longer than its lease answers nothing from memory, to users or peers, and decides
 /// nothing, though it has heard of no other leader.
 #[test]
-fn an_leader_that_stood_still_answers_nothing_from_memory() {
+fn leader_paused_past_its_lease_answers_nothing_from_memory() {
     let mut p = leader_with_one_job();
     p.query_job(1);
     assert_eq!(p.response_to(1), Some((200, Some("pending".into()))));
@@ -240,9 +240,9 @@
     p.receive_peer_request(&PeerRequest::Query {
         job: "job-000001".into(),
     });
-    let told = p.responses.pop().expect("peers are answered at once");
+    let response = p.responses.pop().expect("peers are answered at once");
     assert_eq!(
-        decode::<PeerResponse>(&told.2).ok(),
+        decode::<PeerResponse>(&response.2).ok(),
         Some(PeerResponse::NotNow)
     );
     p.cancel_job(3);
@@ -255,7 +255,7 @@
 
 /// An answer to a renewal is as good as its sending time, however late it comes: the lease may have ended since.
 #[test]
-fn a_renewal_counts_from_its_sending() {
+fn lease_renewal_counts_from_its_request() {
     let mut p = leader_with_one_job();
     p.now += 1000;
     p.step(Event::Tick);
@@ -272,7 +272,7 @@
 
 /// What was under way in an earlier term of the same process is nothing to the next one: its end may never have landed.
 #[test]
-fn what_an_earlier_term_had_on_its_way_tells_nobody() {
+fn transaction_of_earlier_term_confirms_no_cancel() {
     let mut p = leader_with_one_job();
     p.cancel_job(1);
     let commit = p.take_sent(|s| s.path == "/txn").expect("writes");
@@ -299,7 +299,7 @@
 /// A submission that comes again much later, at a node that knows nothing of it: what stands there is told, through all
 /// three places where it may be.
 #[test]
-fn a_submission_much_later_is_told_what_stands() {
+fn late_repeat_of_submission_gets_stored_state() {
     for end in [None, Some("done"), Some("cancelled")] {
         let mut p = NodeHarness::new();
         p.learn_shared_state(None);
@@ -326,7 +326,7 @@
 /// A take-over that lands after its node has given up on it is waited out like anybody's: a process takes the place of
 /// a former incarnation only, never of itself.
 #[test]
-fn one_s_own_late_take_over_is_waited_out() {
+fn own_late_take_over_is_not_replaced() {
     let mut p = NodeHarness::new();
     p.learn_shared_state(None);
     (0..5).for_each(|_| {
@@ -360,15 +360,15 @@
         );
         p.run_without_answers(1500);
         // Of another life under its name it knows that it is over.
-        let stands = p.sent.iter().any(|s| s.path == "/grants");
-        assert_eq!(stands, incarnation == Some(77), "{incarnation:?}");
+        let campaigns = p.sent.iter().any(|s| s.path == "/grants");
+        assert_eq!(campaigns, incarnation == Some(77), "{incarnation:?}");
     }
 }
 
 /// An end on its way may have landed, and others may have read it and told of it: until its leader knows, it says no more
 /// than what stands in the state service. It went on saying that the job ran.
 #[test]
-fn an_end_on_its_way_is_not_unsaid() {
+fn leader_with_end_in_flight_answers_nothing_from_memory() {
     let mut p = leader_with_one_job();
     p.cancel_job(1);
     assert!(
@@ -385,9 +385,9 @@
     p.receive_peer_request(&PeerRequest::Query {
         job: "job-000001".into(),
     });
-    let told = p.responses.pop().expect("peers are answered at once");
+    let response = p.responses.pop().expect("peers are answered at once");
     assert_eq!(
-        decode::<PeerResponse>(&told.2).ok(),
+        decode::<PeerResponse>(&response.2).ok(),
         Some(PeerResponse::Unknown)
     );
     let read = p
@@ -401,7 +401,7 @@
 /// Whoever is turned away comes back when those before have been served: sent back a second later each time, the same
 /// users filled what an overloaded node could serve.
 #[test]
-fn the_more_are_turned_away_the_later_they_come_back() {
+fn retry_after_grows_with_refused_requests() {
     use control::overload::load_shedding::LONGEST_S;
     const USERS: u64 = 1000;
     let mut p = NodeHarness::new();
@@ -427,7 +427,7 @@
 
 /// What is left to ask the state service goes to questions about accepted jobs before it goes to new ones.
 #[test]
-fn a_flood_of_submissions_leaves_reads_for_questions() {
+fn submission_flood_leaves_reads_for_queries() {
     // Requests are scarcer than changes.
     let mut p = NodeHarness::with(|settings| settings.cluster.state.rps = 30.0);
     p.learn_shared_state_with_types("burrow-1");
@@ -449,7 +449,7 @@
 /// While the state service is away everybody is refused, and may be served the moment it is back: that is no reason to
 /// be sent away for longer, also not for those who only ask.
 #[test]
-fn trouble_elsewhere_sends_nobody_away_for_long() {
+fn retry_after_stays_short_while_state_service_is_down() {
     let mut p = NodeHarness::new();
     p.receive_peer_status("burrow-1", true);
     p.receive_peer_status("burrow-2", true);
