--- a/crates/control/tests/frontend.rs
+++ b/crates/control/tests/frontend.rs
@@ -13,7 +13,7 @@
 /// A flood of submissions to the leader: it accepts no more at once than it may write, and claims and ends find a
 /// part of the second's changes left. Its watch has counted none of them yet.
 #[test]
-fn the_leaders_users_leave_room_for_claims() {
+fn submissions_to_leader_leave_writes_for_claims() {
     let mut p =
         ScriptedNode::with(|settings| settings.cluster.state.write_rps = 30.0 / LEADER_SHARE);
     p.become_leader();
