--- a/crates/control/tests/lease_bound.rs
+++ b/crates/control/tests/lease_bound.rs
@@ -15,14 +15,14 @@
 
 /// Guards against a bound that lets a task outlive a cancel, whatever an operator sets.
 #[test]
-fn what_is_renewed_last_is_gone_in_time() {
+fn last_renewed_lease_ends_within_cancel_time() {
     for lease in [1.0, 10.0, 30.0, 34.0, 600.0] {
         for cancel in [1.0, 30.0, 55.0, 64.0, 3600.0] {
             let bound = bound_ms(&workers(lease, cancel));
             // The leader's clock runs slow and the worker's too.
-            let gone = (bound as f64 + lease * 1000.0) * 1.001;
+            let ended_ms = (bound as f64 + lease * 1000.0) * 1.001;
             assert!(
-                bound == 0 || gone < cancel * 1000.0,
+                bound == 0 || ended_ms < cancel * 1000.0,
                 "{lease} {cancel}: {bound}"
             );
         }
@@ -31,7 +31,7 @@
 
 /// An attestation counts only if all have given it, for the same question.
 #[test]
-fn one_silent_peer_is_enough_to_end_it() {
+fn attestation_needs_all_peers_for_the_same_question() {
     let mut attestations = Attestations::default();
     attestations.ask(1000, 2);
     attestations.answer(1000, 0);
