--- a/crates/control/tests/machines.rs
+++ b/crates/control/tests/machines.rs
@@ -31,7 +31,7 @@
 /// A worker that could open no connection was heard by commands, so that it got new tasks all the time; each was killed
 /// with its lease, which commands do not renew.
 #[test]
-fn a_mute_machine_gets_no_tasks_after_a_while() {
+fn machine_without_heartbeats_gets_no_tasks_late_in_its_lease() {
     let mut p = ScriptedNode::new();
     let mut worker = p.become_leader_with_machine();
     assert_eq!(
@@ -66,7 +66,7 @@
 
 /// What became of tasks on a mute machine is learnt soon: their end, and that of the session.
 #[test]
-fn a_mute_machine_is_asked_what_became_of_its_tasks() {
+fn machine_without_heartbeats_is_asked_for_its_tasks() {
     let mut p = ScriptedNode::new();
     let mut worker = p.become_leader_with_machine();
     run_without_heartbeats(&mut p, &mut worker, SILENT_MS + 2000);
@@ -79,7 +79,7 @@
 /// A start in the answer to a report is under way until the next report. A worker that reports no more, and answers
 /// commands, showed its next session: its tasks were never taken for gone, their room never for free.
 #[test]
-fn what_is_owed_ends_with_the_session() {
+fn unacknowledged_starts_end_with_the_agent_epoch() {
     let mut p = ScriptedNode::new();
     let mut worker = p.become_leader_with_machine();
     let starts = p.run_until_sent("the first starts", |s| s.order_count("start") > 0);
@@ -107,7 +107,7 @@
 
 /// Claims that were recorded for a machine that fell mute meanwhile wait for nothing.
 #[test]
-fn claims_of_which_nothing_was_sent_are_taken_back() {
+fn claims_never_sent_are_withdrawn() {
     let mut p = ScriptedNode::new();
     p.become_leader_with_machine();
     let starts = p.run_until_sent("the first starts", |s| s.order_count("start") > 0);
@@ -117,10 +117,10 @@
     p.leave_unanswered(&starts);
     let mut other = ScriptedWorker::new("host-000002");
     other.send_heartbeat(&mut p);
-    let mut began = 0;
+    let mut started = 0;
     for _ in 0..8 {
         p.run(3000, &mut |s| {
-            began += if s.is_to("host-000002") {
+            started += if s.is_to("host-000002") {
                 s.order_count("start")
             } else {
                 0
@@ -132,18 +132,18 @@
         });
         let body = other.next_heartbeat();
         let answer = p.heartbeat(&body);
-        began += answer.to_string().matches("\"start\"").count();
+        started += answer.to_string().matches("\"start\"").count();
         other.apply_orders(&answer);
     }
     assert_eq!(
-        began, 3,
+        started, 3,
         "the three of the second job, of which nothing was sent"
     );
 }
 
 /// A machine hung as its job was cancelled, and the stop was lost. The next that is asked of it stops the task first.
 #[test]
-fn the_first_contact_after_a_hang_stops_what_was_cancelled() {
+fn first_contact_after_a_hang_stops_cancelled_tasks() {
     let mut p = ScriptedNode::new();
     let mut worker = p.become_leader_with_machine();
     run_without_heartbeats(&mut p, &mut worker, 1500);
@@ -173,7 +173,7 @@
 /// While the state service refused it, who had taken over asked for the same page again and again as fast as refusals
 /// came, and used up what all nodes may ask.
 #[test]
-fn who_reads_back_pauses_before_it_asks_again() {
+fn recovery_pauses_after_a_refused_read() {
     let mut p = ScriptedNode::new();
     let take = p.campaign();
     p.reply(&take, 200, json!({"ledger": 12}));
@@ -189,7 +189,7 @@
 /// A machine went while its inventory shard was being written, and another one took its place in memory: that one was taken to
 /// stand in the record, and got tasks which the next leader would not have known of.
 #[test]
-fn a_machine_in_another_one_s_place_is_not_recorded_yet() {
+fn machine_in_a_reused_place_is_not_taken_as_recorded() {
     let mut p = ScriptedNode::new();
     p.become_leader();
     ScriptedWorker::new("host-000001").send_heartbeat(&mut p);
