--- a/crates/control/tests/pace.rs
+++ b/crates/control/tests/pace.rs
@@ -6,52 +6,52 @@
 const PLAN_MS: u64 = 1000;
 
 /// Plays a node whose plans and other work take so long, and returns how far apart its plans are at the end.
-fn distance(plan_takes: u64, tick_takes: u64) -> u64 {
+fn final_plan_interval(plan_ms: u64, tick_ms: u64) -> u64 {
     let mut plan_pacing = PlanPacing::default();
-    let (mut now, mut planned_at, mut apart) = (0, 0, 0);
+    let (mut now, mut planned_at, mut interval) = (0, 0, 0);
     for _ in 0..4000 {
         plan_pacing.ticked(now, TICK_MS);
-        let mut takes = tick_takes;
+        let mut busy_ms = tick_ms;
         if now >= planned_at + plan_pacing.interval(PLAN_MS) {
-            apart = now - planned_at;
+            interval = now - planned_at;
             planned_at = now;
             plan_pacing.planned();
-            takes += plan_takes;
+            busy_ms += plan_ms;
         }
-        now += takes.max(TICK_MS);
+        now += busy_ms.max(TICK_MS);
     }
-    apart
+    interval
 }
 
 #[test]
-fn a_node_in_time_plans_as_often_as_it_should() {
-    for (plan_takes, tick_takes) in [(0, 0), (100, 0), (300, 20), (450, 50)] {
-        let apart = distance(plan_takes, tick_takes);
-        assert!(apart < PLAN_MS + 2 * TICK_MS, "{plan_takes}: {apart}");
+fn node_on_time_plans_at_the_set_interval() {
+    for (plan_ms, tick_ms) in [(0, 0), (100, 0), (300, 20), (450, 50)] {
+        let interval = final_plan_interval(plan_ms, tick_ms);
+        assert!(interval < PLAN_MS + 2 * TICK_MS, "{plan_ms}: {interval}");
     }
 }
 
 #[test]
-fn long_plans_leave_half_of_the_time() {
-    for plan_takes in [900, 1500, 2000] {
-        let apart = distance(plan_takes, 0);
-        assert!(apart * 10 >= plan_takes * 15, "{plan_takes}: {apart}");
-        assert!(apart <= plan_takes * 3, "{plan_takes}: {apart}");
+fn long_plans_leave_time_for_other_work() {
+    for plan_ms in [900, 1500, 2000] {
+        let interval = final_plan_interval(plan_ms, 0);
+        assert!(interval * 10 >= plan_ms * 15, "{plan_ms}: {interval}");
+        assert!(interval <= plan_ms * 3, "{plan_ms}: {interval}");
     }
 }
 
 #[test]
-fn plans_are_put_off_but_not_given_up() {
+fn late_node_delays_plans_up_to_a_limit() {
     let longest = PLAN_MS as f64 * MAX_FACTOR;
-    for tick_takes in [200, 400] {
-        let apart = distance(0, tick_takes) as f64;
-        assert!(apart >= longest, "{tick_takes}: {apart}");
-        assert!(apart <= longest + 1000.0, "{tick_takes}: {apart}");
+    for tick_ms in [200, 400] {
+        let interval = final_plan_interval(0, tick_ms) as f64;
+        assert!(interval >= longest, "{tick_ms}: {interval}");
+        assert!(interval <= longest + 1000.0, "{tick_ms}: {interval}");
     }
 }
 
 #[test]
-fn a_node_that_has_caught_up_plans_as_before() {
+fn plan_interval_recovers_once_a_node_is_on_time() {
     let mut plan_pacing = PlanPacing::default();
     let mut now = 0;
     for _ in 0..100 {
@@ -73,7 +73,7 @@
 
 /// A process that stood still for a while plans on as before.
 #[test]
-fn one_long_pause_puts_no_plan_off() {
+fn single_long_pause_does_not_delay_plans() {
     let mut plan_pacing = PlanPacing::default();
     let mut now = 0;
     for _ in 0..100 {
