--- a/crates/control/tests/peers.rs
+++ b/crates/control/tests/peers.rs
@@ -17,14 +17,14 @@
 }
 
 /// The name of the first peer in the example.
-fn peer() -> String {
+fn first_peer_name() -> String {
     let text = include_str!("../../../deploy/settings-example.json");
     let settings: wire::settings::Settings =
         serde_json::from_str(text).expect("the example is accepted");
     settings.peers[0].node.clone()
 }
 
-fn post(node: &mut Node, body: Vec<u8>) -> Response {
+fn post_to_peer_path(node: &mut Node, body: Vec<u8>) -> Response {
     let request = Request {
         method: "POST".into(),
         path: wire::peer::PATH.into(),
@@ -39,8 +39,8 @@
     answer.expect("every peer is answered")
 }
 
-fn ask(node: &mut Node, ask: &PeerRequest) -> (u16, Option<PeerResponse>) {
-    let response = post(node, encode(ask));
+fn send_peer_request(node: &mut Node, request: &PeerRequest) -> (u16, Option<PeerResponse>) {
+    let response = post_to_peer_path(node, encode(request));
     (response.status, decode(&response.body).ok())
 }
 
@@ -59,41 +59,47 @@
 }
 
 #[test]
-fn a_view_is_taken_from_peers_alone() {
+fn peer_status_is_accepted_from_known_peers_only() {
     let mut node = node();
     assert!(matches!(
-        ask(&mut node, &PeerRequest::PeerStatus(peer_status(&peer()))),
+        send_peer_request(
+            &mut node,
+            &PeerRequest::PeerStatus(peer_status(&first_peer_name()))
+        ),
         (200, Some(PeerResponse::PeerStatus(_)))
     ));
     assert_eq!(
-        ask(&mut node, &PeerRequest::PeerStatus(peer_status("nobody"))).0,
+        send_peer_request(&mut node, &PeerRequest::PeerStatus(peer_status("nobody"))).0,
+        400
+    );
+    assert_eq!(
+        post_to_peer_path(&mut node, b"\xff\x00nothing".to_vec()).status,
         400
     );
-    assert_eq!(post(&mut node, b"\xff\x00nothing".to_vec()).status, 400);
 }
 
 /// A token that was never given out would send all workers to whoever claims it, and would end every vouching.
 #[test]
-fn an_absurd_token_is_refused_and_counted() {
+fn out_of_range_token_is_refused_and_counted() {
     let mut node = node();
     for token in [1 << 31, u64::MAX] {
         assert_eq!(
-            ask(
+            send_peer_request(
                 &mut node,
                 &PeerRequest::PeerStatus(PeerStatus {
                     leads: Some(token),
-                    ..peer_status(&peer())
+                    ..peer_status(&first_peer_name())
                 })
             )
             .0,
             400
         );
         assert_eq!(
-            ask(
+            send_peer_request(
                 &mut node,
                 &PeerRequest::PeerStatus(PeerStatus {
                     token: Some(token),
-                    ..peer_status(&peer())
+                    ..peer_status(&first_peer_name())
                 })
             )
             .0,
@@ -101,7 +107,10 @@
         );
     }
     assert_eq!(node.stats().bad_answers, 4);
-    let (_, answer) = ask(&mut node, &PeerRequest::PeerStatus(peer_status(&peer())));
+    let (_, answer) = send_peer_request(
+        &mut node,
+        &PeerRequest::PeerStatus(peer_status(&first_peer_name())),
+    );
     let Some(PeerResponse::PeerStatus(seen)) = answer else {
         panic!("not a view: {answer:?}")
     };
@@ -114,15 +123,18 @@
 
 /// Times without end are only old.
 #[test]
-fn an_absurd_time_does_no_harm() {
+fn huge_state_age_is_accepted() {
     let mut node = node();
-    let ages = PeerStatus {
+    let status = PeerStatus {
         state_ms: Some(u64::MAX),
         hears_no_agents: true,
         spreads: false,
-        ..peer_status(&peer())
+        ..peer_status(&first_peer_name())
     };
-    assert_eq!(ask(&mut node, &PeerRequest::PeerStatus(ages)).0, 200);
+    assert_eq!(
+        send_peer_request(&mut node, &PeerRequest::PeerStatus(status)).0,
+        200
+    );
     node.handle(
         Now {
             mono: 5000,
@@ -133,39 +145,42 @@
 }
 
 #[test]
-fn reports_are_taken_from_peers_in_bounded_number_by_the_leader() {
+fn heartbeat_batch_needs_a_known_sender_a_bounded_size_and_a_leader() {
     let mut node = node();
     let reports = |node: &str, n: usize| PeerRequest::Reports {
         node: node.to_owned(),
         reports: vec![ByteBuf::from(b"no report".to_vec()); n],
     };
-    assert_eq!(ask(&mut node, &reports("nobody", 1)).0, 400);
-    assert_eq!(ask(&mut node, &reports(&peer(), 5000)).0, 400);
+    assert_eq!(send_peer_request(&mut node, &reports("nobody", 1)).0, 400);
     assert_eq!(
-        ask(&mut node, &reports(&peer(), 1)),
+        send_peer_request(&mut node, &reports(&first_peer_name(), 5000)).0,
+        400
+    );
+    assert_eq!(
+        send_peer_request(&mut node, &reports(&first_peer_name(), 1)),
         (200, Some(PeerResponse::NotNow))
     );
 }
 
 /// A node commands no worker but those that it serves for the leader at present.
 #[test]
-fn nobody_is_told_anything_who_is_not_served_here() {
+fn command_for_a_worker_not_served_here_is_refused() {
     let mut node = node();
     for addr in ["10.1.0.7:9000", "nowhere"] {
-        let tell = PeerRequest::Command {
+        let command = PeerRequest::Command {
             machine: "host-1".into(),
             addr: addr.into(),
             body: ByteBuf::new(),
         };
         assert_eq!(
-            ask(&mut node, &tell),
+            send_peer_request(&mut node, &command),
             (200, Some(PeerResponse::refused(421, "")))
         );
     }
 }
 
 /// Sends of a node to the state service whose path begins so, by their tags.
-fn sent(effects: &[Effect], start: &str) -> Option<u64> {
+fn sent_tag(effects: &[Effect], start: &str) -> Option<u64> {
     effects.iter().find_map(|e| match e {
         Effect::Send { tag, path, .. } if path.starts_with(start) => Some(*tag),
         _ => None,
@@ -175,12 +190,12 @@
 /// What a node says of tokens is proof for an earlier leader that it may go on renewing leases. It said less than it had
 /// known once an older read came in late, and could have vouched against its own term.
 #[test]
-fn the_highest_token_that_was_known_is_never_unsaid() {
+fn reported_highest_token_never_decreases() {
     let mut node = node();
     let read = |node: &mut Node, mono: u64, token: u64| {
         let now = Now { mono, wall: mono };
-        let tag =
-            sent(&node.handle(now, Event::Tick), "/keys?under=sys/").expect("reads what is shared");
+        let tag = sent_tag(&node.handle(now, Event::Tick), "/keys?under=sys/")
+            .expect("reads what is shared");
         let item =
             serde_json::json!({"key": wire::records::TOKEN, "v": {"token": token}, "stamp": token});
         let body = wire::encode(&serde_json::json!({"items": [item], "more": false, "ledger": 9}));
@@ -192,7 +207,11 @@
         });
         node.handle(now, Event::Reply { tag, response });
     };
-    let known = |node: &mut Node| match ask(node, &PeerRequest::PeerStatus(peer_status(&peer()))).1
+    let known = |node: &mut Node| match send_peer_request(
+        node,
+        &PeerRequest::PeerStatus(peer_status(&first_peer_name())),
+    )
+    .1
     {
         Some(PeerResponse::PeerStatus(peer_status)) => peer_status.token,
         answer => panic!("not a view: {answer:?}"),
@@ -204,7 +223,7 @@
         mono: 3000,
         wall: 3000,
     };
-    let watch = sent(&node.handle(now, Event::Tick), "/changes?under=sys/")
+    let watch = sent_tag(&node.handle(now, Event::Tick), "/changes?under=sys/")
         .expect("watches what is shared");
     node.handle(
         now,
