--- a/crates/control/tests/precedence.rs
+++ b/crates/control/tests/precedence.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn reports_and_cancels_go_before_new_work() {
+fn heartbeats_and_cancels_precede_submissions() {
     let cases = [
         ("POST", "/hello", Precedence::Worker),
         ("GET", "/ready", Precedence::Worker),
@@ -44,16 +44,17 @@
 
 /// What a backlog ought to do, by a walk over a plain list.
 #[derive(Default)]
-struct Listed(Vec<(u64, Precedence, usize)>);
+struct ReferenceBacklog(Vec<(u64, Precedence, usize)>);
 
-impl Listed {
+impl ReferenceBacklog {
     fn pop(&mut self, now: u64) -> Option<Next<usize>> {
-        for (precedence, waits) in [
+        for (precedence, max_wait_ms) in [
             (Precedence::Submission, SUBMISSION_WAITS_MS),
             (Precedence::Question, QUESTION_WAITS_MS),
         ] {
-            let is_late =
-                |(came, p, _): &(u64, Precedence, usize)| *p == precedence && now > came + waits;
+            let is_late = |(arrived, p, _): &(u64, Precedence, usize)| {
+                *p == precedence && now > arrived + max_wait_ms
+            };
             if let Some(index) = self.0.iter().position(is_late) {
                 return Some(Next::Refuse(self.0.remove(index).2));
             }
@@ -66,22 +67,22 @@
 proptest! {
     /// Nothing is lost or served twice, whatever comes and however long it waits.
     #[test]
-    fn a_backlog_serves_as_a_plain_list_would(
+    fn backlog_matches_reference_list(
         steps in prop::collection::vec((0u64..400, 0usize..6, any::<bool>()), 1..300)
     ) {
-        let (mut backlog, mut listed) = (Backlog::default(), Listed::default());
+        let (mut backlog, mut reference) = (Backlog::default(), ReferenceBacklog::default());
         let mut now = 0;
-        for (item, (passes, precedence, pops)) in steps.into_iter().enumerate() {
-            now += passes;
+        for (item, (elapsed, precedence, pops)) in steps.into_iter().enumerate() {
+            now += elapsed;
             if pops {
-                prop_assert_eq!(backlog.pop(now), listed.pop(now));
+                prop_assert_eq!(backlog.pop(now), reference.pop(now));
             } else {
                 backlog.push(now, ALL[precedence], item);
-                listed.0.push((now, ALL[precedence], item));
+                reference.0.push((now, ALL[precedence], item));
             }
-            prop_assert_eq!(backlog.is_empty(), listed.0.is_empty());
+            prop_assert_eq!(backlog.is_empty(), reference.0.is_empty());
         }
-        let rest = listed.0.len();
+        let rest = reference.0.len();
         prop_assert_eq!(backlog.drain().count(), rest);
     }
 }
