--- a/crates/control/tests/relay.rs
+++ b/crates/control/tests/relay.rs
@@ -52,7 +52,7 @@
     p.tick_until_sent("a batch of reports", is_batch)
 }
 
-fn reports_in(sent: &SentRequest) -> usize {
+fn batch_size(sent: &SentRequest) -> usize {
     match peer::decode::<PeerRequest>(&sent.body) {
         Ok(PeerRequest::Reports { reports, .. }) => reports.len(),
         _ => 0,
@@ -60,8 +60,8 @@
 }
 
 fn response_status(p: &ScriptedNode, conn: u64) -> Option<u16> {
-    let told = p.responses.iter().rev().find(|(c, _, _)| *c == conn);
-    told.map(|(_, status, _)| *status)
+    let response = p.responses.iter().rev().find(|(c, _, _)| *c == conn);
+    response.map(|(_, status, _)| *status)
 }
 
 /// Were they redirected, a whole follower's workers would connect to a leader that is late already. With 3,996 machines
@@ -82,7 +82,7 @@
 
 /// A leader that this follower does not hear may be reached by workers themselves.
 #[test]
-fn workers_are_redirected_to_a_leader_that_is_cut_off_from_here() {
+fn workers_are_redirected_to_a_leader_unreachable_from_here() {
     let mut p = ScriptedNode::new();
     let mut worker = ScriptedWorker::new("host-000001");
     announce_slow_leader(&mut p);
@@ -97,7 +97,7 @@
 
 /// A leader that is late gets fewer batches, with more in each.
 #[test]
-fn reports_gather_while_a_batch_is_out() {
+fn heartbeats_accumulate_while_a_batch_is_in_flight() {
     let mut p = ScriptedNode::new();
     announce_slow_leader(&mut p);
     let mut workers: Vec<ScriptedWorker> = (1..5)
@@ -113,6 +113,6 @@
     }
     p.now += 100;
     p.step(Event::Tick);
-    assert_eq!(reports_in(&take_batch(&mut p)), 3, "after 400 ms they go");
+    assert_eq!(batch_size(&take_batch(&mut p)), 3, "after 400 ms they go");
     p.leave_unanswered(&first);
 }
