--- a/crates/control/tests/tuning.rs
+++ b/crates/control/tests/tuning.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_setting_that_is_refused_is_named_with_what_is_wrong() {
+fn refused_setting_is_named_with_the_reason() {
     let unknown = "[owner] ttl: unknown setting";
     assert_eq!(refusal("owner", "ttl", "1"), unknown);
     let not_a_number = "[owner] ttl_ms: not a number: \"soon\"";
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_setting_within_its_bounds_is_taken() {
+fn setting_within_its_bounds_is_accepted() {
     let mut tuning = Tuning::default();
     assert_eq!(tuning.set("owner", "ttl_ms", " 4000 "), Ok(()));
     assert_eq!(tuning.ttl_ms, 4000.0);
