--- a/crates/control/tests/write_limits.rs
+++ b/crates/control/tests/write_limits.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use wire::settings::NextGiven;
 
-fn with_next() -> NodeHarness {
+fn node_with_upcoming_limits() -> NodeHarness {
     let mut p = NodeHarness::with(|settings| {
         settings.cluster.state.next = Some(NextGiven {
             rps: None,
@@ -21,26 +21,30 @@
     p
 }
 
-fn many(n: usize) -> Value {
+fn machine_type_names(n: usize) -> Value {
     let mut names = vec!["g8".to_owned()];
     names.extend((0..n).map(|i| format!("a-type-with-a-long-name-of-its-own-{i:04}")));
     json!(names)
 }
 
-fn told(p: &NodeHarness, conn: u64) -> String {
-    let told = p.responses.iter().find(|t| t.0 == conn);
-    let told = told.unwrap_or_else(|| panic!("answered: {:?}", p.sent));
-    let body: Value = wire::decode(&told.2).expect("readable");
-    format!("{} {}", told.1, body["error"].as_str().unwrap_or_default())
+fn response_text(p: &NodeHarness, conn: u64) -> String {
+    let response = p.responses.iter().find(|t| t.0 == conn);
+    let response = response.unwrap_or_else(|| panic!("answered: {:?}", p.sent));
+    let body: Value = wire::decode(&response.2).expect("readable");
+    format!(
+        "{} {}",
+        response.1,
+        body["error"].as_str().unwrap_or_default()
+    )
 }
 
 /// A job whose record fits today and would not fit then is refused for good, under the guards of its absence, and the
 /// field is named.
 #[test]
-fn a_record_that_would_not_fit_is_refused_before_it_is_accepted() {
+fn job_too_large_for_upcoming_limits_is_refused() {
     let escaped = || json!("\u{1}".repeat(120));
     let cases = [
-        ("builds", vec![("builds", many(60))]),
+        ("builds", vec![("builds", machine_type_names(60))]),
         (
             "lot",
             vec![("lot", escaped()), ("kit", json!("\u{1}".repeat(119)))],
@@ -51,7 +55,7 @@
         ),
     ];
     for (field, values) in cases {
-        let mut p = with_next();
+        let mut p = node_with_upcoming_limits();
         let mut spec = job_spec();
         for (name, value) in values {
             spec[name] = value;
@@ -63,20 +67,20 @@
         let body: Value = wire::decode(&txn.body).expect("a transaction");
         assert!(body.get("writes").is_none(), "{field}: nothing is written");
         p.reply(&txn, 200, wire::encode(&json!({"ledger": 40})));
-        let told = told(&p, 1);
+        let response = response_text(&p, 1);
         assert!(
-            told.starts_with("422") && told.contains(field),
-            "{field}: {told}"
+            response.starts_with("422") && response.contains(field),
+            "{field}: {response}"
         );
     }
 }
 
 /// One that was accepted under larger limits is known, whatever could be accepted now.
 #[test]
-fn a_repeat_of_a_larger_one_is_told_its_state() {
-    let mut p = with_next();
+fn repeat_of_a_larger_accepted_job_is_not_refused() {
+    let mut p = node_with_upcoming_limits();
     let mut spec = job_spec();
-    spec["builds"] = many(60);
+    spec["builds"] = machine_type_names(60);
     p.client_request(1, "POST", "/work", wire::encode(&spec));
     let txn = p
         .take_sent(|s| s.path == "/txn")
@@ -90,13 +94,13 @@
 
 /// Without limits to come the same job is accepted.
 #[test]
-fn without_limits_to_come_it_is_accepted() {
+fn job_is_accepted_without_upcoming_limits() {
     let mut p = NodeHarness::new();
     p.learn_shared_state_with_types("burrow-1");
     p.now += 1000;
     p.step(control::Event::Tick);
     let mut spec = job_spec();
-    spec["builds"] = many(60);
+    spec["builds"] = machine_type_names(60);
     p.client_request(1, "POST", "/work", wire::encode(&spec));
     let txn = p.take_sent(|s| s.path == "/txn").expect("accepts");
     let body: Value = wire::decode(&txn.body).expect("a transaction");
