--- a/crates/control/tests/write_rate.rs
+++ b/crates/control/tests/write_rate.rs
@@ -8,12 +8,12 @@
 /// Submissions that come in one moment.
 const FLOOD: u64 = 60;
 /// What the settings of the example let a follower write in a second, and what those to come will.
-const BEFORE: usize = 9;
-const AFTER: usize = 3;
+const CURRENT_WRITES: usize = 9;
+const UPCOMING_WRITES: usize = 3;
 
-fn node(next: bool) -> NodeHarness {
+fn new_node(has_upcoming_rate: bool) -> NodeHarness {
     let mut p = NodeHarness::with(|settings| {
-        settings.cluster.state.next = next.then_some(NextGiven {
+        settings.cluster.state.next = has_upcoming_rate.then_some(NextGiven {
             rps: None,
             write_rps: Some(10.0),
             value_kb: Some(2.0),
@@ -26,7 +26,7 @@
 }
 
 /// How many of a flood are written down at once.
-fn written(p: &mut NodeHarness) -> usize {
+fn writes_of_flood(p: &mut NodeHarness) -> usize {
     for conn in 0..FLOOD {
         p.client_request(conn, "POST", "/work", wire::encode(&job_spec()));
     }
@@ -34,7 +34,7 @@
 }
 
 /// So many writes are refused as too many; the others, and those that come again, are taken.
-fn refuse(p: &mut NodeHarness, n: usize) {
+fn refuse_writes(p: &mut NodeHarness, n: usize) {
     for _ in 0..n {
         let txn = p.take_sent(|s| s.path == "/txn").expect("writes");
         p.reply(&txn, 429, Vec::new());
@@ -43,32 +43,40 @@
 }
 
 #[test]
-fn refusals_teach_the_smaller_rate_for_a_while() {
-    let mut p = node(true);
-    assert_eq!(written(&mut p), BEFORE, "until then all of the larger one");
-    refuse(&mut p, 3);
-    assert_eq!(written(&mut p), AFTER);
-    refuse(&mut p, 0);
-    assert_eq!(written(&mut p), AFTER, "it is kept to");
-    refuse(&mut p, 0);
+fn refusals_lower_the_write_rate_for_a_while() {
+    let mut p = new_node(true);
+    assert_eq!(
+        writes_of_flood(&mut p),
+        CURRENT_WRITES,
+        "until then all of the larger one"
+    );
+    refuse_writes(&mut p, 3);
+    assert_eq!(writes_of_flood(&mut p), UPCOMING_WRITES);
+    refuse_writes(&mut p, 0);
+    assert_eq!(writes_of_flood(&mut p), UPCOMING_WRITES, "it is kept to");
+    refuse_writes(&mut p, 0);
     p.run_accepting_writes(31_000);
-    assert_eq!(written(&mut p), BEFORE, "none was refused for a while");
+    assert_eq!(
+        writes_of_flood(&mut p),
+        CURRENT_WRITES,
+        "none was refused for a while"
+    );
 }
 
 /// One refusal now and then is what bursts at several nodes bring about.
 #[test]
-fn one_refusal_says_nothing() {
-    let mut p = node(true);
-    assert_eq!(written(&mut p), BEFORE);
-    refuse(&mut p, 1);
-    assert_eq!(written(&mut p), BEFORE);
+fn single_refusal_does_not_lower_the_write_rate() {
+    let mut p = new_node(true);
+    assert_eq!(writes_of_flood(&mut p), CURRENT_WRITES);
+    refuse_writes(&mut p, 1);
+    assert_eq!(writes_of_flood(&mut p), CURRENT_WRITES);
 }
 
 /// Without a rate to come nothing is learned.
 #[test]
-fn without_a_rate_to_come_all_is_as_before() {
-    let mut p = node(false);
-    assert_eq!(written(&mut p), BEFORE);
-    refuse(&mut p, 6);
-    assert_eq!(written(&mut p), BEFORE);
+fn refusals_change_nothing_without_an_upcoming_rate() {
+    let mut p = new_node(false);
+    assert_eq!(writes_of_flood(&mut p), CURRENT_WRITES);
+    refuse_writes(&mut p, 6);
+    assert_eq!(writes_of_flood(&mut p), CURRENT_WRITES);
 }
