--- a/crates/control/tests/answers.rs
+++ b/crates/control/tests/answers.rs
@@ -1,5 +1,5 @@
-//! What users are told when answers under way are overtaken: by what this node has told meanwhile, by the end of a job,
-//! or by a change of leader.
+//! Answers that are outdated by the time they are given: by what this node has answered meanwhile, by the end of the
+//! job, or by a change of leader.
 
 mod node_harness;
 
@@ -27,7 +27,7 @@
 }
 
 impl NodeHarness {
-    /// A follower that knows all it needs.
+    /// A follower that knows the leader and the machine types.
     fn follower() -> Self {
         let mut p = NodeHarness::new();
         p.learn_shared_state(Some("burrow-1"));
@@ -39,7 +39,7 @@
         self.client_request(conn, "POST", "/work", wire::encode(&job_spec()));
     }
 
-    /// The next request to this path, or to a peer if there is none.
+    /// The next request to this path, or with an empty path the next one that is forwarded to a peer.
     fn expect_sent(&mut self, path: &str) -> SentRequest {
         let sent = self.take_sent(|s| {
             if path.is_empty() {
@@ -56,7 +56,7 @@
         self.reply(&sent, 200, encode(answer));
     }
 
-    /// Another user's cancel is confirmed here, by way of the leader.
+    /// Another user's cancel is confirmed through this node, which asked the leader.
     fn confirm_cancel_by_leader(&mut self) {
         self.cancel_job(50);
         let i = self
@@ -79,11 +79,11 @@
     }
 }
 
-/// Asks, and leaves one answer under way, with the body that it will have.
+/// Sends a user's request; returns the request whose answer is pending, and the body of that answer.
 type PendingAnswer = fn(&mut NodeHarness) -> (SentRequest, Vec<u8>);
 
-/// The leader's word, a read, an acceptance and a peer's word were told as they came, after this node itself had told of
-/// the job's end.
+/// Answers of the leader, of reads, of acceptances and of peers were passed on as they arrived, although this node had
+/// already confirmed the job's end.
 #[test]
 fn pending_answer_yields_to_end_confirmed_meanwhile() {
     let leader: PendingAnswer = |p| {
@@ -122,7 +122,7 @@
         )
     };
     let all = [
-        ("the leader's word", leader),
+        ("an answer of the leader", leader),
         ("a read", read),
         ("an acceptance", acceptance),
         ("a peer's acceptance", accepted_by_peer),
@@ -137,7 +137,7 @@
     }
 }
 
-/// The same where a peer asks for its user.
+/// The same for requests that a peer forwards for its user.
 #[test]
 fn peer_request_is_answered_with_end_confirmed_meanwhile() {
     let mut p = NodeHarness::follower();
@@ -165,8 +165,8 @@
     }
 }
 
-/// A job is accepted at this node while another question for it is between its two reads, the first of which found
-/// nothing: it was told 404 after 201. Now it is read once more.
+/// This node accepts a job while a query for it is between its two reads, the first of which found nothing. The query
+/// was answered 404 although the job had been accepted with 201. The node now reads once more.
 #[test]
 fn job_accepted_meanwhile_is_not_answered_as_unknown() {
     let mut p = NodeHarness::follower();
@@ -186,7 +186,7 @@
     assert_eq!(p.response_to(1), answered_with("pending"));
 }
 
-/// A peer's 404 for a question that was handed to it, and a 422, are held against the same.
+/// A peer's 404 for a forwarded query, and a 422, are also checked against what this node has answered meanwhile.
 #[test]
 fn refusal_yields_to_answer_given_meanwhile() {
     let mut p = NodeHarness::follower();
@@ -195,7 +195,7 @@
     let live = p.expect_sent("/keys/live/job-000001");
     p.reply(&live, 503, Vec::new());
     let handed = p.expect_sent("");
-    // It is served again, and another submits the job here.
+    // The state service serves this node again, and another peer submits the job here.
     p.receive_peer_request(&PeerRequest::Submit {
         spec: Box::new(serde_json::from_value(job_spec()).expect("a job")),
     });
@@ -217,11 +217,11 @@
     assert_eq!(
         p.response_to(1).map(|a| a.0),
         Some(503),
-        "and says nothing where it can't"
+        "and answers 503 where it can't read"
     );
 }
 
-/// What was told before a question came is no reason to doubt the reads made for it.
+/// Reads are not repeated because of an answer that was given before the query arrived.
 #[test]
 fn earlier_answer_does_not_delay_not_found() {
     let mut p = NodeHarness::follower();
@@ -237,7 +237,8 @@
     assert_eq!(p.response_to(1).map(|a| a.0), Some(404));
 }
 
-/// A node that has become the leader and has read the job meanwhile says what it knows, not what its read found before.
+/// A node that has become the leader and has loaded the job meanwhile answers with what it knows, not with what its
+/// earlier read found.
 #[test]
 fn new_leader_checks_not_found_against_loaded_jobs() {
     let mut p = NodeHarness::new();
@@ -259,8 +260,8 @@
     assert_eq!(p.response_to(1), answered_with("pending"));
 }
 
-/// A cancel waits for its record. Where the leader can't tell any more whether it still leads, whoever waits was left
-/// without an answer until the connection was given up.
+/// A cancel is answered once its record is written. When the leader could no longer tell whether its lease was valid,
+/// users and peers that waited for a cancel got no answer until their connection timed out.
 #[test]
 fn cancels_are_answered_when_leader_lease_may_have_expired() {
     let mut p = leader_with_one_job();
@@ -281,7 +282,7 @@
     assert_eq!(p.peer_response(900), Some(PeerResponse::NotNow));
 }
 
-/// A step down answers both kinds of waiters at once.
+/// A leader that steps down answers waiting users and peers at once.
 #[test]
 fn cancels_are_answered_when_leader_steps_down() {
     let mut p = leader_with_one_job();
@@ -293,13 +294,14 @@
         (p.response_to(1).map(|a| a.0), p.peer_response(900)),
         (Some(503), Some(PeerResponse::NotNow))
     );
-    // What it does not know it does not say: neither recorded nor told.
+    // It does not know whether the cancel was recorded, so it answers nothing from memory.
     p.query_job(2);
     assert_eq!(p.response_to(2), None);
 }
 
-/// A cancel comes to the leader before the leader's watch has brought the job, and reads. What the watch has brought by
-/// then is cancelled at once, where it was "come again": before its first start, in the best case.
+/// A cancel reaches the leader before the leader's watch reports the job, so the leader reads the job. If the watch
+/// reports it during the read, the job is cancelled at once, at best before its first start. Formerly the user was
+/// asked to retry.
 #[test]
 fn cancel_that_overtakes_the_watch_succeeds() {
     for found in [200, 404] {
@@ -322,17 +324,21 @@
         );
         p.reply(&live, found, Vec::new());
         if found == 404 {
-            // Read before the acceptance, as its answer was on its way for long.
+            // The read was served before the acceptance, and its answer was delayed.
             let end = p.expect_sent("/keys/end/job-000001");
             p.reply(&end, 404, Vec::new());
         }
-        assert_eq!(p.response_to(1), None, "not before its record");
+        assert_eq!(
+            p.response_to(1),
+            None,
+            "not answered before the end is recorded"
+        );
         p.run_accepting_writes(200);
         assert_eq!(p.response_to(1), answered_with("cancelled"), "{found}");
     }
 }
 
-/// A leader that has read back a job of three tasks on one machine, of which some are recorded as done.
+/// A leader that has loaded a job of three tasks on one machine, the first `done` of which are recorded as done.
 fn leader_with_results(done: u32) -> NodeHarness {
     let mut p = NodeHarness::new();
     p.become_leader();
@@ -357,11 +363,11 @@
     p
 }
 
-/// An attempt of the leader before.
+/// An attempt started by the previous leader.
 const EARLIER_ATTEMPT: u64 = (3 << 32) | 1;
 
 impl NodeHarness {
-    /// The last task of the job has completed on its machine.
+    /// The worker reports that all tasks of the job are done.
     fn report_all_tasks_done(&mut self) {
         let done = |task: u32| json!({"piece": format!("{JOB}/{task}"), "try": EARLIER_ATTEMPT, "stage": "exited", "cause": "done"});
         let report = json!({"burrow": "host-1", "addr": "10.1.0.1:9000", "build": "g8", "hall": "a", "loaners": false,
@@ -369,7 +375,7 @@
         self.client_request(70, "POST", "/hello", wire::encode(&report));
     }
 
-    /// The transaction under way that ends the job, and how.
+    /// The transaction in flight that ends the job, and the stage that it records.
     fn take_end_transaction(&mut self) -> (SentRequest, String) {
         let end_stage = |s: &SentRequest| {
             let txn = wire::decode::<Value>(&s.body).unwrap_or_default();
@@ -391,12 +397,12 @@
             self.now += 50;
             self.step(Event::Tick);
         }
-        panic!("no end among {:?}", self.sent);
+        panic!("no transaction ends the job, among {:?}", self.sent);
     }
 }
 
-/// A cancel meets the end of the last task: whichever is written first is the end, and all who wait are told it, be they
-/// users or peers, whether the leader hears of its record or has to look for it.
+/// A cancel races with the end of the last task. Whichever is written first is the end of the job, and all waiting
+/// users and peers get it, whether the leader's transaction is answered or the leader has to read the record.
 #[test]
 fn job_cancelled_while_it_ends_has_one_end() {
     for (cancelled_first, answered) in [(true, true), (true, false), (false, true), (false, false)]
@@ -417,7 +423,7 @@
         assert_eq!(
             [1, 2, 3, 4].map(|conn| p.response_to(conn)),
             [None, None, None, None],
-            "nothing from memory"
+            "not answered from memory"
         );
         if answered {
             p.reply(&txn, 200, wire::encode(&json!({"ledger": 2_000_000})));
@@ -448,9 +454,9 @@
         }
         match p.peer_response(900) {
             Some(PeerResponse::State(s)) => assert_eq!(s.stage == Stage::Done, !cancelled_first),
-            other => panic!("the peer is told {other:?}"),
+            other => panic!("the peer got {other:?}"),
         }
-        // Who had to be answered from a read, which came before, is told the end too.
+        // Requests that depend on a read served before the end get the end too.
         while let Some(read) = p.take_sent(|s| s.path == "/keys/live/job-000001") {
             p.reply(&read, 200, Vec::new());
         }
