--- a/crates/control/tests/commands.rs
+++ b/crates/control/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to a worker that never leave this host, and those that are not answered: what a leader makes of each.
+//! Commands to a worker that were never sent, and those that got no answer: what a leader concludes from each.
 
 mod scripted;
 
@@ -33,12 +33,12 @@
         let PeerResponse::Orders(bodies) = answer else {
             panic!("a forwarded heartbeat is answered by orders: {answer:?}");
         };
-        let orders: Value = wire::decode(&bodies[0]).expect("orders are such data");
+        let orders: Value = wire::decode(&bodies[0]).expect("orders are decodable");
         worker.apply_orders(&orders);
         orders
     }
 
-    /// The orders of a command that travels this way.
+    /// The orders of a command that is sent by this route.
     fn command_orders(self, sent: &SentRequest) -> Option<Value> {
         match (self, sent.to) {
             (Route::Direct, Destination::Worker(_)) => sent.command_body(),
@@ -97,12 +97,12 @@
                     answer = peer::decode(&response.body).ok();
                 }
                 Effect::Send { tag, path, .. } if path == "/txn" => writes.push(tag),
-                // A probe of a machine that nobody expected stays unanswered.
+                // A probe of an unexpected machine stays unanswered.
                 Effect::Send {
                     to: Destination::Worker(_),
                     ..
                 } => {}
-                other => panic!("not expected: {other:?}"),
+                other => panic!("unexpected effect: {other:?}"),
             }
         }
         for tag in writes {
@@ -131,8 +131,9 @@
     sent.writes_below("sys/token")
 }
 
-/// Without a socket nothing was sent, so nothing can be executed later: no token need be raised for it, and the starts
-/// go with the next heartbeat's answer. A command that was sent and not answered leaves both open.
+/// A command for which no socket was free was not sent, so it can't be executed later: no higher token is needed, and
+/// its starts go with the answer to the next heartbeat. A command that was sent and not answered may still be executed,
+/// so the leader raises its token before it sends the starts again.
 #[test]
 fn unsent_command_raises_no_token() {
     for (route, sent) in [
@@ -152,7 +153,7 @@
         assert_eq!(
             order_count(&answer, "start"),
             0,
-            "while the command is out: {route:?}"
+            "while the command is in flight: {route:?}"
         );
         if sent {
             p.leave_unanswered(&command);
@@ -163,16 +164,16 @@
         assert_eq!(
             order_count(&answer, "start") > 0,
             !sent,
-            "what is placed is sent again at once: {route:?}, {answer}"
+            "claims that were not sent go with the next answer: {route:?}, {answer}"
         );
         let mut raised = p.sent.iter().any(raises_token);
         p.run(1000, &mut |s| {
             raised |= raises_token(s);
             None
         });
-        assert_eq!(raised, sent, "a higher token: {route:?}");
+        assert_eq!(raised, sent, "whether the token is raised: {route:?}");
         if sent {
-            // The command is no longer out: once the worker has seen the higher token, it gets its orders.
+            // The command is no longer in flight: once the worker has seen the higher token, it gets its orders.
             route.heartbeat(&mut p, &mut worker);
             let answer = route.heartbeat(&mut p, &mut worker);
             assert!(order_count(&answer, "start") > 0, "{route:?}: {answer}");
@@ -180,8 +181,8 @@
     }
 }
 
-/// A machine that could not be asked for want of a socket has not failed to answer: it is asked again, and stays. One
-/// that was asked and does not answer is returned.
+/// A machine that could not be probed because no socket was free has not failed to answer: it is probed again and kept.
+/// A machine that was probed and does not answer is returned to the cloud.
 #[test]
 fn machine_is_not_returned_for_unsent_probes() {
     for sent in [false, true] {
@@ -208,6 +209,9 @@
         }
         assert_eq!(returned, sent, "returned, after {probes} probes");
         let least = if sent { 1 } else { 5 };
-        assert!(probes >= least, "asked again and again: {probes} times");
+        assert!(
+            probes >= least,
+            "expected at least {least} probes, got {probes}"
+        );
     }
 }
