--- a/crates/control/tests/door.rs
+++ b/crates/control/tests/door.rs
@@ -1,5 +1,5 @@
-//! A node's answers to users when it knows little, is not served, or others are: who is asked, in which order, and that
-//! whoever asks is answered while he waits.
+//! A node's answers to users while it has loaded little, or while the state service serves only some nodes: which peers
+//! and services are asked, in which order, and that users are answered before they time out.
 
 mod node_harness;
 
@@ -10,8 +10,9 @@
 use serde_json::{Value, json};
 use wire::peer::{PeerRequest, PeerResponse, decode, encode};
 
-/// Where a restarted node called itself unhealthy until the state service had answered it, each restart in an outage
-/// was a removal, and each doubled the balancer's pause: three nodes up, and connections that found none.
+/// A restarted node reported itself unhealthy until the state service had answered it. During an outage each restart
+/// therefore removed the node from the load balancer and doubled the balancer's pause, until connections found no node
+/// although all three were up.
 #[test]
 fn running_node_is_ready_without_state_service() {
     let mut p = NodeHarness::new();
@@ -24,12 +25,14 @@
     );
 }
 
-/// Its users are none the worse for it: what it can't know yet, a peer may, and if that is silent, the other.
+/// A node that can't check a submission yet forwards it to a peer, and to the other peer if the first does not answer.
 #[test]
 fn new_node_forwards_submissions() {
     let mut p = NodeHarness::new();
     p.client_request(1, "POST", "/work", wire::encode(&job_spec()));
-    let first = p.take_sent(SentRequest::is_forwarded).expect("handed on");
+    let first = p
+        .take_sent(SentRequest::is_forwarded)
+        .expect("forwarded to a peer");
     assert!(
         matches!(first.peer_request(), Some(PeerRequest::Submit { .. })),
         "{first:?}"
@@ -40,13 +43,13 @@
     });
     let second = p
         .take_sent(SentRequest::is_forwarded)
-        .expect("handed to another");
+        .expect("forwarded to the other peer");
     assert_ne!(first.to, second.to);
     p.reply(&second, 200, encode(&PeerResponse::refused(422, "")));
     assert_eq!(p.response_status(1), Some(422));
 }
 
-/// If nobody is served, a submission is refused at once instead of going round.
+/// While the state service serves no node, a submission is refused at once instead of being forwarded in circles.
 #[test]
 fn submission_is_refused_at_once_when_all_nodes_are_down() {
     let mut p = NodeHarness::new();
@@ -55,7 +58,7 @@
     p.client_request(1, "POST", "/work", wire::encode(&job_spec()));
     assert_eq!(p.response_status(1), Some(503));
     assert!(p.forwarded_requests().is_empty());
-    // One that is served again gets all of it.
+    // A peer that is served again gets the next submission.
     p.receive_peer_status("burrow-2", false);
     p.client_request(2, "POST", "/work", wire::encode(&job_spec()));
     assert!(
@@ -68,21 +71,25 @@
     );
 }
 
-/// Whoever asks waits 2 s. Leader, state service and peers were each given their own time, 4 s in all.
+/// Users wait 2 s for an answer. Leader, state service and peers each had their own timeout, 4 s in all.
 #[test]
 fn query_is_answered_within_two_seconds() {
     let mut p = NodeHarness::new();
     p.learn_shared_state(Some("burrow-1"));
     let asked = p.now;
     p.query_job(1);
-    // Nobody says anything, but for a read that takes long.
+    // Nothing is answered, except for one slow read.
     p.run_without_answers(1500);
     let read = p
         .take_sent(|s| s.path.starts_with("/keys/live/"))
         .expect("reads");
     p.reply(&read, 404, Vec::new());
     p.run_without_answers(4000);
-    let response = p.responses.iter().find(|t| t.0 == 1).expect("is answered");
+    let response = p
+        .responses
+        .iter()
+        .find(|t| t.0 == 1)
+        .expect("the query is answered");
     assert!(
         response.1 == 503 && response.3 < asked + 2000,
         "{response:?} after {}",
@@ -90,7 +97,7 @@
     );
 }
 
-/// A node that can't read leaves it to one that can, and not to the leader who has just been asked.
+/// A node that can't read forwards the lookup to a peer that can, and not to the leader that it has just asked.
 #[test]
 fn failed_read_is_forwarded_to_a_peer() {
     let mut p = NodeHarness::new();
@@ -120,7 +127,7 @@
     );
 }
 
-/// The same for a node that has asked for all that it may.
+/// The same for a node that has used up its budget of reads.
 #[test]
 fn node_out_of_reads_forwards_queries() {
     let mut p = NodeHarness::new();
@@ -134,11 +141,11 @@
     let forwarded = p.forwarded_requests().len();
     assert!(
         reads > 20 && forwarded == 199 - reads && p.responses.is_empty(),
-        "{reads} read, {forwarded} handed on"
+        "{reads} read, {forwarded} forwarded"
     );
 }
 
-/// Whoever is asked to look reads at once where the leader was asked before: no question goes in circles.
+/// A lookup for which the leader was asked before is read at once, so that no query is forwarded in circles.
 #[test]
 fn lookup_past_leader_is_not_sent_back_to_leader() {
     let mut p = NodeHarness::new();
@@ -159,7 +166,7 @@
     ));
 }
 
-/// A new leader knows what is live from its first page on; nobody else can end it.
+/// A new leader answers for live jobs from the first page of records that it loads; no other node can end them.
 #[test]
 fn new_leader_answers_for_loaded_jobs() {
     let mut p = NodeHarness::new();
@@ -171,33 +178,38 @@
     );
     p.query_job(1);
     assert_eq!(p.response_status(1), Some(200), "{:?}", p.sent);
-    // Once its lease may be over, others may have ended it.
+    // Once its lease may have expired, another leader may have ended the job.
     p.run_without_answers(3000);
     p.query_job(2);
     assert_eq!(p.response_status(2), None);
 }
 
-/// A cancel whose record landed though nobody heard of it: the repeat fails for it, and the user is told what stands.
+/// A cancel is committed but its answer is lost. The repeated transaction fails, and the user gets the stored end.
 #[test]
 fn cancel_committed_without_answer_is_confirmed() {
     let mut p = leader_with_one_job();
     p.cancel_job(1);
-    assert_eq!(p.response_to(1), None, "nothing is told before its record");
+    assert_eq!(
+        p.response_to(1),
+        None,
+        "not answered before the end is recorded"
+    );
     let again = p.lose_transaction_answer();
     p.reply_conflict(&again, &[END_KEY, LIVE_KEY]);
     assert_eq!(
         p.response_to(1),
         None,
-        "a refused repeat alone says nothing"
+        "not answered because of the refused repeat alone"
     );
-    assert!(p.answer_end_read("cancelled"), "what stands is read");
+    assert!(p.answer_end_read("cancelled"), "the end record is read");
     assert_eq!(p.response_to(1), Some((200, Some("cancelled".into()))));
     p.query_job(2);
     assert_eq!(p.response_to(2), Some((200, Some("cancelled".into()))));
 }
 
-/// A leader whose cancel never landed came back from a cut, found that the next leader had recorded an end, and took it
-/// for its own: it told its users of a cancel where the other had told `done`, and remembered it for good.
+/// A leader was cut off before its cancel was committed. When it was back it found that the next leader had recorded an
+/// end, and took that for its own: it confirmed a cancel although the other leader had answered `done`, and kept it in
+/// memory.
 #[test]
 fn end_by_another_leader_is_not_taken_as_own() {
     let mut p = leader_with_one_job();
@@ -210,7 +222,7 @@
         response.as_ref().is_none_or(|(status, _)| *status == 503),
         "told {response:?}"
     );
-    // What it says from now on it has read anew.
+    // From now on it answers only from new reads.
     p.query_job(2);
     p.cancel_job(3);
     for conn in [2, 3] {
@@ -227,8 +239,8 @@
     }
 }
 
-/// A process that stood still for longer than its lease answers nothing from memory, to users or peers, and decides
-/// nothing, though it has heard of no other leader.
+/// A process that was paused for longer than its lease answers neither users nor peers from memory, and decides
+/// nothing, although it has not heard of another leader.
 #[test]
 fn leader_paused_past_its_lease_answers_nothing_from_memory() {
     let mut p = leader_with_one_job();
@@ -253,7 +265,8 @@
     );
 }
 
-/// An answer to a renewal is as good as its sending time, however late it comes: the lease may have ended since.
+/// A lease renewal counts from the time of its request, however late the answer arrives: the lease may have expired
+/// since.
 #[test]
 fn lease_renewal_counts_from_its_request() {
     let mut p = leader_with_one_job();
@@ -270,7 +283,8 @@
     );
 }
 
-/// What was under way in an earlier term of the same process is nothing to the next one: its end may never have landed.
+/// The answer to a transaction of an earlier term of the same process must not confirm a cancel in the next term, whose
+/// own transaction may never be committed.
 #[test]
 fn transaction_of_earlier_term_confirms_no_cancel() {
     let mut p = leader_with_one_job();
@@ -283,7 +297,7 @@
     assert_eq!(
         p.response_to(1).map(|a| a.0),
         Some(503),
-        "who waited is told to come again"
+        "the waiting user is asked to retry"
     );
     p.sent.clear();
     p.become_leader();
@@ -291,13 +305,17 @@
     p.run_accepting_writes(500);
     p.cancel_job(2);
     p.reply(&commit, 200, wire::encode(&json!({"ledger": 14})));
-    assert_eq!(p.response_to(2), None, "told before its record");
+    assert_eq!(
+        p.response_to(2),
+        None,
+        "answered before the end is recorded"
+    );
     p.run_accepting_writes(200);
     assert_eq!(p.response_to(2), Some((200, Some("cancelled".into()))));
 }
 
-/// A submission that comes again much later, at a node that knows nothing of it: what stands there is told, through all
-/// three places where it may be.
+/// A submission is repeated much later, at a node that does not know the job: the answer is the stored state, whether
+/// the job is live, done or cancelled.
 #[test]
 fn late_repeat_of_submission_gets_stored_state() {
     for end in [None, Some("done"), Some("cancelled")] {
@@ -307,7 +325,7 @@
         p.client_request(1, "POST", "/work", wire::encode(&job_spec()));
         let accept = p
             .take_sent(|s| s.path == "/txn")
-            .expect("tries to accept it");
+            .expect("tries to accept the job");
         p.reply_conflict(&accept, &[if end.is_some() { END_KEY } else { LIVE_KEY }]);
         let read = p
             .take_sent(|s| s.path == "/keys/live/job-000001")
@@ -323,8 +341,8 @@
     }
 }
 
-/// A take-over that lands after its node has given up on it is waited out like anybody's: a process takes the place of
-/// a former incarnation only, never of itself.
+/// A take-over that is committed after its node has given up on it must expire like any other node's record: a process
+/// replaces the record of a former incarnation, but never one of its own.
 #[test]
 fn own_late_take_over_is_not_replaced() {
     let mut p = NodeHarness::new();
@@ -359,28 +377,28 @@
             json!([{"key": LEADER_KEY, "v": rec, "stamp": 12}, token]),
         );
         p.run_without_answers(1500);
-        // Of another life under its name it knows that it is over.
+        // It knows that a former incarnation under its name has ended.
         let campaigns = p.sent.iter().any(|s| s.path == "/grants");
         assert_eq!(campaigns, incarnation == Some(77), "{incarnation:?}");
     }
 }
 
-/// An end on its way may have landed, and others may have read it and told of it: until its leader knows, it says no more
-/// than what stands in the state service. It went on saying that the job ran.
+/// An end in flight may have been committed, and others may have read and reported it. Until the leader knows, it
+/// answers only from the state service. It used to go on answering that the job was running.
 #[test]
 fn leader_with_end_in_flight_answers_nothing_from_memory() {
     let mut p = leader_with_one_job();
     p.cancel_job(1);
     assert!(
         p.sent.iter().any(|s| s.path == "/txn"),
-        "its record is on its way"
+        "the end record is in flight"
     );
     p.query_job(2);
     p.client_request(3, "POST", "/work", wire::encode(&job_spec()));
     assert_eq!(
         (p.response_to(2), p.response_to(3)),
         (None, None),
-        "told from memory"
+        "answered from memory"
     );
     p.receive_peer_request(&PeerRequest::Query {
         job: "job-000001".into(),
@@ -398,8 +416,8 @@
     assert_eq!(p.response_to(2), Some((200, Some("cancelled".into()))));
 }
 
-/// Whoever is turned away comes back when those before have been served: sent back a second later each time, the same
-/// users filled what an overloaded node could serve.
+/// Retry-After grows with the number of refused requests, so that users come back once those before them have been
+/// served. When all were asked to retry after one second, the same users filled the capacity of an overloaded node.
 #[test]
 fn retry_after_grows_with_refused_requests() {
     use control::overload::load_shedding::LONGEST_S;
@@ -411,12 +429,12 @@
     }
     let waits: Vec<u32> = (1..=USERS)
         .filter(|conn| p.response_status(*conn) == Some(429))
-        .map(|conn| p.retry_after[&conn].expect("a time to come back"))
+        .map(|conn| p.retry_after[&conn].expect("a Retry-After value"))
         .collect();
     assert!(waits.len() as u64 > USERS / 2, "{}", waits.len());
     assert!(waits.is_sorted(), "{waits:?}");
     assert_eq!((waits.first(), waits.last()), (Some(&1), Some(&LONGEST_S)));
-    // They have been served since.
+    // By now they have been served.
     p.now += u64::from(LONGEST_S) * 1000 + 1000;
     for conn in USERS + 1..=USERS + 100 {
         p.client_request(conn, "POST", "/work", wire::encode(&job_spec()));
@@ -425,10 +443,10 @@
     assert_eq!(first.map(|conn| p.retry_after[&conn]), Some(Some(1)));
 }
 
-/// What is left to ask the state service goes to questions about accepted jobs before it goes to new ones.
+/// The remaining budget of reads goes to queries for accepted jobs before it goes to new submissions.
 #[test]
 fn submission_flood_leaves_reads_for_queries() {
-    // Requests are scarcer than changes.
+    // The rate of requests is lower than the rate of writes.
     let mut p = NodeHarness::with(|settings| settings.cluster.state.rps = 30.0);
     p.learn_shared_state_with_types("burrow-1");
     for conn in 1..=1000 {
@@ -446,8 +464,8 @@
     );
 }
 
-/// While the state service is away everybody is refused, and may be served the moment it is back: that is no reason to
-/// be sent away for longer, also not for those who only ask.
+/// During an outage of the state service all requests are refused, and can be served as soon as it is back. Retry-After
+/// therefore stays short, however many requests are refused.
 #[test]
 fn retry_after_stays_short_while_state_service_is_down() {
     let mut p = NodeHarness::new();
