--- a/crates/control/tests/lease_bound.rs
+++ b/crates/control/tests/lease_bound.rs
@@ -1,4 +1,4 @@
-//! How long a leader may keep workers' leases alive, and whose word it needs for that.
+//! How long a leader may renew workers' leases, and whose attestations it needs for that.
 
 use control::lease_bound::{Attestations, bound_ms};
 use wire::settings::Workers;
@@ -13,13 +13,13 @@
     }
 }
 
-/// Guards against a bound that lets a task outlive a cancel, whatever an operator sets.
+/// Guards against a bound that lets a task outlive its cancel, for any settings of an operator.
 #[test]
 fn last_renewed_lease_ends_within_cancel_time() {
     for lease in [1.0, 10.0, 30.0, 34.0, 600.0] {
         for cancel in [1.0, 30.0, 55.0, 64.0, 3600.0] {
             let bound = bound_ms(&workers(lease, cancel));
-            // The leader's clock runs slow and the worker's too.
+            // Both the leader's clock and the worker's clock run slow.
             let ended_ms = (bound as f64 + lease * 1000.0) * 1.001;
             assert!(
                 bound == 0 || ended_ms < cancel * 1000.0,
@@ -29,7 +29,7 @@
     }
 }
 
-/// An attestation counts only if all have given it, for the same question.
+/// An attestation counts only if all peers have given it in answer to the same question.
 #[test]
 fn attestation_needs_all_peers_for_the_same_question() {
     let mut attestations = Attestations::default();
