--- a/crates/control/tests/machines.rs
+++ b/crates/control/tests/machines.rs
@@ -1,4 +1,5 @@
-//! Machines that answer commands and report nothing, that hang, that come early or late: what one leader does with them.
+//! What a leader does with machines that answer commands but send no heartbeats, that hang, or whose messages arrive
+//! early or late.
 
 mod scripted;
 
@@ -8,7 +9,8 @@
 const SILENT_MS: u64 = 7000;
 const LEASE_MS: u64 = 30_000;
 
-/// Its worker can open no connection for so long, while commands reach it. Starts that it was sent.
+/// Lets `ms` pass in which the worker can open no connection and sends no heartbeat, while commands reach it. Returns
+/// the number of starts that it was sent.
 fn run_without_heartbeats(p: &mut ScriptedNode, worker: &mut ScriptedWorker, ms: u64) -> usize {
     let mut starts = 0;
     p.run(ms, &mut |sent| {
@@ -28,8 +30,8 @@
         .to_owned()
 }
 
-/// A worker that could open no connection was heard by commands, so that it got new tasks all the time; each was killed
-/// with its lease, which commands do not renew.
+/// A worker that could open no connection still answered commands, so it kept getting new tasks. All were killed when
+/// its lease expired, since commands do not renew it.
 #[test]
 fn machine_without_heartbeats_gets_no_tasks_late_in_its_lease() {
     let mut p = ScriptedNode::new();
@@ -37,15 +39,15 @@
     assert_eq!(
         run_without_heartbeats(&mut p, &mut worker, SILENT_MS),
         3,
-        "its tasks begin while it has just reported"
+        "tasks start while its last heartbeat is recent"
     );
     assert_eq!(job_stage(&mut p, "job-000001"), "running");
-    // Another job comes; the machine has room.
+    // Another job arrives; the machine has room for it.
     p.add_live_job("job-000002");
     assert_eq!(
         run_without_heartbeats(&mut p, &mut worker, LEASE_MS - SILENT_MS),
         0,
-        "nothing begins in the last of a lease"
+        "nothing starts late in the lease"
     );
     worker.expire_lease();
     let mut returned = false;
@@ -55,16 +57,16 @@
         returned |= sent.path == "/machines/delete";
         worker.answer_command(sent)
     });
-    assert_eq!(starts, 0, "nor in its next session");
+    assert_eq!(starts, 0, "nothing starts in its next agent epoch");
     assert_eq!(
         job_stage(&mut p, "job-000001"),
         "pending",
-        "what became of its tasks is learnt"
+        "the leader learns that its tasks have ended"
     );
-    assert!(returned, "it is given back once nothing is on it");
+    assert!(returned, "the machine is returned once no task is on it");
 }
 
-/// What became of tasks on a mute machine is learnt soon: their end, and that of the session.
+/// The leader soon learns that tasks on a machine without heartbeats have ended with its agent epoch.
 #[test]
 fn machine_without_heartbeats_is_asked_for_its_tasks() {
     let mut p = ScriptedNode::new();
@@ -76,8 +78,9 @@
     assert_eq!(job_stage(&mut p, "job-000001"), "pending");
 }
 
-/// A start in the answer to a report is under way until the next report. A worker that reports no more, and answers
-/// commands, showed its next session: its tasks were never taken for gone, their room never for free.
+/// A start in the answer to a heartbeat counts as in flight until the next heartbeat. When a worker sent no more
+/// heartbeats and showed its next agent epoch in answers to commands, such tasks were never taken as ended, and their
+/// room never became free.
 #[test]
 fn unacknowledged_starts_end_with_the_agent_epoch() {
     let mut p = ScriptedNode::new();
@@ -91,7 +94,7 @@
     let answer = worker.send_heartbeat(&mut p);
     assert!(
         answer.to_string().contains("job-000002"),
-        "the others go with an answer: {answer}"
+        "the other starts go with an answer: {answer}"
     );
     worker.expire_lease();
     run_without_heartbeats(&mut p, &mut worker, SILENT_MS + 3000);
@@ -102,17 +105,18 @@
         returned |= sent.path == "/machines/delete";
         worker.answer_command(sent)
     });
-    assert!(returned, "nothing is on it any more");
+    assert!(returned, "the machine is returned once no task is on it");
 }
 
-/// Claims that were recorded for a machine that fell mute meanwhile wait for nothing.
+/// Claims recorded for a machine that meanwhile stopped answering are withdrawn if nothing was sent for them.
 #[test]
 fn claims_never_sent_are_withdrawn() {
     let mut p = ScriptedNode::new();
     p.become_leader_with_machine();
     let starts = p.run_until_sent("the first starts", |s| s.order_count("start") > 0);
     p.add_live_job("job-000002");
-    // Recorded while a command is under way, which is never answered: a machine of which nothing is known.
+    // The claims are recorded while a command that is never answered is in flight, so the state of the machine is
+    // unknown.
     p.run(2500, &mut |_| None);
     p.leave_unanswered(&starts);
     let mut other = ScriptedWorker::new("host-000002");
@@ -125,7 +129,7 @@
             } else {
                 0
             };
-            // What is asked of the first goes on without an answer, and so does the cloud.
+            // Commands to the first machine stay unanswered, and so do requests to the cloud.
             other
                 .answer_command(s)
                 .or_else(|| s.is_to("host-000001").then_some(ScriptedAnswer::NoReply))
@@ -137,11 +141,12 @@
     }
     assert_eq!(
         started, 3,
-        "the three of the second job, of which nothing was sent"
+        "the three tasks of the second job, for which nothing was sent"
     );
 }
 
-/// A machine hung as its job was cancelled, and the stop was lost. The next that is asked of it stops the task first.
+/// A machine hung while its job was cancelled, and the stop order was lost. The next command to it stops the tasks
+/// first.
 #[test]
 fn first_contact_after_a_hang_stops_cancelled_tasks() {
     let mut p = ScriptedNode::new();
@@ -154,11 +159,11 @@
     let lost = |s: &SentRequest| s.is_to("host-000001").then_some(ScriptedAnswer::NoReply);
     p.run(500, &mut |s| lost(s));
     assert_eq!(p.last_response(2)["stage"], "cancelled");
-    // A report that was overtaken: its worker may wait for the answer, which renews.
+    // An outdated heartbeat: its worker may still wait for the answer, which renews the lease.
     let answer = p.heartbeat(&old);
     assert!(
         answer.to_string().contains("\"stop\""),
-        "an answer that renews without the stops: {answer}"
+        "the answer renews the lease without stop orders: {answer}"
     );
     let mut first = None;
     p.run(SILENT_MS + 2000, &mut |s| {
@@ -167,11 +172,11 @@
         }
         lost(s)
     });
-    assert_eq!(first, Some(3), "what is asked next has the stops");
+    assert_eq!(first, Some(3), "the next command has the stop orders");
 }
 
-/// While the state service refused it, who had taken over asked for the same page again and again as fast as refusals
-/// came, and used up what all nodes may ask.
+/// While the state service refused its reads, a new leader repeated the same read as fast as the refusals arrived, and
+/// used up the request budget of all nodes.
 #[test]
 fn recovery_pauses_after_a_refused_read() {
     let mut p = ScriptedNode::new();
@@ -183,26 +188,29 @@
         asked += u32::from(page);
         page.then(|| ScriptedAnswer::Reply(503, json!({"error": "trouble"})))
     });
-    assert!((5..=30).contains(&asked), "{asked} times in 3 s");
+    assert!((5..=30).contains(&asked), "read {asked} times in 3 s");
 }
 
-/// A machine went while its inventory shard was being written, and another one took its place in memory: that one was taken to
-/// stand in the record, and got tasks which the next leader would not have known of.
+/// A machine was lost while its inventory shard was being written, and another took its place in memory. The second was
+/// taken to be in the record, and got tasks of which the next leader would not have known.
 #[test]
 fn machine_in_a_reused_place_is_not_taken_as_recorded() {
     let mut p = ScriptedNode::new();
     p.become_leader();
     ScriptedWorker::new("host-000001").send_heartbeat(&mut p);
-    let inventory_shard = p.run_until_sent("its rack", |s| s.writes_below("part/0/rack/"));
-    let list = p.run_until_sent("the machines", |s| s.path.starts_with("/machines?"));
+    let inventory_shard =
+        p.run_until_sent("the inventory shard", |s| s.writes_below("part/0/rack/"));
+    let list = p.run_until_sent("a list of the machines", |s| {
+        s.path.starts_with("/machines?")
+    });
     let failed = json!({"nameId": "host-000001", "addr": "10.1.0.1:9000", "build": "g8", "hall": "a", "loaners": false,
         "stage": "failed", "ageS": 9.0});
     p.reply(&list, 200, json!({"burrows": [failed], "more": false}));
-    let delete = p.run_until_sent("gives it back", |s| s.path == "/machines/delete");
+    let delete = p.run_until_sent("returns the machine", |s| s.path == "/machines/delete");
     p.reply(&delete, 200, json!({}));
     let mut second = ScriptedWorker::new("host-000002");
     second.send_heartbeat(&mut p);
-    // So many are accepted elsewhere that this node may write next to nothing for a while.
+    // So many jobs are accepted by other nodes that this node may write almost nothing for a while.
     for i in 2..140 {
         p.add_live_job(&format!("job-{i:06}"));
     }
@@ -223,10 +231,10 @@
         }
         second.answer_command(s)
     });
-    assert!(recorded, "it is recorded in the end");
+    assert!(recorded, "the machine is recorded in the end");
     assert!(
         early.is_empty(),
-        "claims on it before it stands in a rack: {early:?}"
+        "claims on the machine before it is recorded: {early:?}"
     );
     assert!(p.responses.iter().any(|(c, _, _)| *c == WORKER_CONN));
 }
