--- a/crates/control/tests/pace.rs
+++ b/crates/control/tests/pace.rs
@@ -1,11 +1,11 @@
-//! Plans of a node that is short of processor time.
+//! How often a node plans when it is short of processor time.
 
 use control::overload::plan_pacing::{MAX_FACTOR, PlanPacing};
 
 const TICK_MS: u64 = 50;
 const PLAN_MS: u64 = 1000;
 
-/// Plays a node whose plans and other work take so long, and returns how far apart its plans are at the end.
+/// Simulates a node whose plans and ticks take this long; returns the interval between its last two plans.
 fn final_plan_interval(plan_ms: u64, tick_ms: u64) -> u64 {
     let mut plan_pacing = PlanPacing::default();
     let (mut now, mut planned_at, mut interval) = (0, 0, 0);
@@ -71,7 +71,7 @@
     assert_eq!(plan_pacing.interval(PLAN_MS), PLAN_MS);
 }
 
-/// A process that stood still for a while plans on as before.
+/// A process that was paused once plans as often as before.
 #[test]
 fn single_long_pause_does_not_delay_plans() {
     let mut plan_pacing = PlanPacing::default();
