--- a/crates/control/tests/peers.rs
+++ b/crates/control/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What peers may claim: absurd names, tokens, times and sizes are refused, and nothing is lost by them.
+//! What a node accepts from its peers: invalid names, tokens and sizes are refused, and do no harm.
 
 use control::{Effect, Event, Node, Now, Tuning};
 use serde_bytes::ByteBuf;
@@ -36,7 +36,7 @@
         Effect::Respond { conn: 1, response } => Some(response),
         _ => None,
     });
-    answer.expect("every peer is answered")
+    answer.expect("every peer request is answered")
 }
 
 fn send_peer_request(node: &mut Node, request: &PeerRequest) -> (u16, Option<PeerResponse>) {
@@ -78,7 +78,7 @@
     );
 }
 
-/// A token that was never given out would send all workers to whoever claims it, and would end every vouching.
+/// A token that was never issued would send all workers to the node that claims it, and would end all attestations.
 #[test]
 fn out_of_range_token_is_refused_and_counted() {
     let mut node = node();
@@ -112,16 +112,16 @@
         &PeerRequest::PeerStatus(peer_status(&first_peer_name())),
     );
     let Some(PeerResponse::PeerStatus(seen)) = answer else {
-        panic!("not a view: {answer:?}")
+        panic!("not a peer status: {answer:?}")
     };
     assert_eq!(
         (seen.leads, seen.token),
         (None, None),
-        "it has read nothing and owns nothing"
+        "it has read nothing and leads nothing"
     );
 }
 
-/// Times without end are only old.
+/// A huge age only counts as old.
 #[test]
 fn huge_state_age_is_accepted() {
     let mut node = node();
@@ -162,7 +162,7 @@
     );
 }
 
-/// A node commands no worker but those that it serves for the leader at present.
+/// A node passes the leader's commands only to workers that it currently serves on the leader's behalf.
 #[test]
 fn command_for_a_worker_not_served_here_is_refused() {
     let mut node = node();
@@ -179,7 +179,7 @@
     }
 }
 
-/// Sends of a node to the state service whose path begins so, by their tags.
+/// The tag of the first request whose path starts like this.
 fn sent_tag(effects: &[Effect], start: &str) -> Option<u64> {
     effects.iter().find_map(|e| match e {
         Effect::Send { tag, path, .. } if path.starts_with(start) => Some(*tag),
@@ -187,15 +187,16 @@
     })
 }
 
-/// What a node says of tokens is proof for an earlier leader that it may go on renewing leases. It said less than it had
-/// known once an older read came in late, and could have vouched against its own term.
+/// The highest token that a node reports proves to an earlier leader that it may still renew workers' leases. After an
+/// outdated read arrived late, a node reported a lower token than it had known, and could have attested against its own
+/// term.
 #[test]
 fn reported_highest_token_never_decreases() {
     let mut node = node();
     let read = |node: &mut Node, mono: u64, token: u64| {
         let now = Now { mono, wall: mono };
         let tag = sent_tag(&node.handle(now, Event::Tick), "/keys?under=sys/")
-            .expect("reads what is shared");
+            .expect("reads the shared state");
         let item =
             serde_json::json!({"key": wire::records::TOKEN, "v": {"token": token}, "stamp": token});
         let body = wire::encode(&serde_json::json!({"items": [item], "more": false, "ledger": 9}));
@@ -214,17 +215,17 @@
     .1
     {
         Some(PeerResponse::PeerStatus(peer_status)) => peer_status.token,
-        answer => panic!("not a view: {answer:?}"),
+        answer => panic!("not a peer status: {answer:?}"),
     };
     read(&mut node, 2000, 7);
     assert_eq!(known(&mut node), Some(7));
-    // The watch is lost, so that all is read anew; the answer is older than what was known.
+    // The watch is lost, so everything is read again; the answer is older than what the node knows.
     let now = Now {
         mono: 3000,
         wall: 3000,
     };
     let watch = sent_tag(&node.handle(now, Event::Tick), "/changes?under=sys/")
-        .expect("watches what is shared");
+        .expect("watches the shared state");
     node.handle(
         now,
         Event::Reply {
