--- a/crates/control/tests/precedence.rs
+++ b/crates/control/tests/precedence.rs
@@ -1,4 +1,4 @@
-//! The order in which a node serves what waits.
+//! The order in which a node serves waiting requests.
 
 use control::overload::precedence::{
     Backlog, Next, Precedence, QUESTION_WAITS_MS, SUBMISSION_WAITS_MS,
@@ -42,7 +42,7 @@
     Precedence::Submission,
 ];
 
-/// What a backlog ought to do, by a walk over a plain list.
+/// A reference implementation of the backlog that walks over a plain list.
 #[derive(Default)]
 struct ReferenceBacklog(Vec<(u64, Precedence, usize)>);
 
@@ -65,7 +65,7 @@
 }
 
 proptest! {
-    /// Nothing is lost or served twice, whatever comes and however long it waits.
+    /// No request is lost or served twice, whatever arrives and however long it waits.
     #[test]
     fn backlog_matches_reference_list(
         steps in prop::collection::vec((0u64..400, 0usize..6, any::<bool>()), 1..300)
