--- a/crates/control/tests/relay.rs
+++ b/crates/control/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Reports that a follower hands on to a leader that is short of processor time.
+//! Heartbeats that a follower forwards to a leader that is short of processor time.
 
 mod scripted;
 
@@ -9,10 +9,10 @@
 use wire::peer::{self, PeerRequest, PeerStatus};
 
 const LEADER: &str = "burrow-1";
-/// Longer than a view is believed, and less than the time for which a leader is remembered.
+/// Longer than a peer status is trusted, and shorter than an announced leader is remembered.
 const UNHEARD_MS: u64 = 4000;
 
-/// The leader says that it has reports spread.
+/// The leader announces itself, and that it has heartbeats spread over the followers.
 fn announce_slow_leader(p: &mut ScriptedNode) {
     let peer_status = PeerStatus {
         node: LEADER.into(),
@@ -49,7 +49,7 @@
 }
 
 fn take_batch(p: &mut ScriptedNode) -> SentRequest {
-    p.tick_until_sent("a batch of reports", is_batch)
+    p.tick_until_sent("a batch of heartbeats", is_batch)
 }
 
 fn batch_size(sent: &SentRequest) -> usize {
@@ -64,8 +64,8 @@
     response.map(|(_, status, _)| *status)
 }
 
-/// Were they redirected, a whole follower's workers would connect to a leader that is late already. With 3,996 machines
-/// at 0.085 of a core they filled all its sockets, so that its peers found none, and it lost its lease.
+/// Redirecting would make all workers of a follower connect to a leader that is late already. With 3,996 machines at
+/// 0.085 of a core they used up all its sockets, so that its peers could not connect, and it lost its lease.
 #[test]
 fn workers_are_not_redirected_to_a_slow_leader() {
     let mut p = ScriptedNode::new();
@@ -80,7 +80,7 @@
     assert_eq!(response_status(&p, 12), Some(503));
 }
 
-/// A leader that this follower does not hear may be reached by workers themselves.
+/// A leader that this follower does not hear from may still be reachable for workers.
 #[test]
 fn workers_are_redirected_to_a_leader_unreachable_from_here() {
     let mut p = ScriptedNode::new();
@@ -95,7 +95,7 @@
     assert_eq!(p.last_response(12)["answerTo"], json!(LEADER));
 }
 
-/// A leader that is late gets fewer batches, with more in each.
+/// A leader that is late gets fewer and larger batches.
 #[test]
 fn heartbeats_accumulate_while_a_batch_is_in_flight() {
     let mut p = ScriptedNode::new();
@@ -113,6 +113,10 @@
     }
     p.now += 100;
     p.step(Event::Tick);
-    assert_eq!(batch_size(&take_batch(&mut p)), 3, "after 400 ms they go");
+    assert_eq!(
+        batch_size(&take_batch(&mut p)),
+        3,
+        "the batch is sent after 400 ms"
+    );
     p.leave_unanswered(&first);
 }
