--- a/crates/control/tests/tuning.rs
+++ b/crates/control/tests/tuning.rs
@@ -1,10 +1,10 @@
-//! What operators are told of a setting that can't be taken.
+//! The errors that operators get for invalid settings.
 
 use control::Tuning;
 
 fn refusal(section: &str, key: &str, value: &str) -> String {
     let error = Tuning::default().set(section, key, value);
-    error.expect_err("it is refused").to_string()
+    error.expect_err("the setting is refused").to_string()
 }
 
 #[test]
