--- a/crates/control/tests/write_limits.rs
+++ b/crates/control/tests/write_limits.rs
@@ -1,4 +1,4 @@
-//! A node whose settings name smaller limits of the state service that are to come.
+//! A node whose settings name smaller, upcoming limits of the state service.
 
 mod node_harness;
 
@@ -29,7 +29,7 @@
 
 fn response_text(p: &NodeHarness, conn: u64) -> String {
     let response = p.responses.iter().find(|t| t.0 == conn);
-    let response = response.unwrap_or_else(|| panic!("answered: {:?}", p.sent));
+    let response = response.unwrap_or_else(|| panic!("not answered; outstanding: {:?}", p.sent));
     let body: Value = wire::decode(&response.2).expect("readable");
     format!(
         "{} {}",
@@ -38,8 +38,8 @@
     )
 }
 
-/// A job whose record fits today and would not fit then is refused for good, under the guards of its absence, and the
-/// field is named.
+/// A job whose record fits the current limits but not the upcoming ones is refused permanently, in a transaction
+/// guarded by the job's absence, and the error names the field.
 #[test]
 fn job_too_large_for_upcoming_limits_is_refused() {
     let escaped = || json!("\u{1}".repeat(120));
@@ -63,7 +63,7 @@
         p.client_request(1, "POST", "/work", wire::encode(&spec));
         let txn = p
             .take_sent(|s| s.path == "/txn")
-            .expect("asks under guards");
+            .expect("a guarded transaction");
         let body: Value = wire::decode(&txn.body).expect("a transaction");
         assert!(body.get("writes").is_none(), "{field}: nothing is written");
         p.reply(&txn, 200, wire::encode(&json!({"ledger": 40})));
@@ -75,7 +75,7 @@
     }
 }
 
-/// One that was accepted under larger limits is known, whatever could be accepted now.
+/// A job that was accepted under larger limits stays known, whatever is accepted now.
 #[test]
 fn repeat_of_a_larger_accepted_job_is_not_refused() {
     let mut p = node_with_upcoming_limits();
@@ -84,7 +84,7 @@
     p.client_request(1, "POST", "/work", wire::encode(&spec));
     let txn = p
         .take_sent(|s| s.path == "/txn")
-        .expect("asks under guards");
+        .expect("a guarded transaction");
     let failed = json!({"failed": ["live/job-000001"], "ledger": 40});
     p.reply(&txn, 409, wire::encode(&failed));
     p.run_without_answers(1500);
@@ -92,7 +92,7 @@
     assert_ne!(p.response_status(1), Some(400));
 }
 
-/// Without limits to come the same job is accepted.
+/// Without upcoming limits the same job is accepted.
 #[test]
 fn job_is_accepted_without_upcoming_limits() {
     let mut p = NodeHarness::new();
