--- a/crates/control/tests/write_rate.rs
+++ b/crates/control/tests/write_rate.rs
@@ -1,13 +1,13 @@
-//! A node whose settings name a smaller rate of changes that is to come: when it begins shows by refusals alone.
+//! A node whose settings name a smaller, upcoming write rate. When that rate begins is visible only by refused writes.
 
 mod node_harness;
 
 use node_harness::{NodeHarness, job_spec};
 use wire::settings::NextGiven;
 
-/// Submissions that come in one moment.
+/// Submissions that arrive at once.
 const FLOOD: u64 = 60;
-/// What the settings of the example let a follower write in a second, and what those to come will.
+/// What a follower may write in a second by the example settings, and by the upcoming write rate.
 const CURRENT_WRITES: usize = 9;
 const UPCOMING_WRITES: usize = 3;
 
@@ -25,7 +25,7 @@
     p
 }
 
-/// How many of a flood are written down at once.
+/// How many submissions of a flood are written at once.
 fn writes_of_flood(p: &mut NodeHarness) -> usize {
     for conn in 0..FLOOD {
         p.client_request(conn, "POST", "/work", wire::encode(&job_spec()));
@@ -33,7 +33,7 @@
     p.sent.iter().filter(|s| s.path == "/txn").count()
 }
 
-/// So many writes are refused as too many; the others, and those that come again, are taken.
+/// Refuses `n` writes with 429; all others, and the repeated ones, are accepted.
 fn refuse_writes(p: &mut NodeHarness, n: usize) {
     for _ in 0..n {
         let txn = p.take_sent(|s| s.path == "/txn").expect("writes");
@@ -48,22 +48,26 @@
     assert_eq!(
         writes_of_flood(&mut p),
         CURRENT_WRITES,
-        "until then all of the larger one"
+        "the current rate applies until then"
     );
     refuse_writes(&mut p, 3);
     assert_eq!(writes_of_flood(&mut p), UPCOMING_WRITES);
     refuse_writes(&mut p, 0);
-    assert_eq!(writes_of_flood(&mut p), UPCOMING_WRITES, "it is kept to");
+    assert_eq!(
+        writes_of_flood(&mut p),
+        UPCOMING_WRITES,
+        "the lower rate stays"
+    );
     refuse_writes(&mut p, 0);
     p.run_accepting_writes(31_000);
     assert_eq!(
         writes_of_flood(&mut p),
         CURRENT_WRITES,
-        "none was refused for a while"
+        "no write was refused for a while"
     );
 }
 
-/// One refusal now and then is what bursts at several nodes bring about.
+/// Bursts at several nodes cause a single refusal now and then.
 #[test]
 fn single_refusal_does_not_lower_the_write_rate() {
     let mut p = new_node(true);
@@ -72,7 +76,7 @@
     assert_eq!(writes_of_flood(&mut p), CURRENT_WRITES);
 }
 
-/// Without a rate to come nothing is learned.
+/// Without an upcoming rate refusals have no effect.
 #[test]
 fn refusals_change_nothing_without_an_upcoming_rate() {
     let mut p = new_node(false);
