--- a/crates/control/tests/scripted/mod.rs
+++ b/crates/control/tests/scripted/mod.rs
@@ -1,18 +1,18 @@
-//! One controller whose state service, cloud, workers and peers answer as the test says.
+//! A test harness for one controller with scripted answers of the state service, cloud, workers and peers.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test file uses only a part of it.
 
 use control::{Destination, Effect, Event, Node, Now, Tuning};
 use serde_json::{Value, json};
 use wire::http::{Request, Response};
 use wire::settings::Settings;
 
-/// A node, its time, and what it has sent that nobody has answered yet.
+/// A node, its clock, and the requests that it has sent and that are not answered yet.
 pub struct ScriptedNode {
     pub node: Node,
     pub now: u64,
     pub sent: Vec<SentRequest>,
-    /// Answers to users: their connection, the status, and the body.
+    /// Responses to users and workers: the connection, the status and the body.
     pub responses: Vec<(u64, u16, Value)>,
     revision: u64,
 }
@@ -24,13 +24,13 @@
     pub method: &'static str,
     pub path: String,
     pub body: Vec<u8>,
-    /// When its sender waits no more, and whether the test has seen it.
+    /// When it times out, and whether the test's script has seen it.
     due: u64,
     seen: bool,
 }
 
 impl SentRequest {
-    /// What a transaction puts or takes away below a under.
+    /// Whether it is a transaction that puts or removes a key below a prefix.
     pub fn writes_below(&self, under: &str) -> bool {
         let txn: Value = wire::decode(&self.body).unwrap_or_default();
         let keys = txn["writes"].as_array().into_iter().flatten();
@@ -38,10 +38,10 @@
         self.path == "/txn" && keys.any(|k| k.starts_with(under))
     }
 
-    /// Of a command to a worker: what it says.
+    /// The decoded body, if it is a command to a worker.
     pub fn command_body(&self) -> Option<Value> {
         matches!(self.to, Destination::Worker(_))
-            .then(|| wire::decode(&self.body).expect("commands are such data"))
+            .then(|| wire::decode(&self.body).expect("commands are decodable"))
     }
 
     pub fn is_to(&self, machine: &str) -> bool {
@@ -49,7 +49,7 @@
         matches!(self.to, Destination::Worker(addr) if addr.to_string() == format!("10.1.0.{n}:9000"))
     }
 
-    /// How many orders of a kind it has.
+    /// How many orders of a kind the command has.
     pub fn order_count(&self, verb: &str) -> usize {
         let orders = self.command_body().unwrap_or_default();
         orders["orders"]
@@ -75,7 +75,7 @@
         ScriptedNode::with(|_| {})
     }
 
-    /// The same with other settings.
+    /// A node with changed settings.
     pub fn with(change: impl FnOnce(&mut Settings)) -> Self {
         let text = include_str!("../../../../deploy/settings-example.json");
         let mut settings = serde_json::from_str(text).expect("the example is accepted");
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Ticks until something of the kind is sent.
+    /// Ticks until a matching request is sent, and answers none meanwhile.
     pub fn tick_until_sent(
         &mut self,
         what: &str,
@@ -186,7 +186,7 @@
         );
     }
 
-    /// It knows that nobody leads the fleet, has a lease, and writes its name on it.
+    /// The node learns that nobody leads the fleet and gets a lease; returns its take-over transaction.
     pub fn campaign(&mut self) -> SentRequest {
         let types =
             json!([{"label": "g8", "cores": 64.0, "gpus": 8.0, "ramGb": 512.0, "halls": ["a"]}]);
@@ -195,12 +195,12 @@
             json!([{"key": "sys/catalog", "v": {"builds": types}, "stamp": 2},
                    {"key": "sys/token", "v": {"token": 3}, "stamp": 3}]),
         );
-        let grant = self.tick_until_sent("asks for a lease", |s| s.path == "/grants");
+        let grant = self.tick_until_sent("requests a lease", |s| s.path == "/grants");
         self.reply(&grant, 200, json!({"tenancy": 7}));
         self.tick_until_sent("takes over", |s| s.writes_below("sys/owner/"))
     }
 
-    /// It leads the fleet, with one job.
+    /// The node takes over as leader and loads one job.
     pub fn become_leader(&mut self) {
         let take = self.campaign();
         self.reply(&take, 200, json!({"ledger": 12}));
@@ -235,7 +235,7 @@
         self.step(Event::Client { conn, request });
     }
 
-    /// A report arrives; its answer.
+    /// A worker's heartbeat arrives; returns the answer.
     pub fn heartbeat(&mut self, report: &Value) -> Value {
         let body = wire::encode(report);
         let request = Request {
@@ -251,9 +251,9 @@
         self.last_response(WORKER_CONN).clone()
     }
 
-    /// The state service shows another job.
+    /// The watch on the state service reports another accepted job.
     pub fn add_live_job(&mut self, id: &str) {
-        let watch = self.run_until_sent("follows jobs", |s| {
+        let watch = self.run_until_sent("watches jobs", |s| {
             s.path.starts_with("/changes?under=live/")
         });
         self.revision += 1;
@@ -273,7 +273,7 @@
             .any(|(_, _, body)| body["stage"] == stage)
     }
 
-    /// It leads the fleet, with one job and a machine that reports and obeys it.
+    /// The node leads the fleet, with one job and a machine whose worker sends heartbeats and carries out orders.
     pub fn become_leader_with_machine(&mut self) -> ScriptedWorker {
         self.become_leader();
         let mut worker = ScriptedWorker::new("host-000001");
@@ -283,8 +283,8 @@
         worker
     }
 
-    /// Plays on. The state service does what it is asked to, unless the test says what is answered; so do machines, as
-    /// the test says, and nobody else answers anything.
+    /// Lets `ms` pass. Each request is first offered to the test's script. Without a scripted answer the state service
+    /// accepts transactions and lease renewals, and all other requests time out when they are due.
     pub fn run(&mut self, ms: u64, script: &mut dyn FnMut(&SentRequest) -> Option<ScriptedAnswer>) {
         let end = self.now + ms;
         while self.now < end {
@@ -312,7 +312,7 @@
         }
     }
 
-    /// Plays on until something of the kind is sent.
+    /// Runs until a matching request is sent.
     pub fn run_until_sent(
         &mut self,
         what: &str,
@@ -329,22 +329,24 @@
         panic!("{what}: was not sent")
     }
 
-    /// What the last answer to a connection says.
+    /// The body of the last response to a connection.
     pub fn last_response(&self, conn: u64) -> &Value {
         let responses = self.responses.iter().rev().find(|(c, _, _)| *c == conn);
-        responses.map(|(_, _, body)| body).expect("it was answered")
+        responses
+            .map(|(_, _, body)| body)
+            .expect("the connection got a response")
     }
 }
 
-/// What becomes of something that was sent.
+/// How a script answers a request.
 pub enum ScriptedAnswer {
     Reply(u16, Value),
     NoReply,
-    /// The test answers it itself.
+    /// The test answers it later.
     Deferred,
 }
 
-/// A worker, as far as what it says goes.
+/// A worker as seen through its heartbeats and its answers to commands.
 pub struct ScriptedWorker {
     pub name: String,
     pub agent_epoch: u64,
@@ -354,7 +356,7 @@
     pub tasks: Vec<(String, u64, &'static str)>,
 }
 
-/// The connection on which workers report.
+/// The connection on which workers send heartbeats.
 pub const WORKER_CONN: u64 = 900;
 
 impl ScriptedWorker {
@@ -382,7 +384,7 @@
             "tenure": self.agent_epoch, "tick": self.seq, "baton": self.token, "warningS": null, "pieces": tasks})
     }
 
-    /// It reports, and does what it is told.
+    /// Sends a heartbeat and carries out the orders in the answer.
     pub fn send_heartbeat(&mut self, p: &mut ScriptedNode) -> Value {
         let body = self.next_heartbeat();
         let answer = p.heartbeat(&body);
@@ -390,7 +392,7 @@
         answer
     }
 
-    /// Does what orders say; tasks begin to run at once.
+    /// Carries out orders; tasks start to run at once.
     pub fn apply_orders(&mut self, orders: &Value) {
         self.token = self.token.max(orders["baton"].as_u64().unwrap_or(0));
         for order in orders["orders"].as_array().into_iter().flatten() {
@@ -421,7 +423,7 @@
         Some(ScriptedAnswer::Reply(200, self.next_heartbeat()))
     }
 
-    /// Its lease has run out: everything is killed and forgotten.
+    /// The worker's lease expires: all tasks are killed and forgotten, and a new agent epoch begins.
     pub fn expire_lease(&mut self) {
         self.agent_epoch += 1;
         self.tasks.clear();
