--- a/crates/control/tests/search.rs
+++ b/crates/control/tests/search.rs
@@ -238,7 +238,8 @@
     assert_no_violation(&bounds(SHORT, 3, (1, 1, 2), false), 450_000);
 }
 
-/// The removal of each guard is detected as a violation of the rule that it protects, within a limited number of states.
+/// The removal of each guard is detected as a violation of the rule that it protects, within a limited number of
+/// states.
 #[test]
 fn search_detects_each_missing_guard() {
     use Mutation::*;
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -1,5 +1,5 @@
-//! A finite model of leader election, take-over, attestations, lease delegates and the cancellation of one job, explored
-//! by `search.rs`.
+//! A finite model of leader election, take-over, attestations, lease delegates and the cancellation of one job,
+//! explored by `search.rs`.
 //!
 //! The controllers themselves can't be explored exhaustively: a `control::Node` can be neither copied nor hashed, and
 //! one second of its time takes some hundred events. The comment on each step of the model names the code in
@@ -58,8 +58,8 @@
 }
 
 impl Durations {
-    /// `lease_bound::bound_ms`. A worker's lease ends at the tick at which it is `lease` old, so that a lease renewed in
-    /// the last tick of the bound ends exactly when the time for the cancel does.
+    /// `lease_bound::bound_ms`. A worker's lease ends at the tick at which it is `lease` old, so that a lease renewed
+    /// in the last tick of the bound ends exactly when the time for the cancel does.
     fn bound(&self) -> u8 {
         self.cancel - self.lease + 1
     }
@@ -138,10 +138,11 @@
     pub outages: u8,
     /// The highest token that may be issued.
     pub tokens: u8,
-    /// Answers to workers, answers to renewals and delegations may be delayed, and transactions may arrive twice. Without
-    /// it they arrive in the step that sends them, or never; transactions may be delayed all the same.
+    /// Answers to workers, answers to renewals and delegations may be delayed, and transactions may arrive twice.
+    /// Without it they arrive in the step that sends them, or never; transactions may be delayed all the same.
     pub late: bool,
-    /// No shortcuts (see `ModelState::normalize`): each attestation, delegation and renewal is a step that may be missing.
+    /// No shortcuts (see `ModelState::normalize`): each attestation, delegation and renewal is a step that may be
+    /// missing.
     pub unreduced: bool,
     pub mutation: Mutation,
 }
@@ -268,9 +269,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Transaction {
-    /// The transaction of `election::write_own_record`. `lease` is the age of the lease that the record will be attached
-    /// to, `awaited` whether its sender is still a candidate with it, and `current_incarnation` whether the process that
-    /// sent it still runs. `leader` is the token of the leader record that it replaces, 0 for none.
+    /// The transaction of `election::write_own_record`. `lease` is the age of the lease that the record will be
+    /// attached to, `awaited` whether its sender is still a candidate with it, and `current_incarnation` whether the
+    /// process that sent it still runs. `leader` is the token of the leader record that it replaces, 0 for none.
     TakeOver {
         node: u8,
         leader: u8,
@@ -596,8 +597,8 @@
     ///
     /// Three steps only extend how long leases may be renewed: a renewal of the worker's lease under the token that it
     /// already obeys, the attestation of all peers, and a newer delegation under the same token. Whatever can follow a
-    /// state without them can also follow the state with them, so only the latter is explored, and a task that lives too
-    /// long is still found. With `Bounds::unreduced` both are explored.
+    /// state without them can also follow the state with them, so only the latter is explored, and a task that lives
+    /// too long is still found. With `Bounds::unreduced` both are explored.
     fn normalize(&mut self, b: &Bounds) {
         for n in 0..b.nodes {
             if !b.unreduced {
@@ -1152,8 +1153,8 @@
         true
     }
 
-    /// The leader answers a peer status with `lease_delegate::delegation_for`; the peer handles it in `note_delegation`,
-    /// at once or later.
+    /// The leader answers a peer status with `lease_delegate::delegation_for`; the peer handles it in
+    /// `note_delegation`, at once or later.
     fn delegate(&mut self, n: u8, peer: u8, late: bool, b: &Bounds) -> bool {
         let leader = *self.node(n);
         if !leader.may_delegate(b) || late && self.delegation_in_flight.is_some() {
@@ -1197,8 +1198,8 @@
         self.note_delegation(to, delegation, b)
     }
 
-    /// `heartbeat::heartbeat_received` and `take_heartbeat`: the token of the answer, or `None` for no answer. An answer
-    /// with a stop order would end the task, so only its loss is modelled, which equals no answer.
+    /// `heartbeat::heartbeat_received` and `take_heartbeat`: the token of the answer, or `None` for no answer. An
+    /// answer with a stop order would end the task, so only its loss is modelled, which equals no answer.
     fn answer_token(&self, n: u8, b: &Bounds) -> Option<u8> {
         let node = &self.nodes[n as usize];
         if node.role == Role::Leader {
