--- a/crates/control/tests/odd_requests.rs
+++ b/crates/control/tests/odd_requests.rs
@@ -107,9 +107,9 @@
     p.sent.clear();
     p.client_request(CONN, "POST", "/work", body);
     for _ in 0..20 {
-        if let Some(told) = p.responses.iter().find(|t| t.0 == CONN) {
-            let body = wire::decode(&told.2).expect("a map");
-            return (told.1, body, p.retry_after[&CONN]);
+        if let Some(response) = p.responses.iter().find(|t| t.0 == CONN) {
+            let body = wire::decode(&response.2).expect("a map");
+            return (response.1, body, p.retry_after[&CONN]);
         }
         let Some(sent) =
             p.take_sent(|s| s.is_forwarded() || s.path.starts_with("/keys/") || s.path == "/txn")
@@ -160,8 +160,8 @@
     let changed = |changes: Value| wire::encode(&job_with(&changes));
     let mut missing = job_spec();
     missing.as_object_mut().expect("a map").remove("stashS");
-    let mut more = wire::encode(&job_spec());
-    more.push(0xc0);
+    let mut trailing = wire::encode(&job_spec());
+    trailing.push(0xc0);
     let long: Vec<String> = (0..64).map(|i| format!("{i:0120}")).collect();
     vec![
         (wire::encode(&missing), "invalid: stashS: missing"),
@@ -193,7 +193,7 @@
             changed(json!({"builds": long})),
             "invalid: body: too large to be kept",
         ),
-        (more, "invalid: body: has bytes after the map"),
+        (trailing, "invalid: body: has bytes after the map"),
     ]
 }
 
@@ -247,9 +247,9 @@
     ] {
         for (body, why) in cases {
             for node_state in NODE_STATES {
-                let told = submit(node_state, StoredJob::Absent, body.clone());
+                let response = submit(node_state, StoredJob::Absent, body.clone());
                 assert_eq!(
-                    told,
+                    response,
                     (status, json!({"error": why}), None),
                     "{node_state:?}"
                 );
@@ -277,11 +277,11 @@
     {
         for (stored_job, stage) in stages {
             for node_state in NODE_STATES {
-                let (status, told, _) = submit(node_state, stored_job, body.clone());
+                let (status, response, _) = submit(node_state, stored_job, body.clone());
                 assert_eq!(
-                    (status, &told["stage"]),
+                    (status, &response["stage"]),
                     (200, &json!(stage)),
-                    "{node_state:?} {why}: {told}"
+                    "{node_state:?} {why}: {response}"
                 );
             }
         }
@@ -332,13 +332,13 @@
             let mut p = node_in_state(node_state);
             p.sent.clear();
             p.client_request(CONN, "POST", "/work", body.clone());
-            let (_, status, told, _) = p
+            let (_, status, response, _) = p
                 .responses
                 .iter()
                 .find(|t| t.0 == CONN)
                 .expect("a response at once");
             assert_eq!(
-                (*status, wire::decode(told).ok()),
+                (*status, wire::decode(response).ok()),
                 (400, Some(json!({"error": why}))),
                 "{node_state:?}"
             );
@@ -494,13 +494,13 @@
         json!({"cores": 0, "gpus": 0, "ramGb": 0}),
     ] {
         for node_state in NODE_STATES {
-            let told = submit(
+            let response = submit(
                 node_state,
                 StoredJob::Absent,
                 wire::encode(&job_with(&changes)),
             );
             assert_eq!(
-                (told.0, &told.1["stage"]),
+                (response.0, &response.1["stage"]),
                 (201, &json!("pending")),
                 "{node_state:?} {changes}"
             );
@@ -512,7 +512,7 @@
 #[test]
 fn peer_refusal_is_forwarded_within_bounds() {
     let long = "é".repeat(300);
-    for (status, why, told, retry_after) in [
+    for (status, why, expected_status, retry_after) in [
         (400, "invalid: lot: missing", 400, None),
         (422, "", 422, None),
         (429, "busy", 429, Some(1)),
@@ -522,12 +522,12 @@
     ] {
         let mut p = NodeHarness::new();
         p.client_request(CONN, "POST", "/work", wire::encode(&job_spec()));
-        let handed = p.take_sent(SentRequest::is_forwarded).expect("handed on");
+        let forwarded = p.take_sent(SentRequest::is_forwarded).expect("handed on");
         let answer = PeerResponse::Refused {
             status,
             why: why.to_owned(),
         };
-        p.reply(&handed, 200, wire::peer::encode(&answer));
+        p.reply(&forwarded, 200, wire::peer::encode(&answer));
         let (_, got, body, _) = p
             .responses
             .iter()
@@ -536,7 +536,7 @@
             .clone();
         assert_eq!(
             (got, p.retry_after[&CONN]),
-            (told, retry_after),
+            (expected_status, retry_after),
             "{status} {why}"
         );
         let error = wire::decode::<Value>(&body).expect("a map")["error"]
@@ -644,10 +644,10 @@
         let read = p.take_sent(|s| s.path == path).expect("reads");
         p.reply(&read, 404, Vec::new());
     }
-    let told = p.responses.pop().expect("told");
+    let response = p.responses.pop().expect("told");
     let why = "invalid: pieces: must be an integer from 1 to 100000";
     assert_eq!(
-        decode::<PeerResponse>(&told.2).ok(),
+        decode::<PeerResponse>(&response.2).ok(),
         Some(PeerResponse::refused(400, why))
     );
 }
