--- a/crates/control/tests/answers.rs
+++ b/crates/control/tests/answers.rs
@@ -128,9 +128,9 @@
         ("a peer's acceptance", accepted_by_peer),
         ("a peer's read", looked_up),
     ];
-    for (what, ask) in all {
+    for (what, send_request) in all {
         let mut p = NodeHarness::follower();
-        let (sent, body) = ask(&mut p);
+        let (sent, body) = send_request(&mut p);
         p.confirm_cancel_by_leader();
         p.reply(&sent, 200, body);
         assert_eq!(p.response_to(1), answered_with("cancelled"), "{what}");
@@ -208,10 +208,10 @@
     let mut wide = job_spec();
     wide["cores"] = json!(1000.0);
     p.client_request(1, "POST", "/work", wire::encode(&wide));
-    let denial = p.expect_sent("/txn");
+    let refusal_check = p.expect_sent("/txn");
     p.query_job(2);
     p.reply_from_peer(&PeerResponse::State(job_state(Stage::Running)));
-    p.reply(&denial, 200, wire::encode(&json!({"ledger": 30})));
+    p.reply(&refusal_check, 200, wire::encode(&json!({"ledger": 30})));
     assert_eq!(p.response_to(1), None, "it looks again");
     p.run_without_answers(2500);
     assert_eq!(
