--- a/crates/control/tests/answers.rs
+++ b/crates/control/tests/answers.rs
@@ -180,7 +180,7 @@
     assert_eq!(p.response_to(2), Some((201, Some("pending".into()))));
     let end = p.expect_sent("/keys/end/job-000001");
     p.reply(&end, 404, Vec::new());
-    assert_eq!(p.response_to(1), None, "it looks again");
+    assert_eq!(p.response_to(1), None, "the node reads again");
     let live = p.expect_sent("/keys/live/job-000001");
     p.reply(&live, 200, Vec::new());
     assert_eq!(p.response_to(1), answered_with("pending"));
@@ -212,7 +212,7 @@
     p.query_job(2);
     p.reply_from_peer(&PeerResponse::State(job_state(Stage::Running)));
     p.reply(&refusal_check, 200, wire::encode(&json!({"ledger": 30})));
-    assert_eq!(p.response_to(1), None, "it looks again");
+    assert_eq!(p.response_to(1), None, "the node reads again");
     p.run_without_answers(2500);
     assert_eq!(
         p.response_to(1).map(|a| a.0),
