--- a/crates/control/tests/door.rs
+++ b/crates/control/tests/door.rs
@@ -105,7 +105,7 @@
     p.query_job(1);
     let leader = p
         .take_sent(SentRequest::is_forwarded)
-        .expect("the owner is asked");
+        .expect("the leader is asked");
     p.reply(&leader, 200, encode(&PeerResponse::NotNow));
     let read = p
         .take_sent(|s| s.path.starts_with("/keys/live/"))
@@ -220,7 +220,7 @@
     let response = p.response_to(1);
     assert!(
         response.as_ref().is_none_or(|(status, _)| *status == 503),
-        "told {response:?}"
+        "got {response:?}"
     );
     // From now on it answers only from new reads.
     p.query_job(2);
@@ -229,7 +229,7 @@
         let response = p.response_to(conn);
         assert!(
             response.as_ref().is_none_or(|(status, _)| *status == 503),
-            "told {response:?}"
+            "got {response:?}"
         );
     }
     if let Some(read) = p.take_sent(|s| s.path == "/keys/live/job-000001") {
@@ -456,7 +456,7 @@
     p.query_job(2000);
     let leader = p
         .take_sent(SentRequest::is_forwarded)
-        .expect("the owner is asked");
+        .expect("the leader is asked");
     p.reply(&leader, 200, encode(&PeerResponse::NotNow));
     assert!(
         p.take_sent(|s| s.path.starts_with("/keys/live/")).is_some(),
