--- a/crates/control/tests/node_harness/mod.rs
+++ b/crates/control/tests/node_harness/mod.rs
@@ -151,7 +151,7 @@
     pub fn answer_range_read(&mut self, under: &str, items: Value) {
         let start = format!("/keys?under={under}");
         let sent = self.take_sent(|s| s.path.starts_with(&start));
-        let sent = sent.unwrap_or_else(|| panic!("reads {under}, not {:?}", self.sent));
+        let sent = sent.unwrap_or_else(|| panic!("no read of {under} among {:?}", self.sent));
         self.reply(
             &sent,
             200,
@@ -248,7 +248,7 @@
         self.sent
             .iter()
             .filter(|s| s.is_forwarded())
-            .map(|s| (s.to, s.peer_request().expect("one")))
+            .map(|s| (s.to, s.peer_request().expect("a peer request")))
             .collect()
     }
 }
