--- a/crates/control/tests/odd_requests.rs
+++ b/crates/control/tests/odd_requests.rs
@@ -361,7 +361,7 @@
             "not answered before the transaction is committed"
         );
         let sent = p.take_sent(|s| s.path == "/txn").expect("a transaction");
-        let txn: Value = wire::decode(&sent.body).expect("one");
+        let txn: Value = wire::decode(&sent.body).expect("a decodable transaction");
         assert_eq!(txn.get("writes").is_some(), writes, "{txn}");
         guards.push(txn["guards"].clone());
         // Without an answer the submission is forwarded to another node, which checks it itself.
@@ -404,7 +404,7 @@
         nodes: vec![house],
         teams,
     };
-    let parts = wire::tree::split(&spec, 4096).expect("small");
+    let parts = wire::tree::split(&spec, 4096).expect("the tree fits its limits");
     let names = parts.iter().map(|(name, _)| name.clone()).collect();
     let head = wire::tree::Head {
         format: wire::tree::FORMAT,
@@ -462,7 +462,7 @@
             p.step(control::Event::Tick);
         }
         let second = p.take_sent(|s| s.path == "/txn").expect("a second attempt");
-        let txn: Value = wire::decode(&second.body).expect("one");
+        let txn: Value = wire::decode(&second.body).expect("a decodable transaction");
         assert_eq!(
             txn.get("writes").is_some(),
             fits,
@@ -522,7 +522,9 @@
     ] {
         let mut p = NodeHarness::new();
         p.client_request(CONN, "POST", "/work", wire::encode(&job_spec()));
-        let forwarded = p.take_sent(SentRequest::is_forwarded).expect("handed on");
+        let forwarded = p
+            .take_sent(SentRequest::is_forwarded)
+            .expect("forwarded to a peer");
         let answer = PeerResponse::Refused {
             status,
             why: why.to_owned(),
@@ -532,7 +534,7 @@
             .responses
             .iter()
             .find(|t| t.0 == CONN)
-            .expect("told")
+            .expect("a response")
             .clone();
         assert_eq!(
             (got, p.retry_after[&CONN]),
@@ -644,7 +646,7 @@
         let read = p.take_sent(|s| s.path == path).expect("reads");
         p.reply(&read, 404, Vec::new());
     }
-    let response = p.responses.pop().expect("told");
+    let response = p.responses.pop().expect("a response");
     let why = "invalid: pieces: must be an integer from 1 to 100000";
     assert_eq!(
         decode::<PeerResponse>(&response.2).ok(),
