--- a/crates/control/tests/relay.rs
+++ b/crates/control/tests/relay.rs
@@ -109,7 +109,10 @@
         send_heartbeat(&mut p, 12 + i as u64, worker);
         p.now += 100;
         p.step(Event::Tick);
-        assert!(!p.sent.iter().any(is_batch), "not yet");
+        assert!(
+            !p.sent.iter().any(is_batch),
+            "no batch while the first is in flight"
+        );
     }
     p.now += 100;
     p.step(Event::Tick);
