--- a/crates/control/tests/write_limits.rs
+++ b/crates/control/tests/write_limits.rs
@@ -30,7 +30,7 @@
 fn response_text(p: &NodeHarness, conn: u64) -> String {
     let response = p.responses.iter().find(|t| t.0 == conn);
     let response = response.unwrap_or_else(|| panic!("not answered; outstanding: {:?}", p.sent));
-    let body: Value = wire::decode(&response.2).expect("readable");
+    let body: Value = wire::decode(&response.2).expect("a decodable body");
     format!(
         "{} {}",
         response.1,
