--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -4,11 +4,11 @@
 mod allotments;
 mod claims;
 mod documents;
-mod form;
 mod inventory;
 mod jobs;
 mod keys;
 mod leadership;
+mod serde_defaults;
 mod sizes;
 
 pub use allotments::{AllotmentRecord, TeamAllotment};
--- a/crates/wire/src/records/allotments.rs
+++ b/crates/wire/src/records/allotments.rs
@@ -1,6 +1,6 @@
 //! The room that a shard may give each team.
 
-use super::form::is_zero;
+use super::serde_defaults::is_zero;
 use serde::{Deserialize, Serialize};
 
 /// The room that a shard may give each team; the shards' allotments add up to the team's limit at most.
--- a/crates/wire/src/records/claims.rs
+++ b/crates/wire/src/records/claims.rs
@@ -1,6 +1,6 @@
 //! The claim log: claims on tasks, completed tasks, and ranges of task numbers.
 
-use super::form::is_false;
+use super::serde_defaults::is_false;
 use crate::users::MAX_TASKS;
 use serde::{Deserialize, Serialize};
 
--- a/crates/wire/src/records/jobs.rs
+++ b/crates/wire/src/records/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs: accepted and living, and ended.
 
-use super::form::is_false;
 use super::keys::ShardId;
+use super::serde_defaults::is_false;
 use crate::users::{JobSpec, Stage};
 use serde::{Deserialize, Serialize};
 
--- a/crates/wire/src/records/leadership.rs
+++ b/crates/wire/src/records/leadership.rs
@@ -1,6 +1,6 @@
 //! Who leads a shard, the counter of tokens, and what every controller follows.
 
-use super::form::is_zero;
+use super::serde_defaults::is_zero;
 use crate::cloud::MachineType;
 use serde::{Deserialize, Serialize};
 
