--- a/crates/wire/src/settings/check.rs
+++ b/crates/wire/src/settings/check.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddrV4;
 
 /// Conditions and writes that the largest transaction of a controller needs at least.
-const LEAST_TRANSACTION_OPERATIONS: usize = 4;
+const MIN_TRANSACTION_OPERATIONS: usize = 4;
 /// Smallest value, in KB, that the service can work with where limits are to come.
-const LEAST_NEXT_VALUE_KB: f64 = 1.0;
+const MIN_NEXT_VALUE_KB: f64 = 1.0;
 /// Sockets that a controller needs at least.
-const LEAST_SOCKETS: usize = 32;
+const MIN_SOCKETS: usize = 32;
 
 /// A field of the settings whose value can't be worked with.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
@@ -39,27 +39,27 @@
         value: f64,
     },
     /// A count that is too small.
-    #[error("at least {least} are needed")]
+    #[error("at least {min} are needed")]
     TooFew {
         /// The least count that can be worked with.
-        least: usize,
+        min: usize,
     },
     /// A field that is needed and was not given.
     #[error("missing")]
     Missing,
     /// A number that is too small.
-    #[error("at least {least} are needed")]
+    #[error("at least {min} are needed")]
     TooSmall {
         /// The least that can be worked with.
-        least: f64,
+        min: f64,
     },
     /// A limit to come that is above the one of now.
-    #[error("{value} is above state's own {now}")]
-    AboveNow {
+    #[error("{value} is above state's own {current}")]
+    AboveCurrent {
         /// The number that was given.
         value: f64,
         /// The limit of now.
-        now: f64,
+        current: f64,
     },
     /// A text that is not an IPv4 address with a port.
     #[error("not an IPv4 address and port: {value:?}")]
@@ -102,12 +102,12 @@
     }
 
     fn check_addresses(&self) -> Result<(), SettingsError> {
-        address("client_listen", &self.listen)?;
-        address("peer_bind", &self.peer_listen)?;
-        address("endpoints.cloud", &self.endpoints.cloud)?;
-        address("endpoints.state", &self.endpoints.state)?;
+        check_address("client_listen", &self.listen)?;
+        check_address("peer_bind", &self.peer_listen)?;
+        check_address("endpoints.cloud", &self.endpoints.cloud)?;
+        check_address("endpoints.state", &self.endpoints.state)?;
         for (i, peer) in self.peers.iter().enumerate() {
-            address(format!("peers[{i}].address"), &peer.addr)?;
+            check_address(format!("peers[{i}].address"), &peer.addr)?;
             let mut earlier = self.peers[..i].iter();
             if peer.node == self.node || earlier.any(|other| other.node == peer.node) {
                 let name = peer.node.clone();
@@ -119,37 +119,37 @@
 
     fn check_limits(&self) -> Result<(), SettingsError> {
         let limits = self.limits();
-        positive("cluster.machine_limits.cores", limits.cores)?;
-        positive("cluster.machine_limits.mem_mb", limits.mem_mb)?;
-        at_least(
+        check_positive("cluster.machine_limits.cores", limits.cores)?;
+        check_positive("cluster.machine_limits.mem_mb", limits.mem_mb)?;
+        check_at_least(
             "cluster.machine_limits.max_sockets",
             limits.max_sockets,
-            LEAST_SOCKETS,
+            MIN_SOCKETS,
         )
     }
 }
 
 fn check_workers(cluster: &Cluster) -> Result<(), SettingsError> {
     let workers = &cluster.workers;
-    positive("cluster.workers.report_s", workers.report_s)?;
-    positive("cluster.workers.lease_s", workers.lease_s)?;
-    positive("cluster.workers.gang_wait_s", workers.gang_wait_s)?;
-    positive("cluster.workers.gang_peer_s", workers.gang_peer_s)?;
-    positive("cluster.workers.cancel_s", workers.cancel_s)
+    check_positive("cluster.workers.report_s", workers.report_s)?;
+    check_positive("cluster.workers.lease_s", workers.lease_s)?;
+    check_positive("cluster.workers.gang_wait_s", workers.gang_wait_s)?;
+    check_positive("cluster.workers.gang_peer_s", workers.gang_peer_s)?;
+    check_positive("cluster.workers.cancel_s", workers.cancel_s)
 }
 
 fn check_services(cluster: &Cluster) -> Result<(), SettingsError> {
     let state = &cluster.state;
-    positive("cluster.state.rps", state.rps)?;
-    positive("cluster.state.write_rps", state.write_rps)?;
-    positive("cluster.state.value_kb", state.value_kb)?;
-    at_least(
+    check_positive("cluster.state.rps", state.rps)?;
+    check_positive("cluster.state.write_rps", state.write_rps)?;
+    check_positive("cluster.state.value_kb", state.value_kb)?;
+    check_at_least(
         "cluster.state.txn_ops",
         state.txn_ops,
-        LEAST_TRANSACTION_OPERATIONS,
+        MIN_TRANSACTION_OPERATIONS,
     )?;
     check_next(state)?;
-    positive("cluster.cloud.rps", cluster.cloud.rps)
+    check_positive("cluster.cloud.rps", cluster.cloud.rps)
 }
 
 /// What the limits to come may be: none above what holds now.
@@ -157,31 +157,31 @@
     let Some(next) = &state.next else {
         return Ok(());
     };
-    let least = LEAST_TRANSACTION_OPERATIONS as f64;
+    let min = MIN_TRANSACTION_OPERATIONS as f64;
     let txn_ops = next.txn_ops.map(|n| n as f64);
     let rps = next.rps.or(Some(state.rps));
-    next_limit("rps", rps, 0.0, state.rps)?;
-    next_limit("write_rps", next.write_rps, 0.0, state.write_rps)?;
-    next_limit(
-        "value_kb",
-        next.value_kb,
-        LEAST_NEXT_VALUE_KB,
-        state.value_kb,
-    )?;
-    next_limit("txn_ops", txn_ops, least, state.txn_ops as f64)
+    check_next_limit("rps", rps, 0.0, state.rps)?;
+    check_next_limit("write_rps", next.write_rps, 0.0, state.write_rps)?;
+    check_next_limit("value_kb", next.value_kb, MIN_NEXT_VALUE_KB, state.value_kb)?;
+    check_next_limit("txn_ops", txn_ops, min, state.txn_ops as f64)
 }
 
-fn next_limit(name: &str, given: Option<f64>, least: f64, now: f64) -> Result<(), SettingsError> {
+fn check_next_limit(
+    name: &str,
+    given: Option<f64>,
+    min: f64,
+    current: f64,
+) -> Result<(), SettingsError> {
     let field = format!("cluster.state.next.{name}");
     let Some(value) = given else {
         return Err(SettingsProblem::Missing.at(field));
     };
-    positive(&field, value)?;
-    if value < least {
-        return Err(SettingsProblem::TooSmall { least }.at(field));
+    check_positive(&field, value)?;
+    if value < min {
+        return Err(SettingsProblem::TooSmall { min }.at(field));
     }
-    if value > now {
-        return Err(SettingsProblem::AboveNow { value, now }.at(field));
+    if value > current {
+        return Err(SettingsProblem::AboveCurrent { value, current }.at(field));
     }
     Ok(())
 }
@@ -209,21 +209,21 @@
     Ok(())
 }
 
-fn positive(field: &str, value: f64) -> Result<(), SettingsError> {
+fn check_positive(field: &str, value: f64) -> Result<(), SettingsError> {
     if value.is_finite() && value > 0.0 {
         return Ok(());
     }
     Err(SettingsProblem::NotPositive { value }.at(field))
 }
 
-fn at_least(field: &str, value: usize, least: usize) -> Result<(), SettingsError> {
-    if value >= least {
+fn check_at_least(field: &str, value: usize, min: usize) -> Result<(), SettingsError> {
+    if value >= min {
         return Ok(());
     }
-    Err(SettingsProblem::TooFew { least }.at(field))
+    Err(SettingsProblem::TooFew { min }.at(field))
 }
 
-fn address(field: impl Into<String>, value: &str) -> Result<(), SettingsError> {
+fn check_address(field: impl Into<String>, value: &str) -> Result<(), SettingsError> {
     match value.parse::<SocketAddrV4>() {
         Ok(_) => Ok(()),
         Err(_) => Err(SettingsProblem::NotAnAddress {
--- a/crates/wire/tests/settings.rs
+++ b/crates/wire/tests/settings.rs
@@ -105,7 +105,7 @@
 fn the_error_holds_field_and_bound_apart() {
     let expected = SettingsError {
         field: "cluster.state.txn_ops".to_owned(),
-        problem: SettingsProblem::TooFew { least: 4 },
+        problem: SettingsProblem::TooFew { min: 4 },
     };
     assert_eq!(error_with("/cluster/state/txn_ops", json!(1)), expected);
 }
