--- a/crates/wire/src/http/parse.rs
+++ b/crates/wire/src/http/parse.rs
@@ -7,7 +7,7 @@
 /// Most headers in one head.
 const MAX_HEADERS: usize = 48;
 /// Statuses of responses that have no body, whatever their headers say.
-const WITHOUT_BODY: [u16; 2] = [204, 304];
+const BODILESS_STATUSES: [u16; 2] = [204, 304];
 
 /// What the headers say of the body.
 #[derive(Default)]
@@ -28,16 +28,16 @@
                 return Err(FramingError::MalformedLength);
             }
             let length = value.parse().map_err(|_| FramingError::BodyTooLarge)?;
-            if framing.length.is_some_and(|earlier| earlier != length) {
+            if framing.length.is_some_and(|previous| previous != length) {
                 return Err(FramingError::MalformedLength);
             }
             framing.length = Some(length);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             framing.chunked = true;
         } else if header.name.eq_ignore_ascii_case("connection") {
-            for word in value.split(',').map(str::trim) {
-                framing.close |= word.eq_ignore_ascii_case("close");
-                framing.keep_alive |= word.eq_ignore_ascii_case("keep-alive");
+            for token in value.split(',').map(str::trim) {
+                framing.close |= token.eq_ignore_ascii_case("close");
+                framing.keep_alive |= token.eq_ignore_ascii_case("keep-alive");
             }
         } else if header.name.eq_ignore_ascii_case("retry-after") {
             framing.retry_after_s = value.parse().ok();
@@ -53,7 +53,7 @@
 ) -> Result<Option<(Request, usize)>, FramingError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    let used = match head.parse(&buf[..buf.len().min(MAX_HEAD)]) {
+    let consumed = match head.parse(&buf[..buf.len().min(MAX_HEAD)]) {
         Ok(httparse::Status::Complete(n)) => n,
         Ok(httparse::Status::Partial) if buf.len() >= MAX_HEAD => {
             return Err(FramingError::HeadTooLarge);
@@ -70,62 +70,63 @@
     if length > body_limit {
         return Err(FramingError::BodyTooLarge);
     }
-    if buf.len() < used + length {
+    if buf.len() < consumed + length {
         return Ok(None);
     }
     let close = framing.close || (head.version == Some(0) && !framing.keep_alive);
     let request = Request {
         method: head.method.unwrap_or("").to_owned(),
         path: head.path.unwrap_or("").to_owned(),
-        body: buf[used..used + length].to_vec(),
+        body: buf[consumed..consumed + length].to_vec(),
         close,
     };
-    Ok(Some((request, used + length)))
+    Ok(Some((request, consumed + length)))
 }
 
 /// Takes one response off the front. Chunked bodies and bodies without a length are read too, since
-/// the other side is not ours; `ended` tells that no more bytes will come.
+/// the other side is not ours; `eof` tells that no more bytes will come.
 pub fn parse_response(
     buf: &[u8],
     body_limit: usize,
-    ended: bool,
+    eof: bool,
 ) -> Result<Option<(Response, usize)>, FramingError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let used = match head.parse(&buf[..buf.len().min(MAX_HEAD)]) {
+    let consumed = match head.parse(&buf[..buf.len().min(MAX_HEAD)]) {
         Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD && !ended => return Ok(None),
+        Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD && !eof => return Ok(None),
         _ => return Err(FramingError::BadResponse),
     };
     let framing = read_framing(head.headers)?;
     let status = head.code.unwrap_or(0);
-    let Some(body) = parse_response_body(&buf[used..], status, &framing, body_limit, ended)? else {
+    let Some(body) = parse_response_body(&buf[consumed..], status, &framing, body_limit, eof)?
+    else {
         return Ok(None);
     };
     let response = Response {
         status,
         body: body.bytes,
-        close: framing.close || body.ends_with_connection,
+        close: framing.close || body.ends_at_eof,
         retry_after_s: framing.retry_after_s,
     };
-    Ok(Some((response, used + body.used)))
+    Ok(Some((response, consumed + body.consumed)))
 }
 
 /// A body as it was taken off the front of a buffer.
 struct Body {
     bytes: Vec<u8>,
     /// Bytes of the buffer that it took, with the framing of its chunks.
-    used: usize,
+    consumed: usize,
     /// Its length was known only when the connection ended.
-    ends_with_connection: bool,
+    ends_at_eof: bool,
 }
 
 impl Body {
-    fn of(bytes: &[u8]) -> Self {
+    fn from_slice(bytes: &[u8]) -> Self {
         Body {
             bytes: bytes.to_vec(),
-            used: bytes.len(),
-            ends_with_connection: false,
+            consumed: bytes.len(),
+            ends_at_eof: false,
         }
     }
 }
@@ -136,26 +137,26 @@
     status: u16,
     framing: &Framing,
     body_limit: usize,
-    ended: bool,
+    eof: bool,
 ) -> Result<Option<Body>, FramingError> {
-    if WITHOUT_BODY.contains(&status) {
-        return Ok(Some(Body::of(&[])));
+    if BODILESS_STATUSES.contains(&status) {
+        return Ok(Some(Body::from_slice(&[])));
     }
     let body = if framing.chunked {
-        parse_chunks(buf, body_limit)?.map(|(bytes, used)| Body {
+        parse_chunks(buf, body_limit)?.map(|(bytes, consumed)| Body {
             bytes,
-            used,
-            ends_with_connection: false,
+            consumed,
+            ends_at_eof: false,
         })
     } else if let Some(length) = framing.length {
         if length > body_limit {
             return Err(FramingError::BadResponse);
         }
-        buf.get(..length).map(Body::of)
-    } else if ended {
+        buf.get(..length).map(Body::from_slice)
+    } else if eof {
         Some(Body {
-            ends_with_connection: true,
-            ..Body::of(buf)
+            ends_at_eof: true,
+            ..Body::from_slice(buf)
         })
     } else if buf.len() > body_limit {
         return Err(FramingError::BadResponse);
@@ -163,7 +164,7 @@
         None
     };
     match body {
-        None if ended => Err(FramingError::BadResponse),
+        None if eof => Err(FramingError::BadResponse),
         body => Ok(body),
     }
 }
@@ -173,7 +174,7 @@
     mut buf: &[u8],
     body_limit: usize,
 ) -> Result<Option<(Vec<u8>, usize)>, FramingError> {
-    let whole = buf.len();
+    let total = buf.len();
     let mut body = Vec::new();
     loop {
         match httparse::parse_chunk_size(buf).map_err(|_| FramingError::BadResponse)? {
@@ -181,7 +182,7 @@
             httparse::Status::Complete((at, 0)) => {
                 return Ok(buf
                     .get(at..at + 2)
-                    .map(|_| (body, whole - buf.len() + at + 2)));
+                    .map(|_| (body, total - buf.len() + at + 2)));
             }
             httparse::Status::Complete((at, size)) => {
                 let size = usize::try_from(size)
--- a/crates/wire/src/http/write.rs
+++ b/crates/wire/src/http/write.rs
@@ -4,13 +4,13 @@
 use std::fmt::Write as _;
 
 /// Room that is set aside for a head, in bytes.
-const USUAL_HEAD: usize = 128;
+const HEAD_CAPACITY: usize = 128;
 /// The type of most bodies.
 const MESSAGE_PACK: &str = "application/msgpack";
 
 /// Appends a request with a `MessagePack` body to `out`.
 pub fn write_request(out: &mut Vec<u8>, host: &str, method: &str, path: &str, body: &[u8]) {
-    let mut head = String::with_capacity(USUAL_HEAD);
+    let mut head = String::with_capacity(HEAD_CAPACITY);
     let _ = write!(head, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     if method != "GET" || !body.is_empty() {
         let _ = write!(
@@ -37,7 +37,7 @@
     location: Option<&str>,
 ) {
     let reason = reason_phrase(response.status);
-    let mut head = String::with_capacity(USUAL_HEAD);
+    let mut head = String::with_capacity(HEAD_CAPACITY);
     let _ = write!(
         head,
         "HTTP/1.1 {} {reason}\r\nContent-Type: {content_type}\r\n",
