--- a/crates/wire/src/submission.rs
+++ b/crates/wire/src/submission.rs
@@ -39,7 +39,7 @@
 /// What a list of names may be, in words.
 const NAMES_RULE: &str = "must be null or a list of names";
 /// What is wrong with a field that the map has twice, in words.
-const FIELD_TWICE: &str = "is there twice";
+const DUPLICATE_FIELD: &str = "is there twice";
 
 /// Deepest nesting that is read, in fields that are ignored.
 const MAX_DEPTH: usize = 32;
@@ -57,7 +57,7 @@
 /// Reads a submission, and checks its form. Whether the job can ever run is for the controller to say.
 pub fn read(body: &[u8]) -> Result<JobSpec, Malformed> {
     let mut fields = Fields::default();
-    let fault = match fields.fill(body).and_then(|()| fields.spec()) {
+    let fault = match fields.decode(body).and_then(|()| fields.spec()) {
         Ok(spec) => return Ok(spec),
         Err(fault) => fault,
     };
@@ -73,12 +73,12 @@
     values: Vec<(&'static str, RawValue)>,
     is_map: bool,
     /// Which of two values would count is not said.
-    twice: Option<&'static str>,
+    duplicate: Option<&'static str>,
 }
 
 impl Fields {
     /// Takes what can be read of a body. If it can't be read to its end, what came before that stands.
-    fn fill(&mut self, body: &[u8]) -> Result<(), Fault> {
+    fn decode(&mut self, body: &[u8]) -> Result<(), Fault> {
         let mut reader = rmp_serde::Deserializer::new(std::io::Cursor::new(body));
         reader.set_max_depth(MAX_DEPTH);
         let read = reader.deserialize_any(FieldsVisitor(self));
@@ -94,11 +94,11 @@
     }
 
     /// A field that may be null, which may also be left out.
-    fn given(&self, field: &'static str) -> Result<Option<&RawValue>, Fault> {
-        if self.twice == Some(field) {
+    fn optional(&self, field: &'static str) -> Result<Option<&RawValue>, Fault> {
+        if self.duplicate == Some(field) {
             return Err(Fault {
                 field,
-                why: FIELD_TWICE,
+                why: DUPLICATE_FIELD,
             });
         }
         let found = self.values.iter().find(|(name, _)| *name == field);
@@ -107,19 +107,19 @@
             .filter(|v| **v != RawValue::Null))
     }
 
-    fn needed(&self, field: &'static str) -> Result<&RawValue, Fault> {
-        self.given(field)?.ok_or(Fault {
+    fn required(&self, field: &'static str) -> Result<&RawValue, Fault> {
+        self.optional(field)?.ok_or(Fault {
             field,
             why: "missing",
         })
     }
 
     fn text(&self, field: &'static str) -> Result<String, Fault> {
-        text(field, self.needed(field)?)
+        text(field, self.required(field)?)
     }
 
     fn flag(&self, field: &'static str) -> Result<bool, Fault> {
-        match self.needed(field)? {
+        match self.required(field)? {
             RawValue::Bool(b) => Ok(*b),
             _ => Err(Fault {
                 field,
@@ -129,13 +129,13 @@
     }
 
     fn amount(&self, field: &'static str) -> Result<f64, Fault> {
-        amount(field, self.needed(field)?)
+        amount(field, self.required(field)?)
     }
 
     /// A count is an integer; a decimal number is none, also if it is a whole one.
     fn count(&self, field: &'static str) -> Result<u32, Fault> {
-        match self.needed(field)? {
-            RawValue::Count(n) => Ok(u32::try_from(*n).unwrap_or(u32::MAX)),
+        match self.required(field)? {
+            RawValue::Unsigned(n) => Ok(u32::try_from(*n).unwrap_or(u32::MAX)),
             _ => Err(Fault {
                 field,
                 why: TASK_COUNT_RULE,
@@ -144,7 +144,7 @@
     }
 
     /// One of a few words, which only their type knows.
-    fn word<T: for<'de> Deserialize<'de>>(
+    fn enum_value<T: for<'de> Deserialize<'de>>(
         &self,
         field: &'static str,
         why: &'static str,
@@ -155,7 +155,7 @@
     }
 
     fn names(&self, field: &'static str) -> Result<Option<Vec<String>>, Fault> {
-        match self.given(field)? {
+        match self.optional(field)? {
             None => Ok(None),
             Some(RawValue::List(values)) => values
                 .iter()
@@ -170,18 +170,18 @@
     }
 
     fn spec(&self) -> Result<JobSpec, Fault> {
-        if let Some(field) = self.twice {
+        if let Some(field) = self.duplicate {
             return Err(Fault {
                 field,
-                why: FIELD_TWICE,
+                why: DUPLICATE_FIELD,
             });
         }
         let spec = JobSpec {
             id: self.text("nameId")?,
             class: self.text("lot")?,
             team: self.text("desk")?,
-            kind: self.word("shape", "must be array, group or standing")?,
-            priority: self.word("urgency", "must be production, high, normal or low")?,
+            kind: self.enum_value("shape", "must be array, group or standing")?,
+            priority: self.enum_value("urgency", "must be production, high, normal or low")?,
             tasks: self.count("pieces")?,
             cores: self.amount("cores")?,
             gpus: self.amount("gpus")?,
@@ -189,14 +189,20 @@
             image: self.text("kit")?,
             image_gb: self.amount("pullGb")?,
             types: self.names("builds")?,
-            zone: self.given("hall")?.map(|v| text("hall", v)).transpose()?,
+            zone: self
+                .optional("hall")?
+                .map(|v| text("hall", v))
+                .transpose()?,
             one_zone: self.flag("together")?,
             spread: self.flag("spread")?,
             spot: self.flag("loaners")?,
             estimate_s: self.amount("expectS")?,
             checkpoint_s: self.amount("bookmarkS")?,
             save_s: self.amount("stashS")?,
-            deadline_s: self.given("dueS")?.map(|v| amount("dueS", v)).transpose()?,
+            deadline_s: self
+                .optional("dueS")?
+                .map(|v| amount("dueS", v))
+                .transpose()?,
         };
         spec.check()?;
         Ok(spec)
@@ -221,7 +227,7 @@
 fn amount(field: &'static str, value: &RawValue) -> Result<f64, Fault> {
     match value {
         RawValue::Number(n) => Ok(*n),
-        RawValue::Count(n) => Ok(*n as f64),
+        RawValue::Unsigned(n) => Ok(*n as f64),
         _ => Err(Fault {
             field,
             why: "must be a number",
@@ -251,7 +257,7 @@
             };
             let value = map.next_value::<RawValue>()?;
             if fields.values.iter().any(|(name, _)| name == field) {
-                fields.twice.get_or_insert(field);
+                fields.duplicate.get_or_insert(field);
             } else {
                 fields.values.push((field, value));
             }
--- a/crates/wire/src/submission/raw_value.rs
+++ b/crates/wire/src/submission/raw_value.rs
@@ -9,7 +9,7 @@
     Null,
     Bool(bool),
     /// Whole, and not negative.
-    Count(u64),
+    Unsigned(u64),
     Number(f64),
     Text(String),
     List(Vec<RawValue>),
@@ -34,10 +34,10 @@
         Ok(RawValue::Bool(v))
     }
     fn visit_u64<E>(self, v: u64) -> Result<RawValue, E> {
-        Ok(RawValue::Count(v))
+        Ok(RawValue::Unsigned(v))
     }
     fn visit_i64<E>(self, v: i64) -> Result<RawValue, E> {
-        Ok(u64::try_from(v).map_or(RawValue::Number(v as f64), RawValue::Count))
+        Ok(u64::try_from(v).map_or(RawValue::Number(v as f64), RawValue::Unsigned))
     }
     fn visit_f64<E>(self, v: f64) -> Result<RawValue, E> {
         Ok(RawValue::Number(v))
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -135,7 +135,7 @@
             ("desk", &self.team),
             ("kit", &self.image),
         ] {
-            named(field, name)?;
+            check_name(field, name)?;
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS {
             return Err(Fault {
@@ -144,10 +144,10 @@
             });
         }
         if let Some(types) = &self.types {
-            checked_types(types)?;
+            check_types(types)?;
         }
         if let Some(zone) = &self.zone {
-            named("hall", zone)?;
+            check_name("hall", zone)?;
         }
         let amounts = [
             ("cores", self.cores),
@@ -172,7 +172,7 @@
     }
 }
 
-fn named(field: &'static str, name: &str) -> Result<(), Fault> {
+fn check_name(field: &'static str, name: &str) -> Result<(), Fault> {
     if (1..=MAX_NAME).contains(&name.len()) {
         return Ok(());
     }
@@ -182,7 +182,7 @@
     })
 }
 
-fn checked_types(types: &[String]) -> Result<(), Fault> {
+fn check_types(types: &[String]) -> Result<(), Fault> {
     let field = "builds";
     if types.is_empty() || types.len() > MAX_TYPES {
         return Err(Fault {
@@ -190,7 +190,7 @@
             why: "must be null or a list of 1 to 64 names",
         });
     }
-    types.iter().try_for_each(|name| named(field, name))?;
+    types.iter().try_for_each(|name| check_name(field, name))?;
     if types
         .iter()
         .enumerate()
