--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -1,5 +1,5 @@
-//! What controllers keep in the state service. All records of a shard carry its number in their keys,
-//! so that a split into several shards needs no new layout.
+//! Records that controllers keep in the state service. The keys of all records of a shard contain its number, so that
+//! splitting the fleet into several shards needs no new key layout.
 
 mod allotments;
 mod claims;
@@ -24,7 +24,7 @@
 use crate::cloud::Catalog;
 use serde::Serialize;
 
-/// The value of a key, as controllers write it. The encoding does not tell the kind; the key does.
+/// The value of a key, as controllers write it. The encoding has no type tag: the key determines the kind of record.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Record {
@@ -32,28 +32,29 @@
     Leader(LeaderRecord),
     /// The counter of fencing tokens.
     Token(TokenRecord),
-    /// A job that was accepted and has not ended.
+    /// An accepted job that has not ended.
     Job(Box<JobRecord>),
     /// The final state of a job.
     End(EndRecord),
     /// An entry of the claim log.
     Log(LogRecord),
-    /// A shard of the inventory of machines.
+    /// A shard of the machine inventory.
     InventoryShard(InventoryRecord),
-    /// A rental request that is not answered yet.
+    /// A pending rental request.
     Rental(RentalRecord),
-    /// A sheet of counts by county.
+    /// Job and task counts by county and class.
     Tally(county::Sheet),
     /// The catalogue of machine types.
     Catalog(Catalog),
-    /// What a shard may give each team.
+    /// The resources that a shard may give each team.
     Allotment(AllotmentRecord),
     /// The head of the quota tree.
     Quota(crate::tree::HeadRecord),
     /// The head of another document.
     Document(HeadRecord),
-    /// The life of a model.
+    /// The lifecycle state of a model.
     Model(model::Rec),
-    /// A part of a document, in its kind's form; or a record of another front end than the users' interface, in that one's.
+    /// A part of a document, in the form of that kind of document, or a record of a front end other than the users'
+    /// interface, in that front end's own form.
     Other(serde_json::Value),
 }
--- a/crates/wire/src/records/allotments.rs
+++ b/crates/wire/src/records/allotments.rs
@@ -1,24 +1,25 @@
-//! The room that a shard may give each team.
+//! The resources that a shard may give each team.
 
 use super::serde_defaults::is_zero;
 use serde::{Deserialize, Serialize};
 
-/// The room that a shard may give each team; the shards' allotments add up to the team's limit at most.
+/// The resources that a shard may give each team. The allotments of all shards together never exceed the team's limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AllotmentRecord {
-    /// The allotment of each team; empty if `whole` is there.
+    /// The allotment of each team; empty if `whole` is set.
     pub teams: Vec<TeamAllotment>,
-    /// Where a list of all teams would be too large: a digest of it. The shard has the whole of each limit.
+    /// A digest of the list of all teams, in place of a list that does not fit into one value. The shard then has the
+    /// full limit of every team.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub whole: Option<String>,
-    /// The version of the quota tree whose bounds the shard keeps, all of them being its own as long as it is the only
-    /// one; 0 without a tree. Nothing starts under a version that is not recorded here.
+    /// The version of the quota tree whose limits the shard enforces; 0 without a tree. As long as there is only one
+    /// shard, it has all limits of the tree. No task starts under a version that is not recorded here.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub tree: u64,
 }
 
 impl AllotmentRecord {
-    /// All limits whole, in a record of at most `value` bytes.
+    /// The full limits of all teams, in a record of at most `value` bytes.
     pub fn whole(teams: Vec<TeamAllotment>, tree: u64, value: usize) -> Self {
         let list = AllotmentRecord {
             teams,
@@ -36,13 +37,13 @@
     }
 }
 
-/// A limit of 0 means none, as in the settings.
+/// The allotment of one team. A limit of 0 means no limit, as in the settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamAllotment {
     /// The team's name.
     pub name: String,
-    /// CPU cores at most.
+    /// Maximum number of CPU cores.
     pub cpus_max: f64,
-    /// GPUs at most.
+    /// Maximum number of GPUs.
     pub gpus_max: f64,
 }
--- a/crates/wire/src/records/claims.rs
+++ b/crates/wire/src/records/claims.rs
@@ -4,23 +4,24 @@
 use crate::users::MAX_TASKS;
 use serde::{Deserialize, Serialize};
 
-/// What changed in one turn: claims that were made, on any number of machines, and results. A record is removed
-/// once all that it says has been overtaken; until then it may also name claims that have ended.
+/// The changes of one turn of the controller: new claims, on any number of machines, and results. A record is removed
+/// once all its claims and all jobs whose results it holds have ended; until then it may name claims that have ended.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Claims that were made.
+    /// New claims.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub claims: Vec<ClaimsRecord>,
     /// Tasks that were completed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<DoneRecord>,
-    /// What ended in the same transaction, by county and class. The record stays until that is in their sheets.
+    /// Jobs that ended in the same transaction, by county and class. The record stays until they are included in the
+    /// counts of their county.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub ended: Vec<county::Delta>,
 }
 
-/// Claims on tasks of one job by one attempt. The resources of a task are kept here too, so that they count against the
-/// team's limit until the task is gone, also when the job itself has ended.
+/// Claims on tasks of one job by one attempt. The record also holds the resources of a task, so that they count against
+/// the team's limit until the task is gone, even if the job itself has ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClaimsRecord {
     /// The id of the job.
@@ -33,29 +34,29 @@
     pub gpus: f64,
     /// Memory of one task, in GB.
     pub mem_gb: f64,
-    /// The attempt by which the tasks are started.
+    /// The attempt that starts the tasks.
     pub attempt: u64,
-    /// Machine, first task, and how many tasks from there on.
+    /// For each range of tasks: its machine, its first task and the number of tasks.
     pub on: Vec<(String, u32, u32)>,
-    /// Whose work it is, and whether it shares no machine: this holds until the tasks are gone, also when the job
-    /// itself has ended.
+    /// The county that the tasks belong to. It applies until the tasks are gone, even if the job itself has ended, and
+    /// so does `alone`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub county: Option<String>,
-    /// Whether the tasks share no machine with other work.
+    /// Whether the tasks must not share a machine with other work.
     #[serde(default, skip_serializing_if = "is_false")]
     pub alone: bool,
 }
 
-/// Completed tasks of a job that has not ended: the first, and how many from there on.
+/// Completed tasks of a job that has not ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DoneRecord {
     /// The id of the job.
     pub job: String,
-    /// Ranges of completed tasks: the first, and how many from there on.
+    /// Ranges of completed tasks: the first task and the number of tasks of each.
     pub tasks: Vec<(u32, u32)>,
 }
 
-/// Numbers in rising order as ranges: the first, and how many from there on.
+/// Encodes task numbers, given in ascending order, as ranges: the first number and the count of each.
 pub fn ranges(tasks: impl IntoIterator<Item = u32>) -> Vec<(u32, u32)> {
     let mut out: Vec<(u32, u32)> = Vec::new();
     for t in tasks {
@@ -67,7 +68,8 @@
     out
 }
 
-/// The reverse of [`ranges`]. No record makes us count further than a job can have tasks.
+/// The inverse of [`ranges`]. Yields no number from [`MAX_TASKS`] on, so that a damaged record can't cause a longer
+/// iteration than a job can have tasks.
 pub fn unrange(ranges: &[(u32, u32)]) -> impl Iterator<Item = u32> + '_ {
     ranges.iter().flat_map(|(first, n)| {
         let n = (*n).min(MAX_TASKS.saturating_sub(*first));
--- a/crates/wire/src/records/documents.rs
+++ b/crates/wire/src/records/documents.rs
@@ -1,8 +1,8 @@
-//! Heads of documents.
+//! Head records of documents.
 
 use serde::{Deserialize, Serialize};
 
-/// The head of a document other than the quota tree.
+/// The head record of a document other than the quota tree.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeadRecord {
     /// The head.
--- a/crates/wire/src/records/inventory.rs
+++ b/crates/wire/src/records/inventory.rs
@@ -1,16 +1,16 @@
-//! Machines that may exist, and rentals that are not answered yet.
+//! Machines that may exist, and pending rental requests.
 
 use serde::{Deserialize, Serialize};
 
-/// Machines that may exist: one leaves its inventory shard only when the cloud has said that it is gone. What a log record
-/// says of a machine that is in no inventory shard is ignored.
+/// Machines that may exist. A machine is removed from its inventory shard only after the cloud has confirmed that it is
+/// gone. Entries of log records about a machine that is in no inventory shard are ignored.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct InventoryRecord {
     /// The machines, by type and zone.
     pub kinds: Vec<KindRecord>,
 }
 
-/// Machines of one type and zone, with the time of day of their rental.
+/// Machines of one type and zone, with the time of their rental.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KindRecord {
     /// The machine type, by its name in the catalogue.
@@ -23,16 +23,16 @@
     pub machines: Vec<(String, u64)>,
 }
 
-/// A rental request whose answer has not been recorded yet.
+/// A rental request whose response has not been recorded yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RentalRecord {
     /// The machine type, by its name in the catalogue.
     pub machine_type: String,
     /// The zone.
     pub zone: String,
-    /// Whether spot machines were asked for.
+    /// Whether spot machines were requested.
     pub spot: bool,
-    /// How many machines were asked for.
+    /// The number of machines requested.
     pub count: u32,
     /// Unix time of the request, in milliseconds.
     pub at_ms: u64,
--- a/crates/wire/src/records/jobs.rs
+++ b/crates/wire/src/records/jobs.rs
@@ -1,30 +1,30 @@
-//! Jobs: accepted and living, and ended.
+//! Records of accepted jobs, live and ended.
 
 use super::keys::ShardId;
 use super::serde_defaults::is_false;
 use crate::users::{JobSpec, Stage};
 use serde::{Deserialize, Serialize};
 
-/// A job that was accepted and has not ended.
+/// An accepted job that has not ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// The job as its user submitted it.
     pub spec: JobSpec,
-    /// Unix time of the acceptance, in milliseconds; accurate to the clock error of the settings.
+    /// Unix time of the acceptance, in milliseconds; accurate to within the clock error of the settings.
     pub at_ms: u64,
     /// The shard that the job belongs to.
     #[serde(rename = "part")]
     pub shard: ShardId,
-    /// What was agreed for it when it was accepted. Read from here, never worked out again.
+    /// The release hour that was agreed when the job was accepted. It is read from here and never computed again.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hour: Option<HourRecord>,
-    /// The county that the job counts for, as it was when the job was accepted.
+    /// The county that the job counts towards, as defined when the job was accepted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub county: Option<CountyRecord>,
 }
 
 impl JobRecord {
-    /// One that nothing was agreed for.
+    /// A record without an agreed hour and without a county.
     pub fn new(spec: JobSpec, at_ms: u64, shard: ShardId) -> Self {
         JobRecord {
             spec,
@@ -39,9 +39,9 @@
 /// The hour by which a job is to be released.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HourRecord {
-    /// Unix time, in milliseconds.
+    /// The hour, as Unix time in milliseconds.
     pub due_ms: u64,
-    /// The version of the calendar that said so.
+    /// The version of the calendar that determined it.
     pub version: u64,
     /// The last move of the hour by an operator.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -55,21 +55,21 @@
     pub by: String,
     /// When it was moved, as Unix time in milliseconds.
     pub at_ms: u64,
-    /// 0 if it had none.
+    /// The hour before the move, as Unix time in milliseconds; 0 if the job had none.
     pub from_ms: u64,
 }
 
-/// The county that a job counts for.
+/// The county that a job counts towards.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CountyRecord {
-    /// Its stable id.
+    /// The stable id of the county.
     pub county: String,
-    /// The version that bound it.
+    /// The version of the document by which the job was assigned to the county.
     pub version: u64,
-    /// It shares no machine with other work at the same time.
+    /// Whether the job must not share a machine with other work at the same time.
     #[serde(default, skip_serializing_if = "is_false")]
     pub alone: bool,
-    /// The only zones that it may run in; none for all.
+    /// The zones that the job may run in; empty for all.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub zones: Vec<String>,
 }
@@ -81,24 +81,24 @@
     pub stage: Stage,
     /// How many of its tasks were completed.
     pub done: u32,
-    /// By when it was to end, and when it did.
+    /// When the job was due, and when it ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hour: Option<EndHourRecord>,
-    /// Where it was counted, so that counts can be made again from the records.
+    /// Where the job was counted, so that the counts can be recomputed from the records.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub county: Option<CountedRecord>,
 }
 
-/// What became of a job's hour, as Unix times in milliseconds.
+/// The release hour of an ended job and the time of its end, as Unix times in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndHourRecord {
-    /// The hour by which it was to end.
+    /// When the job was due.
     pub due_ms: u64,
-    /// When it ended.
+    /// When the job ended.
     pub ended_ms: u64,
 }
 
-/// The county and the class that an ended job is counted in.
+/// The county and the class in which an ended job is counted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CountedRecord {
     /// The stable id of the county.
--- a/crates/wire/src/records/keys.rs
+++ b/crates/wire/src/records/keys.rs
@@ -1,9 +1,9 @@
-//! Keys of the records, and the prefixes under which they are listed.
+//! Keys of the records, and the prefixes by which they are listed.
 
 /// The number of a shard: the part of the fleet that one controller leads.
 pub type ShardId = u32;
 
-/// Prefix of everything that every controller follows: leaders, tokens, the catalogue.
+/// Prefix of the records that every controller watches: leaders, the token counter, the catalogue, document heads.
 pub const SHARED: &str = "sys/";
 /// The counter of fencing tokens.
 pub const TOKEN: &str = "sys/token";
@@ -17,17 +17,18 @@
 pub const QUOTA: &str = "sys/quota";
 /// Prefix of the quota tree's parts: [`parts_prefix`] of its kind.
 pub const QUOTA_PARTS: &str = "quota/part/";
-/// Prefix of records of other front ends than the users' interface.
+/// Prefix of the records of front ends other than the users' interface.
 pub const FRONTEND_PREFIX: &str = "side/";
 
-/// Prefix of the records of models that were ever woken, by the ids of their jobs.
+/// Prefix of the records of models that have been woken at least once, by the ids of their jobs.
 pub const MODELS: &str = "model/";
 
 /// The record of a model, by the id of its job.
 pub fn model_key(model: &str) -> String {
     format!("{MODELS}{model}")
 }
-/// Which version of a kind of document is in force; every controller follows it. Its parts are read when it changes.
+/// The head of a kind of document, which names the version in force. Every controller watches it and reads the
+/// document's parts when it changes.
 pub fn head_key(kind: &str) -> String {
     format!("{SHARED}{kind}")
 }
@@ -35,7 +36,7 @@
 pub fn parts_prefix(kind: &str) -> String {
     format!("{kind}/part/")
 }
-/// Who leads a shard.
+/// The leader record of a shard.
 pub fn leader_key(shard: ShardId) -> String {
     format!("{SHARED}owner/{shard}")
 }
@@ -47,7 +48,7 @@
 pub fn end_key(job: &str) -> String {
     format!("{ENDED}{job}")
 }
-/// Sixteen digits, so that the order of the keys is that of the numbers.
+/// A record of a shard's claim log. The number is written as sixteen hexadecimal digits, so that keys sort by number.
 pub fn log_key(shard: ShardId, number: u64) -> String {
     format!("{}{number:016x}", log_prefix(shard))
 }
@@ -55,27 +56,27 @@
 pub fn log_prefix(shard: ShardId) -> String {
     format!("part/{shard}/log/")
 }
-/// A shard of the inventory of machines.
+/// A shard of the machine inventory.
 pub fn inventory_key(shard: ShardId, number: u64) -> String {
     format!("{}{number}", inventory_prefix(shard))
 }
-/// Prefix of the inventory.
+/// Prefix of a shard's machine inventory.
 pub fn inventory_prefix(shard: ShardId) -> String {
     format!("part/{shard}/rack/")
 }
-/// What a shard may give each team.
+/// The resources that a shard may give each team.
 pub fn allotment_key(shard: ShardId) -> String {
     format!("part/{shard}/allot")
 }
-/// Sheets of counts by county.
+/// A record of job and task counts by county and class.
 pub fn tally_key(shard: ShardId, number: u32) -> String {
     format!("{}{number}", tally_prefix(shard))
 }
-/// Prefix of a shard's sheets of counts.
+/// Prefix of a shard's records of counts.
 pub fn tally_prefix(shard: ShardId) -> String {
     format!("part/{shard}/tally/")
 }
-/// Prefix of a shard's rental requests that are not answered yet.
+/// Prefix of a shard's pending rental requests.
 pub fn rentals_prefix(shard: ShardId) -> String {
     format!("part/{shard}/hire/")
 }
--- a/crates/wire/src/records/leadership.rs
+++ b/crates/wire/src/records/leadership.rs
@@ -1,32 +1,32 @@
-//! Who leads a shard, the counter of tokens, and what every controller follows.
+//! The leader of a shard, the counter of fencing tokens, and the records that every controller watches.
 
 use super::serde_defaults::is_zero;
 use crate::cloud::MachineType;
 use serde::{Deserialize, Serialize};
 
-/// Who leads a shard. Attached to the leader's lease, so that it goes when the leader does.
+/// The leader of a shard. The record is attached to the leader's lease, so that it is removed when the lease ends.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The name of the leader's node.
     pub node: String,
     /// The leader's fencing token.
     pub token: u64,
-    /// The leader's lease. It tells the own take-over, whose answer was lost, from that of another node.
+    /// The leader's lease. A node whose response to a takeover was lost recognizes its own takeover by it.
     pub lease: u64,
-    /// Which incarnation of the node wrote it; 0 in records of versions that did not write it.
+    /// The incarnation of the node that wrote the record; 0 in records of versions without this field.
     #[serde(default, skip_serializing_if = "is_zero")]
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
 
-/// The one counter that all tokens come from; it only rises.
+/// The counter from which all fencing tokens are issued. It only increases.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TokenRecord {
-    /// The last token that was given out.
+    /// The token issued last.
     pub token: u64,
 }
 
-/// Any record under [`super::SHARED`], read without knowing beforehand which. Fields that it does not have are none.
+/// Any record under [`super::SHARED`], decoded without knowing its kind. Fields that the kind does not have are `None`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SharedRecord {
     /// The leader's node, in a [`LeaderRecord`].
@@ -42,7 +42,7 @@
     #[serde(default)]
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The head of a document; the key tells which.
+    /// The head of a document; the key determines which one.
     #[serde(default, alias = "quota")]
     pub document: Option<document::Head>,
     /// The machine types, in the catalogue.
--- a/crates/wire/src/records/sizes.rs
+++ b/crates/wire/src/records/sizes.rs
@@ -1,24 +1,24 @@
-//! Upper bounds of the lengths of records, in bytes of the JSON form that limits on values are counted in.
+//! Upper bounds of record lengths, in bytes of JSON: the state service limits the length of a value in its JSON form.
 //!
-//! Records grow entry by entry. With these bounds a writer knows, without encoding, when the next entry would no longer
-//! fit into one value of the state service.
+//! Records grow entry by entry. These bounds tell a writer, without encoding, whether the next entry still fits into
+//! one value of the state service.
 
 use super::{ClaimsRecord, DoneRecord, KindRecord};
 
-/// Longest decimal number that a record holds, with what separates two numbers.
+/// Longest decimal number in a record, with its separator.
 const MAX_NUMBER_LEN: usize = 24;
-/// Most bytes that JSON takes for one byte of text. Our own names are plain; names of teams, machine types and zones are
-/// not ours, and may need escapes.
+/// Most bytes of JSON for one byte of text. Names that the system makes itself need no escapes; names of teams, machine
+/// types and zones come from outside and may need them.
 const MAX_ESCAPED_BYTE_LEN: usize = 6;
-/// A task number or a count of tasks, with its separator, in claims.
+/// Longest task number or count of tasks in claims, with its separator.
 const MAX_CLAIM_TASK_LEN: usize = 11;
-/// A task number or a count of tasks, with its separator, in completed tasks.
+/// Longest task number or count of tasks in completed tasks, with its separator.
 const MAX_DONE_TASK_LEN: usize = 7;
-/// Numbers in a record of claims beside its entries: cores, GPUs, memory and the attempt.
+/// How many numbers a record of claims has outside its entries: cores, GPUs, memory and the attempt.
 const CLAIMS_NUMBER_COUNT: usize = 4;
-/// Field names and punctuation of a record of claims without its county.
+/// Field names and punctuation of a record of claims, without its county.
 const CLAIMS_FIELDS_LEN: usize = 80;
-/// The fields of the county in a record of claims, without its id.
+/// Field names and punctuation of the county in a record of claims, without the county's id.
 const COUNTY_FIELDS_LEN: usize = 32;
 /// Quotes, brackets and separators around one entry of claims.
 const CLAIM_PUNCTUATION_LEN: usize = 6;
@@ -28,11 +28,11 @@
 const DONE_PUNCTUATION_LEN: usize = 4;
 /// Quotes, brackets and separators around one machine of an inventory shard.
 const MACHINE_PUNCTUATION_LEN: usize = 8;
-/// Field names and punctuation of a kind of machines.
+/// Field names and punctuation of a [`KindRecord`].
 const KIND_FIELDS_LEN: usize = 64;
 
 impl ClaimsRecord {
-    /// The length without its entries and its county.
+    /// Maximum length without entries and county.
     pub fn frame(job: &str, team: &str) -> usize {
         job.len()
             + team.len() * MAX_ESCAPED_BYTE_LEN
@@ -40,29 +40,29 @@
             + CLAIMS_FIELDS_LEN
     }
 
-    /// What its county adds.
+    /// Maximum length that the county adds.
     pub fn county(county: &str) -> usize {
         county.len() + COUNTY_FIELDS_LEN
     }
 
-    /// What one entry adds: a machine and a range of tasks.
+    /// Maximum length that one entry adds: a machine and a range of tasks.
     pub fn entry(machine: &str) -> usize {
         machine.len() + 2 * MAX_CLAIM_TASK_LEN + CLAIM_PUNCTUATION_LEN
     }
 }
 
 impl DoneRecord {
-    /// What one range of tasks adds.
+    /// Maximum length that one range of tasks adds.
     pub const ENTRY: usize = 2 * MAX_DONE_TASK_LEN + DONE_PUNCTUATION_LEN;
 
-    /// The length without its ranges.
+    /// Maximum length without ranges.
     pub fn frame(job: &str) -> usize {
         job.len() + DONE_FIELDS_LEN
     }
 }
 
 impl KindRecord {
-    /// What a machine adds to its inventory shard, its kind included.
+    /// Maximum length that a machine adds to its inventory shard, including a [`KindRecord`] of its own.
     pub fn entry(machine: &str, machine_type: &str, zone: &str) -> usize {
         let names = (machine_type.len() + zone.len()) * MAX_ESCAPED_BYTE_LEN;
         machine.len() + MAX_NUMBER_LEN + MACHINE_PUNCTUATION_LEN + names + KIND_FIELDS_LEN
