--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform hands over.
+//! The settings file that the platform provides.
 
 mod check;
 
@@ -22,14 +22,14 @@
     pub peer_listen: String,
     /// The other controllers.
     pub peers: Vec<Peer>,
-    /// Addresses of other services.
+    /// Addresses of the services that the controller uses.
     pub endpoints: Endpoints,
-    /// What all controllers have in common.
+    /// The settings that all controllers share.
     pub cluster: Cluster,
-    /// The limits of this machine, where the platform puts them outside of `cluster`.
+    /// The limits of this machine, if the platform sets them outside of `cluster`.
     #[serde(rename = "machine_limits")]
     pub limits: Option<Limits>,
-    /// The error of the machine's clock at most, in milliseconds, where the platform puts it outside of `cluster`.
+    /// Maximum error of the machine's clock, in milliseconds, if the platform sets it outside of `cluster`.
     #[serde(rename = "clock_error_ms", default)]
     pub clock_error_ms: f64,
 }
@@ -56,16 +56,16 @@
     pub state: String,
 }
 
-/// What all controllers of a cluster have in common.
+/// The settings that all controllers of a cluster share.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Cluster {
-    /// How many machines the cluster begins with.
+    /// Number of machines that the cluster starts with.
     pub initial_size: u32,
     /// The zones.
     pub zones: Vec<String>,
     /// The teams and their quotas.
     pub teams: Vec<Team>,
-    /// What the platform measures the cluster by.
+    /// The service level objectives that the platform measures.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Timing of the agents.
@@ -77,23 +77,23 @@
     /// The limits of a controller's machine.
     #[serde(rename = "machine_limits")]
     pub limits: Option<Limits>,
-    /// The error of a machine's clock at most, in milliseconds.
+    /// Maximum error of a machine's clock, in milliseconds.
     #[serde(rename = "clock_error_ms", default)]
     pub clock_error_ms: f64,
 }
 
-/// What a team is guaranteed and what it may use at most; a limit of 0 means none.
+/// A team's guaranteed and maximum resources. A maximum of 0 means no limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     /// The team's name.
     pub name: String,
     /// Guaranteed CPU cores.
     pub cpus: f64,
-    /// CPU cores at most.
+    /// Maximum number of CPU cores.
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     pub gpus: f64,
-    /// GPUs at most.
+    /// Maximum number of GPUs.
     pub gpus_max: f64,
 }
 
@@ -102,13 +102,13 @@
 pub struct Objective {
     /// What is measured.
     pub kind: String,
-    /// The class of jobs that it is for; none for all.
+    /// The class of jobs that it applies to; none for all.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time that is aimed at, in seconds.
+    /// Target time, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// The share of jobs that are to be within it, from 0 to 1.
+    /// Share of jobs that must be within the target time, from 0 to 1.
     #[serde(default)]
     pub share: Option<f64>,
 }
@@ -118,13 +118,14 @@
 pub struct Workers {
     /// Interval between heartbeats.
     pub report_s: f64,
-    /// An agent ends its tasks when the last heartbeat that was answered was sent longer ago than this.
+    /// Lease of an agent: it ends its tasks once this time has passed since it sent the last heartbeat that was
+    /// answered.
     pub lease_s: f64,
-    /// How long a task of a gang waits for the others to start.
+    /// How long a task of a gang waits for the gang's other tasks to start.
     pub gang_wait_s: f64,
-    /// Time within which a gang's other tasks end when one of them is gone.
+    /// Time within which the other tasks of a gang end after one of them is gone.
     pub gang_peer_s: f64,
-    /// Time after the confirmation of a cancel within which all tasks of the job are gone.
+    /// Time after the confirmation of a cancellation within which all tasks of the job are gone.
     pub cancel_s: f64,
 }
 
@@ -133,49 +134,49 @@
 pub struct StateLimits {
     /// Requests per second.
     pub rps: f64,
-    /// Requests per second that write.
+    /// Write requests per second.
     pub write_rps: f64,
     /// Largest value, in KB.
     pub value_kb: f64,
-    /// Most conditions and writes in one transaction.
+    /// Maximum number of conditions and writes in one transaction.
     pub txn_ops: usize,
-    /// Limits that will hold from some moment on, without notice.
+    /// Limits that will take effect at some later time, without notice.
     #[serde(default)]
     pub next: Option<NextGiven>,
 }
 
-/// `state.next` as it was given. What is missing is for [`Settings::check`] to say.
+/// `state.next` as it stands in the file. [`Settings::check`] reports fields that are missing.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextGiven {
-    /// Requests per second; those of now where it is left out.
+    /// Requests per second; the current limit if omitted.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Requests per second that write.
+    /// Write requests per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
     /// Largest value, in KB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Most conditions and writes in one transaction.
+    /// Maximum number of conditions and writes in one transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
-/// Limits that may hold at any time, beside those that do now.
+/// Limits that may take effect at any time, in addition to the current ones.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NextLimits {
     /// Requests per second.
     pub rps: f64,
-    /// Requests per second that write.
+    /// Write requests per second.
     pub write_rps: f64,
     /// Largest value, in KB.
     pub value_kb: f64,
-    /// Most conditions and writes in one transaction.
+    /// Maximum number of conditions and writes in one transaction.
     pub txn_ops: usize,
 }
 
 impl StateLimits {
-    /// The limits to come, if any are named. None also for an incomplete set, which is refused at the start.
+    /// The upcoming limits, if there are any. Also `None` for an incomplete set, which [`Settings::check`] refuses.
     pub fn next_limits(&self) -> Option<NextLimits> {
         let next = self.next.as_ref()?;
         Some(NextLimits {
@@ -192,22 +193,22 @@
 pub struct CloudLimits {
     /// Requests per second.
     pub rps: f64,
-    /// How old the list of machines may be, in seconds.
+    /// Maximum age of the information in the list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
 /// Limits of a controller's machine.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Limits {
-    /// CPU cores; may be a fraction.
+    /// CPU cores; may be fractional.
     pub cores: f64,
     /// Memory, in MB.
     pub mem_mb: f64,
-    /// Most sockets that are open at once.
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
 }
 
-/// The limits of a controller's machine where the platform names none.
+/// The limits of a controller's machine if the platform sets none.
 const DEFAULT_LIMITS: Limits = Limits {
     cores: 1.0,
     mem_mb: 512.0,
@@ -232,7 +233,7 @@
         self.cluster.teams.iter().map(team).collect()
     }
 
-    /// The limits of this machine: within `cluster` or beside it, depending on the platform's version.
+    /// The limits of this machine. Depending on its version, the platform sets them in `cluster` or beside it.
     pub fn limits(&self) -> Limits {
         self.cluster
             .limits
--- a/crates/wire/src/settings/check.rs
+++ b/crates/wire/src/settings/check.rs
@@ -1,73 +1,73 @@
-//! Checks settings beyond their form: names the first field whose value can't be worked with.
+//! Validates the values of settings that have been parsed, and names the first field that is invalid.
 
 use super::{Cluster, Settings, StateLimits, Team};
 use std::net::SocketAddrV4;
 
-/// Conditions and writes that the largest transaction of a controller needs at least.
+/// Number of conditions and writes that a controller's largest transaction needs.
 const MIN_TRANSACTION_OPERATIONS: usize = 4;
-/// Smallest value, in KB, that the service can work with where limits are to come.
+/// Smallest upcoming limit on the length of a value, in KB, that a controller can work with.
 const MIN_NEXT_VALUE_KB: f64 = 1.0;
-/// Sockets that a controller needs at least.
+/// Number of sockets that a controller needs.
 const MIN_SOCKETS: usize = 32;
 
-/// A field of the settings whose value can't be worked with.
+/// An invalid value in the settings.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{field}: {problem}")]
 pub struct SettingsError {
-    /// The field by its path in the file, such as `cluster.teams[0].cpus`.
+    /// The path of the field in the file, such as `cluster.teams[0].cpus`.
     pub field: String,
     /// What is wrong with its value.
     pub problem: SettingsProblem,
 }
 
-/// What is wrong with a value of the settings.
+/// Why a value of the settings is invalid.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SettingsProblem {
-    /// A text that is empty.
+    /// The text is empty.
     #[error("must not be empty")]
     Empty,
-    /// A number that must be finite and above 0.
+    /// The number is not finite or not above 0.
     #[error("must be above 0, is {value}")]
     NotPositive {
-        /// The number that was given.
+        /// The invalid number.
         value: f64,
     },
-    /// A number that must be finite and not below 0.
+    /// The number is not finite or below 0.
     #[error("must be 0 or more, is {value}")]
     Negative {
-        /// The number that was given.
+        /// The invalid number.
         value: f64,
     },
-    /// A count that is too small.
+    /// The count is too small.
     #[error("at least {min} are needed")]
     TooFew {
-        /// The least count that can be worked with.
+        /// The smallest valid count.
         min: usize,
     },
-    /// A field that is needed and was not given.
+    /// A required field is missing.
     #[error("missing")]
     Missing,
-    /// A number that is too small.
+    /// The number is too small.
     #[error("at least {min} are needed")]
     TooSmall {
-        /// The least that can be worked with.
+        /// The smallest valid number.
         min: f64,
     },
-    /// A limit to come that is above the one of now.
-    #[error("{value} is above state's own {current}")]
+    /// An upcoming limit exceeds the current one.
+    #[error("{value} exceeds the current limit of {current}")]
     AboveCurrent {
-        /// The number that was given.
+        /// The invalid number.
         value: f64,
-        /// The limit of now.
+        /// The current limit.
         current: f64,
     },
-    /// A text that is not an IPv4 address with a port.
+    /// The text is not an IPv4 address with a port.
     #[error("not an IPv4 address and port: {value:?}")]
     NotAnAddress {
-        /// The text that was given.
+        /// The invalid text.
         value: String,
     },
-    /// A name that is already taken in the same list.
+    /// The name occurs more than once in the same list.
     #[error("{name:?} is named twice")]
     NamedTwice {
         /// The name.
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     ///
-    /// The first field whose value can't be worked with.
+    /// The first field whose value is invalid.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.node.is_empty() {
             return Err(SettingsProblem::Empty.at("node"));
@@ -152,7 +152,7 @@
     check_positive("cluster.cloud.rps", cluster.cloud.rps)
 }
 
-/// What the limits to come may be: none above what holds now.
+/// Checks the upcoming limits: none may exceed the current one.
 fn check_next(state: &StateLimits) -> Result<(), SettingsError> {
     let Some(next) = &state.next else {
         return Ok(());
