--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 framing on byte buffers, without sockets.
+//! HTTP/1.1 parsing and serialization on byte buffers, without I/O.
 
 mod parse;
 mod write;
@@ -26,37 +26,37 @@
     pub status: u16,
     /// The body.
     pub body: Vec<u8>,
-    /// Whether the connection is closed after it.
+    /// Whether the connection is closed after the response.
     pub close: bool,
     /// Value of `Retry-After`, in seconds.
     pub retry_after_s: Option<u32>,
 }
 
-/// Why bytes can't be read as a message.
+/// Why bytes are not a valid HTTP message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FramingError {
-    /// The head of a request can't be parsed.
+    /// The head of a request is malformed.
     #[error("malformed head")]
     MalformedHead,
-    /// `Content-Length` is not a number, or is there twice with different values.
+    /// `Content-Length` is not a number, or occurs more than once with different values.
     #[error("malformed Content-Length")]
     MalformedLength,
-    /// A request has a chunked body.
+    /// A request has a chunked body, which is not supported.
     #[error("requests need a Content-Length")]
     LengthRequired,
-    /// `Content-Length` exceeds the limit of a request, or what any message can have.
+    /// `Content-Length` exceeds the limit for requests, or does not fit into a `usize`.
     #[error("the body is too large")]
     BodyTooLarge,
     /// The head of a request is longer than 8 KiB, or has more than 48 headers.
     #[error("the head is too large")]
     HeadTooLarge,
-    /// A response that is malformed, incomplete or too large.
-    #[error("the response can't be read")]
+    /// The response is malformed, incomplete or too large.
+    #[error("the response is malformed, incomplete or too large")]
     BadResponse,
 }
 
 impl FramingError {
-    /// The HTTP status that tells a client.
+    /// The HTTP status by which the error is reported to a client.
     pub fn status(self) -> u16 {
         match self {
             FramingError::MalformedHead | FramingError::MalformedLength => 400,
--- a/crates/wire/src/http/parse.rs
+++ b/crates/wire/src/http/parse.rs
@@ -1,15 +1,15 @@
-//! Reads requests and responses from the front of a buffer.
+//! Parses requests and responses at the start of a buffer.
 
 use super::{FramingError, Request, Response};
 
-/// Longest head, in bytes.
+/// Maximum length of a head, in bytes.
 const MAX_HEAD: usize = 8 * 1024;
-/// Most headers in one head.
+/// Maximum number of headers in one head.
 const MAX_HEADERS: usize = 48;
-/// Statuses of responses that have no body, whatever their headers say.
+/// Statuses of responses that never have a body, regardless of their headers.
 const BODILESS_STATUSES: [u16; 2] = [204, 304];
 
-/// What the headers say of the body.
+/// Values of the headers that are evaluated.
 #[derive(Default)]
 struct Framing {
     length: Option<usize>,
@@ -46,7 +46,8 @@
     Ok(framing)
 }
 
-/// Takes one request off the front: `None` while more bytes are needed, else it and the bytes used.
+/// Parses one request at the start of `buf`. Returns the request and the number of bytes it takes up, or `None` if more
+/// bytes are needed.
 pub fn parse_request(
     buf: &[u8],
     body_limit: usize,
@@ -83,8 +84,8 @@
     Ok(Some((request, consumed + length)))
 }
 
-/// Takes one response off the front. Chunked bodies and bodies without a length are read too, since
-/// the other side is not ours; `eof` tells that no more bytes will come.
+/// Parses one response at the start of `buf`, like [`parse_request`]. Chunked bodies and bodies without a length are
+/// supported too, since the servers belong to other systems. `eof` means that no more bytes will arrive.
 pub fn parse_response(
     buf: &[u8],
     body_limit: usize,
@@ -112,12 +113,12 @@
     Ok(Some((response, consumed + body.consumed)))
 }
 
-/// A body as it was taken off the front of a buffer.
+/// A response body parsed at the start of a buffer.
 struct Body {
     bytes: Vec<u8>,
-    /// Bytes of the buffer that it took, with the framing of its chunks.
+    /// Number of bytes of the buffer that the body takes up, including the framing of its chunks.
     consumed: usize,
-    /// Its length was known only when the connection ended.
+    /// The body has no declared length and ends with the connection.
     ends_at_eof: bool,
 }
 
@@ -131,7 +132,7 @@
     }
 }
 
-/// Takes a response's body off the front: `None` while more bytes are needed.
+/// Parses a response body at the start of `buf`. Returns `None` if more bytes are needed.
 fn parse_response_body(
     buf: &[u8],
     status: u16,
@@ -169,7 +170,8 @@
     }
 }
 
-/// Takes a chunked body off the front, with the bytes that it used.
+/// Parses a chunked body at the start of `buf`. Returns it with the number of bytes it takes up, or `None` if more
+/// bytes are needed.
 fn parse_chunks(
     mut buf: &[u8],
     body_limit: usize,
@@ -199,7 +201,7 @@
     }
 }
 
-/// A header of a request whose head is whole.
+/// The value of a header of a request whose head is complete in `buf`.
 pub fn request_header(buf: &[u8], name: &str) -> Option<String> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
--- a/crates/wire/src/http/write.rs
+++ b/crates/wire/src/http/write.rs
@@ -1,11 +1,11 @@
-//! Writes requests and responses to the end of a buffer.
+//! Appends requests and responses to a buffer.
 
 use super::Response;
 use std::fmt::Write as _;
 
-/// Room that is set aside for a head, in bytes.
+/// Initial capacity of the buffer for a head, in bytes.
 const HEAD_CAPACITY: usize = 128;
-/// The type of most bodies.
+/// Media type of `MessagePack` bodies.
 const MESSAGE_PACK: &str = "application/msgpack";
 
 /// Appends a request with a `MessagePack` body to `out`.
@@ -29,7 +29,8 @@
     write_response_as(out, response, MESSAGE_PACK, None);
 }
 
-/// A response whose body is of another type, and which may name the place of what it made.
+/// Appends a response to `out` whose body has the media type `content_type`, with a `Location` header if `location` is
+/// given.
 pub fn write_response_as(
     out: &mut Vec<u8>,
     response: &Response,
