--- a/crates/wire/src/submission.rs
+++ b/crates/wire/src/submission.rs
@@ -1,5 +1,5 @@
-//! Reading what a user submits, so that a refusal names the field that is wrong, and a repeat of an accepted job is
-//! known by its id whatever else is wrong with it.
+//! Decodes and validates submitted jobs. Errors name the invalid field, and keep the job's id, by which a repeated
+//! submission of an accepted job is recognized even if other fields are invalid.
 
 mod raw_value;
 
@@ -12,7 +12,7 @@
 };
 use std::fmt;
 
-/// The fields, in the order in which the first that is wrong is named.
+/// The fields of a submission, in the order in which they are checked. Only the first error is reported.
 const FIELDS: [&str; 20] = [
     "nameId",
     "lot",
@@ -36,25 +36,25 @@
     "dueS",
 ];
 
-/// What a list of names may be, in words.
+/// The error message for a field that is not a list of names.
 const NAMES_RULE: &str = "must be null or a list of names";
-/// What is wrong with a field that the map has twice, in words.
-const DUPLICATE_FIELD: &str = "is there twice";
+/// The error message for a field that occurs more than once in the map.
+const DUPLICATE_FIELD: &str = "occurs more than once";
 
-/// Deepest nesting that is read, in fields that are ignored.
+/// Maximum nesting depth, also in fields that are ignored.
 const MAX_DEPTH: usize = 32;
 
-/// A submission that can't be taken as it is.
+/// A submission that is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{fault}")]
 pub struct Malformed {
-    /// What is wrong.
+    /// The first error.
     pub fault: Fault,
-    /// Its id, if that much could be read: the job may have been accepted before.
+    /// The id of the job, if it could be decoded: a job of this id may have been accepted before.
     pub id: Option<String>,
 }
 
-/// Reads a submission, and checks its form. Whether the job can ever run is for the controller to say.
+/// Decodes a submission and validates its form. Whether the job can ever run is for the controller to decide.
 pub fn read(body: &[u8]) -> Result<JobSpec, Malformed> {
     let mut fields = Fields::default();
     let fault = match fields.decode(body).and_then(|()| fields.spec()) {
@@ -72,12 +72,12 @@
 struct Fields {
     values: Vec<(&'static str, RawValue)>,
     is_map: bool,
-    /// Which of two values would count is not said.
+    /// The first field that occurs more than once. The protocol does not define which of its values applies.
     duplicate: Option<&'static str>,
 }
 
 impl Fields {
-    /// Takes what can be read of a body. If it can't be read to its end, what came before that stands.
+    /// Decodes the fields of a body. After an error, the fields decoded before it are kept.
     fn decode(&mut self, body: &[u8]) -> Result<(), Fault> {
         let mut reader = rmp_serde::Deserializer::new(std::io::Cursor::new(body));
         reader.set_max_depth(MAX_DEPTH);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A field that may be null, which may also be left out.
+    /// The value of an optional field, which may be null or omitted.
     fn optional(&self, field: &'static str) -> Result<Option<&RawValue>, Fault> {
         if self.duplicate == Some(field) {
             return Err(Fault {
@@ -132,7 +132,7 @@
         amount(field, self.required(field)?)
     }
 
-    /// A count is an integer; a decimal number is none, also if it is a whole one.
+    /// A count must be encoded as an integer. Floating-point numbers are refused, even if their value is whole.
     fn count(&self, field: &'static str) -> Result<u32, Fault> {
         match self.required(field)? {
             RawValue::Unsigned(n) => Ok(u32::try_from(*n).unwrap_or(u32::MAX)),
@@ -143,7 +143,7 @@
         }
     }
 
-    /// One of a few words, which only their type knows.
+    /// A unit variant of the enum `T`, decoded from its name.
     fn enum_value<T: for<'de> Deserialize<'de>>(
         &self,
         field: &'static str,
@@ -223,7 +223,7 @@
     }
 }
 
-/// Amounts are decimal numbers; whole ones may be written as integers.
+/// An amount is a floating-point number; whole amounts may also be encoded as integers.
 fn amount(field: &'static str, value: &RawValue) -> Result<f64, Fault> {
     match value {
         RawValue::Number(n) => Ok(*n),
--- a/crates/wire/src/submission/raw_value.rs
+++ b/crates/wire/src/submission/raw_value.rs
@@ -1,14 +1,14 @@
-//! A value of a submission before it is known which field it belongs to.
+//! A value of a submission whose field, and so its type, is not known yet.
 
 use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use std::fmt;
 
-/// A value as it came. Only what some field may be is kept.
+/// A decoded value. Only kinds of values that some field may have are kept; the content of all others is dropped.
 #[derive(Debug, PartialEq)]
 pub(super) enum RawValue {
     Null,
     Bool(bool),
-    /// Whole, and not negative.
+    /// A non-negative integer.
     Unsigned(u64),
     Number(f64),
     Text(String),
@@ -49,7 +49,7 @@
         Ok(RawValue::Other)
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<RawValue, A::Error> {
-        // What a length declares is not set aside: only what is there takes room.
+        // No memory is reserved for the declared length, since the sender may declare any length.
         let mut values = Vec::new();
         while let Some(value) = seq.next_element::<RawValue>()? {
             values.push(value);
@@ -60,7 +60,7 @@
         while map.next_entry::<IgnoredAny, IgnoredAny>()?.is_some() {}
         Ok(RawValue::Other)
     }
-    /// An extension of `MessagePack`'s, which no field is.
+    /// A `MessagePack` extension type, which no field has.
     fn visit_newtype_struct<D: Deserializer<'de>>(
         self,
         deserializer: D,
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -1,25 +1,25 @@
-//! Messages of the users' interface: jobs as they are submitted, their states, and refusals.
+//! Messages of the users' interface: submitted jobs, their states, and errors.
 
 use serde::{Deserialize, Serialize};
 
-/// Most tasks in one job.
+/// Maximum number of tasks in one job.
 pub const MAX_TASKS: u32 = 100_000;
-/// The bound of the number of tasks in words, as [`MAX_TASKS`] has it.
+/// The error message for a number of tasks outside of 1 to [`MAX_TASKS`].
 pub(crate) const TASK_COUNT_RULE: &str = "must be an integer from 1 to 100000";
-/// Longest name of a class, team, image, machine type or zone, in bytes.
+/// Maximum length of the name of a class, team, image, machine type or zone, in bytes.
 const MAX_NAME: usize = 120;
-/// Machine types that one job may name: as many as a catalogue has.
+/// Maximum number of machine types that one job may name: as many as a catalogue has.
 pub const MAX_TYPES: usize = 64;
-/// Largest amount of a resource, a size or a time, in its field's unit.
+/// Maximum of a resource, size or duration, in the unit of its field.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// What is wrong with a submission: the field by its name on the wire, or the body as a whole.
+/// Why a submission is invalid: the field, by its name in the message, or the body as a whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("invalid: {field}: {why}")]
 pub struct Fault {
-    /// The field's name on the wire, or `body`.
+    /// The field's name in the message, or `body`.
     pub field: &'static str,
-    /// What is wrong with it, in words for the user.
+    /// What is wrong with the field, as a message for the user.
     pub why: &'static str,
 }
 
@@ -30,13 +30,13 @@
     }
 }
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job run in relation to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// Tasks that run independently.
     #[serde(rename = "array")]
     Array,
-    /// Tasks that run only all at the same time.
+    /// Tasks that must all run at the same time.
     #[serde(rename = "group")]
     Gang,
     /// Tasks that run until the job is cancelled.
@@ -50,7 +50,7 @@
 pub enum Priority {
     /// Below all others.
     Low,
-    /// The default of users.
+    /// The usual priority of users' jobs.
     Normal,
     /// Above normal work.
     High,
@@ -58,71 +58,71 @@
     Production,
 }
 
-/// What a user submits.
+/// A job as a user submits it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Its id, made by the user: a repeat with the same id submits nothing more.
+    /// The id of the job, chosen by the user. Submitting the same id again has no further effect.
     #[serde(rename = "nameId")]
     pub id: String,
-    /// The class of the job, by which objectives and counts are kept.
+    /// The class of the job, to which objectives and counts refer.
     #[serde(rename = "lot")]
     pub class: String,
-    /// The team that the job counts against.
+    /// The team whose quota the job uses.
     #[serde(rename = "desk")]
     pub team: String,
-    /// How its tasks belong together.
+    /// How the tasks run in relation to each other.
     #[serde(rename = "shape")]
     pub kind: Kind,
-    /// Its priority.
+    /// The priority of the job.
     #[serde(rename = "urgency")]
     pub priority: Priority,
-    /// How many tasks it has; at most [`MAX_TASKS`].
+    /// Number of tasks; at most [`MAX_TASKS`].
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// CPU cores of one task.
+    /// CPU cores per task.
     pub cores: f64,
-    /// GPUs of one task.
+    /// GPUs per task.
     pub gpus: f64,
-    /// Memory of one task, in GB.
+    /// Memory per task, in GB.
     #[serde(rename = "ramGb")]
     pub mem_gb: f64,
-    /// The image that its tasks run.
+    /// The image that the tasks run.
     #[serde(rename = "kit")]
     pub image: String,
     /// The size of the image, in GB.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
-    /// Machine types that it may run on; none for all.
+    /// Machine types that the job may run on; `None` for all.
     #[serde(rename = "builds", default)]
     pub types: Option<Vec<String>>,
-    /// The zone that it must run in; none for any.
+    /// The zone that the job must run in; `None` for any.
     #[serde(rename = "hall", default)]
     pub zone: Option<String>,
-    /// Whether all its tasks must run in one zone.
+    /// Whether all tasks must run in one zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// Whether its tasks must be spread over zones.
+    /// Whether the tasks must be spread over zones.
     pub spread: bool,
-    /// Whether it may run on spot machines.
+    /// Whether the job may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Expected running time of one task, in seconds.
+    /// Expected run time of one task, in seconds.
     #[serde(rename = "expectS")]
     pub estimate_s: f64,
-    /// Interval between its checkpoints, in seconds; 0 without any.
+    /// Interval between checkpoints, in seconds; 0 if the job has none.
     #[serde(rename = "bookmarkS")]
     pub checkpoint_s: f64,
-    /// Time that it takes to save a checkpoint, in seconds.
+    /// Time needed to save a checkpoint, in seconds.
     #[serde(rename = "stashS")]
     pub save_s: f64,
-    /// Time from its submission by which it is to be done, in seconds.
+    /// Time from submission by which the job should be done, in seconds.
     #[serde(rename = "dueS", default)]
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// Checks form only, and names the first field that is wrong; whether the job can ever run is for the controller to
-    /// say.
+    /// Validates the form of the job and names the first invalid field. Whether the job can ever run is for the
+    /// controller to decide.
     pub fn check(&self) -> Result<(), Fault> {
         if !crate::ids::valid_job_id(&self.id) {
             return Err(Fault {
@@ -204,47 +204,47 @@
     Ok(())
 }
 
-/// How far a job has come.
+/// The progress of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Stage {
-    /// None of its tasks runs.
+    /// None of its tasks is running.
     Pending,
-    /// Some of its tasks run.
+    /// Some of its tasks are running.
     Running,
     /// All its tasks are completed.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
 impl Stage {
-    /// Whether the stage never changes again.
+    /// Whether the stage can no longer change.
     pub fn is_final(self) -> bool {
         matches!(self, Stage::Done | Stage::Cancelled)
     }
 }
 
-/// The state of a job, as users see it.
+/// The state of a job as reported to users.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobState {
     /// The id of the job.
     #[serde(rename = "nameId")]
     pub id: String,
-    /// How far it has come.
+    /// The stage of the job.
     #[serde(rename = "stage")]
     pub stage: Stage,
-    /// How many of its tasks are completed.
+    /// Number of completed tasks.
     #[serde(default)]
     pub done: u32,
-    /// How many of its tasks run.
+    /// Number of running tasks.
     #[serde(default)]
     pub running: u32,
 }
 
-/// The body of a refusal.
+/// The body of an error response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The reason, in words.
+    /// The reason, as text.
     pub error: String,
 }
