--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -1,5 +1,5 @@
-//! Requests of operators about documents, as JSON at the address for other controllers. Any controller accepts them; the
-//! leader answers.
+//! Requests of operators about documents, and the responses, as JSON over the address for other controllers. Any
+//! controller accepts the requests; the leader answers them.
 
 use crate::DecodeError;
 use document::{Fault, Past};
@@ -9,69 +9,71 @@
 const PREFIX: &str = "/admin/";
 /// The path of requests about the quota tree.
 pub const PATH: &str = "/admin/quota";
-/// Largest request: a tree of 20,000 teams takes less. Answers add what each of them uses.
+/// Maximum length of a request, in bytes. A quota tree of 20,000 teams takes less. Responses are longer, since they add
+/// the use of each team.
 pub const BODY_LIMIT: usize = 2 << 20;
-/// Largest answer, in bytes.
+/// Maximum length of a response, in bytes.
 pub const ANSWER_LIMIT: usize = 16 << 20;
 
-/// The path of a kind of document.
+/// The path of requests about a kind of document.
 pub fn path(kind: &str) -> String {
     format!("{PREFIX}{kind}")
 }
 
-/// What is asked about any document. Questions that its kind alone has come in a form of their own, as its other
-/// asks.
+/// Requests that every kind of document has. Requests that only one kind has are messages of their own, such as
+/// [`Question`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AskOf<E> {
-    /// The version in force, and the latest changes.
+    /// Asks for the version in force and the latest changes.
     Show,
-    /// A change of the document.
+    /// Changes the document.
     Change(ChangeOf<E>),
 }
 
 /// One change of a document.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChangeOf<E> {
-    /// Made by the operator before the first try; a repeat with the same one is the same change.
+    /// The id of the change, chosen by the client before the first attempt. A repeat with the same id is the same
+    /// change.
     pub id: String,
-    /// Who makes the change, as it is kept in the history.
+    /// Who makes the change, as recorded in the history.
     pub by: String,
-    /// The version that it was made for; another one in force is a conflict.
+    /// The version that the change is based on. If another version is in force, the change is a conflict.
     #[serde(default)]
     pub expect: Option<u64>,
-    /// Only say what would change, and what would be stopped.
+    /// Whether to only report what would change and which work would be stopped.
     #[serde(default)]
     pub dry_run: bool,
     /// The change itself.
     pub edit: E,
 }
 
-/// The only change of most kinds.
+/// The only change that most kinds of documents have.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Whole<C> {
-    /// Another document as a whole; an empty one removes it.
+    /// Replaces the whole document; an empty one removes it.
     Set {
         /// The new document.
         spec: C,
     },
 }
 
-/// No questions of its own.
+/// For kinds of documents that have no requests of their own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Nothing {}
 
-/// What is asked about the quota tree. It is shown with use and wants.
+/// Requests about the quota tree. The response to a show request is a [`Tree`], with use and demand.
 pub type Ask = AskOf<Edit>;
 /// A change of the quota tree.
 pub type Change = ChangeOf<Edit>;
 
-/// Questions that only the quota tree is asked.
+/// Requests that only the quota tree has.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Question {
-    /// Why a team's work waits.
+    /// Asks why a team's work is waiting.
     Why {
         /// The team's name.
         team: String,
@@ -82,32 +84,32 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Edit {
-    /// Another tree as a whole; an empty one takes the tree away.
+    /// Replaces the whole tree; an empty one removes it.
     Set {
         /// The new tree.
         spec: Spec,
     },
-    /// A team or node, with its guarantee, to below another node or the root.
+    /// Moves a team or node, with its guarantee, below another node or the root.
     Move {
         /// The team or node that moves.
         name: String,
-        /// Its new parent; none for the root.
+        /// Its new parent; `None` for the root.
         to: Option<String>,
     },
-    /// Other bounds for a node.
+    /// Sets new limits for a node.
     Shrink {
-        /// The node whose bounds change.
+        /// The node whose limits change.
         name: String,
         /// Its new guarantee, by resource.
         guarantee: Amounts,
         /// Its new maximum, by resource.
         max: Amounts,
-        /// Whether guarantees below the node are cut in proportion, where the new one no longer holds them.
+        /// Whether to reduce the guarantees below the node proportionally if the new one no longer covers them.
         scale: bool,
     },
 }
 
-/// A document that has nothing beside it to show.
+/// The response to a show request about a document that has no state besides its content.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Shown<C> {
     /// The version in force; 0 if there is none.
@@ -116,56 +118,57 @@
     pub spec: C,
     /// The latest changes.
     pub history: Vec<Past>,
-    /// A version that did not check out, and why; the one in force is the last good one.
+    /// A version that failed validation, and why. The version in force is the last valid one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<String>,
 }
 
-/// The quota tree in force, with the use of each node and team.
+/// The quota tree in force, with the use and demand of each node and team.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Tree {
     /// The version in force; 0 if there is none.
     pub version: u64,
     /// The tree in force.
     pub spec: Spec,
-    /// Its nodes, with their use and demand.
+    /// The nodes, with their use and demand.
     pub nodes: Vec<quota::Standing>,
-    /// Its teams, with their use and demand.
+    /// The teams, with their use and demand.
     pub teams: Vec<quota::Standing>,
     /// The latest changes.
     pub history: Vec<Past>,
-    /// A version that did not check out, and why; the one in force is the last good one.
+    /// A version that failed validation, and why. The version in force is the last valid one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<String>,
 }
 
-/// How a change ended.
+/// The result of a change.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Changed {
-    /// The version in force after it.
+    /// The version in force after the change.
     pub version: u64,
-    /// Whether nothing was changed, but only checked.
+    /// Whether the change was only checked and not made.
     pub dry_run: bool,
-    /// What differs from the version before, in words, one line each.
+    /// Differences from the previous version, one line of text each.
     pub differences: Vec<String>,
-    /// What comes of it: of a tree what is above its bound then, how much, and what becomes of it.
+    /// Consequences of the change. For a quota tree: what exceeds its limit after the change, by how much, and what
+    /// happens to it.
     pub above: Vec<String>,
 }
 
 /// Why a request was not served.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Refused {
-    /// The reason in words.
+    /// The reason, as text.
     pub error: String,
-    /// The version in force, where it was another one than expected.
+    /// The version in force, if it differs from the expected one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
-    /// What is wrong with the document.
+    /// The errors in the document.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<Fault>,
 }
 
-/// The kind of document that a path is for.
+/// The kind of document that a path refers to.
 pub fn kind_of(path: &str) -> Option<&str> {
     path.strip_prefix(PREFIX)
 }
--- a/crates/wire/src/hours.rs
+++ b/crates/wire/src/hours.rs
@@ -1,4 +1,5 @@
-//! Requests of operators about release hours beside the calendar itself, and the responses.
+//! Requests of operators about the release hours of jobs, and the responses. The calendar itself is a document, with
+//! the requests of [`crate::admin`].
 
 use crate::records::MovedRecord;
 use serde::{Deserialize, Serialize};
@@ -7,12 +8,12 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ask {
-    /// What is due when, of one studio or of all.
+    /// Lists release hours, of one studio or of all.
     List {
-        /// The studio's name; none for all.
+        /// The studio's name; `None` for all.
         studio: Option<String>,
     },
-    /// Another hour for one job. A repeat that finds it in place changes nothing.
+    /// Moves the hour of one job. A repeat that finds the new hour in place changes nothing.
     Move {
         /// The id of the job.
         job: String,
@@ -21,23 +22,23 @@
         /// Who moves it.
         by: String,
     },
-    /// The hours of one studio's pending jobs as the calendar in force has them.
+    /// Sets the hours of one studio's pending jobs to those of the calendar in force.
     Reagree {
         /// The studio's name.
         studio: String,
-        /// Who asks for it.
+        /// Who requests it.
         by: String,
-        /// Only say what would change.
+        /// Whether to only report what would change.
         dry_run: bool,
     },
 }
 
-/// A job's hour, and what became of it.
+/// A job's release hour and whether it is kept.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
     /// The id of the job.
     pub job: String,
-    /// As the calendar has it now; none if the team belongs to none any more.
+    /// The studio by the current calendar; `None` if the team no longer belongs to one.
     pub studio: Option<String>,
     /// The team that the job belongs to.
     pub team: String,
@@ -45,11 +46,11 @@
     pub class: String,
     /// The hour, as Unix time in milliseconds.
     pub due_ms: u64,
-    /// As the studio's clocks show it.
+    /// The hour as a local time of the studio.
     pub due: String,
     /// Whether the hour is, or was, kept.
     pub state: State,
-    /// Seconds after the hour, of what was missed.
+    /// By how many seconds a missed hour was exceeded.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub late_s: Option<f64>,
     /// The last move of the hour by an operator.
@@ -61,50 +62,50 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The hour is to come, and nothing is in its way.
+    /// The hour has not passed, and nothing prevents it from being kept.
     Due,
-    /// It can't be kept as things are, and why.
+    /// In the present state the hour can't be kept, for the given reason.
     AtRisk(Risk),
-    /// The hour is past, and the job has not ended, or ended after it.
+    /// The hour has passed, and the job has not ended or ended after it.
     Missed,
     /// The job ended by its hour.
     Kept,
-    /// Cancelled by its user.
+    /// The job was cancelled by its user.
     Withdrawn,
 }
 
-/// Why an hour can't be kept as things are.
+/// Why an hour can't be kept in the present state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Risk {
-    /// There is no room on the machines.
+    /// The machines do not have enough free resources.
     Room,
     /// The team's quota is used up.
     Quota,
-    /// Its tasks have machines, but none of them runs yet: images are being fetched.
+    /// The tasks have machines, but none of them is running yet: images are being fetched.
     Image,
-    /// Machines for it are still booting.
+    /// Machines for the job are still booting.
     Boot,
-    /// The zones that it may run in are cut off.
+    /// The zones that the job may run in are cut off.
     Cut,
 }
 
-/// By hour; what has ended last.
+/// A list of release hours, sorted by hour, with ended jobs last.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct List {
-    /// The hours that are listed.
+    /// The listed hours.
     pub lines: Vec<Line>,
-    /// Jobs that are not listed.
+    /// Number of jobs that are not listed.
     pub more: usize,
 }
 
-/// What came of a move, or would.
+/// The result of moving release hours.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Moved {
-    /// Only say what would change.
+    /// Whether the move was only checked and not made.
     pub dry_run: bool,
-    /// Jobs whose hour moves.
+    /// Number of jobs whose hour moves.
     pub jobs: usize,
-    /// Some of them, for people.
+    /// Descriptions of some of them, one line of text each.
     pub lines: Vec<String>,
 }
--- a/crates/wire/src/tally.rs
+++ b/crates/wire/src/tally.rs
@@ -1,52 +1,53 @@
-//! Requests of operators about counts by county, and the responses.
+//! Requests of operators about job and task counts by county, and the responses.
 
 use serde::{Deserialize, Serialize};
 
-/// Lines of differences that an audit lists.
+/// Maximum number of differences that an audit lists.
 pub const DIFFERENCES: usize = 200;
 
 /// Requests of operators about counts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Question {
-    /// The counts of one county, or of all.
+    /// Asks for the counts of one county or of all.
     Tally {
-        /// The county's name or id; none for all.
+        /// The county's name or id; `None` for all.
         county: Option<String>,
     },
-    /// A count from the records, asked for again until it is done. The id is made by the client.
+    /// Recounts the records and compares the result with the counts. The client repeats the request until the audit is
+    /// done.
     Audit {
-        /// The id of the audit.
+        /// The id of the audit, chosen by the client.
         id: String,
     },
 }
 
-/// One class of a county.
+/// The counts of one class of jobs in a county.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Line {
     /// The stable id of the county.
     pub county: String,
-    /// Its name in the document in force, if it is there.
+    /// The county's name, if it is in the document in force.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub name: Option<String>,
     /// The class of the jobs.
     pub class: String,
-    /// Jobs: accepted, and of these those that live, ended done, and ended cancelled.
+    /// All accepted jobs: the sum of `live`, `done` and `cancelled`.
     pub accepted: u64,
     /// Jobs that have not ended.
     pub live: u64,
-    /// Jobs that ended by completing their tasks.
+    /// Jobs that completed all their tasks.
     pub done: u64,
-    /// Jobs that ended by being cancelled.
+    /// Jobs that were cancelled.
     pub cancelled: u64,
-    /// Tasks that were done when their jobs ended.
+    /// Tasks of ended jobs that were completed when the job ended.
     pub done_tasks: u64,
 }
 
-/// All counts as of one revision of the state service.
+/// Counts as of one revision of the state service.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Counts {
-    /// The revision.
+    /// The revision of the state service.
     pub revision: u64,
     /// The counts, by county and class.
     pub lines: Vec<Line>,
@@ -56,18 +57,18 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Audit {
-    /// So many records were read so far.
+    /// The audit is still reading records.
     Running {
-        /// Records that were read.
+        /// Number of records read so far.
         read: u64,
     },
-    /// As of this revision. No differences: the counts are those of the records.
+    /// The audit is done. Without differences the counts match the records.
     Done {
-        /// The revision of the state service.
+        /// The revision of the state service that was audited.
         revision: u64,
-        /// Records that were read.
+        /// Number of records read.
         read: u64,
-        /// Differences between counts and records, in words; at most [`DIFFERENCES`].
+        /// Differences between counts and records, one line of text each; at most [`DIFFERENCES`].
         differences: Vec<String>,
     },
 }
