--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,11 +1,11 @@
-//! Messages between controllers: CBOR over the same HTTP framing.
+//! Messages between controllers: CBOR over HTTP.
 
 use crate::DecodeError;
 use crate::users::{JobSpec, JobState};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use serde_bytes::ByteBuf;
 
-/// Deepest nesting of a message that is read, in maps and lists.
+/// Maximum nesting depth of maps and lists in a message.
 const MAX_DEPTH: usize = 16;
 
 /// The path of requests between controllers.
@@ -14,32 +14,32 @@
 /// A request from one controller to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// The state of a job, from its leader.
+    /// Asks the leader for the state of a job.
     Query {
         /// The id of the job.
         job: String,
     },
-    /// Cancel a job for a user.
+    /// Cancels a job on behalf of a user.
     Cancel {
         /// The id of the job.
         job: String,
     },
-    /// Accept a job, for a node that the state service does not answer.
+    /// Submits a job on behalf of a node that gets no response from the state service.
     Submit {
         /// The job as its user submitted it.
         spec: Box<JobSpec>,
     },
-    /// The state of a job, from a node that can read it, or has its end in memory.
+    /// Asks for the state of a job from a node that can read the state service or has the job's final state in memory.
     Lookup {
         /// The id of the job.
         job: String,
-        /// The leader asks, or has been asked.
+        /// Whether the leader need not be asked: it makes the request itself, or has been asked before.
         #[serde(default)]
         #[serde(rename = "past_owner")]
         past_leader: bool,
     },
-    /// The requester has become the leader. Nothing is decided by it: it only saves those who can't read the state
-    /// service from redirecting agents to the wrong node.
+    /// Announces that the requester has become the leader. No decision depends on it: it only keeps nodes that can't
+    /// read the state service from redirecting agents to the wrong node.
     #[serde(rename = "Owns")]
     Leads {
         /// The new leader.
@@ -47,31 +47,32 @@
         /// Its fencing token.
         token: u64,
     },
-    /// What the requester sees, for what the other sees.
+    /// Sends the requester's status and asks for the receiver's.
     #[serde(rename = "View")]
     PeerStatus(PeerStatus),
-    /// Heartbeats of agents that can't reach the leader, as they were received.
+    /// Relays heartbeats of agents that can't reach the leader.
     Reports {
         /// The controller that received the heartbeats.
         node: String,
         /// Heartbeats, encoded as the agents sent them.
         reports: Vec<ByteBuf>,
     },
-    /// A command for an agent that the receiver can reach, encoded for the agent.
+    /// Asks the receiver to relay a command to an agent that it can reach.
     #[serde(rename = "Tell")]
     Command {
         /// The machine's name.
         machine: String,
         /// The agent's address and port.
         addr: String,
-        /// The encoded orders.
+        /// The orders, encoded for the agent.
         body: ByteBuf,
     },
-    /// A model is wanted. For the leader alone: it is to know of it, so that it does not put the model to sleep.
+    /// Requests a model. If `leader` is set, it tells the leader of the demand, so that it does not put the model to
+    /// sleep.
     Wake {
         /// The id of the model's job.
         model: String,
-        /// Whether the request is for the leader alone; others answer that they are not.
+        /// Whether only the leader handles the request; other nodes answer [`PeerResponse::NotNow`].
         #[serde(rename = "owner")]
         leader: bool,
     },
@@ -82,42 +83,42 @@
 pub enum PeerResponse {
     /// The state of the job.
     State(JobState),
-    /// The job has been accepted just now.
+    /// The job has been accepted by this request.
     Accepted(JobState),
-    /// The user is refused.
+    /// The user's request is refused.
     Refused {
         /// The HTTP status for the user.
         status: u16,
-        /// The reason; empty from nodes of versions that did not send it.
+        /// The reason; empty in responses from versions that did not send it.
         #[serde(default, skip_serializing_if = "String::is_empty")]
         why: String,
     },
-    /// The leader does not know the job: look into the state service.
+    /// The leader does not know the job; the requester has to read it from the state service.
     Unknown,
-    /// Not the leader, or without a valid lease.
+    /// The node is not the leader or has no valid lease.
     NotNow,
-    /// What the sender of the response sees.
+    /// The status of the responding node.
     #[serde(rename = "View")]
     PeerStatus(PeerStatus),
-    /// The encoded answers to heartbeats, in their order; an empty one is a refusal.
+    /// The encoded responses to relayed heartbeats, in the same order; an empty one is a refusal.
     Orders(Vec<ByteBuf>),
-    /// The agent's answer to a command.
+    /// The agent's response to a relayed command.
     #[serde(rename = "Told")]
     CommandResult {
-        /// The HTTP status of the agent's answer; 421 if the command was not sent.
+        /// The HTTP status of the agent's response; 421 if the command was not sent.
         status: u16,
-        /// The body of the agent's answer.
+        /// The body of the agent's response.
         body: ByteBuf,
     },
     /// The status of the model.
     Model(Box<crate::models::ModelStatus>),
 }
 
-/// Longest reason that is passed on, in bytes.
+/// Maximum length of the reason for a refusal, in bytes. Longer ones are truncated.
 pub const MAX_WHY: usize = 200;
 
 impl PeerResponse {
-    /// A refusal with as much of the reason as is passed on.
+    /// A refusal with the reason truncated to [`MAX_WHY`] bytes.
     pub fn refused(status: u16, why: &str) -> Self {
         PeerResponse::Refused {
             status,
@@ -126,41 +127,42 @@
     }
 }
 
-/// The beginning of a reason, as much as is passed on.
+/// The reason truncated to [`MAX_WHY`] bytes, at a character boundary.
 pub fn bounded(why: &str) -> &str {
     &why[..why.floor_char_boundary(MAX_WHY)]
 }
 
-/// What a node sees of the others, and knows itself.
+/// A node's status and its view of the state service and the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
     /// The name of the node.
     pub node: String,
-    /// How long ago the state service has answered it, in milliseconds.
+    /// Time since the last response of the state service to the node, in milliseconds.
     pub state_ms: Option<u64>,
-    /// The highest token that it knows of, if it has read the counter since it began: up to now, it has told nobody of
-    /// anything under a higher one.
+    /// The highest fencing token that the node knows of, if it has read the token counter since its start. It has not
+    /// sent any message under a higher token so far.
     pub token: Option<u64>,
-    /// Its token, if it leads the fleet and its lease is valid.
+    /// The node's fencing token, if it leads the fleet and its lease is valid.
     #[serde(rename = "owns")]
     pub leads: Option<u64>,
-    /// It leads the fleet, and no agent has reached it directly since.
+    /// Whether the node leads the fleet and no agent has reached it directly since it became the leader.
     #[serde(default)]
     #[serde(rename = "deaf")]
     pub hears_no_agents: bool,
-    /// The state service refuses it, or does not answer.
+    /// Whether the state service refuses the node's requests or does not respond.
     #[serde(default)]
     pub down: bool,
-    /// It leads the fleet, and has agents send heartbeats through all controllers.
+    /// Whether the node leads the fleet and distributes the agents' heartbeats over all controllers.
     #[serde(default)]
     pub spreads: bool,
-    /// From the leader, in an answer: what the requester may keep alive for it in its own zone.
+    /// In a response of the leader: permission for the requester to renew leases of agents in its own zone on the
+    /// leader's behalf.
     #[serde(default)]
     #[serde(rename = "keep")]
     pub delegation: Option<LeaseDelegation>,
 }
 
-/// The leader's token, and the machines whose leases must not be renewed under it by another.
+/// Permission to renew the leases of agents on the leader's behalf, except on some machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaseDelegation {
     /// The leader's fencing token.
@@ -172,7 +174,7 @@
 /// Encodes a message as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut out = Vec::new();
-    // Writing to memory cannot fail for these types.
+    // Encoding these types into memory can't fail.
     let _ = ciborium::into_writer(value, &mut out);
     out
 }
