--- a/crates/wire/src/agents.rs
+++ b/crates/wire/src/agents.rs
@@ -1,18 +1,18 @@
-//! Messages between controllers and the agents on machines: heartbeats, and the orders that answer them.
+//! Messages between controllers and the agents on machines: heartbeats and orders.
 
 use serde::{Deserialize, Serialize};
 
-/// How far a task on a machine has come.
+/// The stage of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskStage {
-    /// The agent fetches the task's image.
+    /// The agent is fetching the task's image.
     Fetching,
-    /// The task waits for the other tasks of its gang.
+    /// The task is waiting for the other tasks of its gang.
     Waiting,
-    /// The task runs.
+    /// The task is running.
     Running,
-    /// The task saves a checkpoint before it ends.
+    /// The task is saving a checkpoint before it ends.
     Saving,
     /// The task has ended.
     Exited,
@@ -22,17 +22,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It completed its work.
+    /// The task completed its work.
     Done,
-    /// It was stopped by an order.
+    /// The task was stopped by an order.
     Stopped,
-    /// Another task of its gang is gone.
+    /// Another task of the same gang is gone.
     Peers,
-    /// Its gang was not complete in time.
+    /// The gang was not complete in time.
     Incomplete,
-    /// The agent failed to run it.
+    /// The agent failed to run the task.
     Error,
-    /// The machine has no room for it.
+    /// The machine does not have enough free resources.
     #[serde(rename = "full")]
     NoRoom,
     /// An earlier attempt of the task is still on the machine.
@@ -40,7 +40,7 @@
     Busy,
     /// The agent does not know the task.
     Unknown,
-    /// A cause of a newer protocol: the task is gone and not done, which is all that matters.
+    /// A cause from a newer version of the protocol. It is enough to know that the task is gone and not done.
     #[serde(other)]
     Other,
 }
@@ -51,21 +51,21 @@
     /// The task's name: the id of its job and its number.
     #[serde(rename = "piece")]
     pub task: String,
-    /// The attempt by which it was started.
+    /// The attempt that started the task.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// How far it has come.
+    /// The stage of the task.
     #[serde(rename = "stage")]
     pub stage: TaskStage,
-    /// Why it ended; only in the last stage.
+    /// Why the task ended; set only in the last stage.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
-    /// Whether it saved a checkpoint when it ended; none if it had nothing to save.
+    /// Whether the task saved a checkpoint when it ended; `None` if it had nothing to save.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// What an agent regularly reports of its machine.
+/// An agent's periodic report on its machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The machine's name.
@@ -79,19 +79,19 @@
     /// The zone of the machine.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Whether the machine is a spot machine, which the cloud may take back.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The agent's session: a new one begins with every start of the agent.
+    /// The agent's session. Every start of the agent begins a new one.
     #[serde(rename = "tenure")]
     pub agent_epoch: u64,
-    /// The number of this heartbeat within the session.
+    /// The sequence number of the heartbeat within the session.
     #[serde(rename = "tick")]
     pub seq: u64,
     /// The highest fencing token of a leader that the agent has seen.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Time until the cloud takes the machine back, in seconds; none without a notice.
+    /// Time until the cloud reclaims the machine, in seconds; `None` without a reclaim notice.
     #[serde(rename = "warningS", default)]
     pub notice_s: Option<f64>,
     /// The status of each task on the machine.
@@ -99,7 +99,7 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// An order to an agent, about one task.
+/// An order to an agent concerning one task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Order {
@@ -108,7 +108,7 @@
         /// The task's name.
         #[serde(rename = "piece")]
         task: String,
-        /// The attempt, which every later order and status repeats.
+        /// The attempt, which all later orders and statuses of the task repeat.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -120,7 +120,7 @@
         /// The attempt to stop.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time that the task has to save its work, in seconds.
+        /// Time that the task has for saving a checkpoint, in seconds.
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
@@ -135,23 +135,23 @@
     },
 }
 
-/// The answer to a heartbeat, or a message on its own: orders from the leader.
+/// Orders from the leader, as the response to a heartbeat or as a request of their own.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
-    /// The leader's fencing token; an agent refuses orders with a lower one than it has seen.
+    /// The leader's fencing token. An agent refuses orders whose token is lower than the highest it has seen.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The session that the orders are meant for; none for any.
+    /// The agent session that the orders are for; `None` for any.
     #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
     pub agent_epoch: Option<u64>,
-    /// The orders, to be followed one after the other.
+    /// The orders, to be executed in this sequence.
     pub orders: Vec<Order>,
 }
 
-/// The answer of a controller that does not take the heartbeat.
+/// The response of a controller that does not accept the heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The node name of the controller to report to; none if it is not known.
+    /// The node name of the controller to send heartbeats to; `None` if it is not known.
     #[serde(rename = "answerTo", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
--- a/crates/wire/src/api.rs
+++ b/crates/wire/src/api.rs
@@ -1,6 +1,6 @@
-//! The messages of all HTTP interfaces but that between controllers, under one path.
+//! Re-exports the messages exchanged with users, agents, the cloud and the state service under one path.
 //!
-//! They are defined by whom they are exchanged with; nothing else in this crate imports this module.
+//! The messages are defined in one module per counterpart. Nothing else in this crate imports this module.
 
 pub use crate::agents::{Cause, Heartbeat, Order, Orders, Redirect, TaskStage, TaskStatus};
 pub use crate::cloud::{
@@ -12,5 +12,5 @@
 };
 pub use crate::users::{ErrorBody, JobSpec, JobState, Kind, MAX_TASKS, MAX_TYPES, Priority, Stage};
 
-/// Largest request body, and largest response to agents and users, in bytes.
+/// Maximum length of a request body, and of a response to agents and users, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Messages of the cloud's interface: the catalogue of machine types, rentals, and lists of machines.
+//! Messages of the cloud's interface: the catalogue of machine types, rental requests, and lists of machines.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,22 +15,22 @@
     /// Memory, in GB.
     #[serde(rename = "ramGb")]
     pub mem_gb: f64,
-    /// Room for images on the machine, in GB.
+    /// Space for cached images on the machine, in GB.
     #[serde(rename = "localGb", default)]
     pub cache_gb: f64,
     /// Rate at which images are fetched, in GB per second.
     #[serde(rename = "fetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price on demand, per hour.
+    /// On-demand price per hour.
     #[serde(rename = "hourly", default)]
     pub price: f64,
-    /// Price as a spot machine, per hour.
+    /// Spot price per hour.
     #[serde(rename = "lowPrice", default)]
     pub spot_price: f64,
     /// Time from the rental to the first heartbeat, in seconds.
     #[serde(rename = "startupS", default)]
     pub boot_s: f64,
-    /// The zones in which it can be rented.
+    /// The zones in which the type can be rented.
     #[serde(rename = "halls", default)]
     pub zones: Vec<String>,
 }
@@ -38,7 +38,7 @@
 /// The catalogue of machine types.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Its machine types.
+    /// The machine types.
     #[serde(rename = "builds")]
     pub types: Vec<MachineType>,
 }
@@ -46,7 +46,7 @@
 /// A request to rent machines of one type in one zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HireRequest {
-    /// The id of the request; a repeat with the same one rents nothing more.
+    /// The id of the request. A repeat with the same id rents no further machines.
     #[serde(rename = "hire")]
     pub request: String,
     /// The machine type, by its name in the catalogue.
@@ -55,15 +55,15 @@
     /// The zone.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Whether spot machines are wanted.
+    /// Whether to rent spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many machines.
+    /// Number of machines.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Names of machines: those that were rented, or that are to be returned.
+/// Names of machines that were rented, or that are to be returned.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
     /// The names.
@@ -89,7 +89,7 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The stage of its life, by the cloud's name.
+    /// The lifecycle stage of the machine, by the cloud's name.
     #[serde(rename = "stage")]
     pub stage: String,
     /// Time since its rental, in seconds.
@@ -103,7 +103,7 @@
     /// The machines of this page.
     #[serde(rename = "burrows")]
     pub machines: Vec<ListedMachine>,
-    /// Whether pages follow.
+    /// Whether more pages follow.
     #[serde(default)]
     pub more: bool,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,12 +1,12 @@
 //! The wire formats of stoathatch: messages between controllers, users, agents, the cloud, the state service and
 //! operators, the records in the state service, and the settings file.
 //!
-//! Rust names are the field's terms; encoded names (`baton`, `tenure`, …) are those of the protocol, by `serde`'s
-//! `rename`, and occur only in this crate.
+//! Rust names are the usual terms of cluster scheduling. The protocol has other names (`baton`, `tenure`, …): they are
+//! set by `serde`'s `rename` and occur only in this crate.
 //!
 //! | exchanged with | module | encoding |
 //! |---|---|---|
-//! | users | [`users`], read by [`submission`] | `MessagePack` |
+//! | users | [`users`], decoded by [`submission`] | `MessagePack` |
 //! | agents | [`agents`] | `MessagePack` |
 //! | the cloud | [`cloud`] | `MessagePack` |
 //! | the state service | [`state_service`], with values of [`records`] and [`tree`] | `MessagePack` |
@@ -14,7 +14,8 @@
 //! | operators | [`admin`], [`hours`], [`models`], [`tally`] | JSON |
 //! | the platform | [`settings`] | JSON |
 //!
-//! All but the settings travel over HTTP/1.1, which [`http`] frames. [`api`] re-exports the messages of the first four.
+//! All but the settings are exchanged over HTTP/1.1; [`http`] parses and writes it. [`api`] re-exports the messages of
+//! the first four rows.
 
 #![deny(missing_docs)]
 
@@ -37,20 +38,20 @@
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Deepest nesting of a `MessagePack` message that is read, in maps and lists.
+/// Maximum nesting depth of maps and lists in a `MessagePack` message.
 const MAX_DEPTH: usize = 32;
 
-/// Why a body could not be decoded, for the log.
+/// Why a body could not be decoded.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum DecodeError {
-    /// The bytes are no message of the expected kind.
-    #[error("unreadable body: {reason}")]
+    /// The bytes are not a message of the expected type.
+    #[error("malformed body: {reason}")]
     Malformed {
-        /// The decoder's reason.
+        /// The decoder's error message.
         reason: String,
     },
     /// Bytes follow the message.
-    #[error("unreadable body: trailing bytes")]
+    #[error("malformed body: trailing bytes")]
     TrailingBytes,
 }
 
@@ -64,16 +65,16 @@
 
 /// Encodes a message as `MessagePack` with text keys.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Only a map with non-text keys or a failing writer can fail here; we have neither.
+    // Fails only for maps with non-text keys and for writers that return errors, and there are neither here.
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
-/// Decodes one `MessagePack` message. Declared lengths allocate nothing beyond the bytes that are there, and nesting is
-/// bounded far below the stack.
+/// Decodes one `MessagePack` message. A declared length never allocates more than the bytes that are present, and the
+/// nesting depth is bounded well below what would overflow the stack.
 ///
 /// # Errors
 ///
-/// The bytes are no message of this type, or more bytes follow it.
+/// The bytes are not a message of this type, or more bytes follow it.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     let mut reader = rmp_serde::Deserializer::new(std::io::Cursor::new(body));
     reader.set_max_depth(MAX_DEPTH);
--- a/crates/wire/src/state_service.rs
+++ b/crates/wire/src/state_service.rs
@@ -1,9 +1,9 @@
-//! Messages of the state service's interface: transactions, ranges, changes, and leases.
+//! Messages of the state service's interface: transactions, range reads, changes, and leases.
 
 use crate::records::Record;
 use serde::{Deserialize, Serialize};
 
-/// A condition of a transaction: the key's version must be as given.
+/// A condition of a transaction: the key must have the given version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
     /// The key.
@@ -25,7 +25,7 @@
         /// The new value.
         #[serde(rename = "v")]
         value: Box<Record>,
-        /// The lease that the key is attached to: it is removed when the lease ends.
+        /// The lease that the key is attached to. The key is removed when the lease ends.
         #[serde(rename = "tenancy", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -48,26 +48,26 @@
     }
 }
 
-/// A transaction: all writes are made if every condition holds, and none otherwise.
+/// A transaction: if every condition holds, all writes are made; otherwise none is.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Transaction {
     /// The conditions.
     #[serde(rename = "guards")]
     pub conditions: Vec<Condition>,
-    /// Without any, the versions are only compared.
+    /// The writes. Without any, the transaction only checks its conditions.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub writes: Vec<Write>,
 }
 
-/// The answer to a transaction that was made.
+/// The response to a committed transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Revision {
-    /// The revision of the state service after it.
+    /// The revision of the state service after the transaction.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
 
-/// Why a transaction was not made: the keys whose versions were others than its conditions say.
+/// The response to a transaction that was not committed because some of its conditions did not hold.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Conflict {
     /// The keys whose conditions did not hold.
@@ -88,15 +88,15 @@
     pub version: u64,
 }
 
-/// One page of a range of keys.
+/// One page of a range read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Range<T> {
     /// The items, in the order of their keys.
     pub items: Vec<Item<T>>,
-    /// Whether items follow.
+    /// Whether more items follow.
     #[serde(default)]
     pub more: bool,
-    /// The revision that the page was read at.
+    /// The revision at which the page was read.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
@@ -134,7 +134,7 @@
     /// The revision up to which the changes are complete.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// The changes, in their order.
+    /// The changes, in the order in which they were made.
     #[serde(rename = "log", default = "Vec::new")]
     pub events: Vec<Change<T>>,
 }
@@ -142,7 +142,7 @@
 /// A request for a lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// How long the lease lasts without renewal, in milliseconds.
+    /// Time after which the lease ends unless it is renewed, in milliseconds.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
--- a/crates/wire/src/tree.rs
+++ b/crates/wire/src/tree.rs
@@ -1,4 +1,5 @@
-//! A quota tree in the state service. It was there before other documents, and keeps the form that it had.
+//! The records of the quota tree in the state service. The tree is older than the other kinds of documents, and its
+//! records keep their original form.
 
 use document::Content;
 pub use document::{HISTORY, Head, Past, SHORT};
@@ -7,22 +8,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The form of these records. A head of a later one is refused.
+/// The format version of these records. Heads with a later version are refused.
 pub const FORMAT: u32 = Spec::FORMAT;
 
-/// The record of the quota tree's head.
+/// The head record of the quota tree.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeadRecord {
     /// The head.
     pub quota: Head,
 }
 
-/// Cuts a tree into parts of at most `value` bytes.
+/// Splits a tree into parts of at most `value` bytes.
 pub fn split(spec: &Spec, value: usize) -> Result<Vec<(String, PartRecord)>, String> {
     document::split(spec, value)
 }
 
-/// Puts a tree together again. The error names what is missing or damaged.
+/// Reassembles a tree from its parts. The error names the part that is missing or damaged.
 pub fn join(head: &Head, parts: &BTreeMap<String, PartRecord>) -> Result<Spec, String> {
     document::join(head, parts)
 }
