--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -70,7 +70,7 @@
         )
 }
 
-fn report() -> impl Strategy<Value = Heartbeat> {
+fn heartbeat() -> impl Strategy<Value = Heartbeat> {
     let stage = prop_oneof![
         Just(TaskStage::Fetching),
         Just(TaskStage::Waiting),
@@ -104,13 +104,13 @@
         proptest::option::of(0.0f64..100.0),
         proptest::collection::vec(task, 0..20),
     )
-        .prop_map(|((session, seq, token), notice_s, tasks)| Heartbeat {
+        .prop_map(|((agent_epoch, seq, token), notice_s, tasks)| Heartbeat {
             machine: "host-000001".into(),
             addr: "10.1.0.1:9000".into(),
             machine_type: "g8".into(),
             zone: "a".into(),
             spot: true,
-            agent_epoch: session,
+            agent_epoch,
             seq,
             token,
             notice_s,
@@ -122,16 +122,16 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn messages_survive_the_trip(spec in spec(), report in report()) {
+    fn generated_messages_round_trip(spec in spec(), heartbeat in heartbeat()) {
         prop_assert!(spec.check().is_ok());
         prop_assert_eq!(&wire::decode::<JobSpec>(&wire::encode(&spec)).unwrap(), &spec);
-        prop_assert_eq!(&wire::decode::<Heartbeat>(&wire::encode(&report)).unwrap(), &report);
+        prop_assert_eq!(&wire::decode::<Heartbeat>(&wire::encode(&heartbeat)).unwrap(), &heartbeat);
         let ask = peer::PeerRequest::Cancel { job: spec.id.clone() };
         prop_assert_eq!(peer::decode::<peer::PeerRequest>(&peer::encode(&ask)).unwrap(), ask);
     }
 
     #[test]
-    fn arbitrary_bytes_are_refused_or_read_but_never_more(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_decoded_or_refused_within_their_length(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = wire::decode::<JobSpec>(&bytes);
         let _ = wire::decode::<Heartbeat>(&bytes);
         let _ = peer::decode::<peer::PeerRequest>(&bytes);
@@ -143,7 +143,7 @@
 
     /// A message cut short anywhere is not read as another one, and a truncated head asks for more.
     #[test]
-    fn cut_messages_are_not_read(spec in spec(), cut in 0.0f64..1.0) {
+    fn truncated_messages_are_not_decoded(spec in spec(), cut in 0.0f64..1.0) {
         let body = wire::encode(&spec);
         let at = (body.len() as f64 * cut) as usize;
         prop_assert!(wire::decode::<JobSpec>(&body[..at]).is_err());
@@ -156,7 +156,7 @@
     }
 
     #[test]
-    fn a_changed_byte_never_panics(spec in spec(), at in any::<prop::sample::Index>(), byte in any::<u8>()) {
+    fn decoding_with_one_changed_byte_does_not_panic(spec in spec(), at in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let mut body = wire::encode(&spec);
         let at = at.index(body.len());
         body[at] = byte;
@@ -166,7 +166,7 @@
     }
 
     #[test]
-    fn ranges_survive_the_trip(set in proptest::collection::btree_set(0u32..400, 0..300)) {
+    fn task_ranges_round_trip_and_are_merged(set in proptest::collection::btree_set(0u32..400, 0..300)) {
         let short = ranges(set.iter().copied());
         prop_assert!(short.windows(2).all(|w| w[0].0 + w[0].1 < w[1].0), "ranges that touch are one");
         prop_assert_eq!(unrange(&short).collect::<BTreeSet<_>>(), set);
@@ -174,7 +174,7 @@
 
     /// The service counts a value's length in JSON; a bound that is too low would have whole transactions refused.
     #[test]
-    fn record_lengths_are_bounded(team in ".{0,20}", name in "[a-z0-9-]{1,40}", kind in ".{0,20}", job in any::<u32>(),
+    fn record_lengths_stay_within_their_bounds(team in ".{0,20}", name in "[a-z0-9-]{1,40}", kind in ".{0,20}", job in any::<u32>(),
                                   on in proptest::collection::vec(any::<(u32, u32)>(), 1..40), attempt in any::<u64>(),
                                   amounts in any::<(f64, f64, f64)>()) {
         let job = format!("job-{job:018}");
@@ -198,7 +198,7 @@
     }
 
     #[test]
-    fn task_names_survive_and_strangers_do_not(id in 0u64..1_000_000, n in any::<u32>(), other in "[ -~]{0,30}") {
+    fn task_names_round_trip_and_other_text_is_refused(id in 0u64..1_000_000, n in any::<u32>(), other in "[ -~]{0,30}") {
         let job = format!("job-{id:06}");
         let name = ids::task_name(&job, n);
         prop_assert_eq!(ids::parse_task(&name), Some((job.as_str(), n)));
@@ -208,7 +208,7 @@
     }
 
     #[test]
-    fn chunked_answers_are_joined(parts in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..50), 0..6)) {
+    fn chunked_response_bodies_are_joined(parts in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..50), 0..6)) {
         let mut bytes = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
         for p in &parts {
             bytes.extend_from_slice(format!("{:x}\r\n", p.len()).as_bytes());
@@ -224,19 +224,19 @@
 
 /// Nodes of before say nothing but a status, and read no more of what newer ones say.
 #[test]
-fn refusals_between_peers_are_read_by_older_and_newer_nodes() {
+fn peer_refusals_are_compatible_with_versions_without_a_reason() {
     #[derive(Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-    enum Before {
+    enum OlderResponse {
         Refused { status: u16 },
     }
     let old: peer::PeerResponse =
-        peer::decode(&peer::encode(&Before::Refused { status: 422 })).expect("read");
+        peer::decode(&peer::encode(&OlderResponse::Refused { status: 422 })).expect("read");
     assert_eq!(old, peer::PeerResponse::refused(422, ""));
     let new = peer::PeerResponse::refused(400, &"é".repeat(500));
     let bytes = peer::encode(&new);
     assert_eq!(
-        peer::decode::<Before>(&bytes).expect("read"),
-        Before::Refused { status: 400 }
+        peer::decode::<OlderResponse>(&bytes).expect("read"),
+        OlderResponse::Refused { status: 400 }
     );
     assert!(
         bytes.len() < peer::MAX_WHY + 50 && peer::decode::<peer::PeerResponse>(&bytes) == Ok(new)
@@ -245,11 +245,11 @@
 
 /// Bounds that the type does not have; what a body may hold is in `submissions.rs`.
 #[test]
-fn numbers_out_of_bounds_are_refused_by_name() {
-    let good = good_spec();
+fn out_of_range_job_fields_are_refused_by_name() {
+    let good = valid_spec();
     assert!(good.check().is_ok());
     type Change = fn(&mut JobSpec);
-    let spoil: [(&str, Change); 7] = [
+    let cases: [(&str, Change); 7] = [
         ("nameId", |s| s.id = "task-1".into()),
         ("nameId", |s| s.id = "job-1/2".into()),
         ("pieces", |s| s.tasks = 0),
@@ -258,14 +258,14 @@
         ("cores", |s| s.cores = f64::INFINITY),
         ("expectS", |s| s.estimate_s = -1.0),
     ];
-    for (field, change) in spoil {
+    for (field, change) in cases {
         let mut bad = good.clone();
         change(&mut bad);
         assert_eq!(bad.check().map_err(|f| f.field), Err(field));
     }
 }
 
-fn good_spec() -> JobSpec {
+fn valid_spec() -> JobSpec {
     JobSpec {
         id: "job-000001".into(),
         class: "c".into(),
@@ -293,7 +293,7 @@
 /// Unknown fields are ignored, null may be left out, whole numbers stand for amounts; a missing field or a wrong
 /// type is an error, and a huge declared length costs nothing.
 #[test]
-fn submissions_are_read_as_the_protocol_says() {
+fn job_spec_decoding_follows_the_protocol() {
     #[derive(serde::Serialize)]
     struct Extra {
         #[serde(flatten)]
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn heads_out_of_bounds_get_their_status() {
+fn oversized_and_malformed_heads_get_their_status() {
     let parse =
         |text: &str| http::parse_request(text.as_bytes(), 100).map_err(http::FramingError::status);
     assert_eq!(
@@ -404,7 +404,7 @@
 }
 
 /// Trees as the state service holds them.
-mod trees {
+mod quota_trees {
     use proptest::prelude::*;
     use quota::{Amounts, NodeSpec, Spec, TeamSpec};
     use std::collections::BTreeMap;
@@ -425,7 +425,7 @@
 
         /// Parts stay within a value, and together are the tree again; one that is missing or damaged is named.
         #[test]
-        fn parts_make_the_tree_again(spec in tree(), bytes in 400usize..4000, hit in any::<prop::sample::Index>()) {
+        fn tree_is_reassembled_from_its_parts(spec in tree(), bytes in 400usize..4000, hit in any::<prop::sample::Index>()) {
             let parts = split(&spec, bytes).expect("each entry fits");
             for (_, part) in &parts {
                 prop_assert!(serde_json::to_vec(part).expect("written").len() <= bytes);
@@ -439,9 +439,9 @@
                 let mut less = all.clone();
                 less.remove(name);
                 prop_assert!(join(&head, &less).expect_err("missing").contains(name.as_str()));
-                let mut bent = all.clone();
-                bent.entry(name.clone()).and_modify(|p| p.teams.push(TeamSpec::new("stranger", None)));
-                prop_assert!(join(&head, &bent).expect_err("damaged").contains(name.as_str()));
+                let mut damaged = all.clone();
+                damaged.entry(name.clone()).and_modify(|p| p.teams.push(TeamSpec::new("stranger", None)));
+                prop_assert!(join(&head, &damaged).expect_err("damaged").contains(name.as_str()));
             }
             let later = Head { format: FORMAT + 1, ..head };
             prop_assert!(join(&later, &all).expect_err("from the future").contains("later version"));
@@ -449,7 +449,7 @@
 
         /// A head never outgrows its value: the oldest changes are forgotten, the newest is kept.
         #[test]
-        fn heads_stay_within_a_value(words in prop::collection::vec(".{0,300}", 1..40), parts in 0usize..20, bytes in 2000usize..8000) {
+        fn tree_heads_stay_within_the_value_limit(words in prop::collection::vec(".{0,300}", 1..40), parts in 0usize..20, bytes in 2000usize..8000) {
             let mut head = Head::default();
             let parts: Vec<String> = (0..parts).map(|i| format!("{i:024}")).collect();
             for (i, what) in words.iter().enumerate() {
@@ -467,7 +467,7 @@
 
         /// An operator's bytes are answered, never a panic.
         #[test]
-        fn any_request_of_an_operator_is_answered(bytes in prop::collection::vec(any::<u8>(), 0..200), at in any::<prop::sample::Index>(), put in any::<u8>()) {
+        fn decoding_operator_requests_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), at in any::<prop::sample::Index>(), put in any::<u8>()) {
             let _ = wire::admin::decode::<wire::admin::Ask>(&bytes);
             let mut good = br#"{"change":{"id":"a","by":"b","edit":{"move":{"name":"t","to":null}}}}"#.to_vec();
             prop_assert!(wire::admin::decode::<wire::admin::Ask>(&good).is_ok());
