--- a/crates/wire/tests/submissions.rs
+++ b/crates/wire/tests/submissions.rs
@@ -9,7 +9,7 @@
 const ID: &str = "job-000412";
 
 /// As the page shows it.
-fn good() -> Map<String, Value> {
+fn valid_job() -> Map<String, Value> {
     let job = json!({
         "nameId": ID, "lot": "train", "desk": "vision", "shape": "group", "urgency": "high", "pieces": 16,
         "cores": 8.0, "gpus": 1.0, "ramGb": 64.0, "kit": "img-07", "pullGb": 6.2, "builds": ["g8"], "hall": null,
@@ -20,23 +20,23 @@
 }
 
 fn with(field: &str, value: Value) -> Map<String, Value> {
-    let mut job = good();
+    let mut job = valid_job();
     job.insert(field.to_owned(), value);
     job
 }
 
 fn without(field: &str) -> Map<String, Value> {
-    let mut job = good();
+    let mut job = valid_job();
     job.remove(field);
     job
 }
 
-fn sent(job: &Map<String, Value>) -> Result<wire::api::JobSpec, Malformed> {
+fn read_job(job: &Map<String, Value>) -> Result<wire::api::JobSpec, Malformed> {
     read(&wire::encode(job))
 }
 
 /// One map header, then entries as they come: keys may repeat, and values be what JSON has no word for.
-fn raw(entries: &[(Value, Vec<u8>)]) -> Vec<u8> {
+fn encode_map(entries: &[(Value, Vec<u8>)]) -> Vec<u8> {
     let n = u16::try_from(entries.len()).expect("few").to_be_bytes();
     let mut body = vec![0xde, n[0], n[1]];
     for (key, value) in entries {
@@ -54,11 +54,11 @@
 
 /// A field's value in bytes of `MessagePack`, the others as they are good.
 fn with_bytes(field: &str, value: &[u8]) -> Vec<u8> {
-    let mut all = entries(&good());
+    let mut all = entries(&valid_job());
     all.iter_mut()
         .filter(|(k, _)| k == field)
         .for_each(|(_, v)| *v = value.to_vec());
-    raw(&all)
+    encode_map(&all)
 }
 
 fn float(x: f64) -> Vec<u8> {
@@ -66,7 +66,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Is {
+enum FieldKind {
     Text,
     Word,
     Count,
@@ -75,36 +75,36 @@
     List,
 }
 
-const FIELDS: [(&str, Is); 20] = [
-    ("nameId", Is::Text),
-    ("lot", Is::Text),
-    ("desk", Is::Text),
-    ("shape", Is::Word),
-    ("urgency", Is::Word),
-    ("pieces", Is::Count),
-    ("cores", Is::Amount),
-    ("gpus", Is::Amount),
-    ("ramGb", Is::Amount),
-    ("kit", Is::Text),
-    ("pullGb", Is::Amount),
-    ("builds", Is::List),
-    ("hall", Is::Text),
-    ("together", Is::Flag),
-    ("spread", Is::Flag),
-    ("loaners", Is::Flag),
-    ("expectS", Is::Amount),
-    ("bookmarkS", Is::Amount),
-    ("stashS", Is::Amount),
-    ("dueS", Is::Amount),
+const FIELDS: [(&str, FieldKind); 20] = [
+    ("nameId", FieldKind::Text),
+    ("lot", FieldKind::Text),
+    ("desk", FieldKind::Text),
+    ("shape", FieldKind::Word),
+    ("urgency", FieldKind::Word),
+    ("pieces", FieldKind::Count),
+    ("cores", FieldKind::Amount),
+    ("gpus", FieldKind::Amount),
+    ("ramGb", FieldKind::Amount),
+    ("kit", FieldKind::Text),
+    ("pullGb", FieldKind::Amount),
+    ("builds", FieldKind::List),
+    ("hall", FieldKind::Text),
+    ("together", FieldKind::Flag),
+    ("spread", FieldKind::Flag),
+    ("loaners", FieldKind::Flag),
+    ("expectS", FieldKind::Amount),
+    ("bookmarkS", FieldKind::Amount),
+    ("stashS", FieldKind::Amount),
+    ("dueS", FieldKind::Amount),
 ];
-const MAY_BE_NULL: [&str; 3] = ["builds", "hall", "dueS"];
+const OPTIONAL_FIELDS: [&str; 3] = ["builds", "hall", "dueS"];
 
 /// Values that a field of a kind may not have.
-fn wrong(is: Is) -> Vec<Value> {
+fn invalid_values(kind: FieldKind) -> Vec<Value> {
     let long = "x".repeat(121);
     let other = vec![json!({"a": 1}), json!({})];
-    let own = match is {
-        Is::Text => vec![
+    let own = match kind {
+        FieldKind::Text => vec![
             json!(""),
             json!(long),
             json!(7),
@@ -113,7 +113,7 @@
             json!(["a"]),
             json!(1.5),
         ],
-        Is::Word => {
+        FieldKind::Word => {
             vec![
                 json!(""),
                 json!("Array"),
@@ -123,7 +123,7 @@
                 json!({"array": null}),
             ]
         }
-        Is::Count => {
+        FieldKind::Count => {
             let most = u64::from(MAX_TASKS);
             vec![
                 json!(0),
@@ -135,7 +135,7 @@
                 json!("16"),
             ]
         }
-        Is::Amount => vec![
+        FieldKind::Amount => vec![
             json!(-0.1),
             json!(-1),
             json!(1e10),
@@ -143,8 +143,8 @@
             json!("4"),
             json!(true),
         ],
-        Is::Flag => vec![json!(0), json!(1), json!("true"), json!([]), json!(0.0)],
-        Is::List => {
+        FieldKind::Flag => vec![json!(0), json!(1), json!("true"), json!([]), json!(0.0)],
+        FieldKind::List => {
             let many: Vec<String> = (0..=MAX_TYPES).map(|i| format!("g{i}")).collect();
             let lists = [
                 json!([]),
@@ -168,7 +168,7 @@
 }
 
 /// What a test expects: the field that is named, and whether the id is still known.
-fn refused(
+fn check_refused(
     result: &Result<wire::api::JobSpec, Malformed>,
     field: &str,
 ) -> Result<(), TestCaseError> {
@@ -192,38 +192,38 @@
 
     /// One field wrong, in any order of the fields, among fields that nobody knows.
     #[test]
-    fn the_one_field_at_fault_is_named(field in prop::sample::select(FIELDS.to_vec()), at in any::<prop::sample::Index>(),
+    fn the_only_invalid_field_is_named(field in prop::sample::select(FIELDS.to_vec()), at in any::<prop::sample::Index>(),
                                        order in Just(()).prop_perturb(|(), mut r| r.next_u64()),
                                        unknown in "[a-z]{3,9}X") {
-        let (field, is) = field;
-        let faults = wrong(is);
+        let (field, kind) = field;
+        let faults = invalid_values(kind);
         let mut job = with(field, faults[at.index(faults.len())].clone());
         job.insert(unknown, json!([{"deep": [1, {"x": null}]}, 2.5]));
         let mut all = entries(&job);
         let n = all.len();
         all.rotate_left((order % n as u64) as usize);
-        refused(&read(&raw(&all)), field)?;
+        check_refused(&read(&encode_map(&all)), field)?;
     }
 
     /// What is not a number at all, in every field that is one.
     #[test]
-    fn numbers_that_are_none_are_named(field in prop::sample::select(FIELDS.to_vec()), bits in any::<u64>()) {
-        let (field, is) = field;
+    fn invalid_floats_are_refused_in_every_field(field in prop::sample::select(FIELDS.to_vec()), bits in any::<u64>()) {
+        let (field, kind) = field;
         let x = f64::from_bits(bits);
         for x in [x, f64::NAN, f64::INFINITY, f64::NEG_INFINITY, f64::from_bits(bits | 0x7ff0 << 48)] {
-            let taken = is == Is::Amount && (0.0..=1e9).contains(&x);
+            let is_valid = kind == FieldKind::Amount && (0.0..=1e9).contains(&x);
             let result = read(&with_bytes(field, &float(x)));
-            if taken { prop_assert!(result.is_ok(), "{:?}", result) } else { refused(&result, field)?; }
+            if is_valid { prop_assert!(result.is_ok(), "{:?}", result) } else { check_refused(&result, field)?; }
         }
     }
 
     /// Cut off anywhere, what came whole counts for the id, and nothing is ever taken.
     #[test]
-    fn a_body_cut_short_is_none(cut in 0.0f64..1.0, id_first in any::<bool>()) {
-        let job = good();
+    fn truncated_body_is_refused_and_its_id_kept(cut in 0.0f64..1.0, id_first in any::<bool>()) {
+        let job = valid_job();
         let mut all = entries(&job);
         all.sort_by_key(|(k, _)| (k == "nameId") != id_first);
-        let body = raw(&all);
+        let body = encode_map(&all);
         let at = (body.len() as f64 * cut) as usize;
         let Err(Malformed { fault, id }) = read(&body[..at]) else { return Err(TestCaseError::fail("taken")) };
         prop_assert_eq!(fault.field, "body");
@@ -232,15 +232,15 @@
     }
 
     #[test]
-    fn arbitrary_bytes_are_refused_in_words(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_refused_with_a_message(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         if let Err(Malformed { fault, .. }) = read(&bytes) {
             prop_assert!(!fault.field.is_empty() && !fault.why.is_empty());
         }
     }
 
     #[test]
-    fn a_changed_byte_is_taken_or_refused(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
-        let mut body = wire::encode(&good());
+    fn body_with_one_changed_byte_is_valid_or_refused(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
+        let mut body = wire::encode(&valid_job());
         let at = at.index(body.len());
         body[at] = byte;
         if let Ok(spec) = read(&body) {
@@ -251,11 +251,11 @@
 
 /// All of them once, whatever a generator chose.
 #[test]
-fn every_fault_of_every_field_is_named() {
+fn every_invalid_value_of_every_field_is_refused_by_name() {
     let mut tried = 0;
-    for (field, is) in FIELDS {
-        for value in wrong(is) {
-            refused(&sent(&with(field, value.clone())), field)
+    for (field, kind) in FIELDS {
+        for value in invalid_values(kind) {
+            check_refused(&read_job(&with(field, value.clone())), field)
                 .unwrap_or_else(|e| panic!("{field} {value}: {e}"));
             tried += 1;
         }
@@ -263,11 +263,11 @@
             ("left out", without(field)),
             ("null", with(field, Value::Null)),
         ] {
-            let result = sent(&job);
-            if MAY_BE_NULL.contains(&field) {
+            let result = read_job(&job);
+            if OPTIONAL_FIELDS.contains(&field) {
                 assert!(result.is_ok(), "{field} {what}: {result:?}");
             } else {
-                refused(&result, field).unwrap_or_else(|e| panic!("{field} {what}: {e}"));
+                check_refused(&result, field).unwrap_or_else(|e| panic!("{field} {what}: {e}"));
                 let missing = result.expect_err("refused").fault;
                 assert_eq!(
                     missing,
@@ -280,19 +280,20 @@
         }
         // Binary, an extension, and text that is none.
         for bytes in [&[0xc4, 1, 7][..], &[0xd4, 5, 9], &[0xa2, 0xff, 0xfe]] {
-            refused(&read(&with_bytes(field, bytes)), field)
+            check_refused(&read(&with_bytes(field, bytes)), field)
                 .unwrap_or_else(|e| panic!("{field}: {e}"));
         }
-        let mut twice = entries(&good());
-        twice.push((json!(field), wire::encode(&good()[field])));
-        refused(&read(&raw(&twice)), field).unwrap_or_else(|e| panic!("{field} twice: {e}"));
+        let mut duplicated = entries(&valid_job());
+        duplicated.push((json!(field), wire::encode(&valid_job()[field])));
+        check_refused(&read(&encode_map(&duplicated)), field)
+            .unwrap_or_else(|e| panic!("{field} twice: {e}"));
     }
     assert!(tried > 150, "{tried}");
 }
 
 /// Integers stand for amounts, at any width and as floats of 32 bits too; a count is an integer of any width.
 #[test]
-fn numbers_of_any_width_are_taken() {
+fn numbers_of_any_width_are_accepted() {
     for (bytes, value) in [
         (&[4][..], 4.0),
         (&[0xcf, 0, 0, 0, 0, 0, 0, 0, 4], 4.0),
@@ -317,7 +318,7 @@
 
 /// The limits themselves are taken.
 #[test]
-fn what_is_just_within_bounds_is_taken() {
+fn values_at_their_limits_are_accepted() {
     let long = "x".repeat(120);
     let most: Vec<String> = (0..MAX_TYPES).map(|i| format!("g{i}")).collect();
     for (field, value) in [
@@ -330,7 +331,10 @@
         ("nameId", json!("job-0")),
         ("nameId", json!("job-123456789012345678")),
     ] {
-        assert!(sent(&with(field, value.clone())).is_ok(), "{field} {value}");
+        assert!(
+            read_job(&with(field, value.clone())).is_ok(),
+            "{field} {value}"
+        );
     }
     for id in [
         "job-",
@@ -341,7 +345,7 @@
         " job-1",
         "job-١",
     ] {
-        refused(&sent(&with("nameId", json!(id))), "nameId")
+        check_refused(&read_job(&with("nameId", json!(id))), "nameId")
             .unwrap_or_else(|e| panic!("{id}: {e}"));
     }
 }
@@ -349,23 +353,23 @@
 /// Positions in place of names were taken for a map, and numbers in place of words for the words.
 #[test]
 fn only_a_map_with_text_keys_is_a_submission() {
-    let list = Value::Array(good().into_iter().map(|(_, v)| v).collect());
+    let list = Value::Array(valid_job().into_iter().map(|(_, v)| v).collect());
     let by_number: Vec<(Value, Vec<u8>)> = FIELDS
         .iter()
         .enumerate()
-        .map(|(i, (f, _))| (json!(i), wire::encode(&good()[*f])))
+        .map(|(i, (f, _))| (json!(i), wire::encode(&valid_job()[*f])))
         .collect();
     let bodies = [
         Vec::new(),
         wire::encode(&list),
         wire::encode(&json!(null)),
         wire::encode(&json!("job-000412")),
-        raw(&by_number),
+        encode_map(&by_number),
         vec![0xc1],
         // Says that it has four thousand million entries.
         vec![0xdf, 0xff, 0xff, 0xff, 0xff],
         vec![0xdd, 0xff, 0xff, 0xff, 0xff],
-        serde_json::to_vec(&good()).expect("JSON"),
+        serde_json::to_vec(&valid_job()).expect("JSON"),
     ];
     for body in bodies {
         let Err(Malformed { fault, id }) = read(&body) else {
@@ -373,7 +377,7 @@
         };
         assert_eq!((fault.field, id), ("body", None), "{body:?}");
     }
-    let mut more = wire::encode(&good());
+    let mut more = wire::encode(&valid_job());
     more.push(0xc0);
     let Err(Malformed { fault, id }) = read(&more) else {
         panic!("taken")
@@ -386,19 +390,19 @@
 
 /// Nesting is cut off far above the stack's end, in fields that are known or not, and the id before it stands.
 #[test]
-fn deep_nesting_is_refused() {
+fn deep_nesting_is_refused_and_the_id_kept() {
     for field in ["novel", "builds", "lot"] {
         let mut deep = vec![0x91; 60_000];
         deep.push(0xc0);
-        let body = raw(&[(json!("nameId"), wire::encode(&ID)), (json!(field), deep)]);
+        let body = encode_map(&[(json!("nameId"), wire::encode(&ID)), (json!(field), deep)]);
         let Err(Malformed { fault, id }) = read(&body) else {
             panic!("taken")
         };
         assert_eq!((fault.field, id.as_deref()), ("body", Some(ID)), "{field}");
     }
     // Wide is not deep.
-    let mut all = entries(&good());
+    let mut all = entries(&valid_job());
     let wide = [&[0xdd, 0, 0, 0xea, 0x60][..], &vec![0xc0; 60_000]].concat();
     all.push((json!("novel"), wide));
-    assert!(read(&raw(&all)).is_ok());
+    assert!(read(&encode_map(&all)).is_ok());
 }
