--- a/crates/wire/tests/production.rs
+++ b/crates/wire/tests/production.rs
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn the_files_are_read_as_their_values() {
+fn recorded_files_decode_to_their_values() {
     for case in cases() {
         let reading = (case.read)(&bytes_of(case.file));
         assert_eq!(reading, Reading::Same, "{}", case.file);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn the_values_are_written_as_in_their_files() {
+fn values_encode_to_their_recorded_bytes() {
     for case in cases() {
         let recorded = bytes_of(case.file);
         assert!(
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn each_file_has_one_case() {
+fn each_recorded_file_has_exactly_one_case() {
     let all = cases();
     let named: BTreeSet<String> = all.iter().map(|c| c.file.to_owned()).collect();
     assert_eq!(named.len(), all.len(), "two cases have the same file");
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn other_versions_messages_are_read_or_refused_as_recorded() {
+fn messages_of_other_versions_are_read_or_refused_as_recorded() {
     let recorded = String::from_utf8(bytes_of(VARIATIONS)).expect("text");
     let now = variations::describe(&cases());
     let pairs = recorded.lines().zip(now.lines());
@@ -184,7 +184,7 @@
 
 #[test]
 #[ignore = "writes the files of new cases, and none that is there"]
-fn missing_files_are_written() {
+fn write_missing_recorded_files() {
     let all = cases();
     for case in &all {
         write_new(case.file, &case.encoded);
--- a/crates/wire/tests/recorded.rs
+++ b/crates/wire/tests/recorded.rs
@@ -18,7 +18,7 @@
     ),
 ];
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     let byte = |i: usize| u8::from_str_radix(&hex[i..i + 2], 16).expect("hexadecimal");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
@@ -46,9 +46,9 @@
 }
 
 #[test]
-fn an_old_tree_is_read() {
-    let rec: SharedRecord = wire::decode(&bytes(HEAD)).expect("read");
-    let head = rec.document.expect("a head");
+fn quota_tree_of_an_earlier_version_is_read_and_written_unchanged() {
+    let record: SharedRecord = wire::decode(&decode_hex(HEAD)).expect("read");
+    let head = record.document.expect("a head");
     assert_eq!((head.format, head.version), (Spec::FORMAT, 1));
     let what = "node north: new, below the root and 3 more";
     assert_eq!(
@@ -64,14 +64,14 @@
     let part = |(name, hex): (&str, &str)| {
         (
             name.to_owned(),
-            wire::decode::<PartRecord>(&bytes(hex)).expect("read"),
+            wire::decode::<PartRecord>(&decode_hex(hex)).expect("read"),
         )
     };
     assert_eq!(join(&head, &PARTS.map(part).into()), Ok(tree()));
     // And an old program reads what is written now.
     assert_eq!(
         wire::encode(&Record::Quota(HeadRecord { quota: head })),
-        bytes(HEAD)
+        decode_hex(HEAD)
     );
     let names: Vec<String> = split(&tree(), 200)
         .expect("fits")
--- a/crates/wire/tests/settings.rs
+++ b/crates/wire/tests/settings.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 use wire::settings::{Settings, SettingsError, SettingsProblem};
 
-fn good() -> Value {
+fn valid_settings() -> Value {
     json!({
         "node": "burrow-0", "domain": "a", "client_listen": "10.0.0.1:8080", "peer_bind": "10.0.0.1:8081",
         "peers": [{"node": "burrow-1", "domain": "b", "address": "10.0.0.2:8081"}],
@@ -22,24 +22,24 @@
     })
 }
 
-fn checked(settings: Value) -> Result<(), SettingsError> {
+fn check(settings: Value) -> Result<(), SettingsError> {
     let settings: Settings = serde_json::from_value(settings).expect("settings by their form");
     settings.check()
 }
 
 fn error_with(pointer: &str, value: Value) -> SettingsError {
-    let mut settings = good();
+    let mut settings = valid_settings();
     *settings.pointer_mut(pointer).expect("a field") = value;
-    checked(settings).expect_err(pointer)
+    check(settings).expect_err(pointer)
 }
 
 #[test]
-fn good_settings_pass() {
-    assert_eq!(checked(good()), Ok(()));
+fn valid_settings_pass() {
+    assert_eq!(check(valid_settings()), Ok(()));
 }
 
 #[test]
-fn the_message_names_the_field_and_what_is_wrong_with_it() {
+fn error_messages_name_the_field_and_the_problem() {
     let cases = [
         ("/node", json!(""), "node: must not be empty"),
         (
@@ -94,15 +94,15 @@
 }
 
 #[test]
-fn what_is_just_within_bounds_passes() {
-    let mut settings = good();
+fn values_at_their_limits_pass() {
+    let mut settings = valid_settings();
     settings["cluster"]["state"]["txn_ops"] = json!(4);
     settings["cluster"]["machine_limits"]["max_sockets"] = json!(32);
-    assert_eq!(checked(settings), Ok(()));
+    assert_eq!(check(settings), Ok(()));
 }
 
 #[test]
-fn the_error_holds_field_and_bound_apart() {
+fn errors_have_the_field_and_the_bound_as_values() {
     let expected = SettingsError {
         field: "cluster.state.txn_ops".to_owned(),
         problem: SettingsProblem::TooFew { min: 4 },
