--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,4 +1,4 @@
-//! Round trips of generated messages, and arbitrary bytes.
+//! Property tests of the message formats: round trips, truncated and damaged messages, and arbitrary bytes.
 
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -141,7 +141,7 @@
         }
     }
 
-    /// A message cut short anywhere is not read as another one, and a truncated head asks for more.
+    /// A truncated body is refused and never decoded as another message; a truncated HTTP request needs more bytes.
     #[test]
     fn truncated_messages_are_not_decoded(spec in spec(), cut in 0.0f64..1.0) {
         let body = wire::encode(&spec);
@@ -168,11 +168,12 @@
     #[test]
     fn task_ranges_round_trip_and_are_merged(set in proptest::collection::btree_set(0u32..400, 0..300)) {
         let short = ranges(set.iter().copied());
-        prop_assert!(short.windows(2).all(|w| w[0].0 + w[0].1 < w[1].0), "ranges that touch are one");
+        prop_assert!(short.windows(2).all(|w| w[0].0 + w[0].1 < w[1].0), "adjacent ranges are merged");
         prop_assert_eq!(unrange(&short).collect::<BTreeSet<_>>(), set);
     }
 
-    /// The service counts a value's length in JSON; a bound that is too low would have whole transactions refused.
+    /// The state service limits the length of a value in JSON. If a bound were too low, it would refuse whole
+    /// transactions.
     #[test]
     fn record_lengths_stay_within_their_bounds(team in ".{0,20}", name in "[a-z0-9-]{1,40}", kind in ".{0,20}", job in any::<u32>(),
                                   on in proptest::collection::vec(any::<(u32, u32)>(), 1..40), attempt in any::<u64>(),
@@ -222,7 +223,7 @@
     }
 }
 
-/// Nodes of before say nothing but a status, and read no more of what newer ones say.
+/// Nodes of earlier versions send only a status in a refusal, and ignore the other fields that newer ones send.
 #[test]
 fn peer_refusals_are_compatible_with_versions_without_a_reason() {
     #[derive(Debug, PartialEq, serde::Serialize, serde::Deserialize)]
@@ -243,7 +244,7 @@
     );
 }
 
-/// Bounds that the type does not have; what a body may hold is in `submissions.rs`.
+/// Limits that the field types do not enforce. `submissions.rs` covers the encoded values that a body may have.
 #[test]
 fn out_of_range_job_fields_are_refused_by_name() {
     let good = valid_spec();
@@ -290,8 +291,8 @@
     }
 }
 
-/// Unknown fields are ignored, null may be left out, whole numbers stand for amounts; a missing field or a wrong
-/// type is an error, and a huge declared length costs nothing.
+/// Unknown fields are ignored, null fields may be omitted, and integers are accepted as amounts. A missing field or a
+/// wrong type is an error, and a huge declared length allocates nothing.
 #[test]
 fn job_spec_decoding_follows_the_protocol() {
     #[derive(serde::Serialize)]
@@ -346,7 +347,7 @@
     for (name, _) in &fields {
         assert!(
             wire::decode::<JobSpec>(&wire::encode(&map(name))).is_err(),
-            "{name} may not be missing"
+            "{name} is required"
         );
     }
     let mut wrong = map("");
@@ -359,10 +360,10 @@
     wrong.spec.insert("novel".into(), deep.clone());
     assert!(
         wire::decode::<JobSpec>(&wire::encode(&wrong)).is_err(),
-        "deep nesting is cut off"
+        "deep nesting is refused"
     );
     std::mem::forget(deep);
-    // A list that says it has four thousand million entries.
+    // A list that declares 2^32 - 1 entries.
     assert!(wire::decode::<Heartbeat>(&[0xdd, 0xff, 0xff, 0xff, 0xff]).is_err());
 }
 
@@ -403,7 +404,7 @@
     assert_eq!(response, Err(502));
 }
 
-/// Trees as the state service holds them.
+/// The records of the quota tree in the state service, and operators' requests about it.
 mod quota_trees {
     use proptest::prelude::*;
     use quota::{Amounts, NodeSpec, Spec, TeamSpec};
@@ -423,7 +424,8 @@
     proptest! {
         #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-        /// Parts stay within a value, and together are the tree again; one that is missing or damaged is named.
+        /// Each part fits into one value, and together they give the same tree. The error names a part that is missing
+        /// or damaged.
         #[test]
         fn tree_is_reassembled_from_its_parts(spec in tree(), bytes in 400usize..4000, hit in any::<prop::sample::Index>()) {
             let parts = split(&spec, bytes).expect("each entry fits");
@@ -447,7 +449,7 @@
             prop_assert!(join(&later, &all).expect_err("from the future").contains("later version"));
         }
 
-        /// A head never outgrows its value: the oldest changes are forgotten, the newest is kept.
+        /// A head always fits into one value: the oldest changes are dropped from its history, the newest is kept.
         #[test]
         fn tree_heads_stay_within_the_value_limit(words in prop::collection::vec(".{0,300}", 1..40), parts in 0usize..20, bytes in 2000usize..8000) {
             let mut head = Head::default();
@@ -465,7 +467,8 @@
             prop_assert!(head.next(many, Past::default(), bytes).is_err());
         }
 
-        /// An operator's bytes are answered, never a panic.
+        /// Decoding an operator's request never panics, neither on arbitrary bytes nor on a request with one changed
+        /// byte.
         #[test]
         fn decoding_operator_requests_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), at in any::<prop::sample::Index>(), put in any::<u8>()) {
             let _ = wire::admin::decode::<wire::admin::Ask>(&bytes);
