--- a/crates/wire/tests/submissions.rs
+++ b/crates/wire/tests/submissions.rs
@@ -1,5 +1,5 @@
-//! Submissions with one field at fault, generated over fields and faults: each is refused by that field's name, and its
-//! id stays known.
+//! Submissions with one invalid field, generated over fields and invalid values. Each is refused with an error that
+//! names the field and keeps the job's id.
 
 use proptest::prelude::*;
 use serde_json::{Map, Value, json};
@@ -8,7 +8,7 @@
 
 const ID: &str = "job-000412";
 
-/// As the page shows it.
+/// A valid submission with a value for each field.
 fn valid_job() -> Map<String, Value> {
     let job = json!({
         "nameId": ID, "lot": "train", "desk": "vision", "shape": "group", "urgency": "high", "pieces": 16,
@@ -35,7 +35,7 @@
     read(&wire::encode(job))
 }
 
-/// One map header, then entries as they come: keys may repeat, and values be what JSON has no word for.
+/// Encodes a map of the given entries. Unlike in JSON, keys may repeat, and values may have any `MessagePack` type.
 fn encode_map(entries: &[(Value, Vec<u8>)]) -> Vec<u8> {
     let n = u16::try_from(entries.len()).expect("few").to_be_bytes();
     let mut body = vec![0xde, n[0], n[1]];
@@ -52,7 +52,7 @@
         .collect()
 }
 
-/// A field's value in bytes of `MessagePack`, the others as they are good.
+/// A valid submission, except that the field has the given `MessagePack` bytes as its value.
 fn with_bytes(field: &str, value: &[u8]) -> Vec<u8> {
     let mut all = entries(&valid_job());
     all.iter_mut()
@@ -99,7 +99,7 @@
 ];
 const OPTIONAL_FIELDS: [&str; 3] = ["builds", "hall", "dueS"];
 
-/// Values that a field of a kind may not have.
+/// Values that are invalid for a kind of field.
 fn invalid_values(kind: FieldKind) -> Vec<Value> {
     let long = "x".repeat(121);
     let other = vec![json!({"a": 1}), json!({})];
@@ -167,13 +167,13 @@
     own.into_iter().chain(other).collect()
 }
 
-/// What a test expects: the field that is named, and whether the id is still known.
+/// Checks that the error names the field, and that it has the id unless the id itself is invalid.
 fn check_refused(
     result: &Result<wire::api::JobSpec, Malformed>,
     field: &str,
 ) -> Result<(), TestCaseError> {
     let Err(Malformed { fault, id }) = result else {
-        return Err(TestCaseError::fail("taken"));
+        return Err(TestCaseError::fail("accepted"));
     };
     prop_assert_eq!(fault.field, field);
     prop_assert!(
@@ -190,7 +190,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// One field wrong, in any order of the fields, among fields that nobody knows.
+    /// One field is invalid, the fields are in any order, and there is an unknown field.
     #[test]
     fn the_only_invalid_field_is_named(field in prop::sample::select(FIELDS.to_vec()), at in any::<prop::sample::Index>(),
                                        order in Just(()).prop_perturb(|(), mut r| r.next_u64()),
@@ -205,7 +205,7 @@
         check_refused(&read(&encode_map(&all)), field)?;
     }
 
-    /// What is not a number at all, in every field that is one.
+    /// NaN, infinities and arbitrary floats in every field. Only amounts accept floats, and only within their limits.
     #[test]
     fn invalid_floats_are_refused_in_every_field(field in prop::sample::select(FIELDS.to_vec()), bits in any::<u64>()) {
         let (field, kind) = field;
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Cut off anywhere, what came whole counts for the id, and nothing is ever taken.
+    /// A body truncated anywhere is refused. The id is known if it was complete before the truncation.
     #[test]
     fn truncated_body_is_refused_and_its_id_kept(cut in 0.0f64..1.0, id_first in any::<bool>()) {
         let job = valid_job();
@@ -225,7 +225,7 @@
         all.sort_by_key(|(k, _)| (k == "nameId") != id_first);
         let body = encode_map(&all);
         let at = (body.len() as f64 * cut) as usize;
-        let Err(Malformed { fault, id }) = read(&body[..at]) else { return Err(TestCaseError::fail("taken")) };
+        let Err(Malformed { fault, id }) = read(&body[..at]) else { return Err(TestCaseError::fail("accepted")) };
         prop_assert_eq!(fault.field, "body");
         let id_whole = 3 + wire::encode(&"nameId").len() + wire::encode(&ID).len();
         prop_assert_eq!(id.is_some(), id_first && at >= id_whole);
@@ -249,7 +249,7 @@
     }
 }
 
-/// All of them once, whatever a generator chose.
+/// Tries all combinations once, since the generators choose only some of them.
 #[test]
 fn every_invalid_value_of_every_field_is_refused_by_name() {
     let mut tried = 0;
@@ -278,7 +278,7 @@
                 );
             }
         }
-        // Binary, an extension, and text that is none.
+        // Binary, an extension type, and text that is not UTF-8.
         for bytes in [&[0xc4, 1, 7][..], &[0xd4, 5, 9], &[0xa2, 0xff, 0xfe]] {
             check_refused(&read(&with_bytes(field, bytes)), field)
                 .unwrap_or_else(|e| panic!("{field}: {e}"));
@@ -291,7 +291,7 @@
     assert!(tried > 150, "{tried}");
 }
 
-/// Integers stand for amounts, at any width and as floats of 32 bits too; a count is an integer of any width.
+/// Amounts may be encoded as integers of any width and as 32-bit floats; counts as integers of any width.
 #[test]
 fn numbers_of_any_width_are_accepted() {
     for (bytes, value) in [
@@ -316,7 +316,7 @@
     assert!(read(&with_bytes("cores", &float(-0.0))).is_ok());
 }
 
-/// The limits themselves are taken.
+/// Values equal to a limit are accepted; job ids just beyond their limits are refused.
 #[test]
 fn values_at_their_limits_are_accepted() {
     let long = "x".repeat(120);
@@ -350,7 +350,8 @@
     }
 }
 
-/// Positions in place of names were taken for a map, and numbers in place of words for the words.
+/// Guards against a fault of earlier versions: a list was decoded as a map by the position of its entries, and numbers
+/// as enum variants by their index.
 #[test]
 fn only_a_map_with_text_keys_is_a_submission() {
     let list = Value::Array(valid_job().into_iter().map(|(_, v)| v).collect());
@@ -366,21 +367,21 @@
         wire::encode(&json!("job-000412")),
         encode_map(&by_number),
         vec![0xc1],
-        // Says that it has four thousand million entries.
+        // A map and a list that declare 2^32 - 1 entries.
         vec![0xdf, 0xff, 0xff, 0xff, 0xff],
         vec![0xdd, 0xff, 0xff, 0xff, 0xff],
         serde_json::to_vec(&valid_job()).expect("JSON"),
     ];
     for body in bodies {
         let Err(Malformed { fault, id }) = read(&body) else {
-            panic!("taken: {body:?}")
+            panic!("accepted: {body:?}")
         };
         assert_eq!((fault.field, id), ("body", None), "{body:?}");
     }
     let mut more = wire::encode(&valid_job());
     more.push(0xc0);
     let Err(Malformed { fault, id }) = read(&more) else {
-        panic!("taken")
+        panic!("accepted")
     };
     assert_eq!(
         (fault, id.as_deref()),
@@ -388,7 +389,8 @@
     );
 }
 
-/// Nesting is cut off far above the stack's end, in fields that are known or not, and the id before it stands.
+/// Nesting is limited long before the stack overflows, in known and unknown fields. An id before the nested field is
+/// kept.
 #[test]
 fn deep_nesting_is_refused_and_the_id_kept() {
     for field in ["novel", "builds", "lot"] {
@@ -396,11 +398,11 @@
         deep.push(0xc0);
         let body = encode_map(&[(json!("nameId"), wire::encode(&ID)), (json!(field), deep)]);
         let Err(Malformed { fault, id }) = read(&body) else {
-            panic!("taken")
+            panic!("accepted")
         };
         assert_eq!((fault.field, id.as_deref()), ("body", Some(ID)), "{field}");
     }
-    // Wide is not deep.
+    // Long lists are not nested and are accepted.
     let mut all = entries(&valid_job());
     let wide = [&[0xdd, 0, 0, 0xea, 0x60][..], &vec![0xc0; 60_000]].concat();
     all.push((json!("novel"), wide));
