--- a/crates/wire/tests/production.rs
+++ b/crates/wire/tests/production.rs
@@ -1,17 +1,18 @@
-//! The bytes that the version in production writes, and reads.
+//! Compares encoders and decoders with the bytes that the version in production writes and reads.
 //!
-//! Each file below `production/` was written once by that version: one per kind of record in the state service, per
-//! message between controllers, and per message to or from workers, users, the cloud, the state service and
-//! operators; with optional fields left out (`-least`) and present (`-full`). For each, the decoder has to give the
-//! value of its case, and the encoder the very same bytes. `production/newer.txt` says what the decoders make of
+//! Each file below `production/` was written once by that version: one for each kind of record in the state service,
+//! for each message between controllers, and for each message to or from workers, users, the cloud, the state service
+//! and operators; with optional fields omitted (`-least`) and present (`-full`). For each file, the decoder has to give
+//! the value of its case, and the encoder exactly the same bytes. `production/newer.txt` lists how the decoders handle
 //! messages of other versions: with an unknown field, without a field, with an unknown word or variant.
 //!
-//! Controllers of two versions run side by side during an upgrade, and records stay for ever. So a renamed Rust type or
-//! field changes the Rust names in these cases and never a file. A file that no longer fits is an incompatible change.
+//! Controllers of two versions run side by side during an upgrade, and records are kept forever. So renaming a Rust
+//! type or field changes the Rust names in these cases and never a file. A file that no longer matches is an
+//! incompatible change.
 //!
-//! To add a case: put it into the table of its module, remove `production/newer.txt`, and run
-//! `cargo test -p wire --test production -- --ignored`. That writes the files that are missing and leaves all others as
-//! they are. The difference of `newer.txt` may then only add lines, unless an incompatible change is meant.
+//! To add a case: add it to the table of its module, remove `production/newer.txt`, and run
+//! `cargo test -p wire --test production -- --ignored`. That writes the missing files and leaves all others unchanged.
+//! The diff of `newer.txt` may then only add lines, unless an incompatible change is intended.
 
 #[path = "production/documents.rs"]
 mod documents;
@@ -33,29 +34,30 @@
 use std::io::{ErrorKind, Write as _};
 use std::path::PathBuf;
 
-/// What a decoder makes of some bytes.
+/// The result of decoding some bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reading {
-    /// The value of the case.
+    /// The bytes decode to the value of the case.
     Same,
-    /// Another value.
+    /// The bytes decode to another value.
     Different,
+    /// The decoder returns an error.
     Refused,
 }
 
-/// A decoder that compares with the value of its case.
+/// Decodes bytes and compares the result with the value of a case.
 pub type Read = dyn Fn(&[u8]) -> Reading;
 
-/// A file, with what the encoder writes for its value and a decoder that compares with that value.
+/// A recorded file, with the encoding of its value and a decoder that compares with that value.
 pub struct Case {
     pub file: &'static str,
     pub encoded: Vec<u8>,
     pub read: Box<Read>,
-    /// Whether the decoder is a controller's own, so that it matters what it makes of other versions' messages.
+    /// Whether controllers decode this message, so that it matters how they handle messages of other versions.
     pub is_read_by_us: bool,
 }
 
-/// A message that controllers write and read, or that only one of both sides is ours of.
+/// A message that is encoded and decoded as the same type, whether controllers do both or only one of them.
 pub fn message<T>(file: &'static str, value: T) -> Case
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug + 'static,
@@ -64,7 +66,7 @@
     encoded_as(file, encoded, value)
 }
 
-/// Bytes that were encoded from another type than they are read as.
+/// A message whose encoding was made from another type than the one it is decoded as.
 pub fn encoded_as<T>(file: &'static str, encoded: Vec<u8>, value: T) -> Case
 where
     T: DeserializeOwned + PartialEq + 'static,
@@ -82,7 +84,7 @@
     }
 }
 
-/// A message that controllers only write; `content` is what anybody reads in it.
+/// A message that controllers only write; `content` is its value as decoded generically.
 pub fn sent<T: Serialize>(file: &'static str, value: &T, content: serde_json::Value) -> Case {
     Case {
         is_read_by_us: false,
@@ -94,23 +96,23 @@
     file.rsplit_once('.').expect("an extension").1
 }
 
-/// As controllers encode messages of a file's format.
+/// Encodes a message as controllers do for the format of the file.
 pub fn encode<T: Serialize>(file: &str, value: &T) -> Vec<u8> {
     match format(file) {
         "msgpack" => wire::encode(value),
         "cbor" => wire::peer::encode(value),
         "json" => wire::admin::encode(value),
-        other => panic!("{file}: {other} is no format of ours"),
+        other => panic!("{file}: unknown format {other}"),
     }
 }
 
-/// As controllers decode messages of a file's format.
+/// Decodes a message as controllers do for the format of the file.
 pub fn decode<T: DeserializeOwned>(file: &str, bytes: &[u8]) -> Option<T> {
     match format(file) {
         "msgpack" => wire::decode(bytes).ok(),
         "cbor" => wire::peer::decode(bytes).ok(),
         "json" => wire::admin::decode(bytes).ok(),
-        other => panic!("{file}: {other} is no format of ours"),
+        other => panic!("{file}: unknown format {other}"),
     }
 }
 
--- a/crates/wire/tests/recorded.rs
+++ b/crates/wire/tests/recorded.rs
@@ -1,11 +1,12 @@
-//! Records that earlier versions have left in the state service are still read, and written in the same form.
+//! Records that earlier versions wrote to the state service can still be read, and are written in the same form.
 
 use document::{Content, Past};
 use quota::{Amounts, NodeSpec, Over, Spec, TeamSpec};
 use wire::records::{Record, SharedRecord};
 use wire::tree::{HeadRecord, PartRecord, join, split};
 
-/// A tree as the version before the other documents wrote it: its head, and its parts by name.
+/// A quota tree as written by the last version before other kinds of documents were added: its head, and its parts by
+/// name.
 const HEAD: &str = "81a571756f746184a6666f726d617401a776657273696f6e01a5706172747392b8623237373061326337643166393238326366643638623730b8393364393734333833313532366531336261373430313832a7686973746f72799185a776657273696f6e01a66368616e6765b030313233343536373839616263646566a561745f6d73cf000001a0c4506c7ba26279a3696461a477686174d92a6e6f6465206e6f7274683a206e65772c2062656c6f772074686520726f6f7420616e642033206d6f7265";
 const PARTS: [(&str, &str); 2] = [
     (
@@ -68,7 +69,7 @@
         )
     };
     assert_eq!(join(&head, &PARTS.map(part).into()), Ok(tree()));
-    // And an old program reads what is written now.
+    // Earlier versions can read what is written now, as the bytes are the same.
     assert_eq!(
         wire::encode(&Record::Quota(HeadRecord { quota: head })),
         decode_hex(HEAD)
--- a/crates/wire/tests/settings.rs
+++ b/crates/wire/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings with one value at fault: the error names its field, and says what is wrong in the words that people know.
+//! Settings with one invalid value: the error names the field, and its message stays as operators know it.
 
 use serde_json::{Value, json};
 use wire::settings::{Settings, SettingsError, SettingsProblem};
