--- a/crates/wire/src/records/leadership.rs
+++ b/crates/wire/src/records/leadership.rs
@@ -11,7 +11,7 @@
     pub node: String,
     /// The leader's fencing token.
     pub token: u64,
-    /// The leader's lease. A node whose response to a takeover was lost recognizes its own takeover by it.
+    /// The leader's lease. By it, a node that got no response to its takeover recognizes its own record.
     pub lease: u64,
     /// The incarnation of the node that wrote the record; 0 in records of versions without this field.
     #[serde(default, skip_serializing_if = "is_zero")]
