--- a/crates/wire/src/records/claims.rs
+++ b/crates/wire/src/records/claims.rs
@@ -68,8 +68,8 @@
     out
 }
 
-/// The inverse of [`ranges`]. Yields no number from [`MAX_TASKS`] on, so that a damaged record can't cause a longer
-/// iteration than a job can have tasks.
+/// The inverse of [`ranges`]. Every range is cut off at [`MAX_TASKS`], the most tasks that a job can have, so that a
+/// damaged record can't cause a longer iteration.
 pub fn unrange(ranges: &[(u32, u32)]) -> impl Iterator<Item = u32> + '_ {
     ranges.iter().flat_map(|(first, n)| {
         let n = (*n).min(MAX_TASKS.saturating_sub(*first));
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -102,7 +102,7 @@
 pub struct Objective {
     /// What is measured.
     pub kind: String,
-    /// The class of jobs that it applies to; none for all.
+    /// The class of jobs that it applies to; `None` for all.
     #[serde(default)]
     pub class: Option<String>,
     /// Target time, in seconds.
