--- a/crates/wire/src/http/write.rs
+++ b/crates/wire/src/http/write.rs
@@ -1,16 +1,16 @@
-//! Writes requests and responses to the end of a buffer.
+//! Appends requests and responses to a buffer.
 
 use super::Response;
 use std::fmt::Write as _;
 
-/// Room that is set aside for a head, in bytes.
-const USUAL_HEAD: usize = 128;
-/// The type of most bodies.
+/// Initial capacity of the buffer for a head, in bytes.
+const HEAD_CAPACITY: usize = 128;
+/// Media type of `MessagePack` bodies.
 const MESSAGE_PACK: &str = "application/msgpack";
 
 /// Appends a request with a `MessagePack` body to `out`.
 pub fn write_request(out: &mut Vec<u8>, host: &str, method: &str, path: &str, body: &[u8]) {
-    let mut head = String::with_capacity(USUAL_HEAD);
+    let mut head = String::with_capacity(HEAD_CAPACITY);
     let _ = write!(head, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     if method != "GET" || !body.is_empty() {
         let _ = write!(
@@ -29,7 +29,8 @@
     write_response_as(out, response, MESSAGE_PACK, None);
 }
 
-/// A response whose body is of another type, and which may name the place of what it made.
+/// Appends a response to `out` whose body has the media type `content_type`, with a `Location` header if `location` is
+/// given.
 pub fn write_response_as(
     out: &mut Vec<u8>,
     response: &Response,
@@ -37,7 +38,7 @@
     location: Option<&str>,
 ) {
     let reason = reason_phrase(response.status);
-    let mut head = String::with_capacity(USUAL_HEAD);
+    let mut head = String::with_capacity(HEAD_CAPACITY);
     let _ = write!(
         head,
         "HTTP/1.1 {} {reason}\r\nContent-Type: {content_type}\r\n",
--- a/crates/wire/src/submission/raw_value.rs
+++ b/crates/wire/src/submission/raw_value.rs
@@ -1,15 +1,15 @@
-//! A value of a submission before it is known which field it belongs to.
+//! A value of a submission whose field, and so its type, is not known yet.
 
 use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use std::fmt;
 
-/// A value as it came. Only what some field may be is kept.
+/// A decoded value. Only kinds of values that some field may have are kept; the content of all others is dropped.
 #[derive(Debug, PartialEq)]
 pub(super) enum RawValue {
     Null,
     Bool(bool),
-    /// Whole, and not negative.
-    Count(u64),
+    /// A non-negative integer.
+    Unsigned(u64),
     Number(f64),
     Text(String),
     List(Vec<RawValue>),
@@ -34,10 +34,10 @@
         Ok(RawValue::Bool(v))
     }
     fn visit_u64<E>(self, v: u64) -> Result<RawValue, E> {
-        Ok(RawValue::Count(v))
+        Ok(RawValue::Unsigned(v))
     }
     fn visit_i64<E>(self, v: i64) -> Result<RawValue, E> {
-        Ok(u64::try_from(v).map_or(RawValue::Number(v as f64), RawValue::Count))
+        Ok(u64::try_from(v).map_or(RawValue::Number(v as f64), RawValue::Unsigned))
     }
     fn visit_f64<E>(self, v: f64) -> Result<RawValue, E> {
         Ok(RawValue::Number(v))
@@ -49,7 +49,7 @@
         Ok(RawValue::Other)
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<RawValue, A::Error> {
-        // What a length declares is not set aside: only what is there takes room.
+        // No memory is reserved for the declared length, since the sender may declare any length.
         let mut values = Vec::new();
         while let Some(value) = seq.next_element::<RawValue>()? {
             values.push(value);
@@ -60,7 +60,7 @@
         while map.next_entry::<IgnoredAny, IgnoredAny>()?.is_some() {}
         Ok(RawValue::Other)
     }
-    /// An extension of `MessagePack`'s, which no field is.
+    /// A `MessagePack` extension type, which no field has.
     fn visit_newtype_struct<D: Deserializer<'de>>(
         self,
         deserializer: D,
