--- a/crates/quota/src/edit.rs
+++ b/crates/quota/src/edit.rs
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 impl Spec {
-    fn node_at(&self, name: &str) -> Option<usize> {
+    fn node_index(&self, name: &str) -> Option<usize> {
         self.nodes.iter().position(|n| n.name == name)
     }
 
     /// The node's name and those above it, nearest first; ends where a name is unknown, or comes again.
-    fn line(&self, from: Option<&str>) -> Vec<String> {
+    fn path_to_root(&self, from: Option<&str>) -> Vec<String> {
         let parents: BTreeMap<&str, Option<&str>> = self
             .nodes
             .iter()
@@ -36,21 +36,21 @@
 pub fn transfer(spec: &Spec, teams: &[Team], name: &str, to: Option<&str>) -> Result<Spec, Fault> {
     let mut out = spec.clone();
     if let Some(to) = to
-        && spec.node_at(to).is_none()
+        && spec.node_index(to).is_none()
     {
         return Err(Fault::whole("to", format!("{to:?} is no node of the tree")));
     }
     let from: Option<String>;
-    let carried: Amounts;
-    if let Some(i) = spec.node_at(name) {
-        if spec.line(to).iter().any(|above| above == name) {
+    let moved_guarantee: Amounts;
+    if let Some(i) = spec.node_index(name) {
+        if spec.path_to_root(to).iter().any(|above| above == name) {
             return Err(Fault::whole(
                 "to",
                 format!("{name:?} can't hang below itself"),
             ));
         }
         from = spec.nodes[i].parent.clone();
-        carried = spec.nodes[i].guarantee.clone();
+        moved_guarantee = spec.nodes[i].guarantee.clone();
         out.nodes[i].parent = to.map(str::to_owned);
     } else {
         let Some(team) = teams.iter().find(|t| t.name == name) else {
@@ -68,23 +68,23 @@
                 out.teams.len() - 1
             });
         from = out.teams[at].parent.clone();
-        carried = out.teams[at]
+        moved_guarantee = out.teams[at]
             .guarantee
             .clone()
             .unwrap_or_else(|| team.guarantee.clone());
         out.teams[at].parent = to.map(str::to_owned);
     }
-    let (left, entered) = (spec.line(from.as_deref()), spec.line(to));
+    let (old_path, new_path) = (spec.path_to_root(from.as_deref()), spec.path_to_root(to));
     for node in &mut out.nodes {
-        let (leaves, enters) = (left.contains(&node.name), entered.contains(&node.name));
+        let (leaves, enters) = (old_path.contains(&node.name), new_path.contains(&node.name));
         if leaves != enters {
-            shift(node, &carried, if enters { 1 } else { -1 });
+            adjust_guarantee(node, &moved_guarantee, if enters { 1 } else { -1 });
         }
     }
     Ok(out)
 }
 
-fn shift(node: &mut NodeSpec, by: &Amounts, sign: i64) {
+fn adjust_guarantee(node: &mut NodeSpec, by: &Amounts, sign: i64) {
     for (name, units) in by {
         let have = node.guarantee.entry(name.clone()).or_default();
         // In thousandths, so that back and forth ends where it began.
@@ -103,7 +103,7 @@
     max: &Amounts,
     scale: bool,
 ) -> Result<Spec, Fault> {
-    let Some(i) = spec.node_at(name) else {
+    let Some(i) = spec.node_index(name) else {
         return Err(Fault::whole(
             "name",
             format!("{name:?} is no node of the tree"),
@@ -116,13 +116,13 @@
     node.max
         .extend(max.iter().map(|(r, units)| (r.clone(), *units)));
     if scale {
-        for (r, most) in &node.max {
+        for (r, limit) in &node.max {
             if let Some(units) = node.guarantee.get_mut(r) {
-                *units = units.min(*most);
+                *units = units.min(*limit);
             }
         }
-        let below = Below::of(&out);
-        let settled: HashMap<&str, &Amounts> = teams
+        let children = Children::of(&out);
+        let settings_guarantees: HashMap<&str, &Amounts> = teams
             .iter()
             .map(|t| (t.name.as_str(), &t.guarantee))
             .collect();
@@ -131,7 +131,7 @@
         for _ in 0..=crate::MAX_DEPTH {
             level = level
                 .into_iter()
-                .flat_map(|n| below.scale(&mut out, &settled, n))
+                .flat_map(|n| children.scale_children(&mut out, &settings_guarantees, n))
                 .collect();
         }
     }
@@ -139,14 +139,14 @@
 }
 
 /// What hangs directly below each node, as indices.
-struct Below {
+struct Children {
     nodes: HashMap<String, Vec<usize>>,
     teams: HashMap<String, Vec<usize>>,
 }
 
-impl Below {
+impl Children {
     fn of(spec: &Spec) -> Self {
-        let mut out = Below {
+        let mut out = Children {
             nodes: HashMap::new(),
             teams: HashMap::new(),
         };
@@ -165,7 +165,12 @@
 
     /// Cuts the guarantees directly below a node to what it has, and their maxima to its own; the inner ones among
     /// them.
-    fn scale(&self, spec: &mut Spec, settled: &HashMap<&str, &Amounts>, at: usize) -> Vec<usize> {
+    fn scale_children(
+        &self,
+        spec: &mut Spec,
+        settings_guarantees: &HashMap<&str, &Amounts>,
+        at: usize,
+    ) -> Vec<usize> {
         let NodeSpec {
             name,
             guarantee: own,
@@ -174,20 +179,27 @@
         } = spec.nodes[at].clone();
         let inner = self.nodes.get(&name).cloned().unwrap_or_default();
         let leaves = self.teams.get(&name).cloned().unwrap_or_default();
-        let of_team = |t: &TeamSpec| {
-            let of_settings = || settled.get(t.name.as_str()).map(|g| (*g).clone());
-            t.guarantee.clone().or_else(of_settings).unwrap_or_default()
+        let team_guarantee = |t: &TeamSpec| {
+            let settings_guarantee = || {
+                settings_guarantees
+                    .get(t.name.as_str())
+                    .map(|g| (*g).clone())
+            };
+            t.guarantee
+                .clone()
+                .or_else(settings_guarantee)
+                .unwrap_or_default()
         };
         let mut sums: BTreeMap<String, i64> = BTreeMap::new();
-        let of_inner = inner.iter().map(|i| spec.nodes[*i].guarantee.clone());
-        for (r, units) in of_inner
-            .chain(leaves.iter().map(|i| of_team(&spec.teams[*i])))
+        let inner_guarantees = inner.iter().map(|i| spec.nodes[*i].guarantee.clone());
+        for (r, units) in inner_guarantees
+            .chain(leaves.iter().map(|i| team_guarantee(&spec.teams[*i])))
             .flatten()
         {
             *sums.entry(r).or_default() += milli(units);
         }
-        let cut = |given: &Amounts| -> Amounts {
-            let part = |r: &String, units: &f64| {
+        let scaled = |given: &Amounts| -> Amounts {
+            let scaled_units = |r: &String, units: &f64| {
                 let (sum, own) = (
                     sums.get(r).copied().unwrap_or(0),
                     own.get(r).map_or(0, |v| milli(*v)),
@@ -195,30 +207,31 @@
                 if sum <= own {
                     return *units;
                 }
-                let part = i128::from(milli(*units)) * i128::from(own) / i128::from(sum.max(1));
-                part as f64 / 1000.0
+                let scaled_units =
+                    i128::from(milli(*units)) * i128::from(own) / i128::from(sum.max(1));
+                scaled_units as f64 / 1000.0
             };
             given
                 .iter()
-                .map(|(r, units)| (r.clone(), part(r, units)))
+                .map(|(r, units)| (r.clone(), scaled_units(r, units)))
                 .collect()
         };
         for i in leaves {
-            let before = of_team(&spec.teams[i]);
-            let after = cut(&before);
+            let before = team_guarantee(&spec.teams[i]);
+            let after = scaled(&before);
             if after != before {
                 spec.teams[i].guarantee = Some(after);
             }
         }
         for i in &inner {
             let n = &mut spec.nodes[*i];
-            n.guarantee = cut(&n.guarantee);
-            for (r, most) in &max {
+            n.guarantee = scaled(&n.guarantee);
+            for (r, limit) in &max {
                 for units in [n.max.get_mut(r), n.guarantee.get_mut(r)]
                     .into_iter()
                     .flatten()
                 {
-                    *units = units.min(*most);
+                    *units = units.min(*limit);
                 }
             }
         }
@@ -227,7 +240,7 @@
 }
 
 /// What differs between two trees, a line each, for people; at most `most` lines.
-pub fn differences(old: &Spec, new: &Spec, most: usize) -> Vec<String> {
+pub fn differences(old: &Spec, new: &Spec, max_lines: usize) -> Vec<String> {
     let mut out = Vec::new();
     let nodes = |s: &Spec| -> BTreeMap<String, NodeSpec> {
         s.nodes
@@ -249,13 +262,13 @@
                         root(&b.parent)
                     ));
                 }
-                out.extend(amounts_differ(
+                out.extend(amount_differences(
                     name,
                     "guarantee",
                     &a.guarantee,
                     &b.guarantee,
                 ));
-                out.extend(amounts_differ(name, "max", &a.max, &b.max));
+                out.extend(amount_differences(name, "max", &a.max, &b.max));
                 if (a.weight, a.over) != (b.weight, b.over) {
                     let was = format!("weight {} over {:?}", a.weight, a.over);
                     out.push(format!(
@@ -292,15 +305,15 @@
             out.push(format!("team {name}: weight and guarantee {a:?} -> {b:?}"));
         }
     }
-    let more = out.len().saturating_sub(most);
-    out.truncate(most);
+    let more = out.len().saturating_sub(max_lines);
+    out.truncate(max_lines);
     if more > 0 {
         out.push(format!("and {more} more"));
     }
     out
 }
 
-fn amounts_differ(name: &str, field: &str, a: &Amounts, b: &Amounts) -> Vec<String> {
+fn amount_differences(name: &str, field: &str, a: &Amounts, b: &Amounts) -> Vec<String> {
     let show = |a: &Amounts, r: &String| a.get(r).map_or("none".to_owned(), f64::to_string);
     let all: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
     let changed = all.into_iter().filter(|r| a.get(*r) != b.get(*r));
