--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -38,10 +38,10 @@
 mod content;
 pub mod edit;
 pub mod file;
-mod fill;
 mod live;
 mod spec;
 mod tree;
+mod water_filling;
 mod why;
 
 pub use content::Part;
--- a/crates/quota/src/live.rs
+++ b/crates/quota/src/live.rs
@@ -4,8 +4,8 @@
 //! it is asked for, node by node, and kept as long as nothing below that node changes. All that changes stands in
 //! persistent vectors: a clone is a snapshot that shares all but what changes later.
 
-use crate::fill::{Ask, Levels, levels};
 use crate::tree::{Leaf, add};
+use crate::water_filling::{ChildDemand, FillLevels, fill_levels};
 use crate::{Amount, MAX_RESOURCES, NOTHING, NodeId, TeamId, Tree, UNBOUNDED};
 use imbl::Vector;
 use std::cmp::Reverse;
@@ -24,44 +24,44 @@
 
 /// The levels of a node for the budget that came from one node above it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Memo {
+struct CachedLevels {
     epoch: u64,
     budget: Amount,
-    levels: Levels,
+    levels: FillLevels,
 }
 
 #[derive(Debug, Clone, Default)]
-struct State {
+struct NodeState {
     /// What its children could use, each within its own maximum.
-    want: Amount,
+    demand: Amount,
     used: Amount,
     /// What of the wants below it its own guarantee covers.
-    covered: Amount,
+    guaranteed: Amount,
     /// Rises whenever a child wants or has covered something else.
     epoch: u64,
     /// By the depth of the node that the budget came from.
-    memos: Vec<Option<Memo>>,
+    cached_levels: Vec<Option<CachedLevels>>,
 }
 
 #[derive(Debug, Clone)]
 pub struct Live {
     tree: Arc<Tree>,
     teams: Vector<Count>,
-    nodes: Vector<State>,
+    nodes: Vector<NodeState>,
     /// Nodes whose cover is to be worked out anew, the deepest first.
     stale: BTreeSet<(Reverse<u8>, NodeId)>,
     /// Work done, in units that do not depend on the machine it runs on.
     pub steps: u64,
 }
 
-fn within(want: &Amount, max: &Amount) -> Amount {
-    std::array::from_fn(|r| want[r].min(max[r]))
+fn capped(amount: &Amount, max: &Amount) -> Amount {
+    std::array::from_fn(|r| amount[r].min(max[r]))
 }
 
 impl Live {
     pub fn new(tree: Arc<Tree>) -> Self {
         let teams = tree.leaves.iter().map(|_| Count::default()).collect();
-        let nodes = tree.nodes.iter().map(|_| State::default()).collect();
+        let nodes = tree.nodes.iter().map(|_| NodeState::default()).collect();
         Live {
             tree,
             teams,
@@ -83,7 +83,7 @@
     }
     /// What all below a node want.
     pub fn wanted(&self, node: NodeId) -> Amount {
-        self.nodes[node.0 as usize].want
+        self.nodes[node.0 as usize].demand
     }
 
     fn leaf(&self, team: TeamId) -> &Leaf {
@@ -94,7 +94,7 @@
     pub fn set_demand(&mut self, team: TeamId, demand: Amount) {
         let (max, mut at) = (self.leaf(team).max, self.leaf(team).parent);
         let count = &mut self.teams[team.0 as usize];
-        let (before, after) = (within(&count.demand, &max), within(&demand, &max));
+        let (before, after) = (capped(&count.demand, &max), capped(&demand, &max));
         count.demand = demand;
         self.steps += 1;
         let mut change: Amount = std::array::from_fn(|r| after[r] - before[r]);
@@ -104,9 +104,9 @@
             self.steps += 1;
             let node = &self.tree.nodes[n.0 as usize];
             let state = &mut self.nodes[n.0 as usize];
-            let before = within(&state.want, &node.max);
-            add(&mut state.want, &change);
-            let after = within(&state.want, &node.max);
+            let before = capped(&state.demand, &node.max);
+            add(&mut state.demand, &change);
+            let after = capped(&state.demand, &node.max);
             change = std::array::from_fn(|r| after[r] - before[r]);
             state.epoch += 1;
             self.stale.insert((Reverse(node.depth), n));
@@ -131,7 +131,7 @@
     }
 
     /// How much more may start below a node: the least that any bound from it to the root leaves.
-    pub fn room(&self, node: Option<NodeId>) -> Amount {
+    pub fn headroom(&self, node: Option<NodeId>) -> Amount {
         let mut out = [UNBOUNDED; MAX_RESOURCES];
         for n in self.tree.above(node) {
             let (max, used) = (self.tree.nodes[n.0 as usize].max, self.used(n));
@@ -150,17 +150,17 @@
         let path = self.tree.path(team);
         let Some(origin) = path.get(depth) else {
             let leaf = self.leaf(team);
-            let base = self.team_ask(team).base;
-            return std::array::from_fn(|r| (leaf.guarantee[r] > 0).then_some(base[r]));
+            let guaranteed = self.team_demand(team).guaranteed;
+            return std::array::from_fn(|r| (leaf.guarantee[r] > 0).then_some(guaranteed[r]));
         };
         let guarantee = self.tree.nodes[origin.0 as usize].guarantee;
         let mut budget = guarantee;
         for (i, n) in path.iter().enumerate().skip(depth) {
             let levels = self.levels(*n, depth, budget);
-            let ask = path
+            let child = path
                 .get(i + 1)
-                .map_or_else(|| self.team_ask(team), |c| self.node_ask(*c));
-            budget = ask.part(&budget, &levels);
+                .map_or_else(|| self.team_demand(team), |c| self.node_demand(*c));
+            budget = child.allocation(&budget, &levels);
         }
         std::array::from_fn(|r| (guarantee[r] > 0).then_some(budget[r]))
     }
@@ -170,12 +170,12 @@
         while let Some((Reverse(depth), n)) = self.stale.pop_first() {
             let budget = self.tree.nodes[n.0 as usize].guarantee;
             let levels = self.levels(n, usize::from(depth), budget);
-            let mut covered = NOTHING;
-            for ask in self.asks(n) {
-                add(&mut covered, &ask.part(&budget, &levels));
+            let mut guaranteed = NOTHING;
+            for child in self.child_demands(n) {
+                add(&mut guaranteed, &child.allocation(&budget, &levels));
             }
-            if self.nodes[n.0 as usize].covered != covered {
-                self.nodes[n.0 as usize].covered = covered;
+            if self.nodes[n.0 as usize].guaranteed != guaranteed {
+                self.nodes[n.0 as usize].guaranteed = guaranteed;
                 if let Some(p) = self.tree.nodes[n.0 as usize].parent {
                     self.nodes[p.0 as usize].epoch += 1;
                     self.stale
@@ -185,21 +185,21 @@
         }
     }
 
-    fn levels(&mut self, n: NodeId, origin: usize, budget: Amount) -> Levels {
+    fn levels(&mut self, n: NodeId, origin_depth: usize, budget: Amount) -> FillLevels {
         let state = &self.nodes[n.0 as usize];
         self.steps += 1;
-        if let Some(Some(memo)) = state.memos.get(origin)
-            && (memo.epoch, memo.budget) == (state.epoch, budget)
+        if let Some(Some(cached)) = state.cached_levels.get(origin_depth)
+            && (cached.epoch, cached.budget) == (state.epoch, budget)
         {
-            return memo.levels;
+            return cached.levels;
         }
         let epoch = state.epoch;
-        let levels = levels(&budget, &self.asks(n), &mut self.steps);
-        let memos = &mut self.nodes[n.0 as usize].memos;
-        if memos.len() <= origin {
-            memos.resize(origin + 1, None);
+        let levels = fill_levels(&budget, &self.child_demands(n), &mut self.steps);
+        let cached_levels = &mut self.nodes[n.0 as usize].cached_levels;
+        if cached_levels.len() <= origin_depth {
+            cached_levels.resize(origin_depth + 1, None);
         }
-        memos[origin] = Some(Memo {
+        cached_levels[origin_depth] = Some(CachedLevels {
             epoch,
             budget,
             levels,
@@ -207,40 +207,42 @@
         levels
     }
 
-    fn asks(&self, n: NodeId) -> Vec<Ask> {
+    fn child_demands(&self, n: NodeId) -> Vec<ChildDemand> {
         let node = &self.tree.nodes[n.0 as usize];
-        let inner = node.children.iter().map(|c| self.node_ask(*c));
+        let inner = node.children.iter().map(|c| self.node_demand(*c));
         inner
-            .chain(node.teams.iter().map(|t| self.team_ask(*t)))
+            .chain(node.teams.iter().map(|t| self.team_demand(*t)))
             .collect()
     }
 
-    fn node_ask(&self, n: NodeId) -> Ask {
+    fn node_demand(&self, n: NodeId) -> ChildDemand {
         let (node, state) = (&self.tree.nodes[n.0 as usize], &self.nodes[n.0 as usize]);
-        Ask {
-            base: state.covered,
-            want: within(&state.want, &node.max),
+        ChildDemand {
+            guaranteed: state.guaranteed,
+            demand: capped(&state.demand, &node.max),
             weight: node.weight,
         }
     }
 
-    fn team_ask(&self, team: TeamId) -> Ask {
+    fn team_demand(&self, team: TeamId) -> ChildDemand {
         let leaf = self.leaf(team);
-        let want = within(&self.teams[team.0 as usize].demand, &leaf.max);
-        Ask {
-            base: within(&want, &leaf.guarantee),
-            want,
+        let demand = capped(&self.teams[team.0 as usize].demand, &leaf.max);
+        ChildDemand {
+            guaranteed: capped(&demand, &leaf.guarantee),
+            demand,
             weight: leaf.weight,
         }
     }
 
     /// Bytes that the counts take, without the tree itself.
     pub fn bytes(&self) -> usize {
-        let memos: usize = self
+        let cached_levels: usize = self
             .nodes
             .iter()
-            .map(|s| s.memos.capacity() * size_of::<Option<Memo>>())
+            .map(|s| s.cached_levels.capacity() * size_of::<Option<CachedLevels>>())
             .sum();
-        self.teams.len() * size_of::<Count>() + self.nodes.len() * size_of::<State>() + memos
+        self.teams.len() * size_of::<Count>()
+            + self.nodes.len() * size_of::<NodeState>()
+            + cached_levels
     }
 }
--- a/crates/quota/tests/entitlement.rs
+++ b/crates/quota/tests/entitlement.rs
@@ -106,7 +106,7 @@
             let sum: i64 = below(&tree, n).into_iter().map(|t| one.team(t).used[GPUS]).sum();
             prop_assert_eq!(one.used(n)[GPUS], sum, "use adds up");
             let max = tree.nodes[n.0 as usize].max[GPUS];
-            prop_assert!(max == quota::UNBOUNDED || one.room(Some(n))[GPUS] <= max - sum);
+            prop_assert!(max == quota::UNBOUNDED || one.headroom(Some(n))[GPUS] <= max - sum);
         }
     }
 
