--- a/crates/quota/src/content.rs
+++ b/crates/quota/src/content.rs
@@ -46,10 +46,10 @@
     /// Teams that have left the settings have no work, and their places go with the next change.
     fn fitting(&self, teams: &Vec<Team>) -> Spec {
         let known: BTreeSet<&str> = teams.iter().map(|t| t.name.as_str()).collect();
-        let here = |t: &&TeamSpec| known.contains(t.name.as_str());
+        let is_known = |t: &&TeamSpec| known.contains(t.name.as_str());
         Spec {
             nodes: self.nodes.clone(),
-            teams: self.teams.iter().filter(here).cloned().collect(),
+            teams: self.teams.iter().filter(is_known).cloned().collect(),
         }
     }
 }
--- a/crates/quota/src/live.rs
+++ b/crates/quota/src/live.rs
@@ -4,7 +4,7 @@
 //! it is asked for, node by node, and kept as long as nothing below that node changes. All that changes stands in
 //! persistent vectors: a clone is a snapshot that shares all but what changes later.
 
-use crate::tree::{Leaf, add};
+use crate::tree::{Leaf, add_amount};
 use crate::water_filling::{ChildDemand, FillLevels, fill_levels};
 use crate::{Amount, MAX_RESOURCES, NOTHING, NodeId, TeamId, Tree, UNBOUNDED};
 use imbl::Vector;
@@ -105,7 +105,7 @@
             let node = &self.tree.nodes[n.0 as usize];
             let state = &mut self.nodes[n.0 as usize];
             let before = capped(&state.demand, &node.max);
-            add(&mut state.demand, &change);
+            add_amount(&mut state.demand, &change);
             let after = capped(&state.demand, &node.max);
             change = std::array::from_fn(|r| after[r] - before[r]);
             state.epoch += 1;
@@ -125,7 +125,7 @@
             && change != NOTHING
         {
             self.steps += 1;
-            add(&mut self.nodes[n.0 as usize].used, &change);
+            add_amount(&mut self.nodes[n.0 as usize].used, &change);
             at = self.tree.nodes[n.0 as usize].parent;
         }
     }
@@ -172,7 +172,7 @@
             let levels = self.levels(n, usize::from(depth), budget);
             let mut guaranteed = NOTHING;
             for child in self.child_demands(n) {
-                add(&mut guaranteed, &child.allocation(&budget, &levels));
+                add_amount(&mut guaranteed, &child.allocation(&budget, &levels));
             }
             if self.nodes[n.0 as usize].guaranteed != guaranteed {
                 self.nodes[n.0 as usize].guaranteed = guaranteed;
--- a/crates/quota/src/tree.rs
+++ b/crates/quota/src/tree.rs
@@ -64,34 +64,34 @@
     pub resources: Vec<String>,
     pub nodes: Vec<Node>,
     pub leaves: Vec<Leaf>,
-    node_ix: HashMap<String, NodeId>,
-    team_ix: HashMap<String, TeamId>,
+    node_ids: HashMap<String, NodeId>,
+    team_ids: HashMap<String, TeamId>,
 }
 
 impl Tree {
     /// Checks a description against the teams of the settings. All that is wrong is returned, not just the first.
     pub fn build(spec: &Spec, teams: &[Team]) -> Result<Tree, Vec<Fault>> {
-        let mut b = Builder {
+        let mut builder = Builder {
             spec,
             faults: Faults::default(),
             tree: Tree::default(),
         };
-        b.sizes(teams);
-        if b.faults.is_empty() {
-            b.resources();
-            let order = b.order();
-            b.inner(&order);
-            b.hang(teams);
-            b.sums();
+        builder.check_sizes(teams);
+        if builder.faults.is_empty() {
+            builder.collect_resources();
+            let order = builder.parents_first();
+            builder.add_nodes(&order);
+            builder.add_teams(teams);
+            builder.check_guarantee_sums();
         }
-        b.faults.or(b.tree)
+        builder.faults.or(builder.tree)
     }
 
     pub fn node(&self, name: &str) -> Option<NodeId> {
-        self.node_ix.get(name).copied()
+        self.node_ids.get(name).copied()
     }
     pub fn team(&self, name: &str) -> Option<TeamId> {
-        self.team_ix.get(name).copied()
+        self.team_ids.get(name).copied()
     }
     /// A team's inner nodes from the root down to its parent.
     pub fn path(&self, team: TeamId) -> Vec<NodeId> {
@@ -147,7 +147,7 @@
         self.faults.add(document::Place::entry(list, i), path, what);
     }
 
-    fn sizes(&mut self, teams: &[Team]) {
+    fn check_sizes(&mut self, teams: &[Team]) {
         let (nodes, leaves) = (
             self.spec.nodes.len(),
             self.spec.teams.len().max(teams.len()),
@@ -168,7 +168,7 @@
         }
     }
 
-    fn resources(&mut self) {
+    fn collect_resources(&mut self) {
         let spec = self.spec;
         let mut all: Vec<String> = COMMON.iter().map(|c| (*c).to_owned()).collect();
         let of_nodes = spec
@@ -199,8 +199,14 @@
     }
 
     /// Amounts by resource; `none` stands where nothing is said.
-    fn amounts(&mut self, place: Place, field: &str, given: &Amounts, none: i64) -> Amount {
-        let mut out = [none; MAX_RESOURCES];
+    fn checked_amounts(
+        &mut self,
+        place: Place,
+        field: &str,
+        given: &Amounts,
+        default: i64,
+    ) -> Amount {
+        let mut out = [default; MAX_RESOURCES];
         for (name, units) in given {
             let Some(r) = self.tree.resource(name) else {
                 continue;
@@ -215,7 +221,7 @@
         out
     }
 
-    fn weight(&mut self, place: Place, weight: f64) {
+    fn check_weight(&mut self, place: Place, weight: f64) {
         if !(weight.is_finite() && (1e-3..=1e6).contains(&weight)) {
             self.fault(
                 place,
@@ -225,7 +231,7 @@
         }
     }
 
-    fn name(&mut self, place: Place, name: &str) {
+    fn check_name(&mut self, place: Place, name: &str) {
         if name.is_empty() || name.len() > MAX_NAME || name.chars().any(char::is_control) {
             self.fault(
                 place,
@@ -236,41 +242,45 @@
     }
 
     /// The nodes in an order in which parents come before their children.
-    fn order(&mut self) -> Vec<usize> {
+    fn parents_first(&mut self) -> Vec<usize> {
         let spec = self.spec;
         let mut index: HashMap<&str, usize> = HashMap::new();
         for (i, n) in spec.nodes.iter().enumerate() {
-            self.name(Place::Node(i), &n.name);
+            self.check_name(Place::Node(i), &n.name);
             if index.insert(&n.name, i).is_some() {
                 self.fault(Place::Node(i), "name", "is named twice");
             }
         }
-        let mut below: HashMap<usize, Vec<usize>> = HashMap::new();
+        let mut children: HashMap<usize, Vec<usize>> = HashMap::new();
         let mut order: Vec<usize> = Vec::new();
         for (i, n) in spec.nodes.iter().enumerate() {
             match n.parent.as_deref().map(|p| index.get(p)) {
                 None => order.push(i),
-                Some(Some(p)) => below.entry(*p).or_default().push(i),
-                Some(None) => self.fault(Place::Node(i), "parent", unknown(n.parent.as_deref())),
+                Some(Some(p)) => children.entry(*p).or_default().push(i),
+                Some(None) => self.fault(
+                    Place::Node(i),
+                    "parent",
+                    unknown_parent(n.parent.as_deref()),
+                ),
             }
         }
         let mut at = 0;
         while at < order.len() {
-            order.extend(below.remove(&order[at]).unwrap_or_default());
+            order.extend(children.remove(&order[at]).unwrap_or_default());
             at += 1;
         }
         // What no root leads to hangs below itself, or below one that does not exist.
-        let mut round: Vec<usize> = below.into_values().flatten().collect();
-        round.sort_unstable();
-        for i in round {
-            if circles(spec, &index, i) {
+        let mut unreached: Vec<usize> = children.into_values().flatten().collect();
+        unreached.sort_unstable();
+        for i in unreached {
+            if is_in_cycle(spec, &index, i) {
                 self.fault(Place::Node(i), "parent", "hangs below itself");
             }
         }
         order
     }
 
-    fn inner(&mut self, order: &[usize]) {
+    fn add_nodes(&mut self, order: &[usize]) {
         let spec = self.spec;
         let mut places: Vec<Place> = Vec::new();
         for i in order {
@@ -284,50 +294,56 @@
                     format!("is deeper than {MAX_DEPTH} levels"),
                 );
             }
-            let guarantee = self.amounts(place, "guarantee", &n.guarantee, 0);
-            let max = self.amounts(place, "max", &n.max, UNBOUNDED);
-            self.weight(place, n.weight);
-            self.not_above(place, guarantee, max, "its own maximum");
+            let guarantee = self.checked_amounts(place, "guarantee", &n.guarantee, 0);
+            let max = self.checked_amounts(place, "max", &n.max, UNBOUNDED);
+            self.check_weight(place, n.weight);
+            self.check_guarantee_limit(place, guarantee, max, "its own maximum");
             if let Some(p) = parent {
                 let above = self.tree.nodes[p.0 as usize].max;
-                self.not_above(place, guarantee, above, "its parent's maximum");
+                self.check_guarantee_limit(place, guarantee, above, "its parent's maximum");
                 let bounded = std::array::from_fn(|r| if max[r] == UNBOUNDED { 0 } else { max[r] });
-                self.max_not_above(place, bounded, above);
+                self.check_max_limit(place, bounded, above);
             }
             let id = NodeId(self.tree.nodes.len() as u32);
-            self.tree.node_ix.insert(n.name.clone(), id);
+            self.tree.node_ids.insert(n.name.clone(), id);
             if let Some(p) = parent {
                 self.tree.nodes[p.0 as usize].children.push(id);
             }
             self.tree
                 .nodes
-                .push(inner_node(n, parent, depth, guarantee, max));
+                .push(new_node(n, parent, depth, guarantee, max));
             places.push(place);
         }
     }
 
-    fn not_above(&mut self, place: Place, guarantee: Amount, max: Amount, whose: &str) {
+    fn check_guarantee_limit(
+        &mut self,
+        place: Place,
+        guarantee: Amount,
+        max: Amount,
+        limit_name: &str,
+    ) {
         for r in 0..self.tree.resources.len() {
             if guarantee[r] > max[r] {
                 let field = format!("guarantee.{}", self.tree.resources[r]);
                 let what = format!(
-                    "{} is above {whose}, {}",
-                    units(guarantee[r]),
-                    units(max[r])
+                    "{} is above {limit_name}, {}",
+                    display_units(guarantee[r]),
+                    display_units(max[r])
                 );
                 self.fault(place, &field, what);
             }
         }
     }
 
-    fn max_not_above(&mut self, place: Place, max: Amount, above: Amount) {
+    fn check_max_limit(&mut self, place: Place, max: Amount, above: Amount) {
         for r in 0..self.tree.resources.len() {
             if max[r] > above[r] {
                 let field = format!("max.{}", self.tree.resources[r]);
                 let what = format!(
                     "{} is above its parent's, {}",
-                    units(max[r]),
-                    units(above[r])
+                    display_units(max[r]),
+                    display_units(above[r])
                 );
                 self.fault(place, &field, what);
             }
@@ -335,50 +351,56 @@
     }
 
     /// Hangs the teams: those that the tree names, then the others below the root.
-    fn hang(&mut self, teams: &[Team]) {
+    fn add_teams(&mut self, teams: &[Team]) {
         let spec = self.spec;
-        let known: HashMap<&str, &Team> = teams.iter().map(|t| (t.name.as_str(), t)).collect();
+        let by_name: HashMap<&str, &Team> = teams.iter().map(|t| (t.name.as_str(), t)).collect();
         for (i, t) in spec.teams.iter().enumerate() {
             let place = Place::Team(i);
-            self.weight(place, t.weight);
-            if self.tree.team_ix.contains_key(&t.name) {
+            self.check_weight(place, t.weight);
+            if self.tree.team_ids.contains_key(&t.name) {
                 self.fault(place, "name", "is named twice");
                 continue;
             }
-            let Some(team) = known.get(t.name.as_str()) else {
+            let Some(team) = by_name.get(t.name.as_str()) else {
                 self.fault(place, "name", "is no team of the settings");
                 continue;
             };
             let parent = t.parent.as_deref().and_then(|p| self.tree.node(p));
             if t.parent.is_some() && parent.is_none() {
-                self.fault(place, "parent", unknown(t.parent.as_deref()));
+                self.fault(place, "parent", unknown_parent(t.parent.as_deref()));
             }
-            let settled = self.amounts(place, "guarantee", &team.guarantee, 0);
+            let settings_guarantee = self.checked_amounts(place, "guarantee", &team.guarantee, 0);
             let guarantee = match &t.guarantee {
                 Some(own) => {
-                    let own = self.amounts(place, "guarantee", own, 0);
-                    self.not_above(place, own, settled, "what the settings guarantee");
+                    let own = self.checked_amounts(place, "guarantee", own, 0);
+                    self.check_guarantee_limit(
+                        place,
+                        own,
+                        settings_guarantee,
+                        "what the settings guarantee",
+                    );
                     own
                 }
-                None => settled,
+                None => settings_guarantee,
             };
-            self.leaf(team, parent, guarantee, t.weight);
+            self.add_leaf(team, parent, guarantee, t.weight);
         }
         for team in teams {
-            if !self.tree.team_ix.contains_key(&team.name) {
-                let guarantee = self.amounts(Place::Whole, "settings.teams", &team.guarantee, 0);
-                self.leaf(team, None, guarantee, 1.0);
+            if !self.tree.team_ids.contains_key(&team.name) {
+                let guarantee =
+                    self.checked_amounts(Place::Whole, "settings.teams", &team.guarantee, 0);
+                self.add_leaf(team, None, guarantee, 1.0);
             }
         }
     }
 
-    fn leaf(&mut self, team: &Team, parent: Option<NodeId>, guarantee: Amount, weight: f64) {
-        let mut max = self.amounts(Place::Whole, "settings.teams", &team.max, 0);
+    fn add_leaf(&mut self, team: &Team, parent: Option<NodeId>, guarantee: Amount, weight: f64) {
+        let mut max = self.checked_amounts(Place::Whole, "settings.teams", &team.max, 0);
         max.iter_mut()
             .filter(|m| **m == 0)
             .for_each(|m| *m = UNBOUNDED);
         let id = TeamId(self.tree.leaves.len() as u32);
-        self.tree.team_ix.insert(team.name.clone(), id);
+        self.tree.team_ids.insert(team.name.clone(), id);
         if let Some(p) = parent {
             self.tree.nodes[p.0 as usize].teams.push(id);
         }
@@ -392,13 +414,13 @@
     }
 
     /// Children's guarantees add up to no more than their parent's.
-    fn sums(&mut self) {
+    fn check_guarantee_sums(&mut self) {
         let mut sums = vec![NOTHING; self.tree.nodes.len()];
         let inner = self.tree.nodes.iter().map(|n| (n.parent, n.guarantee));
         let leaves = self.tree.leaves.iter().map(|l| (l.parent, l.guarantee));
         for (parent, guarantee) in inner.chain(leaves) {
             if let Some(p) = parent {
-                add(&mut sums[p.0 as usize], &guarantee);
+                add_amount(&mut sums[p.0 as usize], &guarantee);
             }
         }
         for (id, sum) in sums.into_iter().enumerate() {
@@ -409,11 +431,11 @@
                     let at = self.spec.nodes.iter().position(|n| n.name == *name);
                     let place = at.map_or(Place::Whole, Place::Node);
                     let field = format!("guarantee.{}", self.tree.resources[r]);
-                    let over = units(sum[r] - own[r]);
+                    let over = display_units(sum[r] - own[r]);
                     let what = format!(
                         "its children are guaranteed {}, {over} more than its own {}",
-                        units(sum[r]),
-                        units(own[r])
+                        display_units(sum[r]),
+                        display_units(own[r])
                     );
                     self.fault(place, &field, what);
                 }
@@ -422,7 +444,7 @@
     }
 }
 
-fn inner_node(
+fn new_node(
     n: &NodeSpec,
     parent: Option<NodeId>,
     depth: u8,
@@ -443,21 +465,21 @@
 }
 
 /// Whether a node's line of parents comes back to it.
-fn circles(spec: &Spec, index: &HashMap<&str, usize>, from: usize) -> bool {
+fn is_in_cycle(spec: &Spec, index: &HashMap<&str, usize>, from: usize) -> bool {
     let mut at = from;
     for _ in 0..spec.nodes.len() {
-        let Some(up) = spec.nodes[at].parent.as_deref().and_then(|p| index.get(p)) else {
+        let Some(parent) = spec.nodes[at].parent.as_deref().and_then(|p| index.get(p)) else {
             return false;
         };
-        if *up == from {
+        if *parent == from {
             return true;
         }
-        at = *up;
+        at = *parent;
     }
     false
 }
 
-fn unknown(parent: Option<&str>) -> String {
+fn unknown_parent(parent: Option<&str>) -> String {
     format!(
         "{:?} is no node of this tree",
         short(parent.unwrap_or_default())
@@ -465,7 +487,7 @@
 }
 
 /// Thousandths as units, for people.
-pub(crate) fn units(milli: i64) -> String {
+pub(crate) fn display_units(milli: i64) -> String {
     if milli == UNBOUNDED {
         "none".to_owned()
     } else {
@@ -473,8 +495,8 @@
     }
 }
 
-pub(crate) fn add(to: &mut Amount, what: &Amount) {
-    to.iter_mut()
-        .zip(what)
+pub(crate) fn add_amount(sum: &mut Amount, amount: &Amount) {
+    sum.iter_mut()
+        .zip(amount)
         .for_each(|(a, b)| *a = a.saturating_add(*b));
 }
--- a/crates/quota/src/why.rs
+++ b/crates/quota/src/why.rs
@@ -1,6 +1,6 @@
 //! What a tree in use says of a node or a team, for people.
 
-use crate::tree::units;
+use crate::tree::display_units;
 use crate::{Amount, Amounts, Live, MAX_RESOURCES, NodeId, TeamId, UNBOUNDED};
 use serde::{Deserialize, Serialize};
 
@@ -40,10 +40,11 @@
     pub short: Amounts,
 }
 
-fn named(live: &Live, amount: &Amount) -> Amounts {
+fn amounts_by_name(live: &Live, amount: &Amount) -> Amounts {
     let names = live.tree().resources.iter().zip(amount);
-    let some = names.filter(|(_, v)| **v != 0 && **v != UNBOUNDED);
-    some.map(|(name, v)| (name.clone(), *v as f64 / 1000.0))
+    let named = names.filter(|(_, v)| **v != 0 && **v != UNBOUNDED);
+    named
+        .map(|(name, v)| (name.clone(), *v as f64 / 1000.0))
         .collect()
 }
 
@@ -58,11 +59,11 @@
                 parent: n
                     .parent
                     .map(|p| self.tree().nodes[p.0 as usize].name.clone()),
-                guarantee: named(self, &n.guarantee),
-                max: named(self, &n.max),
+                guarantee: amounts_by_name(self, &n.guarantee),
+                max: amounts_by_name(self, &n.max),
                 weight: n.weight,
-                used: named(self, &self.used(id)),
-                wanted: named(self, &self.wanted(id)),
+                used: amounts_by_name(self, &self.used(id)),
+                wanted: amounts_by_name(self, &self.wanted(id)),
             }
         };
         self.tree().nodes.iter().enumerate().map(row).collect()
@@ -76,11 +77,11 @@
                 name: l.name.clone(),
                 depth: parent.map_or(0, |p| usize::from(p.depth) + 1),
                 parent: parent.map(|p| p.name.clone()),
-                guarantee: named(self, &l.guarantee),
-                max: named(self, &l.max),
+                guarantee: amounts_by_name(self, &l.guarantee),
+                max: amounts_by_name(self, &l.max),
                 weight: l.weight,
-                used: named(self, &count.used),
-                wanted: named(self, &count.demand),
+                used: amounts_by_name(self, &count.used),
+                wanted: amounts_by_name(self, &count.demand),
             }
         };
         self.tree().leaves.iter().enumerate().map(row).collect()
@@ -93,33 +94,33 @@
         let count = self.team(team);
         let name = |n: &NodeId| tree.nodes[n.0 as usize].name.clone();
         let mut entitled = Vec::new();
-        let mut most = [0; MAX_RESOURCES];
-        let mut counted = [false; MAX_RESOURCES];
+        let mut highest_share = [0; MAX_RESOURCES];
+        let mut is_guaranteed = [false; MAX_RESOURCES];
         for depth in 0..=path.len() {
             let share = self.entitled(team, depth);
-            (0..MAX_RESOURCES).for_each(|r| counted[r] |= share[r].is_some());
+            (0..MAX_RESOURCES).for_each(|r| is_guaranteed[r] |= share[r].is_some());
             let share = share.map(|v| v.unwrap_or(0));
-            (0..MAX_RESOURCES).for_each(|r| most[r] = most[r].max(share[r]));
+            (0..MAX_RESOURCES).for_each(|r| highest_share[r] = highest_share[r].max(share[r]));
             entitled.push((
                 path.get(depth).map_or_else(|| leaf.name.clone(), name),
-                named(self, &share),
+                amounts_by_name(self, &share),
             ));
         }
         let short: Amount =
-            std::array::from_fn(|r| (most[r].min(count.demand[r]) - count.used[r]).max(0));
+            std::array::from_fn(|r| (highest_share[r].min(count.demand[r]) - count.used[r]).max(0));
         let mut bounded_by = Vec::new();
-        let waits = |r: usize| count.demand[r] > count.used[r];
-        let full = |max: &Amount, used: &Amount| {
-            (0..MAX_RESOURCES).find(|r| waits(*r) && used[*r] >= max[*r])
+        let is_waiting_for = |r: usize| count.demand[r] > count.used[r];
+        let exhausted_resource = |max: &Amount, used: &Amount| {
+            (0..MAX_RESOURCES).find(|r| is_waiting_for(*r) && used[*r] >= max[*r])
         };
         let bounds = path
             .iter()
             .map(|n| (name(n), tree.nodes[n.0 as usize].max, self.used(*n)));
         for (who, max, used) in bounds.chain([(leaf.name.clone(), leaf.max, count.used)]) {
-            if let Some(r) = full(&max, &used) {
-                let (has, most) = (units(used[r]), units(max[r]));
+            if let Some(r) = exhausted_resource(&max, &used) {
+                let (has, limit) = (display_units(used[r]), display_units(max[r]));
                 bounded_by.push(format!(
-                    "{who}: uses {has} of at most {most} {}",
+                    "{who}: uses {has} of at most {limit} {}",
                     tree.resources[r]
                 ));
             }
@@ -127,22 +128,27 @@
         Why {
             team: leaf.name.clone(),
             path: path.iter().map(name).collect(),
-            used: named(self, &count.used),
-            wanted: named(self, &count.demand),
+            used: amounts_by_name(self, &count.used),
+            wanted: amounts_by_name(self, &count.demand),
             entitled,
             bounded_by,
-            borrowed: self.borrowers(team, &path, &counted),
-            short: named(self, &short),
+            borrowed: self.borrowers(team, &path, &is_guaranteed),
+            short: amounts_by_name(self, &short),
         }
     }
 
     /// Siblings of the team, then of its parent, and so on, that use more than they are guaranteed of what something
     /// above the team is guaranteed.
-    fn borrowers(&self, team: TeamId, path: &[NodeId], counted: &[bool]) -> Vec<(String, Amounts)> {
+    fn borrowers(
+        &self,
+        team: TeamId,
+        path: &[NodeId],
+        is_guaranteed: &[bool],
+    ) -> Vec<(String, Amounts)> {
         let tree = self.tree();
-        let beyond = |used: &Amount, own: &Amount| {
+        let above_guarantee = |used: &Amount, own: &Amount| {
             std::array::from_fn(|r| {
-                if counted[r] {
+                if is_guaranteed[r] {
                     (used[r] - own[r]).max(0)
                 } else {
                     0
@@ -160,7 +166,7 @@
             let teams = teams.map(|(i, l)| {
                 (
                     l.name.clone(),
-                    beyond(&self.team(TeamId(i as u32)).used, &l.guarantee),
+                    above_guarantee(&self.team(TeamId(i as u32)).used, &l.guarantee),
                 )
             });
             let inner = tree.nodes.iter().enumerate();
@@ -169,13 +175,13 @@
             let inner = inner.map(|(i, n)| {
                 (
                     n.name.clone(),
-                    beyond(&self.used(NodeId(i as u32)), &n.guarantee),
+                    above_guarantee(&self.used(NodeId(i as u32)), &n.guarantee),
                 )
             });
-            let some = teams
+            let borrowers = teams
                 .chain(inner)
                 .filter(|(_, over): &(String, Amount)| over.iter().any(|v| *v > 0));
-            out.extend(some.map(|(name, over)| (name, named(self, &over))));
+            out.extend(borrowers.map(|(name, over)| (name, amounts_by_name(self, &over))));
         }
         out
     }
