--- a/crates/quota/examples/scale.rs
+++ b/crates/quota/examples/scale.rs
@@ -9,22 +9,22 @@
 const CHANGES: usize = 5_000;
 
 /// A tree whose levels all branch alike.
-fn grown() -> (Spec, Vec<Team>) {
+fn balanced_tree() -> (Spec, Vec<Team>) {
     let branch = (TEAMS as f64).powf(1.0 / LEVELS as f64);
     let mut spec = Spec::default();
-    let mut above: Vec<Option<String>> = vec![None];
+    let mut parents: Vec<Option<String>> = vec![None];
     let units = |n: f64| Amounts::from([("cpus".to_owned(), n * 8.0), ("gpus".to_owned(), n)]);
     for level in 1..LEVELS {
         let count = branch.powi(level as i32).round() as usize;
         let mut names = Vec::new();
         for i in 0..count {
-            let parent = above[i * above.len() / count].clone();
+            let parent = parents[i * parents.len() / count].clone();
             let mut node = NodeSpec::new(&format!("l{level}-{i}"), parent.as_deref());
             node.weight = 1.0 + (i % 3) as f64;
             names.push(Some(node.name.clone()));
             spec.nodes.push(node);
         }
-        above = names;
+        parents = names;
     }
     let teams: Vec<Team> = (0..TEAMS)
         .map(|i| Team {
@@ -35,20 +35,20 @@
     for (i, team) in teams.iter().enumerate() {
         spec.teams.push(TeamSpec::new(
             &team.name,
-            above[i * above.len() / TEAMS].as_deref(),
+            parents[i * parents.len() / TEAMS].as_deref(),
         ));
     }
     // Each node is guaranteed a quarter more than what it must hold.
-    let mut held: std::collections::HashMap<String, f64> = Default::default();
+    let mut child_guarantees: std::collections::HashMap<String, f64> = Default::default();
     spec.teams.iter().for_each(|t| {
-        *held
+        *child_guarantees
             .entry(t.parent.clone().unwrap_or_default())
             .or_default() += 2.0
     });
     for node in spec.nodes.iter_mut().rev() {
-        let own = held.get(&node.name).copied().unwrap_or(0.0) * 1.25;
+        let own = child_guarantees.get(&node.name).copied().unwrap_or(0.0) * 1.25;
         node.guarantee = units(own);
-        *held
+        *child_guarantees
             .entry(node.parent.clone().unwrap_or_default())
             .or_default() += own;
     }
@@ -56,7 +56,7 @@
 }
 
 fn main() {
-    let (spec, teams) = grown();
+    let (spec, teams) = balanced_tree();
     let tree = Tree::build(&spec, &teams).unwrap_or_else(|f| panic!("{}", f[0]));
     let mut live = Live::new(Arc::new(tree));
     let mut rng = fastrand::Rng::with_seed(1);
@@ -68,7 +68,7 @@
         );
     }
     live.refresh();
-    let all = |live: &mut Live| {
+    let entitled_sum = |live: &mut Live| {
         let before = live.steps;
         let sum: i64 = (0..TEAMS as u32)
             .filter_map(|t| live.entitled(TeamId(t), 0)[quota::GPUS])
@@ -76,7 +76,7 @@
         (live.steps - before, sum)
     };
     let full_steps = live.steps;
-    let (ask_all, _) = all(&mut live);
+    let (query_all_steps, _) = entitled_sum(&mut live);
     let mut updates: Vec<u64> = Vec::with_capacity(CHANGES);
     for _ in 0..CHANGES {
         let gpus = rng.u32(0..6);
@@ -90,16 +90,20 @@
         updates.push(live.steps - before);
     }
     updates.sort_unstable();
-    let (_, sum) = all(&mut live);
+    let (_, sum) = entitled_sum(&mut live);
     // From nothing, the same state gives the same.
-    let mut anew = Live::new(live.tree().clone());
+    let mut recomputed = Live::new(live.tree().clone());
     (0..TEAMS as u32)
         .map(TeamId)
-        .for_each(|t| anew.set_demand(t, live.team(t).demand));
-    assert_eq!(all(&mut anew).1, sum, "incremental and from nothing differ");
+        .for_each(|t| recomputed.set_demand(t, live.team(t).demand));
+    assert_eq!(
+        entitled_sum(&mut recomputed).1,
+        sum,
+        "incremental and from nothing differ"
+    );
     let p99 = updates[updates.len() * 99 / 100];
     eprintln!(
-        "asking for all teams' entitlements took {ask_all} steps; {} inner nodes",
+        "asking for all teams' entitlements took {query_all_steps} steps; {} inner nodes",
         spec.nodes.len()
     );
     println!(
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -62,31 +62,31 @@
                     ..TeamSpec::new(&name, parent.as_deref())
                 });
             }
-            guarantees(&mut spec, &leaves, &nodes);
+            set_guarantees_and_maxima(&mut spec, &leaves, &nodes);
             (spec, leaves)
         })
 }
 
 /// From the leaves up, each node is guaranteed what its children are, and its own draw more.
-fn guarantees(spec: &mut Spec, leaves: &[Team], draws: &[Draw]) {
+fn set_guarantees_and_maxima(spec: &mut Spec, leaves: &[Team], draws: &[Draw]) {
     for i in (0..spec.nodes.len()).rev() {
         let name = spec.nodes[i].name.clone();
-        let of = |parent: &Option<String>| parent.as_deref() == Some(&name);
-        let have = |a: &Amounts| a.get("gpus").copied().unwrap_or(0.0) as u32;
+        let is_child = |parent: &Option<String>| parent.as_deref() == Some(&name);
+        let gpu_count = |a: &Amounts| a.get("gpus").copied().unwrap_or(0.0) as u32;
         let inner: u32 = spec
             .nodes
             .iter()
-            .filter(|n| of(&n.parent))
-            .map(|n| have(&n.guarantee))
+            .filter(|n| is_child(&n.parent))
+            .map(|n| gpu_count(&n.guarantee))
             .sum();
-        let below: u32 = spec
+        let teams: u32 = spec
             .teams
             .iter()
             .zip(leaves)
-            .filter(|(t, _)| of(&t.parent))
-            .map(|(_, l)| have(&l.guarantee))
+            .filter(|(t, _)| is_child(&t.parent))
+            .map(|(_, l)| gpu_count(&l.guarantee))
             .sum();
-        spec.nodes[i].guarantee = gpus(inner + below + draws[i].2);
+        spec.nodes[i].guarantee = gpus(inner + teams + draws[i].2);
     }
     // From the root down, now and then a maximum: no less than the guarantee, no more than the parent's.
     for (i, draw) in draws.iter().enumerate() {
--- a/crates/quota/tests/entitlement.rs
+++ b/crates/quota/tests/entitlement.rs
@@ -23,7 +23,7 @@
 }
 
 /// Teams below a node.
-fn below(tree: &Tree, node: NodeId) -> Vec<TeamId> {
+fn teams_below(tree: &Tree, node: NodeId) -> Vec<TeamId> {
     (0..tree.leaves.len() as u32)
         .map(TeamId)
         .filter(|t| tree.path(*t).contains(&node))
@@ -35,7 +35,7 @@
 }
 
 /// What all below a node could use: each bounded by its own maximum, on the way up too.
-fn wants(live: &Live, node: NodeId) -> i64 {
+fn capped_demand(live: &Live, node: NodeId) -> i64 {
     live.wanted(node)[GPUS].min(live.tree().nodes[node.0 as usize].max[GPUS])
 }
 
@@ -45,7 +45,7 @@
     /// A node's guarantee is divided whole while somebody below can use it, and never more than whole; what a
     /// branch is guaranteed goes to its own first; nobody has less than both demand and guarantee.
     #[test]
-    fn guarantees_are_divided_whole_and_siblings_come_first(
+    fn guarantees_are_fully_divided_and_siblings_come_first(
         (spec, teams) in trees(), demands in prop::collection::vec(0..12i64, 7)
     ) {
         let mut live = live(&spec, &teams, &demands);
@@ -55,13 +55,13 @@
         for n in (0..tree.nodes.len() as u32).map(NodeId) {
             let node = &tree.nodes[n.0 as usize];
             let depth = usize::from(node.depth);
-            let sum: i64 = below(&tree, n).into_iter().map(|t| entitled(&mut live, t, depth)).sum();
-            let whole = node.guarantee[GPUS].min(wants(&live, n));
+            let sum: i64 = teams_below(&tree, n).into_iter().map(|t| entitled(&mut live, t, depth)).sum();
+            let whole = node.guarantee[GPUS].min(capped_demand(&live, n));
             prop_assert!(sum <= whole && sum >= whole - slack, "{}: {sum} of {whole}", node.name);
             for c in &node.children {
                 let child = &tree.nodes[c.0 as usize];
-                let own = child.guarantee[GPUS].min(wants(&live, *c));
-                let sum: i64 = below(&tree, *c).into_iter().map(|t| entitled(&mut live, t, depth)).sum();
+                let own = child.guarantee[GPUS].min(capped_demand(&live, *c));
+                let sum: i64 = teams_below(&tree, *c).into_iter().map(|t| entitled(&mut live, t, depth)).sum();
                 prop_assert!(sum >= own - slack, "{} below {}: {sum} of {own}", child.name, node.name);
             }
         }
@@ -72,9 +72,9 @@
             // The same division is rounded down once more at each level.
             let mut above = i64::MAX;
             for depth in 0..=depths {
-                let has = entitled(&mut live, t, depth);
-                prop_assert!(has >= own && has <= above.saturating_add(slack), "{}: {has} at {depth}", leaf.name);
-                above = has;
+                let allocated = entitled(&mut live, t, depth);
+                prop_assert!(allocated >= own && allocated <= above.saturating_add(slack), "{}: {allocated} at {depth}", leaf.name);
+                above = allocated;
             }
             prop_assert_eq!(above, own, "the last is the team's own");
         }
@@ -82,37 +82,37 @@
 
     /// Whatever the order of changes, what is kept from before equals what is worked out from nothing.
     #[test]
-    fn changes_one_by_one_equal_all_at_once(
+    fn incremental_changes_equal_a_full_computation(
         (spec, teams) in trees(), changes in prop::collection::vec((0..7usize, 0..12i64), 1..30)
     ) {
-        let mut one = live(&spec, &teams, &[]);
+        let mut incremental = live(&spec, &teams, &[]);
         let mut demands = vec![0; teams.len()];
         for (i, d) in changes {
             let t = i % teams.len();
             demands[t] = d;
-            one.set_demand(TeamId(t as u32), gpus(d));
-            one.set_used(TeamId(t as u32), gpus(d / 2));
-            let snapshot = one.clone();
-            let mut all = live(&spec, &teams, &demands);
+            incremental.set_demand(TeamId(t as u32), gpus(d));
+            incremental.set_used(TeamId(t as u32), gpus(d / 2));
+            let snapshot = incremental.clone();
+            let mut full = live(&spec, &teams, &demands);
             for t in (0..teams.len() as u32).map(TeamId) {
-                for depth in 0..=one.tree().path(t).len() {
-                    prop_assert_eq!(one.entitled(t, depth), all.entitled(t, depth));
+                for depth in 0..=incremental.tree().path(t).len() {
+                    prop_assert_eq!(incremental.entitled(t, depth), full.entitled(t, depth));
                 }
             }
             prop_assert_eq!(snapshot.team(TeamId(t as u32)).demand, gpus(d), "a snapshot stays as it was");
         }
-        let tree = one.tree().clone();
+        let tree = incremental.tree().clone();
         for n in (0..tree.nodes.len() as u32).map(NodeId) {
-            let sum: i64 = below(&tree, n).into_iter().map(|t| one.team(t).used[GPUS]).sum();
-            prop_assert_eq!(one.used(n)[GPUS], sum, "use adds up");
+            let sum: i64 = teams_below(&tree, n).into_iter().map(|t| incremental.team(t).used[GPUS]).sum();
+            prop_assert_eq!(incremental.used(n)[GPUS], sum, "use adds up");
             let max = tree.nodes[n.0 as usize].max[GPUS];
-            prop_assert!(max == quota::UNBOUNDED || one.headroom(Some(n))[GPUS] <= max - sum);
+            prop_assert!(max == quota::UNBOUNDED || incremental.headroom(Some(n))[GPUS] <= max - sum);
         }
     }
 
     /// Without inner nodes a team has its own guarantee and nothing else, as before there were trees.
     #[test]
-    fn a_flat_tree_entitles_to_the_guarantees((mut spec, teams) in trees(), demands in prop::collection::vec(0..12i64, 7)) {
+    fn flat_tree_entitles_each_team_to_its_own_guarantee((mut spec, teams) in trees(), demands in prop::collection::vec(0..12i64, 7)) {
         spec.nodes.clear();
         spec.teams.iter_mut().for_each(|t| t.parent = None);
         let mut live = live(&spec, &teams, &demands);
@@ -146,23 +146,23 @@
         }
         let mut live = Live::new(Arc::new(Tree::build(&spec, &teams).expect("good")));
         demands.iter().enumerate().for_each(|(t, d)| live.set_demand(TeamId(t as u32), gpus(*d)));
-        let mut has = (0..teams.len()).map(|t| entitled(&mut live, TeamId(t as u32), 0) as f64 / 1000.0);
-        let has: Vec<Vec<f64>> = desks.iter().map(|(_, below)| has.by_ref().take(below.len()).collect()).collect();
-        let sums: Vec<f64> = has.iter().map(|of| of.iter().sum()).collect();
+        let mut allocated = (0..teams.len()).map(|t| entitled(&mut live, TeamId(t as u32), 0) as f64 / 1000.0);
+        let allocated: Vec<Vec<f64>> = desks.iter().map(|(_, below)| allocated.by_ref().take(below.len()).collect()).collect();
+        let sums: Vec<f64> = allocated.iter().map(|of| of.iter().sum()).collect();
         let wants: Vec<(i64, u32)> =
             desks.iter().map(|(weight, below)| (below.iter().map(|(d, _)| d).sum(), *weight)).collect();
-        prop_assert_eq!(fairer(budget, &wants, &sums), None, "desks {:?}", sums);
-        for ((_, below), has) in desks.iter().zip(&has) {
-            let own = has.iter().sum::<f64>().floor() as i64;
-            prop_assert_eq!(fairer(own, below, has), None, "teams {:?}", has);
+        prop_assert_eq!(find_fairer_division(budget, &wants, &sums), None, "desks {:?}", sums);
+        for ((_, below), allocated) in desks.iter().zip(&allocated) {
+            let own = allocated.iter().sum::<f64>().floor() as i64;
+            prop_assert_eq!(find_fairer_division(own, below, allocated), None, "teams {:?}", allocated);
         }
     }
 }
 
 /// A division of whole units that is fairer than this one, if there is any. Wants come with their weights.
-fn fairer(budget: i64, wants: &[(i64, u32)], has: &[f64]) -> Option<Vec<i64>> {
-    let parts = |has: &[f64]| {
-        let mut out: Vec<f64> = has
+fn find_fairer_division(budget: i64, wants: &[(i64, u32)], allocated: &[f64]) -> Option<Vec<i64>> {
+    let weighted_shares = |allocated: &[f64]| {
+        let mut out: Vec<f64> = allocated
             .iter()
             .zip(wants)
             .map(|(h, (_, w))| h / f64::from(*w))
@@ -170,10 +170,10 @@
         out.sort_by(f64::total_cmp);
         out
     };
-    let ours = parts(has);
+    let ours = weighted_shares(allocated);
     let demands: Vec<i64> = wants.iter().map(|(d, _)| *d).collect();
     divisions(budget, &demands).into_iter().find(|other| {
-        let theirs = parts(&other.iter().map(|n| *n as f64).collect::<Vec<_>>());
+        let theirs = weighted_shares(&other.iter().map(|n| *n as f64).collect::<Vec<_>>());
         // The first that differs by more than the rounding decides.
         let first = ours
             .iter()
@@ -201,7 +201,7 @@
 /// Two resources: who wants much of what is scarce does not get more of it by wanting something else too, and
 /// what one leaves of a resource is there for the others.
 #[test]
-fn the_dominant_share_sets_the_pace() {
+fn allocation_follows_the_dominant_share() {
     let mut spec = Spec {
         nodes: vec![quota::NodeSpec::new("n", None)],
         teams: vec![],
@@ -219,14 +219,17 @@
     // tasks of 10 CPUs and 4 GPUs against tasks of 30 CPUs and 1 GPU.
     live.set_demand(a, quota::amount(&[("cpus", 1000.0), ("gpus", 400.0)]));
     live.set_demand(b, quota::amount(&[("cpus", 3000.0), ("gpus", 100.0)]));
-    let (has_a, has_b) = (live.entitled(a, 0), live.entitled(b, 0));
-    let share = |has: Option<i64>, of: i64| has.unwrap_or(0) * 100 / (of * 1000);
+    let (allocated_a, allocated_b) = (live.entitled(a, 0), live.entitled(b, 0));
+    let share = |allocated: Option<i64>, of: i64| allocated.unwrap_or(0) * 100 / (of * 1000);
     assert_eq!(
-        (share(has_a[GPUS], 18), share(has_b[quota::CPUS], 90)),
+        (
+            share(allocated_a[GPUS], 18),
+            share(allocated_b[quota::CPUS], 90)
+        ),
         (85, 66),
-        "{has_a:?} {has_b:?}"
+        "{allocated_a:?} {allocated_b:?}"
     );
-    let all = |r: usize| has_a[r].unwrap_or(0) + has_b[r].unwrap_or(0);
+    let all = |r: usize| allocated_a[r].unwrap_or(0) + allocated_b[r].unwrap_or(0);
     assert!(
         all(quota::CPUS) >= 89_990 && all(GPUS) >= 17_990,
         "nothing idles while somebody wants it"
--- a/crates/quota/tests/trees.rs
+++ b/crates/quota/tests/trees.rs
@@ -52,9 +52,9 @@
 
 /// Each is one slip in a good file; what is said names the line and the field.
 #[test]
-fn what_is_wrong_is_named_with_path_and_line() {
+fn faults_name_the_path_and_the_line() {
     assert_eq!(faults(GOOD), Vec::<String>::new());
-    let endless = (0..10).fold(String::new(), |text, i| {
+    let too_deep = (0..10).fold(String::new(), |text, i| {
         let parent = if i == 0 {
             String::new()
         } else {
@@ -62,7 +62,7 @@
         };
         format!("{text}[[node]]\nname = \"d{i}\"\n{parent}")
     });
-    for (from, to, line, named) in [
+    for (from, to, line, expected) in [
         (
             "parent = \"studio\"",
             "parent = \"desk\"",
@@ -154,7 +154,7 @@
             "unknown field `wieght`",
         ),
         ("[[team]]", "[[team", 12, "file"),
-        (GOOD, &endless, 24, "deeper than 8 levels"),
+        (GOOD, &too_deep, 24, "deeper than 8 levels"),
     ] {
         let found = faults(&GOOD.replacen(from, to, 1));
         let at = if line > 0 {
@@ -162,14 +162,16 @@
         } else {
             String::new()
         };
-        let hit = found.iter().any(|f| f.contains(named) && f.contains(&at));
-        assert!(hit, "{to}: {found:?} should say {at}{named}");
+        let is_reported = found
+            .iter()
+            .any(|f| f.contains(expected) && f.contains(&at));
+        assert!(is_reported, "{to}: {found:?} should say {at}{expected}");
     }
     assert!(faults(&"#".repeat(file::MAX_FILE + 1))[0].contains("bytes"));
 }
 
 #[test]
-fn a_team_may_be_cut_below_the_settings_but_not_raised() {
+fn team_guarantee_may_be_lowered_but_not_raised() {
     let with = |gpus: &str| {
         GOOD.replacen(
             "name = \"red\"",
@@ -182,7 +184,7 @@
 }
 
 #[test]
-fn shrinking_says_by_how_much_or_scales() {
+fn shrinking_reports_the_excess_or_scales() {
     let spec = file::parse(GOOD).expect("good").spec;
     let less: Amounts = [("gpus".to_owned(), 3.0)].into();
     let refused =
@@ -196,9 +198,10 @@
     let scaled =
         edit::shrink(&spec, &teams(), "studio", &less, &Amounts::new(), true).expect("made");
     let tree = Tree::build(&scaled, &teams()).expect("good");
-    let of = |t: &str| tree.leaves[tree.team(t).expect("known").0 as usize].guarantee[quota::GPUS];
+    let guarantee_of =
+        |t: &str| tree.leaves[tree.team(t).expect("known").0 as usize].guarantee[quota::GPUS];
     assert_eq!(
-        (of("red"), of("blue")),
+        (guarantee_of("red"), guarantee_of("blue")),
         (1_000, 2_000),
         "in proportion, all the way down"
     );
@@ -206,7 +209,7 @@
 }
 
 #[test]
-fn a_node_can_not_move_below_itself() {
+fn node_cannot_move_below_itself() {
     let spec = file::parse(GOOD).expect("good").spec;
     for (name, to) in [
         ("studio", "desk"),
@@ -226,7 +229,7 @@
 
     /// A move takes the guarantee along: the tree stays good but for maxima, and moving back restores it.
     #[test]
-    fn moving_there_and_back_changes_nothing((spec, teams) in trees(), what in any::<prop::sample::Index>(), to in any::<prop::sample::Index>()) {
+    fn moving_there_and_back_restores_the_tree((spec, teams) in trees(), what in any::<prop::sample::Index>(), to in any::<prop::sample::Index>()) {
         let mut spec = spec;
         spec.nodes.iter_mut().for_each(|n| n.max.clear());
         let team = &teams[what.index(teams.len())].name;
@@ -243,7 +246,7 @@
 
     /// Scaling always ends in a tree that is good.
     #[test]
-    fn scaling_fits((spec, teams) in trees(), what in any::<prop::sample::Index>(), gpus in 0..9u32, max in any::<bool>()) {
+    fn scaling_yields_a_valid_tree((spec, teams) in trees(), what in any::<prop::sample::Index>(), gpus in 0..9u32, max in any::<bool>()) {
         if !spec.nodes.is_empty() {
             let name = spec.nodes[what.index(spec.nodes.len())].name.clone();
             let to: Amounts = [("gpus".to_owned(), f64::from(gpus))].into();
@@ -261,7 +264,7 @@
 
     /// What is written is read back.
     #[test]
-    fn files_are_read_back((spec, teams) in trees()) {
+    fn rendered_file_parses_to_the_same_spec((spec, teams) in trees()) {
         let text = file::render(&spec).expect("written");
         let parsed = file::parse(&text).expect("read");
         prop_assert_eq!(&parsed.spec, &spec);
@@ -270,11 +273,11 @@
 
     /// Whatever bytes come, there is an answer and no panic.
     #[test]
-    fn any_text_is_answered(text in ".{0,200}", at in 0..400usize, put in ".{0,8}") {
+    fn arbitrary_text_never_panics(text in ".{0,200}", at in 0..400usize, put in ".{0,8}") {
         let _ = file::parse(&text);
-        let mut bent = GOOD.to_owned();
-        bent.insert_str(at.min(bent.len()), &put);
-        faults(&bent);
+        let mut mutated = GOOD.to_owned();
+        mutated.insert_str(at.min(mutated.len()), &put);
+        faults(&mutated);
     }
 }
 
