--- a/crates/quota/src/content.rs
+++ b/crates/quota/src/content.rs
@@ -1,11 +1,11 @@
-//! The tree as a document.
+//! The quota tree as a versioned document.
 
 use crate::{NodeSpec, Spec, Team, TeamSpec, Tree, edit};
 use document::{Content, Fault, Packer};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Some nodes and teams of a tree, as one record holds them.
+/// The nodes and teams of a tree that are stored in one record.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Part {
     #[serde(default)]
@@ -43,7 +43,7 @@
     fn size(tree: &Tree) -> String {
         format!("{} nodes and {} teams", tree.nodes.len(), tree.leaves.len())
     }
-    /// Teams that have left the settings have no work, and their places go with the next change.
+    /// Drops teams that are no longer in the settings: they have no work, and the next change removes their entries.
     fn fitting(&self, teams: &Vec<Team>) -> Spec {
         let known: BTreeSet<&str> = teams.iter().map(|t| t.name.as_str()).collect();
         let is_known = |t: &&TeamSpec| known.contains(t.name.as_str());
--- a/crates/quota/src/edit.rs
+++ b/crates/quota/src/edit.rs
@@ -1,5 +1,5 @@
-//! New trees from old ones. Nothing here changes a tree that is in force: the result is checked and put in its place
-//! as a whole.
+//! Derives new trees from existing ones. Nothing here changes the tree in force: the result is validated and replaces
+//! it as a whole.
 
 use crate::spec::{Amounts, NodeSpec, Spec, TeamSpec};
 use crate::{Team, milli};
@@ -11,7 +11,7 @@
         self.nodes.iter().position(|n| n.name == name)
     }
 
-    /// The node's name and those above it, nearest first; ends where a name is unknown, or comes again.
+    /// The names of a node and its ancestors, nearest first. Ends at an unknown name; the depth limit ends a cycle.
     fn path_to_root(&self, from: Option<&str>) -> Vec<String> {
         let parents: BTreeMap<&str, Option<&str>> = self
             .nodes
@@ -31,8 +31,8 @@
     }
 }
 
-/// Moves a team, or a node with all below it, below another node, or below the root. What is guaranteed to it goes
-/// along: it is taken from the nodes that it leaves and added to those that it comes to.
+/// Moves a team, or a node with its subtree, below another node or the root. Its guarantee moves with it: it is
+/// subtracted from the former ancestors and added to the new ones.
 pub fn transfer(spec: &Spec, teams: &[Team], name: &str, to: Option<&str>) -> Result<Spec, Fault> {
     let mut out = spec.clone();
     if let Some(to) = to
@@ -46,7 +46,7 @@
         if spec.path_to_root(to).iter().any(|above| above == name) {
             return Err(Fault::whole(
                 "to",
-                format!("{name:?} can't hang below itself"),
+                format!("{name:?} can't be moved below itself"),
             ));
         }
         from = spec.nodes[i].parent.clone();
@@ -87,14 +87,14 @@
 fn adjust_guarantee(node: &mut NodeSpec, by: &Amounts, sign: i64) {
     for (name, units) in by {
         let have = node.guarantee.entry(name.clone()).or_default();
-        // In thousandths, so that back and forth ends where it began.
+        // In thousandths, so that moving there and back restores the exact amounts.
         *have = (milli(*have) + sign * milli(*units)).max(0) as f64 / 1000.0;
     }
     node.guarantee.retain(|_, units| *units > 0.0);
 }
 
-/// Gives a node other bounds. Where that leaves less than its children are guaranteed, `scale` cuts theirs in
-/// proportion, all the way down; without it the check refuses the tree and says by how much.
+/// Sets a node's guarantee and maximum. If its children's guarantees then exceed its own, `scale` reduces them
+/// proportionally throughout the subtree. Without `scale`, validation rejects the tree and reports the excess.
 pub fn shrink(
     spec: &Spec,
     teams: &[Team],
@@ -126,7 +126,7 @@
             .iter()
             .map(|t| (t.name.as_str(), &t.guarantee))
             .collect();
-        // No tree is deeper; one that goes in circles ends here too.
+        // No valid tree is deeper; the bound also ends the loop for a tree with a cycle.
         let mut level = vec![i];
         for _ in 0..=crate::MAX_DEPTH {
             level = level
@@ -138,7 +138,7 @@
     Ok(out)
 }
 
-/// What hangs directly below each node, as indices.
+/// The direct children of each node, as indices.
 struct Children {
     nodes: HashMap<String, Vec<usize>>,
     teams: HashMap<String, Vec<usize>>,
@@ -163,8 +163,8 @@
         out
     }
 
-    /// Cuts the guarantees directly below a node to what it has, and their maxima to its own; the inner ones among
-    /// them.
+    /// Scales the guarantees of a node's children to fit its own, and caps their maxima at its own. Returns the
+    /// children that are inner nodes.
     fn scale_children(
         &self,
         spec: &mut Spec,
@@ -239,7 +239,7 @@
     }
 }
 
-/// What differs between two trees, a line each, for people; at most `most` lines.
+/// Describes the differences between two trees, one per line. Past `max_lines`, a last line counts the rest.
 pub fn differences(old: &Spec, new: &Spec, max_lines: usize) -> Vec<String> {
     let mut out = Vec::new();
     let nodes = |s: &Spec| -> BTreeMap<String, NodeSpec> {
--- a/crates/quota/src/file.rs
+++ b/crates/quota/src/file.rs
@@ -1,4 +1,4 @@
-//! A tree as operators write it.
+//! The TOML file in which operators describe a tree.
 
 use crate::spec::{NodeSpec, Spec, TeamSpec};
 use document::Fault;
@@ -6,11 +6,11 @@
 use document::file::{self, Lines, Spanned};
 use serde::Deserialize;
 
-/// Lists of a file, as faults name them.
+/// Names of the file's lists, as used in fault paths.
 pub(crate) const NODE: &str = "node";
 pub(crate) const TEAM: &str = "team";
 
-/// A file that could be read, and the lines of its parts.
+/// A parsed file with the line numbers of its entries.
 pub type Parsed = file::Parsed<Spec>;
 
 #[derive(Deserialize)]
@@ -32,17 +32,17 @@
     }
 }
 
-/// Reads a file's text. Whether the tree holds together is for [`crate::Tree::build`] to say.
+/// Parses the text of a file. [`crate::Tree::build`] validates the tree.
 pub fn parse(text: &str) -> Result<Parsed, Vec<Fault>> {
     file::parse::<Raw>(text)
 }
 
-/// The tree as text that [`parse`] reads back to the same.
+/// Renders the tree as text that [`parse`] turns back into the same tree.
 pub fn render(spec: &Spec) -> Result<String, String> {
     file::render(spec)
 }
 
-/// The published schema of such files (JSON Schema), generated from the types.
+/// The JSON Schema of quota files, generated from the types.
 pub fn schema() -> String {
     file::schema::<Spec>()
 }
--- a/crates/quota/src/spec.rs
+++ b/crates/quota/src/spec.rs
@@ -1,4 +1,4 @@
-//! What people and records say of a tree, before it is checked.
+//! Description of a tree in files and records, before validation.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
