--- a/crates/quota/src/live.rs
+++ b/crates/quota/src/live.rs
@@ -1,8 +1,8 @@
-//! A tree in use: what teams ask for and have, and what each is entitled to.
+//! A tree in use: the demand and usage of its teams, and their entitlements.
 //!
-//! A change touches the path from its team to the root and nothing else. What follows for others is worked out when
-//! it is asked for, node by node, and kept as long as nothing below that node changes. All that changes stands in
-//! persistent vectors: a clone is a snapshot that shares all but what changes later.
+//! A change updates only the path from its team to the root. The effect on other teams is computed lazily, node by
+//! node, and cached until something below that node changes. Mutable state is kept in persistent vectors, so a clone
+//! is a cheap snapshot that shares everything that does not change afterwards.
 
 use crate::tree::{Leaf, add_amount};
 use crate::water_filling::{ChildDemand, FillLevels, fill_levels};
@@ -12,17 +12,17 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Entitlement by resource; `None` where nothing of a resource is guaranteed at that level.
+/// Entitlement by resource; `None` if the node that it comes from guarantees nothing of the resource.
 pub type Share = [Option<i64>; MAX_RESOURCES];
 
-/// What a team wants and has.
+/// Demand and usage of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Count {
     pub demand: Amount,
     pub used: Amount,
 }
 
-/// The levels of a node for the budget that came from one node above it.
+/// Cached fill levels of a node, for a budget that comes from one node of its path.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct CachedLevels {
     epoch: u64,
@@ -32,14 +32,14 @@
 
 #[derive(Debug, Clone, Default)]
 struct NodeState {
-    /// What its children could use, each within its own maximum.
+    /// Demand of all children, each capped at its own maximum.
     demand: Amount,
     used: Amount,
-    /// What of the wants below it its own guarantee covers.
+    /// The part of the demand that the node's own guarantee covers.
     guaranteed: Amount,
-    /// Rises whenever a child wants or has covered something else.
+    /// Incremented when the demand or the guaranteed part of a child changes; invalidates cached levels.
     epoch: u64,
-    /// By the depth of the node that the budget came from.
+    /// Indexed by the depth of the node that the budget comes from.
     cached_levels: Vec<Option<CachedLevels>>,
 }
 
@@ -48,9 +48,9 @@
     tree: Arc<Tree>,
     teams: Vector<Count>,
     nodes: Vector<NodeState>,
-    /// Nodes whose cover is to be worked out anew, the deepest first.
+    /// Nodes whose `guaranteed` amount has to be recomputed, deepest first.
     stale: BTreeSet<(Reverse<u8>, NodeId)>,
-    /// Work done, in units that do not depend on the machine it runs on.
+    /// Steps of computation so far: a measure of work that does not depend on the hardware.
     pub steps: u64,
 }
 
@@ -77,11 +77,11 @@
     pub fn team(&self, team: TeamId) -> Count {
         self.teams[team.0 as usize]
     }
-    /// What all below a node use.
+    /// Total usage below a node.
     pub fn used(&self, node: NodeId) -> Amount {
         self.nodes[node.0 as usize].used
     }
-    /// What all below a node want.
+    /// Total demand below a node, with each child capped at its maximum.
     pub fn wanted(&self, node: NodeId) -> Amount {
         self.nodes[node.0 as usize].demand
     }
@@ -90,7 +90,7 @@
         &self.tree.leaves[team.0 as usize]
     }
 
-    /// Notes all that a team could use now, what it has included.
+    /// Sets the demand of a team, including what it already uses.
     pub fn set_demand(&mut self, team: TeamId, demand: Amount) {
         let (max, mut at) = (self.leaf(team).max, self.leaf(team).parent);
         let count = &mut self.teams[team.0 as usize];
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Notes what a team has, on all machines.
+    /// Sets the usage of a team, over all machines.
     pub fn set_used(&mut self, team: TeamId, used: Amount) {
         let mut at = self.leaf(team).parent;
         let count = &mut self.teams[team.0 as usize];
@@ -130,7 +130,7 @@
         }
     }
 
-    /// How much more may start below a node: the least that any bound from it to the root leaves.
+    /// How much more may start below a node: the least that is left under any maximum from it to the root.
     pub fn headroom(&self, node: Option<NodeId>) -> Amount {
         let mut out = [UNBOUNDED; MAX_RESOURCES];
         for n in self.tree.above(node) {
@@ -142,9 +142,10 @@
         out
     }
 
-    /// What a team is entitled to when the guarantee of the node at this depth of its path is divided among all
-    /// below it; the depth below its last node is the team itself, and its own guarantee. The higher the node, the
-    /// more: siblings' leavings come first, then those of its parent's siblings, and so on.
+    /// The entitlement of a team when the guarantee of the node at this depth of its path is divided among all teams
+    /// below that node. The depth after the last node stands for the team itself and its own guarantee. A higher node
+    /// entitles to at least as much, as unused guarantees of siblings are added first, then those of the parent's
+    /// siblings, and so on.
     pub fn entitled(&mut self, team: TeamId, depth: usize) -> Share {
         self.refresh();
         let path = self.tree.path(team);
@@ -165,7 +166,7 @@
         std::array::from_fn(|r| (guarantee[r] > 0).then_some(budget[r]))
     }
 
-    /// Works out what changed since the last time, once for each node, however many changes there were below it.
+    /// Recomputes the guaranteed amounts of changed nodes, once per node however many changes there were below it.
     pub fn refresh(&mut self) {
         while let Some((Reverse(depth), n)) = self.stale.pop_first() {
             let budget = self.tree.nodes[n.0 as usize].guarantee;
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Bytes that the counts take, without the tree itself.
+    /// Approximate memory of the mutable state in bytes, without the tree itself.
     pub fn bytes(&self) -> usize {
         let cached_levels: usize = self
             .nodes
--- a/crates/quota/src/water_filling.rs
+++ b/crates/quota/src/water_filling.rs
@@ -1,22 +1,23 @@
-//! Water-filling at one node: what is left of its budget goes to its children by weight.
+//! Weighted water-filling at one node: divides the budget left after the children's guarantees among them.
 //!
-//! All children that want more rise together, each at a pace by which its dominant share (of the node's budget)
-//! grows with its weight. A child stops in a resource when that has run out, and altogether when it has what it
-//! wants. So the state of a node is one level for each resource, from which any child's part follows at once.
+//! The allocations of all unsatisfied children grow together, so that the dominant share of each (relative to the
+//! node's budget) grows in proportion to its weight. A child stops growing in a resource once that is exhausted, and
+//! altogether once its demand is met. The result is one fill level per resource, from which any child's allocation
+//! follows directly.
 
 use crate::{Amount, MAX_RESOURCES, NOTHING};
 
-/// What one child asks of its parent.
+/// The demand of one child on its parent's budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct ChildDemand {
-    /// Covered by its own guarantee: it has this before anything is shared.
+    /// The part covered by the child's own guarantee, allocated before the rest is shared.
     pub guaranteed: Amount,
-    /// All that it could use.
+    /// All that the child could use, including the guaranteed part.
     pub demand: Amount,
     pub weight: f64,
 }
 
-/// The level at which each resource ran out; infinity where it did not.
+/// The level at which each resource is exhausted; infinity if it is not.
 pub(crate) type FillLevels = [f64; MAX_RESOURCES];
 
 impl ChildDemand {
@@ -24,7 +25,7 @@
         (self.demand[r] - self.guaranteed[r]).max(0)
     }
 
-    /// The level at which it has all that it wants.
+    /// The level at which the child's demand is fully met.
     fn saturation_level(&self, budget: &Amount) -> f64 {
         let share = |r: usize| {
             if budget[r] > 0 {
@@ -36,7 +37,7 @@
         (0..MAX_RESOURCES).map(share).fold(0.0, f64::max) / self.weight
     }
 
-    /// Its part of the budget at these levels.
+    /// The child's allocation from the budget at these levels.
     pub fn allocation(&self, budget: &Amount, levels: &FillLevels) -> Amount {
         let saturation = self.saturation_level(budget);
         std::array::from_fn(|r| {
@@ -44,7 +45,7 @@
                 return 0;
             }
             let unmet = self.unmet(r);
-            // What is whole must not lose a thousandth to the last bit of a division.
+            // Without the epsilon, floating-point error could round an exact result down by a thousandth.
             let scaled = |of: f64| (unmet as f64 * (of / saturation) + 1e-6).floor() as i64;
             let extra = if levels[r] >= saturation {
                 unmet
@@ -56,7 +57,7 @@
     }
 }
 
-/// Finds the levels for a budget. Takes a step for each child.
+/// Computes the fill levels for a budget. Counts one step per child.
 pub(crate) fn fill_levels(
     budget: &Amount,
     children: &[ChildDemand],
@@ -86,9 +87,9 @@
     out
 }
 
-/// The level at which `left` of one resource has run out. `order` rises by the level at which each child is full.
+/// The level at which `remaining` of one resource is exhausted. `by_saturation` is sorted by saturation level.
 fn fill_level(remaining: f64, r: usize, by_saturation: &[(f64, &ChildDemand)]) -> f64 {
-    // Taken at level L: what the full ones want, and L times the pace of the others.
+    // Allocated at level L: the unmet demand of the saturated children, and L times the rate of the others.
     let rate = |(saturation, child): &(f64, &ChildDemand)| {
         if *saturation > 0.0 {
             child.unmet(r) as f64 / saturation
