--- a/crates/quota/src/tree.rs
+++ b/crates/quota/src/tree.rs
@@ -1,4 +1,4 @@
-//! A tree that has been checked, with names as dense indices. It never changes.
+//! A validated, immutable tree, with dense indices for names.
 
 use crate::file::{NODE, TEAM};
 use crate::spec::{Amounts, NodeSpec, Over, Spec};
@@ -9,15 +9,15 @@
 use document::{Fault, Faults, short};
 use std::collections::HashMap;
 
-/// An inner node. Parents have lower numbers than their children.
+/// Index of an inner node. Parents have lower indices than their children.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodeId(pub u32);
 
-/// A leaf.
+/// Index of a team, which is a leaf.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TeamId(pub u32);
 
-/// A team of the settings, in units; a maximum of 0 means none, as there.
+/// A team of the settings, with amounts in units. As in the settings, a maximum of 0 means no maximum.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Team {
     pub name: String,
@@ -26,7 +26,7 @@
 }
 
 impl Team {
-    /// One without guarantee or maximum.
+    /// A team without guarantee or maximum.
     pub fn new(name: &str) -> Self {
         Team {
             name: name.to_owned(),
@@ -40,7 +40,7 @@
 pub struct Node {
     pub name: String,
     pub parent: Option<NodeId>,
-    /// Inner nodes above it.
+    /// Number of inner nodes above this one.
     pub depth: u8,
     pub guarantee: Amount,
     pub max: Amount,
@@ -69,7 +69,7 @@
 }
 
 impl Tree {
-    /// Checks a description against the teams of the settings. All that is wrong is returned, not just the first.
+    /// Validates a description against the teams of the settings. Returns all faults, not only the first.
     pub fn build(spec: &Spec, teams: &[Team]) -> Result<Tree, Vec<Fault>> {
         let mut builder = Builder {
             spec,
@@ -93,11 +93,11 @@
     pub fn team(&self, name: &str) -> Option<TeamId> {
         self.team_ids.get(name).copied()
     }
-    /// A team's inner nodes from the root down to its parent.
+    /// The ancestors of a team, topmost first.
     pub fn path(&self, team: TeamId) -> Vec<NodeId> {
         self.above(self.leaves[team.0 as usize].parent)
     }
-    /// A node with all above it, from the root down.
+    /// A node and its ancestors, topmost first.
     pub fn above(&self, node: Option<NodeId>) -> Vec<NodeId> {
         let mut out = Vec::new();
         let mut at = node;
@@ -111,7 +111,7 @@
     pub fn resource(&self, name: &str) -> Option<usize> {
         self.resources.iter().position(|r| r == name)
     }
-    /// The largest depth of a leaf, in inner nodes.
+    /// The largest number of inner nodes above a team.
     pub fn levels(&self) -> usize {
         let depth = |p: &Leaf| {
             p.parent
@@ -127,7 +127,7 @@
     tree: Tree,
 }
 
-/// Where in a description something is wrong: as a whole, or in one of its nodes or teams, as indices.
+/// Where a description has a fault: as a whole, or in the node or team with this index.
 #[derive(Clone, Copy)]
 enum Place {
     Whole,
@@ -198,7 +198,7 @@
         self.tree.resources = all;
     }
 
-    /// Amounts by resource; `none` stands where nothing is said.
+    /// Validates amounts and converts them to thousandths by resource; `default` applies to those not given.
     fn checked_amounts(
         &mut self,
         place: Place,
@@ -241,7 +241,7 @@
         }
     }
 
-    /// The nodes in an order in which parents come before their children.
+    /// Indices of the nodes in an order in which parents come before their children.
     fn parents_first(&mut self) -> Vec<usize> {
         let spec = self.spec;
         let mut index: HashMap<&str, usize> = HashMap::new();
@@ -269,12 +269,12 @@
             order.extend(children.remove(&order[at]).unwrap_or_default());
             at += 1;
         }
-        // What no root leads to hangs below itself, or below one that does not exist.
+        // A node that is not reached from the root is in or below a cycle, or below an unknown parent.
         let mut unreached: Vec<usize> = children.into_values().flatten().collect();
         unreached.sort_unstable();
         for i in unreached {
             if is_in_cycle(spec, &index, i) {
-                self.fault(Place::Node(i), "parent", "hangs below itself");
+                self.fault(Place::Node(i), "parent", "is in a cycle of parents");
             }
         }
         order
@@ -350,7 +350,7 @@
         }
     }
 
-    /// Hangs the teams: those that the tree names, then the others below the root.
+    /// Adds the teams that the description names, then all others directly below the root.
     fn add_teams(&mut self, teams: &[Team]) {
         let spec = self.spec;
         let by_name: HashMap<&str, &Team> = teams.iter().map(|t| (t.name.as_str(), t)).collect();
@@ -413,7 +413,7 @@
         });
     }
 
-    /// Children's guarantees add up to no more than their parent's.
+    /// Checks that the guarantees of a node's children add up to no more than its own.
     fn check_guarantee_sums(&mut self) {
         let mut sums = vec![NOTHING; self.tree.nodes.len()];
         let inner = self.tree.nodes.iter().map(|n| (n.parent, n.guarantee));
@@ -464,7 +464,7 @@
     }
 }
 
-/// Whether a node's line of parents comes back to it.
+/// Whether following the parents of a node leads back to it.
 fn is_in_cycle(spec: &Spec, index: &HashMap<&str, usize>, from: usize) -> bool {
     let mut at = from;
     for _ in 0..spec.nodes.len() {
@@ -486,7 +486,7 @@
     )
 }
 
-/// Thousandths as units, for people.
+/// Formats thousandths as units.
 pub(crate) fn display_units(milli: i64) -> String {
     if milli == UNBOUNDED {
         "none".to_owned()
--- a/crates/quota/src/why.rs
+++ b/crates/quota/src/why.rs
@@ -1,42 +1,42 @@
-//! What a tree in use says of a node or a team, for people.
+//! Reports for operators on the nodes and teams of a tree in use.
 
 use crate::tree::display_units;
 use crate::{Amount, Amounts, Live, MAX_RESOURCES, NodeId, TeamId, UNBOUNDED};
 use serde::{Deserialize, Serialize};
 
-/// One row of a tree as it is used now; amounts in units.
+/// Current state of a node or team; amounts in units.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Standing {
     pub name: String,
-    /// Inner nodes above it.
+    /// Number of inner nodes above it.
     pub depth: usize,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<String>,
     pub guarantee: Amounts,
-    /// Without those that have no bound.
+    /// Only the resources that have a maximum.
     pub max: Amounts,
     pub weight: f64,
     pub used: Amounts,
-    /// All that it could use now, what it uses included.
+    /// Demand, including what is used.
     pub wanted: Amounts,
 }
 
-/// Why a team's work waits; amounts in units.
+/// Explains why a team's work waits; amounts in units.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Why {
     pub team: String,
-    /// Nodes above it, the uppermost first.
+    /// The team's ancestors, topmost first.
     pub path: Vec<String>,
     pub used: Amounts,
     pub wanted: Amounts,
-    /// What it is entitled to of each guarantee on its path, and at last of its own.
+    /// The team's entitlement from the guarantee of each node on its path, and finally from its own.
     pub entitled: Vec<(String, Amounts)>,
-    /// Nodes, or the team itself, whose maximum leaves no room for what it wants.
+    /// Nodes on the path, or the team itself, whose maximum leaves no room for the demand.
     pub bounded_by: Vec<String>,
-    /// Who uses more than it is guaranteed, by the node at which it parts from the team: those that give back first
-    /// come first.
+    /// Siblings of the team and of its ancestors that use more than their guarantee, with the excess. The nearest come
+    /// first: borrowed capacity is reclaimed from them first.
     pub borrowed: Vec<(String, Amounts)>,
-    /// What the team is short of within its entitlements: this is called back.
+    /// What the team lacks of its entitlements: this much is reclaimed from borrowers.
     pub short: Amounts,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Live {
-    /// All nodes, parents first.
+    /// The state of all nodes, parents first.
     pub fn nodes(&self) -> Vec<Standing> {
         let row = |(i, n): (usize, &crate::Node)| {
             let id = NodeId(i as u32);
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Siblings of the team, then of its parent, and so on, that use more than they are guaranteed of what something
-    /// above the team is guaranteed.
+    /// Siblings of the team, then of its parent and so on, that use more than their guarantee. Counts only resources
+    /// in which the team or a node on its path has a guarantee.
     fn borrowers(
         &self,
         team: TeamId,
--- a/crates/quota/tests/trees.rs
+++ b/crates/quota/tests/trees.rs
@@ -67,7 +67,7 @@
             "parent = \"studio\"",
             "parent = \"desk\"",
             7,
-            "node \"desk\".parent: hangs below itself",
+            "node \"desk\".parent: is in a cycle of parents",
         ),
         (
             "parent = \"studio\"",
