--- a/crates/quota/examples/scale.rs
+++ b/crates/quota/examples/scale.rs
@@ -1,14 +1,14 @@
-//! What a change costs in a large tree, against working everything out anew. Prints one JSON line last.
+//! Compares the cost of a change in a large tree with a full recomputation. The last line of output is JSON.
 
 use quota::{Amounts, Live, NodeSpec, Spec, Team, TeamId, TeamSpec, Tree, amount};
 use std::sync::Arc;
 
 const TEAMS: usize = 10_000;
-/// Inner nodes above a team, and the team itself.
+/// Levels of the tree: the inner nodes above a team, and the team itself.
 const LEVELS: usize = 6;
 const CHANGES: usize = 5_000;
 
-/// A tree whose levels all branch alike.
+/// A tree with the same branching factor at every level.
 fn balanced_tree() -> (Spec, Vec<Team>) {
     let branch = (TEAMS as f64).powf(1.0 / LEVELS as f64);
     let mut spec = Spec::default();
@@ -38,7 +38,7 @@
             parents[i * parents.len() / TEAMS].as_deref(),
         ));
     }
-    // Each node is guaranteed a quarter more than what it must hold.
+    // Each node is guaranteed 25% more than the sum of its children.
     let mut child_guarantees: std::collections::HashMap<String, f64> = Default::default();
     spec.teams.iter().for_each(|t| {
         *child_guarantees
@@ -91,7 +91,7 @@
     }
     updates.sort_unstable();
     let (_, sum) = entitled_sum(&mut live);
-    // From nothing, the same state gives the same.
+    // A recomputation from the same demands must give the same result.
     let mut recomputed = Live::new(live.tree().clone());
     (0..TEAMS as u32)
         .map(TeamId)
@@ -99,11 +99,11 @@
     assert_eq!(
         entitled_sum(&mut recomputed).1,
         sum,
-        "incremental and from nothing differ"
+        "incremental and full computation differ"
     );
     let p99 = updates[updates.len() * 99 / 100];
     eprintln!(
-        "asking for all teams' entitlements took {query_all_steps} steps; {} inner nodes",
+        "querying the entitlements of all teams took {query_all_steps} steps; {} inner nodes",
         spec.nodes.len()
     );
     println!(
--- a/crates/quota/examples/schema.rs
+++ b/crates/quota/examples/schema.rs
@@ -1,4 +1,4 @@
-//! Prints the published schema of tree files: `docs/quotas/schema.json` is written from it.
+//! Prints the JSON Schema of quota files, from which `docs/quotas/schema.json` is generated.
 
 fn main() {
     println!("{}", quota::file::schema());
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Generated trees: every one is valid by how it is made.
+//! Strategies for generated trees, all valid by construction.
 
 use proptest::prelude::*;
 use quota::{Amounts, NodeSpec, Spec, Team, TeamSpec};
@@ -11,10 +11,10 @@
     }
 }
 
-/// What one node or team draws: its parent, whether it has a maximum, its guarantee and its weight.
+/// Random choices for a node or team: its parent, whether it has a maximum, its own guarantee and its weight.
 type Draw = (prop::sample::Index, bool, u32, u32);
 
-/// A tree of GPUs, and the teams of the settings.
+/// A tree with amounts of GPUs, and the teams of the settings.
 pub fn trees() -> impl Strategy<Value = (Spec, Vec<Team>)> {
     let draw = || {
         (
@@ -32,7 +32,7 @@
             let mut spec = Spec::default();
             let mut leaves = Vec::new();
             for (i, (parent, _, _, weight)) in nodes.iter().enumerate() {
-                // One of the earlier ones, or the root.
+                // An earlier node, or the root.
                 let parent = spec
                     .nodes
                     .get(parent.index(i + 1))
@@ -67,7 +67,7 @@
         })
 }
 
-/// From the leaves up, each node is guaranteed what its children are, and its own draw more.
+/// Sets the guarantee of each node, from the leaves up: the sum of its children's and its own random addition.
 fn set_guarantees_and_maxima(spec: &mut Spec, leaves: &[Team], draws: &[Draw]) {
     for i in (0..spec.nodes.len()).rev() {
         let name = spec.nodes[i].name.clone();
@@ -88,7 +88,7 @@
             .sum();
         spec.nodes[i].guarantee = gpus(inner + teams + draws[i].2);
     }
-    // From the root down, now and then a maximum: no less than the guarantee, no more than the parent's.
+    // Sets some maxima, from the root down: at least the node's guarantee, at most its parent's maximum.
     for (i, draw) in draws.iter().enumerate() {
         let own = spec.nodes[i].guarantee.get("gpus").copied().unwrap_or(0.0) as u32;
         let parent = spec.nodes[i].parent.clone();
--- a/crates/quota/tests/entitlement.rs
+++ b/crates/quota/tests/entitlement.rs
@@ -1,4 +1,4 @@
-//! What every tree must keep, on generated trees and demands, and against all possible divisions of tiny ones.
+//! Properties of entitlements on generated trees and demands, and a comparison with all divisions of small budgets.
 
 mod common;
 
@@ -22,7 +22,7 @@
     live
 }
 
-/// Teams below a node.
+/// All teams in the subtree of a node.
 fn teams_below(tree: &Tree, node: NodeId) -> Vec<TeamId> {
     (0..tree.leaves.len() as u32)
         .map(TeamId)
@@ -34,7 +34,7 @@
     live.entitled(team, depth)[GPUS].unwrap_or(0)
 }
 
-/// What all below a node could use: each bounded by its own maximum, on the way up too.
+/// Demand of the subtree of a node, capped at the maximum of the node and of everything below it.
 fn capped_demand(live: &Live, node: NodeId) -> i64 {
     live.wanted(node)[GPUS].min(live.tree().nodes[node.0 as usize].max[GPUS])
 }
@@ -42,20 +42,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A node's guarantee is divided whole while somebody below can use it, and never more than whole; what a
-    /// branch is guaranteed goes to its own first; nobody has less than both demand and guarantee.
+    /// A node's guarantee is divided completely as long as there is demand below it, and never exceeded. Each child's
+    /// guarantee serves its own subtree first, and no team gets less than the lesser of its demand and guarantee.
     #[test]
     fn guarantees_are_fully_divided_and_siblings_come_first(
         (spec, teams) in trees(), demands in prop::collection::vec(0..12i64, 7)
     ) {
         let mut live = live(&spec, &teams, &demands);
         let tree = live.tree().clone();
-        // Rounding down costs a thousandth a child on each level.
+        // Rounding down loses up to a thousandth per child on each level.
         let slack = (tree.nodes.len() + tree.leaves.len()) as i64;
         for n in (0..tree.nodes.len() as u32).map(NodeId) {
             let node = &tree.nodes[n.0 as usize];
             let depth = usize::from(node.depth);
-            let sum: i64 = teams_below(&tree, n).into_iter().map(|t| entitled(&mut live, t, depth)).sum();
+            let sum: i64 =
+                teams_below(&tree, n).into_iter().map(|t| entitled(&mut live, t, depth)).sum();
             let whole = node.guarantee[GPUS].min(capped_demand(&live, n));
             prop_assert!(sum <= whole && sum >= whole - slack, "{}: {sum} of {whole}", node.name);
             for c in &node.children {
@@ -69,18 +70,21 @@
             let leaf = &tree.leaves[t.0 as usize];
             let own = leaf.guarantee[GPUS].min(live.team(t).demand[GPUS]);
             let depths = tree.path(t).len();
-            // The same division is rounded down once more at each level.
+            // Rounding down applies once more at each level.
             let mut above = i64::MAX;
             for depth in 0..=depths {
                 let allocated = entitled(&mut live, t, depth);
-                prop_assert!(allocated >= own && allocated <= above.saturating_add(slack), "{}: {allocated} at {depth}", leaf.name);
+                prop_assert!(
+                    allocated >= own && allocated <= above.saturating_add(slack),
+                    "{}: {allocated} at {depth}", leaf.name
+                );
                 above = allocated;
             }
-            prop_assert_eq!(above, own, "the last is the team's own");
+            prop_assert_eq!(above, own, "the last entitlement is from the team's own guarantee");
         }
     }
 
-    /// Whatever the order of changes, what is kept from before equals what is worked out from nothing.
+    /// After any sequence of changes, cached results equal those of a full computation.
     #[test]
     fn incremental_changes_equal_a_full_computation(
         (spec, teams) in trees(), changes in prop::collection::vec((0..7usize, 0..12i64), 1..30)
@@ -99,18 +103,18 @@
                     prop_assert_eq!(incremental.entitled(t, depth), full.entitled(t, depth));
                 }
             }
-            prop_assert_eq!(snapshot.team(TeamId(t as u32)).demand, gpus(d), "a snapshot stays as it was");
+            prop_assert_eq!(snapshot.team(TeamId(t as u32)).demand, gpus(d), "a snapshot does not change");
         }
         let tree = incremental.tree().clone();
         for n in (0..tree.nodes.len() as u32).map(NodeId) {
             let sum: i64 = teams_below(&tree, n).into_iter().map(|t| incremental.team(t).used[GPUS]).sum();
-            prop_assert_eq!(incremental.used(n)[GPUS], sum, "use adds up");
+            prop_assert_eq!(incremental.used(n)[GPUS], sum, "usage of a node is the sum of its teams");
             let max = tree.nodes[n.0 as usize].max[GPUS];
             prop_assert!(max == quota::UNBOUNDED || incremental.headroom(Some(n))[GPUS] <= max - sum);
         }
     }
 
-    /// Without inner nodes a team has its own guarantee and nothing else, as before there were trees.
+    /// Without inner nodes, a team is entitled to exactly its own guarantee.
     #[test]
     fn flat_tree_entitles_each_team_to_its_own_guarantee((mut spec, teams) in trees(), demands in prop::collection::vec(0..12i64, 7)) {
         spec.nodes.clear();
@@ -122,8 +126,8 @@
         }
     }
 
-    /// No division of whole units is fairer, by the smallest part for its weight first: neither among the desks of a
-    /// house, nor among the teams of a desk. None but the house has a guarantee of its own.
+    /// No division into whole units is fairer by weighted max-min fairness, neither among the nodes below the top node
+    /// nor among the teams of one of them. Only the top node has a guarantee.
     #[test]
     fn no_other_division_is_fairer(
         budget in 0..12i64,
@@ -147,7 +151,8 @@
         let mut live = Live::new(Arc::new(Tree::build(&spec, &teams).expect("good")));
         demands.iter().enumerate().for_each(|(t, d)| live.set_demand(TeamId(t as u32), gpus(*d)));
         let mut allocated = (0..teams.len()).map(|t| entitled(&mut live, TeamId(t as u32), 0) as f64 / 1000.0);
-        let allocated: Vec<Vec<f64>> = desks.iter().map(|(_, below)| allocated.by_ref().take(below.len()).collect()).collect();
+        let allocated: Vec<Vec<f64>> =
+            desks.iter().map(|(_, below)| allocated.by_ref().take(below.len()).collect()).collect();
         let sums: Vec<f64> = allocated.iter().map(|of| of.iter().sum()).collect();
         let wants: Vec<(i64, u32)> =
             desks.iter().map(|(weight, below)| (below.iter().map(|(d, _)| d).sum(), *weight)).collect();
@@ -159,7 +164,7 @@
     }
 }
 
-/// A division of whole units that is fairer than this one, if there is any. Wants come with their weights.
+/// Finds a division into whole units that is fairer than the given one. `wants` holds demands and weights.
 fn find_fairer_division(budget: i64, wants: &[(i64, u32)], allocated: &[f64]) -> Option<Vec<i64>> {
     let weighted_shares = |allocated: &[f64]| {
         let mut out: Vec<f64> = allocated
@@ -174,7 +179,7 @@
     let demands: Vec<i64> = wants.iter().map(|(d, _)| *d).collect();
     divisions(budget, &demands).into_iter().find(|other| {
         let theirs = weighted_shares(&other.iter().map(|n| *n as f64).collect::<Vec<_>>());
-        // The first that differs by more than the rounding decides.
+        // The first share that differs by more than rounding decides.
         let first = ours
             .iter()
             .zip(&theirs)
@@ -183,7 +188,7 @@
     })
 }
 
-/// All ways to give whole units, at most `budget` together and to nobody more than it wants.
+/// All divisions into whole units that give nobody more than it wants and at most `budget` in total.
 fn divisions(budget: i64, wants: &[i64]) -> Vec<Vec<i64>> {
     let Some((first, rest)) = wants.split_first() else {
         return vec![Vec::new()];
@@ -198,8 +203,8 @@
     out
 }
 
-/// Two resources: who wants much of what is scarce does not get more of it by wanting something else too, and
-/// what one leaves of a resource is there for the others.
+/// With two resources, a team does not get more of a scarce one by demanding another as well, and what one team leaves
+/// of a resource is available to the others.
 #[test]
 fn allocation_follows_the_dominant_share() {
     let mut spec = Spec {
@@ -215,8 +220,8 @@
     let tree = Tree::build(&spec, &teams).expect("good");
     let mut live = Live::new(Arc::new(tree));
     let (a, b) = (TeamId(0), TeamId(1));
-    // The example of the DRF paper (Ghodsi and others, 2011), ten times as large and without its memory's unit:
-    // tasks of 10 CPUs and 4 GPUs against tasks of 30 CPUs and 1 GPU.
+    // The example of the dominant resource fairness paper (Ghodsi et al., 2011), ten times as large and with GPUs in
+    // place of memory: tasks of 10 CPUs and 4 GPUs against tasks of 30 CPUs and 1 GPU.
     live.set_demand(a, quota::amount(&[("cpus", 1000.0), ("gpus", 400.0)]));
     live.set_demand(b, quota::amount(&[("cpus", 3000.0), ("gpus", 100.0)]));
     let (allocated_a, allocated_b) = (live.entitled(a, 0), live.entitled(b, 0));
@@ -232,6 +237,6 @@
     let all = |r: usize| allocated_a[r].unwrap_or(0) + allocated_b[r].unwrap_or(0);
     assert!(
         all(quota::CPUS) >= 89_990 && all(GPUS) >= 17_990,
-        "nothing idles while somebody wants it"
+        "no capacity stays unused while there is demand"
     );
 }
--- a/crates/quota/tests/trees.rs
+++ b/crates/quota/tests/trees.rs
@@ -1,4 +1,4 @@
-//! Bad trees are refused with the place named, and edits end in good ones or say what is wrong.
+//! Invalid trees are rejected with the location of each fault, and edits yield valid trees or report what is wrong.
 
 mod common;
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Each is one slip in a good file; what is said names the line and the field.
+/// Each case puts one mistake into a valid file; the fault names its line and field.
 #[test]
 fn faults_name_the_path_and_the_line() {
     assert_eq!(faults(GOOD), Vec::<String>::new());
@@ -203,7 +203,7 @@
     assert_eq!(
         (guarantee_of("red"), guarantee_of("blue")),
         (1_000, 2_000),
-        "in proportion, all the way down"
+        "scaled proportionally through the whole subtree"
     );
     assert!(edit::shrink(&spec, &teams(), "nobody", &less, &less, true).is_err());
 }
@@ -227,7 +227,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A move takes the guarantee along: the tree stays good but for maxima, and moving back restores it.
+    /// A move takes the guarantee with it: the tree stays valid (without maxima), and moving back restores it.
     #[test]
     fn moving_there_and_back_restores_the_tree((spec, teams) in trees(), what in any::<prop::sample::Index>(), to in any::<prop::sample::Index>()) {
         let mut spec = spec;
@@ -244,7 +244,7 @@
         prop_assert_eq!(edit::differences(&spec, &back, 10), Vec::<String>::new());
     }
 
-    /// Scaling always ends in a tree that is good.
+    /// Shrinking with scaling always yields a valid tree.
     #[test]
     fn scaling_yields_a_valid_tree((spec, teams) in trees(), what in any::<prop::sample::Index>(), gpus in 0..9u32, max in any::<bool>()) {
         if !spec.nodes.is_empty() {
@@ -252,7 +252,7 @@
             let to: Amounts = [("gpus".to_owned(), f64::from(gpus))].into();
             let none = Amounts::new();
             let grown = spec.nodes.iter().find(|n| n.name == name).is_some_and(|n| n.guarantee.get("gpus").is_none_or(|g| *g < f64::from(gpus)));
-            // Only less may be asked for: more could be above the parent's.
+            // Only smaller values: a greater one could exceed the parent's.
             if !grown {
                 let (guarantee, max) = if max { (&none, &to) } else { (&to, &none) };
                 let out = edit::shrink(&spec, &teams, &name, guarantee, max, true).expect("known");
@@ -262,7 +262,7 @@
         }
     }
 
-    /// What is written is read back.
+    /// A rendered file parses back to the same tree.
     #[test]
     fn rendered_file_parses_to_the_same_spec((spec, teams) in trees()) {
         let text = file::render(&spec).expect("written");
@@ -271,7 +271,7 @@
         prop_assert!(Tree::build(&parsed.spec, &teams).is_ok());
     }
 
-    /// Whatever bytes come, there is an answer and no panic.
+    /// Arbitrary text is parsed or rejected without a panic.
     #[test]
     fn arbitrary_text_never_panics(text in ".{0,200}", at in 0..400usize, put in ".{0,8}") {
         let _ = file::parse(&text);
@@ -281,7 +281,7 @@
     }
 }
 
-/// The published schema is the one that the types make, and knows each field.
+/// The published schema equals the one generated from the types, and contains every field.
 #[test]
 fn the_schema_names_every_field() {
     let schema = file::schema();
@@ -301,7 +301,7 @@
     assert_eq!(
         published.trim(),
         schema.trim(),
-        "docs/quotas/schema.json: `stoathatch quota schema` writes it anew"
+        "docs/quotas/schema.json is outdated: regenerate it with `stoathatch quota schema`"
     );
     let _: Spec = Spec::default();
 }
