--- a/crates/quota/src/edit.rs
+++ b/crates/quota/src/edit.rs
@@ -180,14 +180,14 @@
         let inner = self.nodes.get(&name).cloned().unwrap_or_default();
         let leaves = self.teams.get(&name).cloned().unwrap_or_default();
         let team_guarantee = |t: &TeamSpec| {
-            let settings_guarantee = || {
+            let from_settings = || {
                 settings_guarantees
                     .get(t.name.as_str())
                     .map(|g| (*g).clone())
             };
             t.guarantee
                 .clone()
-                .or_else(settings_guarantee)
+                .or_else(from_settings)
                 .unwrap_or_default()
         };
         let mut sums: BTreeMap<String, i64> = BTreeMap::new();
