--- a/crates/quota/src/edit.rs
+++ b/crates/quota/src/edit.rs
@@ -122,7 +122,7 @@
             }
         }
         let children = Children::of(&out);
-        let settings_guarantees: HashMap<&str, &Amounts> = teams
+        let settings_by_team: HashMap<&str, &Amounts> = teams
             .iter()
             .map(|t| (t.name.as_str(), &t.guarantee))
             .collect();
@@ -131,7 +131,7 @@
         for _ in 0..=crate::MAX_DEPTH {
             level = level
                 .into_iter()
-                .flat_map(|n| children.scale_children(&mut out, &settings_guarantees, n))
+                .flat_map(|n| children.scale_children(&mut out, &settings_by_team, n))
                 .collect();
         }
     }
@@ -168,7 +168,7 @@
     fn scale_children(
         &self,
         spec: &mut Spec,
-        settings_guarantees: &HashMap<&str, &Amounts>,
+        settings_by_team: &HashMap<&str, &Amounts>,
         at: usize,
     ) -> Vec<usize> {
         let NodeSpec {
@@ -180,11 +180,7 @@
         let inner = self.nodes.get(&name).cloned().unwrap_or_default();
         let leaves = self.teams.get(&name).cloned().unwrap_or_default();
         let team_guarantee = |t: &TeamSpec| {
-            let from_settings = || {
-                settings_guarantees
-                    .get(t.name.as_str())
-                    .map(|g| (*g).clone())
-            };
+            let from_settings = || settings_by_team.get(t.name.as_str()).map(|g| (*g).clone());
             t.guarantee
                 .clone()
                 .or_else(from_settings)
