--- a/crates/model/src/rec.rs
+++ b/crates/model/src/rec.rs
@@ -6,10 +6,10 @@
 /// Machines that a record names as having the weights.
 pub const MAX_NEAR: usize = 8;
 /// After a wake that came to nothing the next one waits this long, twice as long each time.
-const BACKOFF_MS: u64 = 30_000;
-const MOST_BACKOFF_MS: u64 = 3_600_000;
+const BASE_BACKOFF_MS: u64 = 30_000;
+const MAX_BACKOFF_MS: u64 = 3_600_000;
 /// Demand is said again within this part of the idle time, by nodes that hear of it; an owner waits as much longer.
-pub(crate) const SLACK: f64 = 0.25;
+pub(crate) const DEMAND_REFRESH_RATIO: f64 = 0.25;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -97,10 +97,11 @@
     /// Replicas that may be there of a job of so many tasks.
     pub fn replicas(&self, rule: &Rule, tasks: u32) -> u32 {
         match self.phase {
-            Phase::Waking | Phase::Awake => {
-                self.wanted.min(rule.awake(tasks)).max(rule.resting(tasks))
-            }
-            Phase::Asleep | Phase::Leaving => rule.resting(tasks),
+            Phase::Waking | Phase::Awake => self
+                .wanted
+                .min(rule.awake_replicas(tasks))
+                .max(rule.resting_replicas(tasks)),
+            Phase::Asleep | Phase::Leaving => rule.resting_replicas(tasks),
         }
     }
 
@@ -109,17 +110,17 @@
     }
 
     /// The next generation, begun by a node at a time.
-    pub(crate) fn woken(&self, rule: &Rule, tasks: u32, node: &str, now_ms: u64) -> Rec {
+    pub(crate) fn begin_generation(&self, rule: &Rule, tasks: u32, node: &str, now_ms: u64) -> Rec {
         let mut wakes = self.wakes.clone();
         wakes.push(now_ms);
-        let over = wakes.len().saturating_sub(rule.wakes as usize);
-        wakes.drain(..over);
+        let excess = wakes.len().saturating_sub(rule.wakes as usize);
+        wakes.drain(..excess);
         Rec {
             phase: Phase::Waking,
             generation: self.generation + 1,
             since_ms: now_ms,
             by: node.to_owned(),
-            wanted: rule.awake(tasks),
+            wanted: rule.awake_replicas(tasks),
             asked_ms: 0,
             wakes,
             ..self.clone()
@@ -135,9 +136,9 @@
         now_ms: u64,
         seen: &Seen,
     ) -> Option<Rec> {
-        let rests = rule.resting(tasks);
-        let spent = now_ms.saturating_sub(self.since_ms);
-        let to = |phase: Phase| {
+        let resting = rule.resting_replicas(tasks);
+        let phase_ms = now_ms.saturating_sub(self.since_ms);
+        let in_phase = |phase: Phase| {
             let mut near = seen.near.clone();
             near.truncate(MAX_NEAR);
             let near = if near.is_empty() {
@@ -157,25 +158,26 @@
             Phase::Waking if seen.running > 0 => Some(Rec {
                 failed: 0,
                 not_before_ms: 0,
-                ..to(Phase::Awake)
+                ..in_phase(Phase::Awake)
             }),
-            Phase::Waking if spent as f64 >= rule.give_up_s * 1000.0 => {
+            Phase::Waking if phase_ms as f64 >= rule.give_up_s * 1000.0 => {
                 let failed = self.failed.saturating_add(1);
-                let wait = BACKOFF_MS
+                let backoff_ms = BASE_BACKOFF_MS
                     .saturating_mul(1 << failed.min(16))
-                    .min(MOST_BACKOFF_MS);
+                    .min(MAX_BACKOFF_MS);
                 Some(Rec {
                     failed,
-                    not_before_ms: now_ms + wait,
-                    ..to(Phase::Leaving)
+                    not_before_ms: now_ms + backoff_ms,
+                    ..in_phase(Phase::Leaving)
                 })
             }
-            Phase::Awake if rests < self.wanted => {
-                let unsaid = now_ms.saturating_sub(self.asked_ms);
-                let quiet = seen.quiet_ms.min(spent).min(unsaid) as f64;
-                (quiet >= rule.idle_s * (1.0 + SLACK) * 1000.0).then(|| to(Phase::Leaving))
+            Phase::Awake if resting < self.wanted => {
+                let since_asked_ms = now_ms.saturating_sub(self.asked_ms);
+                let idle_ms = seen.quiet_ms.min(phase_ms).min(since_asked_ms) as f64;
+                (idle_ms >= rule.idle_s * (1.0 + DEMAND_REFRESH_RATIO) * 1000.0)
+                    .then(|| in_phase(Phase::Leaving))
             }
-            Phase::Leaving if seen.claimed <= rests => Some(to(Phase::Asleep)),
+            Phase::Leaving if seen.claimed <= resting => Some(in_phase(Phase::Asleep)),
             _ => None,
         }
     }
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -1,6 +1,6 @@
 //! What becomes of a model that somebody asks for.
 
-use crate::rec::{Phase, Rec, SLACK};
+use crate::rec::{DEMAND_REFRESH_RATIO, Phase, Rec};
 use crate::spec::Rule;
 use serde::{Deserialize, Serialize};
 
@@ -39,21 +39,21 @@
             until_ms: rec.not_before_ms,
         };
     }
-    let period = (rule.period_s * 1000.0) as u64;
+    let period_ms = (rule.period_s * 1000.0) as u64;
     let recent: Vec<u64> = rec
         .wakes
         .iter()
         .copied()
-        .filter(|at| at.saturating_add(period) > now_ms)
+        .filter(|at| at.saturating_add(period_ms) > now_ms)
         .collect();
     if recent.len() >= rule.wakes as usize {
-        let over = recent.len() - rule.wakes as usize;
+        let excess = recent.len() - rule.wakes as usize;
         return Asked::NotNow {
             why: Why::TooOften,
-            until_ms: recent[over] + period,
+            until_ms: recent[excess] + period_ms,
         };
     }
-    Asked::Wake(Box::new(rec.woken(rule, tasks, node, now_ms)))
+    Asked::Wake(Box::new(rec.begin_generation(rule, tasks, node, now_ms)))
 }
 
 impl Rec {
@@ -70,6 +70,6 @@
 impl Rule {
     /// Nodes say again within this time that a model is wanted.
     pub fn say_again_ms(&self) -> u64 {
-        (self.idle_s * SLACK * 1000.0) as u64
+        (self.idle_s * DEMAND_REFRESH_RATIO * 1000.0) as u64
     }
 }
--- a/crates/model/src/spec.rs
+++ b/crates/model/src/spec.rs
@@ -72,26 +72,26 @@
         }
     }
 
-    fn fits(&self, job: &Job<'_>) -> bool {
+    fn matches_job(&self, job: &Job<'_>) -> bool {
         self.class.as_deref().is_none_or(|c| c == job.class)
             && self.team.as_deref().is_none_or(|t| t == job.team)
             && (self.jobs.is_empty() || self.jobs.iter().any(|j| j == job.id))
     }
 
     /// Replicas of a job of so many tasks while it is awake, and while nobody asks.
-    pub fn awake(&self, tasks: u32) -> u32 {
+    pub fn awake_replicas(&self, tasks: u32) -> u32 {
         tasks.min(self.most.unwrap_or(tasks))
     }
-    pub fn resting(&self, tasks: u32) -> u32 {
-        self.least.min(self.awake(tasks))
+    pub fn resting_replicas(&self, tasks: u32) -> u32 {
+        self.least.min(self.awake_replicas(tasks))
     }
 
     /// Whether no job is left for a later rule that this one does not fit.
-    fn hides(&self, later: &Rule) -> bool {
-        let within = |own: &Option<String>, its: &Option<String>| own.is_none() || own == its;
-        let ids = self.jobs.is_empty()
+    fn shadows(&self, later: &Rule) -> bool {
+        let covers = |own: &Option<String>, later: &Option<String>| own.is_none() || own == later;
+        let covers_ids = self.jobs.is_empty()
             || !later.jobs.is_empty() && later.jobs.iter().all(|j| self.jobs.contains(j));
-        within(&self.class, &later.class) && within(&self.team, &later.team) && ids
+        covers(&self.class, &later.class) && covers(&self.team, &later.team) && covers_ids
     }
 }
 
@@ -113,7 +113,7 @@
 impl Spec {
     /// The rule that a job belongs to.
     pub fn rule(&self, job: &Job<'_>) -> Option<&Rule> {
-        self.rules.iter().find(|r| r.fits(job))
+        self.rules.iter().find(|r| r.matches_job(job))
     }
 
     /// All that is wrong with the document; `teams` are those of the settings, where they are known.
@@ -146,7 +146,7 @@
                     fault("jobs", format!("{id:?} is named already, by {other:?}"));
                 }
             }
-            if let Some(other) = self.rules[..i].iter().find(|r| r.hides(rule)) {
+            if let Some(other) = self.rules[..i].iter().find(|r| r.shadows(rule)) {
                 fault(
                     "class",
                     format!(
@@ -179,7 +179,7 @@
     fn build(&self, teams: &Option<Vec<String>>) -> Result<Spec, Vec<Fault>> {
         self.check(teams.as_deref()).map(|()| self.clone())
     }
-    fn differences(old: &Spec, new: &Spec, most: usize) -> Vec<String> {
+    fn differences(old: &Spec, new: &Spec, max_lines: usize) -> Vec<String> {
         let by_name = |s: &Spec| {
             s.rules
                 .iter()
@@ -196,7 +196,7 @@
                 _ => {}
             }
         }
-        out.truncate(most);
+        out.truncate(max_lines);
         out
     }
     fn size(built: &Spec) -> String {
@@ -204,27 +204,27 @@
     }
     /// Rules of teams that have left the settings have no jobs.
     fn fitting(&self, teams: &Option<Vec<String>>) -> Spec {
-        let here = |r: &&Rule| match (&r.team, teams) {
+        let applies = |r: &&Rule| match (&r.team, teams) {
             (Some(team), Some(teams)) => teams.contains(team),
             _ => true,
         };
         Spec {
-            rules: self.rules.iter().filter(here).cloned().collect(),
+            rules: self.rules.iter().filter(applies).cloned().collect(),
         }
     }
 }
 
 impl Rule {
     fn check(&self, teams: Option<&BTreeSet<&str>>, fault: &mut impl FnMut(&str, String)) {
-        let name_ok =
+        let is_valid_name =
             |s: &str| !s.is_empty() && s.len() <= MAX_NAME && !s.chars().any(char::is_control);
-        if !name_ok(&self.name) {
+        if !is_valid_name(&self.name) {
             fault(
                 "name",
                 format!("1 to {MAX_NAME} bytes, no control characters"),
             );
         }
-        if self.class.as_deref().is_some_and(|c| !name_ok(c)) {
+        if self.class.as_deref().is_some_and(|c| !is_valid_name(c)) {
             fault(
                 "class",
                 format!("1 to {MAX_NAME} bytes, no control characters"),
@@ -249,7 +249,7 @@
                 format!("{} ids; at most {MAX_JOBS}", self.jobs.len()),
             );
         }
-        if let Some(id) = self.jobs.iter().find(|j| !name_ok(j)) {
+        if let Some(id) = self.jobs.iter().find(|j| !is_valid_name(j)) {
             fault("jobs", format!("{id:?} is no id"));
         }
         let most = self.most.unwrap_or(MAX_REPLICAS);
