--- a/crates/model/tests/rules.rs
+++ b/crates/model/tests/rules.rs
@@ -20,10 +20,10 @@
 "#;
 
 #[test]
-fn what_can_not_hold_is_refused_with_its_line() {
+fn invalid_documents_are_rejected_with_line_and_field() {
     let parsed = file::parse(DOC).expect("readable");
     assert_eq!(parsed.spec.check(Some(&["assistants".to_owned()])), Ok(()));
-    let whole = |text: &str| {
+    let all_faults = |text: &str| {
         let parsed = file::parse(text).expect("readable");
         let faults = parsed
             .spec
@@ -36,7 +36,7 @@
             .map(ToString::to_string)
             .collect::<Vec<_>>()
     };
-    let with = |from: &str, to: &str| whole(&DOC.replace(from, to)).join("; ");
+    let faults_after = |from: &str, to: &str| all_faults(&DOC.replace(from, to)).join("; ");
     let cases = [
         (
             "\"assistants\"",
@@ -77,9 +77,9 @@
             "every standing job would be a model",
         ),
     ];
-    for (from, to, says) in cases {
-        let faults = with(from, to);
-        assert!(faults.contains(says), "{to}: {faults}");
+    for (from, to, expected) in cases {
+        let faults = faults_after(from, to);
+        assert!(faults.contains(expected), "{to}: {faults}");
     }
     let unknown =
         file::parse(&DOC.replace("most = 2", "mots = 2")).expect_err("a field that there is not");
@@ -114,7 +114,7 @@
 
 /// A day of a model: woken, idle, asleep, woken as often as it may be, and no more until the period is over.
 #[test]
-fn a_model_wakes_as_often_as_it_may() {
+fn model_is_woken_at_most_wakes_times_per_period() {
     let rule = file::parse(DOC).expect("readable").spec.rules.remove(0);
     let mut rec = wake(&Rec::new(), &rule, 1000);
     assert_eq!(
@@ -153,16 +153,16 @@
         phase: Phase::Asleep,
         ..rec
     };
-    let until = Asked::NotNow {
+    let too_often = Asked::NotNow {
         why: Why::TooOften,
         until_ms: 601_000,
     };
-    assert_eq!(asked(&rec, &rule, 4, "n", 103_000), until);
+    assert_eq!(asked(&rec, &rule, 4, "n", 103_000), too_often);
     assert_eq!(wake(&rec, &rule, 601_000).wakes, [102_000, 601_000]);
 }
 
 #[test]
-fn a_model_that_never_comes_up_is_tried_less_and_less() {
+fn failed_wakes_back_off_exponentially() {
     let rule = Rule {
         give_up_s: 100.0,
         period_s: 1.0,
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_model_that_keeps_some_is_at_rest_with_them() {
+fn model_at_its_least_replicas_is_asleep() {
     let rule = Rule {
         least: 1,
         ..Rule::new("m", 60.0)
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn the_example_is_accepted() {
+fn deployed_example_is_valid() {
     let parsed =
         file::parse(include_str!("../../../deploy/models-example.toml")).expect("readable");
     assert_eq!(
--- a/crates/model/tests/search.rs
+++ b/crates/model/tests/search.rs
@@ -7,23 +7,23 @@
 use model::{Asked, Phase, Rec, Rule, Seen, asked};
 use std::collections::{HashSet, VecDeque};
 
-const NOW: u64 = 1_000_000_000;
+const NOW_MS: u64 = 1_000_000_000;
 const TASKS: u32 = 1;
-const GENERATIONS: usize = 2;
+const MAX_GENERATIONS: usize = 2;
 /// Transactions that may be under way at once, and crashes.
-const ON_THE_WAY: usize = 2;
-const CRASHES: u8 = 1;
+const MAX_IN_FLIGHT: usize = 2;
+const MAX_CRASHES: u8 = 1;
 
 /// A guard that is taken out on purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Planted {
+enum RemovedGuard {
     Nothing,
     /// Records are written whatever stands there.
-    NoStamp,
+    RecordStamp,
     /// An earlier owner's claims are recorded too.
-    NoToken,
+    OwnerToken,
     /// It is asleep as soon as its replicas have been told to stop.
-    NoProof,
+    ProofOfExit,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -57,7 +57,7 @@
             phase,
             generation: self.generation.into(),
             wanted: TASKS,
-            since_ms: NOW - 100_000,
+            since_ms: NOW_MS - 100_000,
             ..Rec::new()
         }
     }
@@ -71,61 +71,61 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct World {
+struct SystemState {
     rec: Stored,
     stamp: u8,
     token: u8,
     nodes: Vec<Node>,
-    way: Vec<Txn>,
+    in_flight: Vec<Txn>,
     crashes: u8,
     /// Replicas that are claimed, of those the ones that were told to stop.
     claimed: u32,
     leaving: u32,
-    started: [u8; GENERATIONS + 1],
+    started: [u8; MAX_GENERATIONS + 1],
     sleeps: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
-impl World {
+impl SystemState {
     fn new(nodes: usize) -> Self {
-        World {
+        SystemState {
             rec: Stored::of(&Rec::new()),
             stamp: 0,
             token: 0,
             nodes: vec![Node::default(); nodes],
-            way: Vec::new(),
+            in_flight: Vec::new(),
             crashes: 0,
             claimed: 0,
             leaving: 0,
-            started: [0; GENERATIONS + 1],
+            started: [0; MAX_GENERATIONS + 1],
             sleeps: 0,
-            broken: None,
+            violation: None,
         }
     }
 
     fn send(mut self, txn: Txn) -> Self {
-        self.way.push(txn);
-        self.way.sort();
+        self.in_flight.push(txn);
+        self.in_flight.sort();
         self
     }
 
     /// A transaction comes to the state service.
-    fn apply(&mut self, txn: &Txn, planted: Planted) {
-        let fits = txn.stamp == self.stamp || planted == Planted::NoStamp;
-        if !fits || txn.token.is_some_and(|t| t != self.token) {
+    fn apply(&mut self, txn: &Txn, removed_guard: RemovedGuard) {
+        let is_current = txn.stamp == self.stamp || removed_guard == RemovedGuard::RecordStamp;
+        if !is_current || txn.token.is_some_and(|t| t != self.token) {
             return;
         }
         let (before, after) = (self.rec, txn.rec);
         let phase = PHASES[after.phase as usize];
-        let begins = phase == Phase::Waking;
-        if after.generation != before.generation + u8::from(begins) {
-            self.broken = Some("a generation is begun twice, or falls");
+        let is_wake = phase == Phase::Waking;
+        if after.generation != before.generation + u8::from(is_wake) {
+            self.violation = Some("a generation is begun twice, or falls");
         }
-        if begins && after.generation > self.sleeps + 1 {
-            self.broken = Some("two cold starts without a sleep between them");
+        if is_wake && after.generation > self.sleeps + 1 {
+            self.violation = Some("two cold starts without a sleep between them");
         }
         if phase == Phase::Asleep && self.claimed > 0 {
-            self.broken = Some("asleep while replicas may run");
+            self.violation = Some("asleep while replicas may run");
         }
         self.sleeps += u8::from(phase == Phase::Leaving);
         self.rec = after;
@@ -133,43 +133,50 @@
     }
 
     /// All that may happen next.
-    fn next(&self, rule: &Rule, planted: Planted) -> Vec<World> {
+    fn next(&self, rule: &Rule, removed_guard: RemovedGuard) -> Vec<SystemState> {
         let mut out = Vec::new();
-        let room = self.way.len() < ON_THE_WAY;
-        for (i, txn) in self.way.iter().enumerate() {
-            let mut done = self.clone();
-            done.way.remove(i);
-            out.push(done.clone());
-            done.apply(txn, planted);
-            out.push(done);
+        let has_room = self.in_flight.len() < MAX_IN_FLIGHT;
+        for (i, txn) in self.in_flight.iter().enumerate() {
+            let mut delivered = self.clone();
+            delivered.in_flight.remove(i);
+            out.push(delivered.clone());
+            delivered.apply(txn, removed_guard);
+            out.push(delivered);
             // It comes, and will come again.
-            let mut again = self.clone();
-            again.apply(txn, planted);
-            out.push(again);
+            let mut duplicated = self.clone();
+            duplicated.apply(txn, removed_guard);
+            out.push(duplicated);
         }
         for n in 0..self.nodes.len() {
-            self.acts(n, rule, planted, room, &mut out);
+            self.node_steps(n, rule, removed_guard, has_room, &mut out);
         }
         out
     }
 
-    fn acts(&self, n: usize, rule: &Rule, planted: Planted, room: bool, out: &mut Vec<World>) {
-        let with = |f: &dyn Fn(&mut World)| {
+    fn node_steps(
+        &self,
+        n: usize,
+        rule: &Rule,
+        removed_guard: RemovedGuard,
+        has_room: bool,
+        out: &mut Vec<SystemState>,
+    ) {
+        let changed = |f: &dyn Fn(&mut SystemState)| {
             let mut w = self.clone();
             f(&mut w);
             w
         };
         let node = &self.nodes[n];
         // Reading, a crash with an immediate return, and a take-over.
-        out.push(with(&|w| w.nodes[n].read = Some((w.rec, w.stamp))));
-        if self.crashes < CRASHES {
-            out.push(with(&|w| {
+        out.push(changed(&|w| w.nodes[n].read = Some((w.rec, w.stamp))));
+        if self.crashes < MAX_CRASHES {
+            out.push(changed(&|w| {
                 w.nodes[n] = Node::default();
                 w.crashes += 1;
             }));
         }
         if (self.token as usize) < 2 && node.term.is_none() {
-            out.push(with(&|w| {
+            out.push(changed(&|w| {
                 w.token += 1;
                 // A new owner reads the record before its first start.
                 w.nodes[n] = Node {
@@ -182,9 +189,9 @@
             return;
         };
         let rec = read.rec();
-        if (read.generation as usize) < GENERATIONS
-            && room
-            && let Asked::Wake(woken) = asked(&rec, rule, TASKS, "n", NOW)
+        if (read.generation as usize) < MAX_GENERATIONS
+            && has_room
+            && let Asked::Wake(woken) = asked(&rec, rule, TASKS, "n", NOW_MS)
         {
             out.push(self.clone().send(Txn {
                 stamp,
@@ -193,33 +200,33 @@
             }));
         }
         let Some(term) = node.term else { return };
-        let owns = term == self.token || planted == Planted::NoToken;
+        let may_act = term == self.token || removed_guard == RemovedGuard::OwnerToken;
         // Claims and stops are made under the owner's token.
-        if owns && rec.replicas(rule, TASKS) > self.claimed {
-            out.push(with(&|w| {
+        if may_act && rec.replicas(rule, TASKS) > self.claimed {
+            out.push(changed(&|w| {
                 w.claimed += 1;
                 let count = &mut w.started[read.generation as usize];
                 *count += 1;
                 if u32::from(*count) > TASKS {
-                    w.broken = Some("more replicas started than a generation wants");
+                    w.violation = Some("more replicas started than a generation wants");
                 }
             }));
         }
-        if owns && rec.phase == Phase::Leaving && self.leaving < self.claimed {
-            out.push(with(&|w| w.leaving += 1));
+        if may_act && rec.phase == Phase::Leaving && self.leaving < self.claimed {
+            out.push(changed(&|w| w.leaving += 1));
         }
         if self.leaving > 0 {
-            out.push(with(&|w| {
+            out.push(changed(&|w| {
                 w.claimed -= 1;
                 w.leaving -= 1;
             }));
         }
-        let claimed = if planted == Planted::NoProof {
+        let claimed = if removed_guard == RemovedGuard::ProofOfExit {
             self.claimed - self.leaving
         } else {
             self.claimed
         };
-        for quiet_ms in [0, NOW] {
+        for quiet_ms in [0, NOW_MS] {
             let running = self.claimed - self.leaving;
             let seen = Seen {
                 claimed,
@@ -227,7 +234,7 @@
                 quiet_ms,
                 near: Vec::new(),
             };
-            if room && let Some(next) = rec.next(rule, TASKS, "n", NOW, &seen) {
+            if has_room && let Some(next) = rec.next(rule, TASKS, "n", NOW_MS, &seen) {
                 out.push(self.clone().send(Txn {
                     stamp,
                     token: Some(term),
@@ -238,22 +245,22 @@
     }
 
     /// From here on nothing is lost and nobody dies: whoever is asked has the model awake soon.
-    fn comes_up(&self, rule: &Rule) -> bool {
+    fn eventually_awake(&self, rule: &Rule) -> bool {
         let mut w = self.clone();
-        w.way.clear();
+        w.in_flight.clear();
         w.token += 1;
         for _ in 0..12 {
             let rec = w.rec.rec();
             if rec.phase == Phase::Awake {
                 return true;
             }
-            if let Asked::Wake(next) = asked(&rec, rule, TASKS, "n", NOW) {
+            if let Asked::Wake(next) = asked(&rec, rule, TASKS, "n", NOW_MS) {
                 let txn = Txn {
                     stamp: w.stamp,
                     token: None,
                     rec: Stored::of(&next),
                 };
-                w.apply(&txn, Planted::Nothing);
+                w.apply(&txn, RemovedGuard::Nothing);
             }
             w.claimed = w.claimed.saturating_sub(w.leaving).max(1);
             w.leaving = 0;
@@ -263,69 +270,77 @@
                 quiet_ms: 0,
                 near: Vec::new(),
             };
-            if let Some(next) = w.rec.rec().next(rule, TASKS, "n", NOW, &seen) {
+            if let Some(next) = w.rec.rec().next(rule, TASKS, "n", NOW_MS, &seen) {
                 let txn = Txn {
                     stamp: w.stamp,
                     token: Some(w.token),
                     rec: Stored::of(&next),
                 };
-                w.apply(&txn, Planted::Nothing);
+                w.apply(&txn, RemovedGuard::Nothing);
             }
         }
         false
     }
 }
 
-/// All worlds that can be reached, up to a number; the first that breaks a rule.
-fn search(nodes: usize, planted: Planted, most: usize) -> (usize, Option<&'static str>) {
+/// All states that can be reached, up to a number; the first that breaks a rule.
+fn search(
+    nodes: usize,
+    removed_guard: RemovedGuard,
+    max_states: usize,
+) -> (usize, Option<&'static str>) {
     // Short enough that a sleep, and giving a wake up, may come at any time.
     let rule = Rule {
         give_up_s: 50.0,
         ..Rule::new("m", 1.0)
     };
-    let mut seen: HashSet<World> = HashSet::new();
-    let mut queue: VecDeque<World> = [World::new(nodes)].into();
+    let mut seen: HashSet<SystemState> = HashSet::new();
+    let mut queue: VecDeque<SystemState> = [SystemState::new(nodes)].into();
     while let Some(mut w) = queue.pop_front() {
         // Nodes are alike but for what they know.
         w.nodes.sort();
         if !seen.insert(w.clone()) {
             continue;
         }
-        if w.broken.is_some() {
-            return (seen.len(), w.broken);
+        if w.violation.is_some() {
+            return (seen.len(), w.violation);
         }
-        if !w.comes_up(&rule) {
+        if !w.eventually_awake(&rule) {
             return (
                 seen.len(),
                 Some("a model that is asked for does not come up"),
             );
         }
-        if seen.len() >= most {
+        if seen.len() >= max_states {
             break;
         }
-        queue.extend(w.next(&rule, planted));
+        queue.extend(w.next(&rule, removed_guard));
     }
     (seen.len(), None)
 }
 
 #[test]
-fn a_generation_begins_once_whatever_is_lost_late_or_repeated() {
-    let (worlds, broken) = search(2, Planted::Nothing, 8_000_000);
-    println!("2 nodes: all of {worlds} worlds");
-    assert_eq!(broken, None);
-    assert!((100_000..8_000_000).contains(&worlds), "{worlds} worlds");
+fn each_generation_begins_once_despite_lost_late_or_repeated_transactions() {
+    let (states, violation) = search(2, RemovedGuard::Nothing, 8_000_000);
+    println!("2 nodes: all of {states} states");
+    assert_eq!(violation, None);
+    assert!((100_000..8_000_000).contains(&states), "{states} states");
     // Too many to see them all: those that are reached in the fewest steps.
-    assert_eq!(search(3, Planted::Nothing, 200_000).1, None);
+    assert_eq!(search(3, RemovedGuard::Nothing, 200_000).1, None);
 }
 
 #[test]
-fn the_search_finds_a_guard_that_is_missing() {
-    for planted in [Planted::NoStamp, Planted::NoToken, Planted::NoProof] {
-        let (worlds, broken) = search(2, planted, 400_000);
-        println!("{planted:?}: {broken:?} after {worlds} worlds");
+fn search_detects_each_removed_guard() {
+    for removed_guard in [
+        RemovedGuard::RecordStamp,
+        RemovedGuard::OwnerToken,
+        RemovedGuard::ProofOfExit,
+    ] {
+        let (states, violation) = search(2, removed_guard, 400_000);
+        println!("{removed_guard:?}: {violation:?} after {states} states");
         assert!(
-            broken.is_some(),
-            "{planted:?} was not noticed in {worlds} worlds"
+            violation.is_some(),
+            "{removed_guard:?} was not noticed in {states} states"
         );
     }
 }
