--- a/crates/model/src/file.rs
+++ b/crates/model/src/file.rs
@@ -1,14 +1,14 @@
-//! A list of models as operators write it.
+//! The TOML file in which operators list models.
 
 use crate::spec::{Rule, Spec};
 use document::Fault;
 use document::file::{self, Lines, Spanned};
 use serde::Deserialize;
 
-/// The list of a file, as faults name it.
+/// Name of the file's list, as used in fault paths.
 pub(crate) const MODEL: &str = "model";
 
-/// A file that could be read, and the lines of its rules.
+/// A parsed file with the line numbers of its rules.
 pub type Parsed = file::Parsed<Spec>;
 
 #[derive(Deserialize)]
@@ -27,7 +27,7 @@
     }
 }
 
-/// Reads a file's text. Whether it holds together is for [`Spec::check`] to say.
+/// Parses the text of a file. [`Spec::check`] validates the result.
 pub fn parse(text: &str) -> Result<Parsed, Vec<Fault>> {
     file::parse::<Raw>(text)
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,11 +1,12 @@
-//! Models that are served by `standing` jobs and give their machines back while nobody asks for them.
+//! Scale-to-zero for models that are served by `standing` jobs: a model without demand releases its machines.
 //!
-//! [`Spec`] says which jobs are models and how they rest, [`mod@file`] reads it. [`Rec`] is what the state service holds of
-//! one model; [`asked`] says what becomes of it when somebody wants the model, at any node, and [`Rec::next`] what its
-//! owner makes of it. Whoever acts on either writes the record under a guard on the stamp that it was read with, before
-//! anything is done for it: so of all who want to begin a generation one does, and the others go on with that one.
+//! [`Spec`] defines which jobs are models and when they go to sleep; [`mod@file`] parses it. [`Rec`] is the record of
+//! one model in the state service. [`asked`] decides, on any node, what to do about demand for a model, and
+//! [`Rec::next`] decides its owner's next step. Either decision takes effect only by a write of the record that is conditional on the
+//! version that was read, made before any other action. So of all nodes that try to begin a generation one succeeds,
+//! and the others follow it.
 //!
-//! This package may not do I/O, read a clock or draw random numbers. It knows nothing of machines or of state services.
+//! This package must not do I/O, read a clock or draw random numbers. It does not depend on machines or state services.
 
 pub mod file;
 mod rec;
@@ -16,12 +17,13 @@
 pub use rules::{Asked, Why, asked};
 pub use spec::{Begin, Job, Rule, Spec};
 
-/// Rules of one document, and jobs that a rule may name.
+/// Maximum number of rules in a document.
 pub const MAX_RULES: usize = 2_000;
+/// Maximum number of jobs that one rule lists.
 pub const MAX_JOBS: usize = 1_000;
-/// Bytes of a name.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME: usize = 120;
-/// Most replicas of a model: what a job may have of tasks.
+/// Maximum number of replicas of a model, which is the maximum number of tasks of a job.
 pub const MAX_REPLICAS: u32 = 100_000;
-/// Wakes that a record remembers the times of.
+/// Maximum number of wake times in a record.
 pub const MAX_WAKES: u32 = 32;
--- a/crates/model/src/rec.rs
+++ b/crates/model/src/rec.rs
@@ -1,53 +1,55 @@
-//! What the state service holds of a model, and what its owner makes of it.
+//! The record of a model in the state service, and the transitions that its owner makes.
 
 use crate::spec::Rule;
 use serde::{Deserialize, Serialize};
 
-/// Machines that a record names as having the weights.
+/// Maximum number of machines that a record lists as holding the model's weights.
 pub const MAX_NEAR: usize = 8;
-/// After a wake that came to nothing the next one waits this long, twice as long each time.
+/// Base of the exponential backoff after failed wakes, doubled per consecutive failure: the first failure waits 60 s.
 const BASE_BACKOFF_MS: u64 = 30_000;
 const MAX_BACKOFF_MS: u64 = 3_600_000;
-/// Demand is said again within this part of the idle time, by nodes that hear of it; an owner waits as much longer.
+/// Nodes that see demand report it again within this fraction of the idle time, so an owner waits that much longer
+/// than the idle time before the model goes to sleep.
 pub(crate) const DEMAND_REFRESH_RATIO: f64 = 0.25;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// No more than its least replicas are wanted, and no more are there.
+    /// At most its minimum of replicas is wanted, and no more exist.
     Asleep,
-    /// They are to be started.
+    /// Replicas are to be started.
     Waking,
-    /// One at least has run in this generation.
+    /// At least one replica has run in this generation.
     Awake,
-    /// Replicas are being stopped; some may still be there.
+    /// Replicas are being stopped; some may still run.
     Leaving,
 }
 
-/// The record of a model. One that was never written is as good as [`Rec::new`].
+/// The record of a model. A missing record is equivalent to [`Rec::new`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rec {
     pub phase: Phase,
-    /// Rises with each wake and never falls.
+    /// Incremented by each wake; never decreases.
     pub generation: u64,
-    /// Time of day at which it came into this phase.
+    /// Wall-clock time at which this phase began.
     pub since_ms: u64,
-    /// The node that began this generation, or this phase.
+    /// The node that began this generation or phase.
     pub by: String,
-    /// Replicas that the generation wants.
+    /// Number of replicas that the generation wants.
     pub wanted: u32,
-    /// The last demand that nobody could tell the owner of.
+    /// Time of the latest demand that could not be reported to the owner directly.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub asked_ms: u64,
-    /// Times of the latest wakes, the oldest first.
+    /// Times of the latest wakes, oldest first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub wakes: Vec<u64>,
-    /// Wakes in a row that came to nothing, and when the next may begin.
+    /// Number of consecutive failed wakes.
     #[serde(default, skip_serializing_if = "is_none")]
     pub failed: u32,
+    /// Earliest time of the next wake, set by the backoff after a failed one.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub not_before_ms: u64,
-    /// Machines that had the weights when the record was written: a hint only.
+    /// Machines that held the weights when the record was written; only a hint.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub near: Vec<String>,
 }
@@ -59,15 +61,16 @@
     *v == 0
 }
 
-/// What its owner sees of a model now.
+/// The owner's current view of a model.
 #[derive(Debug, Clone, Default)]
 pub struct Seen {
-    /// Replicas that are claimed, also those on their way out, and those that run.
+    /// Replicas that hold a claim, including those being stopped.
     pub claimed: u32,
+    /// Replicas that run.
     pub running: u32,
-    /// How long nobody has asked, as far as all live nodes have said.
+    /// Time since the last demand, according to the reports of all live nodes.
     pub quiet_ms: u64,
-    /// Machines that have the weights.
+    /// Machines that hold the weights.
     pub near: Vec<String>,
 }
 
@@ -78,7 +81,7 @@
 }
 
 impl Rec {
-    /// A model that nobody has ever asked for.
+    /// The record of a model without any demand so far.
     pub fn new() -> Self {
         Rec {
             phase: Phase::Asleep,
@@ -94,7 +97,7 @@
         }
     }
 
-    /// Replicas that may be there of a job of so many tasks.
+    /// Number of replicas that may exist, for a job with this many tasks.
     pub fn replicas(&self, rule: &Rule, tasks: u32) -> u32 {
         match self.phase {
             Phase::Waking | Phase::Awake => self
@@ -109,7 +112,7 @@
         matches!(self.phase, Phase::Waking | Phase::Awake)
     }
 
-    /// The next generation, begun by a node at a time.
+    /// The record of the next generation, begun by `node` at `now_ms`.
     pub(crate) fn begin_generation(&self, rule: &Rule, tasks: u32, node: &str, now_ms: u64) -> Rec {
         let mut wakes = self.wakes.clone();
         wakes.push(now_ms);
@@ -127,7 +130,7 @@
         }
     }
 
-    /// What the owner has to write next, if anything.
+    /// The record that the owner has to write next, or `None` if nothing changes.
     pub fn next(
         &self,
         rule: &Rule,
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -1,34 +1,32 @@
-//! What becomes of a model that somebody asks for.
+//! Decides what to do about demand for a model.
 
 use crate::rec::{DEMAND_REFRESH_RATIO, Phase, Rec};
 use crate::spec::Rule;
 use serde::{Deserialize, Serialize};
 
-/// Why a model is not woken now.
+/// Why a model is not woken at present.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Why {
-    /// It was woken as often as it may be.
+    /// It has reached its limit of wakes per period.
     TooOften,
-    /// The last wakes came to nothing.
+    /// The latest wakes failed; the next has to wait.
     Backoff { failed: u32 },
 }
 
-/// What is to be done about demand, by whoever hears of it.
+/// What the node that receives demand has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Asked {
-    /// It is awake, or a generation is on its way: that one is followed.
+    /// Nothing: the model is awake or waking, and the demand follows that generation.
     Follow,
-    /// The next generation begins by writing this, under a guard on the record as it was read.
+    /// Begin the next generation by writing this record, on condition that the record did not change since it was read.
     Wake(Box<Rec>),
-    NotNow {
-        why: Why,
-        until_ms: u64,
-    },
+    /// Refuse to wake the model before `until_ms`.
+    NotNow { why: Why, until_ms: u64 },
 }
 
-/// A model whose record is `rec` is asked for at `node`. A model that is leaving is woken too: replicas that are on
-/// their way out still hold their places, so none is started a second time before it is proved gone.
+/// Decides what to do when `node` receives demand for a model with the record `rec`. A model in [`Phase::Leaving`] is
+/// woken too: replicas that are being stopped keep their claims, so none is started again before its end is proved.
 pub fn asked(rec: &Rec, rule: &Rule, tasks: u32, node: &str, now_ms: u64) -> Asked {
     if rec.is_up() {
         return Asked::Follow;
@@ -57,8 +55,8 @@
 }
 
 impl Rec {
-    /// Demand for a model that is up, where the owner can't be told of it: the record says so, and a sleep that was
-    /// decided without it fails on its guard.
+    /// The record that notes demand for an awake model when the owner cannot be reached. A concurrent transition to
+    /// sleep that did not take this demand into account then fails, because its condition on the record does not hold.
     pub fn touched(&self, now_ms: u64) -> Option<Rec> {
         (self.phase == Phase::Awake).then(|| Rec {
             asked_ms: now_ms,
@@ -68,7 +66,7 @@
 }
 
 impl Rule {
-    /// Nodes say again within this time that a model is wanted.
+    /// Interval within which nodes report continuing demand again.
     pub fn say_again_ms(&self) -> u64 {
         (self.idle_s * DEMAND_REFRESH_RATIO * 1000.0) as u64
     }
