--- a/crates/model/src/spec.rs
+++ b/crates/model/src/spec.rs
@@ -1,4 +1,4 @@
-//! What people and records say of models, and what is wrong with it.
+//! Description of models in files and records, and its validation.
 
 use crate::file::MODEL;
 use crate::{MAX_JOBS, MAX_NAME, MAX_REPLICAS, MAX_RULES, MAX_WAKES};
@@ -7,18 +7,18 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a model begins whose record was never written.
+/// The initial phase of a model without a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Begin {
-    /// Its submission is its first demand.
+    /// Its submission counts as its first demand.
     #[default]
     Awake,
-    /// It waits to be asked for.
+    /// It starts without replicas and waits for demand.
     Asleep,
 }
 
-/// Standing jobs that are models. A job belongs to the first rule that fits it in all that the rule names.
+/// Selects `standing` jobs that are models. A job belongs to the first rule of which it matches every criterion.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
@@ -28,26 +28,26 @@
     pub class: Option<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub team: Option<String>,
-    /// Single jobs by their ids.
+    /// Individual jobs, by id.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub jobs: Vec<String>,
-    /// Replicas that stay while nobody asks; 0 gives all machines back.
+    /// Replicas that are kept without demand; with 0 all machines are released.
     #[serde(default)]
     pub least: u32,
-    /// Replicas while it is awake, if fewer than the job has tasks.
+    /// Replicas while the model is awake, if fewer than the job's tasks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub most: Option<u32>,
-    /// So long after the last demand it goes to sleep.
+    /// Seconds without demand after which the model goes to sleep.
     pub idle_s: f64,
-    /// How many times it may be woken within `period_s`.
+    /// Maximum number of wakes within `period_s`.
     #[serde(default = "wakes")]
     pub wakes: u32,
     #[serde(default = "period")]
     pub period_s: f64,
-    /// A wake without a replica after this time is given up, and the next one may not begin at once.
+    /// Seconds after which a wake without a running replica is given up; the next wake is then delayed.
     #[serde(default = "give_up")]
     pub give_up_s: f64,
-    /// So long one machine that holds the weights is kept after the model has gone to sleep.
+    /// Seconds for which one machine that holds the weights is kept after the model has gone to sleep.
     #[serde(default)]
     pub keep_s: f64,
     #[serde(default)]
@@ -78,15 +78,16 @@
             && (self.jobs.is_empty() || self.jobs.iter().any(|j| j == job.id))
     }
 
-    /// Replicas of a job of so many tasks while it is awake, and while nobody asks.
+    /// Replicas while the model is awake, for a job with this many tasks.
     pub fn awake_replicas(&self, tasks: u32) -> u32 {
         tasks.min(self.most.unwrap_or(tasks))
     }
+    /// Replicas without demand, for a job with this many tasks.
     pub fn resting_replicas(&self, tasks: u32) -> u32 {
         self.least.min(self.awake_replicas(tasks))
     }
 
-    /// Whether no job is left for a later rule that this one does not fit.
+    /// Whether this rule matches every job that the later rule matches.
     fn shadows(&self, later: &Rule) -> bool {
         let covers = |own: &Option<String>, later: &Option<String>| own.is_none() || own == later;
         let covers_ids = self.jobs.is_empty()
@@ -95,7 +96,7 @@
     }
 }
 
-/// What of a standing job decides whether it is a model.
+/// The properties of a `standing` job that decide which rule it belongs to.
 #[derive(Debug, Clone, Copy)]
 pub struct Job<'a> {
     pub id: &'a str,
@@ -116,11 +117,14 @@
         self.rules.iter().find(|r| r.matches_job(job))
     }
 
-    /// All that is wrong with the document; `teams` are those of the settings, where they are known.
+    /// Validates the document and returns all faults. `teams` are those of the settings, if known.
     pub fn check(&self, teams: Option<&[String]>) -> Result<(), Vec<Fault>> {
         let mut faults = Faults::default();
         if self.rules.len() > MAX_RULES {
-            let what = format!("{} rules; at most {MAX_RULES}", self.rules.len());
+            let what = format!(
+                "{} rules; at most {MAX_RULES} are allowed",
+                self.rules.len()
+            );
             return Err(vec![Fault::whole(MODEL, what)]);
         }
         let teams: Option<BTreeSet<&str>> =
@@ -143,14 +147,14 @@
             for id in &rule.jobs {
                 if let Some(other) = ids.insert(id, i) {
                     let other = &self.rules[other].name;
-                    fault("jobs", format!("{id:?} is named already, by {other:?}"));
+                    fault("jobs", format!("{id:?} is already listed by {other:?}"));
                 }
             }
             if let Some(other) = self.rules[..i].iter().find(|r| r.shadows(rule)) {
                 fault(
                     "class",
                     format!(
-                        "never used: whatever fits it belongs to {:?} before it",
+                        "never used: every job that it matches belongs to {:?} before it",
                         other.name
                     ),
                 );
@@ -164,7 +168,7 @@
     const KIND: &'static str = "models";
     const NAME: &'static str = "list of models";
     type Part = Spec;
-    /// The teams of the settings, where they are known.
+    /// The teams of the settings, if known.
     type Context = Option<Vec<String>>;
     type Built = Spec;
 
@@ -202,7 +206,7 @@
     fn size(built: &Spec) -> String {
         format!("{} rules", built.rules.len())
     }
-    /// Rules of teams that have left the settings have no jobs.
+    /// Drops rules for teams that are no longer in the settings: they match no jobs.
     fn fitting(&self, teams: &Option<Vec<String>>) -> Spec {
         let applies = |r: &&Rule| match (&r.team, teams) {
             (Some(team), Some(teams)) => teams.contains(team),
@@ -221,13 +225,13 @@
         if !is_valid_name(&self.name) {
             fault(
                 "name",
-                format!("1 to {MAX_NAME} bytes, no control characters"),
+                format!("must be 1 to {MAX_NAME} bytes without control characters"),
             );
         }
         if self.class.as_deref().is_some_and(|c| !is_valid_name(c)) {
             fault(
                 "class",
-                format!("1 to {MAX_NAME} bytes, no control characters"),
+                format!("must be 1 to {MAX_NAME} bytes without control characters"),
             );
         }
         if let Some(team) = self
@@ -240,30 +244,30 @@
         if self.class.is_none() && self.team.is_none() && self.jobs.is_empty() {
             fault(
                 "class",
-                "a class, a team or jobs: otherwise every standing job would be a model".into(),
+                "set a class, a team or jobs: otherwise every standing job would be a model".into(),
             );
         }
         if self.jobs.len() > MAX_JOBS {
             fault(
                 "jobs",
-                format!("{} ids; at most {MAX_JOBS}", self.jobs.len()),
+                format!("{} ids; at most {MAX_JOBS} are allowed", self.jobs.len()),
             );
         }
         if let Some(id) = self.jobs.iter().find(|j| !is_valid_name(j)) {
-            fault("jobs", format!("{id:?} is no id"));
+            fault("jobs", format!("{id:?} is not a valid id"));
         }
         let most = self.most.unwrap_or(MAX_REPLICAS);
         if most == 0 || most > MAX_REPLICAS {
-            fault("most", format!("1 to {MAX_REPLICAS}"));
+            fault("most", format!("must be 1 to {MAX_REPLICAS}"));
         }
         if self.least > most {
             fault(
                 "least",
-                format!("{} is more than the most, {most}", self.least),
+                format!("{} is greater than `most`, {most}", self.least),
             );
         }
         if self.wakes == 0 || self.wakes > MAX_WAKES {
-            fault("wakes", format!("1 to {MAX_WAKES}"));
+            fault("wakes", format!("must be 1 to {MAX_WAKES}"));
         }
         let times = [
             ("idle_s", self.idle_s, 1.0, WEEK),
@@ -273,7 +277,10 @@
         ];
         for (field, value, from, to) in times {
             if !(from..=to).contains(&value) {
-                fault(field, format!("{value}; {from} to {to} seconds"));
+                fault(
+                    field,
+                    format!("must be from {from} to {to} seconds, is {value}"),
+                );
             }
         }
     }
--- a/crates/model/tests/rules.rs
+++ b/crates/model/tests/rules.rs
@@ -46,7 +46,7 @@
         (
             "least = 1",
             "least = 2\nmost = 1",
-            "line 11: model \"one\".least: 2 is more than the most, 1",
+            "line 11: model \"one\".least: 2 is greater than `most`, 1",
         ),
         ("most = 2", "most = 0", "model \"chat\".most"),
         ("wakes = 2", "wakes = 99", "model \"chat\".wakes"),
@@ -69,7 +69,7 @@
         (
             "jobs = [\"job-000001\"]",
             "jobs = [\"job-1\", \"job-1\"]",
-            "is named already",
+            "is already listed by",
         ),
         (
             "jobs = [\"job-000001\"]",
