--- a/crates/model/tests/rules.rs
+++ b/crates/model/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Documents that are refused, and what becomes of a model over time.
+//! Rejected documents, and the transitions of a model over time.
 
 use model::{Asked, Phase, Rec, Rule, Seen, Why, asked, file};
 
@@ -81,8 +81,7 @@
         let faults = faults_after(from, to);
         assert!(faults.contains(expected), "{to}: {faults}");
     }
-    let unknown =
-        file::parse(&DOC.replace("most = 2", "mots = 2")).expect_err("a field that there is not");
+    let unknown = file::parse(&DOC.replace("most = 2", "mots = 2")).expect_err("an unknown field");
     assert!(
         unknown[0].line == Some(6) && unknown[0].what.contains("mots"),
         "{unknown:?}"
@@ -112,7 +111,8 @@
     )
 }
 
-/// A day of a model: woken, idle, asleep, woken as often as it may be, and no more until the period is over.
+/// A model is woken, becomes idle, goes to sleep and is woken again up to its limit. Further demand is refused until
+/// the period is over.
 #[test]
 fn model_is_woken_at_most_wakes_times_per_period() {
     let rule = file::parse(DOC).expect("readable").spec.rules.remove(0);
@@ -125,25 +125,25 @@
     assert_eq!(next(&rec, &rule, 2000, (1, 0, 0)), None);
     rec = next(&rec, &rule, 3000, (2, 1, 0)).expect("a replica runs");
     assert_eq!((rec.phase, rec.near.len()), (Phase::Awake, 8));
-    // Quiet for long before it was awake counts no more than the time that it has been.
+    // Time without demand counts only from the moment at which the model became awake.
     assert_eq!(next(&rec, &rule, 4000, (2, 2, 500_000)), None);
     assert_eq!(
         next(&rec, &rule, 100_000, (2, 2, 74_000)),
         None,
-        "nodes say it again within a quarter"
+        "the owner waits a quarter longer than the idle time, within which nodes report demand again"
     );
     let touched = rec.touched(90_000).expect("awake");
     assert_eq!(
         next(&touched, &rule, 100_000, (2, 2, 90_000)),
         None,
-        "what the owner could not be told"
+        "demand that could not be reported to the owner"
     );
     rec = next(&rec, &rule, 100_000, (2, 2, 75_000)).expect("idle");
     assert_eq!((rec.phase, rec.replicas(&rule, 4)), (Phase::Leaving, 0));
     assert_eq!(
         next(&rec, &rule, 100_001, (1, 0, 0)),
         None,
-        "one may still be there"
+        "one replica may still run"
     );
     rec = next(&rec, &rule, 101_000, (0, 0, 0)).expect("proved gone");
     assert_eq!(rec.phase, Phase::Asleep);
--- a/crates/model/tests/search.rs
+++ b/crates/model/tests/search.rs
@@ -1,8 +1,8 @@
-//! The protocol of a wake, searched exhaustively in small: nodes that hear of demand, an owner that starts and stops,
-//! transactions that are lost, late or repeated, crashes with an immediate return, and take-overs in between.
+//! Exhaustive search of a small model of the wake protocol: nodes that receive demand, an owner that starts and stops
+//! replicas, transactions that are lost, late or repeated, crashes with an immediate restart, and changes of owner.
 //!
-//! The decisions are the package's own; the world around them is as small as it can be: a record with a stamp, a
-//! counter of tokens, and replicas that are claimed under the owner's token.
+//! The decisions are those of the package. The environment is minimal: a record with a version (its stamp), a counter
+//! of owner tokens, and replicas that are claimed under the owner's token.
 
 use model::{Asked, Phase, Rec, Rule, Seen, asked};
 use std::collections::{HashSet, VecDeque};
@@ -10,31 +10,31 @@
 const NOW_MS: u64 = 1_000_000_000;
 const TASKS: u32 = 1;
 const MAX_GENERATIONS: usize = 2;
-/// Transactions that may be under way at once, and crashes.
+/// Maximum number of transactions in flight at once.
 const MAX_IN_FLIGHT: usize = 2;
 const MAX_CRASHES: u8 = 1;
 
-/// A guard that is taken out on purpose.
+/// A guard that is removed on purpose, to show that the search detects its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RemovedGuard {
     Nothing,
-    /// Records are written whatever stands there.
+    /// Records are written even if they have changed since they were read.
     RecordStamp,
-    /// An earlier owner's claims are recorded too.
+    /// Claims of a former owner are recorded too.
     OwnerToken,
-    /// It is asleep as soon as its replicas have been told to stop.
+    /// The model counts as asleep as soon as its replicas have been told to stop, before their end is proved.
     ProofOfExit,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Txn {
     stamp: u8,
-    /// The owner's writes are guarded by its token.
+    /// The owner's writes are conditional on its token.
     token: Option<u8>,
     rec: Stored,
 }
 
-/// A record without its times, which would never come round again.
+/// A record without its times, which would make every state unique.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Stored {
     phase: u8,
@@ -63,7 +63,7 @@
     }
 }
 
-/// What a node has read, and the token of its term if it owns the fleet as far as it knows.
+/// What a node has read, and the token of its term if it believes that it is the owner.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, PartialOrd, Ord)]
 struct Node {
     read: Option<(Stored, u8)>,
@@ -78,8 +78,9 @@
     nodes: Vec<Node>,
     in_flight: Vec<Txn>,
     crashes: u8,
-    /// Replicas that are claimed, of those the ones that were told to stop.
+    /// Claimed replicas.
     claimed: u32,
+    /// Claimed replicas that were told to stop.
     leaving: u32,
     started: [u8; MAX_GENERATIONS + 1],
     sleeps: u8,
@@ -109,7 +110,7 @@
         self
     }
 
-    /// A transaction comes to the state service.
+    /// Applies a transaction that reaches the state service.
     fn apply(&mut self, txn: &Txn, removed_guard: RemovedGuard) {
         let is_current = txn.stamp == self.stamp || removed_guard == RemovedGuard::RecordStamp;
         if !is_current || txn.token.is_some_and(|t| t != self.token) {
@@ -132,7 +133,7 @@
         self.stamp += 1;
     }
 
-    /// All that may happen next.
+    /// All possible successor states.
     fn next(&self, rule: &Rule, removed_guard: RemovedGuard) -> Vec<SystemState> {
         let mut out = Vec::new();
         let has_room = self.in_flight.len() < MAX_IN_FLIGHT;
@@ -142,7 +143,7 @@
             out.push(delivered.clone());
             delivered.apply(txn, removed_guard);
             out.push(delivered);
-            // It comes, and will come again.
+            // The transaction is applied and stays in flight: it will be repeated.
             let mut duplicated = self.clone();
             duplicated.apply(txn, removed_guard);
             out.push(duplicated);
@@ -167,7 +168,7 @@
             w
         };
         let node = &self.nodes[n];
-        // Reading, a crash with an immediate return, and a take-over.
+        // A read, a crash with an immediate restart, and a change of owner.
         out.push(changed(&|w| w.nodes[n].read = Some((w.rec, w.stamp))));
         if self.crashes < MAX_CRASHES {
             out.push(changed(&|w| {
@@ -244,7 +245,7 @@
         }
     }
 
-    /// From here on nothing is lost and nobody dies: whoever is asked has the model awake soon.
+    /// Whether demand gets the model awake within a few steps if nothing is lost and nothing crashes from here on.
     fn eventually_awake(&self, rule: &Rule) -> bool {
         let mut w = self.clone();
         w.in_flight.clear();
@@ -283,13 +284,13 @@
     }
 }
 
-/// All states that can be reached, up to a number; the first that breaks a rule.
+/// Visits the reachable states breadth-first, up to a number. Returns how many it saw and the first violation.
 fn search(
     nodes: usize,
     removed_guard: RemovedGuard,
     max_states: usize,
 ) -> (usize, Option<&'static str>) {
-    // Short enough that a sleep, and giving a wake up, may come at any time.
+    // Short times, so that going to sleep and giving up a wake are possible at any time.
     let rule = Rule {
         give_up_s: 50.0,
         ..Rule::new("m", 1.0)
@@ -297,7 +298,7 @@
     let mut seen: HashSet<SystemState> = HashSet::new();
     let mut queue: VecDeque<SystemState> = [SystemState::new(nodes)].into();
     while let Some(mut w) = queue.pop_front() {
-        // Nodes are alike but for what they know.
+        // Nodes that have the same knowledge are interchangeable.
         w.nodes.sort();
         if !seen.insert(w.clone()) {
             continue;
@@ -322,10 +323,10 @@
 #[test]
 fn each_generation_begins_once_despite_lost_late_or_repeated_transactions() {
     let (states, violation) = search(2, RemovedGuard::Nothing, 8_000_000);
-    println!("2 nodes: all of {states} states");
+    println!("2 nodes: all {states} states visited");
     assert_eq!(violation, None);
     assert!((100_000..8_000_000).contains(&states), "{states} states");
-    // Too many to see them all: those that are reached in the fewest steps.
+    // Three nodes have too many states: only those reached in the fewest steps are visited.
     assert_eq!(search(3, RemovedGuard::Nothing, 200_000).1, None);
 }
 
@@ -340,7 +341,7 @@
         println!("{removed_guard:?}: {violation:?} after {states} states");
         assert!(
             violation.is_some(),
-            "{removed_guard:?} was not noticed in {states} states"
+            "removal of {removed_guard:?} was not detected in {states} states"
         );
     }
 }
