--- a/crates/dependency/src/cancellation.rs
+++ b/crates/dependency/src/cancellation.rs
@@ -176,7 +176,7 @@
         node.state = JobState::Cancelled;
         node.cancellation_pending = true;
         node.drop_inheritance();
-        while let Some(last) = self.node(job).needs.len().checked_sub(1) {
+        while let Some(last) = self.node(job).dependencies.len().checked_sub(1) {
             self.steps.cancellation += 1;
             self.unlink(job, last);
         }
--- a/crates/dependency/src/error.rs
+++ b/crates/dependency/src/error.rs
@@ -20,25 +20,25 @@
 ///
 /// ```
 /// use dependency::{AddError, Graph, JobIndex, TimeMs, Urgency};
-/// let (job, need) = (JobIndex(0), JobIndex(1));
+/// let (job, dependency) = (JobIndex(0), JobIndex(1));
 /// let mut graph = Graph::new();
-/// let refusal = graph.add(job, &[need], TimeMs(0), Urgency::default());
-/// assert_eq!(refusal, Err(AddError::UnknownNeed { job, need }));
+/// let refusal = graph.add(job, &[dependency], TimeMs(0), Urgency::default());
+/// assert_eq!(refusal, Err(AddError::UnknownDependency { job, dependency }));
 /// let refusal = graph.add(job, &[job], TimeMs(0), Urgency::default());
-/// assert_eq!(refusal, Err(AddError::NeedsItself(job)));
+/// assert_eq!(refusal, Err(AddError::DependsOnItself(job)));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddError<I> {
     /// The index belongs to a job of the graph.
     AlreadyKnown(I),
     /// The job is in its own list.
-    NeedsItself(I),
+    DependsOnItself(I),
     /// The job needs one that the graph does not know.
-    UnknownNeed {
+    UnknownDependency {
         /// The job that was to be added.
         job: I,
         /// The first unknown job of its list.
-        need: I,
+        dependency: I,
     },
 }
 
@@ -98,9 +98,9 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::AlreadyKnown(job) => write!(f, "job {job:?} is known already"),
-            Self::NeedsItself(job) => write!(f, "job {job:?} needs itself"),
-            Self::UnknownNeed { job, need } => {
-                write!(f, "job {job:?} needs job {need:?}, which is unknown")
+            Self::DependsOnItself(job) => write!(f, "job {job:?} needs itself"),
+            Self::UnknownDependency { job, dependency } => {
+                write!(f, "job {job:?} needs job {dependency:?}, which is unknown")
             }
         }
     }
--- a/crates/dependency/src/graph.rs
+++ b/crates/dependency/src/graph.rs
@@ -18,7 +18,7 @@
 ///     Ok(JobState::Released { at: TimeMs(10) })
 /// );
 /// assert_eq!(graph.add(second, &[first], TimeMs(11), Urgency::default()), Ok(JobState::Waiting));
-/// assert!(graph.unfinished_needs(second).eq([first]));
+/// assert!(graph.unfinished_dependencies(second).eq([first]));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Graph<I> {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Adds a job that was accepted at `accepted` and needs the jobs `needs`, and says how it stands.
+    /// Adds a job that was accepted at `accepted` and needs the jobs `dependencies`, and says how it stands.
     ///
     /// Jobs that are named twice count once. Every job that is named has to be known, in whichever state: so each edge
     /// goes from an earlier job to a later one, and no cycle can be made. A job that names a cancelled one is cancelled
@@ -122,26 +122,26 @@
     pub fn add(
         &mut self,
         job: I,
-        needs: &[I],
+        dependencies: &[I],
         accepted: TimeMs,
         urgency: Urgency,
     ) -> Result<JobState, AddError<I>> {
-        self.check_new(job, needs)?;
-        let mut needs = needs.to_vec();
-        needs.sort_unstable();
-        needs.dedup();
-        self.steps.added += 1 + needs.len() as u64;
+        self.check_new(job, dependencies)?;
+        let mut dependencies = dependencies.to_vec();
+        dependencies.sort_unstable();
+        dependencies.dedup();
+        self.steps.added += 1 + dependencies.len() as u64;
 
         let order = self.next_order;
         self.next_order += 1;
-        let (state, latest_end) = self.initial_state(&needs, accepted);
+        let (state, latest_end) = self.initial_state(&dependencies, accepted);
         let inherited = Inherited::of(urgency, &Requirements::default());
         let node = Node {
             order,
             state,
             cancellation_pending: false,
             latest_end,
-            needs: Vec::new(),
+            dependencies: Vec::new(),
             dependents: Vec::new(),
             urgency,
             inherited,
@@ -150,31 +150,36 @@
         };
         self.nodes.insert(job.position(), node);
         if state == JobState::Waiting {
-            needs.retain(|&need| self.node(need).is_unfinished());
-            self.node_mut(job).needs.reserve_exact(needs.len());
-            for need in needs {
-                self.link(need, job);
+            dependencies.retain(|&dependency| self.node(dependency).is_unfinished());
+            self.node_mut(job)
+                .dependencies
+                .reserve_exact(dependencies.len());
+            for dependency in dependencies {
+                self.link(dependency, job);
             }
         }
         Ok(state)
     }
 
-    fn check_new(&self, job: I, needs: &[I]) -> Result<(), AddError<I>> {
+    fn check_new(&self, job: I, dependencies: &[I]) -> Result<(), AddError<I>> {
         if self.contains(job) {
             return Err(AddError::AlreadyKnown(job));
         }
-        if needs.contains(&job) {
-            return Err(AddError::NeedsItself(job));
+        if dependencies.contains(&job) {
+            return Err(AddError::DependsOnItself(job));
         }
-        match needs.iter().find(|&&need| !self.contains(need)) {
-            Some(&need) => Err(AddError::UnknownNeed { job, need }),
+        match dependencies
+            .iter()
+            .find(|&&dependency| !self.contains(dependency))
+        {
+            Some(&dependency) => Err(AddError::UnknownDependency { job, dependency }),
             None => Ok(()),
         }
     }
 
     /// The state of a job that is accepted now and needs these, and the latest of their ends so far.
-    fn initial_state(&self, needs: &[I], accepted: TimeMs) -> (JobState, TimeMs) {
-        let states = || needs.iter().map(|&need| self.node(need).state);
+    fn initial_state(&self, dependencies: &[I], accepted: TimeMs) -> (JobState, TimeMs) {
+        let states = || dependencies.iter().map(|&id| self.node(id).state);
         let ends = states().filter_map(|state| match state {
             JobState::Done { at } => Some(at),
             _ => None,
@@ -191,43 +196,43 @@
     }
 
     /// Makes the edge from a job to one that needs it.
-    fn link(&mut self, need: I, job: I) {
+    fn link(&mut self, dependency: I, job: I) {
         assert!(
-            self.node(need).order < self.node(job).order,
+            self.node(dependency).order < self.node(job).order,
             "an edge goes from an earlier job to a later one, so there is no cycle"
         );
-        let in_needs = self.node(job).needs.len();
-        let in_dependents = self.node(need).dependents.len();
-        self.node_mut(job).needs.push(Edge {
-            job: need,
+        let in_dependencies = self.node(job).dependencies.len();
+        let in_dependents = self.node(dependency).dependents.len();
+        self.node_mut(job).dependencies.push(Edge {
+            job: dependency,
             reverse: in_dependents,
         });
-        self.node_mut(need).dependents.push(Edge {
+        self.node_mut(dependency).dependents.push(Edge {
             job,
-            reverse: in_needs,
+            reverse: in_dependencies,
         });
         self.edges += 1;
         let requirement = self.node(job).requirement;
-        self.node_mut(need).requirements.insert(requirement);
-        self.mark_stale(need);
+        self.node_mut(dependency).requirements.insert(requirement);
+        self.mark_stale(dependency);
     }
 
     /// Removes the edge at a position of a job's list of needs, and what the job asks of the need.
     pub(crate) fn unlink(&mut self, job: I, position: usize) {
         let requirement = self.node(job).requirement;
-        let (edge, moved) = take_edge(&mut self.node_mut(job).needs, position);
+        let (edge, moved) = take_edge(&mut self.node_mut(job).dependencies, position);
         if let Some(moved) = moved {
             self.node_mut(moved.job).dependents[moved.reverse].reverse = position;
         }
-        let need = self.node_mut(edge.job);
-        let (back, moved) = take_edge(&mut need.dependents, edge.reverse);
+        let dependency = self.node_mut(edge.job);
+        let (back, moved) = take_edge(&mut dependency.dependents, edge.reverse);
         assert_eq!(back.job, job, "both ends of an edge name each other");
-        if need.is_unfinished() {
-            need.requirements.remove(requirement);
+        if dependency.is_unfinished() {
+            dependency.requirements.remove(requirement);
             self.mark_stale(edge.job);
         }
         if let Some(moved) = moved {
-            self.node_mut(moved.job).needs[moved.reverse].reverse = edge.reverse;
+            self.node_mut(moved.job).dependencies[moved.reverse].reverse = edge.reverse;
         }
         self.edges -= 1;
     }
@@ -257,7 +262,7 @@
             return Err(ForgetError::CancellationPending(job));
         }
         assert!(
-            node.needs.is_empty() && node.dependents.is_empty(),
+            node.dependencies.is_empty() && node.dependents.is_empty(),
             "an ended job has no edges"
         );
         self.nodes.remove(job.position());
@@ -288,13 +293,13 @@
     ///
     /// ```
     /// use dependency::{Graph, JobIndex};
-    /// assert_eq!(Graph::new().unfinished_needs(JobIndex(0)).count(), 0);
+    /// assert_eq!(Graph::new().unfinished_dependencies(JobIndex(0)).count(), 0);
     /// ```
-    pub fn unfinished_needs(&self, job: I) -> impl Iterator<Item = I> {
+    pub fn unfinished_dependencies(&self, job: I) -> impl Iterator<Item = I> {
         let edges = self
             .nodes
             .get(job.position())
-            .map_or(&[][..], |node| &node.needs[..]);
+            .map_or(&[][..], |node| &node.dependencies[..]);
         edges.iter().map(|edge| edge.job)
     }
 
--- a/crates/dependency/src/inheritance.rs
+++ b/crates/dependency/src/inheritance.rs
@@ -210,22 +210,22 @@
         let requirement = inherited.requirement(node.urgency.duration);
         let before = std::mem::replace(&mut node.inherited, inherited);
         if requirement != node.requirement {
-            self.propagate_to_needs(job, requirement);
+            self.propagate_to_dependencies(job, requirement);
         }
         inherited != before
     }
 
-    fn propagate_to_needs(&mut self, job: I, requirement: Requirement) {
+    fn propagate_to_dependencies(&mut self, job: I, requirement: Requirement) {
         let before = std::mem::replace(&mut self.node_mut(job).requirement, requirement);
-        for position in 0..self.node(job).needs.len() {
+        for position in 0..self.node(job).dependencies.len() {
             self.steps.inheritance += 1;
-            let need = self.node(job).needs[position].job;
-            let need_node = self.node_mut(need);
+            let dependency = self.node(job).dependencies[position].job;
+            let dependency_node = self.node_mut(dependency);
             // A cancelled one that a pending cancellation has still to leave inherits nothing.
-            if need_node.is_unfinished() {
-                need_node.requirements.remove(before);
-                need_node.requirements.insert(requirement);
-                self.mark_stale(need);
+            if dependency_node.is_unfinished() {
+                dependency_node.requirements.remove(before);
+                dependency_node.requirements.insert(requirement);
+                self.mark_stale(dependency);
             }
         }
     }
--- a/crates/dependency/src/node.rs
+++ b/crates/dependency/src/node.rs
@@ -25,7 +25,7 @@
     /// The latest end of the jobs that it needs, and no less than its own acceptance.
     pub(crate) latest_end: TimeMs,
     /// To the jobs that it needs and that are unfinished.
-    pub(crate) needs: Vec<Edge<I>>,
+    pub(crate) dependencies: Vec<Edge<I>>,
     /// To the unfinished jobs that need it.
     pub(crate) dependents: Vec<Edge<I>>,
     pub(crate) urgency: Urgency,
--- a/crates/dependency/src/release.rs
+++ b/crates/dependency/src/release.rs
@@ -52,17 +52,17 @@
         while let Some(&edge) = self.node(job).dependents.last() {
             self.steps.release += 1;
             self.unlink(edge.job, edge.reverse);
-            released.extend(self.need_ended(edge.job, at));
+            released.extend(self.dependency_finished(edge.job, at));
         }
         released.sort_unstable_by_key(|release| release.job);
         Ok(released)
     }
 
     /// A job that `job` needed ended and is off its list.
-    fn need_ended(&mut self, job: I, at: TimeMs) -> Option<Release<I>> {
+    fn dependency_finished(&mut self, job: I, at: TimeMs) -> Option<Release<I>> {
         let node = self.node_mut(job);
         node.latest_end = node.latest_end.max(at);
-        if !node.needs.is_empty() {
+        if !node.dependencies.is_empty() {
             return None;
         }
         let at = node.latest_end;
--- a/crates/dependency/tests/common/naive.rs
+++ b/crates/dependency/tests/common/naive.rs
@@ -7,7 +7,7 @@
 pub type Id = usize;
 
 struct Job {
-    needs: BTreeSet<Id>,
+    dependencies: BTreeSet<Id>,
     accepted: TimeMs,
     urgency: Urgency,
     end: Option<TimeMs>,
@@ -20,9 +20,9 @@
 }
 
 impl Naive {
-    pub fn add(&mut self, needs: BTreeSet<Id>, accepted: TimeMs, urgency: Urgency) -> Id {
+    pub fn add(&mut self, dependencies: BTreeSet<Id>, accepted: TimeMs, urgency: Urgency) -> Id {
         self.jobs.push(Job {
-            needs,
+            dependencies,
             accepted,
             urgency,
             end: None,
@@ -51,12 +51,13 @@
     fn states(&self) -> Vec<JobState> {
         let mut states: Vec<JobState> = Vec::new();
         for job in &self.jobs {
-            let needs = || job.needs.iter().map(|&need| states[need]);
-            let ends = needs().map(|state| match state {
+            let dependencies = || job.dependencies.iter().map(|&id| states[id]);
+            let ends = dependencies().map(|state| match state {
                 JobState::Done { at } => Some(at),
                 _ => None,
             });
-            let state = if job.cancelled_itself || needs().any(|state| state == JobState::Cancelled)
+            let state = if job.cancelled_itself
+                || dependencies().any(|state| state == JobState::Cancelled)
             {
                 JobState::Cancelled
             } else if let Some(at) = job.end {
@@ -83,7 +84,7 @@
 
     pub fn dependents(&self, id: Id) -> impl Iterator<Item = Id> {
         let jobs = self.jobs.iter().enumerate();
-        jobs.filter(move |(_, job)| job.needs.contains(&id))
+        jobs.filter(move |(_, job)| job.dependencies.contains(&id))
             .map(|(id, _)| id)
     }
 
@@ -94,12 +95,14 @@
         )
     }
 
-    pub fn unfinished_needs(&self, id: Id) -> BTreeSet<Id> {
+    pub fn unfinished_dependencies(&self, id: Id) -> BTreeSet<Id> {
         if !self.unfinished(id) {
             return BTreeSet::new();
         }
-        let needs = self.jobs[id].needs.iter().copied();
-        needs.filter(|&need| self.unfinished(need)).collect()
+        let dependencies = self.jobs[id].dependencies.iter().copied();
+        dependencies
+            .filter(|&dependency| self.unfinished(dependency))
+            .collect()
     }
 
     /// By the definition: over all paths below the job.
--- a/crates/dependency/tests/memory.rs
+++ b/crates/dependency/tests/memory.rs
@@ -115,10 +115,10 @@
     let mut graph = Graph::new();
     let mut most = 0;
     for number in 0..LONG {
-        let need = number.checked_sub(1).map(JobIndex);
-        let needs: Vec<_> = need.into_iter().collect();
+        let dependency = number.checked_sub(1).map(JobIndex);
+        let dependencies: Vec<_> = dependency.into_iter().collect();
         graph
-            .add(JobIndex(number), &needs, TimeMs(0), urgency(number))
+            .add(JobIndex(number), &dependencies, TimeMs(0), urgency(number))
             .unwrap();
         let Some(oldest) = number.checked_sub(WINDOW).map(JobIndex) else {
             continue;
--- a/crates/dependency/tests/model.rs
+++ b/crates/dependency/tests/model.rs
@@ -15,7 +15,7 @@
 enum Call {
     Add {
         index: Pick,
-        needs: Vec<Pick>,
+        dependencies: Vec<Pick>,
         accepted: i64,
         urgency: Urgency,
     },
@@ -56,7 +56,7 @@
 fn calls() -> impl Strategy<Value = Call> {
     prop_oneof![
         8 => (picks(), proptest::collection::vec(picks(), 0..5), 0..100_i64, urgencies())
-            .prop_map(|(index, needs, accepted, urgency)| Call::Add { index, needs, accepted, urgency }),
+            .prop_map(|(index, dependencies, accepted, urgency)| Call::Add { index, dependencies, accepted, urgency }),
         1 => (picks(), 0..100_i64).prop_map(|(job, at)| Call::Finish(job, at)),
         4 => (any::<usize>(), 0..100_i64).prop_map(|(job, at)| Call::FinishReleased(job, at)),
         2 => picks().prop_map(Call::Cancel),
@@ -118,12 +118,15 @@
         match call {
             Call::Add {
                 index,
-                needs,
+                dependencies,
                 accepted,
                 urgency,
             } => {
-                let needs: Vec<_> = needs.iter().map(|need| self.known(need)).collect();
-                self.add(self.free(index), &needs, TimeMs(*accepted), *urgency);
+                let dependencies: Vec<_> = dependencies
+                    .iter()
+                    .map(|dependency| self.known(dependency))
+                    .collect();
+                self.add(self.free(index), &dependencies, TimeMs(*accepted), *urgency);
             }
             Call::Finish(job, at) => self.finish(self.known(job), TimeMs(*at)),
             Call::FinishReleased(number, at) => {
@@ -149,20 +152,34 @@
         }
     }
 
-    fn add(&mut self, job: JobIndex, needs: &[JobIndex], accepted: TimeMs, urgency: Urgency) {
-        let answer = self.graph.add(job, needs, accepted, urgency);
+    fn add(
+        &mut self,
+        job: JobIndex,
+        dependencies: &[JobIndex],
+        accepted: TimeMs,
+        urgency: Urgency,
+    ) {
+        let answer = self.graph.add(job, dependencies, accepted, urgency);
         if self.ids.contains_key(&job) {
             return assert_eq!(answer, Err(AddError::AlreadyKnown(job)));
         }
-        if needs.contains(&job) {
-            return assert_eq!(answer, Err(AddError::NeedsItself(job)));
+        if dependencies.contains(&job) {
+            return assert_eq!(answer, Err(AddError::DependsOnItself(job)));
         }
-        if let Some(&need) = needs.iter().find(|need| !self.ids.contains_key(need)) {
-            return assert_eq!(answer, Err(AddError::UnknownNeed { job, need }));
+        if let Some(&dependency) = dependencies
+            .iter()
+            .find(|dependency| !self.ids.contains_key(dependency))
+        {
+            return assert_eq!(answer, Err(AddError::UnknownDependency { job, dependency }));
         }
-        let needs: BTreeSet<Id> = needs.iter().map(|need| self.ids[need]).collect();
-        let below_told = needs.iter().any(|need| self.told.contains(need));
-        let id = self.naive.add(needs, accepted, urgency);
+        let dependencies: BTreeSet<Id> = dependencies
+            .iter()
+            .map(|dependency| self.ids[dependency])
+            .collect();
+        let below_told = dependencies
+            .iter()
+            .any(|dependency| self.told.contains(dependency));
+        let id = self.naive.add(dependencies, accepted, urgency);
         self.ids.insert(job, id);
         match self.naive.state(id) {
             JobState::Cancelled if below_told => {
@@ -335,20 +352,20 @@
                 self.naive.inherited(id),
                 "{job:?}"
             );
-            let needs: BTreeSet<_> = self
+            let dependencies: BTreeSet<_> = self
                 .graph
-                .unfinished_needs(job)
-                .map(|need| self.ids[&need])
+                .unfinished_dependencies(job)
+                .map(|dependency| self.ids[&dependency])
                 .collect();
-            assert_eq!(needs, self.naive.unfinished_needs(id));
-            for need in self.graph.unfinished_needs(job) {
+            assert_eq!(dependencies, self.naive.unfinished_dependencies(id));
+            for dependency in self.graph.unfinished_dependencies(job) {
                 let back = self
                     .graph
-                    .dependents(need)
+                    .dependents(dependency)
                     .filter(|&dependent| dependent == job);
                 assert_eq!(back.count(), 1, "both ends of an edge are there");
             }
-            edges += needs.len();
+            edges += dependencies.len();
         }
         assert_eq!(self.graph.edges(), edges);
     }
--- a/crates/dependency/tests/rules.rs
+++ b/crates/dependency/tests/rules.rs
@@ -45,9 +45,12 @@
     let mut graph = Graph::new();
     assert_eq!(
         graph.add(A, &[A], TimeMs(0), plain()),
-        Err(AddError::NeedsItself(A))
+        Err(AddError::DependsOnItself(A))
     );
-    let unknown = AddError::UnknownNeed { job: A, need: B };
+    let unknown = AddError::UnknownDependency {
+        job: A,
+        dependency: B,
+    };
     assert_eq!(graph.add(A, &[B], TimeMs(0), plain()), Err(unknown));
     assert!(graph.is_empty() && graph.edges() == 0);
     graph.add(A, &[], TimeMs(0), plain()).unwrap();
@@ -57,7 +60,10 @@
         Err(AddError::AlreadyKnown(A)),
         "a job's list can't be made longer afterwards"
     );
-    let partly = AddError::UnknownNeed { job: C, need: D };
+    let partly = AddError::UnknownDependency {
+        job: C,
+        dependency: D,
+    };
     assert_eq!(graph.add(C, &[A, D], TimeMs(0), plain()), Err(partly));
     assert_eq!((graph.len(), graph.edges()), (2, 1));
     assert_eq!(graph.dependents(A).collect::<Vec<_>>(), [B]);
@@ -94,7 +100,7 @@
     assert_eq!(graph.finish(A, TimeMs(10)), Ok(both));
     assert_eq!(graph.finish(C, TimeMs(70)), Ok(vec![]));
     assert_eq!(graph.state(D), Some(JobState::Waiting));
-    assert_eq!(graph.unfinished_needs(D).collect::<Vec<_>>(), [B]);
+    assert_eq!(graph.unfinished_dependencies(D).collect::<Vec<_>>(), [B]);
     let again = FinishError::AlreadyDone {
         job: C,
         at: TimeMs(70),
@@ -382,7 +388,11 @@
 #[test]
 fn refusals_name_the_job() {
     let texts = [
-        AddError::UnknownNeed { job: A, need: B }.to_string(),
+        AddError::UnknownDependency {
+            job: A,
+            dependency: B,
+        }
+        .to_string(),
         FinishError::NotReleased(C).to_string(),
         ForgetError::CancellationPending(D).to_string(),
         UnknownJob(A).to_string(),
--- a/crates/dependency/tests/scale.rs
+++ b/crates/dependency/tests/scale.rs
@@ -58,7 +58,11 @@
 }
 
 /// Cancels in batches and returns the jobs, their number bounded in each call, and all steps.
-fn cancel_all(graph: &mut Graph<JobIndex>, job: JobIndex, most_needs: u64) -> (Vec<JobIndex>, u64) {
+fn cancel_all(
+    graph: &mut Graph<JobIndex>,
+    job: JobIndex,
+    max_dependencies: u64,
+) -> (Vec<JobIndex>, u64) {
     let mut all = Vec::new();
     let (outcome, first) = steps_of(graph, |graph| graph.cancel(job));
     assert_eq!(outcome, Ok(CancelOutcome::Cancelled));
@@ -66,7 +70,7 @@
     loop {
         let (step, steps) = steps_of(graph, |graph| graph.continue_cancellation(BATCH));
         assert!(step.cancelled.len() <= BATCH);
-        let bound = BATCH as u64 * (2 + most_needs);
+        let bound = BATCH as u64 * (2 + max_dependencies);
         assert!(steps.cancellation <= bound, "{steps:?}");
         assert_eq!((steps.release, steps.inheritance), (0, 0));
         total += steps.cancellation;
@@ -81,9 +85,9 @@
     let mut graph = Graph::new();
     graph.add(JobIndex(0), &[], TimeMs(0), lasting(1)).unwrap();
     for number in 1..CHAIN {
-        let need = JobIndex(number - 1);
+        let dependency = JobIndex(number - 1);
         graph
-            .add(JobIndex(number), &[need], TimeMs(0), lasting(1))
+            .add(JobIndex(number), &[dependency], TimeMs(0), lasting(1))
             .unwrap();
     }
     graph
@@ -215,12 +219,12 @@
 #[test]
 fn a_wide_fan_in() {
     let last = JobIndex(FAN);
-    let needs: Vec<_> = (0..FAN).map(JobIndex).collect();
+    let dependencies: Vec<_> = (0..FAN).map(JobIndex).collect();
     let mut graph = Graph::new();
-    for &need in &needs {
-        graph.add(need, &[], TimeMs(0), lasting(1)).unwrap();
+    for &dependency in &dependencies {
+        graph.add(dependency, &[], TimeMs(0), lasting(1)).unwrap();
     }
-    graph.add(last, &needs, TimeMs(0), due(500)).unwrap();
+    graph.add(last, &dependencies, TimeMs(0), due(500)).unwrap();
     let steps = settle(&mut graph);
     assert!(
         steps <= u64::from(FAN),
@@ -229,14 +233,18 @@
     graph.set_urgency(last, due(400)).unwrap();
     let steps = settle(&mut graph);
     assert!(steps <= u64::from(2 * FAN) + 1, "{steps}");
-    for &need in &needs {
+    for &dependency in &dependencies {
         assert_eq!(
-            graph.inherited(need).expect("unfinished").latest_finish,
+            graph
+                .inherited(dependency)
+                .expect("unfinished")
+                .latest_finish,
             Some(TimeMs(399))
         );
-        let (released, steps) =
-            steps_of(&mut graph, |graph| graph.finish(need, TimeMs(9)).unwrap());
-        assert_eq!(released.len(), usize::from(need.0 == FAN - 1));
+        let (released, steps) = steps_of(&mut graph, |graph| {
+            graph.finish(dependency, TimeMs(9)).unwrap()
+        });
+        assert_eq!(released.len(), usize::from(dependency.0 == FAN - 1));
         assert!(steps.release <= 2, "{steps:?}");
         assert_eq!(steps.inheritance, 0);
     }
@@ -252,9 +260,11 @@
 fn layered() -> Graph<JobIndex> {
     let mut graph = Graph::new();
     for number in 0..LAYERS {
-        let needs = number.checked_sub(1).map(layer).unwrap_or_default();
+        let dependencies = number.checked_sub(1).map(layer).unwrap_or_default();
         for job in layer(number) {
-            graph.add(job, &needs, TimeMs(0), lasting(1)).unwrap();
+            graph
+                .add(job, &dependencies, TimeMs(0), lasting(1))
+                .unwrap();
         }
     }
     assert_eq!(graph.edges() as u64, LAYERED_EDGES);
