--- a/crates/dependency/src/cancellation.rs
+++ b/crates/dependency/src/cancellation.rs
@@ -112,17 +112,17 @@
             let Some(traversal) = self.traversals.front() else {
                 break;
             };
-            let Some(&above) = traversal.frontier.front() else {
+            let Some(&nearest) = traversal.frontier.front() else {
                 completed.extend(self.complete_traversal());
                 continue;
             };
             visits -= 1;
-            match self.node(above).dependents.last() {
+            match self.node(nearest).dependents.last() {
                 Some(&edge) => {
-                    self.cancel_below(edge.job);
+                    self.cancel_dependent(edge.job);
                     cancelled.push(edge.job);
                 }
-                None => self.remove_from_frontier(above),
+                None => self.remove_from_frontier(nearest),
             }
         }
         CancellationStep {
@@ -133,7 +133,7 @@
     }
 
     /// Cancels a job that a traversal has reached.
-    fn cancel_below(&mut self, job: I) {
+    fn cancel_dependent(&mut self, job: I) {
         self.mark_cancelled(job);
         let traversal = self
             .traversals
@@ -175,7 +175,7 @@
         );
         node.state = JobState::Cancelled;
         node.cancellation_pending = true;
-        node.drop_inheritance();
+        node.clear_requirements();
         while let Some(last) = self.node(job).dependencies.len().checked_sub(1) {
             self.steps.cancellation += 1;
             self.unlink(job, last);
--- a/crates/dependency/src/inheritance.rs
+++ b/crates/dependency/src/inheritance.rs
@@ -191,7 +191,7 @@
             let Some((_, job)) = self.stale.pop_last() else {
                 break;
             };
-            if self.compute(job) {
+            if self.recompute(job) {
                 changed.push(job);
             }
         }
@@ -203,7 +203,7 @@
 
     /// Computes what a job inherits, tells those that it needs if it asks something else of them, and says whether it
     /// inherits something else.
-    fn compute(&mut self, job: I) -> bool {
+    fn recompute(&mut self, job: I) -> bool {
         self.steps.inheritance += 1;
         let node = self.node_mut(job);
         let inherited = Inherited::of(node.urgency, &node.requirements);
--- a/crates/dependency/src/node.rs
+++ b/crates/dependency/src/node.rs
@@ -43,7 +43,7 @@
     }
 
     /// Frees what only an unfinished job has.
-    pub(crate) fn drop_inheritance(&mut self) {
+    pub(crate) fn clear_requirements(&mut self) {
         self.requirements = Requirements::default();
     }
 }
--- a/crates/dependency/src/release.rs
+++ b/crates/dependency/src/release.rs
@@ -46,7 +46,7 @@
         self.clear_stale(job);
         let node = self.node_mut(job);
         node.state = JobState::Done { at };
-        node.drop_inheritance();
+        node.clear_requirements();
 
         let mut released = Vec::new();
         while let Some(&edge) = self.node(job).dependents.last() {
--- a/crates/dependency/src/table.rs
+++ b/crates/dependency/src/table.rs
@@ -49,11 +49,11 @@
 
     /// Fills a free position.
     pub(crate) fn insert(&mut self, position: usize, entry: T) {
-        let number = position / PAGE_SIZE;
-        if number >= self.pages.len() {
-            self.pages.resize_with(number + 1, || None);
+        let page_index = position / PAGE_SIZE;
+        if page_index >= self.pages.len() {
+            self.pages.resize_with(page_index + 1, || None);
         }
-        let page = self.pages[number].get_or_insert_with(Page::new);
+        let page = self.pages[page_index].get_or_insert_with(Page::new);
         let before = page.entries[position % PAGE_SIZE].replace(Box::new(entry));
         assert!(before.is_none(), "the position is free");
         page.used += 1;
@@ -62,8 +62,8 @@
 
     /// Frees a position, the page with its last entry, and the pages at the end that are empty.
     pub(crate) fn remove(&mut self, position: usize) {
-        let number = position / PAGE_SIZE;
-        let Some(Some(page)) = self.pages.get_mut(number) else {
+        let page_index = position / PAGE_SIZE;
+        let Some(Some(page)) = self.pages.get_mut(page_index) else {
             return;
         };
         if page.entries[position % PAGE_SIZE].take().is_none() {
@@ -72,12 +72,12 @@
         page.used -= 1;
         self.len -= 1;
         if page.used == 0 {
-            self.pages[number] = None;
-            self.drop_last_pages();
+            self.pages[page_index] = None;
+            self.free_trailing_pages();
         }
     }
 
-    fn drop_last_pages(&mut self) {
+    fn free_trailing_pages(&mut self) {
         while let Some(None) = self.pages.last() {
             self.pages.pop();
         }
