--- a/crates/dependency/tests/common/naive.rs
+++ b/crates/dependency/tests/common/naive.rs
@@ -15,11 +15,11 @@
 }
 
 #[derive(Default)]
-pub struct Naive {
+pub struct ReferenceModel {
     jobs: Vec<Job>,
 }
 
-impl Naive {
+impl ReferenceModel {
     pub fn add(&mut self, dependencies: BTreeSet<Id>, accepted: TimeMs, urgency: Urgency) -> Id {
         self.jobs.push(Job {
             dependencies,
@@ -88,7 +88,7 @@
             .map(|(id, _)| id)
     }
 
-    fn unfinished(&self, id: Id) -> bool {
+    fn is_unfinished(&self, id: Id) -> bool {
         matches!(
             self.state(id),
             JobState::Waiting | JobState::Released { .. }
@@ -96,23 +96,23 @@
     }
 
     pub fn unfinished_dependencies(&self, id: Id) -> BTreeSet<Id> {
-        if !self.unfinished(id) {
+        if !self.is_unfinished(id) {
             return BTreeSet::new();
         }
         let dependencies = self.jobs[id].dependencies.iter().copied();
         dependencies
-            .filter(|&dependency| self.unfinished(dependency))
+            .filter(|&dependency| self.is_unfinished(dependency))
             .collect()
     }
 
     /// By the definition: over all paths below the job.
     pub fn inherited(&self, id: Id) -> Option<Inherited> {
         let states = self.states();
-        let unfinished =
+        let is_unfinished =
             |id: Id| matches!(states[id], JobState::Waiting | JobState::Released { .. });
         // Later jobs first, so that those that need a job are there before it.
         let mut inherited: Vec<Option<Inherited>> = vec![None; self.jobs.len()];
-        for id in (0..self.jobs.len()).rev().filter(|&id| unfinished(id)) {
+        for id in (0..self.jobs.len()).rev().filter(|&id| is_unfinished(id)) {
             let own = self.jobs[id].urgency;
             let mut best = Inherited {
                 priority: own.priority,
@@ -120,7 +120,7 @@
             };
             for dependent in self
                 .dependents(id)
-                .filter(|&dependent| unfinished(dependent))
+                .filter(|&dependent| is_unfinished(dependent))
             {
                 let below = inherited[dependent].expect("an unfinished job that comes later");
                 let duration = self.jobs[dependent].urgency.duration.0 as i64;
--- a/crates/dependency/tests/memory.rs
+++ b/crates/dependency/tests/memory.rs
@@ -7,11 +7,11 @@
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-struct Counting;
+struct CountingAllocator;
 
 static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
 
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATED.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
@@ -24,12 +24,12 @@
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 /// What is allocated now and was not before.
-struct Since(usize);
+struct AllocatedSince(usize);
 
-impl Since {
+impl AllocatedSince {
     fn now() -> Self {
         Self(ALLOCATED.load(Ordering::Relaxed))
     }
@@ -40,13 +40,13 @@
 }
 
 /// Of an empty graph that was large.
-const EMPTY_BYTES: usize = 4 * 1024;
+const MAX_EMPTY_BYTES: usize = 4 * 1024;
 /// Of each job with one edge.
-const JOB_BYTES: usize = 1_024;
+const MAX_JOB_BYTES: usize = 1_024;
 const EDGES: u32 = 100_000;
-const FAN: u32 = 10_000;
+const FAN_SIZE: u32 = 10_000;
 const WINDOW: u32 = 100;
-const LONG: u32 = 300_000;
+const LONG_RUN: u32 = 300_000;
 
 fn urgency(number: u32) -> Urgency {
     Urgency {
@@ -58,25 +58,27 @@
 
 /// Each of ten jobs is needed by each of 10,000.
 fn bipartite() -> Graph<JobIndex> {
-    let above: Vec<_> = (0..EDGES / FAN).map(JobIndex).collect();
+    let dependencies: Vec<_> = (0..EDGES / FAN_SIZE).map(JobIndex).collect();
     let mut graph = Graph::new();
-    for &job in &above {
+    for &job in &dependencies {
         graph.add(job, &[], TimeMs(0), urgency(0)).unwrap();
     }
-    for number in 0..FAN {
-        let job = JobIndex(above.len() as u32 + number);
-        graph.add(job, &above, TimeMs(0), urgency(number)).unwrap();
+    for number in 0..FAN_SIZE {
+        let job = JobIndex(dependencies.len() as u32 + number);
+        graph
+            .add(job, &dependencies, TimeMs(0), urgency(number))
+            .unwrap();
     }
     assert_eq!(graph.edges(), EDGES as usize);
     graph
 }
 
 fn all_jobs() -> impl Iterator<Item = JobIndex> {
-    (0..EDGES / FAN + FAN).map(JobIndex)
+    (0..EDGES / FAN_SIZE + FAN_SIZE).map(JobIndex)
 }
 
 fn ended_jobs_are_freed() {
-    let since = Since::now();
+    let since = AllocatedSince::now();
     let mut graph = bipartite();
     let full = since.bytes();
     assert!(full > EDGES as usize * 8, "the allocator counts: {full}");
@@ -92,13 +94,13 @@
         graph.forget(job).unwrap();
     }
     let empty = since.bytes();
-    assert!(empty <= EMPTY_BYTES, "{empty} of {full}");
+    assert!(empty <= MAX_EMPTY_BYTES, "{empty} of {full}");
 }
 
 fn cancelled_jobs_are_freed() {
-    let since = Since::now();
+    let since = AllocatedSince::now();
     let mut graph = bipartite();
-    for job in (0..EDGES / FAN).map(JobIndex) {
+    for job in (0..EDGES / FAN_SIZE).map(JobIndex) {
         graph.cancel(job).unwrap();
     }
     while graph.continue_cancellation(5).pending {}
@@ -106,15 +108,15 @@
         graph.forget(job).unwrap();
     }
     let empty = since.bytes();
-    assert!(empty <= EMPTY_BYTES, "{empty}");
+    assert!(empty <= MAX_EMPTY_BYTES, "{empty}");
 }
 
 /// Jobs that come and go, with indices that only grow and nobody who asks for inheritance.
-fn a_long_run_is_bounded() {
-    let since = Since::now();
+fn long_run_uses_bounded_memory() {
+    let since = AllocatedSince::now();
     let mut graph = Graph::new();
-    let mut most = 0;
-    for number in 0..LONG {
+    let mut peak_bytes = 0;
+    for number in 0..LONG_RUN {
         let dependency = number.checked_sub(1).map(JobIndex);
         let dependencies: Vec<_> = dependency.into_iter().collect();
         graph
@@ -125,10 +127,13 @@
         };
         graph.finish(oldest, TimeMs(1)).unwrap();
         graph.forget(oldest).unwrap();
-        most = most.max(since.bytes());
+        peak_bytes = peak_bytes.max(since.bytes());
     }
-    let table = LONG as usize / 64 * 2 * size_of::<[usize; 3]>();
-    assert!(most <= WINDOW as usize * JOB_BYTES + table, "{most}");
+    let table = LONG_RUN as usize / 64 * 2 * size_of::<[usize; 3]>();
+    assert!(
+        peak_bytes <= WINDOW as usize * MAX_JOB_BYTES + table,
+        "{peak_bytes}"
+    );
     assert_eq!(graph.len(), WINDOW as usize);
 }
 
@@ -136,5 +141,5 @@
 fn memory_is_freed() {
     ended_jobs_are_freed();
     cancelled_jobs_are_freed();
-    a_long_run_is_bounded();
+    long_run_uses_bounded_memory();
 }
--- a/crates/dependency/tests/model.rs
+++ b/crates/dependency/tests/model.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::naive::{Id, Naive};
+use common::naive::{Id, ReferenceModel};
 use dependency::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,14 +31,14 @@
 #[derive(Clone, Debug)]
 enum Pick {
     /// One of the known jobs (of the free indices, for a job that is added).
-    Fitting(usize),
+    Valid(usize),
     /// Any index, to be refused now and then.
     Any(u32),
 }
 
 fn picks() -> impl Strategy<Value = Pick> {
     prop_oneof![
-        15 => any::<usize>().prop_map(Pick::Fitting),
+        15 => any::<usize>().prop_map(Pick::Valid),
         1 => (0..INDICES).prop_map(Pick::Any),
     ]
 }
@@ -68,48 +68,48 @@
 }
 
 /// The graph beside the model.
-struct Pair {
+struct GraphAndModel {
     graph: Graph<JobIndex>,
-    naive: Naive,
+    model: ReferenceModel,
     /// Which job of the model has the index now.
     ids: BTreeMap<JobIndex, Id>,
     /// Jobs that the graph has said to be cancelled.
-    told: BTreeSet<Id>,
+    reported_cancelled: BTreeSet<Id>,
     /// Cancellations that are not completed.
     pending_roots: BTreeSet<JobIndex>,
 }
 
-impl Pair {
+impl GraphAndModel {
     fn new() -> Self {
         Self {
             graph: Graph::new(),
-            naive: Naive::default(),
+            model: ReferenceModel::default(),
             ids: BTreeMap::new(),
-            told: BTreeSet::new(),
+            reported_cancelled: BTreeSet::new(),
             pending_roots: BTreeSet::new(),
         }
     }
 
-    fn known(&self, pick: &Pick) -> JobIndex {
+    fn pick_known(&self, pick: &Pick) -> JobIndex {
         match *pick {
-            Pick::Fitting(number) if !self.ids.is_empty() => *self
+            Pick::Valid(number) if !self.ids.is_empty() => *self
                 .ids
                 .keys()
                 .nth(number % self.ids.len())
                 .expect("a known job"),
-            Pick::Fitting(number) => JobIndex(number as u32 % INDICES),
+            Pick::Valid(number) => JobIndex(number as u32 % INDICES),
             Pick::Any(index) => JobIndex(index),
         }
     }
 
-    fn free(&self, pick: &Pick) -> JobIndex {
+    fn pick_free(&self, pick: &Pick) -> JobIndex {
         let free: Vec<_> = (0..INDICES)
             .map(JobIndex)
             .filter(|index| !self.ids.contains_key(index))
             .collect();
         match *pick {
-            Pick::Fitting(number) if !free.is_empty() => free[number % free.len()],
-            Pick::Fitting(number) => JobIndex(number as u32 % INDICES),
+            Pick::Valid(number) if !free.is_empty() => free[number % free.len()],
+            Pick::Valid(number) => JobIndex(number as u32 % INDICES),
             Pick::Any(index) => JobIndex(index),
         }
     }
@@ -124,31 +124,36 @@
             } => {
                 let dependencies: Vec<_> = dependencies
                     .iter()
-                    .map(|dependency| self.known(dependency))
+                    .map(|dependency| self.pick_known(dependency))
                     .collect();
-                self.add(self.free(index), &dependencies, TimeMs(*accepted), *urgency);
+                self.add(
+                    self.pick_free(index),
+                    &dependencies,
+                    TimeMs(*accepted),
+                    *urgency,
+                );
             }
-            Call::Finish(job, at) => self.finish(self.known(job), TimeMs(*at)),
+            Call::Finish(job, at) => self.finish(self.pick_known(job), TimeMs(*at)),
             Call::FinishReleased(number, at) => {
                 let released: Vec<_> = self
                     .ids
                     .iter()
-                    .filter(|&(_, &id)| matches!(self.naive.state(id), JobState::Released { .. }))
+                    .filter(|&(_, &id)| matches!(self.model.state(id), JobState::Released { .. }))
                     .map(|(&index, _)| index)
                     .collect();
                 if !released.is_empty() {
                     self.finish(released[number % released.len()], TimeMs(*at));
                 }
             }
-            Call::Cancel(job) => self.cancel(self.known(job)),
+            Call::Cancel(job) => self.cancel(self.pick_known(job)),
             Call::ContinueCancellation(limit) => {
                 self.continue_cancellation(*limit);
             }
             Call::UpdateInheritance(limit) => {
                 self.update_inheritance(*limit);
             }
-            Call::SetUrgency(job, urgency) => self.set_urgency(self.known(job), *urgency),
-            Call::Forget(job) => self.forget(self.known(job)),
+            Call::SetUrgency(job, urgency) => self.set_urgency(self.pick_known(job), *urgency),
+            Call::Forget(job) => self.forget(self.pick_known(job)),
         }
     }
 
@@ -176,15 +181,15 @@
             .iter()
             .map(|dependency| self.ids[dependency])
             .collect();
-        let below_told = dependencies
+        let below_reported = dependencies
             .iter()
-            .any(|dependency| self.told.contains(dependency));
-        let id = self.naive.add(dependencies, accepted, urgency);
+            .any(|dependency| self.reported_cancelled.contains(dependency));
+        let id = self.model.add(dependencies, accepted, urgency);
         self.ids.insert(job, id);
-        match self.naive.state(id) {
-            JobState::Cancelled if below_told => {
+        match self.model.state(id) {
+            JobState::Cancelled if below_reported => {
                 assert_eq!(answer, Ok(JobState::Cancelled));
-                assert!(self.told.insert(id));
+                assert!(self.reported_cancelled.insert(id));
             }
             JobState::Cancelled => assert_eq!(answer, Ok(JobState::Waiting), "still to be reached"),
             state => assert_eq!(answer, Ok(state)),
@@ -196,8 +201,8 @@
         let Some(&id) = self.ids.get(&job) else {
             return assert_eq!(answer, Err(FinishError::Unknown(job)));
         };
-        match self.naive.state(id) {
-            JobState::Cancelled if self.told.contains(&id) => {
+        match self.model.state(id) {
+            JobState::Cancelled if self.reported_cancelled.contains(&id) => {
                 assert_eq!(answer, Err(FinishError::Cancelled(job)));
             }
             JobState::Cancelled | JobState::Waiting => {
@@ -208,13 +213,13 @@
                 let waiting: Vec<_> = self
                     .ids
                     .iter()
-                    .filter(|&(_, &id)| self.naive.state(id) == JobState::Waiting)
+                    .filter(|&(_, &id)| self.model.state(id) == JobState::Waiting)
                     .map(|(&index, &id)| (index, id))
                     .collect();
-                self.naive.finish(id, at);
+                self.model.finish(id, at);
                 let released: Vec<_> = waiting
                     .into_iter()
-                    .filter_map(|(job, id)| match self.naive.state(id) {
+                    .filter_map(|(job, id)| match self.model.state(id) {
                         JobState::Released { at } => Some(Release { job, at }),
                         _ => None,
                     })
@@ -229,15 +234,15 @@
         let Some(&id) = self.ids.get(&job) else {
             return assert_eq!(answer, Err(UnknownJob(job)));
         };
-        if let JobState::Done { at } = self.naive.state(id) {
+        if let JobState::Done { at } = self.model.state(id) {
             return assert_eq!(answer, Ok(CancelOutcome::AlreadyDone { at }));
         }
-        if self.told.contains(&id) {
+        if self.reported_cancelled.contains(&id) {
             return assert_eq!(answer, Ok(CancelOutcome::AlreadyCancelled));
         }
         assert_eq!(answer, Ok(CancelOutcome::Cancelled));
-        self.naive.cancel(id);
-        self.told.insert(id);
+        self.model.cancel(id);
+        self.reported_cancelled.insert(id);
         self.pending_roots.insert(job);
     }
 
@@ -247,19 +252,19 @@
         for job in step.cancelled {
             let id = self.ids[&job];
             assert_eq!(
-                self.naive.state(id),
+                self.model.state(id),
                 JobState::Cancelled,
                 "nothing else is cancelled"
             );
-            assert!(self.told.insert(id), "each job is told once");
+            assert!(self.reported_cancelled.insert(id), "each job is told once");
         }
         for root in step.completed {
             assert!(self.pending_roots.remove(&root));
         }
         assert_eq!(step.pending, !self.pending_roots.is_empty());
         if !step.pending {
-            let all: BTreeSet<_> = self.naive.cancelled().collect();
-            assert_eq!(self.told, all, "it has reached all");
+            let all: BTreeSet<_> = self.model.cancelled().collect();
+            assert_eq!(self.reported_cancelled, all, "it has reached all");
         }
         step.pending
     }
@@ -300,7 +305,7 @@
             return assert_eq!(answer, Err(UnknownJob(job)));
         };
         assert_eq!(answer, Ok(()));
-        self.naive.set_urgency(id, urgency);
+        self.model.set_urgency(id, urgency);
     }
 
     fn forget(&mut self, job: JobIndex) {
@@ -308,8 +313,8 @@
         let Some(&id) = self.ids.get(&job) else {
             return assert_eq!(answer, Err(ForgetError::Unknown(job)));
         };
-        let ended =
-            matches!(self.naive.state(id), JobState::Done { .. }) || self.told.contains(&id);
+        let ended = matches!(self.model.state(id), JobState::Done { .. })
+            || self.reported_cancelled.contains(&id);
         if !ended {
             return assert_eq!(answer, Err(ForgetError::Unfinished(job)));
         }
@@ -318,10 +323,10 @@
             return;
         }
         assert_eq!(answer, Ok(()));
-        if self.told.contains(&id) {
-            let mut below = self.naive.dependents(id);
+        if self.reported_cancelled.contains(&id) {
+            let mut below = self.model.dependents(id);
             assert!(
-                below.all(|job| self.told.contains(&job)),
+                below.all(|job| self.reported_cancelled.contains(&job)),
                 "a cancellation lost its way"
             );
         }
@@ -332,8 +337,8 @@
     fn check(&self) {
         assert_eq!(self.graph.len(), self.ids.len());
         for (&job, &id) in &self.ids {
-            let expected = match self.naive.state(id) {
-                JobState::Cancelled if !self.told.contains(&id) => JobState::Waiting,
+            let expected = match self.model.state(id) {
+                JobState::Cancelled if !self.reported_cancelled.contains(&id) => JobState::Waiting,
                 state => state,
             };
             assert_eq!(self.graph.state(job), Some(expected), "{job:?}");
@@ -349,7 +354,7 @@
         for (&job, &id) in &self.ids {
             assert_eq!(
                 self.graph.inherited(job),
-                self.naive.inherited(id),
+                self.model.inherited(id),
                 "{job:?}"
             );
             let dependencies: BTreeSet<_> = self
@@ -357,7 +362,7 @@
                 .unfinished_dependencies(job)
                 .map(|dependency| self.ids[&dependency])
                 .collect();
-            assert_eq!(dependencies, self.naive.unfinished_dependencies(id));
+            assert_eq!(dependencies, self.model.unfinished_dependencies(id));
             for dependency in self.graph.unfinished_dependencies(job) {
                 let back = self
                     .graph
@@ -371,9 +376,9 @@
     }
 
     /// Ends and forgets all, in an order in which that can be.
-    fn end_all(&mut self) {
+    fn finish_and_forget_all(&mut self) {
         while let Some(job) = self.ids.iter().find_map(|(&job, &id)| {
-            let released = matches!(self.naive.state(id), JobState::Released { .. });
+            let released = matches!(self.model.state(id), JobState::Released { .. });
             released.then_some(job)
         }) {
             self.finish(job, TimeMs(100));
@@ -397,16 +402,16 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_graph_agrees_with_the_model(history in proptest::collection::vec(calls(), 1..120)) {
-        let mut pair = Pair::new();
+    fn graph_agrees_with_reference_model(history in proptest::collection::vec(calls(), 1..120)) {
+        let mut both = GraphAndModel::new();
         for (number, call) in history.iter().enumerate() {
-            pair.call(call);
-            pair.check();
+            both.call(call);
+            both.check();
             if number % 40 == 39 {
-                pair.settle();
+                both.settle();
             }
         }
-        pair.settle();
-        pair.end_all();
+        both.settle();
+        both.finish_and_forget_all();
     }
 }
--- a/crates/dependency/tests/rules.rs
+++ b/crates/dependency/tests/rules.rs
@@ -7,31 +7,33 @@
 const C: JobIndex = JobIndex(2);
 const D: JobIndex = JobIndex(3);
 
-fn plain() -> Urgency {
+fn default_urgency() -> Urgency {
     Urgency::default()
 }
 
-fn lasting(ms: u64) -> Urgency {
+fn with_duration(ms: u64) -> Urgency {
     Urgency {
         duration: DurationMs(ms),
-        ..plain()
+        ..default_urgency()
     }
 }
 
-fn due(deadline: i64, duration: u64) -> Urgency {
+fn with_deadline(deadline: i64, duration: u64) -> Urgency {
     Urgency {
         deadline: Some(TimeMs(deadline)),
-        ..lasting(duration)
+        ..with_duration(duration)
     }
 }
 
 /// A, then B and C beside each other, then D.
 fn diamond() -> Graph<JobIndex> {
     let mut graph = Graph::new();
-    graph.add(A, &[], TimeMs(0), lasting(10)).unwrap();
-    graph.add(B, &[A], TimeMs(0), lasting(20)).unwrap();
-    graph.add(C, &[A], TimeMs(0), lasting(30)).unwrap();
-    graph.add(D, &[B, C], TimeMs(0), due(200, 40)).unwrap();
+    graph.add(A, &[], TimeMs(0), with_duration(10)).unwrap();
+    graph.add(B, &[A], TimeMs(0), with_duration(20)).unwrap();
+    graph.add(C, &[A], TimeMs(0), with_duration(30)).unwrap();
+    graph
+        .add(D, &[B, C], TimeMs(0), with_deadline(200, 40))
+        .unwrap();
     graph
 }
 
@@ -41,30 +43,36 @@
 
 /// A job can't need itself or one that comes later, so there is no cycle; what is refused changes nothing.
 #[test]
-fn cycles_cannot_be_made() {
+fn cycles_are_rejected() {
     let mut graph = Graph::new();
     assert_eq!(
-        graph.add(A, &[A], TimeMs(0), plain()),
+        graph.add(A, &[A], TimeMs(0), default_urgency()),
         Err(AddError::DependsOnItself(A))
     );
     let unknown = AddError::UnknownDependency {
         job: A,
         dependency: B,
     };
-    assert_eq!(graph.add(A, &[B], TimeMs(0), plain()), Err(unknown));
+    assert_eq!(
+        graph.add(A, &[B], TimeMs(0), default_urgency()),
+        Err(unknown)
+    );
     assert!(graph.is_empty() && graph.edges() == 0);
-    graph.add(A, &[], TimeMs(0), plain()).unwrap();
-    graph.add(B, &[A], TimeMs(0), plain()).unwrap();
+    graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+    graph.add(B, &[A], TimeMs(0), default_urgency()).unwrap();
     assert_eq!(
-        graph.add(A, &[B], TimeMs(0), plain()),
+        graph.add(A, &[B], TimeMs(0), default_urgency()),
         Err(AddError::AlreadyKnown(A)),
         "a job's list can't be made longer afterwards"
     );
-    let partly = AddError::UnknownDependency {
+    let unknown_second = AddError::UnknownDependency {
         job: C,
         dependency: D,
     };
-    assert_eq!(graph.add(C, &[A, D], TimeMs(0), plain()), Err(partly));
+    assert_eq!(
+        graph.add(C, &[A, D], TimeMs(0), default_urgency()),
+        Err(unknown_second)
+    );
     assert_eq!((graph.len(), graph.edges()), (2, 1));
     assert_eq!(graph.dependents(A).collect::<Vec<_>>(), [B]);
 }
@@ -72,8 +80,10 @@
 #[test]
 fn a_job_named_twice_counts_once() {
     let mut graph = Graph::new();
-    graph.add(A, &[], TimeMs(0), plain()).unwrap();
-    graph.add(B, &[A, A, A], TimeMs(0), plain()).unwrap();
+    graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+    graph
+        .add(B, &[A, A, A], TimeMs(0), default_urgency())
+        .unwrap();
     assert_eq!(graph.edges(), 1);
     let release = Release {
         job: B,
@@ -124,15 +134,15 @@
 
 /// A job that is submitted when all that it needs is over is released by its acceptance.
 #[test]
-fn submitted_after_the_ends() {
+fn job_added_after_its_dependencies_ended_is_released_at_acceptance() {
     let mut graph = Graph::new();
-    graph.add(A, &[], TimeMs(0), plain()).unwrap();
-    graph.add(B, &[], TimeMs(0), plain()).unwrap();
+    graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+    graph.add(B, &[], TimeMs(0), default_urgency()).unwrap();
     graph.finish(A, TimeMs(50)).unwrap();
-    let late = graph.add(C, &[A], TimeMs(80), plain());
+    let late = graph.add(C, &[A], TimeMs(80), default_urgency());
     assert_eq!(late, Ok(JobState::Released { at: TimeMs(80) }));
-    let between = graph.add(D, &[A, B], TimeMs(20), plain());
-    assert_eq!(between, Ok(JobState::Waiting));
+    let waiting = graph.add(D, &[A, B], TimeMs(20), default_urgency());
+    assert_eq!(waiting, Ok(JobState::Waiting));
     let release = Release {
         job: D,
         at: TimeMs(50),
@@ -142,7 +152,7 @@
 
 /// Rule 25: whichever of an end and a cancellation comes second is refused, and what is below follows the first.
 #[test]
-fn an_end_and_a_cancellation_that_meet() {
+fn second_of_an_end_and_a_cancellation_is_refused() {
     let mut ended = diamond();
     ended.finish(A, TimeMs(10)).unwrap();
     let done = CancelOutcome::AlreadyDone { at: TimeMs(10) };
@@ -175,9 +185,9 @@
 #[test]
 fn nothing_below_a_cancelled_job_is_released() {
     let mut graph = Graph::new();
-    graph.add(A, &[], TimeMs(0), plain()).unwrap();
-    graph.add(B, &[], TimeMs(0), plain()).unwrap();
-    graph.add(C, &[A, B], TimeMs(0), plain()).unwrap();
+    graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+    graph.add(B, &[], TimeMs(0), default_urgency()).unwrap();
+    graph.add(C, &[A, B], TimeMs(0), default_urgency()).unwrap();
     graph.cancel(A).unwrap();
     assert_eq!(graph.finish(B, TimeMs(5)), Ok(vec![]));
     assert_eq!(graph.finish(C, TimeMs(6)), Err(FinishError::NotReleased(C)));
@@ -187,18 +197,18 @@
 
 /// A job that names a cancelled one is cancelled at once, also after the cancellation has gone by.
 #[test]
-fn submitted_below_a_cancelled_job() {
-    for gone_by in [false, true] {
+fn job_added_below_a_cancelled_job_is_cancelled() {
+    for is_completed in [false, true] {
         let mut graph = Graph::new();
-        graph.add(A, &[], TimeMs(0), plain()).unwrap();
-        graph.add(B, &[], TimeMs(0), plain()).unwrap();
+        graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+        graph.add(B, &[], TimeMs(0), default_urgency()).unwrap();
         graph.cancel(A).unwrap();
-        if gone_by {
+        if is_completed {
             assert!(!graph.continue_cancellation(10).pending);
         }
-        let below = graph.add(C, &[A, B], TimeMs(1), plain());
+        let below = graph.add(C, &[A, B], TimeMs(1), default_urgency());
         assert_eq!(below, Ok(JobState::Cancelled));
-        let further = graph.add(D, &[C], TimeMs(1), plain());
+        let further = graph.add(D, &[C], TimeMs(1), default_urgency());
         assert_eq!(further, Ok(JobState::Cancelled));
         assert_eq!(graph.finish(B, TimeMs(2)), Ok(vec![]));
         assert_eq!(
@@ -211,18 +221,18 @@
 
 /// A job that is submitted below one that a cancellation has still to reach is reached with it.
 #[test]
-fn submitted_below_a_job_that_is_still_to_be_cancelled() {
+fn job_added_below_a_pending_cancellation_is_cancelled_with_it() {
     let mut graph = Graph::new();
-    graph.add(A, &[], TimeMs(0), plain()).unwrap();
-    graph.add(B, &[A], TimeMs(0), plain()).unwrap();
+    graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+    graph.add(B, &[A], TimeMs(0), default_urgency()).unwrap();
     graph.cancel(A).unwrap();
     assert_eq!(
-        graph.add(C, &[B], TimeMs(1), plain()),
+        graph.add(C, &[B], TimeMs(1), default_urgency()),
         Ok(JobState::Waiting)
     );
     assert_eq!(graph.continue_cancellation(1).cancelled, [B]);
     assert_eq!(
-        graph.add(D, &[B], TimeMs(1), plain()),
+        graph.add(D, &[B], TimeMs(1), default_urgency()),
         Ok(JobState::Cancelled)
     );
     assert_eq!(graph.continue_cancellation(1).cancelled, [C]);
@@ -230,7 +240,7 @@
 
 /// Two cancellations that meet: each job is told once, and each cancellation is completed.
 #[test]
-fn cancellations_that_meet() {
+fn overlapping_cancellations_report_each_job_once() {
     let mut graph = diamond();
     graph.cancel(A).unwrap();
     assert_eq!(graph.cancel(B), Ok(CancelOutcome::Cancelled));
@@ -250,7 +260,7 @@
 
 /// What is beside or above a cancelled job goes on.
 #[test]
-fn cancellation_goes_down_alone() {
+fn cancellation_affects_only_dependents() {
     let mut graph = diamond();
     graph.cancel(B).unwrap();
     assert_eq!(graph.continue_cancellation(10).cancelled, [D]);
@@ -271,7 +281,7 @@
 
 /// Only what ended is forgotten, and no pending cancellation loses its way by it.
 #[test]
-fn forgetting() {
+fn only_ended_jobs_can_be_forgotten() {
     let mut graph = diamond();
     assert_eq!(graph.forget(B), Err(ForgetError::Unfinished(B)));
     graph.finish(A, TimeMs(10)).unwrap();
@@ -284,17 +294,17 @@
     graph.forget(D).unwrap();
     assert_eq!((graph.len(), graph.edges()), (1, 0));
     // The index is free for another job, which has nothing of the first.
-    let reused = graph.add(A, &[B], TimeMs(20), plain());
+    let reused = graph.add(A, &[B], TimeMs(20), default_urgency());
     assert_eq!(reused, Ok(JobState::Waiting));
     assert_eq!(graph.cancel(D), Err(UnknownJob(D)));
 }
 
 /// The job whose cancellation is pending keeps its index until it is told that this is completed.
 #[test]
-fn a_pending_cancellation_keeps_its_job() {
+fn root_of_a_pending_cancellation_cannot_be_forgotten() {
     let mut graph = Graph::new();
-    graph.add(A, &[], TimeMs(0), plain()).unwrap();
-    graph.add(B, &[A], TimeMs(0), plain()).unwrap();
+    graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+    graph.add(B, &[A], TimeMs(0), default_urgency()).unwrap();
     graph.cancel(A).unwrap();
     let mut step = graph.continue_cancellation(1);
     while step.pending {
@@ -328,8 +338,10 @@
     assert_eq!([A, B].map(|job| latest_finish(&graph, job)), [None, None]);
     // A later last stage binds the other branch, and a job's own deadline counts where it is earlier.
     graph.forget(D).unwrap();
-    graph.add(D, &[B], TimeMs(50), due(300, 40)).unwrap();
-    graph.set_urgency(B, due(100, 20)).unwrap();
+    graph
+        .add(D, &[B], TimeMs(50), with_deadline(300, 40))
+        .unwrap();
+    graph.set_urgency(B, with_deadline(100, 20)).unwrap();
     graph.update_inheritance(100);
     assert_eq!(
         [A, B].map(|job| latest_finish(&graph, job)),
@@ -338,10 +350,10 @@
 }
 
 #[test]
-fn priority_of_the_highest_below() {
+fn priority_is_inherited_from_the_highest_dependent() {
     let with = |priority| Urgency {
         priority: Priority(priority),
-        ..plain()
+        ..default_urgency()
     };
     let priority =
         |graph: &Graph<JobIndex>, job| graph.inherited(job).map(|inherited| inherited.priority.0);
@@ -368,13 +380,13 @@
 
 /// Far moments saturate instead of overflowing.
 #[test]
-fn extreme_times() {
+fn extreme_times_saturate() {
     let mut graph = Graph::new();
     graph
-        .add(A, &[], TimeMs(i64::MIN), lasting(u64::MAX))
+        .add(A, &[], TimeMs(i64::MIN), with_duration(u64::MAX))
         .unwrap();
     graph
-        .add(B, &[A], TimeMs(0), due(i64::MIN, u64::MAX))
+        .add(B, &[A], TimeMs(0), with_deadline(i64::MIN, u64::MAX))
         .unwrap();
     graph.update_inheritance(100);
     assert_eq!(latest_finish(&graph, A), Some(i64::MIN));
--- a/crates/dependency/tests/scale.rs
+++ b/crates/dependency/tests/scale.rs
@@ -5,7 +5,7 @@
 /// Less than one frame for each job of a long chain would take.
 const SMALL_STACK: usize = 64 * 1024;
 const CHAIN: u32 = 10_000;
-const FAN: u32 = 10_000;
+const FAN_SIZE: u32 = 10_000;
 /// A layered graph in which each job needs all of the layer above: 100,000 edges, and 10^1,000 paths.
 const LAYERS: u32 = 1_001;
 const WIDTH: u32 = 10;
@@ -13,17 +13,17 @@
 /// Changes of one transaction.
 const BATCH: usize = 5;
 
-fn lasting(ms: u64) -> Urgency {
+fn with_duration(ms: u64) -> Urgency {
     Urgency {
         duration: DurationMs(ms),
         ..Urgency::default()
     }
 }
 
-fn due(deadline: i64) -> Urgency {
+fn with_deadline(deadline: i64) -> Urgency {
     Urgency {
         deadline: Some(TimeMs(deadline)),
-        ..lasting(1)
+        ..with_duration(1)
     }
 }
 
@@ -83,18 +83,20 @@
 
 fn chain() -> Graph<JobIndex> {
     let mut graph = Graph::new();
-    graph.add(JobIndex(0), &[], TimeMs(0), lasting(1)).unwrap();
+    graph
+        .add(JobIndex(0), &[], TimeMs(0), with_duration(1))
+        .unwrap();
     for number in 1..CHAIN {
         let dependency = JobIndex(number - 1);
         graph
-            .add(JobIndex(number), &[dependency], TimeMs(0), lasting(1))
+            .add(JobIndex(number), &[dependency], TimeMs(0), with_duration(1))
             .unwrap();
     }
     graph
 }
 
 #[test]
-fn a_long_chain_inherits_once() {
+fn long_chain_computes_each_job_once() {
     on_a_small_stack(|| {
         let mut graph = chain();
         assert_eq!(graph.steps().added, u64::from(2 * CHAIN - 1));
@@ -103,7 +105,12 @@
         // The last stage is known late.
         let last = JobIndex(CHAIN);
         graph
-            .add(last, &[JobIndex(CHAIN - 1)], TimeMs(0), due(50_000))
+            .add(
+                last,
+                &[JobIndex(CHAIN - 1)],
+                TimeMs(0),
+                with_deadline(50_000),
+            )
             .unwrap();
         let steps = settle(&mut graph);
         assert!(
@@ -113,16 +120,21 @@
         let first = graph.inherited(JobIndex(0)).expect("an unfinished job");
         assert_eq!(first.latest_finish, Some(TimeMs(50_000 - i64::from(CHAIN))));
         // What asks for less stops at once.
-        let beside = JobIndex(CHAIN + 1);
+        let sibling = JobIndex(CHAIN + 1);
         graph
-            .add(beside, &[JobIndex(CHAIN - 1)], TimeMs(0), due(90_000))
+            .add(
+                sibling,
+                &[JobIndex(CHAIN - 1)],
+                TimeMs(0),
+                with_deadline(90_000),
+            )
             .unwrap();
         assert_eq!(settle(&mut graph), 1);
         // An estimate in the middle goes upward from there.
         let middle = JobIndex(CHAIN - 100);
-        graph.set_urgency(middle, lasting(11)).unwrap();
-        let half = JobIndex(100);
-        graph.set_urgency(half, lasting(11)).unwrap();
+        graph.set_urgency(middle, with_duration(11)).unwrap();
+        let near_start = JobIndex(100);
+        graph.set_urgency(near_start, with_duration(11)).unwrap();
         let steps = settle(&mut graph);
         assert!(steps <= u64::from(2 * CHAIN), "both in one pass: {steps}");
         let first = graph.inherited(JobIndex(0)).expect("an unfinished job");
@@ -134,7 +146,7 @@
 }
 
 #[test]
-fn a_long_chain_is_released_stage_by_stage() {
+fn long_chain_release_takes_constant_steps_per_job() {
     on_a_small_stack(|| {
         let mut graph = chain();
         for number in 0..CHAIN {
@@ -153,7 +165,7 @@
 }
 
 #[test]
-fn a_long_chain_is_cancelled_in_batches() {
+fn long_chain_is_cancelled_in_bounded_batches() {
     on_a_small_stack(|| {
         let mut graph = chain();
         let (all, steps) = cancel_all(&mut graph, JobIndex(0), 1);
@@ -168,22 +180,27 @@
 
 /// One job that many need: they are added, cancelled and released one by one without a search.
 #[test]
-fn a_wide_fan_out() {
-    let root = JobIndex(FAN);
+fn wide_fan_out_takes_bounded_steps() {
+    let root = JobIndex(FAN_SIZE);
     let build = || {
         let mut graph = Graph::new();
-        graph.add(root, &[], TimeMs(0), lasting(1)).unwrap();
-        for number in 0..FAN {
+        graph.add(root, &[], TimeMs(0), with_duration(1)).unwrap();
+        for number in 0..FAN_SIZE {
             let deadline = 1_000 + i64::from(number);
             graph
-                .add(JobIndex(number), &[root], TimeMs(0), due(deadline))
+                .add(
+                    JobIndex(number),
+                    &[root],
+                    TimeMs(0),
+                    with_deadline(deadline),
+                )
                 .unwrap();
             assert_eq!(settle(&mut graph), 1, "the job above alone");
         }
         graph
     };
     let mut graph = build();
-    for number in 0..FAN {
+    for number in 0..FAN_SIZE {
         let job = JobIndex(number);
         let expected = Some(TimeMs(999 + i64::from(number)));
         assert_eq!(
@@ -205,34 +222,38 @@
 
     let mut graph = build();
     let (released, steps) = steps_of(&mut graph, |graph| graph.finish(root, TimeMs(7)).unwrap());
-    assert_eq!(released.len(), FAN as usize);
+    assert_eq!(released.len(), FAN_SIZE as usize);
     assert!(released.windows(2).all(|pair| pair[0].job < pair[1].job));
-    assert!(steps.release <= u64::from(FAN) + 1, "{steps:?}");
+    assert!(steps.release <= u64::from(FAN_SIZE) + 1, "{steps:?}");
 
     let mut graph = build();
     let (all, steps) = cancel_all(&mut graph, root, 1);
-    assert_eq!(all.len(), FAN as usize);
-    assert!(steps <= u64::from(3 * FAN + 3), "{steps}");
+    assert_eq!(all.len(), FAN_SIZE as usize);
+    assert!(steps <= u64::from(3 * FAN_SIZE + 3), "{steps}");
 }
 
 /// One job that needs many.
 #[test]
-fn a_wide_fan_in() {
-    let last = JobIndex(FAN);
-    let dependencies: Vec<_> = (0..FAN).map(JobIndex).collect();
+fn wide_fan_in_takes_bounded_steps() {
+    let last = JobIndex(FAN_SIZE);
+    let dependencies: Vec<_> = (0..FAN_SIZE).map(JobIndex).collect();
     let mut graph = Graph::new();
     for &dependency in &dependencies {
-        graph.add(dependency, &[], TimeMs(0), lasting(1)).unwrap();
+        graph
+            .add(dependency, &[], TimeMs(0), with_duration(1))
+            .unwrap();
     }
-    graph.add(last, &dependencies, TimeMs(0), due(500)).unwrap();
+    graph
+        .add(last, &dependencies, TimeMs(0), with_deadline(500))
+        .unwrap();
     let steps = settle(&mut graph);
     assert!(
-        steps <= u64::from(FAN),
+        steps <= u64::from(FAN_SIZE),
         "the edges were told when they were made: {steps}"
     );
-    graph.set_urgency(last, due(400)).unwrap();
+    graph.set_urgency(last, with_deadline(400)).unwrap();
     let steps = settle(&mut graph);
-    assert!(steps <= u64::from(2 * FAN) + 1, "{steps}");
+    assert!(steps <= u64::from(2 * FAN_SIZE) + 1, "{steps}");
     for &dependency in &dependencies {
         assert_eq!(
             graph
@@ -244,7 +265,7 @@
         let (released, steps) = steps_of(&mut graph, |graph| {
             graph.finish(dependency, TimeMs(9)).unwrap()
         });
-        assert_eq!(released.len(), usize::from(dependency.0 == FAN - 1));
+        assert_eq!(released.len(), usize::from(dependency.0 == FAN_SIZE - 1));
         assert!(steps.release <= 2, "{steps:?}");
         assert_eq!(steps.inheritance, 0);
     }
@@ -263,7 +284,7 @@
         let dependencies = number.checked_sub(1).map(layer).unwrap_or_default();
         for job in layer(number) {
             graph
-                .add(job, &dependencies, TimeMs(0), lasting(1))
+                .add(job, &dependencies, TimeMs(0), with_duration(1))
                 .unwrap();
         }
     }
@@ -273,7 +294,7 @@
 
 /// However many paths there are, each job and edge is taken once.
 #[test]
-fn a_hundred_thousand_edges_inherit_once() {
+fn layered_graph_computes_each_job_and_edge_once() {
     on_a_small_stack(|| {
         let mut graph = layered();
         let jobs = u64::from(LAYERS * WIDTH);
@@ -281,7 +302,7 @@
         assert!(steps <= jobs, "{steps}");
         let last = JobIndex(LAYERS * WIDTH);
         graph
-            .add(last, &layer(LAYERS - 1), TimeMs(0), due(10_000))
+            .add(last, &layer(LAYERS - 1), TimeMs(0), with_deadline(10_000))
             .unwrap();
         let steps = settle(&mut graph);
         assert!(steps <= jobs + LAYERED_EDGES, "{steps}");
@@ -296,12 +317,12 @@
                 JobIndex(last.0 + 1),
                 &layer(LAYERS - 1),
                 TimeMs(0),
-                due(20_000),
+                with_deadline(20_000),
             )
             .unwrap();
         assert_eq!(settle(&mut graph), u64::from(WIDTH));
         // An update in pieces does the same work in all.
-        graph.set_urgency(last, due(9_000)).unwrap();
+        graph.set_urgency(last, with_deadline(9_000)).unwrap();
         let before = graph.steps().inheritance;
         loop {
             let (update, steps) = steps_of(&mut graph, |graph| graph.update_inheritance(100));
@@ -321,7 +342,7 @@
 }
 
 #[test]
-fn a_hundred_thousand_edges_are_released() {
+fn layered_graph_release_takes_each_edge_once() {
     let mut graph = layered();
     let jobs = u64::from(LAYERS * WIDTH);
     for number in 0..LAYERS {
@@ -335,7 +356,7 @@
 }
 
 #[test]
-fn a_hundred_thousand_edges_are_cancelled() {
+fn layered_graph_cancellation_takes_each_edge_once() {
     on_a_small_stack(|| {
         let mut graph = layered();
         let jobs = u64::from(LAYERS * WIDTH);
