--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! [`Spec`] defines which jobs are models and when they go to sleep; [`mod@file`] parses it. [`Rec`] is the record of
 //! one model in the state service. [`asked`] decides, on any node, what to do about demand for a model, and
-//! [`Rec::next`] decides its owner's next step. Either decision takes effect only by a write of the record that is conditional on the
-//! version that was read, made before any other action. So of all nodes that try to begin a generation one succeeds,
-//! and the others follow it.
+//! [`Rec::next`] decides its owner's next step. Either decision takes effect only by a write of the record that is
+//! conditional on the version that was read, made before any other action. So of all nodes that try to begin a
+//! generation one succeeds, and the others follow it.
 //!
 //! This package must not do I/O, read a clock or draw random numbers. It does not depend on machines or state services.
 
