--- a/crates/dependency/src/error.rs
+++ b/crates/dependency/src/error.rs
@@ -1,10 +1,10 @@
-//! Why the graph refuses what it is told. A refusal changes nothing.
+//! Errors of the graph's operations. A failed operation changes nothing.
 
 use crate::TimeMs;
 use std::error::Error;
 use std::fmt::{self, Debug, Display, Formatter};
 
-/// The graph does not know the job: it was never added, or it was forgotten.
+/// The graph does not contain the job: it was never added, or it was forgotten.
 ///
 /// ```
 /// use dependency::{Graph, JobIndex, UnknownJob};
@@ -16,7 +16,7 @@
     pub I,
 );
 
-/// Why a job is not added.
+/// Why a job cannot be added.
 ///
 /// ```
 /// use dependency::{AddError, Graph, JobIndex, TimeMs, Urgency};
@@ -29,20 +29,20 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddError<I> {
-    /// The index belongs to a job of the graph.
+    /// The index already belongs to a job of the graph.
     AlreadyKnown(I),
-    /// The job is in its own list.
+    /// The job is one of its own dependencies.
     DependsOnItself(I),
-    /// The job needs one that the graph does not know.
+    /// The job depends on one that the graph does not contain.
     UnknownDependency {
-        /// The job that was to be added.
+        /// The job that cannot be added.
         job: I,
-        /// The first unknown job of its list.
+        /// Its first unknown dependency.
         dependency: I,
     },
 }
 
-/// Why the end of a job is not recorded.
+/// Why the end of a job cannot be recorded.
 ///
 /// ```
 /// use dependency::{FinishError, Graph, JobIndex, TimeMs, Urgency};
@@ -54,22 +54,22 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinishError<I> {
-    /// The graph does not know the job.
+    /// The graph does not contain the job.
     Unknown(I),
-    /// A job that it needs is not done: an end without a release is an error of the caller.
+    /// A dependency of the job is not done: an end without a release is an error of the caller.
     NotReleased(I),
-    /// The job was cancelled before: the cancellation stands, for all below it.
+    /// The job was cancelled before. The cancellation stands, also for all jobs below it.
     Cancelled(I),
-    /// The job is done already.
+    /// The job is already done.
     AlreadyDone {
         /// The job.
         job: I,
-        /// The end that was recorded first, which stays.
+        /// The end that was recorded first, which is kept.
         at: TimeMs,
     },
 }
 
-/// Why a job is not forgotten.
+/// Why a job cannot be forgotten.
 ///
 /// ```
 /// use dependency::{ForgetError, Graph, JobIndex, TimeMs, Urgency};
@@ -80,11 +80,11 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForgetError<I> {
-    /// The graph does not know the job.
+    /// The graph does not contain the job.
     Unknown(I),
     /// The job is neither done nor cancelled.
     Unfinished(I),
-    /// Its cancellation has not reached all jobs that need it, or is not yet returned as completed.
+    /// Its cancellation has not reached all its dependents, or has not been returned as completed yet.
     CancellationPending(I),
 }
 
@@ -97,10 +97,13 @@
 impl<I: Debug> Display for AddError<I> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::AlreadyKnown(job) => write!(f, "job {job:?} is known already"),
-            Self::DependsOnItself(job) => write!(f, "job {job:?} needs itself"),
+            Self::AlreadyKnown(job) => write!(f, "job {job:?} is already known"),
+            Self::DependsOnItself(job) => write!(f, "job {job:?} depends on itself"),
             Self::UnknownDependency { job, dependency } => {
-                write!(f, "job {job:?} needs job {dependency:?}, which is unknown")
+                write!(
+                    f,
+                    "job {job:?} depends on job {dependency:?}, which is unknown"
+                )
             }
         }
     }
@@ -112,7 +115,9 @@
             Self::Unknown(job) => write!(f, "job {job:?} is unknown"),
             Self::NotReleased(job) => write!(f, "job {job:?} ended, but it was not released"),
             Self::Cancelled(job) => write!(f, "job {job:?} ended, but it was cancelled before"),
-            Self::AlreadyDone { job, at } => write!(f, "job {job:?} is done since {} ms", at.0),
+            Self::AlreadyDone { job, at } => {
+                write!(f, "job {job:?} is already done, since {} ms", at.0)
+            }
         }
     }
 }
@@ -125,7 +130,7 @@
             Self::CancellationPending(job) => {
                 write!(
                     f,
-                    "the cancellation of job {job:?} has not reached all jobs that need it"
+                    "the cancellation of job {job:?} has not reached all its dependents"
                 )
             }
         }
