--- a/crates/dependency/src/cancellation.rs
+++ b/crates/dependency/src/cancellation.rs
@@ -1,12 +1,12 @@
-//! Cancellation: it goes from a job to all that need it, directly or through others, in bounded steps.
+//! Cancellation: propagates from a job to all its direct and indirect dependents, in bounded steps.
 
 use crate::{DenseIndex, Graph, JobState, TimeMs, UnknownJob};
 use std::collections::VecDeque;
 
-/// How many jobs may be visited for each job that a call may cancel: one to cancel it, one to leave its list.
+/// Maximum number of visits per job that a call may cancel: one to cancel the job, one to remove it from the frontier.
 const VISITS_PER_JOB: usize = 2;
 
-/// What a cancellation meets.
+/// The outcome of a request to cancel a job.
 ///
 /// ```
 /// use dependency::{CancelOutcome, Graph, JobIndex, TimeMs, Urgency};
@@ -19,11 +19,11 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// The job is cancelled; those below it follow by [`Graph::continue_cancellation`].
+    /// The job is cancelled; [`Graph::continue_cancellation`] cancels the jobs below it.
     Cancelled,
-    /// It was cancelled before, by itself or with a job that it needs; that cancellation goes on below it.
+    /// The job was cancelled before, directly or with a job above it. That cancellation continues below it.
     AlreadyCancelled,
-    /// It is done: nothing is cancelled, and what needs it goes on.
+    /// The job is done: nothing is cancelled, and its dependents are not affected.
     AlreadyDone {
         /// When it ended.
         at: TimeMs,
@@ -38,30 +38,30 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CancellationStep<I> {
-    /// The jobs that it cancelled. Over all calls each job is returned once.
+    /// The jobs cancelled by this call. Over all calls, each job is returned once.
     pub cancelled: Vec<I>,
-    /// The jobs given to [`Graph::cancel`] whose cancellation has now reached all below them, or has met another
-    /// pending one that goes on from there.
+    /// The jobs given to [`Graph::cancel`] whose cancellation has now reached all jobs below them, or has met another
+    /// pending one that continues from there.
     pub completed: Vec<I>,
-    /// Whether there is more to do.
+    /// Whether cancellations are still pending.
     pub pending: bool,
 }
 
 /// A cancellation that has not reached all jobs.
 #[derive(Clone, Debug)]
 pub(crate) struct Traversal<I> {
-    /// The job that was cancelled by itself.
+    /// The job that was cancelled directly.
     root: I,
-    /// Cancelled jobs that may have dependents left, nearest to the root first.
+    /// Cancelled jobs that may have uncancelled dependents, nearest to the root first.
     frontier: VecDeque<I>,
 }
 
 impl<I: DenseIndex> Graph<I> {
-    /// Cancels a job. The jobs below it are cancelled by [`Graph::continue_cancellation`]; none of them is released
-    /// until then, as a job above it will never be done.
+    /// Cancels a job. The jobs below it are cancelled by [`Graph::continue_cancellation`]; until then none of them can
+    /// be released, as a job above it will never be done.
     ///
-    /// To be called once the durable intent of the cancellation is committed. The graph keeps the list of what is left
-    /// to do, so no caller can lose it; after a restart the intent is told again.
+    /// Must be called once the durable intent of the cancellation is committed. The graph keeps track of the remaining
+    /// work, so a caller cannot lose it; after a restart the caller reports the intent again.
     ///
     /// ```
     /// use dependency::{CancelOutcome, Graph, JobIndex, TimeMs, Urgency};
@@ -88,9 +88,9 @@
         Ok(CancelOutcome::Cancelled)
     }
 
-    /// Goes on with pending cancellations, oldest first and from the nearest job to the farthest:
-    /// cancels at most `limit` jobs and visits at most twice as many.
-    /// The edges from each of them to the jobs that it needs are removed with it. With a limit of zero it does nothing.
+    /// Continues pending cancellations, oldest first, each breadth-first from its root. Cancels at most `limit` jobs
+    /// and visits at most twice as many. The edges between a cancelled job and its dependencies are removed with it.
+    /// Does nothing if `limit` is zero.
     ///
     /// ```
     /// use dependency::{Graph, JobIndex, TimeMs, Urgency};
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Cancels a job that a traversal has reached.
+    /// Cancels a job that the oldest traversal has reached.
     fn cancel_dependent(&mut self, job: I) {
         self.mark_cancelled(job);
         let traversal = self
@@ -142,7 +142,7 @@
         traversal.frontier.push_back(job);
     }
 
-    /// The first job of the oldest traversal's frontier has no dependents left.
+    /// Removes the first job of the oldest traversal's frontier, which has no dependents left.
     fn remove_from_frontier(&mut self, job: I) {
         self.steps.cancellation += 1;
         let traversal = self
@@ -150,21 +150,22 @@
             .front_mut()
             .expect("the traversal that reached the job");
         traversal.frontier.pop_front();
-        // The root stays until the traversal is completed, so that its index means the same job in the answer.
+        // The root stays pending until the traversal is completed, so that its index is not reused before it is
+        // returned.
         if traversal.root != job {
             self.node_mut(job).cancellation_pending = false;
         }
     }
 
-    /// The oldest traversal has reached all jobs.
+    /// Ends the oldest traversal, which has reached all jobs.
     fn complete_traversal(&mut self) -> Option<I> {
         let root = self.traversals.pop_front()?.root;
         self.node_mut(root).cancellation_pending = false;
         Some(root)
     }
 
-    /// Marks a job, takes it off the lists of those that it needs, and what it asked of them with it. Those that need
-    /// it stay, until a traversal reaches them.
+    /// Marks a job as cancelled and removes the edges to its dependencies, with its requirements on them. The edges to
+    /// its dependents stay until a traversal reaches them.
     fn mark_cancelled(&mut self, job: I) {
         self.steps.cancellation += 1;
         self.clear_stale(job);
--- a/crates/dependency/src/graph.rs
+++ b/crates/dependency/src/graph.rs
@@ -1,4 +1,4 @@
-//! The graph: its jobs and the edges between them.
+//! The graph of jobs and the edges between them.
 
 use crate::cancellation::Traversal;
 use crate::inheritance::Requirements;
@@ -7,7 +7,7 @@
 use crate::{AddError, DenseIndex, ForgetError, Inherited, TimeMs, UnknownJob, Urgency};
 use std::collections::{BTreeSet, VecDeque};
 
-/// A directed acyclic graph of jobs that need other jobs.
+/// A directed acyclic graph of jobs and their dependencies.
 ///
 /// ```
 /// use dependency::{Graph, JobIndex, JobState, TimeMs, Urgency};
@@ -23,17 +23,17 @@
 #[derive(Clone, Debug)]
 pub struct Graph<I> {
     pub(crate) nodes: Table<Node<I>>,
-    /// The order of the next job.
+    /// The `order` of the next job that is added.
     next_order: u64,
     edges: usize,
-    /// Cancellations that have not reached all jobs, oldest first.
+    /// Pending cancellations, oldest first.
     pub(crate) traversals: VecDeque<Traversal<I>>,
-    /// Unfinished jobs whose requirements changed, by their order.
+    /// Unfinished jobs whose inheritance has to be recomputed, by `order`.
     pub(crate) stale: BTreeSet<(u64, I)>,
     pub(crate) steps: Steps,
 }
 
-/// The state of a job, as far as the graph knows it.
+/// The state of a job as reported to the graph.
 ///
 /// ```
 /// use dependency::{JobState, TimeMs};
@@ -41,11 +41,11 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// A job that it needs is not done.
+    /// At least one dependency is not done.
     Waiting,
-    /// All that it needs is done; it may start.
+    /// All dependencies are done; the job may start.
     Released {
-        /// When the last job that it needs ended, or its own acceptance if that came later.
+        /// When the last of its dependencies ended, or its own acceptance if that is later.
         at: TimeMs,
     },
     /// Its end is recorded.
@@ -53,11 +53,11 @@
         /// When it ended.
         at: TimeMs,
     },
-    /// It is cancelled, by itself or with a job that it needs.
+    /// The job is cancelled, either directly or because a job above it is.
     Cancelled,
 }
 
-/// The work done since the graph was made, to check that it follows change.
+/// Counters of the work done since the graph was created, to check that the cost is proportional to the changes.
 ///
 /// ```
 /// use dependency::{Graph, JobIndex, Steps, TimeMs, Urgency};
@@ -68,13 +68,13 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Steps {
-    /// Jobs added, and entries of their lists.
+    /// Jobs added, and their dependencies.
     pub added: u64,
-    /// Ends recorded, and edges to the jobs that waited for them.
+    /// Ends recorded, and edges removed to the jobs that waited for them.
     pub release: u64,
-    /// Jobs cancelled, edges removed with them, and jobs found to have no dependents left.
+    /// Jobs cancelled, edges removed with them, and jobs found without remaining dependents.
     pub cancellation: u64,
-    /// Jobs whose inheritance was computed, and edges along which a change was carried.
+    /// Jobs whose inheritance was recomputed, and edges along which a change was propagated.
     pub inheritance: u64,
 }
 
@@ -85,7 +85,7 @@
 }
 
 impl<I: DenseIndex> Graph<I> {
-    /// A graph without jobs.
+    /// Creates an empty graph.
     ///
     /// ```
     /// assert_eq!(dependency::Graph::<dependency::JobIndex>::new().len(), 0);
@@ -101,14 +101,16 @@
         }
     }
 
-    /// Adds a job that was accepted at `accepted` and needs the jobs `dependencies`, and says how it stands.
+    /// Adds a job that was accepted at `accepted` and depends on `dependencies`, and returns its state.
     ///
-    /// Jobs that are named twice count once. Every job that is named has to be known, in whichever state: so each edge
-    /// goes from an earlier job to a later one, and no cycle can be made. A job that names a cancelled one is cancelled
-    /// at once, and its own dependents with it; no later step of a cancellation returns it. Below a job that a pending
-    /// cancellation has still to reach, it waits and is cancelled with that job.
+    /// Repeated dependencies count once. Every dependency has to be in the graph, in any state: so each edge goes from
+    /// an earlier job to a later one, and no cycle can arise. A job that depends on a cancelled one is cancelled at
+    /// once, and so are its own dependents as they are added; [`Graph::continue_cancellation`] does not return it. A
+    /// job that depends on one that a pending cancellation has yet to reach waits, and is cancelled by the same
+    /// cancellation.
     ///
-    /// A job that ended and was forgotten has to be added again, with its end or its cancellation, before it is named.
+    /// A job that was forgotten has to be added again, with its end or cancellation, before other jobs can depend on
+    /// it.
     ///
     /// ```
     /// use dependency::{Graph, JobIndex, JobState, TimeMs, Urgency};
@@ -177,7 +179,7 @@
         }
     }
 
-    /// The state of a job that is accepted now and needs these, and the latest of their ends so far.
+    /// The initial state of a job with these dependencies, and the latest of their ends so far, at least `accepted`.
     fn initial_state(&self, dependencies: &[I], accepted: TimeMs) -> (JobState, TimeMs) {
         let states = || dependencies.iter().map(|&id| self.node(id).state);
         let ends = states().filter_map(|state| match state {
@@ -195,7 +197,7 @@
         (state, latest_end)
     }
 
-    /// Makes the edge from a job to one that needs it.
+    /// Adds the edge from a dependency to `job`.
     fn link(&mut self, dependency: I, job: I) {
         assert!(
             self.node(dependency).order < self.node(job).order,
@@ -217,7 +219,7 @@
         self.mark_stale(dependency);
     }
 
-    /// Removes the edge at a position of a job's list of needs, and what the job asks of the need.
+    /// Removes the edge at a position of a job's list of dependencies, and the job's requirement on that dependency.
     pub(crate) fn unlink(&mut self, job: I, position: usize) {
         let requirement = self.node(job).requirement;
         let (edge, moved) = take_edge(&mut self.node_mut(job).dependencies, position);
@@ -226,7 +228,7 @@
         }
         let dependency = self.node_mut(edge.job);
         let (back, moved) = take_edge(&mut dependency.dependents, edge.reverse);
-        assert_eq!(back.job, job, "both ends of an edge name each other");
+        assert_eq!(back.job, job, "both ends of an edge refer to each other");
         if dependency.is_unfinished() {
             dependency.requirements.remove(requirement);
             self.mark_stale(edge.job);
@@ -237,8 +239,8 @@
         self.edges -= 1;
     }
 
-    /// Forgets a job that is done, or cancelled with all that need it, and frees its memory. Its index may be used
-    /// again. Jobs that needed it are not changed.
+    /// Removes a job that is done, or whose cancellation has reached all its dependents, and frees its memory. Its
+    /// index may be reused. Its former dependents are not changed.
     ///
     /// ```
     /// use dependency::{Graph, JobIndex, TimeMs, Urgency};
@@ -269,7 +271,7 @@
         Ok(())
     }
 
-    /// The state of a job; none if it is unknown.
+    /// The state of a job, or `None` if it is unknown.
     ///
     /// ```
     /// use dependency::{Graph, JobIndex};
@@ -279,7 +281,7 @@
         Some(self.nodes.get(job.position())?.state)
     }
 
-    /// Whether the graph knows the job.
+    /// Whether the graph contains the job.
     ///
     /// ```
     /// use dependency::{Graph, JobIndex};
@@ -289,7 +291,7 @@
         self.nodes.get(job.position()).is_some()
     }
 
-    /// The jobs that a job waits for, in no order; none for one that does not wait.
+    /// The jobs that a job waits for, in no particular order. Empty for a job that does not wait.
     ///
     /// ```
     /// use dependency::{Graph, JobIndex};
@@ -303,8 +305,8 @@
         edges.iter().map(|edge| edge.job)
     }
 
-    /// The unfinished jobs that wait for a job, in no order. Below a cancelled job: those that its cancellation has
-    /// still to reach.
+    /// The unfinished jobs that wait for a job, in no particular order. For a cancelled job, those that its
+    /// cancellation has yet to reach.
     ///
     /// ```
     /// use dependency::{Graph, JobIndex};
@@ -318,7 +320,7 @@
         edges.iter().map(|edge| edge.job)
     }
 
-    /// How many jobs the graph knows.
+    /// Number of jobs in the graph.
     ///
     /// ```
     /// assert_eq!(dependency::Graph::<dependency::JobIndex>::new().len(), 0);
@@ -327,7 +329,7 @@
         self.nodes.len()
     }
 
-    /// Whether the graph knows no job.
+    /// Whether the graph has no jobs.
     ///
     /// ```
     /// assert!(dependency::Graph::<dependency::JobIndex>::new().is_empty());
@@ -336,7 +338,7 @@
         self.len() == 0
     }
 
-    /// How many edges there are, from an unfinished job (or one whose cancellation is pending) to one that needs it.
+    /// Number of edges from an unfinished job, or one whose cancellation is pending, to a dependent.
     ///
     /// ```
     /// assert_eq!(dependency::Graph::<dependency::JobIndex>::new().edges(), 0);
@@ -345,7 +347,7 @@
         self.edges
     }
 
-    /// The work done since the graph was made.
+    /// Counters of the work done since the graph was created.
     ///
     /// ```
     /// use dependency::{Graph, JobIndex, Steps};
@@ -359,12 +361,12 @@
         self.nodes.get(job.position()).ok_or(UnknownJob(job))
     }
 
-    /// A job that is known to be in the graph.
+    /// The node of a job that must be in the graph.
     pub(crate) fn node(&self, job: I) -> &Node<I> {
         self.nodes.get(job.position()).expect("a job of the graph")
     }
 
-    /// A job that is known to be in the graph.
+    /// The node of a job that must be in the graph.
     pub(crate) fn node_mut(&mut self, job: I) -> &mut Node<I> {
         self.nodes
             .get_mut(job.position())
--- a/crates/dependency/src/index.rs
+++ b/crates/dependency/src/index.rs
@@ -1,10 +1,10 @@
-//! How the user of the graph names jobs.
+//! Indices by which callers refer to jobs.
 
 use std::fmt::Debug;
 
-/// A dense index of jobs: positions are small, and those of forgotten jobs may be used again.
+/// A dense index of jobs: positions are small, and those of forgotten jobs may be reused.
 ///
-/// The graph's memory grows with the number of its jobs and, far more slowly, with the highest position in use.
+/// The graph's memory grows with the number of its jobs and, much more slowly, with the highest position in use.
 ///
 /// ```
 /// #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -22,7 +22,7 @@
     fn position(self) -> usize;
 }
 
-/// A [`DenseIndex`] for users without one of their own.
+/// A [`DenseIndex`] for callers without their own index type.
 ///
 /// ```
 /// use dependency::{DenseIndex, JobIndex};
--- a/crates/dependency/src/inheritance.rs
+++ b/crates/dependency/src/inheritance.rs
@@ -1,13 +1,13 @@
-//! Inheritance: priority and latest finish go from a job to those that it needs.
+//! Inheritance: priority and latest finish are passed from a job to its dependencies.
 //!
-//! This is the backward pass of the critical path method, kept up to date: a change marks the jobs whose dependents ask
-//! something else of them, and an update computes marked jobs, last added first. All dependents of a job were added
-//! after it, so each job is computed once an update, however many paths lead to it.
+//! This is an incremental backward pass of the critical path method: a change marks the jobs on which their dependents'
+//! requirements changed, and an update recomputes marked jobs, last added first. All dependents of a job were added
+//! after it, so each job is recomputed once per update, however many paths lead to it.
 
 use crate::{DenseIndex, DurationMs, Graph, Priority, TimeMs, UnknownJob};
 use std::collections::BTreeMap;
 
-/// How urgent a job is by itself.
+/// The urgency of a job by itself.
 ///
 /// ```
 /// use dependency::{DurationMs, Priority, Urgency};
@@ -18,13 +18,13 @@
 pub struct Urgency {
     /// Its own priority.
     pub priority: Priority,
-    /// By when it is to be done, if it has a deadline of its own.
+    /// Its own deadline, if any.
     pub deadline: Option<TimeMs>,
-    /// The estimated time from its start to its end, at the width that it is to have.
+    /// The estimated time from its start to its end, at its intended parallelism.
     pub duration: DurationMs,
 }
 
-/// How urgent a job is by itself and by all that need it.
+/// The urgency of a job including that of all jobs below it.
 ///
 /// ```
 /// use dependency::{Inherited, Priority, TimeMs};
@@ -33,10 +33,10 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Inherited {
-    /// The highest priority of the job and all that need it, directly or through others.
+    /// The highest priority of the job and all its direct and indirect dependents.
     pub priority: Priority,
-    /// By when it has to be done so that all deadlines below it can be met, and its own: the least, over these, of the
-    /// deadline without the longest path to it. None if there is no deadline.
+    /// The time by which the job has to be done so that its own deadline and all deadlines below it can be met: the
+    /// earliest of these deadlines, each less the duration of the longest path to it. `None` without any deadline.
     pub latest_finish: Option<TimeMs>,
 }
 
@@ -48,21 +48,21 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InheritanceUpdate<I> {
-    /// The jobs whose priority or latest finish is another now, last added first.
+    /// The jobs whose priority or latest finish changed, last added first.
     pub changed: Vec<I>,
     /// Whether all jobs are up to date.
     pub complete: bool,
 }
 
-/// What a job asks of each job that it needs.
+/// What a job requires of each of its dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Requirement {
     priority: Priority,
-    /// When the job has to start to finish in time.
+    /// When the job has to start in order to finish in time.
     latest_start: Option<TimeMs>,
 }
 
-/// What all dependents ask of a job: how many ask for each value.
+/// What all dependents require of a job, with the number of dependents per value.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Requirements {
     priorities: Multiset<Priority>,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Values with how often each is there.
+/// Values with the number of their occurrences.
 #[derive(Clone, Debug)]
 struct Multiset<T>(BTreeMap<T, usize>);
 
@@ -136,8 +136,8 @@
 }
 
 impl<I: DenseIndex> Graph<I> {
-    /// The urgency of an unfinished job, its own and that of those that need it, as of the last update that reached
-    /// it; none for a job that is unknown, done or cancelled.
+    /// The urgency of an unfinished job including that of the jobs below it, as of the last update that reached it.
+    /// `None` for a job that is unknown, done or cancelled.
     ///
     /// ```
     /// use dependency::{Graph, JobIndex};
@@ -148,7 +148,7 @@
         node.is_unfinished().then_some(node.inherited)
     }
 
-    /// Sets what an unfinished job is by itself, as when its estimate is another. Of one that ended it changes nothing.
+    /// Sets the own urgency of an unfinished job, for example when its estimate changes. No effect on an ended job.
     ///
     /// ```
     /// use dependency::{Graph, JobIndex, Priority, TimeMs, Urgency};
@@ -169,9 +169,9 @@
         Ok(())
     }
 
-    /// Carries changes along the edges that changed, until all jobs are up to date or `limit` steps are done: one for
-    /// each job that is computed, and one for each edge to a job that it needs if it asks something else of these. The
-    /// edges of the last job are not cut off, so there may be more steps by the length of its list.
+    /// Propagates changes until all jobs are up to date or `limit` steps are done: one for each job that is recomputed,
+    /// and one for each edge to a dependency if the job's requirement changed. The last job is always completed, so the
+    /// limit may be exceeded by the number of its dependencies.
     ///
     /// ```
     /// use dependency::{Graph, JobIndex, Priority, TimeMs, Urgency};
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Computes what a job inherits, tells those that it needs if it asks something else of them, and says whether it
-    /// inherits something else.
+    /// Recomputes what a job inherits, propagates its requirement to its dependencies if that changed, and returns
+    /// whether what it inherits changed.
     fn recompute(&mut self, job: I) -> bool {
         self.steps.inheritance += 1;
         let node = self.node_mut(job);
@@ -221,7 +221,7 @@
             self.steps.inheritance += 1;
             let dependency = self.node(job).dependencies[position].job;
             let dependency_node = self.node_mut(dependency);
-            // A cancelled one that a pending cancellation has still to leave inherits nothing.
+            // A dependency that is cancelled, with its cancellation still pending, inherits nothing.
             if dependency_node.is_unfinished() {
                 dependency_node.requirements.remove(before);
                 dependency_node.requirements.insert(requirement);
@@ -230,13 +230,13 @@
         }
     }
 
-    /// What an unfinished job inherits has to be computed.
+    /// Marks an unfinished job for recomputation of what it inherits.
     pub(crate) fn mark_stale(&mut self, job: I) {
         let order = self.node(job).order;
         self.stale.insert((order, job));
     }
 
-    /// A job is about to end.
+    /// Removes the mark of a job that is about to end.
     pub(crate) fn clear_stale(&mut self, job: I) {
         let order = self.node(job).order;
         self.stale.remove(&(order, job));
--- a/crates/dependency/src/lib.rs
+++ b/crates/dependency/src/lib.rs
@@ -1,31 +1,33 @@
 //! Dependency graphs of jobs: what a job waits for, when it is released, what is cancelled with it, and the priority
-//! and latest finish that it inherits from the jobs that need it.
+//! and latest finish that it inherits from its dependents.
 //!
-//! A [`Graph`] is a directed acyclic graph of jobs. An edge goes from a job to each job that needs it, and exists only
-//! as long as both are unfinished: the end or the cancellation of a job removes its edges, and [`Graph::forget`] frees
-//! the rest. Jobs name only jobs that the graph knows already, so a cycle cannot be made; the graph asserts it.
+//! A [`Graph`] is a directed acyclic graph of jobs. An edge goes from a job to each of its dependents, and exists only
+//! while both are unfinished: the end or the cancellation of a job removes its edges, and [`Graph::forget`] frees the
+//! job itself. A job can only depend on jobs that the graph already contains, so no cycle can arise; the graph asserts
+//! this. "Below" a job are its direct and indirect dependents, "above" it are its dependencies.
 //!
 //! - **Release**: [`Graph::finish`] records the committed end of a job and returns the jobs that it releases, each with
-//!   the moment at which the last job that it needs ended.
-//! - **Cancellation**: [`Graph::cancel`] cancels a job; [`Graph::continue_cancellation`] goes on to the jobs below it,
-//!   at most a given number a call. A job that names a cancelled one is cancelled as it is added. Until a cancellation
-//!   has reached a job, that job is [`JobState::Waiting`] and cannot be released.
-//! - **Inheritance**: a job has the highest priority of any job that needs it, and the latest finish that leaves enough
-//!   time for the longest path below it (the backward pass of the critical path method).
-//!   [`Graph::update_inheritance`] carries changes along the edges that changed, in bounded steps.
+//!   the time at which the last of its dependencies ended.
+//! - **Cancellation**: [`Graph::cancel`] cancels a job. [`Graph::continue_cancellation`] propagates this to the jobs
+//!   below it, a bounded number per call. A job that depends on a cancelled one is cancelled when it is added. Until a
+//!   cancellation has reached a job, that job is [`JobState::Waiting`] and cannot be released.
+//! - **Inheritance**: a job has the highest priority of itself and all jobs below it, and the latest finish that leaves
+//!   enough time for the longest path below it (the backward pass of the critical path method).
+//!   [`Graph::update_inheritance`] propagates changes along the affected edges, in bounded steps.
 //!
-//! The graph believes what it is told. Its user tells it committed records alone: the end of a job once the ends of
-//! *all* its tasks are committed, a cancellation once its durable intent is. An end and a cancellation of one job that
-//! meet are decided by the user's compare-and-swap; the graph refuses whichever comes second.
+//! The graph trusts its caller, who must report committed records only: the end of a job once the ends of *all* its
+//! tasks are committed, a cancellation once its durable intent is. The caller's compare-and-swap decides between a
+//! concurrent end and cancellation of the same job; the graph refuses the one that is reported second.
 //!
-//! A graph is built anew from records, as after a failover, in any topological order, such as that of acceptance: each
-//! job after those that it names, a done or cancelled one with its end or cancellation right after it. Below a
-//! cancelled job the rest is then cancelled as it is added.
+//! After a failover, a graph is rebuilt from records in any topological order, such as the order of acceptance: each
+//! job after its dependencies, and the end or cancellation of a job directly after the job itself. Jobs below a
+//! cancelled one are then cancelled as they are added.
 //!
-//! Work follows change: [`Graph::steps`] counts it. Nothing recurses, so long chains need no stack.
+//! The cost of an operation is proportional to the change, not to the size of the graph; [`Graph::steps`] counts it.
+//! Nothing recurses, so long chains cannot overflow the stack.
 //!
-//! This package may not do I/O, read a clock or draw random numbers. **The service does not use it yet**: `control` is
-//! to use it once jobs may name the jobs that they need.
+//! This package must not do I/O, read a clock or draw random numbers. **The service does not use it yet**: `control` is
+//! to use it once jobs can declare dependencies.
 //!
 //! ```
 //! use dependency::{DurationMs, Graph, JobIndex, JobState, Priority, TimeMs, Urgency};
@@ -43,7 +45,7 @@
 //! let last = Urgency { priority: Priority(2), deadline: Some(TimeMs(90_000)), ..stage(8) };
 //! assert_eq!(graph.add(publish, &[stamp], TimeMs(200), last)?, JobState::Waiting);
 //!
-//! // They reach the stages above it.
+//! // Both are inherited by the stages before it.
 //! let update = graph.update_inheritance(100);
 //! assert!(update.complete);
 //! assert_eq!(update.changed, [stamp, crop]);
@@ -55,7 +57,7 @@
 //! let released = graph.finish(crop, TimeMs(16_000))?;
 //! assert_eq!((released[0].job, released[0].at), (stamp, TimeMs(16_000)));
 //!
-//! // Its cancellation reaches the third.
+//! // The cancellation of the second propagates to the third.
 //! graph.cancel(stamp)?;
 //! let step = graph.continue_cancellation(10);
 //! assert_eq!((step.cancelled, step.completed), (vec![publish], vec![stamp]));
--- a/crates/dependency/src/node.rs
+++ b/crates/dependency/src/node.rs
@@ -1,54 +1,54 @@
-//! What the graph keeps of one job.
+//! The graph's data for one job.
 
 use crate::inheritance::{Requirement, Requirements};
 use crate::{Inherited, JobState, TimeMs, Urgency};
 
-/// One end of an edge between two unfinished jobs. Each end knows where the other one is, so that either removes the
-/// edge without a search.
+/// One end of an edge between two unfinished jobs. Each end stores the position of the other, so that an edge is
+/// removed from either end without a search.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Edge<I> {
     /// The job at the other end.
     pub(crate) job: I,
-    /// Where the other end stands in that job's list.
+    /// Position of the other end in that job's list.
     pub(crate) reverse: usize,
 }
 
-/// One job.
+/// A job in the graph.
 #[derive(Clone, Debug)]
 pub(crate) struct Node<I> {
-    /// How many jobs were added before: a topological order, as a job is added after those that it needs.
+    /// Number of jobs added before. This is a topological order, as a job is added after its dependencies.
     pub(crate) order: u64,
     pub(crate) state: JobState,
-    /// A cancelled job that a pending cancellation still names: it is the root, or its dependents are still to be
-    /// cancelled.
+    /// Whether the job is cancelled and a pending traversal still refers to it, as its root or because its dependents
+    /// are not all cancelled yet.
     pub(crate) cancellation_pending: bool,
-    /// The latest end of the jobs that it needs, and no less than its own acceptance.
+    /// The latest end of its dependencies so far, or its own acceptance if that is later.
     pub(crate) latest_end: TimeMs,
-    /// To the jobs that it needs and that are unfinished.
+    /// Edges to its unfinished dependencies.
     pub(crate) dependencies: Vec<Edge<I>>,
-    /// To the unfinished jobs that need it.
+    /// Edges to its unfinished dependents.
     pub(crate) dependents: Vec<Edge<I>>,
     pub(crate) urgency: Urgency,
     pub(crate) inherited: Inherited,
-    /// What it asks of the jobs that it needs, as these last heard it.
+    /// The requirement that was last propagated to its dependencies.
     pub(crate) requirement: Requirement,
-    /// What its dependents ask of it.
+    /// The requirements of its dependents.
     pub(crate) requirements: Requirements,
 }
 
 impl<I> Node<I> {
-    /// Waiting or released.
+    /// Whether the job is waiting or released.
     pub(crate) fn is_unfinished(&self) -> bool {
         matches!(self.state, JobState::Waiting | JobState::Released { .. })
     }
 
-    /// Frees what only an unfinished job has.
+    /// Frees the requirements, which only an unfinished job has.
     pub(crate) fn clear_requirements(&mut self) {
         self.requirements = Requirements::default();
     }
 }
 
-/// Removes an edge's end from a list and returns it, with the end that took its place.
+/// Removes an edge from a list by swapping in the last one. Returns it, and the edge that took its position.
 pub(crate) fn take_edge<I: Copy>(
     edges: &mut Vec<Edge<I>>,
     position: usize,
@@ -59,7 +59,7 @@
     (taken, moved)
 }
 
-/// Gives memory back once three quarters of it are unused.
+/// Releases memory once less than a quarter of the capacity is used.
 fn shrink<T>(list: &mut Vec<T>) {
     if list.len() < list.capacity() / 4 {
         list.shrink_to(list.len() * 2);
--- a/crates/dependency/src/release.rs
+++ b/crates/dependency/src/release.rs
@@ -1,8 +1,8 @@
-//! Release: a job may start once all jobs that it needs are done.
+//! Release: a job may start once all its dependencies are done.
 
 use crate::{DenseIndex, FinishError, Graph, JobState, TimeMs};
 
-/// A job that may start.
+/// A job that has been released and may start.
 ///
 /// ```
 /// use dependency::{JobIndex, Release, TimeMs};
@@ -13,15 +13,15 @@
 pub struct Release<I> {
     /// The job.
     pub job: I,
-    /// When the last job that it needs ended, or its own acceptance if that came later.
+    /// When the last of its dependencies ended, or its own acceptance if that is later.
     pub at: TimeMs,
 }
 
 impl<I: DenseIndex> Graph<I> {
-    /// Records that a released job is done since `at`, and returns the jobs that this releases, by their indices.
+    /// Records that a released job was done at `at`, and returns the jobs that this releases, ordered by index.
     ///
-    /// To be called with committed ends alone: of an array or a gang, once the ends of all tasks are committed. Ends
-    /// may be told in another order than they happened in.
+    /// Must be called with committed ends only: for an array or a gang, once the ends of all tasks are committed. Ends
+    /// may be reported in a different order than they happened in.
     ///
     /// ```
     /// use dependency::{Graph, JobIndex, Release, TimeMs, Urgency};
@@ -58,7 +58,7 @@
         Ok(released)
     }
 
-    /// A job that `job` needed ended and is off its list.
+    /// Updates `job` after the edge to an ended dependency was removed, and releases it if that was the last one.
     fn dependency_finished(&mut self, job: I, at: TimeMs) -> Option<Release<I>> {
         let node = self.node_mut(job);
         node.latest_end = node.latest_end.max(at);
--- a/crates/dependency/src/table.rs
+++ b/crates/dependency/src/table.rs
@@ -1,9 +1,9 @@
-//! A table by position, in pages that are freed when they are empty.
+//! A paged sparse table; empty pages are freed.
 
-/// Entries of a page.
+/// Number of entries per page.
 const PAGE_SIZE: usize = 64;
 
-/// A sparse table by position. Entries are boxed, so an unused position costs one pointer of a page in use.
+/// A sparse table indexed by position. Entries are boxed, so an unused position in an allocated page costs one pointer.
 #[derive(Clone, Debug)]
 pub(crate) struct Table<T> {
     pages: Vec<Option<Page<T>>>,
@@ -47,7 +47,7 @@
         page.entries[position % PAGE_SIZE].as_deref_mut()
     }
 
-    /// Fills a free position.
+    /// Inserts an entry at a free position.
     pub(crate) fn insert(&mut self, position: usize, entry: T) {
         let page_index = position / PAGE_SIZE;
         if page_index >= self.pages.len() {
@@ -60,7 +60,7 @@
         self.len += 1;
     }
 
-    /// Frees a position, the page with its last entry, and the pages at the end that are empty.
+    /// Removes the entry at a position. Frees the page if it becomes empty, and all empty pages at the end.
     pub(crate) fn remove(&mut self, position: usize) {
         let page_index = position / PAGE_SIZE;
         let Some(Some(page)) = self.pages.get_mut(page_index) else {
--- a/crates/dependency/src/units.rs
+++ b/crates/dependency/src/units.rs
@@ -1,6 +1,6 @@
-//! Quantities that must not be mixed up.
+//! Newtypes for quantities that must not be confused.
 
-/// A moment, in milliseconds since an epoch of the user's choice.
+/// A point in time, in milliseconds since an epoch of the caller's choice.
 ///
 /// ```
 /// use dependency::{DurationMs, TimeMs};
@@ -10,13 +10,13 @@
 pub struct TimeMs(pub i64);
 
 impl TimeMs {
-    /// The moment that lies `duration` earlier; at the ends of the range it saturates.
+    /// The time that is `duration` earlier. Saturates at the limits of the range.
     pub fn before(self, duration: DurationMs) -> Self {
         Self(self.0.saturating_sub_unsigned(duration.0))
     }
 }
 
-/// A length of time, in milliseconds.
+/// A duration, in milliseconds.
 ///
 /// ```
 /// assert!(dependency::DurationMs(999) < dependency::DurationMs(1_000));
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DurationMs(pub u64);
 
-/// A priority: the greater value is served first.
+/// A priority; greater values are served first.
 ///
 /// ```
 /// assert!(dependency::Priority(3) > dependency::Priority(1));
