--- a/crates/dependency/tests/common/mod.rs
+++ b/crates/dependency/tests/common/mod.rs
@@ -1,3 +1,3 @@
-//! What several tests use.
+//! Code shared by several tests.
 
 pub mod naive;
--- a/crates/dependency/tests/common/naive.rs
+++ b/crates/dependency/tests/common/naive.rs
@@ -1,9 +1,9 @@
-//! A model of the graph that keeps all jobs for good and computes everything from their lists.
+//! A naive reference model of the graph: it keeps all jobs forever and computes everything from their dependencies.
 
 use dependency::{Inherited, JobState, TimeMs, Urgency};
 use std::collections::BTreeSet;
 
-/// A job of the model: never used again.
+/// Index of a job in the model; never reused.
 pub type Id = usize;
 
 struct Job {
@@ -47,7 +47,7 @@
         self.states()[id]
     }
 
-    /// The states of all jobs; a job's list names earlier ones alone.
+    /// The states of all jobs. Dependencies always precede their dependents.
     fn states(&self) -> Vec<JobState> {
         let mut states: Vec<JobState> = Vec::new();
         for job in &self.jobs {
@@ -65,7 +65,7 @@
             } else if let Some(ends) = ends.collect::<Option<Vec<_>>>() {
                 let at = ends.into_iter().chain([job.accepted]).max();
                 JobState::Released {
-                    at: at.expect("the acceptance at least"),
+                    at: at.expect("at least the acceptance"),
                 }
             } else {
                 JobState::Waiting
@@ -105,12 +105,12 @@
             .collect()
     }
 
-    /// By the definition: over all paths below the job.
+    /// Computed by definition, over all paths below the job.
     pub fn inherited(&self, id: Id) -> Option<Inherited> {
         let states = self.states();
         let is_unfinished =
             |id: Id| matches!(states[id], JobState::Waiting | JobState::Released { .. });
-        // Later jobs first, so that those that need a job are there before it.
+        // Later jobs first, so that the dependents of a job are computed before it.
         let mut inherited: Vec<Option<Inherited>> = vec![None; self.jobs.len()];
         for id in (0..self.jobs.len()).rev().filter(|&id| is_unfinished(id)) {
             let own = self.jobs[id].urgency;
@@ -122,7 +122,7 @@
                 .dependents(id)
                 .filter(|&dependent| is_unfinished(dependent))
             {
-                let below = inherited[dependent].expect("an unfinished job that comes later");
+                let below = inherited[dependent].expect("an unfinished dependent, computed before");
                 let duration = self.jobs[dependent].urgency.duration.0 as i64;
                 let finish = below
                     .latest_finish
--- a/crates/dependency/tests/memory.rs
+++ b/crates/dependency/tests/memory.rs
@@ -1,6 +1,7 @@
-//! Memory is freed with the jobs: counted by the allocator. One test alone, so that nothing else allocates beside it.
+//! Memory is freed with the jobs, measured by a counting allocator. The file has a single test, so that no other test
+//! allocates concurrently.
 
-// A counting allocator can be written in no other way.
+// A global allocator cannot be implemented without unsafe code.
 #![allow(unsafe_code)]
 
 use dependency::*;
@@ -26,7 +27,7 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// What is allocated now and was not before.
+/// Measures the bytes allocated since its creation.
 struct AllocatedSince(usize);
 
 impl AllocatedSince {
@@ -39,9 +40,9 @@
     }
 }
 
-/// Of an empty graph that was large.
+/// Maximum memory of an empty graph that was large before.
 const MAX_EMPTY_BYTES: usize = 4 * 1024;
-/// Of each job with one edge.
+/// Maximum memory per job with one edge.
 const MAX_JOB_BYTES: usize = 1_024;
 const EDGES: u32 = 100_000;
 const FAN_SIZE: u32 = 10_000;
@@ -56,7 +57,7 @@
     }
 }
 
-/// Each of ten jobs is needed by each of 10,000.
+/// A bipartite graph: each of 10,000 jobs depends on each of ten others.
 fn bipartite() -> Graph<JobIndex> {
     let dependencies: Vec<_> = (0..EDGES / FAN_SIZE).map(JobIndex).collect();
     let mut graph = Graph::new();
@@ -81,14 +82,17 @@
     let since = AllocatedSince::now();
     let mut graph = bipartite();
     let full = since.bytes();
-    assert!(full > EDGES as usize * 8, "the allocator counts: {full}");
+    assert!(
+        full > EDGES as usize * 8,
+        "the allocator must count: {full}"
+    );
     for job in all_jobs() {
         graph.finish(job, TimeMs(1)).unwrap();
     }
     let ended = since.bytes();
     assert!(
         ended <= full / 2,
-        "ended jobs have no edges: {ended} of {full}"
+        "ended jobs must not keep edges: {ended} of {full}"
     );
     for job in all_jobs() {
         graph.forget(job).unwrap();
@@ -111,7 +115,7 @@
     assert!(empty <= MAX_EMPTY_BYTES, "{empty}");
 }
 
-/// Jobs that come and go, with indices that only grow and nobody who asks for inheritance.
+/// Jobs are added, finished and forgotten with ever-growing indices, and without updates of inheritance.
 fn long_run_uses_bounded_memory() {
     let since = AllocatedSince::now();
     let mut graph = Graph::new();
--- a/crates/dependency/tests/model.rs
+++ b/crates/dependency/tests/model.rs
@@ -1,4 +1,5 @@
-//! Generated histories against a naive model, which keeps all jobs for good and computes everything anew each time.
+//! Compares the graph, on generated call sequences, with a naive model that keeps all jobs forever and recomputes
+//! everything each time.
 
 mod common;
 
@@ -7,10 +8,10 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Indices are used again: there are no more than these.
+/// Number of indices; small, so that they are reused.
 const INDICES: u32 = 14;
 
-/// One call, with numbers that are mapped to jobs once it is made.
+/// One call. Its numbers are mapped to jobs when the call is made.
 #[derive(Clone, Debug)]
 enum Call {
     Add {
@@ -30,9 +31,9 @@
 
 #[derive(Clone, Debug)]
 enum Pick {
-    /// One of the known jobs (of the free indices, for a job that is added).
+    /// One of the known jobs, or one of the free indices for a job that is added.
     Valid(usize),
-    /// Any index, to be refused now and then.
+    /// Any index, so that some calls are refused.
     Any(u32),
 }
 
@@ -67,15 +68,15 @@
     ]
 }
 
-/// The graph beside the model.
+/// The graph and the reference model, driven by the same calls.
 struct GraphAndModel {
     graph: Graph<JobIndex>,
     model: ReferenceModel,
-    /// Which job of the model has the index now.
+    /// The model's job for each index in use.
     ids: BTreeMap<JobIndex, Id>,
-    /// Jobs that the graph has said to be cancelled.
+    /// Jobs that the graph has reported as cancelled.
     reported_cancelled: BTreeSet<Id>,
-    /// Cancellations that are not completed.
+    /// Roots of pending cancellations.
     pending_roots: BTreeSet<JobIndex>,
 }
 
@@ -191,7 +192,11 @@
                 assert_eq!(answer, Ok(JobState::Cancelled));
                 assert!(self.reported_cancelled.insert(id));
             }
-            JobState::Cancelled => assert_eq!(answer, Ok(JobState::Waiting), "still to be reached"),
+            JobState::Cancelled => assert_eq!(
+                answer,
+                Ok(JobState::Waiting),
+                "the cancellation has yet to reach it"
+            ),
             state => assert_eq!(answer, Ok(state)),
         }
     }
@@ -254,9 +259,12 @@
             assert_eq!(
                 self.model.state(id),
                 JobState::Cancelled,
-                "nothing else is cancelled"
+                "only jobs below a cancelled one are cancelled"
+            );
+            assert!(
+                self.reported_cancelled.insert(id),
+                "each job is reported once"
             );
-            assert!(self.reported_cancelled.insert(id), "each job is told once");
         }
         for root in step.completed {
             assert!(self.pending_roots.remove(&root));
@@ -264,7 +272,7 @@
         assert_eq!(step.pending, !self.pending_roots.is_empty());
         if !step.pending {
             let all: BTreeSet<_> = self.model.cancelled().collect();
-            assert_eq!(self.reported_cancelled, all, "it has reached all");
+            assert_eq!(self.reported_cancelled, all, "all jobs below are reached");
         }
         step.pending
     }
@@ -276,7 +284,7 @@
         let steps = self.graph.steps().inheritance - steps;
         assert!(
             steps <= limit + 5,
-            "as many as allowed, and the edges of one job"
+            "at most the limit and the edges of one job"
         );
         let after = self.inherited();
         let mut changed: Vec<_> = before
@@ -287,7 +295,7 @@
         changed.sort_by_key(|job| std::cmp::Reverse(self.ids[job]));
         assert_eq!(
             update.changed, changed,
-            "what changed is told, last added first"
+            "changed jobs are returned, last added first"
         );
         update.complete
     }
@@ -319,7 +327,7 @@
             return assert_eq!(answer, Err(ForgetError::Unfinished(job)));
         }
         if answer == Err(ForgetError::CancellationPending(job)) {
-            assert!(!self.pending_roots.is_empty(), "nothing is pending");
+            assert!(!self.pending_roots.is_empty(), "no cancellation is pending");
             return;
         }
         assert_eq!(answer, Ok(()));
@@ -327,13 +335,13 @@
             let mut below = self.model.dependents(id);
             assert!(
                 below.all(|job| self.reported_cancelled.contains(&job)),
-                "a cancellation lost its way"
+                "a dependent was not reached by the cancellation"
             );
         }
         self.ids.remove(&job);
     }
 
-    /// What holds after each call.
+    /// Checks the invariants that hold after each call.
     fn check(&self) {
         assert_eq!(self.graph.len(), self.ids.len());
         for (&job, &id) in &self.ids {
@@ -345,7 +353,7 @@
         }
     }
 
-    /// Carries on all that is pending, and compares all.
+    /// Completes all pending work and compares everything.
     fn settle(&mut self) {
         while self.continue_cancellation(2) {}
         while !self.update_inheritance(3) {}
@@ -368,14 +376,14 @@
                     .graph
                     .dependents(dependency)
                     .filter(|&dependent| dependent == job);
-                assert_eq!(back.count(), 1, "both ends of an edge are there");
+                assert_eq!(back.count(), 1, "both ends of an edge exist");
             }
             edges += dependencies.len();
         }
         assert_eq!(self.graph.edges(), edges);
     }
 
-    /// Ends and forgets all, in an order in which that can be.
+    /// Finishes all released jobs in a valid order, then forgets all jobs.
     fn finish_and_forget_all(&mut self) {
         while let Some(job) = self.ids.iter().find_map(|(&job, &id)| {
             let released = matches!(self.model.state(id), JobState::Released { .. });
@@ -388,12 +396,12 @@
         }
         assert!(
             self.graph.is_empty() && self.graph.edges() == 0,
-            "all has ended"
+            "all jobs have ended"
         );
         let steps = self.graph.steps();
         assert!(
             steps.release + steps.cancellation <= 2 * steps.added,
-            "each job ends and leaves once, and each edge is removed once: {steps:?}"
+            "each job ends and is removed once, and so is each edge: {steps:?}"
         );
     }
 }
--- a/crates/dependency/tests/rules.rs
+++ b/crates/dependency/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of the graph, one example each.
+//! The rules of the graph, with one example each.
 
 use dependency::*;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// A, then B and C beside each other, then D.
+/// A diamond: B and C depend on A, and D on both.
 fn diamond() -> Graph<JobIndex> {
     let mut graph = Graph::new();
     graph.add(A, &[], TimeMs(0), with_duration(10)).unwrap();
@@ -41,7 +41,7 @@
     graph.inherited(job)?.latest_finish.map(|at| at.0)
 }
 
-/// A job can't need itself or one that comes later, so there is no cycle; what is refused changes nothing.
+/// A job cannot depend on itself or on a later job, so there are no cycles. A refused call changes nothing.
 #[test]
 fn cycles_are_rejected() {
     let mut graph = Graph::new();
@@ -63,7 +63,7 @@
     assert_eq!(
         graph.add(A, &[B], TimeMs(0), default_urgency()),
         Err(AddError::AlreadyKnown(A)),
-        "a job's list can't be made longer afterwards"
+        "dependencies cannot be added to an existing job"
     );
     let unknown_second = AddError::UnknownDependency {
         job: C,
@@ -92,7 +92,8 @@
     assert_eq!(graph.finish(A, TimeMs(4)), Ok(vec![release]));
 }
 
-/// Rule 24: all that a job needs has to be done. Its release is the latest of the ends, in whichever order they come.
+/// Rule 24: a job is released once all its dependencies are done. Its release time is the latest of their ends, in
+/// whichever order these are reported.
 #[test]
 fn release_waits_for_all_ends() {
     let mut graph = diamond();
@@ -118,7 +119,7 @@
     assert_eq!(
         graph.finish(C, TimeMs(90)),
         Err(again),
-        "an end told twice counts once, and the first stays"
+        "an end reported twice counts once, and the first is kept"
     );
     let release = Release {
         job: D,
@@ -127,12 +128,12 @@
     assert_eq!(
         graph.finish(B, TimeMs(60)),
         Ok(vec![release]),
-        "an earlier end that is told later"
+        "an earlier end that is reported later"
     );
     assert_eq!(graph.state(D), Some(JobState::Released { at: TimeMs(70) }));
 }
 
-/// A job that is submitted when all that it needs is over is released by its acceptance.
+/// A job that is added after all its dependencies ended is released at its acceptance.
 #[test]
 fn job_added_after_its_dependencies_ended_is_released_at_acceptance() {
     let mut graph = Graph::new();
@@ -150,7 +151,7 @@
     assert_eq!(graph.finish(B, TimeMs(30)), Ok(vec![release]));
 }
 
-/// Rule 25: whichever of an end and a cancellation comes second is refused, and what is below follows the first.
+/// Rule 25: of an end and a cancellation of the same job, the second is refused. The jobs below follow the first.
 #[test]
 fn second_of_an_end_and_a_cancellation_is_refused() {
     let mut ended = diamond();
@@ -163,7 +164,7 @@
         assert_eq!(
             ended.state(job),
             Some(JobState::Released { at: TimeMs(10) }),
-            "what is below goes on"
+            "jobs below a done job are not affected"
         );
     }
 
@@ -181,7 +182,7 @@
     }
 }
 
-/// Before a cancellation has reached a job, nothing releases or ends it.
+/// A job below a cancelled one can be neither released nor finished, even before the cancellation has reached it.
 #[test]
 fn nothing_below_a_cancelled_job_is_released() {
     let mut graph = Graph::new();
@@ -195,7 +196,7 @@
     assert_eq!(graph.finish(C, TimeMs(6)), Err(FinishError::Cancelled(C)));
 }
 
-/// A job that names a cancelled one is cancelled at once, also after the cancellation has gone by.
+/// A job that depends on a cancelled one is cancelled at once, also after that cancellation is completed.
 #[test]
 fn job_added_below_a_cancelled_job_is_cancelled() {
     for is_completed in [false, true] {
@@ -214,12 +215,12 @@
         assert_eq!(
             graph.continue_cancellation(10).cancelled,
             [],
-            "each job is told once"
+            "each job is reported once"
         );
     }
 }
 
-/// A job that is submitted below one that a cancellation has still to reach is reached with it.
+/// A job that is added below one that a cancellation has yet to reach is cancelled by it too.
 #[test]
 fn job_added_below_a_pending_cancellation_is_cancelled_with_it() {
     let mut graph = Graph::new();
@@ -238,7 +239,7 @@
     assert_eq!(graph.continue_cancellation(1).cancelled, [C]);
 }
 
-/// Two cancellations that meet: each job is told once, and each cancellation is completed.
+/// When two cancellations overlap, each job is reported once and each cancellation is completed.
 #[test]
 fn overlapping_cancellations_report_each_job_once() {
     let mut graph = diamond();
@@ -258,7 +259,7 @@
     assert_eq!(graph.edges(), 0);
 }
 
-/// What is beside or above a cancelled job goes on.
+/// Jobs above or beside a cancelled job are not affected.
 #[test]
 fn cancellation_affects_only_dependents() {
     let mut graph = diamond();
@@ -279,7 +280,7 @@
     assert!(step.cancelled.is_empty() && step.pending);
 }
 
-/// Only what ended is forgotten, and no pending cancellation loses its way by it.
+/// Only ended jobs can be forgotten, and not while a pending cancellation still has to pass through them.
 #[test]
 fn only_ended_jobs_can_be_forgotten() {
     let mut graph = diamond();
@@ -293,13 +294,13 @@
     graph.forget(C).unwrap();
     graph.forget(D).unwrap();
     assert_eq!((graph.len(), graph.edges()), (1, 0));
-    // The index is free for another job, which has nothing of the first.
+    // The index is free for another job, which inherits no state from the first.
     let reused = graph.add(A, &[B], TimeMs(20), default_urgency());
     assert_eq!(reused, Ok(JobState::Waiting));
     assert_eq!(graph.cancel(D), Err(UnknownJob(D)));
 }
 
-/// The job whose cancellation is pending keeps its index until it is told that this is completed.
+/// The root of a pending cancellation keeps its index until the cancellation is returned as completed.
 #[test]
 fn root_of_a_pending_cancellation_cannot_be_forgotten() {
     let mut graph = Graph::new();
@@ -315,7 +316,7 @@
     graph.forget(A).unwrap();
 }
 
-/// The critical path: of two ways to the deadline the longer one counts.
+/// The latest finish follows the critical path: of two paths to the deadline, the longer one counts.
 #[test]
 fn latest_finish_by_the_longest_path() {
     let mut graph = diamond();
@@ -331,12 +332,12 @@
             Some(200)
         ]
     );
-    // The longer branch is cancelled with the end; then nothing binds the start.
+    // The longer branch and the last job are cancelled; the deadline then no longer applies to A and B.
     graph.cancel(C).unwrap();
     assert_eq!(graph.continue_cancellation(10).cancelled, [D]);
     graph.update_inheritance(100);
     assert_eq!([A, B].map(|job| latest_finish(&graph, job)), [None, None]);
-    // A later last stage binds the other branch, and a job's own deadline counts where it is earlier.
+    // A new last job constrains the other branch, and a job's own deadline counts if it is earlier.
     graph.forget(D).unwrap();
     graph
         .add(D, &[B], TimeMs(50), with_deadline(300, 40))
@@ -378,7 +379,7 @@
     assert_eq!([A, B].map(|job| priority(&graph, job)), [Some(1), Some(0)]);
 }
 
-/// Far moments saturate instead of overflowing.
+/// Extreme times saturate instead of overflowing.
 #[test]
 fn extreme_times_saturate() {
     let mut graph = Graph::new();
--- a/crates/dependency/tests/scale.rs
+++ b/crates/dependency/tests/scale.rs
@@ -1,16 +1,16 @@
-//! Work follows change: steps on large graphs are bounded, and a small stack is enough.
+//! The cost of an operation is proportional to the change, also in large graphs, and a small stack is sufficient.
 
 use dependency::*;
 
-/// Less than one frame for each job of a long chain would take.
+/// Too small for recursion with one frame per job of a long chain.
 const SMALL_STACK: usize = 64 * 1024;
 const CHAIN: u32 = 10_000;
 const FAN_SIZE: u32 = 10_000;
-/// A layered graph in which each job needs all of the layer above: 100,000 edges, and 10^1,000 paths.
+/// A layered graph in which each job depends on all jobs of the previous layer: 100,000 edges and 10^1,000 paths.
 const LAYERS: u32 = 1_001;
 const WIDTH: u32 = 10;
 const LAYERED_EDGES: u64 = (LAYERS as u64 - 1) * (WIDTH * WIDTH) as u64;
-/// Changes of one transaction.
+/// Number of jobs cancelled per transaction.
 const BATCH: usize = 5;
 
 fn with_duration(ms: u64) -> Urgency {
@@ -34,7 +34,7 @@
     thread.expect("a thread").join().expect("no panic");
 }
 
-/// What a call adds to the steps.
+/// Runs a call and returns the steps that it took.
 fn steps_of<T>(
     graph: &mut Graph<JobIndex>,
     call: impl FnOnce(&mut Graph<JobIndex>) -> T,
@@ -57,7 +57,7 @@
     steps.inheritance
 }
 
-/// Cancels in batches and returns the jobs, their number bounded in each call, and all steps.
+/// Cancels in batches, checks the bounds of each call, and returns all cancelled jobs and the total steps.
 fn cancel_all(
     graph: &mut Graph<JobIndex>,
     job: JobIndex,
@@ -101,8 +101,11 @@
         let mut graph = chain();
         assert_eq!(graph.steps().added, u64::from(2 * CHAIN - 1));
         let steps = settle(&mut graph);
-        assert!(steps <= u64::from(CHAIN), "nothing to inherit: {steps}");
-        // The last stage is known late.
+        assert!(
+            steps <= u64::from(CHAIN),
+            "without anything to inherit: {steps}"
+        );
+        // A last job with a deadline is added later.
         let last = JobIndex(CHAIN);
         graph
             .add(
@@ -119,7 +122,7 @@
         );
         let first = graph.inherited(JobIndex(0)).expect("an unfinished job");
         assert_eq!(first.latest_finish, Some(TimeMs(50_000 - i64::from(CHAIN))));
-        // What asks for less stops at once.
+        // A less urgent dependent is not propagated further.
         let sibling = JobIndex(CHAIN + 1);
         graph
             .add(
@@ -130,7 +133,7 @@
             )
             .unwrap();
         assert_eq!(settle(&mut graph), 1);
-        // An estimate in the middle goes upward from there.
+        // A changed estimate is propagated upward from its job.
         let middle = JobIndex(CHAIN - 100);
         graph.set_urgency(middle, with_duration(11)).unwrap();
         let near_start = JobIndex(100);
@@ -171,14 +174,14 @@
         let (all, steps) = cancel_all(&mut graph, JobIndex(0), 1);
         assert!(
             all.into_iter().eq((1..CHAIN).map(JobIndex)),
-            "the nearest first"
+            "nearest first"
         );
         assert!(steps <= u64::from(3 * CHAIN), "{steps}");
         assert_eq!(graph.edges(), 0);
     });
 }
 
-/// One job that many need: they are added, cancelled and released one by one without a search.
+/// One job with many dependents: they are added, cancelled and released without a search per edge.
 #[test]
 fn wide_fan_out_takes_bounded_steps() {
     let root = JobIndex(FAN_SIZE);
@@ -195,7 +198,7 @@
                     with_deadline(deadline),
                 )
                 .unwrap();
-            assert_eq!(settle(&mut graph), 1, "the job above alone");
+            assert_eq!(settle(&mut graph), 1, "only the job above");
         }
         graph
     };
@@ -213,7 +216,7 @@
         });
         assert!(cancelled.cancelled.is_empty());
         assert!(steps.cancellation <= 3, "{steps:?}");
-        assert_eq!(settle(&mut graph), 1, "the job above alone");
+        assert_eq!(settle(&mut graph), 1, "only the job above");
     }
     assert_eq!(
         graph.inherited(root).expect("unfinished").latest_finish,
@@ -232,7 +235,7 @@
     assert!(steps <= u64::from(3 * FAN_SIZE + 3), "{steps}");
 }
 
-/// One job that needs many.
+/// One job with many dependencies.
 #[test]
 fn wide_fan_in_takes_bounded_steps() {
     let last = JobIndex(FAN_SIZE);
@@ -249,7 +252,7 @@
     let steps = settle(&mut graph);
     assert!(
         steps <= u64::from(FAN_SIZE),
-        "the edges were told when they were made: {steps}"
+        "requirements were recorded when the edges were added: {steps}"
     );
     graph.set_urgency(last, with_deadline(400)).unwrap();
     let steps = settle(&mut graph);
@@ -292,7 +295,7 @@
     graph
 }
 
-/// However many paths there are, each job and edge is taken once.
+/// Each job and edge is processed once, however many paths there are.
 #[test]
 fn layered_graph_computes_each_job_and_edge_once() {
     on_a_small_stack(|| {
@@ -311,7 +314,7 @@
             first.latest_finish,
             Some(TimeMs(10_000 - i64::from(LAYERS)))
         );
-        // A stage that is less urgent costs a look at each job that it needs.
+        // A less urgent job costs one step per dependency.
         graph
             .add(
                 JobIndex(last.0 + 1),
@@ -321,7 +324,7 @@
             )
             .unwrap();
         assert_eq!(settle(&mut graph), u64::from(WIDTH));
-        // An update in pieces does the same work in all.
+        // An update in several calls takes the same work in total.
         graph.set_urgency(last, with_deadline(9_000)).unwrap();
         let before = graph.steps().inheritance;
         loop {
@@ -364,7 +367,10 @@
         assert_eq!(all.len() as u64, jobs - u64::from(WIDTH));
         assert!(steps <= 2 * jobs + LAYERED_EDGES, "{steps}");
         let steps = settle(&mut graph);
-        assert!(steps <= jobs, "the first layer's others: {steps}");
+        assert!(
+            steps <= jobs,
+            "only the other jobs of the first layer: {steps}"
+        );
         assert_eq!(graph.edges(), 0);
     });
 }
