--- a/crates/model/src/spec.rs
+++ b/crates/model/src/spec.rs
@@ -14,7 +14,7 @@
     /// Its submission counts as its first demand.
     #[default]
     Awake,
-    /// It starts without replicas and waits for demand.
+    /// It starts asleep and waits for demand.
     Asleep,
 }
 
