--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -58,7 +58,7 @@
 pub const GPUS: usize = 1;
 pub const MEM: usize = 2;
 /// Names of the resources that every tree has, by resource index.
-pub const COMMON: [&str; 3] = ["cpus", "gpus", "mem_gb"];
+pub const COMMON_RESOURCES: [&str; 3] = ["cpus", "gpus", "mem_gb"];
 
 /// Maximum number of inner nodes above a team.
 pub const MAX_DEPTH: usize = 8;
@@ -85,7 +85,7 @@
 pub fn amount(parts: &[(&str, f64)]) -> Amount {
     let mut out = NOTHING;
     for (name, units) in parts {
-        if let Some(r) = COMMON.iter().position(|c| c == name) {
+        if let Some(r) = COMMON_RESOURCES.iter().position(|c| c == name) {
             out[r] = milli(*units);
         }
     }
--- a/crates/quota/src/live.rs
+++ b/crates/quota/src/live.rs
@@ -133,7 +133,7 @@
     /// How much more may start below a node: the least that is left under any maximum from it to the root.
     pub fn headroom(&self, node: Option<NodeId>) -> Amount {
         let mut out = [UNBOUNDED; MAX_RESOURCES];
-        for n in self.tree.above(node) {
+        for n in self.tree.with_ancestors(node) {
             let (max, used) = (self.tree.nodes[n.0 as usize].max, self.used(n));
             for r in (0..MAX_RESOURCES).filter(|r| max[*r] != UNBOUNDED) {
                 out[r] = out[r].min(max[r] - used[r]);
--- a/crates/quota/src/tree.rs
+++ b/crates/quota/src/tree.rs
@@ -3,7 +3,8 @@
 use crate::file::{NODE, TEAM};
 use crate::spec::{Amounts, NodeSpec, Over, Spec};
 use crate::{
-    Amount, COMMON, MAX_AMOUNT, MAX_DEPTH, MAX_NAME, MAX_NODES, MAX_RESOURCES, MAX_TEAMS, UNBOUNDED,
+    Amount, COMMON_RESOURCES, MAX_AMOUNT, MAX_DEPTH, MAX_NAME, MAX_NODES, MAX_RESOURCES, MAX_TEAMS,
+    UNBOUNDED,
 };
 use crate::{NOTHING, milli};
 use document::{Fault, Faults, short};
@@ -95,10 +96,10 @@
     }
     /// The ancestors of a team, topmost first.
     pub fn path(&self, team: TeamId) -> Vec<NodeId> {
-        self.above(self.leaves[team.0 as usize].parent)
+        self.with_ancestors(self.leaves[team.0 as usize].parent)
     }
     /// A node and its ancestors, topmost first.
-    pub fn above(&self, node: Option<NodeId>) -> Vec<NodeId> {
+    pub fn with_ancestors(&self, node: Option<NodeId>) -> Vec<NodeId> {
         let mut out = Vec::new();
         let mut at = node;
         while let Some(n) = at {
@@ -170,7 +171,7 @@
 
     fn collect_resources(&mut self) {
         let spec = self.spec;
-        let mut all: Vec<String> = COMMON.iter().map(|c| (*c).to_owned()).collect();
+        let mut all: Vec<String> = COMMON_RESOURCES.iter().map(|c| (*c).to_owned()).collect();
         let of_nodes = spec
             .nodes
             .iter()
@@ -186,15 +187,18 @@
             }
         }
         if all.len() > MAX_RESOURCES {
-            let own = MAX_RESOURCES - COMMON.len();
+            let own = MAX_RESOURCES - COMMON_RESOURCES.len();
             self.fault(
                 Place::Whole,
                 "",
-                format!("more than {own} resources besides {}", COMMON.join(", ")),
+                format!(
+                    "more than {own} resources besides {}",
+                    COMMON_RESOURCES.join(", ")
+                ),
             );
             all.truncate(MAX_RESOURCES);
         }
-        all[COMMON.len()..].sort();
+        all[COMMON_RESOURCES.len()..].sort();
         self.tree.resources = all;
     }
 
