--- a/crates/dependency/tests/common/naive.rs
+++ b/crates/dependency/tests/common/naive.rs
@@ -1,13 +1,13 @@
-//! A model of the graph that keeps all jobs for good and computes everything from their lists.
+//! A naive reference model of the graph: it keeps all jobs forever and computes everything from their dependencies.
 
 use dependency::{Inherited, JobState, TimeMs, Urgency};
 use std::collections::BTreeSet;
 
-/// A job of the model: never used again.
+/// Index of a job in the model; never reused.
 pub type Id = usize;
 
 struct Job {
-    needs: BTreeSet<Id>,
+    dependencies: BTreeSet<Id>,
     accepted: TimeMs,
     urgency: Urgency,
     end: Option<TimeMs>,
@@ -15,14 +15,14 @@
 }
 
 #[derive(Default)]
-pub struct Naive {
+pub struct ReferenceModel {
     jobs: Vec<Job>,
 }
 
-impl Naive {
-    pub fn add(&mut self, needs: BTreeSet<Id>, accepted: TimeMs, urgency: Urgency) -> Id {
+impl ReferenceModel {
+    pub fn add(&mut self, dependencies: BTreeSet<Id>, accepted: TimeMs, urgency: Urgency) -> Id {
         self.jobs.push(Job {
-            needs,
+            dependencies,
             accepted,
             urgency,
             end: None,
@@ -47,16 +47,17 @@
         self.states()[id]
     }
 
-    /// The states of all jobs; a job's list names earlier ones alone.
+    /// The states of all jobs. Dependencies always precede their dependents.
     fn states(&self) -> Vec<JobState> {
         let mut states: Vec<JobState> = Vec::new();
         for job in &self.jobs {
-            let needs = || job.needs.iter().map(|&need| states[need]);
-            let ends = needs().map(|state| match state {
+            let dependencies = || job.dependencies.iter().map(|&id| states[id]);
+            let ends = dependencies().map(|state| match state {
                 JobState::Done { at } => Some(at),
                 _ => None,
             });
-            let state = if job.cancelled_itself || needs().any(|state| state == JobState::Cancelled)
+            let state = if job.cancelled_itself
+                || dependencies().any(|state| state == JobState::Cancelled)
             {
                 JobState::Cancelled
             } else if let Some(at) = job.end {
@@ -64,7 +65,7 @@
             } else if let Some(ends) = ends.collect::<Option<Vec<_>>>() {
                 let at = ends.into_iter().chain([job.accepted]).max();
                 JobState::Released {
-                    at: at.expect("the acceptance at least"),
+                    at: at.expect("at least the acceptance"),
                 }
             } else {
                 JobState::Waiting
@@ -83,33 +84,35 @@
 
     pub fn dependents(&self, id: Id) -> impl Iterator<Item = Id> {
         let jobs = self.jobs.iter().enumerate();
-        jobs.filter(move |(_, job)| job.needs.contains(&id))
+        jobs.filter(move |(_, job)| job.dependencies.contains(&id))
             .map(|(id, _)| id)
     }
 
-    fn unfinished(&self, id: Id) -> bool {
+    fn is_unfinished(&self, id: Id) -> bool {
         matches!(
             self.state(id),
             JobState::Waiting | JobState::Released { .. }
         )
     }
 
-    pub fn unfinished_needs(&self, id: Id) -> BTreeSet<Id> {
-        if !self.unfinished(id) {
+    pub fn unfinished_dependencies(&self, id: Id) -> BTreeSet<Id> {
+        if !self.is_unfinished(id) {
             return BTreeSet::new();
         }
-        let needs = self.jobs[id].needs.iter().copied();
-        needs.filter(|&need| self.unfinished(need)).collect()
+        let dependencies = self.jobs[id].dependencies.iter().copied();
+        dependencies
+            .filter(|&dependency| self.is_unfinished(dependency))
+            .collect()
     }
 
-    /// By the definition: over all paths below the job.
+    /// Computed by definition, over all paths below the job.
     pub fn inherited(&self, id: Id) -> Option<Inherited> {
         let states = self.states();
-        let unfinished =
+        let is_unfinished =
             |id: Id| matches!(states[id], JobState::Waiting | JobState::Released { .. });
-        // Later jobs first, so that those that need a job are there before it.
+        // Later jobs first, so that the dependents of a job are computed before it.
         let mut inherited: Vec<Option<Inherited>> = vec![None; self.jobs.len()];
-        for id in (0..self.jobs.len()).rev().filter(|&id| unfinished(id)) {
+        for id in (0..self.jobs.len()).rev().filter(|&id| is_unfinished(id)) {
             let own = self.jobs[id].urgency;
             let mut best = Inherited {
                 priority: own.priority,
@@ -117,9 +120,9 @@
             };
             for dependent in self
                 .dependents(id)
-                .filter(|&dependent| unfinished(dependent))
+                .filter(|&dependent| is_unfinished(dependent))
             {
-                let below = inherited[dependent].expect("an unfinished job that comes later");
+                let below = inherited[dependent].expect("an unfinished dependent, computed before");
                 let duration = self.jobs[dependent].urgency.duration.0 as i64;
                 let finish = below
                     .latest_finish
--- a/crates/dependency/tests/model.rs
+++ b/crates/dependency/tests/model.rs
@@ -1,21 +1,22 @@
-//! Generated histories against a naive model, which keeps all jobs for good and computes everything anew each time.
+//! Compares the graph, on generated call sequences, with a naive model that keeps all jobs forever and recomputes
+//! everything each time.
 
 mod common;
 
-use common::naive::{Id, Naive};
+use common::naive::{Id, ReferenceModel};
 use dependency::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Indices are used again: there are no more than these.
+/// Number of indices; small, so that they are reused.
 const INDICES: u32 = 14;
 
-/// One call, with numbers that are mapped to jobs once it is made.
+/// One call. Its numbers are mapped to jobs when the call is made.
 #[derive(Clone, Debug)]
 enum Call {
     Add {
         index: Pick,
-        needs: Vec<Pick>,
+        dependencies: Vec<Pick>,
         accepted: i64,
         urgency: Urgency,
     },
@@ -30,15 +31,15 @@
 
 #[derive(Clone, Debug)]
 enum Pick {
-    /// One of the known jobs (of the free indices, for a job that is added).
-    Fitting(usize),
-    /// Any index, to be refused now and then.
+    /// One of the known jobs, or one of the free indices for a job that is added.
+    Valid(usize),
+    /// Any index, so that some calls are refused.
     Any(u32),
 }
 
 fn picks() -> impl Strategy<Value = Pick> {
     prop_oneof![
-        15 => any::<usize>().prop_map(Pick::Fitting),
+        15 => any::<usize>().prop_map(Pick::Valid),
         1 => (0..INDICES).prop_map(Pick::Any),
     ]
 }
@@ -56,7 +57,7 @@
 fn calls() -> impl Strategy<Value = Call> {
     prop_oneof![
         8 => (picks(), proptest::collection::vec(picks(), 0..5), 0..100_i64, urgencies())
-            .prop_map(|(index, needs, accepted, urgency)| Call::Add { index, needs, accepted, urgency }),
+            .prop_map(|(index, dependencies, accepted, urgency)| Call::Add { index, dependencies, accepted, urgency }),
         1 => (picks(), 0..100_i64).prop_map(|(job, at)| Call::Finish(job, at)),
         4 => (any::<usize>(), 0..100_i64).prop_map(|(job, at)| Call::FinishReleased(job, at)),
         2 => picks().prop_map(Call::Cancel),
@@ -67,49 +68,49 @@
     ]
 }
 
-/// The graph beside the model.
-struct Pair {
+/// The graph and the reference model, driven by the same calls.
+struct GraphAndModel {
     graph: Graph<JobIndex>,
-    naive: Naive,
-    /// Which job of the model has the index now.
+    model: ReferenceModel,
+    /// The model's job for each index in use.
     ids: BTreeMap<JobIndex, Id>,
-    /// Jobs that the graph has said to be cancelled.
-    told: BTreeSet<Id>,
-    /// Cancellations that are not completed.
+    /// Jobs that the graph has reported as cancelled.
+    reported_cancelled: BTreeSet<Id>,
+    /// Roots of pending cancellations.
     pending_roots: BTreeSet<JobIndex>,
 }
 
-impl Pair {
+impl GraphAndModel {
     fn new() -> Self {
         Self {
             graph: Graph::new(),
-            naive: Naive::default(),
+            model: ReferenceModel::default(),
             ids: BTreeMap::new(),
-            told: BTreeSet::new(),
+            reported_cancelled: BTreeSet::new(),
             pending_roots: BTreeSet::new(),
         }
     }
 
-    fn known(&self, pick: &Pick) -> JobIndex {
+    fn pick_known(&self, pick: &Pick) -> JobIndex {
         match *pick {
-            Pick::Fitting(number) if !self.ids.is_empty() => *self
+            Pick::Valid(number) if !self.ids.is_empty() => *self
                 .ids
                 .keys()
                 .nth(number % self.ids.len())
                 .expect("a known job"),
-            Pick::Fitting(number) => JobIndex(number as u32 % INDICES),
+            Pick::Valid(number) => JobIndex(number as u32 % INDICES),
             Pick::Any(index) => JobIndex(index),
         }
     }
 
-    fn free(&self, pick: &Pick) -> JobIndex {
+    fn pick_free(&self, pick: &Pick) -> JobIndex {
         let free: Vec<_> = (0..INDICES)
             .map(JobIndex)
             .filter(|index| !self.ids.contains_key(index))
             .collect();
         match *pick {
-            Pick::Fitting(number) if !free.is_empty() => free[number % free.len()],
-            Pick::Fitting(number) => JobIndex(number as u32 % INDICES),
+            Pick::Valid(number) if !free.is_empty() => free[number % free.len()],
+            Pick::Valid(number) => JobIndex(number as u32 % INDICES),
             Pick::Any(index) => JobIndex(index),
         }
     }
@@ -118,58 +119,84 @@
         match call {
             Call::Add {
                 index,
-                needs,
+                dependencies,
                 accepted,
                 urgency,
             } => {
-                let needs: Vec<_> = needs.iter().map(|need| self.known(need)).collect();
-                self.add(self.free(index), &needs, TimeMs(*accepted), *urgency);
+                let dependencies: Vec<_> = dependencies
+                    .iter()
+                    .map(|dependency| self.pick_known(dependency))
+                    .collect();
+                self.add(
+                    self.pick_free(index),
+                    &dependencies,
+                    TimeMs(*accepted),
+                    *urgency,
+                );
             }
-            Call::Finish(job, at) => self.finish(self.known(job), TimeMs(*at)),
+            Call::Finish(job, at) => self.finish(self.pick_known(job), TimeMs(*at)),
             Call::FinishReleased(number, at) => {
                 let released: Vec<_> = self
                     .ids
                     .iter()
-                    .filter(|&(_, &id)| matches!(self.naive.state(id), JobState::Released { .. }))
+                    .filter(|&(_, &id)| matches!(self.model.state(id), JobState::Released { .. }))
                     .map(|(&index, _)| index)
                     .collect();
                 if !released.is_empty() {
                     self.finish(released[number % released.len()], TimeMs(*at));
                 }
             }
-            Call::Cancel(job) => self.cancel(self.known(job)),
+            Call::Cancel(job) => self.cancel(self.pick_known(job)),
             Call::ContinueCancellation(limit) => {
                 self.continue_cancellation(*limit);
             }
             Call::UpdateInheritance(limit) => {
                 self.update_inheritance(*limit);
             }
-            Call::SetUrgency(job, urgency) => self.set_urgency(self.known(job), *urgency),
-            Call::Forget(job) => self.forget(self.known(job)),
+            Call::SetUrgency(job, urgency) => self.set_urgency(self.pick_known(job), *urgency),
+            Call::Forget(job) => self.forget(self.pick_known(job)),
         }
     }
 
-    fn add(&mut self, job: JobIndex, needs: &[JobIndex], accepted: TimeMs, urgency: Urgency) {
-        let answer = self.graph.add(job, needs, accepted, urgency);
+    fn add(
+        &mut self,
+        job: JobIndex,
+        dependencies: &[JobIndex],
+        accepted: TimeMs,
+        urgency: Urgency,
+    ) {
+        let answer = self.graph.add(job, dependencies, accepted, urgency);
         if self.ids.contains_key(&job) {
             return assert_eq!(answer, Err(AddError::AlreadyKnown(job)));
         }
-        if needs.contains(&job) {
-            return assert_eq!(answer, Err(AddError::NeedsItself(job)));
+        if dependencies.contains(&job) {
+            return assert_eq!(answer, Err(AddError::DependsOnItself(job)));
         }
-        if let Some(&need) = needs.iter().find(|need| !self.ids.contains_key(need)) {
-            return assert_eq!(answer, Err(AddError::UnknownNeed { job, need }));
+        if let Some(&dependency) = dependencies
+            .iter()
+            .find(|dependency| !self.ids.contains_key(dependency))
+        {
+            return assert_eq!(answer, Err(AddError::UnknownDependency { job, dependency }));
         }
-        let needs: BTreeSet<Id> = needs.iter().map(|need| self.ids[need]).collect();
-        let below_told = needs.iter().any(|need| self.told.contains(need));
-        let id = self.naive.add(needs, accepted, urgency);
+        let dependencies: BTreeSet<Id> = dependencies
+            .iter()
+            .map(|dependency| self.ids[dependency])
+            .collect();
+        let below_reported = dependencies
+            .iter()
+            .any(|dependency| self.reported_cancelled.contains(dependency));
+        let id = self.model.add(dependencies, accepted, urgency);
         self.ids.insert(job, id);
-        match self.naive.state(id) {
-            JobState::Cancelled if below_told => {
+        match self.model.state(id) {
+            JobState::Cancelled if below_reported => {
                 assert_eq!(answer, Ok(JobState::Cancelled));
-                assert!(self.told.insert(id));
+                assert!(self.reported_cancelled.insert(id));
             }
-            JobState::Cancelled => assert_eq!(answer, Ok(JobState::Waiting), "still to be reached"),
+            JobState::Cancelled => assert_eq!(
+                answer,
+                Ok(JobState::Waiting),
+                "the cancellation has yet to reach it"
+            ),
             state => assert_eq!(answer, Ok(state)),
         }
     }
@@ -179,8 +206,8 @@
         let Some(&id) = self.ids.get(&job) else {
             return assert_eq!(answer, Err(FinishError::Unknown(job)));
         };
-        match self.naive.state(id) {
-            JobState::Cancelled if self.told.contains(&id) => {
+        match self.model.state(id) {
+            JobState::Cancelled if self.reported_cancelled.contains(&id) => {
                 assert_eq!(answer, Err(FinishError::Cancelled(job)));
             }
             JobState::Cancelled | JobState::Waiting => {
@@ -191,13 +218,13 @@
                 let waiting: Vec<_> = self
                     .ids
                     .iter()
-                    .filter(|&(_, &id)| self.naive.state(id) == JobState::Waiting)
+                    .filter(|&(_, &id)| self.model.state(id) == JobState::Waiting)
                     .map(|(&index, &id)| (index, id))
                     .collect();
-                self.naive.finish(id, at);
+                self.model.finish(id, at);
                 let released: Vec<_> = waiting
                     .into_iter()
-                    .filter_map(|(job, id)| match self.naive.state(id) {
+                    .filter_map(|(job, id)| match self.model.state(id) {
                         JobState::Released { at } => Some(Release { job, at }),
                         _ => None,
                     })
@@ -212,15 +239,15 @@
         let Some(&id) = self.ids.get(&job) else {
             return assert_eq!(answer, Err(UnknownJob(job)));
         };
-        if let JobState::Done { at } = self.naive.state(id) {
+        if let JobState::Done { at } = self.model.state(id) {
             return assert_eq!(answer, Ok(CancelOutcome::AlreadyDone { at }));
         }
-        if self.told.contains(&id) {
+        if self.reported_cancelled.contains(&id) {
             return assert_eq!(answer, Ok(CancelOutcome::AlreadyCancelled));
         }
         assert_eq!(answer, Ok(CancelOutcome::Cancelled));
-        self.naive.cancel(id);
-        self.told.insert(id);
+        self.model.cancel(id);
+        self.reported_cancelled.insert(id);
         self.pending_roots.insert(job);
     }
 
@@ -230,19 +257,22 @@
         for job in step.cancelled {
             let id = self.ids[&job];
             assert_eq!(
-                self.naive.state(id),
+                self.model.state(id),
                 JobState::Cancelled,
-                "nothing else is cancelled"
+                "only jobs below a cancelled one are cancelled"
+            );
+            assert!(
+                self.reported_cancelled.insert(id),
+                "each job is reported once"
             );
-            assert!(self.told.insert(id), "each job is told once");
         }
         for root in step.completed {
             assert!(self.pending_roots.remove(&root));
         }
         assert_eq!(step.pending, !self.pending_roots.is_empty());
         if !step.pending {
-            let all: BTreeSet<_> = self.naive.cancelled().collect();
-            assert_eq!(self.told, all, "it has reached all");
+            let all: BTreeSet<_> = self.model.cancelled().collect();
+            assert_eq!(self.reported_cancelled, all, "all jobs below are reached");
         }
         step.pending
     }
@@ -254,7 +284,7 @@
         let steps = self.graph.steps().inheritance - steps;
         assert!(
             steps <= limit + 5,
-            "as many as allowed, and the edges of one job"
+            "at most the limit and the edges of one job"
         );
         let after = self.inherited();
         let mut changed: Vec<_> = before
@@ -265,7 +295,7 @@
         changed.sort_by_key(|job| std::cmp::Reverse(self.ids[job]));
         assert_eq!(
             update.changed, changed,
-            "what changed is told, last added first"
+            "changed jobs are returned, last added first"
         );
         update.complete
     }
@@ -283,7 +313,7 @@
             return assert_eq!(answer, Err(UnknownJob(job)));
         };
         assert_eq!(answer, Ok(()));
-        self.naive.set_urgency(id, urgency);
+        self.model.set_urgency(id, urgency);
     }
 
     fn forget(&mut self, job: JobIndex) {
@@ -291,39 +321,39 @@
         let Some(&id) = self.ids.get(&job) else {
             return assert_eq!(answer, Err(ForgetError::Unknown(job)));
         };
-        let ended =
-            matches!(self.naive.state(id), JobState::Done { .. }) || self.told.contains(&id);
+        let ended = matches!(self.model.state(id), JobState::Done { .. })
+            || self.reported_cancelled.contains(&id);
         if !ended {
             return assert_eq!(answer, Err(ForgetError::Unfinished(job)));
         }
         if answer == Err(ForgetError::CancellationPending(job)) {
-            assert!(!self.pending_roots.is_empty(), "nothing is pending");
+            assert!(!self.pending_roots.is_empty(), "no cancellation is pending");
             return;
         }
         assert_eq!(answer, Ok(()));
-        if self.told.contains(&id) {
-            let mut below = self.naive.dependents(id);
+        if self.reported_cancelled.contains(&id) {
+            let mut below = self.model.dependents(id);
             assert!(
-                below.all(|job| self.told.contains(&job)),
-                "a cancellation lost its way"
+                below.all(|job| self.reported_cancelled.contains(&job)),
+                "a dependent was not reached by the cancellation"
             );
         }
         self.ids.remove(&job);
     }
 
-    /// What holds after each call.
+    /// Checks the invariants that hold after each call.
     fn check(&self) {
         assert_eq!(self.graph.len(), self.ids.len());
         for (&job, &id) in &self.ids {
-            let expected = match self.naive.state(id) {
-                JobState::Cancelled if !self.told.contains(&id) => JobState::Waiting,
+            let expected = match self.model.state(id) {
+                JobState::Cancelled if !self.reported_cancelled.contains(&id) => JobState::Waiting,
                 state => state,
             };
             assert_eq!(self.graph.state(job), Some(expected), "{job:?}");
         }
     }
 
-    /// Carries on all that is pending, and compares all.
+    /// Completes all pending work and compares everything.
     fn settle(&mut self) {
         while self.continue_cancellation(2) {}
         while !self.update_inheritance(3) {}
@@ -332,31 +362,31 @@
         for (&job, &id) in &self.ids {
             assert_eq!(
                 self.graph.inherited(job),
-                self.naive.inherited(id),
+                self.model.inherited(id),
                 "{job:?}"
             );
-            let needs: BTreeSet<_> = self
+            let dependencies: BTreeSet<_> = self
                 .graph
-                .unfinished_needs(job)
-                .map(|need| self.ids[&need])
+                .unfinished_dependencies(job)
+                .map(|dependency| self.ids[&dependency])
                 .collect();
-            assert_eq!(needs, self.naive.unfinished_needs(id));
-            for need in self.graph.unfinished_needs(job) {
+            assert_eq!(dependencies, self.model.unfinished_dependencies(id));
+            for dependency in self.graph.unfinished_dependencies(job) {
                 let back = self
                     .graph
-                    .dependents(need)
+                    .dependents(dependency)
                     .filter(|&dependent| dependent == job);
-                assert_eq!(back.count(), 1, "both ends of an edge are there");
+                assert_eq!(back.count(), 1, "both ends of an edge exist");
             }
-            edges += needs.len();
+            edges += dependencies.len();
         }
         assert_eq!(self.graph.edges(), edges);
     }
 
-    /// Ends and forgets all, in an order in which that can be.
-    fn end_all(&mut self) {
+    /// Finishes all released jobs in a valid order, then forgets all jobs.
+    fn finish_and_forget_all(&mut self) {
         while let Some(job) = self.ids.iter().find_map(|(&job, &id)| {
-            let released = matches!(self.naive.state(id), JobState::Released { .. });
+            let released = matches!(self.model.state(id), JobState::Released { .. });
             released.then_some(job)
         }) {
             self.finish(job, TimeMs(100));
@@ -366,12 +396,12 @@
         }
         assert!(
             self.graph.is_empty() && self.graph.edges() == 0,
-            "all has ended"
+            "all jobs have ended"
         );
         let steps = self.graph.steps();
         assert!(
             steps.release + steps.cancellation <= 2 * steps.added,
-            "each job ends and leaves once, and each edge is removed once: {steps:?}"
+            "each job ends and is removed once, and so is each edge: {steps:?}"
         );
     }
 }
@@ -380,16 +410,16 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_graph_agrees_with_the_model(history in proptest::collection::vec(calls(), 1..120)) {
-        let mut pair = Pair::new();
+    fn graph_agrees_with_reference_model(history in proptest::collection::vec(calls(), 1..120)) {
+        let mut both = GraphAndModel::new();
         for (number, call) in history.iter().enumerate() {
-            pair.call(call);
-            pair.check();
+            both.call(call);
+            both.check();
             if number % 40 == 39 {
-                pair.settle();
+                both.settle();
             }
         }
-        pair.settle();
-        pair.end_all();
+        both.settle();
+        both.finish_and_forget_all();
     }
 }
--- a/crates/dependency/tests/rules.rs
+++ b/crates/dependency/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of the graph, one example each.
+//! The rules of the graph, with one example each.
 
 use dependency::*;
 
@@ -7,31 +7,33 @@
 const C: JobIndex = JobIndex(2);
 const D: JobIndex = JobIndex(3);
 
-fn plain() -> Urgency {
+fn default_urgency() -> Urgency {
     Urgency::default()
 }
 
-fn lasting(ms: u64) -> Urgency {
+fn with_duration(ms: u64) -> Urgency {
     Urgency {
         duration: DurationMs(ms),
-        ..plain()
+        ..default_urgency()
     }
 }
 
-fn due(deadline: i64, duration: u64) -> Urgency {
+fn with_deadline(deadline: i64, duration: u64) -> Urgency {
     Urgency {
         deadline: Some(TimeMs(deadline)),
-        ..lasting(duration)
+        ..with_duration(duration)
     }
 }
 
-/// A, then B and C beside each other, then D.
+/// A diamond: B and C depend on A, and D on both.
 fn diamond() -> Graph<JobIndex> {
     let mut graph = Graph::new();
-    graph.add(A, &[], TimeMs(0), lasting(10)).unwrap();
-    graph.add(B, &[A], TimeMs(0), lasting(20)).unwrap();
-    graph.add(C, &[A], TimeMs(0), lasting(30)).unwrap();
-    graph.add(D, &[B, C], TimeMs(0), due(200, 40)).unwrap();
+    graph.add(A, &[], TimeMs(0), with_duration(10)).unwrap();
+    graph.add(B, &[A], TimeMs(0), with_duration(20)).unwrap();
+    graph.add(C, &[A], TimeMs(0), with_duration(30)).unwrap();
+    graph
+        .add(D, &[B, C], TimeMs(0), with_deadline(200, 40))
+        .unwrap();
     graph
 }
 
@@ -39,26 +41,38 @@
     graph.inherited(job)?.latest_finish.map(|at| at.0)
 }
 
-/// A job can't need itself or one that comes later, so there is no cycle; what is refused changes nothing.
+/// A job cannot depend on itself or on a later job, so there are no cycles. A refused call changes nothing.
 #[test]
-fn cycles_cannot_be_made() {
+fn cycles_are_rejected() {
     let mut graph = Graph::new();
     assert_eq!(
-        graph.add(A, &[A], TimeMs(0), plain()),
-        Err(AddError::NeedsItself(A))
+        graph.add(A, &[A], TimeMs(0), default_urgency()),
+        Err(AddError::DependsOnItself(A))
+    );
+    let unknown = AddError::UnknownDependency {
+        job: A,
+        dependency: B,
+    };
+    assert_eq!(
+        graph.add(A, &[B], TimeMs(0), default_urgency()),
+        Err(unknown)
     );
-    let unknown = AddError::UnknownNeed { job: A, need: B };
-    assert_eq!(graph.add(A, &[B], TimeMs(0), plain()), Err(unknown));
     assert!(graph.is_empty() && graph.edges() == 0);
-    graph.add(A, &[], TimeMs(0), plain()).unwrap();
-    graph.add(B, &[A], TimeMs(0), plain()).unwrap();
+    graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+    graph.add(B, &[A], TimeMs(0), default_urgency()).unwrap();
     assert_eq!(
-        graph.add(A, &[B], TimeMs(0), plain()),
+        graph.add(A, &[B], TimeMs(0), default_urgency()),
         Err(AddError::AlreadyKnown(A)),
-        "a job's list can't be made longer afterwards"
+        "dependencies cannot be added to an existing job"
+    );
+    let unknown_second = AddError::UnknownDependency {
+        job: C,
+        dependency: D,
+    };
+    assert_eq!(
+        graph.add(C, &[A, D], TimeMs(0), default_urgency()),
+        Err(unknown_second)
     );
-    let partly = AddError::UnknownNeed { job: C, need: D };
-    assert_eq!(graph.add(C, &[A, D], TimeMs(0), plain()), Err(partly));
     assert_eq!((graph.len(), graph.edges()), (2, 1));
     assert_eq!(graph.dependents(A).collect::<Vec<_>>(), [B]);
 }
@@ -66,8 +80,10 @@
 #[test]
 fn a_job_named_twice_counts_once() {
     let mut graph = Graph::new();
-    graph.add(A, &[], TimeMs(0), plain()).unwrap();
-    graph.add(B, &[A, A, A], TimeMs(0), plain()).unwrap();
+    graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+    graph
+        .add(B, &[A, A, A], TimeMs(0), default_urgency())
+        .unwrap();
     assert_eq!(graph.edges(), 1);
     let release = Release {
         job: B,
@@ -76,7 +92,8 @@
     assert_eq!(graph.finish(A, TimeMs(4)), Ok(vec![release]));
 }
 
-/// Rule 24: all that a job needs has to be done. Its release is the latest of the ends, in whichever order they come.
+/// Rule 24: a job is released once all its dependencies are done. Its release time is the latest of their ends, in
+/// whichever order these are reported.
 #[test]
 fn release_waits_for_all_ends() {
     let mut graph = diamond();
@@ -94,7 +111,7 @@
     assert_eq!(graph.finish(A, TimeMs(10)), Ok(both));
     assert_eq!(graph.finish(C, TimeMs(70)), Ok(vec![]));
     assert_eq!(graph.state(D), Some(JobState::Waiting));
-    assert_eq!(graph.unfinished_needs(D).collect::<Vec<_>>(), [B]);
+    assert_eq!(graph.unfinished_dependencies(D).collect::<Vec<_>>(), [B]);
     let again = FinishError::AlreadyDone {
         job: C,
         at: TimeMs(70),
@@ -102,7 +119,7 @@
     assert_eq!(
         graph.finish(C, TimeMs(90)),
         Err(again),
-        "an end told twice counts once, and the first stays"
+        "an end reported twice counts once, and the first is kept"
     );
     let release = Release {
         job: D,
@@ -111,22 +128,22 @@
     assert_eq!(
         graph.finish(B, TimeMs(60)),
         Ok(vec![release]),
-        "an earlier end that is told later"
+        "an earlier end that is reported later"
     );
     assert_eq!(graph.state(D), Some(JobState::Released { at: TimeMs(70) }));
 }
 
-/// A job that is submitted when all that it needs is over is released by its acceptance.
+/// A job that is added after all its dependencies ended is released at its acceptance.
 #[test]
-fn submitted_after_the_ends() {
+fn job_added_after_its_dependencies_ended_is_released_at_acceptance() {
     let mut graph = Graph::new();
-    graph.add(A, &[], TimeMs(0), plain()).unwrap();
-    graph.add(B, &[], TimeMs(0), plain()).unwrap();
+    graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+    graph.add(B, &[], TimeMs(0), default_urgency()).unwrap();
     graph.finish(A, TimeMs(50)).unwrap();
-    let late = graph.add(C, &[A], TimeMs(80), plain());
+    let late = graph.add(C, &[A], TimeMs(80), default_urgency());
     assert_eq!(late, Ok(JobState::Released { at: TimeMs(80) }));
-    let between = graph.add(D, &[A, B], TimeMs(20), plain());
-    assert_eq!(between, Ok(JobState::Waiting));
+    let waiting = graph.add(D, &[A, B], TimeMs(20), default_urgency());
+    assert_eq!(waiting, Ok(JobState::Waiting));
     let release = Release {
         job: D,
         at: TimeMs(50),
@@ -134,9 +151,9 @@
     assert_eq!(graph.finish(B, TimeMs(30)), Ok(vec![release]));
 }
 
-/// Rule 25: whichever of an end and a cancellation comes second is refused, and what is below follows the first.
+/// Rule 25: of an end and a cancellation of the same job, the second is refused. The jobs below follow the first.
 #[test]
-fn an_end_and_a_cancellation_that_meet() {
+fn second_of_an_end_and_a_cancellation_is_refused() {
     let mut ended = diamond();
     ended.finish(A, TimeMs(10)).unwrap();
     let done = CancelOutcome::AlreadyDone { at: TimeMs(10) };
@@ -147,7 +164,7 @@
         assert_eq!(
             ended.state(job),
             Some(JobState::Released { at: TimeMs(10) }),
-            "what is below goes on"
+            "jobs below a done job are not affected"
         );
     }
 
@@ -165,13 +182,13 @@
     }
 }
 
-/// Before a cancellation has reached a job, nothing releases or ends it.
+/// A job below a cancelled one can be neither released nor finished, even before the cancellation has reached it.
 #[test]
 fn nothing_below_a_cancelled_job_is_released() {
     let mut graph = Graph::new();
-    graph.add(A, &[], TimeMs(0), plain()).unwrap();
-    graph.add(B, &[], TimeMs(0), plain()).unwrap();
-    graph.add(C, &[A, B], TimeMs(0), plain()).unwrap();
+    graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+    graph.add(B, &[], TimeMs(0), default_urgency()).unwrap();
+    graph.add(C, &[A, B], TimeMs(0), default_urgency()).unwrap();
     graph.cancel(A).unwrap();
     assert_eq!(graph.finish(B, TimeMs(5)), Ok(vec![]));
     assert_eq!(graph.finish(C, TimeMs(6)), Err(FinishError::NotReleased(C)));
@@ -179,52 +196,52 @@
     assert_eq!(graph.finish(C, TimeMs(6)), Err(FinishError::Cancelled(C)));
 }
 
-/// A job that names a cancelled one is cancelled at once, also after the cancellation has gone by.
+/// A job that depends on a cancelled one is cancelled at once, also after that cancellation is completed.
 #[test]
-fn submitted_below_a_cancelled_job() {
-    for gone_by in [false, true] {
+fn job_added_below_a_cancelled_job_is_cancelled() {
+    for is_completed in [false, true] {
         let mut graph = Graph::new();
-        graph.add(A, &[], TimeMs(0), plain()).unwrap();
-        graph.add(B, &[], TimeMs(0), plain()).unwrap();
+        graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+        graph.add(B, &[], TimeMs(0), default_urgency()).unwrap();
         graph.cancel(A).unwrap();
-        if gone_by {
+        if is_completed {
             assert!(!graph.continue_cancellation(10).pending);
         }
-        let below = graph.add(C, &[A, B], TimeMs(1), plain());
+        let below = graph.add(C, &[A, B], TimeMs(1), default_urgency());
         assert_eq!(below, Ok(JobState::Cancelled));
-        let further = graph.add(D, &[C], TimeMs(1), plain());
+        let further = graph.add(D, &[C], TimeMs(1), default_urgency());
         assert_eq!(further, Ok(JobState::Cancelled));
         assert_eq!(graph.finish(B, TimeMs(2)), Ok(vec![]));
         assert_eq!(
             graph.continue_cancellation(10).cancelled,
             [],
-            "each job is told once"
+            "each job is reported once"
         );
     }
 }
 
-/// A job that is submitted below one that a cancellation has still to reach is reached with it.
+/// A job that is added below one that a cancellation has yet to reach is cancelled by it too.
 #[test]
-fn submitted_below_a_job_that_is_still_to_be_cancelled() {
+fn job_added_below_a_pending_cancellation_is_cancelled_with_it() {
     let mut graph = Graph::new();
-    graph.add(A, &[], TimeMs(0), plain()).unwrap();
-    graph.add(B, &[A], TimeMs(0), plain()).unwrap();
+    graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+    graph.add(B, &[A], TimeMs(0), default_urgency()).unwrap();
     graph.cancel(A).unwrap();
     assert_eq!(
-        graph.add(C, &[B], TimeMs(1), plain()),
+        graph.add(C, &[B], TimeMs(1), default_urgency()),
         Ok(JobState::Waiting)
     );
     assert_eq!(graph.continue_cancellation(1).cancelled, [B]);
     assert_eq!(
-        graph.add(D, &[B], TimeMs(1), plain()),
+        graph.add(D, &[B], TimeMs(1), default_urgency()),
         Ok(JobState::Cancelled)
     );
     assert_eq!(graph.continue_cancellation(1).cancelled, [C]);
 }
 
-/// Two cancellations that meet: each job is told once, and each cancellation is completed.
+/// When two cancellations overlap, each job is reported once and each cancellation is completed.
 #[test]
-fn cancellations_that_meet() {
+fn overlapping_cancellations_report_each_job_once() {
     let mut graph = diamond();
     graph.cancel(A).unwrap();
     assert_eq!(graph.cancel(B), Ok(CancelOutcome::Cancelled));
@@ -242,9 +259,9 @@
     assert_eq!(graph.edges(), 0);
 }
 
-/// What is beside or above a cancelled job goes on.
+/// Jobs above or beside a cancelled job are not affected.
 #[test]
-fn cancellation_goes_down_alone() {
+fn cancellation_affects_only_dependents() {
     let mut graph = diamond();
     graph.cancel(B).unwrap();
     assert_eq!(graph.continue_cancellation(10).cancelled, [D]);
@@ -263,9 +280,9 @@
     assert!(step.cancelled.is_empty() && step.pending);
 }
 
-/// Only what ended is forgotten, and no pending cancellation loses its way by it.
+/// Only ended jobs can be forgotten, and not while a pending cancellation still has to pass through them.
 #[test]
-fn forgetting() {
+fn only_ended_jobs_can_be_forgotten() {
     let mut graph = diamond();
     assert_eq!(graph.forget(B), Err(ForgetError::Unfinished(B)));
     graph.finish(A, TimeMs(10)).unwrap();
@@ -277,18 +294,18 @@
     graph.forget(C).unwrap();
     graph.forget(D).unwrap();
     assert_eq!((graph.len(), graph.edges()), (1, 0));
-    // The index is free for another job, which has nothing of the first.
-    let reused = graph.add(A, &[B], TimeMs(20), plain());
+    // The index is free for another job, which inherits no state from the first.
+    let reused = graph.add(A, &[B], TimeMs(20), default_urgency());
     assert_eq!(reused, Ok(JobState::Waiting));
     assert_eq!(graph.cancel(D), Err(UnknownJob(D)));
 }
 
-/// The job whose cancellation is pending keeps its index until it is told that this is completed.
+/// The root of a pending cancellation keeps its index until the cancellation is returned as completed.
 #[test]
-fn a_pending_cancellation_keeps_its_job() {
+fn root_of_a_pending_cancellation_cannot_be_forgotten() {
     let mut graph = Graph::new();
-    graph.add(A, &[], TimeMs(0), plain()).unwrap();
-    graph.add(B, &[A], TimeMs(0), plain()).unwrap();
+    graph.add(A, &[], TimeMs(0), default_urgency()).unwrap();
+    graph.add(B, &[A], TimeMs(0), default_urgency()).unwrap();
     graph.cancel(A).unwrap();
     let mut step = graph.continue_cancellation(1);
     while step.pending {
@@ -299,7 +316,7 @@
     graph.forget(A).unwrap();
 }
 
-/// The critical path: of two ways to the deadline the longer one counts.
+/// The latest finish follows the critical path: of two paths to the deadline, the longer one counts.
 #[test]
 fn latest_finish_by_the_longest_path() {
     let mut graph = diamond();
@@ -315,15 +332,17 @@
             Some(200)
         ]
     );
-    // The longer branch is cancelled with the end; then nothing binds the start.
+    // The longer branch and the last job are cancelled; the deadline then no longer applies to A and B.
     graph.cancel(C).unwrap();
     assert_eq!(graph.continue_cancellation(10).cancelled, [D]);
     graph.update_inheritance(100);
     assert_eq!([A, B].map(|job| latest_finish(&graph, job)), [None, None]);
-    // A later last stage binds the other branch, and a job's own deadline counts where it is earlier.
+    // A new last job constrains the other branch, and a job's own deadline counts if it is earlier.
     graph.forget(D).unwrap();
-    graph.add(D, &[B], TimeMs(50), due(300, 40)).unwrap();
-    graph.set_urgency(B, due(100, 20)).unwrap();
+    graph
+        .add(D, &[B], TimeMs(50), with_deadline(300, 40))
+        .unwrap();
+    graph.set_urgency(B, with_deadline(100, 20)).unwrap();
     graph.update_inheritance(100);
     assert_eq!(
         [A, B].map(|job| latest_finish(&graph, job)),
@@ -332,10 +351,10 @@
 }
 
 #[test]
-fn priority_of_the_highest_below() {
+fn priority_is_inherited_from_the_highest_dependent() {
     let with = |priority| Urgency {
         priority: Priority(priority),
-        ..plain()
+        ..default_urgency()
     };
     let priority =
         |graph: &Graph<JobIndex>, job| graph.inherited(job).map(|inherited| inherited.priority.0);
@@ -360,15 +379,15 @@
     assert_eq!([A, B].map(|job| priority(&graph, job)), [Some(1), Some(0)]);
 }
 
-/// Far moments saturate instead of overflowing.
+/// Extreme times saturate instead of overflowing.
 #[test]
-fn extreme_times() {
+fn extreme_times_saturate() {
     let mut graph = Graph::new();
     graph
-        .add(A, &[], TimeMs(i64::MIN), lasting(u64::MAX))
+        .add(A, &[], TimeMs(i64::MIN), with_duration(u64::MAX))
         .unwrap();
     graph
-        .add(B, &[A], TimeMs(0), due(i64::MIN, u64::MAX))
+        .add(B, &[A], TimeMs(0), with_deadline(i64::MIN, u64::MAX))
         .unwrap();
     graph.update_inheritance(100);
     assert_eq!(latest_finish(&graph, A), Some(i64::MIN));
@@ -382,7 +401,11 @@
 #[test]
 fn refusals_name_the_job() {
     let texts = [
-        AddError::UnknownNeed { job: A, need: B }.to_string(),
+        AddError::UnknownDependency {
+            job: A,
+            dependency: B,
+        }
+        .to_string(),
         FinishError::NotReleased(C).to_string(),
         ForgetError::CancellationPending(D).to_string(),
         UnknownJob(A).to_string(),
@@ -390,9 +413,9 @@
     assert_eq!(
         texts,
         [
-            "job JobIndex(0) needs job JobIndex(1), which is unknown",
+            "job JobIndex(0) depends on job JobIndex(1), which is unknown",
             "job JobIndex(2) ended, but it was not released",
-            "the cancellation of job JobIndex(3) has not reached all jobs that need it",
+            "the cancellation of job JobIndex(3) has not reached all its dependents",
             "job JobIndex(0) is unknown",
         ]
     );
--- a/crates/dependency/tests/scale.rs
+++ b/crates/dependency/tests/scale.rs
@@ -1,29 +1,29 @@
-//! Work follows change: steps on large graphs are bounded, and a small stack is enough.
+//! The cost of an operation is proportional to the change, also in large graphs, and a small stack is sufficient.
 
 use dependency::*;
 
-/// Less than one frame for each job of a long chain would take.
+/// Too small for recursion with one frame per job of a long chain.
 const SMALL_STACK: usize = 64 * 1024;
 const CHAIN: u32 = 10_000;
-const FAN: u32 = 10_000;
-/// A layered graph in which each job needs all of the layer above: 100,000 edges, and 10^1,000 paths.
+const FAN_SIZE: u32 = 10_000;
+/// A layered graph in which each job depends on all jobs of the previous layer: 100,000 edges and 10^1,000 paths.
 const LAYERS: u32 = 1_001;
 const WIDTH: u32 = 10;
 const LAYERED_EDGES: u64 = (LAYERS as u64 - 1) * (WIDTH * WIDTH) as u64;
-/// Changes of one transaction.
+/// Number of jobs cancelled per transaction.
 const BATCH: usize = 5;
 
-fn lasting(ms: u64) -> Urgency {
+fn with_duration(ms: u64) -> Urgency {
     Urgency {
         duration: DurationMs(ms),
         ..Urgency::default()
     }
 }
 
-fn due(deadline: i64) -> Urgency {
+fn with_deadline(deadline: i64) -> Urgency {
     Urgency {
         deadline: Some(TimeMs(deadline)),
-        ..lasting(1)
+        ..with_duration(1)
     }
 }
 
@@ -34,7 +34,7 @@
     thread.expect("a thread").join().expect("no panic");
 }
 
-/// What a call adds to the steps.
+/// Runs a call and returns the steps that it took.
 fn steps_of<T>(
     graph: &mut Graph<JobIndex>,
     call: impl FnOnce(&mut Graph<JobIndex>) -> T,
@@ -57,8 +57,12 @@
     steps.inheritance
 }
 
-/// Cancels in batches and returns the jobs, their number bounded in each call, and all steps.
-fn cancel_all(graph: &mut Graph<JobIndex>, job: JobIndex, most_needs: u64) -> (Vec<JobIndex>, u64) {
+/// Cancels in batches, checks the bounds of each call, and returns all cancelled jobs and the total steps.
+fn cancel_all(
+    graph: &mut Graph<JobIndex>,
+    job: JobIndex,
+    max_dependencies: u64,
+) -> (Vec<JobIndex>, u64) {
     let mut all = Vec::new();
     let (outcome, first) = steps_of(graph, |graph| graph.cancel(job));
     assert_eq!(outcome, Ok(CancelOutcome::Cancelled));
@@ -66,7 +70,7 @@
     loop {
         let (step, steps) = steps_of(graph, |graph| graph.continue_cancellation(BATCH));
         assert!(step.cancelled.len() <= BATCH);
-        let bound = BATCH as u64 * (2 + most_needs);
+        let bound = BATCH as u64 * (2 + max_dependencies);
         assert!(steps.cancellation <= bound, "{steps:?}");
         assert_eq!((steps.release, steps.inheritance), (0, 0));
         total += steps.cancellation;
@@ -79,27 +83,37 @@
 
 fn chain() -> Graph<JobIndex> {
     let mut graph = Graph::new();
-    graph.add(JobIndex(0), &[], TimeMs(0), lasting(1)).unwrap();
+    graph
+        .add(JobIndex(0), &[], TimeMs(0), with_duration(1))
+        .unwrap();
     for number in 1..CHAIN {
-        let need = JobIndex(number - 1);
+        let dependency = JobIndex(number - 1);
         graph
-            .add(JobIndex(number), &[need], TimeMs(0), lasting(1))
+            .add(JobIndex(number), &[dependency], TimeMs(0), with_duration(1))
             .unwrap();
     }
     graph
 }
 
 #[test]
-fn a_long_chain_inherits_once() {
+fn long_chain_computes_each_job_once() {
     on_a_small_stack(|| {
         let mut graph = chain();
         assert_eq!(graph.steps().added, u64::from(2 * CHAIN - 1));
         let steps = settle(&mut graph);
-        assert!(steps <= u64::from(CHAIN), "nothing to inherit: {steps}");
-        // The last stage is known late.
+        assert!(
+            steps <= u64::from(CHAIN),
+            "without anything to inherit: {steps}"
+        );
+        // A last job with a deadline is added later.
         let last = JobIndex(CHAIN);
         graph
-            .add(last, &[JobIndex(CHAIN - 1)], TimeMs(0), due(50_000))
+            .add(
+                last,
+                &[JobIndex(CHAIN - 1)],
+                TimeMs(0),
+                with_deadline(50_000),
+            )
             .unwrap();
         let steps = settle(&mut graph);
         assert!(
@@ -108,17 +122,22 @@
         );
         let first = graph.inherited(JobIndex(0)).expect("an unfinished job");
         assert_eq!(first.latest_finish, Some(TimeMs(50_000 - i64::from(CHAIN))));
-        // What asks for less stops at once.
-        let beside = JobIndex(CHAIN + 1);
+        // A less urgent dependent is not propagated further.
+        let sibling = JobIndex(CHAIN + 1);
         graph
-            .add(beside, &[JobIndex(CHAIN - 1)], TimeMs(0), due(90_000))
+            .add(
+                sibling,
+                &[JobIndex(CHAIN - 1)],
+                TimeMs(0),
+                with_deadline(90_000),
+            )
             .unwrap();
         assert_eq!(settle(&mut graph), 1);
-        // An estimate in the middle goes upward from there.
+        // A changed estimate is propagated upward from its job.
         let middle = JobIndex(CHAIN - 100);
-        graph.set_urgency(middle, lasting(11)).unwrap();
-        let half = JobIndex(100);
-        graph.set_urgency(half, lasting(11)).unwrap();
+        graph.set_urgency(middle, with_duration(11)).unwrap();
+        let near_start = JobIndex(100);
+        graph.set_urgency(near_start, with_duration(11)).unwrap();
         let steps = settle(&mut graph);
         assert!(steps <= u64::from(2 * CHAIN), "both in one pass: {steps}");
         let first = graph.inherited(JobIndex(0)).expect("an unfinished job");
@@ -130,7 +149,7 @@
 }
 
 #[test]
-fn a_long_chain_is_released_stage_by_stage() {
+fn long_chain_release_takes_constant_steps_per_job() {
     on_a_small_stack(|| {
         let mut graph = chain();
         for number in 0..CHAIN {
@@ -149,37 +168,42 @@
 }
 
 #[test]
-fn a_long_chain_is_cancelled_in_batches() {
+fn long_chain_is_cancelled_in_bounded_batches() {
     on_a_small_stack(|| {
         let mut graph = chain();
         let (all, steps) = cancel_all(&mut graph, JobIndex(0), 1);
         assert!(
             all.into_iter().eq((1..CHAIN).map(JobIndex)),
-            "the nearest first"
+            "nearest first"
         );
         assert!(steps <= u64::from(3 * CHAIN), "{steps}");
         assert_eq!(graph.edges(), 0);
     });
 }
 
-/// One job that many need: they are added, cancelled and released one by one without a search.
+/// One job with many dependents: they are added, cancelled and released without a search per edge.
 #[test]
-fn a_wide_fan_out() {
-    let root = JobIndex(FAN);
+fn wide_fan_out_takes_bounded_steps() {
+    let root = JobIndex(FAN_SIZE);
     let build = || {
         let mut graph = Graph::new();
-        graph.add(root, &[], TimeMs(0), lasting(1)).unwrap();
-        for number in 0..FAN {
+        graph.add(root, &[], TimeMs(0), with_duration(1)).unwrap();
+        for number in 0..FAN_SIZE {
             let deadline = 1_000 + i64::from(number);
             graph
-                .add(JobIndex(number), &[root], TimeMs(0), due(deadline))
+                .add(
+                    JobIndex(number),
+                    &[root],
+                    TimeMs(0),
+                    with_deadline(deadline),
+                )
                 .unwrap();
-            assert_eq!(settle(&mut graph), 1, "the job above alone");
+            assert_eq!(settle(&mut graph), 1, "only the job above");
         }
         graph
     };
     let mut graph = build();
-    for number in 0..FAN {
+    for number in 0..FAN_SIZE {
         let job = JobIndex(number);
         let expected = Some(TimeMs(999 + i64::from(number)));
         assert_eq!(
@@ -192,7 +216,7 @@
         });
         assert!(cancelled.cancelled.is_empty());
         assert!(steps.cancellation <= 3, "{steps:?}");
-        assert_eq!(settle(&mut graph), 1, "the job above alone");
+        assert_eq!(settle(&mut graph), 1, "only the job above");
     }
     assert_eq!(
         graph.inherited(root).expect("unfinished").latest_finish,
@@ -201,42 +225,50 @@
 
     let mut graph = build();
     let (released, steps) = steps_of(&mut graph, |graph| graph.finish(root, TimeMs(7)).unwrap());
-    assert_eq!(released.len(), FAN as usize);
+    assert_eq!(released.len(), FAN_SIZE as usize);
     assert!(released.windows(2).all(|pair| pair[0].job < pair[1].job));
-    assert!(steps.release <= u64::from(FAN) + 1, "{steps:?}");
+    assert!(steps.release <= u64::from(FAN_SIZE) + 1, "{steps:?}");
 
     let mut graph = build();
     let (all, steps) = cancel_all(&mut graph, root, 1);
-    assert_eq!(all.len(), FAN as usize);
-    assert!(steps <= u64::from(3 * FAN + 3), "{steps}");
+    assert_eq!(all.len(), FAN_SIZE as usize);
+    assert!(steps <= u64::from(3 * FAN_SIZE + 3), "{steps}");
 }
 
-/// One job that needs many.
+/// One job with many dependencies.
 #[test]
-fn a_wide_fan_in() {
-    let last = JobIndex(FAN);
-    let needs: Vec<_> = (0..FAN).map(JobIndex).collect();
+fn wide_fan_in_takes_bounded_steps() {
+    let last = JobIndex(FAN_SIZE);
+    let dependencies: Vec<_> = (0..FAN_SIZE).map(JobIndex).collect();
     let mut graph = Graph::new();
-    for &need in &needs {
-        graph.add(need, &[], TimeMs(0), lasting(1)).unwrap();
+    for &dependency in &dependencies {
+        graph
+            .add(dependency, &[], TimeMs(0), with_duration(1))
+            .unwrap();
     }
-    graph.add(last, &needs, TimeMs(0), due(500)).unwrap();
+    graph
+        .add(last, &dependencies, TimeMs(0), with_deadline(500))
+        .unwrap();
     let steps = settle(&mut graph);
     assert!(
-        steps <= u64::from(FAN),
-        "the edges were told when they were made: {steps}"
+        steps <= u64::from(FAN_SIZE),
+        "requirements were recorded when the edges were added: {steps}"
     );
-    graph.set_urgency(last, due(400)).unwrap();
+    graph.set_urgency(last, with_deadline(400)).unwrap();
     let steps = settle(&mut graph);
-    assert!(steps <= u64::from(2 * FAN) + 1, "{steps}");
-    for &need in &needs {
+    assert!(steps <= u64::from(2 * FAN_SIZE) + 1, "{steps}");
+    for &dependency in &dependencies {
         assert_eq!(
-            graph.inherited(need).expect("unfinished").latest_finish,
+            graph
+                .inherited(dependency)
+                .expect("unfinished")
+                .latest_finish,
             Some(TimeMs(399))
         );
-        let (released, steps) =
-            steps_of(&mut graph, |graph| graph.finish(need, TimeMs(9)).unwrap());
-        assert_eq!(released.len(), usize::from(need.0 == FAN - 1));
+        let (released, steps) = steps_of(&mut graph, |graph| {
+            graph.finish(dependency, TimeMs(9)).unwrap()
+        });
+        assert_eq!(released.len(), usize::from(dependency.0 == FAN_SIZE - 1));
         assert!(steps.release <= 2, "{steps:?}");
         assert_eq!(steps.inheritance, 0);
     }
@@ -252,18 +284,20 @@
 fn layered() -> Graph<JobIndex> {
     let mut graph = Graph::new();
     for number in 0..LAYERS {
-        let needs = number.checked_sub(1).map(layer).unwrap_or_default();
+        let dependencies = number.checked_sub(1).map(layer).unwrap_or_default();
         for job in layer(number) {
-            graph.add(job, &needs, TimeMs(0), lasting(1)).unwrap();
+            graph
+                .add(job, &dependencies, TimeMs(0), with_duration(1))
+                .unwrap();
         }
     }
     assert_eq!(graph.edges() as u64, LAYERED_EDGES);
     graph
 }
 
-/// However many paths there are, each job and edge is taken once.
+/// Each job and edge is processed once, however many paths there are.
 #[test]
-fn a_hundred_thousand_edges_inherit_once() {
+fn layered_graph_computes_each_job_and_edge_once() {
     on_a_small_stack(|| {
         let mut graph = layered();
         let jobs = u64::from(LAYERS * WIDTH);
@@ -271,7 +305,7 @@
         assert!(steps <= jobs, "{steps}");
         let last = JobIndex(LAYERS * WIDTH);
         graph
-            .add(last, &layer(LAYERS - 1), TimeMs(0), due(10_000))
+            .add(last, &layer(LAYERS - 1), TimeMs(0), with_deadline(10_000))
             .unwrap();
         let steps = settle(&mut graph);
         assert!(steps <= jobs + LAYERED_EDGES, "{steps}");
@@ -280,18 +314,18 @@
             first.latest_finish,
             Some(TimeMs(10_000 - i64::from(LAYERS)))
         );
-        // A stage that is less urgent costs a look at each job that it needs.
+        // A less urgent job costs one step per dependency.
         graph
             .add(
                 JobIndex(last.0 + 1),
                 &layer(LAYERS - 1),
                 TimeMs(0),
-                due(20_000),
+                with_deadline(20_000),
             )
             .unwrap();
         assert_eq!(settle(&mut graph), u64::from(WIDTH));
-        // An update in pieces does the same work in all.
-        graph.set_urgency(last, due(9_000)).unwrap();
+        // An update in several calls takes the same work in total.
+        graph.set_urgency(last, with_deadline(9_000)).unwrap();
         let before = graph.steps().inheritance;
         loop {
             let (update, steps) = steps_of(&mut graph, |graph| graph.update_inheritance(100));
@@ -311,7 +345,7 @@
 }
 
 #[test]
-fn a_hundred_thousand_edges_are_released() {
+fn layered_graph_release_takes_each_edge_once() {
     let mut graph = layered();
     let jobs = u64::from(LAYERS * WIDTH);
     for number in 0..LAYERS {
@@ -325,7 +359,7 @@
 }
 
 #[test]
-fn a_hundred_thousand_edges_are_cancelled() {
+fn layered_graph_cancellation_takes_each_edge_once() {
     on_a_small_stack(|| {
         let mut graph = layered();
         let jobs = u64::from(LAYERS * WIDTH);
@@ -333,7 +367,10 @@
         assert_eq!(all.len() as u64, jobs - u64::from(WIDTH));
         assert!(steps <= 2 * jobs + LAYERED_EDGES, "{steps}");
         let steps = settle(&mut graph);
-        assert!(steps <= jobs, "the first layer's others: {steps}");
+        assert!(
+            steps <= jobs,
+            "only the other jobs of the first layer: {steps}"
+        );
         assert_eq!(graph.edges(), 0);
     });
 }
--- a/crates/model/src/rec.rs
+++ b/crates/model/src/rec.rs
@@ -1,53 +1,55 @@
-//! What the state service holds of a model, and what its owner makes of it.
+//! The record of a model in the state service, and the transitions that its owner makes.
 
 use crate::spec::Rule;
 use serde::{Deserialize, Serialize};
 
-/// Machines that a record names as having the weights.
+/// Maximum number of machines that a record lists as holding the model's weights.
 pub const MAX_NEAR: usize = 8;
-/// After a wake that came to nothing the next one waits this long, twice as long each time.
-const BACKOFF_MS: u64 = 30_000;
-const MOST_BACKOFF_MS: u64 = 3_600_000;
-/// Demand is said again within this part of the idle time, by nodes that hear of it; an owner waits as much longer.
-pub(crate) const SLACK: f64 = 0.25;
+/// Base of the exponential backoff after failed wakes, doubled per consecutive failure: the first failure waits 60 s.
+const BASE_BACKOFF_MS: u64 = 30_000;
+const MAX_BACKOFF_MS: u64 = 3_600_000;
+/// Nodes that see demand report it again within this fraction of the idle time, so an owner waits that much longer
+/// than the idle time before the model goes to sleep.
+pub(crate) const DEMAND_REFRESH_RATIO: f64 = 0.25;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// No more than its least replicas are wanted, and no more are there.
+    /// At most its minimum of replicas is wanted, and no more exist.
     Asleep,
-    /// They are to be started.
+    /// Replicas are to be started.
     Waking,
-    /// One at least has run in this generation.
+    /// At least one replica has run in this generation.
     Awake,
-    /// Replicas are being stopped; some may still be there.
+    /// Replicas are being stopped; some may still run.
     Leaving,
 }
 
-/// The record of a model. One that was never written is as good as [`Rec::new`].
+/// The record of a model. A missing record is equivalent to [`Rec::new`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rec {
     pub phase: Phase,
-    /// Rises with each wake and never falls.
+    /// Incremented by each wake; never decreases.
     pub generation: u64,
-    /// Time of day at which it came into this phase.
+    /// Wall-clock time at which this phase began.
     pub since_ms: u64,
-    /// The node that began this generation, or this phase.
+    /// The node that began this generation or phase.
     pub by: String,
-    /// Replicas that the generation wants.
+    /// Number of replicas that the generation wants.
     pub wanted: u32,
-    /// The last demand that nobody could tell the owner of.
+    /// Time of the latest demand that could not be reported to the owner directly.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub asked_ms: u64,
-    /// Times of the latest wakes, the oldest first.
+    /// Times of the latest wakes, oldest first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub wakes: Vec<u64>,
-    /// Wakes in a row that came to nothing, and when the next may begin.
+    /// Number of consecutive failed wakes.
     #[serde(default, skip_serializing_if = "is_none")]
     pub failed: u32,
+    /// Earliest time of the next wake, set by the backoff after a failed one.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub not_before_ms: u64,
-    /// Machines that had the weights when the record was written: a hint only.
+    /// Machines that held the weights when the record was written; only a hint.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub near: Vec<String>,
 }
@@ -59,15 +61,16 @@
     *v == 0
 }
 
-/// What its owner sees of a model now.
+/// The owner's current view of a model.
 #[derive(Debug, Clone, Default)]
 pub struct Seen {
-    /// Replicas that are claimed, also those on their way out, and those that run.
+    /// Replicas that hold a claim, including those being stopped.
     pub claimed: u32,
+    /// Replicas that run.
     pub running: u32,
-    /// How long nobody has asked, as far as all live nodes have said.
+    /// Time since the last demand, according to the reports of all live nodes.
     pub quiet_ms: u64,
-    /// Machines that have the weights.
+    /// Machines that hold the weights.
     pub near: Vec<String>,
 }
 
@@ -78,7 +81,7 @@
 }
 
 impl Rec {
-    /// A model that nobody has ever asked for.
+    /// The record of a model without any demand so far.
     pub fn new() -> Self {
         Rec {
             phase: Phase::Asleep,
@@ -94,13 +97,14 @@
         }
     }
 
-    /// Replicas that may be there of a job of so many tasks.
+    /// Number of replicas that may exist, for a job with this many tasks.
     pub fn replicas(&self, rule: &Rule, tasks: u32) -> u32 {
         match self.phase {
-            Phase::Waking | Phase::Awake => {
-                self.wanted.min(rule.awake(tasks)).max(rule.resting(tasks))
-            }
-            Phase::Asleep | Phase::Leaving => rule.resting(tasks),
+            Phase::Waking | Phase::Awake => self
+                .wanted
+                .min(rule.awake_replicas(tasks))
+                .max(rule.resting_replicas(tasks)),
+            Phase::Asleep | Phase::Leaving => rule.resting_replicas(tasks),
         }
     }
 
@@ -108,25 +112,25 @@
         matches!(self.phase, Phase::Waking | Phase::Awake)
     }
 
-    /// The next generation, begun by a node at a time.
-    pub(crate) fn woken(&self, rule: &Rule, tasks: u32, node: &str, now_ms: u64) -> Rec {
+    /// The record of the next generation, begun by `node` at `now_ms`.
+    pub(crate) fn begin_generation(&self, rule: &Rule, tasks: u32, node: &str, now_ms: u64) -> Rec {
         let mut wakes = self.wakes.clone();
         wakes.push(now_ms);
-        let over = wakes.len().saturating_sub(rule.wakes as usize);
-        wakes.drain(..over);
+        let excess = wakes.len().saturating_sub(rule.wakes as usize);
+        wakes.drain(..excess);
         Rec {
             phase: Phase::Waking,
             generation: self.generation + 1,
             since_ms: now_ms,
             by: node.to_owned(),
-            wanted: rule.awake(tasks),
+            wanted: rule.awake_replicas(tasks),
             asked_ms: 0,
             wakes,
             ..self.clone()
         }
     }
 
-    /// What the owner has to write next, if anything.
+    /// The record that the owner has to write next, or `None` if nothing changes.
     pub fn next(
         &self,
         rule: &Rule,
@@ -135,9 +139,9 @@
         now_ms: u64,
         seen: &Seen,
     ) -> Option<Rec> {
-        let rests = rule.resting(tasks);
-        let spent = now_ms.saturating_sub(self.since_ms);
-        let to = |phase: Phase| {
+        let resting = rule.resting_replicas(tasks);
+        let phase_ms = now_ms.saturating_sub(self.since_ms);
+        let in_phase = |phase: Phase| {
             let mut near = seen.near.clone();
             near.truncate(MAX_NEAR);
             let near = if near.is_empty() {
@@ -157,25 +161,26 @@
             Phase::Waking if seen.running > 0 => Some(Rec {
                 failed: 0,
                 not_before_ms: 0,
-                ..to(Phase::Awake)
+                ..in_phase(Phase::Awake)
             }),
-            Phase::Waking if spent as f64 >= rule.give_up_s * 1000.0 => {
+            Phase::Waking if phase_ms as f64 >= rule.give_up_s * 1000.0 => {
                 let failed = self.failed.saturating_add(1);
-                let wait = BACKOFF_MS
+                let backoff_ms = BASE_BACKOFF_MS
                     .saturating_mul(1 << failed.min(16))
-                    .min(MOST_BACKOFF_MS);
+                    .min(MAX_BACKOFF_MS);
                 Some(Rec {
                     failed,
-                    not_before_ms: now_ms + wait,
-                    ..to(Phase::Leaving)
+                    not_before_ms: now_ms + backoff_ms,
+                    ..in_phase(Phase::Leaving)
                 })
             }
-            Phase::Awake if rests < self.wanted => {
-                let unsaid = now_ms.saturating_sub(self.asked_ms);
-                let quiet = seen.quiet_ms.min(spent).min(unsaid) as f64;
-                (quiet >= rule.idle_s * (1.0 + SLACK) * 1000.0).then(|| to(Phase::Leaving))
+            Phase::Awake if resting < self.wanted => {
+                let since_asked_ms = now_ms.saturating_sub(self.asked_ms);
+                let idle_ms = seen.quiet_ms.min(phase_ms).min(since_asked_ms) as f64;
+                (idle_ms >= rule.idle_s * (1.0 + DEMAND_REFRESH_RATIO) * 1000.0)
+                    .then(|| in_phase(Phase::Leaving))
             }
-            Phase::Leaving if seen.claimed <= rests => Some(to(Phase::Asleep)),
+            Phase::Leaving if seen.claimed <= resting => Some(in_phase(Phase::Asleep)),
             _ => None,
         }
     }
--- a/crates/model/tests/rules.rs
+++ b/crates/model/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Documents that are refused, and what becomes of a model over time.
+//! Rejected documents, and the transitions of a model over time.
 
 use model::{Asked, Phase, Rec, Rule, Seen, Why, asked, file};
 
@@ -20,10 +20,10 @@
 "#;
 
 #[test]
-fn what_can_not_hold_is_refused_with_its_line() {
+fn invalid_documents_are_rejected_with_line_and_field() {
     let parsed = file::parse(DOC).expect("readable");
     assert_eq!(parsed.spec.check(Some(&["assistants".to_owned()])), Ok(()));
-    let whole = |text: &str| {
+    let all_faults = |text: &str| {
         let parsed = file::parse(text).expect("readable");
         let faults = parsed
             .spec
@@ -36,7 +36,7 @@
             .map(ToString::to_string)
             .collect::<Vec<_>>()
     };
-    let with = |from: &str, to: &str| whole(&DOC.replace(from, to)).join("; ");
+    let faults_after = |from: &str, to: &str| all_faults(&DOC.replace(from, to)).join("; ");
     let cases = [
         (
             "\"assistants\"",
@@ -46,7 +46,7 @@
         (
             "least = 1",
             "least = 2\nmost = 1",
-            "line 11: model \"one\".least: 2 is more than the most, 1",
+            "line 11: model \"one\".least: 2 is greater than `most`, 1",
         ),
         ("most = 2", "most = 0", "model \"chat\".most"),
         ("wakes = 2", "wakes = 99", "model \"chat\".wakes"),
@@ -69,7 +69,7 @@
         (
             "jobs = [\"job-000001\"]",
             "jobs = [\"job-1\", \"job-1\"]",
-            "is named already",
+            "is already listed by",
         ),
         (
             "jobs = [\"job-000001\"]",
@@ -77,12 +77,11 @@
             "every standing job would be a model",
         ),
     ];
-    for (from, to, says) in cases {
-        let faults = with(from, to);
-        assert!(faults.contains(says), "{to}: {faults}");
+    for (from, to, expected) in cases {
+        let faults = faults_after(from, to);
+        assert!(faults.contains(expected), "{to}: {faults}");
     }
-    let unknown =
-        file::parse(&DOC.replace("most = 2", "mots = 2")).expect_err("a field that there is not");
+    let unknown = file::parse(&DOC.replace("most = 2", "mots = 2")).expect_err("an unknown field");
     assert!(
         unknown[0].line == Some(6) && unknown[0].what.contains("mots"),
         "{unknown:?}"
@@ -112,9 +111,10 @@
     )
 }
 
-/// A day of a model: woken, idle, asleep, woken as often as it may be, and no more until the period is over.
+/// A model is woken, becomes idle, goes to sleep and is woken again up to its limit. Further demand is refused until
+/// the period is over.
 #[test]
-fn a_model_wakes_as_often_as_it_may() {
+fn model_is_woken_at_most_wakes_times_per_period() {
     let rule = file::parse(DOC).expect("readable").spec.rules.remove(0);
     let mut rec = wake(&Rec::new(), &rule, 1000);
     assert_eq!(
@@ -125,25 +125,25 @@
     assert_eq!(next(&rec, &rule, 2000, (1, 0, 0)), None);
     rec = next(&rec, &rule, 3000, (2, 1, 0)).expect("a replica runs");
     assert_eq!((rec.phase, rec.near.len()), (Phase::Awake, 8));
-    // Quiet for long before it was awake counts no more than the time that it has been.
+    // Time without demand counts only from the moment at which the model became awake.
     assert_eq!(next(&rec, &rule, 4000, (2, 2, 500_000)), None);
     assert_eq!(
         next(&rec, &rule, 100_000, (2, 2, 74_000)),
         None,
-        "nodes say it again within a quarter"
+        "the owner waits a quarter longer than the idle time, within which nodes report demand again"
     );
     let touched = rec.touched(90_000).expect("awake");
     assert_eq!(
         next(&touched, &rule, 100_000, (2, 2, 90_000)),
         None,
-        "what the owner could not be told"
+        "demand that could not be reported to the owner"
     );
     rec = next(&rec, &rule, 100_000, (2, 2, 75_000)).expect("idle");
     assert_eq!((rec.phase, rec.replicas(&rule, 4)), (Phase::Leaving, 0));
     assert_eq!(
         next(&rec, &rule, 100_001, (1, 0, 0)),
         None,
-        "one may still be there"
+        "one replica may still run"
     );
     rec = next(&rec, &rule, 101_000, (0, 0, 0)).expect("proved gone");
     assert_eq!(rec.phase, Phase::Asleep);
@@ -153,16 +153,16 @@
         phase: Phase::Asleep,
         ..rec
     };
-    let until = Asked::NotNow {
+    let too_often = Asked::NotNow {
         why: Why::TooOften,
         until_ms: 601_000,
     };
-    assert_eq!(asked(&rec, &rule, 4, "n", 103_000), until);
+    assert_eq!(asked(&rec, &rule, 4, "n", 103_000), too_often);
     assert_eq!(wake(&rec, &rule, 601_000).wakes, [102_000, 601_000]);
 }
 
 #[test]
-fn a_model_that_never_comes_up_is_tried_less_and_less() {
+fn failed_wakes_back_off_exponentially() {
     let rule = Rule {
         give_up_s: 100.0,
         period_s: 1.0,
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_model_that_keeps_some_is_at_rest_with_them() {
+fn model_at_its_least_replicas_is_asleep() {
     let rule = Rule {
         least: 1,
         ..Rule::new("m", 60.0)
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn the_example_is_accepted() {
+fn deployed_example_is_valid() {
     let parsed =
         file::parse(include_str!("../../../deploy/models-example.toml")).expect("readable");
     assert_eq!(
--- a/crates/quota/src/edit.rs
+++ b/crates/quota/src/edit.rs
@@ -1,5 +1,5 @@
-//! New trees from old ones. Nothing here changes a tree that is in force: the result is checked and put in its place
-//! as a whole.
+//! Derives new trees from existing ones. Nothing here changes the tree in force: the result is validated and replaces
+//! it as a whole.
 
 use crate::spec::{Amounts, NodeSpec, Spec, TeamSpec};
 use crate::{Team, milli};
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 impl Spec {
-    fn node_at(&self, name: &str) -> Option<usize> {
+    fn node_index(&self, name: &str) -> Option<usize> {
         self.nodes.iter().position(|n| n.name == name)
     }
 
-    /// The node's name and those above it, nearest first; ends where a name is unknown, or comes again.
-    fn line(&self, from: Option<&str>) -> Vec<String> {
+    /// The names of a node and its ancestors, nearest first. Ends at an unknown name; the depth limit ends a cycle.
+    fn path_to_root(&self, from: Option<&str>) -> Vec<String> {
         let parents: BTreeMap<&str, Option<&str>> = self
             .nodes
             .iter()
@@ -31,26 +31,26 @@
     }
 }
 
-/// Moves a team, or a node with all below it, below another node, or below the root. What is guaranteed to it goes
-/// along: it is taken from the nodes that it leaves and added to those that it comes to.
+/// Moves a team, or a node with its subtree, below another node or the root. Its guarantee moves with it: it is
+/// subtracted from the former ancestors and added to the new ones.
 pub fn transfer(spec: &Spec, teams: &[Team], name: &str, to: Option<&str>) -> Result<Spec, Fault> {
     let mut out = spec.clone();
     if let Some(to) = to
-        && spec.node_at(to).is_none()
+        && spec.node_index(to).is_none()
     {
         return Err(Fault::whole("to", format!("{to:?} is no node of the tree")));
     }
     let from: Option<String>;
-    let carried: Amounts;
-    if let Some(i) = spec.node_at(name) {
-        if spec.line(to).iter().any(|above| above == name) {
+    let moved_guarantee: Amounts;
+    if let Some(i) = spec.node_index(name) {
+        if spec.path_to_root(to).iter().any(|above| above == name) {
             return Err(Fault::whole(
                 "to",
-                format!("{name:?} can't hang below itself"),
+                format!("{name:?} can't be moved below itself"),
             ));
         }
         from = spec.nodes[i].parent.clone();
-        carried = spec.nodes[i].guarantee.clone();
+        moved_guarantee = spec.nodes[i].guarantee.clone();
         out.nodes[i].parent = to.map(str::to_owned);
     } else {
         let Some(team) = teams.iter().find(|t| t.name == name) else {
@@ -68,33 +68,33 @@
                 out.teams.len() - 1
             });
         from = out.teams[at].parent.clone();
-        carried = out.teams[at]
+        moved_guarantee = out.teams[at]
             .guarantee
             .clone()
             .unwrap_or_else(|| team.guarantee.clone());
         out.teams[at].parent = to.map(str::to_owned);
     }
-    let (left, entered) = (spec.line(from.as_deref()), spec.line(to));
+    let (old_path, new_path) = (spec.path_to_root(from.as_deref()), spec.path_to_root(to));
     for node in &mut out.nodes {
-        let (leaves, enters) = (left.contains(&node.name), entered.contains(&node.name));
+        let (leaves, enters) = (old_path.contains(&node.name), new_path.contains(&node.name));
         if leaves != enters {
-            shift(node, &carried, if enters { 1 } else { -1 });
+            adjust_guarantee(node, &moved_guarantee, if enters { 1 } else { -1 });
         }
     }
     Ok(out)
 }
 
-fn shift(node: &mut NodeSpec, by: &Amounts, sign: i64) {
+fn adjust_guarantee(node: &mut NodeSpec, by: &Amounts, sign: i64) {
     for (name, units) in by {
         let have = node.guarantee.entry(name.clone()).or_default();
-        // In thousandths, so that back and forth ends where it began.
+        // In thousandths, so that moving there and back restores the exact amounts.
         *have = (milli(*have) + sign * milli(*units)).max(0) as f64 / 1000.0;
     }
     node.guarantee.retain(|_, units| *units > 0.0);
 }
 
-/// Gives a node other bounds. Where that leaves less than its children are guaranteed, `scale` cuts theirs in
-/// proportion, all the way down; without it the check refuses the tree and says by how much.
+/// Sets a node's guarantee and maximum. If its children's guarantees then exceed its own, `scale` reduces them
+/// proportionally throughout the subtree. Without `scale`, validation rejects the tree and reports the excess.
 pub fn shrink(
     spec: &Spec,
     teams: &[Team],
@@ -103,7 +103,7 @@
     max: &Amounts,
     scale: bool,
 ) -> Result<Spec, Fault> {
-    let Some(i) = spec.node_at(name) else {
+    let Some(i) = spec.node_index(name) else {
         return Err(Fault::whole(
             "name",
             format!("{name:?} is no node of the tree"),
@@ -116,37 +116,37 @@
     node.max
         .extend(max.iter().map(|(r, units)| (r.clone(), *units)));
     if scale {
-        for (r, most) in &node.max {
+        for (r, limit) in &node.max {
             if let Some(units) = node.guarantee.get_mut(r) {
-                *units = units.min(*most);
+                *units = units.min(*limit);
             }
         }
-        let below = Below::of(&out);
-        let settled: HashMap<&str, &Amounts> = teams
+        let children = Children::of(&out);
+        let settings_by_team: HashMap<&str, &Amounts> = teams
             .iter()
             .map(|t| (t.name.as_str(), &t.guarantee))
             .collect();
-        // No tree is deeper; one that goes in circles ends here too.
+        // No valid tree is deeper; the bound also ends the loop for a tree with a cycle.
         let mut level = vec![i];
         for _ in 0..=crate::MAX_DEPTH {
             level = level
                 .into_iter()
-                .flat_map(|n| below.scale(&mut out, &settled, n))
+                .flat_map(|n| children.scale_children(&mut out, &settings_by_team, n))
                 .collect();
         }
     }
     Ok(out)
 }
 
-/// What hangs directly below each node, as indices.
-struct Below {
+/// The direct children of each node, as indices.
+struct Children {
     nodes: HashMap<String, Vec<usize>>,
     teams: HashMap<String, Vec<usize>>,
 }
 
-impl Below {
+impl Children {
     fn of(spec: &Spec) -> Self {
-        let mut out = Below {
+        let mut out = Children {
             nodes: HashMap::new(),
             teams: HashMap::new(),
         };
@@ -163,9 +163,14 @@
         out
     }
 
-    /// Cuts the guarantees directly below a node to what it has, and their maxima to its own; the inner ones among
-    /// them.
-    fn scale(&self, spec: &mut Spec, settled: &HashMap<&str, &Amounts>, at: usize) -> Vec<usize> {
+    /// Scales the guarantees of a node's children to fit its own, and caps their maxima at its own. Returns the
+    /// children that are inner nodes.
+    fn scale_children(
+        &self,
+        spec: &mut Spec,
+        settings_by_team: &HashMap<&str, &Amounts>,
+        at: usize,
+    ) -> Vec<usize> {
         let NodeSpec {
             name,
             guarantee: own,
@@ -174,20 +179,23 @@
         } = spec.nodes[at].clone();
         let inner = self.nodes.get(&name).cloned().unwrap_or_default();
         let leaves = self.teams.get(&name).cloned().unwrap_or_default();
-        let of_team = |t: &TeamSpec| {
-            let of_settings = || settled.get(t.name.as_str()).map(|g| (*g).clone());
-            t.guarantee.clone().or_else(of_settings).unwrap_or_default()
+        let team_guarantee = |t: &TeamSpec| {
+            let from_settings = || settings_by_team.get(t.name.as_str()).map(|g| (*g).clone());
+            t.guarantee
+                .clone()
+                .or_else(from_settings)
+                .unwrap_or_default()
         };
         let mut sums: BTreeMap<String, i64> = BTreeMap::new();
-        let of_inner = inner.iter().map(|i| spec.nodes[*i].guarantee.clone());
-        for (r, units) in of_inner
-            .chain(leaves.iter().map(|i| of_team(&spec.teams[*i])))
+        let inner_guarantees = inner.iter().map(|i| spec.nodes[*i].guarantee.clone());
+        for (r, units) in inner_guarantees
+            .chain(leaves.iter().map(|i| team_guarantee(&spec.teams[*i])))
             .flatten()
         {
             *sums.entry(r).or_default() += milli(units);
         }
-        let cut = |given: &Amounts| -> Amounts {
-            let part = |r: &String, units: &f64| {
+        let scaled = |given: &Amounts| -> Amounts {
+            let scaled_units = |r: &String, units: &f64| {
                 let (sum, own) = (
                     sums.get(r).copied().unwrap_or(0),
                     own.get(r).map_or(0, |v| milli(*v)),
@@ -195,30 +203,31 @@
                 if sum <= own {
                     return *units;
                 }
-                let part = i128::from(milli(*units)) * i128::from(own) / i128::from(sum.max(1));
-                part as f64 / 1000.0
+                let scaled_units =
+                    i128::from(milli(*units)) * i128::from(own) / i128::from(sum.max(1));
+                scaled_units as f64 / 1000.0
             };
             given
                 .iter()
-                .map(|(r, units)| (r.clone(), part(r, units)))
+                .map(|(r, units)| (r.clone(), scaled_units(r, units)))
                 .collect()
         };
         for i in leaves {
-            let before = of_team(&spec.teams[i]);
-            let after = cut(&before);
+            let before = team_guarantee(&spec.teams[i]);
+            let after = scaled(&before);
             if after != before {
                 spec.teams[i].guarantee = Some(after);
             }
         }
         for i in &inner {
             let n = &mut spec.nodes[*i];
-            n.guarantee = cut(&n.guarantee);
-            for (r, most) in &max {
+            n.guarantee = scaled(&n.guarantee);
+            for (r, limit) in &max {
                 for units in [n.max.get_mut(r), n.guarantee.get_mut(r)]
                     .into_iter()
                     .flatten()
                 {
-                    *units = units.min(*most);
+                    *units = units.min(*limit);
                 }
             }
         }
@@ -226,8 +235,8 @@
     }
 }
 
-/// What differs between two trees, a line each, for people; at most `most` lines.
-pub fn differences(old: &Spec, new: &Spec, most: usize) -> Vec<String> {
+/// Describes the differences between two trees, one per line. Past `max_lines`, a last line counts the rest.
+pub fn differences(old: &Spec, new: &Spec, max_lines: usize) -> Vec<String> {
     let mut out = Vec::new();
     let nodes = |s: &Spec| -> BTreeMap<String, NodeSpec> {
         s.nodes
@@ -249,13 +258,13 @@
                         root(&b.parent)
                     ));
                 }
-                out.extend(amounts_differ(
+                out.extend(amount_differences(
                     name,
                     "guarantee",
                     &a.guarantee,
                     &b.guarantee,
                 ));
-                out.extend(amounts_differ(name, "max", &a.max, &b.max));
+                out.extend(amount_differences(name, "max", &a.max, &b.max));
                 if (a.weight, a.over) != (b.weight, b.over) {
                     let was = format!("weight {} over {:?}", a.weight, a.over);
                     out.push(format!(
@@ -292,15 +301,15 @@
             out.push(format!("team {name}: weight and guarantee {a:?} -> {b:?}"));
         }
     }
-    let more = out.len().saturating_sub(most);
-    out.truncate(most);
+    let more = out.len().saturating_sub(max_lines);
+    out.truncate(max_lines);
     if more > 0 {
         out.push(format!("and {more} more"));
     }
     out
 }
 
-fn amounts_differ(name: &str, field: &str, a: &Amounts, b: &Amounts) -> Vec<String> {
+fn amount_differences(name: &str, field: &str, a: &Amounts, b: &Amounts) -> Vec<String> {
     let show = |a: &Amounts, r: &String| a.get(r).map_or("none".to_owned(), f64::to_string);
     let all: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
     let changed = all.into_iter().filter(|r| a.get(*r) != b.get(*r));
--- a/crates/quota/src/live.rs
+++ b/crates/quota/src/live.rs
@@ -1,67 +1,67 @@
-//! A tree in use: what teams ask for and have, and what each is entitled to.
+//! A tree in use: the demand and usage of its teams, and their entitlements.
 //!
-//! A change touches the path from its team to the root and nothing else. What follows for others is worked out when
-//! it is asked for, node by node, and kept as long as nothing below that node changes. All that changes stands in
-//! persistent vectors: a clone is a snapshot that shares all but what changes later.
+//! A change updates only the path from its team to the root. The effect on other teams is computed lazily, node by
+//! node, and cached until something below that node changes. Mutable state is kept in persistent vectors, so a clone
+//! is a cheap snapshot that shares everything that does not change afterwards.
 
-use crate::fill::{Ask, Levels, levels};
-use crate::tree::{Leaf, add};
+use crate::tree::{Leaf, add_amount};
+use crate::water_filling::{ChildDemand, FillLevels, fill_levels};
 use crate::{Amount, MAX_RESOURCES, NOTHING, NodeId, TeamId, Tree, UNBOUNDED};
 use imbl::Vector;
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Entitlement by resource; `None` where nothing of a resource is guaranteed at that level.
+/// Entitlement by resource; `None` if the node that it comes from guarantees nothing of the resource.
 pub type Share = [Option<i64>; MAX_RESOURCES];
 
-/// What a team wants and has.
+/// Demand and usage of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Count {
     pub demand: Amount,
     pub used: Amount,
 }
 
-/// The levels of a node for the budget that came from one node above it.
+/// Cached fill levels of a node, for a budget that comes from one node of its path.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Memo {
+struct CachedLevels {
     epoch: u64,
     budget: Amount,
-    levels: Levels,
+    levels: FillLevels,
 }
 
 #[derive(Debug, Clone, Default)]
-struct State {
-    /// What its children could use, each within its own maximum.
-    want: Amount,
+struct NodeState {
+    /// Demand of all children, each capped at its own maximum.
+    demand: Amount,
     used: Amount,
-    /// What of the wants below it its own guarantee covers.
-    covered: Amount,
-    /// Rises whenever a child wants or has covered something else.
+    /// The part of the demand that the node's own guarantee covers.
+    guaranteed: Amount,
+    /// Incremented when the demand or the guaranteed part of a child changes; invalidates cached levels.
     epoch: u64,
-    /// By the depth of the node that the budget came from.
-    memos: Vec<Option<Memo>>,
+    /// Indexed by the depth of the node that the budget comes from.
+    cached_levels: Vec<Option<CachedLevels>>,
 }
 
 #[derive(Debug, Clone)]
 pub struct Live {
     tree: Arc<Tree>,
     teams: Vector<Count>,
-    nodes: Vector<State>,
-    /// Nodes whose cover is to be worked out anew, the deepest first.
+    nodes: Vector<NodeState>,
+    /// Nodes whose `guaranteed` amount has to be recomputed, deepest first.
     stale: BTreeSet<(Reverse<u8>, NodeId)>,
-    /// Work done, in units that do not depend on the machine it runs on.
+    /// Steps of computation so far: a measure of work that does not depend on the hardware.
     pub steps: u64,
 }
 
-fn within(want: &Amount, max: &Amount) -> Amount {
-    std::array::from_fn(|r| want[r].min(max[r]))
+fn capped(amount: &Amount, max: &Amount) -> Amount {
+    std::array::from_fn(|r| amount[r].min(max[r]))
 }
 
 impl Live {
     pub fn new(tree: Arc<Tree>) -> Self {
         let teams = tree.leaves.iter().map(|_| Count::default()).collect();
-        let nodes = tree.nodes.iter().map(|_| State::default()).collect();
+        let nodes = tree.nodes.iter().map(|_| NodeState::default()).collect();
         Live {
             tree,
             teams,
@@ -77,24 +77,24 @@
     pub fn team(&self, team: TeamId) -> Count {
         self.teams[team.0 as usize]
     }
-    /// What all below a node use.
+    /// Total usage below a node.
     pub fn used(&self, node: NodeId) -> Amount {
         self.nodes[node.0 as usize].used
     }
-    /// What all below a node want.
+    /// Total demand below a node, with each child capped at its maximum.
     pub fn wanted(&self, node: NodeId) -> Amount {
-        self.nodes[node.0 as usize].want
+        self.nodes[node.0 as usize].demand
     }
 
     fn leaf(&self, team: TeamId) -> &Leaf {
         &self.tree.leaves[team.0 as usize]
     }
 
-    /// Notes all that a team could use now, what it has included.
+    /// Sets the demand of a team, including what it already uses.
     pub fn set_demand(&mut self, team: TeamId, demand: Amount) {
         let (max, mut at) = (self.leaf(team).max, self.leaf(team).parent);
         let count = &mut self.teams[team.0 as usize];
-        let (before, after) = (within(&count.demand, &max), within(&demand, &max));
+        let (before, after) = (capped(&count.demand, &max), capped(&demand, &max));
         count.demand = demand;
         self.steps += 1;
         let mut change: Amount = std::array::from_fn(|r| after[r] - before[r]);
@@ -104,9 +104,9 @@
             self.steps += 1;
             let node = &self.tree.nodes[n.0 as usize];
             let state = &mut self.nodes[n.0 as usize];
-            let before = within(&state.want, &node.max);
-            add(&mut state.want, &change);
-            let after = within(&state.want, &node.max);
+            let before = capped(&state.demand, &node.max);
+            add_amount(&mut state.demand, &change);
+            let after = capped(&state.demand, &node.max);
             change = std::array::from_fn(|r| after[r] - before[r]);
             state.epoch += 1;
             self.stale.insert((Reverse(node.depth), n));
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Notes what a team has, on all machines.
+    /// Sets the usage of a team, over all machines.
     pub fn set_used(&mut self, team: TeamId, used: Amount) {
         let mut at = self.leaf(team).parent;
         let count = &mut self.teams[team.0 as usize];
@@ -125,15 +125,15 @@
             && change != NOTHING
         {
             self.steps += 1;
-            add(&mut self.nodes[n.0 as usize].used, &change);
+            add_amount(&mut self.nodes[n.0 as usize].used, &change);
             at = self.tree.nodes[n.0 as usize].parent;
         }
     }
 
-    /// How much more may start below a node: the least that any bound from it to the root leaves.
-    pub fn room(&self, node: Option<NodeId>) -> Amount {
+    /// How much more may start below a node: the least that is left under any maximum from it to the root.
+    pub fn headroom(&self, node: Option<NodeId>) -> Amount {
         let mut out = [UNBOUNDED; MAX_RESOURCES];
-        for n in self.tree.above(node) {
+        for n in self.tree.with_ancestors(node) {
             let (max, used) = (self.tree.nodes[n.0 as usize].max, self.used(n));
             for r in (0..MAX_RESOURCES).filter(|r| max[*r] != UNBOUNDED) {
                 out[r] = out[r].min(max[r] - used[r]);
@@ -142,40 +142,41 @@
         out
     }
 
-    /// What a team is entitled to when the guarantee of the node at this depth of its path is divided among all
-    /// below it; the depth below its last node is the team itself, and its own guarantee. The higher the node, the
-    /// more: siblings' leavings come first, then those of its parent's siblings, and so on.
+    /// The entitlement of a team when the guarantee of the node at this depth of its path is divided among all teams
+    /// below that node. The depth after the last node stands for the team itself and its own guarantee. A higher node
+    /// entitles to at least as much, as unused guarantees of siblings are added first, then those of the parent's
+    /// siblings, and so on.
     pub fn entitled(&mut self, team: TeamId, depth: usize) -> Share {
         self.refresh();
         let path = self.tree.path(team);
         let Some(origin) = path.get(depth) else {
             let leaf = self.leaf(team);
-            let base = self.team_ask(team).base;
-            return std::array::from_fn(|r| (leaf.guarantee[r] > 0).then_some(base[r]));
+            let guaranteed = self.team_demand(team).guaranteed;
+            return std::array::from_fn(|r| (leaf.guarantee[r] > 0).then_some(guaranteed[r]));
         };
         let guarantee = self.tree.nodes[origin.0 as usize].guarantee;
         let mut budget = guarantee;
         for (i, n) in path.iter().enumerate().skip(depth) {
             let levels = self.levels(*n, depth, budget);
-            let ask = path
+            let child = path
                 .get(i + 1)
-                .map_or_else(|| self.team_ask(team), |c| self.node_ask(*c));
-            budget = ask.part(&budget, &levels);
+                .map_or_else(|| self.team_demand(team), |c| self.node_demand(*c));
+            budget = child.allocation(&budget, &levels);
         }
         std::array::from_fn(|r| (guarantee[r] > 0).then_some(budget[r]))
     }
 
-    /// Works out what changed since the last time, once for each node, however many changes there were below it.
+    /// Recomputes the guaranteed amounts of changed nodes, once per node however many changes there were below it.
     pub fn refresh(&mut self) {
         while let Some((Reverse(depth), n)) = self.stale.pop_first() {
             let budget = self.tree.nodes[n.0 as usize].guarantee;
             let levels = self.levels(n, usize::from(depth), budget);
-            let mut covered = NOTHING;
-            for ask in self.asks(n) {
-                add(&mut covered, &ask.part(&budget, &levels));
+            let mut guaranteed = NOTHING;
+            for child in self.child_demands(n) {
+                add_amount(&mut guaranteed, &child.allocation(&budget, &levels));
             }
-            if self.nodes[n.0 as usize].covered != covered {
-                self.nodes[n.0 as usize].covered = covered;
+            if self.nodes[n.0 as usize].guaranteed != guaranteed {
+                self.nodes[n.0 as usize].guaranteed = guaranteed;
                 if let Some(p) = self.tree.nodes[n.0 as usize].parent {
                     self.nodes[p.0 as usize].epoch += 1;
                     self.stale
@@ -185,21 +186,21 @@
         }
     }
 
-    fn levels(&mut self, n: NodeId, origin: usize, budget: Amount) -> Levels {
+    fn levels(&mut self, n: NodeId, origin_depth: usize, budget: Amount) -> FillLevels {
         let state = &self.nodes[n.0 as usize];
         self.steps += 1;
-        if let Some(Some(memo)) = state.memos.get(origin)
-            && (memo.epoch, memo.budget) == (state.epoch, budget)
+        if let Some(Some(cached)) = state.cached_levels.get(origin_depth)
+            && (cached.epoch, cached.budget) == (state.epoch, budget)
         {
-            return memo.levels;
+            return cached.levels;
         }
         let epoch = state.epoch;
-        let levels = levels(&budget, &self.asks(n), &mut self.steps);
-        let memos = &mut self.nodes[n.0 as usize].memos;
-        if memos.len() <= origin {
-            memos.resize(origin + 1, None);
+        let levels = fill_levels(&budget, &self.child_demands(n), &mut self.steps);
+        let cached_levels = &mut self.nodes[n.0 as usize].cached_levels;
+        if cached_levels.len() <= origin_depth {
+            cached_levels.resize(origin_depth + 1, None);
         }
-        memos[origin] = Some(Memo {
+        cached_levels[origin_depth] = Some(CachedLevels {
             epoch,
             budget,
             levels,
@@ -207,40 +208,42 @@
         levels
     }
 
-    fn asks(&self, n: NodeId) -> Vec<Ask> {
+    fn child_demands(&self, n: NodeId) -> Vec<ChildDemand> {
         let node = &self.tree.nodes[n.0 as usize];
-        let inner = node.children.iter().map(|c| self.node_ask(*c));
+        let inner = node.children.iter().map(|c| self.node_demand(*c));
         inner
-            .chain(node.teams.iter().map(|t| self.team_ask(*t)))
+            .chain(node.teams.iter().map(|t| self.team_demand(*t)))
             .collect()
     }
 
-    fn node_ask(&self, n: NodeId) -> Ask {
+    fn node_demand(&self, n: NodeId) -> ChildDemand {
         let (node, state) = (&self.tree.nodes[n.0 as usize], &self.nodes[n.0 as usize]);
-        Ask {
-            base: state.covered,
-            want: within(&state.want, &node.max),
+        ChildDemand {
+            guaranteed: state.guaranteed,
+            demand: capped(&state.demand, &node.max),
             weight: node.weight,
         }
     }
 
-    fn team_ask(&self, team: TeamId) -> Ask {
+    fn team_demand(&self, team: TeamId) -> ChildDemand {
         let leaf = self.leaf(team);
-        let want = within(&self.teams[team.0 as usize].demand, &leaf.max);
-        Ask {
-            base: within(&want, &leaf.guarantee),
-            want,
+        let demand = capped(&self.teams[team.0 as usize].demand, &leaf.max);
+        ChildDemand {
+            guaranteed: capped(&demand, &leaf.guarantee),
+            demand,
             weight: leaf.weight,
         }
     }
 
-    /// Bytes that the counts take, without the tree itself.
+    /// Approximate memory of the mutable state in bytes, without the tree itself.
     pub fn bytes(&self) -> usize {
-        let memos: usize = self
+        let cached_levels: usize = self
             .nodes
             .iter()
-            .map(|s| s.memos.capacity() * size_of::<Option<Memo>>())
+            .map(|s| s.cached_levels.capacity() * size_of::<Option<CachedLevels>>())
             .sum();
-        self.teams.len() * size_of::<Count>() + self.nodes.len() * size_of::<State>() + memos
+        self.teams.len() * size_of::<Count>()
+            + self.nodes.len() * size_of::<NodeState>()
+            + cached_levels
     }
 }
--- a/crates/quota/src/why.rs
+++ b/crates/quota/src/why.rs
@@ -1,54 +1,55 @@
-//! What a tree in use says of a node or a team, for people.
+//! Reports for operators on the nodes and teams of a tree in use.
 
-use crate::tree::units;
+use crate::tree::display_units;
 use crate::{Amount, Amounts, Live, MAX_RESOURCES, NodeId, TeamId, UNBOUNDED};
 use serde::{Deserialize, Serialize};
 
-/// One row of a tree as it is used now; amounts in units.
+/// Current state of a node or team; amounts in units.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Standing {
     pub name: String,
-    /// Inner nodes above it.
+    /// Number of inner nodes above it.
     pub depth: usize,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<String>,
     pub guarantee: Amounts,
-    /// Without those that have no bound.
+    /// Only the resources that have a maximum.
     pub max: Amounts,
     pub weight: f64,
     pub used: Amounts,
-    /// All that it could use now, what it uses included.
+    /// Demand, including what is used.
     pub wanted: Amounts,
 }
 
-/// Why a team's work waits; amounts in units.
+/// Explains why a team's work waits; amounts in units.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Why {
     pub team: String,
-    /// Nodes above it, the uppermost first.
+    /// The team's ancestors, topmost first.
     pub path: Vec<String>,
     pub used: Amounts,
     pub wanted: Amounts,
-    /// What it is entitled to of each guarantee on its path, and at last of its own.
+    /// The team's entitlement from the guarantee of each node on its path, and finally from its own.
     pub entitled: Vec<(String, Amounts)>,
-    /// Nodes, or the team itself, whose maximum leaves no room for what it wants.
+    /// Nodes on the path, or the team itself, whose maximum leaves no room for the demand.
     pub bounded_by: Vec<String>,
-    /// Who uses more than it is guaranteed, by the node at which it parts from the team: those that give back first
-    /// come first.
+    /// Siblings of the team and of its ancestors that use more than their guarantee, with the excess. The nearest come
+    /// first: borrowed capacity is reclaimed from them first.
     pub borrowed: Vec<(String, Amounts)>,
-    /// What the team is short of within its entitlements: this is called back.
+    /// What the team lacks of its entitlements: this much is reclaimed from borrowers.
     pub short: Amounts,
 }
 
-fn named(live: &Live, amount: &Amount) -> Amounts {
+fn amounts_by_name(live: &Live, amount: &Amount) -> Amounts {
     let names = live.tree().resources.iter().zip(amount);
-    let some = names.filter(|(_, v)| **v != 0 && **v != UNBOUNDED);
-    some.map(|(name, v)| (name.clone(), *v as f64 / 1000.0))
+    let named = names.filter(|(_, v)| **v != 0 && **v != UNBOUNDED);
+    named
+        .map(|(name, v)| (name.clone(), *v as f64 / 1000.0))
         .collect()
 }
 
 impl Live {
-    /// All nodes, parents first.
+    /// The state of all nodes, parents first.
     pub fn nodes(&self) -> Vec<Standing> {
         let row = |(i, n): (usize, &crate::Node)| {
             let id = NodeId(i as u32);
@@ -58,11 +59,11 @@
                 parent: n
                     .parent
                     .map(|p| self.tree().nodes[p.0 as usize].name.clone()),
-                guarantee: named(self, &n.guarantee),
-                max: named(self, &n.max),
+                guarantee: amounts_by_name(self, &n.guarantee),
+                max: amounts_by_name(self, &n.max),
                 weight: n.weight,
-                used: named(self, &self.used(id)),
-                wanted: named(self, &self.wanted(id)),
+                used: amounts_by_name(self, &self.used(id)),
+                wanted: amounts_by_name(self, &self.wanted(id)),
             }
         };
         self.tree().nodes.iter().enumerate().map(row).collect()
@@ -76,11 +77,11 @@
                 name: l.name.clone(),
                 depth: parent.map_or(0, |p| usize::from(p.depth) + 1),
                 parent: parent.map(|p| p.name.clone()),
-                guarantee: named(self, &l.guarantee),
-                max: named(self, &l.max),
+                guarantee: amounts_by_name(self, &l.guarantee),
+                max: amounts_by_name(self, &l.max),
                 weight: l.weight,
-                used: named(self, &count.used),
-                wanted: named(self, &count.demand),
+                used: amounts_by_name(self, &count.used),
+                wanted: amounts_by_name(self, &count.demand),
             }
         };
         self.tree().leaves.iter().enumerate().map(row).collect()
@@ -93,33 +94,33 @@
         let count = self.team(team);
         let name = |n: &NodeId| tree.nodes[n.0 as usize].name.clone();
         let mut entitled = Vec::new();
-        let mut most = [0; MAX_RESOURCES];
-        let mut counted = [false; MAX_RESOURCES];
+        let mut highest_share = [0; MAX_RESOURCES];
+        let mut is_guaranteed = [false; MAX_RESOURCES];
         for depth in 0..=path.len() {
             let share = self.entitled(team, depth);
-            (0..MAX_RESOURCES).for_each(|r| counted[r] |= share[r].is_some());
+            (0..MAX_RESOURCES).for_each(|r| is_guaranteed[r] |= share[r].is_some());
             let share = share.map(|v| v.unwrap_or(0));
-            (0..MAX_RESOURCES).for_each(|r| most[r] = most[r].max(share[r]));
+            (0..MAX_RESOURCES).for_each(|r| highest_share[r] = highest_share[r].max(share[r]));
             entitled.push((
                 path.get(depth).map_or_else(|| leaf.name.clone(), name),
-                named(self, &share),
+                amounts_by_name(self, &share),
             ));
         }
         let short: Amount =
-            std::array::from_fn(|r| (most[r].min(count.demand[r]) - count.used[r]).max(0));
+            std::array::from_fn(|r| (highest_share[r].min(count.demand[r]) - count.used[r]).max(0));
         let mut bounded_by = Vec::new();
-        let waits = |r: usize| count.demand[r] > count.used[r];
-        let full = |max: &Amount, used: &Amount| {
-            (0..MAX_RESOURCES).find(|r| waits(*r) && used[*r] >= max[*r])
+        let is_waiting_for = |r: usize| count.demand[r] > count.used[r];
+        let exhausted_resource = |max: &Amount, used: &Amount| {
+            (0..MAX_RESOURCES).find(|r| is_waiting_for(*r) && used[*r] >= max[*r])
         };
         let bounds = path
             .iter()
             .map(|n| (name(n), tree.nodes[n.0 as usize].max, self.used(*n)));
         for (who, max, used) in bounds.chain([(leaf.name.clone(), leaf.max, count.used)]) {
-            if let Some(r) = full(&max, &used) {
-                let (has, most) = (units(used[r]), units(max[r]));
+            if let Some(r) = exhausted_resource(&max, &used) {
+                let (has, limit) = (display_units(used[r]), display_units(max[r]));
                 bounded_by.push(format!(
-                    "{who}: uses {has} of at most {most} {}",
+                    "{who}: uses {has} of at most {limit} {}",
                     tree.resources[r]
                 ));
             }
@@ -127,22 +128,27 @@
         Why {
             team: leaf.name.clone(),
             path: path.iter().map(name).collect(),
-            used: named(self, &count.used),
-            wanted: named(self, &count.demand),
+            used: amounts_by_name(self, &count.used),
+            wanted: amounts_by_name(self, &count.demand),
             entitled,
             bounded_by,
-            borrowed: self.borrowers(team, &path, &counted),
-            short: named(self, &short),
+            borrowed: self.borrowers(team, &path, &is_guaranteed),
+            short: amounts_by_name(self, &short),
         }
     }
 
-    /// Siblings of the team, then of its parent, and so on, that use more than they are guaranteed of what something
-    /// above the team is guaranteed.
-    fn borrowers(&self, team: TeamId, path: &[NodeId], counted: &[bool]) -> Vec<(String, Amounts)> {
+    /// Siblings of the team, then of its parent and so on, that use more than their guarantee. Counts only resources
+    /// in which the team or a node on its path has a guarantee.
+    fn borrowers(
+        &self,
+        team: TeamId,
+        path: &[NodeId],
+        is_guaranteed: &[bool],
+    ) -> Vec<(String, Amounts)> {
         let tree = self.tree();
-        let beyond = |used: &Amount, own: &Amount| {
+        let above_guarantee = |used: &Amount, own: &Amount| {
             std::array::from_fn(|r| {
-                if counted[r] {
+                if is_guaranteed[r] {
                     (used[r] - own[r]).max(0)
                 } else {
                     0
@@ -160,7 +166,7 @@
             let teams = teams.map(|(i, l)| {
                 (
                     l.name.clone(),
-                    beyond(&self.team(TeamId(i as u32)).used, &l.guarantee),
+                    above_guarantee(&self.team(TeamId(i as u32)).used, &l.guarantee),
                 )
             });
             let inner = tree.nodes.iter().enumerate();
@@ -169,13 +175,13 @@
             let inner = inner.map(|(i, n)| {
                 (
                     n.name.clone(),
-                    beyond(&self.used(NodeId(i as u32)), &n.guarantee),
+                    above_guarantee(&self.used(NodeId(i as u32)), &n.guarantee),
                 )
             });
-            let some = teams
+            let borrowers = teams
                 .chain(inner)
                 .filter(|(_, over): &(String, Amount)| over.iter().any(|v| *v > 0));
-            out.extend(some.map(|(name, over)| (name, named(self, &over))));
+            out.extend(borrowers.map(|(name, over)| (name, amounts_by_name(self, &over))));
         }
         out
     }
--- a/crates/quota/tests/trees.rs
+++ b/crates/quota/tests/trees.rs
@@ -1,4 +1,4 @@
-//! Bad trees are refused with the place named, and edits end in good ones or say what is wrong.
+//! Invalid trees are rejected with the location of each fault, and edits yield valid trees or report what is wrong.
 
 mod common;
 
@@ -50,11 +50,11 @@
     }
 }
 
-/// Each is one slip in a good file; what is said names the line and the field.
+/// Each case puts one mistake into a valid file; the fault names its line and field.
 #[test]
-fn what_is_wrong_is_named_with_path_and_line() {
+fn faults_name_the_path_and_the_line() {
     assert_eq!(faults(GOOD), Vec::<String>::new());
-    let endless = (0..10).fold(String::new(), |text, i| {
+    let too_deep = (0..10).fold(String::new(), |text, i| {
         let parent = if i == 0 {
             String::new()
         } else {
@@ -62,12 +62,12 @@
         };
         format!("{text}[[node]]\nname = \"d{i}\"\n{parent}")
     });
-    for (from, to, line, named) in [
+    for (from, to, line, expected) in [
         (
             "parent = \"studio\"",
             "parent = \"desk\"",
             7,
-            "node \"desk\".parent: hangs below itself",
+            "node \"desk\".parent: is in a cycle of parents",
         ),
         (
             "parent = \"studio\"",
@@ -154,7 +154,7 @@
             "unknown field `wieght`",
         ),
         ("[[team]]", "[[team", 12, "file"),
-        (GOOD, &endless, 24, "deeper than 8 levels"),
+        (GOOD, &too_deep, 24, "deeper than 8 levels"),
     ] {
         let found = faults(&GOOD.replacen(from, to, 1));
         let at = if line > 0 {
@@ -162,14 +162,16 @@
         } else {
             String::new()
         };
-        let hit = found.iter().any(|f| f.contains(named) && f.contains(&at));
-        assert!(hit, "{to}: {found:?} should say {at}{named}");
+        let is_reported = found
+            .iter()
+            .any(|f| f.contains(expected) && f.contains(&at));
+        assert!(is_reported, "{to}: {found:?} should say {at}{expected}");
     }
     assert!(faults(&"#".repeat(file::MAX_FILE + 1))[0].contains("bytes"));
 }
 
 #[test]
-fn a_team_may_be_cut_below_the_settings_but_not_raised() {
+fn team_guarantee_may_be_lowered_but_not_raised() {
     let with = |gpus: &str| {
         GOOD.replacen(
             "name = \"red\"",
@@ -182,7 +184,7 @@
 }
 
 #[test]
-fn shrinking_says_by_how_much_or_scales() {
+fn shrinking_reports_the_excess_or_scales() {
     let spec = file::parse(GOOD).expect("good").spec;
     let less: Amounts = [("gpus".to_owned(), 3.0)].into();
     let refused =
@@ -196,17 +198,18 @@
     let scaled =
         edit::shrink(&spec, &teams(), "studio", &less, &Amounts::new(), true).expect("made");
     let tree = Tree::build(&scaled, &teams()).expect("good");
-    let of = |t: &str| tree.leaves[tree.team(t).expect("known").0 as usize].guarantee[quota::GPUS];
+    let guarantee_of =
+        |t: &str| tree.leaves[tree.team(t).expect("known").0 as usize].guarantee[quota::GPUS];
     assert_eq!(
-        (of("red"), of("blue")),
+        (guarantee_of("red"), guarantee_of("blue")),
         (1_000, 2_000),
-        "in proportion, all the way down"
+        "scaled proportionally through the whole subtree"
     );
     assert!(edit::shrink(&spec, &teams(), "nobody", &less, &less, true).is_err());
 }
 
 #[test]
-fn a_node_can_not_move_below_itself() {
+fn node_cannot_move_below_itself() {
     let spec = file::parse(GOOD).expect("good").spec;
     for (name, to) in [
         ("studio", "desk"),
@@ -224,9 +227,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A move takes the guarantee along: the tree stays good but for maxima, and moving back restores it.
+    /// A move takes the guarantee with it: the tree stays valid (without maxima), and moving back restores it.
     #[test]
-    fn moving_there_and_back_changes_nothing((spec, teams) in trees(), what in any::<prop::sample::Index>(), to in any::<prop::sample::Index>()) {
+    fn moving_there_and_back_restores_the_tree((spec, teams) in trees(), what in any::<prop::sample::Index>(), to in any::<prop::sample::Index>()) {
         let mut spec = spec;
         spec.nodes.iter_mut().for_each(|n| n.max.clear());
         let team = &teams[what.index(teams.len())].name;
@@ -241,15 +244,15 @@
         prop_assert_eq!(edit::differences(&spec, &back, 10), Vec::<String>::new());
     }
 
-    /// Scaling always ends in a tree that is good.
+    /// Shrinking with scaling always yields a valid tree.
     #[test]
-    fn scaling_fits((spec, teams) in trees(), what in any::<prop::sample::Index>(), gpus in 0..9u32, max in any::<bool>()) {
+    fn scaling_yields_a_valid_tree((spec, teams) in trees(), what in any::<prop::sample::Index>(), gpus in 0..9u32, max in any::<bool>()) {
         if !spec.nodes.is_empty() {
             let name = spec.nodes[what.index(spec.nodes.len())].name.clone();
             let to: Amounts = [("gpus".to_owned(), f64::from(gpus))].into();
             let none = Amounts::new();
             let grown = spec.nodes.iter().find(|n| n.name == name).is_some_and(|n| n.guarantee.get("gpus").is_none_or(|g| *g < f64::from(gpus)));
-            // Only less may be asked for: more could be above the parent's.
+            // Only smaller values: a greater one could exceed the parent's.
             if !grown {
                 let (guarantee, max) = if max { (&none, &to) } else { (&to, &none) };
                 let out = edit::shrink(&spec, &teams, &name, guarantee, max, true).expect("known");
@@ -259,26 +262,26 @@
         }
     }
 
-    /// What is written is read back.
+    /// A rendered file parses back to the same tree.
     #[test]
-    fn files_are_read_back((spec, teams) in trees()) {
+    fn rendered_file_parses_to_the_same_spec((spec, teams) in trees()) {
         let text = file::render(&spec).expect("written");
         let parsed = file::parse(&text).expect("read");
         prop_assert_eq!(&parsed.spec, &spec);
         prop_assert!(Tree::build(&parsed.spec, &teams).is_ok());
     }
 
-    /// Whatever bytes come, there is an answer and no panic.
+    /// Arbitrary text is parsed or rejected without a panic.
     #[test]
-    fn any_text_is_answered(text in ".{0,200}", at in 0..400usize, put in ".{0,8}") {
+    fn arbitrary_text_never_panics(text in ".{0,200}", at in 0..400usize, put in ".{0,8}") {
         let _ = file::parse(&text);
-        let mut bent = GOOD.to_owned();
-        bent.insert_str(at.min(bent.len()), &put);
-        faults(&bent);
+        let mut mutated = GOOD.to_owned();
+        mutated.insert_str(at.min(mutated.len()), &put);
+        faults(&mutated);
     }
 }
 
-/// The published schema is the one that the types make, and knows each field.
+/// The published schema equals the one generated from the types, and contains every field.
 #[test]
 fn the_schema_names_every_field() {
     let schema = file::schema();
@@ -298,7 +301,7 @@
     assert_eq!(
         published.trim(),
         schema.trim(),
-        "docs/quotas/schema.json: `stoathatch quota schema` writes it anew"
+        "docs/quotas/schema.json is outdated: regenerate it with `stoathatch quota schema`"
     );
     let _: Spec = Spec::default();
 }
