--- a/crates/standins/src/checks/answers.rs
+++ b/crates/standins/src/checks/answers.rs
@@ -5,7 +5,7 @@
 use wire::api::Stage;
 
 /// Submissions that can't be taken are kept track of up to here.
-pub const ODD: usize = 4096;
+pub const MAX_UNFIT_TRACKED: usize = 4096;
 
 /// What is wrong with a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,15 +18,15 @@
 
 /// What the user of a job was told, and when that was received first.
 #[derive(Debug, Default)]
-struct Known {
-    accepted: Option<u64>,
+struct ToldToUser {
+    accepted_at: Option<u64>,
     ended: Option<(u64, Stage)>,
 }
 
 #[derive(Debug, Default)]
 pub struct Answers {
-    jobs: BTreeMap<String, Known>,
-    odd: BTreeMap<String, (Unfit, String)>,
+    jobs: BTreeMap<String, ToldToUser>,
+    unfit: BTreeMap<String, (Unfit, String)>,
     /// Answers that were judged.
     pub judged: u64,
     /// The same to submissions that can't be taken, and how many of them were refused for good.
@@ -51,36 +51,36 @@
         self.judged += 1;
         let known = self.jobs.entry(id.to_owned()).or_default();
         let accepted = matches!(status, 200 | 201);
-        let older = match known.ended {
+        let stale = match known.ended {
             // Of two ends one is wrong, whichever was asked for first.
             Some((_, ended)) if accepted && stage.is_some_and(|s| s.is_final() && s != ended) => {
                 true
             }
             Some((at, ended)) if accepted && at < asked => stage != Some(ended),
-            _ => !accepted && known.accepted.is_some_and(|at| at < asked),
+            _ => !accepted && known.accepted_at.is_some_and(|at| at < asked),
         };
         if accepted {
-            known.accepted.get_or_insert(now);
+            known.accepted_at.get_or_insert(now);
         }
         if let Some(stage) = stage.filter(|s| accepted && s.is_final()) {
             known.ended.get_or_insert((now, stage));
         }
-        older.then(|| {
+        stale.then(|| {
             format!("{now}: {id}, asked {asked}, answered {status} {stage:?} after {known:?}")
         })
     }
 
     /// A user sends this, which can't be taken, and why. False if there have been too many.
     pub fn sends(&mut self, id: &str, unfit: Unfit, why: String) -> bool {
-        let room = self.odd.len() < ODD;
-        if room {
-            self.odd.insert(id.to_owned(), (unfit, why));
+        let has_space = self.unfit.len() < MAX_UNFIT_TRACKED;
+        if has_space {
+            self.unfit.insert(id.to_owned(), (unfit, why));
         }
-        room
+        has_space
     }
 
     pub fn is_odd(&self, id: &str) -> bool {
-        self.odd.contains_key(id)
+        self.unfit.contains_key(id)
     }
 
     /// An answer about a submission that can't be taken; the rule that it breaks, if any, and why it couldn't be.
@@ -90,7 +90,7 @@
         submission: bool,
         status: u16,
     ) -> Option<(&'static str, &str)> {
-        let (unfit, why) = self.odd.get(id)?;
+        let (unfit, why) = self.unfit.get(id)?;
         self.odd_judged += 1;
         self.odd_refused += u64::from(submission && matches!(status, 400 | 422));
         let rule = match (status, unfit) {
--- a/crates/standins/src/checks/mod.rs
+++ b/crates/standins/src/checks/mod.rs
@@ -11,62 +11,62 @@
 use wire::api::{JobSpec, Kind, Stage};
 
 /// Unanswered for so long once all troubles are over, a job is forgotten.
-pub const FORGOTTEN_MS: u64 = 75_000;
+pub const MAX_UNANSWERED_MS: u64 = 75_000;
 /// The largest of each class begin within so long of the first attempt to submit them.
-pub const BEGIN_MS: u64 = 240_000;
+pub const LARGEST_BEGIN_MS: u64 = 240_000;
 
 /// What was seen of a job.
 #[derive(Debug)]
-struct Seen {
+struct JobHistory {
     class: String,
     team: String,
     tasks: u32,
     service: bool,
-    asked: Option<u64>,
-    accepted: Option<u64>,
+    submitted_at: Option<u64>,
+    accepted_at: Option<u64>,
     cancel_asked: bool,
-    ended: Option<u64>,
+    ended_at: Option<u64>,
     /// A first task ran, or the whole gang.
-    began: Option<u64>,
+    began_at: Option<u64>,
     /// When a poll was last answered.
-    heard: Option<u64>,
-    unanswered: u64,
-    unanswered_quiet: u64,
+    last_poll_answered_at: Option<u64>,
+    longest_unanswered_ms: u64,
+    longest_unanswered_after_faults_ms: u64,
 }
 
 /// How long something is missing that was there before.
 #[derive(Debug, Default)]
-struct Lack {
-    had: bool,
-    present: u64,
-    longest: u64,
+struct Absence {
+    was_present: bool,
+    absent_ms: u64,
+    longest_ms: u64,
 }
 
-impl Lack {
+impl Absence {
     /// Time counts only while it could be there.
-    fn look(&mut self, ms: u64, is: bool, could_be: bool) {
-        if is {
-            (self.had, self.present) = (true, 0);
-        } else if could_be && self.had {
-            self.present += ms;
-            self.longest = self.longest.max(self.present);
+    fn update(&mut self, ms: u64, present: bool, could_be: bool) {
+        if present {
+            (self.was_present, self.absent_ms) = (true, 0);
+        } else if could_be && self.was_present {
+            self.absent_ms += ms;
+            self.longest_ms = self.longest_ms.max(self.absent_ms);
         }
     }
 }
 
 #[derive(Debug, Default)]
 pub struct Checks {
-    jobs: BTreeMap<String, Seen>,
+    jobs: BTreeMap<String, JobHistory>,
     /// All troubles are over from then on.
-    quiet: u64,
-    looked_at: u64,
+    faults_over_at: u64,
+    checked_at: u64,
     /// Without a leader, and without a node that the balancer takes to be healthy.
-    ownerless: Lack,
-    nodeless: Lack,
+    leader_absence: Absence,
+    node_absence: Absence,
     pub room: room::Room,
     /// Tasks that run: when troubles began, and the fewest until they were over.
-    running: Option<usize>,
-    fewest: Option<usize>,
+    running_before_faults: Option<usize>,
+    fewest_running: Option<usize>,
     /// Connections for which the balancer found no node.
     pub no_node: u64,
     /// Submissions that were given up.
@@ -118,43 +118,50 @@
 }
 
 impl Checks {
-    pub fn new(quiet: u64, specs: impl Iterator<Item = JobSpec>) -> Self {
+    pub fn new(faults_over_at: u64, specs: impl Iterator<Item = JobSpec>) -> Self {
         let seen = |s: JobSpec| {
-            let seen = Seen {
+            let seen = JobHistory {
                 class: s.class,
                 team: s.team,
                 tasks: s.tasks,
                 service: s.kind == Kind::Service,
-                asked: None,
-                accepted: None,
+                submitted_at: None,
+                accepted_at: None,
                 cancel_asked: false,
-                ended: None,
-                began: None,
-                heard: None,
-                unanswered: 0,
-                unanswered_quiet: 0,
+                ended_at: None,
+                began_at: None,
+                last_poll_answered_at: None,
+                longest_unanswered_ms: 0,
+                longest_unanswered_after_faults_ms: 0,
             };
             (s.id, seen)
         };
         Checks {
             jobs: specs.map(seen).collect(),
-            quiet,
+            faults_over_at,
             ..Checks::default()
         }
     }
 
     /// A user submits the job, or asks to cancel it. When it was first submitted.
-    pub fn asks(&mut self, now: u64, job: &str, cancel: bool) -> u64 {
+    pub fn record_request(&mut self, now: u64, job: &str, cancel: bool) -> u64 {
         let Some(seen) = self.jobs.get_mut(job) else {
             return now;
         };
         seen.cancel_asked |= cancel;
-        *seen.asked.get_or_insert(now)
+        *seen.submitted_at.get_or_insert(now)
     }
 
     /// A user is answered.
-    pub fn answered(&mut self, now: u64, job: &str, poll: bool, status: u16, stage: Option<Stage>) {
-        let quiet = self.quiet;
+    pub fn record_response(
+        &mut self,
+        now: u64,
+        job: &str,
+        poll: bool,
+        status: u16,
+        stage: Option<Stage>,
+    ) {
+        let faults_over_at = self.faults_over_at;
         let Some(seen) = self
             .jobs
             .get_mut(job)
@@ -163,53 +170,58 @@
             return;
         };
         if poll {
-            seen.waited(now, quiet);
-            seen.heard = Some(now);
+            seen.update_unanswered(now, faults_over_at);
+            seen.last_poll_answered_at = Some(now);
         }
-        seen.accepted.get_or_insert(now);
+        seen.accepted_at.get_or_insert(now);
         if stage.is_some_and(|s| s.is_final()) {
-            seen.ended.get_or_insert(now);
+            seen.ended_at.get_or_insert(now);
         }
     }
 
     /// A task of an array or of a service runs, or a whole gang.
-    pub fn runs(&mut self, now: u64, job: &str) {
+    pub fn record_job_running(&mut self, now: u64, job: &str) {
         if let Some(seen) = self.jobs.get_mut(job) {
-            seen.began.get_or_insert(now);
+            seen.began_at.get_or_insert(now);
         }
     }
 
     /// Whether there is a leader and a healthy node, and whether any could be one.
-    pub fn nodes(&mut self, now: u64, leader: bool, healthy: bool, could_be: bool) {
-        let since = now - self.looked_at;
-        self.looked_at = now;
-        self.ownerless.look(since, leader, could_be);
-        self.nodeless.look(since, healthy, could_be);
+    pub fn record_nodes(&mut self, now: u64, leader: bool, healthy: bool, could_be: bool) {
+        let since = now - self.checked_at;
+        self.checked_at = now;
+        self.leader_absence.update(since, leader, could_be);
+        self.node_absence.update(since, healthy, could_be);
     }
 
     /// So many tasks run, once troubles have begun.
-    pub fn running(&mut self, now: u64, tasks: usize) {
-        self.running.get_or_insert(tasks);
-        if now <= self.quiet {
-            self.fewest = Some(self.fewest.map_or(tasks, |f| f.min(tasks)));
+    pub fn record_running_tasks(&mut self, now: u64, tasks: usize) {
+        self.running_before_faults.get_or_insert(tasks);
+        if now <= self.faults_over_at {
+            self.fewest_running = Some(self.fewest_running.map_or(tasks, |f| f.min(tasks)));
         }
     }
 
     /// Troubles are over, and so is all that was submitted.
-    pub fn settled(&self, now: u64) -> bool {
-        let over = |s: &Seen| s.ended.is_some() || (s.asked.is_some() && s.accepted.is_none());
-        now > self.quiet && self.jobs.values().all(over)
+    pub fn all_work_ended(&self, now: u64) -> bool {
+        let over = |s: &JobHistory| {
+            s.ended_at.is_some() || (s.submitted_at.is_some() && s.accepted_at.is_none())
+        };
+        now > self.faults_over_at && self.jobs.values().all(over)
     }
 
     pub fn verdict(&mut self, now: u64) -> Verdict {
-        let quiet = self.quiet;
-        self.jobs.values_mut().for_each(|s| s.waited(now, quiet));
-        let longest =
-            |f: fn(&Seen) -> u64| self.jobs.values().map(f).max().unwrap_or(0) as f64 / 1000.0;
+        let faults_over_at = self.faults_over_at;
+        self.jobs
+            .values_mut()
+            .for_each(|s| s.update_unanswered(now, faults_over_at));
+        let longest = |f: fn(&JobHistory) -> u64| {
+            self.jobs.values().map(f).max().unwrap_or(0) as f64 / 1000.0
+        };
         let forgotten = self
             .jobs
             .iter()
-            .filter(|(_, s)| s.unanswered_quiet > FORGOTTEN_MS);
+            .filter(|(_, s)| s.longest_unanswered_after_faults_ms > MAX_UNANSWERED_MS);
         let (beside_room, beside_ms) = self.room.left_waiting();
         Verdict {
             beside_room,
@@ -217,17 +229,17 @@
             forgotten_75: forgotten.map(|(id, _)| id.clone()).collect(),
             served_below_half: served::below_half(&self.jobs),
             largest_late: served::largest_late(&self.jobs, now),
-            longest_unanswered_s: longest(|s| s.unanswered_quiet),
-            unanswered_in_all_s: longest(|s| s.unanswered),
-            longest_without_leader_s: self.ownerless.longest as f64 / 1000.0,
-            longest_without_node_s: self.nodeless.longest as f64 / 1000.0,
-            fewest_running: self.fewest.unwrap_or(0) as f64
-                / self.running.unwrap_or(0).max(1) as f64,
+            longest_unanswered_s: longest(|s| s.longest_unanswered_after_faults_ms),
+            unanswered_in_all_s: longest(|s| s.longest_unanswered_ms),
+            longest_without_leader_s: self.leader_absence.longest_ms as f64 / 1000.0,
+            longest_without_node_s: self.node_absence.longest_ms as f64 / 1000.0,
+            fewest_running: self.fewest_running.unwrap_or(0) as f64
+                / self.running_before_faults.unwrap_or(0).max(1) as f64,
             accepted_in_1s: self.accepted_within(1000),
             no_node: self.no_node,
             given_up: self.given_up,
             jobs: self.jobs.len(),
-            done: self.jobs.values().filter(|s| s.ended.is_some()).count(),
+            done: self.jobs.values().filter(|s| s.ended_at.is_some()).count(),
         }
     }
 }
@@ -237,7 +249,7 @@
         let asked = self
             .jobs
             .values()
-            .filter_map(|s| Some((s.asked?, s.accepted)));
+            .filter_map(|s| Some((s.submitted_at?, s.accepted_at)));
         let soon = asked
             .clone()
             .filter(|(asked, at)| at.is_some_and(|at| at <= asked + ms))
@@ -246,16 +258,16 @@
     }
 }
 
-impl Seen {
+impl JobHistory {
     /// An accepted job that has not ended was without an answer until now.
-    fn waited(&mut self, now: u64, quiet: u64) {
-        let Some(since) = self.accepted.filter(|_| self.ended.is_none()) else {
+    fn update_unanswered(&mut self, now: u64, faults_over_at: u64) {
+        let Some(since) = self.accepted_at.filter(|_| self.ended_at.is_none()) else {
             return;
         };
-        let since = since.max(self.heard.unwrap_or(0));
-        self.unanswered = self.unanswered.max(now.saturating_sub(since));
-        self.unanswered_quiet = self
-            .unanswered_quiet
-            .max(now.saturating_sub(since.max(quiet)));
+        let since = since.max(self.last_poll_answered_at.unwrap_or(0));
+        self.longest_unanswered_ms = self.longest_unanswered_ms.max(now.saturating_sub(since));
+        self.longest_unanswered_after_faults_ms = self
+            .longest_unanswered_after_faults_ms
+            .max(now.saturating_sub(since.max(faults_over_at)));
     }
 }
--- a/crates/standins/src/checks/room.rs
+++ b/crates/standins/src/checks/room.rs
@@ -10,7 +10,7 @@
 
 /// A job that waits for so long beside room was left waiting.
 pub const BESIDE_ROOM_MS: u64 = 90_000;
-const SETTLED: usize = 5;
+const SETTLED_CHECKS: usize = 5;
 
 /// What a machine has, or has left.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -21,7 +21,7 @@
 }
 
 impl Free {
-    fn least(self, other: Free) -> Free {
+    fn component_min(self, other: Free) -> Free {
         Free {
             cores: self.cores.min(other.cores),
             gpus: self.gpus.min(other.gpus),
@@ -30,7 +30,7 @@
     }
 
     /// How many tasks of a job there is room for.
-    fn holds(&self, spec: &JobSpec) -> u64 {
+    fn task_capacity(&self, spec: &JobSpec) -> u64 {
         let times = |has: f64, needs: f64| {
             if needs > 0.0 {
                 ((has + 1e-6) / needs) as u64
@@ -72,68 +72,75 @@
 
 /// A job that waits: since when it has done so beside room, and which of its tasks were there at the last look.
 #[derive(Debug, Default)]
-struct Wait {
+struct WaitingJob {
     since: Option<u64>,
-    there: BTreeSet<Task>,
+    placed: BTreeSet<Task>,
 }
 
 #[derive(Debug, Default)]
 pub struct Room {
     /// What each machine had left at the last looks.
-    free: BTreeMap<String, VecDeque<Free>>,
-    waits: BTreeMap<String, Wait>,
+    recent_capacity: BTreeMap<String, VecDeque<Free>>,
+    waiting: BTreeMap<String, WaitingJob>,
     /// The longest that each job waited beside room.
-    longest: BTreeMap<String, u64>,
+    longest_wait_ms: BTreeMap<String, u64>,
 }
 
 /// Where a task is.
-type At<'a> = (&'a Up, &'a Task);
+type PlacedTask<'a> = (&'a Up, &'a Task);
 
 /// Room that has stood for a while, and what is used, at one look.
-struct Look<'a> {
-    settled: Vec<(&'a Up, Free)>,
+struct CapacitySnapshot<'a> {
+    settled_capacity: Vec<(&'a Up, Free)>,
     /// The tasks of each job that are there.
-    there: BTreeMap<&'a str, Vec<At<'a>>>,
+    placed: BTreeMap<&'a str, Vec<PlacedTask<'a>>>,
     gpus: BTreeMap<&'a str, f64>,
 }
 
 impl Room {
     /// Once a second, from the end of the troubles on.
     pub fn look(&mut self, now: u64, up: &[Up], rules: &Rules) {
-        let look = self.settle(up, rules);
+        let snapshot = self.take_snapshot(up, rules);
         for (id, job) in &rules.jobs {
-            let Some(spec) = job.spec.as_ref().filter(|_| is_open(job)) else {
-                self.waits.remove(id);
+            let Some(spec) = job.spec.as_ref().filter(|_| is_active(job)) else {
+                self.waiting.remove(id);
                 continue;
             };
-            let there = look.there.get(id.as_str()).map_or(&[][..], Vec::as_slice);
-            let names: BTreeSet<Task> = there.iter().map(|(_, t)| (*t).clone()).collect();
-            let wait = self.waits.entry(id.clone()).or_default();
-            let starts = names.iter().any(|t| !wait.there.contains(t));
-            wait.there = names;
-            if starts || !look.has_room(spec, job, there, rules) {
+            let placed = snapshot
+                .placed
+                .get(id.as_str())
+                .map_or(&[][..], Vec::as_slice);
+            let names: BTreeSet<Task> = placed.iter().map(|(_, t)| (*t).clone()).collect();
+            let wait = self.waiting.entry(id.clone()).or_default();
+            let starts = names.iter().any(|t| !wait.placed.contains(t));
+            wait.placed = names;
+            if starts || !snapshot.has_room(spec, job, placed, rules) {
                 wait.since = None;
                 continue;
             }
             let waited = now - *wait.since.get_or_insert(now);
-            let longest = self.longest.entry(id.clone()).or_default();
+            let longest = self.longest_wait_ms.entry(id.clone()).or_default();
             *longest = waited.max(*longest);
         }
     }
 
     /// Jobs that were left waiting, and the longest that any waited beside room.
     pub fn left_waiting(&self) -> (Vec<String>, u64) {
-        let left = self.longest.iter().filter(|(_, ms)| **ms >= BESIDE_ROOM_MS);
+        let left = self
+            .longest_wait_ms
+            .iter()
+            .filter(|(_, ms)| **ms >= BESIDE_ROOM_MS);
         (
             left.map(|(id, _)| id.clone()).collect(),
-            self.longest.values().copied().max().unwrap_or(0),
+            self.longest_wait_ms.values().copied().max().unwrap_or(0),
         )
     }
 
-    fn settle<'a>(&mut self, up: &'a [Up], rules: &'a Rules) -> Look<'a> {
-        self.free
+    fn take_snapshot<'a>(&mut self, up: &'a [Up], rules: &'a Rules) -> CapacitySnapshot<'a> {
+        self.recent_capacity
             .retain(|name, _| up.iter().any(|m| m.name == *name));
-        let (mut settled, mut there, mut gpus) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
+        let (mut settled_capacity, mut placed, mut gpus) =
+            (Vec::new(), BTreeMap::new(), BTreeMap::new());
         for m in up {
             let mut left = m.whole;
             for task in &m.tasks {
@@ -146,43 +153,49 @@
                 left.cores -= spec.cores;
                 left.gpus -= spec.gpus;
                 left.mem_gb -= spec.mem_gb;
-                there.entry(id).or_insert_with(Vec::new).push((m, task));
+                placed.entry(id).or_insert_with(Vec::new).push((m, task));
                 *gpus.entry(spec.team.as_str()).or_default() += spec.gpus;
             }
-            let seen = self.free.entry(m.name.clone()).or_default();
+            let seen = self.recent_capacity.entry(m.name.clone()).or_default();
             seen.push_back(left);
-            if seen.len() > SETTLED {
+            if seen.len() > SETTLED_CHECKS {
                 seen.pop_front();
             }
-            if seen.len() == SETTLED {
-                settled.push((m, seen.iter().copied().fold(left, Free::least)));
+            if seen.len() == SETTLED_CHECKS {
+                settled_capacity.push((m, seen.iter().copied().fold(left, Free::component_min)));
             }
         }
-        Look {
-            settled,
-            there,
+        CapacitySnapshot {
+            settled_capacity,
+            placed,
             gpus,
         }
     }
 }
 
 /// Accepted, not ended, and nobody wants to cancel it.
-fn is_open(job: &Job) -> bool {
+fn is_active(job: &Job) -> bool {
     job.accepted.is_some()
         && job.told_done.is_none()
         && job.told_cancelled.is_none()
         && !job.cancel_asked
 }
 
-impl Look<'_> {
+impl CapacitySnapshot<'_> {
     /// Whether what the job would start next could be there now.
-    fn has_room(&self, spec: &JobSpec, job: &Job, there: &[At<'_>], rules: &Rules) -> bool {
+    fn has_room(
+        &self,
+        spec: &JobSpec,
+        job: &Job,
+        placed: &[PlacedTask<'_>],
+        rules: &Rules,
+    ) -> bool {
         let is_there = |n: u32| {
             let name = wire::ids::task_name(&spec.id, n);
-            there.iter().any(|(_, t)| t.0 == name)
+            placed.iter().any(|(_, t)| t.0 == name)
         };
         let waits = match spec.kind {
-            Kind::Gang => there.is_empty() && job.done.is_empty(),
+            Kind::Gang => placed.is_empty() && job.done.is_empty(),
             _ => (0..spec.tasks).any(|n| !job.done.contains(&n) && !is_there(n)),
         };
         let tasks = if spec.kind == Kind::Gang {
@@ -198,18 +211,18 @@
         let used = self.gpus.get(spec.team.as_str()).copied().unwrap_or(0.0);
         waits
             && used + spec.gpus * tasks as f64 <= limit + 1e-6
-            && self.places(spec, there) >= tasks
+            && self.free_places(spec, placed) >= tasks
     }
 
     /// For how many more tasks of the job there is room at once, within its bounds on zones.
-    fn places(&self, spec: &JobSpec, there: &[At<'_>]) -> u64 {
+    fn free_places(&self, spec: &JobSpec, placed: &[PlacedTask<'_>]) -> u64 {
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-        for (m, free) in self.settled.iter().filter(|(m, _)| m.fits(spec)) {
-            *zones.entry(m.zone.as_str()).or_default() += free.holds(spec);
+        for (m, free) in self.settled_capacity.iter().filter(|(m, _)| m.fits(spec)) {
+            *zones.entry(m.zone.as_str()).or_default() += free.task_capacity(spec);
         }
-        let in_zone = |zone: &str| there.iter().filter(|(m, _)| m.zone == zone).count() as u64;
+        let in_zone = |zone: &str| placed.iter().filter(|(m, _)| m.zone == zone).count() as u64;
         if spec.one_zone {
-            let alone = |zone: &str| there.iter().all(|(m, _)| m.zone == zone);
+            let alone = |zone: &str| placed.iter().all(|(m, _)| m.zone == zone);
             return zones
                 .into_iter()
                 .filter(|(z, _)| alone(z))
--- a/crates/standins/src/checks/served.rs
+++ b/crates/standins/src/checks/served.rs
@@ -1,23 +1,23 @@
 //! Whether each class, each team and the largest jobs of each class are served.
 
-use super::{BEGIN_MS, Seen};
+use super::{JobHistory, LARGEST_BEGIN_MS};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-type Jobs = BTreeMap<String, Seen>;
+type Jobs = BTreeMap<String, JobHistory>;
 
 /// Jobs that were submitted and that nobody wanted to cancel.
-fn wanted(jobs: &Jobs) -> impl Iterator<Item = (&str, &Seen)> {
-    let wanted = jobs
+fn uncancelled_jobs(jobs: &Jobs) -> impl Iterator<Item = (&str, &JobHistory)> {
+    let uncancelled = jobs
         .iter()
-        .filter(|(_, s)| s.asked.is_some() && !s.cancel_asked);
-    wanted.map(|(id, s)| (id.as_str(), s))
+        .filter(|(_, s)| s.submitted_at.is_some() && !s.cancel_asked);
+    uncancelled.map(|(id, s)| (id.as_str(), s))
 }
 
 /// The tenth of each class with the most tasks.
 fn largest(jobs: &Jobs) -> BTreeSet<&str> {
     let mut classes: BTreeMap<&str, Vec<(Reverse<u32>, &str)>> = BTreeMap::new();
-    for (id, seen) in wanted(jobs) {
+    for (id, seen) in uncancelled_jobs(jobs) {
         classes
             .entry(&seen.class)
             .or_default()
@@ -35,7 +35,7 @@
 pub(super) fn below_half(jobs: &Jobs) -> Vec<String> {
     let largest = largest(jobs);
     let mut groups: BTreeMap<String, (usize, usize, usize)> = BTreeMap::new();
-    for (id, seen) in wanted(jobs) {
+    for (id, seen) in uncancelled_jobs(jobs) {
         let large = largest
             .contains(id)
             .then(|| format!("largest of {}", seen.class));
@@ -47,8 +47,9 @@
         for group in of.into_iter().flatten() {
             let (all, began, ended) = groups.entry(group).or_default();
             *all += 1;
-            *began += usize::from(seen.began.is_some());
-            *ended += usize::from(seen.ended.is_some() || (seen.service && seen.began.is_some()));
+            *began += usize::from(seen.began_at.is_some());
+            *ended +=
+                usize::from(seen.ended_at.is_some() || (seen.service && seen.began_at.is_some()));
         }
     }
     let below = |(group, (all, began, ended)): (String, (usize, usize, usize))| {
@@ -63,10 +64,10 @@
     let late = |id: &&str| {
         let seen = &jobs[*id];
         let waited = seen
-            .began
+            .began_at
             .unwrap_or(now)
-            .saturating_sub(seen.asked.unwrap_or(now));
-        seen.accepted.is_some() && waited > BEGIN_MS
+            .saturating_sub(seen.submitted_at.unwrap_or(now));
+        seen.accepted_at.is_some() && waited > LARGEST_BEGIN_MS
     };
     largest(jobs)
         .into_iter()
--- a/crates/standins/src/world/day.rs
+++ b/crates/standins/src/world/day.rs
@@ -100,7 +100,7 @@
             settled_rounds = if self
                 .day
                 .as_ref()
-                .is_some_and(|b| b.checks.settled(self.now))
+                .is_some_and(|b| b.checks.all_work_ended(self.now))
             {
                 settled_rounds + 1
             } else {
@@ -159,7 +159,8 @@
         let now = self.now;
         let Some(day) = self.day.as_mut() else { return };
         if kind != RequestKind::Poll {
-            day.checks.asks(now, &job, kind == RequestKind::Cancel);
+            day.checks
+                .record_request(now, &job, kind == RequestKind::Cancel);
             day.first_sent.entry((job.clone(), kind)).or_insert(now);
         }
         let alive = |c: &Conn| {
@@ -266,7 +267,7 @@
             .and_then(|r| wire::decode::<JobState>(&r.body).ok());
         let stage = state.map(|s| s.stage);
         day.checks
-            .answered(now, &job, kind == RequestKind::Poll, status, stage);
+            .record_response(now, &job, kind == RequestKind::Poll, status, stage);
         self.rules
             .told(now, asked, &job, status, stage, kind == RequestKind::Submit);
         self.check_recorded(&job, stage);
@@ -401,7 +402,8 @@
         let could_be = self.state_outage_until <= now && self.hosts.iter().enumerate().any(could);
         leader.into_iter().for_each(|n| self.note_leader(n));
         let Some(day) = self.day.as_mut() else { return };
-        day.checks.nodes(now, leader.is_some(), healthy, could_be);
+        day.checks
+            .record_nodes(now, leader.is_some(), healthy, could_be);
         if now >= START_MS + BEGIN && now.is_multiple_of(1000) {
             let running = |w: &crate::worker::Worker| {
                 w.tasks
@@ -410,7 +412,7 @@
                     .count()
             };
             day.checks
-                .running(now, self.workers.values().map(running).sum());
+                .record_running_tasks(now, self.workers.values().map(running).sum());
         }
     }
 
@@ -418,20 +420,21 @@
     /// polls.
     pub(super) fn note_cancel_request(&mut self, job: &str) {
         if let Some(day) = self.day.as_mut() {
-            day.checks.asks(self.now, job, true);
+            day.checks.record_request(self.now, job, true);
         }
     }
 
     pub(super) fn note_answer(&mut self, job: &str, status: u16, stage: Option<Stage>) {
         if let Some(day) = self.day.as_mut() {
-            day.checks.answered(self.now, job, false, status, stage);
+            day.checks
+                .record_response(self.now, job, false, status, stage);
         }
     }
 
     pub(super) fn note_running(&mut self, job: &str) {
         let now = self.now;
         if let Some(day) = self.day.as_mut() {
-            day.checks.runs(now, job);
+            day.checks.record_job_running(now, job);
         }
     }
 }
