--- a/crates/standins/src/checks/answers.rs
+++ b/crates/standins/src/checks/answers.rs
@@ -1,22 +1,22 @@
-//! What users were answered, over all nodes and connections: never anything older than what they had been told before they
-//! asked, and no acceptance of what can't run or has no form.
+//! Checks the responses to users across all nodes and connections: no response is older than what a user already knew
+//! when it sent the request, and no submission is accepted that is malformed or can never run.
 
 use std::collections::BTreeMap;
 use wire::api::Stage;
 
-/// Submissions that can't be taken are kept track of up to here.
+/// The maximum number of unacceptable submissions that are tracked.
 pub const MAX_UNFIT_TRACKED: usize = 4096;
 
-/// What is wrong with a submission.
+/// Why a submission can't be accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unfit {
-    /// A field is missing or invalid: 400.
+    /// A field is missing or invalid; the expected status is 400.
     Malformed,
-    /// It fits no machine, or its team may not use so much: 422.
+    /// It fits no machine or exceeds its team's limit; the expected status is 422.
     Impossible,
 }
 
-/// What the user of a job was told, and when that was received first.
+/// What a job's user was told, and when it was told first.
 #[derive(Debug, Default)]
 struct ToldToUser {
     accepted_at: Option<u64>,
@@ -27,16 +27,17 @@
 pub struct Answers {
     jobs: BTreeMap<String, ToldToUser>,
     unfit: BTreeMap<String, (Unfit, String)>,
-    /// Answers that were judged.
+    /// The number of responses that were checked.
     pub judged: u64,
-    /// The same to submissions that can't be taken, and how many of them were refused for good.
+    /// The number of checked responses about unacceptable submissions, and how many submissions were rejected with
+    /// 400 or 422.
     pub odd_judged: u64,
     pub odd_refused: u64,
 }
 
 impl Answers {
-    /// An answer about a job to a question that was asked at this time; what is wrong with it, if anything. What was asked
-    /// before another answer had come may still be from before that one.
+    /// Checks a response about a job, to a request sent at `asked`; returns what is wrong with it, if anything. A
+    /// request sent before another response arrived may still be answered with an older state than that response.
     pub fn told(
         &mut self,
         now: u64,
@@ -52,7 +53,7 @@
         let known = self.jobs.entry(id.to_owned()).or_default();
         let accepted = matches!(status, 200 | 201);
         let stale = match known.ended {
-            // Of two ends one is wrong, whichever was asked for first.
+            // A job can't end in two ways, whichever request was sent first.
             Some((_, ended)) if accepted && stage.is_some_and(|s| s.is_final() && s != ended) => {
                 true
             }
@@ -70,7 +71,7 @@
         })
     }
 
-    /// A user sends this, which can't be taken, and why. False if there have been too many.
+    /// Registers a submission that can't be accepted, and why. Returns false if too many are tracked already.
     pub fn sends(&mut self, id: &str, unfit: Unfit, why: String) -> bool {
         let has_space = self.unfit.len() < MAX_UNFIT_TRACKED;
         if has_space {
@@ -83,7 +84,8 @@
         self.unfit.contains_key(id)
     }
 
-    /// An answer about a submission that can't be taken; the rule that it breaks, if any, and why it couldn't be.
+    /// Checks a response about an unacceptable submission; returns the rule that it breaks, if any, and why the
+    /// submission is unacceptable.
     pub fn odd_told(
         &mut self,
         id: &str,
--- a/crates/standins/src/checks/mod.rs
+++ b/crates/standins/src/checks/mod.rs
@@ -1,5 +1,5 @@
-//! What operators judge a day by, from what users, workers and the state service saw: nobody forgotten, every class and
-//! team served, the largest jobs too, and how long jobs went unanswered and the fleet without a leader.
+//! Evaluates a run from what users, workers and the state service observed: no job is forgotten, every class and team
+//! is served, the largest jobs too, and how long jobs went unanswered and the fleet was without a leader.
 
 pub mod answers;
 pub mod room;
@@ -10,12 +10,12 @@
 use std::collections::BTreeMap;
 use wire::api::{JobSpec, Kind, Stage};
 
-/// Unanswered for so long once all troubles are over, a job is forgotten.
+/// A job counts as forgotten if its polls go unanswered for this long after the last fault.
 pub const MAX_UNANSWERED_MS: u64 = 75_000;
-/// The largest of each class begin within so long of the first attempt to submit them.
+/// The largest jobs of each class must begin within this time of the first attempt to submit them.
 pub const LARGEST_BEGIN_MS: u64 = 240_000;
 
-/// What was seen of a job.
+/// What was observed of a job.
 #[derive(Debug)]
 struct JobHistory {
     class: String,
@@ -26,7 +26,7 @@
     accepted_at: Option<u64>,
     cancel_asked: bool,
     ended_at: Option<u64>,
-    /// A first task ran, or the whole gang.
+    /// When the first task ran or, for a gang, all tasks.
     began_at: Option<u64>,
     /// When a poll was last answered.
     last_poll_answered_at: Option<u64>,
@@ -34,7 +34,7 @@
     longest_unanswered_after_faults_ms: u64,
 }
 
-/// How long something is missing that was there before.
+/// Measures the longest absence of something that was present before.
 #[derive(Debug, Default)]
 struct Absence {
     was_present: bool,
@@ -43,7 +43,7 @@
 }
 
 impl Absence {
-    /// Time counts only while it could be there.
+    /// Adds a time step. Absence counts only while presence was possible.
     fn update(&mut self, ms: u64, present: bool, could_be: bool) {
         if present {
             (self.was_present, self.absent_ms) = (true, 0);
@@ -57,40 +57,40 @@
 #[derive(Debug, Default)]
 pub struct Checks {
     jobs: BTreeMap<String, JobHistory>,
-    /// All troubles are over from then on.
+    /// When the last fault is over.
     faults_over_at: u64,
     checked_at: u64,
-    /// Without a leader, and without a node that the balancer takes to be healthy.
+    /// The absence of a leader, and of any node that the load balancer considers healthy.
     leader_absence: Absence,
     node_absence: Absence,
     pub room: room::Room,
-    /// Tasks that run: when troubles began, and the fewest until they were over.
+    /// The number of running tasks when the faults began, and its minimum until they were over.
     running_before_faults: Option<usize>,
     fewest_running: Option<usize>,
-    /// Connections for which the balancer found no node.
+    /// The number of connections for which the load balancer found no node.
     pub no_node: u64,
-    /// Submissions that were given up.
+    /// The number of submissions that users stopped retrying.
     pub given_up: u64,
 }
 
-/// A day's judgement.
+/// The evaluation of a run.
 #[derive(Debug, Default, Clone)]
 pub struct Verdict {
     pub forgotten_75: Vec<String>,
     pub served_below_half: Vec<String>,
     pub largest_late: Vec<String>,
-    /// Jobs left waiting beside room, and the longest that any waited so.
+    /// Jobs that waited too long although there was capacity for them, and the longest such wait of any job.
     pub beside_room: Vec<String>,
     pub longest_beside_room_s: f64,
-    /// After the last trouble, and in the whole day.
+    /// The longest time that a job went unanswered, after the last fault and over the whole run.
     pub longest_unanswered_s: f64,
     pub unanswered_in_all_s: f64,
     pub longest_without_leader_s: f64,
-    /// Without a node that the balancer takes to be healthy, although one could take requests.
+    /// The longest time without a node that the load balancer considered healthy, although one could take requests.
     pub longest_without_node_s: f64,
-    /// The fewest tasks that ran in troubles, as a share of those before.
+    /// The minimum number of running tasks during the faults, as a share of the number before.
     pub fewest_running: f64,
-    /// Submissions that were accepted within a second of the first attempt, of all.
+    /// The share of submissions that were accepted within a second of the first attempt.
     pub accepted_in_1s: f64,
     pub no_node: u64,
     pub given_up: u64,
@@ -99,7 +99,8 @@
 }
 
 impl Verdict {
-    /// Every rule that was broken, every job forgotten, late or left waiting beside room, and every group of which less than half was served.
+    /// All failures: broken rules, jobs that were forgotten, began late or waited although there was capacity, and
+    /// groups of which less than half was served.
     pub fn failures(&self, rules: &Rules) -> Vec<String> {
         let broken = rules
             .broken
@@ -143,7 +144,7 @@
         }
     }
 
-    /// A user submits the job, or asks to cancel it. When it was first submitted.
+    /// Records that a user submits the job, or asks to cancel it. Returns when it was first submitted.
     pub fn record_request(&mut self, now: u64, job: &str, cancel: bool) -> u64 {
         let Some(seen) = self.jobs.get_mut(job) else {
             return now;
@@ -152,7 +153,7 @@
         *seen.submitted_at.get_or_insert(now)
     }
 
-    /// A user is answered.
+    /// Records a response to a user.
     pub fn record_response(
         &mut self,
         now: u64,
@@ -179,14 +180,14 @@
         }
     }
 
-    /// A task of an array or of a service runs, or a whole gang.
+    /// Records that a task of an array or service runs, or all tasks of a gang.
     pub fn record_job_running(&mut self, now: u64, job: &str) {
         if let Some(seen) = self.jobs.get_mut(job) {
             seen.began_at.get_or_insert(now);
         }
     }
 
-    /// Whether there is a leader and a healthy node, and whether any could be one.
+    /// Records whether there is a leader and a healthy node, and whether any node could be one.
     pub fn record_nodes(&mut self, now: u64, leader: bool, healthy: bool, could_be: bool) {
         let since = now - self.checked_at;
         self.checked_at = now;
@@ -194,7 +195,7 @@
         self.node_absence.update(since, healthy, could_be);
     }
 
-    /// So many tasks run, once troubles have begun.
+    /// Records the number of running tasks, from when the faults begin.
     pub fn record_running_tasks(&mut self, now: u64, tasks: usize) {
         self.running_before_faults.get_or_insert(tasks);
         if now <= self.faults_over_at {
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Troubles are over, and so is all that was submitted.
+    /// Whether the faults are over and all submitted work has ended.
     pub fn all_work_ended(&self, now: u64) -> bool {
         let over = |s: &JobHistory| {
             s.ended_at.is_some() || (s.submitted_at.is_some() && s.accepted_at.is_none())
@@ -259,7 +260,7 @@
 }
 
 impl JobHistory {
-    /// An accepted job that has not ended was without an answer until now.
+    /// Accounts for the time that an accepted, unfinished job has been without an answered poll.
     fn update_unanswered(&mut self, now: u64, faults_over_at: u64) {
         let Some(since) = self.accepted_at.filter(|_| self.ended_at.is_none()) else {
             return;
--- a/crates/standins/src/checks/room.rs
+++ b/crates/standins/src/checks/room.rs
@@ -1,18 +1,18 @@
-//! Whether a job waits beside room: it starts no task for long, though machines that fit have room and its team is under
-//! its limit.
+//! Checks that no job waits although there is capacity: that it starts no task for long while suitable machines have
+//! room and its team is below its limit.
 //!
-//! Looked at once a second. Room counts once it has stood for `SETTLED` looks: what a task leaves behind is known to the
-//! controllers only with the next report, and is given to whoever is first.
+//! Checked once a second. Capacity counts once it has been free for `SETTLED_CHECKS` checks: controllers learn only
+//! from the next report what a task has freed, and may give it to any job.
 
 use crate::rules::{Job, Rules};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wire::api::{JobSpec, Kind};
 
-/// A job that waits for so long beside room was left waiting.
+/// A job that waits for this long although there is capacity counts as left waiting.
 pub const BESIDE_ROOM_MS: u64 = 90_000;
 const SETTLED_CHECKS: usize = 5;
 
-/// What a machine has, or has left.
+/// The resources of a machine, in total or free.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Free {
     pub cores: f64,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// How many tasks of a job there is room for.
+    /// The number of the job's tasks that fit.
     fn task_capacity(&self, spec: &JobSpec) -> u64 {
         let times = |has: f64, needs: f64| {
             if needs > 0.0 {
@@ -46,10 +46,10 @@
     }
 }
 
-/// A task with its attempt.
+/// A task name and its attempt.
 pub type Task = (String, u64);
 
-/// A machine that is up, what it has in all, and each task that is on it or on its way there.
+/// A running machine, its total resources, and the tasks that run on it or are starting on it.
 #[derive(Debug, Clone)]
 pub struct Up {
     pub name: String,
@@ -70,7 +70,7 @@
     }
 }
 
-/// A job that waits: since when it has done so beside room, and which of its tasks were there at the last look.
+/// A waiting job: since when there has been capacity for it, and its placed tasks at the last check.
 #[derive(Debug, Default)]
 struct WaitingJob {
     since: Option<u64>,
@@ -79,26 +79,26 @@
 
 #[derive(Debug, Default)]
 pub struct Room {
-    /// What each machine had left at the last looks.
+    /// The free resources of each machine at the last checks.
     recent_capacity: BTreeMap<String, VecDeque<Free>>,
     waiting: BTreeMap<String, WaitingJob>,
-    /// The longest that each job waited beside room.
+    /// The longest time that each job waited although there was capacity.
     longest_wait_ms: BTreeMap<String, u64>,
 }
 
-/// Where a task is.
+/// A task with the machine that it is placed on.
 type PlacedTask<'a> = (&'a Up, &'a Task);
 
-/// Room that has stood for a while, and what is used, at one look.
+/// One check's view of the fleet: capacity that has been free for a while, and what is in use.
 struct CapacitySnapshot<'a> {
     settled_capacity: Vec<(&'a Up, Free)>,
-    /// The tasks of each job that are there.
+    /// The placed tasks of each job.
     placed: BTreeMap<&'a str, Vec<PlacedTask<'a>>>,
     gpus: BTreeMap<&'a str, f64>,
 }
 
 impl Room {
-    /// Once a second, from the end of the troubles on.
+    /// Runs the check. Called once a second after the last fault.
     pub fn look(&mut self, now: u64, up: &[Up], rules: &Rules) {
         let snapshot = self.take_snapshot(up, rules);
         for (id, job) in &rules.jobs {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Jobs that were left waiting, and the longest that any waited beside room.
+    /// Jobs that were left waiting, and the longest wait of any job although there was capacity.
     pub fn left_waiting(&self) -> (Vec<String>, u64) {
         let left = self
             .longest_wait_ms
@@ -173,7 +173,7 @@
     }
 }
 
-/// Accepted, not ended, and nobody wants to cancel it.
+/// Whether the job is accepted and unfinished, and nobody has asked to cancel it.
 fn is_active(job: &Job) -> bool {
     job.accepted.is_some()
         && job.told_done.is_none()
@@ -182,7 +182,7 @@
 }
 
 impl CapacitySnapshot<'_> {
-    /// Whether what the job would start next could be there now.
+    /// Whether what the job would start next fits now.
     fn has_room(
         &self,
         spec: &JobSpec,
@@ -214,7 +214,7 @@
             && self.free_places(spec, placed) >= tasks
     }
 
-    /// For how many more tasks of the job there is room at once, within its bounds on zones.
+    /// The number of further tasks of the job that fit at the same time, within its constraints on zones.
     fn free_places(&self, spec: &JobSpec, placed: &[PlacedTask<'_>]) -> u64 {
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
         for (m, free) in self.settled_capacity.iter().filter(|(m, _)| m.fits(spec)) {
--- a/crates/standins/src/checks/served.rs
+++ b/crates/standins/src/checks/served.rs
@@ -1,4 +1,4 @@
-//! Whether each class, each team and the largest jobs of each class are served.
+//! Checks that each class, each team and the largest jobs of each class are served.
 
 use super::{JobHistory, LARGEST_BEGIN_MS};
 use std::cmp::Reverse;
@@ -6,7 +6,7 @@
 
 type Jobs = BTreeMap<String, JobHistory>;
 
-/// Jobs that were submitted and that nobody wanted to cancel.
+/// Jobs that were submitted and that nobody asked to cancel.
 fn uncancelled_jobs(jobs: &Jobs) -> impl Iterator<Item = (&str, &JobHistory)> {
     let uncancelled = jobs
         .iter()
@@ -14,7 +14,7 @@
     uncancelled.map(|(id, s)| (id.as_str(), s))
 }
 
-/// The tenth of each class with the most tasks.
+/// The largest tenth of the jobs of each class, by number of tasks.
 fn largest(jobs: &Jobs) -> BTreeSet<&str> {
     let mut classes: BTreeMap<&str, Vec<(Reverse<u32>, &str)>> = BTreeMap::new();
     for (id, seen) in uncancelled_jobs(jobs) {
@@ -31,7 +31,7 @@
     classes.into_values().flatten().map(|(_, id)| id).collect()
 }
 
-/// Groups of which less than half began, or less than half have ended by now.
+/// Groups in which less than half of the jobs have begun, or less than half have ended.
 pub(super) fn below_half(jobs: &Jobs) -> Vec<String> {
     let largest = largest(jobs);
     let mut groups: BTreeMap<String, (usize, usize, usize)> = BTreeMap::new();
@@ -59,7 +59,7 @@
     groups.into_iter().filter_map(below).collect()
 }
 
-/// The largest that were accepted and did not begin in time.
+/// The largest jobs that were accepted but did not begin in time.
 pub(super) fn largest_late(jobs: &Jobs, now: u64) -> Vec<String> {
     let late = |id: &&str| {
         let seen = &jobs[*id];
--- a/crates/standins/src/checks/starts.rs
+++ b/crates/standins/src/checks/starts.rs
@@ -1,13 +1,14 @@
-//! Starts of tasks whose user had been told before that the job is cancelled.
+//! Starts of tasks whose user had already been told that the job is cancelled.
 
-/// Nobody may order them from then on; what was ordered before may still come, within the time that a cancel may take.
+/// Once a user is told of the cancellation, nobody may order further starts of the job. Starts ordered before that
+/// may still happen, within the time that a cancellation may take.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AfterCancel {
-    /// Tasks that got their image on a machine, whenever that was ordered.
+    /// The number of tasks whose image was fetched on a machine, whenever the start was ordered.
     pub started: u64,
-    /// Orders that a node gave.
+    /// The number of start orders sent by nodes.
     pub ordered: u64,
-    /// The first of these.
+    /// Describes the first of these orders.
     pub first: Option<String>,
 }
 
