--- a/crates/standins/src/balancer.rs
+++ b/crates/standins/src/balancer.rs
@@ -3,33 +3,33 @@
 
 use std::collections::VecDeque;
 
-pub const PROBE_MS: u64 = 1000;
+pub const PROBE_INTERVAL_MS: u64 = 1000;
 /// A node that has not accepted a connection by then is turned away from.
-pub const ACCEPT_MS: u64 = 500;
+pub const CONNECT_TIMEOUT_MS: u64 = 500;
 /// Nodes that are tried for a connection.
-pub const TRIES: usize = 3;
-const PAUSE_MS: u64 = 3000;
-const LONGEST_PAUSE_MS: u64 = 60_000;
-const DOUBLED_WITHIN_MS: u64 = 120_000;
-const SHARE_MS: u64 = 10_000;
+pub const MAX_CONNECT_ATTEMPTS: usize = 3;
+const READD_DELAY_MS: u64 = 3000;
+const MAX_READD_DELAY_MS: u64 = 60_000;
+const READD_DELAY_DOUBLES_WITHIN_MS: u64 = 120_000;
+const RAMP_UP_MS: u64 = 10_000;
 const RESET_MS: u64 = 5000;
-const PASSED_MS: u64 = 3000;
+const SKIP_MS: u64 = 3000;
 
 #[derive(Debug, Default)]
 struct Node {
     healthy_at: Option<u64>,
     removed_at: Option<u64>,
-    ever: bool,
+    was_healthy: bool,
     /// The last six probes, the latest first.
     probes: VecDeque<bool>,
-    pause_ms: u64,
+    readd_delay_ms: u64,
     /// Connections that failed in a row, and until when it is passed over for them.
-    failed: u32,
-    passed_until: u64,
+    consecutive_failures: u32,
+    skipped_until: u64,
 }
 
 impl Node {
-    fn last(&self, n: usize, ok: bool) -> bool {
+    fn last_probes_were(&self, n: usize, ok: bool) -> bool {
         self.probes.len() >= n && self.probes.iter().take(n).all(|p| *p == ok)
     }
 
@@ -39,29 +39,31 @@
         if self.healthy_at.is_some() {
             // What failed before it was healthy again counts among the six: the hardest reading.
             let failed = self.probes.iter().filter(|p| !**p).count();
-            if !ok && (self.last(2, false) || failed >= 3) {
+            if !ok && (self.last_probes_were(2, false) || failed >= 3) {
                 let again = self
                     .removed_at
-                    .is_some_and(|at| now <= at + DOUBLED_WITHIN_MS);
-                self.pause_ms = if again {
-                    (2 * self.pause_ms).min(LONGEST_PAUSE_MS)
+                    .is_some_and(|at| now <= at + READD_DELAY_DOUBLES_WITHIN_MS);
+                self.readd_delay_ms = if again {
+                    (2 * self.readd_delay_ms).min(MAX_READD_DELAY_MS)
                 } else {
-                    PAUSE_MS
+                    READD_DELAY_MS
                 };
                 (self.healthy_at, self.removed_at) = (None, Some(now));
             }
         } else if ok {
-            let may = self.removed_at.is_none_or(|at| now >= at + self.pause_ms);
-            if !self.ever || (self.last(2, true) && may) {
-                (self.healthy_at, self.ever) = (Some(now), true);
+            let may = self
+                .removed_at
+                .is_none_or(|at| now >= at + self.readd_delay_ms);
+            if !self.was_healthy || (self.last_probes_were(2, true) && may) {
+                (self.healthy_at, self.was_healthy) = (Some(now), true);
             }
         }
     }
 
     /// The part of its share of new connections that it gets.
-    fn share(&self, now: u64) -> f64 {
+    fn ramp_up_factor(&self, now: u64) -> f64 {
         let since = now - self.healthy_at.unwrap_or(now);
-        (since as f64 / SHARE_MS as f64).clamp(0.1, 1.0)
+        (since as f64 / RAMP_UP_MS as f64).clamp(0.1, 1.0)
     }
 }
 
@@ -86,7 +88,7 @@
     }
 
     /// Its open connections are reset.
-    pub fn resets(&self, now: u64, n: usize) -> bool {
+    pub fn should_reset(&self, now: u64, n: usize) -> bool {
         let node = &self.nodes[n];
         node.healthy_at.is_none() && node.removed_at.is_some_and(|at| now >= at + RESET_MS)
     }
@@ -99,29 +101,29 @@
         open: &[usize],
         tried: &[usize],
     ) -> Option<usize> {
-        let fit = |n: &usize| {
+        let eligible = |n: &usize| {
             self.nodes[*n].healthy_at.is_some()
-                && self.nodes[*n].passed_until <= now
+                && self.nodes[*n].skipped_until <= now
                 && !tried.contains(n)
         };
-        let all: Vec<usize> = (0..self.nodes.len()).filter(fit).collect();
-        let mut some: Vec<usize> = all
+        let all: Vec<usize> = (0..self.nodes.len()).filter(eligible).collect();
+        let mut candidates: Vec<usize> = all
             .iter()
             .copied()
-            .filter(|n| rng.f64() < self.nodes[*n].share(now))
+            .filter(|n| rng.f64() < self.nodes[*n].ramp_up_factor(now))
             .collect();
-        if some.is_empty() {
-            some = all;
+        if candidates.is_empty() {
+            candidates = all;
         }
-        rng.shuffle(&mut some);
-        some.into_iter().min_by_key(|n| open[*n])
+        rng.shuffle(&mut candidates);
+        candidates.into_iter().min_by_key(|n| open[*n])
     }
 
     pub fn connected(&mut self, now: u64, n: usize, ok: bool) {
         let node = &mut self.nodes[n];
-        node.failed = if ok { 0 } else { node.failed + 1 };
-        if node.failed >= 3 {
-            (node.failed, node.passed_until) = (0, now + PASSED_MS);
+        node.consecutive_failures = if ok { 0 } else { node.consecutive_failures + 1 };
+        if node.consecutive_failures >= 3 {
+            (node.consecutive_failures, node.skipped_until) = (0, now + SKIP_MS);
         }
     }
 }
@@ -141,7 +143,7 @@
     }
 
     #[test]
-    fn a_node_is_removed_and_comes_back_as_the_protocol_says() {
+    fn node_is_removed_and_readded_after_the_probes_that_the_protocol_names() {
         // One success is enough at first; two failures in a row, or three among six, are too many.
         assert_eq!(health("-+-+-+"), "-+++--");
         assert_eq!(health("+--"), "++-");
@@ -152,9 +154,9 @@
     }
 
     #[test]
-    fn pauses_double_up_to_a_minute_and_are_forgotten_after_two() {
+    fn readd_delay_doubles_up_to_a_minute_and_resets_after_two_minutes() {
         let mut node = Node::default();
-        let (mut now, mut pauses) = (0, Vec::new());
+        let (mut now, mut delays) = (0, Vec::new());
         for calm in [0, 0, 0, 0, 0, 0, 0, 130_000] {
             node.probed(now, true);
             while node.healthy_at.is_none() {
@@ -162,7 +164,7 @@
                 node.probed(now, true);
             }
             if let Some(at) = node.removed_at {
-                pauses.push((now - at) / 1000);
+                delays.push((now - at) / 1000);
             }
             for _ in 0..6 + calm / 1000 {
                 now += 1000;
@@ -174,12 +176,12 @@
         }
         node.probed(now + 1000, true);
         node.probed(now + 3000, true);
-        assert_eq!(pauses, [3, 6, 12, 24, 48, 60, 60]);
+        assert_eq!(delays, [3, 6, 12, 24, 48, 60, 60]);
         assert!(node.healthy_at.is_some(), "three seconds again");
     }
 
     #[test]
-    fn connections_go_to_few_and_are_reset_after_five_seconds() {
+    fn new_connections_go_to_the_least_loaded_node_and_reset_five_seconds_after_removal() {
         let mut b = Balancer::new(3);
         let mut rng = fastrand::Rng::with_seed(1);
         assert_eq!(b.choose(0, &mut rng, &[0; 3], &[]), None);
@@ -192,7 +194,7 @@
         assert_eq!(b.choose(23_000, &mut rng, &[5, 2, 9], &[]), Some(1));
         b.probed(24_000, 0, false);
         b.probed(25_000, 0, false);
-        assert!(!b.is_healthy(0) && !b.resets(29_999, 0) && b.resets(30_000, 0));
+        assert!(!b.is_healthy(0) && !b.should_reset(29_999, 0) && b.should_reset(30_000, 0));
         // Brought up to its share over ten seconds, although it has no connection.
         b.probed(30_000, 0, true);
         b.probed(31_000, 0, true);
--- a/crates/standins/src/cloud.rs
+++ b/crates/standins/src/cloud.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::api::{Catalog, HireRequest, MachineNames};
 
-pub struct Rented {
+pub struct Rental {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
@@ -16,17 +16,17 @@
 
 pub struct Cloud {
     pub catalog: Catalog,
-    pub machines: BTreeMap<String, Rented>,
-    answers: BTreeMap<String, Vec<String>>,
-    next: u64,
+    pub machines: BTreeMap<String, Rental>,
+    hired_by_request: BTreeMap<String, Vec<String>>,
+    last_id: u64,
     pub capacity: usize,
     /// Old lists: what was there, and when.
-    lists: Vec<(u64, Vec<Value>)>,
-    pub lag_ms: u64,
+    snapshots: Vec<(u64, Vec<Value>)>,
+    pub list_lag_ms: u64,
     /// Machines that are rented until then are up within a moment.
-    pub quick_until: u64,
+    pub quick_boot_until: u64,
     /// For tests of the tests: says that machines are gone that are not.
-    pub lies_about_deletes: bool,
+    pub ignores_deletes: bool,
     pub deleted: BTreeSet<String>,
     /// Where a machine of this name is reached.
     pub address: Box<dyn Fn(&str) -> String + Send>,
@@ -35,17 +35,17 @@
 }
 
 impl Cloud {
-    pub fn new(catalog: Catalog, capacity: usize, lag_ms: u64) -> Self {
+    pub fn new(catalog: Catalog, capacity: usize, list_lag_ms: u64) -> Self {
         Cloud {
             catalog,
             machines: BTreeMap::new(),
-            answers: BTreeMap::new(),
-            next: 0,
+            hired_by_request: BTreeMap::new(),
+            last_id: 0,
             capacity,
-            lists: Vec::new(),
-            lag_ms,
-            quick_until: 0,
-            lies_about_deletes: false,
+            snapshots: Vec::new(),
+            list_lag_ms,
+            quick_boot_until: 0,
+            ignores_deletes: false,
             deleted: BTreeSet::new(),
             address: Box::new(address),
             boot_ms: 1000..9000,
@@ -77,8 +77,9 @@
                     "ageS": (now - r.since) as f64 / 1000.0})
             })
             .collect();
-        self.lists.push((now, list));
-        self.lists.retain(|(at, _)| at + 3 * self.lag_ms > now);
+        self.snapshots.push((now, list));
+        self.snapshots
+            .retain(|(at, _)| at + 3 * self.list_lag_ms > now);
     }
 
     pub fn handle(
@@ -93,9 +94,9 @@
         match (method, path) {
             ("GET", "/catalog") => (200, serde_json::to_value(&self.catalog).unwrap_or_default()),
             ("GET", "/machines") => {
-                let lag = rng.u64(0..=2 * self.lag_ms);
+                let lag = rng.u64(0..=2 * self.list_lag_ms);
                 let list = self
-                    .lists
+                    .snapshots
                     .iter()
                     .rev()
                     .find(|(at, _)| at + lag <= now)
@@ -116,7 +117,7 @@
             ("POST", "/machines/delete") => match wire::decode::<MachineNames>(body) {
                 Ok(names) => {
                     for name in names.machines {
-                        if !self.lies_about_deletes {
+                        if !self.ignores_deletes {
                             self.machines.remove(&name);
                         }
                         self.deleted.insert(name);
@@ -130,7 +131,7 @@
     }
 
     fn hire(&mut self, now: u64, rng: &mut fastrand::Rng, h: HireRequest) -> (u16, Value) {
-        if let Some(old) = self.answers.get(&h.request) {
+        if let Some(old) = self.hired_by_request.get(&h.request) {
             return (200, json!({"burrows": old}));
         }
         let room = self.capacity.saturating_sub(self.machines.len());
@@ -139,25 +140,25 @@
         }
         let mut names = Vec::new();
         for _ in 0..room.min(h.count as usize) {
-            self.next += 1;
-            let name = format!("host-{:06}", self.next);
-            let boot = if now < self.quick_until {
+            self.last_id += 1;
+            let name = format!("host-{:06}", self.last_id);
+            let boot = if now < self.quick_boot_until {
                 QUICK_BOOT_MS
             } else {
                 self.boot_ms.clone()
             };
             let up_at = (rng.f64() > 0.03).then(|| now + rng.u64(boot));
-            let rented = Rented {
+            let rental = Rental {
                 machine_type: h.machine_type.clone(),
                 zone: h.zone.clone(),
                 spot: h.spot,
                 since: now,
                 up_at,
             };
-            self.machines.insert(name.clone(), rented);
+            self.machines.insert(name.clone(), rental);
             names.push(name);
         }
-        self.answers.insert(h.request, names.clone());
+        self.hired_by_request.insert(h.request, names.clone());
         (200, json!({"burrows": names}))
     }
 }
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -64,15 +64,15 @@
     }
 
     /// The end of the cut's present stretch.
-    fn ends(&self, now: u64) -> Option<u64> {
+    fn active_until(&self, now: u64) -> Option<u64> {
         if now < self.since || now >= self.until {
             return None;
         }
-        let Some((shut, open)) = self.flaps else {
+        let Some((closed, open)) = self.flaps else {
             return Some(self.until);
         };
-        let into = (now - self.since) % (shut + open);
-        (into < shut).then(|| (now - into + shut).min(self.until))
+        let offset = (now - self.since) % (closed + open);
+        (offset < closed).then(|| (now - offset + closed).min(self.until))
     }
 }
 
@@ -91,11 +91,11 @@
     }
 
     /// Nothing is cut now.
-    pub fn are_whole(&self, now: u64) -> bool {
-        self.cuts.iter().all(|c| c.ends(now).is_none())
+    pub fn are_uncut(&self, now: u64) -> bool {
+        self.cuts.iter().all(|c| c.active_until(now).is_none())
     }
 
-    fn is_at(&self, frontend: &Frontend, place: Place<'_>) -> bool {
+    fn includes(&self, frontend: &Frontend, place: Place<'_>) -> bool {
         let zone = match place {
             Place::Node(n) => self.node_zones.get(n).map(String::as_str),
             Place::Machine { zone, .. } => Some(zone),
@@ -119,24 +119,24 @@
 
     /// Whether a request sent now comes through; if not, until when not, and how it is lost.
     pub fn blocked(&self, now: u64, from: Place<'_>, to: Place<'_>) -> Option<(u64, How)> {
-        let cuts = self.cuts.iter().filter(|c| self.is_between(c, from, to));
-        let cuts = cuts.filter_map(|c| Some((c.ends(now)?, c.how)));
+        let cuts = self.cuts.iter().filter(|c| self.applies(c, from, to));
+        let cuts = cuts.filter_map(|c| Some((c.active_until(now)?, c.how)));
         cuts.max_by_key(|(until, how)| (*how == How::Reset, *until))
     }
 
     /// The same of an answer: where connections are refused one way, it passes on one that was opened the other way.
-    pub fn blocks_answer(&self, now: u64, from: Place<'_>, to: Place<'_>) -> Option<How> {
+    pub fn blocks_response(&self, now: u64, from: Place<'_>, to: Place<'_>) -> Option<How> {
         let passes = |c: &Cut| c.how == How::Reset && !c.both;
         let mut cuts = self
             .cuts
             .iter()
-            .filter(|c| self.is_between(c, from, to) && !passes(c));
-        cuts.find(|c| c.ends(now).is_some()).map(|c| c.how)
+            .filter(|c| self.applies(c, from, to) && !passes(c));
+        cuts.find(|c| c.active_until(now).is_some()).map(|c| c.how)
     }
 
-    fn is_between(&self, c: &Cut, from: Place<'_>, to: Place<'_>) -> bool {
-        (self.is_at(&c.from, from) && self.is_at(&c.to, to))
-            || (c.both && self.is_at(&c.from, to) && self.is_at(&c.to, from))
+    fn applies(&self, c: &Cut, from: Place<'_>, to: Place<'_>) -> bool {
+        (self.includes(&c.from, from) && self.includes(&c.to, to))
+            || (c.both && self.includes(&c.from, to) && self.includes(&c.to, from))
     }
 }
 
@@ -150,7 +150,7 @@
     };
 
     #[test]
-    fn a_zone_is_cut_from_all_but_itself() {
+    fn cut_zone_reaches_only_itself() {
         let mut links = Links {
             node_zones: vec!["a".into(), "b".into()],
             ..Links::default()
@@ -161,15 +161,15 @@
             100,
             50,
         ));
-        let shut = |from, to| links.blocked(120, from, to).is_some();
-        assert!(shut(Place::Node(0), Place::State) && shut(Place::State, Place::Node(0)));
-        assert!(shut(AT, Place::Node(1)) && !shut(AT, Place::Node(0)));
-        assert!(!shut(Place::Node(1), Place::State));
+        let closed = |from, to| links.blocked(120, from, to).is_some();
+        assert!(closed(Place::Node(0), Place::State) && closed(Place::State, Place::Node(0)));
+        assert!(closed(AT, Place::Node(1)) && !closed(AT, Place::Node(0)));
+        assert!(!closed(Place::Node(1), Place::State));
         assert_eq!(links.blocked(150, Place::Node(0), Place::State), None);
     }
 
     #[test]
-    fn one_direction_and_flapping() {
+    fn one_way_flapping_cut_blocks_one_direction_while_closed() {
         let mut links = Links {
             node_zones: vec!["a".into()],
             ..Links::default()
--- a/crates/standins/src/rules.rs
+++ b/crates/standins/src/rules.rs
@@ -32,10 +32,10 @@
 }
 
 /// A start that was claimed may come so much later.
-pub const LATE_MS: u64 = 90_000;
+pub const MAX_START_DELAY_MS: u64 = 90_000;
 
 /// Nodes that use more GPUs than they may.
-fn above(tree: &quota::Tree, used: &BTreeMap<String, f64>) -> Vec<String> {
+fn nodes_over_limit(tree: &quota::Tree, used: &BTreeMap<String, f64>) -> Vec<String> {
     let mut sums = vec![0.0; tree.nodes.len()];
     for (team, gpus) in used {
         for n in tree.team(team).map(|t| tree.path(t)).unwrap_or_default() {
@@ -94,11 +94,11 @@
             .filter(|o| o.task.starts_with(&format!("{id}/")))
             .map(|o| o.zone)
             .collect();
-        let foreign = spec.one_zone && zones.iter().any(|z| *z != new.zone);
+        let splits_zones = spec.one_zone && zones.iter().any(|z| *z != new.zone);
         zones.push(new.zone);
         let crowded = spec.spread
             && zones.iter().filter(|z| **z == new.zone).count() > spec.tasks.div_ceil(2) as usize;
-        let wrong = foreign
+        let wrong = splits_zones
             || crowded
             || (new.spot && !spec.spot)
             || spec.zone.as_ref().is_some_and(|z| z != new.zone)
@@ -126,7 +126,7 @@
         if !self.trees.is_empty() {
             let all = others.iter().map(|o| o.task).chain([new.task]);
             let used = self.gpus_by_team(all);
-            self.nodes_kept(now, &used);
+            self.check_node_limits(now, &used);
         }
     }
 
@@ -144,23 +144,23 @@
 
     /// No node of the tree is above its bound. What was claimed under an earlier version may arrive a while after the
     /// next one: within that time either holds.
-    fn nodes_kept(&mut self, now: u64, used: &BTreeMap<String, f64>) {
+    fn check_node_limits(&mut self, now: u64, used: &BTreeMap<String, f64>) {
         let until = |i: usize| self.trees.get(i + 1).map_or(u64::MAX, |(since, _)| *since);
-        let recent = |i: &usize| until(*i).saturating_add(LATE_MS) >= now;
+        let recent = |i: &usize| until(*i).saturating_add(MAX_START_DELAY_MS) >= now;
         let mut broken: Option<Vec<String>> = None;
         for i in (0..self.trees.len()).filter(recent) {
-            let above = above(&self.trees[i].1, used);
+            let over_limit = nodes_over_limit(&self.trees[i].1, used);
             broken = Some(match broken {
-                Some(before) if above.is_empty() || before.is_empty() => Vec::new(),
+                Some(before) if over_limit.is_empty() || before.is_empty() => Vec::new(),
                 Some(before) => before,
-                None => above,
+                None => over_limit,
             });
         }
         // Before the first tree there was no bound.
         let first = self
             .trees
             .first()
-            .is_none_or(|(since, _)| since.saturating_add(LATE_MS) >= now);
+            .is_none_or(|(since, _)| since.saturating_add(MAX_START_DELAY_MS) >= now);
         if let Some(what) = broken
             .filter(|b| !b.is_empty() && !first)
             .and_then(|b| b.into_iter().next())
@@ -171,7 +171,7 @@
 
     /// Everything that is on machines at one moment: the same rules in one pass, for fleets too large to be looked
     /// at for each start.
-    pub fn all(&mut self, now: u64, on: &[OnMachine<'_>]) {
+    pub fn check_all(&mut self, now: u64, on: &[OnMachine<'_>]) {
         let mut tasks: BTreeMap<&str, &str> = BTreeMap::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         let mut broken: Vec<(&'static str, String)> = Vec::new();
--- a/crates/standins/src/state.rs
+++ b/crates/standins/src/state.rs
@@ -18,12 +18,12 @@
     /// Limits that hold from some time on, without notice, in order.
     pub limits_from: VecDeque<(u64, Limits)>,
     /// The limits that settings name, where others hold by now.
-    named: Option<Limits>,
+    configured: Option<Limits>,
     pub counts: Counts,
     /// For tests of the tests: conditions on keys that begin so are taken to hold.
     pub unguarded: Vec<&'static str>,
     /// What is left of this second's requests and changes, and when that was reckoned.
-    left: Option<(f64, f64, u64)>,
+    budget: Option<(f64, f64, u64)>,
 }
 
 /// What the service bears, as the settings say it.
@@ -97,7 +97,7 @@
     remove: Option<String>,
 }
 
-fn argument<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+fn query_param<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
         .find_map(|p| p.strip_prefix(name)?.strip_prefix('='))
@@ -165,22 +165,22 @@
         self.change_limits(now);
         self.counts.requests += 1;
         self.counts.models += u64::from(query.contains("under=model/") || path.contains("/model/"));
-        if !self.take(now, 1.0, 0.0) {
+        if !self.take_budget(now, 1.0, 0.0) {
             return Outcome::Now(429, json!({}));
         }
-        let words: Vec<&str> = path.trim_start_matches('/').splitn(2, '/').collect();
-        match (method, words.as_slice()) {
+        let segments: Vec<&str> = path.trim_start_matches('/').splitn(2, '/').collect();
+        match (method, segments.as_slice()) {
             ("GET", ["keys", key]) => match self.keys.get(*key) {
                 Some(e) => Outcome::Now(200, json!({"key": key, "v": e.value, "stamp": e.version})),
                 None => Outcome::Now(404, json!({"ledger": self.revision})),
             },
             ("GET", ["keys"]) => self.range(query),
             ("GET", ["changes"]) => {
-                let prefix = argument(query, "under").unwrap_or("");
-                let from = argument(query, "from")
+                let prefix = query_param(query, "under").unwrap_or("");
+                let from = query_param(query, "from")
                     .and_then(|f| f.parse().ok())
                     .unwrap_or(0);
-                let wait: u64 = argument(query, "waitMs")
+                let wait: u64 = query_param(query, "waitMs")
                     .and_then(|f| f.parse().ok())
                     .unwrap_or(0);
                 if from < self.forgotten {
@@ -224,9 +224,9 @@
     }
 
     fn range(&self, query: &str) -> Outcome {
-        let prefix = argument(query, "under").unwrap_or("");
-        let from = argument(query, "from").unwrap_or("");
-        let limit: usize = argument(query, "limit")
+        let prefix = query_param(query, "under").unwrap_or("");
+        let from = query_param(query, "from").unwrap_or("");
+        let limit: usize = query_param(query, "limit")
             .and_then(|l| l.parse().ok())
             .unwrap_or(1000);
         let mut found = self
@@ -247,24 +247,24 @@
 
     fn change_limits(&mut self, now: u64) {
         while let Some((_, limits)) = self.limits_from.pop_front_if(|(from, _)| *from <= now) {
-            self.named.get_or_insert(self.limits);
+            self.configured.get_or_insert(self.limits);
             self.limits = limits;
         }
     }
 
     /// The limits as settings name them, whatever holds by now.
-    pub fn named_limits(&self) -> Limits {
-        self.named.unwrap_or(self.limits)
+    pub fn configured_limits(&self) -> Limits {
+        self.configured.unwrap_or(self.limits)
     }
 
     /// Takes from the two budgets, both with bursts of a second's worth.
-    fn take(&mut self, now: u64, requests: f64, changes: f64) -> bool {
+    fn take_budget(&mut self, now: u64, requests: f64, changes: f64) -> bool {
         let l = self.limits;
-        let (mut r, mut c, at) = self.left.unwrap_or((l.rps, l.write_rps, now));
-        let gone = now.saturating_sub(at) as f64 / 1000.0;
+        let (mut r, mut c, at) = self.budget.unwrap_or((l.rps, l.write_rps, now));
+        let elapsed_s = now.saturating_sub(at) as f64 / 1000.0;
         (r, c) = (
-            (r + gone * l.rps).min(l.rps),
-            (c + gone * l.write_rps).min(l.write_rps),
+            (r + elapsed_s * l.rps).min(l.rps),
+            (c + elapsed_s * l.write_rps).min(l.write_rps),
         );
         let ok = r >= requests && c >= changes;
         if ok {
@@ -272,7 +272,7 @@
         } else {
             self.counts.too_fast += 1;
         }
-        self.left = Some((r, c, now));
+        self.budget = Some((r, c, now));
         ok
     }
 
@@ -295,7 +295,7 @@
             self.counts.too_large += 1;
             return Outcome::Now(400, json!({"error": "too large"}));
         }
-        if !self.take(now, 0.0, txn.writes.len() as f64) {
+        if !self.take_budget(now, 0.0, txn.writes.len() as f64) {
             return Outcome::Now(429, json!({}));
         }
         self.counts.txns += 1;
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -115,18 +115,18 @@
     /// The lease has run out: everything is killed and forgotten. How many tasks were killed, and how many results
     /// forgotten.
     pub fn expire(&mut self, now: u64, lease_ms: u64) -> (u64, u64) {
-        let mut gone = (0, 0);
+        let mut lost = (0, 0);
         if now > self.leased + lease_ms {
             let count =
                 |which: fn(&Task) -> bool| self.tasks.iter().filter(|t| which(t)).count() as u64;
-            gone = (count(Task::is_on), count(|t| t.cause == Some(Cause::Done)));
+            lost = (count(Task::is_on), count(|t| t.cause == Some(Cause::Done)));
             self.session += 1;
             self.tasks.clear();
             self.leased = now;
             self.out = None;
             self.changed = true;
         }
-        gone
+        lost
     }
 
     /// The answer to a report; false if it has to be dropped.
@@ -142,7 +142,7 @@
             return false;
         }
         self.out = None;
-        if !self.take_token(orders.token) {
+        if !self.accept_token(orders.token) {
             return false;
         }
         self.leased = sent;
@@ -150,7 +150,7 @@
         true
     }
 
-    pub fn take_token(&mut self, token: u64) -> bool {
+    pub fn accept_token(&mut self, token: u64) -> bool {
         if token < self.token {
             return false;
         }
@@ -166,7 +166,7 @@
         new: impl FnMut(&str) -> Option<(u64, u64)>,
         now: u64,
     ) -> u16 {
-        if orders.agent_epoch != Some(self.session) || !self.take_token(orders.token) {
+        if orders.agent_epoch != Some(self.session) || !self.accept_token(orders.token) {
             return 409;
         }
         self.execute(&orders.orders, new, now);
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -495,7 +495,7 @@
                 .set("fleet", "idle_s", "10")
                 .expect("known setting");
         }
-        world.cloud.lies_about_deletes = world.plan.sabotage == Sabotage::CloudLies;
+        world.cloud.ignores_deletes = world.plan.sabotage == Sabotage::CloudLies;
         match world.plan.scene.clone() {
             Some(scene) => {
                 world.cloud.capacity = scene.machines;
@@ -989,7 +989,7 @@
 
     /// The network cut that blocks a node's request, if any: until when, and how it fails.
     fn sending_is_cut(&self, n: usize, to: Destination) -> Option<(u64, How)> {
-        if self.links.are_whole(self.now) {
+        if self.links.are_uncut(self.now) {
             return None;
         }
         self.links
@@ -997,13 +997,13 @@
     }
 
     fn reply_is_cut(&self, c: &Call) -> bool {
-        if self.links.are_whole(self.now) {
+        if self.links.are_uncut(self.now) {
             return false;
         }
         let from = self.place(c.node, c.to);
         from.is_some_and(|p| {
             self.links
-                .blocks_answer(self.now, p, Place::Node(c.node))
+                .blocks_response(self.now, p, Place::Node(c.node))
                 .is_some()
         })
     }
@@ -1043,7 +1043,7 @@
                 }
             }
         };
-        self.links.blocks_answer(self.now, Place::Node(n), to)
+        self.links.blocks_response(self.now, Place::Node(n), to)
     }
 
     /// Whether the cloud still has this machine rented out.
@@ -1129,7 +1129,7 @@
                 let now = self.node_now(n);
                 self.hosts[n].incarnation += 1;
                 let report_s = self.report_ms() as f64 / 1000.0;
-                let named = self.state.named_limits();
+                let named = self.state.configured_limits();
                 let mut settings = controller_settings(n, &self.plan, limit, named, report_s);
                 settings.node = format!("burrow-{}", self.hosts[n].name);
                 let node = Node::new(settings, self.tuning.clone(), seed, now);
@@ -1473,7 +1473,7 @@
                     .into_iter()
                     .collect();
                 for name in deleted {
-                    if !self.cloud.lies_about_deletes {
+                    if !self.cloud.ignores_deletes {
                         let gone = self.workers.remove(&name);
                         self.lost += gone.iter().flat_map(tasks_on_machine).count() as u64;
                     }
@@ -1818,7 +1818,7 @@
             .note(now, self.leader_at(), self.round_ms());
         if self.plan.large && now.is_multiple_of(1000) {
             let on: Vec<OnMachine<'_>> = self.workers.values().flat_map(tasks_on_machine).collect();
-            self.rules.all(now, &on);
+            self.rules.check_all(now, &on);
             self.rules.all_apart(now, &on, &self.counties);
         }
         // A large fleet is checked as a whole once a second.
--- a/crates/standins/src/world/day.rs
+++ b/crates/standins/src/world/day.rs
@@ -2,7 +2,7 @@
 //! times.
 
 use super::{Origin, RequestKind, START_MS, SimEvent, World};
-use crate::balancer::{ACCEPT_MS, Balancer, PROBE_MS, TRIES};
+use crate::balancer::{Balancer, CONNECT_TIMEOUT_MS, MAX_CONNECT_ATTEMPTS, PROBE_INTERVAL_MS};
 use crate::checks::{Checks, Verdict};
 use crate::days::{BEGIN, Day};
 use crate::links::{How, Place};
@@ -70,7 +70,7 @@
         }
         for n in 0..nodes {
             self.schedule(
-                start + PROBE_MS * n as u64 / nodes as u64,
+                start + PROBE_INTERVAL_MS * n as u64 / nodes as u64,
                 SimEvent::HealthProbe(n),
             );
         }
@@ -210,7 +210,7 @@
         };
         let open = day.open_conns();
         let (mut took, mut tried) = (0, Vec::new());
-        while tried.len() < TRIES {
+        while tried.len() < MAX_CONNECT_ATTEMPTS {
             let Some(n) = day.balancer.choose(now, &mut self.rng, &open, &tried) else {
                 break;
             };
@@ -222,7 +222,7 @@
                 .map(|(_, how)| how);
             let silent = host.node.is_some() && (host.frozen_until > now || cut == Some(How::Hold));
             let ok = host.node.is_some() && !silent && cut.is_none();
-            took += if silent { ACCEPT_MS } else { 2 };
+            took += if silent { CONNECT_TIMEOUT_MS } else { 2 };
             day.balancer.connected(now, n, ok);
             if ok {
                 return (
@@ -343,7 +343,7 @@
         if day.open_probes[n].take().is_some() {
             day.balancer.probed(now, n, false);
         }
-        let resets = day.balancer.resets(now, n);
+        let resets = day.balancer.should_reset(now, n);
         if self.hosts[n].node.is_none() {
             day.balancer.probed(now, n, false);
         } else {
@@ -363,7 +363,7 @@
         if resets {
             self.reset_users(n);
         }
-        self.schedule(now + PROBE_MS, SimEvent::HealthProbe(n));
+        self.schedule(now + PROBE_INTERVAL_MS, SimEvent::HealthProbe(n));
     }
 
     pub(super) fn probe_answered(&mut self, n: usize, asked: u64, response: Option<Response>) {
--- a/crates/standins/src/world/faults.rs
+++ b/crates/standins/src/world/faults.rs
@@ -162,7 +162,7 @@
                 .iter()
                 .for_each(|m| self.hang(m, ms)),
             Trouble::QuickBoots { ms } => {
-                self.cloud.quick_until = self.cloud.quick_until.max(now + ms)
+                self.cloud.quick_boot_until = self.cloud.quick_boot_until.max(now + ms)
             }
             Trouble::SlowLinks { ms } => self.slow_links(ms),
         }
--- a/crates/standins/src/world/machines.rs
+++ b/crates/standins/src/world/machines.rs
@@ -40,7 +40,7 @@
 
     /// The additional delay of the cloud's response to a rental.
     pub(super) fn rental_delay_ms(&mut self, path: &str) -> u64 {
-        let quick = path == "/machines" && self.now < self.cloud.quick_until;
+        let quick = path == "/machines" && self.now < self.cloud.quick_boot_until;
         if quick {
             self.rng.u64(0..MAX_RENTAL_DELAY_MS)
         } else {
