--- a/crates/standins/src/balancer.rs
+++ b/crates/standins/src/balancer.rs
@@ -1,12 +1,13 @@
-//! The users' load balancer as the protocol describes it: whom it takes to be healthy, and whom it sends connections to.
-//! It knows nothing of requests; the world probes for it and tells it what came of each connection.
+//! The users' load balancer as the protocol specifies it: which nodes it considers healthy, and which node it chooses
+//! for a connection. It handles no requests; the simulation sends its health checks and reports the result of each
+//! connection attempt.
 
 use std::collections::VecDeque;
 
 pub const PROBE_INTERVAL_MS: u64 = 1000;
-/// A node that has not accepted a connection by then is turned away from.
+/// A connection that a node has not accepted within this time has failed.
 pub const CONNECT_TIMEOUT_MS: u64 = 500;
-/// Nodes that are tried for a connection.
+/// How many nodes are tried for one connection.
 pub const MAX_CONNECT_ATTEMPTS: usize = 3;
 const READD_DELAY_MS: u64 = 3000;
 const MAX_READD_DELAY_MS: u64 = 60_000;
@@ -20,10 +21,10 @@
     healthy_at: Option<u64>,
     removed_at: Option<u64>,
     was_healthy: bool,
-    /// The last six probes, the latest first.
+    /// The results of the last six health checks, latest first.
     probes: VecDeque<bool>,
     readd_delay_ms: u64,
-    /// Connections that failed in a row, and until when it is passed over for them.
+    /// The number of consecutive failed connections, and until when the node is skipped because of them.
     consecutive_failures: u32,
     skipped_until: u64,
 }
@@ -37,7 +38,8 @@
         self.probes.push_front(ok);
         self.probes.truncate(6);
         if self.healthy_at.is_some() {
-            // What failed before it was healthy again counts among the six: the hardest reading.
+            // Failures from before the node became healthy again count among the six. This is the strictest reading
+            // of the protocol.
             let failed = self.probes.iter().filter(|p| !**p).count();
             if !ok && (self.last_probes_were(2, false) || failed >= 3) {
                 let again = self
@@ -60,7 +62,7 @@
         }
     }
 
-    /// The part of its share of new connections that it gets.
+    /// The fraction of its share of new connections that a node gets while it ramps up.
     fn ramp_up_factor(&self, now: u64) -> f64 {
         let since = now - self.healthy_at.unwrap_or(now);
         (since as f64 / RAMP_UP_MS as f64).clamp(0.1, 1.0)
@@ -87,13 +89,13 @@
         self.nodes[n].healthy_at.is_some()
     }
 
-    /// Its open connections are reset.
+    /// Whether the node's open connections must be reset.
     pub fn should_reset(&self, now: u64, n: usize) -> bool {
         let node = &self.nodes[n];
         node.healthy_at.is_none() && node.removed_at.is_some_and(|at| now >= at + RESET_MS)
     }
 
-    /// The node for a new connection, or for one that others did not take.
+    /// Chooses a node for a new connection, or for one that the nodes in `tried` did not accept.
     pub fn choose(
         &self,
         now: u64,
@@ -132,7 +134,7 @@
 mod tests {
     use super::*;
 
-    /// Probes once a second, from a second on; when it was healthy after each.
+    /// Health after each check, for checks once a second starting at one second.
     fn health(probes: &str) -> String {
         let mut node = Node::default();
         let after = |(i, p)| {
@@ -144,11 +146,11 @@
 
     #[test]
     fn node_is_removed_and_readded_after_the_probes_that_the_protocol_names() {
-        // One success is enough at first; two failures in a row, or three among six, are too many.
+        // The first success is enough. Two failures in a row, or three among the last six, remove the node.
         assert_eq!(health("-+-+-+"), "-+++--");
         assert_eq!(health("+--"), "++-");
         assert_eq!(health("+-+-+-"), "+++++-");
-        // Two successes, and not before three seconds; then not before six.
+        // It takes two successes to come back, and at least three seconds; after the second removal, six.
         assert_eq!(health("+--++++"), "++---++");
         assert_eq!(health("+--++++++++--++++++"), "++---+++++++------+");
     }
@@ -177,7 +179,10 @@
         node.probed(now + 1000, true);
         node.probed(now + 3000, true);
         assert_eq!(delays, [3, 6, 12, 24, 48, 60, 60]);
-        assert!(node.healthy_at.is_some(), "three seconds again");
+        assert!(
+            node.healthy_at.is_some(),
+            "the re-add delay is back to three seconds"
+        );
     }
 
     #[test]
@@ -188,14 +193,14 @@
         (0..3).for_each(|n| b.probed(0, n, true));
         assert_eq!(b.choose(20_000, &mut rng, &[5, 2, 9], &[]), Some(1));
         assert_eq!(b.choose(20_000, &mut rng, &[5, 2, 9], &[1]), Some(0));
-        // Passed over after three failures in a row.
+        // The node is skipped after three consecutive failures.
         (0..3).for_each(|_| b.connected(20_000, 1, false));
         assert_eq!(b.choose(22_999, &mut rng, &[5, 2, 9], &[]), Some(0));
         assert_eq!(b.choose(23_000, &mut rng, &[5, 2, 9], &[]), Some(1));
         b.probed(24_000, 0, false);
         b.probed(25_000, 0, false);
         assert!(!b.is_healthy(0) && !b.should_reset(29_999, 0) && b.should_reset(30_000, 0));
-        // Brought up to its share over ten seconds, although it has no connection.
+        // The node's share ramps up over ten seconds, although it has no connections.
         b.probed(30_000, 0, true);
         b.probed(31_000, 0, true);
         let mut to = |now| {
--- a/crates/standins/src/cloud.rs
+++ b/crates/standins/src/cloud.rs
@@ -1,4 +1,5 @@
-//! A small cloud: one catalogue, machines that boot late or never, a list that lags.
+//! An in-memory cloud with a fixed catalog, machines that boot late or never, and a list of machines that lags
+//! behind.
 
 use crate::days::QUICK_BOOT_MS;
 use serde_json::{Value, json};
@@ -10,7 +11,7 @@
     pub zone: String,
     pub spot: bool,
     pub since: u64,
-    /// When it is up; `None` if it never will be.
+    /// When the machine is up; `None` if it never will be.
     pub up_at: Option<u64>,
 }
 
@@ -20,17 +21,17 @@
     hired_by_request: BTreeMap<String, Vec<String>>,
     last_id: u64,
     pub capacity: usize,
-    /// Old lists: what was there, and when.
+    /// Past lists of machines and when each was current.
     snapshots: Vec<(u64, Vec<Value>)>,
     pub list_lag_ms: u64,
-    /// Machines that are rented until then are up within a moment.
+    /// Machines that are rented before this time boot almost immediately.
     pub quick_boot_until: u64,
-    /// For tests of the tests: says that machines are gone that are not.
+    /// Sabotage used to verify the checks: deletions are confirmed but not carried out.
     pub ignores_deletes: bool,
     pub deleted: BTreeSet<String>,
-    /// Where a machine of this name is reached.
+    /// The address of the machine with this name.
     pub address: Box<dyn Fn(&str) -> String + Send>,
-    /// How long machines boot, in milliseconds.
+    /// The range of boot times in milliseconds.
     pub boot_ms: std::ops::Range<u64>,
 }
 
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Name, type, zone and kind of the machines that are up and not known yet.
+    /// Name, type, zone and spot flag of machines that are up and not known yet.
     pub fn came_up(
         &self,
         now: u64,
@@ -163,13 +164,13 @@
     }
 }
 
-/// Each machine has an address of its own, from which it can be found again.
+/// The address of a machine. It is unique, and [`name_at`] maps it back to the name.
 pub fn address(name: &str) -> String {
     let n: u64 = name.trim_start_matches("host-").parse().unwrap_or(0);
     format!("10.1.{}.{}:9000", n / 250, n % 250 + 1)
 }
 
-/// The machine at an address.
+/// The name of the machine at an address.
 pub fn name_at(addr: std::net::SocketAddr) -> Option<String> {
     let std::net::IpAddr::V4(ip) = addr.ip() else {
         return None;
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -1,7 +1,7 @@
-//! The network between hosts: every link can be cut by itself, in one direction or both, at any time, steadily or
-//! flapping, so that what is sent is held until the cut is over or refused at once.
+//! The network between hosts. Each link can be cut by itself, in one direction or both, for any period, continuously
+//! or flapping. What is sent over a cut link is either held until the cut is over or refused at once.
 
-/// A host, as messages have it at either end.
+/// A host at either end of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Place<'a> {
     Node(usize),
@@ -23,14 +23,14 @@
     Machines,
     Machine(String),
     MachinesIn(String),
-    /// Nodes and machines.
+    /// The nodes and machines in a zone, or all hosts outside it.
     Zone(String),
     Outside(String),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum How {
-    /// What is sent comes when the cut is over, even if its sender has long given up.
+    /// Messages are delivered when the cut is over, even if the sender has stopped waiting.
     Hold,
     /// Connections are refused.
     Reset,
@@ -40,17 +40,17 @@
 pub struct Cut {
     pub from: Frontend,
     pub to: Frontend,
-    /// The other direction too.
+    /// Whether the opposite direction is cut as well.
     pub both: bool,
     pub how: How,
     pub since: u64,
     pub until: u64,
-    /// Cut for so long, then open for so long, by turns.
+    /// A flapping cut alternates between being closed and open for these times.
     pub flaps: Option<(u64, u64)>,
 }
 
 impl Cut {
-    /// A cut in both directions that holds what is sent, from now on.
+    /// A cut in both directions that holds messages, from now on.
     pub fn between(from: Frontend, to: Frontend, now: u64, ms: u64) -> Self {
         Cut {
             from,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The end of the cut's present stretch.
+    /// The end of the present closed period, if the cut is closed now.
     fn active_until(&self, now: u64) -> Option<u64> {
         if now < self.since || now >= self.until {
             return None;
@@ -76,7 +76,7 @@
     }
 }
 
-/// All cuts there are, and in which zone each node stands.
+/// All cuts, and the zone of each node.
 #[derive(Debug, Default)]
 pub struct Links {
     cuts: Vec<Cut>,
@@ -85,12 +85,12 @@
 
 impl Links {
     pub fn cut(&mut self, cut: Cut) {
-        // What is over is forgotten, so that the list stays as long as what is cut.
+        // Removes expired cuts, so that the list doesn't grow without bound.
         self.cuts.retain(|c| c.until > cut.since);
         self.cuts.push(cut);
     }
 
-    /// Nothing is cut now.
+    /// Whether no cut is active.
     pub fn are_uncut(&self, now: u64) -> bool {
         self.cuts.iter().all(|c| c.active_until(now).is_none())
     }
@@ -117,14 +117,15 @@
         }
     }
 
-    /// Whether a request sent now comes through; if not, until when not, and how it is lost.
+    /// Whether a cut blocks a request sent now: until when, and how it fails.
     pub fn blocked(&self, now: u64, from: Place<'_>, to: Place<'_>) -> Option<(u64, How)> {
         let cuts = self.cuts.iter().filter(|c| self.applies(c, from, to));
         let cuts = cuts.filter_map(|c| Some((c.active_until(now)?, c.how)));
         cuts.max_by_key(|(until, how)| (*how == How::Reset, *until))
     }
 
-    /// The same of an answer: where connections are refused one way, it passes on one that was opened the other way.
+    /// Whether a cut blocks a response. A cut that refuses connections in one direction lets responses pass on
+    /// connections that were opened in the opposite direction.
     pub fn blocks_response(&self, now: u64, from: Place<'_>, to: Place<'_>) -> Option<How> {
         let passes = |c: &Cut| c.how == How::Reset && !c.both;
         let mut cuts = self
--- a/crates/standins/src/rules.rs
+++ b/crates/standins/src/rules.rs
@@ -1,4 +1,4 @@
-//! What must never happen, checked on what is really on the machines and what users were really told.
+//! Invariants, checked against the tasks that are actually on machines and what users were actually told.
 
 use crate::checks::starts::AfterCancel;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,24 +17,24 @@
 
 #[derive(Default)]
 pub struct Rules {
-    /// Quota trees that the part's allotment named, and since when.
+    /// Quota trees that the partition's allotment record has named, and since when.
     pub trees: Vec<(u64, quota::Tree)>,
     pub jobs: BTreeMap<String, Job>,
     pub broken: BTreeMap<&'static str, String>,
     pub gpu_limits: BTreeMap<String, f64>,
     pub cancel_ms: u64,
     pub starts: u64,
-    /// For how long a task was still on a machine after its user was told of the cancel, at most.
+    /// The longest time that a task stayed on a machine after its user was told that the job is cancelled.
     pub longest_cancelled_ms: u64,
     pub after_cancel: AfterCancel,
-    /// Jobs whose last task has completed since somebody looked.
+    /// Jobs whose last task has completed, since this list was last emptied.
     pub ended: Vec<String>,
 }
 
-/// A start that was claimed may come so much later.
+/// A start may happen this long after it was claimed.
 pub const MAX_START_DELAY_MS: u64 = 90_000;
 
-/// Nodes that use more GPUs than they may.
+/// Describes the nodes that use more GPUs than their limit.
 fn nodes_over_limit(tree: &quota::Tree, used: &BTreeMap<String, f64>) -> Vec<String> {
     let mut sums = vec![0.0; tree.nodes.len()];
     for (team, gpus) in used {
@@ -64,7 +64,7 @@
         self.broken.entry(rule).or_insert(what);
     }
 
-    /// A task has got its image and starts. `others` are all tasks that are on machines, without it.
+    /// Checks a task that starts, with its image fetched. `others` are all other tasks on machines.
     pub fn started(&mut self, now: u64, new: &OnMachine<'_>, others: &[OnMachine<'_>]) {
         self.starts += 1;
         if let Some(o) = others
@@ -142,8 +142,8 @@
         used
     }
 
-    /// No node of the tree is above its bound. What was claimed under an earlier version may arrive a while after the
-    /// next one: within that time either holds.
+    /// Checks that no node of the quota tree exceeds its limit. A start that was claimed under one version of the
+    /// tree may happen a while after the next version is in force; within that time either version may apply.
     fn check_node_limits(&mut self, now: u64, used: &BTreeMap<String, f64>) {
         let until = |i: usize| self.trees.get(i + 1).map_or(u64::MAX, |(since, _)| *since);
         let recent = |i: &usize| until(*i).saturating_add(MAX_START_DELAY_MS) >= now;
@@ -156,7 +156,7 @@
                 None => over_limit,
             });
         }
-        // Before the first tree there was no bound.
+        // There were no limits before the first tree.
         let first = self
             .trees
             .first()
@@ -169,8 +169,7 @@
         }
     }
 
-    /// Everything that is on machines at one moment: the same rules in one pass, for fleets too large to be looked
-    /// at for each start.
+    /// Applies the rules to all tasks on machines at one moment, for fleets too large to check each start.
     pub fn check_all(&mut self, now: u64, on: &[OnMachine<'_>]) {
         let mut tasks: BTreeMap<&str, &str> = BTreeMap::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
@@ -201,7 +200,7 @@
             .for_each(|(rule, what)| self.breaks(rule, what));
     }
 
-    /// A task is still on a machine.
+    /// Checks a task that is still on a machine, in case its user was told that the job is cancelled.
     pub fn is_on(&mut self, now: u64, task: &str) {
         let Some((id, _)) = wire::ids::parse_task(task) else {
             return;
@@ -240,8 +239,9 @@
         }
     }
 
-    /// A user is told something about a job: the status and the stage, if any. `submission` says what was asked.
-    /// What was asked before another answer was given may still be answered from before it.
+    /// Checks a response about a job: its status and the job's stage, if any. `submission` tells whether the request
+    /// was a submission. A request sent before another response may still be answered with an older state than that
+    /// response.
     pub fn told(
         &mut self,
         now: u64,
--- a/crates/standins/src/scene.rs
+++ b/crates/standins/src/scene.rs
@@ -1,4 +1,4 @@
-//! Scenes of a test's own: teams, jobs at their times, and operators who change the quota tree.
+//! Scenes: teams, jobs and operators' changes that a test defines itself, with their times.
 
 use crate::state::State;
 use quota::{Spec, Tree};
@@ -8,7 +8,7 @@
 use wire::api::{JobSpec, Kind, Priority};
 use wire::tree::{Head, HeadRecord, PartRecord};
 
-/// A team of the settings: GPUs that it is guaranteed, and may use at most (0 for any number).
+/// A team in the settings: its guaranteed GPUs and its limit (0 for no limit).
 #[derive(Debug, Clone)]
 pub struct Team {
     pub name: String,
@@ -16,7 +16,7 @@
     pub max: f64,
 }
 
-/// A job, when it is submitted, how long each of its tasks runs, and when after that it is cancelled.
+/// A job, when it is submitted, the run time of each task, and how long after submission it is cancelled.
 #[derive(Debug, Clone)]
 pub struct Timed {
     pub at: u64,
@@ -30,33 +30,35 @@
     pub teams: Vec<Team>,
     pub jobs: Vec<Timed>,
     pub changes: Vec<(u64, Change)>,
-    /// What operators ask about other documents, with the path, again and again until it is answered.
+    /// Operators' requests about other documents, with time and path. Each is retried until it is answered.
     pub asks: Vec<(u64, String, Value)>,
-    /// Machines that the cloud has at most.
+    /// The maximum number of machines that the cloud rents out.
     pub machines: usize,
-    /// Zones of machines, in which the nodes stand by turns; two without any.
+    /// Zones of the machines; nodes are assigned to them round robin. Two zones are used if this is empty.
     pub zones: Vec<String>,
-    /// Every controller has a gateway beside it, and these clients come.
+    /// Settings of the gateway that runs next to each controller, and the gateway's clients.
     pub yarn: Option<gateway::Config>,
     pub clients: Vec<crate::yarn::Client>,
-    /// Drains that an operator asks for, with their times.
+    /// Drains that an operator requests, with their times.
     pub drains: Vec<(u64, gateway::book::web::DrainAsk)>,
-    /// What the gateway writes reaches the state service so much later.
+    /// The delay, in milliseconds, of the gateway's transactions on the state service; without a gateway, of all
+    /// transactions.
     pub records_ms: u64,
-    /// What the state service bears, instead of the usual.
+    /// Limits of the state service, if not the default ones.
     pub limits: Option<crate::state::Limits>,
-    /// What it will bear from some time on, as the settings name it.
+    /// Limits that the state service will have later, as the settings announce them.
     pub next: Option<crate::state::Limits>,
-    /// One in so many of these transactions is held for some seconds, and lands after its sender has gone on or died.
+    /// One in so many of these transactions is held for some seconds, and executed after its sender has gone on or
+    /// crashed.
     pub held_one_in: u32,
-    /// Each node's time of day is so much ahead of the one before it.
+    /// Each node's wall clock is ahead of the previous node's by this many milliseconds.
     pub skew_ms: u64,
-    /// Models, and when each is asked for, at any node or at a certain one.
+    /// Models, and requests for them with their times, to the given node or a random one.
     pub models: Option<model::Spec>,
     pub demands: Vec<(u64, String, Option<usize>)>,
-    /// Masters go on after their task has gone, as if their machine were only out of sight.
+    /// Application masters keep running after their task has gone, as if their machine were merely unreachable.
     pub undead: bool,
-    /// Users come through a balancer, and troubles at their times.
+    /// Users connect through a load balancer, and faults are injected at scheduled times.
     pub day: Option<crate::days::Day>,
 }
 
@@ -70,7 +72,7 @@
         self
     }
 
-    /// An operator puts this tree in place at a time.
+    /// An operator puts this quota tree in force at the given time.
     pub fn tree(mut self, at: u64, id: &str, spec: &Spec) -> Self {
         self.changes
             .push((at, change(id, None, Edit::Set { spec: spec.clone() })));
@@ -93,13 +95,13 @@
         self.teams.iter().map(team).collect()
     }
 
-    /// The teams as the platform's settings have them.
+    /// The teams in the format of the settings.
     pub fn teams_json(&self) -> Value {
         let team = |t: &Team| json!({"name": t.name, "cpus": 0.0, "cpus_max": 0.0, "gpus": t.guarantee, "gpus_max": t.max});
         self.teams.iter().map(team).collect()
     }
 
-    /// The tree that stands in the state service; if its bounds were raised by sabotage, as it should be.
+    /// The quota tree in the state service. If sabotage raised its limits, the original limits are restored.
     pub fn tree_in(&self, state: &State, raised: bool) -> Result<(u64, Tree), String> {
         let read =
             |v: &Value| serde_json::from_value::<HeadRecord>(v.clone()).map_err(|e| e.to_string());
@@ -124,7 +126,7 @@
     }
 }
 
-/// A change by an operator, made for a version or for whatever is in force.
+/// An operator's change, based on the version `expect` or on whatever is in force.
 pub fn change(id: &str, expect: Option<u64>, edit: Edit) -> Change {
     Change {
         id: id.into(),
@@ -135,7 +137,7 @@
     }
 }
 
-/// An array of one-GPU tasks that can save, on any machine.
+/// An array of one-GPU tasks that can save checkpoints, without constraints on machines.
 pub fn array(id: u32, team: &str, tasks: u32, estimate_s: f64) -> JobSpec {
     JobSpec {
         id: format!("job-{id:06}"),
--- a/crates/standins/src/state.rs
+++ b/crates/standins/src/state.rs
@@ -1,4 +1,4 @@
-//! A small state service: versions, guarded transactions, leases, watches.
+//! An in-memory state service with versions, conditional transactions, leases and watches.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -12,21 +12,21 @@
     leases: BTreeMap<u64, (u64, u64)>,
     next_lease: u64,
     log: Vec<(u64, String, Option<Value>)>,
-    /// Changes up to this revision can no longer be watched.
+    /// Changes up to this revision have been compacted and can no longer be watched.
     pub forgotten: u64,
     pub limits: Limits,
-    /// Limits that hold from some time on, without notice, in order.
+    /// Future limits and when each takes effect, in order. Clients get no notice of the change.
     pub limits_from: VecDeque<(u64, Limits)>,
-    /// The limits that settings name, where others hold by now.
+    /// The limits that the settings name, once other limits have taken effect.
     configured: Option<Limits>,
     pub counts: Counts,
-    /// For tests of the tests: conditions on keys that begin so are taken to hold.
+    /// Sabotage used to verify the checks: conditions on keys with these prefixes always hold.
     pub unguarded: Vec<&'static str>,
-    /// What is left of this second's requests and changes, and when that was reckoned.
+    /// The remaining budgets of requests and changes, and when they were last updated.
     budget: Option<(f64, f64, u64)>,
 }
 
-/// What the service bears, as the settings say it.
+/// Rate and size limits of the service, as the settings describe them.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     pub rps: f64,
@@ -46,18 +46,18 @@
     }
 }
 
-/// What was asked of it.
+/// Counts of requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
     pub requests: u64,
     pub changes: u64,
     pub txns: u64,
-    /// Refused since they came too fast.
+    /// Requests refused because of a rate limit.
     pub too_fast: u64,
-    /// Refused since they were larger than the limits allow.
+    /// Transactions refused because they exceed a size limit.
     pub too_large: u64,
     pub largest_value: usize,
-    /// Reads and watches of models' records.
+    /// Reads and watches of the models' records.
     pub models: u64,
 }
 
@@ -67,7 +67,7 @@
     pub lease: Option<u64>,
 }
 
-/// A watch that waits: prefix, revision.
+/// A watch that waits for a change after a revision.
 pub struct Watch {
     pub prefix: String,
     pub from: u64,
@@ -104,7 +104,7 @@
 }
 
 impl State {
-    /// All changes from the `from`th on.
+    /// All changes from index `from` on.
     pub fn history(&self, from: usize) -> &[(u64, String, Option<Value>)] {
         self.log.get(from..).unwrap_or_default()
     }
@@ -119,7 +119,7 @@
         over.into_iter().for_each(|l| self.end_lease(l));
     }
 
-    /// After an outage all leases have their full time again.
+    /// Renews all leases to their full duration, as the service does after an outage.
     pub fn renew_all(&mut self, now: u64) {
         self.leases
             .values_mut()
@@ -147,7 +147,7 @@
     }
 
     pub fn changes(&self, prefix: &str, from: u64) -> Option<Value> {
-        // In the order of their revisions.
+        // The log is ordered by revision.
         let first = self.log.partition_point(|(rev, _, _)| *rev <= from);
         let log: Vec<Value> = self.log[first..]
             .iter()
@@ -252,12 +252,12 @@
         }
     }
 
-    /// The limits as settings name them, whatever holds by now.
+    /// The limits that the settings name, whatever limits are in effect.
     pub fn configured_limits(&self) -> Limits {
         self.configured.unwrap_or(self.limits)
     }
 
-    /// Takes from the two budgets, both with bursts of a second's worth.
+    /// Takes from the budgets of requests and changes. Both allow a burst of one second's worth.
     fn take_budget(&mut self, now: u64, requests: f64, changes: f64) -> bool {
         let l = self.limits;
         let (mut r, mut c, at) = self.budget.unwrap_or((l.rps, l.write_rps, now));
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as the protocol describes it: tokens, sessions, leases, attempts, reaping.
+//! A worker that follows the protocol: tokens, sessions, leases, attempts and the reaping of exited tasks.
 
 use wire::api::{Cause, Heartbeat, Order, Orders, TaskStage, TaskStatus};
 
@@ -8,14 +8,14 @@
     pub attempt: u64,
     pub stage: TaskStage,
     pub cause: Option<Cause>,
-    /// When the image is there, and when the work is done.
+    /// When the image is fetched, and when the task's work is done.
     pub fetched_at: u64,
     pub ends_at: u64,
     pub since: u64,
 }
 
 impl Task {
-    /// From the moment that it has its image until it exits.
+    /// Whether the task is on its machine: from when its image is fetched until it exits.
     pub fn is_on(&self) -> bool {
         !matches!(self.stage, TaskStage::Fetching | TaskStage::Exited)
     }
@@ -31,23 +31,23 @@
     pub seq: u64,
     pub token: u64,
     pub tasks: Vec<Task>,
-    /// The controller it reports to.
+    /// The controller that it reports to.
     pub node: usize,
     pub next_report: u64,
     pub told_at: u64,
-    /// A report that is out: its number and when it was sent.
+    /// The report that awaits a response: its number and when it was sent.
     pub out: Option<(u64, u64)>,
-    /// When the last report that was answered was sent, or the session began.
+    /// When the last answered report was sent, or when the session began. The lease counts from then.
     pub leased: u64,
     pub hung_until: u64,
-    /// When the cloud takes it, if that is known.
+    /// When the cloud reclaims the machine, if that is known.
     pub taken_at: Option<u64>,
     pub changed: bool,
-    /// For tests of the tests.
+    /// Sabotage used to verify the checks: stop commands are ignored.
     pub ignores_stops: bool,
-    /// The same, for jobs whose number ends with 7.
+    /// Sabotage used to verify the checks: start commands for jobs whose number ends with 7 are ignored.
     pub ignores_starts: bool,
-    /// Tasks that were stopped as they ran, and for how long they had.
+    /// Tasks that were stopped while running, and how long they had run.
     pub stopped: Vec<(String, u64)>,
 }
 
@@ -112,8 +112,8 @@
         }
     }
 
-    /// The lease has run out: everything is killed and forgotten. How many tasks were killed, and how many results
-    /// forgotten.
+    /// If the lease has expired, kills and discards all tasks. Returns the number of killed tasks and of discarded
+    /// results.
     pub fn expire(&mut self, now: u64, lease_ms: u64) -> (u64, u64) {
         let mut lost = (0, 0);
         if now > self.leased + lease_ms {
@@ -129,7 +129,7 @@
         lost
     }
 
-    /// The answer to a report; false if it has to be dropped.
+    /// Handles the response to a report; returns false if the response must be dropped.
     pub fn answered(
         &mut self,
         number: u64,
@@ -159,7 +159,8 @@
         true
     }
 
-    /// Direct commands; the status, and always a report.
+    /// Executes commands sent directly by a controller and returns the status. The caller always responds with a
+    /// report.
     pub fn commands(
         &mut self,
         orders: &Orders,
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -1368,7 +1368,7 @@
         crashes
     }
 
-    /// The additional delay of a transaction that writes the gateway's records.
+    /// The additional delay of a transaction that writes the gateway's records or, without a gateway, of any one.
     fn record_delay(&mut self, body: &[u8]) -> u64 {
         let Some(scene) = &self.plan.scene else {
             return 0;
