--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -89,14 +89,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sabotage {
     None,
+    /// The cloud confirms deletions of machines without carrying them out.
     CloudLies,
+    /// Controllers receive a GPU limit for team red that is ten times too high.
     LimitsRaised,
+    /// All submissions are changed to allow spot machines.
     SpotAllowed,
+    /// Machines ignore stop commands.
     StopsIgnored,
+    /// The state service loses the records of all live jobs from time to time.
     KeysLost,
+    /// The state service finds a record for every live job that it is asked about.
     StrangersKnown,
+    /// Tasks exit as done before their work is finished.
     DoneTooEarly,
+    /// The state service loses the records of ended jobs from time to time.
     EndsLost,
+    /// The state service loses its log records from time to time.
     LogLost,
     /// Controllers receive quota tree limits that are ten times too high.
     NodesRaised,
@@ -114,6 +123,7 @@
     StartsLost,
 }
 
+/// Who sent a request, and so who handles its response.
 #[derive(Clone)]
 enum Origin {
     User {
@@ -171,6 +181,7 @@
     Cancel,
 }
 
+/// A request sent by a node.
 struct Call {
     node: usize,
     incarnation: u64,
@@ -183,10 +194,13 @@
     unanswered: bool,
 }
 
+/// An event of the simulation. Nodes are given by index and gateway connections by number; `Tick` and `Reply` also carry
+/// the node's incarnation, and `Reply` the tag of its request.
 enum SimEvent {
     Tick(usize, u64),
     Arrive(Call),
     Reply(usize, u64, u64, Option<Response>),
+    /// A request arrives at a node, on the peer listener if the flag is set, otherwise on the client listener.
     Request(usize, Origin, Request, bool),
     Answer(Origin, Option<Response>),
     /// The client of this request stops waiting for the response.
@@ -219,6 +233,7 @@
     exchange: Exchange,
 }
 
+/// A host on which one controller process runs, is suspended or is down.
 struct Host {
     node: Option<Served>,
     incarnation: u64,
