--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -1189,8 +1189,8 @@
                 {
                     return self.schedule(self.now + 500, SimEvent::Answer(origin, None));
                 }
-                if let Some(lie) = self.sabotaged_answer(&origin) {
-                    return self.schedule(self.now + 2, SimEvent::Answer(origin, Some(lie)));
+                if let Some(answer) = self.sabotaged_answer(&origin) {
+                    return self.schedule(self.now + 2, SimEvent::Answer(origin, Some(answer)));
                 }
                 let conn = self.next_conn;
                 self.next_conn += 1;
@@ -1213,7 +1213,7 @@
             }
             SimEvent::WorldTick => self.world_tick(),
             SimEvent::UserRequest(kind, job) => self.send_request_to_any(kind, job),
-            SimEvent::ExtraAction(aside) => self.run_extra_action(aside),
+            SimEvent::ExtraAction(action) => self.run_extra_action(action),
             SimEvent::OperatorChange(change) => self.send_change(change),
             SimEvent::DocumentRequest(path, ask) => self.inquire(path, ask),
             SimEvent::ModelDemand(model, node) => self.demand(&model, node),
@@ -1860,7 +1860,7 @@
         self.forgotten += results;
         let mut begun = Vec::new();
         let early = self.plan.sabotage == Sabotage::DoneTooEarly;
-        let is_held = |task: &str| self.day.as_ref().is_some_and(|b| b.is_held(task));
+        let is_held = |task: &str| self.day.as_ref().is_some_and(|b| b.is_fetch_blocked(task));
         for t in &mut w.tasks {
             let gang = wire::ids::parse_task(&t.name)
                 .and_then(|(id, _)| self.rules.jobs.get(id)?.spec.as_ref())
--- a/crates/standins/src/world/day.rs
+++ b/crates/standins/src/world/day.rs
@@ -55,7 +55,7 @@
     }
 
     /// Used to verify the checks: the images of these jobs' tasks are never fetched.
-    pub(super) fn is_held(&self, task: &str) -> bool {
+    pub(super) fn is_fetch_blocked(&self, task: &str) -> bool {
         let held = &self.plan.held;
         !held.is_empty() && wire::ids::parse_task(task).is_some_and(|(job, _)| held.contains(job))
     }
