--- a/crates/standins/src/state.rs
+++ b/crates/standins/src/state.rs
@@ -1,4 +1,4 @@
-//! A small state service: versions, guarded transactions, leases, watches.
+//! An in-memory state service with versions, conditional transactions, leases and watches.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -12,21 +12,21 @@
     leases: BTreeMap<u64, (u64, u64)>,
     next_lease: u64,
     log: Vec<(u64, String, Option<Value>)>,
-    /// Changes up to this revision can no longer be watched.
+    /// Changes up to this revision have been compacted and can no longer be watched.
     pub forgotten: u64,
     pub limits: Limits,
-    /// Limits that hold from some time on, without notice, in order.
+    /// Future limits and when each takes effect, in order. Clients get no notice of the change.
     pub limits_from: VecDeque<(u64, Limits)>,
-    /// The limits that settings name, where others hold by now.
-    named: Option<Limits>,
+    /// The limits that the settings name, once other limits have taken effect.
+    configured: Option<Limits>,
     pub counts: Counts,
-    /// For tests of the tests: conditions on keys that begin so are taken to hold.
+    /// Sabotage used to verify the checks: conditions on keys with these prefixes always hold.
     pub unguarded: Vec<&'static str>,
-    /// What is left of this second's requests and changes, and when that was reckoned.
-    left: Option<(f64, f64, u64)>,
+    /// The remaining budgets of requests and changes, and when they were last updated.
+    budget: Option<(f64, f64, u64)>,
 }
 
-/// What the service bears, as the settings say it.
+/// Rate and size limits of the service, as the settings describe them.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     pub rps: f64,
@@ -46,18 +46,18 @@
     }
 }
 
-/// What was asked of it.
+/// Counts of requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
     pub requests: u64,
     pub changes: u64,
     pub txns: u64,
-    /// Refused since they came too fast.
+    /// Requests refused because of a rate limit.
     pub too_fast: u64,
-    /// Refused since they were larger than the limits allow.
+    /// Transactions refused because they exceed a size limit.
     pub too_large: u64,
     pub largest_value: usize,
-    /// Reads and watches of models' records.
+    /// Reads and watches of the models' records.
     pub models: u64,
 }
 
@@ -67,7 +67,7 @@
     pub lease: Option<u64>,
 }
 
-/// A watch that waits: prefix, revision.
+/// A watch that waits for a change after a revision.
 pub struct Watch {
     pub prefix: String,
     pub from: u64,
@@ -97,14 +97,14 @@
     remove: Option<String>,
 }
 
-fn argument<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+fn query_param<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
         .find_map(|p| p.strip_prefix(name)?.strip_prefix('='))
 }
 
 impl State {
-    /// All changes from the `from`th on.
+    /// All changes from index `from` on.
     pub fn history(&self, from: usize) -> &[(u64, String, Option<Value>)] {
         self.log.get(from..).unwrap_or_default()
     }
@@ -119,7 +119,7 @@
         over.into_iter().for_each(|l| self.end_lease(l));
     }
 
-    /// After an outage all leases have their full time again.
+    /// Renews all leases to their full duration, as the service does after an outage.
     pub fn renew_all(&mut self, now: u64) {
         self.leases
             .values_mut()
@@ -147,7 +147,7 @@
     }
 
     pub fn changes(&self, prefix: &str, from: u64) -> Option<Value> {
-        // In the order of their revisions.
+        // The log is ordered by revision.
         let first = self.log.partition_point(|(rev, _, _)| *rev <= from);
         let log: Vec<Value> = self.log[first..]
             .iter()
@@ -165,22 +165,22 @@
         self.change_limits(now);
         self.counts.requests += 1;
         self.counts.models += u64::from(query.contains("under=model/") || path.contains("/model/"));
-        if !self.take(now, 1.0, 0.0) {
+        if !self.take_budget(now, 1.0, 0.0) {
             return Outcome::Now(429, json!({}));
         }
-        let words: Vec<&str> = path.trim_start_matches('/').splitn(2, '/').collect();
-        match (method, words.as_slice()) {
+        let segments: Vec<&str> = path.trim_start_matches('/').splitn(2, '/').collect();
+        match (method, segments.as_slice()) {
             ("GET", ["keys", key]) => match self.keys.get(*key) {
                 Some(e) => Outcome::Now(200, json!({"key": key, "v": e.value, "stamp": e.version})),
                 None => Outcome::Now(404, json!({"ledger": self.revision})),
             },
             ("GET", ["keys"]) => self.range(query),
             ("GET", ["changes"]) => {
-                let prefix = argument(query, "under").unwrap_or("");
-                let from = argument(query, "from")
+                let prefix = query_param(query, "under").unwrap_or("");
+                let from = query_param(query, "from")
                     .and_then(|f| f.parse().ok())
                     .unwrap_or(0);
-                let wait: u64 = argument(query, "waitMs")
+                let wait: u64 = query_param(query, "waitMs")
                     .and_then(|f| f.parse().ok())
                     .unwrap_or(0);
                 if from < self.forgotten {
@@ -224,9 +224,9 @@
     }
 
     fn range(&self, query: &str) -> Outcome {
-        let prefix = argument(query, "under").unwrap_or("");
-        let from = argument(query, "from").unwrap_or("");
-        let limit: usize = argument(query, "limit")
+        let prefix = query_param(query, "under").unwrap_or("");
+        let from = query_param(query, "from").unwrap_or("");
+        let limit: usize = query_param(query, "limit")
             .and_then(|l| l.parse().ok())
             .unwrap_or(1000);
         let mut found = self
@@ -247,24 +247,24 @@
 
     fn change_limits(&mut self, now: u64) {
         while let Some((_, limits)) = self.limits_from.pop_front_if(|(from, _)| *from <= now) {
-            self.named.get_or_insert(self.limits);
+            self.configured.get_or_insert(self.limits);
             self.limits = limits;
         }
     }
 
-    /// The limits as settings name them, whatever holds by now.
-    pub fn named_limits(&self) -> Limits {
-        self.named.unwrap_or(self.limits)
+    /// The limits that the settings name, whatever limits are in effect.
+    pub fn configured_limits(&self) -> Limits {
+        self.configured.unwrap_or(self.limits)
     }
 
-    /// Takes from the two budgets, both with bursts of a second's worth.
-    fn take(&mut self, now: u64, requests: f64, changes: f64) -> bool {
+    /// Takes from the budgets of requests and changes. Both allow a burst of one second's worth.
+    fn take_budget(&mut self, now: u64, requests: f64, changes: f64) -> bool {
         let l = self.limits;
-        let (mut r, mut c, at) = self.left.unwrap_or((l.rps, l.write_rps, now));
-        let gone = now.saturating_sub(at) as f64 / 1000.0;
+        let (mut r, mut c, at) = self.budget.unwrap_or((l.rps, l.write_rps, now));
+        let elapsed_s = now.saturating_sub(at) as f64 / 1000.0;
         (r, c) = (
-            (r + gone * l.rps).min(l.rps),
-            (c + gone * l.write_rps).min(l.write_rps),
+            (r + elapsed_s * l.rps).min(l.rps),
+            (c + elapsed_s * l.write_rps).min(l.write_rps),
         );
         let ok = r >= requests && c >= changes;
         if ok {
@@ -272,7 +272,7 @@
         } else {
             self.counts.too_fast += 1;
         }
-        self.left = Some((r, c, now));
+        self.budget = Some((r, c, now));
         ok
     }
 
@@ -295,7 +295,7 @@
             self.counts.too_large += 1;
             return Outcome::Now(400, json!({"error": "too large"}));
         }
-        if !self.take(now, 0.0, txn.writes.len() as f64) {
+        if !self.take_budget(now, 0.0, txn.writes.len() as f64) {
             return Outcome::Now(429, json!({}));
         }
         self.counts.txns += 1;
--- a/crates/standins/src/world/wires.rs
+++ b/crates/standins/src/world/gateway_clients.rs
@@ -1,6 +1,6 @@
-//! Clients of the gateway, each call on a connection of its own, and the runners on machines.
+//! Clients of the gateway, which open a connection for each call, and the runners of applications on the machines.
 
-use super::{Ev, START, Wire, World};
+use super::{GatewayConn, START_MS, SimEvent, World};
 use crate::links::Place;
 use crate::yarn::{Exchange, Next, Runner, Who};
 use gateway::served::Raw;
@@ -9,39 +9,39 @@
 use wire::api::{Cause, TaskStage};
 
 impl World {
-    /// Calls that are due, each on a connection of its own to any node.
+    /// Starts the calls that are due, each on its own connection to a random node.
     pub(super) fn yarn_tick(&mut self) {
         if self.plan.scene.as_ref().is_none_or(|s| s.yarn.is_none()) {
             return;
         }
-        self.follow_runners();
+        self.sync_runners();
         for (who, ask) in self.yarn.due(self.now) {
-            self.dial(who, ask);
+            self.open_call(who, ask);
         }
     }
 
-    /// A connection to any node, for one call.
-    fn dial(&mut self, who: Who, ask: crate::yarn::Ask) {
+    /// Opens a connection to a random node for one call.
+    fn open_call(&mut self, who: Who, ask: crate::yarn::Ask) {
         let (exchange, web, first) = Exchange::begin(ask);
-        let conn = self.open_wire(who, exchange, web);
-        self.at(self.now + 6000, Ev::RawOver(conn));
-        let faulty = self.now < START + self.plan.faults_until && !self.plan.calm;
+        let conn = self.open_conn(who, exchange, web);
+        self.schedule(self.now + 6000, SimEvent::ConnectionEnd(conn));
+        let faulty = self.now < START_MS + self.plan.faults_until && !self.plan.calm;
         let mut delay = self.rng.u64(1..5);
-        // Now and then what is sent comes late, and its client has long given up.
+        // Occasionally the data arrives so late that its client has stopped waiting.
         if faulty && self.rng.u32(0..60) == 0 {
             delay += self.rng.u64(1000..60_000);
         }
-        self.at(self.now + delay, Ev::RawIn(conn, first));
+        self.schedule(self.now + delay, SimEvent::BytesToNode(conn, first));
     }
 
-    fn open_wire(&mut self, who: Who, exchange: Exchange, web: bool) -> u64 {
+    fn open_conn(&mut self, who: Who, exchange: Exchange, web: bool) -> u64 {
         let node = self.rng.usize(0..self.plan.nodes);
         let conn = self.next_conn;
         self.next_conn += 1;
         let incarnation = self.hosts[node].incarnation;
-        self.wires.insert(
+        self.gateway_conns.insert(
             conn,
-            Wire {
+            GatewayConn {
                 who,
                 node,
                 incarnation,
@@ -49,29 +49,29 @@
             },
         );
         let from = std::net::IpAddr::from([127, 0, 0, 1]);
-        self.raw_in(conn, Raw::Opened { web, from });
+        self.conn_input(conn, Raw::Opened { web, from });
         conn
     }
 
-    /// A call of a test's own, until its answer.
+    /// Makes a call on behalf of a test and waits for the response.
     pub fn call(&mut self, ask: crate::yarn::Ask) -> crate::yarn::Answer {
         self.yarn.answered = None;
-        self.dial(Who::Test, ask);
+        self.open_call(Who::Test, ask);
         let end = self.now + 10_000;
-        // Guards against a world that stands still since a rule is broken: it would be waited for without end.
+        // The simulation stops once a rule is broken. Without this check, the loop would never end.
         while self.yarn.answered.is_none() && self.now < end {
             let before = self.now;
             self.run_for(100);
             let broken = (&self.rules.broken, &self.yarn.checks.broken);
             assert!(
                 self.now > before || self.yarn.answered.is_some(),
-                "nothing goes on: {broken:?}"
+                "the simulation stopped before the call was answered; broken rules: {broken:?}"
             );
         }
         self.yarn.answered.take().flatten()
     }
 
-    /// Any bytes on a connection that nobody listens on, and that nobody ends.
+    /// Sends arbitrary bytes on a connection that the client neither reads from nor closes.
     pub fn pour(&mut self, web: bool, bytes: Vec<u8>) {
         let ask = crate::yarn::Ask::Web {
             method: "GET",
@@ -79,13 +79,14 @@
             body: Vec::new(),
         };
         let (exchange, _, _) = Exchange::begin(ask);
-        let conn = self.open_wire(Who::Test, exchange, web);
-        self.at(self.now + 1, Ev::RawIn(conn, bytes));
+        let conn = self.open_conn(Who::Test, exchange, web);
+        self.schedule(self.now + 1, SimEvent::BytesToNode(conn, bytes));
         self.run_for(2);
     }
 
-    /// Runners stand on the tasks that run: they begin and end with them.
-    fn follow_runners(&mut self) {
+    /// Starts a runner for each running task of the gateway's jobs, and removes the runners of tasks that no longer
+    /// run.
+    fn sync_runners(&mut self) {
         let now = self.now;
         let mut here = HashSet::new();
         let mut new = Vec::new();
@@ -110,7 +111,7 @@
         }
         self.yarn.runners.extend(new);
         self.yarn.gone(&here);
-        // A runner that is through ends its task.
+        // A task exits when its runner has finished.
         for w in self.workers.values_mut().filter(|w| w.hung_until <= now) {
             for t in w.tasks.iter_mut().filter(|t| t.stage == TaskStage::Running) {
                 let runner = self.yarn.runners.get(&(t.name.clone(), t.attempt));
@@ -126,11 +127,11 @@
         }
     }
 
-    pub(super) fn raw_in(&mut self, conn: u64, event: Raw) {
-        let Some(wire) = self.wires.get(&conn) else {
+    pub(super) fn conn_input(&mut self, conn: u64, event: Raw) {
+        let Some(connection) = self.gateway_conns.get(&conn) else {
             return;
         };
-        let (n, incarnation) = (wire.node, wire.incarnation);
+        let (n, incarnation) = (connection.node, connection.incarnation);
         let now = self.node_now(n);
         let cut = self
             .links
@@ -149,47 +150,47 @@
         if leads {
             self.call_ns.push(begun.elapsed().as_nanos() as u64);
         }
-        self.carry_out(n, outs);
+        self.apply_outputs(n, outs);
     }
 
-    pub(super) fn raw_out(&mut self, conn: u64, bytes: &[u8]) {
-        let Some(wire) = self.wires.get_mut(&conn) else {
+    pub(super) fn conn_output(&mut self, conn: u64, bytes: &[u8]) {
+        let Some(connection) = self.gateway_conns.get_mut(&conn) else {
             return;
         };
-        match wire.exchange.bytes(bytes) {
+        match connection.exchange.bytes(bytes) {
             Next::Wait => {}
-            Next::Send(bytes) => self.at(self.now + 1, Ev::RawIn(conn, bytes)),
+            Next::Send(bytes) => self.schedule(self.now + 1, SimEvent::BytesToNode(conn, bytes)),
             Next::Over(answer) => {
-                if let Some(wire) = self.wires.remove(&conn) {
-                    self.yarn.answer(self.now, &wire.who, answer);
-                    self.raw_gone(conn, &wire);
+                if let Some(connection) = self.gateway_conns.remove(&conn) {
+                    self.yarn.answer(self.now, &connection.who, answer);
+                    self.close_at_node(conn, &connection);
                 }
             }
         }
     }
 
-    /// The connection breaks, or its client has waited long enough.
-    pub(super) fn raw_over(&mut self, conn: u64) {
-        if let Some(wire) = self.wires.remove(&conn) {
-            self.yarn.answer(self.now, &wire.who, None);
-            self.raw_gone(conn, &wire);
+    /// The connection breaks, or its client stops waiting.
+    pub(super) fn conn_ended(&mut self, conn: u64) {
+        if let Some(connection) = self.gateway_conns.remove(&conn) {
+            self.yarn.answer(self.now, &connection.who, None);
+            self.close_at_node(conn, &connection);
         }
     }
 
-    fn raw_gone(&mut self, conn: u64, wire: &Wire) {
-        let now = self.node_now(wire.node);
-        let host = &mut self.hosts[wire.node];
+    fn close_at_node(&mut self, conn: u64, connection: &GatewayConn) {
+        let now = self.node_now(connection.node);
+        let host = &mut self.hosts[connection.node];
         if let Some(node) = host
             .node
             .as_mut()
-            .filter(|_| host.incarnation == wire.incarnation)
+            .filter(|_| host.incarnation == connection.incarnation)
         {
             let outs = node.raw(now, conn, Raw::Closed);
-            self.carry_out(wire.node, outs);
+            self.apply_outputs(connection.node, outs);
         }
     }
 
-    /// Jobs that the gateway has had accepted become known to the workers.
+    /// Registers jobs that the gateway had accepted, so that workers can run them.
     pub(super) fn note_yarn_jobs(&mut self, body: &[u8]) {
         let Ok(txn) = wire::decode::<Value>(body) else {
             return;
