--- a/crates/standins/src/days.rs
+++ b/crates/standins/src/days.rs
@@ -224,25 +224,25 @@
         }
     }
 
-    fn large(&self) -> bool {
+    fn is_large(&self) -> bool {
         self.machines > 100
     }
 }
 
-struct Draw {
+struct DayBuilder {
     rng: fastrand::Rng,
     nodes: usize,
     size: Size,
-    day: Vec<(u64, Trouble)>,
+    troubles: Vec<(u64, Trouble)>,
 }
 
-impl Draw {
-    fn node(&mut self) -> Who {
+impl DayBuilder {
+    fn random_node(&mut self) -> Who {
         Who::Node(self.rng.usize(0..self.nodes))
     }
 
     /// How soon processes are back on this day: within a fraction of a second, or as late as the sites have it.
-    fn back(&mut self) -> u64 {
+    fn restart_delay_ms(&mut self) -> u64 {
         match self.rng.u32(0..4) {
             0 => self.rng.u64(50..100),
             1 | 2 => self.rng.u64(100..400),
@@ -255,7 +255,7 @@
     }
 
     fn add(&mut self, at: u64, trouble: Trouble) {
-        self.day.push((at, trouble));
+        self.troubles.push((at, trouble));
     }
 
     /// Something every so often, until troubles end.
@@ -277,37 +277,37 @@
 
     /// So many nodes crash again and again; how often and how soon they are back is the day's.
     fn crash_loop(&mut self, who: &[Who]) {
-        let every = self.rng.u64(100..5000);
-        let back_ms = if every < 400 {
+        let interval_ms = self.rng.u64(100..5000);
+        let back_ms = if interval_ms < 400 {
             self.rng.u64(50..100)
         } else {
-            self.back().min(every)
+            self.restart_delay_ms().min(interval_ms)
         };
         let who = who.to_vec();
-        self.every(every, |d, at| {
+        self.every(interval_ms, |d, at| {
             who.iter()
                 .for_each(|w| d.add(at, Trouble::Crash { who: *w, back_ms }))
         });
     }
 
     /// All three times in a row, somewhere in the trouble that lasts so long.
-    fn three_crashes(&mut self, at: u64, ms: u64) {
+    fn crash_all_three_times(&mut self, at: u64, ms: u64) {
         for _ in 0..3 {
-            let (at, back) = (at + self.rng.u64(0..ms), self.back());
+            let (at, back) = (at + self.rng.u64(0..ms), self.restart_delay_ms());
             self.crash_all(at, back);
         }
     }
 }
 
-type Troubles = fn(&mut Draw);
+type AddTroubles = fn(&mut DayBuilder);
 
 /// Each kind of day: its name, what happens, and how many times as many gangs come meanwhile.
-const KINDS: [(&str, Troubles, u32); 16] = [
+const KINDS: [(&str, AddTroubles, u32); 16] = [
     ("calm", |_| {}, 1),
     (
         "loop of one",
         |d| {
-            let one = d.node();
+            let one = d.random_node();
             d.crash_loop(&[one]);
         },
         1,
@@ -329,7 +329,7 @@
         |d| {
             // Whoever takes over next crashes at one step of it, and the next one at another.
             d.every(4000, |d, at| {
-                let back = d.back();
+                let back = d.restart_delay_ms();
                 d.add(
                     at,
                     Trouble::Crash {
@@ -338,7 +338,7 @@
                     },
                 );
                 for n in 0..d.nodes {
-                    let (question, back_ms) = (d.rng.u32(1..25), d.back());
+                    let (question, back_ms) = (d.rng.u32(1..25), d.restart_delay_ms());
                     d.add(
                         at + 1,
                         Trouble::Fuse {
@@ -357,7 +357,7 @@
         |d| {
             d.every(22_000, |d, at| {
                 d.add(at, Trouble::StateOut { ms: 8000 });
-                let (within, back) = (d.rng.u64(0..8000), d.back());
+                let (within, back) = (d.rng.u64(0..8000), d.restart_delay_ms());
                 d.crash_all(at + within, back);
             })
         },
@@ -367,7 +367,7 @@
         "outage of 30 s, three crashes",
         |d| {
             d.add(BEGIN, Trouble::StateOut { ms: 30_000 });
-            d.three_crashes(BEGIN, 30_000);
+            d.crash_all_three_times(BEGIN, 30_000);
         },
         1,
     ),
@@ -384,7 +384,7 @@
                         ms: 7000,
                     },
                 );
-                let (within, back) = (d.rng.u64(0..7000), d.back());
+                let (within, back) = (d.rng.u64(0..7000), d.restart_delay_ms());
                 d.add(
                     at + within,
                     Trouble::Crash {
@@ -400,7 +400,11 @@
         "freezes with quick restarts",
         |d| {
             d.every(12_000, |d, at| {
-                let (who, ms, back_ms) = (d.node(), d.rng.u64(1000..10_000), d.back());
+                let (who, ms, back_ms) = (
+                    d.random_node(),
+                    d.rng.u64(1000..10_000),
+                    d.restart_delay_ms(),
+                );
                 d.add(at, Trouble::Freeze { who, ms });
                 let within = d.rng.u64(0..ms);
                 d.add(at + within, Trouble::Crash { who, back_ms });
@@ -420,7 +424,7 @@
         |d| {
             let (zone, machines) = (["a", "b"][d.rng.usize(0..2)], d.size.machines / 10);
             d.add(BEGIN, Trouble::Zone { zone, ms: 40_000 });
-            d.three_crashes(BEGIN, 40_000);
+            d.crash_all_three_times(BEGIN, 40_000);
             d.add(BEGIN + 15_000, Trouble::Die { machines });
         },
         1,
@@ -447,7 +451,7 @@
                         ms: 20_000,
                     },
                 );
-                let (who, back_ms) = (d.node(), d.back());
+                let (who, back_ms) = (d.random_node(), d.restart_delay_ms());
                 d.add(at + 4000, Trouble::Crash { who, back_ms });
                 d.add(
                     at + 9000,
@@ -472,7 +476,7 @@
                     },
                 );
                 d.add(at + 5000, Trouble::StateSlow { ms: 10_000 });
-                let back_ms = d.back();
+                let back_ms = d.restart_delay_ms();
                 d.add(
                     at + 12_000,
                     Trouble::Crash {
@@ -489,7 +493,7 @@
         |d| {
             d.every(5000, |d, at| {
                 // What is under way is held until after its sender is back, and comes to the new life.
-                let (who, back_ms) = (d.node(), d.rng.u64(50..300));
+                let (who, back_ms) = (d.random_node(), d.rng.u64(50..300));
                 let from = [
                     Frontend::State,
                     Frontend::Nodes,
@@ -539,7 +543,7 @@
                     ms: 20_000,
                 },
             );
-            let (machines, back) = (d.size.machines / 6, d.back());
+            let (machines, back) = (d.size.machines / 6, d.restart_delay_ms());
             d.add(BEGIN + 30_000, Trouble::Die { machines });
             d.crash_all(BEGIN + 35_000, back);
             d.crash_all(BEGIN + 60_000, 150);
@@ -549,8 +553,8 @@
 ];
 
 /// Jobs of the day: gangs of high urgency, and arrays of low urgency and very unequal sizes, in three teams.
-fn jobs(rng: &mut fastrand::Rng, size: Size, flood: u32) -> Vec<Timed> {
-    let large = size.large();
+fn jobs(rng: &mut fastrand::Rng, size: Size, gang_factor: u32) -> Vec<Timed> {
+    let large = size.is_large();
     // For each GPU-carrying machine as much work as fills half of the fleet.
     let scale = size.machines as f64 / if large { 1200.0 } else { 12.0 };
     let end = BEGIN + size.troubles_ms;
@@ -589,9 +593,9 @@
         };
     let mut at = 1000.0;
     while (at as u64) < end {
-        let many = (BEGIN..BEGIN + 90_000).contains(&(at as u64));
-        let rate = if many {
-            gangs_a_minute * f64::from(flood)
+        let is_flood = (BEGIN..BEGIN + 90_000).contains(&(at as u64));
+        let rate = if is_flood {
+            gangs_a_minute * f64::from(gang_factor)
         } else {
             gangs_a_minute
         };
@@ -613,10 +617,13 @@
     at = 1000.0;
     while (at as u64) < end {
         at += 120_000.0 / arrays_a_minute * rng.f64();
-        let widest = if rng.u32(0..10) == 0 { 5 } else { 1 };
+        let width_factor = if rng.u32(0..10) == 0 { 5 } else { 1 };
         let (tasks, run) = match large {
-            true => (rng.u32(40..160) * widest.min(4), rng.u64(30_000..70_000)),
-            false => (rng.u32(1..7) * widest, rng.u64(3000..12_000)),
+            true => (
+                rng.u32(40..160) * width_factor.min(4),
+                rng.u64(30_000..70_000),
+            ),
+            false => (rng.u32(1..7) * width_factor, rng.u64(3000..12_000)),
         };
         add("array", Kind::Array, at as u64, tasks, run, rng);
     }
@@ -630,16 +637,16 @@
 
 /// One day of a kind, as [`kinds`] counts them.
 pub fn plan(kind: usize, seed: u64, nodes: usize, size: Size) -> Plan {
-    let (_, troubles, flood) = KINDS[kind];
-    let mut draw = Draw {
+    let (_, troubles, gang_factor) = KINDS[kind];
+    let mut builder = DayBuilder {
         rng: fastrand::Rng::with_seed(seed),
         nodes,
         size,
-        day: Vec::new(),
+        troubles: Vec::new(),
     };
-    troubles(&mut draw);
-    let quiet = draw
-        .day
+    troubles(&mut builder);
+    let quiet_from = builder
+        .troubles
         .iter()
         .map(|(at, t)| at + t.ms())
         .max()
@@ -653,12 +660,12 @@
         txn_ops: 16,
     };
     let scene = Scene {
-        jobs: jobs(&mut draw.rng, size, flood),
+        jobs: jobs(&mut builder.rng, size, gang_factor),
         machines: size.machines,
-        limits: size.large().then_some(limits),
+        limits: size.is_large().then_some(limits),
         day: Some(Day {
-            troubles: draw.day,
-            quiet,
+            troubles: builder.troubles,
+            quiet: quiet_from,
             held: BTreeSet::new(),
         }),
         ..Scene::default()
@@ -669,9 +676,9 @@
         .team("green", gpus / 6.0, 0.0);
     let end = BEGIN + size.troubles_ms + size.after_ms;
     // On every other day messages are late now and then, until the last trouble is over.
-    let late = if seed % 2 == 1 { quiet } else { 0 };
+    let late_until = if seed % 2 == 1 { quiet_from } else { 0 };
     Plan {
-        large: size.large(),
-        ..Plan::of_scene(seed, nodes, scene, late, end)
+        large: size.is_large(),
+        ..Plan::of_scene(seed, nodes, scene, late_until, end)
     }
 }
