--- a/crates/standins/src/days.rs
+++ b/crates/standins/src/days.rs
@@ -1,5 +1,5 @@
-//! Days of the operators' own kind: troubles at their times, drawn from a seed, for any number of controllers and for
-//! fleets of a dozen or of over a thousand machines.
+//! Scenarios ("days") modelled on the operators' own tests: faults ("troubles") at given times, drawn from a seed, for any
+//! number of controllers and for fleets of a dozen or of over a thousand machines.
 
 use crate::links::{Frontend, How};
 use crate::scene::{Scene, Timed, array};
@@ -9,51 +9,53 @@
 use std::ops::Range;
 use wire::api::{Kind, Priority};
 
-/// Whom a trouble hits.
+/// Which controllers a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Who {
     Node(usize),
-    /// Whichever leads the fleet then.
+    /// The controller that leads the fleet when the fault begins.
     Leader,
     All,
 }
 
-/// Which machines a trouble hits.
+/// Which machines a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Machines {
-    /// So many, or such a share of those that are there, drawn when it begins.
+    /// A number or a share of the machines present, picked at random when the fault begins.
     Count(usize),
     Share(f64),
-    /// All in a zone, also those that come up meanwhile.
+    /// All machines of a zone, including those that boot during the fault.
     Zone(&'static str),
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Trouble {
-    /// Processes end and are started again after so long.
+    /// Controller processes end and are restarted after `back_ms`.
     Crash {
         who: Who,
         back_ms: u64,
     },
-    /// It crashes as it sends this one of its next questions to the state service, whichever life it is in by then.
+    /// The controller crashes as it sends its `question`th next request to the state service, even if it was restarted
+    /// in between.
     Fuse {
         who: Who,
         question: u32,
         back_ms: u64,
     },
-    /// Processes stand still while their clocks run on.
+    /// Controller processes are suspended while the clock goes on.
     Freeze {
         who: Who,
         ms: u64,
     },
-    /// Cut off from some hosts.
+    /// Controllers are cut off from some hosts.
     Cut {
         who: Who,
         from: Frontend,
         how: How,
         ms: u64,
     },
-    /// What its present life sends in this time comes up to so much later, whoever is there by then.
+    /// Messages that the current process sends within `for_ms` are delayed by up to `ms`, and delivered to whichever process
+    /// is there by then.
     Late {
         who: Who,
         for_ms: u64,
@@ -63,60 +65,64 @@
         zone: &'static str,
         ms: u64,
     },
-    /// The state service answers nobody, or none of these, or slowly.
+    /// The state service answers nobody.
     StateOut {
         ms: u64,
     },
+    /// The state service refuses requests of these controllers.
     Refused {
         who: Who,
         ms: u64,
     },
+    /// The state service answers slowly.
     StateSlow {
         ms: u64,
     },
-    /// So many machines die.
+    /// Machines fail for good.
     Die {
         machines: usize,
     },
-    /// Of the transactions that come to the state service in this time, such a share gets no answer and is carried out
-    /// [`LATE_WRITE_MS`] later, after newer ones of the same node; or at once, so that only the answer is lost.
+    /// A share of the transactions that reach the state service within `for_ms` gets no answer. They are applied
+    /// [`LATE_WRITE_MS`] later, after newer ones of the same node; with `at_once` they are applied immediately and only the
+    /// answer is lost.
     LateWrites {
         share: f64,
         for_ms: u64,
         at_once: bool,
     },
-    /// Of such a share of the workers' reports that are sent in this time, a copy comes again to the same node
-    /// [`LATE_REPORT_MS`] later, or with the next leader; its answer goes nowhere.
+    /// A share of the workers' reports sent within `for_ms` is delivered a second time: to the same node
+    /// [`LATE_REPORT_MS`] later, or as `next` says when the leader changes. The answer to the copy is dropped.
     LateReports {
         share: f64,
         for_ms: u64,
         next: NextLeader,
     },
-    /// Their reports arrive; answers and direct commands to them are lost.
+    /// Reports of these machines arrive; answers and direct commands to them are lost.
     Deaf {
         machines: Machines,
         ms: u64,
     },
-    /// Right after a job was accepted, ended or told as cancelled, users ask all nodes within milliseconds, and submit it
-    /// once more at each; a share is cancelled at once.
+    /// Within milliseconds after a job was accepted, ended or reported as cancelled, users query all nodes for it and submit
+    /// it again at each; a share of the jobs is cancelled immediately.
     CloseLooks {
         ms: u64,
     },
-    /// So many jobs that run and have long to go are cancelled within a fifth of a second; some of their machines hang.
+    /// `count` running jobs that are far from done are cancelled within 200 ms; some of their machines hang.
     CancelNow {
         count: usize,
         hang_ms: u64,
     },
-    /// Such a share of the jobs that end is cancelled, asked for and submitted again as its last task ends.
+    /// A share of the jobs that end is cancelled, queried and submitted again just as the last task ends.
     CancelAtEnd {
         share: f64,
         ms: u64,
     },
-    /// Users repeat submissions, cancel what is over, and submit what can't run or has no form.
+    /// Users repeat submissions, cancel jobs that have ended, and submit jobs that can't run or are malformed.
     OddRequests {
         ms: u64,
     },
-    /// Cut from the state service and from the other nodes, both ways; workers and users still reach it.
+    /// The controller is cut off from the state service and the other nodes in both directions; workers and users still
+    /// reach it.
     CutOff {
         who: Who,
         ms: u64,
@@ -126,41 +132,41 @@
         machines: Machines,
         ms: u64,
     },
-    /// These machines stand still, then go on where they were.
+    /// These machines are suspended, then continue where they were.
     Hang {
         machines: Machines,
         ms: u64,
     },
-    /// Machines that are rented in this time are up within [`QUICK_BOOT_MS`], some before their rental is answered.
+    /// Machines rented during this time boot within [`QUICK_BOOT_MS`], some before the rental request is answered.
     QuickBoots {
         ms: u64,
     },
-    /// What controllers, machines, cloud and state service send each other takes long, and comes in order.
+    /// Messages between controllers, machines, cloud and state service are slow, but arrive in order.
     SlowLinks {
         ms: u64,
     },
 }
 
-/// Whether copies of late reports wait for the next leader.
+/// Whether late reports wait for the next leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextLeader {
     No,
-    /// As it begins, the copies come to it alone, or to every node.
+    /// When the next leader begins, the copies are delivered to it alone, or to every node.
     CopyToOne,
     CopyToAll,
-    /// The reports themselves come to it once it has begun, and nowhere before.
+    /// The reports themselves are held and delivered only to the next leader, once it has begun.
     Held,
 }
 
-/// How much later a late transaction is carried out.
+/// Delay until a late transaction is applied.
 pub const LATE_WRITE_MS: Range<u64> = 2000..12_000;
-/// How much later the copy of a report comes: up to two leases.
+/// Delay until the copy of a report is delivered: up to two leases.
 pub const LATE_REPORT_MS: Range<u64> = 2000..30_000;
-/// How soon machines are up while boots are quick.
+/// Boot time of machines while boots are quick.
 pub const QUICK_BOOT_MS: Range<u64> = 1000..2000;
 
 impl Trouble {
-    /// How long it lasts.
+    /// Time from the beginning of the fault until its last effect.
     pub fn ms(&self) -> u64 {
         match self {
             Trouble::Crash { back_ms, .. } | Trouble::Fuse { back_ms, .. } => *back_ms,
@@ -185,26 +191,26 @@
     }
 }
 
-/// A day with a balancer, users that keep their connections, and checkers.
+/// A scenario with a load balancer, users with persistent connections, and checkers.
 #[derive(Debug, Clone, Default)]
 pub struct Day {
     pub troubles: Vec<(u64, Trouble)>,
-    /// The last trouble is over by then.
+    /// Time at which the last fault is over.
     pub quiet: u64,
-    /// For tests of the tests: tasks of these jobs never get their image.
+    /// Tasks of these jobs never get their image, to test that the checkers notice.
     pub held: BTreeSet<String>,
 }
 
-/// Troubles begin here, when the fleet is at work.
+/// Faults begin at this time, when the fleet is busy.
 pub const BEGIN: u64 = 60_000;
 
-/// How large a day is.
+/// Size of the fleet and duration of a scenario.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
     pub machines: usize,
-    /// Troubles, and arrivals, last so long.
+    /// How long faults are injected and jobs arrive.
     pub troubles_ms: u64,
-    /// Until everything ought to be done.
+    /// Time after that until all work must be done.
     pub after_ms: u64,
 }
 
@@ -241,7 +247,7 @@
         Who::Node(self.rng.usize(0..self.nodes))
     }
 
-    /// How soon processes are back on this day: within a fraction of a second, or as late as the sites have it.
+    /// Random restart delay: a fraction of a second, or up to 8 s as at the operators' sites.
     fn restart_delay_ms(&mut self) -> u64 {
         match self.rng.u32(0..4) {
             0 => self.rng.u64(50..100),
@@ -258,7 +264,7 @@
         self.troubles.push((at, trouble));
     }
 
-    /// Something every so often, until troubles end.
+    /// Calls `f` with each multiple of `ms` from the beginning to the end of the faults.
     fn every(&mut self, ms: u64, mut f: impl FnMut(&mut Self, u64)) {
         for at in (BEGIN..self.end()).step_by(ms.max(1) as usize) {
             f(self, at);
@@ -275,7 +281,7 @@
         );
     }
 
-    /// So many nodes crash again and again; how often and how soon they are back is the day's.
+    /// These nodes crash periodically; period and restart delay are drawn once per scenario.
     fn crash_loop(&mut self, who: &[Who]) {
         let interval_ms = self.rng.u64(100..5000);
         let back_ms = if interval_ms < 400 {
@@ -290,7 +296,7 @@
         });
     }
 
-    /// All three times in a row, somewhere in the trouble that lasts so long.
+    /// Crashes all controllers three times, at random moments within the `ms` after `at`.
     fn crash_all_three_times(&mut self, at: u64, ms: u64) {
         for _ in 0..3 {
             let (at, back) = (at + self.rng.u64(0..ms), self.restart_delay_ms());
@@ -301,7 +307,7 @@
 
 type AddTroubles = fn(&mut DayBuilder);
 
-/// Each kind of day: its name, what happens, and how many times as many gangs come meanwhile.
+/// Each kind of scenario: its name, its faults, and the factor by which more gang jobs arrive meanwhile.
 const KINDS: [(&str, AddTroubles, u32); 16] = [
     ("calm", |_| {}, 1),
     (
@@ -327,7 +333,7 @@
     (
         "crashes at each step of a take-over",
         |d| {
-            // Whoever takes over next crashes at one step of it, and the next one at another.
+            // Each successor crashes at a random step of its takeover.
             d.every(4000, |d, at| {
                 let back = d.restart_delay_ms();
                 d.add(
@@ -492,7 +498,7 @@
         "messages of former lives held",
         |d| {
             d.every(5000, |d, at| {
-                // What is under way is held until after its sender is back, and comes to the new life.
+                // Messages in flight are held until their sender has restarted, and reach the new process.
                 let (who, back_ms) = (d.random_node(), d.rng.u64(50..300));
                 let from = [
                     Frontend::State,
@@ -512,7 +518,7 @@
                 );
                 let within = d.rng.u64(200..1800);
                 d.add(at + within, Trouble::Crash { who, back_ms });
-                // The leader's last messages come after the next life has begun, or another leader.
+                // The leader's last messages arrive after its restart, or after another leader has begun.
                 let ms = d.rng.u64(200..12_000);
                 d.add(
                     at + 2500,
@@ -552,10 +558,10 @@
     ),
 ];
 
-/// Jobs of the day: gangs of high urgency, and arrays of low urgency and very unequal sizes, in three teams.
+/// Jobs of the scenario: gangs of high priority, and arrays of low priority and very unequal sizes, in three teams.
 fn jobs(rng: &mut fastrand::Rng, size: Size, gang_factor: u32) -> Vec<Timed> {
     let large = size.is_large();
-    // For each GPU-carrying machine as much work as fills half of the fleet.
+    // Per GPU machine, enough work to fill half of the fleet.
     let scale = size.machines as f64 / if large { 1200.0 } else { 12.0 };
     let end = BEGIN + size.troubles_ms;
     let (gangs_a_minute, arrays_a_minute) = if large {
@@ -630,12 +636,12 @@
     jobs
 }
 
-/// The names of the kinds of days.
+/// Names of the kinds of scenarios.
 pub fn kinds() -> Vec<&'static str> {
     KINDS.iter().map(|(name, ..)| *name).collect()
 }
 
-/// One day of a kind, as [`kinds`] counts them.
+/// A scenario of the kind with this index in [`kinds`].
 pub fn plan(kind: usize, seed: u64, nodes: usize, size: Size) -> Plan {
     let (_, troubles, gang_factor) = KINDS[kind];
     let mut builder = DayBuilder {
@@ -675,7 +681,7 @@
         .team("blue", gpus / 6.0, gpus * 0.8)
         .team("green", gpus / 6.0, 0.0);
     let end = BEGIN + size.troubles_ms + size.after_ms;
-    // On every other day messages are late now and then, until the last trouble is over.
+    // With odd seeds some messages are delayed, until the last fault is over.
     let late_until = if seed % 2 == 1 { quiet_from } else { 0 };
     Plan {
         large: size.is_large(),
