--- a/crates/standins/src/meetings.rs
+++ b/crates/standins/src/meetings.rs
@@ -24,43 +24,43 @@
 const TEAMS: [&str; 3] = ["red", "blue", "green"];
 
 /// Troubles of one day as they are drawn, and what comes meanwhile.
-struct Draw {
+struct DayBuilder {
     rng: fastrand::Rng,
     nodes: usize,
     troubles: Vec<(u64, Trouble)>,
-    jobs: Jobs,
+    jobs: JobMix,
     /// One-task jobs come four a second for so long.
-    rapid_ms: u64,
-    more: machines::More,
+    one_task_jobs_ms: u64,
+    options: machines::JobOptions,
 }
 
 /// What of the day's jobs differs from day to day.
-struct Jobs {
+struct JobMix {
     /// Such a share is cancelled while troubles last.
-    cancelled: f64,
+    cancelled_share: f64,
     /// How long tasks of the long class run, and how far apart these jobs and the short ones come on average.
     long_ms: Range<u64>,
-    long_every: u64,
-    short_every: u64,
+    long_every_ms: u64,
+    short_every_ms: u64,
 }
 
-impl Draw {
+impl DayBuilder {
     fn new(seed: u64, nodes: usize) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let cancelled = 0.2 + 0.5 * rng.f64();
-        let jobs = Jobs {
-            cancelled,
+        let cancelled_share = 0.2 + 0.5 * rng.f64();
+        let jobs = JobMix {
+            cancelled_share,
             long_ms: 60_000..100_000,
-            long_every: 18_000,
-            short_every: 5000,
+            long_every_ms: 18_000,
+            short_every_ms: 5000,
         };
-        Draw {
+        DayBuilder {
             rng,
             nodes,
             troubles: Vec::new(),
             jobs,
-            rapid_ms: 0,
-            more: machines::More::default(),
+            one_task_jobs_ms: 0,
+            options: machines::JobOptions::default(),
         }
     }
 
@@ -68,12 +68,12 @@
         self.troubles.push((at, trouble));
     }
 
-    fn ms(&mut self, range: Range<u64>) -> u64 {
+    fn random_ms(&mut self, range: Range<u64>) -> u64 {
         self.rng.u64(range)
     }
 
     /// The leader more often than any other.
-    fn one(&mut self) -> Who {
+    fn random_node(&mut self) -> Who {
         if self.rng.u32(0..5) < 3 {
             Who::Leader
         } else {
@@ -81,12 +81,12 @@
         }
     }
 
-    fn zone(&mut self) -> &'static str {
+    fn random_zone(&mut self) -> &'static str {
         ["a", "b"][self.rng.usize(0..2)]
     }
 
-    fn machines(&mut self) -> Machines {
-        let (zone, count) = (self.zone(), self.rng.usize(1..4));
+    fn random_machines(&mut self) -> Machines {
+        let (zone, count) = (self.random_zone(), self.rng.usize(1..4));
         [
             Machines::Count(count),
             Machines::Share(0.5),
@@ -95,7 +95,7 @@
     }
 
     /// How soon a process is back: at once, or as late as the sites have it.
-    fn back(&mut self) -> u64 {
+    fn restart_delay_ms(&mut self) -> u64 {
         match self.rng.u32(0..3) {
             0 => self.rng.u64(50..150),
             1 => self.rng.u64(150..1000),
@@ -103,7 +103,7 @@
         }
     }
 
-    fn how(&mut self) -> How {
+    fn random_mode(&mut self) -> How {
         if self.rng.bool() {
             How::Hold
         } else {
@@ -111,12 +111,12 @@
         }
     }
 
-    fn cut(&mut self, from: Frontend) -> Trouble {
+    fn random_cut(&mut self, from: Frontend) -> Trouble {
         Trouble::Cut {
-            who: self.one(),
+            who: self.random_node(),
             from,
-            how: self.how(),
-            ms: self.ms(3000..40_000),
+            how: self.random_mode(),
+            ms: self.random_ms(3000..40_000),
         }
     }
 
@@ -126,77 +126,77 @@
     }
 }
 
-type Fault = fn(&mut Draw) -> Trouble;
+type MakeTrouble = fn(&mut DayBuilder) -> Trouble;
 
 /// Every kind of trouble of the list, as meetings draw it.
-const FAULTS: [(&str, Fault); 28] = [
+const FAULTS: [(&str, MakeTrouble); 28] = [
     ("crash", |d| Trouble::Crash {
-        who: d.one(),
-        back_ms: d.back(),
+        who: d.random_node(),
+        back_ms: d.restart_delay_ms(),
     }),
     ("crash-all", |d| Trouble::Crash {
         who: Who::All,
-        back_ms: d.back(),
+        back_ms: d.restart_delay_ms(),
     }),
     ("fuse", |d| Trouble::Fuse {
-        who: d.one(),
+        who: d.random_node(),
         question: d.rng.u32(1..25),
-        back_ms: d.back(),
+        back_ms: d.restart_delay_ms(),
     }),
     ("freeze", |d| Trouble::Freeze {
-        who: d.one(),
-        ms: d.ms(1000..20_000),
+        who: d.random_node(),
+        ms: d.random_ms(1000..20_000),
     }),
-    ("cut-state", |d| d.cut(Frontend::State)),
-    ("cut-peers", |d| d.cut(Frontend::Nodes)),
-    ("cut-machines", |d| d.cut(Frontend::Machines)),
+    ("cut-state", |d| d.random_cut(Frontend::State)),
+    ("cut-peers", |d| d.random_cut(Frontend::Nodes)),
+    ("cut-machines", |d| d.random_cut(Frontend::Machines)),
     ("late", |d| Trouble::Late {
-        who: d.one(),
-        for_ms: d.ms(300..5000),
-        ms: d.ms(1000..15_000),
+        who: d.random_node(),
+        for_ms: d.random_ms(300..5000),
+        ms: d.random_ms(1000..15_000),
     }),
     ("zone", |d| Trouble::Zone {
-        zone: d.zone(),
-        ms: d.ms(5000..40_000),
+        zone: d.random_zone(),
+        ms: d.random_ms(5000..40_000),
     }),
     ("state-out", |d| Trouble::StateOut {
-        ms: d.ms(3000..45_000),
+        ms: d.random_ms(3000..45_000),
     }),
     ("refused", |d| Trouble::Refused {
-        who: d.one(),
-        ms: d.ms(3000..40_000),
+        who: d.random_node(),
+        ms: d.random_ms(3000..40_000),
     }),
     ("state-slow", |d| Trouble::StateSlow {
-        ms: d.ms(5000..40_000),
+        ms: d.random_ms(5000..40_000),
     }),
     ("die", |d| Trouble::Die {
         machines: d.rng.usize(1..4),
     }),
     ("late-writes", |d| Trouble::LateWrites {
         share: [0.1, 0.3, 0.7][d.rng.usize(0..3)],
-        for_ms: d.ms(3000..40_000),
+        for_ms: d.random_ms(3000..40_000),
         at_once: false,
     }),
     ("late-reports", |d| Trouble::LateReports {
         share: [0.1, 0.5, 1.0][d.rng.usize(0..3)],
-        for_ms: d.ms(3000..40_000),
+        for_ms: d.random_ms(3000..40_000),
         next: NextLeader::No,
     }),
     ("deaf", |d| Trouble::Deaf {
-        machines: d.machines(),
-        ms: d.ms(3000..40_000),
+        machines: d.random_machines(),
+        ms: d.random_ms(3000..40_000),
     }),
-    ("close-looks", users::looks),
-    ("cancel-now", users::cancels),
-    ("cancel-at-end", users::cancels_at_end),
-    ("odd-requests", users::odd),
+    ("close-looks", users::close_looks),
+    ("cancel-now", users::cancel_now),
+    ("cancel-at-end", users::cancel_at_end),
+    ("odd-requests", users::odd_requests_trouble),
     ("cut-off", |d| Trouble::CutOff {
-        who: d.one(),
-        ms: d.ms(3000..60_000),
+        who: d.random_node(),
+        ms: d.random_ms(3000..60_000),
     }),
     ("unanswered-writes", |d| Trouble::LateWrites {
         share: [0.1, 0.3, 0.7][d.rng.usize(0..3)],
-        for_ms: d.ms(3000..40_000),
+        for_ms: d.random_ms(3000..40_000),
         at_once: true,
     }),
     ("reports-for-next", |d| {
@@ -204,7 +204,7 @@
         let share = [0.1, 0.5, 1.0][d.rng.usize(0..3)];
         Trouble::LateReports {
             share,
-            for_ms: d.ms(3000..40_000),
+            for_ms: d.random_ms(3000..40_000),
             next,
         }
     }),
@@ -212,23 +212,23 @@
         let share = [0.1, 0.3, 1.0][d.rng.usize(0..3)];
         Trouble::LateReports {
             share,
-            for_ms: d.ms(3000..30_000),
+            for_ms: d.random_ms(3000..30_000),
             next: NextLeader::Held,
         }
     }),
     ("mute", |d| Trouble::Mute {
-        machines: d.machines(),
-        ms: d.ms(3000..40_000),
+        machines: d.random_machines(),
+        ms: d.random_ms(3000..40_000),
     }),
     ("hang", |d| Trouble::Hang {
-        machines: d.machines(),
-        ms: d.ms(1000..20_000),
+        machines: d.random_machines(),
+        ms: d.random_ms(1000..20_000),
     }),
     ("quick-boots", |d| Trouble::QuickBoots {
-        ms: d.ms(10_000..60_000),
+        ms: d.random_ms(10_000..60_000),
     }),
     ("slow-links", |d| Trouble::SlowLinks {
-        ms: d.ms(5000..40_000),
+        ms: d.random_ms(5000..40_000),
     }),
 ];
 
@@ -237,33 +237,49 @@
     FAULTS.iter().map(|(name, _)| *name).collect()
 }
 
-type Named = fn(&mut Draw);
+type AddTroubles = fn(&mut DayBuilder);
 
 /// One day for each meeting that broke rules elsewhere.
-const NAMED: [(&str, Named); 19] = [
+const NAMED_DAYS: [(&str, AddTroubles); 19] = [
     ("asked-everywhere", users::asked_everywhere),
-    ("asked-everywhere-troubled", users::asked_everywhere_between),
+    (
+        "asked-everywhere-troubled",
+        users::asked_everywhere_with_leader_crashes,
+    ),
     ("cancelled-at-end", users::cancelled_at_the_end),
     (
         "cancelled-at-end-troubled",
-        users::cancelled_at_the_end_between,
+        users::cancelled_at_the_end_with_leader_crashes,
     ),
     ("many-cancelled", users::many_cancelled),
-    ("many-cancelled-troubled", users::many_cancelled_between),
+    (
+        "many-cancelled-troubled",
+        users::many_cancelled_with_leader_crashes,
+    ),
     ("one-task-jobs", users::one_task_jobs),
-    ("one-task-jobs-troubled", users::one_task_jobs_between),
+    (
+        "one-task-jobs-troubled",
+        users::one_task_jobs_with_leader_crashes,
+    ),
     ("odd-users", users::odd_requests),
-    ("odd-users-troubled", users::odd_requests_between),
+    (
+        "odd-users-troubled",
+        users::odd_requests_with_leader_crashes,
+    ),
     // The state service refuses the leader alone, then everybody for longer than a cancel may take, twice.
     ("refused-then-out", |d| {
-        d.jobs = Jobs {
-            cancelled: 0.5,
+        d.jobs = JobMix {
+            cancelled_share: 0.5,
             long_ms: 100_000..187_000,
-            long_every: 9000,
-            short_every: 20_000,
+            long_every_ms: 9000,
+            short_every_ms: 20_000,
         };
         d.rounds(2, 90_000, |d, at| {
-            let (ms, apart, out) = (d.ms(3000..16_000), d.ms(1000..7000), d.ms(41_000..46_000));
+            let (ms, apart, out) = (
+                d.random_ms(3000..16_000),
+                d.random_ms(1000..7000),
+                d.random_ms(41_000..46_000),
+            );
             d.add(
                 at,
                 Trouble::Refused {
@@ -277,11 +293,11 @@
     }),
     // It answers slowly, with a refusal and an outage in between, while users cancel and ask.
     ("slow-then-refused", |d| {
-        d.jobs.cancelled = 0.6;
+        d.jobs.cancelled_share = 0.6;
         d.rounds(3, 30_000, |d, at| {
             d.add(at, Trouble::StateSlow { ms: 25_000 });
-            let (refused, out) = (d.ms(500..10_000), d.ms(5000..20_000));
-            let (ms, all) = (d.ms(2000..12_000), d.ms(1000..8000));
+            let (refused, out) = (d.random_ms(500..10_000), d.random_ms(5000..20_000));
+            let (ms, all) = (d.random_ms(2000..12_000), d.random_ms(1000..8000));
             d.add(
                 at + refused,
                 Trouble::Refused {
@@ -294,9 +310,9 @@
     }),
     // Commands and answers are held up for seconds, and the machine then goes on.
     ("commands-held", |d| {
-        d.jobs.cancelled = 0.5;
+        d.jobs.cancelled_share = 0.5;
         d.rounds(6, 14_000, |d, at| {
-            let (for_ms, ms) = (d.ms(1000..6000), d.ms(2000..12_000));
+            let (for_ms, ms) = (d.random_ms(1000..6000), d.random_ms(2000..12_000));
             d.add(
                 at,
                 Trouble::Late {
@@ -305,7 +321,7 @@
                     ms,
                 },
             );
-            let (apart, ms) = (d.ms(0..8000), d.ms(1000..6000));
+            let (apart, ms) = (d.random_ms(0..8000), d.random_ms(1000..6000));
             d.add(
                 at + apart,
                 Trouble::Cut {
@@ -319,14 +335,18 @@
     }),
     // A leader ends while machines with long tasks are out of reach, or don't hear the next one.
     ("leader-ends-unheard", |d| {
-        (d.jobs.cancelled, d.jobs.long_every) = (0.3, 9000);
+        (d.jobs.cancelled_share, d.jobs.long_every_ms) = (0.3, 9000);
         d.rounds(3, 40_000, |d, at| {
-            let (zone, ms) = (d.zone(), d.ms(6000..25_000));
+            let (zone, ms) = (d.random_zone(), d.random_ms(6000..25_000));
             let machines = [Machines::Share(0.4), Machines::Zone(zone)][d.rng.usize(0..2)];
             d.add(at, Trouble::Deaf { machines, ms });
-            let (cut, apart, back_ms) = (d.ms(3000..15_000), d.ms(0..6000), d.back());
+            let (cut, apart, back_ms) = (
+                d.random_ms(3000..15_000),
+                d.random_ms(0..6000),
+                d.restart_delay_ms(),
+            );
             if d.rng.bool() {
-                let (from, how) = (Frontend::MachinesIn(zone.into()), d.how());
+                let (from, how) = (Frontend::MachinesIn(zone.into()), d.random_mode());
                 d.add(
                     at,
                     Trouble::Cut {
@@ -348,7 +368,7 @@
     }),
     // Transactions land late, after newer ones, also of a leader that has ended since.
     ("late-writes", |d| {
-        d.jobs.cancelled = 0.5;
+        d.jobs.cancelled_share = 0.5;
         d.add(
             BEGIN,
             Trouble::LateWrites {
@@ -358,7 +378,7 @@
             },
         );
         d.rounds(5, 16_000, |d, at| {
-            let (apart, back_ms) = (d.ms(1000..14_000), d.back());
+            let (apart, back_ms) = (d.random_ms(1000..14_000), d.restart_delay_ms());
             d.add(
                 at + apart,
                 Trouble::Crash {
@@ -370,14 +390,14 @@
     }),
     // Jobs of two or three tasks that end far apart, with changes of leader in between.
     ("short-jobs-apart", |d| {
-        d.jobs = Jobs {
-            cancelled: 0.2,
+        d.jobs = JobMix {
+            cancelled_share: 0.2,
             long_ms: 40_000..70_000,
-            long_every: 20_000,
-            short_every: 2500,
+            long_every_ms: 20_000,
+            short_every_ms: 2500,
         };
         d.rounds(6, 14_000, |d, at| {
-            let (apart, back_ms) = (d.ms(0..9000), d.back());
+            let (apart, back_ms) = (d.random_ms(0..9000), d.restart_delay_ms());
             d.add(
                 at + apart,
                 Trouble::Crash {
@@ -385,7 +405,7 @@
                     back_ms,
                 },
             );
-            let (die, ms) = (d.ms(0..12_000), d.ms(2000..17_000));
+            let (die, ms) = (d.random_ms(0..12_000), d.random_ms(2000..17_000));
             d.add(
                 at + die,
                 Trouble::Deaf {
@@ -400,9 +420,9 @@
     }),
     // Cut from the state service and its peers, while workers and users still reach it.
     ("leader-cut-off", |d| {
-        (d.jobs.cancelled, d.jobs.long_every) = (0.6, 9000);
+        (d.jobs.cancelled_share, d.jobs.long_every_ms) = (0.6, 9000);
         d.rounds(3, 40_000, |d, at| {
-            let (ms, apart) = (d.ms(8000..60_000), d.ms(3000..12_000));
+            let (ms, apart) = (d.random_ms(8000..60_000), d.random_ms(3000..12_000));
             d.add(
                 at,
                 Trouble::CutOff {
@@ -423,10 +443,10 @@
     }),
     // Handed over and back, all end, and one returns, also within a second.
     ("hand-over-and-back", |d| {
-        d.jobs.cancelled = 0.4;
+        d.jobs.cancelled_share = 0.4;
         d.rounds(5, 18_000, |d, at| {
             for apart in [0, 700, 1500, 2500] {
-                let (apart, back_ms) = (apart + d.ms(0..700), d.ms(50..600));
+                let (apart, back_ms) = (apart + d.random_ms(0..700), d.random_ms(50..600));
                 d.add(
                     at + apart,
                     Trouble::Crash {
@@ -435,7 +455,7 @@
                     },
                 );
             }
-            let (all, back_ms) = (d.ms(4000..12_000), d.ms(4000..15_000));
+            let (all, back_ms) = (d.random_ms(4000..12_000), d.random_ms(4000..15_000));
             // All end; one of them returns at once, since it ends later and is back sooner.
             d.add(
                 at + all,
@@ -444,7 +464,7 @@
                     back_ms,
                 },
             );
-            let (one, soon) = (d.rng.usize(0..d.nodes), d.ms(50..1000));
+            let (one, soon) = (d.rng.usize(0..d.nodes), d.random_ms(50..1000));
             d.add(
                 at + all - 1,
                 Trouble::Crash {
@@ -456,7 +476,7 @@
     }),
     // Old reports after newer ones, from sessions and attempts of before, over changes of leader.
     ("old-reports", |d| {
-        d.jobs.cancelled = 0.4;
+        d.jobs.cancelled_share = 0.4;
         d.add(
             BEGIN,
             Trouble::LateReports {
@@ -466,7 +486,7 @@
             },
         );
         d.rounds(4, 20_000, |d, at| {
-            let (apart, ms) = (d.ms(0..10_000), d.ms(10_000..25_000));
+            let (apart, ms) = (d.random_ms(0..10_000), d.random_ms(10_000..25_000));
             d.add(
                 at + apart,
                 Trouble::Deaf {
@@ -474,7 +494,7 @@
                     ms,
                 },
             );
-            let (apart, back_ms) = (d.ms(0..18_000), d.back());
+            let (apart, back_ms) = (d.random_ms(0..18_000), d.restart_delay_ms());
             d.add(
                 at + apart,
                 Trouble::Crash {
@@ -486,27 +506,27 @@
     }),
 ];
 
-fn all_named() -> impl Iterator<Item = &'static (&'static str, Named)> {
-    NAMED.iter().chain(&machines::DAYS)
+fn all_named_days() -> impl Iterator<Item = &'static (&'static str, AddTroubles)> {
+    NAMED_DAYS.iter().chain(&machines::NAMED_DAYS)
 }
 
 /// The names of the days that have one.
 pub fn named() -> Vec<&'static str> {
-    all_named().map(|(name, _)| *name).collect()
+    all_named_days().map(|(name, _)| *name).collect()
 }
 
 /// A day on which troubles of these kinds meet, and what it is called.
 pub fn meeting(seed: u64, nodes: usize, kinds: &[usize]) -> (Plan, String) {
-    let name: Vec<&str> = kinds.iter().map(|k| FAULTS[*k].0).collect();
-    let name = name.join("+");
-    let mut d = Draw::new(seed ^ hash(&name), nodes);
+    let names: Vec<&str> = kinds.iter().map(|k| FAULTS[*k].0).collect();
+    let name = names.join("+");
+    let mut d = DayBuilder::new(seed ^ hash(&name), nodes);
     // Far enough that two outages don't make one in which users give up their submissions.
-    let apart = d.ms(70_000..85_000);
+    let apart = d.random_ms(70_000..85_000);
     d.rounds(2, apart, |d, at| {
         // Within a moment of each other as often as within seconds.
         let within = if d.rng.bool() { 1500 } else { 14_000 };
         for kind in kinds {
-            let (later, trouble) = (d.ms(0..within), FAULTS[*kind].1(d));
+            let (later, trouble) = (d.random_ms(0..within), FAULTS[*kind].1(d));
             d.add(at + later, trouble);
         }
     });
@@ -515,8 +535,8 @@
 
 /// A day by its name: one of [`named`], or kinds of trouble joined by `+`.
 pub fn day(name: &str, seed: u64, nodes: usize) -> Option<Plan> {
-    if let Some((_, troubles)) = all_named().find(|(n, _)| *n == name) {
-        let mut d = Draw::new(seed ^ hash(name), nodes);
+    if let Some((_, troubles)) = all_named_days().find(|(n, _)| *n == name) {
+        let mut d = DayBuilder::new(seed ^ hash(name), nodes);
         troubles(&mut d);
         return Some(d.plan(seed));
     }
@@ -532,7 +552,7 @@
     })
 }
 
-impl Draw {
+impl DayBuilder {
     fn plan(mut self, seed: u64) -> Plan {
         let quiet = self
             .troubles
@@ -541,15 +561,15 @@
             .max()
             .unwrap_or(BEGIN);
         self.troubles.sort_by_key(|(at, _)| *at);
-        let jobs = self.draw_jobs(quiet);
+        let jobs = self.make_jobs(quiet);
         // Now and then the state service bears little.
-        let little = Limits {
+        let low_limits = Limits {
             rps: 80.0,
             write_rps: 25.0,
             value_kb: 8.0,
             txn_ops: 8,
         };
-        let limits = (seed % 3 == 2).then_some(little);
+        let limits = (seed % 3 == 2).then_some(low_limits);
         let day = Day {
             troubles: self.troubles,
             quiet,
@@ -562,7 +582,7 @@
             day: Some(day),
             ..Scene::default()
         };
-        let limit = |usual| self.more.limit(usual);
+        let limit = |usual| self.options.team_limit(usual);
         let scene = scene
             .team("red", 8.0, limit(24.0))
             .team("blue", 8.0, limit(28.0));
@@ -570,23 +590,23 @@
         Plan::of_scene(seed, self.nodes, scene, 0, quiet + AFTER_MS)
     }
 
-    fn draw_jobs(&mut self, quiet: u64) -> Vec<Timed> {
+    fn make_jobs(&mut self, quiet: u64) -> Vec<Timed> {
         let mut jobs = Vec::new();
-        let (long, long_every, short_every) = (
+        let (long, long_every_ms, short_every_ms) = (
             self.jobs.long_ms.clone(),
-            self.jobs.long_every,
-            self.jobs.short_every,
+            self.jobs.long_every_ms,
+            self.jobs.short_every_ms,
         );
-        self.arrive("array", 11_000, 3..13, 8000..20_000, quiet, &mut jobs);
-        self.arrive("gang", 13_000, 2..5, 8000..25_000, quiet, &mut jobs);
-        self.arrive("short", short_every, 2..4, 1500..6000, quiet, &mut jobs);
-        self.arrive("long", long_every, 1..4, long, quiet, &mut jobs);
-        self.draw_rapid(&mut jobs);
+        self.add_jobs("array", 11_000, 3..13, 8000..20_000, quiet, &mut jobs);
+        self.add_jobs("gang", 13_000, 2..5, 8000..25_000, quiet, &mut jobs);
+        self.add_jobs("short", short_every_ms, 2..4, 1500..6000, quiet, &mut jobs);
+        self.add_jobs("long", long_every_ms, 1..4, long, quiet, &mut jobs);
+        self.add_one_task_jobs(&mut jobs);
         jobs
     }
 
     /// Jobs of a class, so far apart on average.
-    fn arrive(
+    fn add_jobs(
         &mut self,
         class: &str,
         every: u64,
@@ -595,9 +615,9 @@
         quiet: u64,
         jobs: &mut Vec<Timed>,
     ) {
-        let mut at = self.ms(1000..every);
+        let mut at = self.random_ms(1000..every);
         while at < ARRIVALS {
-            let run_ms = self.ms(run.clone());
+            let run_ms = self.random_ms(run.clone());
             let team = TEAMS[self.rng.usize(0..3)];
             let tasks = self.rng.u32(tasks.clone());
             let spec = array(
@@ -606,33 +626,35 @@
                 tasks,
                 run_ms as f64 / 1000.0,
             );
-            let spec = self.dress(class, spec);
-            let cancel_ms =
-                (self.rng.f64() < self.jobs.cancelled).then(|| self.cancelled_at(at, quiet) - at);
+            let spec = self.with_class(class, spec);
+            let cancel_ms = (self.rng.f64() < self.jobs.cancelled_share)
+                .then(|| self.cancel_time(at, quiet) - at);
             jobs.push(Timed {
                 at,
                 run_ms,
                 cancel_ms,
                 spec,
             });
-            at += self.ms(1..2 * every);
+            at += self.random_ms(1..2 * every);
         }
     }
 
     /// Close after some trouble began, or at any moment of them all.
-    fn cancelled_at(&mut self, submitted: u64, quiet: u64) -> u64 {
-        if let Some(at) = self.more.cancelled_at(&mut self.rng, &self.troubles) {
+    fn cancel_time(&mut self, submitted: u64, quiet: u64) -> u64 {
+        if let Some(at) = self.options.cancel_time(&mut self.rng, &self.troubles) {
             return at.max(submitted + 200);
         }
-        let near = self.rng.bool();
+        let near_trouble = self.rng.bool();
         let at = match self.troubles.len() {
-            n if n > 0 && near => self.troubles[self.rng.usize(0..n)].0 + self.rng.u64(0..15_000),
+            n if n > 0 && near_trouble => {
+                self.troubles[self.rng.usize(0..n)].0 + self.rng.u64(0..15_000)
+            }
             _ => self.rng.u64(BEGIN - 5000..quiet.max(BEGIN + 1)),
         };
         at.max(submitted + 200)
     }
 
-    fn dress(&mut self, class: &str, mut spec: JobSpec) -> JobSpec {
+    fn with_class(&mut self, class: &str, mut spec: JobSpec) -> JobSpec {
         spec.class = class.into();
         spec.priority = [Priority::Low, Priority::Normal][self.rng.usize(0..2)];
         if class == "gang" {
@@ -644,7 +666,7 @@
         if class == "long" && self.rng.bool() {
             spec.checkpoint_s = 0.0;
         }
-        self.more.dress(&mut self.rng, &mut spec);
+        self.options.apply(&mut self.rng, &mut spec);
         spec
     }
 }
@@ -667,9 +689,9 @@
 
 /// Plays a day. On every other one the operators' settings are what they are without a file, instead of quicker.
 pub fn play(plan: Plan) -> (World, Played) {
-    let usual = plan.seed % 2 == 1;
+    let uses_default_settings = plan.seed % 2 == 1;
     let mut world = World::new(plan);
-    if usual {
+    if uses_default_settings {
         for (section, key, value) in [
             ("fleet", "silent_s", "7"),
             ("fleet", "idle_s", "5"),
@@ -680,13 +702,13 @@
     }
     world.run_day();
     let verdict = world.verdict();
-    let ordered = world.rules.after_cancel.failure();
+    let ordered_after_cancel = world.rules.after_cancel.failure();
     let played = Played {
         rules_broken: world.rules.broken.len(),
         failures: verdict
             .failures(&world.rules)
             .into_iter()
-            .chain(ordered)
+            .chain(ordered_after_cancel)
             .collect(),
         changes_per_job: world.state.counts.changes as f64 / verdict.jobs.max(1) as f64,
         verdict,
--- a/crates/standins/src/meetings/machines.rs
+++ b/crates/standins/src/meetings/machines.rs
@@ -1,41 +1,41 @@
 //! Days by name for the meetings of the machines' and the state service's side. On each the leader ends and the state
 //! service is out meanwhile.
 
-use super::{Draw, Jobs, Named};
+use super::{AddTroubles, DayBuilder, JobMix};
 use crate::days::{BEGIN, Machines, NextLeader, Trouble, Who};
 use wire::api::{JobSpec, Priority};
 
 /// What else of a day's jobs and teams differs.
 #[derive(Default)]
-pub(super) struct More {
+pub(super) struct JobOptions {
     /// All cancels come so soon after some trouble began.
-    cancel_within: Option<u64>,
+    cancel_within_ms: Option<u64>,
     /// Most jobs have to be in one zone, or in a certain one.
-    zoned: bool,
+    binds_zones: bool,
     /// Jobs of every urgency.
-    urgent: bool,
+    all_priorities: bool,
     /// What each team may use at most.
-    limit: Option<f64>,
+    team_limit: Option<f64>,
 }
 
-impl More {
+impl JobOptions {
     /// When a job is cancelled, if that is tied to the troubles.
-    pub(super) fn cancelled_at(
+    pub(super) fn cancel_time(
         &self,
         rng: &mut fastrand::Rng,
         troubles: &[(u64, Trouble)],
     ) -> Option<u64> {
-        let within = self.cancel_within?;
+        let within = self.cancel_within_ms?;
         let (at, _) = troubles.get(rng.usize(0..troubles.len().max(1)))?;
         Some(at + rng.u64(0..within))
     }
 
-    pub(super) fn dress(&self, rng: &mut fastrand::Rng, spec: &mut JobSpec) {
-        if self.zoned && rng.u32(0..3) > 0 {
+    pub(super) fn apply(&self, rng: &mut fastrand::Rng, spec: &mut JobSpec) {
+        if self.binds_zones && rng.u32(0..3) > 0 {
             spec.zone = rng.bool().then(|| ["a", "b"][rng.usize(0..2)].to_owned());
             spec.one_zone |= spec.zone.is_none();
         }
-        if self.urgent {
+        if self.all_priorities {
             let all = [
                 Priority::Low,
                 Priority::Normal,
@@ -46,15 +46,15 @@
         }
     }
 
-    pub(super) fn limit(&self, usual: f64) -> f64 {
-        self.limit.unwrap_or(usual)
+    pub(super) fn team_limit(&self, usual: f64) -> f64 {
+        self.team_limit.unwrap_or(usual)
     }
 }
 
-impl Draw {
+impl DayBuilder {
     /// Within so long the leader ends, and the state service is out.
-    fn leader_ends_and_state_out(&mut self, at: u64, within: u64) {
-        let (ends, back_ms) = (self.ms(0..within), self.back());
+    fn crash_leader_and_stop_state(&mut self, at: u64, within: u64) {
+        let (ends, back_ms) = (self.random_ms(0..within), self.restart_delay_ms());
         self.add(
             at + ends,
             Trouble::Crash {
@@ -62,14 +62,14 @@
                 back_ms,
             },
         );
-        let (out, ms) = (self.ms(0..within), self.ms(2000..10_000));
+        let (out, ms) = (self.random_ms(0..within), self.random_ms(2000..10_000));
         self.add(at + out, Trouble::StateOut { ms });
     }
 
     /// The leader ends so many times, so far apart.
-    fn leaders(&mut self, count: u64, apart: u64, back: std::ops::Range<u64>) {
+    fn crash_leader_repeatedly(&mut self, count: u64, apart: u64, back: std::ops::Range<u64>) {
         self.rounds(count, apart, |d, at| {
-            let (apart, back_ms) = (d.ms(0..apart / 2), d.ms(back.clone()));
+            let (apart, back_ms) = (d.random_ms(0..apart / 2), d.random_ms(back.clone()));
             d.add(
                 at + apart,
                 Trouble::Crash {
@@ -82,10 +82,10 @@
 }
 
 /// One day for each.
-pub(super) const DAYS: [(&str, Named); 13] = [
+pub(super) const NAMED_DAYS: [(&str, AddTroubles); 13] = [
     // Transactions are carried out at once and not answered, while other nodes read what they wrote.
     ("answers-lost", |d| {
-        d.jobs.cancelled = 0.6;
+        d.jobs.cancelled_share = 0.6;
         d.add(
             BEGIN,
             Trouble::LateWrites {
@@ -94,11 +94,11 @@
                 at_once: true,
             },
         );
-        d.rounds(4, 20_000, |d, at| d.leader_ends_and_state_out(at, 16_000));
+        d.rounds(4, 20_000, |d, at| d.crash_leader_and_stop_state(at, 16_000));
     }),
     // Copies of old reports come to every controller, or to the next leader, just as it begins.
     ("old-reports-at-a-take-over", |d| {
-        d.jobs.cancelled = 0.4;
+        d.jobs.cancelled_share = 0.4;
         d.rounds(4, 22_000, |d, at| {
             let next = [NextLeader::CopyToOne, NextLeader::CopyToAll][d.rng.usize(0..2)];
             d.add(
@@ -109,7 +109,7 @@
                     next,
                 },
             );
-            let ms = d.ms(4000..18_000);
+            let ms = d.random_ms(4000..18_000);
             d.add(
                 at + 1000,
                 Trouble::Deaf {
@@ -117,14 +117,17 @@
                     ms,
                 },
             );
-            d.leader_ends_and_state_out(at + 4000, 16_000);
+            d.crash_leader_and_stop_state(at + 4000, 16_000);
         });
     }),
     // Reports are held back until the next leader has acted, and arrive there.
     ("reports-held", |d| {
-        d.jobs.cancelled = 0.4;
+        d.jobs.cancelled_share = 0.4;
         d.rounds(4, 22_000, |d, at| {
-            let (share, for_ms) = ([0.2, 0.5, 1.0][d.rng.usize(0..3)], d.ms(4000..14_000));
+            let (share, for_ms) = (
+                [0.2, 0.5, 1.0][d.rng.usize(0..3)],
+                d.random_ms(4000..14_000),
+            );
             d.add(
                 at,
                 Trouble::LateReports {
@@ -133,16 +136,16 @@
                     next: NextLeader::Held,
                 },
             );
-            d.leader_ends_and_state_out(at + 2000, 12_000);
+            d.crash_leader_and_stop_state(at + 2000, 12_000);
         });
     }),
     // Machines reach no controller, while direct commands reach them.
     ("mute", |d| {
-        d.jobs.cancelled = 0.5;
+        d.jobs.cancelled_share = 0.5;
         d.rounds(3, 32_000, |d, at| {
-            let (machines, ms) = (d.machines(), d.ms(8000..30_000));
+            let (machines, ms) = (d.random_machines(), d.random_ms(8000..30_000));
             d.add(at, Trouble::Mute { machines, ms });
-            let (apart, ms) = (d.ms(0..10_000), d.ms(3000..20_000));
+            let (apart, ms) = (d.random_ms(0..10_000), d.random_ms(3000..20_000));
             d.add(
                 at + apart,
                 Trouble::Mute {
@@ -150,20 +153,20 @@
                     ms,
                 },
             );
-            d.leader_ends_and_state_out(at, 20_000);
+            d.crash_leader_and_stop_state(at, 20_000);
         });
     }),
     // New machines are up within two seconds and get work at once while writes lag, and the leader ends.
     ("quick-boots", |d| {
-        d.jobs = Jobs {
-            cancelled: 0.4,
+        d.jobs = JobMix {
+            cancelled_share: 0.4,
             long_ms: 20_000..50_000,
-            long_every: 9000,
-            short_every: 4000,
+            long_every_ms: 9000,
+            short_every_ms: 4000,
         };
         d.add(BEGIN, Trouble::QuickBoots { ms: 90_000 });
         d.rounds(5, 16_000, |d, at| {
-            let (for_ms, at_once) = (d.ms(5000..14_000), d.rng.bool());
+            let (for_ms, at_once) = (d.random_ms(5000..14_000), d.rng.bool());
             d.add(
                 at,
                 Trouble::LateWrites {
@@ -175,59 +178,62 @@
             if d.rng.bool() {
                 d.add(at + 500, Trouble::StateSlow { ms: for_ms });
             }
-            let (apart, machines) = (d.ms(0..4000), d.rng.usize(2..6));
+            let (apart, machines) = (d.random_ms(0..4000), d.rng.usize(2..6));
             d.add(at + apart, Trouble::Die { machines });
-            d.leader_ends_and_state_out(at + 6000, 9000);
+            d.crash_leader_and_stop_state(at + 6000, 9000);
         });
     }),
     // Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the leader changes.
     ("at-the-limits", |d| {
-        d.jobs = Jobs {
-            cancelled: 0.5,
+        d.jobs = JobMix {
+            cancelled_share: 0.5,
             long_ms: 40_000..80_000,
-            long_every: 6000,
-            short_every: 6000,
+            long_every_ms: 6000,
+            short_every_ms: 6000,
         };
-        (d.more.cancel_within, d.more.limit) = (Some(6000), Some(8.0));
+        (d.options.cancel_within_ms, d.options.team_limit) = (Some(6000), Some(8.0));
         d.rounds(4, 24_000, |d, at| {
-            let (machines, ms) = (d.machines(), d.ms(4000..18_000));
+            let (machines, ms) = (d.random_machines(), d.random_ms(4000..18_000));
             let hidden = [
                 Trouble::Hang { machines, ms },
                 Trouble::Mute { machines, ms },
                 Trouble::Deaf { machines, ms },
-                Trouble::Zone { zone: d.zone(), ms },
+                Trouble::Zone {
+                    zone: d.random_zone(),
+                    ms,
+                },
             ];
             let one = hidden[d.rng.usize(0..4)].clone();
             d.add(at, one);
-            d.leader_ends_and_state_out(at, 8000);
+            d.crash_leader_and_stop_state(at, 8000);
         });
     }),
     // Jobs are cancelled in the seconds in which the fleet changes hands.
     ("cancels-in-a-hand-over", |d| {
-        d.jobs = Jobs {
-            cancelled: 0.7,
+        d.jobs = JobMix {
+            cancelled_share: 0.7,
             long_ms: 60_000..100_000,
-            long_every: 8000,
-            short_every: 4000,
+            long_every_ms: 8000,
+            short_every_ms: 4000,
         };
-        d.more.cancel_within = Some(4000);
-        d.leaders(6, 15_000, 50..4000);
-        let at = BEGIN + d.ms(10_000..70_000);
-        d.leader_ends_and_state_out(at, 4000);
+        d.options.cancel_within_ms = Some(4000);
+        d.crash_leader_repeatedly(6, 15_000, 50..4000);
+        let at = BEGIN + d.random_ms(10_000..70_000);
+        d.crash_leader_and_stop_state(at, 4000);
     }),
     // Ten leaders in two minutes.
     ("ten-leaders", |d| {
-        d.jobs.cancelled = 0.4;
-        d.leaders(10, 12_000, 50..6000);
+        d.jobs.cancelled_share = 0.4;
+        d.crash_leader_repeatedly(10, 12_000, 50..6000);
     }),
     // The same with outages meanwhile.
     ("ten-leaders-in-outages", |d| {
-        d.jobs.cancelled = 0.4;
-        d.leaders(10, 12_000, 50..3000);
+        d.jobs.cancelled_share = 0.4;
+        d.crash_leader_repeatedly(10, 12_000, 50..3000);
         d.rounds(3, 38_000, |d, at| {
-            let (apart, ms) = (d.ms(0..10_000), d.ms(10_000..26_000));
+            let (apart, ms) = (d.random_ms(0..10_000), d.random_ms(10_000..26_000));
             d.add(at + apart, Trouble::StateOut { ms });
-            let (within, back_ms) = (d.ms(0..ms), d.back());
+            let (within, back_ms) = (d.random_ms(0..ms), d.restart_delay_ms());
             d.add(
                 at + apart + within,
                 Trouble::Crash {
@@ -239,9 +245,9 @@
     }),
     // All controllers are away for longer than a lease.
     ("all-away", |d| {
-        d.jobs.cancelled = 0.4;
+        d.jobs.cancelled_share = 0.4;
         d.rounds(2, 60_000, |d, at| {
-            let back_ms = d.ms(16_000..30_000);
+            let back_ms = d.random_ms(16_000..30_000);
             d.add(
                 at,
                 Trouble::Crash {
@@ -249,48 +255,48 @@
                     back_ms,
                 },
             );
-            d.leader_ends_and_state_out(at + 28_000, 16_000);
+            d.crash_leader_and_stop_state(at + 28_000, 16_000);
         });
     }),
     // A zone with workers and a controller is cut off for longer than a lease.
     ("zone-away", |d| {
-        d.jobs.cancelled = 0.5;
+        d.jobs.cancelled_share = 0.5;
         d.rounds(2, 60_000, |d, at| {
-            let (zone, ms) = (d.zone(), d.ms(18_000..45_000));
+            let (zone, ms) = (d.random_zone(), d.random_ms(18_000..45_000));
             d.add(at, Trouble::Zone { zone, ms });
-            d.leader_ends_and_state_out(at, 40_000);
+            d.crash_leader_and_stop_state(at, 40_000);
         });
     }),
     // Arrays and other jobs that are bound to one zone lose machines.
     ("zones-lose-machines", |d| {
-        d.jobs.cancelled = 0.3;
-        d.more.zoned = true;
+        d.jobs.cancelled_share = 0.3;
+        d.options.binds_zones = true;
         d.rounds(4, 22_000, |d, at| {
-            let (apart, machines) = (d.ms(0..8000), d.rng.usize(1..5));
+            let (apart, machines) = (d.random_ms(0..8000), d.rng.usize(1..5));
             d.add(at + apart, Trouble::Die { machines });
-            let (zone, ms) = (Machines::Zone(d.zone()), d.ms(3000..18_000));
+            let (zone, ms) = (Machines::Zone(d.random_zone()), d.random_ms(3000..18_000));
             let away = [
                 Trouble::Hang { machines: zone, ms },
                 Trouble::Mute { machines: zone, ms },
             ];
             let one = away[d.rng.usize(0..2)].clone();
             d.add(at, one);
-            d.leader_ends_and_state_out(at, 18_000);
+            d.crash_leader_and_stop_state(at, 18_000);
         });
     }),
     // More work than room, urgent and not, over slow links.
     ("crowded-over-slow-links", |d| {
-        d.jobs = Jobs {
-            cancelled: 0.3,
+        d.jobs = JobMix {
+            cancelled_share: 0.3,
             long_ms: 30_000..60_000,
-            long_every: 5000,
-            short_every: 4000,
+            long_every_ms: 5000,
+            short_every_ms: 4000,
         };
-        d.more.urgent = true;
+        d.options.all_priorities = true;
         d.rounds(3, 32_000, |d, at| {
-            let ms = d.ms(10_000..30_000);
+            let ms = d.random_ms(10_000..30_000);
             d.add(at, Trouble::SlowLinks { ms });
-            d.leader_ends_and_state_out(at, 28_000);
+            d.crash_leader_and_stop_state(at, 28_000);
         });
     }),
 ];
