--- a/crates/standins/src/meetings.rs
+++ b/crates/standins/src/meetings.rs
@@ -1,6 +1,6 @@
-//! Meetings of troubles: days on which two or three of the list come together, drawn from a seed, and one day by name for
-//! each meeting that operators have seen break rules. Jobs of several classes, sizes and teams come meanwhile; a share of
-//! them is cancelled while the troubles last.
+//! Combinations of faults ("meetings of troubles"): scenarios in which two or three kinds of faults occur together, drawn
+//! from a seed, and a named scenario for each combination that operators have seen break invariants. Jobs of several
+//! classes, sizes and teams arrive meanwhile; a share of them is cancelled during the faults.
 
 mod machines;
 mod users;
@@ -17,28 +17,28 @@
 use wire::api::{JobSpec, Kind, Priority};
 
 const MACHINES: usize = 12;
-/// Jobs come until then.
+/// Jobs arrive until this time.
 const ARRIVALS: u64 = BEGIN + 90_000;
-/// After the last trouble, until everything ought to be done.
+/// Time after the last fault until all work must be done.
 const AFTER_MS: u64 = 280_000;
 const TEAMS: [&str; 3] = ["red", "blue", "green"];
 
-/// Troubles of one day as they are drawn, and what comes meanwhile.
+/// Builds one scenario: its faults, and the jobs that arrive meanwhile.
 struct DayBuilder {
     rng: fastrand::Rng,
     nodes: usize,
     troubles: Vec<(u64, Trouble)>,
     jobs: JobMix,
-    /// One-task jobs come four a second for so long.
+    /// How long one-task jobs arrive at four per second.
     one_task_jobs_ms: u64,
     options: machines::JobOptions,
 }
 
-/// What of the day's jobs differs from day to day.
+/// How the jobs differ between scenarios.
 struct JobMix {
-    /// Such a share is cancelled while troubles last.
+    /// Share of the jobs that is cancelled during the faults.
     cancelled_share: f64,
-    /// How long tasks of the long class run, and how far apart these jobs and the short ones come on average.
+    /// Run time of tasks of class `long`, and the mean intervals at which jobs of class `long` and `short` arrive.
     long_ms: Range<u64>,
     long_every_ms: u64,
     short_every_ms: u64,
@@ -72,7 +72,7 @@
         self.rng.u64(range)
     }
 
-    /// The leader more often than any other.
+    /// The leader in three of five cases, otherwise any node.
     fn random_node(&mut self) -> Who {
         if self.rng.u32(0..5) < 3 {
             Who::Leader
@@ -94,7 +94,7 @@
         ][self.rng.usize(0..3)]
     }
 
-    /// How soon a process is back: at once, or as late as the sites have it.
+    /// Random restart delay: almost none, or up to 8 s as at the operators' sites.
     fn restart_delay_ms(&mut self) -> u64 {
         match self.rng.u32(0..3) {
             0 => self.rng.u64(50..150),
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Rounds of troubles so far apart.
+    /// Calls `f` with the beginning of each round of faults, `apart` ms after the one before.
     fn rounds(&mut self, rounds: u64, apart: u64, mut f: impl FnMut(&mut Self, u64)) {
         (0..rounds).for_each(|i| f(self, BEGIN + i * apart));
     }
@@ -128,7 +128,7 @@
 
 type MakeTrouble = fn(&mut DayBuilder) -> Trouble;
 
-/// Every kind of trouble of the list, as meetings draw it.
+/// Every kind of fault, with random parameters.
 const FAULTS: [(&str, MakeTrouble); 28] = [
     ("crash", |d| Trouble::Crash {
         who: d.random_node(),
@@ -232,14 +232,14 @@
     }),
 ];
 
-/// The names of all kinds of trouble.
+/// Names of all kinds of faults.
 pub fn kinds() -> Vec<&'static str> {
     FAULTS.iter().map(|(name, _)| *name).collect()
 }
 
 type AddTroubles = fn(&mut DayBuilder);
 
-/// One day for each meeting that broke rules elsewhere.
+/// A scenario for each combination of faults that broke invariants at operators.
 const NAMED_DAYS: [(&str, AddTroubles); 19] = [
     ("asked-everywhere", users::asked_everywhere),
     (
@@ -266,7 +266,7 @@
         "odd-users-troubled",
         users::odd_requests_with_leader_crashes,
     ),
-    // The state service refuses the leader alone, then everybody for longer than a cancel may take, twice.
+    // Twice the state service refuses the leader alone, then answers nobody for longer than a cancellation may take.
     ("refused-then-out", |d| {
         d.jobs = JobMix {
             cancelled_share: 0.5,
@@ -287,11 +287,11 @@
                     ms,
                 },
             );
-            // Users give up a submission after a minute.
+            // The outage stays below a minute, since users give up a submission after that.
             d.add(at + apart, Trouble::StateOut { ms: out });
         });
     }),
-    // It answers slowly, with a refusal and an outage in between, while users cancel and ask.
+    // The state service answers slowly, refuses the leader and goes down meanwhile, while users cancel and query jobs.
     ("slow-then-refused", |d| {
         d.jobs.cancelled_share = 0.6;
         d.rounds(3, 30_000, |d, at| {
@@ -308,7 +308,7 @@
             d.add(at + out, Trouble::StateOut { ms: all });
         });
     }),
-    // Commands and answers are held up for seconds, and the machine then goes on.
+    // Commands and answers are delayed for seconds, then the machine continues.
     ("commands-held", |d| {
         d.jobs.cancelled_share = 0.5;
         d.rounds(6, 14_000, |d, at| {
@@ -333,7 +333,7 @@
             );
         });
     }),
-    // A leader ends while machines with long tasks are out of reach, or don't hear the next one.
+    // The leader crashes while machines with long tasks are unreachable, or don't receive the next leader's messages.
     ("leader-ends-unheard", |d| {
         (d.jobs.cancelled_share, d.jobs.long_every_ms) = (0.3, 9000);
         d.rounds(3, 40_000, |d, at| {
@@ -366,7 +366,7 @@
             );
         });
     }),
-    // Transactions land late, after newer ones, also of a leader that has ended since.
+    // Transactions are applied late, after newer ones, also those of a leader that has crashed since.
     ("late-writes", |d| {
         d.jobs.cancelled_share = 0.5;
         d.add(
@@ -388,7 +388,7 @@
             );
         });
     }),
-    // Jobs of two or three tasks that end far apart, with changes of leader in between.
+    // Jobs of two or three tasks that end far apart, with leader changes in between.
     ("short-jobs-apart", |d| {
         d.jobs = JobMix {
             cancelled_share: 0.2,
@@ -418,7 +418,7 @@
             }
         });
     }),
-    // Cut from the state service and its peers, while workers and users still reach it.
+    // The leader is cut off from the state service and its peers, while workers and users still reach it.
     ("leader-cut-off", |d| {
         (d.jobs.cancelled_share, d.jobs.long_every_ms) = (0.6, 9000);
         d.rounds(3, 40_000, |d, at| {
@@ -441,7 +441,7 @@
             }
         });
     }),
-    // Handed over and back, all end, and one returns, also within a second.
+    // Leadership moves to another node and back; then all nodes crash and one returns, sometimes within a second.
     ("hand-over-and-back", |d| {
         d.jobs.cancelled_share = 0.4;
         d.rounds(5, 18_000, |d, at| {
@@ -456,7 +456,7 @@
                 );
             }
             let (all, back_ms) = (d.random_ms(4000..12_000), d.random_ms(4000..15_000));
-            // All end; one of them returns at once, since it ends later and is back sooner.
+            // All crash; one of them crashes just before and has a shorter restart delay, so it returns first.
             d.add(
                 at + all,
                 Trouble::Crash {
@@ -474,7 +474,7 @@
             );
         });
     }),
-    // Old reports after newer ones, from sessions and attempts of before, over changes of leader.
+    // Reports of earlier sessions and attempts arrive after newer ones, across leader changes.
     ("old-reports", |d| {
         d.jobs.cancelled_share = 0.4;
         d.add(
@@ -510,20 +510,20 @@
     NAMED_DAYS.iter().chain(&machines::NAMED_DAYS)
 }
 
-/// The names of the days that have one.
+/// Names of the named scenarios.
 pub fn named() -> Vec<&'static str> {
     all_named_days().map(|(name, _)| *name).collect()
 }
 
-/// A day on which troubles of these kinds meet, and what it is called.
+/// A scenario in which faults of these kinds occur together, and its name.
 pub fn meeting(seed: u64, nodes: usize, kinds: &[usize]) -> (Plan, String) {
     let names: Vec<&str> = kinds.iter().map(|k| FAULTS[*k].0).collect();
     let name = names.join("+");
     let mut d = DayBuilder::new(seed ^ hash(&name), nodes);
-    // Far enough that two outages don't make one in which users give up their submissions.
+    // Far enough apart that two outages don't merge into one that is long enough for users to give up submissions.
     let apart = d.random_ms(70_000..85_000);
     d.rounds(2, apart, |d, at| {
-        // Within a moment of each other as often as within seconds.
+        // Half of the rounds have their faults within 1.5 s, the others within 14 s.
         let within = if d.rng.bool() { 1500 } else { 14_000 };
         for kind in kinds {
             let (later, trouble) = (d.random_ms(0..within), FAULTS[*kind].1(d));
@@ -533,7 +533,7 @@
     (d.plan(seed), name)
 }
 
-/// A day by its name: one of [`named`], or kinds of trouble joined by `+`.
+/// The scenario with this name: one of [`named`], or kinds of faults joined by `+`.
 pub fn day(name: &str, seed: u64, nodes: usize) -> Option<Plan> {
     if let Some((_, troubles)) = all_named_days().find(|(n, _)| *n == name) {
         let mut d = DayBuilder::new(seed ^ hash(name), nodes);
@@ -545,7 +545,7 @@
     Some(meeting(seed, nodes, &kinds?).0)
 }
 
-/// Days of one seed differ by their names too.
+/// FNV-1a hash, so that scenarios with the same seed and different names differ.
 fn hash(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
@@ -562,7 +562,7 @@
             .unwrap_or(BEGIN);
         self.troubles.sort_by_key(|(at, _)| *at);
         let jobs = self.make_jobs(quiet);
-        // Now and then the state service bears little.
+        // Every third seed has a state service with low limits.
         let low_limits = Limits {
             rps: 80.0,
             write_rps: 25.0,
@@ -605,7 +605,7 @@
         jobs
     }
 
-    /// Jobs of a class, so far apart on average.
+    /// Adds jobs of a class that arrive every `every` ms on average.
     fn add_jobs(
         &mut self,
         class: &str,
@@ -639,7 +639,7 @@
         }
     }
 
-    /// Close after some trouble began, or at any moment of them all.
+    /// A time up to 15 s after the beginning of some fault, or any time until the last fault is over.
     fn cancel_time(&mut self, submitted: u64, quiet: u64) -> u64 {
         if let Some(at) = self.options.cancel_time(&mut self.rng, &self.troubles) {
             return at.max(submitted + 200);
@@ -662,7 +662,7 @@
             spec.one_zone = self.rng.bool();
         }
         spec.spot = self.rng.bool();
-        // Half of what runs long loses everything when it is stopped.
+        // Half of the long jobs lose all progress when they are stopped.
         if class == "long" && self.rng.bool() {
             spec.checkpoint_s = 0.0;
         }
@@ -671,23 +671,23 @@
     }
 }
 
-/// What became of a day.
+/// Results of a scenario.
 #[derive(Debug, Clone, Default)]
 pub struct Played {
     pub rules_broken: usize,
     pub verdict: Verdict,
-    /// The longest that a task of a cancelled job was on a machine after its user was told, and what is allowed.
+    /// The longest time that a task of a cancelled job was on a machine after its user was told, and the allowed time.
     pub cancelled_life_ms: u64,
     pub cancel_ms: u64,
     pub lost: u64,
     pub after_cancel: AfterCancel,
-    /// Changes that the state service was asked for, for each job.
+    /// Changes requested of the state service, per job.
     pub changes_per_job: f64,
-    /// Every rule broken and every job or group not served.
+    /// Every broken invariant and every job or group that was not served.
     pub failures: Vec<String>,
 }
 
-/// Plays a day. On every other one the operators' settings are what they are without a file, instead of quicker.
+/// Runs a scenario. With odd seeds these settings have their defaults instead of the shorter times of other simulations.
 pub fn play(plan: Plan) -> (World, Played) {
     let uses_default_settings = plan.seed % 2 == 1;
     let mut world = World::new(plan);
@@ -720,7 +720,7 @@
     (world, played)
 }
 
-/// For tests of the tests: the same day with something broken on purpose.
+/// The same scenario with a deliberate fault in the system, to test that the checkers notice it.
 pub fn sabotaged(plan: Plan, sabotage: Sabotage) -> Played {
     play(Plan { sabotage, ..plan }).1
 }
--- a/crates/standins/src/meetings/machines.rs
+++ b/crates/standins/src/meetings/machines.rs
@@ -1,25 +1,25 @@
-//! Days by name for the meetings of the machines' and the state service's side. On each the leader ends and the state
-//! service is out meanwhile.
+//! Named scenarios with combined faults of machines and of the state service. In each the leader crashes, and in most
+//! the state service has outages meanwhile.
 
 use super::{AddTroubles, DayBuilder, JobMix};
 use crate::days::{BEGIN, Machines, NextLeader, Trouble, Who};
 use wire::api::{JobSpec, Priority};
 
-/// What else of a day's jobs and teams differs.
+/// Further options of a scenario's jobs and teams.
 #[derive(Default)]
 pub(super) struct JobOptions {
-    /// All cancels come so soon after some trouble began.
+    /// All cancellations come within this time after the beginning of some fault.
     cancel_within_ms: Option<u64>,
-    /// Most jobs have to be in one zone, or in a certain one.
+    /// Two thirds of the jobs have to run in a single zone, half of these in a given one.
     binds_zones: bool,
-    /// Jobs of every urgency.
+    /// Jobs of all priorities.
     all_priorities: bool,
-    /// What each team may use at most.
+    /// Maximum that each team may use.
     team_limit: Option<f64>,
 }
 
 impl JobOptions {
-    /// When a job is cancelled, if that is tied to the troubles.
+    /// When a job is cancelled, if cancellations follow the faults.
     pub(super) fn cancel_time(
         &self,
         rng: &mut fastrand::Rng,
@@ -52,7 +52,7 @@
 }
 
 impl DayBuilder {
-    /// Within so long the leader ends, and the state service is out.
+    /// Within `within` ms after `at` the leader crashes, and an outage of the state service begins.
     fn crash_leader_and_stop_state(&mut self, at: u64, within: u64) {
         let (ends, back_ms) = (self.random_ms(0..within), self.restart_delay_ms());
         self.add(
@@ -66,7 +66,7 @@
         self.add(at + out, Trouble::StateOut { ms });
     }
 
-    /// The leader ends so many times, so far apart.
+    /// The leader crashes `count` times, about every `apart` ms.
     fn crash_leader_repeatedly(&mut self, count: u64, apart: u64, back: std::ops::Range<u64>) {
         self.rounds(count, apart, |d, at| {
             let (apart, back_ms) = (d.random_ms(0..apart / 2), d.random_ms(back.clone()));
@@ -81,9 +81,9 @@
     }
 }
 
-/// One day for each.
+/// Name and faults of each scenario.
 pub(super) const NAMED_DAYS: [(&str, AddTroubles); 13] = [
-    // Transactions are carried out at once and not answered, while other nodes read what they wrote.
+    // Transactions are applied at once, but their answers are lost, while other nodes read what they wrote.
     ("answers-lost", |d| {
         d.jobs.cancelled_share = 0.6;
         d.add(
@@ -96,7 +96,7 @@
         );
         d.rounds(4, 20_000, |d, at| d.crash_leader_and_stop_state(at, 16_000));
     }),
-    // Copies of old reports come to every controller, or to the next leader, just as it begins.
+    // Copies of old reports are delivered to every controller, or to the next leader, just as it begins.
     ("old-reports-at-a-take-over", |d| {
         d.jobs.cancelled_share = 0.4;
         d.rounds(4, 22_000, |d, at| {
@@ -120,7 +120,7 @@
             d.crash_leader_and_stop_state(at + 4000, 16_000);
         });
     }),
-    // Reports are held back until the next leader has acted, and arrive there.
+    // Reports are held until the next leader has begun, and delivered to it.
     ("reports-held", |d| {
         d.jobs.cancelled_share = 0.4;
         d.rounds(4, 22_000, |d, at| {
@@ -156,7 +156,7 @@
             d.crash_leader_and_stop_state(at, 20_000);
         });
     }),
-    // New machines are up within two seconds and get work at once while writes lag, and the leader ends.
+    // New machines boot within two seconds and get work at once while writes are late, and the leader crashes.
     ("quick-boots", |d| {
         d.jobs = JobMix {
             cancelled_share: 0.4,
@@ -183,7 +183,7 @@
             d.crash_leader_and_stop_state(at + 6000, 9000);
         });
     }),
-    // Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the leader changes.
+    // Every team is at its limit while jobs on unreachable or hanging machines are cancelled, and the leader changes.
     ("at-the-limits", |d| {
         d.jobs = JobMix {
             cancelled_share: 0.5,
@@ -208,7 +208,7 @@
             d.crash_leader_and_stop_state(at, 8000);
         });
     }),
-    // Jobs are cancelled in the seconds in which the fleet changes hands.
+    // Jobs are cancelled within seconds of a leader change.
     ("cancels-in-a-hand-over", |d| {
         d.jobs = JobMix {
             cancelled_share: 0.7,
@@ -221,12 +221,12 @@
         let at = BEGIN + d.random_ms(10_000..70_000);
         d.crash_leader_and_stop_state(at, 4000);
     }),
-    // Ten leaders in two minutes.
+    // Ten leader changes in two minutes.
     ("ten-leaders", |d| {
         d.jobs.cancelled_share = 0.4;
         d.crash_leader_repeatedly(10, 12_000, 50..6000);
     }),
-    // The same with outages meanwhile.
+    // Ten leader changes, with outages of the state service meanwhile.
     ("ten-leaders-in-outages", |d| {
         d.jobs.cancelled_share = 0.4;
         d.crash_leader_repeatedly(10, 12_000, 50..3000);
@@ -243,7 +243,7 @@
             );
         });
     }),
-    // All controllers are away for longer than a lease.
+    // All controllers are down for longer than a lease.
     ("all-away", |d| {
         d.jobs.cancelled_share = 0.4;
         d.rounds(2, 60_000, |d, at| {
@@ -284,7 +284,7 @@
             d.crash_leader_and_stop_state(at, 18_000);
         });
     }),
-    // More work than room, urgent and not, over slow links.
+    // More work than capacity, in all priorities, over slow links.
     ("crowded-over-slow-links", |d| {
         d.jobs = JobMix {
             cancelled_share: 0.3,
--- a/crates/standins/src/meetings/users.rs
+++ b/crates/standins/src/meetings/users.rs
@@ -1,10 +1,10 @@
-//! Days by name of what users do within milliseconds, and how the troubles of users are drawn.
+//! Named scenarios of user requests within milliseconds of each other, and faults that users cause.
 
 use super::{DayBuilder, JobMix};
 use crate::days::{BEGIN, Trouble, Who};
 use crate::scene::{Timed, array};
 
-/// One-task jobs that come four a second.
+/// One-task jobs arrive four times a second.
 const ONE_TASK_JOB_INTERVAL_MS: u64 = 250;
 const ONE_TASK_JOB_CANCELLED_SHARE: f64 = 0.25;
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Not at all, within the machines' lease, or beyond it; always shorter than a cancel may take.
+/// No hang, one within the machines' lease, or one beyond it; always shorter than a cancellation may take.
 fn random_hang_ms(d: &mut DayBuilder) -> u64 {
     match d.rng.u32(0..3) {
         0 => 0,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The leader ends and the state service is out in between, again and again.
+/// The leader crashes and the state service has an outage, three times.
 fn crash_leaders_with_outages(d: &mut DayBuilder) {
     d.rounds(3, 28_000, |d, at| {
         let (apart, back_ms) = (d.random_ms(500..12_000), d.restart_delay_ms());
@@ -59,7 +59,7 @@
     });
 }
 
-/// Questions, repeats and cancels at all nodes within milliseconds of anything that users are told.
+/// Queries, repeated submissions and cancellations at all nodes within milliseconds of any answer to a user.
 pub(super) fn asked_everywhere(d: &mut DayBuilder) {
     d.jobs.cancelled_share = 0.4;
     d.add(BEGIN, Trouble::CloseLooks { ms: 85_000 });
@@ -70,7 +70,7 @@
     crash_leaders_with_outages(d);
 }
 
-/// A cancel, a question or a repeat meets the end of the last task.
+/// Cancellations, queries and repeated submissions coincide with the end of the last task.
 pub(super) fn cancelled_at_the_end(d: &mut DayBuilder) {
     d.jobs = JobMix {
         cancelled_share: 0.1,
@@ -92,7 +92,7 @@
     crash_leaders_with_outages(d);
 }
 
-/// Many are cancelled at the moment at which the leader changes, and machines of theirs hang.
+/// Many jobs are cancelled just as the leader fails, and some of their machines hang.
 pub(super) fn many_cancelled(d: &mut DayBuilder) {
     d.jobs = JobMix {
         cancelled_share: 0.2,
@@ -126,7 +126,7 @@
     crash_leaders_with_outages(d);
 }
 
-/// One-task jobs four a second, a quarter of them cancelled.
+/// One-task jobs arrive four times a second; a quarter of them is cancelled.
 pub(super) fn one_task_jobs(d: &mut DayBuilder) {
     d.jobs.long_every_ms = 40_000;
     d.one_task_jobs_ms = 120_000;
@@ -137,7 +137,7 @@
     crash_leaders_with_outages(d);
 }
 
-/// Submissions of what can't run or has no form, repeats, and cancels of what is over.
+/// Jobs that can't run or are malformed, repeated submissions, and cancellations of jobs that have ended.
 pub(super) fn odd_requests(d: &mut DayBuilder) {
     d.add(BEGIN, Trouble::OddRequests { ms: 85_000 });
 }
@@ -148,7 +148,7 @@
 }
 
 impl DayBuilder {
-    /// One-task jobs, as long as the day has them.
+    /// Adds one-task jobs for as long as the scenario has them.
     pub(super) fn add_one_task_jobs(&mut self, jobs: &mut Vec<Timed>) {
         for at in (BEGIN..BEGIN + self.one_task_jobs_ms).step_by(ONE_TASK_JOB_INTERVAL_MS as usize)
         {
