--- a/crates/standins/src/loopback.rs
+++ b/crates/standins/src/loopback.rs
@@ -27,12 +27,12 @@
     let mut out = Vec::new();
     http::write_request(&mut out, "loopback", method, path, body);
     stream.write_all(&out).ok()?;
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     let mut chunk = [0; 4096];
     loop {
         let n = stream.read(&mut chunk).ok()?;
-        got.extend_from_slice(&chunk[..n]);
-        match http::parse_response(&got, 1 << 20, n == 0) {
+        received.extend_from_slice(&chunk[..n]);
+        match http::parse_response(&received, 1 << 20, n == 0) {
             Ok(Some((response, _))) => return Some(response),
             Ok(None) if n > 0 => {}
             _ => return None,
@@ -49,18 +49,18 @@
         for stream in listener.incoming().flatten() {
             let handler = handler.clone();
             thread::spawn(move || {
-                let _ = serve_one(stream, &*handler);
+                let _ = serve_connection(stream, &*handler);
             });
         }
     });
 }
 
-fn serve_one(mut stream: TcpStream, handler: &Handler) -> io::Result<()> {
-    let mut got = Vec::new();
+fn serve_connection(mut stream: TcpStream, handler: &Handler) -> io::Result<()> {
+    let mut received = Vec::new();
     let mut chunk = [0; 4096];
     loop {
-        while let Ok(Some((request, used))) = http::parse_request(&got, 1 << 20) {
-            got.drain(..used);
+        while let Ok(Some((request, used))) = http::parse_request(&received, 1 << 20) {
+            received.drain(..used);
             let (status, body) = handler(&request.method, &request.path, &request.body);
             let mut out = Vec::new();
             http::write_response(
@@ -78,7 +78,7 @@
         if n == 0 {
             return Ok(());
         }
-        got.extend_from_slice(&chunk[..n]);
+        received.extend_from_slice(&chunk[..n]);
     }
 }
 
@@ -135,14 +135,14 @@
             run_ms,
             lease_ms,
         };
-        let me = all.clone();
+        let this = all.clone();
         serve(
             s,
-            Box::new(move |method, path, body| me.state_service(method, path, body)),
+            Box::new(move |method, path, body| this.state_service(method, path, body)),
         );
-        let me = all.clone();
+        let this = all.clone();
         let cloud: Box<Handler> = Box::new(move |method, path, body| {
-            let mut i = me.lock();
+            let mut i = this.lock();
             let now = i.now();
             let mut rng = fastrand::Rng::with_seed(1);
             let (status, body) = i.cloud.handle(now, &mut rng, method, path, body);
@@ -152,10 +152,10 @@
             (status, wire::encode(&body))
         });
         serve(c, cloud);
-        let me = all.clone();
+        let this = all.clone();
         thread::spawn(move || {
             loop {
-                me.boot();
+                this.start_booted_workers();
                 thread::sleep(Duration::from_millis(50));
             }
         });
@@ -216,10 +216,10 @@
     pub fn end_task(&self, job: &str, task: u32, attempt: u64, done: bool) {
         let name = wire::ids::task_name(job, task);
         for w in self.lock().workers.values_mut() {
-            let runs = |t: &&mut crate::worker::Task| {
+            let is_running = |t: &&mut crate::worker::Task| {
                 t.name == name && t.attempt == attempt && t.stage == TaskStage::Running
             };
-            for t in w.tasks.iter_mut().filter(runs) {
+            for t in w.tasks.iter_mut().filter(is_running) {
                 t.stage = TaskStage::Exited;
                 t.cause = Some(if done { Cause::Done } else { Cause::Error });
                 w.changed = true;
@@ -292,7 +292,7 @@
     }
 
     /// Starts the workers of machines that have come up.
-    fn boot(&self) {
+    fn start_booted_workers(&self) {
         let mut i = self.lock();
         let now = i.now();
         i.cloud.snapshot(now);
@@ -307,20 +307,20 @@
             let mut worker = Worker::new(&name, &machine_type, &zone, spot, 0, now);
             worker.addr = addr.to_string();
             i.workers.insert(name.clone(), worker);
-            let (me, n) = (self.clone(), name.clone());
+            let (this, n) = (self.clone(), name.clone());
             serve(
                 listener,
-                Box::new(move |_, path, body| me.direct(&n, path, body)),
+                Box::new(move |_, path, body| this.handle_direct_request(&n, path, body)),
             );
-            let me = self.clone();
-            thread::spawn(move || while me.live(&name) {});
+            let this = self.clone();
+            thread::spawn(move || while this.run_worker_once(&name) {});
         }
     }
 
-    fn direct(&self, name: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
+    fn handle_direct_request(&self, name: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
         let mut i = self.lock();
         let now = i.now();
-        let runs = self.runs(&i.state, i.has_runners);
+        let task_times = self.task_times(&i.state, i.has_runners);
         let Some(w) = i.workers.get_mut(name) else {
             return (500, Vec::new());
         };
@@ -329,26 +329,36 @@
             let Ok(orders) = wire::decode::<Orders>(body) else {
                 return (400, Vec::new());
             };
-            status = w.commands(&orders, |t| runs.get(job_of(t)?).copied(), now);
+            status = w.commands(&orders, |t| task_times.get(job_of(t)?).copied(), now);
         }
         (status, wire::encode(&w.report(now)))
     }
 
     /// What workers know of submitted jobs: fetch and run time.
-    fn runs(&self, state: &State, has_runners: bool) -> BTreeMap<String, (u64, u64)> {
+    fn task_times(&self, state: &State, has_runners: bool) -> BTreeMap<String, (u64, u64)> {
         let live = state.keys.iter().filter(|(k, _)| k.starts_with("live/"));
         live.filter_map(|(_, e)| serde_json::from_value::<JobRecord>(e.value.clone()).ok())
             .map(|r| {
                 // Services run on, and so does what a runner stands on, if there are any here.
-                let on = r.spec.kind == Kind::Service
+                let runs_until_ended = r.spec.kind == Kind::Service
                     || (has_runners && wire::ids::reserved_job_id(&r.spec.id));
-                (r.spec.id, (100, if on { 1 << 40 } else { self.run_ms }))
+                (
+                    r.spec.id,
+                    (
+                        100,
+                        if runs_until_ended {
+                            1 << 40
+                        } else {
+                            self.run_ms
+                        },
+                    ),
+                )
             })
             .collect()
     }
 
     /// One turn of a worker; false once its machine is gone.
-    fn live(&self, name: &str) -> bool {
+    fn run_worker_once(&self, name: &str) -> bool {
         thread::sleep(Duration::from_millis(40));
         let (node, report, sent) = {
             let mut guard = self.lock();
@@ -358,12 +368,12 @@
                 return false;
             };
             w.expire(now, self.lease_ms);
-            let mut begun = Vec::new();
+            let mut started = Vec::new();
             for t in &mut w.tasks {
                 if t.stage == TaskStage::Fetching && t.fetched_at <= now {
                     t.stage = TaskStage::Running;
                     w.changed = true;
-                    begun.push(t.name.clone());
+                    started.push(t.name.clone());
                 } else if t.stage == TaskStage::Running && t.ends_at <= now {
                     t.stage = TaskStage::Exited;
                     t.cause = Some(Cause::Done);
@@ -380,16 +390,16 @@
                 r
             });
             let node = w.node;
-            for task in begun {
-                let on = |w: &Worker| w.tasks.iter().any(|t| t.name == task && t.is_on());
-                if i.workers.values().filter(|w| on(w)).count() > 1 {
+            for task in started {
+                let is_on = |w: &Worker| w.tasks.iter().any(|t| t.name == task && t.is_on());
+                if i.workers.values().filter(|w| is_on(w)).count() > 1 {
                     i.ran_twice.get_or_insert(task);
                 }
             }
             let Some(report) = report else { return true };
             (node, report, now)
         };
-        let number = report.seq;
+        let seq = report.seq;
         let answer = ask(
             self.nodes[node].1,
             "POST",
@@ -399,7 +409,7 @@
         );
         let mut i = self.lock();
         let now = i.now();
-        let runs = self.runs(&i.state, i.has_runners);
+        let task_times = self.task_times(&i.state, i.has_runners);
         let Some(w) = i.workers.get_mut(name) else {
             return false;
         };
@@ -409,10 +419,10 @@
             .and_then(|r| wire::decode::<Orders>(&r.body).ok());
         if let Some(orders) = orders {
             w.answered(
-                number,
+                seq,
                 sent,
                 &orders,
-                |t| runs.get(job_of(t)?).copied(),
+                |t| task_times.get(job_of(t)?).copied(),
                 now,
             );
             return true;
