--- a/crates/standins/src/loopback.rs
+++ b/crates/standins/src/loopback.rs
@@ -1,4 +1,4 @@
-//! The stand-ins on real sockets of this host, for tests of the real program.
+//! The fake state service, cloud and workers on real loopback sockets, for tests of the real program.
 
 use crate::cloud::Cloud;
 use crate::state::{Outcome, State};
@@ -14,7 +14,7 @@
 use wire::http::{self, Response};
 use wire::records::{EndRecord, JobRecord};
 
-/// One request, one answer, one connection. `None` if none came.
+/// Sends one request on a new connection and returns the response, or `None` if there was none.
 pub fn ask(
     to: SocketAddr,
     method: &str,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Method, path and body to status and body.
+/// Maps method, path and body of a request to status and body of the response.
 type Handler = dyn Fn(&str, &str, &[u8]) -> (u16, Vec<u8>) + Send + Sync;
 
 fn serve(listener: TcpListener, handler: Box<Handler>) {
@@ -87,15 +87,15 @@
     state: State,
     cloud: Cloud,
     workers: BTreeMap<String, Worker>,
-    /// Tasks that completed, in order.
+    /// Names of completed tasks, in order of completion.
     completed: Vec<String>,
-    /// A task was on two machines at once.
+    /// The first task that was on two machines at once.
     ran_twice: Option<String>,
-    /// Tasks of the gateway's jobs are ended by their runners.
+    /// Tasks of the gateway's jobs run until the test's runners end them.
     has_runners: bool,
 }
 
-/// State service, cloud and workers on ports of this host.
+/// Fake state service, cloud and workers on loopback ports.
 #[derive(Clone)]
 pub struct Loopback {
     inner: Arc<Mutex<Inner>>,
@@ -107,7 +107,7 @@
 }
 
 impl Loopback {
-    /// `nodes`: names and addresses of the controllers, for the workers.
+    /// `nodes`: names and addresses of the controllers that workers report to.
     pub fn start(
         catalog: Catalog,
         nodes: Vec<(String, SocketAddr)>,
@@ -163,7 +163,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // A panic elsewhere has failed the test already.
+        // A poisoned lock is no further problem: the panic that poisoned it has failed the test already.
         self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
@@ -175,7 +175,7 @@
         self.lock().ran_twice.clone()
     }
 
-    /// Tasks that are on machines now.
+    /// Names of tasks that are on machines now.
     pub fn on_machines(&self) -> Vec<String> {
         let i = self.lock();
         i.workers
@@ -186,7 +186,7 @@
             .collect()
     }
 
-    /// Tasks of the gateway's jobs that run: job, number, attempt, machine and zone. They run until they are ended.
+    /// Running tasks of the gateway's jobs: job, task number, attempt, machine and zone.
     pub fn runners(&self) -> Vec<(JobSpec, u32, u64, String, String)> {
         let i = self.lock();
         let mut out = Vec::new();
@@ -207,12 +207,12 @@
         out
     }
 
-    /// From now on tasks of the gateway's jobs run until they are ended.
+    /// From now on tasks of the gateway's jobs run until [`Self::end_task`].
     pub fn with_runners(&self) {
         self.lock().has_runners = true;
     }
 
-    /// Ends a task that runs, as done or as failed.
+    /// Ends a running task, as done or as failed.
     pub fn end_task(&self, job: &str, task: u32, attempt: u64, done: bool) {
         let name = wire::ids::task_name(job, task);
         for w in self.lock().workers.values_mut() {
@@ -227,7 +227,7 @@
         }
     }
 
-    /// A machine dies with all that is on it.
+    /// Removes a machine with all its tasks.
     pub fn lose(&self, machine: &str) {
         let mut i = self.lock();
         i.workers.remove(machine);
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Who leads the fleet, by the record.
+    /// Name of the leader in the leader record.
     pub fn leader(&self) -> Option<String> {
         let mut i = self.lock();
         let now = i.now();
@@ -291,7 +291,7 @@
         }
     }
 
-    /// Starts the workers of machines that have come up.
+    /// Starts workers on machines that have booted.
     fn start_booted_workers(&self) {
         let mut i = self.lock();
         let now = i.now();
@@ -334,12 +334,12 @@
         (status, wire::encode(&w.report(now)))
     }
 
-    /// What workers know of submitted jobs: fetch and run time.
+    /// Fetch and run time of the tasks of each submitted job, in milliseconds.
     fn task_times(&self, state: &State, has_runners: bool) -> BTreeMap<String, (u64, u64)> {
         let live = state.keys.iter().filter(|(k, _)| k.starts_with("live/"));
         live.filter_map(|(_, e)| serde_json::from_value::<JobRecord>(e.value.clone()).ok())
             .map(|r| {
-                // Services run on, and so does what a runner stands on, if there are any here.
+                // Services run until they are ended, and so do tasks of the gateway's jobs if the test has runners.
                 let runs_until_ended = r.spec.kind == Kind::Service
                     || (has_runners && wire::ids::reserved_job_id(&r.spec.id));
                 (
@@ -357,7 +357,7 @@
             .collect()
     }
 
-    /// One turn of a worker; false once its machine is gone.
+    /// Advances a worker by one step: task stages and, if due, a report. Returns false once its machine is gone.
     fn run_worker_once(&self, name: &str) -> bool {
         thread::sleep(Duration::from_millis(40));
         let (node, report, sent) = {
@@ -458,7 +458,7 @@
     wire::ids::parse_task(task).map(|(job, _)| job)
 }
 
-/// Settings of one of several controllers on loopback, as the platform would write them.
+/// Settings of one of several controllers on loopback, in the form that the platform supplies.
 pub fn settings(
     node: usize,
     clients: &[SocketAddr],
