--- a/crates/standins/src/counties.rs
+++ b/crates/standins/src/counties.rs
@@ -15,14 +15,14 @@
 #[derive(Default)]
 pub struct Watcher {
     /// Changes that were looked at.
-    at: usize,
+    seen_changes: usize,
     /// Jobs with their first binding and their class.
     pub bound: BTreeMap<String, (CountyRecord, String)>,
     pub ended: BTreeMap<String, (Stage, u32)>,
     sums: Sums,
     /// The version in force, and whether it has counties.
     version: u64,
-    binds: bool,
+    has_counties: bool,
     /// Somebody has damaged records on purpose.
     pub damaged: bool,
     /// Puts of sheets, and of log records with nothing but counts.
@@ -34,46 +34,46 @@
     /// Follows the history, and holds what stands of the counts against it: sheets, and of the log what is above their
     /// watermarks.
     pub fn follow(&mut self, state: &State, rules: &mut Rules, now: u64) {
-        for (_, key, value) in state.history(self.at) {
-            self.at += 1;
+        for (_, key, value) in state.history(self.seen_changes) {
+            self.seen_changes += 1;
             let Some(value) = value else { continue };
-            if let Err(what) = self.put(key, value) {
-                rules.breaks("tallies_wrong", format!("{now}: {what}"));
+            if let Err(problem) = self.check_put(key, value) {
+                rules.breaks("tallies_wrong", format!("{now}: {problem}"));
             }
         }
         if self.bound.is_empty() || self.damaged {
             return;
         }
-        let stands = standing(state);
-        if stands != self.sums {
+        let recorded = recorded_sums(state);
+        if recorded != self.sums {
             let differs =
-                |(cell, sums): &(&(String, String), &[u64; 3])| stands.get(*cell) != Some(*sums);
+                |(cell, sums): &(&(String, String), &[u64; 3])| recorded.get(*cell) != Some(*sums);
             let first = self
                 .sums
                 .iter()
                 .find(differs)
-                .or_else(|| stands.iter().find(|(c, _)| !self.sums.contains_key(*c)));
+                .or_else(|| recorded.iter().find(|(c, _)| !self.sums.contains_key(*c)));
             rules.breaks(
                 "tallies_wrong",
                 format!(
                     "{now}: {first:?} ended, {:?} stands",
-                    first.and_then(|(c, _)| stands.get(c))
+                    first.and_then(|(c, _)| recorded.get(c))
                 ),
             );
         }
     }
 
-    fn put(&mut self, key: &str, value: &Value) -> Result<(), String> {
+    fn check_put(&mut self, key: &str, value: &Value) -> Result<(), String> {
         let read = |e: serde_json::Error| format!("{key}: {e}");
         if key == "sys/counties" {
             self.version = value["document"]["version"].as_u64().unwrap_or(0);
-            self.binds = value["document"]["parts"]
+            self.has_counties = value["document"]["parts"]
                 .as_array()
                 .is_some_and(|p| !p.is_empty());
         }
         if key.starts_with("live/") {
             let bound = value["county"]["version"].as_u64();
-            if bound != self.binds.then_some(self.version) {
+            if bound != self.has_counties.then_some(self.version) {
                 return Err(format!(
                     "{key} is bound by {bound:?} under version {}",
                     self.version
@@ -113,7 +113,7 @@
                 ));
             }
             if let Some(cell) = bound {
-                add(&mut self.sums, cell, &count(rec.stage, rec.done));
+                add_counts(&mut self.sums, cell, &counts_of(rec.stage, rec.done));
             }
         } else if key.starts_with("part/0/tally/") {
             self.folds += 1;
@@ -147,7 +147,7 @@
         }
         wrong
             .into_iter()
-            .for_each(|what| rules.breaks("tallies_wrong", what));
+            .for_each(|problem| rules.breaks("tallies_wrong", problem));
     }
 
     /// All ended jobs and done tasks by county and class.
@@ -166,21 +166,21 @@
     }
 }
 
-fn count(stage: Stage, done: u32) -> [u64; 3] {
+fn counts_of(stage: Stage, done: u32) -> [u64; 3] {
     let cancelled = u64::from(stage == Stage::Cancelled);
     [1 - cancelled, cancelled, u64::from(done)]
 }
 
-fn add(sums: &mut Sums, cell: (String, String), more: &[u64; 3]) {
+fn add_counts(sums: &mut Sums, cell: (String, String), more: &[u64; 3]) {
     let sum = sums.entry(cell).or_default();
     sum.iter_mut().zip(more).for_each(|(s, m)| *s += m);
 }
 
 /// The counts as a reader of the records finds them.
-fn standing(state: &State) -> Sums {
+fn recorded_sums(state: &State) -> Sums {
     let mut sums = Sums::new();
-    let mut marks: BTreeMap<(String, String), u64> = BTreeMap::new();
-    let of = |d: &Delta| {
+    let mut watermarks: BTreeMap<(String, String), u64> = BTreeMap::new();
+    let cell_of = |d: &Delta| {
         (
             (d.county.clone(), d.class.clone()),
             [d.done, d.cancelled, d.tasks],
@@ -193,9 +193,9 @@
         let Ok(sheet) = Sheet::deserialize_from(&entry.value) else {
             continue;
         };
-        for (cell, more) in sheet.cells.iter().map(of) {
-            marks.insert(cell.clone(), sheet.upto);
-            add(&mut sums, cell, &more);
+        for (cell, more) in sheet.cells.iter().map(cell_of) {
+            watermarks.insert(cell.clone(), sheet.upto);
+            add_counts(&mut sums, cell, &more);
         }
     }
     for (key, entry) in state
@@ -213,10 +213,10 @@
         for (cell, more) in rec
             .ended
             .iter()
-            .map(of)
-            .filter(|(cell, _)| marks.get(cell).is_none_or(|m| *m < number))
+            .map(cell_of)
+            .filter(|(cell, _)| watermarks.get(cell).is_none_or(|m| *m < number))
         {
-            add(&mut sums, cell, &more);
+            add_counts(&mut sums, cell, &more);
         }
     }
     sums
@@ -228,10 +228,10 @@
         if watcher.bound.is_empty() {
             return;
         }
-        for beside in on.chunk_by(|a, b| a.machine == b.machine) {
-            beside
+        for on_one_machine in on.chunk_by(|a, b| a.machine == b.machine) {
+            on_one_machine
                 .iter()
-                .for_each(|task| self.apart(now, task, beside, watcher));
+                .for_each(|task| self.apart(now, task, on_one_machine, watcher));
         }
     }
 
