--- a/crates/standins/src/hours.rs
+++ b/crates/standins/src/hours.rs
@@ -8,18 +8,18 @@
 use wire::records::{EndRecord, HourRecord, JobRecord, SharedRecord};
 
 /// The first calendar has reached all nodes after this time, and what was sent before has landed.
-const UNHEARD_MS: u64 = 20_000;
+const FIRST_CALENDAR_PROPAGATION_MS: u64 = 20_000;
 
 /// What the history of the state service says.
 #[derive(Default)]
 pub struct Watcher {
     /// Changes that were looked at.
-    at: usize,
+    seen_changes: usize,
     parts: BTreeMap<String, Spec>,
     /// Calendars by version; the last is in force.
     calendars: BTreeMap<u64, Calendar>,
     /// When the first came.
-    since: u64,
+    first_calendar_ms: u64,
     /// The last hour of each job that was accepted.
     pub hours: BTreeMap<String, Option<HourRecord>>,
     pub moves: usize,
@@ -31,19 +31,19 @@
     /// Follows the history: each hour is the one that the calendar in force has for the recorded time of acceptance, and
     /// stands until an operator's move.
     pub fn follow(&mut self, state: &State, rules: &mut Rules, now: u64) {
-        for (_, key, value) in state.history(self.at) {
-            self.at += 1;
+        for (_, key, value) in state.history(self.seen_changes) {
+            self.seen_changes += 1;
             let Some(value) = value else { continue };
             if self.calendars.is_empty() {
-                self.since = now;
+                self.first_calendar_ms = now;
             }
-            if let Err(what) = self.put(key, value, now) {
-                rules.breaks("hours_moved", format!("{now}: {what}"));
+            if let Err(problem) = self.check_put(key, value, now) {
+                rules.breaks("hours_moved", format!("{now}: {problem}"));
             }
         }
     }
 
-    fn put(&mut self, key: &str, value: &Value, now: u64) -> Result<(), String> {
+    fn check_put(&mut self, key: &str, value: &Value, now: u64) -> Result<(), String> {
         if let Some(name) = key.strip_prefix("hours/part/") {
             self.parts.insert(name.to_owned(), read(key, value)?);
         } else if key == "sys/hours" {
@@ -57,7 +57,7 @@
             .strip_prefix("live/")
             .filter(|_| !self.calendars.is_empty())
         {
-            return self.job(job, read(key, value)?, now);
+            return self.check_job(job, read(key, value)?, now);
         } else if let Some(job) = key.strip_prefix("end/") {
             let Some(Some(hour)) = self.hours.get(job) else {
                 return Ok(());
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    fn job(&mut self, job: &str, rec: JobRecord, now: u64) -> Result<(), String> {
+    fn check_job(&mut self, job: &str, rec: JobRecord, now: u64) -> Result<(), String> {
         let Some(old) = self.hours.insert(job.to_owned(), rec.hour.clone()) else {
             let (version, calendar) = self.calendars.last_key_value().ok_or("no calendar")?;
             let spec = &rec.spec;
@@ -88,8 +88,9 @@
                 moved: None,
             });
             // Nodes that have not heard of the first calendar yet accept without.
-            let unheard = rec.hour.is_none() && now < self.since + UNHEARD_MS;
-            return if rec.hour == hour || unheard {
+            let may_lack_calendar =
+                rec.hour.is_none() && now < self.first_calendar_ms + FIRST_CALENDAR_PROPAGATION_MS;
+            return if rec.hour == hour || may_lack_calendar {
                 Ok(())
             } else {
                 Err(format!(
