--- a/crates/standins/examples/agreed.rs
+++ b/crates/standins/examples/agreed.rs
@@ -160,7 +160,7 @@
 fn wakes(world: &World) -> Vec<u64> {
     let models = &world.models;
     let mut out: Vec<u64> = Vec::new();
-    for ((model, generation), first) in &models.first {
+    for ((model, generation), first) in &models.first_replica_ms {
         let asked = || models.answers.iter().filter(|a| a.model == *model);
         let earlier = |told: &wire::models::ModelStatus| told.generation < *generation;
         let before = asked().filter(|a| a.status == 200 && a.told.as_ref().is_some_and(earlier));
--- a/crates/standins/src/models.rs
+++ b/crates/standins/src/models.rs
@@ -18,7 +18,7 @@
 }
 
 /// A task on a machine.
-type On = (String, String);
+type Replica = (String, String);
 
 #[derive(Default)]
 pub struct Models {
@@ -27,11 +27,11 @@
     /// Records as they were written last, and how often each phase was written.
     pub recs: BTreeMap<String, Rec>,
     pub written: BTreeMap<&'static str, u64>,
-    on: BTreeMap<String, BTreeSet<On>>,
+    on: BTreeMap<String, BTreeSet<Replica>>,
     /// By generation: replicas that were started in it, and that were lost in it.
-    counts: BTreeMap<(String, u64), (u32, u32)>,
+    started_and_lost: BTreeMap<(String, u64), (u32, u32)>,
     /// From demand on a model that was not up to its first replica, by generation.
-    pub first: BTreeMap<(String, u64), u64>,
+    pub first_replica_ms: BTreeMap<(String, u64), u64>,
 }
 
 impl Models {
@@ -60,14 +60,14 @@
             }
             let before = self.recs.get(model).cloned().unwrap_or_default();
             let begins = rec.phase == Phase::Waking;
-            *self.written.entry(name(rec.phase)).or_default() += 1;
+            *self.written.entry(phase_name(rec.phase)).or_default() += 1;
             if rec.generation != before.generation + u64::from(begins) || (begins && before.is_up())
             {
-                let what = |r: &Rec| format!("{:?} {}", r.phase, r.generation);
+                let describe = |r: &Rec| format!("{:?} {}", r.phase, r.generation);
                 return Err(format!(
                     "{now}: {model}: {} after {}",
-                    what(&rec),
-                    what(&before)
+                    describe(&rec),
+                    describe(&before)
                 ));
             }
             self.recs.insert(model.to_owned(), rec);
@@ -78,21 +78,21 @@
     /// Somebody was told how a model stands. Nothing is promised that is not written.
     pub fn answered(&mut self, answer: Answer) -> Result<(), String> {
         let told = answer.told.as_ref().map_or(0, |t| t.generation);
-        let stands = self
+        let recorded = self
             .recs
             .get(&answer.model)
             .map_or(u64::MAX, |r| r.generation);
         let wrong = format!(
-            "{}: {} is told generation {told} of {stands}",
+            "{}: {} is told generation {told} of {recorded}",
             answer.at, answer.model
         );
         self.answers.push(answer);
-        if told > stands { Err(wrong) } else { Ok(()) }
+        if told > recorded { Err(wrong) } else { Ok(()) }
     }
 
     /// What is on machines now.
-    pub fn follow(&mut self, now: u64, tasks: impl Iterator<Item = On>) -> Result<(), String> {
-        let mut on: BTreeMap<String, BTreeSet<On>> = BTreeMap::new();
+    pub fn follow(&mut self, now: u64, tasks: impl Iterator<Item = Replica>) -> Result<(), String> {
+        let mut on: BTreeMap<String, BTreeSet<Replica>> = BTreeMap::new();
         for (task, machine) in tasks {
             let job = wire::ids::parse_task(&task).map(|(job, _)| job.to_owned());
             if let Some(job) = job.filter(|j| self.recs.contains_key(j)) {
@@ -113,11 +113,11 @@
                 continue;
             }
             let key = (model.clone(), rec.generation);
-            let (started, lost) = self.counts.entry(key.clone()).or_default();
+            let (started, lost) = self.started_and_lost.entry(key.clone()).or_default();
             *started += is.difference(was).count() as u32;
             *lost += was.difference(is).count() as u32;
             if !is.is_empty() && rec.is_up() {
-                self.first.entry(key).or_insert(now);
+                self.first_replica_ms.entry(key).or_insert(now);
             }
             if *started > rec.wanted + *lost {
                 return Err(format!(
@@ -152,7 +152,7 @@
     }
 }
 
-fn name(phase: Phase) -> &'static str {
+fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Asleep => "asleep",
         Phase::Waking => "waking",
