--- a/crates/standins/src/counties.rs
+++ b/crates/standins/src/counties.rs
@@ -1,4 +1,5 @@
-//! Counts and machines of counties, held against what the state service has seen, users were told and workers had.
+//! Checks the tallies and machines of counties against the history of the state service, the answers to users and the
+//! tasks on machines.
 
 use crate::rules::{OnMachine, Rules};
 use crate::state::State;
@@ -8,31 +9,31 @@
 use wire::api::Stage;
 use wire::records::{CountyRecord, EndRecord, JobRecord, LogRecord};
 
-/// Done jobs, cancelled jobs, done tasks.
+/// Done jobs, cancelled jobs and done tasks by county and class.
 type Sums = BTreeMap<(String, String), [u64; 3]>;
 
-/// What the history of the state service says.
+/// Follows the history of the state service and checks counties and tallies.
 #[derive(Default)]
 pub struct Watcher {
-    /// Changes that were looked at.
+    /// Number of changes already checked.
     seen_changes: usize,
-    /// Jobs with their first binding and their class.
+    /// Jobs with their first county record and their class.
     pub bound: BTreeMap<String, (CountyRecord, String)>,
     pub ended: BTreeMap<String, (Stage, u32)>,
     sums: Sums,
-    /// The version in force, and whether it has counties.
+    /// Version of the counties document in force, and whether it has counties.
     version: u64,
     has_counties: bool,
-    /// Somebody has damaged records on purpose.
+    /// A test has damaged records on purpose, so sums are not compared.
     pub damaged: bool,
-    /// Puts of sheets, and of log records with nothing but counts.
+    /// Puts of tally sheets, and of log records that contain only counts.
     pub folds: u64,
     pub only_counts: u64,
 }
 
 impl Watcher {
-    /// Follows the history, and holds what stands of the counts against it: sheets, and of the log what is above their
-    /// watermarks.
+    /// Checks new changes of the history, and compares its sums with the recorded ones: the sheets, and the log records
+    /// above their watermarks.
     pub fn follow(&mut self, state: &State, rules: &mut Rules, now: u64) {
         for (_, key, value) in state.history(self.seen_changes) {
             self.seen_changes += 1;
@@ -56,7 +57,7 @@
             rules.breaks(
                 "tallies_wrong",
                 format!(
-                    "{now}: {first:?} ended, {:?} stands",
+                    "{now}: ended: {first:?}, recorded: {:?}",
                     first.and_then(|(c, _)| recorded.get(c))
                 ),
             );
@@ -80,7 +81,7 @@
                 ));
             }
         }
-        // Nearly all puts have nothing to do with counties.
+        // Skips parsing for the vast majority of puts, which have nothing to do with counties.
         let of_county = |job: &str| self.bound.contains_key(job) || value.get("county").is_some();
         if let Some(job) = key.strip_prefix("live/").filter(|j| of_county(j)) {
             let rec = JobRecord::deserialize_from(value).map_err(read)?;
@@ -124,7 +125,7 @@
         Ok(())
     }
 
-    /// Whether users were told the same ends.
+    /// Checks that users were told the same results that were counted.
     pub fn users(&self, rules: &mut Rules) {
         let mut wrong = Vec::new();
         for (id, job) in rules
@@ -150,7 +151,7 @@
             .for_each(|problem| rules.breaks("tallies_wrong", problem));
     }
 
-    /// All ended jobs and done tasks by county and class.
+    /// Ended jobs and done tasks by county and class, by the history.
     pub fn sums(&self) -> &Sums {
         &self.sums
     }
@@ -176,7 +177,7 @@
     sum.iter_mut().zip(more).for_each(|(s, m)| *s += m);
 }
 
-/// The counts as a reader of the records finds them.
+/// The sums that a reader of the present records gets.
 fn recorded_sums(state: &State) -> Sums {
     let mut sums = Sums::new();
     let mut watermarks: BTreeMap<(String, String), u64> = BTreeMap::new();
@@ -223,7 +224,7 @@
 }
 
 impl Rules {
-    /// As [`Self::apart`], for all tasks that are on machines.
+    /// Applies [`Self::apart`] to all tasks that are on machines.
     pub fn all_apart(&mut self, now: u64, on: &[OnMachine<'_>], watcher: &Watcher) {
         if watcher.bound.is_empty() {
             return;
@@ -235,7 +236,7 @@
         }
     }
 
-    /// A task starts on a machine: what is there may be beside it, and its county may use the zone.
+    /// Checks a task that starts on a machine: its county may use the zone, and share the machine with the tasks there.
     pub fn apart(
         &mut self,
         now: u64,
