--- a/crates/standins/src/hours.rs
+++ b/crates/standins/src/hours.rs
@@ -1,4 +1,4 @@
-//! Release hours, held against what the state service has seen.
+//! Checks the release hours of jobs against the history of the state service.
 
 use crate::rules::Rules;
 use crate::state::State;
@@ -7,29 +7,29 @@
 use std::collections::BTreeMap;
 use wire::records::{EndRecord, HourRecord, JobRecord, SharedRecord};
 
-/// The first calendar has reached all nodes after this time, and what was sent before has landed.
+/// After this time the first calendar has reached all nodes, and transactions sent before it have been applied.
 const FIRST_CALENDAR_PROPAGATION_MS: u64 = 20_000;
 
-/// What the history of the state service says.
+/// Follows the history of the state service and checks release hours.
 #[derive(Default)]
 pub struct Watcher {
-    /// Changes that were looked at.
+    /// Number of changes already checked.
     seen_changes: usize,
     parts: BTreeMap<String, Spec>,
-    /// Calendars by version; the last is in force.
+    /// Calendars by version; the latest is in force.
     calendars: BTreeMap<u64, Calendar>,
-    /// When the first came.
+    /// When the first calendar was written.
     first_calendar_ms: u64,
-    /// The last hour of each job that was accepted.
+    /// The current release hour of each accepted job.
     pub hours: BTreeMap<String, Option<HourRecord>>,
     pub moves: usize,
-    /// Ended jobs, and whether their hour was kept.
+    /// Ended jobs, and whether they ended by their release hour.
     pub kept: BTreeMap<String, bool>,
 }
 
 impl Watcher {
-    /// Follows the history: each hour is the one that the calendar in force has for the recorded time of acceptance, and
-    /// stands until an operator's move.
+    /// Checks new changes: each release hour must be the one that the calendar in force gives for the recorded time of
+    /// acceptance, and may change only by an operator's move.
     pub fn follow(&mut self, state: &State, rules: &mut Rules, now: u64) {
         for (_, key, value) in state.history(self.seen_changes) {
             self.seen_changes += 1;
@@ -49,7 +49,7 @@
         } else if key == "sys/hours" {
             let head = read::<SharedRecord>(key, value)?
                 .document
-                .ok_or("no head")?;
+                .ok_or("no document head")?;
             let spec: Spec = document::join(&head, &self.parts)?;
             let built = Calendar::build(&spec, &Around::default()).map_err(|f| f[0].to_string())?;
             self.calendars.insert(head.version, built);
@@ -87,14 +87,14 @@
                 version: *version,
                 moved: None,
             });
-            // Nodes that have not heard of the first calendar yet accept without.
+            // Nodes that have not received the first calendar yet accept jobs without an hour.
             let may_lack_calendar =
                 rec.hour.is_none() && now < self.first_calendar_ms + FIRST_CALENDAR_PROPAGATION_MS;
             return if rec.hour == hour || may_lack_calendar {
                 Ok(())
             } else {
                 Err(format!(
-                    "{job} should be due at {hour:?}, is at {:?}",
+                    "{job} should be due at {hour:?}, but is due at {:?}",
                     rec.hour
                 ))
             };
@@ -109,7 +109,10 @@
         if rec.hour == old {
             Ok(())
         } else {
-            Err(format!("{job} was due at {old:?}, is at {:?}", rec.hour))
+            Err(format!(
+                "{job} was due at {old:?}, and is due at {:?} now",
+                rec.hour
+            ))
         }
     }
 }
