--- a/crates/standins/src/models.rs
+++ b/crates/standins/src/models.rs
@@ -1,12 +1,12 @@
-//! What the state service, the workers and those who ask see of models, checked against what was agreed: a generation
-//! is begun once and starts what it wants once, and whoever was told that a model comes has it.
+//! Checks of models against the writes to the state service, the tasks on machines and the answers to demand: each
+//! generation is begun once and starts its replicas once, and a model whose start was announced gets its replicas.
 
 use model::{Phase, Rec, Spec};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::models::ModelStatus;
 
-/// An answer to demand.
+/// An answer to a demand request.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub asked: u64,
@@ -17,25 +17,25 @@
     pub told: Option<ModelStatus>,
 }
 
-/// A task on a machine.
+/// Task and machine.
 type Replica = (String, String);
 
 #[derive(Default)]
 pub struct Models {
     pub spec: Spec,
     pub answers: Vec<Answer>,
-    /// Records as they were written last, and how often each phase was written.
+    /// The latest record of each model, and how often each phase was written.
     pub recs: BTreeMap<String, Rec>,
     pub written: BTreeMap<&'static str, u64>,
     on: BTreeMap<String, BTreeSet<Replica>>,
-    /// By generation: replicas that were started in it, and that were lost in it.
+    /// Replicas started and lost, by model and generation.
     started_and_lost: BTreeMap<(String, u64), (u32, u32)>,
-    /// From demand on a model that was not up to its first replica, by generation.
+    /// When the first replica ran, by model and generation.
     pub first_replica_ms: BTreeMap<(String, u64), u64>,
 }
 
 impl Models {
-    /// A transaction was applied; what is wrong with it.
+    /// Checks the writes of an applied transaction to model records.
     pub fn wrote(
         &mut self,
         now: u64,
@@ -45,7 +45,9 @@
         for w in txn["writes"].as_array().into_iter().flatten() {
             if let Some(model) = w["remove"].as_str().and_then(|k| k.strip_prefix("model/")) {
                 if live(model) {
-                    return Err(format!("{now}: the record of {model} goes before its job"));
+                    return Err(format!(
+                        "{now}: the record of {model} is removed before its job"
+                    ));
                 }
                 self.recs.remove(model);
             }
@@ -55,7 +57,7 @@
             let rec = serde_json::from_value::<Rec>(w["v"].clone()).map_err(|e| e.to_string())?;
             if !live(model) {
                 return Err(format!(
-                    "{now}: {model} is written after the end of its job"
+                    "{now}: the record of {model} is written after the end of its job"
                 ));
             }
             let before = self.recs.get(model).cloned().unwrap_or_default();
@@ -75,7 +77,7 @@
         Ok(())
     }
 
-    /// Somebody was told how a model stands. Nothing is promised that is not written.
+    /// Checks that an answer names no generation that isn't recorded yet.
     pub fn answered(&mut self, answer: Answer) -> Result<(), String> {
         let told = answer.told.as_ref().map_or(0, |t| t.generation);
         let recorded = self
@@ -83,14 +85,14 @@
             .get(&answer.model)
             .map_or(u64::MAX, |r| r.generation);
         let wrong = format!(
-            "{}: {} is told generation {told} of {recorded}",
+            "{}: {} is reported in generation {told}, but recorded in {recorded}",
             answer.at, answer.model
         );
         self.answers.push(answer);
         if told > recorded { Err(wrong) } else { Ok(()) }
     }
 
-    /// What is on machines now.
+    /// Checks the replicas that are on machines now.
     pub fn follow(&mut self, now: u64, tasks: impl Iterator<Item = Replica>) -> Result<(), String> {
         let mut on: BTreeMap<String, BTreeSet<Replica>> = BTreeMap::new();
         for (task, machine) in tasks {
@@ -121,7 +123,7 @@
             }
             if *started > rec.wanted + *lost {
                 return Err(format!(
-                    "{now}: {model}: generation {} started {started}",
+                    "{now}: {model}: generation {} started {started} replicas, more than wanted",
                     rec.generation
                 ));
             }
@@ -130,7 +132,8 @@
         Ok(())
     }
 
-    /// Models that are up without a replica, or asleep with more than they keep. For a world that has come to rest.
+    /// Models that are up without a replica, or asleep with replicas although no rule keeps any, or still leaving. To be called after the
+    /// simulation has settled.
     pub fn lost(&self, cancelled: impl Fn(&str) -> bool) -> Vec<String> {
         let mut out = Vec::new();
         for (model, rec) in self.recs.iter().filter(|(m, _)| !cancelled(m)) {
