--- a/crates/standins/src/yarn.rs
+++ b/crates/standins/src/yarn.rs
@@ -46,7 +46,7 @@
 pub struct Exchange {
     ask: Ask,
     step: u8,
-    got: Vec<u8>,
+    received: Vec<u8>,
 }
 
 /// What a connection does next.
@@ -79,7 +79,7 @@
             }
             Ask::Rpc { token: Some(_), .. } => {
                 let mut out = rpc::open(rpc::AUTH_SASL);
-                out.extend(sasl(1, None));
+                out.extend(sasl_frame(1, None));
                 (false, out)
             }
             Ask::Rpc { .. } => {
@@ -97,7 +97,7 @@
             Exchange {
                 ask,
                 step,
-                got: Vec::new(),
+                received: Vec::new(),
             },
             web,
             first,
@@ -105,50 +105,50 @@
     }
 
     pub fn bytes(&mut self, bytes: &[u8]) -> Next {
-        self.got.extend_from_slice(bytes);
+        self.received.extend_from_slice(bytes);
         if let Ask::Web { .. } = self.ask {
-            return match http::parse_response(&self.got, 8 << 20, false) {
+            return match http::parse_response(&self.received, 8 << 20, false) {
                 Ok(Some((r, _))) if r.status < 300 => Next::Over(Some(Ok(r.body))),
-                Ok(Some((r, _))) => Next::Over(Some(Err(web_fault(r.status, &r.body)))),
+                Ok(Some((r, _))) => Next::Over(Some(Err(fault_from_rest(r.status, &r.body)))),
                 Ok(None) => Next::Wait,
                 Err(_) => Next::Over(None),
             };
         }
-        let Ok(Some((body, used))) = rpc::take_frame(&self.got, 8 << 20) else {
+        let Ok(Some((body, used))) = rpc::take_frame(&self.received, 8 << 20) else {
             return Next::Wait;
         };
         let answer = rpc::parse_answer(body);
-        self.got.drain(..used);
+        self.received.drain(..used);
         let Ok((_, answer)) = answer else {
             return Next::Over(None);
         };
         if self.step == 2 {
             return Next::Over(Some(answer));
         }
-        self.negotiated(answer)
+        self.handle_sasl_answer(answer)
     }
 
-    fn negotiated(&mut self, answer: Result<Vec<u8>, Fault>) -> Next {
+    fn handle_sasl_answer(&mut self, answer: Result<Vec<u8>, Fault>) -> Next {
         let Ask::Rpc {
             token: Some(token), ..
         } = &self.ask
         else {
             return Next::Over(None);
         };
-        let said = match answer {
+        let message = match answer {
             Ok(body) => rpc::Sasl::decode(body.as_slice()).unwrap_or_default(),
             Err(fault) => return Next::Over(Some(Err(fault))),
         };
         self.step += 1;
         if self.step == 1 {
-            let challenge = said
+            let challenge = message
                 .auths
                 .iter()
                 .find(|a| a.method == "TOKEN")
                 .and_then(|a| a.challenge.clone());
             let challenge = String::from_utf8(challenge.unwrap_or_default()).unwrap_or_default();
             let nonce = token::nonce_of(&challenge).unwrap_or_default();
-            return Next::Send(sasl(
+            return Next::Send(sasl_frame(
                 2,
                 Some(token::respond(token, &nonce, "cnonce").into_bytes()),
             ));
@@ -157,7 +157,7 @@
     }
 }
 
-fn sasl(state: i32, token: Option<Vec<u8>>) -> Vec<u8> {
+fn sasl_frame(state: i32, token: Option<Vec<u8>>) -> Vec<u8> {
     let message = rpc::Sasl {
         state,
         token,
@@ -183,7 +183,7 @@
 }
 
 /// The fault that a REST answer stands for.
-fn web_fault(status: u16, body: &[u8]) -> Fault {
+fn fault_from_rest(status: u16, body: &[u8]) -> Fault {
     #[derive(serde::Deserialize)]
     #[serde(rename_all = "PascalCase")]
     struct Wrapped {
@@ -204,20 +204,20 @@
 pub struct Checks {
     pub broken: BTreeMap<&'static str, String>,
     /// The furthest state that a client was told of an application.
-    told: BTreeMap<String, (ApplicationState, u64)>,
+    latest_states: BTreeMap<String, (ApplicationState, u64)>,
     /// Native jobs that were accepted, and how often.
     pub accepts: BTreeMap<String, u32>,
     /// To which attempt a container was given, by application.
-    given: BTreeMap<(i32, i64), String>,
+    assigned_containers: BTreeMap<(i32, i64), String>,
     /// Where a container was started: task and attempt.
-    started: BTreeMap<(String, i64), (String, u64)>,
+    started_containers: BTreeMap<(String, i64), (String, u64)>,
     pub new_ids: BTreeSet<String>,
     /// Masters that were told to go since their successor had registered.
     pub fenced: u64,
     /// Attempts that have registered.
-    registered: BTreeMap<String, u64>,
+    registered_attempts: BTreeMap<String, u64>,
     /// Queues and since when an operator was told that they are drained.
-    drained: Vec<(String, u64)>,
+    drained_queues: Vec<(String, u64)>,
     pub containers_done: u64,
     /// Containers that masters could not start.
     pub starts_refused: usize,
@@ -238,8 +238,8 @@
         }
     }
 
-    fn told(&mut self, id: &str, state: ApplicationState, asked: u64, now: u64) {
-        let known = self.told.get(id).copied();
+    fn check_state(&mut self, id: &str, state: ApplicationState, asked: u64, now: u64) {
+        let known = self.latest_states.get(id).copied();
         // What was asked before another answer came may have been answered from before it.
         if let Some((before, at)) = known.filter(|(_, at)| *at < asked) {
             let final_before = before as i32 >= ApplicationState::Finished as i32;
@@ -251,28 +251,28 @@
             }
         }
         if known.is_none_or(|(before, _)| before as i32 <= state as i32) {
-            self.told.insert(id.to_owned(), (state, now));
+            self.latest_states.insert(id.to_owned(), (state, now));
         }
     }
 
-    fn new_id(&mut self, id: String) {
+    fn check_new_id(&mut self, id: String) {
         if !self.new_ids.insert(id.clone()) {
             self.breaks("id_given_twice", id);
         }
     }
 
     /// A later attempt of the same application has registered.
-    fn is_succeeded(&self, master: &str) -> bool {
+    fn has_successor(&self, master: &str) -> bool {
         let app = |name: &str| name.rsplit_once('_').map(|(app, _)| app.to_owned());
-        self.registered
+        self.registered_attempts
             .keys()
             .any(|m| app(m) == app(master) && m.as_str() > master)
     }
 
     /// A submission that was first tried at some time was taken.
-    fn taken(&mut self, queue: &str, tried: u64, now: u64) {
+    fn check_not_drained(&mut self, queue: &str, tried: u64, now: u64) {
         if self
-            .drained
+            .drained_queues
             .iter()
             .any(|(q, since)| q == queue && tried > *since)
         {
@@ -284,13 +284,13 @@
     }
 
     /// A container was given to a master, in an answer that he took: never the same again.
-    fn given(&mut self, master: &str, container: ContainerId) {
+    fn check_assigned(&mut self, master: &str, container: ContainerId) {
         let app = container
             .app_attempt_id
             .and_then(|a| a.application_id)
             .unwrap_or_default();
         let whole = (app.id, container.id);
-        if let Some(before) = self.given.insert(whole, master.to_owned()) {
+        if let Some(before) = self.assigned_containers.insert(whole, master.to_owned()) {
             self.breaks(
                 "container_given_twice",
                 format!("{container} to {before} and {master}"),
@@ -298,11 +298,11 @@
         }
     }
 
-    fn started(&mut self, container: i64, task: &str, attempt: u64) {
+    fn check_started(&mut self, container: i64, task: &str, attempt: u64) {
         let here = (task.to_owned(), attempt);
         let app = task.get(..15).unwrap_or_default().to_owned();
         let before = self
-            .started
+            .started_containers
             .entry((app, container))
             .or_insert_with(|| here.clone());
         if *before != here {
@@ -334,7 +334,7 @@
     pub padding: usize,
     /// Its master is its own.
     pub unmanaged: bool,
-    master: Option<Box<Master>>,
+    master: Option<Box<ApplicationMaster>>,
     pub id: Option<ApplicationId>,
     pub state: Option<ApplicationState>,
     pub outcome: Option<i32>,
@@ -343,23 +343,23 @@
     submitted: bool,
     kill_at: Option<u64>,
     repeat_at: Option<u64>,
-    due: u64,
+    next_call_at: u64,
     busy: Option<u64>,
-    last: Step,
+    last_call: ClientCall,
     /// Does not repeat a submission whose answer was lost, but asks what became of it.
     pub gives_up: bool,
     /// Asks again what became of its application so long after it was over, as often as this.
     pub looks_back: Option<(u64, u32)>,
     /// When it first submitted, and when that was taken.
-    first: Option<u64>,
-    taken_at: Option<u64>,
+    first_submitted_at: Option<u64>,
+    accepted_at: Option<u64>,
     /// Answers to submissions that were lost.
     pub lost: u32,
     pub submissions: u32,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Step {
+enum ClientCall {
     New,
     Submit,
     Report,
@@ -398,13 +398,13 @@
             submitted: false,
             kill_at: None,
             repeat_at: None,
-            due: at,
+            next_call_at: at,
             busy: None,
-            last: Step::New,
+            last_call: ClientCall::New,
             gives_up: false,
             looks_back: None,
-            first: None,
-            taken_at: None,
+            first_submitted_at: None,
+            accepted_at: None,
             lost: 0,
             submissions: 0,
         }
@@ -413,7 +413,7 @@
     /// Times count from here.
     pub fn starts_at(&mut self, start: u64) {
         self.at += start;
-        self.due = self.at;
+        self.next_call_at = self.at;
     }
 
     pub fn is_over(&self) -> bool {
@@ -506,10 +506,10 @@
     }
 
     /// How long its submission took to be taken.
-    pub fn taken_after(&self) -> Option<u64> {
-        self.taken_at
-            .zip(self.first)
-            .map(|(taken, first)| taken - first)
+    pub fn accepted_after(&self) -> Option<u64> {
+        self.accepted_at
+            .zip(self.first_submitted_at)
+            .map(|(accepted, first)| accepted - first)
     }
 
     /// The next call, if one is due: its own, or of the master that it runs itself.
@@ -517,7 +517,7 @@
         if let Some(master) = &mut self.master {
             return master.ask(now);
         }
-        if self.busy.is_some() || now < self.due {
+        if self.busy.is_some() || now < self.next_call_at {
             return None;
         }
         let repeats = self.repeat_at.is_some_and(|at| now >= at);
@@ -527,16 +527,19 @@
             return None;
         }
         self.busy = Some(now);
-        self.last = match self.id {
-            None => Step::New,
-            Some(_) if repeats || !(self.submitted || self.gives_up && self.first.is_some()) => {
-                Step::Submit
+        self.last_call = match self.id {
+            None => ClientCall::New,
+            Some(_)
+                if repeats
+                    || !(self.submitted || self.gives_up && self.first_submitted_at.is_some()) =>
+            {
+                ClientCall::Submit
             }
-            Some(_) if kills => Step::Kill,
-            Some(_) => Step::Report,
+            Some(_) if kills => ClientCall::Kill,
+            Some(_) => ClientCall::Report,
         };
-        if self.last == Step::Submit {
-            self.first.get_or_insert(now);
+        if self.last_call == ClientCall::Submit {
+            self.first_submitted_at.get_or_insert(now);
         }
         Some(if self.web {
             self.web_ask()
@@ -547,20 +550,20 @@
 
     fn rpc_ask(&mut self) -> Ask {
         let id = self.id;
-        let (method, body) = match self.last {
-            Step::New => ("getNewApplication", Vec::new()),
-            Step::Submit => {
+        let (method, body) = match self.last_call {
+            ClientCall::New => ("getNewApplication", Vec::new()),
+            ClientCall::Submit => {
                 self.submissions += 1;
                 let submit = SubmitApplicationRequest {
                     context: Some(self.context()),
                 };
                 ("submitApplication", submit.encode_to_vec())
             }
-            Step::Report => (
+            ClientCall::Report => (
                 "getApplicationReport",
                 GetApplicationReportRequest { application_id: id }.encode_to_vec(),
             ),
-            Step::Kill => {
+            ClientCall::Kill => {
                 let kill = KillApplicationRequest {
                     application_id: id,
                     diagnostics: None,
@@ -581,9 +584,9 @@
         let apps = format!("{}/apps", rest::ROOT);
         let id = self.id.map(|i| i.to_string()).unwrap_or_default();
         let user = format!("?user.name={}", self.user);
-        let (method, target, body) = match self.last {
-            Step::New => ("POST", format!("{apps}/new-application{user}"), Vec::new()),
-            Step::Submit => {
+        let (method, target, body) = match self.last_call {
+            ClientCall::New => ("POST", format!("{apps}/new-application{user}"), Vec::new()),
+            ClientCall::Submit => {
                 self.submissions += 1;
                 (
                     "POST",
@@ -591,8 +594,8 @@
                     rest::render(Form::Json, "", true, &self.submission()),
                 )
             }
-            Step::Report => ("GET", format!("{apps}/{id}{user}"), Vec::new()),
-            Step::Kill => {
+            ClientCall::Report => ("GET", format!("{apps}/{id}{user}"), Vec::new()),
+            ClientCall::Kill => {
                 let body = rest::render(
                     Form::Json,
                     "",
@@ -620,34 +623,34 @@
             return;
         }
         let asked = self.busy.take().unwrap_or(now);
-        self.due = now + 700;
-        match (self.last, answer) {
-            (Step::Submit, None) => self.lost += 1,
+        self.next_call_at = now + 700;
+        match (self.last_call, answer) {
+            (ClientCall::Submit, None) => self.lost += 1,
             (_, None) => {}
             (_, Some(Err(fault))) if fault.class.is_passing() => {}
-            (Step::New, Some(Ok(body))) => {
+            (ClientCall::New, Some(Ok(body))) => {
                 self.id = self.read_id(&body);
-                checks.new_id(self.id.unwrap_or_default().to_string());
+                checks.check_new_id(self.id.unwrap_or_default().to_string());
                 self.kill_at = self.kill_after.map(|ms| now + ms);
-                self.due = now;
+                self.next_call_at = now;
             }
-            (Step::Submit, Some(Ok(_))) => {
+            (ClientCall::Submit, Some(Ok(_))) => {
                 if !self.submitted || self.repeat_at.take().is_none() {
                     self.repeat_at = self.repeat_after.map(|ms| now + ms);
                 }
-                checks.taken(&self.queue, self.first.unwrap_or(now), now);
-                self.taken_at.get_or_insert(now);
+                checks.check_not_drained(&self.queue, self.first_submitted_at.unwrap_or(now), now);
+                self.accepted_at.get_or_insert(now);
                 self.submitted = true;
             }
-            (Step::Submit, Some(Err(fault))) => {
+            (ClientCall::Submit, Some(Err(fault))) => {
                 self.repeat_at = None;
                 if !self.submitted {
                     self.refused = Some(fault);
                 }
             }
-            (Step::Kill, Some(Ok(_))) => self.kill_at = None,
-            (Step::Report, Some(Ok(body))) => self.reported(&body, asked, now, checks),
-            (Step::Report, Some(Err(fault))) if fault.class == Class::ApplicationNotFound => {
+            (ClientCall::Kill, Some(Ok(_))) => self.kill_at = None,
+            (ClientCall::Report, Some(Ok(body))) => self.handle_report(&body, asked, now, checks),
+            (ClientCall::Report, Some(Err(fault))) if fault.class == Class::ApplicationNotFound => {
                 let id = self.id.unwrap_or_default();
                 if !self.submitted {
                     self.refused = Some(fault);
@@ -667,7 +670,7 @@
         now: u64,
     ) {
         if let (true, Some(token), Some(attempt)) = (self.unmanaged, token, attempt) {
-            let master = Master::new(
+            let master = ApplicationMaster::new(
                 attempt.to_string(),
                 token.clone(),
                 self.tally.clone(),
@@ -686,7 +689,7 @@
         GetNewApplicationResponse::decode(body).ok()?.application_id
     }
 
-    fn reported(&mut self, body: &[u8], asked: u64, now: u64, checks: &mut Checks) {
+    fn handle_report(&mut self, body: &[u8], asked: u64, now: u64, checks: &mut Checks) {
         #[derive(serde::Deserialize)]
         struct Wrapped {
             app: rest::App,
@@ -694,7 +697,7 @@
         let read = if self.web {
             rest::read::<Wrapped>(Form::Json, body)
                 .ok()
-                .map(|w| (state_of(&w.app.state), w.app.final_status))
+                .map(|w| (parse_state(&w.app.state), w.app.final_status))
         } else {
             let report = GetApplicationReportResponse::decode(body)
                 .ok()
@@ -713,20 +716,20 @@
             })
         };
         let Some((Some(state), _)) = read else { return };
-        checks.told(&self.id.unwrap_or_default().to_string(), state, asked, now);
+        checks.check_state(&self.id.unwrap_or_default().to_string(), state, asked, now);
         if let Some((ms, n)) = self
             .looks_back
             .as_mut()
             .filter(|_| state as i32 >= ApplicationState::Finished as i32)
         {
             *n = n.saturating_sub(1);
-            self.due = now + *ms;
+            self.next_call_at = now + *ms;
         }
         self.state = Some(state);
     }
 }
 
-fn state_of(name: &str) -> Option<ApplicationState> {
+fn parse_state(name: &str) -> Option<ApplicationState> {
     let all = (1..=8).filter_map(|n| ApplicationState::try_from(n).ok());
     all.into_iter()
         .find(|s| format!("{s:?}").eq_ignore_ascii_case(&name.replace('_', "")))
@@ -739,14 +742,14 @@
     pub attempt: u64,
     pub machine: String,
     pub zone: String,
-    spec: (i64, i32, i64),
-    due: u64,
+    resources: (i64, i32, i64),
+    next_call_at: u64,
     busy: bool,
     container: Option<i64>,
-    of: Option<u32>,
+    container_attempt: Option<u32>,
     /// What runs, until when.
-    process: Option<u64>,
-    master: Option<Box<Master>>,
+    process_ends_at: Option<u64>,
+    master: Option<Box<ApplicationMaster>>,
     exit: Option<i32>,
     /// The first answer that tells it to leave is lost.
     pub deaf: bool,
@@ -769,16 +772,16 @@
             attempt,
             machine: machine.into(),
             zone: zone.into(),
-            spec: (
+            resources: (
                 (job.mem_gb * 1024.0) as i64,
                 job.cores as i32,
                 job.gpus as i64,
             ),
-            due: now,
+            next_call_at: now,
             busy: false,
             container: None,
-            of: None,
-            process: None,
+            container_attempt: None,
+            process_ends_at: None,
             master: None,
             exit: None,
             deaf: false,
@@ -788,7 +791,7 @@
 
     /// It runs a container.
     pub fn holds(&self) -> bool {
-        !self.is_master() && self.process.is_some() && self.over.is_none()
+        !self.is_master() && self.process_ends_at.is_some() && self.over.is_none()
     }
 
     fn is_master(&self) -> bool {
@@ -800,17 +803,17 @@
         if let Some(master) = &mut self.master {
             if let Some(status) = master.exit {
                 self.exit.get_or_insert(status);
-                self.due = self.due.min(now);
+                self.next_call_at = self.next_call_at.min(now);
             }
             if let Some(ask) = master.ask(now) {
                 return Some((true, ask));
             }
         }
-        if self.process.is_some_and(|until| now >= until) && self.exit.is_none() {
+        if self.process_ends_at.is_some_and(|until| now >= until) && self.exit.is_none() {
             self.exit = Some(0);
-            self.due = now;
+            self.next_call_at = now;
         }
-        if self.busy || now < self.due || self.over.is_some() {
+        if self.busy || now < self.next_call_at || self.over.is_some() {
             return None;
         }
         self.busy = true;
@@ -820,12 +823,12 @@
             tried: self.attempt,
             machine: self.machine.clone(),
             zone: self.zone.clone(),
-            memory_mb: self.spec.0,
-            cores: self.spec.1,
-            gpus: self.spec.2,
+            memory_mb: self.resources.0,
+            cores: self.resources.1,
+            gpus: self.resources.2,
             container: self.container,
-            attempt: self.of,
-            running: self.process.is_some() || self.master.is_some(),
+            attempt: self.container_attempt,
+            running: self.process_ends_at.is_some() || self.master.is_some(),
             exit: self.exit,
             ..CheckIn::default()
         };
@@ -841,14 +844,14 @@
         ))
     }
 
-    fn told(&mut self, now: u64, answer: Answer, checks: &mut Checks) {
+    fn handle_answer(&mut self, now: u64, answer: Answer, checks: &mut Checks) {
         self.busy = false;
-        self.due = now + 1000;
+        self.next_call_at = now + 1000;
         let Some(Ok(body)) = answer else { return };
         let Ok(told) = rest::read::<Told>(Form::Json, &body) else {
             return;
         };
-        self.due = now + (told.again_s * 1000.0) as u64;
+        self.next_call_at = now + (told.again_s * 1000.0) as u64;
         match told.what {
             Do::Wait => {}
             Do::Leave if std::mem::take(&mut self.deaf) => {}
@@ -862,25 +865,25 @@
         let Some(launch) = told
             .launch
             .as_ref()
-            .filter(|_| self.process.is_none() && self.master.is_none())
+            .filter(|_| self.process_ends_at.is_none() && self.master.is_none())
         else {
             return;
         };
         let launch = BASE64.decode(launch).unwrap_or_default();
         let launch = ContainerLaunchContext::decode(launch.as_slice()).unwrap_or_default();
         let command = launch.command.first().cloned().unwrap_or_default();
-        (self.container, self.of) = (told.container, told.attempt);
+        (self.container, self.container_attempt) = (told.container, told.attempt);
         if let Some(container) = told.container {
-            checks.started(
+            checks.check_started(
                 container,
                 &wire::ids::task_name(&self.job, self.task),
                 self.attempt,
             );
         }
         if self.is_master() {
-            self.master = Master::begin(&command, &told.environment, now).map(Box::new);
-            if self.master.as_ref().is_some_and(|m| m.is_plain()) {
-                self.process = Some(now + self.master.take().map_or(0, |m| m.tally.run_ms));
+            self.master = ApplicationMaster::begin(&command, &told.environment, now).map(Box::new);
+            if self.master.as_ref().is_some_and(|m| m.has_no_stages()) {
+                self.process_ends_at = Some(now + self.master.take().map_or(0, |m| m.tally.run_ms));
             }
         } else {
             let ms = command
@@ -888,45 +891,49 @@
                 .next()
                 .and_then(|n| n.parse().ok())
                 .unwrap_or(1000);
-            self.process = Some(now + ms);
+            self.process_ends_at = Some(now + ms);
         }
         // What runs is reported at once.
-        self.due = now + 50;
+        self.next_call_at = now + 50;
     }
 }
 
 /// Where one item of a tally's stage is.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Item {
-    Open,
-    Given(i64),
+enum ItemState {
+    Unassigned,
+    Assigned(i64),
     Done,
 }
 
 /// A master that runs a tally: each stage in as many containers as it has items, each of them again if it is lost.
 #[derive(Debug, Clone)]
-pub struct Master {
+pub struct ApplicationMaster {
     name: String,
     token: Token,
     pub tally: Tally,
     stage: usize,
-    items: Vec<Item>,
+    items: Vec<ItemState>,
     registered: bool,
-    response: i32,
+    response_id: i32,
     /// The heartbeat that is to be repeated until it is answered.
-    beat: Option<AllocateRequest>,
+    unanswered_heartbeat: Option<AllocateRequest>,
     /// How many containers have to be asked for anew.
-    asks_due: bool,
+    must_request: bool,
     release: Vec<ContainerId>,
-    starts: Vec<Container>,
+    containers_to_start: Vec<Container>,
     finished: bool,
     busy: Option<&'static str>,
-    due: u64,
+    next_call_at: u64,
     pub exit: Option<i32>,
 }
 
-impl Master {
-    fn begin(command: &str, environment: &BTreeMap<String, String>, now: u64) -> Option<Master> {
+impl ApplicationMaster {
+    fn begin(
+        command: &str,
+        environment: &BTreeMap<String, String>,
+        now: u64,
+    ) -> Option<ApplicationMaster> {
         let mut parts = command.strip_prefix("tally [")?.split("] ");
         let stages = parts
             .next()?
@@ -957,32 +964,33 @@
         let name = environment.get("APPLICATION_ATTEMPT_ID")?.clone();
         let attempt = ApplicationAttemptId::parse(&name)?.attempt_id;
         let fails = attempt <= tally.fails as i32;
-        Some(Master::new(name, token, tally, fails, now))
+        Some(ApplicationMaster::new(name, token, tally, fails, now))
     }
 
-    fn new(name: String, token: Token, tally: Tally, fails: bool, now: u64) -> Master {
-        let items = vec![Item::Open; tally.stages.first().copied().unwrap_or(0) as usize];
-        Master {
+    fn new(name: String, token: Token, tally: Tally, fails: bool, now: u64) -> ApplicationMaster {
+        let items =
+            vec![ItemState::Unassigned; tally.stages.first().copied().unwrap_or(0) as usize];
+        ApplicationMaster {
             name,
             token,
             tally,
             stage: 0,
             items,
             registered: false,
-            response: 0,
-            beat: None,
-            asks_due: true,
+            response_id: 0,
+            unanswered_heartbeat: None,
+            must_request: true,
             release: Vec::new(),
-            starts: Vec::new(),
+            containers_to_start: Vec::new(),
             finished: false,
             busy: None,
-            due: now + 200,
+            next_call_at: now + 200,
             exit: fails.then_some(1),
         }
     }
 
     /// A tool that speaks to nobody.
-    fn is_plain(&self) -> bool {
+    fn has_no_stages(&self) -> bool {
         self.tally.stages.is_empty()
     }
 
@@ -997,7 +1005,7 @@
     }
 
     fn ask(&mut self, now: u64) -> Option<Ask> {
-        if self.busy.is_some() || now < self.due || self.exit.is_some() {
+        if self.busy.is_some() || now < self.next_call_at || self.exit.is_some() {
             return None;
         }
         let (protocol, method, body) = if !self.registered {
@@ -1022,7 +1030,7 @@
                 "finishApplicationMaster",
                 finish.encode_to_vec(),
             )
-        } else if !self.starts.is_empty() {
+        } else if !self.containers_to_start.is_empty() {
             let launch = |ms| ContainerLaunchContext {
                 command: vec![format!("count {ms}")],
                 ..ContainerLaunchContext::default()
@@ -1031,7 +1039,12 @@
                 context: Some(launch(self.tally.run_ms)),
                 container_token: c.container_token.clone(),
             };
-            let requests = self.starts.iter().take(20).map(start).collect();
+            let requests = self
+                .containers_to_start
+                .iter()
+                .take(20)
+                .map(start)
+                .collect();
             (
                 rpc::CONTAINER_PROTOCOL,
                 "startContainers",
@@ -1050,12 +1063,16 @@
 
     /// The next heartbeat; the same again as long as it is not answered.
     fn heartbeat(&mut self) -> AllocateRequest {
-        if let Some(beat) = &self.beat {
-            return beat.clone();
+        if let Some(heartbeat) = &self.unanswered_heartbeat {
+            return heartbeat.clone();
         }
         let mut ask = Vec::new();
-        if std::mem::take(&mut self.asks_due) {
-            let open = self.items.iter().filter(|i| **i == Item::Open).count() as i32;
+        if std::mem::take(&mut self.must_request) {
+            let open = self
+                .items
+                .iter()
+                .filter(|i| **i == ItemState::Unassigned)
+                .count() as i32;
             ask.push(ResourceRequest {
                 priority: Some(Priority { priority: 1 }),
                 resource_name: Some(ANY.into()),
@@ -1068,35 +1085,35 @@
                 ..ResourceRequest::default()
             });
         }
-        let beat = AllocateRequest {
+        let heartbeat = AllocateRequest {
             ask,
             release: std::mem::take(&mut self.release),
-            response_id: Some(self.response),
+            response_id: Some(self.response_id),
             progress: Some(0.5),
             ..AllocateRequest::default()
         };
-        self.beat = Some(beat.clone());
-        beat
+        self.unanswered_heartbeat = Some(heartbeat.clone());
+        heartbeat
     }
 
     fn answer(&mut self, now: u64, answer: Answer, checks: &mut Checks) {
         let Some(method) = self.busy.take() else {
             return;
         };
-        self.due = now + 1000;
+        self.next_call_at = now + 1000;
         let body = match answer {
             Some(Ok(body)) => body,
-            Some(Err(fault)) => return self.refused(method, &fault, now, checks),
+            Some(Err(fault)) => return self.handle_refusal(method, &fault, now, checks),
             None => return,
         };
         match method {
             "registerApplicationMaster" => {
-                checks.registered.insert(self.name.clone(), now);
+                checks.registered_attempts.insert(self.name.clone(), now);
                 self.registered = true;
-                self.response = 0;
-                self.beat = None;
-                self.asks_due = true;
-                self.due = now;
+                self.response_id = 0;
+                self.unanswered_heartbeat = None;
+                self.must_request = true;
+                self.next_call_at = now;
             }
             "finishApplicationMaster" => {
                 if FinishResponse::decode(body.as_slice())
@@ -1105,65 +1122,67 @@
                     self.exit = Some(0);
                 }
             }
-            "startContainers" => self.started(&body, checks),
-            _ => self.allocated(&body, checks),
+            "startContainers" => self.handle_started(&body, checks),
+            _ => self.handle_allocated(&body, checks),
         }
     }
 
-    fn refused(&mut self, method: &str, fault: &Fault, now: u64, checks: &mut Checks) {
+    fn handle_refusal(&mut self, method: &str, fault: &Fault, now: u64, checks: &mut Checks) {
         match fault.class {
             Class::NotRegistered => {
                 self.registered = false;
-                self.due = now;
+                self.next_call_at = now;
             }
             // A successor is in force, or the application is over.
             Class::AttemptNotFound => {
                 checks.fenced += 1;
                 self.exit = Some(3);
             }
-            _ if method == "startContainers" && !fault.class.is_passing() => self.starts.clear(),
+            _ if method == "startContainers" && !fault.class.is_passing() => {
+                self.containers_to_start.clear()
+            }
             _ => {}
         }
     }
 
-    fn started(&mut self, body: &[u8], checks: &mut Checks) {
+    fn handle_started(&mut self, body: &[u8], checks: &mut Checks) {
         let Ok(answer) = StartContainersResponse::decode(body) else {
             return;
         };
-        let n = self.starts.len().min(20);
-        self.starts.drain(..n);
+        let n = self.containers_to_start.len().min(20);
+        self.containers_to_start.drain(..n);
         checks.starts_refused += answer.failed.len();
         for failed in answer.failed {
-            self.lost(failed.container_id.unwrap_or_default().id);
+            self.handle_lost_container(failed.container_id.unwrap_or_default().id);
         }
     }
 
-    fn lost(&mut self, container: i64) {
+    fn handle_lost_container(&mut self, container: i64) {
         for item in self
             .items
             .iter_mut()
-            .filter(|i| **i == Item::Given(container))
+            .filter(|i| **i == ItemState::Assigned(container))
         {
-            *item = Item::Open;
-            self.asks_due = true;
+            *item = ItemState::Unassigned;
+            self.must_request = true;
         }
-        self.starts
+        self.containers_to_start
             .retain(|c| c.id.is_none_or(|id| id.id != container));
     }
 
-    fn allocated(&mut self, body: &[u8], checks: &mut Checks) {
+    fn handle_allocated(&mut self, body: &[u8], checks: &mut Checks) {
         let Ok(answer) = AllocateResponse::decode(body) else {
             return;
         };
-        self.beat = None;
-        self.response = answer.response_id.unwrap_or(0);
+        self.unanswered_heartbeat = None;
+        self.response_id = answer.response_id.unwrap_or(0);
         for c in answer.allocated {
             let id = c.id.unwrap_or_default();
-            checks.given(&self.name, id);
-            match self.items.iter_mut().find(|i| **i == Item::Open) {
+            checks.check_assigned(&self.name, id);
+            match self.items.iter_mut().find(|i| **i == ItemState::Unassigned) {
                 Some(item) => {
-                    *item = Item::Given(id.id);
-                    self.starts.push(c);
+                    *item = ItemState::Assigned(id.id);
+                    self.containers_to_start.push(c);
                 }
                 None => self.release.push(id),
             }
@@ -1171,21 +1190,24 @@
         for done in answer.completed {
             let id = done.container_id.unwrap_or_default().id;
             if done.exit_status == Some(0) {
-                let item = self.items.iter_mut().find(|i| **i == Item::Given(id));
+                let item = self
+                    .items
+                    .iter_mut()
+                    .find(|i| **i == ItemState::Assigned(id));
                 if let Some(item) = item {
-                    *item = Item::Done;
+                    *item = ItemState::Done;
                     checks.containers_done += 1;
                 }
             } else {
-                self.lost(id);
+                self.handle_lost_container(id);
             }
         }
-        if self.items.iter().all(|i| *i == Item::Done) {
+        if self.items.iter().all(|i| *i == ItemState::Done) {
             self.stage += 1;
             match self.tally.stages.get(self.stage) {
                 Some(n) => {
-                    self.items = vec![Item::Open; *n as usize];
-                    self.asks_due = true;
+                    self.items = vec![ItemState::Unassigned; *n as usize];
+                    self.must_request = true;
                 }
                 None => self.finished = true,
             }
@@ -1228,9 +1250,9 @@
         (self.busy, self.at) = (false, now + 500);
         if let Some(Ok(_)) = answer {
             self.done = true;
-            checks.drained.retain(|(q, _)| *q != self.ask.queue);
+            checks.drained_queues.retain(|(q, _)| *q != self.ask.queue);
             if !self.ask.off {
-                checks.drained.push((self.ask.queue.clone(), now));
+                checks.drained_queues.push((self.ask.queue.clone(), now));
             }
         }
     }
@@ -1242,7 +1264,7 @@
     Client(usize),
     Runner(String, u64),
     Master(String, u64),
-    Undead(usize),
+    OrphanedMaster(usize),
     /// A test of its own.
     Test,
     Operator(usize),
@@ -1262,7 +1284,7 @@
     pub answered: Option<Answer>,
     /// Masters whose tasks have gone and that go on.
     pub undead: bool,
-    pub ghosts: Vec<Master>,
+    pub orphaned_masters: Vec<ApplicationMaster>,
 }
 
 impl Stage {
@@ -1277,7 +1299,7 @@
         for key in gone {
             let master = self.runners.remove(&key).and_then(|r| r.master);
             let alive = master.filter(|m| self.undead && m.exit.is_none() && m.registered);
-            self.ghosts.extend(alive.map(|m| *m));
+            self.orphaned_masters.extend(alive.map(|m| *m));
         }
     }
 
@@ -1293,8 +1315,8 @@
                 out.push((who(task.clone(), *attempt), ask));
             }
         }
-        for (i, ghost) in self.ghosts.iter_mut().enumerate() {
-            out.extend(ghost.ask(now).map(|ask| (Who::Undead(i), ask)));
+        for (i, master) in self.orphaned_masters.iter_mut().enumerate() {
+            out.extend(master.ask(now).map(|ask| (Who::OrphanedMaster(i), ask)));
         }
         for (i, drain) in self.drains.iter_mut().enumerate() {
             out.extend(drain.ask(now).map(|ask| (Who::Operator(i), ask)));
@@ -1315,17 +1337,17 @@
             Who::Client(i) => self.clients[*i].answer(now, answer, &mut self.checks),
             Who::Test => self.answered = Some(answer),
             Who::Operator(i) => self.drains[*i].answer(now, answer, &mut self.checks),
-            Who::Undead(i) => {
-                let ghost = &mut self.ghosts[*i];
-                if matches!(answer, Some(Ok(_))) && self.checks.is_succeeded(&ghost.name) {
+            Who::OrphanedMaster(i) => {
+                let master = &mut self.orphaned_masters[*i];
+                if matches!(answer, Some(Ok(_))) && self.checks.has_successor(&master.name) {
                     self.checks
-                        .breaks("zombie_served", format!("{now}: {}", ghost.name));
+                        .breaks("zombie_served", format!("{now}: {}", master.name));
                 }
-                ghost.answer(now, answer, &mut self.checks);
+                master.answer(now, answer, &mut self.checks);
             }
             Who::Runner(task, attempt) => {
                 if let Some(runner) = self.runners.get_mut(&(task.clone(), *attempt)) {
-                    runner.told(now, answer, &mut self.checks);
+                    runner.handle_answer(now, answer, &mut self.checks);
                 }
             }
             Who::Master(task, attempt) => {
