--- a/crates/standins/src/yarn.rs
+++ b/crates/standins/src/yarn.rs
@@ -1,5 +1,6 @@
-//! YARN's clients as stand-ins: they submit and repeat, ask and kill; runners start what the gateway describes; masters
-//! run a tally of two stages. All of it in virtual time, by the bytes of the protocols, one connection a call.
+//! Fakes of the parties that speak YARN's protocols: clients submit, repeat, query and kill applications; runners start
+//! the containers that the gateway describes; application masters run jobs of several stages ("tallies"). All in virtual
+//! time and with the bytes of the protocols, one connection per call.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -22,7 +23,7 @@
 use yarn::rest::{self, Form};
 use yarn::rpc;
 
-/// One call.
+/// One call over RPC or REST.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Ask {
     Rpc {
@@ -39,7 +40,7 @@
     },
 }
 
-/// What came of it. `None`: nothing, or the connection broke.
+/// Response or fault; `None` if there was no answer or the connection broke.
 pub type Answer = Option<Result<Vec<u8>, Fault>>;
 
 /// A connection with one call on it.
@@ -49,7 +50,7 @@
     received: Vec<u8>,
 }
 
-/// What a connection does next.
+/// What the caller has to do next with the connection.
 #[derive(Debug, PartialEq)]
 pub enum Next {
     Wait,
@@ -60,7 +61,7 @@
 const CLIENT_ID: &[u8] = b"stand-in-client!";
 
 impl Exchange {
-    /// The connection, whether it goes to the REST door, and its first bytes.
+    /// Returns the connection, whether it goes to the REST port, and its first bytes.
     pub fn begin(ask: Ask) -> (Exchange, bool, Vec<u8>) {
         let (web, first) = match &ask {
             Ask::Web {
@@ -182,7 +183,7 @@
     out
 }
 
-/// The fault that a REST answer stands for.
+/// The fault described by a REST error response.
 fn fault_from_rest(status: u16, body: &[u8]) -> Fault {
     #[derive(serde::Deserialize)]
     #[serde(rename_all = "PascalCase")]
@@ -199,27 +200,27 @@
     Fault::new(class, read.map_or(status.to_string(), |r| r.message))
 }
 
-/// What must hold for applications, and what has been seen.
+/// Checks the invariants of applications and containers.
 #[derive(Default)]
 pub struct Checks {
     pub broken: BTreeMap<&'static str, String>,
-    /// The furthest state that a client was told of an application.
+    /// The most advanced state of each application that a client was told, and when.
     latest_states: BTreeMap<String, (ApplicationState, u64)>,
-    /// Native jobs that were accepted, and how often.
+    /// How often each native job was accepted.
     pub accepts: BTreeMap<String, u32>,
-    /// To which attempt a container was given, by application.
+    /// The attempt to which each container was assigned, by application and container.
     assigned_containers: BTreeMap<(i32, i64), String>,
-    /// Where a container was started: task and attempt.
+    /// Task and attempt in which each container was started.
     started_containers: BTreeMap<(String, i64), (String, u64)>,
     pub new_ids: BTreeSet<String>,
-    /// Masters that were told to go since their successor had registered.
+    /// Number of masters that were told to exit because their attempt was superseded or the application was over.
     pub fenced: u64,
-    /// Attempts that have registered.
+    /// Attempts that have registered, and when.
     registered_attempts: BTreeMap<String, u64>,
-    /// Queues and since when an operator was told that they are drained.
+    /// Queues that an operator was told are drained, and since when.
     drained_queues: Vec<(String, u64)>,
     pub containers_done: u64,
-    /// Containers that masters could not start.
+    /// Number of containers that masters could not start.
     pub starts_refused: usize,
 }
 
@@ -228,7 +229,7 @@
         self.broken.entry(rule).or_insert(what);
     }
 
-    /// A native job was accepted.
+    /// Checks that a native job is accepted only once.
     pub fn accepted(&mut self, job: &str) {
         let n = self.accepts.entry(job.to_owned()).or_default();
         *n += 1;
@@ -240,7 +241,7 @@
 
     fn check_state(&mut self, id: &str, state: ApplicationState, asked: u64, now: u64) {
         let known = self.latest_states.get(id).copied();
-        // What was asked before another answer came may have been answered from before it.
+        // An answer to a call from before the latest known answer may show an older state.
         if let Some((before, at)) = known.filter(|(_, at)| *at < asked) {
             let final_before = before as i32 >= ApplicationState::Finished as i32;
             if (final_before && state != before) || (state as i32) < before as i32 {
@@ -261,7 +262,7 @@
         }
     }
 
-    /// A later attempt of the same application has registered.
+    /// Whether a later attempt of the same application has registered.
     fn has_successor(&self, master: &str) -> bool {
         let app = |name: &str| name.rsplit_once('_').map(|(app, _)| app.to_owned());
         self.registered_attempts
@@ -269,7 +270,7 @@
             .any(|m| app(m) == app(master) && m.as_str() > master)
     }
 
-    /// A submission that was first tried at some time was taken.
+    /// Checks that no accepted submission was first tried after its queue had been drained.
     fn check_not_drained(&mut self, queue: &str, tried: u64, now: u64) {
         if self
             .drained_queues
@@ -278,12 +279,12 @@
         {
             self.breaks(
                 "drain_ignored",
-                format!("{now}: {queue} took what was first tried at {tried}"),
+                format!("{now}: {queue} accepted a submission first tried at {tried}"),
             );
         }
     }
 
-    /// A container was given to a master, in an answer that he took: never the same again.
+    /// Checks that a container in an answer that reached a master was assigned only once.
     fn check_assigned(&mut self, master: &str, container: ContainerId) {
         let app = container
             .app_attempt_id
@@ -293,7 +294,7 @@
         if let Some(before) = self.assigned_containers.insert(whole, master.to_owned()) {
             self.breaks(
                 "container_given_twice",
-                format!("{container} to {before} and {master}"),
+                format!("{container} was assigned to {before} and to {master}"),
             );
         }
     }
@@ -306,7 +307,7 @@
             .entry((app, container))
             .or_insert_with(|| here.clone());
         if *before != here {
-            let what = format!("{container} on {before:?} and {here:?}");
+            let what = format!("{container} was started in {before:?} and in {here:?}");
             self.breaks("container_ran_twice", what);
         }
     }
@@ -318,27 +319,27 @@
     pub user: String,
     pub queue: String,
     pub kind: String,
-    /// Speaks REST instead of RPC.
+    /// Uses REST instead of RPC.
     pub web: bool,
-    /// When it comes.
+    /// When it submits.
     pub at: u64,
-    /// Kills its application so long after the first try to submit it.
+    /// Kills its application this long after it received the application ID.
     pub kill_after: Option<u64>,
     /// Repeats its submission this long after it was accepted.
     pub repeat_after: Option<u64>,
-    /// What the application's master runs, how urgent it is, and the GPUs that it takes.
+    /// Job of the application's master, its priority, and its GPUs.
     pub tally: Tally,
     pub priority: i32,
     pub gpus: i64,
-    /// Bytes that its description is longer than it need be.
+    /// Bytes of padding in the launch context.
     pub padding: usize,
-    /// Its master is its own.
+    /// Runs the application master itself.
     pub unmanaged: bool,
     master: Option<Box<ApplicationMaster>>,
     pub id: Option<ApplicationId>,
     pub state: Option<ApplicationState>,
     pub outcome: Option<i32>,
-    /// Why the submission was refused for good.
+    /// Fault with which the submission was finally refused.
     pub refused: Option<Fault>,
     submitted: bool,
     kill_at: Option<u64>,
@@ -346,14 +347,14 @@
     next_call_at: u64,
     busy: Option<u64>,
     last_call: ClientCall,
-    /// Does not repeat a submission whose answer was lost, but asks what became of it.
+    /// After a lost answer to a submission, queries the application instead of submitting again.
     pub gives_up: bool,
-    /// Asks again what became of its application so long after it was over, as often as this.
+    /// Interval and number of queries after the application is over.
     pub looks_back: Option<(u64, u32)>,
-    /// When it first submitted, and when that was taken.
+    /// When it first submitted, and when the submission was accepted.
     first_submitted_at: Option<u64>,
     accepted_at: Option<u64>,
-    /// Answers to submissions that were lost.
+    /// Number of lost answers to submissions.
     pub lost: u32,
     pub submissions: u32,
 }
@@ -366,12 +367,13 @@
     Kill,
 }
 
-/// A tally: containers of each stage, and how long each runs. Without stages, a tool that only runs.
+/// A job in stages: number of containers in each stage, and run time of a container. Without stages, a plain process
+/// that speaks to nobody.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tally {
     pub stages: Vec<u32>,
     pub run_ms: u64,
-    /// The process of each attempt fails, up to this one.
+    /// Attempts up to this number fail.
     pub fails: u32,
 }
 
@@ -410,7 +412,7 @@
         }
     }
 
-    /// Times count from here.
+    /// Shifts its times by `start`.
     pub fn starts_at(&mut self, start: u64) {
         self.at += start;
         self.next_call_at = self.at;
@@ -505,14 +507,14 @@
         }
     }
 
-    /// How long its submission took to be taken.
+    /// Time from the first submission until it was accepted.
     pub fn accepted_after(&self) -> Option<u64> {
         self.accepted_at
             .zip(self.first_submitted_at)
             .map(|(accepted, first)| accepted - first)
     }
 
-    /// The next call, if one is due: its own, or of the master that it runs itself.
+    /// The next call, if one is due: its own, or one of the application master that it runs.
     fn ask(&mut self, now: u64) -> Option<Ask> {
         if let Some(master) = &mut self.master {
             return master.ask(now);
@@ -662,7 +664,7 @@
         }
     }
 
-    /// Whoever submits an unmanaged application runs its master, with the token that the report has for him.
+    /// Starts the master of an unmanaged application with the token from its report.
     fn begin_master(
         &mut self,
         token: Option<&Token>,
@@ -735,7 +737,7 @@
         .find(|s| format!("{s:?}").eq_ignore_ascii_case(&name.replace('_', "")))
 }
 
-/// A task of the gateway's that runs on a machine.
+/// A running task of one of the gateway's jobs.
 pub struct Runner {
     pub job: String,
     pub task: u32,
@@ -747,13 +749,13 @@
     busy: bool,
     container: Option<i64>,
     container_attempt: Option<u32>,
-    /// What runs, until when.
+    /// When the running process ends.
     process_ends_at: Option<u64>,
     master: Option<Box<ApplicationMaster>>,
     exit: Option<i32>,
-    /// The first answer that tells it to leave is lost.
+    /// Ignores the first answer that tells it to leave.
     pub deaf: bool,
-    /// How the task ended.
+    /// Whether the task ended as done; `None` while it runs.
     pub over: Option<bool>,
 }
 
@@ -789,7 +791,7 @@
         }
     }
 
-    /// It runs a container.
+    /// Whether it runs a container.
     pub fn holds(&self) -> bool {
         !self.is_master() && self.process_ends_at.is_some() && self.over.is_none()
     }
@@ -798,7 +800,7 @@
         self.job.ends_with("0000000")
     }
 
-    /// What is due now: a call of the runner's own, or of the master that it runs.
+    /// The next call, if one is due, and whether it comes from the application master that it runs.
     fn ask(&mut self, now: u64) -> Option<(bool, Ask)> {
         if let Some(master) = &mut self.master {
             if let Some(status) = master.exit {
@@ -893,12 +895,12 @@
                 .unwrap_or(1000);
             self.process_ends_at = Some(now + ms);
         }
-        // What runs is reported at once.
+        // Reports the start at once.
         self.next_call_at = now + 50;
     }
 }
 
-/// Where one item of a tally's stage is.
+/// State of one item of a stage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ItemState {
     Unassigned,
@@ -906,7 +908,7 @@
     Done,
 }
 
-/// A master that runs a tally: each stage in as many containers as it has items, each of them again if it is lost.
+/// An application master that runs a [`Tally`]: one container for each item of a stage, and another if it is lost.
 #[derive(Debug, Clone)]
 pub struct ApplicationMaster {
     name: String,
@@ -916,9 +918,9 @@
     items: Vec<ItemState>,
     registered: bool,
     response_id: i32,
-    /// The heartbeat that is to be repeated until it is answered.
+    /// The latest heartbeat, repeated until it is answered.
     unanswered_heartbeat: Option<AllocateRequest>,
-    /// How many containers have to be asked for anew.
+    /// Whether the next heartbeat has to request containers for the unassigned items.
     must_request: bool,
     release: Vec<ContainerId>,
     containers_to_start: Vec<Container>,
@@ -989,7 +991,7 @@
         }
     }
 
-    /// A tool that speaks to nobody.
+    /// Whether it is a plain process that speaks to nobody.
     fn has_no_stages(&self) -> bool {
         self.tally.stages.is_empty()
     }
@@ -1061,7 +1063,7 @@
         Some(self.rpc(protocol, method, body))
     }
 
-    /// The next heartbeat; the same again as long as it is not answered.
+    /// The next heartbeat; the same one again until it is answered.
     fn heartbeat(&mut self) -> AllocateRequest {
         if let Some(heartbeat) = &self.unanswered_heartbeat {
             return heartbeat.clone();
@@ -1133,7 +1135,7 @@
                 self.registered = false;
                 self.next_call_at = now;
             }
-            // A successor is in force, or the application is over.
+            // A later attempt has taken over, or the application is over.
             Class::AttemptNotFound => {
                 checks.fenced += 1;
                 self.exit = Some(3);
@@ -1215,7 +1217,7 @@
     }
 }
 
-/// An operator who drains a queue, and repeats it until he is answered.
+/// An operator who drains a queue, and repeats the request until it is answered.
 pub struct Drain {
     at: u64,
     ask: gateway::book::web::DrainAsk,
@@ -1258,19 +1260,19 @@
     }
 }
 
-/// Whose call it is.
+/// Originator of a call.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Who {
     Client(usize),
     Runner(String, u64),
     Master(String, u64),
     OrphanedMaster(usize),
-    /// A test of its own.
+    /// The test itself.
     Test,
     Operator(usize),
 }
 
-/// All stand-ins of one run.
+/// All YARN fakes of one simulation.
 #[derive(Default)]
 pub struct Stage {
     pub clients: Vec<Client>,
@@ -1278,17 +1280,17 @@
     pub runners: BTreeMap<(String, u64), Runner>,
     pub checks: Checks,
     pub drains: Vec<Drain>,
-    /// How calls have ended, and how often.
+    /// Number of calls by result.
     pub answers: BTreeMap<String, u64>,
-    /// What a test's own call came to.
+    /// Result of the test's own call.
     pub answered: Option<Answer>,
-    /// Masters whose tasks have gone and that go on.
+    /// Whether masters go on after their tasks have gone; these are in `orphaned_masters`.
     pub undead: bool,
     pub orphaned_masters: Vec<ApplicationMaster>,
 }
 
 impl Stage {
-    /// Runners whose tasks are not there any more.
+    /// Removes runners whose tasks are gone.
     pub fn gone(&mut self, here: &std::collections::HashSet<(String, u64)>) {
         let gone: Vec<_> = self
             .runners
@@ -1303,7 +1305,7 @@
         }
     }
 
-    /// Calls that are due.
+    /// All calls that are due, with their originators.
     pub fn due(&mut self, now: u64) -> Vec<(Who, Ask)> {
         let mut out = Vec::new();
         for (i, client) in self.clients.iter_mut().enumerate() {
