--- a/crates/standins/examples/own_days.rs
+++ b/crates/standins/examples/own_days.rs
@@ -34,6 +34,7 @@
     served_below_half: usize,
     largest_late: usize,
     longest_unanswered_s: f64,
+    #[serde(rename = "longest_without_owner_s")]
     longest_without_leader_s: f64,
     longest_without_node_s: f64,
     fewest_running: f64,
