--- a/crates/standins/examples/agreed.rs
+++ b/crates/standins/examples/agreed.rs
@@ -13,12 +13,12 @@
 use wire::api::{JobSpec, Kind, Write};
 use wire::records::Record;
 
-const CALM: usize = 0;
+const CALM_KIND: usize = 0;
 /// All controllers crash every 3 s, and are back after 0.15 s.
-const CRASHES: usize = 5;
+const CRASHES_KIND: usize = 5;
 const MODELS: u32 = 40;
 /// Documents are in force everywhere by then, and nobody has come before.
-const OPEN_MS: u64 = 10_000;
+const DOCUMENTS_IN_FORCE_MS: u64 = 10_000;
 /// A task's image is there after this time.
 const FETCH_MS: u64 = 1000;
 const COUNTIES: &str = "/admin/counties";
@@ -33,20 +33,20 @@
 
 /// What a day came to.
 #[derive(Default)]
-struct Seen {
+struct Results {
     jobs: usize,
-    due: usize,
-    could: usize,
+    jobs_due: usize,
+    achievable: usize,
     kept: usize,
-    counting: u64,
-    audited: u64,
+    tally_writes: u64,
+    audited_records: u64,
     wakes: Vec<u64>,
     changes: u64,
     replica_s: usize,
     broken: BTreeMap<&'static str, String>,
-    audit: Vec<String>,
-    lost: Vec<String>,
-    extra: u64,
+    audit_differences: Vec<String>,
+    lost_models: Vec<String>,
+    extra_puts: u64,
     extra_bytes: usize,
 }
 
@@ -67,7 +67,7 @@
     ]})
 }
 
-fn set(spec: Value) -> Value {
+fn set_document(spec: Value) -> Value {
     json!({"change": {"id": "first", "by": "operator", "expect": null, "dry_run": false, "edit": {"set": {"spec": spec}}}})
 }
 
@@ -76,12 +76,12 @@
 }
 
 /// The day's own jobs, models beside them, and waves of demand for these.
-fn scene(day: Day) -> Plan {
+fn plan_of(day: Day) -> Plan {
     let mut plan = plan(day.kind, 2, day.nodes, day.size);
     let Some(scene) = plan.scene.as_mut() else {
         return plan;
     };
-    scene.jobs.retain(|j| j.at >= OPEN_MS);
+    scene.jobs.retain(|j| j.at >= DOCUMENTS_IN_FORCE_MS);
     for n in 1..=MODELS.min(day.size.machines as u32) {
         let spec = JobSpec {
             kind: Kind::Service,
@@ -90,7 +90,7 @@
             ..array(n, "green", 2, 60.0)
         };
         scene.jobs.push(Timed {
-            at: OPEN_MS,
+            at: DOCUMENTS_IN_FORCE_MS,
             run_ms: 10_000_000,
             cancel_ms: None,
             spec,
@@ -111,14 +111,16 @@
         scene.models = Some(model::Spec { rules: vec![rule] });
         scene
             .asks
-            .push((1000, "/admin/hours".into(), set(calendar())));
-        scene.asks.push((1000, COUNTIES.into(), set(counties())));
+            .push((1000, "/admin/hours".into(), set_document(calendar())));
+        scene
+            .asks
+            .push((1000, COUNTIES.into(), set_document(counties())));
     }
     plan
 }
 
 /// Fields that a record has had before there were such documents; what is read is each put into the state service.
-fn known(key: &str) -> Option<&'static [&'static str]> {
+fn base_fields(key: &str) -> Option<&'static [&'static str]> {
     match key.split_once('/')?.0 {
         "live" => Some(&["spec", "at_ms", "part"]),
         "end" => Some(&["stage", "done"]),
@@ -128,7 +130,7 @@
 }
 
 /// Puts that are there for the documents alone, and the bytes of fields that are in other records for them.
-fn extra(world: &World) -> (u64, usize) {
+fn extra_writes(world: &World) -> (u64, usize) {
     let (mut puts, mut bytes) = (0, 0);
     for (_, key, value) in world.state.history(0) {
         let Some(value) = value else { continue };
@@ -144,7 +146,9 @@
                 .map(|(k, v)| k.len() + v.to_string().len() + 4)
                 .sum::<usize>();
         };
-        let Some(fields) = known(key) else { continue };
+        let Some(fields) = base_fields(key) else {
+            continue;
+        };
         count(value, fields);
         for claim in value["claims"].as_array().into_iter().flatten() {
             count(
@@ -157,7 +161,7 @@
 }
 
 /// From the first question that was not told of an earlier generation to the first replica, in milliseconds.
-fn wakes(world: &World) -> Vec<u64> {
+fn wake_times_ms(world: &World) -> Vec<u64> {
     let models = &world.models;
     let mut out: Vec<u64> = Vec::new();
     for ((model, generation), first) in &models.first_replica_ms {
@@ -176,7 +180,7 @@
 }
 
 /// What the leader's counts and audit differ in from what the state service saw; empty if nothing.
-fn audit(world: &mut World, seen: &mut Seen) {
+fn compare_tallies(world: &mut World, results: &mut Results) {
     world.inquire(COUNTIES.into(), json!({"tally": {"county": null}}));
     for _ in 0..40 {
         world.inquire(COUNTIES.into(), json!({"audit": {"id": "last"}}));
@@ -194,10 +198,14 @@
         .map(|(_, _, v)| v["done"].clone())
         .unwrap_or_default();
     match done["differences"].as_array() {
-        Some(named) => seen.audit.extend(named.iter().map(ToString::to_string)),
-        None => seen.audit.push("the audit was not answered".into()),
+        Some(named) => results
+            .audit_differences
+            .extend(named.iter().map(ToString::to_string)),
+        None => results
+            .audit_differences
+            .push("the audit was not answered".into()),
     }
-    seen.audited = done["read"].as_u64().unwrap_or(0);
+    results.audited_records = done["read"].as_u64().unwrap_or(0);
     let mut told: BTreeMap<(String, String), [u64; 3]> = BTreeMap::new();
     for line in last("tally")
         .and_then(|(_, _, v)| v["lines"].as_array())
@@ -210,15 +218,17 @@
         told.insert((text("county"), text("class")), counts);
     }
     told.retain(|_, counts| *counts != [0; 3]);
-    let stands: BTreeMap<_, _> = world
+    let recorded: BTreeMap<_, _> = world
         .counties
         .sums()
         .iter()
         .filter(|(_, c)| **c != [0; 3])
         .map(|(k, c)| (k.clone(), *c))
         .collect();
-    if told != stands {
-        seen.audit.push(format!("told {told:?}, seen {stands:?}"));
+    if told != recorded {
+        results
+            .audit_differences
+            .push(format!("told {told:?}, seen {recorded:?}"));
     }
 }
 
@@ -234,7 +244,7 @@
 ];
 
 /// Something goes wrong behind the controllers' backs.
-fn plant(world: &mut World, what: &str) {
+fn inject_error(world: &mut World, what: &str) {
     let jobs = world
         .state
         .keys
@@ -281,9 +291,9 @@
     world.write(Write::put(key, Record::Other(rec)));
 }
 
-fn play(day: Day, planted: Option<&str>) -> Seen {
-    let mut plan = scene(day);
-    if planted == Some(COUNTERS[0]) {
+fn run_day(day: Day, injected: Option<&str>) -> Results {
+    let mut plan = plan_of(day);
+    if injected == Some(COUNTERS[0]) {
         plan.sabotage = Sabotage::DoneTooEarly;
     }
     let runs: BTreeMap<String, u64> = plan
@@ -294,18 +304,18 @@
         .collect();
     let (end, jobs) = (plan.end, plan.scene.as_ref().map_or(0, |s| s.jobs.len()));
     let mut world = World::new(plan);
-    let mut seen = Seen {
+    let mut results = Results {
         jobs,
-        ..Seen::default()
+        ..Results::default()
     };
     for second in 0..end / 1000 {
         world.run_for(1000);
-        seen.replica_s += world
+        results.replica_s += world
             .on_machines()
             .iter()
             .filter(|t| t.as_str() < "job-001000")
             .count();
-        if let Some(what) = planted.filter(|p| {
+        if let Some(what) = injected.filter(|p| {
             second
                 == if *p == "models_lost" {
                     end / 1000 - 1
@@ -313,11 +323,11 @@
                     80
                 }
         }) {
-            plant(&mut world, what);
+            inject_error(&mut world, what);
         }
     }
     if day.documents && world.rules.broken.is_empty() {
-        audit(&mut world, &mut seen);
+        compare_tallies(&mut world, &mut results);
     }
     let ran = |id: &str| world.rules.jobs.get(id).is_some_and(|j| !j.cancel_asked);
     let due = || {
@@ -327,16 +337,16 @@
             .iter()
             .filter(|(id, h)| h.is_some() && ran(id))
     };
-    seen.due = due().count();
-    let could = |id: &str, due_ms: u64| {
+    results.jobs_due = due().count();
+    let is_achievable = |id: &str, due_ms: u64| {
         let accepted = world.rules.jobs[id].accepted.unwrap_or(u64::MAX / 2);
         accepted + FETCH_MS + runs[id] <= due_ms
     };
-    seen.could = due()
-        .filter(|(id, h)| h.as_ref().is_some_and(|h| could(id, h.due_ms)))
+    results.achievable = due()
+        .filter(|(id, h)| h.as_ref().is_some_and(|h| is_achievable(id, h.due_ms)))
         .count();
-    seen.counting = world.counties.folds + world.counties.only_counts;
-    seen.kept = due()
+    results.tally_writes = world.counties.folds + world.counties.only_counts;
+    results.kept = due()
         .filter(|(id, _)| world.hours.kept.get(*id) == Some(&true))
         .count();
     let cancelled = |m: &str| {
@@ -348,13 +358,13 @@
     };
     // A world that a broken rule has stopped has not come to rest.
     if world.rules.broken.is_empty() {
-        seen.lost = world.models.lost(cancelled);
+        results.lost_models = world.models.lost(cancelled);
     }
-    seen.wakes = wakes(&world);
-    (seen.extra, seen.extra_bytes) = extra(&world);
-    seen.changes = world.state.counts.changes;
-    seen.broken = std::mem::take(&mut world.rules.broken);
-    seen
+    results.wakes = wake_times_ms(&world);
+    (results.extra_puts, results.extra_bytes) = extra_writes(&world);
+    results.changes = world.state.counts.changes;
+    results.broken = std::mem::take(&mut world.rules.broken);
+    results
 }
 
 /// The share `part` of 100 of sorted waits, in seconds.
@@ -364,7 +374,7 @@
         .map_or("-".into(), |ms| format!("{:.1}", *ms as f64 / 1000.0))
 }
 
-fn table(days: &[Day], seen: &[Seen]) {
+fn print_table(days: &[Day], results: &[Results]) {
     println!(
         "virtual time; wakes: from demand to the first replica; models: {MODELS}, two replicas each"
     );
@@ -390,7 +400,7 @@
         "machines, controllers and day",
         head.map(|h| format!("{h:>14}")).concat()
     );
-    for (day, s) in days.iter().zip(seen) {
+    for (day, s) in days.iter().zip(results) {
         let with = if day.documents { "with" } else { "without" };
         let name = format!(
             "{} {} {}, {with}",
@@ -399,43 +409,48 @@
             kinds()[day.kind]
         );
         let row = [
-            format!("{}/{}/{}", s.kept, s.could, s.due),
-            s.audited.to_string(),
-            s.counting.to_string(),
+            format!("{}/{}/{}", s.kept, s.achievable, s.jobs_due),
+            s.audited_records.to_string(),
+            s.tally_writes.to_string(),
             s.wakes.len().to_string(),
             percentile(&s.wakes, 50),
             percentile(&s.wakes, 99),
             s.replica_s.to_string(),
             format!("{:.2}", s.changes as f64 / s.jobs.max(1) as f64),
-            format!("{}+{}", s.extra, s.extra_bytes),
+            format!("{}+{}", s.extra_puts, s.extra_bytes),
         ];
         println!("{name:<58}{}", row.map(|c| format!("{c:>14}")).concat());
         s.broken
             .iter()
             .for_each(|(rule, what)| println!("    {rule}: {what}"));
-        s.audit
+        s.audit_differences
             .iter()
-            .chain(&s.lost)
+            .chain(&s.lost_models)
             .take(5)
             .for_each(|what| println!("    {what}"));
     }
 }
 
 /// What must be 0, summed up over days.
-fn counters(days: &[Day], seen: &[Seen]) -> BTreeMap<&'static str, usize> {
+fn counters(days: &[Day], results: &[Results]) -> BTreeMap<&'static str, usize> {
     let of = |name: &'static str| {
-        let broken = seen.iter().filter(|s| s.broken.contains_key(name)).count();
+        let broken = results
+            .iter()
+            .filter(|s| s.broken.contains_key(name))
+            .count();
         let sum = match name {
-            "rules_broken" => seen
+            "rules_broken" => results
                 .iter()
                 .flat_map(|s| s.broken.keys())
                 .filter(|r| !COUNTERS.contains(r))
                 .count(),
-            "tallies_wrong" => seen.iter().map(|s| s.audit.len()).sum(),
-            "models_lost" => seen.iter().map(|s| s.lost.len()).sum(),
+            "tallies_wrong" => results.iter().map(|s| s.audit_differences.len()).sum(),
+            "models_lost" => results.iter().map(|s| s.lost_models.len()).sum(),
             "extra_writes_without_documents" => {
-                let plain = days.iter().zip(seen).filter(|(d, _)| !d.documents);
-                plain.map(|(_, s)| s.extra as usize + s.extra_bytes).sum()
+                let plain = days.iter().zip(results).filter(|(d, _)| !d.documents);
+                plain
+                    .map(|(_, s)| s.extra_puts as usize + s.extra_bytes)
+                    .sum()
             }
             _ => 0,
         };
@@ -445,11 +460,11 @@
 }
 
 /// Each counter sees what is planted for it, and no other does.
-fn planted() -> bool {
-    COUNTERS.iter().fold(true, |whole, what| {
+fn check_counters() -> bool {
+    COUNTERS.iter().fold(true, |all_pass, what| {
         let documents = !what.starts_with("extra");
         let day = Day {
-            kind: CALM,
+            kind: CALM_KIND,
             size: Size {
                 machines: 120,
                 ..Size::SMALL
@@ -457,23 +472,23 @@
             nodes: 3,
             documents,
         };
-        let seen = play(day, Some(what));
-        let mut counts = counters(&[day], std::slice::from_ref(&seen));
+        let results = run_day(day, Some(what));
+        let mut counts = counters(&[day], std::slice::from_ref(&results));
         counts.retain(|_, n| *n > 0);
-        println!("{what}: {counts:?} {:?}", seen.broken);
-        whole && counts.len() == 1 && counts.contains_key(what)
+        println!("{what}: {counts:?} {:?}", results.broken);
+        all_pass && counts.len() == 1 && counts.contains_key(what)
     })
 }
 
 fn main() {
     if std::env::args().nth(1).is_some_and(|a| a == "planted") {
-        std::process::exit(i32::from(!planted()));
+        std::process::exit(i32::from(!check_counters()));
     }
     let variants = [
-        (CALM, 3, true),
-        (CRASHES, 5, true),
-        (CALM, 3, false),
-        (CRASHES, 5, false),
+        (CALM_KIND, 3, true),
+        (CRASHES_KIND, 5, true),
+        (CALM_KIND, 3, false),
+        (CRASHES_KIND, 5, false),
     ];
     let of = |m| {
         variants.map(|(kind, nodes, documents)| Day {
@@ -484,18 +499,23 @@
         })
     };
     let days = [of(1800), of(1200)].concat();
-    let seen: Vec<Seen> = std::thread::scope(|s| {
-        let running: Vec<_> = days.iter().map(|d| s.spawn(|| play(*d, None))).collect();
+    let results: Vec<Results> = std::thread::scope(|s| {
+        let running: Vec<_> = days.iter().map(|d| s.spawn(|| run_day(*d, None))).collect();
         running
             .into_iter()
             .map(|r| r.join().expect("no day panics"))
             .collect()
     });
-    table(&days, &seen);
-    let counts = counters(&days, &seen);
+    print_table(&days, &results);
+    let counts = counters(&days, &results);
     println!("\n{}", json!(counts));
     // They must have had something to see.
-    let sees = |s: &Seen| s.extra > 0 && s.extra_bytes > 0 && s.due > 0 && !s.wakes.is_empty();
-    let idle = days.iter().zip(&seen).any(|(d, s)| d.documents && !sees(s));
+    let is_exercised = |s: &Results| {
+        s.extra_puts > 0 && s.extra_bytes > 0 && s.jobs_due > 0 && !s.wakes.is_empty()
+    };
+    let idle = days
+        .iter()
+        .zip(&results)
+        .any(|(d, s)| d.documents && !is_exercised(s));
     std::process::exit(i32::from(idle || counts.values().any(|n| *n > 0)));
 }
