--- a/crates/standins/examples/flood.rs
+++ b/crates/standins/examples/flood.rs
@@ -7,10 +7,10 @@
 
 const SEEDS: u64 = 20;
 /// Neighbours ask from here on, when the flood has all machines.
-const BEGIN: u64 = 90_000;
+const NEIGHBOURS_BEGIN_MS: u64 = 90_000;
 const ROUNDS: u64 = 20;
-const EVERY: u64 = 30_000;
-const LOOK_S: u64 = 15;
+const ROUND_INTERVAL_MS: u64 = 30_000;
+const SAMPLE_S: u64 = 15;
 const TEAMS: [(&str, &str, f64); 4] = [
     ("flood", "film", 4.0),
     ("comp", "film", 2.0),
@@ -70,7 +70,7 @@
             // About what each is guaranteed: so much is asked for at once as ends meanwhile.
             let run_ms = rng.u64(20_000..30_000);
             let spec = array(id, team, *guarantee as u32, run_ms as f64 / 1000.0);
-            let at = BEGIN + round * EVERY + rng.u64(0..3000);
+            let at = NEIGHBOURS_BEGIN_MS + round * ROUND_INTERVAL_MS + rng.u64(0..3000);
             scene.jobs.push(Timed {
                 at,
                 run_ms,
@@ -83,7 +83,7 @@
 }
 
 #[derive(Default)]
-struct Seen {
+struct Results {
     /// Seconds from the submission of a neighbour's task to its first run.
     waits: Vec<f64>,
     /// Of what the neighbours are guaranteed, the share that ran a minute after they had first asked.
@@ -94,9 +94,9 @@
     useful_s: f64,
 }
 
-fn play(seed: u64, nested: bool, seen: &mut Seen) {
+fn run_seed(seed: u64, nested: bool, results: &mut Results) {
     let scene = scene(seed, nested);
-    let end = BEGIN + ROUNDS * EVERY + 60_000;
+    let end = NEIGHBOURS_BEGIN_MS + ROUNDS * ROUND_INTERVAL_MS + 60_000;
     let mut world = World::new(Plan {
         seed,
         nodes: 3,
@@ -116,23 +116,24 @@
             .find(|j| j.spec.id == job)
             .map(|j| j.spec.team.clone())
     };
-    world.run_for(BEGIN + 60_000);
+    world.run_for(NEIGHBOURS_BEGIN_MS + 60_000);
     // They ask anew just then: the most that each has within the next seconds.
-    let mut most = [0.0f64; 3];
-    for _ in 0..LOOK_S {
+    let mut peak_running = [0.0f64; 3];
+    for _ in 0..SAMPLE_S {
         world.run_for(1000);
         let running = world.on_machines();
-        for (most, (team, _, guarantee)) in most.iter_mut().zip(&TEAMS[1..]) {
+        for (peak_running, (team, _, guarantee)) in peak_running.iter_mut().zip(&TEAMS[1..]) {
             let of = |t: &&String| {
                 wire::ids::parse_task(t)
                     .is_some_and(|(job, _)| team_of(job).as_deref() == Some(*team))
             };
-            *most = most.max((running.iter().filter(of).count() as f64).min(*guarantee));
+            *peak_running =
+                peak_running.max((running.iter().filter(of).count() as f64).min(*guarantee));
         }
     }
     let due: f64 = TEAMS[1..].iter().map(|(_, _, guarantee)| guarantee).sum();
-    seen.shares.push(most.iter().sum::<f64>() / due);
-    world.run_for(end - BEGIN - 60_000 - LOOK_S * 1000);
+    results.shares.push(peak_running.iter().sum::<f64>() / due);
+    world.run_for(end - NEIGHBOURS_BEGIN_MS - 60_000 - SAMPLE_S * 1000);
     assert!(
         world.rules.broken.is_empty(),
         "seed {seed}: {:?}",
@@ -145,36 +146,37 @@
                 .get(&wire::ids::task_name(&job.spec.id, n))
                 .copied();
             // One that never ran has waited until the end.
-            seen.waits
+            results
+                .waits
                 .push((began.unwrap_or(end).saturating_sub(job.at)) as f64 / 1000.0);
         }
     }
-    seen.stopped += world.stopped;
-    seen.lost_s += world.lost_ms as f64 / 1000.0;
+    results.stopped += world.stopped;
+    results.lost_s += world.lost_ms as f64 / 1000.0;
     let done = scene
         .jobs
         .iter()
         .filter_map(|j| Some((j, world.rules.jobs.get(&j.spec.id)?)));
-    seen.useful_s += done
-        .map(|(j, seen)| seen.done.len() as f64 * j.run_ms as f64 / 1000.0)
+    results.useful_s += done
+        .map(|(j, job)| job.done.len() as f64 * j.run_ms as f64 / 1000.0)
         .sum::<f64>();
 }
 
 fn main() {
     let mut rows = Vec::new();
     for nested in [false, true] {
-        let mut seen = Seen::default();
-        (0..SEEDS).for_each(|seed| play(seed, nested, &mut seen));
-        seen.waits.sort_by(f64::total_cmp);
-        let at = |q: f64| seen.waits[((seen.waits.len() - 1) as f64 * q) as usize];
-        let share = seen.shares.iter().sum::<f64>() / seen.shares.len() as f64;
+        let mut results = Results::default();
+        (0..SEEDS).for_each(|seed| run_seed(seed, nested, &mut results));
+        results.waits.sort_by(f64::total_cmp);
+        let at = |q: f64| results.waits[((results.waits.len() - 1) as f64 * q) as usize];
+        let share = results.shares.iter().sum::<f64>() / results.shares.len() as f64;
         rows.push(format!(
             "{{\"wait_p50_s\":{:.1},\"wait_p99_s\":{:.1},\"share_after_60_s\":{share:.3},\"stopped_tasks\":{},\"lost_gpu_s\":{:.0},\"useful_gpu_s\":{:.0}}}",
             at(0.5),
             at(0.99),
-            seen.stopped,
-            seen.lost_s,
-            seen.useful_s
+            results.stopped,
+            results.lost_s,
+            results.useful_s
         ));
     }
     println!(
--- a/crates/standins/examples/meetings.rs
+++ b/crates/standins/examples/meetings.rs
@@ -15,28 +15,28 @@
 /// Days that are played side by side.
 const THREADS: usize = 8;
 
-struct Meeting {
+struct ScenarioRun {
     name: String,
     seed: u64,
     nodes: usize,
 }
 
-impl Meeting {
+impl ScenarioRun {
     /// Of two or three kinds of trouble, this one among them.
-    fn is_of(&self, kind: &str, kinds: usize) -> bool {
+    fn combines(&self, kind: &str, kinds: usize) -> bool {
         let mut of = self.name.split('+');
         of.clone().count() == kinds && of.any(|k| k == kind)
     }
 }
 
 /// What the command line asks for.
-enum Ask {
+enum Command {
     All {
         seeds: u64,
         nodes: Option<usize>,
         of: Option<u64>,
     },
-    Day(Meeting),
+    Day(ScenarioRun),
 }
 
 /// A number within its bounds, or what is wrong with the argument.
@@ -53,13 +53,13 @@
     Ok(number(name, given, 1..=15)? as usize)
 }
 
-fn asked(args: &[String]) -> Result<Ask, String> {
-    let (mut seeds, mut only, mut of) = (SEEDS, None, None);
+fn parse_args(args: &[String]) -> Result<Command, String> {
+    let (mut seeds, mut only_nodes, mut of) = (SEEDS, None, None);
     let mut args = args.iter();
     while let Some(arg) = args.next() {
         match arg.as_str() {
             "--seeds" => seeds = number("--seeds", args.next(), 1..=10_000)?,
-            "--nodes" => only = Some(nodes("--nodes", args.next())?),
+            "--nodes" => only_nodes = Some(nodes("--nodes", args.next())?),
             "--of" => of = Some(number("--of", args.next(), 1..=3)?),
             "--day" => {
                 let name = args
@@ -79,7 +79,7 @@
                     Some(more) => Err(format!(
                         "{more:?}: nothing may follow --day NAME SEED NODES"
                     )),
-                    None => Ok(Ask::Day(Meeting { name, seed, nodes })),
+                    None => Ok(Command::Day(ScenarioRun { name, seed, nodes })),
                 };
             }
             other => {
@@ -89,39 +89,41 @@
             }
         }
     }
-    Ok(Ask::All {
+    Ok(Command::All {
         seeds,
-        nodes: only,
+        nodes: only_nodes,
         of,
     })
 }
 
 /// Days by name and pairs with each number of controllers, triples with one of them; or one of the three sorts.
-fn all(seeds: u64, only: Option<usize>, of: Option<u64>) -> Vec<Meeting> {
-    let each: Vec<usize> = only.map_or(NODES.to_vec(), |n| vec![n]);
+fn all_runs(seeds: u64, only_nodes: Option<usize>, of: Option<u64>) -> Vec<ScenarioRun> {
+    let node_counts: Vec<usize> = only_nodes.map_or(NODES.to_vec(), |n| vec![n]);
     let (named, kinds) = (named(), kinds());
     let mut days = Vec::new();
     let mut add = |name: String, nodes: &[usize], seed: u64| {
-        days.extend(nodes.iter().map(|n| Meeting {
+        days.extend(nodes.iter().map(|n| ScenarioRun {
             name: name.clone(),
             seed,
             nodes: *n,
         }));
     };
     for seed in 0..seeds {
-        named.iter().for_each(|n| add((*n).to_owned(), &each, seed));
+        named
+            .iter()
+            .for_each(|n| add((*n).to_owned(), &node_counts, seed));
         for (i, a) in kinds.iter().enumerate() {
             for (j, b) in kinds.iter().enumerate().skip(i + 1) {
-                add(format!("{a}+{b}"), &each, seed);
+                add(format!("{a}+{b}"), &node_counts, seed);
                 for (k, c) in kinds.iter().enumerate().skip(j + 1) {
-                    let turn = (i + j + k + seed as usize) % each.len();
-                    add(format!("{a}+{b}+{c}"), &each[turn..=turn], seed);
+                    let turn = (i + j + k + seed as usize) % node_counts.len();
+                    add(format!("{a}+{b}+{c}"), &node_counts[turn..=turn], seed);
                 }
             }
         }
     }
-    let sort = |d: &Meeting| d.name.split('+').count() as u64;
-    days.retain(|d| of.is_none_or(|of| of == sort(d)));
+    let kind_count = |d: &ScenarioRun| d.name.split('+').count() as u64;
+    days.retain(|d| of.is_none_or(|of| of == kind_count(d)));
     days
 }
 
@@ -147,7 +149,7 @@
 }
 
 impl Row {
-    fn of<'a>(played: impl Iterator<Item = &'a (Meeting, Played)>) -> Self {
+    fn of<'a>(played: impl Iterator<Item = &'a (ScenarioRun, Played)>) -> Self {
         let mut row = Row::default();
         for (_, p) in played {
             let v = &p.verdict;
@@ -200,7 +202,7 @@
     }
 }
 
-fn table(played: &[(Meeting, Played)]) -> Row {
+fn print_table(played: &[(ScenarioRun, Played)]) -> Row {
     println!(
         "{:<28}{:>6}{:>8}{:>11}{:>8}{:>6}{:>14}{:>10}{:>14}{:>8}{:>10}",
         "meeting",
@@ -220,7 +222,7 @@
     }
     for (of, what) in [(2, "pairs"), (3, "triples")] {
         for kind in kinds() {
-            Row::of(played.iter().filter(|(d, _)| d.is_of(kind, of)))
+            Row::of(played.iter().filter(|(d, _)| d.combines(kind, of)))
                 .print(&format!("{what} with {kind}"));
         }
     }
@@ -229,7 +231,7 @@
     all
 }
 
-fn played(day: &Meeting) -> Option<Played> {
+fn run(day: &ScenarioRun) -> Option<Played> {
     let plan = standins::meetings::day(&day.name, day.seed, day.nodes)?;
     let played = play(plan).1;
     // At once, for whoever waits for a long run.
@@ -244,9 +246,9 @@
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let days = match asked(&args) {
-        Ok(Ask::All { seeds, nodes, of }) => all(seeds, nodes, of),
-        Ok(Ask::Day(day)) => {
+    let days = match parse_args(&args) {
+        Ok(Command::All { seeds, nodes, of }) => all_runs(seeds, nodes, of),
+        Ok(Command::Day(day)) => {
             env_logger::Builder::new()
                 .filter_level(log::LevelFilter::Debug)
                 .format_timestamp(None)
@@ -264,13 +266,13 @@
             std::process::exit(2);
         }
     };
-    let done = parallel::map(&days, THREADS, played);
-    let played: Vec<(Meeting, Played)> = days
+    let done = parallel::map(&days, THREADS, run);
+    let played: Vec<(ScenarioRun, Played)> = days
         .into_iter()
         .zip(done)
         .filter_map(|(d, p)| Some((d, p?)))
         .collect();
-    let all = table(&played);
+    let all = print_table(&played);
     println!("\n{}", all.json());
     std::process::exit(i32::from(all.failed > 0));
 }
--- a/crates/standins/examples/own_days.rs
+++ b/crates/standins/examples/own_days.rs
@@ -28,7 +28,7 @@
 
 /// What a day is summed up to, and what is recorded of it.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-struct Seen {
+struct DayResults {
     rules_broken: usize,
     forgotten_75: usize,
     served_below_half: usize,
@@ -47,19 +47,19 @@
 #[derive(Serialize, Deserialize)]
 struct Recorded {
     about: String,
-    days: BTreeMap<String, Seen>,
+    days: BTreeMap<String, DayResults>,
 }
 
 fn rounded(share: f64) -> f64 {
     (share * 1000.0).round() / 1000.0
 }
 
-fn play(day: Day) -> (Seen, Vec<String>) {
+fn run_day(day: Day) -> (DayResults, Vec<String>) {
     let mut world = World::new(plan(day.kind, day.seed, day.nodes, day.size));
     world.run_day();
     let v: Verdict = world.verdict();
     let notes = v.failures(&world.rules);
-    let seen = Seen {
+    let results = DayResults {
         rules_broken: world.rules.broken.len(),
         forgotten_75: v.forgotten_75.len(),
         served_below_half: v.served_below_half.len(),
@@ -73,10 +73,10 @@
         tasks_lost: world.lost,
         done: rounded(v.done as f64 / v.jobs.max(1) as f64),
     };
-    (seen, notes)
+    (results, notes)
 }
 
-fn name(day: &Day) -> String {
+fn day_name(day: &Day) -> String {
     format!("{} {} {}", day.size.machines, day.nodes, kinds()[day.kind])
 }
 
@@ -99,7 +99,7 @@
     days
 }
 
-type Figure = (&'static str, fn(&Seen) -> f64);
+type Figure = (&'static str, fn(&DayResults) -> f64);
 
 const FIGURES: [Figure; 10] = [
     ("broken", |s| s.rules_broken as f64),
@@ -114,28 +114,32 @@
     ("tasks lost", |s| s.tasks_lost as f64),
 ];
 
-fn table(days: &[Day], seen: &[(Seen, Vec<String>)], before: &BTreeMap<String, Seen>) {
+fn print_table(
+    days: &[Day],
+    results: &[(DayResults, Vec<String>)],
+    before: &BTreeMap<String, DayResults>,
+) {
     print!("{:<62}", "machines, controllers and day: recorded -> now");
     FIGURES.iter().for_each(|(title, _)| print!("{title:>17}"));
     println!();
-    let none = Seen::default();
-    for (day, (now, notes)) in days.iter().zip(seen) {
-        let was = before.get(&name(day)).unwrap_or(&none);
-        print!("{:<62}", name(day));
+    let none = DayResults::default();
+    for (day, (now, notes)) in days.iter().zip(results) {
+        let recorded = before.get(&day_name(day)).unwrap_or(&none);
+        print!("{:<62}", day_name(day));
         FIGURES
             .iter()
-            .for_each(|(_, f)| print!("{:>17}", format!("{} -> {}", f(was), f(now))));
+            .for_each(|(_, f)| print!("{:>17}", format!("{} -> {}", f(recorded), f(now))));
         println!();
         notes.iter().take(5).for_each(|n| println!("    {n}"));
     }
 }
 
 /// Sums of what is counted, the worst of what lasts or is a share.
-fn summed_up(seen: &[(Seen, Vec<String>)]) -> Seen {
-    let all = || seen.iter().map(|(s, _)| s);
-    let longest = |f: fn(&Seen) -> f64| all().map(f).fold(0.0, f64::max);
-    let least = |f: fn(&Seen) -> f64| all().map(f).fold(1.0, f64::min);
-    Seen {
+fn totals(results: &[(DayResults, Vec<String>)]) -> DayResults {
+    let all = || results.iter().map(|(s, _)| s);
+    let longest = |f: fn(&DayResults) -> f64| all().map(f).fold(0.0, f64::max);
+    let least = |f: fn(&DayResults) -> f64| all().map(f).fold(1.0, f64::min);
+    DayResults {
         rules_broken: all().map(|s| s.rules_broken).sum(),
         forgotten_75: all().map(|s| s.forgotten_75).sum(),
         served_below_half: all().map(|s| s.served_below_half).sum(),
@@ -152,7 +156,7 @@
 }
 
 /// The days that the command line asks for.
-fn chosen(args: &[String]) -> Vec<Day> {
+fn requested_days(args: &[String]) -> Vec<Day> {
     let number = |i: usize, or: u64| args.get(i).and_then(|a| a.parse().ok()).unwrap_or(or);
     let small = |kind: usize, seed, nodes| Day {
         kind,
@@ -183,14 +187,14 @@
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let days = chosen(&args);
-    let seen = parallel::map(&days, THREADS, |day| play(*day));
-    let sum = summed_up(&seen);
+    let days = requested_days(&args);
+    let results = parallel::map(&days, THREADS, |day| run_day(*day));
+    let sum = totals(&results);
     if args.first().is_some_and(|a| a == "record") {
         let named = days
             .iter()
-            .zip(&seen)
-            .map(|(d, (s, _))| (name(d), s.clone()));
+            .zip(&results)
+            .map(|(d, (s, _))| (day_name(d), s.clone()));
         let about = args.get(1).cloned().unwrap_or_default();
         let text = serde_json::to_string_pretty(&Recorded {
             about,
@@ -202,12 +206,12 @@
     if args.first().is_some_and(|a| a == "small" || a == "seeds") {
         for (day, (_, notes)) in days
             .iter()
-            .zip(&seen)
+            .zip(&results)
             .filter(|(_, (_, notes))| !notes.is_empty())
         {
             println!(
                 "{} (kind {}, seed {}): {notes:?}",
-                name(day),
+                day_name(day),
                 day.kind,
                 day.seed
             );
@@ -215,13 +219,13 @@
         for (title, f) in FIGURES.iter().filter(|(title, _)| title.ends_with(" s")) {
             let worst = days
                 .iter()
-                .zip(&seen)
+                .zip(&results)
                 .max_by(|a, b| f(&a.1.0).total_cmp(&f(&b.1.0)));
             if let Some((day, (s, _))) = worst {
                 println!(
                     "most {title}: {} in {} (kind {}, seed {})",
                     f(s),
-                    name(day),
+                    day_name(day),
                     day.kind,
                     day.seed
                 );
@@ -231,7 +235,7 @@
         let recorded: Recorded = serde_json::from_str(include_str!("own_days.json"))
             .expect("the recorded file is readable");
         println!("recorded: {}", recorded.about);
-        table(&days, &seen, &recorded.days);
+        print_table(&days, &results, &recorded.days);
     }
     println!("\n{}", json!(sum));
     let bad = sum.rules_broken + sum.forgotten_75 + sum.served_below_half + sum.largest_late;
--- a/crates/standins/examples/region.rs
+++ b/crates/standins/examples/region.rs
@@ -17,7 +17,7 @@
 const HOUR_MS: u64 = 3_600_000;
 const AFTER_MS: u64 = 120_000;
 /// An array of so many tasks comes so often, and each task runs this long.
-const EVERY_MS: u64 = 6000;
+const ARRAY_INTERVAL_MS: u64 = 6000;
 const TASKS: u32 = 60;
 const RUN_MS: u64 = 60_000;
 /// The rush on return is what starts within this time.
@@ -25,7 +25,7 @@
 const SEED: u64 = 9;
 
 /// What became of the work.
-struct Seen {
+struct Results {
     lost: u64,
     /// Seconds from the cut until as many tasks start in ten seconds as before it.
     recovered_s: Option<u64>,
@@ -38,10 +38,10 @@
     broken: Vec<String>,
 }
 
-fn fleet() -> World {
-    let jobs = (CALM_MS + HOUR_MS + AFTER_MS) / EVERY_MS;
+fn new_world() -> World {
+    let jobs = (CALM_MS + HOUR_MS + AFTER_MS) / ARRAY_INTERVAL_MS;
     let job = |number: u64| Timed {
-        at: 1000 + number * EVERY_MS,
+        at: 1000 + number * ARRAY_INTERVAL_MS,
         run_ms: RUN_MS,
         // One in twenty is cancelled while it runs.
         cancel_ms: number.is_multiple_of(20).then_some(RUN_MS / 2),
@@ -73,13 +73,13 @@
 }
 
 /// Cuts off the region of the leader, or one without it.
-fn play(with_leader: bool) -> Seen {
-    let mut world = fleet();
+fn run_scenario(with_leader: bool) -> Results {
+    let mut world = new_world();
     world.run_for(CALM_MS / 2);
     let starts_before = starts_in(&mut world, CALM_MS / 2);
     let leader = world.leader_at().unwrap_or(0);
-    let number = if with_leader { leader } else { leader + 1 };
-    let region = REGIONS[number % REGIONS.len()];
+    let region_index = if with_leader { leader } else { leader + 1 };
+    let region = REGIONS[region_index % REGIONS.len()];
     let (inside, outside) = (
         Frontend::Zone(region.into()),
         Frontend::Outside(region.into()),
@@ -91,11 +91,11 @@
     let (lost, refused) = (world.lost, world.refused);
     let (mut leaders, mut last) = (0, Some(leader));
     let (mut recovered_s, mut starts) = (None, 0.0);
-    for ten in 0..HOUR_MS / RUSH_MS {
+    for window in 0..HOUR_MS / RUSH_MS {
         let rate = starts_in(&mut world, RUSH_MS);
         starts += rate;
         if rate >= starts_before * 0.9 && recovered_s.is_none() {
-            recovered_s = Some((ten + 1) * RUSH_MS / 1000);
+            recovered_s = Some((window + 1) * RUSH_MS / 1000);
         }
         let now = world.leader_at();
         if now.is_some() && now != last {
@@ -104,7 +104,7 @@
     }
     let rush = starts_in(&mut world, RUSH_MS);
     world.run_for(AFTER_MS - RUSH_MS);
-    Seen {
+    Results {
         lost: world.lost - lost,
         recovered_s,
         starts_before,
@@ -117,33 +117,33 @@
     }
 }
 
-fn shown(seen: &Seen) -> Value {
-    json!({"tasks_lost": seen.lost, "recovered_s": seen.recovered_s, "starts_a_second_before": seen.starts_before,
-        "starts_a_second_in_the_hour": seen.starts_during, "starts_a_second_on_return": seen.rush,
-        "leaders": seen.leaders, "refused": seen.refused, "longest_cancelled_ms": seen.longest_cancelled_ms,
-        "rules_broken": seen.broken})
+fn results_json(results: &Results) -> Value {
+    json!({"tasks_lost": results.lost, "recovered_s": results.recovered_s, "starts_a_second_before": results.starts_before,
+        "starts_a_second_in_the_hour": results.starts_during, "starts_a_second_on_return": results.rush,
+        "leaders": results.leaders, "refused": results.refused, "longest_cancelled_ms": results.longest_cancelled_ms,
+        "rules_broken": results.broken})
 }
 
 fn main() -> ExitCode {
     // Each is a world of its own, so both are played side by side.
     let (follower, leader) = std::thread::scope(|scope| {
-        let follower = scope.spawn(|| play(false));
-        let leader = scope.spawn(|| play(true));
+        let follower = scope.spawn(|| run_scenario(false));
+        let leader = scope.spawn(|| run_scenario(true));
         let ended = "a world plays to its end";
         (follower.join().expect(ended), leader.join().expect(ended))
     });
-    for (name, seen) in [("follower", &follower), ("leader", &leader)] {
+    for (name, results) in [("follower", &follower), ("leader", &leader)] {
         println!(
             "a region with a {name} cut off for an hour: {}",
-            shown(seen)
+            results_json(results)
         );
     }
     println!(
         "{}",
-        json!({"follower": shown(&follower), "leader": shown(&leader)})
+        json!({"follower": results_json(&follower), "leader": results_json(&leader)})
     );
-    let is_kept = follower.broken.is_empty() && leader.broken.is_empty();
-    if is_kept {
+    let rules_kept = follower.broken.is_empty() && leader.broken.is_empty();
+    if rules_kept {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/standins/examples/ways.rs
+++ b/crates/standins/examples/ways.rs
@@ -16,9 +16,9 @@
 const AFTER_MS: u64 = 60_000;
 
 /// What a cut is made of, given the leader and the two others.
-type Sides = fn(usize, usize, usize) -> Vec<(Frontend, Frontend)>;
+type LinksToCut = fn(usize, usize, usize) -> Vec<(Frontend, Frontend)>;
 
-const CUTS: [(&str, &str, Sides); 13] = [
+const CUTS: [(&str, &str, LinksToCut); 13] = [
     ("none", "nothing is cut", |_, _, _| vec![]),
     (
         "owner-state",
@@ -97,16 +97,16 @@
 ];
 
 /// What was seen of one cut.
-struct Seen {
+struct Results {
     lost: u64,
-    without_starts: u64,
+    seconds_without_starts: u64,
     refused: u64,
     leaders: u64,
     starts: u64,
     broken: usize,
 }
 
-fn fleet(reach: &str) -> World {
+fn new_world(relays: &str) -> World {
     let job = |i: u32| {
         let spec = array(1000 + i, "red", 120, 30.0);
         Timed {
@@ -132,27 +132,27 @@
         large: true,
         ..Plan::of_scene(5, NODES, scene.team("red", 3000.0, 0.0), 0, 0)
     });
-    world.tune("reach", "relays", reach);
-    world.tune("reach", "keepers", reach);
+    world.tune("reach", "relays", relays);
+    world.tune("reach", "keepers", relays);
     world
 }
 
-fn play(sides: Sides, reach: &str) -> Seen {
-    let mut world = fleet(reach);
+fn run_cut(links_to_cut: LinksToCut, relays: &str) -> Results {
+    let mut world = new_world(relays);
     world.run_for(CALM_MS);
     let leader = world.leader_at().unwrap_or(0);
-    for (a, b) in sides(leader, (leader + 1) % NODES, (leader + 2) % NODES) {
+    for (a, b) in links_to_cut(leader, (leader + 1) % NODES, (leader + 2) % NODES) {
         world.cut(Cut {
             how: How::Hold,
             ..Cut::between(a, b, world.now(), CUT_MS)
         });
     }
     let (lost, starts, refused) = (world.lost, world.rules.starts, world.refused);
-    let (mut without_starts, mut leaders, mut last) = (0, 0, Some(leader));
+    let (mut seconds_without_starts, mut leaders, mut last) = (0, 0, Some(leader));
     for _ in 0..CUT_MS / 1000 {
         let before = world.rules.starts;
         world.run_for(1000);
-        without_starts += u64::from(world.rules.starts == before);
+        seconds_without_starts += u64::from(world.rules.starts == before);
         let now = world.leader_at();
         if now.is_some() && now != last {
             leaders += 1;
@@ -160,9 +160,9 @@
         }
     }
     world.run_for(AFTER_MS);
-    Seen {
+    Results {
         lost: world.lost - lost,
-        without_starts,
+        seconds_without_starts,
         refused: world.refused - refused,
         leaders,
         starts: world.rules.starts - starts,
@@ -190,33 +190,33 @@
         .iter()
         .filter(|(n, _, _)| only.is_empty() || only.iter().any(|o| o == n));
     let chosen: Vec<_> = chosen
-        .flat_map(|c| ["0", "1"].map(|reach| (c, reach)))
+        .flat_map(|c| ["0", "1"].map(|relays| (c, relays)))
         .collect();
     // Each is a world of its own, so they may be played side by side.
-    let seen: Vec<Seen> = std::thread::scope(|s| {
+    let results: Vec<Results> = std::thread::scope(|s| {
         let all: Vec<_> = chosen
             .iter()
-            .map(|((_, _, sides), reach)| s.spawn(move || play(*sides, reach)))
+            .map(|((_, _, links_to_cut), relays)| s.spawn(move || run_cut(*links_to_cut, relays)))
             .collect();
         all.into_iter()
             .map(|t| t.join().expect("a world plays to its end"))
             .collect()
     });
-    for (pair, seen) in chosen.chunks(2).zip(seen.chunks(2)) {
+    for (pair, results) in chosen.chunks(2).zip(results.chunks(2)) {
         let (name, what, _) = pair[0].0;
-        let pair = |f: fn(&Seen) -> u64| format!("{} -> {}", f(&seen[0]), f(&seen[1]));
+        let pair = |f: fn(&Results) -> u64| format!("{} -> {}", f(&results[0]), f(&results[1]));
         println!(
             "{name:<22}{:>16}{:>16}{:>14}{:>10}{:>18}   {what}",
             pair(|s| s.lost),
-            pair(|s| s.without_starts),
+            pair(|s| s.seconds_without_starts),
             pair(|s| s.refused),
             pair(|s| s.leaders),
             pair(|s| s.starts)
         );
-        for (sum, s) in sums.iter_mut().zip(seen) {
+        for (sum, s) in sums.iter_mut().zip(results) {
             broken += s.broken;
             sum[0] += s.lost;
-            sum[1] += s.without_starts;
+            sum[1] += s.seconds_without_starts;
             sum[2] += s.refused;
         }
     }
