--- a/crates/standins/examples/agreed.rs
+++ b/crates/standins/examples/agreed.rs
@@ -1,8 +1,8 @@
-//! What the controllers agree on, at fleet size and in virtual time: release hours, tallies and models that wake, calm
-//! and while all controllers crash, with the documents in force and without.
+//! Simulates release hours, tallies and models that wake, at fleet size and in virtual time: without faults and while all
+//! controllers crash, with the documents in force and without.
 //!
-//! `cargo run --release -q -p standins --example agreed`; the last line is JSON. `-- planted` plays a small day for
-//! each counter with something wrong in it, and ends well only if that counter, and no other, sees it.
+//! `cargo run --release -q -p standins --example agreed`; the last line is JSON. `-- planted` runs a small scenario
+//! for each counter with an error injected for it, and succeeds only if that counter, and no other, detects it.
 
 use model::{Begin, Rule};
 use serde_json::{Value, json};
@@ -14,12 +14,12 @@
 use wire::records::Record;
 
 const CALM_KIND: usize = 0;
-/// All controllers crash every 3 s, and are back after 0.15 s.
+/// Kind of scenario in which all controllers crash every 3 s and restart after 0.15 s.
 const CRASHES_KIND: usize = 5;
 const MODELS: u32 = 40;
-/// Documents are in force everywhere by then, and nobody has come before.
+/// Documents are in force on all nodes by this time; jobs arrive only after it.
 const DOCUMENTS_IN_FORCE_MS: u64 = 10_000;
-/// A task's image is there after this time.
+/// Time to fetch a task's image.
 const FETCH_MS: u64 = 1000;
 const COUNTIES: &str = "/admin/counties";
 
@@ -31,7 +31,7 @@
     documents: bool,
 }
 
-/// What a day came to.
+/// Results of a scenario.
 #[derive(Default)]
 struct Results {
     jobs: usize,
@@ -50,7 +50,7 @@
     extra_bytes: usize,
 }
 
-/// Hours every minute, agreed with the teams of two studios, each at least two minutes away.
+/// A release hour in every minute for the teams of two studios, with at least two minutes of notice.
 fn calendar() -> Value {
     let at: Vec<String> = (18..58).map(|m| format!("00:{m}")).collect();
     json!({"studio": [{"name": "north", "teams": ["red"], "zone": "UTC", "notice_min": 2},
@@ -58,7 +58,7 @@
         "release": [{"studio": "north", "at": at}, {"studio": "south", "at": at}]})
 }
 
-/// One county in zone a only, one without bounds, one that shares no machine, and the rest.
+/// A county bound to zone a, one without restrictions, and one that shares no machine; all other jobs are counted.
 fn counties() -> Value {
     json!({"others": "count", "county": [
         {"id": "gangs", "apart": "zones", "zones": ["a"], "rule": [{"teams": ["red"], "classes": ["gang"]}]},
@@ -75,7 +75,7 @@
     format!("job-{n:06}")
 }
 
-/// The day's own jobs, models beside them, and waves of demand for these.
+/// The scenario's own jobs, and models with waves of demand.
 fn plan_of(day: Day) -> Plan {
     let mut plan = plan(day.kind, 2, day.nodes, day.size);
     let Some(scene) = plan.scene.as_mut() else {
@@ -95,7 +95,7 @@
             cancel_ms: None,
             spec,
         });
-        // Two waves of five questions each; between them it falls asleep.
+        // Two waves of five demand requests each; the model falls asleep between them.
         for at in [70_000, 200_000].map(|wave| wave + u64::from(n) * 300) {
             (0..5).for_each(|k| scene.demands.push((at + k * 2000, model_id(n), None)));
         }
@@ -119,7 +119,7 @@
     plan
 }
 
-/// Fields that a record has had before there were such documents; what is read is each put into the state service.
+/// Fields that these records have without documents. Others in a put to the state service count as extra.
 fn base_fields(key: &str) -> Option<&'static [&'static str]> {
     match key.split_once('/')?.0 {
         "live" => Some(&["spec", "at_ms", "part"]),
@@ -129,7 +129,7 @@
     }
 }
 
-/// Puts that are there for the documents alone, and the bytes of fields that are in other records for them.
+/// Number of puts that only documents cause, and bytes of the fields that they add to other records.
 fn extra_writes(world: &World) -> (u64, usize) {
     let (mut puts, mut bytes) = (0, 0);
     for (_, key, value) in world.state.history(0) {
@@ -160,7 +160,7 @@
     (puts, bytes)
 }
 
-/// From the first question that was not told of an earlier generation to the first replica, in milliseconds.
+/// Times from the first demand request that was not answered with an earlier generation to the first replica.
 fn wake_times_ms(world: &World) -> Vec<u64> {
     let models = &world.models;
     let mut out: Vec<u64> = Vec::new();
@@ -179,7 +179,8 @@
     out
 }
 
-/// What the leader's counts and audit differ in from what the state service saw; empty if nothing.
+/// Collects differences between the leader's tallies and audit on one side and the history of the state service on the
+/// other.
 fn compare_tallies(world: &mut World, results: &mut Results) {
     world.inquire(COUNTIES.into(), json!({"tally": {"county": null}}));
     for _ in 0..40 {
@@ -232,7 +233,7 @@
     }
 }
 
-/// What must be 0; the first is for all rules that were there before.
+/// Counters that must be 0. The first counts all rules without a counter of their own.
 const COUNTERS: [&str; 7] = [
     "rules_broken",
     "hours_moved",
@@ -243,7 +244,7 @@
     "extra_writes_without_documents",
 ];
 
-/// Something goes wrong behind the controllers' backs.
+/// Damages records or the checkers' data, so that the counter `what` must detect it.
 fn inject_error(world: &mut World, what: &str) {
     let jobs = world
         .state
@@ -356,7 +357,7 @@
             .get(m)
             .is_none_or(|j| j.told_cancelled.is_some())
     };
-    // A world that a broken rule has stopped has not come to rest.
+    // A simulation that stopped at a broken rule has not settled.
     if world.rules.broken.is_empty() {
         results.lost_models = world.models.lost(cancelled);
     }
@@ -367,7 +368,7 @@
     results
 }
 
-/// The share `part` of 100 of sorted waits, in seconds.
+/// The percentile `part` of sorted waits, in seconds.
 fn percentile(waits: &[u64], part: usize) -> String {
     waits
         .get((waits.len() * part / 100).min(waits.len().saturating_sub(1)))
@@ -431,7 +432,7 @@
     }
 }
 
-/// What must be 0, summed up over days.
+/// Sums of the counters over all scenarios.
 fn counters(days: &[Day], results: &[Results]) -> BTreeMap<&'static str, usize> {
     let of = |name: &'static str| {
         let broken = results
@@ -459,7 +460,7 @@
     COUNTERS.map(of).into()
 }
 
-/// Each counter sees what is planted for it, and no other does.
+/// Whether each counter, and no other, detects the error that is injected for it.
 fn check_counters() -> bool {
     COUNTERS.iter().fold(true, |all_pass, what| {
         let documents = !what.starts_with("extra");
@@ -503,13 +504,13 @@
         let running: Vec<_> = days.iter().map(|d| s.spawn(|| run_day(*d, None))).collect();
         running
             .into_iter()
-            .map(|r| r.join().expect("no day panics"))
+            .map(|r| r.join().expect("a simulation thread panicked"))
             .collect()
     });
     print_table(&days, &results);
     let counts = counters(&days, &results);
     println!("\n{}", json!(counts));
-    // They must have had something to see.
+    // Fails if the counters are 0 only because nothing was exercised.
     let is_exercised = |s: &Results| {
         s.extra_puts > 0 && s.extra_bytes > 0 && s.jobs_due > 0 && !s.wakes.is_empty()
     };
--- a/crates/standins/examples/flood.rs
+++ b/crates/standins/examples/flood.rs
@@ -1,12 +1,12 @@
-//! A desk floods the queue: what its neighbours notice with a quota tree, and with flat teams on the same seeds.
-//! In virtual time. Prints one JSON line last: `cargo run --release -q -p standins --example flood`.
+//! One team floods the queue: simulates how this affects the other teams, with a quota tree and with flat teams on the
+//! same seeds, in virtual time. The last line is JSON: `cargo run --release -q -p standins --example flood`.
 
 use quota::{Amounts, NodeSpec, Spec, TeamSpec};
 use standins::scene::{Scene, Timed, array};
 use standins::world::{Plan, Sabotage, World};
 
 const SEEDS: u64 = 20;
-/// Neighbours ask from here on, when the flood has all machines.
+/// The other teams submit from this time on, when the flood occupies all machines.
 const NEIGHBOURS_BEGIN_MS: u64 = 90_000;
 const ROUNDS: u64 = 20;
 const ROUND_INTERVAL_MS: u64 = 30_000;
@@ -22,7 +22,7 @@
     [("gpus".to_owned(), n)].into()
 }
 
-/// Two desks of one house; the settings' guarantees below them.
+/// Two nodes below one root; the teams below them have their guarantees in the settings.
 fn tree() -> Spec {
     let node = |name: &str, parent, n| NodeSpec {
         guarantee: gpus(n),
@@ -67,7 +67,7 @@
     for round in 0..ROUNDS {
         for (team, _, guarantee) in &TEAMS[1..] {
             id += 1;
-            // About what each is guaranteed: so much is asked for at once as ends meanwhile.
+            // Each round requests about the guarantee of the team, and ends before the next round.
             let run_ms = rng.u64(20_000..30_000);
             let spec = array(id, team, *guarantee as u32, run_ms as f64 / 1000.0);
             let at = NEIGHBOURS_BEGIN_MS + round * ROUND_INTERVAL_MS + rng.u64(0..3000);
@@ -84,13 +84,13 @@
 
 #[derive(Default)]
 struct Results {
-    /// Seconds from the submission of a neighbour's task to its first run.
+    /// Seconds from the submission of another team's task to its first run.
     waits: Vec<f64>,
-    /// Of what the neighbours are guaranteed, the share that ran a minute after they had first asked.
+    /// Share of the other teams' guarantees that ran a minute after their first submission.
     shares: Vec<f64>,
     stopped: u64,
     lost_s: f64,
-    /// GPU seconds that were of use.
+    /// GPU seconds of tasks that completed.
     useful_s: f64,
 }
 
@@ -117,7 +117,7 @@
             .map(|j| j.spec.team.clone())
     };
     world.run_for(NEIGHBOURS_BEGIN_MS + 60_000);
-    // They ask anew just then: the most that each has within the next seconds.
+    // A round of submissions begins at this moment: samples the peak of each team within the next seconds.
     let mut peak_running = [0.0f64; 3];
     for _ in 0..SAMPLE_S {
         world.run_for(1000);
@@ -145,7 +145,7 @@
                 .began
                 .get(&wire::ids::task_name(&job.spec.id, n))
                 .copied();
-            // One that never ran has waited until the end.
+            // A task that never ran counts as waiting until the end.
             results
                 .waits
                 .push((began.unwrap_or(end).saturating_sub(job.at)) as f64 / 1000.0);
--- a/crates/standins/examples/meetings.rs
+++ b/crates/standins/examples/meetings.rs
@@ -1,9 +1,9 @@
-//! Meetings of troubles in virtual time: one day by name for each that operators saw break rules, all pairs of troubles
-//! with 3, 5 and 7 controllers, all triples with one of these by turns.
+//! Combinations of faults in virtual time: the named scenarios, which operators have seen break rules, and all pairs of
+//! faults, each with 3, 5 and 7 controllers; all triples with one of these numbers in turn.
 //!
-//! `cargo run --release -q -p standins --example meetings`; the last line is JSON. `-- --seeds N` plays N days of each,
-//! `-- --nodes N` with so many controllers only, `-- --of N` days by name (1), pairs (2) or triples (3) alone, `-- --day NAME SEED NODES` one day with the controllers' logs: one by
-//! name, or kinds of trouble joined by `+`.
+//! `cargo run --release -q -p standins --example meetings`; the last line is JSON. `-- --seeds N` runs N seeds of each,
+//! `-- --nodes N` only this number of controllers, `-- --of N` only named scenarios (1), pairs (2) or triples (3).
+//! `-- --day NAME SEED NODES` runs one scenario with the controllers' logs: a named one, or kinds of faults joined by `+`.
 
 use serde_json::{Value, json};
 use standins::meetings::{Played, day, kinds, named, play};
@@ -12,7 +12,7 @@
 
 const SEEDS: u64 = 4;
 const NODES: [usize; 3] = [3, 5, 7];
-/// Days that are played side by side.
+/// Number of simulations that run in parallel.
 const THREADS: usize = 8;
 
 struct ScenarioRun {
@@ -22,14 +22,14 @@
 }
 
 impl ScenarioRun {
-    /// Of two or three kinds of trouble, this one among them.
+    /// Whether it combines this number of kinds of faults, this one among them.
     fn combines(&self, kind: &str, kinds: usize) -> bool {
         let mut of = self.name.split('+');
         of.clone().count() == kinds && of.any(|k| k == kind)
     }
 }
 
-/// What the command line asks for.
+/// Command given on the command line.
 enum Command {
     All {
         seeds: u64,
@@ -39,7 +39,7 @@
     Day(ScenarioRun),
 }
 
-/// A number within its bounds, or what is wrong with the argument.
+/// Parses a number within bounds; the error names the argument.
 fn number(name: &str, given: Option<&String>, bounds: RangeInclusive<u64>) -> Result<u64, String> {
     let (low, high) = (bounds.start(), bounds.end());
     let given = given.ok_or(format!("{name}: a number from {low} to {high} is missing"))?;
@@ -96,7 +96,8 @@
     })
 }
 
-/// Days by name and pairs with each number of controllers, triples with one of them; or one of the three sorts.
+/// Named scenarios and pairs with each number of controllers, triples with one of them in turn; `of` selects one of these
+/// three groups.
 fn all_runs(seeds: u64, only_nodes: Option<usize>, of: Option<u64>) -> Vec<ScenarioRun> {
     let node_counts: Vec<usize> = only_nodes.map_or(NODES.to_vec(), |n| vec![n]);
     let (named, kinds) = (named(), kinds());
@@ -127,7 +128,7 @@
     days
 }
 
-/// Figures of some days.
+/// Totals and maxima over some scenarios.
 #[derive(Default)]
 struct Row {
     days: usize,
@@ -141,7 +142,7 @@
     cancel_ms: u64,
     lost: u64,
     unanswered_s: f64,
-    /// Starts after a confirmed cancel, and those that were ordered after it.
+    /// Starts after a confirmed cancellation, and those of them that were also ordered after it.
     started: u64,
     ordered: u64,
     changes: f64,
@@ -234,7 +235,7 @@
 fn run(day: &ScenarioRun) -> Option<Played> {
     let plan = standins::meetings::day(&day.name, day.seed, day.nodes)?;
     let played = play(plan).1;
-    // At once, for whoever waits for a long run.
+    // Reported at once, since the whole run takes long.
     if !played.failures.is_empty() {
         eprintln!(
             "--day {} {} {}: {:?}",
--- a/crates/standins/examples/own_days.rs
+++ b/crates/standins/examples/own_days.rs
@@ -1,9 +1,9 @@
-//! The operators' own days at fleet size, in virtual time: quick restarts within every kind of trouble, users behind a
-//! balancer, 1,200 and 1,800 machines, the figures of an earlier version beside.
+//! The operators' own scenarios at fleet size, in virtual time: quick restarts during every kind of fault, users behind a
+//! load balancer, 1,200 and 1,800 machines; prints the recorded figures of an earlier version for comparison.
 //!
-//! `cargo run --release -q -p standins --example own_days`; the last line is JSON. `-- small KIND SEED NODES` plays
-//! one small day with the controllers' logs, `-- seeds N` so many small days of each kind, `-- record ABOUT` writes the
-//! recorded file anew.
+//! `cargo run --release -q -p standins --example own_days`; the last line is JSON. `-- small KIND SEED NODES` runs one
+//! small scenario with the controllers' logs, `-- seeds N` N small scenarios of each kind, `-- record ABOUT` rewrites the
+//! recorded figures.
 
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -15,7 +15,7 @@
 
 const RECORDED: &str = "crates/standins/examples/own_days.json";
 const SIZES: [usize; 2] = [1200, 1800];
-/// Days that are played side by side.
+/// Number of simulations that run in parallel.
 const THREADS: usize = 8;
 
 #[derive(Clone, Copy)]
@@ -26,7 +26,7 @@
     size: Size,
 }
 
-/// What a day is summed up to, and what is recorded of it.
+/// Results of a scenario, as they are recorded.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 struct DayResults {
     rules_broken: usize,
@@ -81,11 +81,11 @@
 }
 
 fn fleet_days() -> Vec<Day> {
-    // The larger ones first, since they take longest.
+    // Larger fleets first, since they take longest.
     let kinds = (0..kinds().len()).flat_map(|kind| SIZES.map(|machines| (kind, machines)));
     let mut days: Vec<Day> = kinds
         .map(|(kind, machines)| {
-            // Every third kind with more controllers.
+            // Every third kind has more controllers.
             let nodes = [3, 3, 5, 3, 3, 7][kind % 6];
             Day {
                 kind,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Sums of what is counted, the worst of what lasts or is a share.
+/// Sums of counts, and the worst of durations and shares.
 fn totals(results: &[(DayResults, Vec<String>)]) -> DayResults {
     let all = || results.iter().map(|(s, _)| s);
     let longest = |f: fn(&DayResults) -> f64| all().map(f).fold(0.0, f64::max);
@@ -155,7 +155,7 @@
     }
 }
 
-/// The days that the command line asks for.
+/// The scenarios that the command line selects.
 fn requested_days(args: &[String]) -> Vec<Day> {
     let number = |i: usize, or: u64| args.get(i).and_then(|a| a.parse().ok()).unwrap_or(or);
     let small = |kind: usize, seed, nodes| Day {
@@ -200,8 +200,8 @@
             about,
             days: named.collect(),
         });
-        std::fs::write(RECORDED, text.expect("plain figures") + "\n")
-            .expect("the recorded file can be written");
+        std::fs::write(RECORDED, text.expect("figures can be serialized") + "\n")
+            .expect("the file of recorded figures can be written");
     }
     if args.first().is_some_and(|a| a == "small" || a == "seeds") {
         for (day, (_, notes)) in days
@@ -233,7 +233,7 @@
         }
     } else {
         let recorded: Recorded = serde_json::from_str(include_str!("own_days.json"))
-            .expect("the recorded file is readable");
+            .expect("the file of recorded figures can be parsed");
         println!("recorded: {}", recorded.about);
         print_table(&days, &results, &recorded.days);
     }
--- a/crates/standins/examples/region.rs
+++ b/crates/standins/examples/region.rs
@@ -1,8 +1,8 @@
-//! An hour in which one region of five reaches no other: `cargo run --release -q -p standins --example region`. Virtual
-//! time and fixed seeds; nothing outside is needed. A zone of the stand-ins stands for a region.
+//! Simulates an hour in which one of five regions is cut off from the others, in virtual time and with a fixed seed:
+//! `cargo run --release -q -p standins --example region`. A zone of the simulation represents a region.
 //!
-//! Played twice: with a follower in the region, and with the leader in it. The last line is JSON; it ends with code 1 if
-//! a rule is broken.
+//! Runs twice: with a follower in the region, and with the leader in it. The last line is JSON; the exit code is 1 if a
+//! rule is broken.
 
 use serde_json::{Value, json};
 use standins::links::{Cut, Frontend, How};
@@ -16,18 +16,18 @@
 const CALM_MS: u64 = 120_000;
 const HOUR_MS: u64 = 3_600_000;
 const AFTER_MS: u64 = 120_000;
-/// An array of so many tasks comes so often, and each task runs this long.
+/// Interval between arrays, number of their tasks, and run time of a task.
 const ARRAY_INTERVAL_MS: u64 = 6000;
 const TASKS: u32 = 60;
 const RUN_MS: u64 = 60_000;
-/// The rush on return is what starts within this time.
+/// Starts within this time after the cut count as the rush on return.
 const RUSH_MS: u64 = 10_000;
 const SEED: u64 = 9;
 
-/// What became of the work.
+/// Results of one run.
 struct Results {
     lost: u64,
-    /// Seconds from the cut until as many tasks start in ten seconds as before it.
+    /// Seconds from the cut until the start rate over ten seconds is back at 90% of the rate before it.
     recovered_s: Option<u64>,
     starts_before: f64,
     starts_during: f64,
@@ -43,7 +43,7 @@
     let job = |number: u64| Timed {
         at: 1000 + number * ARRAY_INTERVAL_MS,
         run_ms: RUN_MS,
-        // One in twenty is cancelled while it runs.
+        // One job in twenty is cancelled while it runs.
         cancel_ms: number.is_multiple_of(20).then_some(RUN_MS / 2),
         spec: array(1000 + number as u32, "red", TASKS, RUN_MS as f64 / 1000.0),
     };
@@ -72,7 +72,7 @@
     (world.rules.starts - before) as f64 / (ms as f64 / 1000.0)
 }
 
-/// Cuts off the region of the leader, or one without it.
+/// Cuts off the region of the leader, or another one.
 fn run_scenario(with_leader: bool) -> Results {
     let mut world = new_world();
     world.run_for(CALM_MS / 2);
@@ -125,11 +125,11 @@
 }
 
 fn main() -> ExitCode {
-    // Each is a world of its own, so both are played side by side.
+    // The simulations are independent, so they run in parallel.
     let (follower, leader) = std::thread::scope(|scope| {
         let follower = scope.spawn(|| run_scenario(false));
         let leader = scope.spawn(|| run_scenario(true));
-        let ended = "a world plays to its end";
+        let ended = "a simulation thread panicked";
         (follower.join().expect(ended), leader.join().expect(ended))
     });
     for (name, results) in [("follower", &follower), ("leader", &leader)] {
--- a/crates/standins/examples/ways.rs
+++ b/crates/standins/examples/ways.rs
@@ -1,8 +1,8 @@
-//! Cuts links of a fleet of 1,200 machines, one by one and in pairs, and tells what became of the work:
-//! `cargo run --release -q -p standins --example ways`. Virtual time and fixed seeds; nothing outside is needed.
+//! Cuts links of a fleet of 1,200 machines, one by one and in pairs, and prints the effects on the work, in virtual time
+//! and with a fixed seed: `cargo run --release -q -p standins --example ways`.
 //!
-//! Each cut is played twice: with relays and keepers, and without (`[reach]` both 0). The last line is JSON. Names of
-//! cuts after `--` play these alone.
+//! Each cut is simulated twice: with relays and keepers, and without (both 0 in section `[reach]`). The last line is
+//! JSON. Names of cuts after `--` restrict the run to these.
 
 use serde_json::json;
 use standins::links::{Cut, Frontend, How};
@@ -15,7 +15,7 @@
 const CUT_MS: u64 = 60_000;
 const AFTER_MS: u64 = 60_000;
 
-/// What a cut is made of, given the leader and the two others.
+/// The pairs of hosts between which links are cut, given the leader and the two other nodes.
 type LinksToCut = fn(usize, usize, usize) -> Vec<(Frontend, Frontend)>;
 
 const CUTS: [(&str, &str, LinksToCut); 13] = [
@@ -96,7 +96,7 @@
     ),
 ];
 
-/// What was seen of one cut.
+/// Results of one cut.
 struct Results {
     lost: u64,
     seconds_without_starts: u64,
@@ -175,7 +175,7 @@
     let known = |name: &String| CUTS.iter().any(|(n, _, _)| n == name);
     if let Some(name) = only.iter().find(|n| !known(n)) {
         let names: Vec<&str> = CUTS.iter().map(|(n, _, _)| *n).collect();
-        eprintln!("no cut is called {name:?}; there are: {}", names.join(", "));
+        eprintln!("unknown cut {name:?}; known cuts: {}", names.join(", "));
         std::process::exit(2);
     }
     println!(
@@ -192,14 +192,14 @@
     let chosen: Vec<_> = chosen
         .flat_map(|c| ["0", "1"].map(|relays| (c, relays)))
         .collect();
-    // Each is a world of its own, so they may be played side by side.
+    // The simulations are independent, so they run in parallel.
     let results: Vec<Results> = std::thread::scope(|s| {
         let all: Vec<_> = chosen
             .iter()
             .map(|((_, _, links_to_cut), relays)| s.spawn(move || run_cut(*links_to_cut, relays)))
             .collect();
         all.into_iter()
-            .map(|t| t.join().expect("a world plays to its end"))
+            .map(|t| t.join().expect("a simulation thread panicked"))
             .collect()
     });
     for (pair, results) in chosen.chunks(2).zip(results.chunks(2)) {
