--- a/crates/standins/examples/agreed.rs
+++ b/crates/standins/examples/agreed.rs
@@ -120,7 +120,7 @@
 }
 
 /// Fields that these records have without documents. Others in a put to the state service count as extra.
-fn base_fields(key: &str) -> Option<&'static [&'static str]> {
+fn base_keys(key: &str) -> Option<&'static [&'static str]> {
     match key.split_once('/')?.0 {
         "live" => Some(&["spec", "at_ms", "part"]),
         "end" => Some(&["stage", "done"]),
@@ -136,20 +136,18 @@
         let Some(value) = value else { continue };
         let own = ["hours", "counties", "models", "tally", "model"];
         puts += u64::from(key.split('/').any(|word| own.contains(&word)));
-        let mut count = |value: &Value, known: &[&str]| {
+        let mut count = |value: &Value, base_keys: &[&str]| {
             let more = value
                 .as_object()
                 .into_iter()
                 .flatten()
-                .filter(|(k, _)| !known.contains(&k.as_str()));
+                .filter(|(k, _)| !base_keys.contains(&k.as_str()));
             bytes += more
                 .map(|(k, v)| k.len() + v.to_string().len() + 4)
                 .sum::<usize>();
         };
-        let Some(fields) = base_fields(key) else {
-            continue;
-        };
-        count(value, fields);
+        let Some(base) = base_keys(key) else { continue };
+        count(value, base);
         for claim in value["claims"].as_array().into_iter().flatten() {
             count(
                 claim,
