--- a/crates/standins/examples/agreed.rs
+++ b/crates/standins/examples/agreed.rs
@@ -1,5 +1,5 @@
-//! Simulates release hours, tallies and models that wake, at fleet size and in virtual time: without faults and while all
-//! controllers crash, with the documents in force and without.
+//! Simulates release hours, tallies and models that wake, at fleet size and in virtual time: without faults and while
+//! all controllers crash, with the documents in force and without.
 //!
 //! `cargo run --release -q -p standins --example agreed`; the last line is JSON. `-- planted` runs a small scenario
 //! for each counter with an error injected for it, and succeeds only if that counter, and no other, detects it.
--- a/crates/standins/examples/meetings.rs
+++ b/crates/standins/examples/meetings.rs
@@ -3,7 +3,8 @@
 //!
 //! `cargo run --release -q -p standins --example meetings`; the last line is JSON. `-- --seeds N` runs N seeds of each,
 //! `-- --nodes N` only this number of controllers, `-- --of N` only named scenarios (1), pairs (2) or triples (3).
-//! `-- --day NAME SEED NODES` runs one scenario with the controllers' logs: a named one, or kinds of faults joined by `+`.
+//! `-- --day NAME SEED NODES` runs one scenario with the controllers' logs: a named one, or kinds of faults joined by
+//! `+`.
 
 use serde_json::{Value, json};
 use standins::meetings::{Played, day, kinds, named, play};
@@ -96,8 +97,8 @@
     })
 }
 
-/// Named scenarios and pairs with each number of controllers, triples with one of them in turn; `of` selects one of these
-/// three groups.
+/// Named scenarios and pairs with each number of controllers, triples with one of them in turn; `of` selects one of
+/// these three groups.
 fn all_runs(seeds: u64, only_nodes: Option<usize>, of: Option<u64>) -> Vec<ScenarioRun> {
     let node_counts: Vec<usize> = only_nodes.map_or(NODES.to_vec(), |n| vec![n]);
     let (named, kinds) = (named(), kinds());
--- a/crates/standins/examples/own_days.rs
+++ b/crates/standins/examples/own_days.rs
@@ -1,9 +1,9 @@
-//! The operators' own scenarios at fleet size, in virtual time: quick restarts during every kind of fault, users behind a
-//! load balancer, 1,200 and 1,800 machines; prints the recorded figures of an earlier version for comparison.
+//! The operators' own scenarios at fleet size, in virtual time: quick restarts during every kind of fault, users behind
+//! a load balancer, 1,200 and 1,800 machines; prints the recorded figures of an earlier version for comparison.
 //!
 //! `cargo run --release -q -p standins --example own_days`; the last line is JSON. `-- small KIND SEED NODES` runs one
-//! small scenario with the controllers' logs, `-- seeds N` N small scenarios of each kind, `-- record ABOUT` rewrites the
-//! recorded figures.
+//! small scenario with the controllers' logs, `-- seeds N` N small scenarios of each kind, `-- record ABOUT` rewrites
+//! the recorded figures.
 
 use serde::{Deserialize, Serialize};
 use serde_json::json;
--- a/crates/standins/examples/play.rs
+++ b/crates/standins/examples/play.rs
@@ -1,4 +1,5 @@
-//! Simulates random faults with one seed and prints the controllers' logs: `cargo run -p standins --example play -- 30`.
+//! Simulates random faults with one seed and prints the controllers' logs:
+//! `cargo run -p standins --example play -- 30`.
 
 use standins::world::{Plan, Sabotage, World};
 
--- a/crates/standins/examples/ways.rs
+++ b/crates/standins/examples/ways.rs
@@ -1,5 +1,5 @@
-//! Cuts links of a fleet of 1,200 machines, one by one and in pairs, and prints the effects on the work, in virtual time
-//! and with a fixed seed: `cargo run --release -q -p standins --example ways`.
+//! Cuts links of a fleet of 1,200 machines, one by one and in pairs, and prints the effects on the work, in virtual
+//! time and with a fixed seed: `cargo run --release -q -p standins --example ways`.
 //!
 //! Each cut is simulated twice: with relays and keepers, and without (both 0 in section `[reach]`). The last line is
 //! JSON. Names of cuts after `--` restrict the run to these.
--- a/crates/standins/src/days.rs
+++ b/crates/standins/src/days.rs
@@ -1,5 +1,5 @@
-//! Scenarios ("days") modelled on the operators' own tests: faults ("troubles") at given times, drawn from a seed, for any
-//! number of controllers and for fleets of a dozen or of over a thousand machines.
+//! Scenarios ("days") modelled on the operators' own tests: faults ("troubles") at given times, drawn from a seed, for
+//! any number of controllers and for fleets of a dozen or of over a thousand machines.
 
 use crate::links::{Frontend, How};
 use crate::scene::{Scene, Timed, array};
@@ -54,8 +54,8 @@
         how: How,
         ms: u64,
     },
-    /// Messages that the current process sends within `for_ms` are delayed by up to `ms`, and delivered to whichever process
-    /// is there by then.
+    /// Messages that the current process sends within `for_ms` are delayed by up to `ms`, and delivered to whichever
+    /// process is there by then.
     Late {
         who: Who,
         for_ms: u64,
@@ -83,8 +83,8 @@
         machines: usize,
     },
     /// A share of the transactions that reach the state service within `for_ms` gets no answer. They are applied
-    /// [`LATE_WRITE_MS`] later, after newer ones of the same node; with `at_once` they are applied immediately and only the
-    /// answer is lost.
+    /// [`LATE_WRITE_MS`] later, after newer ones of the same node; with `at_once` they are applied immediately and only
+    /// the answer is lost.
     LateWrites {
         share: f64,
         for_ms: u64,
@@ -102,8 +102,8 @@
         machines: Machines,
         ms: u64,
     },
-    /// Within milliseconds after a job was accepted, ended or reported as cancelled, users query all nodes for it and submit
-    /// it again at each; a share of the jobs is cancelled immediately.
+    /// Within milliseconds after a job was accepted, ended or reported as cancelled, users query all nodes for it and
+    /// submit it again at each; a share of the jobs is cancelled immediately.
     CloseLooks {
         ms: u64,
     },
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Test doubles: a fake state service, cloud and workers, and a simulation in virtual time that runs controllers against
-//! them under seeded faults and checks the invariants after each step.
+//! Test doubles: a fake state service, cloud and workers, and a simulation in virtual time that runs controllers
+//! against them under seeded faults and checks the invariants after each step.
 
 pub mod balancer;
 pub mod checks;
--- a/crates/standins/src/meetings.rs
+++ b/crates/standins/src/meetings.rs
@@ -1,6 +1,6 @@
-//! Combinations of faults ("meetings of troubles"): scenarios in which two or three kinds of faults occur together, drawn
-//! from a seed, and a named scenario for each combination that operators have seen break invariants. Jobs of several
-//! classes, sizes and teams arrive meanwhile; a share of them is cancelled during the faults.
+//! Combinations of faults ("meetings of troubles"): scenarios in which two or three kinds of faults occur together,
+//! drawn from a seed, and a named scenario for each combination that operators have seen break invariants. Jobs of
+//! several classes, sizes and teams arrive meanwhile; a share of them is cancelled during the faults.
 
 mod machines;
 mod users;
@@ -687,7 +687,8 @@
     pub failures: Vec<String>,
 }
 
-/// Runs a scenario. With odd seeds these settings have their defaults instead of the shorter times of other simulations.
+/// Runs a scenario. With odd seeds these settings have their defaults instead of the shorter times of other
+/// simulations.
 pub fn play(plan: Plan) -> (World, Played) {
     let uses_default_settings = plan.seed % 2 == 1;
     let mut world = World::new(plan);
--- a/crates/standins/src/models.rs
+++ b/crates/standins/src/models.rs
@@ -132,8 +132,8 @@
         Ok(())
     }
 
-    /// Models that are up without a replica, or asleep with replicas although no rule keeps any, or still leaving. To be called after the
-    /// simulation has settled.
+    /// Models that are up without a replica, or asleep with replicas although no rule keeps any, or still leaving. To
+    /// be called after the simulation has settled.
     pub fn lost(&self, cancelled: impl Fn(&str) -> bool) -> Vec<String> {
         let mut out = Vec::new();
         for (model, rec) in self.recs.iter().filter(|(m, _)| !cancelled(m)) {
--- a/crates/standins/src/yarn.rs
+++ b/crates/standins/src/yarn.rs
@@ -1,6 +1,6 @@
 //! Fakes of the parties that speak YARN's protocols: clients submit, repeat, query and kill applications; runners start
-//! the containers that the gateway describes; application masters run jobs of several stages ("tallies"). All in virtual
-//! time and with the bytes of the protocols, one connection per call.
+//! the containers that the gateway describes; application masters run jobs of several stages ("tallies"). All in
+//! virtual time and with the bytes of the protocols, one connection per call.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
