--- a/crates/standins/examples/own_days.rs
+++ b/crates/standins/examples/own_days.rs
@@ -1,9 +1,9 @@
-//! The operators' own days at fleet size, in virtual time: quick restarts within every kind of trouble, users behind a
-//! balancer, 1,200 and 1,800 machines, the figures of an earlier version beside.
+//! The operators' own scenarios at fleet size, in virtual time: quick restarts during every kind of fault, users behind
+//! a load balancer, 1,200 and 1,800 machines; prints the recorded figures of an earlier version for comparison.
 //!
-//! `cargo run --release -q -p standins --example own_days`; the last line is JSON. `-- small KIND SEED NODES` plays
-//! one small day with the controllers' logs, `-- seeds N` so many small days of each kind, `-- record ABOUT` writes the
-//! recorded file anew.
+//! `cargo run --release -q -p standins --example own_days`; the last line is JSON. `-- small KIND SEED NODES` runs one
+//! small scenario with the controllers' logs, `-- seeds N` N small scenarios of each kind, `-- record ABOUT` rewrites
+//! the recorded figures.
 
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -15,7 +15,7 @@
 
 const RECORDED: &str = "crates/standins/examples/own_days.json";
 const SIZES: [usize; 2] = [1200, 1800];
-/// Days that are played side by side.
+/// Number of simulations that run in parallel.
 const THREADS: usize = 8;
 
 #[derive(Clone, Copy)]
@@ -26,14 +26,15 @@
     size: Size,
 }
 
-/// What a day is summed up to, and what is recorded of it.
+/// Results of a scenario, as they are recorded.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-struct Seen {
+struct DayResults {
     rules_broken: usize,
     forgotten_75: usize,
     served_below_half: usize,
     largest_late: usize,
     longest_unanswered_s: f64,
+    #[serde(rename = "longest_without_owner_s")]
     longest_without_leader_s: f64,
     longest_without_node_s: f64,
     fewest_running: f64,
@@ -46,19 +47,19 @@
 #[derive(Serialize, Deserialize)]
 struct Recorded {
     about: String,
-    days: BTreeMap<String, Seen>,
+    days: BTreeMap<String, DayResults>,
 }
 
 fn rounded(share: f64) -> f64 {
     (share * 1000.0).round() / 1000.0
 }
 
-fn play(day: Day) -> (Seen, Vec<String>) {
+fn run_day(day: Day) -> (DayResults, Vec<String>) {
     let mut world = World::new(plan(day.kind, day.seed, day.nodes, day.size));
     world.run_day();
     let v: Verdict = world.verdict();
     let notes = v.failures(&world.rules);
-    let seen = Seen {
+    let results = DayResults {
         rules_broken: world.rules.broken.len(),
         forgotten_75: v.forgotten_75.len(),
         served_below_half: v.served_below_half.len(),
@@ -72,19 +73,19 @@
         tasks_lost: world.lost,
         done: rounded(v.done as f64 / v.jobs.max(1) as f64),
     };
-    (seen, notes)
+    (results, notes)
 }
 
-fn name(day: &Day) -> String {
+fn day_name(day: &Day) -> String {
     format!("{} {} {}", day.size.machines, day.nodes, kinds()[day.kind])
 }
 
 fn fleet_days() -> Vec<Day> {
-    // The larger ones first, since they take longest.
+    // Larger fleets first, since they take longest.
     let kinds = (0..kinds().len()).flat_map(|kind| SIZES.map(|machines| (kind, machines)));
     let mut days: Vec<Day> = kinds
         .map(|(kind, machines)| {
-            // Every third kind with more controllers.
+            // Every third kind has more controllers.
             let nodes = [3, 3, 5, 3, 3, 7][kind % 6];
             Day {
                 kind,
@@ -98,7 +99,7 @@
     days
 }
 
-type Figure = (&'static str, fn(&Seen) -> f64);
+type Figure = (&'static str, fn(&DayResults) -> f64);
 
 const FIGURES: [Figure; 10] = [
     ("broken", |s| s.rules_broken as f64),
@@ -113,28 +114,32 @@
     ("tasks lost", |s| s.tasks_lost as f64),
 ];
 
-fn table(days: &[Day], seen: &[(Seen, Vec<String>)], before: &BTreeMap<String, Seen>) {
+fn print_table(
+    days: &[Day],
+    results: &[(DayResults, Vec<String>)],
+    before: &BTreeMap<String, DayResults>,
+) {
     print!("{:<62}", "machines, controllers and day: recorded -> now");
     FIGURES.iter().for_each(|(title, _)| print!("{title:>17}"));
     println!();
-    let none = Seen::default();
-    for (day, (now, notes)) in days.iter().zip(seen) {
-        let was = before.get(&name(day)).unwrap_or(&none);
-        print!("{:<62}", name(day));
+    let none = DayResults::default();
+    for (day, (now, notes)) in days.iter().zip(results) {
+        let recorded = before.get(&day_name(day)).unwrap_or(&none);
+        print!("{:<62}", day_name(day));
         FIGURES
             .iter()
-            .for_each(|(_, f)| print!("{:>17}", format!("{} -> {}", f(was), f(now))));
+            .for_each(|(_, f)| print!("{:>17}", format!("{} -> {}", f(recorded), f(now))));
         println!();
         notes.iter().take(5).for_each(|n| println!("    {n}"));
     }
 }
 
-/// Sums of what is counted, the worst of what lasts or is a share.
-fn summed_up(seen: &[(Seen, Vec<String>)]) -> Seen {
-    let all = || seen.iter().map(|(s, _)| s);
-    let longest = |f: fn(&Seen) -> f64| all().map(f).fold(0.0, f64::max);
-    let least = |f: fn(&Seen) -> f64| all().map(f).fold(1.0, f64::min);
-    Seen {
+/// Sums of counts, and the worst of durations and shares.
+fn totals(results: &[(DayResults, Vec<String>)]) -> DayResults {
+    let all = || results.iter().map(|(s, _)| s);
+    let longest = |f: fn(&DayResults) -> f64| all().map(f).fold(0.0, f64::max);
+    let least = |f: fn(&DayResults) -> f64| all().map(f).fold(1.0, f64::min);
+    DayResults {
         rules_broken: all().map(|s| s.rules_broken).sum(),
         forgotten_75: all().map(|s| s.forgotten_75).sum(),
         served_below_half: all().map(|s| s.served_below_half).sum(),
@@ -150,8 +155,8 @@
     }
 }
 
-/// The days that the command line asks for.
-fn chosen(args: &[String]) -> Vec<Day> {
+/// The scenarios that the command line selects.
+fn requested_days(args: &[String]) -> Vec<Day> {
     let number = |i: usize, or: u64| args.get(i).and_then(|a| a.parse().ok()).unwrap_or(or);
     let small = |kind: usize, seed, nodes| Day {
         kind,
@@ -182,31 +187,31 @@
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let days = chosen(&args);
-    let seen = parallel::map(&days, THREADS, |day| play(*day));
-    let sum = summed_up(&seen);
+    let days = requested_days(&args);
+    let results = parallel::map(&days, THREADS, |day| run_day(*day));
+    let sum = totals(&results);
     if args.first().is_some_and(|a| a == "record") {
         let named = days
             .iter()
-            .zip(&seen)
-            .map(|(d, (s, _))| (name(d), s.clone()));
+            .zip(&results)
+            .map(|(d, (s, _))| (day_name(d), s.clone()));
         let about = args.get(1).cloned().unwrap_or_default();
         let text = serde_json::to_string_pretty(&Recorded {
             about,
             days: named.collect(),
         });
-        std::fs::write(RECORDED, text.expect("plain figures") + "\n")
-            .expect("the recorded file can be written");
+        std::fs::write(RECORDED, text.expect("figures can be serialized") + "\n")
+            .expect("the file of recorded figures can be written");
     }
     if args.first().is_some_and(|a| a == "small" || a == "seeds") {
         for (day, (_, notes)) in days
             .iter()
-            .zip(&seen)
+            .zip(&results)
             .filter(|(_, (_, notes))| !notes.is_empty())
         {
             println!(
                 "{} (kind {}, seed {}): {notes:?}",
-                name(day),
+                day_name(day),
                 day.kind,
                 day.seed
             );
@@ -214,13 +219,13 @@
         for (title, f) in FIGURES.iter().filter(|(title, _)| title.ends_with(" s")) {
             let worst = days
                 .iter()
-                .zip(&seen)
+                .zip(&results)
                 .max_by(|a, b| f(&a.1.0).total_cmp(&f(&b.1.0)));
             if let Some((day, (s, _))) = worst {
                 println!(
                     "most {title}: {} in {} (kind {}, seed {})",
                     f(s),
-                    name(day),
+                    day_name(day),
                     day.kind,
                     day.seed
                 );
@@ -228,9 +233,9 @@
         }
     } else {
         let recorded: Recorded = serde_json::from_str(include_str!("own_days.json"))
-            .expect("the recorded file is readable");
+            .expect("the file of recorded figures can be parsed");
         println!("recorded: {}", recorded.about);
-        table(&days, &seen, &recorded.days);
+        print_table(&days, &results, &recorded.days);
     }
     println!("\n{}", json!(sum));
     let bad = sum.rules_broken + sum.forgotten_75 + sum.served_below_half + sum.largest_late;
--- a/crates/standins/examples/region.rs
+++ b/crates/standins/examples/region.rs
@@ -1,8 +1,8 @@
-//! An hour in which one region of five reaches no other: `cargo run --release -q -p standins --example region`. Virtual
-//! time and fixed seeds; nothing outside is needed. A zone of the stand-ins stands for a region.
+//! Simulates an hour in which one of five regions is cut off from the others, in virtual time and with a fixed seed:
+//! `cargo run --release -q -p standins --example region`. A zone of the simulation represents a region.
 //!
-//! Played twice: with a follower in the region, and with the leader in it. The last line is JSON; it ends with code 1 if
-//! a rule is broken.
+//! Runs twice: with a follower in the region, and with the leader in it. The last line is JSON; the exit code is 1 if a
+//! rule is broken.
 
 use serde_json::{Value, json};
 use standins::links::{Cut, Frontend, How};
@@ -16,18 +16,18 @@
 const CALM_MS: u64 = 120_000;
 const HOUR_MS: u64 = 3_600_000;
 const AFTER_MS: u64 = 120_000;
-/// An array of so many tasks comes so often, and each task runs this long.
-const EVERY_MS: u64 = 6000;
+/// Interval between arrays, number of their tasks, and run time of a task.
+const ARRAY_INTERVAL_MS: u64 = 6000;
 const TASKS: u32 = 60;
 const RUN_MS: u64 = 60_000;
-/// The rush on return is what starts within this time.
+/// Starts within this time after the cut count as the rush on return.
 const RUSH_MS: u64 = 10_000;
 const SEED: u64 = 9;
 
-/// What became of the work.
-struct Seen {
+/// Results of one run.
+struct Results {
     lost: u64,
-    /// Seconds from the cut until as many tasks start in ten seconds as before it.
+    /// Seconds from the cut until the start rate over ten seconds is back at 90% of the rate before it.
     recovered_s: Option<u64>,
     starts_before: f64,
     starts_during: f64,
@@ -38,12 +38,12 @@
     broken: Vec<String>,
 }
 
-fn fleet() -> World {
-    let jobs = (CALM_MS + HOUR_MS + AFTER_MS) / EVERY_MS;
+fn new_world() -> World {
+    let jobs = (CALM_MS + HOUR_MS + AFTER_MS) / ARRAY_INTERVAL_MS;
     let job = |number: u64| Timed {
-        at: 1000 + number * EVERY_MS,
+        at: 1000 + number * ARRAY_INTERVAL_MS,
         run_ms: RUN_MS,
-        // One in twenty is cancelled while it runs.
+        // One job in twenty is cancelled while it runs.
         cancel_ms: number.is_multiple_of(20).then_some(RUN_MS / 2),
         spec: array(1000 + number as u32, "red", TASKS, RUN_MS as f64 / 1000.0),
     };
@@ -72,14 +72,14 @@
     (world.rules.starts - before) as f64 / (ms as f64 / 1000.0)
 }
 
-/// Cuts off the region of the leader, or one without it.
-fn play(with_leader: bool) -> Seen {
-    let mut world = fleet();
+/// Cuts off the region of the leader, or another one.
+fn run_scenario(with_leader: bool) -> Results {
+    let mut world = new_world();
     world.run_for(CALM_MS / 2);
     let starts_before = starts_in(&mut world, CALM_MS / 2);
     let leader = world.leader_at().unwrap_or(0);
-    let number = if with_leader { leader } else { leader + 1 };
-    let region = REGIONS[number % REGIONS.len()];
+    let region_index = if with_leader { leader } else { leader + 1 };
+    let region = REGIONS[region_index % REGIONS.len()];
     let (inside, outside) = (
         Frontend::Zone(region.into()),
         Frontend::Outside(region.into()),
@@ -91,11 +91,11 @@
     let (lost, refused) = (world.lost, world.refused);
     let (mut leaders, mut last) = (0, Some(leader));
     let (mut recovered_s, mut starts) = (None, 0.0);
-    for ten in 0..HOUR_MS / RUSH_MS {
+    for window in 0..HOUR_MS / RUSH_MS {
         let rate = starts_in(&mut world, RUSH_MS);
         starts += rate;
         if rate >= starts_before * 0.9 && recovered_s.is_none() {
-            recovered_s = Some((ten + 1) * RUSH_MS / 1000);
+            recovered_s = Some((window + 1) * RUSH_MS / 1000);
         }
         let now = world.leader_at();
         if now.is_some() && now != last {
@@ -104,7 +104,7 @@
     }
     let rush = starts_in(&mut world, RUSH_MS);
     world.run_for(AFTER_MS - RUSH_MS);
-    Seen {
+    Results {
         lost: world.lost - lost,
         recovered_s,
         starts_before,
@@ -117,33 +117,33 @@
     }
 }
 
-fn shown(seen: &Seen) -> Value {
-    json!({"tasks_lost": seen.lost, "recovered_s": seen.recovered_s, "starts_a_second_before": seen.starts_before,
-        "starts_a_second_in_the_hour": seen.starts_during, "starts_a_second_on_return": seen.rush,
-        "leaders": seen.leaders, "refused": seen.refused, "longest_cancelled_ms": seen.longest_cancelled_ms,
-        "rules_broken": seen.broken})
+fn results_json(results: &Results) -> Value {
+    json!({"tasks_lost": results.lost, "recovered_s": results.recovered_s, "starts_a_second_before": results.starts_before,
+        "starts_a_second_in_the_hour": results.starts_during, "starts_a_second_on_return": results.rush,
+        "leaders": results.leaders, "refused": results.refused, "longest_cancelled_ms": results.longest_cancelled_ms,
+        "rules_broken": results.broken})
 }
 
 fn main() -> ExitCode {
-    // Each is a world of its own, so both are played side by side.
+    // The simulations are independent, so they run in parallel.
     let (follower, leader) = std::thread::scope(|scope| {
-        let follower = scope.spawn(|| play(false));
-        let leader = scope.spawn(|| play(true));
-        let ended = "a world plays to its end";
+        let follower = scope.spawn(|| run_scenario(false));
+        let leader = scope.spawn(|| run_scenario(true));
+        let ended = "a simulation thread panicked";
         (follower.join().expect(ended), leader.join().expect(ended))
     });
-    for (name, seen) in [("follower", &follower), ("leader", &leader)] {
+    for (name, results) in [("follower", &follower), ("leader", &leader)] {
         println!(
             "a region with a {name} cut off for an hour: {}",
-            shown(seen)
+            results_json(results)
         );
     }
     println!(
         "{}",
-        json!({"follower": shown(&follower), "leader": shown(&leader)})
+        json!({"follower": results_json(&follower), "leader": results_json(&leader)})
     );
-    let is_kept = follower.broken.is_empty() && leader.broken.is_empty();
-    if is_kept {
+    let rules_kept = follower.broken.is_empty() && leader.broken.is_empty();
+    if rules_kept {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/standins/src/counties.rs
+++ b/crates/standins/src/counties.rs
@@ -1,4 +1,5 @@
-//! Counts and machines of counties, held against what the state service has seen, users were told and workers had.
+//! Checks the tallies and machines of counties against the history of the state service, the answers to users and the
+//! tasks on machines.
 
 use crate::rules::{OnMachine, Rules};
 use crate::state::State;
@@ -8,79 +9,79 @@
 use wire::api::Stage;
 use wire::records::{CountyRecord, EndRecord, JobRecord, LogRecord};
 
-/// Done jobs, cancelled jobs, done tasks.
+/// Done jobs, cancelled jobs and done tasks by county and class.
 type Sums = BTreeMap<(String, String), [u64; 3]>;
 
-/// What the history of the state service says.
+/// Follows the history of the state service and checks counties and tallies.
 #[derive(Default)]
 pub struct Watcher {
-    /// Changes that were looked at.
-    at: usize,
-    /// Jobs with their first binding and their class.
+    /// Number of changes already checked.
+    seen_changes: usize,
+    /// Jobs with their first county record and their class.
     pub bound: BTreeMap<String, (CountyRecord, String)>,
     pub ended: BTreeMap<String, (Stage, u32)>,
     sums: Sums,
-    /// The version in force, and whether it has counties.
+    /// Version of the counties document in force, and whether it has counties.
     version: u64,
-    binds: bool,
-    /// Somebody has damaged records on purpose.
+    has_counties: bool,
+    /// A test has damaged records on purpose, so sums are not compared.
     pub damaged: bool,
-    /// Puts of sheets, and of log records with nothing but counts.
+    /// Puts of tally sheets, and of log records that contain only counts.
     pub folds: u64,
     pub only_counts: u64,
 }
 
 impl Watcher {
-    /// Follows the history, and holds what stands of the counts against it: sheets, and of the log what is above their
-    /// watermarks.
+    /// Checks new changes of the history, and compares its sums with the recorded ones: the sheets, and the log records
+    /// above their watermarks.
     pub fn follow(&mut self, state: &State, rules: &mut Rules, now: u64) {
-        for (_, key, value) in state.history(self.at) {
-            self.at += 1;
+        for (_, key, value) in state.history(self.seen_changes) {
+            self.seen_changes += 1;
             let Some(value) = value else { continue };
-            if let Err(what) = self.put(key, value) {
-                rules.breaks("tallies_wrong", format!("{now}: {what}"));
+            if let Err(problem) = self.check_put(key, value) {
+                rules.breaks("tallies_wrong", format!("{now}: {problem}"));
             }
         }
         if self.bound.is_empty() || self.damaged {
             return;
         }
-        let stands = standing(state);
-        if stands != self.sums {
+        let recorded = recorded_sums(state);
+        if recorded != self.sums {
             let differs =
-                |(cell, sums): &(&(String, String), &[u64; 3])| stands.get(*cell) != Some(*sums);
+                |(cell, sums): &(&(String, String), &[u64; 3])| recorded.get(*cell) != Some(*sums);
             let first = self
                 .sums
                 .iter()
                 .find(differs)
-                .or_else(|| stands.iter().find(|(c, _)| !self.sums.contains_key(*c)));
+                .or_else(|| recorded.iter().find(|(c, _)| !self.sums.contains_key(*c)));
             rules.breaks(
                 "tallies_wrong",
                 format!(
-                    "{now}: {first:?} ended, {:?} stands",
-                    first.and_then(|(c, _)| stands.get(c))
+                    "{now}: ended: {first:?}, recorded: {:?}",
+                    first.and_then(|(c, _)| recorded.get(c))
                 ),
             );
         }
     }
 
-    fn put(&mut self, key: &str, value: &Value) -> Result<(), String> {
+    fn check_put(&mut self, key: &str, value: &Value) -> Result<(), String> {
         let read = |e: serde_json::Error| format!("{key}: {e}");
         if key == "sys/counties" {
             self.version = value["document"]["version"].as_u64().unwrap_or(0);
-            self.binds = value["document"]["parts"]
+            self.has_counties = value["document"]["parts"]
                 .as_array()
                 .is_some_and(|p| !p.is_empty());
         }
         if key.starts_with("live/") {
             let bound = value["county"]["version"].as_u64();
-            if bound != self.binds.then_some(self.version) {
+            if bound != self.has_counties.then_some(self.version) {
                 return Err(format!(
                     "{key} is bound by {bound:?} under version {}",
                     self.version
                 ));
             }
         }
-        // Nearly all puts have nothing to do with counties.
+        // Skips parsing for the vast majority of puts, which have nothing to do with counties.
         let of_county = |job: &str| self.bound.contains_key(job) || value.get("county").is_some();
         if let Some(job) = key.strip_prefix("live/").filter(|j| of_county(j)) {
             let rec = JobRecord::deserialize_from(value).map_err(read)?;
@@ -113,7 +114,7 @@
                 ));
             }
             if let Some(cell) = bound {
-                add(&mut self.sums, cell, &count(rec.stage, rec.done));
+                add_counts(&mut self.sums, cell, &counts_of(rec.stage, rec.done));
             }
         } else if key.starts_with("part/0/tally/") {
             self.folds += 1;
@@ -124,7 +125,7 @@
         Ok(())
     }
 
-    /// Whether users were told the same ends.
+    /// Checks that users were told the same results that were counted.
     pub fn users(&self, rules: &mut Rules) {
         let mut wrong = Vec::new();
         for (id, job) in rules
@@ -147,10 +148,10 @@
         }
         wrong
             .into_iter()
-            .for_each(|what| rules.breaks("tallies_wrong", what));
+            .for_each(|problem| rules.breaks("tallies_wrong", problem));
     }
 
-    /// All ended jobs and done tasks by county and class.
+    /// Ended jobs and done tasks by county and class, by the history.
     pub fn sums(&self) -> &Sums {
         &self.sums
     }
@@ -166,21 +167,21 @@
     }
 }
 
-fn count(stage: Stage, done: u32) -> [u64; 3] {
+fn counts_of(stage: Stage, done: u32) -> [u64; 3] {
     let cancelled = u64::from(stage == Stage::Cancelled);
     [1 - cancelled, cancelled, u64::from(done)]
 }
 
-fn add(sums: &mut Sums, cell: (String, String), more: &[u64; 3]) {
+fn add_counts(sums: &mut Sums, cell: (String, String), more: &[u64; 3]) {
     let sum = sums.entry(cell).or_default();
     sum.iter_mut().zip(more).for_each(|(s, m)| *s += m);
 }
 
-/// The counts as a reader of the records finds them.
-fn standing(state: &State) -> Sums {
+/// The sums that a reader of the present records gets.
+fn recorded_sums(state: &State) -> Sums {
     let mut sums = Sums::new();
-    let mut marks: BTreeMap<(String, String), u64> = BTreeMap::new();
-    let of = |d: &Delta| {
+    let mut watermarks: BTreeMap<(String, String), u64> = BTreeMap::new();
+    let cell_of = |d: &Delta| {
         (
             (d.county.clone(), d.class.clone()),
             [d.done, d.cancelled, d.tasks],
@@ -193,9 +194,9 @@
         let Ok(sheet) = Sheet::deserialize_from(&entry.value) else {
             continue;
         };
-        for (cell, more) in sheet.cells.iter().map(of) {
-            marks.insert(cell.clone(), sheet.upto);
-            add(&mut sums, cell, &more);
+        for (cell, more) in sheet.cells.iter().map(cell_of) {
+            watermarks.insert(cell.clone(), sheet.upto);
+            add_counts(&mut sums, cell, &more);
         }
     }
     for (key, entry) in state
@@ -213,29 +214,29 @@
         for (cell, more) in rec
             .ended
             .iter()
-            .map(of)
-            .filter(|(cell, _)| marks.get(cell).is_none_or(|m| *m < number))
+            .map(cell_of)
+            .filter(|(cell, _)| watermarks.get(cell).is_none_or(|m| *m < number))
         {
-            add(&mut sums, cell, &more);
+            add_counts(&mut sums, cell, &more);
         }
     }
     sums
 }
 
 impl Rules {
-    /// As [`Self::apart`], for all tasks that are on machines.
+    /// Applies [`Self::apart`] to all tasks that are on machines.
     pub fn all_apart(&mut self, now: u64, on: &[OnMachine<'_>], watcher: &Watcher) {
         if watcher.bound.is_empty() {
             return;
         }
-        for beside in on.chunk_by(|a, b| a.machine == b.machine) {
-            beside
+        for on_one_machine in on.chunk_by(|a, b| a.machine == b.machine) {
+            on_one_machine
                 .iter()
-                .for_each(|task| self.apart(now, task, beside, watcher));
+                .for_each(|task| self.apart(now, task, on_one_machine, watcher));
         }
     }
 
-    /// A task starts on a machine: what is there may be beside it, and its county may use the zone.
+    /// Checks a task that starts on a machine: its county may use the zone, and share the machine with the tasks there.
     pub fn apart(
         &mut self,
         now: u64,
--- a/crates/standins/src/days.rs
+++ b/crates/standins/src/days.rs
@@ -1,5 +1,5 @@
-//! Days of the operators' own kind: troubles at their times, drawn from a seed, for any number of controllers and for
-//! fleets of a dozen or of over a thousand machines.
+//! Scenarios ("days") modelled on the operators' own tests: faults ("troubles") at given times, drawn from a seed, for
+//! any number of controllers and for fleets of a dozen or of over a thousand machines.
 
 use crate::links::{Frontend, How};
 use crate::scene::{Scene, Timed, array};
@@ -9,51 +9,53 @@
 use std::ops::Range;
 use wire::api::{Kind, Priority};
 
-/// Whom a trouble hits.
+/// Which controllers a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Who {
     Node(usize),
-    /// Whichever leads the fleet then.
+    /// The controller that leads the fleet when the fault begins.
     Leader,
     All,
 }
 
-/// Which machines a trouble hits.
+/// Which machines a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Machines {
-    /// So many, or such a share of those that are there, drawn when it begins.
+    /// A number or a share of the machines present, picked at random when the fault begins.
     Count(usize),
     Share(f64),
-    /// All in a zone, also those that come up meanwhile.
+    /// All machines of a zone, including those that boot during the fault.
     Zone(&'static str),
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Trouble {
-    /// Processes end and are started again after so long.
+    /// Controller processes end and are restarted after `back_ms`.
     Crash {
         who: Who,
         back_ms: u64,
     },
-    /// It crashes as it sends this one of its next questions to the state service, whichever life it is in by then.
+    /// The controller crashes as it sends its `question`th next request to the state service, even if it was restarted
+    /// in between.
     Fuse {
         who: Who,
         question: u32,
         back_ms: u64,
     },
-    /// Processes stand still while their clocks run on.
+    /// Controller processes are suspended while the clock goes on.
     Freeze {
         who: Who,
         ms: u64,
     },
-    /// Cut off from some hosts.
+    /// Controllers are cut off from some hosts.
     Cut {
         who: Who,
         from: Frontend,
         how: How,
         ms: u64,
     },
-    /// What its present life sends in this time comes up to so much later, whoever is there by then.
+    /// Messages that the current process sends within `for_ms` are delayed by up to `ms`, and delivered to whichever
+    /// process is there by then.
     Late {
         who: Who,
         for_ms: u64,
@@ -63,60 +65,64 @@
         zone: &'static str,
         ms: u64,
     },
-    /// The state service answers nobody, or none of these, or slowly.
+    /// The state service answers nobody.
     StateOut {
         ms: u64,
     },
+    /// The state service refuses requests of these controllers.
     Refused {
         who: Who,
         ms: u64,
     },
+    /// The state service answers slowly.
     StateSlow {
         ms: u64,
     },
-    /// So many machines die.
+    /// Machines fail for good.
     Die {
         machines: usize,
     },
-    /// Of the transactions that come to the state service in this time, such a share gets no answer and is carried out
-    /// [`LATE_WRITE_MS`] later, after newer ones of the same node; or at once, so that only the answer is lost.
+    /// A share of the transactions that reach the state service within `for_ms` gets no answer. They are applied
+    /// [`LATE_WRITE_MS`] later, after newer ones of the same node; with `at_once` they are applied immediately and only
+    /// the answer is lost.
     LateWrites {
         share: f64,
         for_ms: u64,
         at_once: bool,
     },
-    /// Of such a share of the workers' reports that are sent in this time, a copy comes again to the same node
-    /// [`LATE_REPORT_MS`] later, or with the next leader; its answer goes nowhere.
+    /// A share of the workers' reports sent within `for_ms` is delivered a second time: to the same node
+    /// [`LATE_REPORT_MS`] later, or as `next` says when the leader changes. The answer to the copy is dropped.
     LateReports {
         share: f64,
         for_ms: u64,
         next: NextLeader,
     },
-    /// Their reports arrive; answers and direct commands to them are lost.
+    /// Reports of these machines arrive; answers and direct commands to them are lost.
     Deaf {
         machines: Machines,
         ms: u64,
     },
-    /// Right after a job was accepted, ended or told as cancelled, users ask all nodes within milliseconds, and submit it
-    /// once more at each; a share is cancelled at once.
+    /// Within milliseconds after a job was accepted, ended or reported as cancelled, users query all nodes for it and
+    /// submit it again at each; a share of the jobs is cancelled immediately.
     CloseLooks {
         ms: u64,
     },
-    /// So many jobs that run and have long to go are cancelled within a fifth of a second; some of their machines hang.
+    /// `count` running jobs that are far from done are cancelled within 200 ms; some of their machines hang.
     CancelNow {
         count: usize,
         hang_ms: u64,
     },
-    /// Such a share of the jobs that end is cancelled, asked for and submitted again as its last task ends.
+    /// A share of the jobs that end is cancelled, queried and submitted again just as the last task ends.
     CancelAtEnd {
         share: f64,
         ms: u64,
     },
-    /// Users repeat submissions, cancel what is over, and submit what can't run or has no form.
+    /// Users repeat submissions, cancel jobs that have ended, and submit jobs that can't run or are malformed.
     OddRequests {
         ms: u64,
     },
-    /// Cut from the state service and from the other nodes, both ways; workers and users still reach it.
+    /// The controller is cut off from the state service and the other nodes in both directions; workers and users still
+    /// reach it.
     CutOff {
         who: Who,
         ms: u64,
@@ -126,41 +132,41 @@
         machines: Machines,
         ms: u64,
     },
-    /// These machines stand still, then go on where they were.
+    /// These machines are suspended, then continue where they were.
     Hang {
         machines: Machines,
         ms: u64,
     },
-    /// Machines that are rented in this time are up within [`QUICK_BOOT_MS`], some before their rental is answered.
+    /// Machines rented during this time boot within [`QUICK_BOOT_MS`], some before the rental request is answered.
     QuickBoots {
         ms: u64,
     },
-    /// What controllers, machines, cloud and state service send each other takes long, and comes in order.
+    /// Messages between controllers, machines, cloud and state service are slow, but arrive in order.
     SlowLinks {
         ms: u64,
     },
 }
 
-/// Whether copies of late reports wait for the next leader.
+/// Whether late reports wait for the next leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextLeader {
     No,
-    /// As it begins, the copies come to it alone, or to every node.
+    /// When the next leader begins, the copies are delivered to it alone, or to every node.
     CopyToOne,
     CopyToAll,
-    /// The reports themselves come to it once it has begun, and nowhere before.
+    /// The reports themselves are held and delivered only to the next leader, once it has begun.
     Held,
 }
 
-/// How much later a late transaction is carried out.
+/// Delay until a late transaction is applied.
 pub const LATE_WRITE_MS: Range<u64> = 2000..12_000;
-/// How much later the copy of a report comes: up to two leases.
+/// Delay until the copy of a report is delivered: up to two leases.
 pub const LATE_REPORT_MS: Range<u64> = 2000..30_000;
-/// How soon machines are up while boots are quick.
+/// Boot time of machines while boots are quick.
 pub const QUICK_BOOT_MS: Range<u64> = 1000..2000;
 
 impl Trouble {
-    /// How long it lasts.
+    /// Time from the beginning of the fault until its last effect.
     pub fn ms(&self) -> u64 {
         match self {
             Trouble::Crash { back_ms, .. } | Trouble::Fuse { back_ms, .. } => *back_ms,
@@ -185,26 +191,26 @@
     }
 }
 
-/// A day with a balancer, users that keep their connections, and checkers.
+/// A scenario with a load balancer, users with persistent connections, and checkers.
 #[derive(Debug, Clone, Default)]
 pub struct Day {
     pub troubles: Vec<(u64, Trouble)>,
-    /// The last trouble is over by then.
+    /// Time at which the last fault is over.
     pub quiet: u64,
-    /// For tests of the tests: tasks of these jobs never get their image.
+    /// Tasks of these jobs never get their image, to test that the checkers notice.
     pub held: BTreeSet<String>,
 }
 
-/// Troubles begin here, when the fleet is at work.
+/// Faults begin at this time, when the fleet is busy.
 pub const BEGIN: u64 = 60_000;
 
-/// How large a day is.
+/// Size of the fleet and duration of a scenario.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
     pub machines: usize,
-    /// Troubles, and arrivals, last so long.
+    /// How long faults are injected and jobs arrive.
     pub troubles_ms: u64,
-    /// Until everything ought to be done.
+    /// Time after that until all work must be done.
     pub after_ms: u64,
 }
 
@@ -224,25 +230,25 @@
         }
     }
 
-    fn large(&self) -> bool {
+    fn is_large(&self) -> bool {
         self.machines > 100
     }
 }
 
-struct Draw {
+struct DayBuilder {
     rng: fastrand::Rng,
     nodes: usize,
     size: Size,
-    day: Vec<(u64, Trouble)>,
+    troubles: Vec<(u64, Trouble)>,
 }
 
-impl Draw {
-    fn node(&mut self) -> Who {
+impl DayBuilder {
+    fn random_node(&mut self) -> Who {
         Who::Node(self.rng.usize(0..self.nodes))
     }
 
-    /// How soon processes are back on this day: within a fraction of a second, or as late as the sites have it.
-    fn back(&mut self) -> u64 {
+    /// Random restart delay: a fraction of a second, or up to 8 s as at the operators' sites.
+    fn restart_delay_ms(&mut self) -> u64 {
         match self.rng.u32(0..4) {
             0 => self.rng.u64(50..100),
             1 | 2 => self.rng.u64(100..400),
@@ -255,10 +261,10 @@
     }
 
     fn add(&mut self, at: u64, trouble: Trouble) {
-        self.day.push((at, trouble));
+        self.troubles.push((at, trouble));
     }
 
-    /// Something every so often, until troubles end.
+    /// Calls `f` with each multiple of `ms` from the beginning to the end of the faults.
     fn every(&mut self, ms: u64, mut f: impl FnMut(&mut Self, u64)) {
         for at in (BEGIN..self.end()).step_by(ms.max(1) as usize) {
             f(self, at);
@@ -275,39 +281,39 @@
         );
     }
 
-    /// So many nodes crash again and again; how often and how soon they are back is the day's.
+    /// These nodes crash periodically; period and restart delay are drawn once per scenario.
     fn crash_loop(&mut self, who: &[Who]) {
-        let every = self.rng.u64(100..5000);
-        let back_ms = if every < 400 {
+        let interval_ms = self.rng.u64(100..5000);
+        let back_ms = if interval_ms < 400 {
             self.rng.u64(50..100)
         } else {
-            self.back().min(every)
+            self.restart_delay_ms().min(interval_ms)
         };
         let who = who.to_vec();
-        self.every(every, |d, at| {
+        self.every(interval_ms, |d, at| {
             who.iter()
                 .for_each(|w| d.add(at, Trouble::Crash { who: *w, back_ms }))
         });
     }
 
-    /// All three times in a row, somewhere in the trouble that lasts so long.
-    fn three_crashes(&mut self, at: u64, ms: u64) {
+    /// Crashes all controllers three times, at random moments within the `ms` after `at`.
+    fn crash_all_three_times(&mut self, at: u64, ms: u64) {
         for _ in 0..3 {
-            let (at, back) = (at + self.rng.u64(0..ms), self.back());
+            let (at, back) = (at + self.rng.u64(0..ms), self.restart_delay_ms());
             self.crash_all(at, back);
         }
     }
 }
 
-type Troubles = fn(&mut Draw);
+type AddTroubles = fn(&mut DayBuilder);
 
-/// Each kind of day: its name, what happens, and how many times as many gangs come meanwhile.
-const KINDS: [(&str, Troubles, u32); 16] = [
+/// Each kind of scenario: its name, its faults, and the factor by which more gang jobs arrive meanwhile.
+const KINDS: [(&str, AddTroubles, u32); 16] = [
     ("calm", |_| {}, 1),
     (
         "loop of one",
         |d| {
-            let one = d.node();
+            let one = d.random_node();
             d.crash_loop(&[one]);
         },
         1,
@@ -327,9 +333,9 @@
     (
         "crashes at each step of a take-over",
         |d| {
-            // Whoever takes over next crashes at one step of it, and the next one at another.
+            // Each successor crashes at a random step of its takeover.
             d.every(4000, |d, at| {
-                let back = d.back();
+                let back = d.restart_delay_ms();
                 d.add(
                     at,
                     Trouble::Crash {
@@ -338,7 +344,7 @@
                     },
                 );
                 for n in 0..d.nodes {
-                    let (question, back_ms) = (d.rng.u32(1..25), d.back());
+                    let (question, back_ms) = (d.rng.u32(1..25), d.restart_delay_ms());
                     d.add(
                         at + 1,
                         Trouble::Fuse {
@@ -357,7 +363,7 @@
         |d| {
             d.every(22_000, |d, at| {
                 d.add(at, Trouble::StateOut { ms: 8000 });
-                let (within, back) = (d.rng.u64(0..8000), d.back());
+                let (within, back) = (d.rng.u64(0..8000), d.restart_delay_ms());
                 d.crash_all(at + within, back);
             })
         },
@@ -367,7 +373,7 @@
         "outage of 30 s, three crashes",
         |d| {
             d.add(BEGIN, Trouble::StateOut { ms: 30_000 });
-            d.three_crashes(BEGIN, 30_000);
+            d.crash_all_three_times(BEGIN, 30_000);
         },
         1,
     ),
@@ -384,7 +390,7 @@
                         ms: 7000,
                     },
                 );
-                let (within, back) = (d.rng.u64(0..7000), d.back());
+                let (within, back) = (d.rng.u64(0..7000), d.restart_delay_ms());
                 d.add(
                     at + within,
                     Trouble::Crash {
@@ -400,7 +406,11 @@
         "freezes with quick restarts",
         |d| {
             d.every(12_000, |d, at| {
-                let (who, ms, back_ms) = (d.node(), d.rng.u64(1000..10_000), d.back());
+                let (who, ms, back_ms) = (
+                    d.random_node(),
+                    d.rng.u64(1000..10_000),
+                    d.restart_delay_ms(),
+                );
                 d.add(at, Trouble::Freeze { who, ms });
                 let within = d.rng.u64(0..ms);
                 d.add(at + within, Trouble::Crash { who, back_ms });
@@ -420,7 +430,7 @@
         |d| {
             let (zone, machines) = (["a", "b"][d.rng.usize(0..2)], d.size.machines / 10);
             d.add(BEGIN, Trouble::Zone { zone, ms: 40_000 });
-            d.three_crashes(BEGIN, 40_000);
+            d.crash_all_three_times(BEGIN, 40_000);
             d.add(BEGIN + 15_000, Trouble::Die { machines });
         },
         1,
@@ -447,7 +457,7 @@
                         ms: 20_000,
                     },
                 );
-                let (who, back_ms) = (d.node(), d.back());
+                let (who, back_ms) = (d.random_node(), d.restart_delay_ms());
                 d.add(at + 4000, Trouble::Crash { who, back_ms });
                 d.add(
                     at + 9000,
@@ -472,7 +482,7 @@
                     },
                 );
                 d.add(at + 5000, Trouble::StateSlow { ms: 10_000 });
-                let back_ms = d.back();
+                let back_ms = d.restart_delay_ms();
                 d.add(
                     at + 12_000,
                     Trouble::Crash {
@@ -488,8 +498,8 @@
         "messages of former lives held",
         |d| {
             d.every(5000, |d, at| {
-                // What is under way is held until after its sender is back, and comes to the new life.
-                let (who, back_ms) = (d.node(), d.rng.u64(50..300));
+                // Messages in flight are held until their sender has restarted, and reach the new process.
+                let (who, back_ms) = (d.random_node(), d.rng.u64(50..300));
                 let from = [
                     Frontend::State,
                     Frontend::Nodes,
@@ -508,7 +518,7 @@
                 );
                 let within = d.rng.u64(200..1800);
                 d.add(at + within, Trouble::Crash { who, back_ms });
-                // The leader's last messages come after the next life has begun, or another leader.
+                // The leader's last messages arrive after its restart, or after another leader has begun.
                 let ms = d.rng.u64(200..12_000);
                 d.add(
                     at + 2500,
@@ -539,7 +549,7 @@
                     ms: 20_000,
                 },
             );
-            let (machines, back) = (d.size.machines / 6, d.back());
+            let (machines, back) = (d.size.machines / 6, d.restart_delay_ms());
             d.add(BEGIN + 30_000, Trouble::Die { machines });
             d.crash_all(BEGIN + 35_000, back);
             d.crash_all(BEGIN + 60_000, 150);
@@ -548,10 +558,10 @@
     ),
 ];
 
-/// Jobs of the day: gangs of high urgency, and arrays of low urgency and very unequal sizes, in three teams.
-fn jobs(rng: &mut fastrand::Rng, size: Size, flood: u32) -> Vec<Timed> {
-    let large = size.large();
-    // For each GPU-carrying machine as much work as fills half of the fleet.
+/// Jobs of the scenario: gangs of high priority, and arrays of low priority and very unequal sizes, in three teams.
+fn jobs(rng: &mut fastrand::Rng, size: Size, gang_factor: u32) -> Vec<Timed> {
+    let large = size.is_large();
+    // Per GPU machine, enough work to fill half of the fleet.
     let scale = size.machines as f64 / if large { 1200.0 } else { 12.0 };
     let end = BEGIN + size.troubles_ms;
     let (gangs_a_minute, arrays_a_minute) = if large {
@@ -589,9 +599,9 @@
         };
     let mut at = 1000.0;
     while (at as u64) < end {
-        let many = (BEGIN..BEGIN + 90_000).contains(&(at as u64));
-        let rate = if many {
-            gangs_a_minute * f64::from(flood)
+        let is_flood = (BEGIN..BEGIN + 90_000).contains(&(at as u64));
+        let rate = if is_flood {
+            gangs_a_minute * f64::from(gang_factor)
         } else {
             gangs_a_minute
         };
@@ -613,33 +623,36 @@
     at = 1000.0;
     while (at as u64) < end {
         at += 120_000.0 / arrays_a_minute * rng.f64();
-        let widest = if rng.u32(0..10) == 0 { 5 } else { 1 };
+        let width_factor = if rng.u32(0..10) == 0 { 5 } else { 1 };
         let (tasks, run) = match large {
-            true => (rng.u32(40..160) * widest.min(4), rng.u64(30_000..70_000)),
-            false => (rng.u32(1..7) * widest, rng.u64(3000..12_000)),
+            true => (
+                rng.u32(40..160) * width_factor.min(4),
+                rng.u64(30_000..70_000),
+            ),
+            false => (rng.u32(1..7) * width_factor, rng.u64(3000..12_000)),
         };
         add("array", Kind::Array, at as u64, tasks, run, rng);
     }
     jobs
 }
 
-/// The names of the kinds of days.
+/// Names of the kinds of scenarios.
 pub fn kinds() -> Vec<&'static str> {
     KINDS.iter().map(|(name, ..)| *name).collect()
 }
 
-/// One day of a kind, as [`kinds`] counts them.
+/// A scenario of the kind with this index in [`kinds`].
 pub fn plan(kind: usize, seed: u64, nodes: usize, size: Size) -> Plan {
-    let (_, troubles, flood) = KINDS[kind];
-    let mut draw = Draw {
+    let (_, troubles, gang_factor) = KINDS[kind];
+    let mut builder = DayBuilder {
         rng: fastrand::Rng::with_seed(seed),
         nodes,
         size,
-        day: Vec::new(),
+        troubles: Vec::new(),
     };
-    troubles(&mut draw);
-    let quiet = draw
-        .day
+    troubles(&mut builder);
+    let quiet_from = builder
+        .troubles
         .iter()
         .map(|(at, t)| at + t.ms())
         .max()
@@ -653,12 +666,12 @@
         txn_ops: 16,
     };
     let scene = Scene {
-        jobs: jobs(&mut draw.rng, size, flood),
+        jobs: jobs(&mut builder.rng, size, gang_factor),
         machines: size.machines,
-        limits: size.large().then_some(limits),
+        limits: size.is_large().then_some(limits),
         day: Some(Day {
-            troubles: draw.day,
-            quiet,
+            troubles: builder.troubles,
+            quiet: quiet_from,
             held: BTreeSet::new(),
         }),
         ..Scene::default()
@@ -668,10 +681,10 @@
         .team("blue", gpus / 6.0, gpus * 0.8)
         .team("green", gpus / 6.0, 0.0);
     let end = BEGIN + size.troubles_ms + size.after_ms;
-    // On every other day messages are late now and then, until the last trouble is over.
-    let late = if seed % 2 == 1 { quiet } else { 0 };
+    // With odd seeds some messages are delayed, until the last fault is over.
+    let late_until = if seed % 2 == 1 { quiet_from } else { 0 };
     Plan {
-        large: size.large(),
-        ..Plan::of_scene(seed, nodes, scene, late, end)
+        large: size.is_large(),
+        ..Plan::of_scene(seed, nodes, scene, late_until, end)
     }
 }
