--- a/crates/wire/src/submission.rs
+++ b/crates/wire/src/submission.rs
@@ -1,5 +1,5 @@
-//! Reading what a user submits, so that a refusal names the field that is wrong, and a repeat of an accepted job is
-//! known by its id whatever else is wrong with it.
+//! Decodes and validates submitted jobs. Errors name the invalid field, and keep the job's id, by which a repeated
+//! submission of an accepted job is recognized even if other fields are invalid.
 
 mod raw_value;
 
@@ -12,7 +12,7 @@
 };
 use std::fmt;
 
-/// The fields, in the order in which the first that is wrong is named.
+/// The fields of a submission, in the order in which they are checked. Only the first error is reported.
 const FIELDS: [&str; 20] = [
     "nameId",
     "lot",
@@ -36,28 +36,28 @@
     "dueS",
 ];
 
-/// What a list of names may be, in words.
+/// The error message for a field that is not a list of names.
 const NAMES_RULE: &str = "must be null or a list of names";
-/// What is wrong with a field that the map has twice, in words.
-const FIELD_TWICE: &str = "is there twice";
+/// The error message for a field that occurs more than once in the map.
+const DUPLICATE_FIELD: &str = "occurs more than once";
 
-/// Deepest nesting that is read, in fields that are ignored.
+/// Maximum nesting depth, also in fields that are ignored.
 const MAX_DEPTH: usize = 32;
 
-/// A submission that can't be taken as it is.
+/// A submission that is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{fault}")]
 pub struct Malformed {
-    /// What is wrong.
+    /// The first error.
     pub fault: Fault,
-    /// Its id, if that much could be read: the job may have been accepted before.
+    /// The id of the job, if it could be decoded: a job of this id may have been accepted before.
     pub id: Option<String>,
 }
 
-/// Reads a submission, and checks its form. Whether the job can ever run is for the controller to say.
+/// Decodes a submission and validates its form. Whether the job can ever run is for the controller to decide.
 pub fn read(body: &[u8]) -> Result<JobSpec, Malformed> {
     let mut fields = Fields::default();
-    let fault = match fields.fill(body).and_then(|()| fields.spec()) {
+    let fault = match fields.decode(body).and_then(|()| fields.spec()) {
         Ok(spec) => return Ok(spec),
         Err(fault) => fault,
     };
@@ -72,13 +72,13 @@
 struct Fields {
     values: Vec<(&'static str, RawValue)>,
     is_map: bool,
-    /// Which of two values would count is not said.
-    twice: Option<&'static str>,
+    /// The first field that occurs more than once. The protocol does not define which of its values applies.
+    duplicate: Option<&'static str>,
 }
 
 impl Fields {
-    /// Takes what can be read of a body. If it can't be read to its end, what came before that stands.
-    fn fill(&mut self, body: &[u8]) -> Result<(), Fault> {
+    /// Decodes the fields of a body. After an error, the fields decoded before it are kept.
+    fn decode(&mut self, body: &[u8]) -> Result<(), Fault> {
         let mut reader = rmp_serde::Deserializer::new(std::io::Cursor::new(body));
         reader.set_max_depth(MAX_DEPTH);
         let read = reader.deserialize_any(FieldsVisitor(self));
@@ -93,12 +93,12 @@
         }
     }
 
-    /// A field that may be null, which may also be left out.
-    fn given(&self, field: &'static str) -> Result<Option<&RawValue>, Fault> {
-        if self.twice == Some(field) {
+    /// The value of an optional field, which may be null or omitted.
+    fn optional(&self, field: &'static str) -> Result<Option<&RawValue>, Fault> {
+        if self.duplicate == Some(field) {
             return Err(Fault {
                 field,
-                why: FIELD_TWICE,
+                why: DUPLICATE_FIELD,
             });
         }
         let found = self.values.iter().find(|(name, _)| *name == field);
@@ -107,19 +107,19 @@
             .filter(|v| **v != RawValue::Null))
     }
 
-    fn needed(&self, field: &'static str) -> Result<&RawValue, Fault> {
-        self.given(field)?.ok_or(Fault {
+    fn required(&self, field: &'static str) -> Result<&RawValue, Fault> {
+        self.optional(field)?.ok_or(Fault {
             field,
             why: "missing",
         })
     }
 
     fn text(&self, field: &'static str) -> Result<String, Fault> {
-        text(field, self.needed(field)?)
+        text(field, self.required(field)?)
     }
 
     fn flag(&self, field: &'static str) -> Result<bool, Fault> {
-        match self.needed(field)? {
+        match self.required(field)? {
             RawValue::Bool(b) => Ok(*b),
             _ => Err(Fault {
                 field,
@@ -129,13 +129,13 @@
     }
 
     fn amount(&self, field: &'static str) -> Result<f64, Fault> {
-        amount(field, self.needed(field)?)
+        amount(field, self.required(field)?)
     }
 
-    /// A count is an integer; a decimal number is none, also if it is a whole one.
+    /// A count must be encoded as an integer. Floating-point numbers are refused, even if their value is whole.
     fn count(&self, field: &'static str) -> Result<u32, Fault> {
-        match self.needed(field)? {
-            RawValue::Count(n) => Ok(u32::try_from(*n).unwrap_or(u32::MAX)),
+        match self.required(field)? {
+            RawValue::Unsigned(n) => Ok(u32::try_from(*n).unwrap_or(u32::MAX)),
             _ => Err(Fault {
                 field,
                 why: TASK_COUNT_RULE,
@@ -143,8 +143,8 @@
         }
     }
 
-    /// One of a few words, which only their type knows.
-    fn word<T: for<'de> Deserialize<'de>>(
+    /// A unit variant of the enum `T`, decoded from its name.
+    fn enum_value<T: for<'de> Deserialize<'de>>(
         &self,
         field: &'static str,
         why: &'static str,
@@ -155,7 +155,7 @@
     }
 
     fn names(&self, field: &'static str) -> Result<Option<Vec<String>>, Fault> {
-        match self.given(field)? {
+        match self.optional(field)? {
             None => Ok(None),
             Some(RawValue::List(values)) => values
                 .iter()
@@ -170,18 +170,18 @@
     }
 
     fn spec(&self) -> Result<JobSpec, Fault> {
-        if let Some(field) = self.twice {
+        if let Some(field) = self.duplicate {
             return Err(Fault {
                 field,
-                why: FIELD_TWICE,
+                why: DUPLICATE_FIELD,
             });
         }
         let spec = JobSpec {
             id: self.text("nameId")?,
             class: self.text("lot")?,
             team: self.text("desk")?,
-            kind: self.word("shape", "must be array, group or standing")?,
-            priority: self.word("urgency", "must be production, high, normal or low")?,
+            kind: self.enum_value("shape", "must be array, group or standing")?,
+            priority: self.enum_value("urgency", "must be production, high, normal or low")?,
             tasks: self.count("pieces")?,
             cores: self.amount("cores")?,
             gpus: self.amount("gpus")?,
@@ -189,14 +189,20 @@
             image: self.text("kit")?,
             image_gb: self.amount("pullGb")?,
             types: self.names("builds")?,
-            zone: self.given("hall")?.map(|v| text("hall", v)).transpose()?,
+            zone: self
+                .optional("hall")?
+                .map(|v| text("hall", v))
+                .transpose()?,
             one_zone: self.flag("together")?,
             spread: self.flag("spread")?,
             spot: self.flag("loaners")?,
             estimate_s: self.amount("expectS")?,
             checkpoint_s: self.amount("bookmarkS")?,
             save_s: self.amount("stashS")?,
-            deadline_s: self.given("dueS")?.map(|v| amount("dueS", v)).transpose()?,
+            deadline_s: self
+                .optional("dueS")?
+                .map(|v| amount("dueS", v))
+                .transpose()?,
         };
         spec.check()?;
         Ok(spec)
@@ -217,11 +223,11 @@
     }
 }
 
-/// Amounts are decimal numbers; whole ones may be written as integers.
+/// An amount is a floating-point number; whole amounts may also be encoded as integers.
 fn amount(field: &'static str, value: &RawValue) -> Result<f64, Fault> {
     match value {
         RawValue::Number(n) => Ok(*n),
-        RawValue::Count(n) => Ok(*n as f64),
+        RawValue::Unsigned(n) => Ok(*n as f64),
         _ => Err(Fault {
             field,
             why: "must be a number",
@@ -251,7 +257,7 @@
             };
             let value = map.next_value::<RawValue>()?;
             if fields.values.iter().any(|(name, _)| name == field) {
-                fields.twice.get_or_insert(field);
+                fields.duplicate.get_or_insert(field);
             } else {
                 fields.values.push((field, value));
             }
