--- a/crates/wire/tests/production.rs
+++ b/crates/wire/tests/production.rs
@@ -36,7 +36,7 @@
 
 /// The result of decoding some bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reading {
+pub enum DecodeResult {
     /// The bytes decode to the value of the case.
     Same,
     /// The bytes decode to another value.
@@ -46,15 +46,15 @@
 }
 
 /// Decodes bytes and compares the result with the value of a case.
-pub type Read = dyn Fn(&[u8]) -> Reading;
+pub type DecodeCheck = dyn Fn(&[u8]) -> DecodeResult;
 
 /// A recorded file, with the encoding of its value and a decoder that compares with that value.
 pub struct Case {
     pub file: &'static str,
     pub encoded: Vec<u8>,
-    pub read: Box<Read>,
+    pub check: Box<DecodeCheck>,
     /// Whether controllers decode this message, so that it matters how they handle messages of other versions.
-    pub is_read_by_us: bool,
+    pub is_decoded_by_controllers: bool,
 }
 
 /// A message that is encoded and decoded as the same type, whether controllers do both or only one of them.
@@ -71,34 +71,34 @@
 where
     T: DeserializeOwned + PartialEq + 'static,
 {
-    let read = move |bytes: &[u8]| match decode::<T>(file, bytes) {
-        Some(v) if v == value => Reading::Same,
-        Some(_) => Reading::Different,
-        None => Reading::Refused,
+    let check = move |bytes: &[u8]| match decode::<T>(file, bytes) {
+        Some(v) if v == value => DecodeResult::Same,
+        Some(_) => DecodeResult::Different,
+        None => DecodeResult::Refused,
     };
     Case {
         file,
         encoded,
-        read: Box::new(read),
-        is_read_by_us: true,
+        check: Box::new(check),
+        is_decoded_by_controllers: true,
     }
 }
 
 /// A message that controllers only write; `content` is its value as decoded generically.
-pub fn sent<T: Serialize>(file: &'static str, value: &T, content: serde_json::Value) -> Case {
+pub fn write_only<T: Serialize>(file: &'static str, value: &T, content: serde_json::Value) -> Case {
     Case {
-        is_read_by_us: false,
+        is_decoded_by_controllers: false,
         ..encoded_as(file, encode(file, value), content)
     }
 }
 
-fn format(file: &str) -> &str {
+fn extension(file: &str) -> &str {
     file.rsplit_once('.').expect("an extension").1
 }
 
 /// Encodes a message as controllers do for the format of the file.
 pub fn encode<T: Serialize>(file: &str, value: &T) -> Vec<u8> {
-    match format(file) {
+    match extension(file) {
         "msgpack" => wire::encode(value),
         "cbor" => wire::peer::encode(value),
         "json" => wire::admin::encode(value),
@@ -108,7 +108,7 @@
 
 /// Decodes a message as controllers do for the format of the file.
 pub fn decode<T: DeserializeOwned>(file: &str, bytes: &[u8]) -> Option<T> {
-    match format(file) {
+    match extension(file) {
         "msgpack" => wire::decode(bytes).ok(),
         "cbor" => wire::peer::decode(bytes).ok(),
         "json" => wire::admin::decode(bytes).ok(),
@@ -124,7 +124,7 @@
         .join(file)
 }
 
-pub fn bytes_of(file: &str) -> Vec<u8> {
+pub fn recorded_bytes(file: &str) -> Vec<u8> {
     fs::read(path(file)).unwrap_or_else(|e| panic!("{file}: {e}"))
 }
 
@@ -140,15 +140,15 @@
 #[test]
 fn recorded_files_decode_to_their_values() {
     for case in cases() {
-        let reading = (case.read)(&bytes_of(case.file));
-        assert_eq!(reading, Reading::Same, "{}", case.file);
+        let result = (case.check)(&recorded_bytes(case.file));
+        assert_eq!(result, DecodeResult::Same, "{}", case.file);
     }
 }
 
 #[test]
 fn values_encode_to_their_recorded_bytes() {
     for case in cases() {
-        let recorded = bytes_of(case.file);
+        let recorded = recorded_bytes(case.file);
         assert!(
             case.encoded == recorded,
             "{}: recorded {:?}, now {:?}",
@@ -164,24 +164,29 @@
     let all = cases();
     let named: BTreeSet<String> = all.iter().map(|c| c.file.to_owned()).collect();
     assert_eq!(named.len(), all.len(), "two cases have the same file");
-    let there: BTreeSet<String> = fs::read_dir(path(""))
+    let present: BTreeSet<String> = fs::read_dir(path(""))
         .expect("the directory")
         .map(|entry| entry.expect("an entry").file_name().into_string())
         .map(|name| name.expect("a plain name"))
         .filter(|name| name != VARIATIONS && !name.ends_with(".rs"))
         .collect();
-    assert_eq!(named, there);
+    assert_eq!(named, present);
 }
 
 #[test]
 fn messages_of_other_versions_are_read_or_refused_as_recorded() {
-    let recorded = String::from_utf8(bytes_of(VARIATIONS)).expect("text");
-    let now = variations::describe(&cases());
-    let pairs = recorded.lines().zip(now.lines());
-    for (n, (was, is)) in pairs.enumerate() {
-        assert_eq!(was, is, "{VARIATIONS}, line {}", n + 1);
+    let recorded = String::from_utf8(recorded_bytes(VARIATIONS)).expect("text");
+    let described = variations::describe(&cases());
+    let pairs = recorded.lines().zip(described.lines());
+    for (n, (recorded_line, described_line)) in pairs.enumerate() {
+        assert_eq!(
+            recorded_line,
+            described_line,
+            "{VARIATIONS}, line {}",
+            n + 1
+        );
     }
-    assert_eq!(recorded, now);
+    assert_eq!(recorded, described);
 }
 
 #[test]
@@ -195,11 +200,11 @@
 }
 
 fn write_new(file: &str, bytes: &[u8]) {
-    let new = fs::File::options()
+    let created = fs::File::options()
         .write(true)
         .create_new(true)
         .open(path(file));
-    match new {
+    match created {
         Ok(mut f) => f.write_all(bytes).expect("written"),
         Err(e) if e.kind() == ErrorKind::AlreadyExists => {}
         Err(e) => panic!("{file}: {e}"),
--- a/crates/wire/tests/production/documents.rs
+++ b/crates/wire/tests/production/documents.rs
@@ -1,7 +1,7 @@
 //! Heads and parts of documents, as records and as controllers follow them.
 
-use crate::records::{assert_shared, record, shared};
-use crate::{Case, encode, encoded_as, sent};
+use crate::records::{assert_decodes_as_shared, empty_shared_record, record};
+use crate::{Case, encode, encoded_as, write_only};
 use county::{Apart, CountySpec, Others};
 use document::{Content, Head, Past};
 use hours::{Agreement, Exception, Holiday, Release, Studio};
@@ -39,7 +39,7 @@
     ]
 }
 
-pub fn past() -> Past {
+pub fn history_entry() -> Past {
     Past {
         version: 300,
         change: "0123456789abcdef".to_owned(),
@@ -57,7 +57,7 @@
             "b2770a2c7d1f9282cfd68b70".to_owned(),
             "93d9743831526e13ba740182".to_owned(),
         ],
-        history: vec![past(), Past::default()],
+        history: vec![history_entry(), Past::default()],
     }
 }
 
@@ -228,15 +228,15 @@
 }
 
 #[test]
-fn heads_are_read_without_knowing_their_kind() {
+fn document_heads_decode_as_shared_records() {
     let document = |head| SharedRecord {
         document: Some(head),
-        ..shared()
+        ..empty_shared_record()
     };
-    assert_shared("document-head-least.msgpack", document(Head::default()));
-    assert_shared("document-head-full.msgpack", document(head_full()));
-    assert_shared("quota-head-least.msgpack", document(Head::default()));
-    assert_shared("quota-head-full.msgpack", document(head_full()));
+    assert_decodes_as_shared("document-head-least.msgpack", document(Head::default()));
+    assert_decodes_as_shared("document-head-full.msgpack", document(head_full()));
+    assert_decodes_as_shared("quota-head-least.msgpack", document(Head::default()));
+    assert_decodes_as_shared("quota-head-full.msgpack", document(head_full()));
 }
 
 /// Names of parts are digests: with other names, no document in force could be put together.
@@ -251,7 +251,7 @@
         "hours": names(&hours_part()),
         "models": names(&models_part()),
     });
-    sent("part-names.json", &all, all.clone())
+    write_only("part-names.json", &all, all.clone())
 }
 
 /// So few that most of the documents take more than one part.
--- a/crates/wire/tests/production/messages.rs
+++ b/crates/wire/tests/production/messages.rs
@@ -1,8 +1,8 @@
 //! Messages to and from workers, users, the cloud and the state service, and how HTTP frames them.
 
-use crate::peers::{state, state_least};
+use crate::peers::{job_state, job_state_least};
 use crate::records::{catalog, spec_full, spec_least};
-use crate::{Case, bytes_of, message, sent};
+use crate::{Case, message, recorded_bytes, write_only};
 use serde_json::json;
 use wire::api::{
     Cause, Change, Changes, Condition, Conflict, ErrorBody, Grant, GrantRequest, Heartbeat,
@@ -23,7 +23,7 @@
 fn user_messages() -> Vec<Case> {
     let ended = |stage| JobState {
         stage,
-        ..state_least()
+        ..job_state_least()
     };
     let service = wire::api::JobSpec {
         kind: Kind::Service,
@@ -42,8 +42,8 @@
         message("user-submission-full.msgpack", spec_full()),
         message("user-submission-standing.msgpack", service),
         message("user-submission-high.msgpack", high),
-        message("user-state-pending.msgpack", state_least()),
-        message("user-state-running.msgpack", state()),
+        message("user-state-pending.msgpack", job_state_least()),
+        message("user-state-running.msgpack", job_state()),
         message("user-state-done.msgpack", ended(Stage::Done)),
         message("user-state-cancelled.msgpack", ended(Stage::Cancelled)),
         message("user-error.msgpack", error),
@@ -55,8 +55,8 @@
         report_to: to.map(str::to_owned),
     };
     vec![
-        message("worker-report-least.msgpack", report_least()),
-        message("worker-report-full.msgpack", report_full()),
+        message("worker-report-least.msgpack", heartbeat_least()),
+        message("worker-report-full.msgpack", heartbeat_full()),
         message("worker-orders-least.msgpack", orders_least()),
         message("worker-orders-full.msgpack", orders_full()),
         message("worker-redirect-least.msgpack", redirect(None)),
@@ -67,7 +67,7 @@
     ]
 }
 
-pub fn report_least() -> Heartbeat {
+pub fn heartbeat_least() -> Heartbeat {
     Heartbeat {
         machine: "m-1".to_owned(),
         addr: "10.0.0.7:4000".to_owned(),
@@ -82,7 +82,7 @@
     }
 }
 
-fn report_full() -> Heartbeat {
+fn heartbeat_full() -> Heartbeat {
     let task = |n: u32, stage, cause, saved| TaskStatus {
         task: format!("job-000412/{n}"),
         attempt: 1 << 33,
@@ -212,17 +212,17 @@
     let conflict = |failed: &[&str]| Conflict {
         failed: failed.iter().map(|&k| k.to_owned()).collect(),
     };
-    let compared = Transaction {
-        conditions: vec![guard()],
+    let conditions_only = Transaction {
+        conditions: vec![condition()],
         writes: Vec::new(),
     };
     vec![
-        sent(
+        write_only(
             "state-txn-least.msgpack",
-            &compared,
+            &conditions_only,
             json!({"guards": [{"key": "sys/token", "stamp": 300}]}),
         ),
-        sent("state-txn-full.msgpack", &txn(), txn_content()),
+        write_only("state-txn-full.msgpack", &txn(), txn_as_json()),
         message("state-revision.msgpack", Revision { revision: 70_000 }),
         message("state-conflict-least.msgpack", conflict(&[])),
         message("state-conflict-full.msgpack", conflict(&["sys/token"])),
@@ -244,7 +244,7 @@
     ]
 }
 
-fn guard() -> Condition {
+fn condition() -> Condition {
     Condition {
         key: "sys/token".to_owned(),
         version: 300,
@@ -270,7 +270,7 @@
 
 fn txn() -> Transaction {
     Transaction {
-        conditions: vec![guard()],
+        conditions: vec![condition()],
         writes: vec![
             Write::put(
                 "sys/token".to_owned(),
@@ -288,7 +288,7 @@
     }
 }
 
-fn txn_content() -> serde_json::Value {
+fn txn_as_json() -> serde_json::Value {
     json!({
         "guards": [{"key": "sys/token", "stamp": 300}],
         "writes": [
@@ -304,22 +304,22 @@
 }
 
 #[test]
-fn submissions_are_read_at_the_door_as_their_records_are() {
-    let read = |file| wire::submission::read(&bytes_of(file)).expect("a job");
-    assert_eq!(read("user-submission-least.msgpack"), spec_least());
-    assert_eq!(read("user-submission-full.msgpack"), spec_full());
+fn submissions_parse_to_the_job_specs_of_their_records() {
+    let parse = |file| wire::submission::read(&recorded_bytes(file)).expect("a job");
+    assert_eq!(parse("user-submission-least.msgpack"), spec_least());
+    assert_eq!(parse("user-submission-full.msgpack"), spec_full());
 }
 
 /// Workers may be of a newer version than controllers.
 #[test]
-fn an_unknown_cause_is_read_as_some_other_one() {
+fn unknown_cause_decodes_as_other() {
     let newer = json!({"piece": "job-1/0", "try": 1, "stage": "exited", "cause": "newer"});
     let report: TaskStatus = wire::decode(&wire::encode(&newer)).expect("a report of a task");
     assert_eq!(report.cause, Some(Cause::Other));
 }
 
 #[test]
-fn unknown_words_and_orders_are_refused() {
+fn unknown_task_stages_and_orders_are_refused() {
     let stage = json!({"piece": "job-1/0", "try": 1, "stage": "newer"});
     assert!(wire::decode::<TaskStatus>(&wire::encode(&stage)).is_err());
     let order = json!({"verb": "newer", "piece": "job-1/0", "try": 1});
--- a/crates/wire/tests/production/operators.rs
+++ b/crates/wire/tests/production/operators.rs
@@ -1,8 +1,8 @@
 //! What operators ask, and what they are told.
 
-use crate::documents::{counties_spec, gpus, hours_part, models_part, past, quota_spec};
-use crate::peers::{told_full, told_least};
-use crate::records::moved;
+use crate::documents::{counties_spec, gpus, history_entry, hours_part, models_part, quota_spec};
+use crate::peers::{model_status_full, model_status_least};
+use crate::records::moved_record;
 use crate::{Case, message};
 use document::{Fault, Place};
 use wire::admin::{
@@ -13,12 +13,12 @@
 use wire::tally::{Audit, Counts};
 
 pub fn cases() -> Vec<Case> {
-    let mut all = changes();
-    all.extend(questions());
-    all.extend(document_answers());
-    all.extend(count_answers());
-    all.extend(hour_answers());
-    all.extend(model_answers());
+    let mut all = change_requests();
+    all.extend(query_requests());
+    all.extend(document_responses());
+    all.extend(tally_responses());
+    all.extend(hours_responses());
+    all.extend(model_responses());
     all
 }
 
@@ -36,7 +36,7 @@
     })
 }
 
-fn changes() -> Vec<Case> {
+fn change_requests() -> Vec<Case> {
     let least = Ask::Change(Change {
         id: text("0123456789abcdef"),
         by: text("ida"),
@@ -77,13 +77,13 @@
     ]
 }
 
-fn questions() -> Vec<Case> {
+fn query_requests() -> Vec<Case> {
     use wire::hours::Ask as Hours;
     use wire::tally::Question as Tally;
     let job = || text("job-000412");
     let tally = |county| Tally::Tally { county };
     let list = |studio| Hours::List { studio };
-    let another_hour = Hours::Move {
+    let move_job = Hours::Move {
         job: job(),
         to: text("2026-12-24T18:00"),
         by: text("ida"),
@@ -101,18 +101,18 @@
         message("admin-ask-audit.json", Tally::Audit { id: text("1234") }),
         message("admin-ask-hours-least.json", list(None)),
         message("admin-ask-hours-full.json", list(Some(text("oslo")))),
-        message("admin-ask-hours-move.json", another_hour),
+        message("admin-ask-hours-move.json", move_job),
         message("admin-ask-hours-reagree.json", reagree),
         message("admin-ask-models.json", wire::models::Ask::List {}),
         message("admin-ask-demand.json", Demand { model: job() }),
     ]
 }
 
-fn document_answers() -> Vec<Case> {
+fn document_responses() -> Vec<Case> {
     let shown = Shown {
         version: 4,
         spec: hours_part(),
-        history: vec![past()],
+        history: vec![history_entry()],
         refused: Some(text("its form 2 is of a later version")),
     };
     let changed = Changed {
@@ -142,7 +142,7 @@
         message("admin-refused-least.json", Refused::default()),
         message("admin-refused-full.json", refused),
         message("admin-why-least.json", quota::Why::default()),
-        message("admin-why-full.json", why()),
+        message("admin-why-full.json", why_response()),
     ]
 }
 
@@ -168,12 +168,12 @@
         spec: quota_spec(),
         nodes: vec![node],
         teams: vec![team],
-        history: vec![past()],
+        history: vec![history_entry()],
         refused: Some(text("its part b2 is missing")),
     }
 }
 
-fn why() -> quota::Why {
+fn why_response() -> quota::Why {
     quota::Why {
         team: text("comp"),
         path: vec![text("north"), text("film")],
@@ -186,7 +186,7 @@
     }
 }
 
-fn count_answers() -> Vec<Case> {
+fn tally_responses() -> Vec<Case> {
     let least = wire::tally::Line {
         county: text("rest"),
         class: text("render"),
@@ -221,7 +221,7 @@
     ]
 }
 
-fn hour_answers() -> Vec<Case> {
+fn hours_responses() -> Vec<Case> {
     let least = |state| Line {
         job: text("job-000412"),
         studio: None,
@@ -236,7 +236,7 @@
     let full = Line {
         studio: Some(text("oslo")),
         late_s: Some(12.5),
-        moved: Some(moved()),
+        moved: Some(moved_record()),
         ..least(State::Missed)
     };
     let states = [
@@ -266,7 +266,7 @@
     ]
 }
 
-fn model_answers() -> Vec<Case> {
+fn model_responses() -> Vec<Case> {
     let standing = |told, near| Standing {
         told,
         rule: text("chat"),
@@ -282,15 +282,15 @@
     let too_often = wire::models::ModelStatus {
         phase: model::Phase::Leaving,
         why: Some(model::Why::TooOften),
-        ..told_least()
+        ..model_status_least()
     };
     let standings = vec![
-        standing(told_least(), Vec::new()),
-        standing(told_full(), vec![text("m-1")]),
+        standing(model_status_least(), Vec::new()),
+        standing(model_status_full(), vec![text("m-1")]),
     ];
     vec![
-        message("admin-told-least.json", told_least()),
-        message("admin-told-full.json", told_full()),
+        message("admin-told-least.json", model_status_least()),
+        message("admin-told-full.json", model_status_full()),
         message("admin-told-too-often.json", too_often),
         message("admin-models-least.json", Vec::<Standing>::new()),
         message("admin-models-full.json", standings),
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn operators_ask_at_these_paths() {
+fn admin_paths_are_as_in_production() {
     use wire::admin;
     assert_eq!(admin::PATH, "/admin/quota");
     assert_eq!(admin::path("hours"), "/admin/hours");
@@ -308,15 +308,15 @@
 
 /// Tools may be newer than controllers: what those don't know they don't do.
 #[test]
-fn unknown_questions_are_refused() {
+fn unknown_admin_requests_are_refused() {
     let newer = br#"{"newer":{"team":"comp"}}"#;
-    assert!(admin_ask(newer).is_err());
+    assert!(decode_ask(newer).is_err());
     assert!(wire::admin::decode::<Question>(newer).is_err());
     assert!(wire::admin::decode::<wire::tally::Question>(newer).is_err());
     assert!(wire::admin::decode::<wire::hours::Ask>(newer).is_err());
     assert!(wire::admin::decode::<wire::models::Ask>(newer).is_err());
 }
 
-fn admin_ask(body: &[u8]) -> Result<Ask, wire::DecodeError> {
+fn decode_ask(body: &[u8]) -> Result<Ask, wire::DecodeError> {
     wire::admin::decode(body)
 }
--- a/crates/wire/tests/production/peers.rs
+++ b/crates/wire/tests/production/peers.rs
@@ -1,8 +1,8 @@
 //! What controllers ask and tell each other.
 
-use crate::messages::{orders_full, orders_least, report_least};
+use crate::messages::{heartbeat_least, orders_full, orders_least};
 use crate::records::{spec_full, spec_least};
-use crate::{Case, Reading, bytes_of, encode, message};
+use crate::{Case, DecodeResult, encode, message, recorded_bytes};
 use serde_bytes::ByteBuf;
 use wire::api::{JobState, Stage};
 use wire::models::ModelStatus;
@@ -13,13 +13,13 @@
 }
 
 pub fn cases() -> Vec<Case> {
-    let mut all = asks();
-    all.extend(answers());
+    let mut all = requests();
+    all.extend(responses());
     all
 }
 
 /// A question, whose file begins with its variant's name. A new variant needs a case.
-fn ask(file: &'static str, value: PeerRequest) -> Case {
+fn request(file: &'static str, value: PeerRequest) -> Case {
     let name = match value {
         PeerRequest::Query { .. } => "ask-query",
         PeerRequest::Cancel { .. } => "ask-cancel",
@@ -36,7 +36,7 @@
 }
 
 /// An answer, whose file begins with its variant's name. A new variant needs a case.
-fn answer(file: &'static str, value: PeerResponse) -> Case {
+fn response(file: &'static str, value: PeerResponse) -> Case {
     let name = match value {
         PeerResponse::State(_) => "answer-state",
         PeerResponse::Accepted(_) => "answer-accepted",
@@ -52,7 +52,7 @@
     message(file, value)
 }
 
-fn asks() -> Vec<Case> {
+fn requests() -> Vec<Case> {
     let submit = |spec| PeerRequest::Submit {
         spec: Box::new(spec),
     };
@@ -68,32 +68,35 @@
         node: "b".to_owned(),
         reports,
     };
-    let report = ByteBuf::from(wire::encode(&report_least()));
+    let report = ByteBuf::from(wire::encode(&heartbeat_least()));
     vec![
-        ask("ask-query.cbor", PeerRequest::Query { job: job() }),
-        ask("ask-cancel.cbor", PeerRequest::Cancel { job: job() }),
-        ask("ask-submit-least.cbor", submit(spec_least())),
-        ask("ask-submit-full.cbor", submit(spec_full())),
-        ask("ask-lookup.cbor", lookup(false)),
-        ask("ask-lookup-past-owner.cbor", lookup(true)),
-        ask(
+        request("ask-query.cbor", PeerRequest::Query { job: job() }),
+        request("ask-cancel.cbor", PeerRequest::Cancel { job: job() }),
+        request("ask-submit-least.cbor", submit(spec_least())),
+        request("ask-submit-full.cbor", submit(spec_full())),
+        request("ask-lookup.cbor", lookup(false)),
+        request("ask-lookup-past-owner.cbor", lookup(true)),
+        request(
             "ask-owns.cbor",
             PeerRequest::Leads {
                 node: "a".to_owned(),
                 token: 70_000,
             },
         ),
-        ask("ask-view-least.cbor", PeerRequest::PeerStatus(view_least())),
-        ask(
+        request(
+            "ask-view-least.cbor",
+            PeerRequest::PeerStatus(peer_status_least()),
+        ),
+        request(
             "ask-view-full.cbor",
-            PeerRequest::PeerStatus(view_full(None)),
+            PeerRequest::PeerStatus(peer_status_full(None)),
         ),
-        ask("ask-reports-none.cbor", reports(Vec::new())),
-        ask(
+        request("ask-reports-none.cbor", reports(Vec::new())),
+        request(
             "ask-reports.cbor",
             reports(vec![report, ByteBuf::from([0x00, 0xff])]),
         ),
-        ask(
+        request(
             "ask-tell.cbor",
             PeerRequest::Command {
                 machine: "m-1".to_owned(),
@@ -101,58 +104,61 @@
                 body: ByteBuf::from(wire::encode(&orders_full())),
             },
         ),
-        ask("ask-wake.cbor", wake(false)),
-        ask("ask-wake-owner.cbor", wake(true)),
+        request("ask-wake.cbor", wake(false)),
+        request("ask-wake-owner.cbor", wake(true)),
     ]
 }
 
-fn answers() -> Vec<Case> {
+fn responses() -> Vec<Case> {
     let delegation = |except| LeaseDelegation { token: 17, except };
     let except = vec!["m-1".to_owned(), "m-2".to_owned()];
-    let told = |status, body| PeerResponse::CommandResult { status, body };
+    let command_result = |status, body| PeerResponse::CommandResult { status, body };
     let orders = ByteBuf::from(wire::encode(&orders_least()));
-    let model = |told| PeerResponse::Model(Box::new(told));
+    let model = |status| PeerResponse::Model(Box::new(status));
     vec![
-        answer("answer-state.cbor", PeerResponse::State(state())),
-        answer(
+        response("answer-state.cbor", PeerResponse::State(job_state())),
+        response(
             "answer-accepted.cbor",
-            PeerResponse::Accepted(state_least()),
+            PeerResponse::Accepted(job_state_least()),
         ),
-        answer("answer-refused-least.cbor", PeerResponse::refused(503, "")),
-        answer(
+        response("answer-refused-least.cbor", PeerResponse::refused(503, "")),
+        response(
             "answer-refused-full.cbor",
             PeerResponse::refused(422, "invalid: pieces: missing"),
         ),
-        answer("answer-unknown.cbor", PeerResponse::Unknown),
-        answer("answer-not-now.cbor", PeerResponse::NotNow),
-        answer(
+        response("answer-unknown.cbor", PeerResponse::Unknown),
+        response("answer-not-now.cbor", PeerResponse::NotNow),
+        response(
             "answer-view-least.cbor",
-            PeerResponse::PeerStatus(view_least()),
+            PeerResponse::PeerStatus(peer_status_least()),
         ),
-        answer(
+        response(
             "answer-view-full.cbor",
-            PeerResponse::PeerStatus(view_full(Some(delegation(except)))),
+            PeerResponse::PeerStatus(peer_status_full(Some(delegation(except)))),
         ),
-        answer(
+        response(
             "answer-view-keep-all.cbor",
-            PeerResponse::PeerStatus(view_full(Some(delegation(Vec::new())))),
+            PeerResponse::PeerStatus(peer_status_full(Some(delegation(Vec::new())))),
         ),
-        answer("answer-orders-none.cbor", PeerResponse::Orders(Vec::new())),
-        answer(
+        response("answer-orders-none.cbor", PeerResponse::Orders(Vec::new())),
+        response(
             "answer-orders.cbor",
             PeerResponse::Orders(vec![orders, ByteBuf::new()]),
         ),
-        answer("answer-told-least.cbor", told(503, ByteBuf::new())),
-        answer(
+        response(
+            "answer-told-least.cbor",
+            command_result(503, ByteBuf::new()),
+        ),
+        response(
             "answer-told-full.cbor",
-            told(200, ByteBuf::from([0x80, 0xff])),
+            command_result(200, ByteBuf::from([0x80, 0xff])),
         ),
-        answer("answer-model-least.cbor", model(told_least())),
-        answer("answer-model-full.cbor", model(told_full())),
+        response("answer-model-least.cbor", model(model_status_least())),
+        response("answer-model-full.cbor", model(model_status_full())),
     ]
 }
 
-pub fn state_least() -> JobState {
+pub fn job_state_least() -> JobState {
     JobState {
         id: job(),
         stage: Stage::Pending,
@@ -161,7 +167,7 @@
     }
 }
 
-pub fn state() -> JobState {
+pub fn job_state() -> JobState {
     JobState {
         id: job(),
         stage: Stage::Running,
@@ -170,7 +176,7 @@
     }
 }
 
-fn view_least() -> PeerStatus {
+fn peer_status_least() -> PeerStatus {
     PeerStatus {
         node: "a".to_owned(),
         state_ms: None,
@@ -183,7 +189,7 @@
     }
 }
 
-fn view_full(delegation: Option<LeaseDelegation>) -> PeerStatus {
+fn peer_status_full(delegation: Option<LeaseDelegation>) -> PeerStatus {
     PeerStatus {
         node: "b".to_owned(),
         state_ms: Some(250),
@@ -196,7 +202,7 @@
     }
 }
 
-pub fn told_least() -> ModelStatus {
+pub fn model_status_least() -> ModelStatus {
     ModelStatus {
         model: "job-9".to_owned(),
         phase: model::Phase::Awake,
@@ -208,7 +214,7 @@
     }
 }
 
-pub fn told_full() -> ModelStatus {
+pub fn model_status_full() -> ModelStatus {
     ModelStatus {
         model: "job-9".to_owned(),
         phase: model::Phase::Asleep,
@@ -222,7 +228,7 @@
 
 /// An old node answers a question that it does not know with a refusal, and does not take it for another one.
 #[test]
-fn unknown_questions_and_answers_are_refused() {
+fn unknown_requests_and_responses_are_refused() {
     let newer = [
         serde_json::json!({"Newer": {"job": "job-1"}}),
         serde_json::json!({"Newer": null}),
@@ -243,15 +249,15 @@
 
 /// Unlike `MessagePack` bodies. A newer version may so far put something behind a message.
 #[test]
-fn what_follows_a_message_is_not_looked_at() {
+fn bytes_after_a_message_are_ignored() {
     for case in cases() {
-        let mut bytes = bytes_of(case.file);
+        let mut bytes = recorded_bytes(case.file);
         bytes.push(0xf6);
-        assert_eq!((case.read)(&bytes), Reading::Same, "{}", case.file);
+        assert_eq!((case.check)(&bytes), DecodeResult::Same, "{}", case.file);
     }
 }
 
 #[test]
-fn peers_are_asked_at_this_path() {
+fn peer_path_is_as_in_production() {
     assert_eq!(wire::peer::PATH, "/peer");
 }
--- a/crates/wire/tests/production/records.rs
+++ b/crates/wire/tests/production/records.rs
@@ -1,6 +1,6 @@
 //! Records in the state service, other than documents, and the keys under which they stand.
 
-use crate::{Case, Reading, bytes_of, decode, encode, encoded_as};
+use crate::{Case, DecodeResult, decode, encode, encoded_as, recorded_bytes};
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
 use wire::api::{Catalog, JobSpec, Kind, MachineType, Priority, Stage};
@@ -11,7 +11,7 @@
 };
 
 /// What a record's file begins with. A new kind needs a case.
-fn prefix(record: &Record) -> &'static str {
+fn file_prefix(record: &Record) -> &'static str {
     match record {
         Record::Leader(_) => "record-owner",
         Record::Token(_) => "record-token",
@@ -36,7 +36,7 @@
     T: Serialize + DeserializeOwned + Clone + PartialEq + Debug + 'static,
 {
     let record = kind(value.clone());
-    assert!(file.starts_with(prefix(&record)), "{file}");
+    assert!(file.starts_with(file_prefix(&record)), "{file}");
     let encoded = encode(file, &record);
     assert_eq!(encoded, encode(file, &value), "{file}");
     encoded_as(file, encoded, value)
@@ -74,7 +74,7 @@
         ),
         record(
             "record-rack-full.msgpack",
-            rack_full(),
+            inventory_full(),
             Record::InventoryShard,
         ),
         record("record-hire.msgpack", rental(), Record::Rental),
@@ -83,7 +83,7 @@
             county::Sheet::default(),
             Record::Tally,
         ),
-        record("record-tally-full.msgpack", sheet(), Record::Tally),
+        record("record-tally-full.msgpack", tally_sheet(), Record::Tally),
         record(
             "record-catalog-least.msgpack",
             Catalog { types: Vec::new() },
@@ -180,7 +180,7 @@
     }
 }
 
-fn hour(moved: Option<MovedRecord>) -> HourRecord {
+fn hour_record(moved: Option<MovedRecord>) -> HourRecord {
     HourRecord {
         due_ms: 1_790_003_600_000,
         version: 4,
@@ -188,7 +188,7 @@
     }
 }
 
-pub fn moved() -> MovedRecord {
+pub fn moved_record() -> MovedRecord {
     MovedRecord {
         by: "ida".to_owned(),
         at_ms: 1_790_000_100_000,
@@ -201,7 +201,7 @@
         spec: spec_full(),
         at_ms: 1_790_000_000_123,
         shard: 2,
-        hour: Some(hour(Some(moved()))),
+        hour: Some(hour_record(Some(moved_record()))),
         county: Some(CountyRecord {
             county: "film-a".to_owned(),
             version: 300,
@@ -222,7 +222,7 @@
         spec,
         at_ms: 0,
         shard: 0,
-        hour: Some(hour(None)),
+        hour: Some(hour_record(None)),
         county: Some(CountyRecord {
             county: "film-a".to_owned(),
             version: 1,
@@ -309,14 +309,14 @@
     }
 }
 
-fn sheet() -> county::Sheet {
+fn tally_sheet() -> county::Sheet {
     county::Sheet {
         upto: 255,
         cells: vec![delta_least(), delta_full()],
     }
 }
 
-fn rack_full() -> InventoryRecord {
+fn inventory_full() -> InventoryRecord {
     let kind = |machine_type: &str, spot, machines| KindRecord {
         machine_type: machine_type.to_owned(),
         zone: "north".to_owned(),
@@ -438,7 +438,7 @@
 }
 
 /// A record that says nothing of what all controllers follow.
-pub fn shared() -> SharedRecord {
+pub fn empty_shared_record() -> SharedRecord {
     SharedRecord {
         node: None,
         token: None,
@@ -449,63 +449,67 @@
     }
 }
 
-pub fn assert_shared(file: &str, expected: SharedRecord) {
-    assert_eq!(decode(file, &bytes_of(file)), Some(expected), "{file}");
+pub fn assert_decodes_as_shared(file: &str, expected: SharedRecord) {
+    assert_eq!(
+        decode(file, &recorded_bytes(file)),
+        Some(expected),
+        "{file}"
+    );
 }
 
 #[test]
-fn records_that_all_controllers_follow_are_read_without_knowing_their_kind() {
-    let owned = |incarnation| SharedRecord {
+fn shared_records_decode_without_knowing_their_kind() {
+    let leader_with = |incarnation| SharedRecord {
         node: Some("a".to_owned()),
         token: Some(17),
         lease: Some(5_000_000_000),
         incarnation,
-        ..shared()
+        ..empty_shared_record()
     };
-    assert_shared("record-owner-least.msgpack", owned(0));
-    assert_shared("record-owner-full.msgpack", owned(3));
-    let counter = SharedRecord {
+    assert_decodes_as_shared("record-owner-least.msgpack", leader_with(0));
+    assert_decodes_as_shared("record-owner-full.msgpack", leader_with(3));
+    let token_record = SharedRecord {
         token: Some(70_000),
-        ..shared()
+        ..empty_shared_record()
     };
-    assert_shared("record-token.msgpack", counter);
-    let types = |c: Catalog| SharedRecord {
+    assert_decodes_as_shared("record-token.msgpack", token_record);
+    let catalog_with = |c: Catalog| SharedRecord {
         types: Some(c.types),
-        ..shared()
+        ..empty_shared_record()
     };
-    assert_shared(
+    assert_decodes_as_shared(
         "record-catalog-least.msgpack",
-        types(Catalog { types: Vec::new() }),
+        catalog_with(Catalog { types: Vec::new() }),
     );
-    assert_shared("record-catalog-full.msgpack", types(catalog()));
+    assert_decodes_as_shared("record-catalog-full.msgpack", catalog_with(catalog()));
 }
 
 /// So a newer version may add kinds of shared records.
 #[test]
-fn shared_records_of_unknown_kinds_say_nothing() {
+fn shared_records_of_unknown_kinds_decode_as_empty() {
     let newer = wire::encode(&serde_json::json!({"newer": {"a": [1]}}));
-    assert_eq!(wire::decode(&newer), Ok(shared()));
+    assert_eq!(wire::decode(&newer), Ok(empty_shared_record()));
     let not_a_map = wire::encode(&serde_json::json!("newer"));
     assert!(wire::decode::<SharedRecord>(&not_a_map).is_err());
 }
 
 #[test]
-fn an_unknown_stage_of_a_job_is_refused() {
+fn unknown_job_stage_is_refused() {
     let newer = wire::encode(&serde_json::json!({"stage": "newer", "done": 1}));
     assert!(wire::decode::<EndRecord>(&newer).is_err());
 }
 
 #[test]
-fn a_trailing_byte_is_refused() {
+fn trailing_byte_is_refused() {
     for case in cases() {
-        let mut bytes = bytes_of(case.file);
+        let mut bytes = recorded_bytes(case.file);
         bytes.push(0xc0);
-        assert_eq!((case.read)(&bytes), Reading::Refused, "{}", case.file);
+        assert_eq!((case.check)(&bytes), DecodeResult::Refused, "{}", case.file);
     }
 }
 
 #[test]
-fn records_stand_under_their_keys() {
+fn record_keys_are_as_in_production() {
     use wire::records as keys;
     let prefixes = [
         (keys::SHARED, "sys/"),
--- a/crates/wire/tests/production/variations.rs
+++ b/crates/wire/tests/production/variations.rs
@@ -1,6 +1,6 @@
 //! What the decoders make of messages that differ from the recorded ones as those of other versions may.
 
-use crate::{Case, Reading, bytes_of, decode, encode};
+use crate::{Case, DecodeResult, decode, encode, recorded_bytes};
 use ciborium::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -11,50 +11,50 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Variation {
     UnknownField,
-    FieldLeftOut,
+    MissingField,
     /// The only key of a map, as that of an enum's variant.
     UnknownVariant,
     /// A text, which may be a word of an enum.
-    OtherText,
+    UnknownText,
 }
 
 impl Variation {
-    fn name(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Variation::UnknownField => "unknown field in",
-            Variation::FieldLeftOut => "left out",
+            Variation::MissingField => "left out",
             Variation::UnknownVariant => "unknown variant in place of",
-            Variation::OtherText => "other text in",
+            Variation::UnknownText => "other text in",
         }
     }
 }
 
-fn reading_name(reading: Reading) -> &'static str {
-    match reading {
-        Reading::Same => "read as the same",
-        Reading::Different => "read as another value",
-        Reading::Refused => "refused",
+fn result_label(result: DecodeResult) -> &'static str {
+    match result {
+        DecodeResult::Same => "read as the same",
+        DecodeResult::Different => "read as another value",
+        DecodeResult::Refused => "refused",
     }
 }
 
 /// A few lines for each case: the places of each variation, by what becomes of it.
 pub fn describe(cases: &[Case]) -> String {
-    let ours: BTreeMap<&str, &Case> = cases
+    let decoded: BTreeMap<&str, &Case> = cases
         .iter()
-        .filter(|c| c.is_read_by_us)
+        .filter(|c| c.is_decoded_by_controllers)
         .map(|c| (c.file, c))
         .collect();
     let mut out = String::new();
-    for case in ours.values() {
+    for case in decoded.values() {
         let _ = writeln!(out, "{}", case.file);
-        for ((variation, reading), places) in readings(case) {
-            let places: Vec<String> = places.into_iter().collect();
+        for ((variation, result), paths) in paths_by_result(case) {
+            let paths: Vec<String> = paths.into_iter().collect();
             let _ = writeln!(
                 out,
                 "  {} {}: {}",
-                variation.name(),
-                places.join(" "),
-                reading_name(reading)
+                variation.label(),
+                paths.join(" "),
+                result_label(result)
             );
         }
     }
@@ -62,18 +62,18 @@
 }
 
 /// Places by what was varied there and what became of it.
-type Readings = BTreeMap<(Variation, Reading), BTreeSet<String>>;
+type PathsByResult = BTreeMap<(Variation, DecodeResult), BTreeSet<String>>;
 
-fn readings(case: &Case) -> Readings {
-    let recorded = bytes_of(case.file);
+fn paths_by_result(case: &Case) -> PathsByResult {
+    let recorded = recorded_bytes(case.file);
     let value: Value = decode(case.file, &recorded).expect("some value");
     // Not always the same bytes, as generic numbers take their shortest form.
-    let unvaried = (case.read)(&encode(case.file, &value));
-    assert_eq!(unvaried, Reading::Same, "{}", case.file);
-    let mut out = Readings::new();
-    for (variation, place, varied) in varied(&value, "") {
-        let reading = (case.read)(&encode(case.file, &varied));
-        out.entry((variation, reading)).or_default().insert(place);
+    let unchanged = (case.check)(&encode(case.file, &value));
+    assert_eq!(unchanged, DecodeResult::Same, "{}", case.file);
+    let mut out = PathsByResult::new();
+    for (variation, path, varied) in varied(&value, "") {
+        let result = (case.check)(&encode(case.file, &varied));
+        out.entry((variation, result)).or_default().insert(path);
     }
     out
 }
@@ -81,59 +81,75 @@
 type Varied = (Variation, String, Value);
 
 /// All values that differ from one by a single variation, with its place.
-fn varied(value: &Value, place: &str) -> Vec<Varied> {
+fn varied(value: &Value, path: &str) -> Vec<Varied> {
     match value {
-        Value::Map(entries) => varied_map(entries, place),
-        Value::Array(items) => varied_list(items, place),
+        Value::Map(entries) => varied_map(entries, path),
+        Value::Array(items) => varied_list(items, path),
         Value::Text(_) => vec![(
-            Variation::OtherText,
-            place_or_root(place),
+            Variation::UnknownText,
+            path_or_root(path),
             Value::Text(UNKNOWN.to_owned()),
         )],
         _ => Vec::new(),
     }
 }
 
-fn varied_map(entries: &[(Value, Value)], place: &str) -> Vec<Varied> {
+fn varied_map(entries: &[(Value, Value)], path: &str) -> Vec<Varied> {
     let unknown = || Value::Text(UNKNOWN.to_owned());
-    let mut more = entries.to_vec();
-    more.push((unknown(), Value::from(1)));
+    let mut with_unknown = entries.to_vec();
+    with_unknown.push((unknown(), Value::from(1)));
     let mut out = vec![(
         Variation::UnknownField,
-        place_or_root(place),
-        Value::Map(more),
+        path_or_root(path),
+        Value::Map(with_unknown),
     )];
     for (i, (key, inner)) in entries.iter().enumerate() {
-        let at = format!("{place}/{}", key.as_text().expect("text keys"));
-        let mut fewer = entries.to_vec();
-        fewer.remove(i);
-        out.push((Variation::FieldLeftOut, at.clone(), Value::Map(fewer)));
+        let inner_path = format!("{path}/{}", key.as_text().expect("text keys"));
+        let mut without_field = entries.to_vec();
+        without_field.remove(i);
+        out.push((
+            Variation::MissingField,
+            inner_path.clone(),
+            Value::Map(without_field),
+        ));
         if entries.len() == 1 {
             let renamed = vec![(unknown(), inner.clone())];
-            out.push((Variation::UnknownVariant, at.clone(), Value::Map(renamed)));
+            out.push((
+                Variation::UnknownVariant,
+                inner_path.clone(),
+                Value::Map(renamed),
+            ));
         }
-        out.extend(varied(inner, &at).into_iter().map(|(v, p, changed)| {
-            let mut with = entries.to_vec();
-            with[i].1 = changed;
-            (v, p, Value::Map(with))
-        }));
+        out.extend(
+            varied(inner, &inner_path)
+                .into_iter()
+                .map(|(v, p, changed)| {
+                    let mut copy = entries.to_vec();
+                    copy[i].1 = changed;
+                    (v, p, Value::Map(copy))
+                }),
+        );
     }
     out
 }
 
-fn varied_list(items: &[Value], place: &str) -> Vec<Varied> {
+fn varied_list(items: &[Value], path: &str) -> Vec<Varied> {
     let mut out = Vec::new();
     for (i, inner) in items.iter().enumerate() {
-        let at = format!("{place}/{i}");
-        out.extend(varied(inner, &at).into_iter().map(|(v, p, changed)| {
-            let mut with = items.to_vec();
-            with[i] = changed;
-            (v, p, Value::Array(with))
-        }));
+        let inner_path = format!("{path}/{i}");
+        out.extend(
+            varied(inner, &inner_path)
+                .into_iter()
+                .map(|(v, p, changed)| {
+                    let mut copy = items.to_vec();
+                    copy[i] = changed;
+                    (v, p, Value::Array(copy))
+                }),
+        );
     }
     out
 }
 
-fn place_or_root(place: &str) -> String {
-    if place.is_empty() { "/" } else { place }.to_owned()
+fn path_or_root(path: &str) -> String {
+    if path.is_empty() { "/" } else { path }.to_owned()
 }
