--- a/crates/wire/tests/production.rs
+++ b/crates/wire/tests/production.rs
@@ -45,7 +45,7 @@
     Refused,
 }
 
-/// Decodes bytes and compares the result with the value of a case.
+/// Decodes bytes and compares the decoded value with the value of a case.
 pub type DecodeCheck = dyn Fn(&[u8]) -> DecodeResult;
 
 /// A recorded file, with the encoding of its value and a decoder that compares with that value.
@@ -57,7 +57,7 @@
     pub is_decoded_by_controllers: bool,
 }
 
-/// A message that is encoded and decoded as the same type, whether controllers do both or only one of them.
+/// A message that is encoded from and decoded to the same type, whether controllers do both or only one of them.
 pub fn message<T>(file: &'static str, value: T) -> Case
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug + 'static,
@@ -93,7 +93,9 @@
 }
 
 fn extension(file: &str) -> &str {
-    file.rsplit_once('.').expect("an extension").1
+    file.rsplit_once('.')
+        .expect("the file name has an extension")
+        .1
 }
 
 /// Encodes a message as controllers do for the format of the file.
@@ -163,11 +165,16 @@
 fn each_recorded_file_has_exactly_one_case() {
     let all = cases();
     let named: BTreeSet<String> = all.iter().map(|c| c.file.to_owned()).collect();
-    assert_eq!(named.len(), all.len(), "two cases have the same file");
+    assert_eq!(named.len(), all.len(), "two cases name the same file");
     let present: BTreeSet<String> = fs::read_dir(path(""))
-        .expect("the directory")
-        .map(|entry| entry.expect("an entry").file_name().into_string())
-        .map(|name| name.expect("a plain name"))
+        .expect("the directory of recorded files is readable")
+        .map(|entry| {
+            entry
+                .expect("the directory entry is readable")
+                .file_name()
+                .into_string()
+        })
+        .map(|name| name.expect("the file name is UTF-8"))
         .filter(|name| name != VARIATIONS && !name.ends_with(".rs"))
         .collect();
     assert_eq!(named, present);
@@ -175,7 +182,7 @@
 
 #[test]
 fn messages_of_other_versions_are_read_or_refused_as_recorded() {
-    let recorded = String::from_utf8(recorded_bytes(VARIATIONS)).expect("text");
+    let recorded = String::from_utf8(recorded_bytes(VARIATIONS)).expect("the file is UTF-8");
     let described = variations::describe(&cases());
     let pairs = recorded.lines().zip(described.lines());
     for (n, (recorded_line, described_line)) in pairs.enumerate() {
@@ -190,7 +197,7 @@
 }
 
 #[test]
-#[ignore = "writes the files of new cases, and none that is there"]
+#[ignore = "writes the missing files of new cases; existing files are left unchanged"]
 fn write_missing_recorded_files() {
     let all = cases();
     for case in &all {
@@ -205,7 +212,7 @@
         .create_new(true)
         .open(path(file));
     match created {
-        Ok(mut f) => f.write_all(bytes).expect("written"),
+        Ok(mut f) => f.write_all(bytes).expect("the file can be written"),
         Err(e) if e.kind() == ErrorKind::AlreadyExists => {}
         Err(e) => panic!("{file}: {e}"),
     }
--- a/crates/wire/tests/production/documents.rs
+++ b/crates/wire/tests/production/documents.rs
@@ -1,4 +1,4 @@
-//! Heads and parts of documents, as records and as controllers follow them.
+//! Cases for the heads and parts of documents: as their own records, and as the shared records that controllers watch.
 
 use crate::records::{assert_decodes_as_shared, empty_shared_record, record};
 use crate::{Case, encode, encoded_as, write_only};
@@ -10,12 +10,13 @@
 use std::fmt::Debug;
 use wire::records::{HeadRecord, Record, SharedRecord};
 
-/// A part of a document: written in its kind's form by way of a generic value, which puts fields into their order.
+/// A part of a document. It is encoded through a generic value, which determines the order of the fields, and decoded
+/// as the type of its kind.
 fn part<T>(file: &'static str, value: T) -> Case
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug + 'static,
 {
-    let generic = serde_json::to_value(&value).expect("a value");
+    let generic = serde_json::to_value(&value).expect("the part can be serialized");
     encoded_as(file, encode(file, &Record::Other(generic)), value)
 }
 
@@ -239,10 +240,11 @@
     assert_decodes_as_shared("quota-head-full.msgpack", document(head_full()));
 }
 
-/// Names of parts are digests: with other names, no document in force could be put together.
+/// The name of a part is a digest of its content. If the digests changed, the documents in force could not be assembled
+/// from their stored parts.
 fn part_names() -> Case {
     fn names<C: Content>(content: &C) -> Vec<String> {
-        let parts = document::split(content, PART_BYTES).expect("entries that fit");
+        let parts = document::split(content, PART_BYTES).expect("each entry fits into a part");
         parts.into_iter().map(|(name, _)| name).collect()
     }
     let all = serde_json::json!({
@@ -254,5 +256,5 @@
     write_only("part-names.json", &all, all.clone())
 }
 
-/// So few that most of the documents take more than one part.
+/// Small enough that most of the documents are split into more than one part.
 const PART_BYTES: usize = 300;
--- a/crates/wire/tests/production/messages.rs
+++ b/crates/wire/tests/production/messages.rs
@@ -1,4 +1,4 @@
-//! Messages to and from workers, users, the cloud and the state service, and how HTTP frames them.
+//! Cases for the messages to and from workers, users, the cloud and the state service, and their framing in HTTP.
 
 use crate::peers::{job_state, job_state_least};
 use crate::records::{catalog, spec_full, spec_least};
@@ -305,16 +305,17 @@
 
 #[test]
 fn submissions_parse_to_the_job_specs_of_their_records() {
-    let parse = |file| wire::submission::read(&recorded_bytes(file)).expect("a job");
+    let parse =
+        |file| wire::submission::read(&recorded_bytes(file)).expect("the submission is valid");
     assert_eq!(parse("user-submission-least.msgpack"), spec_least());
     assert_eq!(parse("user-submission-full.msgpack"), spec_full());
 }
 
-/// Workers may be of a newer version than controllers.
+/// Workers may run a newer version than controllers, with causes that the controllers do not know.
 #[test]
 fn unknown_cause_decodes_as_other() {
     let newer = json!({"piece": "job-1/0", "try": 1, "stage": "exited", "cause": "newer"});
-    let report: TaskStatus = wire::decode(&wire::encode(&newer)).expect("a report of a task");
+    let report: TaskStatus = wire::decode(&wire::encode(&newer)).expect("the task status decodes");
     assert_eq!(report.cause, Some(Cause::Other));
 }
 
--- a/crates/wire/tests/production/operators.rs
+++ b/crates/wire/tests/production/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask, and what they are told.
+//! Cases for the requests of operators and the responses to them.
 
 use crate::documents::{counties_spec, gpus, history_entry, hours_part, models_part, quota_spec};
 use crate::peers::{model_status_full, model_status_least};
@@ -306,7 +306,8 @@
     assert_eq!(wire::models::DEMAND, "/admin/models/demand");
 }
 
-/// Tools may be newer than controllers: what those don't know they don't do.
+/// Operators' tools may run a newer version than controllers. A request that a controller does not know is refused, and
+/// not taken for another one.
 #[test]
 fn unknown_admin_requests_are_refused() {
     let newer = br#"{"newer":{"team":"comp"}}"#;
--- a/crates/wire/tests/production/peers.rs
+++ b/crates/wire/tests/production/peers.rs
@@ -1,4 +1,4 @@
-//! What controllers ask and tell each other.
+//! Cases for the requests and responses between controllers.
 
 use crate::messages::{heartbeat_least, orders_full, orders_least};
 use crate::records::{spec_full, spec_least};
@@ -18,7 +18,8 @@
     all
 }
 
-/// A question, whose file begins with its variant's name. A new variant needs a case.
+/// The case of a request. Its file name begins with the outer name of the variant. The exhaustive match is a
+/// reminder that a new variant needs a case.
 fn request(file: &'static str, value: PeerRequest) -> Case {
     let name = match value {
         PeerRequest::Query { .. } => "ask-query",
@@ -35,7 +36,8 @@
     message(file, value)
 }
 
-/// An answer, whose file begins with its variant's name. A new variant needs a case.
+/// The case of a response. Its file name begins with the outer name of the variant. The exhaustive match is a
+/// reminder that a new variant needs a case.
 fn response(file: &'static str, value: PeerResponse) -> Case {
     let name = match value {
         PeerResponse::State(_) => "answer-state",
@@ -226,7 +228,7 @@
     }
 }
 
-/// An old node answers a question that it does not know with a refusal, and does not take it for another one.
+/// A controller of an older version refuses a message that it does not know, and does not take it for another one.
 #[test]
 fn unknown_requests_and_responses_are_refused() {
     let newer = [
@@ -247,7 +249,7 @@
     }
 }
 
-/// Unlike `MessagePack` bodies. A newer version may so far put something behind a message.
+/// Unlike in `MessagePack` bodies, where they are refused. So a newer version may append data to a message.
 #[test]
 fn bytes_after_a_message_are_ignored() {
     for case in cases() {
--- a/crates/wire/tests/production/records.rs
+++ b/crates/wire/tests/production/records.rs
@@ -1,4 +1,4 @@
-//! Records in the state service, other than documents, and the keys under which they stand.
+//! Cases for the records in the state service, other than documents, and for the keys under which they are stored.
 
 use crate::{Case, DecodeResult, decode, encode, encoded_as, recorded_bytes};
 use serde::{Serialize, de::DeserializeOwned};
@@ -10,7 +10,8 @@
     MovedRecord, Record, RentalRecord, SharedRecord, TeamAllotment, TokenRecord,
 };
 
-/// What a record's file begins with. A new kind needs a case.
+/// The beginning of the file names of a kind of record. The exhaustive match is a reminder that a new kind needs a
+/// case.
 fn file_prefix(record: &Record) -> &'static str {
     match record {
         Record::Leader(_) => "record-owner",
@@ -30,7 +31,7 @@
     }
 }
 
-/// A record: written as one of all kinds, and read as its own.
+/// A record, encoded as a variant of `Record` and decoded as its own type.
 pub fn record<T>(file: &'static str, value: T, kind: fn(T) -> Record) -> Case
 where
     T: Serialize + DeserializeOwned + Clone + PartialEq + Debug + 'static,
@@ -211,7 +212,7 @@
     }
 }
 
-/// An hour that was not moved, and a county that keeps nothing apart.
+/// A job with a release hour that was not moved, and a county that requires no separation from others.
 fn job_agreed() -> JobRecord {
     let spec = JobSpec {
         kind: Kind::Service,
@@ -437,7 +438,7 @@
     }
 }
 
-/// A record that says nothing of what all controllers follow.
+/// A shared record without any of the fields that all controllers follow.
 pub fn empty_shared_record() -> SharedRecord {
     SharedRecord {
         node: None,
@@ -484,7 +485,7 @@
     assert_decodes_as_shared("record-catalog-full.msgpack", catalog_with(catalog()));
 }
 
-/// So a newer version may add kinds of shared records.
+/// Thus a newer version may add kinds of shared records.
 #[test]
 fn shared_records_of_unknown_kinds_decode_as_empty() {
     let newer = wire::encode(&serde_json::json!({"newer": {"a": [1]}}));
--- a/crates/wire/tests/production/variations.rs
+++ b/crates/wire/tests/production/variations.rs
@@ -1,4 +1,4 @@
-//! What the decoders make of messages that differ from the recorded ones as those of other versions may.
+//! Changes the recorded messages as other versions may, and describes how the decoders handle the changed ones.
 
 use crate::{Case, DecodeResult, decode, encode, recorded_bytes};
 use ciborium::Value;
@@ -7,14 +7,14 @@
 
 const UNKNOWN: &str = "newer";
 
-/// One change of a message.
+/// The kind of a single change to a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Variation {
     UnknownField,
     MissingField,
-    /// The only key of a map, as that of an enum's variant.
+    /// The key of a map with one entry is replaced, as that entry may be the variant of an enum.
     UnknownVariant,
-    /// A text, which may be a word of an enum.
+    /// A string is replaced, as it may be the value of an enum.
     UnknownText,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// A few lines for each case: the places of each variation, by what becomes of it.
+/// A few lines for each case that controllers decode: the paths of each kind of variation, by the result of decoding.
 pub fn describe(cases: &[Case]) -> String {
     let decoded: BTreeMap<&str, &Case> = cases
         .iter()
@@ -61,13 +61,14 @@
     out
 }
 
-/// Places by what was varied there and what became of it.
+/// The paths in a message, by the kind of variation at the path and the result of decoding the changed message.
 type PathsByResult = BTreeMap<(Variation, DecodeResult), BTreeSet<String>>;
 
 fn paths_by_result(case: &Case) -> PathsByResult {
     let recorded = recorded_bytes(case.file);
-    let value: Value = decode(case.file, &recorded).expect("some value");
-    // Not always the same bytes, as generic numbers take their shortest form.
+    let value: Value =
+        decode(case.file, &recorded).expect("the recorded message decodes generically");
+    // The bytes may differ from the recorded ones, as generic numbers are encoded in their shortest form.
     let unchanged = (case.check)(&encode(case.file, &value));
     assert_eq!(unchanged, DecodeResult::Same, "{}", case.file);
     let mut out = PathsByResult::new();
@@ -80,7 +81,7 @@
 
 type Varied = (Variation, String, Value);
 
-/// All values that differ from one by a single variation, with its place.
+/// All values that differ from `value` by a single variation, each with the kind and the path of that variation.
 fn varied(value: &Value, path: &str) -> Vec<Varied> {
     match value {
         Value::Map(entries) => varied_map(entries, path),
@@ -104,7 +105,7 @@
         Value::Map(with_unknown),
     )];
     for (i, (key, inner)) in entries.iter().enumerate() {
-        let inner_path = format!("{path}/{}", key.as_text().expect("text keys"));
+        let inner_path = format!("{path}/{}", key.as_text().expect("keys are strings"));
         let mut without_field = entries.to_vec();
         without_field.remove(i);
         out.push((
