--- a/crates/standins/tests/bound_to_zones.rs
+++ b/crates/standins/tests/bound_to_zones.rs
@@ -8,28 +8,28 @@
 const JOBS: u32 = 12;
 
 /// Arrays and gangs whose tasks share a zone, arrays of a named zone, and arrays that are spread.
-fn bound(seed: u64, nodes: usize) -> World {
+fn zone_bound_world(seed: u64, nodes: usize) -> World {
     let job = |i: u32| {
-        let plain = array(100 + i, "red", 3 + i % 3, 15.0);
+        let base = array(100 + i, "red", 3 + i % 3, 15.0);
         let spec = match i % 4 {
             0 => JobSpec {
                 zone: Some(["a", "b"][i as usize / 4 % 2].into()),
-                ..plain
+                ..base
             },
             1 => JobSpec {
                 one_zone: true,
                 checkpoint_s: 0.0,
-                ..plain
+                ..base
             },
             2 => JobSpec {
                 one_zone: true,
                 kind: Kind::Gang,
-                ..plain
+                ..base
             },
             _ => JobSpec {
                 spread: true,
                 checkpoint_s: 0.0,
-                ..plain
+                ..base
             },
         };
         Timed {
@@ -54,7 +54,7 @@
 }
 
 /// A machine with tasks of some job is lost, or out of reach with its zone; the leader ends now and then.
-fn trouble(world: &mut World, rng: &mut fastrand::Rng) {
+fn inject_fault(world: &mut World, rng: &mut fastrand::Rng) {
     let job = format!("job-{:06}", 100 + rng.u32(0..JOBS));
     let machines = world.machines_of(&job);
     match (rng.u32(0..4), machines.first()) {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn tasks_go_where_the_others_stand_until_these_are_gone() {
+fn replacement_tasks_start_in_the_zone_of_the_remaining_tasks() {
     let rounds = std::env::var("SWEEP")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -86,10 +86,10 @@
     for seed in 0..rounds {
         let nodes = [3, 5, 7][seed as usize % 3];
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut world = bound(seed, nodes);
+        let mut world = zone_bound_world(seed, nodes);
         world.run_for(12_000);
         for _ in 0..8 {
-            trouble(&mut world, &mut rng);
+            inject_fault(&mut world, &mut rng);
             world.run_for(rng.u64(1500..6000));
         }
         world.run_for(240_000);
