--- a/crates/standins/tests/bound_to_zones.rs
+++ b/crates/standins/tests/bound_to_zones.rs
@@ -1,4 +1,5 @@
-//! Jobs that are bound to one zone, arrays too, lose machines: on a restart the old tasks still stand where they stood.
+//! Jobs that are bound to one zone lose machines. Tasks that are started again have to go to the zone in which the
+//! job's other tasks still are, until those are gone.
 
 use standins::links::{Cut, Frontend};
 use standins::scene::{Scene, Timed, array};
@@ -7,7 +8,7 @@
 
 const JOBS: u32 = 12;
 
-/// Arrays and gangs whose tasks share a zone, arrays of a named zone, and arrays that are spread.
+/// Arrays and gangs whose tasks have to share a zone, arrays bound to a named zone, and spread arrays.
 fn zone_bound_world(seed: u64, nodes: usize) -> World {
     let job = |i: u32| {
         let base = array(100 + i, "red", 3 + i % 3, 15.0);
@@ -53,7 +54,7 @@
     ))
 }
 
-/// A machine with tasks of some job is lost, or out of reach with its zone; the leader ends now and then.
+/// Loses or hangs a machine with tasks of some job, or cuts off a zone; one time in three the leader crashes as well.
 fn inject_fault(world: &mut World, rng: &mut fastrand::Rng) {
     let job = format!("job-{:06}", 100 + rng.u32(0..JOBS));
     let machines = world.machines_of(&job);
