--- a/crates/standins/tests/changes_of_leader.rs
+++ b/crates/standins/tests/changes_of_leader.rs
@@ -9,14 +9,14 @@
 
 const NODES: [usize; 3] = [3, 5, 7];
 
-fn ends(world: &mut World, ms: u64, what: &str) {
+fn assert_ends(world: &mut World, ms: u64, what: &str) {
     world.run_for(ms);
     assert_rules_kept(world, what);
     assert_all_ended(world, what);
 }
 
 /// Plays on for so long, or to the next thing that happens.
-fn pass(world: &mut World, ms: u64) {
+fn advance(world: &mut World, ms: u64) {
     let (before, mut step) = (world.now(), ms);
     while world.now() == before && world.rules.broken.is_empty() {
         world.run_for(step);
@@ -34,49 +34,53 @@
 
 /// How the leader changes.
 #[derive(Debug, Clone, Copy)]
-enum Change {
+enum LeaderChange {
     /// It ends and is back at once, or another one takes over.
-    Back(u64),
+    Restart(u64),
     /// It ends as its next transaction is on its way, which lands so much later.
-    Doomed(u64),
+    CrashDuringWrite(u64),
     /// It goes on, refused by the state service for so long.
     Refused(u64),
     /// It ends with its `n`th question to the state service.
-    Asking(u32),
+    CrashOnRequest(u32),
     /// All end, and are back within the second.
-    All,
+    CrashAll,
 }
 
-const CHANGES: [Change; 10] = [
-    Change::Back(60),
-    Change::Back(700),
-    Change::Back(20_000),
-    Change::Doomed(0),
-    Change::Doomed(150),
-    Change::Doomed(4000),
-    Change::Refused(5000),
-    Change::Asking(1),
-    Change::Asking(2),
-    Change::All,
+const LEADER_CHANGES: [LeaderChange; 10] = [
+    LeaderChange::Restart(60),
+    LeaderChange::Restart(700),
+    LeaderChange::Restart(20_000),
+    LeaderChange::CrashDuringWrite(0),
+    LeaderChange::CrashDuringWrite(150),
+    LeaderChange::CrashDuringWrite(4000),
+    LeaderChange::Refused(5000),
+    LeaderChange::CrashOnRequest(1),
+    LeaderChange::CrashOnRequest(2),
+    LeaderChange::CrashAll,
 ];
 
-fn change(world: &mut World, how: Change) {
-    world.come_back_after(if let Change::Back(ms) = how { ms } else { 100 });
+fn change_leader(world: &mut World, how: LeaderChange) {
+    world.come_back_after(if let LeaderChange::Restart(ms) = how {
+        ms
+    } else {
+        100
+    });
     let Some(leader) = world.leader_at() else {
         return;
     };
     match how {
-        Change::Back(_) => world.crash_node(leader),
-        Change::Doomed(held) => world.doom(leader, held),
-        Change::Refused(ms) => world.refuse_leader(ms),
-        Change::Asking(n) => world.dies_asking(leader, n),
-        Change::All => world.crash_all_for(300, 50),
+        LeaderChange::Restart(_) => world.crash_node(leader),
+        LeaderChange::CrashDuringWrite(held) => world.doom(leader, held),
+        LeaderChange::Refused(ms) => world.refuse_leader(ms),
+        LeaderChange::CrashOnRequest(n) => world.dies_asking(leader, n),
+        LeaderChange::CrashAll => world.crash_all_for(300, 50),
     }
 }
 
 /// Jobs of two and three tasks, one of which ends within seconds and the last one after a minute. None of them can
 /// save, so that one which begins again is seen.
-fn uneven(seed: u64, nodes: usize, machines: usize) -> (World, u64) {
+fn uneven_jobs(seed: u64, nodes: usize, machines: usize) -> (World, u64) {
     let job = |i: u32| {
         let spec = JobSpec {
             checkpoint_s: 0.0,
@@ -108,41 +112,41 @@
     (world, tasks)
 }
 
-fn done(world: &World) -> usize {
+fn tasks_done(world: &World) -> usize {
     world.rules.jobs.values().map(|j| j.done.len()).sum()
 }
 
 /// Plays on until so many tasks are done.
-fn until_done(world: &mut World, many: usize, what: &str) {
+fn run_until_done(world: &mut World, many: usize, what: &str) {
     let end = world.now() + 120_000;
-    while done(world) < many && world.now() < end && world.rules.broken.is_empty() {
-        pass(world, 10);
+    while tasks_done(world) < many && world.now() < end && world.rules.broken.is_empty() {
+        advance(world, 10);
     }
     assert!(
-        done(world) >= many,
+        tasks_done(world) >= many,
         "{what}: {} tasks are done",
-        done(world)
+        tasks_done(world)
     );
 }
 
 /// Between the end of a task and its record, between the record and the reaping, and after it: nothing that has ended is
 /// run again, and every job ends, though the idle machines with the first results are long returned.
 #[test]
-fn what_is_done_stays_done_whoever_leads() {
-    for (c, how) in CHANGES.into_iter().enumerate() {
+fn finished_tasks_are_not_rerun_after_a_leader_change() {
+    for (c, how) in LEADER_CHANGES.into_iter().enumerate() {
         // Right at the first end, and from there on until its machine is returned.
         for step in 0..sweep(16) {
             let nodes = NODES[(c + step as usize) % 3];
             let what = format!("{nodes} nodes, {how:?}, step {step}");
-            let (mut world, tasks) = uneven(c as u64 * 100 + step, nodes, 12);
-            until_done(&mut world, 1 + step as usize % 3, &what);
+            let (mut world, tasks) = uneven_jobs(c as u64 * 100 + step, nodes, 12);
+            run_until_done(&mut world, 1 + step as usize % 3, &what);
             world.run_for(if step % 16 < 12 {
                 step * 110
             } else {
                 (step - 11) * 2500
             });
-            change(&mut world, how);
-            ends(&mut world, 110_000, &what);
+            change_leader(&mut world, how);
+            assert_ends(&mut world, 110_000, &what);
             assert_eq!(world.rules.starts, tasks, "{what}: tasks began again");
         }
     }
@@ -150,27 +154,27 @@
 
 /// The same with a leader that changes again and again, all the way from the first end to the last.
 #[test]
-fn what_is_done_stays_done_through_many_changes() {
+fn finished_tasks_are_not_rerun_after_many_leader_changes() {
     for seed in 0..sweep(9) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let nodes = NODES[seed as usize % 3];
         let what = format!("{nodes} nodes, seed {seed}");
-        let (mut world, tasks) = uneven(seed, nodes, 12);
-        until_done(&mut world, 1, &what);
+        let (mut world, tasks) = uneven_jobs(seed, nodes, 12);
+        run_until_done(&mut world, 1, &what);
         for _ in 0..20 {
             // All at once would leave nobody for longer than a lease, now and then.
-            let how = CHANGES[rng.usize(0..CHANGES.len() - 1)];
-            change(&mut world, how);
+            let how = LEADER_CHANGES[rng.usize(0..LEADER_CHANGES.len() - 1)];
+            change_leader(&mut world, how);
             world.run_for(rng.u64(300..4000));
         }
-        ends(&mut world, 110_000, &what);
-        began_anew_for_a_lease_alone(&world, tasks, &what);
+        assert_ends(&mut world, 110_000, &what);
+        assert_restarts_only_after_lost_leases(&world, tasks, &what);
     }
 }
 
 /// Nodes that are away for long may leave nobody for a lease, which the protocol then ends with all that it held. Each
 /// start beyond the first is of such a task, and no lease with tasks ends where its worker could have found a leader.
-fn began_anew_for_a_lease_alone(world: &World, tasks: u64, what: &str) {
+fn assert_restarts_only_after_lost_leases(world: &World, tasks: u64, what: &str) {
     let (starts, least) = (world.rules.starts, tasks + world.lost);
     // What had ended on a machine whose lease ends may be recorded, or has to be begun again too.
     let most = least + world.forgotten;
@@ -178,39 +182,44 @@
         (least..=most).contains(&starts),
         "{what}: {starts} starts, not {least} to {most}"
     );
-    let unled = world.longest_unled_ms();
-    let excused = unled + world.round_ms() >= LEASE_MS;
+    let leaderless = world.longest_unled_ms();
+    let excused = leaderless + world.round_ms() >= LEASE_MS;
     let none = world.lost + world.forgotten == 0;
     assert!(
         none || excused,
-        "{what}: leases ended though nobody led for {unled} ms only"
+        "{what}: leases ended though nobody led for {leaderless} ms only"
     );
 }
 
 /// All nodes go away one after the other, each for longer than a lease: what ran begins again once, what had ended does
 /// not, and nothing is lost where the last one stays.
 #[test]
-fn only_what_a_lease_has_ended_begins_again() {
+fn only_tasks_of_lost_leases_are_rerun() {
     for (n, nodes) in NODES.into_iter().enumerate() {
-        for stays in [true, false] {
-            let what = format!("{nodes} nodes, one stays: {stays}");
-            let (mut world, tasks) = uneven(n as u64, nodes, 12);
-            until_done(&mut world, 3, &what);
+        for one_stays in [true, false] {
+            let what = format!("{nodes} nodes, one stays: {one_stays}");
+            let (mut world, tasks) = uneven_jobs(n as u64, nodes, 12);
+            run_until_done(&mut world, 3, &what);
             world.run_for(1500);
             world.come_back_after(25_000);
-            for n in usize::from(stays)..nodes {
+            for n in usize::from(one_stays)..nodes {
                 world.crash_node(n);
                 world.run_for(400);
             }
-            ends(&mut world, 130_000, &what);
-            assert_eq!(world.lost == 0, stays, "{what}: {} were lost", world.lost);
-            began_anew_for_a_lease_alone(&world, tasks, &what);
+            assert_ends(&mut world, 130_000, &what);
+            assert_eq!(
+                world.lost == 0,
+                one_stays,
+                "{what}: {} were lost",
+                world.lost
+            );
+            assert_restarts_only_after_lost_leases(&world, tasks, &what);
         }
     }
 }
 
 /// Full machines with long tasks, and as many again that wait for their team's limit. Some are cancelled.
-fn full(seed: u64, nodes: usize) -> World {
+fn full_machines(seed: u64, nodes: usize) -> World {
     let job = |i: u32| Timed {
         at: 1000 + u64::from(i / 6) * 20_000,
         run_ms: 45_000 + u64::from(i) * 1000,
@@ -233,62 +242,71 @@
 
 /// Machines that are out of reach, or that are heard and do not hear.
 #[derive(Debug, Clone, Copy)]
-enum Away {
+enum Unreachable {
     Held,
     Refused,
     /// What is sent to them is held, and comes through later.
-    Unhearing,
+    NoIncoming,
     /// They stand still.
     Hung,
 }
 
-fn away(world: &mut World, how: Away, zone: &str, ms: u64) {
+fn make_unreachable(world: &mut World, how: Unreachable, zone: &str, ms: u64) {
     let now = world.now();
     let machines = Frontend::MachinesIn(zone.into());
     match how {
-        Away::Held => world.cut(Cut::between(Frontend::Any, machines, now, ms)),
-        Away::Refused => world.cut(Cut {
+        Unreachable::Held => world.cut(Cut::between(Frontend::Any, machines, now, ms)),
+        Unreachable::Refused => world.cut(Cut {
             how: How::Reset,
             ..Cut::between(Frontend::Any, machines, now, ms)
         }),
-        Away::Unhearing => world.cut(Cut {
+        Unreachable::NoIncoming => world.cut(Cut {
             both: false,
             ..Cut::between(Frontend::Nodes, machines, now, ms)
         }),
-        Away::Hung => world.machines().iter().for_each(|m| world.hang(m, ms)),
+        Unreachable::Hung => world.machines().iter().for_each(|m| world.hang(m, ms)),
     }
 }
 
 /// The leader ends before, while or after machines are away, for less and for more than their leases. What is not seen
 /// counts until it is proved gone: limits and zones hold, and in the end everything is done.
 #[test]
-fn claims_that_nobody_sees_count_whoever_leads() {
-    let hows = [Away::Held, Away::Refused, Away::Unhearing, Away::Hung];
-    for (h, how) in hows.into_iter().enumerate() {
+fn claims_on_unreachable_machines_count_after_a_leader_change() {
+    let causes = [
+        Unreachable::Held,
+        Unreachable::Refused,
+        Unreachable::NoIncoming,
+        Unreachable::Hung,
+    ];
+    for (h, how) in causes.into_iter().enumerate() {
         for (l, long) in [3000, 13_000, 17_000, 40_000].into_iter().enumerate() {
             for (b, before) in [-1500i64, 40, 5000].into_iter().enumerate() {
                 let round = h * 100 + l * 10 + b;
                 let nodes = NODES[round % 3];
                 let what =
                     format!("{nodes} nodes, {how:?} for {long} ms, leader ends after {before} ms");
-                let mut world = full(round as u64, nodes);
+                let mut world = full_machines(round as u64, nodes);
                 world.run_for(30_000);
                 if before < 0 {
-                    change(&mut world, Change::Back(4000));
+                    change_leader(&mut world, LeaderChange::Restart(4000));
                     world.run_for(before.unsigned_abs());
                 }
-                away(&mut world, how, ["a", "b"][b % 2], long);
+                make_unreachable(&mut world, how, ["a", "b"][b % 2], long);
                 if b % 3 == 2 {
                     world.cloud_out(long + 5000);
                 }
                 if before >= 0 {
                     world.run_for(before.unsigned_abs());
-                    change(
+                    change_leader(
                         &mut world,
-                        [Change::Back(80), Change::Back(15_000), Change::All][b % 3],
+                        [
+                            LeaderChange::Restart(80),
+                            LeaderChange::Restart(15_000),
+                            LeaderChange::CrashAll,
+                        ][b % 3],
                     );
                 }
-                ends(&mut world, 330_000, &what);
+                assert_ends(&mut world, 330_000, &what);
             }
         }
     }
@@ -297,7 +315,7 @@
 /// A vacancy that lasts nearly as long as a worker's lease, after a cancel whose stops never arrived; then a leader that
 /// stands and can read nothing, since the state service is out. What it does not know must not be kept alive.
 #[test]
-fn who_has_read_nothing_keeps_nothing_alive() {
+fn leader_that_has_read_nothing_renews_no_leases() {
     for nodes in NODES {
         for step in 0..sweep(4) {
             let what = format!("{nodes} nodes, step {step}");
@@ -316,10 +334,10 @@
             let mut world = World::new(Plan::of_scene(step, nodes, scene, 0, 600_000));
             world.run_for(30_000);
             // Stops are lost until all have ended; reports find nobody who may answer.
-            let unheard = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 1000);
+            let no_incoming = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 1000);
             world.cut(Cut {
                 how: How::Reset,
-                ..unheard
+                ..no_incoming
             });
             world.cancel("job-000001");
             world.run_for(999);
@@ -332,18 +350,18 @@
             world.crash_all();
             let end = world.now() + 20_000;
             // Its record stands, and it is yet to read the first page.
-            let stands = |w: &World| {
+            let leader_token = |w: &World| {
                 w.state
                     .keys
                     .get("sys/owner/0")
                     .and_then(|e| e.value["token"].as_u64())
             };
-            let before = stands(&world);
-            while stands(&world).is_none_or(|t| Some(t) == before) && world.now() < end {
-                pass(&mut world, 1);
+            let before = leader_token(&world);
+            while leader_token(&world).is_none_or(|t| Some(t) == before) && world.now() < end {
+                advance(&mut world, 1);
             }
             assert!(
-                stands(&world).is_some_and(|t| Some(t) != before),
+                leader_token(&world).is_some_and(|t| Some(t) != before),
                 "{what}: nobody stands"
             );
             assert_eq!(world.on_machines().len(), 6, "{what}: they are still there");
