--- a/crates/standins/tests/changes_of_leader.rs
+++ b/crates/standins/tests/changes_of_leader.rs
@@ -1,5 +1,5 @@
-//! The leader changes while tasks run: jobs whose tasks end far apart, machines out of reach, machines that do not hear
-//! the next leader.
+//! The leader changes while tasks run: with jobs whose tasks end at very different times, unreachable machines, and
+//! machines that the next leader cannot send to.
 
 use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
@@ -15,7 +15,7 @@
     assert_all_ended(world, what);
 }
 
-/// Plays on for so long, or to the next thing that happens.
+/// Advances by `ms`, or to the next event if there is none by then.
 fn advance(world: &mut World, ms: u64) {
     let (before, mut step) = (world.now(), ms);
     while world.now() == before && world.rules.broken.is_empty() {
@@ -24,7 +24,7 @@
     }
 }
 
-/// So many rounds, or as many as `SWEEP` says.
+/// The number of rounds: `rounds`, unless the environment variable `SWEEP` is set.
 fn sweep(rounds: u64) -> u64 {
     std::env::var("SWEEP")
         .ok()
@@ -35,15 +35,15 @@
 /// How the leader changes.
 #[derive(Debug, Clone, Copy)]
 enum LeaderChange {
-    /// It ends and is back at once, or another one takes over.
+    /// It crashes and restarts after so many milliseconds; by then another node may have taken over.
     Restart(u64),
-    /// It ends as its next transaction is on its way, which lands so much later.
+    /// It crashes after sending its next transaction, which is executed so many milliseconds later.
     CrashDuringWrite(u64),
-    /// It goes on, refused by the state service for so long.
+    /// It keeps running, but the state service refuses it for so many milliseconds.
     Refused(u64),
-    /// It ends with its `n`th question to the state service.
+    /// It crashes on its `n`th request to the state service.
     CrashOnRequest(u32),
-    /// All end, and are back within the second.
+    /// All nodes crash and restart within a second.
     CrashAll,
 }
 
@@ -78,8 +78,8 @@
     }
 }
 
-/// Jobs of two and three tasks, one of which ends within seconds and the last one after a minute. None of them can
-/// save, so that one which begins again is seen.
+/// Jobs of two and three tasks, one of which ends within seconds and the last one after a minute. They have no
+/// checkpoints, so each restart of a task counts as a start.
 fn uneven_jobs(seed: u64, nodes: usize, machines: usize) -> (World, u64) {
     let job = |i: u32| {
         let spec = JobSpec {
@@ -116,7 +116,7 @@
     world.rules.jobs.values().map(|j| j.done.len()).sum()
 }
 
-/// Plays on until so many tasks are done.
+/// Runs until so many tasks are done.
 fn run_until_done(world: &mut World, many: usize, what: &str) {
     let end = world.now() + 120_000;
     while tasks_done(world) < many && world.now() < end && world.rules.broken.is_empty() {
@@ -124,17 +124,17 @@
     }
     assert!(
         tasks_done(world) >= many,
-        "{what}: {} tasks are done",
+        "{what}: only {} tasks are done",
         tasks_done(world)
     );
 }
 
-/// Between the end of a task and its record, between the record and the reaping, and after it: nothing that has ended is
-/// run again, and every job ends, though the idle machines with the first results are long returned.
+/// The leader changes between the end of a task and its record, between the record and the reaping, or after both. No
+/// finished task runs again and every job ends, also when the idle machines with the first results have been returned.
 #[test]
 fn finished_tasks_are_not_rerun_after_a_leader_change() {
     for (c, how) in LEADER_CHANGES.into_iter().enumerate() {
-        // Right at the first end, and from there on until its machine is returned.
+        // From the first end of a task until its machine has been returned.
         for step in 0..sweep(16) {
             let nodes = NODES[(c + step as usize) % 3];
             let what = format!("{nodes} nodes, {how:?}, step {step}");
@@ -152,7 +152,7 @@
     }
 }
 
-/// The same with a leader that changes again and again, all the way from the first end to the last.
+/// The same with many changes of the leader, from the end of the first task to the end of the last one.
 #[test]
 fn finished_tasks_are_not_rerun_after_many_leader_changes() {
     for seed in 0..sweep(9) {
@@ -162,7 +162,7 @@
         let (mut world, tasks) = uneven_jobs(seed, nodes, 12);
         run_until_done(&mut world, 1, &what);
         for _ in 0..20 {
-            // All at once would leave nobody for longer than a lease, now and then.
+            // Without CrashAll, which would at times leave the fleet without a leader for longer than a lease.
             let how = LEADER_CHANGES[rng.usize(0..LEADER_CHANGES.len() - 1)];
             change_leader(&mut world, how);
             world.run_for(rng.u64(300..4000));
@@ -172,11 +172,12 @@
     }
 }
 
-/// Nodes that are away for long may leave nobody for a lease, which the protocol then ends with all that it held. Each
-/// start beyond the first is of such a task, and no lease with tasks ends where its worker could have found a leader.
+/// When nodes are down for long, there may be no leader for the length of a lease; the lease then expires and the
+/// worker's tasks are lost. Only such tasks may start again, and no lease with tasks may expire while its worker could
+/// have found a leader.
 fn assert_restarts_only_after_lost_leases(world: &World, tasks: u64, what: &str) {
     let (starts, least) = (world.rules.starts, tasks + world.lost);
-    // What had ended on a machine whose lease ends may be recorded, or has to be begun again too.
+    // A task that had finished on a machine whose lease expired may be recorded as done, or has to run again.
     let most = least + world.forgotten;
     assert!(
         (least..=most).contains(&starts),
@@ -187,12 +188,12 @@
     let none = world.lost + world.forgotten == 0;
     assert!(
         none || excused,
-        "{what}: leases ended though nobody led for {leaderless} ms only"
+        "{what}: leases expired though there was no leader for only {leaderless} ms"
     );
 }
 
-/// All nodes go away one after the other, each for longer than a lease: what ran begins again once, what had ended does
-/// not, and nothing is lost where the last one stays.
+/// All nodes crash one after the other, each for longer than a lease: tasks that ran start again once, finished ones do
+/// not, and nothing is lost if one node stays up.
 #[test]
 fn only_tasks_of_lost_leases_are_rerun() {
     for (n, nodes) in NODES.into_iter().enumerate() {
@@ -218,7 +219,7 @@
     }
 }
 
-/// Full machines with long tasks, and as many again that wait for their team's limit. Some are cancelled.
+/// Machines filled with long tasks, and as many tasks again that wait for their team's limit. Some jobs are cancelled.
 fn full_machines(seed: u64, nodes: usize) -> World {
     let job = |i: u32| Timed {
         at: 1000 + u64::from(i / 6) * 20_000,
@@ -240,14 +241,14 @@
     ))
 }
 
-/// Machines that are out of reach, or that are heard and do not hear.
+/// Why machines cannot be reached, or cannot be sent to.
 #[derive(Debug, Clone, Copy)]
 enum Unreachable {
     Held,
     Refused,
-    /// What is sent to them is held, and comes through later.
+    /// Their messages are delivered; messages to them are held and delivered later.
     NoIncoming,
-    /// They stand still.
+    /// They hang.
     Hung,
 }
 
@@ -268,8 +269,8 @@
     }
 }
 
-/// The leader ends before, while or after machines are away, for less and for more than their leases. What is not seen
-/// counts until it is proved gone: limits and zones hold, and in the end everything is done.
+/// The leader changes before or while machines are unreachable, for less and for more than their leases. Their tasks
+/// count until they are proved to be gone: limits and zones hold, and in the end all jobs are done.
 #[test]
 fn claims_on_unreachable_machines_count_after_a_leader_change() {
     let causes = [
@@ -283,8 +284,9 @@
             for (b, before) in [-1500i64, 40, 5000].into_iter().enumerate() {
                 let round = h * 100 + l * 10 + b;
                 let nodes = NODES[round % 3];
-                let what =
-                    format!("{nodes} nodes, {how:?} for {long} ms, leader ends after {before} ms");
+                let what = format!(
+                    "{nodes} nodes, {how:?} for {long} ms, leader changes after {before} ms"
+                );
                 let mut world = full_machines(round as u64, nodes);
                 world.run_for(30_000);
                 if before < 0 {
@@ -312,8 +314,9 @@
     }
 }
 
-/// A vacancy that lasts nearly as long as a worker's lease, after a cancel whose stops never arrived; then a leader that
-/// stands and can read nothing, since the state service is out. What it does not know must not be kept alive.
+/// There is no leader for nearly the length of a worker's lease, after a cancel whose stops never arrived. The next
+/// leader is recorded but can read nothing, as the state service is out. It must not renew leases of machines whose
+/// tasks it does not know: cancelled tasks would run on.
 #[test]
 fn leader_that_has_read_nothing_renews_no_leases() {
     for nodes in NODES {
@@ -333,7 +336,7 @@
             .team("red", 24.0, 0.0);
             let mut world = World::new(Plan::of_scene(step, nodes, scene, 0, 600_000));
             world.run_for(30_000);
-            // Stops are lost until all have ended; reports find nobody who may answer.
+            // Stops are lost until all nodes have crashed; after that there is no leader to answer reports.
             let no_incoming = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 1000);
             world.cut(Cut {
                 how: How::Reset,
@@ -343,13 +346,17 @@
             world.run_for(999);
             assert!(
                 world.rules.jobs["job-000001"].told_cancelled.is_some(),
-                "{what}: nobody was told"
+                "{what}: no user was told of the cancel"
+            );
+            assert_eq!(
+                world.on_machines().len(),
+                6,
+                "{what}: a stop arrived at a machine"
             );
-            assert_eq!(world.on_machines().len(), 6, "{what}: a stop arrived");
             world.come_back_after(9000 + step * 250);
             world.crash_all();
             let end = world.now() + 20_000;
-            // Its record stands, and it is yet to read the first page.
+            // Until the record of the next leader is written, before it has read the first page.
             let leader_token = |w: &World| {
                 w.state
                     .keys
@@ -362,9 +369,13 @@
             }
             assert!(
                 leader_token(&world).is_some_and(|t| Some(t) != before),
-                "{what}: nobody stands"
+                "{what}: no new leader is recorded"
+            );
+            assert_eq!(
+                world.on_machines().len(),
+                6,
+                "{what}: not all tasks are still running"
             );
-            assert_eq!(world.on_machines().len(), 6, "{what}: they are still there");
             world.state_out(120_000);
             world.cloud_out(120_000);
             world.run_for(130_000);
