--- a/crates/standins/tests/counties.rs
+++ b/crates/standins/tests/counties.rs
@@ -70,7 +70,7 @@
     }
 }
 
-fn whole(world: &World, what: &str) {
+fn assert_no_violations(world: &World, what: &str) {
     assert!(
         world.rules.broken.is_empty(),
         "{what}: {:?}",
@@ -79,17 +79,17 @@
 }
 
 /// The answers to one kind of question, the latest last.
-fn answers<'a>(world: &'a World, ask: &str) -> Vec<(u16, &'a Value)> {
+fn responses<'a>(world: &'a World, request: &str) -> Vec<(u16, &'a Value)> {
     world
         .answers
         .iter()
-        .filter(|(a, _, _)| a.get(ask).is_some())
+        .filter(|(a, _, _)| a.get(request).is_some())
         .map(|(_, s, v)| (*s, v))
         .collect()
 }
 
 /// What the leader says, by county and class: accepted, done, cancelled, done tasks.
-fn told(answer: &Value) -> BTreeMap<(String, String), [u64; 4]> {
+fn parse_tally(answer: &Value) -> BTreeMap<(String, String), [u64; 4]> {
     let lines = answer["lines"].as_array().cloned().unwrap_or_default();
     let number = |l: &Value, f: &str| l[f].as_u64().unwrap_or(u64::MAX);
     let text = |l: &Value, f: &str| l[f].as_str().unwrap_or_default().to_owned();
@@ -101,20 +101,20 @@
 }
 
 /// Plays to the end, asks for the counts and the audit, and holds them against the history.
-fn audited(world: &mut World, what: &str) {
+fn run_and_audit(world: &mut World, what: &str) {
     world.run();
-    whole(world, what);
+    assert_no_violations(world, what);
     world.inquire(PATH.into(), json!({"tally": {"county": null}}));
     for _ in 0..30 {
         world.inquire(PATH.into(), json!({"audit": {"id": "last"}}));
         world.run_for(2000);
     }
     world.counties.users(&mut world.rules);
-    whole(world, what);
-    let tally = answers(world, "tally")
+    assert_no_violations(world, what);
+    let tally = responses(world, "tally")
         .pop()
-        .map(|(status, v)| (status, told(v)));
-    let seen: BTreeMap<_, _> = world
+        .map(|(status, v)| (status, parse_tally(v)));
+    let expected: BTreeMap<_, _> = world
         .counties
         .sums()
         .iter()
@@ -122,8 +122,8 @@
             (c.clone(), [done + cancelled, *done, *cancelled, *tasks])
         })
         .collect();
-    assert_eq!(tally, Some((200, seen)), "{what}");
-    let audit = answers(world, "audit")
+    assert_eq!(tally, Some((200, expected)), "{what}");
+    let audit = responses(world, "audit")
         .pop()
         .map(|(_, v)| v.clone())
         .unwrap_or_default();
@@ -137,7 +137,7 @@
 
 /// Any faults, three, five and seven controllers.
 #[test]
-fn each_job_is_counted_once_and_for_its_county() {
+fn each_job_is_counted_once_in_its_county() {
     let mut folds = 0;
     for seed in 0..12 {
         let nodes = [3, 5, 7][seed as usize % 3];
@@ -148,7 +148,7 @@
             150_000,
             false,
         ));
-        audited(&mut world, &format!("seed {seed}"));
+        run_and_audit(&mut world, &format!("seed {seed}"));
         folds += world.counties.folds;
     }
     assert!(folds > 50, "{folds} folds");
@@ -156,7 +156,7 @@
 
 /// The leader dies as each of its transactions is on its way, one leader after the other.
 #[test]
-fn leaders_lost_between_result_and_fold() {
+fn counts_survive_leader_crashes_between_result_and_fold() {
     for seed in 0..4 {
         let mut world = World::new(plan(seed, 5, scene(seed, 4, 40, 90_000), 0, true));
         world.run_for(8000);
@@ -172,13 +172,13 @@
                 world.state_out(3000);
             }
         }
-        audited(&mut world, &format!("seed {seed}"));
+        run_and_audit(&mut world, &format!("seed {seed}"));
     }
 }
 
 /// Hundreds of counties, more than a sheet holds; a zone is cut off in which tasks end that nobody hears of.
 #[test]
-fn hundreds_of_counties_and_a_cut_zone() {
+fn counts_are_exact_with_hundreds_of_counties_and_a_partitioned_zone() {
     let mut s = scene(5, 300, 260, 100_000);
     s.limits = Some(standins::state::Limits {
         value_kb: 4.0,
@@ -196,7 +196,7 @@
     world.cut_zone("b", 120_000);
     world.run_for(20_000);
     world.doom_leader();
-    audited(&mut world, "cut");
+    run_and_audit(&mut world, "cut");
     let sheets = world
         .state
         .keys
@@ -210,7 +210,7 @@
 
 /// Without a document nothing more is written; with one, no more than a log record a transaction with ends, and folds.
 #[test]
-fn counting_costs_what_it_is_said_to() {
+fn counting_writes_nothing_without_a_document_and_little_with_one() {
     let run = |document: bool| {
         let mut s = scene(9, 4, 60, 60_000);
         // None shares a machine with another county: the same work either way.
@@ -223,18 +223,18 @@
         }
         let mut world = World::new(plan(9, 3, s, 0, true));
         world.run();
-        whole(&world, "calm");
+        assert_no_violations(&world, "calm");
         world
     };
     let (without, with) = (run(false), run(true));
-    let plain = |w: &World| {
+    let county_writes = |w: &World| {
         w.state
             .history(0)
             .iter()
             .filter(|(_, k, _)| k.contains("tally") || k.contains("counties"))
             .count()
     };
-    assert_eq!(plain(&without), 0);
+    assert_eq!(county_writes(&without), 0);
     let text: String = without
         .state
         .history(0)
@@ -252,7 +252,7 @@
 
 /// A later version touches nothing that is bound; a county goes only closed and empty; without a rule a job is refused.
 #[test]
-fn bindings_outlive_versions() {
+fn job_bindings_survive_new_document_versions() {
     let mut s = Scene {
         machines: 4,
         ..Scene::default()
@@ -290,18 +290,21 @@
         PATH.into(),
         set("4", doc("count", json!([new.clone()]))),
     ));
-    let some = json!({"id": "new", "rule": [{"ids": ["job-000002"]}]});
+    let narrowed = json!({"id": "new", "rule": [{"ids": ["job-000002"]}]});
     s.asks.push((
         20_000,
         PATH.into(),
-        set("5", doc("refuse", json!([closed, some]))),
+        set("5", doc("refuse", json!([closed, narrowed]))),
     ));
     s.asks
         .push((120_000, PATH.into(), set("6", doc("count", json!([new])))));
     let mut world = World::new(plan(1, 3, s, 0, true));
     world.run();
-    whole(&world, "versions");
-    let status: Vec<u16> = answers(&world, "change").iter().map(|(s, _)| *s).collect();
+    assert_no_violations(&world, "versions");
+    let status: Vec<u16> = responses(&world, "change")
+        .iter()
+        .map(|(s, _)| *s)
+        .collect();
     assert_eq!(status, [200, 422, 200, 422, 200, 200]);
     let county = |id: &str| {
         world
@@ -318,9 +321,9 @@
 
 /// A sheet that can't be understood holds counts back until it can be; one that says something else is found out.
 #[test]
-fn damage_is_held_back_or_named() {
+fn damaged_counts_are_withheld_or_reported() {
     let mut world = World::new(plan(3, 3, scene(3, 4, 20, 30_000), 0, true));
-    audited(&mut world, "before");
+    run_and_audit(&mut world, "before");
     let key = "part/0/tally/0";
     let good = world.state.keys[key].value.clone();
     world.counties.damaged = true;
@@ -330,7 +333,7 @@
         world.crash_all();
         world.run_for(20_000);
     };
-    let ask = |world: &mut World, id: &str| {
+    let request = |world: &mut World, id: &str| {
         world.answers.clear();
         world.inquire(PATH.into(), json!({"tally": {"county": null}}));
         world.inquire(PATH.into(), json!({"audit": {"id": id}}));
@@ -341,25 +344,25 @@
     let mut more = good.clone();
     more["cells"][0]["done"] = json!(more["cells"][0]["done"].as_u64().unwrap_or(0) + 1);
     damage(&mut world, &more);
-    ask(&mut world, "more");
-    let told = answers(&world, "audit")
+    request(&mut world, "more");
+    let differences = responses(&world, "audit")
         .pop()
         .map(|(_, v)| v["done"]["differences"].clone())
         .unwrap_or_default();
     assert!(
-        told[0]
+        differences[0]
             .as_str()
             .is_some_and(|d| d.contains("done jobs counted")),
-        "{told}"
+        "{differences}"
     );
     damage(&mut world, &json!({"cells": 5}));
-    ask(&mut world, "junk");
-    assert!(answers(&world, "tally").is_empty() && answers(&world, "audit").is_empty());
+    request(&mut world, "junk");
+    assert!(responses(&world, "tally").is_empty() && responses(&world, "audit").is_empty());
     world.write(wire::api::Write::put(
         key.into(),
         wire::records::Record::Other(good),
     ));
     world.run_for(40_000);
-    assert_eq!(answers(&world, "tally").len(), 1);
-    whole(&world, "mended");
+    assert_eq!(responses(&world, "tally").len(), 1);
+    assert_no_violations(&world, "mended");
 }
