--- a/crates/standins/tests/counties.rs
+++ b/crates/standins/tests/counties.rs
@@ -1,4 +1,5 @@
-//! Counties in virtual time: each job counted once and for its own, and machines kept apart, whatever fails.
+//! Counties in virtual time: whatever fails, each job is counted once, in its own county, and counties that ask for it
+//! share no machines.
 
 use serde_json::{Value, json};
 use standins::scene::{Scene, Timed, array};
@@ -8,8 +9,8 @@
 
 const PATH: &str = "/admin/counties";
 
-/// A county for each class `k<i>`; the second shares no machine, nor does the third, which may use zone a only with the
-/// fourth.
+/// A county `c<i>` for each class `k<i>`. Of each four, the second and the third share no machine with other counties,
+/// and the fourth runs only on machines of zone a.
 fn document(counties: usize) -> Value {
     let county = |i: usize| {
         let mut c = json!({"id": format!("c{i}"), "rule": [{"classes": [format!("k{i}")]}]});
@@ -27,7 +28,7 @@
     json!({"change": {"id": id, "by": "operator", "expect": null, "dry_run": false, "edit": {"set": {"spec": spec}}}})
 }
 
-/// Jobs of all counties, some of none, as long as faults come.
+/// Jobs of all counties and of none, submitted until the time `until`.
 fn scene(seed: u64, counties: usize, jobs: u32, until: u64) -> Scene {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut scene = Scene {
@@ -78,7 +79,7 @@
     );
 }
 
-/// The answers to one kind of question, the latest last.
+/// The responses to one kind of request, the latest last.
 fn responses<'a>(world: &'a World, request: &str) -> Vec<(u16, &'a Value)> {
     world
         .answers
@@ -88,7 +89,7 @@
         .collect()
 }
 
-/// What the leader says, by county and class: accepted, done, cancelled, done tasks.
+/// The leader's counts by county and class: accepted, done and cancelled jobs, done tasks.
 fn parse_tally(answer: &Value) -> BTreeMap<(String, String), [u64; 4]> {
     let lines = answer["lines"].as_array().cloned().unwrap_or_default();
     let number = |l: &Value, f: &str| l[f].as_u64().unwrap_or(u64::MAX);
@@ -100,7 +101,7 @@
     lines.iter().map(line).collect()
 }
 
-/// Plays to the end, asks for the counts and the audit, and holds them against the history.
+/// Runs to the end, requests the counts and the audit, and compares them with the history of the state service.
 fn run_and_audit(world: &mut World, what: &str) {
     world.run();
     assert_no_violations(world, what);
@@ -131,11 +132,11 @@
     assert_eq!(
         world.counties.bound.len(),
         world.counties.ended.len(),
-        "{what}: some job has not ended"
+        "{what}: a bound job has not ended"
     );
 }
 
-/// Any faults, three, five and seven controllers.
+/// All kinds of faults, with three, five and seven controllers.
 #[test]
 fn each_job_is_counted_once_in_its_county() {
     let mut folds = 0;
@@ -154,7 +155,7 @@
     assert!(folds > 50, "{folds} folds");
 }
 
-/// The leader dies as each of its transactions is on its way, one leader after the other.
+/// One leader after the other crashes while one of its transactions is in flight.
 #[test]
 fn counts_survive_leader_crashes_between_result_and_fold() {
     for seed in 0..4 {
@@ -164,7 +165,7 @@
             world.run_for(2500 + 137 * k);
             world.doom_leader();
             if k % 3 == 0 {
-                // The next one as well, as soon as there is one.
+                // The next leader crashes too, as soon as there is one.
                 world.run_for(800);
                 world.doom_leader();
             }
@@ -176,7 +177,7 @@
     }
 }
 
-/// Hundreds of counties, more than a sheet holds; a zone is cut off in which tasks end that nobody hears of.
+/// More counties than one tally sheet holds; tasks end in a zone that is cut off, so that their ends are not reported.
 #[test]
 fn counts_are_exact_with_hundreds_of_counties_and_a_partitioned_zone() {
     let mut s = scene(5, 300, 260, 100_000);
@@ -186,7 +187,7 @@
     });
     let mut world = World::new(plan(5, 5, s, 0, true));
     world.run_for(40_000);
-    // More ends at once than a transaction holds, each with its own cell.
+    // More jobs end at once than one transaction holds, with separate counts.
     for id in 1000..1260 {
         if id % 3 == 0 {
             world.cancel(&format!("job-{id:06}"));
@@ -208,12 +209,13 @@
     assert!(world.counties.sums().len() > 150);
 }
 
-/// Without a document nothing more is written; with one, no more than a log record a transaction with ends, and folds.
+/// Without a document, counting writes nothing. With one it writes at most a log record for each transaction that ends
+/// jobs, and the folds of these records into the counts.
 #[test]
 fn counting_writes_nothing_without_a_document_and_little_with_one() {
     let run = |document: bool| {
         let mut s = scene(9, 4, 60, 60_000);
-        // None shares a machine with another county: the same work either way.
+        // A single county, so that the scheduling is the same with and without the document.
         s.asks.retain(|_| document);
         if document {
             s.asks[0].2 = set(
@@ -250,7 +252,8 @@
     );
 }
 
-/// A later version touches nothing that is bound; a county goes only closed and empty; without a rule a job is refused.
+/// A later version of the document leaves bound jobs unchanged, a county can be removed only when it is closed and
+/// empty, and with `others` set to `refuse` a job that no rule matches is refused.
 #[test]
 fn job_bindings_survive_new_document_versions() {
     let mut s = Scene {
@@ -272,7 +275,7 @@
         spec: array(id, "red", 1, 40.0),
     };
     s.jobs = vec![long(1, 5000), long(2, 15_000), long(3, 25_000)];
-    // Dropped while open, then split, then dropped with a job of its own, then everything is refused.
+    // Removes the county while it is open, then closes it, then removes it while it has a job, then refuses other jobs.
     let new = json!({"id": "new", "rule": rule});
     let closed = json!({"id": "old", "closed": true, "into": ["new"]});
     s.asks.push((
@@ -319,7 +322,7 @@
     assert_eq!(world.counties.sums().len(), 2);
 }
 
-/// A sheet that can't be understood holds counts back until it can be; one that says something else is found out.
+/// While a tally sheet does not decode, no counts are given; a sheet with wrong counts is found by the audit.
 #[test]
 fn damaged_counts_are_withheld_or_reported() {
     let mut world = World::new(plan(3, 3, scene(3, 4, 20, 30_000), 0, true));
