--- a/crates/standins/tests/days.rs
+++ b/crates/standins/tests/days.rs
@@ -5,7 +5,7 @@
 use standins::days::{Size, kinds, plan};
 use standins::world::{Plan, Sabotage, World};
 
-fn play(plan: Plan) -> (World, Verdict) {
+fn run_day(plan: Plan) -> (World, Verdict) {
     let mut world = World::new(plan);
     world.run_day();
     let verdict = world.verdict();
@@ -14,11 +14,11 @@
 
 /// Every kind of day with 3, 5 and 7 controllers.
 #[test]
-fn nobody_is_forgotten_and_all_are_served() {
+fn no_job_is_forgotten_and_every_group_is_served() {
     let days = (0..kinds().len()).flat_map(|kind| [3, 5, 7].map(|nodes| (kind, nodes)));
     for (i, (kind, nodes)) in days.enumerate() {
         let seed = 100 + i as u64;
-        let (world, v) = play(plan(kind, seed, nodes, Size::SMALL));
+        let (world, v) = run_day(plan(kind, seed, nodes, Size::SMALL));
         let what = format!("{} ({kind}), seed {seed}, {nodes} nodes", kinds()[kind]);
         assert!(
             world.rules.broken.is_empty(),
@@ -50,7 +50,7 @@
     }
 }
 
-fn held(kind: usize, which: fn(&wire::api::JobSpec) -> bool) -> Verdict {
+fn run_holding_back(kind: usize, which: fn(&wire::api::JobSpec) -> bool) -> Verdict {
     let mut plan = plan(kind, 1, 3, Size::SMALL);
     let scene = plan.scene.as_mut().expect("days are scenes");
     let day = scene.day.as_mut().expect("days have troubles");
@@ -60,28 +60,32 @@
         .filter(|j| which(&j.spec))
         .map(|j| j.spec.id.clone())
         .collect();
-    play(plan).1
+    run_day(plan).1
 }
 
 /// Each check fails when what it watches over is broken on purpose.
 #[test]
-fn every_check_of_a_day_can_fail() {
-    let below = |v: &Verdict, group: &str| v.served_below_half.iter().any(|g| g.starts_with(group));
-    let v = held(0, |s| s.team == "red");
-    assert!(below(&v, "team red") && !below(&v, "team blue"), "{v:?}");
-    let v = held(0, |s| s.class == "gang");
+fn each_day_check_fails_when_its_property_is_violated() {
+    let is_below_half =
+        |v: &Verdict, group: &str| v.served_below_half.iter().any(|g| g.starts_with(group));
+    let v = run_holding_back(0, |s| s.team == "red");
     assert!(
-        below(&v, "class gang") && !below(&v, "class array"),
+        is_below_half(&v, "team red") && !is_below_half(&v, "team blue"),
         "{v:?}"
     );
-    let v = held(0, |s| s.class == "array" && s.tasks > 4);
+    let v = run_holding_back(0, |s| s.class == "gang");
     assert!(
-        below(&v, "largest of array") && !below(&v, "class gang"),
+        is_below_half(&v, "class gang") && !is_below_half(&v, "class array"),
+        "{v:?}"
+    );
+    let v = run_holding_back(0, |s| s.class == "array" && s.tasks > 4);
+    assert!(
+        is_below_half(&v, "largest of array") && !is_below_half(&v, "class gang"),
         "{v:?}"
     );
     assert!(!v.largest_late.is_empty(), "{v:?}");
     let sabotaged = |sabotage| {
-        play(Plan {
+        run_day(Plan {
             sabotage,
             ..plan(5, 1, 3, Size::SMALL)
         })
@@ -99,7 +103,7 @@
 
 /// What was recorded of an earlier day says the same when it is played again.
 #[test]
-fn days_repeat() {
-    let seen = || format!("{:?}", play(plan(6, 3, 5, Size::SMALL)).1);
-    assert_eq!(seen(), seen());
+fn days_are_deterministic() {
+    let verdict = || format!("{:?}", run_day(plan(6, 3, 5, Size::SMALL)).1);
+    assert_eq!(verdict(), verdict());
 }
