--- a/crates/standins/tests/days.rs
+++ b/crates/standins/tests/days.rs
@@ -1,5 +1,6 @@
-//! The operators' own days, small: quick restarts within every kind of trouble, users behind a balancer, and nobody
-//! forgotten. Each kind by its seed: `cargo run -p standins --example own_days -- small KIND SEED NODES`.
+//! Small days of each kind that operators run themselves: quick restarts during all kinds of faults, with users behind
+//! a load balancer, and no job forgotten. To run one day:
+//! `cargo run -p standins --example own_days -- small KIND SEED NODES`.
 
 use standins::checks::Verdict;
 use standins::days::{Size, kinds, plan};
@@ -53,7 +54,7 @@
 fn run_holding_back(kind: usize, which: fn(&wire::api::JobSpec) -> bool) -> Verdict {
     let mut plan = plan(kind, 1, 3, Size::SMALL);
     let scene = plan.scene.as_mut().expect("days are scenes");
-    let day = scene.day.as_mut().expect("days have troubles");
+    let day = scene.day.as_mut().expect("days have faults");
     day.held = scene
         .jobs
         .iter()
@@ -63,7 +64,7 @@
     run_day(plan).1
 }
 
-/// Each check fails when what it watches over is broken on purpose.
+/// Each check fails when the property that it checks is violated on purpose.
 #[test]
 fn each_day_check_fails_when_its_property_is_violated() {
     let is_below_half =
@@ -101,7 +102,7 @@
     assert!(sabotaged(Sabotage::None).longest_without_leader_s < 10.0);
 }
 
-/// What was recorded of an earlier day says the same when it is played again.
+/// A day with the same seed has the same verdict, so that a recorded one can be reproduced.
 #[test]
 fn days_are_deterministic() {
     let verdict = || format!("{:?}", run_day(plan(6, 3, 5, Size::SMALL)).1);
