--- a/crates/standins/tests/floods.rs
+++ b/crates/standins/tests/floods.rs
@@ -56,7 +56,7 @@
 }
 
 /// When the tasks of the array, and those of the wide gang, first ran.
-fn play(seed: u64, wait_s: &str, latest_s: &str) -> (Vec<Option<u64>>, Vec<Option<u64>>) {
+fn run_flood(seed: u64, wait_s: &str, latest_s: &str) -> (Vec<Option<u64>>, Vec<Option<u64>>) {
     let mut world = World::new(Plan::of_scene(seed, 3, scene(), 60_000, 900_000));
     world.tune("plan", "wait_s", wait_s);
     world.tune("plan", "latest_s", latest_s);
@@ -68,34 +68,35 @@
         "seed {seed}: {:?}",
         world.rules.broken
     );
-    let began = |job: &str, tasks: u32| {
+    let start_times = |job: &str, tasks: u32| {
         (0..tasks)
             .map(|t| world.began.get(&wire::ids::task_name(job, t)).copied())
             .collect()
     };
-    (began("job-000001", 40), began("job-000002", 4))
+    (start_times("job-000001", 40), start_times("job-000002", 4))
 }
 
 #[test]
-fn the_largest_begin_in_a_flood() {
+fn largest_low_priority_jobs_start_during_a_flood() {
     for seed in 0..4 {
-        let (array, gang) = play(seed, "60", "90");
-        let by = |at: &[Option<u64>], bound: u64| at.iter().all(|t| t.is_some_and(|t| t <= bound));
+        let (array, gang) = run_flood(seed, "60", "90");
+        let all_started_by =
+            |at: &[Option<u64>], bound: u64| at.iter().all(|t| t.is_some_and(|t| t <= bound));
         // What runs has to end, and the array, which came first, takes three rounds of the fleet.
         assert!(
-            by(&array, 20_000 + LATEST_MS + 3 * RUN_MS),
+            all_started_by(&array, 20_000 + LATEST_MS + 3 * RUN_MS),
             "seed {seed}: {array:?}"
         );
         assert!(
-            by(&gang, 21_000 + LATEST_MS + 3 * RUN_MS),
+            all_started_by(&gang, 21_000 + LATEST_MS + 3 * RUN_MS),
             "seed {seed}: {gang:?}"
         );
     }
 }
 
 #[test]
-fn without_the_bound_they_wait_for_the_end_of_the_flood() {
-    let (array, gang) = play(0, "36000", "36000");
+fn without_the_wait_bound_large_jobs_do_not_start_during_a_flood() {
+    let (array, gang) = run_flood(0, "36000", "36000");
     assert!(
         array.iter().chain(&gang).any(Option::is_none),
         "{array:?}, {gang:?}"
