--- a/crates/standins/tests/floods.rs
+++ b/crates/standins/tests/floods.rs
@@ -1,11 +1,11 @@
-//! A flood of urgent work in virtual time: the largest jobs of the least urgency begin within their bound, while the
-//! controllers crash and nothing of the same urgency or more is stopped for them.
+//! A flood of urgent work in virtual time: the largest jobs of the lowest priority start within their bound, while the
+//! controllers crash and no task of the same or a higher priority is stopped for them.
 
 use standins::scene::{Scene, Timed, array};
 use standins::world::{Plan, World};
 use wire::api::{JobSpec, Kind, Priority};
 
-/// For so long twice as much urgent work comes as the fleet can do.
+/// During this time, twice as much urgent work is submitted as the fleet can run.
 const FLOOD_MS: u64 = 300_000;
 const RUN_MS: u64 = 20_000;
 const LATEST_MS: u64 = 90_000;
@@ -19,7 +19,7 @@
     }
 }
 
-/// An array of low urgency as wide as several fleets, a gang as wide as one, and the flood.
+/// A low-priority array that fills several fleets, a low-priority gang that fills one, and the flood.
 fn scene() -> Scene {
     let scene = Scene {
         machines: 4,
@@ -55,7 +55,7 @@
     scene
 }
 
-/// When the tasks of the array, and those of the wide gang, first ran.
+/// When each task of the array and of the gang first ran.
 fn run_flood(seed: u64, wait_s: &str, latest_s: &str) -> (Vec<Option<u64>>, Vec<Option<u64>>) {
     let mut world = World::new(Plan::of_scene(seed, 3, scene(), 60_000, 900_000));
     world.tune("plan", "wait_s", wait_s);
@@ -82,7 +82,7 @@
         let (array, gang) = run_flood(seed, "60", "90");
         let all_started_by =
             |at: &[Option<u64>], bound: u64| at.iter().all(|t| t.is_some_and(|t| t <= bound));
-        // What runs has to end, and the array, which came first, takes three rounds of the fleet.
+        // Running tasks have to end first, and the array, which was submitted first, takes three rounds of the fleet.
         assert!(
             all_started_by(&array, 20_000 + LATEST_MS + 3 * RUN_MS),
             "seed {seed}: {array:?}"
