--- a/crates/standins/tests/answers.rs
+++ b/crates/standins/tests/answers.rs
@@ -1,8 +1,8 @@
-//! Three controllers, two jobs and a state service that executes and answers in any order: what any of them has told is
-//! the floor for all of them.
+//! Job status is monotonic for users: once any of three controllers has reported a status of a job, none may report an
+//! earlier one, in whatever order the state service executes and answers requests.
 //!
-//! All that concerns the jobs (questions, submissions, cancels, what nodes ask each other and the state service for them,
-//! the leader's watch) waits until the history delivers it, late, twice or never; all else goes at once.
+//! Random histories of two jobs. Requests and responses that concern the jobs (between nodes, to the state service, and
+//! the leader's watch) are held until the history delivers them, in any order; all others are delivered at once.
 
 use control::{Destination, Effect, Event, Node, Now, Tuning};
 use proptest::prelude::*;
@@ -22,12 +22,12 @@
 #[derive(Debug, Clone)]
 enum Step {
     Request(UserRequest, usize, usize),
-    /// One of the messages that wait is delivered: a request is executed, an answer comes.
+    /// Delivers one of the held messages: executes a request, or passes on a response.
     Deliver(usize),
-    /// A request is executed, and its answer is lost.
+    /// The state service executes a held request, and the response is lost.
     LoseResponse(usize),
     Advance(u64),
-    /// The state service refuses a node from now on, or serves it again.
+    /// The state service starts or stops refusing a node.
     ToggleRefusal(usize),
 }
 
@@ -35,12 +35,12 @@
 enum UserRequest {
     State,
     Submit,
-    /// A submission that can never run, of a job that others submit rightly.
+    /// A submission that no machine has room for, with the identifier of a job that others submit validly.
     Impossible,
     Cancel,
 }
 
-/// What an answer says of a job.
+/// The status of a job in a response, in the order in which a job passes through them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum JobStatus {
     Unknown,
@@ -74,16 +74,16 @@
     state: State,
     now: u64,
     refused: [bool; NODES],
-    /// What waits for the history, and what goes at once.
+    /// Messages that the history delivers, and messages that are delivered at once.
     held: Vec<InFlight>,
     immediate: VecDeque<InFlight>,
     watches: Vec<(Watch, usize, u64)>,
     timers: BTreeSet<(u64, usize, u64)>,
     connections: u64,
-    /// Peers that wait, by connection: who, the tag, and whether the history delivers the answer.
+    /// Nodes that await a response from a peer, by connection: the node, the tag, and whether the response is held.
     peers: HashMap<u64, (usize, u64, bool)>,
     user_requests: BTreeMap<u64, PendingRequest>,
-    /// The highest that any node has told of each job, and each by itself.
+    /// The latest status that any node has reported of each job, and that each node has.
     highest_reported: [JobStatus; JOBS],
     highest_by_node: [[JobStatus; JOBS]; NODES],
     violations: Vec<String>,
@@ -111,11 +111,11 @@
 
 fn node(n: usize, now: u64) -> Node {
     let text = include_str!("../../../deploy/settings-example.json");
-    let mut settings: Value = serde_json::from_str(text).expect("the example is accepted");
+    let mut settings: Value = serde_json::from_str(text).expect("the example settings are JSON");
     settings["node"] = json!(format!("burrow-{n}"));
     let peer = |p| json!({"node": format!("burrow-{p}"), "domain": "a", "address": format!("127.0.0.1:80{p}3")});
     settings["peers"] = (0..NODES).filter(|p| *p != n).map(peer).collect();
-    let settings = serde_json::from_value(settings).expect("so is this");
+    let settings = serde_json::from_value(settings).expect("the changed settings are valid");
     Node::new(
         settings,
         Tuning::default(),
@@ -148,7 +148,7 @@
                 self.path.starts_with("/keys/live/") || self.path.starts_with("/keys/end/")
             }
             Destination::Peer(_) => {
-                let request = peer::decode(&self.body).expect("nodes speak so");
+                let request = peer::decode(&self.body).expect("nodes send valid peer requests");
                 !matches!(
                     request,
                     PeerRequest::PeerStatus(_)
@@ -162,7 +162,7 @@
 }
 
 impl Cluster {
-    /// With a leader.
+    /// A cluster after 2 s, which has a leader.
     fn new() -> Self {
         let now = 1_000_000;
         let mut c = Cluster {
@@ -362,7 +362,7 @@
         }
     }
 
-    /// What the leader sees of jobs comes when the history has it; what is shared, at once.
+    /// Responses to the leader's watch of jobs are held; those to watches of shared records are delivered at once.
     fn fire_watches(&mut self) {
         for (watch, n, tag) in std::mem::take(&mut self.watches) {
             let found = if self.refused[n] {
@@ -414,9 +414,10 @@
             return self.send_response(from, tag, is_held, response);
         }
         let Some(pending) = self.user_requests.remove(&conn) else {
-            return self
-                .violations
-                .push(format!("{}: connection {conn} is answered twice", self.now));
+            return self.violations.push(format!(
+                "{}: connection {conn} got a second response",
+                self.now
+            ));
         };
         let body: Value = wire::decode(&response.body).unwrap_or_default();
         let stage = body["stage"].as_str();
@@ -439,7 +440,7 @@
             || reported == JobStatus::Ended && end != Some(stage)
         {
             self.violations.push(format!(
-                "{}: node {n} tells {} {stage:?}, {least_allowed:?} was told",
+                "{}: node {n} reports {} {stage:?}, but {least_allowed:?} was reported before",
                 self.now, response.status
             ));
         }
@@ -462,13 +463,15 @@
         }
     }
 
-    /// All is served and delivered again: nobody waits, and every node tells what stands.
+    /// Serves and delivers everything again: each user has a response, and each node reports what is recorded.
     fn check_final_state(&mut self) {
         self.refused = [false; NODES];
         self.advance_and_deliver(12_000);
         if !self.user_requests.is_empty() {
-            self.violations
-                .push(format!("{} are not answered", self.user_requests.len()));
+            self.violations.push(format!(
+                "{} user requests have no response",
+                self.user_requests.len()
+            ));
         }
         for (n, job) in (0..NODES).flat_map(|n| (0..JOBS).map(move |job| (n, job))) {
             self.highest_by_node[n][job] = JobStatus::Unknown;
@@ -477,7 +480,7 @@
             let (reported, recorded) = (self.highest_by_node[n][job], self.recorded_status(job));
             if reported != recorded || !self.user_requests.is_empty() {
                 self.violations.push(format!(
-                    "node {n} tells {reported:?} in the end, and {recorded:?} stands"
+                    "node {n} reports {reported:?} in the end, but {recorded:?} is recorded"
                 ));
             }
         }
@@ -535,13 +538,13 @@
         panic!("{e}");
     }
     println!(
-        "{} ends and {} denials were told",
+        "{} ends and {} unknown jobs were reported",
         ends.get(),
         denials.get()
     );
     assert!(
         ends.get() > 800 && denials.get() > 400,
-        "{} ends, {} denials",
+        "{} ends, {} unknown jobs",
         ends.get(),
         denials.get()
     );
