--- a/crates/standins/tests/gap.rs
+++ b/crates/standins/tests/gap.rs
@@ -21,28 +21,28 @@
 /// Steps in which the moments are looked for that others are counted from.
 const STEP_MS: u64 = 2;
 /// The next leader, and what it tells, are waited for so long.
-const PATIENCE_MS: u64 = 15_000;
+const WAIT_MS: u64 = 15_000;
 
 /// What the outage's begin is counted from: the next leader's record, its knowing of it, its having read all, the
 /// first record of a cancel, the first time that a user is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum From {
+enum OutageAfter {
     Refusal,
-    Stands,
+    LeaderRecorded,
     Leads,
     Loaded,
-    Recorded,
-    Told,
+    CancelRecorded,
+    CancelConfirmed,
 }
 
 /// Which messages between controllers pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Peers {
+enum PeerLinks {
     All,
     None,
     /// The old leader hears nobody, or nobody hears it.
-    OldDeaf,
-    OldMute,
+    OldHearsNone,
+    OldUnheard,
     /// The old leader and the next do not reach each other.
     OldAndNext,
     /// Each link is drawn by itself, one way or both.
@@ -51,7 +51,7 @@
 
 /// Who reaches the machines, and is reached by them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Reach {
+enum MachineLinks {
     All,
     /// The old leader alone.
     Old,
@@ -63,7 +63,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum Fault {
     None,
     Freeze(u64),
     Crash(u64),
@@ -81,22 +81,22 @@
     /// leader stands, and so far apart.
     first_cancel: u64,
     cancels_apart: u64,
-    outage: (From, u64),
+    outage: (OutageAfter, u64),
     outage_ms: u64,
     /// The outage is over for so long, and then begins again for so long.
-    again: Option<(u64, u64)>,
-    peers: Peers,
-    reach: Reach,
+    second_outage: Option<(u64, u64)>,
+    peer_links: PeerLinks,
+    machine_links: MachineLinks,
     how: How,
     cloud_out: bool,
     /// What becomes of the next leader and of the old one, so long after the outage's begin.
-    next: (Fate, u64),
-    old: (Fate, u64),
+    next: (Fault, u64),
+    old: (Fault, u64),
     /// One-way loss of the answers that the state service gives the old leader, for so long before the refusal.
-    unheard_ms: u64,
+    lost_responses_ms: u64,
 }
 
-fn fate(rng: &mut Rng) -> (Fate, u64) {
+fn fault(rng: &mut Rng) -> (Fault, u64) {
     let ms = if rng.bool() {
         rng.u64(50..8000)
     } else {
@@ -107,47 +107,47 @@
     } else {
         rng.u64(0..30_000)
     };
-    let fates = [
-        Fate::None,
-        Fate::None,
-        Fate::Freeze(ms),
-        Fate::Crash(ms),
-        Fate::Crash(ms),
+    let faults = [
+        Fault::None,
+        Fault::None,
+        Fault::Freeze(ms),
+        Fault::Crash(ms),
+        Fault::Crash(ms),
     ];
-    (fates[rng.usize(0..fates.len())], at)
+    (faults[rng.usize(0..faults.len())], at)
 }
 
 impl Day {
-    fn draw(nodes: usize, seed: u64) -> Day {
+    fn generate(nodes: usize, seed: u64) -> Day {
         let mut rng = Rng::with_seed(seed * 8 + nodes as u64);
         let from = [
-            From::Refusal,
-            From::Stands,
-            From::Leads,
-            From::Loaded,
-            From::Recorded,
-            From::Told,
+            OutageAfter::Refusal,
+            OutageAfter::LeaderRecorded,
+            OutageAfter::Leads,
+            OutageAfter::Loaded,
+            OutageAfter::CancelRecorded,
+            OutageAfter::CancelConfirmed,
         ];
         let from = from[rng.usize(0..from.len())];
-        let peers = [
-            Peers::All,
-            Peers::None,
-            Peers::OldDeaf,
-            Peers::OldMute,
-            Peers::OldAndNext,
-            Peers::Any,
+        let peer_links = [
+            PeerLinks::All,
+            PeerLinks::None,
+            PeerLinks::OldHearsNone,
+            PeerLinks::OldUnheard,
+            PeerLinks::OldAndNext,
+            PeerLinks::Any,
         ];
-        let reach = [
-            Reach::All,
-            Reach::Old,
-            Reach::Old,
-            Reach::Reports,
-            Reach::Zone,
-            Reach::Any,
+        let machine_links = [
+            MachineLinks::All,
+            MachineLinks::Old,
+            MachineLinks::Old,
+            MachineLinks::Reports,
+            MachineLinks::Zone,
+            MachineLinks::Any,
         ];
         let late = TakeOver::Late(rng.u64(1..4000));
         let take_over = [None, None, None, Some(TakeOver::Unanswered), Some(late)];
-        let most = if from == From::Refusal {
+        let most = if from == OutageAfter::Refusal {
             8000
         } else {
             [100, 1000, 4000][rng.usize(0..3)]
@@ -170,14 +170,15 @@
             cancels_apart: rng.u64(2..100),
             outage: (from, rng.u64(0..most)),
             outage_ms: rng.u64(45_000..70_000),
-            again: (rng.u32(0..3) == 0).then(|| (rng.u64(50..4000), rng.u64(45_000..70_000))),
-            peers: peers[rng.usize(0..peers.len())],
-            reach: reach[rng.usize(0..reach.len())],
+            second_outage: (rng.u32(0..3) == 0)
+                .then(|| (rng.u64(50..4000), rng.u64(45_000..70_000))),
+            peer_links: peer_links[rng.usize(0..peer_links.len())],
+            machine_links: machine_links[rng.usize(0..machine_links.len())],
             how: [How::Hold, How::Reset][rng.usize(0..2)],
             cloud_out: rng.u32(0..4) > 0,
-            next: fate(&mut rng),
-            old: fate(&mut rng),
-            unheard_ms: if rng.u32(0..6) == 0 {
+            next: fault(&mut rng),
+            old: fault(&mut rng),
+            lost_responses_ms: if rng.u32(0..6) == 0 {
                 rng.u64(1..1500)
             } else {
                 0
@@ -188,19 +189,19 @@
 
 /// What came of a day.
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
+struct Summary {
     days: u64,
     /// Another leader told of cancels before the outage.
-    told: u64,
+    confirmed: u64,
     /// A cancelled task lived on for longer than a lease: somebody renewed it.
     renewed: u64,
     longest_ms: u64,
 }
 
-impl Seen {
-    fn add(&mut self, other: Seen) {
+impl Summary {
+    fn add(&mut self, other: Summary) {
         self.days += other.days;
-        self.told += other.told;
+        self.confirmed += other.confirmed;
         self.renewed += other.renewed;
         self.longest_ms = self.longest_ms.max(other.longest_ms);
     }
@@ -228,7 +229,7 @@
 }
 
 /// Node and token of the leader record.
-fn record(world: &World) -> Option<(usize, u64)> {
+fn leader_record(world: &World) -> Option<(usize, u64)> {
     let rec = &world.state.keys.get("sys/owner/0")?.value;
     let node = rec["node"]
         .as_str()?
@@ -238,7 +239,7 @@
     Some((node, rec["token"].as_u64()?))
 }
 
-fn told(world: &World) -> usize {
+fn confirmed_cancels(world: &World) -> usize {
     world
         .rules
         .jobs
@@ -248,9 +249,9 @@
 }
 
 /// Plays on until something is so, for at most so long; false if it never was.
-fn until(world: &mut World, ms: u64, mut so: impl FnMut(&World) -> bool) -> bool {
+fn run_until(world: &mut World, ms: u64, mut condition: impl FnMut(&World) -> bool) -> bool {
     let (end, mut step) = (world.now() + ms, STEP_MS);
-    while world.now() + step <= end && !so(world) {
+    while world.now() + step <= end && !condition(world) {
         let before = world.now();
         world.run_for(step);
         // A world's time stands still until something happens.
@@ -260,20 +261,20 @@
             STEP_MS
         };
     }
-    so(world)
+    condition(world)
 }
 
 /// Plays on to a moment, as near as something happens there.
-fn play_to(world: &mut World, at: u64) {
+fn run_to(world: &mut World, at: u64) {
     world.run_for(at.saturating_sub(world.now()));
 }
 
 /// How long links stay cut: to the end of the day.
-const FOR_LONG: u64 = 300_000;
+const REST_OF_DAY_MS: u64 = 300_000;
 
 impl Day {
     fn one_way(&self, world: &mut World, from: Frontend, to: Frontend) {
-        let cut = Cut::between(from, to, world.now(), FOR_LONG);
+        let cut = Cut::between(from, to, world.now(), REST_OF_DAY_MS);
         world.cut(Cut {
             both: false,
             how: self.how,
@@ -282,7 +283,7 @@
     }
 
     fn both_ways(&self, world: &mut World, from: Frontend, to: Frontend) {
-        let cut = Cut::between(from, to, world.now(), FOR_LONG);
+        let cut = Cut::between(from, to, world.now(), REST_OF_DAY_MS);
         world.cut(Cut {
             how: self.how,
             ..cut
@@ -290,12 +291,12 @@
     }
 
     fn cut_peers(&self, world: &mut World, old: usize, rng: &mut Rng) {
-        match self.peers {
-            Peers::All | Peers::OldAndNext => {}
-            Peers::None => self.both_ways(world, Frontend::Nodes, Frontend::Nodes),
-            Peers::OldDeaf => self.one_way(world, Frontend::Nodes, Frontend::Node(old)),
-            Peers::OldMute => self.one_way(world, Frontend::Node(old), Frontend::Nodes),
-            Peers::Any => {
+        match self.peer_links {
+            PeerLinks::All | PeerLinks::OldAndNext => {}
+            PeerLinks::None => self.both_ways(world, Frontend::Nodes, Frontend::Nodes),
+            PeerLinks::OldHearsNone => self.one_way(world, Frontend::Nodes, Frontend::Node(old)),
+            PeerLinks::OldUnheard => self.one_way(world, Frontend::Node(old), Frontend::Nodes),
+            PeerLinks::Any => {
                 for (a, b) in (0..self.nodes).flat_map(|a| (0..self.nodes).map(move |b| (a, b))) {
                     if a != b && rng.bool() {
                         self.one_way(world, Frontend::Node(a), Frontend::Node(b));
@@ -308,11 +309,11 @@
     fn cut_machines(&self, world: &mut World, old: usize, rng: &mut Rng) {
         let others: Vec<usize> = (0..self.nodes).filter(|n| *n != old).collect();
         for n in others {
-            match self.reach {
-                Reach::All | Reach::Zone => {}
-                Reach::Old => self.both_ways(world, Frontend::Node(n), Frontend::Machines),
-                Reach::Reports => self.one_way(world, Frontend::Node(n), Frontend::Machines),
-                Reach::Any => match rng.u32(0..4) {
+            match self.machine_links {
+                MachineLinks::All | MachineLinks::Zone => {}
+                MachineLinks::Old => self.both_ways(world, Frontend::Node(n), Frontend::Machines),
+                MachineLinks::Reports => self.one_way(world, Frontend::Node(n), Frontend::Machines),
+                MachineLinks::Any => match rng.u32(0..4) {
                     0 => self.both_ways(world, Frontend::Node(n), Frontend::Machines),
                     1 => self.one_way(world, Frontend::Node(n), Frontend::Machines),
                     2 => self.one_way(world, Frontend::Machines, Frontend::Node(n)),
@@ -320,42 +321,42 @@
                 },
             }
         }
-        if self.reach == Reach::Zone {
-            world.cut_off(["a", "b"][rng.usize(0..2)], FOR_LONG);
+        if self.machine_links == MachineLinks::Zone {
+            world.cut_off(["a", "b"][rng.usize(0..2)], REST_OF_DAY_MS);
         }
     }
 
-    fn meet(&self, world: &mut World, node: usize, fate: Fate) {
+    fn inject(&self, world: &mut World, node: usize, fault: Fault) {
         let who = Who::Node(node);
-        match fate {
-            Fate::None => {}
-            Fate::Freeze(ms) => world.bring(&Trouble::Freeze { who, ms }),
-            Fate::Crash(back_ms) => world.bring(&Trouble::Crash { who, back_ms }),
+        match fault {
+            Fault::None => {}
+            Fault::Freeze(ms) => world.bring(&Trouble::Freeze { who, ms }),
+            Fault::Crash(back_ms) => world.bring(&Trouble::Crash { who, back_ms }),
         }
     }
 
-    fn play(&self) -> Seen {
+    fn run(&self) -> Summary {
         let mut world = world(self);
         let mut rng = Rng::with_seed(self.seed);
         world.run_for(18_000);
         let old = world.leader_at().expect("some node owns the fleet");
-        let (_, token) = record(&world).expect("an owner record");
+        let (_, token) = leader_record(&world).expect("an owner record");
         if self.cloud_out {
-            world.cloud_out(FOR_LONG);
+            world.cloud_out(REST_OF_DAY_MS);
         }
         self.cut_machines(&mut world, old, &mut rng);
         self.cut_peers(&mut world, old, &mut rng);
-        if self.unheard_ms > 0 {
+        if self.lost_responses_ms > 0 {
             let cut = Cut::between(
                 Frontend::State,
                 Frontend::Node(old),
                 world.now(),
-                self.refused_at + self.unheard_ms,
+                self.refused_at + self.lost_responses_ms,
             );
             world.cut(Cut { both: false, ..cut });
         }
-        if let Some(fate) = self.take_over {
-            world.take_over_is(fate);
+        if let Some(take_over) = self.take_over {
+            world.take_over_is(take_over);
         }
         world.run_for(self.refused_at);
         world.bring(&Trouble::Refused {
@@ -364,20 +365,20 @@
         });
         self.cancel(&mut world, 0..JOBS / 4, self.first_cancel);
         let next = self.wait_for_outage(&mut world, old, token);
-        let told_before = told(&world);
+        let confirmed_before = confirmed_cancels(&world);
         world.bring(&Trouble::StateOut { ms: self.outage_ms });
-        let mut fates = [
+        let mut faults = [
             (self.next.1, next, self.next.0),
             (self.old.1, old, self.old.0),
         ];
-        fates.sort_by_key(|(at, _, _)| *at);
-        let began = world.now();
-        for (at, node, fate) in fates {
-            play_to(&mut world, began + at);
-            self.meet(&mut world, node, fate);
+        faults.sort_by_key(|(at, _, _)| *at);
+        let outage_start = world.now();
+        for (at, node, fault) in faults {
+            run_to(&mut world, outage_start + at);
+            self.inject(&mut world, node, fault);
         }
-        if let Some((open, ms)) = self.again {
-            play_to(&mut world, began + self.outage_ms + open);
+        if let Some((open, ms)) = self.second_outage {
+            run_to(&mut world, outage_start + self.outage_ms + open);
             world.bring(&Trouble::StateOut { ms });
         }
         world.run_for(self.outage_ms + CANCEL_MS);
@@ -388,12 +389,12 @@
         );
         let longest_ms = world.rules.longest_cancelled_ms;
         log::info!(
-            "told {told_before} before the outage, {} in all; {longest_ms} ms: {self:?}",
-            told(&world)
+            "told {confirmed_before} before the outage, {} in all; {longest_ms} ms: {self:?}",
+            confirmed_cancels(&world)
         );
-        Seen {
+        Summary {
             days: 1,
-            told: u64::from(told_before > 0),
+            confirmed: u64::from(confirmed_before > 0),
             renewed: u64::from(longest_ms > LEASE_MS + 1000),
             longest_ms,
         }
@@ -410,37 +411,33 @@
 
     /// Plays on to the moment at which the outage begins; the node that leads by then, or would.
     fn wait_for_outage(&self, world: &mut World, old: usize, token: u64) -> usize {
-        let stands = |w: &World| record(w).is_some_and(|(_, t)| t > token);
+        let is_next_recorded = |w: &World| leader_record(w).is_some_and(|(_, t)| t > token);
         let (from, after) = self.outage;
-        if from != From::Refusal {
-            until(world, PATIENCE_MS, stands);
+        if from != OutageAfter::Refusal {
+            run_until(world, WAIT_MS, is_next_recorded);
         }
         // The last of them are never cancelled.
         self.cancel(world, JOBS / 4..JOBS - 3, 0);
-        let next = record(world).map_or((old + 1) % self.nodes, |(n, _)| n);
-        if self.peers == Peers::OldAndNext && next != old {
+        let next = leader_record(world).map_or((old + 1) % self.nodes, |(n, _)| n);
+        if self.peer_links == PeerLinks::OldAndNext && next != old {
             self.both_ways(world, Frontend::Node(old), Frontend::Node(next));
         }
         match from {
-            From::Refusal | From::Stands => {}
-            From::Leads => {
-                until(world, PATIENCE_MS, |w| {
-                    w.leader_at().is_some_and(|n| n != old)
-                });
+            OutageAfter::Refusal | OutageAfter::LeaderRecorded => {}
+            OutageAfter::Leads => {
+                run_until(world, WAIT_MS, |w| w.leader_at().is_some_and(|n| n != old));
             }
-            From::Loaded => {
-                until(world, PATIENCE_MS, |w| {
-                    w.leader_at().is_some_and(|n| n != old)
-                });
+            OutageAfter::Loaded => {
+                run_until(world, WAIT_MS, |w| w.leader_at().is_some_and(|n| n != old));
                 // Reading takes a dozen messages.
                 world.run_for(40);
             }
-            From::Recorded => {
+            OutageAfter::CancelRecorded => {
                 let ended = |w: &World| w.state.keys.keys().any(|k| k.starts_with("end/"));
-                until(world, PATIENCE_MS, ended);
+                run_until(world, WAIT_MS, ended);
             }
-            From::Told => {
-                until(world, PATIENCE_MS, |w| told(w) > 0);
+            OutageAfter::CancelConfirmed => {
+                run_until(world, WAIT_MS, |w| confirmed_cancels(w) > 0);
             }
         }
         world.run_for(after);
@@ -457,45 +454,45 @@
     let _ = env_logger::builder().is_test(false).try_init();
     let from = number("GAP_DAY").or(number("GAP_FROM")).unwrap_or(0);
     let days = number("GAP_DAY").map(|_| 1).or(number("GAP_DAYS"));
-    let mut seen = Seen::default();
+    let mut summary = Summary::default();
     for seed in from..from + days.unwrap_or(fixed) {
-        seen.add(Day::draw(nodes, seed).play());
+        summary.add(Day::generate(nodes, seed).run());
     }
-    println!("gap: {nodes} nodes, from day {from}: {seen:?}, of {CANCEL_MS} ms");
+    println!("gap: {nodes} nodes, from day {from}: {summary:?}, of {CANCEL_MS} ms");
     if days.is_none() {
         assert!(
-            seen.told * 4 > seen.days,
-            "hardly ever was anything told before the outage: {seen:?}"
+            summary.confirmed * 4 > summary.days,
+            "hardly ever was anything told before the outage: {summary:?}"
         );
         assert!(
-            seen.renewed * 20 > seen.days,
-            "hardly ever was anything renewed: {seen:?}"
+            summary.renewed * 20 > summary.days,
+            "hardly ever was anything renewed: {summary:?}"
         );
     }
 }
 
 #[test]
-fn three_controllers() {
+fn cancelled_tasks_end_in_time_with_three_controllers() {
     sweep(3, 100);
 }
 
 #[test]
-fn five_controllers() {
+fn cancelled_tasks_end_in_time_with_five_controllers() {
     sweep(5, 60);
 }
 
 #[test]
-fn seven_controllers() {
+fn cancelled_tasks_end_in_time_with_seven_controllers() {
     sweep(7, 40);
 }
 
 /// A leader whose transactions land and are not answered: the others, which can't ask it, read that a job is cancelled
 /// and tell so. The leader went on calling the job running, and did not stop it, for as long as that lasted.
 #[test]
-fn what_may_be_recorded_is_stopped_and_not_denied() {
+fn jobs_whose_cancel_may_be_recorded_are_stopped_and_not_reported_running() {
     let mut all = 0;
     for seed in 0..6 {
-        let mut world = world(&Day::draw(3, seed));
+        let mut world = world(&Day::generate(3, seed));
         world.run_for(18_000);
         let old = world.leader_at().expect("some node owns the fleet");
         for n in (0..3).filter(|n| *n != old) {
@@ -518,7 +515,7 @@
             "seed {seed}: {:?}",
             world.rules.broken
         );
-        all += told(&world);
+        all += confirmed_cancels(&world);
     }
     assert!(all > 8, "{all} cancels told");
 }
