--- a/crates/standins/tests/gap.rs
+++ b/crates/standins/tests/gap.rs
@@ -1,11 +1,11 @@
-//! The gap: the state service refuses the leader alone, another controller takes over and confirms cancels, then the state
-//! service goes away for everybody, for longer than a cancel may take, and workers go on reporting to the old leader. Every
-//! task of a confirmed cancel has to be gone in time all the same.
+//! The state service refuses the leader alone, another controller takes over and confirms cancels, then the state
+//! service is out for all, for longer than a cancel may take, and workers go on reporting to the old leader. Every task
+//! of a confirmed cancel still has to end in time.
 //!
-//! A day is drawn from its number alone. The tests play a fixed set. `GAP_DAYS=N cargo test --release -p standins --test gap
-//! -- --nocapture` plays N days for each number of controllers instead, from day `GAP_FROM` (0) on, and prints how many
-//! there were and the longest life of a cancelled task; `GAP_DAY=N` plays that one, with the controllers' logs where
-//! `RUST_LOG` asks for them.
+//! Each scenario, called a day, is generated from its number alone. The tests run a fixed set of days. `GAP_DAYS=N
+//! cargo test --release -p standins --test gap -- --nocapture` runs N days for each number of controllers instead, from
+//! day `GAP_FROM` (0) on, and prints their number and the longest time that a cancelled task ran on; `GAP_DAY=N` runs a
+//! single day, with the controllers' logs if `RUST_LOG` enables them.
 
 use fastrand::Rng;
 use standins::days::{Trouble, Who};
@@ -16,15 +16,15 @@
 const JOBS: u32 = 16;
 const CANCEL_MS: u64 = 40_000;
 const LEASE_MS: u64 = 15_000;
-/// A leader renews this often, under the settings of the stand-ins.
+/// How often a leader renews its lease under the settings of the simulation.
 const RENEWAL_MS: u64 = 500;
-/// Steps in which the moments are looked for that others are counted from.
+/// The step in which the simulation advances while it waits for a condition.
 const STEP_MS: u64 = 2;
-/// The next leader, and what it tells, are waited for so long.
+/// The longest wait for the next leader, and for its confirmations of cancels.
 const WAIT_MS: u64 = 15_000;
 
-/// What the outage's begin is counted from: the next leader's record, its knowing of it, its having read all, the
-/// first record of a cancel, the first time that a user is told.
+/// The event from which the start of the outage is counted: the refusal, the next leader's record, its learning of that
+/// record, its having read all records, the first record of a cancel, the first confirmation of a cancel to a user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum OutageAfter {
     Refusal,
@@ -35,29 +35,30 @@
     CancelConfirmed,
 }
 
-/// Which messages between controllers pass.
+/// Which messages between controllers are delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PeerLinks {
     All,
     None,
-    /// The old leader hears nobody, or nobody hears it.
+    /// No messages reach the old leader, or none of its messages reach the others.
     OldHearsNone,
     OldUnheard,
-    /// The old leader and the next do not reach each other.
+    /// The old leader and the next one do not reach each other.
     OldAndNext,
-    /// Each link is drawn by itself, one way or both.
+    /// Each direction of each link is up or down at random.
     Any,
 }
 
-/// Who reaches the machines, and is reached by them.
+/// Which controllers and machines reach each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MachineLinks {
     All,
-    /// The old leader alone.
+    /// Only the old leader and the machines.
     Old,
-    /// The old leader; others are reached by reports, but do not reach the machines themselves.
+    /// The old leader and the machines; the machines' reports reach the other controllers, which cannot send to
+    /// machines.
     Reports,
-    /// A zone of machines is cut off from outside, a node in it may be charged to keep it.
+    /// A zone is cut off from the others; a node in it may have been delegated to renew the leases of its machines.
     Zone,
     Any,
 }
@@ -73,26 +74,26 @@
 struct Day {
     nodes: usize,
     seed: u64,
-    /// The refusal begins so much after the leader was last seen to renew, and lasts so long.
+    /// When the refusal begins, within the interval of lease renewals, and how long it lasts.
     refused_at: u64,
     refused_ms: u64,
     take_over: Option<TakeOver>,
-    /// Some cancels are asked for so far apart, the first of them so long after the refusal; the others when the next
-    /// leader stands, and so far apart.
+    /// The first few cancels begin this long after the refusal, the others when the next leader is recorded; both are
+    /// requested `cancels_apart` ms apart.
     first_cancel: u64,
     cancels_apart: u64,
     outage: (OutageAfter, u64),
     outage_ms: u64,
-    /// The outage is over for so long, and then begins again for so long.
+    /// How long the state service is up after the first outage, and how long a second outage lasts.
     second_outage: Option<(u64, u64)>,
     peer_links: PeerLinks,
     machine_links: MachineLinks,
     how: How,
     cloud_out: bool,
-    /// What becomes of the next leader and of the old one, so long after the outage's begin.
+    /// Faults of the next leader and of the old one, and how long after the start of the outage they occur.
     next: (Fault, u64),
     old: (Fault, u64),
-    /// One-way loss of the answers that the state service gives the old leader, for so long before the refusal.
+    /// If not 0, the state service's responses to the old leader are lost until this long after the refusal begins.
     lost_responses_ms: u64,
 }
 
@@ -187,13 +188,13 @@
     }
 }
 
-/// What came of a day.
+/// The results of some days.
 #[derive(Debug, Clone, Copy, Default)]
 struct Summary {
     days: u64,
-    /// Another leader told of cancels before the outage.
+    /// Days on which cancels were confirmed before the outage.
     confirmed: u64,
-    /// A cancelled task lived on for longer than a lease: somebody renewed it.
+    /// Days on which a cancelled task ran on for longer than a lease, so that some controller renewed it.
     renewed: u64,
     longest_ms: u64,
 }
@@ -228,7 +229,7 @@
     ))
 }
 
-/// Node and token of the leader record.
+/// The node and the token of the leader record.
 fn leader_record(world: &World) -> Option<(usize, u64)> {
     let rec = &world.state.keys.get("sys/owner/0")?.value;
     let node = rec["node"]
@@ -248,13 +249,13 @@
         .count()
 }
 
-/// Plays on until something is so, for at most so long; false if it never was.
+/// Runs until the condition holds, for at most `ms`. Returns whether it holds.
 fn run_until(world: &mut World, ms: u64, mut condition: impl FnMut(&World) -> bool) -> bool {
     let (end, mut step) = (world.now() + ms, STEP_MS);
     while world.now() + step <= end && !condition(world) {
         let before = world.now();
         world.run_for(step);
-        // A world's time stands still until something happens.
+        // Virtual time only advances to the next event, which may be more than one step away.
         step = if world.now() == before {
             step + STEP_MS
         } else {
@@ -264,12 +265,12 @@
     condition(world)
 }
 
-/// Plays on to a moment, as near as something happens there.
+/// Runs to a time, or to the last event before it.
 fn run_to(world: &mut World, at: u64) {
     world.run_for(at.saturating_sub(world.now()));
 }
 
-/// How long links stay cut: to the end of the day.
+/// How long links stay cut: longer than the rest of the day.
 const REST_OF_DAY_MS: u64 = 300_000;
 
 impl Day {
@@ -339,8 +340,8 @@
         let mut world = world(self);
         let mut rng = Rng::with_seed(self.seed);
         world.run_for(18_000);
-        let old = world.leader_at().expect("some node owns the fleet");
-        let (_, token) = leader_record(&world).expect("an owner record");
+        let old = world.leader_at().expect("a node leads the fleet");
+        let (_, token) = leader_record(&world).expect("there is a leader record");
         if self.cloud_out {
             world.cloud_out(REST_OF_DAY_MS);
         }
@@ -389,7 +390,7 @@
         );
         let longest_ms = world.rules.longest_cancelled_ms;
         log::info!(
-            "told {confirmed_before} before the outage, {} in all; {longest_ms} ms: {self:?}",
+            "cancels confirmed before the outage: {confirmed_before}, in all: {}; longest cancelled: {longest_ms} ms: {self:?}",
             confirmed_cancels(&world)
         );
         Summary {
@@ -409,14 +410,15 @@
         }
     }
 
-    /// Plays on to the moment at which the outage begins; the node that leads by then, or would.
+    /// Runs until the outage begins. Returns the node that leads by then, or the old leader's successor by number if
+    /// there is no leader record.
     fn wait_for_outage(&self, world: &mut World, old: usize, token: u64) -> usize {
         let is_next_recorded = |w: &World| leader_record(w).is_some_and(|(_, t)| t > token);
         let (from, after) = self.outage;
         if from != OutageAfter::Refusal {
             run_until(world, WAIT_MS, is_next_recorded);
         }
-        // The last of them are never cancelled.
+        // The last jobs are never cancelled.
         self.cancel(world, JOBS / 4..JOBS - 3, 0);
         let next = leader_record(world).map_or((old + 1) % self.nodes, |(n, _)| n);
         if self.peer_links == PeerLinks::OldAndNext && next != old {
@@ -429,7 +431,7 @@
             }
             OutageAfter::Loaded => {
                 run_until(world, WAIT_MS, |w| w.leader_at().is_some_and(|n| n != old));
-                // Reading takes a dozen messages.
+                // Reading the records takes a dozen messages.
                 world.run_for(40);
             }
             OutageAfter::CancelRecorded => {
@@ -449,7 +451,7 @@
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// Plays the fixed days, or those that the environment asks for.
+/// Runs the fixed days, or those that the environment variables select.
 fn sweep(nodes: usize, fixed: u64) {
     let _ = env_logger::builder().is_test(false).try_init();
     let from = number("GAP_DAY").or(number("GAP_FROM")).unwrap_or(0);
@@ -462,11 +464,11 @@
     if days.is_none() {
         assert!(
             summary.confirmed * 4 > summary.days,
-            "hardly ever was anything told before the outage: {summary:?}"
+            "too few days with a cancel confirmed before the outage: {summary:?}"
         );
         assert!(
             summary.renewed * 20 > summary.days,
-            "hardly ever was anything renewed: {summary:?}"
+            "too few days with a cancelled task renewed: {summary:?}"
         );
     }
 }
@@ -486,15 +488,16 @@
     sweep(7, 40);
 }
 
-/// A leader whose transactions land and are not answered: the others, which can't ask it, read that a job is cancelled
-/// and tell so. The leader went on calling the job running, and did not stop it, for as long as that lasted.
+/// The leader's transactions are executed but not answered, and the other controllers, which cannot reach it, read that
+/// a job is cancelled and report that. The leader used to report the job as running, and did not stop it, for as long
+/// as its transactions were unanswered.
 #[test]
 fn jobs_whose_cancel_may_be_recorded_are_stopped_and_not_reported_running() {
     let mut all = 0;
     for seed in 0..6 {
         let mut world = world(&Day::generate(3, seed));
         world.run_for(18_000);
-        let old = world.leader_at().expect("some node owns the fleet");
+        let old = world.leader_at().expect("a node leads the fleet");
         for n in (0..3).filter(|n| *n != old) {
             let cut = Cut::between(Frontend::Node(n), Frontend::Node(old), world.now(), 100_000);
             world.cut(Cut {
@@ -517,5 +520,5 @@
         );
         all += confirmed_cancels(&world);
     }
-    assert!(all > 8, "{all} cancels told");
+    assert!(all > 8, "only {all} cancels were confirmed");
 }
