--- a/crates/standins/tests/hand_over.rs
+++ b/crates/standins/tests/hand_over.rs
@@ -8,30 +8,30 @@
 use standins::world::{Plan, World};
 use std::collections::BTreeMap;
 
-const LONG: u32 = 12;
-const BEGIN: u64 = 30_000;
+const LONG_JOBS: u32 = 12;
+const START_MS: u64 = 30_000;
 /// By then all troubles are over.
-const OVER_MS: u64 = 20_000;
+const SETTLE_MS: u64 = 20_000;
 
-fn long(i: u32) -> String {
+fn long_job(i: u32) -> String {
     format!("job-{:06}", 1000 + i)
 }
 
 fn world(seed: u64, nodes: usize) -> World {
-    let long = (0..LONG).map(|i| Timed {
+    let long_jobs = (0..LONG_JOBS).map(|i| Timed {
         at: 1000,
         run_ms: 60_000,
         cancel_ms: None,
         spec: array(1000 + i, "red", 1, 60.0),
     });
-    let short = (0..50).map(|i| Timed {
+    let short_jobs = (0..50).map(|i| Timed {
         at: 20_000 + u64::from(i) * 500,
         run_ms: 1000,
         cancel_ms: (i % 5 == 0).then_some(700),
         spec: array(2000 + i, "red", 1, 1.0),
     });
     let scene = Scene {
-        jobs: long.chain(short).collect(),
+        jobs: long_jobs.chain(short_jobs).collect(),
         machines: 12,
         ..Scene::default()
     };
@@ -45,16 +45,16 @@
 }
 
 /// Token and life of the leader record.
-fn record(world: &World) -> Option<(u64, u64)> {
+fn leader_record(world: &World) -> Option<(u64, u64)> {
     let rec = &world.state.keys.get("sys/owner/0")?.value;
     Some((rec["token"].as_u64()?, rec["life"].as_u64()?))
 }
 
 /// Tokens as they were seen, each with its life: none is given twice, and none is followed by a lower one.
 #[derive(Default)]
-struct Terms(BTreeMap<u64, u64>);
+struct TokensSeen(BTreeMap<u64, u64>);
 
-impl Terms {
+impl TokensSeen {
     fn run_for(&mut self, world: &mut World, ms: u64, what: &str) {
         let end = world.now() + ms;
         let mut step = 10;
@@ -63,7 +63,7 @@
             world.run_for(step);
             // Nothing happened yet.
             step = if world.now() == before { step + 10 } else { 10 };
-            let Some((token, incarnation)) = record(world) else {
+            let Some((token, incarnation)) = leader_record(world) else {
                 continue;
             };
             let highest = self.0.last_key_value().map_or(0, |(token, _)| *token);
@@ -84,22 +84,25 @@
 }
 
 impl Users {
-    fn act(&mut self, world: &mut World) {
-        if self.next < LONG {
-            world.cancel_at(self.next as usize % self.nodes, &long(self.next));
+    fn cancel_and_poll(&mut self, world: &mut World) {
+        if self.next < LONG_JOBS {
+            world.cancel_at(self.next as usize % self.nodes, &long_job(self.next));
             self.next += 1;
         }
         for i in 0..self.next {
-            world.poll_at((self.next + i) as usize % self.nodes, &long(i));
+            world.poll_at((self.next + i) as usize % self.nodes, &long_job(i));
         }
     }
 }
 
-fn ends(world: &mut World, what: &str) {
-    world.run_for(OVER_MS);
+fn assert_ends(world: &mut World, what: &str) {
+    world.run_for(SETTLE_MS);
     assert_rules_kept(world, what);
-    let silent = world.unanswered_for(15_000);
-    assert!(silent.is_empty(), "{what}: no answers about {silent:?}");
+    let unanswered = world.unanswered_for(15_000);
+    assert!(
+        unanswered.is_empty(),
+        "{what}: no answers about {unanswered:?}"
+    );
     // Much later, at every node, asked and sent again.
     world.ask_everywhere();
     world.run_for(150_000);
@@ -110,22 +113,22 @@
 /// Handed over by a refusal, handed back by another, then all end within a fraction of a second and one is back at
 /// once, the others later. Every step of it comes at another distance from the one before.
 #[test]
-fn handed_over_and_back_then_all_end_and_one_returns() {
+fn leadership_moves_and_returns_then_all_crash_and_one_restarts() {
     for nodes in [3, 5, 7] {
         for step in 0..12u64 {
             let what = format!("{nodes} nodes, step {step}");
             let mut world = world(step, nodes);
-            let (mut users, mut terms) = (Users { nodes, next: 0 }, Terms::default());
-            world.run_for(BEGIN + step * 7);
+            let (mut users, mut tokens) = (Users { nodes, next: 0 }, TokensSeen::default());
+            world.run_for(START_MS + step * 7);
             let first = world.leader_at().expect("some node owns the fleet");
             world.bring(&Trouble::Refused {
                 who: Who::Node(first),
                 ms: 2600 + step * 20,
             });
-            users.act(&mut world);
-            terms.run_for(&mut world, 1500 + step * 90, &what);
-            users.act(&mut world);
-            terms.run_for(&mut world, 600, &what);
+            users.cancel_and_poll(&mut world);
+            tokens.run_for(&mut world, 1500 + step * 90, &what);
+            users.cancel_and_poll(&mut world);
+            tokens.run_for(&mut world, 600, &what);
             let second = world.leader_at().unwrap_or((first + 1) % nodes);
             // Back: all but the first are refused for as long as the second one's lease lasts.
             for n in (0..nodes).filter(|n| *n != first) {
@@ -134,9 +137,9 @@
                     ms: 2800,
                 });
             }
-            users.act(&mut world);
-            terms.run_for(&mut world, 1700 + step * 80, &what);
-            users.act(&mut world);
+            users.cancel_and_poll(&mut world);
+            tokens.run_for(&mut world, 1700 + step * 80, &what);
+            users.cancel_and_poll(&mut world);
             // All end within a second of each other; one is back at once.
             for i in 0..nodes {
                 let n = (second + i) % nodes;
@@ -149,15 +152,15 @@
                     who: Who::Node(n),
                     back_ms,
                 });
-                terms.run_for(&mut world, step * 40 / nodes as u64, &what);
-                users.act(&mut world);
+                tokens.run_for(&mut world, step * 40 / nodes as u64, &what);
+                users.cancel_and_poll(&mut world);
             }
             for _ in 0..6 {
-                terms.run_for(&mut world, 150 + step * 10, &what);
-                users.act(&mut world);
+                tokens.run_for(&mut world, 150 + step * 10, &what);
+                users.cancel_and_poll(&mut world);
             }
-            terms.run_for(&mut world, 8000, &what);
-            ends(&mut world, &what);
+            tokens.run_for(&mut world, 8000, &what);
+            assert_ends(&mut world, &what);
         }
     }
 }
@@ -165,13 +168,13 @@
 /// The leader ends with its transactions held until it is back, owns again, or another does: its last ends and claims,
 /// its take-over and the end of its lease come to the next life, or the one after.
 #[test]
-fn what_is_held_comes_to_a_later_life() {
+fn delayed_writes_reach_a_later_incarnation() {
     for nodes in [3, 5, 7] {
         for step in 0..10u64 {
             let what = format!("{nodes} nodes, step {step}");
             let mut world = world(100 + step, nodes);
-            let (mut users, mut terms) = (Users { nodes, next: 0 }, Terms::default());
-            world.run_for(BEGIN);
+            let (mut users, mut tokens) = (Users { nodes, next: 0 }, TokensSeen::default());
+            world.run_for(START_MS);
             for round in 0..5u64 {
                 let leader = world.leader_at().unwrap_or(0);
                 world.bring(&Trouble::Late {
@@ -184,8 +187,8 @@
                     for_ms: 1500,
                     at_once: false,
                 });
-                users.act(&mut world);
-                terms.run_for(&mut world, 11 + step * 13, &what);
+                users.cancel_and_poll(&mut world);
+                tokens.run_for(&mut world, 11 + step * 13, &what);
                 match (step + round) % 4 {
                     0 => world.bring(&Trouble::Crash {
                         who: Who::All,
@@ -204,28 +207,28 @@
                         ms: 2400,
                     }),
                 }
-                users.act(&mut world);
-                terms.run_for(&mut world, 700 + round * 500, &what);
+                users.cancel_and_poll(&mut world);
+                tokens.run_for(&mut world, 700 + round * 500, &what);
             }
-            terms.run_for(&mut world, 14_000, &what);
-            ends(&mut world, &what);
+            tokens.run_for(&mut world, 14_000, &what);
+            assert_ends(&mut world, &what);
         }
     }
 }
 
 /// All end as they are asked, at each of the first questions of the next take-over, and only one comes back at first.
 #[test]
-fn one_returns_and_ends_at_any_question() {
+fn restarted_node_crashes_on_any_of_its_first_requests() {
     for nodes in [3, 5, 7] {
         for question in 1..=14u32 {
             let what = format!("{nodes} nodes, question {question}");
             let mut world = world(200 + u64::from(question), nodes);
-            let (mut users, mut terms) = (Users { nodes, next: 0 }, Terms::default());
-            world.run_for(BEGIN);
+            let (mut users, mut tokens) = (Users { nodes, next: 0 }, TokensSeen::default());
+            world.run_for(START_MS);
             let leader = world.leader_at().expect("some node owns the fleet");
             for round in 0..3 {
-                users.act(&mut world);
-                terms.run_for(&mut world, 5 + u64::from(question), &what);
+                users.cancel_and_poll(&mut world);
+                tokens.run_for(&mut world, 5 + u64::from(question), &what);
                 for n in 0..nodes {
                     let back_ms = if n == leader { 80 } else { 2500 };
                     world.bring(&Trouble::Crash {
@@ -238,13 +241,13 @@
                     question: question + round,
                     back_ms: 70,
                 });
-                users.act(&mut world);
-                terms.run_for(&mut world, 900, &what);
-                users.act(&mut world);
-                terms.run_for(&mut world, 400, &what);
+                users.cancel_and_poll(&mut world);
+                tokens.run_for(&mut world, 900, &what);
+                users.cancel_and_poll(&mut world);
+                tokens.run_for(&mut world, 400, &what);
             }
-            terms.run_for(&mut world, 4000, &what);
-            ends(&mut world, &what);
+            tokens.run_for(&mut world, 4000, &what);
+            assert_ends(&mut world, &what);
         }
     }
 }
@@ -252,50 +255,55 @@
 /// Cancelled under the former leader while no machine could be told; the next one stands, and has read nothing when the
 /// state service goes out. What it renewed, it would keep alive through the outage without knowing that it is to end.
 #[test]
-fn a_new_leader_that_has_read_nothing_renews_nothing() {
+fn new_leader_that_has_read_nothing_renews_no_leases() {
     for nodes in [3, 5, 7] {
         for step in 0..4u64 {
             let what = format!("{nodes} nodes, step {step}");
             let mut world = world(300 + step, nodes);
-            world.run_for(BEGIN);
+            world.run_for(START_MS);
             let first = world.leader_at().expect("some node owns the fleet");
-            let unheard = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 6000);
+            let refused_links =
+                Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 6000);
             world.cut(Cut {
                 how: How::Reset,
-                ..unheard
+                ..refused_links
             });
-            (0..LONG).for_each(|i| world.cancel_at(first, &long(i)));
+            (0..LONG_JOBS).for_each(|i| world.cancel_at(first, &long_job(i)));
             world.run_for(300 + step * 100);
             world.bring(&Trouble::Refused {
                 who: Who::Node(first),
                 ms: 20_000,
             });
-            let (before, _) = record(&world).expect("an owner");
-            let (begun, mut wait) = (world.now(), 5);
-            while record(&world).is_none_or(|(token, _)| token <= before)
-                && world.now() < begun + 8000
+            let (before, _) = leader_record(&world).expect("an owner");
+            let (wait_start, mut wait) = (world.now(), 5);
+            while leader_record(&world).is_none_or(|(token, _)| token <= before)
+                && world.now() < wait_start + 8000
             {
-                let at = world.now();
+                let before_step = world.now();
                 world.run_for(wait);
                 // Nothing happened yet.
-                wait = if world.now() == at { wait + 5 } else { 5 };
+                wait = if world.now() == before_step {
+                    wait + 5
+                } else {
+                    5
+                };
             }
             assert!(
-                record(&world).is_some_and(|(token, _)| token > before),
+                leader_record(&world).is_some_and(|(token, _)| token > before),
                 "{what}: nobody took over"
             );
             // Its take-over is answered, and its first reads are not.
             world.run_for(step);
             world.bring(&Trouble::StateOut { ms: 70_000 });
             world.run_for(75_000);
-            let told = world
+            let confirmed = world
                 .rules
                 .jobs
                 .values()
                 .filter(|j| j.told_cancelled.is_some())
                 .count();
-            assert!(told > 4, "{what}: {told} told");
-            ends(&mut world, &what);
+            assert!(confirmed > 4, "{what}: {confirmed} told");
+            assert_ends(&mut world, &what);
         }
     }
 }
