--- a/crates/standins/tests/hand_over.rs
+++ b/crates/standins/tests/hand_over.rs
@@ -1,5 +1,5 @@
-//! Controllers hand over and back, all end, and one returns, within a second: with users who cancel and ask at each
-//! moment of it, and submit again much later at whatever node.
+//! Leadership moves to another controller and back, then all controllers crash and one restarts, within seconds.
+//! Meanwhile users cancel jobs and poll them, and much later they submit the jobs again, at all nodes.
 
 use standins::days::{Trouble, Who};
 use standins::links::{Cut, Frontend, How};
@@ -10,7 +10,7 @@
 
 const LONG_JOBS: u32 = 12;
 const START_MS: u64 = 30_000;
-/// By then all troubles are over.
+/// After this time, all faults are over.
 const SETTLE_MS: u64 = 20_000;
 
 fn long_job(i: u32) -> String {
@@ -44,13 +44,14 @@
     ))
 }
 
-/// Token and life of the leader record.
+/// The token and the incarnation of the leader record.
 fn leader_record(world: &World) -> Option<(u64, u64)> {
     let rec = &world.state.keys.get("sys/owner/0")?.value;
     Some((rec["token"].as_u64()?, rec["life"].as_u64()?))
 }
 
-/// Tokens as they were seen, each with its life: none is given twice, and none is followed by a lower one.
+/// The tokens of all leader records seen, each with its incarnation. No token may be used by two incarnations or follow
+/// a higher one.
 #[derive(Default)]
 struct TokensSeen(BTreeMap<u64, u64>);
 
@@ -61,7 +62,7 @@
         while world.now() + step <= end {
             let before = world.now();
             world.run_for(step);
-            // Nothing happened yet.
+            // There was no event yet.
             step = if world.now() == before { step + 10 } else { 10 };
             let Some((token, incarnation)) = leader_record(world) else {
                 continue;
@@ -71,13 +72,13 @@
             assert_eq!(
                 *self.0.entry(token).or_insert(incarnation),
                 incarnation,
-                "{what}: two lives with token {token}"
+                "{what}: two incarnations with token {token}"
             );
         }
     }
 }
 
-/// A user cancels one more of the long jobs, and all nodes are asked about those that were cancelled before.
+/// Users who cancel the long jobs one by one, and poll those that were cancelled before at different nodes.
 struct Users {
     nodes: usize,
     next: u32,
@@ -101,17 +102,17 @@
     let unanswered = world.unanswered_for(15_000);
     assert!(
         unanswered.is_empty(),
-        "{what}: no answers about {unanswered:?}"
+        "{what}: no responses about {unanswered:?}"
     );
-    // Much later, at every node, asked and sent again.
+    // Much later, each job is polled and submitted again at every node.
     world.ask_everywhere();
     world.run_for(150_000);
     assert_rules_kept(world, what);
     assert_all_ended(world, what);
 }
 
-/// Handed over by a refusal, handed back by another, then all end within a fraction of a second and one is back at
-/// once, the others later. Every step of it comes at another distance from the one before.
+/// A refusal by the state service moves leadership, another one moves it back, then all nodes crash within a fraction
+/// of a second and one restarts at once, the others later. The times between these events differ from step to step.
 #[test]
 fn leadership_moves_and_returns_then_all_crash_and_one_restarts() {
     for nodes in [3, 5, 7] {
@@ -120,7 +121,7 @@
             let mut world = world(step, nodes);
             let (mut users, mut tokens) = (Users { nodes, next: 0 }, TokensSeen::default());
             world.run_for(START_MS + step * 7);
-            let first = world.leader_at().expect("some node owns the fleet");
+            let first = world.leader_at().expect("a node leads the fleet");
             world.bring(&Trouble::Refused {
                 who: Who::Node(first),
                 ms: 2600 + step * 20,
@@ -130,7 +131,7 @@
             users.cancel_and_poll(&mut world);
             tokens.run_for(&mut world, 600, &what);
             let second = world.leader_at().unwrap_or((first + 1) % nodes);
-            // Back: all but the first are refused for as long as the second one's lease lasts.
+            // Leadership moves back: all but the first are refused until the second one's lease has expired.
             for n in (0..nodes).filter(|n| *n != first) {
                 world.bring(&Trouble::Refused {
                     who: Who::Node(n),
@@ -140,7 +141,7 @@
             users.cancel_and_poll(&mut world);
             tokens.run_for(&mut world, 1700 + step * 80, &what);
             users.cancel_and_poll(&mut world);
-            // All end within a second of each other; one is back at once.
+            // All nodes crash within a second; one restarts at once.
             for i in 0..nodes {
                 let n = (second + i) % nodes;
                 let back_ms = if n == first {
@@ -165,8 +166,9 @@
     }
 }
 
-/// The leader ends with its transactions held until it is back, owns again, or another does: its last ends and claims,
-/// its take-over and the end of its lease come to the next life, or the one after.
+/// The leader crashes, freezes or is refused while its transactions are delayed until it has restarted, leads again or
+/// another node leads: its last ends of jobs and claims, its take-over and the end of its lease arrive during a later
+/// incarnation.
 #[test]
 fn delayed_writes_reach_a_later_incarnation() {
     for nodes in [3, 5, 7] {
@@ -216,7 +218,8 @@
     }
 }
 
-/// All end as they are asked, at each of the first questions of the next take-over, and only one comes back at first.
+/// All nodes crash, one restarts before the others, and it crashes again on one of the first requests to the state
+/// service of its take-over.
 #[test]
 fn restarted_node_crashes_on_any_of_its_first_requests() {
     for nodes in [3, 5, 7] {
@@ -225,7 +228,7 @@
             let mut world = world(200 + u64::from(question), nodes);
             let (mut users, mut tokens) = (Users { nodes, next: 0 }, TokensSeen::default());
             world.run_for(START_MS);
-            let leader = world.leader_at().expect("some node owns the fleet");
+            let leader = world.leader_at().expect("a node leads the fleet");
             for round in 0..3 {
                 users.cancel_and_poll(&mut world);
                 tokens.run_for(&mut world, 5 + u64::from(question), &what);
@@ -252,8 +255,9 @@
     }
 }
 
-/// Cancelled under the former leader while no machine could be told; the next one stands, and has read nothing when the
-/// state service goes out. What it renewed, it would keep alive through the outage without knowing that it is to end.
+/// Jobs are cancelled under the former leader while no machine can be reached; the next leader is recorded, but has
+/// read nothing when the state service goes out. If it renewed leases, tasks of cancelled jobs would run on through the
+/// outage, as it does not know of the cancels.
 #[test]
 fn new_leader_that_has_read_nothing_renews_no_leases() {
     for nodes in [3, 5, 7] {
@@ -261,7 +265,7 @@
             let what = format!("{nodes} nodes, step {step}");
             let mut world = world(300 + step, nodes);
             world.run_for(START_MS);
-            let first = world.leader_at().expect("some node owns the fleet");
+            let first = world.leader_at().expect("a node leads the fleet");
             let refused_links =
                 Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 6000);
             world.cut(Cut {
@@ -274,14 +278,14 @@
                 who: Who::Node(first),
                 ms: 20_000,
             });
-            let (before, _) = leader_record(&world).expect("an owner");
+            let (before, _) = leader_record(&world).expect("there is a leader record");
             let (wait_start, mut wait) = (world.now(), 5);
             while leader_record(&world).is_none_or(|(token, _)| token <= before)
                 && world.now() < wait_start + 8000
             {
                 let before_step = world.now();
                 world.run_for(wait);
-                // Nothing happened yet.
+                // There was no event yet.
                 wait = if world.now() == before_step {
                     wait + 5
                 } else {
@@ -292,7 +296,7 @@
                 leader_record(&world).is_some_and(|(token, _)| token > before),
                 "{what}: nobody took over"
             );
-            // Its take-over is answered, and its first reads are not.
+            // Its take-over is answered, but its first reads are not.
             world.run_for(step);
             world.bring(&Trouble::StateOut { ms: 70_000 });
             world.run_for(75_000);
@@ -302,7 +306,10 @@
                 .values()
                 .filter(|j| j.told_cancelled.is_some())
                 .count();
-            assert!(confirmed > 4, "{what}: {confirmed} told");
+            assert!(
+                confirmed > 4,
+                "{what}: only {confirmed} cancels were confirmed"
+            );
             assert_ends(&mut world, &what);
         }
     }
