--- a/crates/standins/tests/hours.rs
+++ b/crates/standins/tests/hours.rs
@@ -54,7 +54,7 @@
     .team("blue", 2.0, 0.0)
 }
 
-fn answers<'a>(world: &'a World, ask: &str) -> Vec<(u16, &'a Value)> {
+fn responses<'a>(world: &'a World, ask: &str) -> Vec<(u16, &'a Value)> {
     world
         .answers
         .iter()
@@ -64,7 +64,7 @@
 }
 
 /// Jobs of two studios, calendars that change, hours that are moved and agreed anew, while anything may fail.
-fn drawn(seed: u64) -> Scene {
+fn random_scene(seed: u64) -> Scene {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut scene = Scene {
         held_one_in: 60,
@@ -115,10 +115,10 @@
 }
 
 #[test]
-fn hours_stand_whatever_fails() {
+fn release_hours_stay_as_agreed_through_faults() {
     let (mut moves, mut kept, mut missed) = (0, 0, 0);
     for seed in 0..18 {
-        let scene = drawn(seed);
+        let scene = random_scene(seed);
         let asks = scene.asks.len();
         let plan = Plan::of_scene(seed, [3, 5, 7][seed as usize % 3], scene, 240_000, 900_000);
         let mut world = World::new(Plan {
@@ -158,7 +158,7 @@
 
 /// The checker sees an hour that moves without an operator.
 #[test]
-fn the_check_of_hours_can_fail() {
+fn hours_checker_detects_an_hour_moved_without_an_operator() {
     let mut scene = scene();
     scene
         .asks
@@ -192,7 +192,7 @@
 
 /// The leader is lost at each step of a move: it is made once, and whoever asks again is told of it.
 #[test]
-fn a_move_survives_its_leader() {
+fn hour_is_moved_once_when_the_leader_crashes() {
     for (seed, delay) in (0..6).map(|i| (i, i * 4)) {
         let mut scene = scene();
         scene
@@ -213,10 +213,10 @@
         world.run_for(100_000);
         world.inquire(PATH.into(), ask);
         world.run_for(5000);
-        let said = answers(&world, "move");
+        let replies = responses(&world, "move");
         assert!(
-            said.len() == 2 && said.iter().all(|(status, _)| *status == 200),
-            "{delay} ms: {said:?}"
+            replies.len() == 2 && replies.iter().all(|(status, _)| *status == 200),
+            "{delay} ms: {replies:?}"
         );
         world.run_for(300_000);
         assert!(
@@ -240,7 +240,7 @@
 
 /// Two studios with the same work and room for half of it: the one whose hour is near goes first, though it came last.
 #[test]
-fn the_nearer_hour_goes_first() {
+fn job_with_the_nearer_hour_runs_first() {
     let plan = |hours: bool| {
         let mut scene = scene();
         let mut near = calendar(2, 0);
@@ -291,7 +291,7 @@
 
 /// Lists say what is due, kept and missed, by studio; a bad move is refused by name.
 #[test]
-fn operators_are_told() {
+fn operators_see_due_kept_missed_and_moved_hours() {
     let mut scene = scene();
     scene
         .asks
@@ -343,20 +343,20 @@
         "no transaction failed on a moved job's stamp"
     );
     assert_eq!(
-        answers(&world, "move")
+        responses(&world, "move")
             .iter()
             .map(|(s, _)| *s)
             .collect::<Vec<_>>(),
         [404, 422]
     );
-    let agreed = answers(&world, "reagree");
+    let agreed = responses(&world, "reagree");
     assert_eq!(
         (agreed[0].1["jobs"].as_u64(), agreed[1].1["jobs"].as_u64()),
         (Some(1), Some(1)),
         "{agreed:?}"
     );
     assert_eq!(world.hours.moves, 1, "the dry run moves none");
-    let (_, list) = answers(&world, "list")[0];
+    let (_, list) = responses(&world, "list")[0];
     let line = |job: &str| {
         let lines = list["lines"].as_array().expect("lines");
         lines
