--- a/crates/standins/tests/hours.rs
+++ b/crates/standins/tests/hours.rs
@@ -1,5 +1,5 @@
-//! Release hours in virtual time: an hour stands as it was written at acceptance, whatever fails, until an operator
-//! moves it.
+//! Release hours in virtual time: the hour at which a job is due stays as it was recorded when the job was accepted,
+//! whatever fails, until an operator moves it.
 
 use hours::{Release, Spec, Studio};
 use serde_json::{Value, json};
@@ -10,7 +10,7 @@
 
 const PATH: &str = "/admin/hours";
 
-/// The world begins at 00:16:40 of its first day; hours come every `step` minutes from 00:18 on.
+/// A calendar with a release hour every `step` minutes from 00:18 on. Virtual time begins at 00:16:40 of the first day.
 fn calendar(step: u32, notice_min: u32) -> Spec {
     let at = (0..40)
         .map(|i| 18 + i * step)
@@ -63,7 +63,7 @@
         .collect()
 }
 
-/// Jobs of two studios, calendars that change, hours that are moved and agreed anew, while anything may fail.
+/// Jobs of two studios, with calendars that change and hours that are moved and agreed again.
 fn random_scene(seed: u64) -> Scene {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut scene = Scene {
@@ -133,18 +133,18 @@
         );
         assert!(
             world.unfinished().is_empty(),
-            "seed {seed}: never ended: {:?}",
+            "seed {seed}: jobs that did not end: {:?}",
             world.unfinished()
         );
         assert_eq!(world.state.counts.too_large, 0, "seed {seed}");
         assert_eq!(
             world.answers.len(),
             asks,
-            "seed {seed}: all operators are answered"
+            "seed {seed}: an operator got no response"
         );
         assert!(
             world.hours.hours.values().flatten().count() > 10,
-            "seed {seed}: hours are bound"
+            "seed {seed}: too few jobs have release hours"
         );
         moves += world.hours.moves;
         kept += world.hours.kept.values().filter(|k| **k).count();
@@ -156,7 +156,7 @@
     );
 }
 
-/// The checker sees an hour that moves without an operator.
+/// The checker finds an hour that was changed in the job's record without an operator's request.
 #[test]
 fn hours_checker_detects_an_hour_moved_without_an_operator() {
     let mut scene = scene();
@@ -172,8 +172,8 @@
     let mut world = World::new(Plan::of_scene(1, 3, scene, 0, 300_000));
     world.run_for(60_000);
     let live = &world.state.keys["live/job-001000"].value;
-    let mut rec: JobRecord = serde_json::from_value(live.clone()).expect("a job");
-    let hour = rec.hour.clone().expect("an hour");
+    let mut rec: JobRecord = serde_json::from_value(live.clone()).expect("the job record decodes");
+    let hour = rec.hour.clone().expect("the job has an hour");
     rec.hour = Some(HourRecord {
         due_ms: hour.due_ms + 60_000,
         ..hour
@@ -190,7 +190,7 @@
     );
 }
 
-/// The leader is lost at each step of a move: it is made once, and whoever asks again is told of it.
+/// The leader crashes at different points of a move. The hour is moved once, and a repeated request succeeds as well.
 #[test]
 fn hour_is_moved_once_when_the_leader_crashes() {
     for (seed, delay) in (0..6).map(|i| (i, i * 4)) {
@@ -229,8 +229,10 @@
             (1, 1),
             "{delay} ms"
         );
-        let hour = world.hours.hours["job-001000"].as_ref().expect("an hour");
-        let moved = hour.moved.as_ref().expect("moved");
+        let hour = world.hours.hours["job-001000"]
+            .as_ref()
+            .expect("the job has an hour");
+        let moved = hour.moved.as_ref().expect("the hour was moved");
         assert_eq!(
             (hour.due_ms, moved.by.as_str(), moved.from_ms),
             (25 * 60_000, "ida", 18 * 60_000)
@@ -238,7 +240,8 @@
     }
 }
 
-/// Two studios with the same work and room for half of it: the one whose hour is near goes first, though it came last.
+/// Two studios submit work, and there is room for half of it. The studio whose hour is nearer goes first, though its
+/// jobs were submitted last.
 #[test]
 fn job_with_the_nearer_hour_runs_first() {
     let plan = |hours: bool| {
@@ -285,11 +288,14 @@
         )
     };
     let (without, with) = (plan(false), plan(true));
-    assert!(with.1 >= 7, "{with:?} kept");
-    assert!(with.0 + 20 < without.0, "{with:?} against {without:?}");
+    assert!(with.1 >= 7, "too few hours kept: {with:?}");
+    assert!(
+        with.0 + 20 < without.0,
+        "with hours {with:?}, without {without:?}"
+    );
 }
 
-/// Lists say what is due, kept and missed, by studio; a bad move is refused by name.
+/// Lists show the due, kept and missed hours by studio. A move of an unknown job, or to an invalid time, is refused.
 #[test]
 fn operators_see_due_kept_missed_and_moved_hours() {
     let mut scene = scene();
@@ -336,11 +342,11 @@
     assert_eq!(
         world.hours.kept.get("job-001002"),
         Some(&true),
-        "ended after its hour was moved"
+        "the job whose hour was moved ends in time"
     );
     assert_eq!(
         world.state.keys["sys/token"].value, token,
-        "no transaction failed on a moved job's stamp"
+        "no transaction failed on the version of a moved job"
     );
     assert_eq!(
         responses(&world, "move")
@@ -355,10 +361,10 @@
         (Some(1), Some(1)),
         "{agreed:?}"
     );
-    assert_eq!(world.hours.moves, 1, "the dry run moves none");
+    assert_eq!(world.hours.moves, 1, "the dry run moves no hour");
     let (_, list) = responses(&world, "list")[0];
     let line = |job: &str| {
-        let lines = list["lines"].as_array().expect("lines");
+        let lines = list["lines"].as_array().expect("the list has lines");
         lines
             .iter()
             .find(|l| l["job"] == job)
