--- a/crates/standins/tests/late_commands.rs
+++ b/crates/standins/tests/late_commands.rs
@@ -30,7 +30,7 @@
 }
 
 /// Machines that stand idle, and then one long job of a few tasks.
-fn idle(seed: u64, nodes: usize) -> World {
+fn idle_world(seed: u64, nodes: usize) -> World {
     let jobs = vec![
         timed(1000, 4000, array(1, "red", 8, 4.0)),
         timed(IDLE_MS, RUN_MS, array(2, "red", 3, 60.0)),
@@ -51,19 +51,19 @@
     world
 }
 
-const LONG: &str = "job-000002";
+const LONG_JOB: &str = "job-000002";
 
 /// Cancels the long job, and looks whether it stays away.
-fn cancelled(world: &mut World, what: &str) {
-    world.cancel(LONG);
+fn cancel_and_check(world: &mut World, what: &str) {
+    world.cancel(LONG_JOB);
     world.run_for(CANCEL_MS);
     assert_rules_kept(world, what);
     assert!(
-        world.rules.jobs[LONG].told_cancelled.is_some(),
+        world.rules.jobs[LONG_JOB].told_cancelled.is_some(),
         "{what}: nobody was told"
     );
     assert_eq!(
-        world.machines_of(LONG),
+        world.machines_of(LONG_JOB),
         Vec::<String>::new(),
         "{what}: still there"
     );
@@ -72,18 +72,19 @@
 /// A start is on its way for longer than its sender waits, or nearly as long, and its job is cancelled meanwhile. It
 /// must not begin when the start arrives and nobody knows of it any more.
 #[test]
-fn a_start_that_is_held_does_not_outlive_its_cancel() {
-    for (i, held) in [300, 900, 1500, 1950, 2050, 2500, 4000, 7000, 12_000]
+fn delayed_start_does_not_run_after_its_cancel() {
+    for (i, delay_ms) in [300, 900, 1500, 1950, 2050, 2500, 4000, 7000, 12_000]
         .into_iter()
         .enumerate()
     {
         for step in 0..sweep(8) {
             let nodes = [3, 5, 7][step as usize % 3];
-            let what = format!("{nodes} nodes, held for {held} ms, cancelled after step {step}");
-            let mut world = idle(i as u64 * 100 + step, nodes);
-            world.hold_commands(1500, held);
-            world.run_for(step * (held + 1000) / sweep(8));
-            cancelled(&mut world, &what);
+            let what =
+                format!("{nodes} nodes, held for {delay_ms} ms, cancelled after step {step}");
+            let mut world = idle_world(i as u64 * 100 + step, nodes);
+            world.hold_commands(1500, delay_ms);
+            world.run_for(step * (delay_ms + 1000) / sweep(8));
+            cancel_and_check(&mut world, &what);
         }
     }
 }
@@ -91,28 +92,28 @@
 /// A start stands in the answer to a report, since a command was lost, and that answer is on its way when a stop comes
 /// straight to the machine. The stop finds nothing, and the start follows.
 #[test]
-fn a_start_in_an_answer_that_a_stop_overtakes_is_stopped_too() {
-    for slow in [800, 1600, 2400, 3600] {
+fn start_in_a_report_response_that_a_stop_overtakes_is_stopped() {
+    for delay_ms in [800, 1600, 2400, 3600] {
         for step in 0..sweep(12) {
             let nodes = [3, 5, 7][step as usize % 3];
-            let what = format!("{nodes} nodes, answers {slow} ms late, step {step}");
-            let mut world = idle(slow + step, nodes);
+            let what = format!("{nodes} nodes, answers {delay_ms} ms late, step {step}");
+            let mut world = idle_world(delay_ms + step, nodes);
             let refused = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 400);
             world.cut(Cut {
                 both: false,
                 how: How::Reset,
                 ..refused
             });
-            world.slow_answers(20_000, slow);
+            world.slow_answers(20_000, delay_ms);
             world.run_for(400 + step * 7000 / sweep(12));
-            cancelled(&mut world, &what);
+            cancel_and_check(&mut world, &what);
         }
     }
 }
 
 /// Short and long arrays and gangs of two teams and all urgencies, some of them cancelled, on a fleet that is too small
 /// for all: much is stopped for room.
-fn busy(seed: u64, rng: &mut fastrand::Rng, nodes: usize) -> World {
+fn busy_world(seed: u64, rng: &mut fastrand::Rng, nodes: usize) -> World {
     let job = |i: u32| {
         let kind = if i.is_multiple_of(4) {
             Kind::Gang
@@ -150,21 +151,24 @@
 
 /// Any commands and answers held for any time, machines that hang and go on, and leaders that end in between.
 #[test]
-fn rules_hold_whatever_is_held() {
+fn invariants_hold_with_delayed_commands_and_responses() {
     for seed in 0..sweep(12) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let nodes = [3, 5, 7][seed as usize % 3];
         let what = format!("{nodes} nodes, seed {seed}");
-        let mut world = busy(seed, &mut rng, nodes);
+        let mut world = busy_world(seed, &mut rng, nodes);
         for _ in 0..40 {
             world.run_for(rng.u64(500..5000));
             match rng.u32(0..8) {
                 0..3 => world.hold_commands(rng.u64(100..3000), rng.u64(100..14_000)),
                 3 | 4 => world.slow_answers(rng.u64(500..6000), rng.u64(200..3900)),
                 5 => {
-                    let all = world.machines();
-                    if !all.is_empty() {
-                        world.hang(&all[rng.usize(0..all.len())], rng.u64(500..20_000));
+                    let machines = world.machines();
+                    if !machines.is_empty() {
+                        world.hang(
+                            &machines[rng.usize(0..machines.len())],
+                            rng.u64(500..20_000),
+                        );
                     }
                 }
                 6 => {
