--- a/crates/standins/tests/late_commands.rs
+++ b/crates/standins/tests/late_commands.rs
@@ -1,4 +1,4 @@
-//! Commands to machines, or the answers to their reports, come late, and the machines then go on.
+//! Commands to machines, or the responses to their reports, are delivered late.
 
 use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
@@ -7,12 +7,12 @@
 use wire::api::{JobSpec, Kind, Priority};
 
 const RUN_MS: u64 = 200_000;
-/// When the machines are there and hold nothing.
+/// The time at which the machines are up and idle.
 const IDLE_MS: u64 = 40_000;
-/// Longer than a cancel may take, and a worker's lease beside it.
+/// Longer than a cancel may take plus a worker's lease.
 const CANCEL_MS: u64 = 60_000;
 
-/// So many rounds, or as many as `SWEEP` says.
+/// The number of rounds: `rounds`, unless the environment variable `SWEEP` is set.
 fn sweep(rounds: u64) -> u64 {
     std::env::var("SWEEP")
         .ok()
@@ -29,7 +29,7 @@
     }
 }
 
-/// Machines that stand idle, and then one long job of a few tasks.
+/// Idle machines, just before a long job of a few tasks is submitted.
 fn idle_world(seed: u64, nodes: usize) -> World {
     let jobs = vec![
         timed(1000, 4000, array(1, "red", 8, 4.0)),
@@ -46,31 +46,31 @@
     world.run_for(IDLE_MS - 1);
     assert!(
         world.on_machines().is_empty(),
-        "seed {seed}: the first job is over"
+        "seed {seed}: the first job has not ended"
     );
     world
 }
 
 const LONG_JOB: &str = "job-000002";
 
-/// Cancels the long job, and looks whether it stays away.
+/// Cancels the long job, and checks that the cancel is confirmed and that no machine runs its tasks in the end.
 fn cancel_and_check(world: &mut World, what: &str) {
     world.cancel(LONG_JOB);
     world.run_for(CANCEL_MS);
     assert_rules_kept(world, what);
     assert!(
         world.rules.jobs[LONG_JOB].told_cancelled.is_some(),
-        "{what}: nobody was told"
+        "{what}: the cancel was not confirmed"
     );
     assert_eq!(
         world.machines_of(LONG_JOB),
         Vec::<String>::new(),
-        "{what}: still there"
+        "{what}: tasks are still running"
     );
 }
 
-/// A start is on its way for longer than its sender waits, or nearly as long, and its job is cancelled meanwhile. It
-/// must not begin when the start arrives and nobody knows of it any more.
+/// A start command is delayed for longer than its sender waits, or nearly as long, and its job is cancelled meanwhile.
+/// The task must not keep running when the start arrives after the controllers have dropped it.
 #[test]
 fn delayed_start_does_not_run_after_its_cancel() {
     for (i, delay_ms) in [300, 900, 1500, 1950, 2050, 2500, 4000, 7000, 12_000]
@@ -89,14 +89,14 @@
     }
 }
 
-/// A start stands in the answer to a report, since a command was lost, and that answer is on its way when a stop comes
-/// straight to the machine. The stop finds nothing, and the start follows.
+/// A start is sent in the response to a report, since the command was lost, and a stop that is sent to the machine
+/// directly overtakes that response. The stop finds no task, and the start arrives after it.
 #[test]
 fn start_in_a_report_response_that_a_stop_overtakes_is_stopped() {
     for delay_ms in [800, 1600, 2400, 3600] {
         for step in 0..sweep(12) {
             let nodes = [3, 5, 7][step as usize % 3];
-            let what = format!("{nodes} nodes, answers {delay_ms} ms late, step {step}");
+            let what = format!("{nodes} nodes, responses {delay_ms} ms late, step {step}");
             let mut world = idle_world(delay_ms + step, nodes);
             let refused = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 400);
             world.cut(Cut {
@@ -111,8 +111,8 @@
     }
 }
 
-/// Short and long arrays and gangs of two teams and all urgencies, some of them cancelled, on a fleet that is too small
-/// for all: much is stopped for room.
+/// Short and long arrays and gangs of two teams and all priorities, some of them cancelled, on a fleet that is too
+/// small for all of them, so that many tasks are preempted.
 fn busy_world(seed: u64, rng: &mut fastrand::Rng, nodes: usize) -> World {
     let job = |i: u32| {
         let kind = if i.is_multiple_of(4) {
@@ -149,7 +149,7 @@
     World::new(Plan::of_scene(seed, nodes, scene, 0, 600_000))
 }
 
-/// Any commands and answers held for any time, machines that hang and go on, and leaders that end in between.
+/// Random delays of commands and responses, machines that hang for a time, and leaders that crash or are refused.
 #[test]
 fn invariants_hold_with_delayed_commands_and_responses() {
     for seed in 0..sweep(12) {
