--- a/crates/standins/tests/late_writes.rs
+++ b/crates/standins/tests/late_writes.rs
@@ -12,7 +12,7 @@
 use wire::api::{JobSpec, Kind};
 
 /// What is drawn beside late writes.
-const OTHERS: [&str; 8] = [
+const OTHER_FAULTS: [&str; 8] = [
     "alone",
     "owner crashes",
     "all crash",
@@ -23,7 +23,7 @@
     "cut off",
 ];
 
-fn other(kind: &str, rng: &mut fastrand::Rng) -> Option<Trouble> {
+fn other_fault(kind: &str, rng: &mut fastrand::Rng) -> Option<Trouble> {
     let back_ms = [60, 300, 2500][rng.usize(0..3)];
     match kind {
         "owner crashes" => Some(Trouble::Crash {
@@ -79,7 +79,7 @@
     ));
     for at in (BEGIN + 2000..BEGIN + for_ms).step_by(7000) {
         day.troubles
-            .extend(other(kind, &mut rng).map(|t| (at + rng.u64(0..3000), t)));
+            .extend(other_fault(kind, &mut rng).map(|t| (at + rng.u64(0..3000), t)));
     }
     day.quiet = day
         .troubles
@@ -91,50 +91,50 @@
     plan
 }
 
-fn kept(world: &World, what: &str) {
+fn assert_kept(world: &World, what: &str) {
     assert_rules_kept(world, what);
     assert_eq!(world.state.counts.too_large, 0, "{what}");
 }
 
 /// Tasks of jobs that have ended.
-fn left_running(world: &World) -> Vec<String> {
+fn running_tasks_of_ended_jobs(world: &World) -> Vec<String> {
     let open: BTreeSet<&str> = world.unfinished().into_iter().collect();
     let of = |task: &String| wire::ids::parse_task(task).is_some_and(|(id, _)| open.contains(id));
     world.on_machines().into_iter().filter(|t| !of(t)).collect()
 }
 
 /// Racks that were put in place of one that went within the same term, with other machines.
-fn numbers_used_again(world: &World) -> Vec<String> {
-    let mut said: BTreeMap<&str, BTreeSet<String>> = BTreeMap::new();
-    let (mut gone, mut again) = (BTreeSet::new(), Vec::new());
+fn reused_shard_keys(world: &World) -> Vec<String> {
+    let mut values_seen: BTreeMap<&str, BTreeSet<String>> = BTreeMap::new();
+    let (mut removed, mut reused) = (BTreeSet::new(), Vec::new());
     for (_, key, value) in world.state.history(0) {
         if key == "sys/owner/0" {
-            (gone, said) = (BTreeSet::new(), BTreeMap::new());
+            (removed, values_seen) = (BTreeSet::new(), BTreeMap::new());
         } else if key.starts_with("part/0/rack/") {
             match value {
-                None => drop(gone.insert(key)),
+                None => drop(removed.insert(key)),
                 Some(v) => {
-                    let new = said.entry(key).or_default().insert(v.to_string());
-                    if new && gone.contains(key) {
-                        again.push(key.clone());
+                    let is_new = values_seen.entry(key).or_default().insert(v.to_string());
+                    if is_new && removed.contains(key) {
+                        reused.push(key.clone());
                     }
                 }
             }
         }
     }
-    again
+    reused
 }
 
 /// Late writes alone and with each other trouble, from one in twenty of all to all of them.
 #[test]
-fn days_of_late_writes_break_no_rule() {
+fn days_with_late_writes_break_no_invariant() {
     let shares = [0.05, 0.3, 0.6, 1.0];
     let seeds = std::env::var("LATE_SEEDS")
         .ok()
         .and_then(|s| s.parse().ok())
         .unwrap_or(1u64);
     let mut late = 0;
-    for (i, kind) in OTHERS.iter().enumerate() {
+    for (i, kind) in OTHER_FAULTS.iter().enumerate() {
         for (k, share) in shares.iter().enumerate() {
             for round in 0..seeds {
                 let nodes = [3, 5, 7][(i + k + round as usize) % 3];
@@ -143,7 +143,7 @@
                 let mut world = World::new(day(kind, *share, seed, nodes));
                 world.run_day();
                 let v = world.verdict();
-                kept(&world, &what);
+                assert_kept(&world, &what);
                 assert!(
                     v.forgotten_75.is_empty(),
                     "{what}: forgotten {:?}",
@@ -166,9 +166,13 @@
                     v.jobs
                 );
                 world.run_for(45_000);
-                kept(&world, &what);
-                assert_eq!(left_running(&world), Vec::<String>::new(), "{what}");
-                assert_eq!(numbers_used_again(&world), Vec::<String>::new(), "{what}");
+                assert_kept(&world, &what);
+                assert_eq!(
+                    running_tasks_of_ended_jobs(&world),
+                    Vec::<String>::new(),
+                    "{what}"
+                );
+                assert_eq!(reused_shard_keys(&world), Vec::<String>::new(), "{what}");
                 late += world.hits.late_writes;
             }
         }
@@ -278,7 +282,7 @@
 
 /// Holds the first copy of each transaction that has a change of the kind, while newer ones pass, and lands them all a
 /// minute later; then the leader ends, and the next reads what there is.
-fn held_for_a_minute(
+fn hold_writes_for_a_minute(
     kind: &'static str,
     leaders: Leaders,
     unguarded: &[&'static str],
@@ -335,7 +339,7 @@
 
 /// Each kind of write, by what it changes, and whether a second landing may put anew what was there and had gone: that
 /// says what it always said, and whoever reads it treats it as possibly true until proved otherwise.
-const KINDS: [(&str, bool); 18] = [
+const WRITE_KINDS: [(&str, bool); 18] = [
     ("put end/", false),
     ("remove live/", false),
     ("put live/", false),
@@ -358,42 +362,46 @@
 
 #[test]
 fn each_kind_of_write_may_land_a_minute_late_under_later_leaders() {
-    each_kind_lands_late(Leaders::Change);
+    check_each_write_kind(Leaders::Change);
 }
 
 #[test]
 fn each_kind_of_write_may_land_a_minute_late_in_its_own_term() {
-    let anew = each_kind_lands_late(Leaders::Stay);
+    let changed_by_kind = check_each_write_kind(Leaders::Stay);
     assert!(
-        anew["put part/0/hire/"] > 0,
-        "no record of a rental was put anew: {anew:?}"
+        changed_by_kind["put part/0/hire/"] > 0,
+        "no record of a rental was put anew: {changed_by_kind:?}"
     );
 }
 
 /// How many transactions of each kind changed something.
-fn each_kind_lands_late(leaders: Leaders) -> BTreeMap<&'static str, usize> {
-    let mut anew: BTreeMap<&str, usize> = BTreeMap::new();
-    for (i, (kind, may_change)) in KINDS.into_iter().enumerate() {
+fn check_each_write_kind(leaders: Leaders) -> BTreeMap<&'static str, usize> {
+    let mut changed_by_kind: BTreeMap<&str, usize> = BTreeMap::new();
+    for (i, (kind, may_change)) in WRITE_KINDS.into_iter().enumerate() {
         let (seed, nodes) = (40 + i as u64, [3, 5, 7][i % 3]);
         let what = format!("{kind}, owners {leaders:?}, seed {seed}, {nodes} nodes");
-        let (mut world, landed) = held_for_a_minute(kind, leaders, &[], seed, nodes);
-        let of_terms = [
+        let (mut world, landed) = hold_writes_for_a_minute(kind, leaders, &[], seed, nodes);
+        let term_writes = [
             "put sys/owner/",
             "put sys/token",
             "DELETE /grants/",
             "POST /grants/",
         ];
-        let none = leaders == Leaders::Stay && of_terms.contains(&kind);
+        let none = leaders == Leaders::Stay && term_writes.contains(&kind);
         assert!(none || !landed.is_empty(), "{what}: none was held");
         let changed: Vec<_> = landed.iter().filter(|(_, changed)| *changed).collect();
         assert!(may_change || changed.is_empty(), "{what}: {changed:?}");
-        *anew.entry(kind).or_default() += changed.len();
-        kept(&world, &what);
+        *changed_by_kind.entry(kind).or_default() += changed.len();
+        assert_kept(&world, &what);
         assert_all_ended(&world, &what);
         world.run_for(45_000);
-        kept(&world, &what);
-        assert_eq!(left_running(&world), Vec::<String>::new(), "{what}");
-        assert_eq!(numbers_used_again(&world), Vec::<String>::new(), "{what}");
+        assert_kept(&world, &what);
+        assert_eq!(
+            running_tasks_of_ended_jobs(&world),
+            Vec::<String>::new(),
+            "{what}"
+        );
+        assert_eq!(reused_shard_keys(&world), Vec::<String>::new(), "{what}");
         // A new leader has tidied away what came anew.
         let logs = world
             .state
@@ -403,14 +411,14 @@
             .count();
         assert!(logs < 5, "{what}: {logs} log records are left");
     }
-    println!("{leaders:?}: {anew:?}");
-    anew
+    println!("{leaders:?}: {changed_by_kind:?}");
+    changed_by_kind
 }
 
 /// The removal of an empty inventory shard was not answered, and a machine that came meanwhile was written under its number: a late
 /// copy of the first put under that number was then taken for its record, and the machine stood in none.
 #[test]
-fn a_rack_s_number_is_not_used_again() {
+fn number_of_a_removed_inventory_shard_is_not_reused() {
     let mut held = 0;
     for seed in 0..24u64 {
         let job = |i: u64| Timed {
@@ -440,9 +448,9 @@
             landed.iter().all(|(_, changed)| !changed),
             "seed {seed}: {landed:?}"
         );
-        kept(&world, &format!("seed {seed}"));
+        assert_kept(&world, &format!("seed {seed}"));
         assert_eq!(
-            numbers_used_again(&world),
+            reused_shard_keys(&world),
             Vec::<String>::new(),
             "seed {seed}"
         );
@@ -453,7 +461,7 @@
 /// A renewal, or the end of a lease, that comes long after its leader has stepped down finds nothing on that lease, also
 /// where the same node leads the fleet again.
 #[test]
-fn what_comes_late_of_a_lease_touches_no_later_record() {
+fn late_end_of_a_lease_leaves_later_leader_records_unchanged() {
     let mut ended = 0;
     for (seed, nodes) in [(1, 3), (2, 5), (3, 7)] {
         let mut world = World::new(Plan::of_scene(seed, nodes, scene(seed), 0, 900_000));
@@ -489,17 +497,17 @@
             world.run_for(300);
             assert_eq!(record(&world), before, "seed {seed}");
         }
-        kept(&world, &format!("seed {seed}"));
+        assert_kept(&world, &format!("seed {seed}"));
     }
     assert!(ended > 5, "only {ended} leases were ended late");
 }
 
 /// A write is held in so many worlds at the most, until something is seen.
-const HELD_TRIES: u64 = 8;
+const MAX_HELD_SEEDS: u64 = 8;
 
 /// What a held write and a sweep of days show where the state service ignores the guards on some keys: the rules that
 /// break, and whether something landed that must not.
-fn seen_without(
+fn failures_without_guards(
     leaders: Leaders,
     unguarded: &[&'static str],
     kinds: &[&'static str],
@@ -508,9 +516,9 @@
     let mut seen = BTreeSet::new();
     for (i, kind) in kinds.iter().copied().enumerate() {
         // Whether a held write still fits where it lands is the world's luck.
-        for seed in 0..HELD_TRIES {
+        for seed in 0..MAX_HELD_SEEDS {
             let (world, landed) =
-                held_for_a_minute(kind, leaders, unguarded, 40 + i as u64 + seed, 3);
+                hold_writes_for_a_minute(kind, leaders, unguarded, 40 + i as u64 + seed, 3);
             seen.extend(world.rules.broken.keys().map(|r| (*r).to_string()));
             if landed.iter().any(|(_, changed)| *changed) {
                 seen.insert("landed".into());
@@ -528,7 +536,7 @@
         if !seen.is_empty() {
             break;
         }
-        let kind = OTHERS[seed as usize % OTHERS.len()];
+        let kind = OTHER_FAULTS[seed as usize % OTHER_FAULTS.len()];
         let mut world = World::new(day(kind, 0.4, 7000 + seed, [3, 5, 7][seed as usize % 3]));
         world.state.unguarded = unguarded.to_vec();
         world.run_day();
@@ -542,9 +550,13 @@
 
 /// Guards ignored by the state service, one kind after the other: what each is there for.
 #[test]
-fn every_guard_is_there_for_something() {
+fn each_guard_prevents_a_failure() {
     let seen = GUARDS.map(|(guards, leaders, kinds, days)| {
-        (guards, kinds, seen_without(leaders, guards, kinds, days))
+        (
+            guards,
+            kinds,
+            failures_without_guards(leaders, guards, kinds, days),
+        )
     });
     seen.iter()
         .for_each(|(guards, kinds, seen)| println!("| {guards:?} | {kinds:?}: {seen:?} |"));
@@ -585,9 +597,10 @@
 
 /// What was seen once is seen again.
 #[test]
-fn held_writes_repeat() {
+fn held_writes_are_deterministic() {
     let seen = || {
-        let (world, landed) = held_for_a_minute("put part/0/log/", Leaders::Change, &[], 41, 3);
+        let (world, landed) =
+            hold_writes_for_a_minute("put part/0/log/", Leaders::Change, &[], 41, 3);
         format!("{landed:?} {:?}", world.state.history(0))
     };
     assert!(seen() == seen());
