--- a/crates/standins/tests/late_writes.rs
+++ b/crates/standins/tests/late_writes.rs
@@ -1,5 +1,5 @@
-//! Changes of the state service that nobody answers, and that land after newer ones of the same controller: on days full
-//! of them, and each kind of write held by itself until what it was made for is long over.
+//! Writes to the state service that are not answered, and are executed after newer writes of the same controller: on
+//! days with many of them, and for each kind of write, which is held until long after its purpose is gone.
 
 use model::{Rule, Spec as Models};
 use quota::{Amounts, NodeSpec, Spec, TeamSpec};
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use wire::api::{JobSpec, Kind};
 
-/// What is drawn beside late writes.
+/// The faults that occur besides late writes.
 const OTHER_FAULTS: [&str; 8] = [
     "alone",
     "owner crashes",
@@ -56,7 +56,7 @@
     }
 }
 
-/// A minute with late writes, something else every few seconds, and a third of the jobs cancelled.
+/// A minute with late writes, another fault every few seconds, and a third of the jobs cancelled.
 fn day(kind: &str, share: f64, seed: u64, nodes: usize) -> Plan {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut plan = days::plan(0, seed, nodes, Size::SMALL);
@@ -66,8 +66,8 @@
             job.cancel_ms = Some(rng.u64(0..30_000));
         }
     }
-    let day = scene.day.as_mut().expect("days have troubles");
-    // While all are late nothing can be recorded for sure: a quarter of the time at once.
+    let day = scene.day.as_mut().expect("days have faults");
+    // While all writes are late, no write is confirmed: such a period lasts only 15 s.
     let for_ms = if share < 1.0 { 60_000 } else { 15_000 };
     day.troubles.push((
         BEGIN,
@@ -96,14 +96,14 @@
     assert_eq!(world.state.counts.too_large, 0, "{what}");
 }
 
-/// Tasks of jobs that have ended.
+/// Running tasks of jobs that have ended.
 fn running_tasks_of_ended_jobs(world: &World) -> Vec<String> {
     let open: BTreeSet<&str> = world.unfinished().into_iter().collect();
     let of = |task: &String| wire::ids::parse_task(task).is_some_and(|(id, _)| open.contains(id));
     world.on_machines().into_iter().filter(|t| !of(t)).collect()
 }
 
-/// Racks that were put in place of one that went within the same term, with other machines.
+/// Keys of inventory shards that were written again, with other content, after their removal in the same term.
 fn reused_shard_keys(world: &World) -> Vec<String> {
     let mut values_seen: BTreeMap<&str, BTreeSet<String>> = BTreeMap::new();
     let (mut removed, mut reused) = (BTreeSet::new(), Vec::new());
@@ -125,7 +125,7 @@
     reused
 }
 
-/// Late writes alone and with each other trouble, from one in twenty of all to all of them.
+/// Late writes alone and with each other fault, for a share of all writes from one in twenty to all.
 #[test]
 fn days_with_late_writes_break_no_invariant() {
     let shares = [0.05, 0.3, 0.6, 1.0];
@@ -195,8 +195,8 @@
     }
 }
 
-/// Something of everything that is ever written: arrays and gangs, some cancelled, counties, quota trees that follow
-/// each other, a model that sleeps and wakes.
+/// A scene that causes every kind of write: arrays and gangs, some of them cancelled, counties, quota trees that
+/// replace each other, a model that sleeps and wakes.
 fn scene(seed: u64) -> Scene {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut scene = Scene {
@@ -272,16 +272,17 @@
     scene
 }
 
-/// Who leads the fleet while writes are held.
+/// Whether the leader of the fleet changes while writes are held.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Leaders {
     Change,
-    /// One term from before the first until after the last has landed: its leader record fails none of them.
+    /// One term from before the first write is held until all have landed, so that no write fails on the leader record.
     Stay,
 }
 
-/// Holds the first copy of each transaction that has a change of the kind, while newer ones pass, and lands them all a
-/// minute later; then the leader ends, and the next reads what there is.
+/// Holds the first copy of each transaction that has a write of the kind, while newer ones are executed, and executes
+/// the held ones a minute later; then the leader crashes, and the next leader reads the records. Returns the writes of
+/// each held transaction, and whether it changed anything.
 fn hold_writes_for_a_minute(
     kind: &'static str,
     leaders: Leaders,
@@ -298,7 +299,7 @@
     });
     for k in 0..6 {
         world.run_for(10_000);
-        // Owners change, by an end and by steps down, so that there is something of each kind.
+        // The leader changes by a crash and by a refusal, or machines are lost, so that each kind of write occurs.
         match k {
             1 if leaders == Leaders::Change => world.bring(&Trouble::Refused {
                 who: Who::Leader,
@@ -328,7 +329,7 @@
         back_ms: 300,
     });
     world.run_for(110_000);
-    // Some take longer, where machines were lost.
+    // Some jobs take longer, as machines were lost.
     for _ in 0..20 {
         if !world.unfinished().is_empty() {
             world.run_for(20_000);
@@ -337,8 +338,8 @@
     (world, landed)
 }
 
-/// Each kind of write, by what it changes, and whether a second landing may put anew what was there and had gone: that
-/// says what it always said, and whoever reads it treats it as possibly true until proved otherwise.
+/// Each kind of write, and whether a late copy of it may restore a record that was removed. Such a record has its old
+/// content, and its readers treat it as possibly true until it is disproved.
 const WRITE_KINDS: [(&str, bool); 18] = [
     ("put end/", false),
     ("remove live/", false),
@@ -370,16 +371,16 @@
     let changed_by_kind = check_each_write_kind(Leaders::Stay);
     assert!(
         changed_by_kind["put part/0/hire/"] > 0,
-        "no record of a rental was put anew: {changed_by_kind:?}"
+        "no rental record was restored: {changed_by_kind:?}"
     );
 }
 
-/// How many transactions of each kind changed something.
+/// Checks each kind of write. Returns how many late transactions of each kind changed something.
 fn check_each_write_kind(leaders: Leaders) -> BTreeMap<&'static str, usize> {
     let mut changed_by_kind: BTreeMap<&str, usize> = BTreeMap::new();
     for (i, (kind, may_change)) in WRITE_KINDS.into_iter().enumerate() {
         let (seed, nodes) = (40 + i as u64, [3, 5, 7][i % 3]);
-        let what = format!("{kind}, owners {leaders:?}, seed {seed}, {nodes} nodes");
+        let what = format!("{kind}, leaders {leaders:?}, seed {seed}, {nodes} nodes");
         let (mut world, landed) = hold_writes_for_a_minute(kind, leaders, &[], seed, nodes);
         let term_writes = [
             "put sys/owner/",
@@ -388,7 +389,7 @@
             "POST /grants/",
         ];
         let none = leaders == Leaders::Stay && term_writes.contains(&kind);
-        assert!(none || !landed.is_empty(), "{what}: none was held");
+        assert!(none || !landed.is_empty(), "{what}: no write was held");
         let changed: Vec<_> = landed.iter().filter(|(_, changed)| *changed).collect();
         assert!(may_change || changed.is_empty(), "{what}: {changed:?}");
         *changed_by_kind.entry(kind).or_default() += changed.len();
@@ -402,7 +403,7 @@
             "{what}"
         );
         assert_eq!(reused_shard_keys(&world), Vec::<String>::new(), "{what}");
-        // A new leader has tidied away what came anew.
+        // A new leader has removed the restored log records.
         let logs = world
             .state
             .keys
@@ -415,8 +416,9 @@
     changed_by_kind
 }
 
-/// The removal of an empty inventory shard was not answered, and a machine that came meanwhile was written under its number: a late
-/// copy of the first put under that number was then taken for its record, and the machine stood in none.
+/// The removal of an empty inventory shard was not answered, and a machine that was added meanwhile was written under
+/// the same number. A late copy of the first write under that number then replaced the record, and the machine was in
+/// no record.
 #[test]
 fn number_of_a_removed_inventory_shard_is_not_reused() {
     let mut held = 0;
@@ -441,7 +443,7 @@
         ));
         world.hold_first(|all| all.iter().any(|w| w.starts_with("remove part/0/rack/")));
         world.run_for(200_000);
-        // Nothing that comes now takes another's place.
+        // The late removals change nothing.
         let landed = world.land_held();
         held += landed.len();
         assert!(
@@ -458,8 +460,8 @@
     assert!(held > 20, "only {held} removals were held");
 }
 
-/// A renewal, or the end of a lease, that comes long after its leader has stepped down finds nothing on that lease, also
-/// where the same node leads the fleet again.
+/// A request to end a lease that is executed long after its leader has stepped down changes no later leader record,
+/// also when the same node leads the fleet again.
 #[test]
 fn late_end_of_a_lease_leaves_later_leader_records_unchanged() {
     let mut ended = 0;
@@ -468,8 +470,8 @@
         world.hold_first(|all| all.iter().any(|w| w.starts_with("DELETE /grants/")));
         world.run_for(25_000);
         for _ in 0..4 {
-            // All the others are refused when it comes to an election, so that the same node wins it.
-            let leader = world.leader_at().expect("some node owns the fleet");
+            // All other nodes are refused during the election, so that the same node wins it.
+            let leader = world.leader_at().expect("a node leads the fleet");
             world.bring(&Trouble::Refused {
                 who: Who::Leader,
                 ms: 2600,
@@ -484,7 +486,7 @@
             assert_eq!(
                 world.leader_at(),
                 Some(leader),
-                "seed {seed}: the same owner again"
+                "seed {seed}: another node leads"
             );
             let record = |w: &World| {
                 w.state
@@ -502,11 +504,11 @@
     assert!(ended > 5, "only {ended} leases were ended late");
 }
 
-/// A write is held in so many worlds at the most, until something is seen.
+/// The most seeds that a kind of write is held with until a failure is seen.
 const MAX_HELD_SEEDS: u64 = 8;
 
-/// What a held write and a sweep of days show where the state service ignores the guards on some keys: the rules that
-/// break, and whether something landed that must not.
+/// The failures of held writes, or else of days with late writes, when the state service ignores the guards on some
+/// keys: broken rules, jobs that do not end, and late writes that changed something.
 fn failures_without_guards(
     leaders: Leaders,
     unguarded: &[&'static str],
@@ -515,7 +517,7 @@
 ) -> BTreeSet<String> {
     let mut seen = BTreeSet::new();
     for (i, kind) in kinds.iter().copied().enumerate() {
-        // Whether a held write still fits where it lands is the world's luck.
+        // Whether a held write can still be executed depends on the seed.
         for seed in 0..MAX_HELD_SEEDS {
             let (world, landed) =
                 hold_writes_for_a_minute(kind, leaders, unguarded, 40 + i as u64 + seed, 3);
@@ -531,7 +533,7 @@
             }
         }
     }
-    // Until something is seen.
+    // Days with late writes, until a failure is seen.
     for seed in 0..days {
         if !seen.is_empty() {
             break;
@@ -548,7 +550,7 @@
     seen
 }
 
-/// Guards ignored by the state service, one kind after the other: what each is there for.
+/// With each kind of guard ignored by the state service in turn, some failure is seen. Prints the failures.
 #[test]
 fn each_guard_prevents_a_failure() {
     let seen = GUARDS.map(|(guards, leaders, kinds, days)| {
@@ -564,7 +566,8 @@
     assert!(unseen.is_empty(), "{unseen:?}");
 }
 
-/// The keys whose guards are ignored, the writes that are held then, and days that are played.
+/// The keys whose guards are ignored, the leaders, the kinds of writes that are held then, and the number of days to
+/// run.
 const GUARDS: [(&[&str], Leaders, &[&str], u64); 12] = [
     (&[""], Leaders::Change, &[], 24),
     (
@@ -595,7 +598,7 @@
     (&["part/0/hire/"], Leaders::Stay, &["put part/0/hire/"], 0),
 ];
 
-/// What was seen once is seen again.
+/// The same seed gives the same history of the state service.
 #[test]
 fn held_writes_are_deterministic() {
     let seen = || {
