--- a/crates/standins/tests/changes_of_leader.rs
+++ b/crates/standins/tests/changes_of_leader.rs
@@ -269,8 +269,8 @@
     }
 }
 
-/// The leader changes before or while machines are unreachable, for less and for more than their leases. Their tasks
-/// count until they are proved to be gone: limits and zones hold, and in the end all jobs are done.
+/// The leader changes before, while or after machines are unreachable, for less and for more than their leases. Their
+/// tasks count until they are proved to be gone: limits and zones hold, and in the end all jobs are done.
 #[test]
 fn claims_on_unreachable_machines_count_after_a_leader_change() {
     let causes = [
