--- a/crates/wire/tests/production/documents.rs
+++ b/crates/wire/tests/production/documents.rs
@@ -1,7 +1,7 @@
-//! Heads and parts of documents, as records and as controllers follow them.
+//! Cases for the heads and parts of documents: as their own records, and as the shared records that controllers watch.
 
-use crate::records::{assert_shared, record, shared};
-use crate::{Case, encode, encoded_as, sent};
+use crate::records::{assert_decodes_as_shared, empty_shared_record, record};
+use crate::{Case, encode, encoded_as, write_only};
 use county::{Apart, CountySpec, Others};
 use document::{Content, Head, Past};
 use hours::{Agreement, Exception, Holiday, Release, Studio};
@@ -10,12 +10,13 @@
 use std::fmt::Debug;
 use wire::records::{HeadRecord, Record, SharedRecord};
 
-/// A part of a document: written in its kind's form by way of a generic value, which puts fields into their order.
+/// A part of a document. It is encoded through a generic value, which determines the order of the fields, and decoded
+/// as the type of its kind.
 fn part<T>(file: &'static str, value: T) -> Case
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug + 'static,
 {
-    let generic = serde_json::to_value(&value).expect("a value");
+    let generic = serde_json::to_value(&value).expect("the part can be serialized");
     encoded_as(file, encode(file, &Record::Other(generic)), value)
 }
 
@@ -39,7 +40,7 @@
     ]
 }
 
-pub fn past() -> Past {
+pub fn history_entry() -> Past {
     Past {
         version: 300,
         change: "0123456789abcdef".to_owned(),
@@ -57,7 +58,7 @@
             "b2770a2c7d1f9282cfd68b70".to_owned(),
             "93d9743831526e13ba740182".to_owned(),
         ],
-        history: vec![past(), Past::default()],
+        history: vec![history_entry(), Past::default()],
     }
 }
 
@@ -228,21 +229,22 @@
 }
 
 #[test]
-fn heads_are_read_without_knowing_their_kind() {
+fn document_heads_decode_as_shared_records() {
     let document = |head| SharedRecord {
         document: Some(head),
-        ..shared()
+        ..empty_shared_record()
     };
-    assert_shared("document-head-least.msgpack", document(Head::default()));
-    assert_shared("document-head-full.msgpack", document(head_full()));
-    assert_shared("quota-head-least.msgpack", document(Head::default()));
-    assert_shared("quota-head-full.msgpack", document(head_full()));
+    assert_decodes_as_shared("document-head-least.msgpack", document(Head::default()));
+    assert_decodes_as_shared("document-head-full.msgpack", document(head_full()));
+    assert_decodes_as_shared("quota-head-least.msgpack", document(Head::default()));
+    assert_decodes_as_shared("quota-head-full.msgpack", document(head_full()));
 }
 
-/// Names of parts are digests: with other names, no document in force could be put together.
+/// The name of a part is a digest of its content. If the digests changed, the documents in force could not be assembled
+/// from their stored parts.
 fn part_names() -> Case {
     fn names<C: Content>(content: &C) -> Vec<String> {
-        let parts = document::split(content, PART_BYTES).expect("entries that fit");
+        let parts = document::split(content, PART_BYTES).expect("each entry fits into a part");
         parts.into_iter().map(|(name, _)| name).collect()
     }
     let all = serde_json::json!({
@@ -251,8 +253,8 @@
         "hours": names(&hours_part()),
         "models": names(&models_part()),
     });
-    sent("part-names.json", &all, all.clone())
+    write_only("part-names.json", &all, all.clone())
 }
 
-/// So few that most of the documents take more than one part.
+/// Small enough that most of the documents are split into more than one part.
 const PART_BYTES: usize = 300;
