--- a/crates/net/src/conn.rs
+++ b/crates/net/src/conn.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Side {
-    Served(Door),
-    Asked {
+pub(crate) enum Direction {
+    Inbound(Door),
+    Outbound {
         to: SocketAddr,
         lane: u32,
         tag: u64,
@@ -23,28 +23,28 @@
     Connecting,
     Reading,
     /// The request is with the service.
-    Working,
+    Processing,
     Writing,
     /// Our request is out.
-    Waiting,
+    AwaitingResponse,
     /// Bytes both ways, without requests.
     Raw,
 }
 
 /// What reading came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Filled {
+pub(crate) enum ReadOutcome {
     /// Nothing more is there now.
-    Dry,
+    Drained,
     /// The bound was reached.
-    More,
+    LimitReached,
     /// The other side has closed.
-    Ended,
+    Eof,
 }
 
 pub(crate) struct Conn {
     pub stream: TcpStream,
-    pub side: Side,
+    pub direction: Direction,
     pub phase: Phase,
     pub connecting: bool,
     pub close_after: bool,
@@ -56,18 +56,18 @@
     pub sent: u64,
     pub deadline: Instant,
     /// Unused since, and kept unused for so long: of those to others.
-    pub since: Instant,
-    pub keep: Duration,
-    /// See [`crate::Net::regular`]: how long it may be silent.
-    pub regular: Option<Duration>,
+    pub idle_since: Instant,
+    pub idle_timeout: Duration,
+    /// See [`crate::Net::mark_periodic`]: how long it may be silent.
+    pub periodic_timeout: Option<Duration>,
     pub generation: u32,
 }
 
 impl Conn {
-    pub fn new(stream: TcpStream, side: Side, deadline: Instant) -> Self {
+    pub fn new(stream: TcpStream, direction: Direction, deadline: Instant) -> Self {
         Conn {
             stream,
-            side,
+            direction,
             phase: Phase::Idle,
             connecting: false,
             close_after: false,
@@ -77,9 +77,9 @@
             received: 0,
             sent: 0,
             deadline,
-            since: deadline,
-            keep: Duration::ZERO,
-            regular: None,
+            idle_since: deadline,
+            idle_timeout: Duration::ZERO,
+            periodic_timeout: None,
             generation: 0,
         }
     }
@@ -121,27 +121,27 @@
     }
 
     /// Reads what is there; true once the other side has closed. More than `limit` is an error.
-    pub fn fill(&mut self, limit: usize) -> io::Result<bool> {
-        match self.fill_some(limit)? {
-            Filled::More => Err(io::ErrorKind::InvalidData.into()),
-            filled => Ok(filled == Filled::Ended),
+    pub fn read_available(&mut self, limit: usize) -> io::Result<bool> {
+        match self.read_up_to(limit)? {
+            ReadOutcome::LimitReached => Err(io::ErrorKind::InvalidData.into()),
+            outcome => Ok(outcome == ReadOutcome::Eof),
         }
     }
 
     /// Reads what is there, until more than `limit` bytes are held.
-    pub fn fill_some(&mut self, limit: usize) -> io::Result<Filled> {
+    pub fn read_up_to(&mut self, limit: usize) -> io::Result<ReadOutcome> {
         let mut chunk = [0u8; 16 * 1024];
         loop {
             match self.stream.read(&mut chunk) {
-                Ok(0) => return Ok(Filled::Ended),
+                Ok(0) => return Ok(ReadOutcome::Eof),
                 Ok(n) => {
                     self.received += n as u64;
                     self.rbuf.extend_from_slice(&chunk[..n]);
                     if self.rbuf.len() > limit {
-                        return Ok(Filled::More);
+                        return Ok(ReadOutcome::LimitReached);
                     }
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(Filled::Dry),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(ReadOutcome::Drained),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -4,10 +4,10 @@
 mod conn;
 mod shares;
 
-use conn::{Conn, Filled, Phase, Side};
+use conn::{Conn, Direction, Phase, ReadOutcome};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
-use shares::Shares;
+use shares::SocketLimits;
 pub use shares::{KEEP, KEEP_SHORT};
 use std::collections::{BTreeSet, HashMap};
 use std::io;
@@ -40,7 +40,7 @@
         match self {
             Door::Clients => wire::api::BODY_LIMIT,
             Door::Peers | Door::Host(_) => wire::admin::BODY_LIMIT,
-            Door::Raw(_) => RAW_CHUNK,
+            Door::Raw(_) => RAW_READ_LIMIT,
         }
     }
 }
@@ -127,48 +127,48 @@
             sent: conn.sent,
             connections: 1,
         };
-        match conn.side {
-            Side::Served(_) => self.served.add(flow),
-            Side::Asked { .. } => self.asked.add(flow),
+        match conn.direction {
+            Direction::Inbound(_) => self.served.add(flow),
+            Direction::Outbound { .. } => self.asked.add(flow),
         }
     }
 }
 
-const WAKE: Token = Token(usize::MAX);
+const WAKE_TOKEN: Token = Token(usize::MAX);
 /// Tokens from here on are listeners', those below connections'.
-const LISTENERS: usize = usize::MAX / 2;
-const SWEEP: Duration = Duration::from_millis(100);
+const FIRST_LISTENER_TOKEN: usize = usize::MAX / 2;
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// A request that takes longer than this to arrive, or an answer that takes longer to be taken.
-const SLOW: Duration = Duration::from_secs(10);
-const IDLE: Duration = Duration::from_secs(75);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
 /// A raw connection that says nothing for so long is closed.
-const IDLE_RAW: Duration = Duration::from_secs(180);
+const RAW_IDLE_TIMEOUT: Duration = Duration::from_secs(180);
 /// Most bytes of a raw connection that are handed over at once.
-const RAW_CHUNK: usize = 256 << 10;
+const RAW_READ_LIMIT: usize = 256 << 10;
 /// A raw connection that leaves more than this unread is closed.
-const RAW_UNREAD: usize = 8 << 20;
+const RAW_WRITE_BUFFER_LIMIT: usize = 8 << 20;
 /// More idle connections to one host than this are closed.
-const POOL: usize = 8;
+const MAX_IDLE_PER_HOST: usize = 8;
 
 pub struct Net {
     poll: Poll,
     events: Events,
     listeners: Vec<(TcpListener, Door)>,
     /// Listeners whose last accept failed: connections may wait there, and nothing will say so.
-    owed: BTreeSet<usize>,
+    accept_retries: BTreeSet<usize>,
     conns: Vec<Option<Conn>>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     generation: u32,
     /// Unused connections to others, by host and lane.
-    idle: HashMap<(SocketAddr, u32), Vec<usize>>,
+    idle_pool: HashMap<(SocketAddr, u32), Vec<usize>>,
     /// Of connections that have ended.
-    ended: Traffic,
-    shares: Shares,
-    served: usize,
-    regulars: usize,
+    closed_traffic: Traffic,
+    limits: SocketLimits,
+    inbound: usize,
+    periodic: usize,
     open: usize,
-    swept: Instant,
-    out: Vec<Event>,
+    last_sweep: Instant,
+    pending_events: Vec<Event>,
 }
 
 impl Net {
@@ -178,25 +178,25 @@
             poll: Poll::new()?,
             events: Events::with_capacity(256),
             listeners: Vec::new(),
-            owed: BTreeSet::new(),
+            accept_retries: BTreeSet::new(),
             conns: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             generation: 0,
-            idle: HashMap::new(),
-            ended: Traffic::default(),
-            shares: Shares::of(sockets),
-            served: 0,
-            regulars: 0,
+            idle_pool: HashMap::new(),
+            closed_traffic: Traffic::default(),
+            limits: SocketLimits::for_sockets(sockets),
+            inbound: 0,
+            periodic: 0,
             open: 0,
-            swept: Instant::now(),
-            out: Vec::new(),
+            last_sweep: Instant::now(),
+            pending_events: Vec::new(),
         })
     }
 
     /// Listens there, and says where: port 0 stands for any free one.
     pub fn listen(&mut self, addr: SocketAddr, door: Door) -> io::Result<SocketAddr> {
         let mut listener = TcpListener::bind(addr)?;
-        let token = Token(LISTENERS + self.listeners.len());
+        let token = Token(FIRST_LISTENER_TOKEN + self.listeners.len());
         self.poll
             .registry()
             .register(&mut listener, token, Interest::READABLE)?;
@@ -207,20 +207,20 @@
 
     /// What has passed so far, on all connections that there are and were.
     pub fn traffic(&self) -> Traffic {
-        let mut all = self.ended;
+        let mut all = self.closed_traffic;
         self.conns.iter().flatten().for_each(|conn| all.add(conn));
         all
     }
 
     /// Lets another thread end a [`Net::poll`] early.
     pub fn waker(&self) -> io::Result<Arc<Waker>> {
-        Ok(Arc::new(Waker::new(self.poll.registry(), WAKE)?))
+        Ok(Arc::new(Waker::new(self.poll.registry(), WAKE_TOKEN)?))
     }
 
     /// Waits for at most `timeout` and hands over what has come in.
     pub fn poll(&mut self, timeout: Duration) -> io::Result<Vec<Event>> {
-        let timeout = if self.out.is_empty() {
-            timeout.min(SWEEP)
+        let timeout = if self.pending_events.is_empty() {
+            timeout.min(SWEEP_INTERVAL)
         } else {
             Duration::ZERO
         };
@@ -241,28 +241,28 @@
             })
             .collect();
         for (token, readable, writable) in ready {
-            if token == WAKE {
+            if token == WAKE_TOKEN {
                 continue;
             }
-            if token.0 >= LISTENERS {
-                self.accept(token.0 - LISTENERS, now);
+            if token.0 >= FIRST_LISTENER_TOKEN {
+                self.accept(token.0 - FIRST_LISTENER_TOKEN, now);
                 continue;
             }
             if writable {
-                self.drive_write(token.0, now);
+                self.on_writable(token.0, now);
             }
             if readable {
-                self.drive_read(token.0, now);
+                self.on_readable(token.0, now);
             }
         }
-        if now.duration_since(self.swept) >= SWEEP {
-            self.swept = now;
+        if now.duration_since(self.last_sweep) >= SWEEP_INTERVAL {
+            self.last_sweep = now;
             self.sweep(now);
-            std::mem::take(&mut self.owed)
+            std::mem::take(&mut self.accept_retries)
                 .into_iter()
                 .for_each(|index| self.accept(index, now));
         }
-        Ok(std::mem::take(&mut self.out))
+        Ok(std::mem::take(&mut self.pending_events))
     }
 
     fn accept(&mut self, index: usize, now: Instant) {
@@ -284,17 +284,17 @@
                 // Files have run out, or the like: those who wait are not announced again, so they are looked for.
                 Err(e) => {
                     log::warn!("net: can't accept: {e}");
-                    self.owed.insert(index);
+                    self.accept_retries.insert(index);
                     return;
                 }
             };
-            if self.served >= self.shares.served {
-                self.close_idlest();
+            if self.inbound >= self.limits.inbound {
+                self.close_longest_idle_inbound();
             }
-            if self.open >= self.shares.all {
-                self.close_unused(1);
+            if self.open >= self.limits.total {
+                self.close_idle_outbound(1);
             }
-            if self.served >= self.shares.served || self.open >= self.shares.all {
+            if self.inbound >= self.limits.inbound || self.open >= self.limits.total {
                 log::warn!("net: too many connections, turning one away");
                 continue;
             }
@@ -302,26 +302,26 @@
             let raw = matches!(door, Door::Raw(_));
             let mut conn = Conn::new(
                 stream,
-                Side::Served(door),
-                now + if raw { IDLE_RAW } else { IDLE },
+                Direction::Inbound(door),
+                now + if raw { RAW_IDLE_TIMEOUT } else { IDLE_TIMEOUT },
             );
             if raw {
                 conn.phase = Phase::Raw;
             }
             let slot = self.insert(conn, Interest::READABLE).filter(|_| raw);
-            if let Some(conn) = slot.and_then(|slot| self.id(slot)) {
-                self.out.push(Event::Opened { conn, door, from });
+            if let Some(conn) = slot.and_then(|slot| self.conn_id(slot)) {
+                self.pending_events.push(Event::Opened { conn, door, from });
             }
         }
     }
 
-    fn close_idlest(&mut self) {
+    fn close_longest_idle_inbound(&mut self) {
         let oldest = self
             .conns
             .iter()
             .enumerate()
             .filter_map(|(i, c)| c.as_ref().map(|c| (i, c)))
-            .filter(|(_, c)| matches!(c.side, Side::Served(_)) && c.phase == Phase::Idle)
+            .filter(|(_, c)| matches!(c.direction, Direction::Inbound(_)) && c.phase == Phase::Idle)
             .min_by_key(|(_, c)| c.deadline)
             .map(|(i, _)| i);
         if let Some(slot) = oldest {
@@ -330,37 +330,42 @@
     }
 
     /// Closes connections to others that nobody uses, the longest unused first.
-    fn close_unused(&mut self, most: usize) {
+    fn close_idle_outbound(&mut self, max: usize) {
         let unused = self.conns.iter().enumerate().filter_map(|(i, c)| {
-            let c = c
-                .as_ref()
-                .filter(|c| matches!(c.side, Side::Asked { .. }) && c.phase == Phase::Idle)?;
-            Some((c.since, i))
+            let c = c.as_ref().filter(|c| {
+                matches!(c.direction, Direction::Outbound { .. }) && c.phase == Phase::Idle
+            })?;
+            Some((c.idle_since, i))
         });
         let mut unused: Vec<(Instant, usize)> = unused.collect();
         unused.sort_unstable();
         unused
             .into_iter()
-            .take(most)
+            .take(max)
             .for_each(|(_, slot)| self.close(slot));
     }
 
     /// Whoever asks on this connection comes back at his own pace for ever. Where such clients fill their share, the
     /// answer ends the connection, so that they are served all the same and leave room for others in between. One that
     /// has been silent for much longer than its pace has gone, and has come again on another connection.
-    pub fn regular(&mut self, id: ConnId, silent: Duration) {
+    pub fn mark_periodic(&mut self, id: ConnId, idle_timeout: Duration) {
         let Some(Some(conn)) = self.conns.get_mut(id.slot) else {
             return;
         };
-        if conn.generation == id.generation && conn.regular.replace(silent.min(IDLE)).is_none() {
-            self.regulars += 1;
+        if conn.generation == id.generation
+            && conn
+                .periodic_timeout
+                .replace(idle_timeout.min(IDLE_TIMEOUT))
+                .is_none()
+        {
+            self.periodic += 1;
         }
     }
 
     fn insert(&mut self, mut conn: Conn, interest: Interest) -> Option<usize> {
         self.generation = self.generation.wrapping_add(1);
         conn.generation = self.generation;
-        let slot = self.free.pop().unwrap_or_else(|| {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.conns.push(None);
             self.conns.len() - 1
         });
@@ -370,11 +375,11 @@
             .register(&mut conn.stream, Token(slot), interest)
         {
             log::warn!("net: can't watch a connection: {e}");
-            self.free.push(slot);
+            self.free_slots.push(slot);
             return None;
         }
         self.open += 1;
-        self.served += usize::from(matches!(conn.side, Side::Served(_)));
+        self.inbound += usize::from(matches!(conn.direction, Direction::Inbound(_)));
         self.conns[slot] = Some(conn);
         Some(slot)
     }
@@ -384,32 +389,32 @@
         let Some(mut conn) = self.conns.get_mut(slot).and_then(Option::take) else {
             return;
         };
-        self.ended.add(&conn);
+        self.closed_traffic.add(&conn);
         let _ = self.poll.registry().deregister(&mut conn.stream);
-        self.free.push(slot);
+        self.free_slots.push(slot);
         self.open -= 1;
-        self.regulars -= usize::from(conn.regular.is_some());
-        match conn.side {
-            Side::Served(door) => {
-                self.served -= 1;
+        self.periodic -= usize::from(conn.periodic_timeout.is_some());
+        match conn.direction {
+            Direction::Inbound(door) => {
+                self.inbound -= 1;
                 if matches!(door, Door::Raw(_)) {
                     let conn = ConnId {
                         slot,
                         generation: conn.generation,
                     };
-                    self.out.push(Event::Closed { conn });
+                    self.pending_events.push(Event::Closed { conn });
                 }
             }
-            Side::Asked { to, lane, tag, .. } => {
+            Direction::Outbound { to, lane, tag, .. } => {
                 if conn.phase == Phase::Idle {
-                    if let Some(pool) = self.idle.get_mut(&(to, lane)) {
+                    if let Some(pool) = self.idle_pool.get_mut(&(to, lane)) {
                         pool.retain(|s| *s != slot);
                         if pool.is_empty() {
-                            self.idle.remove(&(to, lane));
+                            self.idle_pool.remove(&(to, lane));
                         }
                     }
                 } else {
-                    self.out.push(Event::Reply {
+                    self.pending_events.push(Event::Reply {
                         tag,
                         response: None,
                     });
@@ -418,7 +423,7 @@
         }
     }
 
-    fn id(&self, slot: usize) -> Option<ConnId> {
+    fn conn_id(&self, slot: usize) -> Option<ConnId> {
         let conn = self.conns.get(slot)?.as_ref()?;
         Some(ConnId {
             slot,
@@ -435,17 +440,17 @@
     pub fn write(&mut self, id: ConnId, bytes: &[u8]) {
         let Some(conn) = self.raw(id) else { return };
         conn.wbuf.extend_from_slice(bytes);
-        if conn.wbuf.len() > RAW_UNREAD {
+        if conn.wbuf.len() > RAW_WRITE_BUFFER_LIMIT {
             return self.close(id.slot);
         }
-        self.drive_write(id.slot, Instant::now());
+        self.on_writable(id.slot, Instant::now());
     }
 
     /// Closes a raw connection, once what was written has been taken.
     pub fn finish(&mut self, id: ConnId) {
         let Some(conn) = self.raw(id) else { return };
         conn.close_after = true;
-        conn.deadline = Instant::now() + SLOW;
+        conn.deadline = Instant::now() + TRANSFER_TIMEOUT;
         if conn.wbuf.is_empty() {
             self.close(id.slot);
         }
@@ -457,29 +462,29 @@
         let Some(Some(conn)) = self.conns.get_mut(id.slot) else {
             return;
         };
-        if conn.generation != id.generation || conn.phase != Phase::Working {
+        if conn.generation != id.generation || conn.phase != Phase::Processing {
             return;
         }
-        let crowded = conn.regular.is_some() && self.regulars > self.shares.regulars;
-        conn.close_after |= response.close || crowded;
+        let over_limit = conn.periodic_timeout.is_some() && self.periodic > self.limits.periodic;
+        conn.close_after |= response.close || over_limit;
         response.close = conn.close_after;
         http::write_response(&mut conn.wbuf, &response);
         conn.phase = Phase::Writing;
-        conn.deadline = now + SLOW;
-        self.drive_write(id.slot, now);
+        conn.deadline = now + TRANSFER_TIMEOUT;
+        self.on_writable(id.slot, now);
     }
 
     /// Ends the connection of a request without an answer, as a host that is gone would.
     pub fn abandon(&mut self, id: ConnId) {
-        if self.is_asked(id) {
+        if self.is_awaiting_response(id) {
             self.close(id.slot);
         }
     }
 
     /// Whether somebody still waits there for an answer.
-    pub fn is_asked(&self, id: ConnId) -> bool {
+    pub fn is_awaiting_response(&self, id: ConnId) -> bool {
         let conn = self.conns.get(id.slot).and_then(Option::as_ref);
-        conn.is_some_and(|c| c.generation == id.generation && c.phase == Phase::Working)
+        conn.is_some_and(|c| c.generation == id.generation && c.phase == Phase::Processing)
     }
 
     /// Asks another host. The end always comes as an [`Event::Reply`] or an [`Event::Unsent`], never from within this
@@ -487,17 +492,17 @@
     pub fn send(&mut self, o: Outgoing<'_>) {
         let now = Instant::now();
         let slot = self
-            .reuse(o.to, o.lane)
+            .take_idle(o.to, o.lane)
             .or_else(|| self.connect(o.to, o.keep, now));
         let Some(slot) = slot else {
-            self.out.push(Event::Unsent { tag: o.tag });
+            self.pending_events.push(Event::Unsent { tag: o.tag });
             return;
         };
         let Some(conn) = self.conns[slot].as_mut() else {
             return;
         };
-        conn.keep = o.keep;
-        conn.side = Side::Asked {
+        conn.idle_timeout = o.keep;
+        conn.direction = Direction::Outbound {
             to: o.to,
             lane: o.lane,
             tag: o.tag,
@@ -511,44 +516,48 @@
         conn.deadline = now + o.timeout;
         http::write_request(&mut conn.wbuf, &o.to.to_string(), o.method, o.path, o.body);
         if !conn.connecting {
-            self.drive_write(slot, now);
+            self.on_writable(slot, now);
         }
     }
 
-    fn reuse(&mut self, to: SocketAddr, lane: u32) -> Option<usize> {
-        let pool = self.idle.get_mut(&(to, lane))?;
+    fn take_idle(&mut self, to: SocketAddr, lane: u32) -> Option<usize> {
+        let pool = self.idle_pool.get_mut(&(to, lane))?;
         let slot = pool.pop();
         if pool.is_empty() {
-            self.idle.remove(&(to, lane));
+            self.idle_pool.remove(&(to, lane));
         }
         slot
     }
 
     fn connect(&mut self, to: SocketAddr, keep: Duration, now: Instant) -> Option<usize> {
-        let left = if keep < KEEP { self.shares.own } else { 0 };
-        if self.open + left >= self.shares.all {
-            self.close_unused(1);
+        let reserve = if keep < KEEP {
+            self.limits.outbound_reserve
+        } else {
+            0
+        };
+        if self.open + reserve >= self.limits.total {
+            self.close_idle_outbound(1);
         }
-        if self.open + left >= self.shares.all {
+        if self.open + reserve >= self.limits.total {
             return None;
         }
         let stream = TcpStream::connect(to).ok()?;
         let _ = stream.set_nodelay(true);
         let mut conn = Conn::new(
             stream,
-            Side::Asked {
+            Direction::Outbound {
                 to,
                 lane: 0,
                 tag: 0,
                 limit: 0,
             },
-            now + SLOW,
+            now + TRANSFER_TIMEOUT,
         );
         conn.connecting = true;
         self.insert(conn, Interest::READABLE | Interest::WRITABLE)
     }
 
-    fn drive_write(&mut self, slot: usize, now: Instant) {
+    fn on_writable(&mut self, slot: usize, now: Instant) {
         let Some(Some(conn)) = self.conns.get_mut(slot) else {
             return;
         };
@@ -580,13 +589,13 @@
             }
             Ok(true) if conn.phase == Phase::Raw && conn.close_after => self.close(slot),
             Ok(true) if conn.phase == Phase::Writing => {
-                if matches!(conn.side, Side::Asked { .. }) {
-                    conn.phase = Phase::Waiting;
+                if matches!(conn.direction, Direction::Outbound { .. }) {
+                    conn.phase = Phase::AwaitingResponse;
                 } else if conn.close_after {
                     self.close(slot);
                 } else {
                     conn.phase = Phase::Idle;
-                    conn.deadline = now + conn.regular.unwrap_or(IDLE);
+                    conn.deadline = now + conn.periodic_timeout.unwrap_or(IDLE_TIMEOUT);
                     if !conn.rbuf.is_empty() {
                         self.parse(slot, false, now);
                     }
@@ -605,22 +614,22 @@
             slot,
             generation: conn.generation,
         };
-        let ended = conn.fill_some(RAW_CHUNK);
+        let ended = conn.read_up_to(RAW_READ_LIMIT);
         if !conn.rbuf.is_empty() {
             // A connection that is over by our word is not read any more.
             let bytes = std::mem::take(&mut conn.rbuf);
             if !conn.close_after {
-                conn.deadline = now + IDLE_RAW;
-                self.out.push(Event::Bytes {
+                conn.deadline = now + RAW_IDLE_TIMEOUT;
+                self.pending_events.push(Event::Bytes {
                     conn: conn_id,
                     bytes,
                 });
             }
         }
         match ended {
-            Ok(Filled::Dry) => {}
+            Ok(ReadOutcome::Drained) => {}
             // The edge is spent: ask to be told again.
-            Ok(Filled::More) => {
+            Ok(ReadOutcome::LimitReached) => {
                 let Some(Some(conn)) = self.conns.get_mut(slot) else {
                     return;
                 };
@@ -634,11 +643,11 @@
                     self.close(slot);
                 }
             }
-            Ok(Filled::Ended) | Err(_) => self.close(slot),
+            Ok(ReadOutcome::Eof) | Err(_) => self.close(slot),
         }
     }
 
-    fn drive_read(&mut self, slot: usize, now: Instant) {
+    fn on_readable(&mut self, slot: usize, now: Instant) {
         let Some(Some(conn)) = self.conns.get_mut(slot) else {
             return;
         };
@@ -648,11 +657,11 @@
         if conn.connecting {
             return;
         }
-        let limit = match conn.side {
-            Side::Served(door) => door.body_limit() + 16 * 1024,
-            Side::Asked { limit, .. } => limit + 16 * 1024,
+        let limit = match conn.direction {
+            Direction::Inbound(door) => door.body_limit() + 16 * 1024,
+            Direction::Outbound { limit, .. } => limit + 16 * 1024,
         };
-        match conn.fill(limit) {
+        match conn.read_available(limit) {
             Ok(ended) => self.parse(slot, ended, now),
             Err(_) => self.close(slot),
         }
@@ -662,11 +671,11 @@
         let Some(Some(conn)) = self.conns.get_mut(slot) else {
             return;
         };
-        match conn.side {
-            Side::Served(door) => {
+        match conn.direction {
+            Direction::Inbound(door) => {
                 if conn.phase == Phase::Idle && !conn.rbuf.is_empty() {
                     conn.phase = Phase::Reading;
-                    conn.deadline = now + SLOW;
+                    conn.deadline = now + TRANSFER_TIMEOUT;
                 }
                 if conn.phase == Phase::Reading {
                     match http::parse_request(&conn.rbuf, door.body_limit()) {
@@ -675,13 +684,13 @@
                         Ok(Some(_)) if ended => {}
                         Ok(Some((request, used))) => {
                             conn.consume(used);
-                            conn.phase = Phase::Working;
+                            conn.phase = Phase::Processing;
                             conn.close_after |= request.close;
                             let id = ConnId {
                                 slot,
                                 generation: conn.generation,
                             };
-                            self.out.push(Event::Request {
+                            self.pending_events.push(Event::Request {
                                 conn: id,
                                 door,
                                 request,
@@ -689,7 +698,7 @@
                         }
                         Err(error) => {
                             let status = error.status();
-                            conn.phase = Phase::Working;
+                            conn.phase = Phase::Processing;
                             let id = ConnId {
                                 slot,
                                 generation: conn.generation,
@@ -714,7 +723,7 @@
                     self.close(slot);
                 }
             }
-            Side::Asked {
+            Direction::Outbound {
                 to,
                 lane,
                 tag,
@@ -736,15 +745,15 @@
                             && conn.rbuf.is_empty()
                             && conn.wbuf.is_empty();
                         conn.phase = Phase::Idle;
-                        conn.since = now;
-                        conn.deadline = now + conn.keep;
-                        self.out.push(Event::Reply {
+                        conn.idle_since = now;
+                        conn.deadline = now + conn.idle_timeout;
+                        self.pending_events.push(Event::Reply {
                             tag,
                             response: Some(response),
                         });
-                        let pool = self.idle.entry((to, lane)).or_default();
+                        let pool = self.idle_pool.entry((to, lane)).or_default();
                         pool.push(slot);
-                        if !reusable || pool.len() > POOL {
+                        if !reusable || pool.len() > MAX_IDLE_PER_HOST {
                             self.close(slot);
                         }
                     }
@@ -759,15 +768,15 @@
 
     fn sweep(&mut self, now: Instant) {
         for slot in 0..self.conns.len() {
-            let late = self.conns[slot]
+            let expired = self.conns[slot]
                 .as_ref()
-                .is_some_and(|c| c.phase != Phase::Working && c.deadline <= now);
-            if late {
+                .is_some_and(|c| c.phase != Phase::Processing && c.deadline <= now);
+            if expired {
                 self.close(slot);
             }
         }
-        if self.open > self.shares.unused {
-            self.close_unused(self.open - self.shares.unused);
+        if self.open > self.limits.idle_threshold {
+            self.close_idle_outbound(self.open - self.limits.idle_threshold);
         }
     }
 }
--- a/crates/net/src/shares.rs
+++ b/crates/net/src/shares.rs
@@ -4,38 +4,38 @@
 
 /// Questions that are not to fail for want of a socket: to the state service, the cloud and peers, which also wait
 /// there for news. More than these are let in only while nobody else needs the room.
-const OWN_LEAST: usize = 8;
+const MIN_OUTBOUND_RESERVE: usize = 8;
 
 /// An unused connection to a host that is asked again and again.
 pub const KEEP: Duration = Duration::from_secs(20);
 /// One to a host of many, which is seldom asked twice: long enough for what belongs together.
 pub const KEEP_SHORT: Duration = Duration::from_secs(1);
 
-pub(crate) struct Shares {
+pub(crate) struct SocketLimits {
     /// All connections. The rest is for files, listeners and connections that are just being turned away.
-    pub all: usize,
+    pub total: usize,
     /// Of those who ask us; the others stay free for what we ask.
-    pub served: usize,
-    /// Of regulars: beyond these, each is told to connect anew the next time, so that there is always room for
+    pub inbound: usize,
+    /// Of periodic: beyond these, each is told to connect anew the next time, so that there is always room for
     /// users and peers.
-    pub regulars: usize,
+    pub periodic: usize,
     /// With more open than this, unused connections to others are closed, the longest unused first.
-    pub unused: usize,
+    pub idle_threshold: usize,
     /// What we ask of hosts of many leaves these free.
-    pub own: usize,
+    pub outbound_reserve: usize,
 }
 
-impl Shares {
-    pub fn of(sockets: usize) -> Self {
-        let all = sockets * 9 / 10;
-        let own = (sockets / 50).max(OWN_LEAST);
-        let served = all - (sockets / 10).max(own);
-        Shares {
-            all,
-            served,
-            regulars: served * 3 / 4,
-            unused: all * 17 / 20,
-            own: own / 2,
+impl SocketLimits {
+    pub fn for_sockets(sockets: usize) -> Self {
+        let total = sockets * 9 / 10;
+        let outbound_reserve = (sockets / 50).max(MIN_OUTBOUND_RESERVE);
+        let inbound = total - (sockets / 10).max(outbound_reserve);
+        SocketLimits {
+            total,
+            inbound,
+            periodic: inbound * 3 / 4,
+            idle_threshold: total * 17 / 20,
+            outbound_reserve: outbound_reserve / 2,
         }
     }
 }
--- a/crates/net/tests/bounds.rs
+++ b/crates/net/tests/bounds.rs
@@ -20,7 +20,7 @@
 }
 
 /// Reads what is there; true once the other side has closed.
-fn drain(stream: &mut TcpStream, got: &mut Vec<u8>) -> bool {
+fn read_some(stream: &mut TcpStream, got: &mut Vec<u8>) -> bool {
     let mut chunk = [0; 256];
     match stream.read(&mut chunk) {
         Ok(0) => true,
@@ -33,10 +33,10 @@
 }
 
 /// Runs the loop, answering every request with its body, until `over` says so.
-fn serve(net: &mut Net, mut over: impl FnMut() -> bool) -> usize {
+fn serve(net: &mut Net, mut is_done: impl FnMut() -> bool) -> usize {
     let mut served = 0;
     let end = Instant::now() + Duration::from_secs(60);
-    while !over() {
+    while !is_done() {
         assert!(Instant::now() < end, "the condition never held");
         for event in net.poll(Duration::from_millis(5)).expect("polled") {
             if let Event::Request { conn, request, .. } = event {
@@ -58,7 +58,7 @@
 
 /// A request that comes byte by byte is answered once it is whole.
 #[test]
-fn pieces_are_joined() {
+fn request_arriving_byte_by_byte_is_answered() {
     let (mut net, addr) = listening(100);
     let mut slow = client(addr);
     let text = b"POST /work HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello";
@@ -67,7 +67,7 @@
         if sent < text.len() {
             sent += slow.write(&text[sent..=sent]).unwrap_or(0);
         }
-        drain(&mut slow, &mut got);
+        read_some(&mut slow, &mut got);
         got.ends_with(b"hello")
     });
     assert_eq!(served, 1);
@@ -75,13 +75,14 @@
 
 /// What can't be read gets its status and the end of the connection.
 #[test]
-fn nonsense_is_refused() {
+fn malformed_request_gets_400_and_is_closed() {
     let (mut net, addr) = listening(100);
-    let mut rude = client(addr);
-    rude.write_all(b"\x16\x03\x01 nonsense\r\n\r\n")
+    let mut malformed = client(addr);
+    malformed
+        .write_all(b"\x16\x03\x01 nonsense\r\n\r\n")
         .expect("written");
     let mut got = Vec::new();
-    let served = serve(&mut net, || drain(&mut rude, &mut got));
+    let served = serve(&mut net, || read_some(&mut malformed, &mut got));
     assert_eq!(served, 0);
     assert!(
         got.starts_with(b"HTTP/1.1 400"),
@@ -92,34 +93,38 @@
 
 /// More connections than there is room for: the longest idle go, and newcomers are served.
 #[test]
-fn too_many_connections_push_out_the_idle() {
+fn new_connections_evict_longest_idle_ones() {
     let (mut net, addr) = listening(20);
     let mut idle: Vec<TcpStream> = (0..40).map(|_| client(addr)).collect();
     let mut ignored = Vec::new();
     serve(&mut net, || {
         idle.iter_mut()
-            .map(|s| u32::from(drain(s, &mut ignored)))
+            .map(|s| u32::from(read_some(s, &mut ignored)))
             .sum::<u32>()
             >= 26
     });
-    let (mut late, mut got) = (client(addr), Vec::new());
-    late.write_all(b"GET /ready HTTP/1.1\r\n\r\n")
+    let (mut newcomer, mut got) = (client(addr), Vec::new());
+    newcomer
+        .write_all(b"GET /ready HTTP/1.1\r\n\r\n")
         .expect("written");
     serve(&mut net, || {
-        drain(&mut late, &mut got);
+        read_some(&mut newcomer, &mut got);
         got.starts_with(b"HTTP/1.1 200")
     });
 }
 
 /// A host that never answers costs its time limit only, and one that refuses is told at once.
 #[test]
-fn questions_always_come_to_an_end() {
+fn outgoing_requests_end_by_timeout_or_refusal() {
     let (mut net, _) = listening(20);
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let gone = TcpListener::bind("127.0.0.1:0")
+    let refusing = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("a port");
-    for (tag, to) in [(1, silent.local_addr().expect("its address")), (2, gone)] {
+    for (tag, to) in [
+        (1, silent.local_addr().expect("its address")),
+        (2, refusing),
+    ] {
         let timeout = Duration::from_millis(200);
         net.send(net::Outgoing {
             tag,
@@ -150,19 +155,19 @@
 /// A request whose sender has gone was handed over all the same: an overloaded node spent its time on answers that
 /// nobody would hear.
 #[test]
-fn a_request_whose_sender_has_gone_is_dropped() {
+fn request_from_closed_connection_is_dropped() {
     let (mut net, addr) = listening(100);
     let text = b"POST /work HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello";
     for _ in 0..20 {
-        let mut gone = client(addr);
-        assert_eq!(gone.write(text).expect("sent"), text.len());
-        drop(gone);
+        let mut closed = client(addr);
+        assert_eq!(closed.write(text).expect("sent"), text.len());
+        drop(closed);
     }
-    let mut here = client(addr);
-    assert_eq!(here.write(text).expect("sent"), text.len());
+    let mut open = client(addr);
+    assert_eq!(open.write(text).expect("sent"), text.len());
     let mut got = Vec::new();
     let served = serve(&mut net, || {
-        drain(&mut here, &mut got);
+        read_some(&mut open, &mut got);
         got.ends_with(b"hello")
     });
     assert_eq!(served, 1);
--- a/crates/net/tests/files.rs
+++ b/crates/net/tests/files.rs
@@ -9,7 +9,7 @@
 /// Guards against connections that wait for ever after an accept that failed for want of files: nothing announces
 /// them a second time, so they have to be looked for.
 #[test]
-fn who_waits_while_files_run_out_is_served_later() {
+fn connection_pending_during_fd_exhaustion_is_served_later() {
     let mut net = Net::new(100).expect("an event loop");
     let addr = net
         .listen(SocketAddr::from(([127, 0, 0, 1], 0)), Door::Clients)
--- a/crates/net/tests/raw.rs
+++ b/crates/net/tests/raw.rs
@@ -15,13 +15,13 @@
 
 /// What the loop said, by connection.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     opened: Vec<(ConnId, SocketAddr)>,
     bytes: BTreeMap<u16, Vec<u8>>,
     closed: Vec<ConnId>,
 }
 
-impl Seen {
+impl Observed {
     fn port(&self, id: ConnId) -> u16 {
         self.opened
             .iter()
@@ -32,7 +32,7 @@
     }
 
     /// Polls until the condition holds.
-    fn until(&mut self, net: &mut Net, what: &str, holds: impl Fn(&Seen) -> bool) {
+    fn poll_until(&mut self, net: &mut Net, what: &str, holds: impl Fn(&Observed) -> bool) {
         let end = Instant::now() + Duration::from_secs(60);
         while !holds(self) {
             assert!(Instant::now() < end, "never happened: {what}");
@@ -58,45 +58,45 @@
 }
 
 #[test]
-fn bytes_go_both_ways_and_ends_are_told_once() {
+fn raw_bytes_flow_both_ways_and_close_is_reported_once() {
     let (mut net, addr) = listening();
-    let mut seen = Seen::default();
-    let mut one = TcpStream::connect(addr).expect("connected");
-    let port = one.local_addr().expect("its address").port();
+    let mut observed = Observed::default();
+    let mut first = TcpStream::connect(addr).expect("connected");
+    let port = first.local_addr().expect("its address").port();
     // More than is handed over at once, and more than the kernel takes: written by another thread.
     let sent: Vec<u8> = (0..3_000_000u32).map(|i| (i % 251) as u8).collect();
     let copy = sent.clone();
-    let mut half = one.try_clone().expect("a handle");
-    let writer = std::thread::spawn(move || half.write_all(&copy).expect("written"));
-    seen.until(&mut net, "all bytes", |s| {
+    let mut write_half = first.try_clone().expect("a handle");
+    let writer = std::thread::spawn(move || write_half.write_all(&copy).expect("written"));
+    observed.poll_until(&mut net, "all bytes", |s| {
         s.bytes.get(&port).is_some_and(|b| b.len() == 3_000_000)
     });
     writer.join().expect("written");
-    assert_eq!(seen.bytes[&port], sent);
-    let id = seen.opened[0].0;
+    assert_eq!(observed.bytes[&port], sent);
+    let id = observed.opened[0].0;
     net.write(id, b"good");
     net.write(id, b"bye");
     net.finish(id);
-    seen.until(&mut net, "the end", |s| s.closed == [id]);
+    observed.poll_until(&mut net, "the end", |s| s.closed == [id]);
     let mut got = String::new();
-    one.read_to_string(&mut got).expect("read");
+    first.read_to_string(&mut got).expect("read");
     assert_eq!(got, "goodbye");
     // Whoever has gone is written to without harm, and another end is told too.
     net.write(id, b"late");
-    let two = TcpStream::connect(addr).expect("connected");
-    two.shutdown(Shutdown::Both).expect("closed");
-    seen.until(&mut net, "the second end", |s| s.closed.len() == 2);
+    let second = TcpStream::connect(addr).expect("connected");
+    second.shutdown(Shutdown::Both).expect("closed");
+    observed.poll_until(&mut net, "the second end", |s| s.closed.len() == 2);
 }
 
 /// A client that reads nothing holds a bounded amount of our memory, and then no connection.
 #[test]
-fn who_takes_nothing_is_closed() {
+fn raw_client_that_reads_nothing_is_closed() {
     let (mut net, addr) = listening();
-    let mut seen = Seen::default();
+    let mut observed = Observed::default();
     let _silent = TcpStream::connect(addr).expect("connected");
-    seen.until(&mut net, "opened", |s| s.opened.len() == 1);
-    let id = seen.opened[0].0;
+    observed.poll_until(&mut net, "opened", |s| s.opened.len() == 1);
+    let id = observed.opened[0].0;
     let chunk = vec![7; 1 << 20];
     (0..64).for_each(|_| net.write(id, &chunk));
-    seen.until(&mut net, "closed", |s| s.closed == [id]);
+    observed.poll_until(&mut net, "closed", |s| s.closed == [id]);
 }
--- a/crates/net/tests/shares.rs
+++ b/crates/net/tests/shares.rs
@@ -28,7 +28,7 @@
         self.listener.local_addr().expect("its address")
     }
 
-    fn turn(&mut self) {
+    fn serve(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
             stream.set_nonblocking(true).expect("nonblocking");
             self.conns.push(stream);
@@ -46,7 +46,7 @@
     }
 }
 
-fn ask(net: &mut Net, tag: u64, host: &Host, keep: Duration) {
+fn send(net: &mut Net, tag: u64, host: &Host, keep: Duration) {
     let (to, timeout) = (host.addr(), Duration::from_secs(50));
     net.send(Outgoing {
         tag,
@@ -62,25 +62,28 @@
 }
 
 /// How the questions ended until the condition held: true for an answer, false for one that was not sent.
-fn until(
+fn poll_until(
     net: &mut Net,
     hosts: &mut [Host],
-    mut over: impl FnMut(&[Host], &[(u64, bool)]) -> bool,
+    mut is_done: impl FnMut(&[Host], &[(u64, bool)]) -> bool,
 ) -> Vec<(u64, bool)> {
-    let mut ends = Vec::new();
+    let mut results = Vec::new();
     let end = Instant::now() + Duration::from_secs(40);
-    while !over(hosts, &ends) {
-        assert!(Instant::now() < end, "the condition never held: {ends:?}");
+    while !is_done(hosts, &results) {
+        assert!(
+            Instant::now() < end,
+            "the condition never held: {results:?}"
+        );
         for event in net.poll(Duration::from_millis(5)).expect("polled") {
             match event {
                 Event::Reply { tag, response } => {
-                    ends.push((tag, response.expect("an answer").status == 200))
+                    results.push((tag, response.expect("an answer").status == 200))
                 }
-                Event::Unsent { tag } => ends.push((tag, false)),
+                Event::Unsent { tag } => results.push((tag, false)),
                 Event::Request { conn, request, .. } => {
                     match request.path.as_str() {
-                        "/regular" => net.regular(conn, Duration::from_secs(60)),
-                        "/gone" => net.regular(conn, Duration::from_secs(1)),
+                        "/regular" => net.mark_periodic(conn, Duration::from_secs(60)),
+                        "/gone" => net.mark_periodic(conn, Duration::from_secs(1)),
                         _ => {}
                     }
                     let body = Vec::new();
@@ -97,34 +100,34 @@
                 _ => {}
             }
         }
-        hosts.iter_mut().for_each(Host::turn);
+        hosts.iter_mut().for_each(Host::serve);
     }
-    ends
+    results
 }
 
 /// A host of many is let go soon after its answer, one that is always being asked is not.
 #[test]
-fn one_of_many_is_let_go_soon() {
+fn short_keep_connection_is_closed_soon_after_response() {
     let mut net = Net::new(200).expect("an event loop");
     let mut hosts = [Host::new(true), Host::new(true)];
-    ask(&mut net, 1, &hosts[0], KEEP);
-    ask(&mut net, 2, &hosts[1], KEEP_SHORT);
-    until(&mut net, &mut hosts, |_, ends| ends.len() == 2);
-    until(&mut net, &mut hosts, |hosts, _| hosts[1].conns.is_empty());
+    send(&mut net, 1, &hosts[0], KEEP);
+    send(&mut net, 2, &hosts[1], KEEP_SHORT);
+    poll_until(&mut net, &mut hosts, |_, results| results.len() == 2);
+    poll_until(&mut net, &mut hosts, |hosts, _| hosts[1].conns.is_empty());
     assert_eq!(hosts[0].conns.len(), 1);
 }
 
 /// Unused connections to others make way long before they would be closed for their age.
 #[test]
-fn unused_connections_make_way() {
+fn idle_outbound_connections_are_closed_above_threshold() {
     // 90 sockets; from 76 on the unused are closed.
     let mut net = Net::new(100).expect("an event loop");
     let mut hosts: Vec<Host> = (0..85).map(|_| Host::new(true)).collect();
     for (tag, host) in hosts.iter().enumerate() {
-        ask(&mut net, tag as u64, host, Duration::from_secs(1000));
+        send(&mut net, tag as u64, host, Duration::from_secs(1000));
     }
-    until(&mut net, &mut hosts, |_, ends| ends.len() == 85);
-    until(&mut net, &mut hosts, |hosts, _| {
+    poll_until(&mut net, &mut hosts, |_, results| results.len() == 85);
+    poll_until(&mut net, &mut hosts, |hosts, _| {
         hosts.iter().map(|h| h.conns.len()).sum::<usize>() <= 76
     });
 }
@@ -132,24 +135,26 @@
 /// Questions to hosts of many that take their time leave sockets for the others; what finds none is told apart from
 /// what was not answered.
 #[test]
-fn questions_to_many_leave_room() {
+fn short_keep_requests_leave_sockets_for_others() {
     let mut net = Net::new(32).expect("an event loop");
     let mut hosts: Vec<Host> = (0..30).map(|_| Host::new(false)).collect();
     hosts.push(Host::new(true));
     for (tag, host) in hosts[..30].iter().enumerate() {
-        ask(&mut net, tag as u64, host, KEEP_SHORT);
+        send(&mut net, tag as u64, host, KEEP_SHORT);
     }
-    ask(&mut net, 99, &hosts[30], KEEP);
-    let ends = until(&mut net, &mut hosts, |_, ends| ends.contains(&(99, true)));
-    let unsent = ends.iter().filter(|(_, answered)| !answered).count();
-    assert!((1..30).contains(&unsent), "{ends:?}");
+    send(&mut net, 99, &hosts[30], KEEP);
+    let results = poll_until(&mut net, &mut hosts, |_, results| {
+        results.contains(&(99, true))
+    });
+    let unsent = results.iter().filter(|(_, answered)| !answered).count();
+    assert!((1..30).contains(&unsent), "{results:?}");
 }
 
-/// More regulars than their share: each is answered, and enough are told to come anew for others to be let in and to
+/// More periodic than their share: each is answered, and enough are told to come anew for others to be let in and to
 /// stay.
 #[test]
-fn regulars_beyond_their_share_are_served_and_told_to_come_anew() {
-    // 28 sockets, 20 for those who ask, 15 of them for regulars.
+fn periodic_clients_over_limit_are_answered_with_connection_close() {
+    // 28 sockets, 20 for those who ask, 15 of them for periodic.
     let mut net = Net::new(32).expect("an event loop");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let addr = net.listen(any, Door::Clients).expect("listening");
@@ -160,7 +165,7 @@
             .write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes())
             .expect("written");
         let mut got = Vec::new();
-        until(net, &mut [], |_, _| {
+        poll_until(net, &mut [], |_, _| {
             let mut chunk = [0; 256];
             let n = client.read(&mut chunk).unwrap_or(0);
             got.extend_from_slice(&chunk[..n]);
@@ -171,9 +176,15 @@
         (client, text.contains("Connection: close"))
     };
     let users: Vec<_> = (0..4).map(|_| answered(&mut net, "/user")).collect();
-    let regulars: Vec<_> = (0..40).map(|_| answered(&mut net, "/regular")).collect();
-    assert_eq!(regulars.iter().filter(|(_, told)| *told).count(), 25);
-    assert!(users.iter().all(|(_, told)| !told));
+    let periodic: Vec<_> = (0..40).map(|_| answered(&mut net, "/regular")).collect();
+    assert_eq!(
+        periodic
+            .iter()
+            .filter(|(_, close_announced)| *close_announced)
+            .count(),
+        25
+    );
+    assert!(users.iter().all(|(_, close_announced)| !close_announced));
     for (mut user, _) in users {
         let kept = user.read(&mut [0; 16]).expect_err("still open");
         assert_eq!(kept.kind(), ErrorKind::WouldBlock);
@@ -182,7 +193,7 @@
 
 /// A regular that has gone without a word leaves its place much sooner than a user.
 #[test]
-fn a_regular_that_says_nothing_any_more_is_let_go() {
+fn silent_periodic_client_is_closed_before_other_clients() {
     let mut net = Net::new(32).expect("an event loop");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let addr = net.listen(any, Door::Clients).expect("listening");
@@ -194,7 +205,7 @@
             .expect("written");
         client
     });
-    until(&mut net, &mut [], |_, _| {
+    poll_until(&mut net, &mut [], |_, _| {
         matches!(clients[0].read(&mut [0; 256]), Ok(0))
     });
     while clients[1].read(&mut [0; 256]).is_ok_and(|n| n > 0) {}
--- a/crates/stoathatch/src/service.rs
+++ b/crates/stoathatch/src/service.rs
@@ -172,7 +172,7 @@
     fn feed_if_asked(&mut self, event: Event) {
         if let Event::Client { conn, .. } | Event::Peer { conn, .. } = &event
             && let Some(id) = self.conns.get(conn)
-            && !self.net.is_asked(*id)
+            && !self.net.is_awaiting_response(*id)
         {
             self.conns.remove(conn);
             return;
@@ -248,7 +248,7 @@
         self.next_conn += 1;
         self.conns.insert(id, conn);
         if door == Door::Clients && request.path == "/hello" {
-            self.net.regular(conn, self.silent);
+            self.net.mark_periodic(conn, self.silent);
         }
         match door {
             Door::Clients => Some(Event::Client { conn: id, request }),
