--- a/crates/net/src/conn.rs
+++ b/crates/net/src/conn.rs
@@ -1,4 +1,4 @@
-//! One connection and its buffers.
+//! A single connection with its buffers.
 
 use crate::Door;
 use mio::net::TcpStream;
@@ -22,23 +22,23 @@
     Idle,
     Connecting,
     Reading,
-    /// The request is with the service.
+    /// The request has been passed to the application, which has not responded yet.
     Processing,
     Writing,
-    /// Our request is out.
+    /// The outbound request has been sent.
     AwaitingResponse,
-    /// Bytes both ways, without requests.
+    /// Bytes in both directions without HTTP.
     Raw,
 }
 
-/// What reading came to.
+/// Why reading from the socket stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReadOutcome {
-    /// Nothing more is there now.
+    /// No more bytes are available at present.
     Drained,
-    /// The bound was reached.
+    /// The buffer exceeds the limit.
     LimitReached,
-    /// The other side has closed.
+    /// The remote end has closed the connection.
     Eof,
 }
 
@@ -51,14 +51,14 @@
     pub rbuf: Vec<u8>,
     pub wbuf: Vec<u8>,
     written: usize,
-    /// Bytes that have passed.
+    /// Bytes transferred so far.
     pub received: u64,
     pub sent: u64,
     pub deadline: Instant,
-    /// Unused since, and kept unused for so long: of those to others.
+    /// Outbound connections only: when the connection became idle, and how long it may stay idle.
     pub idle_since: Instant,
     pub idle_timeout: Duration,
-    /// See [`crate::Net::mark_periodic`]: how long it may be silent.
+    /// Idle timeout of a periodic client; see [`crate::Net::mark_periodic`].
     pub periodic_timeout: Option<Duration>,
     pub generation: u32,
 }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// True once the connection stands.
+    /// Returns true once the connection is established.
     pub fn finish_connect(&mut self) -> io::Result<bool> {
         if let Some(e) = self.stream.take_error()? {
             return Err(e);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Writes what it can; true once nothing is left.
+    /// Writes as much as the socket accepts; returns true once the write buffer is empty.
     pub fn flush(&mut self) -> io::Result<bool> {
         while self.written < self.wbuf.len() {
             match self.stream.write(&self.wbuf[self.written..]) {
@@ -115,12 +115,13 @@
         }
         self.written = 0;
         self.wbuf.clear();
-        // One large answer must not hold its memory for the connection's whole life.
+        // Frees the memory of a large message; otherwise the connection would hold it for as long as it lives.
         self.wbuf.shrink_to(4096);
         Ok(true)
     }
 
-    /// Reads what is there; true once the other side has closed. More than `limit` is an error.
+    /// Reads all available bytes; returns true once the remote end has closed. More than `limit` bytes in the buffer
+    /// are an error.
     pub fn read_available(&mut self, limit: usize) -> io::Result<bool> {
         match self.read_up_to(limit)? {
             ReadOutcome::LimitReached => Err(io::ErrorKind::InvalidData.into()),
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Reads what is there, until more than `limit` bytes are held.
+    /// Reads available bytes until the buffer holds more than `limit`.
     pub fn read_up_to(&mut self, limit: usize) -> io::Result<ReadOutcome> {
         let mut chunk = [0u8; 16 * 1024];
         loop {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,5 +1,5 @@
-//! The event loop of stoathatch: HTTP/1.1 both ways over `mio`, on one thread, with bounded
-//! connections, buffers and waits. It knows nothing of jobs.
+//! The event loop of stoathatch: an HTTP/1.1 server and client over `mio`, on one thread, with bounds on connections,
+//! buffers and waiting times. It is independent of the scheduler.
 
 mod conn;
 mod shares;
@@ -16,26 +16,26 @@
 use std::time::{Duration, Instant};
 use wire::http::{self, Request, Response};
 
-/// A connection of somebody who asked us something; stale ids are harmless.
+/// Identifies an inbound connection. An id whose connection has closed is ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ConnId {
     slot: usize,
     generation: u32,
 }
 
-/// Which of our listeners a request came in by.
+/// The listener on which a connection was accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Door {
     Clients,
     Peers,
-    /// Bytes as they come, for a protocol of the caller's, under a number of the caller's.
+    /// Unparsed bytes, for a protocol that the caller implements; the number is the caller's.
     Raw(u8),
-    /// Requests for one of many hosts that this process plays, under a number of the caller's.
+    /// HTTP requests to one of many hosts that this process simulates; the number is the caller's.
     Host(u32),
 }
 
 impl Door {
-    /// Largest body of a request; operators come by the peers' door, with whole trees.
+    /// Largest request body. Operators use the peers' listener and send whole quota trees.
     fn body_limit(self) -> usize {
         match self {
             Door::Clients => wire::api::BODY_LIMIT,
@@ -52,7 +52,7 @@
         door: Door,
         request: Request,
     },
-    /// Somebody came by a raw door. What he sends follows, and then his end, exactly once.
+    /// A raw connection was accepted. [`Event::Bytes`] follow, and [`Event::Closed`] exactly once at its end.
     Opened {
         conn: ConnId,
         door: Door,
@@ -65,18 +65,18 @@
     Closed {
         conn: ConnId,
     },
-    /// The end of something we sent: an answer, or `None` if none came in time.
+    /// An outbound request has ended: with a response, or with `None` if it failed or timed out.
     Reply {
         tag: u64,
         response: Option<Response>,
     },
-    /// There was no socket for it, and not a byte of it has left.
+    /// No socket was available for an outbound request; no byte of it was sent.
     Unsent {
         tag: u64,
     },
 }
 
-/// Something to ask another host.
+/// A request to another host.
 #[derive(Debug)]
 pub struct Outgoing<'a> {
     pub tag: u64,
@@ -86,20 +86,20 @@
     pub body: &'a [u8],
     pub timeout: Duration,
     pub answer_limit: usize,
-    /// How long the connection is kept for the next question: [`KEEP`], or [`KEEP_SHORT`] for a host of many, which
-    /// is asked only while that leaves room for the others.
+    /// How long the connection is kept open for further requests: [`KEEP`], or [`KEEP_SHORT`] for one of many rarely
+    /// queried hosts. A connection with a short `keep` is opened only while enough sockets remain for other requests.
     pub keep: Duration,
-    /// Connections are shared within a lane only: a process that plays many hosts has one for each.
+    /// Idle connections are reused within a lane only. A process that simulates many hosts uses one lane for each.
     pub lane: u32,
 }
 
-/// What has passed in one direction of asking.
+/// Traffic of all inbound or of all outbound connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Flow {
-    /// Bytes, heads included.
+    /// Bytes, HTTP headers included.
     pub received: u64,
     pub sent: u64,
-    /// Connections that were opened.
+    /// Connections opened so far.
     pub connections: u64,
 }
 
@@ -111,12 +111,12 @@
     }
 }
 
-/// All that has passed since the loop began.
+/// Traffic since the event loop was created.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// On connections of those who ask us.
+    /// On inbound connections.
     pub served: Flow,
-    /// On connections to those whom we ask.
+    /// On outbound connections.
     pub asked: Flow,
 }
 
@@ -135,35 +135,37 @@
 }
 
 const WAKE_TOKEN: Token = Token(usize::MAX);
-/// Tokens from here on are listeners', those below connections'.
+/// Tokens from this value on identify listeners, smaller ones identify connections.
 const FIRST_LISTENER_TOKEN: usize = usize::MAX / 2;
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// A request that takes longer than this to arrive, or an answer that takes longer to be taken.
+/// Longest time in which an inbound request has to arrive completely, or its response has to be written.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// A raw connection that says nothing for so long is closed.
+/// A raw connection that receives nothing for this time is closed.
 const RAW_IDLE_TIMEOUT: Duration = Duration::from_secs(180);
-/// Most bytes of a raw connection that are handed over at once.
+/// Raw connections: how many buffered bytes end a read; the rest is read in the next turn.
 const RAW_READ_LIMIT: usize = 256 << 10;
-/// A raw connection that leaves more than this unread is closed.
+/// A raw connection with more unsent bytes than this is closed, since its client does not read.
 const RAW_WRITE_BUFFER_LIMIT: usize = 8 << 20;
-/// More idle connections to one host than this are closed.
+/// Largest number of idle connections kept per host and lane.
 const MAX_IDLE_PER_HOST: usize = 8;
 
 pub struct Net {
     poll: Poll,
     events: Events,
     listeners: Vec<(TcpListener, Door)>,
-    /// Listeners whose last accept failed: connections may wait there, and nothing will say so.
+    /// Listeners whose last accept failed. Connections may still be pending there, but the poll does not report them
+    /// again, so accepting is retried in each sweep.
     accept_retries: BTreeSet<usize>,
     conns: Vec<Option<Conn>>,
     free_slots: Vec<usize>,
     generation: u32,
-    /// Unused connections to others, by host and lane.
+    /// Slots of idle outbound connections by host and lane.
     idle_pool: HashMap<(SocketAddr, u32), Vec<usize>>,
-    /// Of connections that have ended.
+    /// Traffic of connections that have been closed.
     closed_traffic: Traffic,
     limits: SocketLimits,
+    /// Open connections: inbound ones, those marked periodic, and all.
     inbound: usize,
     periodic: usize,
     open: usize,
@@ -172,7 +174,7 @@
 }
 
 impl Net {
-    /// `sockets` bounds all together; most of them are for those who ask us.
+    /// `sockets` bounds all sockets together; most of them are for inbound connections.
     pub fn new(sockets: usize) -> io::Result<Self> {
         Ok(Net {
             poll: Poll::new()?,
@@ -193,7 +195,7 @@
         })
     }
 
-    /// Listens there, and says where: port 0 stands for any free one.
+    /// Opens a listener and returns its address. Port 0 selects any free port.
     pub fn listen(&mut self, addr: SocketAddr, door: Door) -> io::Result<SocketAddr> {
         let mut listener = TcpListener::bind(addr)?;
         let token = Token(FIRST_LISTENER_TOKEN + self.listeners.len());
@@ -205,7 +207,7 @@
         Ok(bound)
     }
 
-    /// What has passed so far, on all connections that there are and were.
+    /// Traffic so far on all open and closed connections.
     pub fn traffic(&self) -> Traffic {
         let mut all = self.closed_traffic;
         self.conns.iter().flatten().for_each(|conn| all.add(conn));
@@ -217,7 +219,7 @@
         Ok(Arc::new(Waker::new(self.poll.registry(), WAKE_TOKEN)?))
     }
 
-    /// Waits for at most `timeout` and hands over what has come in.
+    /// Waits for at most `timeout` and returns the events that occurred.
     pub fn poll(&mut self, timeout: Duration) -> io::Result<Vec<Event>> {
         let timeout = if self.pending_events.is_empty() {
             timeout.min(SWEEP_INTERVAL)
@@ -272,7 +274,7 @@
             let (stream, from) = match listener.accept() {
                 Ok(accepted) => accepted,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // These concern the one connection only.
+                // These errors concern this connection only.
                 Err(e)
                     if matches!(
                         e.kind(),
@@ -281,9 +283,10 @@
                 {
                     continue;
                 }
-                // Files have run out, or the like: those who wait are not announced again, so they are looked for.
+                // File descriptors or the like have run out. The poll does not report the pending connections again,
+                // so the sweep retries.
                 Err(e) => {
-                    log::warn!("net: can't accept: {e}");
+                    log::warn!("net: failed to accept a connection: {e}");
                     self.accept_retries.insert(index);
                     return;
                 }
@@ -295,7 +298,7 @@
                 self.close_idle_outbound(1);
             }
             if self.inbound >= self.limits.inbound || self.open >= self.limits.total {
-                log::warn!("net: too many connections, turning one away");
+                log::warn!("net: too many connections, rejecting a new one");
                 continue;
             }
             let _ = stream.set_nodelay(true);
@@ -329,7 +332,7 @@
         }
     }
 
-    /// Closes connections to others that nobody uses, the longest unused first.
+    /// Closes up to `max` idle outbound connections, the longest idle first.
     fn close_idle_outbound(&mut self, max: usize) {
         let unused = self.conns.iter().enumerate().filter_map(|(i, c)| {
             let c = c.as_ref().filter(|c| {
@@ -345,9 +348,10 @@
             .for_each(|(_, slot)| self.close(slot));
     }
 
-    /// Whoever asks on this connection comes back at his own pace for ever. Where such clients fill their share, the
-    /// answer ends the connection, so that they are served all the same and leave room for others in between. One that
-    /// has been silent for much longer than its pace has gone, and has come again on another connection.
+    /// Marks a connection whose client sends requests periodically, without end. While there are more of these than
+    /// their limit, responses to them close the connection: they are still served and leave room for others between
+    /// their requests. `idle_timeout` should be well above the client's period: a client that has been silent for
+    /// longer has gone, or has reconnected.
     pub fn mark_periodic(&mut self, id: ConnId, idle_timeout: Duration) {
         let Some(Some(conn)) = self.conns.get_mut(id.slot) else {
             return;
@@ -374,7 +378,7 @@
             .registry()
             .register(&mut conn.stream, Token(slot), interest)
         {
-            log::warn!("net: can't watch a connection: {e}");
+            log::warn!("net: failed to register a connection with the poll: {e}");
             self.free_slots.push(slot);
             return None;
         }
@@ -384,7 +388,7 @@
         Some(slot)
     }
 
-    /// Closes a connection; whoever waits for an answer on it is told that none came.
+    /// Closes a connection. An outbound request in progress on it ends without a response.
     fn close(&mut self, slot: usize) {
         let Some(mut conn) = self.conns.get_mut(slot).and_then(Option::take) else {
             return;
@@ -436,7 +440,7 @@
         (conn.generation == id.generation && conn.phase == Phase::Raw).then_some(conn)
     }
 
-    /// Sends bytes on a raw connection. One that does not take them is closed.
+    /// Sends bytes on a raw connection. The connection is closed if its client does not read and too many are unsent.
     pub fn write(&mut self, id: ConnId, bytes: &[u8]) {
         let Some(conn) = self.raw(id) else { return };
         conn.wbuf.extend_from_slice(bytes);
@@ -446,7 +450,7 @@
         self.on_writable(id.slot, Instant::now());
     }
 
-    /// Closes a raw connection, once what was written has been taken.
+    /// Closes a raw connection once all written bytes have been sent.
     pub fn finish(&mut self, id: ConnId) {
         let Some(conn) = self.raw(id) else { return };
         conn.close_after = true;
@@ -456,7 +460,7 @@
         }
     }
 
-    /// Answers a request. An answer for a connection that has gone is dropped.
+    /// Responds to a request. The response is dropped if the connection has been closed.
     pub fn respond(&mut self, id: ConnId, mut response: Response) {
         let now = Instant::now();
         let Some(Some(conn)) = self.conns.get_mut(id.slot) else {
@@ -474,21 +478,21 @@
         self.on_writable(id.slot, now);
     }
 
-    /// Ends the connection of a request without an answer, as a host that is gone would.
+    /// Closes the connection of a request without a response, as a failed host would.
     pub fn abandon(&mut self, id: ConnId) {
         if self.is_awaiting_response(id) {
             self.close(id.slot);
         }
     }
 
-    /// Whether somebody still waits there for an answer.
+    /// Whether the client of this connection still waits for a response.
     pub fn is_awaiting_response(&self, id: ConnId) -> bool {
         let conn = self.conns.get(id.slot).and_then(Option::as_ref);
         conn.is_some_and(|c| c.generation == id.generation && c.phase == Phase::Processing)
     }
 
-    /// Asks another host. The end always comes as an [`Event::Reply`] or an [`Event::Unsent`], never from within this
-    /// call.
+    /// Sends a request to another host. It always ends with an [`Event::Reply`] or an [`Event::Unsent`] from a later
+    /// [`Net::poll`].
     pub fn send(&mut self, o: Outgoing<'_>) {
         let now = Instant::now();
         let slot = self
@@ -576,7 +580,7 @@
         match conn.flush() {
             Err(_) => self.close(slot),
             Ok(false) => {
-                // Only now and then is an answer larger than the socket's buffer.
+                // Write readiness is requested only when needed: messages rarely exceed the socket's send buffer.
                 let interest = Interest::READABLE | Interest::WRITABLE;
                 if self
                     .poll
@@ -605,7 +609,7 @@
         }
     }
 
-    /// Hands over what has come in on a raw connection. More than a chunk at once is left for the next turn.
+    /// Reports bytes received on a raw connection. What exceeds [`RAW_READ_LIMIT`] is left for the next turn.
     fn read_raw(&mut self, slot: usize, now: Instant) {
         let Some(Some(conn)) = self.conns.get_mut(slot) else {
             return;
@@ -616,7 +620,7 @@
         };
         let ended = conn.read_up_to(RAW_READ_LIMIT);
         if !conn.rbuf.is_empty() {
-            // A connection that is over by our word is not read any more.
+            // Bytes that arrive after `finish` are discarded.
             let bytes = std::mem::take(&mut conn.rbuf);
             if !conn.close_after {
                 conn.deadline = now + RAW_IDLE_TIMEOUT;
@@ -628,7 +632,7 @@
         }
         match ended {
             Ok(ReadOutcome::Drained) => {}
-            // The edge is spent: ask to be told again.
+            // Readiness is edge-triggered: registering again makes the poll report the remaining bytes.
             Ok(ReadOutcome::LimitReached) => {
                 let Some(Some(conn)) = self.conns.get_mut(slot) else {
                     return;
@@ -680,7 +684,7 @@
                 if conn.phase == Phase::Reading {
                     match http::parse_request(&conn.rbuf, door.body_limit()) {
                         Ok(None) => {}
-                        // Whoever asked has closed the connection, and hears no answer.
+                        // The client has closed the connection and can't receive a response.
                         Ok(Some(_)) if ended => {}
                         Ok(Some((request, used))) => {
                             conn.consume(used);
@@ -730,7 +734,7 @@
                 limit,
             } => {
                 if conn.phase == Phase::Idle || conn.rbuf.is_empty() {
-                    // Bytes without a question, or the end: not to be used again.
+                    // Bytes without a request, or the end of the stream: the connection can't be reused.
                     if ended || !conn.rbuf.is_empty() {
                         self.close(slot);
                     }
@@ -758,7 +762,7 @@
                         }
                     }
                     Err(_) => {
-                        log::warn!("net: unreadable answer from {to}");
+                        log::warn!("net: malformed response from {to}");
                         self.close(slot);
                     }
                 }
--- a/crates/net/src/shares.rs
+++ b/crates/net/src/shares.rs
@@ -1,27 +1,28 @@
-//! How the sockets that the process may have are shared out. Each share has room that no other can fill.
+//! How the sockets available to the process are divided. Each use has a reserve that no other use can exhaust.
 
 use std::time::Duration;
 
-/// Questions that are not to fail for want of a socket: to the state service, the cloud and peers, which also wait
-/// there for news. More than these are let in only while nobody else needs the room.
+/// Minimum number of sockets kept for requests to the state service, the cloud and peers, including long polls for
+/// changes, so that they do not fail for lack of a socket. Beyond it, outbound connections get a socket only while
+/// nothing else needs it.
 const MIN_OUTBOUND_RESERVE: usize = 8;
 
-/// An unused connection to a host that is asked again and again.
+/// How long an idle connection to a host that is queried frequently stays open.
 pub const KEEP: Duration = Duration::from_secs(20);
-/// One to a host of many, which is seldom asked twice: long enough for what belongs together.
+/// How long an idle connection to one of many rarely queried hosts stays open: long enough for related requests.
 pub const KEEP_SHORT: Duration = Duration::from_secs(1);
 
 pub(crate) struct SocketLimits {
-    /// All connections. The rest is for files, listeners and connections that are just being turned away.
+    /// All connections. The remaining sockets are for files, listeners and connections that are being rejected.
     pub total: usize,
-    /// Of those who ask us; the others stay free for what we ask.
+    /// Inbound connections; the rest of `total` stays available for outbound requests.
     pub inbound: usize,
-    /// Of periodic: beyond these, each is told to connect anew the next time, so that there is always room for
-    /// users and peers.
+    /// Inbound connections of periodic clients. Beyond this number, each response to such a client closes its
+    /// connection and it has to reconnect, so that there is always room for users and peers.
     pub periodic: usize,
-    /// With more open than this, unused connections to others are closed, the longest unused first.
+    /// With more connections open than this, idle outbound connections are closed, the longest idle first.
     pub idle_threshold: usize,
-    /// What we ask of hosts of many leaves these free.
+    /// Sockets that new connections to one of many rarely queried hosts must leave free.
     pub outbound_reserve: usize,
 }
 
