--- a/crates/net/tests/bounds.rs
+++ b/crates/net/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! The event loop against clients on loopback that misbehave.
+//! The event loop with slow, malformed, idle and vanished clients on loopback.
 
 use net::{Door, Event, Net};
 use std::io::{Read, Write};
@@ -19,7 +19,7 @@
     stream
 }
 
-/// Reads what is there; true once the other side has closed.
+/// Reads available bytes; returns true once the event loop has closed the connection.
 fn read_some(stream: &mut TcpStream, got: &mut Vec<u8>) -> bool {
     let mut chunk = [0; 256];
     match stream.read(&mut chunk) {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Runs the loop, answering every request with its body, until `over` says so.
+/// Runs the event loop and echoes the body of each request, until `is_done` holds. Returns the number of requests.
 fn serve(net: &mut Net, mut is_done: impl FnMut() -> bool) -> usize {
     let mut served = 0;
     let end = Instant::now() + Duration::from_secs(60);
@@ -56,7 +56,7 @@
     served
 }
 
-/// A request that comes byte by byte is answered once it is whole.
+/// A request that arrives byte by byte is handed over and answered once it is complete.
 #[test]
 fn request_arriving_byte_by_byte_is_answered() {
     let (mut net, addr) = listening(100);
@@ -73,7 +73,7 @@
     assert_eq!(served, 1);
 }
 
-/// What can't be read gets its status and the end of the connection.
+/// A malformed request gets an error status, and its connection is closed.
 #[test]
 fn malformed_request_gets_400_and_is_closed() {
     let (mut net, addr) = listening(100);
@@ -91,7 +91,7 @@
     );
 }
 
-/// More connections than there is room for: the longest idle go, and newcomers are served.
+/// With more connections than sockets, those that have been idle longest are closed and new ones are served.
 #[test]
 fn new_connections_evict_longest_idle_ones() {
     let (mut net, addr) = listening(20);
@@ -113,7 +113,7 @@
     });
 }
 
-/// A host that never answers costs its time limit only, and one that refuses is told at once.
+/// A request ends by its timeout if the host never responds, and also if the host refuses the connection.
 #[test]
 fn outgoing_requests_end_by_timeout_or_refusal() {
     let (mut net, _) = listening(20);
@@ -152,8 +152,8 @@
     assert_eq!(ended, [1, 2]);
 }
 
-/// A request whose sender has gone was handed over all the same: an overloaded node spent its time on answers that
-/// nobody would hear.
+/// Guards against handing over requests whose client has already closed the connection: an overloaded node spent its
+/// time on responses that nobody could receive.
 #[test]
 fn request_from_closed_connection_is_dropped() {
     let (mut net, addr) = listening(100);
--- a/crates/net/tests/files.rs
+++ b/crates/net/tests/files.rs
@@ -1,4 +1,4 @@
-//! Alone in its process, since it takes the process's files away.
+//! In a test binary of its own, since it exhausts the file descriptors of the process.
 
 use net::{Door, Event, Net};
 use std::fs::File;
@@ -6,8 +6,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Guards against connections that wait for ever after an accept that failed for want of files: nothing announces
-/// them a second time, so they have to be looked for.
+/// Guards against connections that stay pending forever after an accept failed for lack of file descriptors: the poll
+/// does not report them a second time, so accepting has to be retried.
 #[test]
 fn connection_pending_during_fd_exhaustion_is_served_later() {
     let mut net = Net::new(100).expect("an event loop");
@@ -31,10 +31,16 @@
         let events = net.poll(Duration::from_millis(20)).expect("polled");
         events.iter().any(|e| matches!(e, Event::Request { .. }))
     };
-    assert!((0..10).all(|_| !served(&mut net)), "no file is left for it");
+    assert!(
+        (0..10).all(|_| !served(&mut net)),
+        "served without a free file descriptor"
+    );
     drop(held);
     let end = Instant::now() + Duration::from_secs(60);
     while !served(&mut net) {
-        assert!(Instant::now() < end, "never served");
+        assert!(
+            Instant::now() < end,
+            "not served after file descriptors were freed"
+        );
     }
 }
--- a/crates/net/tests/raw.rs
+++ b/crates/net/tests/raw.rs
@@ -1,4 +1,4 @@
-//! Raw doors: bytes as they come, ends exactly once, and bounds.
+//! Raw listeners: unparsed bytes in both directions, one close event per connection, and bounds.
 
 use net::{ConnId, Door, Event, Net};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
     (net, addr)
 }
 
-/// What the loop said, by connection.
+/// Events reported by the event loop, by connection.
 #[derive(Default)]
 struct Observed {
     opened: Vec<(ConnId, SocketAddr)>,
@@ -31,7 +31,7 @@
             .port()
     }
 
-    /// Polls until the condition holds.
+    /// Polls and records events until the condition holds.
     fn poll_until(&mut self, net: &mut Net, what: &str, holds: impl Fn(&Observed) -> bool) {
         let end = Instant::now() + Duration::from_secs(60);
         while !holds(self) {
@@ -47,7 +47,7 @@
                         self.bytes.entry(port).or_default().extend(bytes);
                     }
                     Event::Closed { conn } => {
-                        assert!(!self.closed.contains(&conn), "told once");
+                        assert!(!self.closed.contains(&conn), "close is reported once");
                         self.closed.push(conn);
                     }
                     other => panic!("unexpected: {other:?}"),
@@ -63,7 +63,7 @@
     let mut observed = Observed::default();
     let mut first = TcpStream::connect(addr).expect("connected");
     let port = first.local_addr().expect("its address").port();
-    // More than is handed over at once, and more than the kernel takes: written by another thread.
+    // More than one read takes and more than the kernel buffers, so another thread writes it.
     let sent: Vec<u8> = (0..3_000_000u32).map(|i| (i % 251) as u8).collect();
     let copy = sent.clone();
     let mut write_half = first.try_clone().expect("a handle");
@@ -81,14 +81,14 @@
     let mut got = String::new();
     first.read_to_string(&mut got).expect("read");
     assert_eq!(got, "goodbye");
-    // Whoever has gone is written to without harm, and another end is told too.
+    // Writing to a closed connection has no effect, and the close of another connection is reported too.
     net.write(id, b"late");
     let second = TcpStream::connect(addr).expect("connected");
     second.shutdown(Shutdown::Both).expect("closed");
     observed.poll_until(&mut net, "the second end", |s| s.closed.len() == 2);
 }
 
-/// A client that reads nothing holds a bounded amount of our memory, and then no connection.
+/// A client that reads nothing occupies a bounded amount of memory, and then its connection is closed.
 #[test]
 fn raw_client_that_reads_nothing_is_closed() {
     let (mut net, addr) = listening();
--- a/crates/net/tests/shares.rs
+++ b/crates/net/tests/shares.rs
@@ -1,4 +1,4 @@
-//! The shares of a full host's sockets, on loopback.
+//! How sockets are divided between uses when they run short, on loopback.
 
 use net::{Door, Event, KEEP, KEEP_SHORT, Net, Outgoing};
 use std::io::{ErrorKind, Read, Write};
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use wire::http::Response;
 
-/// Another host: it answers each question on its connections, or none, and counts what it has open.
+/// A remote host that responds to each request or to none, and tracks its open connections.
 struct Host {
     listener: TcpListener,
     conns: Vec<TcpStream>,
@@ -61,7 +61,8 @@
     });
 }
 
-/// How the questions ended until the condition held: true for an answer, false for one that was not sent.
+/// Polls until the condition holds. Returns how each outbound request ended: true if it got a response, false if it
+/// was not sent.
 fn poll_until(
     net: &mut Net,
     hosts: &mut [Host],
@@ -105,7 +106,7 @@
     results
 }
 
-/// A host of many is let go soon after its answer, one that is always being asked is not.
+/// A connection with a short `keep` is closed soon after its response, one with the normal `keep` is not.
 #[test]
 fn short_keep_connection_is_closed_soon_after_response() {
     let mut net = Net::new(200).expect("an event loop");
@@ -117,10 +118,10 @@
     assert_eq!(hosts[0].conns.len(), 1);
 }
 
-/// Unused connections to others make way long before they would be closed for their age.
+/// Idle outbound connections above the threshold are closed long before their idle timeout.
 #[test]
 fn idle_outbound_connections_are_closed_above_threshold() {
-    // 90 sockets; from 76 on the unused are closed.
+    // 90 connections; with more than 76 open, idle ones are closed.
     let mut net = Net::new(100).expect("an event loop");
     let mut hosts: Vec<Host> = (0..85).map(|_| Host::new(true)).collect();
     for (tag, host) in hosts.iter().enumerate() {
@@ -132,8 +133,8 @@
     });
 }
 
-/// Questions to hosts of many that take their time leave sockets for the others; what finds none is told apart from
-/// what was not answered.
+/// Unanswered requests with a short `keep` leave sockets for other requests. One that finds no socket is reported as
+/// unsent rather than as unanswered.
 #[test]
 fn short_keep_requests_leave_sockets_for_others() {
     let mut net = Net::new(32).expect("an event loop");
@@ -150,11 +151,11 @@
     assert!((1..30).contains(&unsent), "{results:?}");
 }
 
-/// More periodic than their share: each is answered, and enough are told to come anew for others to be let in and to
-/// stay.
+/// With more periodic clients than their limit, each is answered, and enough of their connections are closed for other
+/// clients to be accepted and to stay connected.
 #[test]
 fn periodic_clients_over_limit_are_answered_with_connection_close() {
-    // 28 sockets, 20 for those who ask, 15 of them for periodic.
+    // 28 connections, 20 of them inbound, 15 of these for periodic clients.
     let mut net = Net::new(32).expect("an event loop");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let addr = net.listen(any, Door::Clients).expect("listening");
@@ -191,7 +192,7 @@
     }
 }
 
-/// A regular that has gone without a word leaves its place much sooner than a user.
+/// The connection of a silent periodic client is closed much sooner than that of another silent client.
 #[test]
 fn silent_periodic_client_is_closed_before_other_clients() {
     let mut net = Net::new(32).expect("an event loop");
