--- a/crates/stoathatch/src/ask.rs
+++ b/crates/stoathatch/src/ask.rs
@@ -7,13 +7,13 @@
 use wire::http::{self, Response};
 
 /// A change is given up after this time; whether it was made is then for the history to say.
-const PATIENCE: Duration = Duration::from_secs(30);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 /// A question can be asked again at once.
-const QUESTION: Duration = Duration::from_secs(8);
-const ONE_TRY: Duration = Duration::from_secs(16);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(8);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(16);
 
 /// Why there is no answer to work with.
-pub enum Failed {
+pub enum RequestError {
     /// The service has answered, and will not do it.
     Refused(Refused),
     /// No controller has answered in time, or what it said can't be read.
@@ -21,24 +21,29 @@
 }
 
 /// Asks the controllers in turn. Repeating is harmless: a change carries its own id.
-pub fn ask<T: serde::de::DeserializeOwned>(
+pub fn send_request<T: serde::de::DeserializeOwned>(
     nodes: &[SocketAddr],
     path: &str,
-    question: &impl serde::Serialize,
+    request: &impl serde::Serialize,
     change: bool,
-) -> Result<T, Failed> {
-    let body = admin::encode(question);
-    let end = Instant::now() + if change { PATIENCE } else { QUESTION };
+) -> Result<T, RequestError> {
+    let body = admin::encode(request);
+    let end = Instant::now()
+        + if change {
+            CHANGE_TIMEOUT
+        } else {
+            QUERY_TIMEOUT
+        };
     let mut last = "no controller was named".to_owned();
     for node in nodes.iter().cycle() {
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
             break;
         }
-        match once(*node, "POST", path, &body, left.min(ONE_TRY)) {
+        match send_once(*node, "POST", path, &body, left.min(ATTEMPT_TIMEOUT)) {
             Ok(r) if r.status == 200 => {
                 return admin::decode(&r.body)
-                    .map_err(|e| Failed::Unreachable(format!("{node}: {e}")));
+                    .map_err(|e| RequestError::Unreachable(format!("{node}: {e}")));
             }
             Ok(r) if matches!(r.status, 429 | 503) => {
                 let why: Refused = admin::decode(&r.body).unwrap_or_default();
@@ -54,7 +59,7 @@
                     ),
                     ..Refused::default()
                 });
-                return Err(Failed::Refused(why));
+                return Err(RequestError::Refused(why));
             }
             Err(e) => {
                 last = format!("{node}: {e}");
@@ -62,11 +67,11 @@
             }
         }
     }
-    Err(Failed::Unreachable(last))
+    Err(RequestError::Unreachable(last))
 }
 
 /// One request, one answer, one connection.
-pub fn once(
+pub fn send_once(
     to: SocketAddr,
     method: &str,
     path: &str,
--- a/crates/stoathatch/src/config.rs
+++ b/crates/stoathatch/src/config.rs
@@ -53,7 +53,7 @@
          "machine_limits":{"cores":0.12,"mem_mb":200.0,"max_sockets":3500},"clock_error_ms":25.0}}"#;
 
     #[test]
-    fn settings_name_what_is_wrong() {
+    fn settings_errors_name_the_field() {
         assert!(parse_settings(GOOD).is_ok(), "unknown fields are ignored");
         for (from, to, named) in [
             (r#""node":"burrow-0","#, "", "node"),
@@ -75,7 +75,7 @@
 
     /// The limits to come are checked as those that hold are: a whole set, no larger, and large enough to work with.
     #[test]
-    fn limits_to_come_name_what_is_wrong() {
+    fn next_limits_errors_name_the_field() {
         let with = |next: &str| {
             let state = format!(r#""txn_ops":16,"next":{next}"#);
             parse_settings(&GOOD.replacen(r#""txn_ops":16"#, &state, 1))
@@ -108,7 +108,7 @@
     }
 
     #[test]
-    fn ini_refuses_unknown_names_and_bad_values() {
+    fn ini_with_unknown_names_or_bad_values_is_rejected() {
         let t = parse_tuning("[owner]\nttl_ms = 4000\n").expect("good");
         assert_eq!(t.ttl_ms, 4000.0);
         assert_eq!(parse_tuning("").expect("empty"), Tuning::default());
--- a/crates/stoathatch/src/counties.rs
+++ b/crates/stoathatch/src/counties.rs
@@ -1,6 +1,6 @@
 //! `stoathatch counties`: what operators see and change of counties. Their counts are [`crate::tally`]'s.
 
-use crate::documents::{Asked, Common, Table, table};
+use crate::documents::{DocumentCommand, DocumentKind, ServiceArgs, table};
 use clap::Args;
 use county::{Apart, Counties, Known, Others, Rule, Spec};
 use document::file::Parsed;
@@ -12,15 +12,15 @@
 #[derive(Args)]
 pub struct Command {
     #[command(flatten)]
-    asked: Asked,
+    asked: ServiceArgs,
     #[command(subcommand)]
-    verb: Common,
+    verb: DocumentCommand,
 }
 
 /// The counties' part in the common verbs.
-pub enum Partition {}
+pub enum CountiesDocument {}
 
-impl Table for Partition {
+impl DocumentKind for CountiesDocument {
     type Spec = Spec;
     type Shown = Shown<Spec>;
     type Edit = Whole<Spec>;
@@ -35,7 +35,7 @@
                 zones: s.cluster.zones.iter().cloned().collect(),
                 desks: None,
             },
-            None => named(spec),
+            None => names_in(spec),
         };
         let built = Counties::build(spec, &known)?;
         let against = if settings.is_some() {
@@ -45,13 +45,13 @@
         };
         Ok(format!("{}{against}", Spec::size(&built)))
     }
-    fn set(spec: Spec) -> Whole<Spec> {
+    fn replace(spec: Spec) -> Whole<Spec> {
         Whole::Set { spec }
     }
     fn parts(shown: &Shown<Spec>) -> (u64, &Spec, &[Past]) {
         (shown.version, &shown.spec, &shown.history)
     }
-    fn shown(shown: &Shown<Spec>) -> String {
+    fn render(shown: &Shown<Spec>) -> String {
         let rows = shown.spec.counties.iter().map(|c| {
             let apart = match c.apart {
                 Apart::Nothing => "-".to_owned(),
@@ -90,7 +90,7 @@
 }
 
 /// All names that a document has, taken as known.
-fn named(spec: &Spec) -> Known {
+fn names_in(spec: &Spec) -> Known {
     let rules = || spec.counties.iter().flat_map(|c| &c.rules);
     let all = |of: fn(&Rule) -> &Vec<String>| rules().flat_map(of).cloned().collect();
     let mut known = Known {
@@ -105,5 +105,5 @@
 }
 
 pub fn run(c: &Command) -> ExitCode {
-    crate::documents::end(crate::documents::run::<Partition>(&c.asked, &c.verb))
+    crate::documents::exit_code(crate::documents::run::<CountiesDocument>(&c.asked, &c.verb))
 }
--- a/crates/stoathatch/src/documents.rs
+++ b/crates/stoathatch/src/documents.rs
@@ -1,9 +1,9 @@
 //! What operators can do with every kind of document: see it, check a file, put another version in force, and list
-//! the changes. A kind adds a small [`Table`], and verbs of its own beside the common ones.
+//! the changes. A kind adds a small [`DocumentKind`], and verbs of its own beside the common ones.
 
-use crate::ask::{Failed, ask};
+use crate::ask::{RequestError, send_request};
 use clap::{Args, Subcommand};
-use comfy_table::{Table as Rows, presets};
+use comfy_table::{Table, presets};
 use document::file::Parsed;
 use document::{Content, Fault, Past};
 use serde::Serialize;
@@ -16,7 +16,7 @@
 
 /// Exit codes: 0 done, 1 refused, 2 could not be asked.
 #[derive(Args)]
-pub struct Asked {
+pub struct ServiceArgs {
     /// A controller's peer address; several are tried in turn. Any controller will do.
     #[arg(
         long = "node",
@@ -32,7 +32,7 @@
 }
 
 #[derive(Subcommand)]
-pub enum Common {
+pub enum DocumentCommand {
     /// The version in force, with what it comes to now.
     Show {
         /// Print it as a file that `set` takes.
@@ -52,7 +52,7 @@
         /// The file; `-` for an empty one, with which all is as if there had never been any.
         file: PathBuf,
         #[command(flatten)]
-        how: How,
+        how: ChangeArgs,
     },
     /// The latest changes.
     History,
@@ -61,7 +61,7 @@
 }
 
 #[derive(Args)]
-pub struct How {
+pub struct ChangeArgs {
     /// Say what would change and what would come of it, and change nothing.
     #[arg(long)]
     pub dry_run: bool,
@@ -74,7 +74,7 @@
 }
 
 /// What a kind adds to the common verbs.
-pub trait Table {
+pub trait DocumentKind {
     type Spec: Content + schemars::JsonSchema;
     /// What is answered to "show".
     type Shown: Serialize + DeserializeOwned;
@@ -84,32 +84,32 @@
     /// Checks it, against settings too where there are any, and says how much there is of it.
     fn check(spec: &Self::Spec, settings: Option<&Settings>) -> Result<String, Vec<Fault>>;
     /// The change that puts it in force as a whole.
-    fn set(spec: Self::Spec) -> Self::Edit;
+    fn replace(spec: Self::Spec) -> Self::Edit;
     fn parts(shown: &Self::Shown) -> (u64, &Self::Spec, &[Past]);
     /// For people.
-    fn shown(shown: &Self::Shown) -> String;
+    fn render(shown: &Self::Shown) -> String;
 }
 
 /// What is wrong with a file or a request, or whatever else ends a command.
-pub enum End {
+pub enum CommandError {
     Refused(Vec<String>),
     Failed(String),
     /// An answer for programs that names differences.
-    Differs(String),
+    Differences(String),
 }
 
-impl From<Failed> for End {
-    fn from(failed: Failed) -> Self {
-        End::located::<()>(failed, None)
+impl From<RequestError> for CommandError {
+    fn from(error: RequestError) -> Self {
+        CommandError::from_request_error::<()>(error, None)
     }
 }
 
-impl End {
+impl CommandError {
     /// What the service has refused, with the lines of the file that it was sent from.
-    fn located<S>(failed: Failed, from: Option<(&Path, &Parsed<S>)>) -> Self {
-        match failed {
-            Failed::Unreachable(why) => End::Failed(why),
-            Failed::Refused(why) => {
+    fn from_request_error<S>(error: RequestError, from: Option<(&Path, &Parsed<S>)>) -> Self {
+        match error {
+            RequestError::Unreachable(why) => CommandError::Failed(why),
+            RequestError::Refused(why) => {
                 let version = why.version.map(|v| format!("version in force: {v}"));
                 let faults: Vec<String> = match from {
                     Some((path, parsed)) => {
@@ -121,7 +121,7 @@
                     }
                     None => why.faults.iter().map(ToString::to_string).collect(),
                 };
-                End::Refused(
+                CommandError::Refused(
                     [why.error]
                         .into_iter()
                         .chain(faults)
@@ -132,8 +132,8 @@
         }
     }
 
-    fn placed(path: &Path, faults: &[Fault]) -> Self {
-        End::Refused(
+    fn from_faults(path: &Path, faults: &[Fault]) -> Self {
+        CommandError::Refused(
             faults
                 .iter()
                 .map(|f| format!("{}: {f}", path.display()))
@@ -141,28 +141,32 @@
         )
     }
 
-    fn lines(self) -> Vec<String> {
+    fn into_lines(self) -> Vec<String> {
         match self {
-            End::Refused(lines) => lines,
-            End::Failed(why) | End::Differs(why) => vec![why],
+            CommandError::Refused(lines) => lines,
+            CommandError::Failed(why) | CommandError::Differences(why) => vec![why],
         }
     }
 }
 
 /// Prints how a command ended.
-pub fn end(result: Result<String, End>) -> ExitCode {
+pub fn exit_code(result: Result<String, CommandError>) -> ExitCode {
     match result {
         Ok(text) => {
             println!("{}", text.trim_end());
             ExitCode::SUCCESS
         }
-        Err(End::Differs(text)) => {
+        Err(CommandError::Differences(text)) => {
             println!("{text}");
             ExitCode::from(1)
         }
         Err(end) => {
-            let code = ExitCode::from(if matches!(end, End::Refused(_)) { 1 } else { 2 });
-            end.lines()
+            let code = ExitCode::from(if matches!(end, CommandError::Refused(_)) {
+                1
+            } else {
+                2
+            });
+            end.into_lines()
                 .iter()
                 .for_each(|line| eprintln!("stoathatch: {line}"));
             code
@@ -170,46 +174,52 @@
     }
 }
 
-impl Asked {
+impl ServiceArgs {
     /// A question about a kind.
-    pub fn ask<T: Table, A: DeserializeOwned>(
+    pub fn query<T: DocumentKind, A: DeserializeOwned>(
         &self,
         question: &impl Serialize,
-    ) -> Result<A, Failed> {
-        ask(&self.nodes, &admin::path(T::Spec::KIND), question, false)
+    ) -> Result<A, RequestError> {
+        send_request(&self.nodes, &admin::path(T::Spec::KIND), question, false)
     }
 
-    fn shown<T: Table>(&self) -> Result<T::Shown, Failed> {
-        self.ask::<T, _>(&AskOf::<T::Edit>::Show)
+    fn fetch<T: DocumentKind>(&self) -> Result<T::Shown, RequestError> {
+        self.query::<T, _>(&AskOf::<T::Edit>::Show)
     }
 }
 
-pub fn run<T: Table>(asked: &Asked, common: &Common) -> Result<String, End> {
+pub fn run<T: DocumentKind>(
+    service: &ServiceArgs,
+    common: &DocumentCommand,
+) -> Result<String, CommandError> {
     match common {
-        Common::Schema => Ok(document::file::schema::<T::Spec>()),
-        Common::Check { file, config } => {
-            let parsed = read::<T>(file)?;
+        DocumentCommand::Schema => Ok(document::file::schema::<T::Spec>()),
+        DocumentCommand::Check { file, config } => {
+            let parsed = read_document::<T>(file)?;
             let settings = config
                 .as_deref()
                 .map(crate::config::settings)
                 .transpose()
-                .map_err(End::Failed)?;
+                .map_err(CommandError::Failed)?;
             let checked = T::check(&parsed.spec, settings.as_ref());
-            let words = checked.map_err(|faults| End::placed(file, &parsed.locate(faults)))?;
+            let words = checked
+                .map_err(|faults| CommandError::from_faults(file, &parsed.locate(faults)))?;
             Ok(format!("{}: {words}", file.display()))
         }
-        Common::Show { file } => {
-            let shown = asked.shown::<T>()?;
-            match (file, asked.json) {
-                (true, _) => document::file::render(T::parts(&shown).1).map_err(End::Failed),
+        DocumentCommand::Show { file } => {
+            let shown = service.fetch::<T>()?;
+            match (file, service.json) {
+                (true, _) => {
+                    document::file::render(T::parts(&shown).1).map_err(CommandError::Failed)
+                }
                 (_, true) => Ok(json(&shown)),
-                _ => Ok(T::shown(&shown)),
+                _ => Ok(T::render(&shown)),
             }
         }
-        Common::History => {
-            let shown = asked.shown::<T>()?;
+        DocumentCommand::History => {
+            let shown = service.fetch::<T>()?;
             let (_, _, history) = T::parts(&shown);
-            if asked.json {
+            if service.json {
                 return Ok(json(&history));
             }
             let rows = history.iter().map(|p| {
@@ -222,46 +232,51 @@
             });
             Ok(table(&["version", "unix time", "by", "what"], rows))
         }
-        Common::Set { file, how } if file == Path::new("-") => {
-            change::<T>(asked, how, T::set(T::Spec::default()), None)
+        DocumentCommand::Set { file, how } if file == Path::new("-") => {
+            change::<T>(service, how, T::replace(T::Spec::default()), None)
         }
-        Common::Set { file, how } => {
-            let parsed = read::<T>(file)?;
+        DocumentCommand::Set { file, how } => {
+            let parsed = read_document::<T>(file)?;
             change::<T>(
-                asked,
+                service,
                 how,
-                T::set(parsed.spec.clone()),
+                T::replace(parsed.spec.clone()),
                 Some((file, &parsed)),
             )
         }
     }
 }
 
-fn read<T: Table>(path: &Path) -> Result<Parsed<T::Spec>, End> {
+fn read_document<T: DocumentKind>(path: &Path) -> Result<Parsed<T::Spec>, CommandError> {
     let text = std::fs::read_to_string(path)
-        .map_err(|e| End::Failed(format!("{}: {e}", path.display())))?;
-    T::parse(&text).map_err(|faults| End::placed(path, &faults))
+        .map_err(|e| CommandError::Failed(format!("{}: {e}", path.display())))?;
+    T::parse(&text).map_err(|faults| CommandError::from_faults(path, &faults))
 }
 
 /// A document to begin with, that fits the settings; the error names all that is wrong, with path and line.
-pub fn first<T: Table>(path: &Path, settings: &Settings) -> Result<T::Spec, String> {
-    let parsed = read::<T>(path).map_err(|end| end.lines().join("\n"))?;
+pub fn initial_document<T: DocumentKind>(
+    path: &Path,
+    settings: &Settings,
+) -> Result<T::Spec, String> {
+    let parsed = read_document::<T>(path).map_err(|end| end.into_lines().join("\n"))?;
     match T::check(&parsed.spec, Some(settings)) {
         Ok(_) => Ok(parsed.spec),
-        Err(faults) => Err(End::placed(path, &parsed.locate(faults)).lines().join("\n")),
+        Err(faults) => Err(CommandError::from_faults(path, &parsed.locate(faults))
+            .into_lines()
+            .join("\n")),
     }
 }
 
 /// Asks for a change, and says what came of it.
-pub fn change<T: Table>(
-    asked: &Asked,
-    how: &How,
+pub fn change<T: DocumentKind>(
+    service: &ServiceArgs,
+    how: &ChangeArgs,
     edit: T::Edit,
     from: Option<(&Path, &Parsed<T::Spec>)>,
-) -> Result<String, End> {
+) -> Result<String, CommandError> {
     let expect = match how.expect {
         Some(version) => version,
-        None => T::parts(&asked.shown::<T>()?).0,
+        None => T::parts(&service.fetch::<T>()?).0,
     };
     // Made once: each try carries the same, so that it is made at most once.
     let id = format!("{:016x}", fastrand::u64(..));
@@ -274,19 +289,20 @@
         edit,
     });
     let path = admin::path(T::Spec::KIND);
-    let done: Changed =
-        ask(&asked.nodes, &path, &change, true).map_err(|f| End::located(f, from))?;
-    if asked.json {
-        return Ok(json(&done));
+    let changed: Changed = send_request(&service.nodes, &path, &change, true)
+        .map_err(|f| CommandError::from_request_error(f, from))?;
+    if service.json {
+        return Ok(json(&changed));
     }
-    let mut out = if done.dry_run {
-        format!("version {} stays; this would change:\n", done.version)
+    let mut out = if changed.dry_run {
+        format!("version {} stays; this would change:\n", changed.version)
     } else {
-        format!("version {} is in force\n", done.version)
+        format!("version {} is in force\n", changed.version)
     };
-    done.differences
+    changed
+        .differences
         .iter()
-        .chain(&done.above)
+        .chain(&changed.above)
         .for_each(|line| out.push_str(&format!("  {line}\n")));
     Ok(out)
 }
@@ -296,7 +312,7 @@
 }
 
 pub fn table(head: &[&str], rows: impl Iterator<Item = Vec<String>>) -> String {
-    let mut table = Rows::new();
+    let mut table = Table::new();
     table
         .load_preset(presets::NOTHING)
         .set_header(head.iter().copied());
--- a/crates/stoathatch/src/hours.rs
+++ b/crates/stoathatch/src/hours.rs
@@ -1,6 +1,6 @@
 //! `stoathatch hours`: the calendar of release hours, and by when what is due.
 
-use crate::documents::{Asked, Common, End, Table, json, table};
+use crate::documents::{CommandError, DocumentCommand, DocumentKind, ServiceArgs, json, table};
 use clap::{Args, Subcommand};
 use document::file::Parsed;
 use document::{Content, Fault};
@@ -13,7 +13,7 @@
 #[derive(Args)]
 pub struct Command {
     #[command(flatten)]
-    asked: Asked,
+    asked: ServiceArgs,
     #[command(subcommand)]
     verb: Verb,
 }
@@ -21,7 +21,7 @@
 #[derive(Subcommand)]
 enum Verb {
     #[command(flatten)]
-    Common(Common),
+    Common(DocumentCommand),
     /// By when jobs are due, what is at risk and why, and what was kept or missed.
     List {
         /// Of this studio alone.
@@ -52,9 +52,9 @@
 }
 
 /// The calendar's part in the common verbs.
-pub enum Hours {}
+pub enum HoursDocument {}
 
-impl Table for Hours {
+impl DocumentKind for HoursDocument {
     type Spec = Spec;
     type Shown = Shown<Spec>;
     type Edit = Whole<Spec>;
@@ -88,13 +88,13 @@
         };
         Ok(format!("{}{against}", Spec::size(&calendar)))
     }
-    fn set(spec: Spec) -> Whole<Spec> {
+    fn replace(spec: Spec) -> Whole<Spec> {
         Whole::Set { spec }
     }
     fn parts(shown: &Shown<Spec>) -> (u64, &Spec, &[document::Past]) {
         (shown.version, &shown.spec, &shown.history)
     }
-    fn shown(shown: &Shown<Spec>) -> String {
+    fn render(shown: &Shown<Spec>) -> String {
         let class = |c: &Option<String>| c.clone().unwrap_or_else(|| "any".to_owned());
         let days = |d: &[String]| {
             if d.is_empty() {
@@ -147,21 +147,21 @@
 }
 
 pub fn run(command: &Command) -> ExitCode {
-    crate::documents::end(execute(command))
+    crate::documents::exit_code(execute(command))
 }
 
-fn execute(c: &Command) -> Result<String, End> {
-    let asked = &c.asked;
+fn execute(c: &Command) -> Result<String, CommandError> {
+    let service = &c.asked;
     match &c.verb {
-        Verb::Common(common) => crate::documents::run::<Hours>(asked, common),
+        Verb::Common(common) => crate::documents::run::<HoursDocument>(service, common),
         Verb::List { studio } => {
-            let list: List = asked.ask::<Hours, _>(&Ask::List {
+            let list: List = service.query::<HoursDocument, _>(&Ask::List {
                 studio: studio.clone(),
             })?;
-            Ok(if asked.json {
+            Ok(if service.json {
                 json(&list)
             } else {
-                listed(&list)
+                render_list(&list)
             })
         }
         Verb::Move { job, to, by } => {
@@ -170,7 +170,7 @@
                 to: to.clone(),
                 by: by.clone(),
             };
-            moved(asked, &ask)
+            request_move(service, &ask)
         }
         Verb::Reagree {
             studio,
@@ -182,14 +182,14 @@
                 by: by.clone(),
                 dry_run: *dry_run,
             };
-            moved(asked, &ask)
+            request_move(service, &ask)
         }
     }
 }
 
-fn moved(asked: &Asked, ask: &Ask) -> Result<String, End> {
-    let moved: Moved = asked.ask::<Hours, _>(ask)?;
-    if asked.json {
+fn request_move(service: &ServiceArgs, ask: &Ask) -> Result<String, CommandError> {
+    let moved: Moved = service.query::<HoursDocument, _>(ask)?;
+    if service.json {
         return Ok(json(&moved));
     }
     let words = if moved.dry_run { "would move" } else { "move" };
@@ -201,7 +201,7 @@
     Ok(format!("{} hours {words}\n{lines}", moved.jobs))
 }
 
-fn listed(list: &List) -> String {
+fn render_list(list: &List) -> String {
     let rows = list.lines.iter().map(|l| {
         let studio = l.studio.clone().unwrap_or_else(|| "-".to_owned());
         let moved = l
@@ -214,7 +214,7 @@
             l.due.clone(),
             l.job.clone(),
             l.class.clone(),
-            state(l),
+            render_state(l),
             moved,
         ]
     });
@@ -229,21 +229,21 @@
     )
 }
 
-fn state(line: &Line) -> String {
+fn render_state(line: &Line) -> String {
     let late = line
         .late_s
         .map(|s| format!(" by {s:.0} s"))
         .unwrap_or_default();
     match line.state {
         State::Due => "due".to_owned(),
-        State::AtRisk(risk) => format!("at risk: {}", why(risk)),
+        State::AtRisk(risk) => format!("at risk: {}", render_risk(risk)),
         State::Missed => format!("missed{late}"),
         State::Kept => "kept".to_owned(),
         State::Withdrawn => "cancelled".to_owned(),
     }
 }
 
-fn why(risk: Risk) -> &'static str {
+fn render_risk(risk: Risk) -> &'static str {
     match risk {
         Risk::Room => "no room",
         Risk::Quota => "its team is at its bound",
--- a/crates/stoathatch/src/main.rs
+++ b/crates/stoathatch/src/main.rs
@@ -114,11 +114,14 @@
         Some(path) => config::tuning(path)?,
         None => control::Tuning::default(),
     };
-    let first = service::First {
-        tree: first::<quota::Quota>(args.quota.as_ref(), &settings)?,
-        hours: first::<hours::Hours>(args.hours.as_ref(), &settings)?,
-        counties: first::<counties::Partition>(args.counties.as_ref(), &settings)?,
-        models: first::<models::Models>(args.models.as_ref(), &settings)?,
+    let initial = service::InitialDocuments {
+        tree: initial_document::<quota::QuotaDocument>(args.quota.as_ref(), &settings)?,
+        hours: initial_document::<hours::HoursDocument>(args.hours.as_ref(), &settings)?,
+        counties: initial_document::<counties::CountiesDocument>(
+            args.counties.as_ref(),
+            &settings,
+        )?,
+        models: initial_document::<models::ModelsDocument>(args.models.as_ref(), &settings)?,
     };
     let yarn = args.yarn.as_deref().map(config::yarn).transpose()?;
     if args.check {
@@ -127,14 +130,14 @@
         }
         return Ok(());
     }
-    service::Service::new(settings, tuning, first, yarn)?.run()
+    service::Service::new(settings, tuning, initial, yarn)?.run()
 }
 
 /// The document that a deployment begins with, if one is named.
-fn first<T: documents::Table>(
+fn initial_document<T: documents::DocumentKind>(
     path: Option<&PathBuf>,
     settings: &wire::settings::Settings,
 ) -> Result<Option<T::Spec>, String> {
-    path.map(|path| documents::first::<T>(path, settings))
+    path.map(|path| documents::initial_document::<T>(path, settings))
         .transpose()
 }
--- a/crates/stoathatch/src/models.rs
+++ b/crates/stoathatch/src/models.rs
@@ -1,7 +1,7 @@
 //! `stoathatch models`: which standing jobs are models, how each stands, and demand for one.
 
-use crate::ask::ask;
-use crate::documents::{Asked, Common, End, Table, json, table};
+use crate::ask::send_request;
+use crate::documents::{CommandError, DocumentCommand, DocumentKind, ServiceArgs, json, table};
 use clap::{Args, Subcommand};
 use document::file::Parsed;
 use document::{Content, Fault};
@@ -14,7 +14,7 @@
 #[derive(Args)]
 pub struct Command {
     #[command(flatten)]
-    asked: Asked,
+    asked: ServiceArgs,
     #[command(subcommand)]
     verb: Verb,
 }
@@ -22,7 +22,7 @@
 #[derive(Subcommand)]
 enum Verb {
     #[command(flatten)]
-    Common(Common),
+    Common(DocumentCommand),
     /// How each model stands: its phase, generation, since when, and why it is not awake.
     List,
     /// Say that a model is wanted. Asked again, it is the same wake.
@@ -33,9 +33,9 @@
 }
 
 /// The list's part in the common verbs.
-pub enum Models {}
+pub enum ModelsDocument {}
 
-impl Table for Models {
+impl DocumentKind for ModelsDocument {
     type Spec = Spec;
     type Shown = Shown<Spec>;
     type Edit = Whole<Spec>;
@@ -52,13 +52,13 @@
         };
         Ok(format!("{}{against}", Spec::size(&spec.build(&teams)?)))
     }
-    fn set(spec: Spec) -> Whole<Spec> {
+    fn replace(spec: Spec) -> Whole<Spec> {
         Whole::Set { spec }
     }
     fn parts(shown: &Shown<Spec>) -> (u64, &Spec, &[document::Past]) {
         (shown.version, &shown.spec, &shown.history)
     }
-    fn shown(shown: &Shown<Spec>) -> String {
+    fn render(shown: &Shown<Spec>) -> String {
         let any = |v: &Option<String>| v.clone().unwrap_or_else(|| "any".to_owned());
         let rows = shown.spec.rules.iter().map(|r| {
             let jobs = if r.jobs.is_empty() {
@@ -93,63 +93,67 @@
 }
 
 pub fn run(command: &Command) -> ExitCode {
-    crate::documents::end(execute(command))
+    crate::documents::exit_code(execute(command))
 }
 
-fn execute(c: &Command) -> Result<String, End> {
-    let asked = &c.asked;
+fn execute(c: &Command) -> Result<String, CommandError> {
+    let service = &c.asked;
     match &c.verb {
-        Verb::Common(common) => crate::documents::run::<Models>(asked, common),
+        Verb::Common(common) => crate::documents::run::<ModelsDocument>(service, common),
         Verb::List => {
-            let all: Vec<Standing> = asked.ask::<Models, _>(&Ask::List {})?;
-            Ok(if asked.json { json(&all) } else { listed(&all) })
+            let all: Vec<Standing> = service.query::<ModelsDocument, _>(&Ask::List {})?;
+            Ok(if service.json {
+                json(&all)
+            } else {
+                render_list(&all)
+            })
         }
         Verb::Demand { model } => {
             // The same demand twice is one: any controller may be tried after another.
-            let told: ModelStatus = ask(
-                &asked.nodes,
+            let status: ModelStatus = send_request(
+                &service.nodes,
                 DEMAND,
                 &Demand {
                     model: model.clone(),
                 },
                 true,
             )?;
-            Ok(if asked.json {
-                json(&told)
+            Ok(if service.json {
+                json(&status)
             } else {
-                format!("{}: {}", told.model, words(&told))
+                format!("{}: {}", status.model, render_status(&status))
             })
         }
     }
 }
 
-fn words(told: &ModelStatus) -> String {
-    let phase = match told.phase {
+fn render_status(status: &ModelStatus) -> String {
+    let phase = match status.phase {
         Phase::Asleep => "asleep",
         Phase::Waking => "waking",
         Phase::Awake => "awake",
         Phase::Leaving => "going to sleep",
     };
-    let due = told
+    let due = status
         .due_ms
         .map(|at| format!(", due at unix time {}", at / 1000))
         .unwrap_or_default();
-    let why = match &told.why {
+    let why = match &status.why {
         Some(Why::TooOften) => ", woken as often as it may be".to_owned(),
         Some(Why::Backoff { failed }) => format!(", the last {failed} wakes came to nothing"),
         None => String::new(),
     };
-    let until = told
+    let until = status
         .not_before_ms
         .map(|at| format!(", not before unix time {}", at / 1000));
     format!(
         "{phase}, generation {}{due}{why}{}",
-        told.generation,
+        status.generation,
         until.unwrap_or_default()
     )
 }
 
-fn listed(all: &[Standing]) -> String {
+fn render_list(all: &[Standing]) -> String {
     let rows = all.iter().map(|m| {
         let quiet = format!("{} s", m.quiet_ms / 1000);
         let replicas = format!("{} of {}", m.running, m.wanted);
@@ -159,7 +163,7 @@
             m.told.model.clone(),
             m.rule.clone(),
             team,
-            words(&m.told),
+            render_status(&m.told),
             since,
             replicas,
             quiet,
--- a/crates/stoathatch/src/quota.rs
+++ b/crates/stoathatch/src/quota.rs
@@ -1,6 +1,8 @@
 //! `stoathatch quota`: what operators see and change of the quota tree.
 
-use crate::documents::{Asked, Common, End, How, Table, change, json, table};
+use crate::documents::{
+    ChangeArgs, CommandError, DocumentCommand, DocumentKind, ServiceArgs, change, json, table,
+};
 use clap::{Args, Subcommand};
 use document::Fault;
 use document::file::Parsed;
@@ -12,7 +14,7 @@
 #[derive(Args)]
 pub struct Command {
     #[command(flatten)]
-    asked: Asked,
+    asked: ServiceArgs,
     #[command(subcommand)]
     verb: Verb,
 }
@@ -20,7 +22,7 @@
 #[derive(Subcommand)]
 enum Verb {
     #[command(flatten)]
-    Common(Common),
+    Common(DocumentCommand),
     /// Move a team, or a node with all below it; its guarantee goes along.
     Move {
         /// The team, or the node.
@@ -29,23 +31,23 @@
         #[arg(long)]
         to: Option<String>,
         #[command(flatten)]
-        how: How,
+        how: ChangeArgs,
     },
     /// Give a node other bounds.
     Shrink {
         /// The node.
         name: String,
         /// What it is guaranteed from now on: `gpus=8`. Can be given several times.
-        #[arg(long, value_name = "RESOURCE=UNITS", value_parser = amount)]
+        #[arg(long, value_name = "RESOURCE=UNITS", value_parser = parse_amount)]
         guarantee: Vec<(String, f64)>,
         /// What it may use at most from now on.
-        #[arg(long, value_name = "RESOURCE=UNITS", value_parser = amount)]
+        #[arg(long, value_name = "RESOURCE=UNITS", value_parser = parse_amount)]
         max: Vec<(String, f64)>,
         /// Cut what is guaranteed below it in proportion, where it would be more.
         #[arg(long)]
         scale: bool,
         #[command(flatten)]
-        how: How,
+        how: ChangeArgs,
     },
     /// Why a team's work waits.
     Why {
@@ -54,7 +56,7 @@
     },
 }
 
-fn amount(text: &str) -> Result<(String, f64), String> {
+fn parse_amount(text: &str) -> Result<(String, f64), String> {
     let (name, units) = text
         .split_once('=')
         .ok_or("should be RESOURCE=UNITS, like gpus=8")?;
@@ -66,9 +68,9 @@
 }
 
 /// The quota tree's part in the common verbs.
-pub enum Quota {}
+pub enum QuotaDocument {}
 
-impl Table for Quota {
+impl DocumentKind for QuotaDocument {
     type Spec = Spec;
     type Shown = admin::Tree;
     type Edit = Edit;
@@ -79,7 +81,7 @@
     fn check(spec: &Spec, settings: Option<&Settings>) -> Result<String, Vec<Fault>> {
         let teams = match settings {
             Some(settings) => settings.quota_teams(),
-            None => spec.teams.iter().map(named).collect(),
+            None => spec.teams.iter().map(team_from_spec).collect(),
         };
         let tree = Tree::build(spec, &teams)?;
         let against = if settings.is_some() {
@@ -93,15 +95,15 @@
             tree.levels()
         ))
     }
-    fn set(spec: Spec) -> Edit {
+    fn replace(spec: Spec) -> Edit {
         Edit::Set { spec }
     }
     fn parts(tree: &admin::Tree) -> (u64, &Spec, &[document::Past]) {
         (tree.version, &tree.spec, &tree.history)
     }
-    fn shown(tree: &admin::Tree) -> String {
+    fn render(tree: &admin::Tree) -> String {
         let mut rows: Vec<Vec<String>> = Vec::new();
-        below(tree, None, &mut rows);
+        push_rows_below(tree, None, &mut rows);
         let head = ["name", "guaranteed", "at most", "weight", "used", "wanted"];
         let refused = tree
             .refused
@@ -117,23 +119,24 @@
 }
 
 pub fn run(command: &Command) -> ExitCode {
-    crate::documents::end(execute(command))
+    crate::documents::exit_code(execute(command))
 }
 
-fn execute(c: &Command) -> Result<String, End> {
-    let asked = &c.asked;
+fn execute(c: &Command) -> Result<String, CommandError> {
+    let service = &c.asked;
     match &c.verb {
-        Verb::Common(common) => crate::documents::run::<Quota>(asked, common),
+        Verb::Common(common) => crate::documents::run::<QuotaDocument>(service, common),
         Verb::Why { team } => {
-            let why: quota::Why = asked.ask::<Quota, _>(&Question::Why { team: team.clone() })?;
-            Ok(if asked.json {
+            let why: quota::Why =
+                service.query::<QuotaDocument, _>(&Question::Why { team: team.clone() })?;
+            Ok(if service.json {
                 json(&why)
             } else {
-                reasons(&why)
+                render_why(&why)
             })
         }
-        Verb::Move { name, to, how } => change::<Quota>(
-            asked,
+        Verb::Move { name, to, how } => change::<QuotaDocument>(
+            service,
             how,
             Edit::Move {
                 name: name.clone(),
@@ -156,20 +159,20 @@
                 max,
                 scale: *scale,
             };
-            change::<Quota>(asked, how, edit, None)
+            change::<QuotaDocument>(service, how, edit, None)
         }
     }
 }
 
 /// A team as far as the tree itself says.
-fn named(t: &TeamSpec) -> Team {
+fn team_from_spec(t: &TeamSpec) -> Team {
     Team {
         guarantee: t.guarantee.clone().unwrap_or_default(),
         ..Team::new(&t.name)
     }
 }
 
-fn amounts(a: &Amounts) -> String {
+fn format_amounts(a: &Amounts) -> String {
     if a.is_empty() {
         return "-".to_owned();
     }
@@ -180,17 +183,17 @@
 }
 
 /// Teams and nodes directly below a node, each node followed by what is below it.
-fn below(tree: &admin::Tree, parent: Option<&str>, rows: &mut Vec<Vec<String>>) {
+fn push_rows_below(tree: &admin::Tree, parent: Option<&str>, rows: &mut Vec<Vec<String>>) {
     let row = |s: &Standing, mark: &str| {
         let name = format!("{}{mark}{}", "  ".repeat(s.depth), s.name);
         let weight = s.weight.to_string();
         vec![
             name,
-            amounts(&s.guarantee),
-            amounts(&s.max),
+            format_amounts(&s.guarantee),
+            format_amounts(&s.max),
             weight,
-            amounts(&s.used),
-            amounts(&s.wanted),
+            format_amounts(&s.used),
+            format_amounts(&s.wanted),
         ]
     };
     for team in tree.teams.iter().filter(|t| t.parent.as_deref() == parent) {
@@ -198,19 +201,22 @@
     }
     for node in tree.nodes.iter().filter(|n| n.parent.as_deref() == parent) {
         rows.push(row(node, "/"));
-        below(tree, Some(&node.name), rows);
+        push_rows_below(tree, Some(&node.name), rows);
     }
 }
 
-fn reasons(why: &quota::Why) -> String {
+fn render_why(why: &quota::Why) -> String {
     let mut out = format!(
         "{}: uses {}, wants {}\n",
         why.team,
-        amounts(&why.used),
-        amounts(&why.wanted)
+        format_amounts(&why.used),
+        format_amounts(&why.wanted)
     );
     for (name, share) in &why.entitled {
-        out.push_str(&format!("entitled by {name} to {}\n", amounts(share)));
+        out.push_str(&format!(
+            "entitled by {name} to {}\n",
+            format_amounts(share)
+        ));
     }
     for bound in &why.bounded_by {
         out.push_str(&format!("bounded by {bound}\n"));
@@ -218,7 +224,7 @@
     for (name, over) in &why.borrowed {
         out.push_str(&format!(
             "{name} uses {} beyond its guarantee\n",
-            amounts(over)
+            format_amounts(over)
         ));
     }
     let when = match (
@@ -239,6 +245,9 @@
                               unless that ends within 15 s; then the time to save"
         }
     };
-    out.push_str(&format!("short of {}: {when}\n", amounts(&why.short)));
+    out.push_str(&format!(
+        "short of {}: {when}\n",
+        format_amounts(&why.short)
+    ));
     out
 }
--- a/crates/stoathatch/src/service.rs
+++ b/crates/stoathatch/src/service.rs
@@ -11,14 +11,14 @@
 use wire::settings::Settings;
 
 /// Numbers of the gateway's doors.
-const RPC: Door = Door::Raw(0);
-const WEB: Door = Door::Raw(1);
+const RPC_LISTENER: Door = Door::Raw(0);
+const WEB_LISTENER: Door = Door::Raw(1);
 /// What has come in is served for so long before the network is looked at again.
-const SLICE: Duration = Duration::from_millis(20);
-const STATS_EVERY: Duration = Duration::from_secs(30);
+const SERVE_SLICE: Duration = Duration::from_millis(20);
+const STATS_INTERVAL: Duration = Duration::from_secs(30);
 
 /// Documents to begin with, where there have never been any.
-pub struct First {
+pub struct InitialDocuments {
     pub tree: Option<quota::Spec>,
     pub hours: Option<hours::Spec>,
     pub counties: Option<county::Spec>,
@@ -30,22 +30,22 @@
     node: Served,
     start: Instant,
     /// A worker's connection that says nothing for so long is over.
-    silent: Duration,
+    worker_timeout: Duration,
     state: SocketAddr,
     cloud: SocketAddr,
     peers: Vec<SocketAddr>,
     conns: HashMap<u64, ConnId>,
     /// Connections of the gateway's clients, both ways.
-    raw: HashMap<u64, ConnId>,
-    raw_ids: HashMap<ConnId, u64>,
+    raw_conns: HashMap<u64, ConnId>,
+    raw_conn_ids: HashMap<ConnId, u64>,
     next_conn: u64,
     /// What has come in and is still to be served.
     backlog: Backlog<Event>,
-    ticked: Instant,
-    logged: Instant,
+    last_tick: Instant,
+    last_stats: Instant,
 }
 
-fn addr(name: &str, text: &str) -> Result<SocketAddr, String> {
+fn parse_addr(name: &str, text: &str) -> Result<SocketAddr, String> {
     text.parse().map_err(|e| format!("{name}: {text:?}: {e}"))
 }
 
@@ -64,7 +64,7 @@
     pub fn new(
         settings: Settings,
         tuning: Tuning,
-        first: First,
+        initial: InitialDocuments,
         yarn: Option<gateway::Config>,
     ) -> Result<Self, String> {
         let mut net =
@@ -73,11 +73,14 @@
             ("client_listen", &settings.listen, Door::Clients),
             ("peer_bind", &settings.peer_listen, Door::Peers),
         ] {
-            net.listen(addr(name, text)?, door)
+            net.listen(parse_addr(name, text)?, door)
                 .map_err(|e| format!("{name}: can't listen on {text}: {e}"))?;
         }
         if let Some(yarn) = &yarn {
-            for (name, at, door) in [("[door] rpc", yarn.rpc, RPC), ("[door] web", yarn.web, WEB)] {
+            for (name, at, door) in [
+                ("[door] rpc", yarn.rpc, RPC_LISTENER),
+                ("[door] web", yarn.web, WEB_LISTENER),
+            ] {
                 net.listen(at, door)
                     .map_err(|e| format!("{name}: can't listen on {at}: {e}"))?;
             }
@@ -88,43 +91,43 @@
             );
         }
         let start = Instant::now();
-        let silent =
+        let worker_timeout =
             Duration::from_secs_f64((settings.cluster.workers.report_s * 3.0).clamp(1.0, 600.0));
-        let state = addr("endpoints.state", &settings.endpoints.state)?;
-        let cloud = addr("endpoints.cloud", &settings.endpoints.cloud)?;
+        let state = parse_addr("endpoints.state", &settings.endpoints.state)?;
+        let cloud = parse_addr("endpoints.cloud", &settings.endpoints.cloud)?;
         let peers = settings
             .peers
             .iter()
-            .map(|p| addr("peers", &p.addr))
+            .map(|p| parse_addr("peers", &p.addr))
             .collect::<Result<_, _>>()?;
         log::info!("{} listens on {}", settings.node, settings.listen);
         // The seed only spreads retries; two nodes must not share it.
         let seed = fastrand::u64(..);
         let node = Node::new(settings, tuning, seed, now(start))
-            .with_first_tree(first.tree)
-            .with_first_hours(first.hours)
-            .with_first_counties(first.counties)
-            .with_first_models(first.models);
+            .with_first_tree(initial.tree)
+            .with_first_hours(initial.hours)
+            .with_first_counties(initial.counties)
+            .with_first_models(initial.models);
         let node = Served::new(
             node,
-            yarn.map(|c| Ok::<_, String>(Gateway::new(c, secret()?)))
+            yarn.map(|c| Ok::<_, String>(Gateway::new(c, random_secret()?)))
                 .transpose()?,
         );
         Ok(Service {
             net,
             node,
             start,
-            silent,
+            worker_timeout,
             state,
             cloud,
             peers,
             conns: HashMap::new(),
-            raw: HashMap::new(),
-            raw_ids: HashMap::new(),
+            raw_conns: HashMap::new(),
+            raw_conn_ids: HashMap::new(),
             next_conn: 1,
             backlog: Backlog::default(),
-            ticked: start,
-            logged: start,
+            last_tick: start,
+            last_stats: start,
         })
     }
 
@@ -142,26 +145,26 @@
                 .map_err(|e| format!("event loop: {e}"))?;
             let now = now(self.start).mono;
             for event in events {
-                if let Some(event) = self.take_in(event) {
+                if let Some(event) = self.translate(event) {
                     self.backlog.push(now, Precedence::of(&event), event);
                 }
             }
-            self.serve();
+            self.serve_backlog();
             self.tick_if_due();
-            self.log_now_and_then();
+            self.log_stats_if_due();
         }
     }
 
     /// Serves what waits, until it is time to look for what has come meanwhile. A tick that is due does not wait.
-    fn serve(&mut self) {
-        let until = Instant::now() + SLICE;
+    fn serve_backlog(&mut self) {
+        let until = Instant::now() + SERVE_SLICE;
         while Instant::now() < until {
             match self.backlog.pop(now(self.start).mono) {
-                Some(Next::Serve(event)) => self.feed_if_asked(event),
+                Some(Next::Serve(event)) => self.handle_if_awaited(event),
                 Some(Next::Refuse(Event::Client { conn, .. })) => {
-                    self.feed(Event::Late { conn });
+                    self.handle(Event::Late { conn });
                 }
-                Some(Next::Refuse(event)) => self.feed(event),
+                Some(Next::Refuse(event)) => self.handle(event),
                 None => return,
             }
             self.tick_if_due();
@@ -169,7 +172,7 @@
     }
 
     /// What nobody waits for any more is dropped.
-    fn feed_if_asked(&mut self, event: Event) {
+    fn handle_if_awaited(&mut self, event: Event) {
         if let Event::Client { conn, .. } | Event::Peer { conn, .. } = &event
             && let Some(id) = self.conns.get(conn)
             && !self.net.is_awaiting_response(*id)
@@ -177,11 +180,11 @@
             self.conns.remove(conn);
             return;
         }
-        self.feed(event);
+        self.handle(event);
     }
 
     fn next_tick(&self) -> Instant {
-        self.ticked + Duration::from_millis(self.node.node().wait_ms())
+        self.last_tick + Duration::from_millis(self.node.node().wait_ms())
     }
 
     fn tick_if_due(&mut self) {
@@ -191,15 +194,15 @@
     }
 
     fn tick(&mut self) {
-        self.ticked = Instant::now();
-        self.feed(Event::Tick);
+        self.last_tick = Instant::now();
+        self.handle(Event::Tick);
     }
 
-    fn log_now_and_then(&mut self) {
-        if self.logged.elapsed() < STATS_EVERY {
+    fn log_stats_if_due(&mut self) {
+        if self.last_stats.elapsed() < STATS_INTERVAL {
             return;
         }
-        self.logged = Instant::now();
+        self.last_stats = Instant::now();
         let node = self.node.node();
         log::info!("{}: {:?}", node.role_name(), node.stats());
         if let Some(book) = self.node.book() {
@@ -208,33 +211,33 @@
     }
 
     /// What has come in by the network, as the controller takes it. The gateway is given its bytes at once.
-    fn take_in(&mut self, event: net::Event) -> Option<Event> {
+    fn translate(&mut self, event: net::Event) -> Option<Event> {
         match event {
             net::Event::Request {
                 conn,
                 door,
                 request,
-            } => return self.requested(conn, door, request),
+            } => return self.translate_request(conn, door, request),
             net::Event::Opened { conn, door, from } => {
                 let id = self.next_conn;
                 self.next_conn += 1;
-                self.raw.insert(id, conn);
-                self.raw_ids.insert(conn, id);
+                self.raw_conns.insert(id, conn);
+                self.raw_conn_ids.insert(conn, id);
                 let opened = Raw::Opened {
-                    web: door == WEB,
+                    web: door == WEB_LISTENER,
                     from: from.ip(),
                 };
-                self.feed_raw(id, opened);
+                self.handle_raw(id, opened);
             }
             net::Event::Bytes { conn, bytes } => {
-                if let Some(id) = self.raw_ids.get(&conn).copied() {
-                    self.feed_raw(id, Raw::Bytes(bytes));
+                if let Some(id) = self.raw_conn_ids.get(&conn).copied() {
+                    self.handle_raw(id, Raw::Bytes(bytes));
                 }
             }
             net::Event::Closed { conn } => {
-                if let Some(id) = self.raw_ids.remove(&conn) {
-                    self.raw.remove(&id);
-                    self.feed_raw(id, Raw::Closed);
+                if let Some(id) = self.raw_conn_ids.remove(&conn) {
+                    self.raw_conns.remove(&id);
+                    self.handle_raw(id, Raw::Closed);
                 }
             }
             net::Event::Reply { tag, response } => return Some(Event::Reply { tag, response }),
@@ -243,12 +246,12 @@
         None
     }
 
-    fn requested(&mut self, conn: ConnId, door: Door, request: Request) -> Option<Event> {
+    fn translate_request(&mut self, conn: ConnId, door: Door, request: Request) -> Option<Event> {
         let id = self.next_conn;
         self.next_conn += 1;
         self.conns.insert(id, conn);
         if door == Door::Clients && request.path == "/hello" {
-            self.net.mark_periodic(conn, self.silent);
+            self.net.mark_periodic(conn, self.worker_timeout);
         }
         match door {
             Door::Clients => Some(Event::Client { conn: id, request }),
@@ -258,27 +261,27 @@
         }
     }
 
-    fn feed(&mut self, event: Event) {
-        let outs = self.node.handle(now(self.start), event);
-        self.carry_out(outs);
+    fn handle(&mut self, event: Event) {
+        let outputs = self.node.handle(now(self.start), event);
+        self.apply(outputs);
     }
 
-    fn feed_raw(&mut self, conn: u64, event: Raw) {
-        let outs = self.node.raw(now(self.start), conn, event);
-        self.carry_out(outs);
+    fn handle_raw(&mut self, conn: u64, event: Raw) {
+        let outputs = self.node.raw(now(self.start), conn, event);
+        self.apply(outputs);
     }
 
-    fn carry_out(&mut self, outs: Vec<Out>) {
-        for out in outs {
-            match out {
-                Out::Node(effect) => self.carry_out_one(effect),
+    fn apply(&mut self, outputs: Vec<Out>) {
+        for output in outputs {
+            match output {
+                Out::Node(effect) => self.apply_effect(effect),
                 Out::Write { conn, bytes } => {
-                    if let Some(id) = self.raw.get(&conn) {
+                    if let Some(id) = self.raw_conns.get(&conn) {
                         self.net.write(*id, &bytes);
                     }
                 }
                 Out::Close { conn } => {
-                    if let Some(id) = self.raw.get(&conn) {
+                    if let Some(id) = self.raw_conns.get(&conn) {
                         self.net.finish(*id);
                     }
                 }
@@ -286,7 +289,7 @@
         }
     }
 
-    fn carry_out_one(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Respond { conn, response } => {
                 if let Some(id) = self.conns.remove(&conn) {
@@ -330,7 +333,7 @@
 }
 
 /// Random bytes for the gateway's keys.
-fn secret() -> Result<[u8; 32], String> {
+fn random_secret() -> Result<[u8; 32], String> {
     let mut bytes = [0; 32];
     getrandom::fill(&mut bytes).map_err(|e| format!("random bytes: {e}"))?;
     Ok(bytes)
--- a/crates/stoathatch/src/tally.rs
+++ b/crates/stoathatch/src/tally.rs
@@ -1,7 +1,7 @@
 //! `stoathatch tally`: the counties' counts as of one revision, and their audit.
 
-use crate::counties::Partition;
-use crate::documents::{Asked, End, json, table};
+use crate::counties::CountiesDocument;
+use crate::documents::{CommandError, ServiceArgs, json, table};
 use clap::{Args, Subcommand};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 #[command(args_conflicts_with_subcommands = true)]
 pub struct Command {
     #[command(flatten)]
-    asked: Asked,
+    asked: ServiceArgs,
     /// Its id; all of them without it.
     county: Option<String>,
     #[command(subcommand)]
@@ -26,25 +26,25 @@
 }
 
 pub fn run(command: &Command) -> ExitCode {
-    crate::documents::end(execute(command))
+    crate::documents::exit_code(execute(command))
 }
 
-fn execute(c: &Command) -> Result<String, End> {
-    let asked = &c.asked;
+fn execute(c: &Command) -> Result<String, CommandError> {
+    let service = &c.asked;
     if let Some(Verb::Audit) = c.verb {
-        return audit(asked);
+        return audit(service);
     }
-    let counts: Counts = asked.ask::<Partition, _>(&Question::Tally {
+    let counts: Counts = service.query::<CountiesDocument, _>(&Question::Tally {
         county: c.county.clone(),
     })?;
-    Ok(if asked.json {
+    Ok(if service.json {
         json(&counts)
     } else {
-        told(&counts)
+        render_counts(&counts)
     })
 }
 
-fn told(counts: &Counts) -> String {
+fn render_counts(counts: &Counts) -> String {
     let row = |l: &Line| {
         let name = l.name.clone().unwrap_or_else(|| l.county.clone());
         let counts = [l.accepted, l.live, l.done, l.cancelled, l.done_tasks].map(|n| n.to_string());
@@ -71,23 +71,23 @@
 }
 
 /// Asks until the audit is through. A leader that is lost takes it along; the next begins it anew.
-fn audit(asked: &Asked) -> Result<String, End> {
+fn audit(service: &ServiceArgs) -> Result<String, CommandError> {
     let question = Question::Audit {
         id: format!("{:016x}", fastrand::u64(..)),
     };
     loop {
-        match asked.ask::<Partition, Audit>(&question)? {
+        match service.query::<CountiesDocument, Audit>(&question)? {
             Audit::Running { read } => {
                 eprintln!("{read} records read");
                 std::thread::sleep(Duration::from_secs(1));
             }
-            done => return ended(&done, asked.json),
+            done => return audit_result(&done, service.json),
         }
     }
 }
 
 /// An audit that has found something ends the command with code 1, whoever reads it.
-fn ended(audit: &Audit, as_json: bool) -> Result<String, End> {
+fn audit_result(audit: &Audit, as_json: bool) -> Result<String, CommandError> {
     let Audit::Done {
         revision,
         read,
@@ -101,10 +101,10 @@
         (true, false) => Ok(format!(
             "as of revision {revision}: the counts are those of {read} records"
         )),
-        (false, true) => Err(End::Differs(json(audit))),
+        (false, true) => Err(CommandError::Differences(json(audit))),
         (false, false) => {
             let head = format!("as of revision {revision} the counts differ from the records");
-            Err(End::Refused(
+            Err(CommandError::Refused(
                 [head]
                     .into_iter()
                     .chain(differences.iter().cloned())
@@ -119,10 +119,10 @@
     use super::*;
 
     #[test]
-    fn an_audit_ends_by_what_it_names() {
+    fn audit_exits_with_code_1_if_it_finds_differences() {
         for as_json in [false, true] {
-            let ended = |differences: &[String]| {
-                ended(
+            let result_of = |differences: &[String]| {
+                audit_result(
                     &Audit::Done {
                         revision: 7,
                         read: 3,
@@ -131,22 +131,22 @@
                     as_json,
                 )
             };
-            let whole = ended(&[]);
+            let unchanged = result_of(&[]);
             assert!(
-                matches!(&whole, Ok(text) if text.contains('7') && text.contains('3')),
+                matches!(&unchanged, Ok(text) if text.contains('7') && text.contains('3')),
                 "{as_json}"
             );
-            let code = |result| crate::documents::end(result);
-            assert_eq!(code(whole), ExitCode::SUCCESS);
+            let code = |result| crate::documents::exit_code(result);
+            assert_eq!(code(unchanged), ExitCode::SUCCESS);
             assert_eq!(
-                code(ended(&["c1: 2 done jobs counted, 1 recorded".into()])),
+                code(result_of(&["c1: 2 done jobs counted, 1 recorded".into()])),
                 ExitCode::from(1)
             );
         }
     }
 
     #[test]
-    fn audit_is_no_county() {
+    fn audit_subcommand_is_not_parsed_as_a_county_id() {
         use clap::Parser;
         #[derive(Parser)]
         struct Line {
--- a/crates/stoathatch/src/tools.rs
+++ b/crates/stoathatch/src/tools.rs
@@ -1,6 +1,6 @@
 //! `stoathatch yarn`: applications of YARN's clients, queues and drains; and bundles, submitted as a whole.
 
-use crate::ask::once;
+use crate::ask::send_once;
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
 use gateway::book::web::{DrainAsk, Drains, OWN};
@@ -14,8 +14,8 @@
 use yarn::rest::{self, Form};
 
 /// A call is tried again, at each address in turn, for so long.
-const PATIENCE: Duration = Duration::from_secs(60);
-const ONE_TRY: Duration = Duration::from_secs(8);
+const TOTAL_TIMEOUT: Duration = Duration::from_secs(60);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Exit codes: 0 done, 1 refused, 2 could not be asked.
 #[derive(Args)]
@@ -162,8 +162,9 @@
 
 impl Bundle {
     /// Reads a bundle; the error has path, line and place.
-    fn read(path: &Path) -> Result<Bundle, End> {
-        let fault = |e: &dyn std::fmt::Display| End::Refused(format!("{}: {e}", path.display()));
+    fn read(path: &Path) -> Result<Bundle, CommandError> {
+        let fault =
+            |e: &dyn std::fmt::Display| CommandError::Refused(format!("{}: {e}", path.display()));
         let text = std::fs::read_to_string(path).map_err(|e| fault(&e))?;
         let bundle: Bundle = toml::from_str(&text).map_err(|e| {
             let line = e.span().map_or(1, |s| {
@@ -253,50 +254,50 @@
     }
 }
 
-enum End {
+enum CommandError {
     Refused(String),
     Failed(String),
 }
 
 /// What a body holds below its root.
 #[derive(Deserialize)]
-struct Apps {
+struct AppsResponse {
     apps: rest::Apps,
 }
 #[derive(Deserialize)]
-struct App {
+struct AppResponse {
     app: rest::App,
 }
 #[derive(Deserialize)]
-struct Scheduler {
+struct SchedulerResponse {
     scheduler: rest::Scheduler,
 }
 #[derive(Deserialize)]
-struct Refused {
+struct ErrorResponse {
     #[serde(rename = "RemoteException")]
     exception: rest::RemoteException,
 }
 
 impl Command {
     /// Asks the controllers in turn until one answers. Each call may be repeated: a submission has its id.
-    fn ask(&self, method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, End> {
+    fn request(&self, method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, CommandError> {
         let mark = if path.contains('?') { '&' } else { '?' };
-        let user: String = self.user.bytes().map(escape).collect();
+        let user: String = self.user.bytes().map(percent_encode).collect();
         let target = format!("{path}{mark}user.name={user}");
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TOTAL_TIMEOUT;
         let mut last = "no controller was named (--web IP:PORT)".to_owned();
         for node in self.nodes.iter().cycle() {
             if Instant::now() >= end {
                 break;
             }
-            match once(*node, method, &target, body, ONE_TRY) {
+            match send_once(*node, method, &target, body, ATTEMPT_TIMEOUT) {
                 Ok(r) if r.status < 300 => return Ok(r.body),
                 Ok(r) => {
-                    let why =
-                        rest::read::<Refused>(Form::Json, &r.body).map(|f| f.exception.message);
+                    let why = rest::read::<ErrorResponse>(Form::Json, &r.body)
+                        .map(|f| f.exception.message);
                     let why = why.unwrap_or_else(|_| format!("status {}", r.status));
                     if !matches!(r.status, 429 | 503) {
-                        return Err(End::Refused(why));
+                        return Err(CommandError::Refused(why));
                     }
                     last = format!("{node}: {why}");
                     let wait = u64::from(r.retry_after_s.unwrap_or(1).clamp(1, 10));
@@ -308,16 +309,16 @@
                 }
             }
         }
-        Err(End::Failed(last))
+        Err(CommandError::Failed(last))
     }
 
-    fn get<T: for<'de> Deserialize<'de>>(&self, path: &str) -> Result<(T, Vec<u8>), End> {
-        let body = self.ask("GET", path, &[])?;
-        let read = rest::read(Form::Json, &body).map_err(End::Failed)?;
+    fn get<T: for<'de> Deserialize<'de>>(&self, path: &str) -> Result<(T, Vec<u8>), CommandError> {
+        let body = self.request("GET", path, &[])?;
+        let read = rest::read(Form::Json, &body).map_err(CommandError::Failed)?;
         Ok((read, body))
     }
 
-    fn run(&self) -> Result<(), End> {
+    fn run(&self) -> Result<(), CommandError> {
         match &self.verb {
             Verb::List {
                 state,
@@ -331,20 +332,21 @@
                 limit
                     .iter()
                     .for_each(|n| path.push_str(&format!("&limit={n}")));
-                let (read, body): (Apps, _) = self.get(&path)?;
-                self.show(&body, || list(&read.apps.app))
+                let (res, body): (AppsResponse, _) = self.get(&path)?;
+                self.print(&body, || fmt_apps(&res.apps.app))
             }
             Verb::Status { id } => {
-                let (read, body): (App, _) = self.get(&format!("{}/apps/{id}", rest::ROOT))?;
-                self.show(&body, || status(&read.app))
+                let (res, body): (AppResponse, _) =
+                    self.get(&format!("{}/apps/{id}", rest::ROOT))?;
+                self.print(&body, || fmt_app(&res.app))
             }
             Verb::Kill { id } => self.kill(id),
             Verb::Submit { bundle, wait } => self.submit(bundle, *wait),
             Verb::Queues => {
-                let (read, body): (Scheduler, _) =
+                let (res, body): (SchedulerResponse, _) =
                     self.get(&format!("{}/scheduler", rest::ROOT))?;
                 let (drains, _): (Drains, _) = self.get(&format!("{OWN}/drains"))?;
-                self.show(&body, || queues(&read.scheduler.scheduler_info, &drains))
+                self.print(&body, || fmt_queues(&res.scheduler.scheduler_info, &drains))
             }
             Verb::Drain {
                 name,
@@ -362,9 +364,9 @@
                     containers: *containers,
                 };
                 let body = rest::render(Form::Json, "", true, &ask);
-                let body = self.ask("PUT", &format!("{OWN}/drains"), &body)?;
-                let drains: Drains = rest::read(Form::Json, &body).map_err(End::Failed)?;
-                self.show(&body, || drained(&drains))
+                let body = self.request("PUT", &format!("{OWN}/drains"), &body)?;
+                let drains: Drains = rest::read(Form::Json, &body).map_err(CommandError::Failed)?;
+                self.print(&body, || fmt_drains(&drains))
             }
             Verb::Schema => {
                 let schema = schemars::schema_for!(Bundle);
@@ -377,7 +379,7 @@
         }
     }
 
-    fn show(&self, body: &[u8], table: impl FnOnce() -> String) -> Result<(), End> {
+    fn print(&self, body: &[u8], table: impl FnOnce() -> String) -> Result<(), CommandError> {
         if self.json {
             println!("{}", String::from_utf8_lossy(body));
         } else {
@@ -386,7 +388,7 @@
         Ok(())
     }
 
-    fn kill(&self, id: &str) -> Result<(), End> {
+    fn kill(&self, id: &str) -> Result<(), CommandError> {
         let body = rest::render(
             Form::Json,
             "",
@@ -395,45 +397,46 @@
                 state: "KILLED".into(),
             },
         );
-        self.ask("PUT", &format!("{}/apps/{id}/state", rest::ROOT), &body)?;
-        let app = self.until_over(id)?;
+        self.request("PUT", &format!("{}/apps/{id}/state", rest::ROOT), &body)?;
+        let app = self.wait_until_ended(id)?;
         println!("{id} {}", app.state);
         Ok(())
     }
 
-    fn until_over(&self, id: &str) -> Result<rest::App, End> {
+    fn wait_until_ended(&self, id: &str) -> Result<rest::App, CommandError> {
         loop {
-            let (read, _): (App, _) = self.get(&format!("{}/apps/{id}", rest::ROOT))?;
-            if matches!(read.app.state.as_str(), "FINISHED" | "FAILED" | "KILLED") {
-                return Ok(read.app);
+            let (res, _): (AppResponse, _) = self.get(&format!("{}/apps/{id}", rest::ROOT))?;
+            if matches!(res.app.state.as_str(), "FINISHED" | "FAILED" | "KILLED") {
+                return Ok(res.app);
             }
             std::thread::sleep(Duration::from_millis(500));
         }
     }
 
-    fn submit(&self, path: &Path, wait: bool) -> Result<(), End> {
+    fn submit(&self, path: &Path, wait: bool) -> Result<(), CommandError> {
         let bundle = Bundle::read(path)?;
-        let body = self.ask("POST", &format!("{}/apps/new-application", rest::ROOT), &[])?;
-        let new: rest::NewApplication = rest::read(Form::Json, &body).map_err(End::Failed)?;
+        let body = self.request("POST", &format!("{}/apps/new-application", rest::ROOT), &[])?;
+        let new: rest::NewApplication =
+            rest::read(Form::Json, &body).map_err(CommandError::Failed)?;
         let id = new.application_id;
         // Printed before it is sent: whoever loses the answer can still ask for it.
         println!("{id}");
         let body = rest::render(Form::Json, "", true, &bundle.submission(id.clone()));
-        self.ask("POST", &format!("{}/apps", rest::ROOT), &body)?;
+        self.request("POST", &format!("{}/apps", rest::ROOT), &body)?;
         if !wait {
             return Ok(());
         }
-        let app = self.until_over(&id)?;
+        let app = self.wait_until_ended(&id)?;
         println!("{} {}", app.state, app.final_status);
         if app.final_status == "SUCCEEDED" {
             Ok(())
         } else {
-            Err(End::Refused(app.diagnostics))
+            Err(CommandError::Refused(app.diagnostics))
         }
     }
 }
 
-fn escape(byte: u8) -> String {
+fn percent_encode(byte: u8) -> String {
     if byte.is_ascii_alphanumeric() || b"-_.".contains(&byte) {
         return char::from(byte).to_string();
     }
@@ -447,7 +450,7 @@
     table
 }
 
-fn list(apps: &[rest::App]) -> String {
+fn fmt_apps(apps: &[rest::App]) -> String {
     let mut t = table(&[
         "id",
         "user",
@@ -474,7 +477,7 @@
     t.to_string()
 }
 
-fn status(a: &rest::App) -> String {
+fn fmt_app(a: &rest::App) -> String {
     let mut t = table(&["", ""]);
     let seconds = format!("{:.1} s", a.elapsed_time as f64 / 1000.0);
     for (name, value) in [
@@ -494,7 +497,7 @@
     t.to_string()
 }
 
-fn queues(root: &rest::Queue, drains: &Drains) -> String {
+fn fmt_queues(root: &rest::Queue, drains: &Drains) -> String {
     let mut t = table(&[
         "queue",
         "guaranteed",
@@ -524,7 +527,7 @@
     t.to_string()
 }
 
-fn drained(drains: &Drains) -> String {
+fn fmt_drains(drains: &Drains) -> String {
     if drains.drains.is_empty() && drains.machines.is_empty() {
         return "nothing is drained".into();
     }
@@ -545,11 +548,11 @@
 pub fn run(command: &Command) -> ExitCode {
     match command.run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(End::Refused(why)) => {
+        Err(CommandError::Refused(why)) => {
             eprintln!("stoathatch yarn: {why}");
             ExitCode::from(1)
         }
-        Err(End::Failed(why)) => {
+        Err(CommandError::Failed(why)) => {
             eprintln!("stoathatch yarn: not answered: {why}");
             ExitCode::from(2)
         }
