--- a/crates/stoathatch/tests/e2e/common.rs
+++ b/crates/stoathatch/tests/e2e/common.rs
@@ -148,7 +148,7 @@
 }
 
 /// Generous: a loaded host must not change the verdict.
-pub fn until<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
+pub fn wait_for<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + Duration::from_secs(120);
     loop {
         if let Some(v) = found() {
--- a/crates/stoathatch/tests/e2e/hours.rs
+++ b/crates/stoathatch/tests/e2e/hours.rs
@@ -10,7 +10,7 @@
 
 /// The example is accepted and the schema is the published one; a bad file is refused with path, line and field.
 #[test]
-fn calendars_are_checked() {
+fn calendar_files_are_checked() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let at = |name: &str| root.join(name).to_str().expect("a plain path").to_owned();
     let (example, settings) = (
@@ -52,9 +52,10 @@
     ]);
     std::fs::remove_file(&bad).expect("removed");
     assert_eq!(out.status.code(), Some(1));
-    let said = String::from_utf8_lossy(&out.stderr);
+    let stderr = String::from_utf8_lossy(&out.stderr);
     assert!(
-        said.contains("line 12: studio \"press-nairobi\".zone: \"Africa/Nairoby\" is no time zone"),
-        "{said}"
+        stderr
+            .contains("line 12: studio \"press-nairobi\".zone: \"Africa/Nairoby\" is no time zone"),
+        "{stderr}"
     );
 }
--- a/crates/stoathatch/tests/e2e/ports.rs
+++ b/crates/stoathatch/tests/e2e/ports.rs
@@ -6,16 +6,16 @@
 /// Guards against a controller that can't start because its port was given away: neither listeners nor outgoing
 /// connections get a held port, while whoever asks for it by its number may listen there, again and again.
 #[test]
-fn held_ports_are_given_to_nobody() {
+fn held_ports_are_not_assigned_to_others() {
     let held: Vec<_> = (0..50).map(|_| hold_port().expect("a port")).collect();
     let server = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let to = server.local_addr().expect("its address");
-    let taken = |addr| held.iter().any(|(_, h)| *h == addr);
+    let is_held = |addr| held.iter().any(|(_, h)| *h == addr);
     for _ in 0..2000 {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        assert!(!taken(listener.local_addr().expect("its address")));
+        assert!(!is_held(listener.local_addr().expect("its address")));
         let out = TcpStream::connect(to).expect("connected");
-        assert!(!taken(out.local_addr().expect("its address")));
+        assert!(!is_held(out.local_addr().expect("its address")));
         drop(server.accept());
     }
     for (_, addr) in &held {
--- a/crates/stoathatch/tests/e2e/quota.rs
+++ b/crates/stoathatch/tests/e2e/quota.rs
@@ -1,6 +1,6 @@
 //! `stoathatch quota` against three real processes on loopback: what operators type, and what a flood does then.
 
-use crate::common::{Controllers, four_gpus, job, until};
+use crate::common::{Controllers, four_gpus, job, wait_for};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -8,18 +8,18 @@
 use wire::api::{JobSpec, Kind, Priority};
 
 /// A file of this test's, gone with it.
-struct Temp(PathBuf);
+struct TempFile(PathBuf);
 
-impl Temp {
+impl TempFile {
     fn new(name: &str, text: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("stoathatch-quota-{}-{name}", std::process::id()));
         std::fs::write(&path, text).expect("written");
-        Temp(path)
+        TempFile(path)
     }
 }
 
-impl Drop for Temp {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -91,7 +91,7 @@
 /// 280 jobs: one team floods the queue with work of minutes, then all others ask for their share. Prints the seconds
 /// until the last team has it; nothing is asserted of time but that it comes.
 #[test]
-fn every_team_has_its_share_after_a_flood() {
+fn every_team_gets_its_guarantee_after_one_floods_the_queue() {
     let teams: Vec<Value> = TEAMS
         .iter()
         .map(
@@ -108,7 +108,7 @@
         .map(ToString::to_string)
         .collect::<Vec<_>>()
         .join(",");
-    let file = Temp::new("tree.toml", TREE);
+    let file = TempFile::new("tree.toml", TREE);
     let file = file.0.to_str().expect("a plain path");
 
     // Any node takes it; the dry run changes nothing; a change made for another version is a conflict.
@@ -121,14 +121,14 @@
         json_of(&["set", file, "--json", "--node", &nodes])["version"],
         1
     );
-    let late = quota(&["set", file, "--expect", "0", "--node", &nodes]);
-    assert_eq!(late.status.code(), Some(1), "a conflict");
+    let conflict = quota(&["set", file, "--expect", "0", "--node", &nodes]);
+    assert_eq!(conflict.status.code(), Some(1), "a conflict");
     assert!(
-        text(&late.stderr).contains("version 1 is in force"),
+        text(&conflict.stderr).contains("version 1 is in force"),
         "{}",
-        text(&late.stderr)
+        text(&conflict.stderr)
     );
-    let unknown = Temp::new(
+    let unknown = TempFile::new(
         "unknown.toml",
         &TREE.replace("\"subtitles\"", "\"subtitle\""),
     );
@@ -139,17 +139,17 @@
         &nodes,
     ]);
     assert_eq!(unknown.status.code(), Some(1));
-    let said = text(&unknown.stderr);
+    let stderr = text(&unknown.stderr);
     assert!(
-        said.contains("line 24: team \"subtitle\".name: is no team of the settings"),
-        "{said}"
+        stderr.contains("line 24: team \"subtitle\".name: is no team of the settings"),
+        "{stderr}"
     );
-    let less = quota(&["shrink", "film", "--guarantee", "gpus=8", "--node", &nodes]);
-    assert_eq!(less.status.code(), Some(1));
+    let shrink = quota(&["shrink", "film", "--guarantee", "gpus=8", "--node", &nodes]);
+    assert_eq!(shrink.status.code(), Some(1));
     assert!(
-        text(&less.stderr).contains("2 more than its own 8"),
+        text(&shrink.stderr).contains("2 more than its own 8"),
         "{}",
-        text(&less.stderr)
+        text(&shrink.stderr)
     );
     assert_eq!(
         json_of(&["move", "layout", "--json", "--to", "film", "--node", &nodes])["version"],
@@ -170,7 +170,7 @@
             checkpoint_s: 5.0,
             ..job(&format!("job-{id:06}"), Kind::Array, 1)
         };
-        until("accepted", || c.ask("POST", "/work", &wire::encode(&spec)));
+        wait_for("accepted", || c.ask("POST", "/work", &wire::encode(&spec)));
     };
     (0..100).for_each(|i| submit(1000 + i, "effects", Priority::Production));
     // The thousands of a job's number name its team.
@@ -178,28 +178,28 @@
         let (job, _) = wire::ids::parse_task(task)?;
         (job.trim_start_matches("job-").parse::<usize>().ok()? / 1000).checked_sub(1)
     };
-    let uses = |team: usize| {
+    let tasks_of = |team: usize| {
         world
             .on_machines()
             .iter()
             .filter(|t| team_of(t) == Some(team))
             .count()
     };
-    until("the flood runs", || (uses(0) >= 28).then_some(()));
-    let begin = Instant::now();
+    wait_for("the flood runs", || (tasks_of(0) >= 28).then_some(()));
+    let start = Instant::now();
     for i in 0..60 {
         for (t, (team, _)) in TEAMS.iter().enumerate().skip(1) {
             submit(1000 * (t + 1) + i, team, Priority::Normal);
         }
     }
-    until("each team has its share", || {
+    wait_for("each team has its share", || {
         (0..TEAMS.len())
-            .all(|t| uses(t) >= TEAMS[t].1)
+            .all(|t| tasks_of(t) >= TEAMS[t].1)
             .then_some(())
     });
     println!(
         "every team had its guaranteed share {:.1} s after the neighbours came",
-        begin.elapsed().as_secs_f64()
+        start.elapsed().as_secs_f64()
     );
     let why = json_of(&["why", "effects", "--json", "--node", &nodes]);
     assert_eq!(
@@ -216,9 +216,14 @@
     }
 
     // The next owner has the same tree before its first start.
-    let owner = until("an owner", || world.leader());
-    c.kill(owner.trim_start_matches("burrow-").parse().expect("a node"));
-    until("another owner", || world.leader().filter(|o| *o != owner));
+    let leader = wait_for("an owner", || world.leader());
+    c.kill(
+        leader
+            .trim_start_matches("burrow-")
+            .parse()
+            .expect("a node"),
+    );
+    wait_for("another owner", || world.leader().filter(|o| *o != leader));
     assert_eq!(json_of(&["show", "--json", "--node", &nodes])["version"], 3);
     assert_eq!(world.ran_twice(), None);
     let checked = quota(&[
@@ -232,7 +237,7 @@
 
 /// The examples of `deploy/` are accepted; a bad file is refused with path and line, and nobody is asked.
 #[test]
-fn files_are_checked() {
+fn quota_files_are_checked() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let at = |name: &str| deploy.join(name).to_str().expect("a plain path").to_owned();
     let (tree, settings) = (at("quota-example.toml"), at("settings-example.json"));
@@ -254,7 +259,7 @@
         "{}",
         text(&out.stderr)
     );
-    let bad = Temp::new(
+    let bad = TempFile::new(
         "bad.toml",
         "[[node]]\nname = \"a\"\n\n[[node]]\nname = \"b\"\nparent = \"c\"\n",
     );
--- a/crates/stoathatch/tests/e2e/yarn.rs
+++ b/crates/stoathatch/tests/e2e/yarn.rs
@@ -1,6 +1,6 @@
 //! YARN's clients against three real processes on loopback: by the command line, by REST, and by RPC.
 
-use crate::common::{Controllers, four_gpus, until};
+use crate::common::{Controllers, four_gpus, wait_for};
 use serde_json::{Value, json};
 use standins::loopback::Loopback;
 use standins::yarn::{Answer, Ask, Client, Exchange, Next, Runner, Stage, Tally};
@@ -63,7 +63,7 @@
 
 /// What operators and users type; a drain that outlives the node that was asked; the same submission at every node.
 #[test]
-fn bundles_run_and_drains_stand() {
+fn bundles_run_and_drains_survive_a_leader_kill() {
     let rules = "admins = ann\n[queues]\nroot.default = red\n";
     let (mut c, world) = Controllers::with_yarn("yarn", machine(), 800, &teams(), &[], Some(rules));
     let bundle = concat!(
@@ -91,9 +91,14 @@
 
     let out = yarn(&c, &["drain", "default", "--containers"]);
     assert_eq!(out.status.code(), Some(0), "{}", text(&out.stderr));
-    let owner = until("an owner", || world.leader());
-    c.kill(owner.trim_start_matches("burrow-").parse().expect("a node"));
-    until("another owner", || world.leader().filter(|o| *o != owner));
+    let leader = wait_for("an owner", || world.leader());
+    c.kill(
+        leader
+            .trim_start_matches("burrow-")
+            .parse()
+            .expect("a node"),
+    );
+    wait_for("another owner", || world.leader().filter(|o| *o != leader));
     let out = yarn(&c, &["submit", bundle]);
     assert_eq!(out.status.code(), Some(1), "{}", text(&out.stdout));
     assert!(
@@ -125,22 +130,22 @@
     };
     let start = Instant::now();
     let mut repeats = 0;
-    until(
+    wait_for(
         "the application is over, and was submitted at each node",
         || {
             let now = start.elapsed().as_millis() as u64;
             for (who, ask) in stage.due(now) {
                 let submits = matches!(&ask, Ask::Web { method: "POST", target, .. } if !target.contains("new-app"));
-                let alive = (0..3).filter(|n| c.runs(*n));
-                let mut answers: Vec<Answer> = alive
+                let running_nodes = (0..3).filter(|n| c.runs(*n));
+                let mut answers: Vec<Answer> = running_nodes
                     .map(|n| exchange(c.rpc[n], c.web[n], ask.clone()))
                     .collect();
-                let good = answers
+                let answered = answers
                     .iter()
                     .position(|a| matches!(a, Some(Ok(_))))
                     .unwrap_or(0);
                 repeats += usize::from(submits && answers.iter().all(|a| matches!(a, Some(Ok(_)))));
-                stage.answer(now, &who, answers.swap_remove(good));
+                stage.answer(now, &who, answers.swap_remove(answered));
             }
             (stage.clients[0].is_over() && repeats > 0).then_some(())
         },
@@ -157,17 +162,17 @@
 }
 
 /// The tally's runners, standing on the tasks that run on the stand-in machines.
-fn follow(stage: &mut Stage, world: &Loopback, now: u64) {
-    let mut here = HashSet::new();
+fn sync_runners(stage: &mut Stage, world: &Loopback, now: u64) {
+    let mut running = HashSet::new();
     for (spec, task, attempt, machine, zone) in world.runners() {
         let key = (wire::ids::task_name(&spec.id, task), attempt);
-        here.insert(key.clone());
+        running.insert(key.clone());
         stage
             .runners
             .entry(key)
             .or_insert_with(|| Runner::new(&spec, task, attempt, &machine, &zone, now));
     }
-    stage.runners.retain(|key, _| here.contains(key));
+    stage.runners.retain(|key, _| running.contains(key));
     for r in stage.runners.values() {
         if let Some(done) = r.over {
             world.end_task(&r.job, r.task, r.attempt, done);
@@ -177,7 +182,7 @@
 
 /// A master and a hundred containers in two stages by RPC, with the master killed once and a machine lost.
 #[test]
-fn a_two_stage_tally_ends() {
+fn two_stage_tally_completes_despite_master_kill_and_machine_loss() {
     let rules = "[work]\nestimate_s = 2\nmaster_s = 30\n";
     let (c, world) = Controllers::with_yarn("tally", machine(), 800, &teams(), &[], Some(rules));
     world.with_runners();
@@ -192,21 +197,25 @@
     };
     let start = Instant::now();
     let (done, answers) = std::sync::mpsc::channel();
-    let mut lost = false;
-    let mut turn = 0;
-    until("the tally is through", || {
+    let mut machine_lost = false;
+    let mut request_number = 0;
+    wait_for("the tally is through", || {
         let now = start.elapsed().as_millis() as u64;
-        follow(&mut stage, &world, now);
+        sync_runners(&mut stage, &world, now);
         for (who, ask) in stage.due(now) {
-            turn += 1;
-            let (rpc, web, done) = (c.rpc[turn % 3], c.web[turn % 3], done.clone());
+            request_number += 1;
+            let (rpc, web, done) = (
+                c.rpc[request_number % 3],
+                c.web[request_number % 3],
+                done.clone(),
+            );
             // A start is answered once its runner has come for it, so nobody waits for another here.
             std::thread::spawn(move || done.send((who, exchange(rpc, web, ask))));
         }
         for (who, answer) in answers.try_iter() {
             stage.answer(start.elapsed().as_millis() as u64, &who, answer);
         }
-        if !lost && stage.checks.containers_done > 10 {
+        if !machine_lost && stage.checks.containers_done > 10 {
             // One without the master on it.
             let (masters, others): (Vec<&Runner>, Vec<&Runner>) = stage
                 .runners
@@ -217,7 +226,7 @@
                 .find(|r| masters.iter().all(|m| m.machine != r.machine))
             {
                 world.lose(&r.machine);
-                lost = true;
+                machine_lost = true;
             }
         }
         assert!(stage.checks.broken.is_empty(), "{:?}", stage.checks.broken);
