--- a/crates/stoathatch/src/ask.rs
+++ b/crates/stoathatch/src/ask.rs
@@ -1,4 +1,4 @@
-//! Asks running controllers for an operator: one after the other, with the same request, until one has an answer.
+//! Sends an operator's request to running controllers: the same request to one after the other, until one responds.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,21 +6,21 @@
 use wire::admin::{self, Refused};
 use wire::http::{self, Response};
 
-/// A change is given up after this time; whether it was made is then for the history to say.
+/// After this time a change is given up. The document's history then shows whether it was made.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A question can be asked again at once.
+/// Shorter than for a change, since a query can be repeated at once.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(8);
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(16);
 
-/// Why there is no answer to work with.
+/// Why a request has no usable result.
 pub enum RequestError {
-    /// The service has answered, and will not do it.
+    /// The service rejected the request.
     Refused(Refused),
-    /// No controller has answered in time, or what it said can't be read.
+    /// No controller responded in time, or the response is malformed.
     Unreachable(String),
 }
 
-/// Asks the controllers in turn. Repeating is harmless: a change carries its own id.
+/// Sends a request to the controllers in turn. Retries are safe: a change carries an id, so it is made at most once.
 pub fn send_request<T: serde::de::DeserializeOwned>(
     nodes: &[SocketAddr],
     path: &str,
@@ -34,7 +34,7 @@
         } else {
             QUERY_TIMEOUT
         };
-    let mut last = "no controller was named".to_owned();
+    let mut last = "no controller address was given".to_owned();
     for node in nodes.iter().cycle() {
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -54,7 +54,7 @@
             Ok(r) => {
                 let why = admin::decode(&r.body).unwrap_or_else(|_| Refused {
                     error: format!(
-                        "{node} answered {}; is the door open ([admin] door = 1)?",
+                        "{node} responded with status {}; is the admin interface enabled ([admin] door = 1)?",
                         r.status
                     ),
                     ..Refused::default()
@@ -70,7 +70,7 @@
     Err(RequestError::Unreachable(last))
 }
 
-/// One request, one answer, one connection.
+/// Sends one request on a new connection and reads its response.
 pub fn send_once(
     to: SocketAddr,
     method: &str,
@@ -94,7 +94,7 @@
         match http::parse_response(&got, admin::ANSWER_LIMIT, n == 0) {
             Ok(Some((response, _))) => return Ok(response),
             Ok(None) if n > 0 => {}
-            _ => return Err("an answer that was cut off or can't be read".to_owned()),
+            _ => return Err("the response is truncated or malformed".to_owned()),
         }
     }
 }
--- a/crates/stoathatch/src/config.rs
+++ b/crates/stoathatch/src/config.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the settings; every error names its field.
+//! Reads and validates settings files; every error names the offending field.
 
 use control::Tuning;
 use std::path::Path;
@@ -73,7 +73,8 @@
         }
     }
 
-    /// The limits to come are checked as those that hold are: a whole set, no larger, and large enough to work with.
+    /// The announced next limits are validated like the current ones: they must be complete, not larger than the
+    /// current ones, and large enough to work with.
     #[test]
     fn next_limits_errors_name_the_field() {
         let with = |next: &str| {
--- a/crates/stoathatch/src/counties.rs
+++ b/crates/stoathatch/src/counties.rs
@@ -1,4 +1,4 @@
-//! `stoathatch counties`: what operators see and change of counties. Their counts are [`crate::tally`]'s.
+//! `stoathatch counties`: shows and changes counties. [`crate::tally`] shows their job counts.
 
 use crate::documents::{DocumentCommand, DocumentKind, ServiceArgs, table};
 use clap::Args;
@@ -17,7 +17,7 @@
     verb: DocumentCommand,
 }
 
-/// The counties' part in the common verbs.
+/// The document kind of counties.
 pub enum CountiesDocument {}
 
 impl DocumentKind for CountiesDocument {
@@ -89,7 +89,7 @@
     }
 }
 
-/// All names that a document has, taken as known.
+/// All team and zone names in a document, taken as existing where there are no settings to compare them with.
 fn names_in(spec: &Spec) -> Known {
     let rules = || spec.counties.iter().flat_map(|c| &c.rules);
     let all = |of: fn(&Rule) -> &Vec<String>| rules().flat_map(of).cloned().collect();
--- a/crates/stoathatch/src/documents.rs
+++ b/crates/stoathatch/src/documents.rs
@@ -1,5 +1,5 @@
-//! What operators can do with every kind of document: see it, check a file, put another version in force, and list
-//! the changes. A kind adds a small [`DocumentKind`], and verbs of its own beside the common ones.
+//! Subcommands that every kind of document has: show it, check a file, put another version in force, and list changes.
+//! A kind implements [`DocumentKind`], and may have subcommands of its own beside the common ones.
 
 use crate::ask::{RequestError, send_request};
 use clap::{Args, Subcommand};
@@ -14,10 +14,10 @@
 use wire::admin::{self, AskOf, ChangeOf, Changed};
 use wire::settings::Settings;
 
-/// Exit codes: 0 done, 1 refused, 2 could not be asked.
+/// Exit codes: 0 done, 1 rejected, 2 unusable local file or no usable response.
 #[derive(Args)]
 pub struct ServiceArgs {
-    /// A controller's peer address; several are tried in turn. Any controller will do.
+    /// Peer address of any controller; if several are given, they are tried in turn.
     #[arg(
         long = "node",
         value_name = "IP:PORT",
@@ -26,46 +26,47 @@
         global = true
     )]
     pub nodes: Vec<SocketAddr>,
-    /// Print JSON, for programs.
+    /// Print JSON.
     #[arg(long, global = true)]
     pub json: bool,
 }
 
 #[derive(Subcommand)]
 pub enum DocumentCommand {
-    /// The version in force, with what it comes to now.
+    /// Show the version in force and its present state.
     Show {
-        /// Print it as a file that `set` takes.
+        /// Print it in the file format that `set` accepts.
         #[arg(long)]
         file: bool,
     },
-    /// Check a file, without asking anybody.
+    /// Check a file without contacting a controller.
     Check {
         /// The file (TOML).
         file: PathBuf,
-        /// Check against the teams and zones of this settings file too.
+        /// Also check against the teams and zones of this settings file.
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
     },
-    /// Put another version in the place of the one in force.
+    /// Replace the version in force.
     Set {
-        /// The file; `-` for an empty one, with which all is as if there had never been any.
+        /// The file; `-` for an empty document, which has the same effect as having none.
         file: PathBuf,
         #[command(flatten)]
         how: ChangeArgs,
     },
-    /// The latest changes.
+    /// List the latest changes.
     History,
-    /// The schema of such files (JSON Schema).
+    /// Print the JSON Schema of the file format.
     Schema,
 }
 
 #[derive(Args)]
 pub struct ChangeArgs {
-    /// Say what would change and what would come of it, and change nothing.
+    /// Show what would change and the effects, without changing anything.
     #[arg(long)]
     pub dry_run: bool,
-    /// The version that this change is made for; the one in force now, if not given.
+    /// The version that this change applies to; the change is rejected if another one is in force. Default: the
+    /// version in force now.
     #[arg(long, value_name = "VERSION")]
     pub expect: Option<u64>,
     /// Who makes the change, for the history.
@@ -73,28 +74,30 @@
     pub by: String,
 }
 
-/// What a kind adds to the common verbs.
+/// What the common subcommands need to know about a kind of document.
 pub trait DocumentKind {
     type Spec: Content + schemars::JsonSchema;
-    /// What is answered to "show".
+    /// The service's response to `show`.
     type Shown: Serialize + DeserializeOwned;
     type Edit: Serialize;
 
     fn parse(text: &str) -> Result<Parsed<Self::Spec>, Vec<Fault>>;
-    /// Checks it, against settings too where there are any, and says how much there is of it.
+    /// Validates a document, also against settings where given. Returns a summary of its size.
     fn check(spec: &Self::Spec, settings: Option<&Settings>) -> Result<String, Vec<Fault>>;
-    /// The change that puts it in force as a whole.
+    /// The edit that replaces the whole document.
     fn replace(spec: Self::Spec) -> Self::Edit;
     fn parts(shown: &Self::Shown) -> (u64, &Self::Spec, &[Past]);
-    /// For people.
+    /// Formats the response to `show` as text.
     fn render(shown: &Self::Shown) -> String;
 }
 
-/// What is wrong with a file or a request, or whatever else ends a command.
+/// Why a command did not succeed.
 pub enum CommandError {
+    /// A file or a request was rejected.
     Refused(Vec<String>),
+    /// A local file is unusable, or the service gave no usable response.
     Failed(String),
-    /// An answer for programs that names differences.
+    /// JSON output of an audit that found differences.
     Differences(String),
 }
 
@@ -105,7 +108,7 @@
 }
 
 impl CommandError {
-    /// What the service has refused, with the lines of the file that it was sent from.
+    /// Converts a failed request. Faults found by the service get the line numbers of the file that was sent.
     fn from_request_error<S>(error: RequestError, from: Option<(&Path, &Parsed<S>)>) -> Self {
         match error {
             RequestError::Unreachable(why) => CommandError::Failed(why),
@@ -149,7 +152,7 @@
     }
 }
 
-/// Prints how a command ended.
+/// Prints the result of a command and returns its exit code.
 pub fn exit_code(result: Result<String, CommandError>) -> ExitCode {
     match result {
         Ok(text) => {
@@ -175,7 +178,7 @@
 }
 
 impl ServiceArgs {
-    /// A question about a kind.
+    /// Sends a query about a document kind.
     pub fn query<T: DocumentKind, A: DeserializeOwned>(
         &self,
         question: &impl Serialize,
@@ -253,7 +256,7 @@
     T::parse(&text).map_err(|faults| CommandError::from_faults(path, &faults))
 }
 
-/// A document to begin with, that fits the settings; the error names all that is wrong, with path and line.
+/// Reads an initial document and checks it against the settings. The error lists all faults with path and line.
 pub fn initial_document<T: DocumentKind>(
     path: &Path,
     settings: &Settings,
@@ -267,7 +270,7 @@
     }
 }
 
-/// Asks for a change, and says what came of it.
+/// Requests a change and describes its result.
 pub fn change<T: DocumentKind>(
     service: &ServiceArgs,
     how: &ChangeArgs,
@@ -278,7 +281,7 @@
         Some(version) => version,
         None => T::parts(&service.fetch::<T>()?).0,
     };
-    // Made once: each try carries the same, so that it is made at most once.
+    // All attempts carry the same id, so that the change is made at most once.
     let id = format!("{:016x}", fastrand::u64(..));
     let (by, dry_run) = (how.by.clone(), how.dry_run);
     let change = AskOf::Change(ChangeOf {
--- a/crates/stoathatch/src/hours.rs
+++ b/crates/stoathatch/src/hours.rs
@@ -1,4 +1,4 @@
-//! `stoathatch hours`: the calendar of release hours, and by when what is due.
+//! `stoathatch hours`: the calendar of release hours, and the deadlines of jobs.
 
 use crate::documents::{CommandError, DocumentCommand, DocumentKind, ServiceArgs, json, table};
 use clap::{Args, Subcommand};
@@ -22,36 +22,36 @@
 enum Verb {
     #[command(flatten)]
     Common(DocumentCommand),
-    /// By when jobs are due, what is at risk and why, and what was kept or missed.
+    /// List when jobs are due, which are at risk and why, and which deadlines were kept or missed.
     List {
-        /// Of this studio alone.
+        /// Only jobs of this studio.
         studio: Option<String>,
     },
-    /// Give one job another hour, or its first.
+    /// Change the release hour of a job, or set one if it has none.
     Move {
         /// The job's id.
         job: String,
-        /// Its studio's local time, like 2026-12-24T18:00, or one with an offset.
+        /// Local time of its studio, like 2026-12-24T18:00, or a time with an offset.
         #[arg(long)]
         to: String,
-        /// Who moves it, for its record.
+        /// Who makes the change, for the job's record.
         #[arg(long, env = "USER", default_value = "unnamed")]
         by: String,
     },
-    /// Give a studio's pending jobs the hours that the calendar in force has for them.
+    /// Reset the release hours of a studio's pending jobs to the calendar in force.
     Reagree {
         /// The studio.
         studio: String,
-        /// Say which hours would move, and move none.
+        /// Show which hours would change, without changing them.
         #[arg(long)]
         dry_run: bool,
-        /// Who moves them, for their records.
+        /// Who makes the change, for the jobs' records.
         #[arg(long, env = "USER", default_value = "unnamed")]
         by: String,
     },
 }
 
-/// The calendar's part in the common verbs.
+/// The document kind of release calendars.
 pub enum HoursDocument {}
 
 impl DocumentKind for HoursDocument {
@@ -62,7 +62,7 @@
     fn parse(text: &str) -> Result<Parsed<Spec>, Vec<Fault>> {
         hours::file::parse(text)
     }
-    /// Nodes are those of a running service's quota tree: here they are not compared.
+    /// The nodes of the quota tree are known to a running service only, so every node named here is accepted.
     fn check(spec: &Spec, settings: Option<&Settings>) -> Result<String, Vec<Fault>> {
         let named = |s: &Settings| {
             let teams = s.cluster.teams.iter();
--- a/crates/stoathatch/src/main.rs
+++ b/crates/stoathatch/src/main.rs
@@ -15,7 +15,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Schedules jobs onto rented machines. One process of a small group that share a state service.
+/// Schedules jobs onto rented machines. Runs one controller of a small group that shares a state service.
 #[derive(Parser)]
 #[command(
     version,
@@ -23,48 +23,48 @@
     args_conflicts_with_subcommands = true
 )]
 struct Args {
-    /// The settings file (JSON) that the platform hands over.
+    /// Settings file (JSON) provided by the platform.
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
-    /// Operators' own settings (INI); all have defaults.
+    /// Operators' tuning file (INI); every value has a default.
     #[arg(long, value_name = "FILE", env = "STOATHATCH_INI")]
     ini: Option<PathBuf>,
-    /// A quota tree to begin with (TOML); used only if the deployment has never had one.
+    /// Initial quota tree (TOML); used only if the deployment has never had one.
     #[arg(long, value_name = "FILE", env = "STOATHATCH_QUOTA")]
     quota: Option<PathBuf>,
-    /// A calendar of release hours to begin with (TOML); used only if the deployment has never had one.
+    /// Initial calendar of release hours (TOML); used only if the deployment has never had one.
     #[arg(long, value_name = "FILE", env = "STOATHATCH_HOURS")]
     hours: Option<PathBuf>,
-    /// Counties to begin with (TOML); used only if the deployment has never had any.
+    /// Initial counties (TOML); used only if the deployment has never had any.
     #[arg(long, value_name = "FILE", env = "STOATHATCH_COUNTIES")]
     counties: Option<PathBuf>,
-    /// A list of models to begin with (TOML); used only if the deployment has never had one.
+    /// Initial list of models (TOML); used only if the deployment has never had one.
     #[arg(long, value_name = "FILE", env = "STOATHATCH_MODELS")]
     models: Option<PathBuf>,
-    /// Serve YARN's clients too, as this file says (INI); without it nothing listens for them.
+    /// Configuration of the YARN gateway (INI); without it the gateway is disabled.
     #[arg(long, value_name = "FILE", env = "STOATHATCH_YARN")]
     yarn: Option<PathBuf>,
-    /// Check the settings, print the operators' values in force, and end.
+    /// Check all given files, print the tuning values in force, and exit.
     #[arg(long)]
     check: bool,
     #[command(subcommand)]
     command: Option<Command>,
 }
 
-/// What operators ask a running service.
+/// Subcommands for operators of a running service.
 #[derive(Subcommand)]
 enum Command {
-    /// Quotas of members, desks and teams.
+    /// Show and change quotas of members, desks and teams.
     Quota(quota::Command),
-    /// Release hours of studios' jobs.
+    /// Show and change release hours of studios' jobs.
     Hours(hours::Command),
-    /// Counties: whose jobs are whose.
+    /// Show and change counties, which define whose jobs are whose.
     Counties(counties::Command),
-    /// The counties' counts, and their audit.
+    /// Show and audit the job counts of counties.
     Tally(tally::Command),
-    /// Models that sleep while nobody asks for them.
+    /// Show and change models, which sleep while there is no demand for them.
     Models(models::Command),
-    /// Applications of YARN's clients, their queues, and drains.
+    /// Manage YARN applications, queues and drains.
     Yarn(tools::Command),
 }
 
@@ -133,7 +133,7 @@
     service::Service::new(settings, tuning, initial, yarn)?.run()
 }
 
-/// The document that a deployment begins with, if one is named.
+/// Reads the initial document if a file is given.
 fn initial_document<T: documents::DocumentKind>(
     path: Option<&PathBuf>,
     settings: &wire::settings::Settings,
--- a/crates/stoathatch/src/models.rs
+++ b/crates/stoathatch/src/models.rs
@@ -1,4 +1,4 @@
-//! `stoathatch models`: which standing jobs are models, how each stands, and demand for one.
+//! `stoathatch models`: which service jobs are models, the state of each, and demand for one.
 
 use crate::ask::send_request;
 use crate::documents::{CommandError, DocumentCommand, DocumentKind, ServiceArgs, json, table};
@@ -23,16 +23,16 @@
 enum Verb {
     #[command(flatten)]
     Common(DocumentCommand),
-    /// How each model stands: its phase, generation, since when, and why it is not awake.
+    /// List the models, each with its phase, generation, since when it is in this phase, and why it is not awake.
     List,
-    /// Say that a model is wanted. Asked again, it is the same wake.
+    /// Report demand for a model, which wakes it. Repeating this while it wakes does not start another wake.
     Demand {
         /// The id of its job.
         model: String,
     },
 }
 
-/// The list's part in the common verbs.
+/// The document kind of model lists.
 pub enum ModelsDocument {}
 
 impl DocumentKind for ModelsDocument {
@@ -109,7 +109,7 @@
             })
         }
         Verb::Demand { model } => {
-            // The same demand twice is one: any controller may be tried after another.
+            // Demand is idempotent, so the request may be retried at any controller.
             let status: ModelStatus = send_request(
                 &service.nodes,
                 DEMAND,
--- a/crates/stoathatch/src/quota.rs
+++ b/crates/stoathatch/src/quota.rs
@@ -1,4 +1,4 @@
-//! `stoathatch quota`: what operators see and change of the quota tree.
+//! `stoathatch quota`: shows and changes the quota tree.
 
 use crate::documents::{
     ChangeArgs, CommandError, DocumentCommand, DocumentKind, ServiceArgs, change, json, table,
@@ -23,35 +23,35 @@
 enum Verb {
     #[command(flatten)]
     Common(DocumentCommand),
-    /// Move a team, or a node with all below it; its guarantee goes along.
+    /// Move a team, or a node with its subtree, together with its guarantee.
     Move {
         /// The team, or the node.
         name: String,
-        /// The node that it is to hang below; the root without it.
+        /// The new parent node; the root if not given.
         #[arg(long)]
         to: Option<String>,
         #[command(flatten)]
         how: ChangeArgs,
     },
-    /// Give a node other bounds.
+    /// Change the guarantee and maximum of a node.
     Shrink {
         /// The node.
         name: String,
-        /// What it is guaranteed from now on: `gpus=8`. Can be given several times.
+        /// The new guarantee, like `gpus=8`. Can be given several times.
         #[arg(long, value_name = "RESOURCE=UNITS", value_parser = parse_amount)]
         guarantee: Vec<(String, f64)>,
-        /// What it may use at most from now on.
+        /// The new maximum. Can be given several times.
         #[arg(long, value_name = "RESOURCE=UNITS", value_parser = parse_amount)]
         max: Vec<(String, f64)>,
-        /// Cut what is guaranteed below it in proportion, where it would be more.
+        /// Reduce the guarantees below the node proportionally where they would exceed its own.
         #[arg(long)]
         scale: bool,
         #[command(flatten)]
         how: ChangeArgs,
     },
-    /// Why a team's work waits.
+    /// Explain why a team's work waits.
     Why {
-        /// As in the settings.
+        /// Name of the team in the settings.
         team: String,
     },
 }
@@ -67,7 +67,7 @@
     Ok((name.trim().to_owned(), units))
 }
 
-/// The quota tree's part in the common verbs.
+/// The document kind of quota trees.
 pub enum QuotaDocument {}
 
 impl DocumentKind for QuotaDocument {
@@ -164,7 +164,7 @@
     }
 }
 
-/// A team as far as the tree itself says.
+/// A team with what the tree itself states about it, for checks without settings.
 fn team_from_spec(t: &TeamSpec) -> Team {
     Team {
         guarantee: t.guarantee.clone().unwrap_or_default(),
@@ -182,7 +182,7 @@
         .join(", ")
 }
 
-/// Teams and nodes directly below a node, each node followed by what is below it.
+/// Adds the rows of the teams and nodes directly below a node, each node followed by its own subtree.
 fn push_rows_below(tree: &admin::Tree, parent: Option<&str>, rows: &mut Vec<Vec<String>>) {
     let row = |s: &Standing, mark: &str| {
         let name = format!("{}{mark}{}", "  ".repeat(s.depth), s.name);
--- a/crates/stoathatch/src/service.rs
+++ b/crates/stoathatch/src/service.rs
@@ -1,4 +1,5 @@
-//! One process: the network thread that turns sockets into events for the controller, and back.
+//! The controller process: one thread that translates network events into events for the controller, and the
+//! controller's effects into network calls.
 
 use control::overload::precedence::{Backlog, Next, Precedence};
 use control::{Destination, Effect, Event, Node, Now, Tuning};
@@ -10,14 +11,14 @@
 use wire::http::Request;
 use wire::settings::Settings;
 
-/// Numbers of the gateway's doors.
+/// Listeners of the YARN gateway.
 const RPC_LISTENER: Door = Door::Raw(0);
 const WEB_LISTENER: Door = Door::Raw(1);
-/// What has come in is served for so long before the network is looked at again.
+/// How long the backlog is served before the network is polled again.
 const SERVE_SLICE: Duration = Duration::from_millis(20);
 const STATS_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Documents to begin with, where there have never been any.
+/// Documents to use where the deployment has never had any of that kind.
 pub struct InitialDocuments {
     pub tree: Option<quota::Spec>,
     pub hours: Option<hours::Spec>,
@@ -29,17 +30,17 @@
     net: Net,
     node: Served,
     start: Instant,
-    /// A worker's connection that says nothing for so long is over.
+    /// Idle timeout of workers' connections.
     worker_timeout: Duration,
     state: SocketAddr,
     cloud: SocketAddr,
     peers: Vec<SocketAddr>,
     conns: HashMap<u64, ConnId>,
-    /// Connections of the gateway's clients, both ways.
+    /// Connections of the gateway's clients: from the gateway's number to the connection, and the reverse.
     raw_conns: HashMap<u64, ConnId>,
     raw_conn_ids: HashMap<ConnId, u64>,
     next_conn: u64,
-    /// What has come in and is still to be served.
+    /// Events received and not yet handled.
     backlog: Backlog<Event>,
     last_tick: Instant,
     last_stats: Instant,
@@ -49,7 +50,7 @@
     text.parse().map_err(|e| format!("{name}: {text:?}: {e}"))
 }
 
-/// Milliseconds: the steady clock starts well above 0, so that "long ago" can be said.
+/// The current time in milliseconds. The monotonic clock starts well above 0, so that earlier times can be represented.
 fn now(start: Instant) -> Now {
     let wall = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -85,7 +86,7 @@
                     .map_err(|e| format!("{name}: can't listen on {at}: {e}"))?;
             }
             log::info!(
-                "YARN's clients are served on {} (RPC) and {} (REST)",
+                "YARN gateway listens on {} (RPC) and {} (REST)",
                 yarn.rpc,
                 yarn.web
             );
@@ -101,7 +102,7 @@
             .map(|p| parse_addr("peers", &p.addr))
             .collect::<Result<_, _>>()?;
         log::info!("{} listens on {}", settings.node, settings.listen);
-        // The seed only spreads retries; two nodes must not share it.
+        // Nodes must not share a seed: it spreads their retries and identifies this incarnation of the node.
         let seed = fastrand::u64(..);
         let node = Node::new(settings, tuning, seed, now(start))
             .with_first_tree(initial.tree)
@@ -131,7 +132,7 @@
         })
     }
 
-    /// Runs until the process is ended.
+    /// Runs until the process is terminated.
     pub fn run(mut self) -> Result<(), String> {
         self.tick();
         loop {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Serves what waits, until it is time to look for what has come meanwhile. A tick that is due does not wait.
+    /// Handles events of the backlog for at most [`SERVE_SLICE`]. A tick that becomes due meanwhile runs at once.
     fn serve_backlog(&mut self) {
         let until = Instant::now() + SERVE_SLICE;
         while Instant::now() < until {
@@ -171,7 +172,7 @@
         }
     }
 
-    /// What nobody waits for any more is dropped.
+    /// Handles an event, but drops a request whose client no longer waits for the response.
     fn handle_if_awaited(&mut self, event: Event) {
         if let Event::Client { conn, .. } | Event::Peer { conn, .. } = &event
             && let Some(id) = self.conns.get(conn)
@@ -210,7 +211,7 @@
         }
     }
 
-    /// What has come in by the network, as the controller takes it. The gateway is given its bytes at once.
+    /// Translates a network event into a controller event. Events of raw connections go to the gateway at once.
     fn translate(&mut self, event: net::Event) -> Option<Event> {
         match event {
             net::Event::Request {
@@ -256,7 +257,7 @@
         match door {
             Door::Clients => Some(Event::Client { conn: id, request }),
             Door::Peers => Some(Event::Peer { conn: id, request }),
-            // Raw doors hand over bytes, and no hosts are played here.
+            // Raw listeners deliver bytes rather than requests, and this process simulates no hosts.
             Door::Raw(_) | Door::Host(_) => None,
         }
     }
@@ -305,7 +306,7 @@
                 timeout_ms,
                 answer_limit,
             } => {
-                // A worker is told something now and then; the others are always being asked.
+                // Each worker gets requests only rarely, the other destinations all the time.
                 let (to, keep) = match to {
                     Destination::State => (self.state, net::KEEP),
                     Destination::Cloud => (self.cloud, net::KEEP),
@@ -326,13 +327,13 @@
                     lane: 0,
                 });
             }
-            // The gateway's own requests have ended with it.
+            // Effects for the gateway are handled by `Served` and don't reach this point.
             Effect::Frontend { .. } => {}
         }
     }
 }
 
-/// Random bytes for the gateway's keys.
+/// Returns random bytes for the gateway's keys.
 fn random_secret() -> Result<[u8; 32], String> {
     let mut bytes = [0; 32];
     getrandom::fill(&mut bytes).map_err(|e| format!("random bytes: {e}"))?;
--- a/crates/stoathatch/src/tally.rs
+++ b/crates/stoathatch/src/tally.rs
@@ -1,4 +1,4 @@
-//! `stoathatch tally`: the counties' counts as of one revision, and their audit.
+//! `stoathatch tally`: the job counts of counties as of one revision, and an audit of these counts.
 
 use crate::counties::CountiesDocument;
 use crate::documents::{CommandError, ServiceArgs, json, table};
@@ -7,13 +7,13 @@
 use std::time::Duration;
 use wire::tally::{Audit, Counts, Line, Question};
 
-/// Accepted, live, done and cancelled jobs, and done tasks, as of one revision.
+/// Show the numbers of accepted, live, done and cancelled jobs, and of done tasks, as of one revision.
 #[derive(Args)]
 #[command(args_conflicts_with_subcommands = true)]
 pub struct Command {
     #[command(flatten)]
     asked: ServiceArgs,
-    /// Its id; all of them without it.
+    /// Id of a county; all counties if not given.
     county: Option<String>,
     #[command(subcommand)]
     verb: Option<Verb>,
@@ -21,7 +21,7 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Count again from all records, and name each difference. Exit code 1 if there is one.
+    /// Recount from all records and list each difference. Exit code 1 if there is any.
     Audit,
 }
 
@@ -70,7 +70,7 @@
     )
 }
 
-/// Asks until the audit is through. A leader that is lost takes it along; the next begins it anew.
+/// Polls until the audit has ended. If the leader fails, its audit is lost and the next leader starts it again.
 fn audit(service: &ServiceArgs) -> Result<String, CommandError> {
     let question = Question::Audit {
         id: format!("{:016x}", fastrand::u64(..)),
@@ -86,7 +86,7 @@
     }
 }
 
-/// An audit that has found something ends the command with code 1, whoever reads it.
+/// Differences end the command with exit code 1, both with and without JSON output.
 fn audit_result(audit: &Audit, as_json: bool) -> Result<String, CommandError> {
     let Audit::Done {
         revision,
--- a/crates/stoathatch/src/tools.rs
+++ b/crates/stoathatch/src/tools.rs
@@ -1,4 +1,4 @@
-//! `stoathatch yarn`: applications of YARN's clients, queues and drains; and bundles, submitted as a whole.
+//! `stoathatch yarn`: manages YARN applications, queues and drains, and submits bundles.
 
 use crate::ask::send_once;
 use clap::{Args, Subcommand};
@@ -13,14 +13,14 @@
 use std::time::{Duration, Instant};
 use yarn::rest::{self, Form};
 
-/// A call is tried again, at each address in turn, for so long.
+/// How long a request is retried, at each address in turn.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(60);
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Exit codes: 0 done, 1 refused, 2 could not be asked.
+/// Exit codes: 0 done, 1 rejected, 2 no usable response.
 #[derive(Args)]
 pub struct Command {
-    /// A controller's REST address (`[door] web`); several are tried in turn. Any controller will do.
+    /// REST address (`[door] web`) of any controller; if several are given, they are tried in turn.
     #[arg(
         long = "web",
         value_name = "IP:PORT",
@@ -29,7 +29,7 @@
         global = true
     )]
     nodes: Vec<SocketAddr>,
-    /// Who asks.
+    /// User name to send with requests.
     #[arg(
         long = "as",
         value_name = "USER",
@@ -38,7 +38,7 @@
         global = true
     )]
     user: String,
-    /// Print JSON, for programs.
+    /// Print JSON.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -47,54 +47,54 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Applications, newest first.
+    /// List applications, newest first.
     List {
-        /// Only those in this state, like RUNNING. Can be given several times.
+        /// Only applications in this state, like RUNNING. Can be given several times.
         #[arg(long)]
         state: Vec<String>,
         /// Only this queue and those below it.
         #[arg(long)]
         queue: Option<String>,
-        /// So many at most.
+        /// Largest number of applications to list.
         #[arg(long)]
         limit: Option<u32>,
     },
-    /// One application.
+    /// Show one application.
     Status {
-        /// `application_..._0001`.
+        /// Application id, like `application_..._0001`.
         id: String,
     },
-    /// End an application, and wait until it is over.
+    /// Kill an application and wait until it has ended.
     Kill { id: String },
-    /// Submit a bundle (a tool with its files, command and resources); prints the application's id.
+    /// Submit a bundle (a tool with its files, command and resources) and print the application's id.
     Submit {
-        /// The bundle's file (TOML).
+        /// Bundle file (TOML).
         bundle: PathBuf,
-        /// Wait until it is over; exit code 1 if it did not succeed.
+        /// Wait until the application has ended; exit code 1 if it did not succeed.
         #[arg(long)]
         wait: bool,
     },
-    /// Queues, what they may use, and which are drained.
+    /// List queues with their capacities and drains.
     Queues,
-    /// Take no new applications in a queue (`root`: in the whole service), or give a machine no further containers,
-    /// until told otherwise.
+    /// Start or end a drain: a drained queue (`root`: the whole service) accepts no new applications, a drained
+    /// machine gets no further containers.
     Drain {
-        /// The queue, or the machine with `--machine`.
+        /// Name of the queue, or of the machine with `--machine`.
         name: String,
-        /// Drain a machine: what it runs may end.
+        /// Drain a machine; its running containers may finish.
         #[arg(long)]
         machine: bool,
-        /// End what still runs there after so many seconds.
+        /// Kill what still runs there after this time.
         #[arg(long, value_name = "SECONDS")]
         within: Option<u64>,
-        /// Give running applications no further containers.
+        /// Also give running applications no further containers.
         #[arg(long)]
         containers: bool,
-        /// The drain is over.
+        /// End the drain.
         #[arg(long, conflicts_with_all = ["within", "containers"])]
         off: bool,
     },
-    /// The schema of bundle files (JSON Schema).
+    /// Print the JSON Schema of bundle files.
     Schema,
 }
 
@@ -161,7 +161,7 @@
 }
 
 impl Bundle {
-    /// Reads a bundle; the error has path, line and place.
+    /// Reads and validates a bundle; the error names path, line and field.
     fn read(path: &Path) -> Result<Bundle, CommandError> {
         let fault =
             |e: &dyn std::fmt::Display| CommandError::Refused(format!("{}: {e}", path.display()));
@@ -259,7 +259,7 @@
     Failed(String),
 }
 
-/// What a body holds below its root.
+/// Response bodies, which wrap their content in one named field.
 #[derive(Deserialize)]
 struct AppsResponse {
     apps: rest::Apps,
@@ -279,13 +279,14 @@
 }
 
 impl Command {
-    /// Asks the controllers in turn until one answers. Each call may be repeated: a submission has its id.
+    /// Sends a request to the controllers in turn until one responds. Every request may be repeated, since a submission
+    /// carries its application id.
     fn request(&self, method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, CommandError> {
         let mark = if path.contains('?') { '&' } else { '?' };
         let user: String = self.user.bytes().map(percent_encode).collect();
         let target = format!("{path}{mark}user.name={user}");
         let end = Instant::now() + TOTAL_TIMEOUT;
-        let mut last = "no controller was named (--web IP:PORT)".to_owned();
+        let mut last = "no controller address was given (--web IP:PORT)".to_owned();
         for node in self.nodes.iter().cycle() {
             if Instant::now() >= end {
                 break;
@@ -419,7 +420,7 @@
         let new: rest::NewApplication =
             rest::read(Form::Json, &body).map_err(CommandError::Failed)?;
         let id = new.application_id;
-        // Printed before it is sent: whoever loses the answer can still ask for it.
+        // Printed before the submission is sent, so that its status can be queried even if the response is lost.
         println!("{id}");
         let body = rest::render(Form::Json, "", true, &bundle.submission(id.clone()));
         self.request("POST", &format!("{}/apps", rest::ROOT), &body)?;
@@ -553,7 +554,7 @@
             ExitCode::from(1)
         }
         Err(CommandError::Failed(why)) => {
-            eprintln!("stoathatch yarn: not answered: {why}");
+            eprintln!("stoathatch yarn: no usable response: {why}");
             ExitCode::from(2)
         }
     }
