--- a/crates/stoathatch/tests/e2e/common.rs
+++ b/crates/stoathatch/tests/e2e/common.rs
@@ -1,4 +1,4 @@
-//! Controllers as real processes for the tests on loopback. Waits on conditions only.
+//! Starts and stops controllers as real processes on loopback. Waits for conditions, never for fixed times.
 
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
@@ -8,23 +8,23 @@
 use std::time::{Duration, Instant};
 use wire::api::{Catalog, JobSpec, JobState, Kind, MachineType, Priority, Stage};
 
-/// Three controllers as real processes, against stand-ins of this process.
+/// Three controllers as real processes, against simulated services in the test process.
 pub struct Controllers {
     files: Vec<std::path::PathBuf>,
     children: Vec<Option<Child>>,
     pub clients: Vec<SocketAddr>,
     pub peers: Vec<SocketAddr>,
-    /// Where the gateways' doors are, if they are open.
+    /// Addresses of the YARN gateways' listeners, if these are enabled.
     pub rpc: Vec<SocketAddr>,
     pub web: Vec<SocketAddr>,
-    /// Further arguments of each process.
+    /// Additional command line arguments of each process.
     options: Vec<Vec<String>>,
-    /// Keeps the ports out of everybody else's reach, also while a process is down.
+    /// Reserves the ports, also while a process is down.
     _held: Vec<(Socket, SocketAddr)>,
 }
 
 impl Controllers {
-    /// Writes settings for these teams, and starts all.
+    /// Writes settings with these teams and starts all controllers.
     pub fn new(
         name: &str,
         kind: MachineType,
@@ -35,7 +35,7 @@
         Controllers::with_yarn(name, kind, run_ms, teams, options, None)
     }
 
-    /// The same with a gateway beside each, and further lines of its file.
+    /// Like [`Controllers::new`], with a YARN gateway in each controller if `yarn` is given: further lines of its file.
     pub fn with_yarn(
         name: &str,
         kind: MachineType,
@@ -106,7 +106,7 @@
             )
             .stdin(Stdio::null())
             .spawn()
-            .expect("the program starts");
+            .expect("the program can be started");
         self.children[n] = Some(child);
     }
 
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Asks any node that answers; the last answer that is not "later".
+    /// Sends a request to the running nodes in turn; returns the first response that is not 503 or 429.
     pub fn ask(&self, method: &str, path: &str, body: &[u8]) -> Option<(u16, Option<JobState>)> {
         (0..self.clients.len())
             .filter(|n| self.children[*n].is_some())
@@ -147,7 +147,7 @@
     }
 }
 
-/// Generous: a loaded host must not change the verdict.
+/// Waits until a condition holds. The limit is generous, so that a loaded host does not fail the test.
 pub fn wait_for<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + Duration::from_secs(120);
     loop {
@@ -159,9 +159,9 @@
     }
 }
 
-/// A free port of this host that stays ours: bound, but not listened on. The program may still bind and listen there,
-/// since both sides let addresses be reused. A port that is found free and let go again can be given to a connection
-/// or a listener of anybody's before the program takes it: so a test once lost one of its three controllers.
+/// Reserves a free port: binds it without listening. The program can still bind and listen there, since both sides set
+/// `SO_REUSEADDR`. A port that is only found free and released again can be assigned to another connection or listener
+/// before the program binds it; a test failed that way when one of its three controllers could not start.
 pub fn hold_port() -> std::io::Result<(Socket, SocketAddr)> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/crates/stoathatch/tests/e2e/hours.rs
+++ b/crates/stoathatch/tests/e2e/hours.rs
@@ -1,4 +1,4 @@
-//! `stoathatch hours`, as operators call it.
+//! `stoathatch hours` run as a process.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -8,7 +8,7 @@
     command.arg("hours").args(args).output().expect("it runs")
 }
 
-/// The example is accepted and the schema is the published one; a bad file is refused with path, line and field.
+/// The example is accepted and the schema equals the published one; a bad file is rejected with line and field.
 #[test]
 fn calendar_files_are_checked() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
--- a/crates/stoathatch/tests/e2e/jobs.rs
+++ b/crates/stoathatch/tests/e2e/jobs.rs
@@ -10,7 +10,7 @@
         json!([{"name": "red", "cpus": 0.0, "cpus_max": 0.0, "gpus": 4.0, "gpus_max": 8.0}]);
     let (mut c, world) = Controllers::new("e2e", four_gpus(10.0), 1500, &teams, &[]);
 
-    // Submit and run; a repeated submission is the same job; strangers are unknown.
+    // Submits and runs a job. A repeated submission is the same job; an id that was never submitted is unknown.
     let first = wire::encode(&job("job-000001", Kind::Array, 3));
     assert_eq!(
         wait_for("accepted", || c.ask("POST", "/work", &first)).0,
@@ -38,7 +38,7 @@
     });
     assert_eq!(world.completed().len(), 3);
 
-    // Cancel a service: its replicas go.
+    // Cancels a service; its replicas end.
     let service = wire::encode(&job("job-000002", Kind::Service, 2));
     wait_for("service accepted", || c.ask("POST", "/work", &service));
     wait_for("replicas up", || {
@@ -52,19 +52,19 @@
         world.on_machines().is_empty().then_some(())
     });
 
-    // Kill the owner while a job runs, and then all.
+    // Kills the leader while a job runs, and later all nodes.
     let second = wire::encode(&job("job-000003", Kind::Array, 8));
     wait_for("second accepted", || c.ask("POST", "/work", &second));
     wait_for("it runs", || {
         (!world.on_machines().is_empty()).then_some(())
     });
-    let leader = wait_for("an owner", || world.leader());
+    let leader = wait_for("a leader", || world.leader());
     let n: usize = leader
         .trim_start_matches("burrow-")
         .parse()
         .expect("a node");
     c.kill(n);
-    wait_for("another owner", || world.leader().filter(|o| *o != leader));
+    wait_for("another leader", || world.leader().filter(|o| *o != leader));
     wait_for("second done", || {
         (c.stage("job-000003")? == Stage::Done).then_some(())
     });
@@ -76,7 +76,7 @@
         (c.stage("job-000004")? == Stage::Done).then_some(())
     });
 
-    // What was over still is, after all processes were replaced.
+    // Jobs that had ended are still reported as ended after all processes were replaced.
     assert_eq!(wait_for("first", || c.stage("job-000001")), Stage::Done);
     assert_eq!(
         wait_for("service", || c.stage("job-000002")),
--- a/crates/stoathatch/tests/e2e/main.rs
+++ b/crates/stoathatch/tests/e2e/main.rs
@@ -1,4 +1,5 @@
-//! The real program as three processes on loopback, against the stand-ins. Waits on conditions only.
+//! The real program as three processes on loopback, against simulated services. Tests wait for conditions, never for
+//! fixed times.
 
 mod common;
 mod hours;
--- a/crates/stoathatch/tests/e2e/ports.rs
+++ b/crates/stoathatch/tests/e2e/ports.rs
@@ -1,10 +1,10 @@
-//! The ports of the tests' controllers are theirs alone.
+//! Reserved ports of the tests' controllers.
 
 use crate::common::hold_port;
 use std::net::{TcpListener, TcpStream};
 
-/// Guards against a controller that can't start because its port was given away: neither listeners nor outgoing
-/// connections get a held port, while whoever asks for it by its number may listen there, again and again.
+/// Guards against a controller that can't start because its port was assigned to another socket: neither listeners nor
+/// outgoing connections get a held port, while it can still be bound by number, repeatedly.
 #[test]
 fn held_ports_are_not_assigned_to_others() {
     let held: Vec<_> = (0..50).map(|_| hold_port().expect("a port")).collect();
@@ -20,7 +20,7 @@
     }
     for (_, addr) in &held {
         (0..2).for_each(|_| {
-            drop(TcpListener::bind(addr).expect("whoever knows the number may listen"))
+            drop(TcpListener::bind(addr).expect("a held port can be bound by its number"))
         });
     }
 }
--- a/crates/stoathatch/tests/e2e/quota.rs
+++ b/crates/stoathatch/tests/e2e/quota.rs
@@ -1,4 +1,5 @@
-//! `stoathatch quota` against three real processes on loopback: what operators type, and what a flood does then.
+//! `stoathatch quota` against three real processes on loopback: its subcommands, and guarantees while one team floods
+//! the queue.
 
 use crate::common::{Controllers, four_gpus, job, wait_for};
 use serde_json::{Value, json};
@@ -7,7 +8,7 @@
 use std::time::Instant;
 use wire::api::{JobSpec, Kind, Priority};
 
-/// A file of this test's, gone with it.
+/// A temporary file, removed when dropped.
 struct TempFile(PathBuf);
 
 impl TempFile {
@@ -39,7 +40,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// What a command that must succeed prints as JSON.
+/// Runs a command that must succeed and parses its JSON output.
 fn json_of(args: &[&str]) -> Value {
     let out = quota(args);
     assert_eq!(
@@ -80,7 +81,7 @@
 parent = "news"
 "#;
 
-/// Guarantees of the settings.
+/// Teams with their guaranteed GPUs in the settings.
 const TEAMS: [(&str, usize); 4] = [
     ("effects", 4),
     ("compositing", 6),
@@ -88,8 +89,8 @@
     ("layout", 8),
 ];
 
-/// 280 jobs: one team floods the queue with work of minutes, then all others ask for their share. Prints the seconds
-/// until the last team has it; nothing is asserted of time but that it comes.
+/// With 280 jobs: one team floods the queue with jobs that run for minutes, then all others submit theirs, and each
+/// team has to get its guaranteed share. Prints how many seconds this took, which is not asserted.
 #[test]
 fn every_team_gets_its_guarantee_after_one_floods_the_queue() {
     let teams: Vec<Value> = TEAMS
@@ -111,7 +112,7 @@
     let file = TempFile::new("tree.toml", TREE);
     let file = file.0.to_str().expect("a plain path");
 
-    // Any node takes it; the dry run changes nothing; a change made for another version is a conflict.
+    // Any node accepts a change; a dry run changes nothing; a change for another version is a conflict.
     let dry = json_of(&["set", file, "--dry-run", "--json", "--node", &nodes]);
     assert_eq!(
         (&dry["version"], &dry["dry_run"]),
@@ -162,7 +163,7 @@
     let history = json_of(&["history", "--json", "--node", &nodes]);
     assert_eq!(history.as_array().map(Vec::len), Some(3));
 
-    // The flood takes all machines.
+    // The flood occupies all machines.
     let submit = |id: usize, team: &str, priority: Priority| {
         let spec = JobSpec {
             team: team.into(),
@@ -173,7 +174,7 @@
         wait_for("accepted", || c.ask("POST", "/work", &wire::encode(&spec)));
     };
     (0..100).for_each(|i| submit(1000 + i, "effects", Priority::Production));
-    // The thousands of a job's number name its team.
+    // The thousands digit of a job's number is its team's index plus 1.
     let team_of = |task: &str| -> Option<usize> {
         let (job, _) = wire::ids::parse_task(task)?;
         (job.trim_start_matches("job-").parse::<usize>().ok()? / 1000).checked_sub(1)
@@ -198,7 +199,7 @@
             .then_some(())
     });
     println!(
-        "every team had its guaranteed share {:.1} s after the neighbours came",
+        "every team had its guaranteed share {:.1} s after the other teams submitted",
         start.elapsed().as_secs_f64()
     );
     let why = json_of(&["why", "effects", "--json", "--node", &nodes]);
@@ -215,15 +216,15 @@
         assert!(out.contains("film"), "{out}");
     }
 
-    // The next owner has the same tree before its first start.
-    let leader = wait_for("an owner", || world.leader());
+    // The next leader has the same tree before it starts its first task.
+    let leader = wait_for("a leader", || world.leader());
     c.kill(
         leader
             .trim_start_matches("burrow-")
             .parse()
             .expect("a node"),
     );
-    wait_for("another owner", || world.leader().filter(|o| *o != leader));
+    wait_for("another leader", || world.leader().filter(|o| *o != leader));
     assert_eq!(json_of(&["show", "--json", "--node", &nodes])["version"], 3);
     assert_eq!(world.ran_twice(), None);
     let checked = quota(&[
@@ -235,7 +236,7 @@
     assert_eq!(checked.status.code(), Some(0), "{}", text(&checked.stderr));
 }
 
-/// The examples of `deploy/` are accepted; a bad file is refused with path and line, and nobody is asked.
+/// The examples in `deploy/` are accepted; a bad file is rejected with its line, without contacting a controller.
 #[test]
 fn quota_files_are_checked() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
@@ -270,7 +271,7 @@
         "{}",
         text(&out.stderr)
     );
-    // Nobody is there to be asked.
+    // No controller address is given.
     let out = quota(&["show"]);
     assert_eq!(out.status.code(), Some(2), "{}", text(&out.stderr));
 }
--- a/crates/stoathatch/tests/e2e/yarn.rs
+++ b/crates/stoathatch/tests/e2e/yarn.rs
@@ -1,4 +1,4 @@
-//! YARN's clients against three real processes on loopback: by the command line, by REST, and by RPC.
+//! YARN clients against three real processes on loopback: over the command line, REST and RPC.
 
 use crate::common::{Controllers, four_gpus, wait_for};
 use serde_json::{Value, json};
@@ -23,7 +23,7 @@
     json!([{"name": "red", "cpus": 16.0, "cpus_max": 0.0, "gpus": 0.0, "gpus_max": 0.0}])
 }
 
-/// One call on a connection of its own.
+/// Makes one call on a new connection.
 fn exchange(rpc: SocketAddr, web: SocketAddr, ask: Ask) -> Answer {
     let (mut exchange, by_web, first) = Exchange::begin(ask);
     let mut stream =
@@ -61,7 +61,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// What operators and users type; a drain that outlives the node that was asked; the same submission at every node.
+/// Covers the subcommands, a drain that outlives the node that accepted it, and a submission sent to every node.
 #[test]
 fn bundles_run_and_drains_survive_a_leader_kill() {
     let rules = "admins = ann\n[queues]\nroot.default = red\n";
@@ -91,14 +91,14 @@
 
     let out = yarn(&c, &["drain", "default", "--containers"]);
     assert_eq!(out.status.code(), Some(0), "{}", text(&out.stderr));
-    let leader = wait_for("an owner", || world.leader());
+    let leader = wait_for("a leader", || world.leader());
     c.kill(
         leader
             .trim_start_matches("burrow-")
             .parse()
             .expect("a node"),
     );
-    wait_for("another owner", || world.leader().filter(|o| *o != leader));
+    wait_for("another leader", || world.leader().filter(|o| *o != leader));
     let out = yarn(&c, &["submit", bundle]);
     assert_eq!(out.status.code(), Some(1), "{}", text(&out.stdout));
     assert!(
@@ -112,7 +112,7 @@
         Some(0)
     );
 
-    // Every node is given the same submission: one application, one job.
+    // The same submission sent to every node results in one application with one job.
     let mut client = Client::new(
         "ann",
         "default",
@@ -161,7 +161,7 @@
     assert_eq!(world.ran_twice(), None);
 }
 
-/// The tally's runners, standing on the tasks that run on the stand-in machines.
+/// Creates and removes runners to match the tasks on the simulated machines, and ends tasks whose runner is done.
 fn sync_runners(stage: &mut Stage, world: &Loopback, now: u64) {
     let mut running = HashSet::new();
     for (spec, task, attempt, machine, zone) in world.runners() {
@@ -180,7 +180,7 @@
     }
 }
 
-/// A master and a hundred containers in two stages by RPC, with the master killed once and a machine lost.
+/// A master runs a hundred containers in two stages over RPC, is killed once, and a machine is lost.
 #[test]
 fn two_stage_tally_completes_despite_master_kill_and_machine_loss() {
     let rules = "[work]\nestimate_s = 2\nmaster_s = 30\n";
@@ -209,14 +209,14 @@
                 c.web[request_number % 3],
                 done.clone(),
             );
-            // A start is answered once its runner has come for it, so nobody waits for another here.
+            // A start call returns only when its runner has picked it up, so each call has a thread of its own.
             std::thread::spawn(move || done.send((who, exchange(rpc, web, ask))));
         }
         for (who, answer) in answers.try_iter() {
             stage.answer(start.elapsed().as_millis() as u64, &who, answer);
         }
         if !machine_lost && stage.checks.containers_done > 10 {
-            // One without the master on it.
+            // Picks a machine that does not run the master.
             let (masters, others): (Vec<&Runner>, Vec<&Runner>) = stage
                 .runners
                 .values()
