--- a/crates/net/src/conn.rs
+++ b/crates/net/src/conn.rs
@@ -1,4 +1,4 @@
-//! One connection and its buffers.
+//! A single connection with its buffers.
 
 use crate::Door;
 use mio::net::TcpStream;
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Side {
-    Served(Door),
-    Asked {
+pub(crate) enum Direction {
+    Inbound(Door),
+    Outbound {
         to: SocketAddr,
         lane: u32,
         tag: u64,
@@ -22,52 +22,52 @@
     Idle,
     Connecting,
     Reading,
-    /// The request is with the service.
-    Working,
+    /// The request has been passed to the application, which has not responded yet.
+    Processing,
     Writing,
-    /// Our request is out.
-    Waiting,
-    /// Bytes both ways, without requests.
+    /// The outbound request has been sent.
+    AwaitingResponse,
+    /// Bytes in both directions without HTTP.
     Raw,
 }
 
-/// What reading came to.
+/// Why reading from the socket stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Filled {
-    /// Nothing more is there now.
-    Dry,
-    /// The bound was reached.
-    More,
-    /// The other side has closed.
-    Ended,
+pub(crate) enum ReadOutcome {
+    /// No more bytes are available at present.
+    Drained,
+    /// The buffer exceeds the limit.
+    LimitReached,
+    /// The remote end has closed the connection.
+    Eof,
 }
 
 pub(crate) struct Conn {
     pub stream: TcpStream,
-    pub side: Side,
+    pub direction: Direction,
     pub phase: Phase,
     pub connecting: bool,
     pub close_after: bool,
     pub rbuf: Vec<u8>,
     pub wbuf: Vec<u8>,
     written: usize,
-    /// Bytes that have passed.
+    /// Bytes transferred so far.
     pub received: u64,
     pub sent: u64,
     pub deadline: Instant,
-    /// Unused since, and kept unused for so long: of those to others.
-    pub since: Instant,
-    pub keep: Duration,
-    /// See [`crate::Net::regular`]: how long it may be silent.
-    pub regular: Option<Duration>,
+    /// Outbound connections only: when the connection became idle, and how long it may stay idle.
+    pub idle_since: Instant,
+    pub idle_timeout: Duration,
+    /// Idle timeout of a periodic client; see [`crate::Net::mark_periodic`].
+    pub periodic_timeout: Option<Duration>,
     pub generation: u32,
 }
 
 impl Conn {
-    pub fn new(stream: TcpStream, side: Side, deadline: Instant) -> Self {
+    pub fn new(stream: TcpStream, direction: Direction, deadline: Instant) -> Self {
         Conn {
             stream,
-            side,
+            direction,
             phase: Phase::Idle,
             connecting: false,
             close_after: false,
@@ -77,14 +77,14 @@
             received: 0,
             sent: 0,
             deadline,
-            since: deadline,
-            keep: Duration::ZERO,
-            regular: None,
+            idle_since: deadline,
+            idle_timeout: Duration::ZERO,
+            periodic_timeout: None,
             generation: 0,
         }
     }
 
-    /// True once the connection stands.
+    /// Returns true once the connection is established.
     pub fn finish_connect(&mut self) -> io::Result<bool> {
         if let Some(e) = self.stream.take_error()? {
             return Err(e);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Writes what it can; true once nothing is left.
+    /// Writes as much as the socket accepts; returns true once the write buffer is empty.
     pub fn flush(&mut self) -> io::Result<bool> {
         while self.written < self.wbuf.len() {
             match self.stream.write(&self.wbuf[self.written..]) {
@@ -115,33 +115,34 @@
         }
         self.written = 0;
         self.wbuf.clear();
-        // One large answer must not hold its memory for the connection's whole life.
+        // Frees the memory of a large message; otherwise the connection would hold it for as long as it lives.
         self.wbuf.shrink_to(4096);
         Ok(true)
     }
 
-    /// Reads what is there; true once the other side has closed. More than `limit` is an error.
-    pub fn fill(&mut self, limit: usize) -> io::Result<bool> {
-        match self.fill_some(limit)? {
-            Filled::More => Err(io::ErrorKind::InvalidData.into()),
-            filled => Ok(filled == Filled::Ended),
+    /// Reads all available bytes; returns true once the remote end has closed. More than `limit` bytes in the buffer
+    /// are an error.
+    pub fn read_available(&mut self, limit: usize) -> io::Result<bool> {
+        match self.read_up_to(limit)? {
+            ReadOutcome::LimitReached => Err(io::ErrorKind::InvalidData.into()),
+            outcome => Ok(outcome == ReadOutcome::Eof),
         }
     }
 
-    /// Reads what is there, until more than `limit` bytes are held.
-    pub fn fill_some(&mut self, limit: usize) -> io::Result<Filled> {
+    /// Reads available bytes until the buffer holds more than `limit`.
+    pub fn read_up_to(&mut self, limit: usize) -> io::Result<ReadOutcome> {
         let mut chunk = [0u8; 16 * 1024];
         loop {
             match self.stream.read(&mut chunk) {
-                Ok(0) => return Ok(Filled::Ended),
+                Ok(0) => return Ok(ReadOutcome::Eof),
                 Ok(n) => {
                     self.received += n as u64;
                     self.rbuf.extend_from_slice(&chunk[..n]);
                     if self.rbuf.len() > limit {
-                        return Ok(Filled::More);
+                        return Ok(ReadOutcome::LimitReached);
                     }
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(Filled::Dry),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(ReadOutcome::Drained),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
--- a/crates/stoathatch/src/ask.rs
+++ b/crates/stoathatch/src/ask.rs
@@ -1,4 +1,4 @@
-//! Asks running controllers for an operator: one after the other, with the same request, until one has an answer.
+//! Sends an operator's request to running controllers: the same request to one after the other, until one responds.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,39 +6,44 @@
 use wire::admin::{self, Refused};
 use wire::http::{self, Response};
 
-/// A change is given up after this time; whether it was made is then for the history to say.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// A question can be asked again at once.
-const QUESTION: Duration = Duration::from_secs(8);
-const ONE_TRY: Duration = Duration::from_secs(16);
+/// After this time a change is given up. The document's history then shows whether it was made.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Shorter than for a change, since a query can be repeated at once.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(8);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(16);
 
-/// Why there is no answer to work with.
-pub enum Failed {
-    /// The service has answered, and will not do it.
+/// Why a request has no usable result.
+pub enum RequestError {
+    /// The service rejected the request.
     Refused(Refused),
-    /// No controller has answered in time, or what it said can't be read.
+    /// No controller responded in time, or the response is malformed.
     Unreachable(String),
 }
 
-/// Asks the controllers in turn. Repeating is harmless: a change carries its own id.
-pub fn ask<T: serde::de::DeserializeOwned>(
+/// Sends a request to the controllers in turn. Retries are safe: a change carries an id, so it is made at most once.
+pub fn send_request<T: serde::de::DeserializeOwned>(
     nodes: &[SocketAddr],
     path: &str,
-    question: &impl serde::Serialize,
+    request: &impl serde::Serialize,
     change: bool,
-) -> Result<T, Failed> {
-    let body = admin::encode(question);
-    let end = Instant::now() + if change { PATIENCE } else { QUESTION };
-    let mut last = "no controller was named".to_owned();
+) -> Result<T, RequestError> {
+    let body = admin::encode(request);
+    let end = Instant::now()
+        + if change {
+            CHANGE_TIMEOUT
+        } else {
+            QUERY_TIMEOUT
+        };
+    let mut last = "no controller address was given".to_owned();
     for node in nodes.iter().cycle() {
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
             break;
         }
-        match once(*node, "POST", path, &body, left.min(ONE_TRY)) {
+        match send_once(*node, "POST", path, &body, left.min(ATTEMPT_TIMEOUT)) {
             Ok(r) if r.status == 200 => {
                 return admin::decode(&r.body)
-                    .map_err(|e| Failed::Unreachable(format!("{node}: {e}")));
+                    .map_err(|e| RequestError::Unreachable(format!("{node}: {e}")));
             }
             Ok(r) if matches!(r.status, 429 | 503) => {
                 let why: Refused = admin::decode(&r.body).unwrap_or_default();
@@ -49,12 +54,12 @@
             Ok(r) => {
                 let why = admin::decode(&r.body).unwrap_or_else(|_| Refused {
                     error: format!(
-                        "{node} answered {}; is the door open ([admin] door = 1)?",
+                        "{node} responded with status {}; is the admin interface enabled ([admin] door = 1)?",
                         r.status
                     ),
                     ..Refused::default()
                 });
-                return Err(Failed::Refused(why));
+                return Err(RequestError::Refused(why));
             }
             Err(e) => {
                 last = format!("{node}: {e}");
@@ -62,11 +67,11 @@
             }
         }
     }
-    Err(Failed::Unreachable(last))
+    Err(RequestError::Unreachable(last))
 }
 
-/// One request, one answer, one connection.
-pub fn once(
+/// Sends one request on a new connection and reads its response.
+pub fn send_once(
     to: SocketAddr,
     method: &str,
     path: &str,
@@ -89,7 +94,7 @@
         match http::parse_response(&got, admin::ANSWER_LIMIT, n == 0) {
             Ok(Some((response, _))) => return Ok(response),
             Ok(None) if n > 0 => {}
-            _ => return Err("an answer that was cut off or can't be read".to_owned()),
+            _ => return Err("the response is truncated or malformed".to_owned()),
         }
     }
 }
--- a/crates/stoathatch/src/tools.rs
+++ b/crates/stoathatch/src/tools.rs
@@ -1,6 +1,6 @@
-//! `stoathatch yarn`: applications of YARN's clients, queues and drains; and bundles, submitted as a whole.
+//! `stoathatch yarn`: manages YARN applications, queues and drains, and submits bundles.
 
-use crate::ask::once;
+use crate::ask::send_once;
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
 use gateway::book::web::{DrainAsk, Drains, OWN};
@@ -13,14 +13,14 @@
 use std::time::{Duration, Instant};
 use yarn::rest::{self, Form};
 
-/// A call is tried again, at each address in turn, for so long.
-const PATIENCE: Duration = Duration::from_secs(60);
-const ONE_TRY: Duration = Duration::from_secs(8);
+/// How long a request is retried, at each address in turn.
+const TOTAL_TIMEOUT: Duration = Duration::from_secs(60);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Exit codes: 0 done, 1 refused, 2 could not be asked.
+/// Exit codes: 0 done, 1 rejected, 2 no usable response.
 #[derive(Args)]
 pub struct Command {
-    /// A controller's REST address (`[door] web`); several are tried in turn. Any controller will do.
+    /// REST address (`[door] web`) of any controller; if several are given, they are tried in turn.
     #[arg(
         long = "web",
         value_name = "IP:PORT",
@@ -29,7 +29,7 @@
         global = true
     )]
     nodes: Vec<SocketAddr>,
-    /// Who asks.
+    /// User name to send with requests.
     #[arg(
         long = "as",
         value_name = "USER",
@@ -38,7 +38,7 @@
         global = true
     )]
     user: String,
-    /// Print JSON, for programs.
+    /// Print JSON.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -47,54 +47,54 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Applications, newest first.
+    /// List applications, newest first.
     List {
-        /// Only those in this state, like RUNNING. Can be given several times.
+        /// Only applications in this state, like RUNNING. Can be given several times.
         #[arg(long)]
         state: Vec<String>,
         /// Only this queue and those below it.
         #[arg(long)]
         queue: Option<String>,
-        /// So many at most.
+        /// Largest number of applications to list.
         #[arg(long)]
         limit: Option<u32>,
     },
-    /// One application.
+    /// Show one application.
     Status {
-        /// `application_..._0001`.
+        /// Application id, like `application_..._0001`.
         id: String,
     },
-    /// End an application, and wait until it is over.
+    /// Kill an application and wait until it has ended.
     Kill { id: String },
-    /// Submit a bundle (a tool with its files, command and resources); prints the application's id.
+    /// Submit a bundle (a tool with its files, command and resources) and print the application's id.
     Submit {
-        /// The bundle's file (TOML).
+        /// Bundle file (TOML).
         bundle: PathBuf,
-        /// Wait until it is over; exit code 1 if it did not succeed.
+        /// Wait until the application has ended; exit code 1 if it did not succeed.
         #[arg(long)]
         wait: bool,
     },
-    /// Queues, what they may use, and which are drained.
+    /// List queues with their capacities and drains.
     Queues,
-    /// Take no new applications in a queue (`root`: in the whole service), or give a machine no further containers,
-    /// until told otherwise.
+    /// Start or end a drain: a drained queue (`root`: the whole service) accepts no new applications, a drained
+    /// machine gets no further containers.
     Drain {
-        /// The queue, or the machine with `--machine`.
+        /// Name of the queue, or of the machine with `--machine`.
         name: String,
-        /// Drain a machine: what it runs may end.
+        /// Drain a machine; its running containers may finish.
         #[arg(long)]
         machine: bool,
-        /// End what still runs there after so many seconds.
+        /// Kill what still runs there after this time.
         #[arg(long, value_name = "SECONDS")]
         within: Option<u64>,
-        /// Give running applications no further containers.
+        /// Also give running applications no further containers.
         #[arg(long)]
         containers: bool,
-        /// The drain is over.
+        /// End the drain.
         #[arg(long, conflicts_with_all = ["within", "containers"])]
         off: bool,
     },
-    /// The schema of bundle files (JSON Schema).
+    /// Print the JSON Schema of bundle files.
     Schema,
 }
 
@@ -161,9 +161,10 @@
 }
 
 impl Bundle {
-    /// Reads a bundle; the error has path, line and place.
-    fn read(path: &Path) -> Result<Bundle, End> {
-        let fault = |e: &dyn std::fmt::Display| End::Refused(format!("{}: {e}", path.display()));
+    /// Reads and validates a bundle; the error names path, line and field.
+    fn read(path: &Path) -> Result<Bundle, CommandError> {
+        let fault =
+            |e: &dyn std::fmt::Display| CommandError::Refused(format!("{}: {e}", path.display()));
         let text = std::fs::read_to_string(path).map_err(|e| fault(&e))?;
         let bundle: Bundle = toml::from_str(&text).map_err(|e| {
             let line = e.span().map_or(1, |s| {
@@ -253,50 +254,51 @@
     }
 }
 
-enum End {
+enum CommandError {
     Refused(String),
     Failed(String),
 }
 
-/// What a body holds below its root.
+/// Response bodies, which wrap their content in one named field.
 #[derive(Deserialize)]
-struct Apps {
+struct AppsResponse {
     apps: rest::Apps,
 }
 #[derive(Deserialize)]
-struct App {
+struct AppResponse {
     app: rest::App,
 }
 #[derive(Deserialize)]
-struct Scheduler {
+struct SchedulerResponse {
     scheduler: rest::Scheduler,
 }
 #[derive(Deserialize)]
-struct Refused {
+struct ErrorResponse {
     #[serde(rename = "RemoteException")]
     exception: rest::RemoteException,
 }
 
 impl Command {
-    /// Asks the controllers in turn until one answers. Each call may be repeated: a submission has its id.
-    fn ask(&self, method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, End> {
+    /// Sends a request to the controllers in turn until one responds. Every request may be repeated, since a submission
+    /// carries its application id.
+    fn request(&self, method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, CommandError> {
         let mark = if path.contains('?') { '&' } else { '?' };
-        let user: String = self.user.bytes().map(escape).collect();
+        let user: String = self.user.bytes().map(percent_encode).collect();
         let target = format!("{path}{mark}user.name={user}");
-        let end = Instant::now() + PATIENCE;
-        let mut last = "no controller was named (--web IP:PORT)".to_owned();
+        let end = Instant::now() + TOTAL_TIMEOUT;
+        let mut last = "no controller address was given (--web IP:PORT)".to_owned();
         for node in self.nodes.iter().cycle() {
             if Instant::now() >= end {
                 break;
             }
-            match once(*node, method, &target, body, ONE_TRY) {
+            match send_once(*node, method, &target, body, ATTEMPT_TIMEOUT) {
                 Ok(r) if r.status < 300 => return Ok(r.body),
                 Ok(r) => {
-                    let why =
-                        rest::read::<Refused>(Form::Json, &r.body).map(|f| f.exception.message);
+                    let why = rest::read::<ErrorResponse>(Form::Json, &r.body)
+                        .map(|f| f.exception.message);
                     let why = why.unwrap_or_else(|_| format!("status {}", r.status));
                     if !matches!(r.status, 429 | 503) {
-                        return Err(End::Refused(why));
+                        return Err(CommandError::Refused(why));
                     }
                     last = format!("{node}: {why}");
                     let wait = u64::from(r.retry_after_s.unwrap_or(1).clamp(1, 10));
@@ -308,16 +310,16 @@
                 }
             }
         }
-        Err(End::Failed(last))
+        Err(CommandError::Failed(last))
     }
 
-    fn get<T: for<'de> Deserialize<'de>>(&self, path: &str) -> Result<(T, Vec<u8>), End> {
-        let body = self.ask("GET", path, &[])?;
-        let read = rest::read(Form::Json, &body).map_err(End::Failed)?;
+    fn get<T: for<'de> Deserialize<'de>>(&self, path: &str) -> Result<(T, Vec<u8>), CommandError> {
+        let body = self.request("GET", path, &[])?;
+        let read = rest::read(Form::Json, &body).map_err(CommandError::Failed)?;
         Ok((read, body))
     }
 
-    fn run(&self) -> Result<(), End> {
+    fn run(&self) -> Result<(), CommandError> {
         match &self.verb {
             Verb::List {
                 state,
@@ -331,20 +333,21 @@
                 limit
                     .iter()
                     .for_each(|n| path.push_str(&format!("&limit={n}")));
-                let (read, body): (Apps, _) = self.get(&path)?;
-                self.show(&body, || list(&read.apps.app))
+                let (res, body): (AppsResponse, _) = self.get(&path)?;
+                self.print(&body, || fmt_apps(&res.apps.app))
             }
             Verb::Status { id } => {
-                let (read, body): (App, _) = self.get(&format!("{}/apps/{id}", rest::ROOT))?;
-                self.show(&body, || status(&read.app))
+                let (res, body): (AppResponse, _) =
+                    self.get(&format!("{}/apps/{id}", rest::ROOT))?;
+                self.print(&body, || fmt_app(&res.app))
             }
             Verb::Kill { id } => self.kill(id),
             Verb::Submit { bundle, wait } => self.submit(bundle, *wait),
             Verb::Queues => {
-                let (read, body): (Scheduler, _) =
+                let (res, body): (SchedulerResponse, _) =
                     self.get(&format!("{}/scheduler", rest::ROOT))?;
                 let (drains, _): (Drains, _) = self.get(&format!("{OWN}/drains"))?;
-                self.show(&body, || queues(&read.scheduler.scheduler_info, &drains))
+                self.print(&body, || fmt_queues(&res.scheduler.scheduler_info, &drains))
             }
             Verb::Drain {
                 name,
@@ -362,9 +365,9 @@
                     containers: *containers,
                 };
                 let body = rest::render(Form::Json, "", true, &ask);
-                let body = self.ask("PUT", &format!("{OWN}/drains"), &body)?;
-                let drains: Drains = rest::read(Form::Json, &body).map_err(End::Failed)?;
-                self.show(&body, || drained(&drains))
+                let body = self.request("PUT", &format!("{OWN}/drains"), &body)?;
+                let drains: Drains = rest::read(Form::Json, &body).map_err(CommandError::Failed)?;
+                self.print(&body, || fmt_drains(&drains))
             }
             Verb::Schema => {
                 let schema = schemars::schema_for!(Bundle);
@@ -377,7 +380,7 @@
         }
     }
 
-    fn show(&self, body: &[u8], table: impl FnOnce() -> String) -> Result<(), End> {
+    fn print(&self, body: &[u8], table: impl FnOnce() -> String) -> Result<(), CommandError> {
         if self.json {
             println!("{}", String::from_utf8_lossy(body));
         } else {
@@ -386,7 +389,7 @@
         Ok(())
     }
 
-    fn kill(&self, id: &str) -> Result<(), End> {
+    fn kill(&self, id: &str) -> Result<(), CommandError> {
         let body = rest::render(
             Form::Json,
             "",
@@ -395,45 +398,46 @@
                 state: "KILLED".into(),
             },
         );
-        self.ask("PUT", &format!("{}/apps/{id}/state", rest::ROOT), &body)?;
-        let app = self.until_over(id)?;
+        self.request("PUT", &format!("{}/apps/{id}/state", rest::ROOT), &body)?;
+        let app = self.wait_until_ended(id)?;
         println!("{id} {}", app.state);
         Ok(())
     }
 
-    fn until_over(&self, id: &str) -> Result<rest::App, End> {
+    fn wait_until_ended(&self, id: &str) -> Result<rest::App, CommandError> {
         loop {
-            let (read, _): (App, _) = self.get(&format!("{}/apps/{id}", rest::ROOT))?;
-            if matches!(read.app.state.as_str(), "FINISHED" | "FAILED" | "KILLED") {
-                return Ok(read.app);
+            let (res, _): (AppResponse, _) = self.get(&format!("{}/apps/{id}", rest::ROOT))?;
+            if matches!(res.app.state.as_str(), "FINISHED" | "FAILED" | "KILLED") {
+                return Ok(res.app);
             }
             std::thread::sleep(Duration::from_millis(500));
         }
     }
 
-    fn submit(&self, path: &Path, wait: bool) -> Result<(), End> {
+    fn submit(&self, path: &Path, wait: bool) -> Result<(), CommandError> {
         let bundle = Bundle::read(path)?;
-        let body = self.ask("POST", &format!("{}/apps/new-application", rest::ROOT), &[])?;
-        let new: rest::NewApplication = rest::read(Form::Json, &body).map_err(End::Failed)?;
+        let body = self.request("POST", &format!("{}/apps/new-application", rest::ROOT), &[])?;
+        let new: rest::NewApplication =
+            rest::read(Form::Json, &body).map_err(CommandError::Failed)?;
         let id = new.application_id;
-        // Printed before it is sent: whoever loses the answer can still ask for it.
+        // Printed before the submission is sent, so that its status can be queried even if the response is lost.
         println!("{id}");
         let body = rest::render(Form::Json, "", true, &bundle.submission(id.clone()));
-        self.ask("POST", &format!("{}/apps", rest::ROOT), &body)?;
+        self.request("POST", &format!("{}/apps", rest::ROOT), &body)?;
         if !wait {
             return Ok(());
         }
-        let app = self.until_over(&id)?;
+        let app = self.wait_until_ended(&id)?;
         println!("{} {}", app.state, app.final_status);
         if app.final_status == "SUCCEEDED" {
             Ok(())
         } else {
-            Err(End::Refused(app.diagnostics))
+            Err(CommandError::Refused(app.diagnostics))
         }
     }
 }
 
-fn escape(byte: u8) -> String {
+fn percent_encode(byte: u8) -> String {
     if byte.is_ascii_alphanumeric() || b"-_.".contains(&byte) {
         return char::from(byte).to_string();
     }
@@ -447,7 +451,7 @@
     table
 }
 
-fn list(apps: &[rest::App]) -> String {
+fn fmt_apps(apps: &[rest::App]) -> String {
     let mut t = table(&[
         "id",
         "user",
@@ -474,7 +478,7 @@
     t.to_string()
 }
 
-fn status(a: &rest::App) -> String {
+fn fmt_app(a: &rest::App) -> String {
     let mut t = table(&["", ""]);
     let seconds = format!("{:.1} s", a.elapsed_time as f64 / 1000.0);
     for (name, value) in [
@@ -494,7 +498,7 @@
     t.to_string()
 }
 
-fn queues(root: &rest::Queue, drains: &Drains) -> String {
+fn fmt_queues(root: &rest::Queue, drains: &Drains) -> String {
     let mut t = table(&[
         "queue",
         "guaranteed",
@@ -524,7 +528,7 @@
     t.to_string()
 }
 
-fn drained(drains: &Drains) -> String {
+fn fmt_drains(drains: &Drains) -> String {
     if drains.drains.is_empty() && drains.machines.is_empty() {
         return "nothing is drained".into();
     }
@@ -545,12 +549,12 @@
 pub fn run(command: &Command) -> ExitCode {
     match command.run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(End::Refused(why)) => {
+        Err(CommandError::Refused(why)) => {
             eprintln!("stoathatch yarn: {why}");
             ExitCode::from(1)
         }
-        Err(End::Failed(why)) => {
-            eprintln!("stoathatch yarn: not answered: {why}");
+        Err(CommandError::Failed(why)) => {
+            eprintln!("stoathatch yarn: no usable response: {why}");
             ExitCode::from(2)
         }
     }
