--- a/crates/gateway/examples/load.rs
+++ b/crates/gateway/examples/load.rs
@@ -130,7 +130,7 @@
         .clone()
         .filter(|c| c.state == Some(ApplicationState::Finished))
         .count();
-    let mut taken: Vec<u64> = tools.filter_map(Client::taken_after).collect();
+    let mut taken: Vec<u64> = tools.filter_map(Client::accepted_after).collect();
     taken.sort_unstable();
     let mut calls = std::mem::take(&mut beside.call_ns);
     calls.sort_unstable();
