--- a/crates/standins/tests/machine_troubles.rs
+++ b/crates/standins/tests/machine_troubles.rs
@@ -4,7 +4,7 @@
 use standins::scene::{Scene, Timed, array};
 use standins::world::{Plan, World};
 
-const NEXT: [NextLeader; 3] = [
+const NEXT_LEADER_MODES: [NextLeader; 3] = [
     NextLeader::CopyToOne,
     NextLeader::CopyToAll,
     NextLeader::Held,
@@ -34,12 +34,12 @@
     world
 }
 
-fn kept(world: &World) {
+fn assert_rules_kept(world: &World) {
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
 
 #[test]
-fn only_the_answers_of_writes_are_lost() {
+fn late_writes_at_once_lose_only_the_response() {
     let mut world = world(1);
     let before = world.state.revision;
     world.bring(&Trouble::LateWrites {
@@ -56,13 +56,13 @@
     assert_eq!(hits.unanswered_writes, hits.late_writes + hits.late_refused);
     world.run_for(30_000);
     assert_eq!(world.hits, hits);
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
 /// They come once another leader has begun, not before, and those held back to nobody else.
 #[test]
-fn reports_wait_for_the_next_leader() {
-    for (next, seed) in NEXT.into_iter().zip(2..) {
+fn late_reports_are_delivered_after_a_leader_change() {
+    for (next, seed) in NEXT_LEADER_MODES.into_iter().zip(2..) {
         let mut world = world(seed);
         world.bring(&Trouble::LateReports {
             share: 0.3,
@@ -86,13 +86,13 @@
             _ => assert!(hits.copies > 5 && hits.held_reports == 0, "{hits:?}"),
         }
         world.run_for(60_000);
-        kept(&world);
+        assert_rules_kept(&world);
     }
 }
 
 /// A copy for all comes to all that are there, so there are more of them.
 #[test]
-fn copies_for_all_come_to_all() {
+fn copy_to_all_delivers_a_copy_to_every_node() {
     let copies = |next| {
         let mut world = world(5);
         world.bring(&Trouble::LateReports {
@@ -116,7 +116,7 @@
 
 /// Mute machines lose their leases; what is sent to them directly is carried out and answered meanwhile.
 #[test]
-fn the_mute_hear_and_are_not_heard() {
+fn mute_machines_execute_commands_and_lose_their_sessions() {
     let mut world = world(6);
     let before = world.sessions_lost();
     world.bring(&Trouble::Mute {
@@ -124,16 +124,16 @@
         ms: 18_000,
     });
     world.run_for(1000);
-    let on_mute =
+    let runs_on_mute_machine =
         |w: &World, job: &str| w.machines_of(job).iter().any(|m| w.zone_of(m) == Some("a"));
     let job = (1000..1040)
         .map(|i| format!("job-{i:06}"))
-        .find(|job| on_mute(&world, job));
+        .find(|job| runs_on_mute_machine(&world, job));
     let job = job.expect("zone a is at work");
     world.cancel(&job);
     // Far less than a lease.
     world.run_for(8000);
-    assert!(!on_mute(&world, &job), "{job}");
+    assert!(!runs_on_mute_machine(&world, &job), "{job}");
     world.run_for(9000);
     let lost = world.sessions_lost() - before;
     assert!(
@@ -148,12 +148,12 @@
     let same = |(m, n): (&String, &u64)| *n == sessions.get(m).copied().unwrap_or(1);
     assert!(later.iter().all(same), "{sessions:?}, then {later:?}");
     assert!(later.keys().filter(|m| sessions.contains_key(*m)).count() * 2 > sessions.len());
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
 /// Machines that hang for less than a lease keep their tasks, and these go on.
 #[test]
-fn machines_hang_and_go_on() {
+fn machines_that_hang_less_than_a_lease_keep_their_sessions() {
     let mut world = world(7);
     let before = world.sessions_lost();
     world.bring(&Trouble::Hang {
@@ -168,19 +168,19 @@
     });
     world.run_for(25_000);
     assert!(world.sessions_lost() > before);
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
 /// All that are rented are up within two seconds, and some before that was answered.
 #[test]
-fn boots_are_quick() {
+fn quick_boots_bring_up_all_machines_at_once() {
     let boots = |quick: bool| {
         let mut world = World::new(Plan::of_scene(
             8,
             3,
             Scene {
                 machines: 12,
-                ..scene()
+                ..one_job_scene()
             },
             0,
             600_000,
@@ -205,7 +205,7 @@
     );
 }
 
-fn scene() -> Scene {
+fn one_job_scene() -> Scene {
     let job = Timed {
         at: 1000,
         run_ms: 20_000,
@@ -221,7 +221,7 @@
 
 /// Answers take as long as they may, leases of workers last, and all is as it was afterwards.
 #[test]
-fn links_are_slow_for_a_while() {
+fn slow_links_are_limited_in_time_and_keep_leases() {
     let mut world = world(9);
     let before = world.sessions_lost();
     world.bring(&Trouble::SlowLinks { ms: 20_000 });
@@ -232,5 +232,5 @@
     world.run_for(30_000);
     assert_eq!(world.hits.slow, slow);
     assert!(world.sessions_lost() - before < 12);
-    kept(&world);
+    assert_rules_kept(&world);
 }
