--- a/crates/standins/tests/machine_troubles.rs
+++ b/crates/standins/tests/machine_troubles.rs
@@ -1,4 +1,4 @@
-//! Troubles of machines, links and reports that wait for the next leader: each does what it says.
+//! Fault injection for machines, links and reports held for the next leader: each fault has the effect it documents.
 
 use standins::days::{Machines, NextLeader, Trouble, Who};
 use standins::scene::{Scene, Timed, array};
@@ -10,7 +10,7 @@
     NextLeader::Held,
 ];
 
-/// A dozen machines with tasks of 20 s that come one after the other, and half a minute of it.
+/// Twelve machines and a stream of jobs with 20 s tasks, after the first 30 s.
 fn world(seed: u64) -> World {
     let job = |i: u32| Timed {
         at: 1000 + u64::from(i) * 3000,
@@ -59,7 +59,7 @@
     assert_rules_kept(&world);
 }
 
-/// They come once another leader has begun, not before, and those held back to nobody else.
+/// Late reports are delivered once another leader has begun, not earlier; held reports are delivered to that leader only.
 #[test]
 fn late_reports_are_delivered_after_a_leader_change() {
     for (next, seed) in NEXT_LEADER_MODES.into_iter().zip(2..) {
@@ -90,7 +90,7 @@
     }
 }
 
-/// A copy for all comes to all that are there, so there are more of them.
+/// `CopyToAll` delivers each copy to all three running nodes, so three times as many copies arrive.
 #[test]
 fn copy_to_all_delivers_a_copy_to_every_node() {
     let copies = |next| {
@@ -114,7 +114,7 @@
     );
 }
 
-/// Mute machines lose their leases; what is sent to them directly is carried out and answered meanwhile.
+/// Mute machines lose their leases, but still execute and answer the commands that are sent to them directly.
 #[test]
 fn mute_machines_execute_commands_and_lose_their_sessions() {
     let mut world = world(6);
@@ -129,9 +129,9 @@
     let job = (1000..1040)
         .map(|i| format!("job-{i:06}"))
         .find(|job| runs_on_mute_machine(&world, job));
-    let job = job.expect("zone a is at work");
+    let job = job.expect("a job runs in zone a");
     world.cancel(&job);
-    // Far less than a lease.
+    // Well below a lease.
     world.run_for(8000);
     assert!(!runs_on_mute_machine(&world, &job), "{job}");
     world.run_for(9000);
@@ -143,7 +143,7 @@
     );
     let sessions = world.sessions();
     world.run_for(40_000);
-    // None is lost once they are heard again. Machines may be returned and hired meanwhile.
+    // No session is lost once reports arrive again. Machines may be returned and rented meanwhile.
     let later = world.sessions();
     let same = |(m, n): (&String, &u64)| *n == sessions.get(m).copied().unwrap_or(1);
     assert!(later.iter().all(same), "{sessions:?}, then {later:?}");
@@ -151,7 +151,7 @@
     assert_rules_kept(&world);
 }
 
-/// Machines that hang for less than a lease keep their tasks, and these go on.
+/// Machines that hang for less than a lease lose no session; those that hang for longer do.
 #[test]
 fn machines_that_hang_less_than_a_lease_keep_their_sessions() {
     let mut world = world(7);
@@ -171,7 +171,7 @@
     assert_rules_kept(&world);
 }
 
-/// All that are rented are up within two seconds, and some before that was answered.
+/// With quick boots, more machines are up one second after the first one than with usual boots.
 #[test]
 fn quick_boots_bring_up_all_machines_at_once() {
     let boots = |quick: bool| {
@@ -192,7 +192,7 @@
         while !begun(&world) && world.now() < 1_060_000 {
             world.run_for(100);
         }
-        // Nothing else was rented later than those.
+        // Counts the machines that boot within the next second.
         let (up, at) = (world.machines().len(), world.now());
         world.run_for(1000);
         (up, world.machines().len(), at)
@@ -219,7 +219,7 @@
     .team("red", 24.0, 0.0)
 }
 
-/// Answers take as long as they may, leases of workers last, and all is as it was afterwards.
+/// While links are slow, most workers keep their leases; afterwards no further message is delayed.
 #[test]
 fn slow_links_are_limited_in_time_and_keep_leases() {
     let mut world = world(9);
