--- a/crates/standins/tests/machine_meetings.rs
+++ b/crates/standins/tests/machine_meetings.rs
@@ -6,11 +6,11 @@
 use standins::world::{Plan, World};
 use wire::api::{JobSpec, Kind};
 
-const NODES: [usize; 3] = [3, 5, 7];
+const NODE_COUNTS: [usize; 3] = [3, 5, 7];
 const LEASE_MS: u64 = 15_000;
 
 /// So many rounds, or as many as `SWEEP` says.
-fn sweep(rounds: u64) -> u64 {
+fn rounds_or_env(rounds: u64) -> u64 {
     std::env::var("SWEEP")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -18,11 +18,11 @@
 }
 
 fn world(seed: u64, scene: Scene) -> World {
-    let nodes = NODES[seed as usize % NODES.len()];
+    let nodes = NODE_COUNTS[seed as usize % NODE_COUNTS.len()];
     World::new(Plan::of_scene(seed, nodes, scene, 0, 600_000))
 }
 
-fn ends(world: &mut World, ms: u64, what: &str) {
+fn run_and_assert_jobs_end(world: &mut World, ms: u64, what: &str) {
     world.run_for(ms);
     assert!(
         world.rules.broken.is_empty(),
@@ -37,7 +37,7 @@
 }
 
 /// More work than one team may do at once, arrays and gangs; every third job is cancelled at 30 s.
-fn at_its_limit(seed: u64) -> World {
+fn world_at_team_limit(seed: u64) -> World {
     let job = |i: u32| {
         let kind = if i % 4 == 1 { Kind::Gang } else { Kind::Array };
         let spec = JobSpec {
@@ -63,7 +63,7 @@
     world(seed, scene.team("red", 10.0, 10.0))
 }
 
-fn change(round: u64) -> Trouble {
+fn leader_change(round: u64) -> Trouble {
     match round % 4 {
         0 => Trouble::Crash {
             who: Who::Leader,
@@ -87,8 +87,8 @@
 /// Every team is at its limit while jobs are cancelled whose machines hang or are mute, within their leases and after, and
 /// the leader changes then or soon after. Limits hold, stops come in time, and no room is left unnoticed.
 #[test]
-fn limits_hold_while_machines_that_hang_or_are_mute_lose_cancelled_work() {
-    for round in 0..sweep(12) {
+fn limits_hold_when_jobs_on_hung_or_mute_machines_are_cancelled() {
+    for round in 0..rounds_or_env(12) {
         let ms = [5000, LEASE_MS - 2000, LEASE_MS + 6000][round as usize / 2 % 3];
         let machines = [
             Machines::Count(3),
@@ -102,21 +102,21 @@
                 ms: ms * 3,
             },
         };
-        let what = format!("round {round}: {trouble:?}, {:?}", change(round / 2));
-        let mut world = at_its_limit(round);
+        let what = format!("round {round}: {trouble:?}, {:?}", leader_change(round / 2));
+        let mut world = world_at_team_limit(round);
         world.run_for(29_500);
         world.bring(&trouble);
         world.run_for(700 + round * 210);
-        world.bring(&change(round / 2));
-        ends(&mut world, 280_000, &what);
+        world.bring(&leader_change(round / 2));
+        run_and_assert_jobs_end(&mut world, 280_000, &what);
     }
 }
 
 /// All machines that are there fall mute for long, with tasks that take longer than a lease: these begin anew elsewhere,
 /// and not again and again where they can't end.
 #[test]
-fn work_on_mute_machines_goes_on_elsewhere() {
-    for round in 0..sweep(3) {
+fn tasks_of_mute_machines_restart_on_other_machines() {
+    for round in 0..rounds_or_env(3) {
         let spec = JobSpec {
             checkpoint_s: 0.0,
             ..array(1, "red", 4, 25.0)
@@ -153,7 +153,7 @@
             });
         }
         // A lease, the time to notice, a boot and the task itself.
-        ends(
+        run_and_assert_jobs_end(
             &mut world,
             LEASE_MS + 10_000 + 30_000 + 25_000,
             &format!("round {round}"),
@@ -164,9 +164,9 @@
 /// Machines are up within two seconds, some before their rental is answered, while answers of writes are lost or writes
 /// late, and the leader ends then.
 #[test]
-fn machines_that_are_up_at_once_are_hired_once() {
-    let mut landed = 0;
-    for round in 0..sweep(9) {
+fn quickly_booted_machines_are_rented_once_despite_late_writes() {
+    let mut applied_late = 0;
+    for round in 0..rounds_or_env(9) {
         let job = |i: u32| Timed {
             at: 1000 + u64::from(i) * 2500,
             run_ms: 6000,
@@ -189,29 +189,32 @@
         for k in 0..8u64 {
             world.run_for(2100 + (round * 370 + k * 510) % 2300);
             if k % 2 == 1 {
-                world.bring(&change(round + k / 2));
+                world.bring(&leader_change(round + k / 2));
             }
         }
-        ends(&mut world, 200_000, &what);
+        run_and_assert_jobs_end(&mut world, 200_000, &what);
         // Where all that came late was refused, the same had been sent again and stood already.
         let hits = world.hits;
         assert!(hits.late_writes + hits.late_refused > 0, "{what}: {hits:?}");
-        landed += hits.late_writes;
+        applied_late += hits.late_writes;
     }
-    assert!(landed > 20, "only {landed} transactions were carried out");
+    assert!(
+        applied_late > 20,
+        "only {applied_late} transactions were carried out"
+    );
 }
 
 /// Reports, or copies of them, that come to each next leader, while machines hang and work is cancelled.
 #[test]
-fn reports_for_the_next_leader_prove_nothing() {
-    for round in 0..sweep(9) {
+fn late_reports_to_the_next_leader_break_no_rule() {
+    for round in 0..rounds_or_env(9) {
         let next = [
             NextLeader::Held,
             NextLeader::CopyToAll,
             NextLeader::CopyToOne,
         ][round as usize % 3];
         let what = format!("round {round}: {next:?}");
-        let mut world = at_its_limit(40 + round);
+        let mut world = world_at_team_limit(40 + round);
         world.run_for(12_000);
         for k in 0..4u64 {
             world.bring(&Trouble::LateReports {
@@ -225,10 +228,10 @@
                 ms: 4000 + 4500 * k,
             });
             world.run_for(500 + (round * 230) % 1500);
-            world.bring(&change(round + k));
+            world.bring(&leader_change(round + k));
             world.run_for(4000);
         }
-        ends(&mut world, 280_000, &what);
+        run_and_assert_jobs_end(&mut world, 280_000, &what);
         assert!(
             world.hits.held_reports + world.hits.copies > 0,
             "{what}: {:?}",
@@ -240,13 +243,13 @@
 /// Ten leaders in two minutes, with an outage of the state service in their midst or longer than a lease without any
 /// controller: what was accepted is done, and reading back costs the state service no more than it bears.
 #[test]
-fn ten_leaders_in_two_minutes() {
-    for round in 0..sweep(4) {
+fn jobs_end_after_ten_leader_changes_in_two_minutes() {
+    for round in 0..rounds_or_env(4) {
         let what = format!("round {round}");
-        let mut world = at_its_limit(80 + round);
+        let mut world = world_at_team_limit(80 + round);
         world.run_for(8000);
         for k in 0..10u64 {
-            world.bring(&change(k + round));
+            world.bring(&leader_change(k + round));
             if k == 4 {
                 world.bring(&Trouble::StateOut { ms: 18_000 });
             }
@@ -258,7 +261,7 @@
             }
             world.run_for(11_000 + k * 150);
         }
-        ends(&mut world, 280_000, &what);
+        run_and_assert_jobs_end(&mut world, 280_000, &what);
         assert_eq!(world.state.counts.too_large, 0, "{what}");
     }
 }
