--- a/crates/standins/tests/machine_meetings.rs
+++ b/crates/standins/tests/machine_meetings.rs
@@ -1,5 +1,5 @@
-//! Machines in trouble as the leader changes: mute or hung at a cancel, new ones while writes lag, reports that wait for
-//! the next leader, and leaders that change again and again.
+//! Machine faults combined with leader changes: machines that are mute or hang during a cancellation, machines that boot
+//! while writes are late, reports held for the next leader, and repeated leader changes.
 
 use standins::days::{Machines, NextLeader, Trouble, Who};
 use standins::scene::{Scene, Timed, array};
@@ -9,7 +9,7 @@
 const NODE_COUNTS: [usize; 3] = [3, 5, 7];
 const LEASE_MS: u64 = 15_000;
 
-/// So many rounds, or as many as `SWEEP` says.
+/// The number of rounds: the value of the environment variable `SWEEP`, or else `rounds`.
 fn rounds_or_env(rounds: u64) -> u64 {
     std::env::var("SWEEP")
         .ok()
@@ -31,12 +31,12 @@
     );
     assert!(
         world.unfinished().is_empty(),
-        "{what}: never ended: {:?}",
+        "{what}: unfinished jobs: {:?}",
         world.unfinished()
     );
 }
 
-/// More work than one team may do at once, arrays and gangs; every third job is cancelled at 30 s.
+/// Arrays and gangs that exceed the limit of their team; every third job is cancelled at 30 s.
 fn world_at_team_limit(seed: u64) -> World {
     let job = |i: u32| {
         let kind = if i % 4 == 1 { Kind::Gang } else { Kind::Array };
@@ -84,8 +84,8 @@
     }
 }
 
-/// Every team is at its limit while jobs are cancelled whose machines hang or are mute, within their leases and after, and
-/// the leader changes then or soon after. Limits hold, stops come in time, and no room is left unnoticed.
+/// The team is at its limit while jobs are cancelled whose machines hang or are mute, for less or more than a lease, and
+/// the leader changes during the cancellation or soon after. No rule is broken and all jobs end.
 #[test]
 fn limits_hold_when_jobs_on_hung_or_mute_machines_are_cancelled() {
     for round in 0..rounds_or_env(12) {
@@ -112,8 +112,8 @@
     }
 }
 
-/// All machines that are there fall mute for long, with tasks that take longer than a lease: these begin anew elsewhere,
-/// and not again and again where they can't end.
+/// All machines become mute for a long time while they run tasks that take longer than a lease. The tasks must restart on
+/// other machines, not repeatedly on machines where they can't end.
 #[test]
 fn tasks_of_mute_machines_restart_on_other_machines() {
     for round in 0..rounds_or_env(3) {
@@ -141,7 +141,11 @@
             world.run_for(100);
             waited += 100;
         }
-        assert_eq!(world.on_machines().len(), 4, "round {round}: they run");
+        assert_eq!(
+            world.on_machines().len(),
+            4,
+            "round {round}: tasks on machines"
+        );
         world.bring(&Trouble::Mute {
             machines: Machines::Share(1.0),
             ms: 400_000,
@@ -152,7 +156,7 @@
                 back_ms: 5000,
             });
         }
-        // A lease, the time to notice, a boot and the task itself.
+        // A lease, the time to detect its end, a boot and the task itself.
         run_and_assert_jobs_end(
             &mut world,
             LEASE_MS + 10_000 + 30_000 + 25_000,
@@ -161,8 +165,8 @@
     }
 }
 
-/// Machines are up within two seconds, some before their rental is answered, while answers of writes are lost or writes
-/// late, and the leader ends then.
+/// Machines boot within two seconds, some before the rental request is answered, while responses to writes are lost or
+/// writes are applied late, and the leader changes meanwhile.
 #[test]
 fn quickly_booted_machines_are_rented_once_despite_late_writes() {
     let mut applied_late = 0;
@@ -193,18 +197,18 @@
             }
         }
         run_and_assert_jobs_end(&mut world, 200_000, &what);
-        // Where all that came late was refused, the same had been sent again and stood already.
+        // If all late transactions were rejected, their retries had already been applied.
         let hits = world.hits;
         assert!(hits.late_writes + hits.late_refused > 0, "{what}: {hits:?}");
         applied_late += hits.late_writes;
     }
     assert!(
         applied_late > 20,
-        "only {applied_late} transactions were carried out"
+        "only {applied_late} late transactions were applied"
     );
 }
 
-/// Reports, or copies of them, that come to each next leader, while machines hang and work is cancelled.
+/// Reports, or copies of them, are delivered to each next leader while machines hang and jobs are cancelled.
 #[test]
 fn late_reports_to_the_next_leader_break_no_rule() {
     for round in 0..rounds_or_env(9) {
@@ -240,8 +244,8 @@
     }
 }
 
-/// Ten leaders in two minutes, with an outage of the state service in their midst or longer than a lease without any
-/// controller: what was accepted is done, and reading back costs the state service no more than it bears.
+/// Ten leader changes in two minutes, with an outage of the state service and, in every second round, a time longer than
+/// a lease without any controller. All jobs end, and the state service rejects no request as too large.
 #[test]
 fn jobs_end_after_ten_leader_changes_in_two_minutes() {
     for round in 0..rounds_or_env(4) {
