--- a/crates/standins/tests/meetings.rs
+++ b/crates/standins/tests/meetings.rs
@@ -10,7 +10,7 @@
 
 const THREADS: usize = 3;
 
-fn kept(name: &str, seed: u64, nodes: usize) -> Played {
+fn play_and_assert(name: &str, seed: u64, nodes: usize) -> Played {
     let played = play(day(name, seed, nodes).expect("a known day")).1;
     assert!(
         played.failures.is_empty(),
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn each_meeting_by_name_keeps_the_rules() {
+fn named_scenarios_keep_the_rules() {
     let days: Vec<(&str, usize)> = named()
         .into_iter()
         .flat_map(|n| [3, 5, 7].map(|nodes| (n, nodes)))
         .collect();
     let played = parallel::map(&days, THREADS, |(name, nodes)| {
-        kept(name, *nodes as u64, *nodes)
+        play_and_assert(name, *nodes as u64, *nodes)
     });
     // Cancelled tasks were seen on machines after their users were told, or the figure would say nothing.
     assert!(played.iter().any(|p| p.cancelled_life_ms > 1000));
@@ -47,18 +47,18 @@
 
 /// Each kind of trouble meets six others, by pairs and by triples.
 #[test]
-fn pairs_and_triples_keep_the_rules() {
+fn pairs_and_triples_of_faults_keep_the_rules() {
     let (kinds, n) = (kinds(), kinds().len());
     let pairs = (0..n).map(|i| (vec![i, (i + 3) % n], 1));
     let triples = (0..n).map(|i| (vec![i, (i + 1) % n, (i + 7) % n], 2));
     let days: Vec<(Vec<usize>, u64)> = pairs.chain(triples).collect();
     parallel::map(&days, THREADS, |(of, seed)| {
         let name: Vec<&str> = of.iter().map(|k| kinds[*k]).collect();
-        kept(&name.join("+"), *seed, [3, 5, 7][of[0] % 3])
+        play_and_assert(&name.join("+"), *seed, [3, 5, 7][of[0] % 3])
     });
 }
 
-fn troubles(plan: &Plan) -> Vec<Trouble> {
+fn faults_of(plan: &Plan) -> Vec<Trouble> {
     let day = plan
         .scene
         .as_ref()
@@ -69,7 +69,7 @@
 
 /// Every entry of the fault list is drawn by some kind, and a day of a name holds what the name says.
 #[test]
-fn every_kind_of_trouble_is_drawn() {
+fn every_fault_is_drawn_by_some_kind() {
     let variant = |t: &Trouble| {
         format!("{t:?}")
             .split(' ')
@@ -77,77 +77,83 @@
             .unwrap_or_default()
             .to_owned()
     };
-    let of = |k: usize| troubles(&meeting(0, 3, &[k]).0);
+    let of = |k: usize| faults_of(&meeting(0, 3, &[k]).0);
     let drawn: BTreeSet<String> = (0..kinds().len())
         .flat_map(|k| of(k).iter().map(variant).collect::<Vec<_>>())
         .collect();
     assert_eq!(drawn.len(), 22, "{drawn:?}");
     let (plan, name) = meeting(5, 3, &[0, 13]);
     assert_eq!(name, "crash+late-writes");
-    assert_eq!(troubles(&plan).len(), 4);
+    assert_eq!(faults_of(&plan).len(), 4);
     assert_eq!(
-        troubles(&day(&name, 5, 3).expect("a known day")),
-        troubles(&plan)
+        faults_of(&day(&name, 5, 3).expect("a known day")),
+        faults_of(&plan)
     );
     assert!(day("crash+nothing", 5, 3).is_none());
 }
 
 /// Each check of a day fails when what it watches over is broken on purpose.
 #[test]
-fn every_check_of_a_meeting_can_fail() {
+fn every_check_of_a_scenario_can_fail() {
     let plan = || day("leader-cut-off", 1, 3).expect("a known day");
-    let stubborn = sabotaged(plan(), Sabotage::StopsIgnored);
+    let ignoring_stops = sabotaged(plan(), Sabotage::StopsIgnored);
     assert!(
-        stubborn.cancelled_life_ms > stubborn.cancel_ms,
-        "{stubborn:?}"
+        ignoring_stops.cancelled_life_ms > ignoring_stops.cancel_ms,
+        "{ignoring_stops:?}"
     );
     assert!(
-        stubborn.rules_broken > 0
-            && stubborn
+        ignoring_stops.rules_broken > 0
+            && ignoring_stops
                 .failures
                 .iter()
                 .any(|f| f.starts_with("ran_cancelled"))
     );
-    let unheard = sabotaged(plan(), Sabotage::PollsLost);
+    let losing_polls = sabotaged(plan(), Sabotage::PollsLost);
     assert!(
-        unheard.failures.iter().any(|f| f.starts_with("forgotten")),
-        "{unheard:?}"
+        losing_polls
+            .failures
+            .iter()
+            .any(|f| f.starts_with("forgotten")),
+        "{losing_polls:?}"
+    );
+    let losing_starts = sabotaged(plan(), Sabotage::StartsLost).verdict;
+    assert!(
+        losing_starts.longest_beside_room_s > 90.0,
+        "{losing_starts:?}"
     );
-    let unstarted = sabotaged(plan(), Sabotage::StartsLost).verdict;
-    assert!(unstarted.longest_beside_room_s > 90.0, "{unstarted:?}");
-    assert!(!unstarted.beside_room.is_empty(), "{unstarted:?}");
+    assert!(!losing_starts.beside_room.is_empty(), "{losing_starts:?}");
     assert!(
-        unstarted.beside_room.iter().all(|j| j.ends_with('7')),
-        "{unstarted:?}"
+        losing_starts.beside_room.iter().all(|j| j.ends_with('7')),
+        "{losing_starts:?}"
     );
-    let held = |which: fn(&wire::api::JobSpec) -> bool| {
+    let failures_with_held_jobs = |is_held: fn(&wire::api::JobSpec) -> bool| {
         let mut plan = plan();
         let scene = plan.scene.as_mut().expect("days are scenes");
         let day = scene.day.as_mut().expect("days have troubles");
         day.held = scene
             .jobs
             .iter()
-            .filter(|j| which(&j.spec))
+            .filter(|j| is_held(&j.spec))
             .map(|j| j.spec.id.clone())
             .collect();
         play(plan).1.failures
     };
     let fails = |failures: &[String], what: &str| failures.iter().any(|f| f.starts_with(what));
-    let short = held(|s| s.class == "short");
+    let held_short_class = failures_with_held_jobs(|s| s.class == "short");
     assert!(
-        fails(&short, "class short") && fails(&short, "largest of short"),
-        "{short:?}"
+        fails(&held_short_class, "class short") && fails(&held_short_class, "largest of short"),
+        "{held_short_class:?}"
     );
-    assert!(fails(&short, "late: "), "{short:?}");
-    let red = held(|s| s.team == "red");
+    assert!(fails(&held_short_class, "late: "), "{held_short_class:?}");
+    let held_red_team = failures_with_held_jobs(|s| s.team == "red");
     assert!(
-        fails(&red, "team red") && !fails(&red, "team blue"),
-        "{red:?}"
+        fails(&held_red_team, "team red") && !fails(&held_red_team, "team blue"),
+        "{held_red_team:?}"
     );
 }
 
 #[test]
-fn days_repeat() {
+fn scenarios_are_deterministic() {
     let seen = || {
         format!(
             "{:?}",
