--- a/crates/standins/tests/meetings.rs
+++ b/crates/standins/tests/meetings.rs
@@ -1,6 +1,6 @@
-//! Meetings of troubles, a small fixed set: every day that has a name with 3, 5 and 7 controllers, and pairs and triples in
-//! which every kind of trouble comes. The rest: `cargo run --release -q -p standins --example meetings`; one day with
-//! the controllers' logs: `-- --day NAME SEED NODES`.
+//! A small fixed set of scenarios with combined faults: every named scenario with 3, 5 and 7 controllers, and pairs and
+//! triples that cover every kind of fault. `cargo run --release -q -p standins --example meetings` runs the others; with
+//! `-- --day NAME SEED NODES` it runs one scenario and prints the controllers' logs.
 
 use standins::days::Trouble;
 use standins::meetings::{Played, day, kinds, meeting, named, play, sabotaged};
@@ -40,12 +40,12 @@
     let played = parallel::map(&days, THREADS, |(name, nodes)| {
         play_and_assert(name, *nodes as u64, *nodes)
     });
-    // Cancelled tasks were seen on machines after their users were told, or the figure would say nothing.
+    // Some cancelled tasks were on machines after their users were told; otherwise the bound on that time would test nothing.
     assert!(played.iter().any(|p| p.cancelled_life_ms > 1000));
     assert!(played.iter().any(|p| p.lost > 0));
 }
 
-/// Each kind of trouble meets six others, by pairs and by triples.
+/// Pairs and triples combine each kind of fault with six others.
 #[test]
 fn pairs_and_triples_of_faults_keep_the_rules() {
     let (kinds, n) = (kinds(), kinds().len());
@@ -67,7 +67,7 @@
     day.troubles.iter().map(|(_, t)| t.clone()).collect()
 }
 
-/// Every entry of the fault list is drawn by some kind, and a day of a name holds what the name says.
+/// Every fault variant is drawn by some kind, and a scenario contains the faults that its name lists.
 #[test]
 fn every_fault_is_drawn_by_some_kind() {
     let variant = |t: &Trouble| {
@@ -92,7 +92,7 @@
     assert!(day("crash+nothing", 5, 3).is_none());
 }
 
-/// Each check of a day fails when what it watches over is broken on purpose.
+/// Each check of a scenario fails when the property it checks is deliberately violated.
 #[test]
 fn every_check_of_a_scenario_can_fail() {
     let plan = || day("leader-cut-off", 1, 3).expect("a known day");
@@ -129,7 +129,7 @@
     let failures_with_held_jobs = |is_held: fn(&wire::api::JobSpec) -> bool| {
         let mut plan = plan();
         let scene = plan.scene.as_mut().expect("days are scenes");
-        let day = scene.day.as_mut().expect("days have troubles");
+        let day = scene.day.as_mut().expect("scenarios have faults");
         day.held = scene
             .jobs
             .iter()
