--- a/crates/standins/tests/limits_that_change.rs
+++ b/crates/standins/tests/limits_that_change.rs
@@ -21,15 +21,15 @@
     txn_ops: 5,
 };
 /// The least that settings may name.
-const LEAST: Limits = Limits {
+const SMALLEST: Limits = Limits {
     rps: 150.0,
     write_rps: 20.0,
     value_kb: 1.0,
     txn_ops: 4,
 };
 /// When jobs come, and the limits change, in a world's own time.
-const BEGIN: u64 = 5000;
-const CHANGE: u64 = 20_000;
+const JOBS_START_MS: u64 = 5000;
+const CHANGE_MS: u64 = 20_000;
 
 /// Wide arrays and gangs of two teams, one in four cancelled, with long names all around.
 fn scene(seed: u64, jobs: u32, next: Option<Limits>) -> Scene {
@@ -51,7 +51,7 @@
             (spec.kind, spec.tasks) = (Kind::Gang, rng.u32(1..5));
         }
         scene.jobs.push(Timed {
-            at: rng.u64(BEGIN..BEGIN + 30_000),
+            at: rng.u64(JOBS_START_MS..JOBS_START_MS + 30_000),
             run_ms: rng.u64(500..6000),
             cancel_ms: (rng.u32(0..4) == 0).then(|| rng.u64(0..20_000)),
             spec,
@@ -70,20 +70,20 @@
     ))
 }
 
-fn changes(world: &mut World, in_ms: u64, limits: Limits) {
+fn change_limits(world: &mut World, in_ms: u64, limits: Limits) {
     let at = world.now() + in_ms;
     world.state.limits_from.push_back((at, limits));
 }
 
 /// All that was accepted ends, by the rules.
-fn ends(world: &mut World, what: &str) {
+fn run_and_assert_jobs_end(world: &mut World, what: &str) {
     world.run_for(400_000);
     assert_rules_kept(world, what);
     assert_all_ended(world, what);
 }
 
 /// The largest record of each kind that was ever written.
-fn largest(world: &World) -> usize {
+fn largest_value(world: &World) -> usize {
     let values = world
         .state
         .history(0)
@@ -94,45 +94,48 @@
 
 /// Where the settings name the limits to come, nothing is ever written that they would refuse.
 #[test]
-fn named_limits_are_kept_from_the_start() {
-    for (next, nodes) in [(AFTER, 3), (LEAST, 5)] {
+fn announced_limits_are_kept_from_the_start() {
+    for (next, nodes) in [(AFTER, 3), (SMALLEST, 5)] {
         let mut world = world(1, nodes, Some(next));
-        changes(&mut world, CHANGE, next);
+        change_limits(&mut world, CHANGE_MS, next);
         let what = format!("{} KiB", next.value_kb);
-        ends(&mut world, &what);
+        run_and_assert_jobs_end(&mut world, &what);
         assert_eq!(world.state.counts.too_large, 0, "{what}");
-        assert!(largest(&world) as f64 <= next.value_kb * 1024.0, "{what}");
+        assert!(
+            largest_value(&world) as f64 <= next.value_kb * 1024.0,
+            "{what}"
+        );
     }
 }
 
 /// The change meets each step of each write, and the controller that writes ends at that moment.
 #[test]
-fn a_change_at_every_step_with_the_leader_ended() {
+fn limits_change_while_the_leader_crashes_at_any_request() {
     for nth in 1..=16 {
         let mut world = world(u64::from(nth), 3, Some(AFTER));
-        world.run_for(BEGIN + 2000 + u64::from(nth) * 700);
-        changes(&mut world, 0, AFTER);
+        world.run_for(JOBS_START_MS + 2000 + u64::from(nth) * 700);
+        change_limits(&mut world, 0, AFTER);
         if let Some(leader) = world.leader_at() {
             world.dies_asking(leader, nth);
         }
         let what = format!("the {nth}th request");
-        ends(&mut world, &what);
+        run_and_assert_jobs_end(&mut world, &what);
         assert_eq!(world.state.counts.too_large, 0, "{what}");
     }
 }
 
 /// The leader's transaction lands late, after the change or before it, and its sender has ended.
 #[test]
-fn a_transaction_that_lands_on_the_other_side_of_the_change() {
+fn delayed_transaction_of_a_crashed_leader_around_a_limit_change() {
     for (seed, held) in [(1, 0), (2, 150), (3, 4000)] {
         for next in [None, Some(AFTER)] {
             let mut world = world(seed, 3, next);
-            world.run_for(BEGIN + 6000);
+            world.run_for(JOBS_START_MS + 6000);
             if let Some(leader) = world.leader_at() {
                 world.doom(leader, held);
             }
-            changes(&mut world, 100, AFTER);
-            ends(
+            change_limits(&mut world, 100, AFTER);
+            run_and_assert_jobs_end(
                 &mut world,
                 &format!("held for {held} ms, next {}", next.is_some()),
             );
@@ -142,16 +145,16 @@
 
 /// Without a word in the settings: what is refused is cut anew, by the same leader, a few times at most.
 #[test]
-fn limits_that_nobody_named_are_learned() {
+fn unannounced_limits_are_learned() {
     for seed in 1..=6 {
         let mut world = world(seed, 3, None);
-        world.run_for(BEGIN + 8000);
+        world.run_for(JOBS_START_MS + 8000);
         let before = world.leader().map(|n| n.node().role_name());
         assert_eq!(before, Some("leader"));
         let token = world.state.keys[records::TOKEN].value.clone();
-        changes(&mut world, 0, AFTER);
+        change_limits(&mut world, 0, AFTER);
         let what = format!("seed {seed}");
-        ends(&mut world, &what);
+        run_and_assert_jobs_end(&mut world, &what);
         let refused = world.state.counts.too_large;
         assert!((1..=6).contains(&refused), "{what}: {refused} refused");
         assert_eq!(
@@ -164,33 +167,33 @@
 
 /// Limits that fall, rise and fall again while leaders end: nobody trusts the larger ones again.
 #[test]
-fn limits_that_change_back_and_forth() {
-    for (seed, next) in [(1, None), (2, Some(AFTER)), (3, None), (4, Some(LEAST))] {
+fn limits_that_fall_and_rise_repeatedly() {
+    for (seed, next) in [(1, None), (2, Some(AFTER)), (3, None), (4, Some(SMALLEST))] {
         let after = next.unwrap_or(AFTER);
         let mut world = world(seed, 3, next);
         for round in 0..4 {
-            changes(&mut world, BEGIN + 3000 + round * 12_000, after);
-            changes(&mut world, BEGIN + 9000 + round * 12_000, BEFORE);
+            change_limits(&mut world, JOBS_START_MS + 3000 + round * 12_000, after);
+            change_limits(&mut world, JOBS_START_MS + 9000 + round * 12_000, BEFORE);
         }
-        world.run_for(BEGIN + 20_000);
+        world.run_for(JOBS_START_MS + 20_000);
         if let Some(leader) = world.leader_at() {
             world.crash_node(leader);
         }
-        ends(&mut world, &format!("seed {seed}"));
+        run_and_assert_jobs_end(&mut world, &format!("seed {seed}"));
         if next.is_some() {
             assert_eq!(world.state.counts.too_large, 0, "seed {seed}");
         }
     }
 }
 
-fn inventory(world: &World) -> Vec<usize> {
+fn inventory_value_sizes(world: &World) -> Vec<usize> {
     let inventory = world.state.keys.iter();
     let inventory = inventory.filter(|(k, _)| k.starts_with(&records::inventory_prefix(0)));
     inventory.map(|(_, e)| e.value.to_string().len()).collect()
 }
 
 /// Work for a hundred machines at once, which go back one after the other when it is over.
-fn crowd(seed: u64) -> World {
+fn world_of_100_machines(seed: u64) -> World {
     let mut scene = Scene {
         machines: 100,
         limits: Some(BEFORE),
@@ -199,7 +202,7 @@
     .team("red", 0.0, 0.0);
     for i in 0..50 {
         scene.jobs.push(Timed {
-            at: BEGIN,
+            at: JOBS_START_MS,
             run_ms: 30_000 + u64::from(i) * 1000,
             cancel_ms: None,
             spec: array(1000 + i, "red", 8, 30.0),
@@ -211,44 +214,44 @@
 /// Inventory shards recorded for larger values have to be rewritten as their machines go: they are spread over several, with the
 /// leader ended at any step.
 #[test]
-fn an_inventory_shard_that_was_larger_is_spread() {
-    let limit = (LEAST.value_kb * 1024.0) as usize;
+fn oversized_inventory_shards_are_split_for_announced_limits() {
+    let limit = (SMALLEST.value_kb * 1024.0) as usize;
     for nth in 0..=12 {
-        let mut world = crowd(u64::from(nth) + 1);
-        world.run_for(BEGIN + 25_000);
-        let before = inventory(&world);
+        let mut world = world_of_100_machines(u64::from(nth) + 1);
+        world.run_for(JOBS_START_MS + 25_000);
+        let before = inventory_value_sizes(&world);
         assert!(before.iter().any(|r| *r > limit + 256), "{before:?}");
-        world.name_next_limits(LEAST);
+        world.name_next_limits(SMALLEST);
         world.crash_all_for(1000, 300);
         world.run_for(4000);
-        changes(&mut world, 0, LEAST);
+        change_limits(&mut world, 0, SMALLEST);
         if let Some(leader) = world.leader_at()
             && nth > 0
         {
             world.dies_asking(leader, 6 * nth);
         }
         let what = format!("the {}th request", 6 * nth);
-        ends(&mut world, &what);
+        run_and_assert_jobs_end(&mut world, &what);
         assert_eq!(world.state.counts.too_large, 0, "{what}");
-        let spread = inventory(&world);
+        let spread = inventory_value_sizes(&world);
         assert!(spread.iter().all(|r| *r <= limit), "{what}: {spread:?}");
     }
 }
 
 /// The same where nobody named the limits: a refused spread is undone as a whole, and made anew.
 #[test]
-fn inventory_shards_are_spread_by_limits_that_were_learned() {
+fn oversized_inventory_shards_are_split_for_learned_limits() {
     for seed in 1..=4 {
-        let mut world = crowd(seed);
-        world.run_for(BEGIN + 25_000);
-        changes(&mut world, 0, LEAST);
+        let mut world = world_of_100_machines(seed);
+        world.run_for(JOBS_START_MS + 25_000);
+        change_limits(&mut world, 0, SMALLEST);
         if seed % 2 == 0
             && let Some(leader) = world.leader_at()
         {
             world.dies_asking(leader, 20 * seed as u32);
         }
         let what = format!("seed {seed}");
-        ends(&mut world, &what);
+        run_and_assert_jobs_end(&mut world, &what);
         let refused = world.state.counts.too_large;
         assert!((1..=12).contains(&refused), "{what}: {refused} refused");
     }
@@ -256,17 +259,17 @@
 
 /// What was recorded by nodes whose settings named no other limits is read, carried on and ended by those that know.
 #[test]
-fn records_of_before_are_carried_on() {
+fn records_written_before_the_limits_were_announced_are_kept() {
     for seed in 1..=5 {
         let mut world = world(seed, 3, None);
-        world.run_for(BEGIN + 10_000);
-        let before = largest(&world);
+        world.run_for(JOBS_START_MS + 10_000);
+        let before = largest_value(&world);
         world.name_next_limits(AFTER);
         world.crash_all_for(3000, 500);
         world.run_for(6000);
-        changes(&mut world, 0, AFTER);
+        change_limits(&mut world, 0, AFTER);
         let what = format!("seed {seed}, records of up to {before} bytes before");
-        ends(&mut world, &what);
+        run_and_assert_jobs_end(&mut world, &what);
         assert_eq!(world.state.counts.too_large, 0, "{what}");
     }
 }
