--- a/crates/standins/tests/limits_that_change.rs
+++ b/crates/standins/tests/limits_that_change.rs
@@ -1,5 +1,5 @@
-//! The state service bears less from some moment on, without notice: values of 2 KiB instead of 8, 5 changes a
-//! transaction instead of 16. Named in the settings or not, nothing is lost and nothing is refused for ever.
+//! The limits of the state service drop without notice: values of 2 KiB instead of 8, and 5 changes per transaction
+//! instead of 16. Whether or not the settings announce the new limits, nothing is lost and no write is rejected forever.
 
 use standins::scene::{Scene, Timed, array};
 use standins::state::Limits;
@@ -20,18 +20,18 @@
     value_kb: 2.0,
     txn_ops: 5,
 };
-/// The least that settings may name.
+/// The smallest limits that the settings accept.
 const SMALLEST: Limits = Limits {
     rps: 150.0,
     write_rps: 20.0,
     value_kb: 1.0,
     txn_ops: 4,
 };
-/// When jobs come, and the limits change, in a world's own time.
+/// Virtual time from which jobs are submitted, and at which the limits change.
 const JOBS_START_MS: u64 = 5000;
 const CHANGE_MS: u64 = 20_000;
 
-/// Wide arrays and gangs of two teams, one in four cancelled, with long names all around.
+/// Large arrays and small gangs of two teams with long team and class names; one job in four is cancelled.
 fn scene(seed: u64, jobs: u32, next: Option<Limits>) -> Scene {
     let mut rng = fastrand::Rng::with_seed(seed);
     let red = "red-team-of-a-long-name-in-a-large-house";
@@ -75,14 +75,14 @@
     world.state.limits_from.push_back((at, limits));
 }
 
-/// All that was accepted ends, by the rules.
+/// Asserts that all accepted jobs end and that no rule is broken.
 fn run_and_assert_jobs_end(world: &mut World, what: &str) {
     world.run_for(400_000);
     assert_rules_kept(world, what);
     assert_all_ended(world, what);
 }
 
-/// The largest record of each kind that was ever written.
+/// Size of the largest value that was ever written.
 fn largest_value(world: &World) -> usize {
     let values = world
         .state
@@ -92,7 +92,7 @@
     values.map(|v| v.to_string().len()).max().unwrap_or(0)
 }
 
-/// Where the settings name the limits to come, nothing is ever written that they would refuse.
+/// If the settings announce the coming limits, no value that exceeds them is ever written.
 #[test]
 fn announced_limits_are_kept_from_the_start() {
     for (next, nodes) in [(AFTER, 3), (SMALLEST, 5)] {
@@ -108,7 +108,7 @@
     }
 }
 
-/// The change meets each step of each write, and the controller that writes ends at that moment.
+/// The limits change, and the leader crashes at its nth request to the state service after that.
 #[test]
 fn limits_change_while_the_leader_crashes_at_any_request() {
     for nth in 1..=16 {
@@ -124,7 +124,7 @@
     }
 }
 
-/// The leader's transaction lands late, after the change or before it, and its sender has ended.
+/// The leader crashes after sending a transaction, which arrives before or after the limits change.
 #[test]
 fn delayed_transaction_of_a_crashed_leader_around_a_limit_change() {
     for (seed, held) in [(1, 0), (2, 150), (3, 4000)] {
@@ -143,7 +143,7 @@
     }
 }
 
-/// Without a word in the settings: what is refused is cut anew, by the same leader, a few times at most.
+/// If the settings announce no limits, the same leader splits rejected writes again, after a few rejections at most.
 #[test]
 fn unannounced_limits_are_learned() {
     for seed in 1..=6 {
@@ -156,16 +156,20 @@
         let what = format!("seed {seed}");
         run_and_assert_jobs_end(&mut world, &what);
         let refused = world.state.counts.too_large;
-        assert!((1..=6).contains(&refused), "{what}: {refused} refused");
+        assert!(
+            (1..=6).contains(&refused),
+            "{what}: {refused} requests rejected"
+        );
         assert_eq!(
             world.state.keys[records::TOKEN].value,
             token,
-            "{what}: the leader stays"
+            "{what}: the leader changed"
         );
     }
 }
 
-/// Limits that fall, rise and fall again while leaders end: nobody trusts the larger ones again.
+/// The limits drop and rise several times, and the leader crashes meanwhile. With announced limits, no request may be
+/// too large, also while the larger limits are back.
 #[test]
 fn limits_that_fall_and_rise_repeatedly() {
     for (seed, next) in [(1, None), (2, Some(AFTER)), (3, None), (4, Some(SMALLEST))] {
@@ -192,7 +196,7 @@
     inventory.map(|(_, e)| e.value.to_string().len()).collect()
 }
 
-/// Work for a hundred machines at once, which go back one after the other when it is over.
+/// Jobs for a hundred machines at once, which are returned one after the other as the jobs end.
 fn world_of_100_machines(seed: u64) -> World {
     let mut scene = Scene {
         machines: 100,
@@ -211,8 +215,8 @@
     World::new(Plan::of_scene(seed, 3, scene, 0, 900_000))
 }
 
-/// Inventory shards recorded for larger values have to be rewritten as their machines go: they are spread over several, with the
-/// leader ended at any step.
+/// Inventory shards written under larger limits have to be rewritten as their machines are returned. They must be split
+/// into several shards, also when the leader crashes at any request.
 #[test]
 fn oversized_inventory_shards_are_split_for_announced_limits() {
     let limit = (SMALLEST.value_kb * 1024.0) as usize;
@@ -238,7 +242,7 @@
     }
 }
 
-/// The same where nobody named the limits: a refused spread is undone as a whole, and made anew.
+/// The same without announced limits: a rejected split is rolled back as a whole and done again.
 #[test]
 fn oversized_inventory_shards_are_split_for_learned_limits() {
     for seed in 1..=4 {
@@ -257,7 +261,7 @@
     }
 }
 
-/// What was recorded by nodes whose settings named no other limits is read, carried on and ended by those that know.
+/// Nodes whose settings announce new limits read, update and finish records written by nodes without that setting.
 #[test]
 fn records_written_before_the_limits_were_announced_are_kept() {
     for seed in 1..=5 {
