--- a/crates/standins/tests/old_reports.rs
+++ b/crates/standins/tests/old_reports.rs
@@ -7,11 +7,11 @@
 use standins::world::{Plan, World};
 use wire::api::{Heartbeat, JobSpec, Kind, TaskStage};
 
-const NODES: [usize; 3] = [3, 5, 7];
+const NODE_COUNTS: [usize; 3] = [3, 5, 7];
 const IDLE_MS: u64 = 40_000;
 
 /// So many rounds, or as many as `SWEEP` says.
-fn sweep(rounds: u64) -> u64 {
+fn rounds_or_env(rounds: u64) -> u64 {
     std::env::var("SWEEP")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -34,7 +34,7 @@
 }
 
 /// Plays on for so long, or to the next thing that happens.
-fn pass(world: &mut World, ms: u64) {
+fn run_past_now(world: &mut World, ms: u64) {
     let (before, mut step) = (world.now(), ms);
     while world.now() == before && world.rules.broken.is_empty() {
         world.run_for(step);
@@ -44,13 +44,13 @@
 
 /// The leader ends, and its next life is told what the reports say, again and again until well after it has read
 /// everything: it hears the old ones first.
-fn first_heard(world: &mut World, copies: &[Heartbeat]) {
+fn replay_to_next_leader(world: &mut World, copies: &[Heartbeat]) {
     world.come_back_after(100);
     let leader = world.leader_at().expect("some node owns the fleet");
     world.crash_node(leader);
     let end = world.now() + 3000;
     while world.now() < end && world.rules.broken.is_empty() {
-        pass(world, 10);
+        run_past_now(world, 10);
         if let Some(leader) = world.leader_at() {
             copies.iter().for_each(|c| world.copy(c, leader));
         }
@@ -58,11 +58,11 @@
 }
 
 /// The newest report for which this holds.
-fn last(world: &World, is: impl Fn(&Heartbeat) -> bool) -> Option<Heartbeat> {
+fn newest_report(world: &World, is: impl Fn(&Heartbeat) -> bool) -> Option<Heartbeat> {
     world.reports().iter().rev().find(|r| is(r)).cloned()
 }
 
-fn lists(report: &Heartbeat, task: &str, stage: TaskStage) -> bool {
+fn lists_task(report: &Heartbeat, task: &str, stage: TaskStage) -> bool {
     report
         .tasks
         .iter()
@@ -73,9 +73,9 @@
 /// next one. A copy of the report that had it as ended comes to the next leader first: the task that runs now must
 /// count all the same.
 #[test]
-fn the_end_of_an_earlier_session_is_not_the_end_of_a_later_one() {
+fn task_end_of_an_earlier_session_does_not_end_the_later_run() {
     for round in 0..9u64 {
-        let nodes = NODES[round as usize % 3];
+        let nodes = NODE_COUNTS[round as usize % 3];
         let what = format!("{nodes} nodes, round {round}");
         let mut jobs = vec![timed(1000, 4000, array(1, "blue", 8, 4.0))];
         jobs.push(timed(IDLE_MS, 9000, array(2, "red", 1, 9.0)));
@@ -95,17 +95,17 @@
         world.run_for(IDLE_MS - 1);
         // Commands arrive; their answers are lost, and reports are refused.
         for how in [How::Hold, How::Reset] {
-            let unheard = Cut::between(Frontend::Machines, Frontend::Nodes, world.now(), 17_000);
+            let cut = Cut::between(Frontend::Machines, Frontend::Nodes, world.now(), 17_000);
             world.cut(Cut {
                 both: false,
                 how,
-                ..unheard
+                ..cut
             });
         }
         world.run_for(17_000);
         let task = "job-000002/0";
-        let ended = last(&world, |r| {
-            r.agent_epoch == 1 && lists(r, task, TaskStage::Exited)
+        let ended = newest_report(&world, |r| {
+            r.agent_epoch == 1 && lists_task(r, task, TaskStage::Exited)
         });
         let ended = ended.unwrap_or_else(|| panic!("{what}: it ends in the first session"));
         let mut waited = 0;
@@ -118,7 +118,7 @@
             !world.machines_of("job-000002").is_empty(),
             "{what}: it begins again"
         );
-        first_heard(&mut world, &[ended]);
+        replay_to_next_leader(&mut world, &[ended]);
         world.run_for(120_000);
         assert_rules_kept(&world, &what);
         assert_all_ended(&world, &what);
@@ -128,9 +128,9 @@
 /// A gang runs in its second attempt. A copy of a report of the first one comes to the next leader first: what it lists
 /// is long gone, and the gang that runs must not be taken apart for it.
 #[test]
-fn a_report_of_an_earlier_attempt_takes_no_gang_apart() {
+fn report_of_an_earlier_attempt_does_not_break_the_running_gang() {
     for round in 0..9u64 {
-        let nodes = NODES[round as usize % 3];
+        let nodes = NODE_COUNTS[round as usize % 3];
         let what = format!("{nodes} nodes, round {round}");
         let gang = JobSpec {
             kind: Kind::Gang,
@@ -160,7 +160,7 @@
         world.run_for(30_000);
         let now = world.machines_of("job-000002");
         assert_eq!(now.len(), 2, "{what}: it runs again");
-        let attempt = attempts(&world, &now[0])[0];
+        let attempt = running_attempts(&world, &now[0])[0];
         let is_old = |r: &Heartbeat| {
             r.tasks.iter().any(|t| {
                 t.task.starts_with("job-000002/")
@@ -168,11 +168,14 @@
                     && t.stage == TaskStage::Running
             }) && r.machine != on[1]
         };
-        let copy =
-            last(&world, is_old).unwrap_or_else(|| panic!("{what}: a report of the first attempt"));
-        first_heard(&mut world, &[copy]);
+        let copy = newest_report(&world, is_old)
+            .unwrap_or_else(|| panic!("{what}: a report of the first attempt"));
+        replay_to_next_leader(&mut world, &[copy]);
         world.run_for(5000);
-        let after: Vec<u64> = now.iter().flat_map(|m| attempts(&world, m)).collect();
+        let after: Vec<u64> = now
+            .iter()
+            .flat_map(|m| running_attempts(&world, m))
+            .collect();
         assert_eq!(
             after,
             [attempt, attempt],
@@ -185,7 +188,7 @@
 }
 
 /// Attempts of the gang that run on a machine.
-fn attempts(world: &World, machine: &str) -> Vec<u64> {
+fn running_attempts(world: &World, machine: &str) -> Vec<u64> {
     let runs = world
         .held(machine)
         .into_iter()
@@ -194,7 +197,7 @@
 }
 
 /// Machines for which claims were recorded.
-fn claimed_on(world: &World) -> Vec<String> {
+fn claimed_machines(world: &World) -> Vec<String> {
     let logs = world
         .state
         .keys
@@ -208,9 +211,9 @@
 /// Machines were returned; copies of their reports come afterwards, to the next leader, or much later to the same one.
 /// They may be taken in, but get no tasks, and are returned again.
 #[test]
-fn no_task_goes_to_a_machine_that_only_an_old_report_speaks_of() {
+fn returned_machine_in_an_old_report_gets_no_task() {
     for round in 0..12u64 {
-        let nodes = NODES[round as usize % 3];
+        let nodes = NODE_COUNTS[round as usize % 3];
         let same_term = round % 4 == 3;
         let what = format!("{nodes} nodes, round {round}, same term {same_term}");
         let wait = if same_term { 190_000 } else { 60_000 };
@@ -236,14 +239,14 @@
             let leader = world.leader_at().expect("some node owns the fleet");
             copies.iter().for_each(|c| world.copy(c, leader));
         } else {
-            first_heard(&mut world, &copies);
+            replay_to_next_leader(&mut world, &copies);
         }
-        let gone: Vec<String> = copies.into_iter().map(|c| c.machine).collect();
+        let returned: Vec<String> = copies.into_iter().map(|c| c.machine).collect();
         for _ in 0..300 {
             world.run_for(100);
-            let on = claimed_on(&world);
+            let on = claimed_machines(&world);
             assert!(
-                on.iter().all(|m| !gone.contains(m)),
+                on.iter().all(|m| !returned.contains(m)),
                 "{what}: claims on machines that are gone"
             );
         }
@@ -257,7 +260,7 @@
             .filter(|(k, _)| k.starts_with("part/0/rack"));
         let inventory: String = inventory.map(|(_, e)| e.value.to_string()).collect();
         assert!(
-            gone.iter().all(|m| !inventory.contains(m.as_str())),
+            returned.iter().all(|m| !inventory.contains(m.as_str())),
             "{what}: they stay in the records"
         );
     }
@@ -265,9 +268,9 @@
 
 /// A machine is dead, and copies of what it said go on coming: it is given up as soon as without them.
 #[test]
-fn old_reports_keep_no_dead_machine() {
+fn old_reports_do_not_delay_the_return_of_a_dead_machine() {
     for round in 0..6u64 {
-        let nodes = NODES[round as usize % 3];
+        let nodes = NODE_COUNTS[round as usize % 3];
         let mut took = [0, 0];
         for (copied, took) in took.iter_mut().enumerate() {
             let what = format!("{nodes} nodes, round {round}, copies {copied}");
@@ -281,7 +284,7 @@
             world.run_for(25_000);
             let dead = world.machines_of("job-000001").remove(0);
             world.lose(&dead);
-            let said: Vec<Heartbeat> = world
+            let dead_machine_reports: Vec<Heartbeat> = world
                 .reports()
                 .iter()
                 .filter(|r| r.machine == dead)
@@ -293,8 +296,8 @@
                 if copied == 1
                     && let Some(leader) = world.leader_at()
                 {
-                    let n = *took as usize / 100 % said.len();
-                    world.copy(&said[n], leader);
+                    let n = *took as usize / 100 % dead_machine_reports.len();
+                    world.copy(&dead_machine_reports[n], leader);
                 }
             }
             assert!(*took < 60_000, "{what}: never given up");
@@ -309,10 +312,10 @@
 /// Copies of any reports at any time, to any node, most of them to a leader that has just begun; beside them leaders
 /// that end, machines that die, hang and are cut off, so that sessions and attempts are many.
 #[test]
-fn rules_hold_whatever_comes_again() {
-    for seed in 0..sweep(12) {
+fn rules_hold_for_random_duplicate_reports() {
+    for seed in 0..rounds_or_env(12) {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let nodes = NODES[seed as usize % 3];
+        let nodes = NODE_COUNTS[seed as usize % 3];
         let what = format!("{nodes} nodes, seed {seed}");
         let job = |i: u32| {
             let kind = if i.is_multiple_of(4) {
