--- a/crates/standins/tests/old_reports.rs
+++ b/crates/standins/tests/old_reports.rs
@@ -1,5 +1,5 @@
-//! Copies of old reports come after newer ones: of an earlier session or attempt, to the next leader before any other,
-//! for machines that are long gone, and at nodes that only hand them on.
+//! Copies of old reports arrive after newer ones: from an earlier session or attempt, at the next leader before any other
+//! report, from machines that were returned long ago, and at followers that only forward them.
 
 use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
@@ -10,7 +10,7 @@
 const NODE_COUNTS: [usize; 3] = [3, 5, 7];
 const IDLE_MS: u64 = 40_000;
 
-/// So many rounds, or as many as `SWEEP` says.
+/// The number of rounds: the value of the environment variable `SWEEP`, or else `rounds`.
 fn rounds_or_env(rounds: u64) -> u64 {
     std::env::var("SWEEP")
         .ok()
@@ -33,7 +33,7 @@
     world
 }
 
-/// Plays on for so long, or to the next thing that happens.
+/// Runs the world for `ms`, or until its next event if that is later.
 fn run_past_now(world: &mut World, ms: u64) {
     let (before, mut step) = (world.now(), ms);
     while world.now() == before && world.rules.broken.is_empty() {
@@ -42,11 +42,11 @@
     }
 }
 
-/// The leader ends, and its next life is told what the reports say, again and again until well after it has read
-/// everything: it hears the old ones first.
+/// Crashes the leader and sends these copies repeatedly to the next one until well after it has read its state, so that
+/// it receives the old reports first.
 fn replay_to_next_leader(world: &mut World, copies: &[Heartbeat]) {
     world.come_back_after(100);
-    let leader = world.leader_at().expect("some node owns the fleet");
+    let leader = world.leader_at().expect("some node leads");
     world.crash_node(leader);
     let end = world.now() + 3000;
     while world.now() < end && world.rules.broken.is_empty() {
@@ -57,7 +57,7 @@
     }
 }
 
-/// The newest report for which this holds.
+/// The newest report that satisfies the predicate.
 fn newest_report(world: &World, is: impl Fn(&Heartbeat) -> bool) -> Option<Heartbeat> {
     world.reports().iter().rev().find(|r| is(r)).cloned()
 }
@@ -69,9 +69,9 @@
         .any(|t| t.task == task && t.stage == stage)
 }
 
-/// A task ended in a session whose reports never came, and that end was lost with the session. It began again in the
-/// next one. A copy of the report that had it as ended comes to the next leader first: the task that runs now must
-/// count all the same.
+/// A task ended in a session whose reports never arrived, so its end was lost with the session, and it started again in
+/// the next one. A copy of the report that lists it as ended reaches the next leader first. The task must still count as
+/// running.
 #[test]
 fn task_end_of_an_earlier_session_does_not_end_the_later_run() {
     for round in 0..9u64 {
@@ -93,7 +93,7 @@
         world.tune("fleet", "idle_s", "1000");
         world.tune("fleet", "silent_s", "40");
         world.run_for(IDLE_MS - 1);
-        // Commands arrive; their answers are lost, and reports are refused.
+        // Commands arrive; their responses are lost, and connections for reports are refused.
         for how in [How::Hold, How::Reset] {
             let cut = Cut::between(Frontend::Machines, Frontend::Nodes, world.now(), 17_000);
             world.cut(Cut {
@@ -107,7 +107,8 @@
         let ended = newest_report(&world, |r| {
             r.agent_epoch == 1 && lists_task(r, task, TaskStage::Exited)
         });
-        let ended = ended.unwrap_or_else(|| panic!("{what}: it ends in the first session"));
+        let ended = ended
+            .unwrap_or_else(|| panic!("{what}: no report of the task's end in the first session"));
         let mut waited = 0;
         while world.machines_of("job-000002").is_empty() && waited < 10_000 {
             world.run_for(100);
@@ -116,7 +117,7 @@
         world.run_for(round * 300);
         assert!(
             !world.machines_of("job-000002").is_empty(),
-            "{what}: it begins again"
+            "{what}: the task did not start again"
         );
         replay_to_next_leader(&mut world, &[ended]);
         world.run_for(120_000);
@@ -125,8 +126,8 @@
     }
 }
 
-/// A gang runs in its second attempt. A copy of a report of the first one comes to the next leader first: what it lists
-/// is long gone, and the gang that runs must not be taken apart for it.
+/// A gang runs in its second attempt. A copy of a report from the first attempt reaches the next leader first. The tasks
+/// that it lists no longer exist, and the running gang must not be broken because of it.
 #[test]
 fn report_of_an_earlier_attempt_does_not_break_the_running_gang() {
     for round in 0..9u64 {
@@ -159,7 +160,7 @@
         world.lose(&on[1]);
         world.run_for(30_000);
         let now = world.machines_of("job-000002");
-        assert_eq!(now.len(), 2, "{what}: it runs again");
+        assert_eq!(now.len(), 2, "{what}: the gang runs again on two machines");
         let attempt = running_attempts(&world, &now[0])[0];
         let is_old = |r: &Heartbeat| {
             r.tasks.iter().any(|t| {
@@ -169,7 +170,7 @@
             }) && r.machine != on[1]
         };
         let copy = newest_report(&world, is_old)
-            .unwrap_or_else(|| panic!("{what}: a report of the first attempt"));
+            .unwrap_or_else(|| panic!("{what}: no report of the first attempt"));
         replay_to_next_leader(&mut world, &[copy]);
         world.run_for(5000);
         let after: Vec<u64> = now
@@ -179,7 +180,7 @@
         assert_eq!(
             after,
             [attempt, attempt],
-            "{what}: the second attempt goes on"
+            "{what}: the second attempt keeps running"
         );
         world.run_for(100_000);
         assert_rules_kept(&world, &what);
@@ -208,8 +209,8 @@
     on.filter_map(|o| Some(o[0].as_str()?.to_owned())).collect()
 }
 
-/// Machines were returned; copies of their reports come afterwards, to the next leader, or much later to the same one.
-/// They may be taken in, but get no tasks, and are returned again.
+/// Copies of reports from returned machines arrive at the next leader, or much later at the same one. The leader may add
+/// these machines to its inventory, but must give them no tasks and return them again.
 #[test]
 fn returned_machine_in_an_old_report_gets_no_task() {
     for round in 0..12u64 {
@@ -234,9 +235,9 @@
             copies.push(report.clone());
         }
         copies.retain(|c| !world.is_rented(&c.machine));
-        assert!(!copies.is_empty(), "{what}: none is returned");
+        assert!(!copies.is_empty(), "{what}: no machine was returned");
         if same_term {
-            let leader = world.leader_at().expect("some node owns the fleet");
+            let leader = world.leader_at().expect("some node leads");
             copies.iter().for_each(|c| world.copy(c, leader));
         } else {
             replay_to_next_leader(&mut world, &copies);
@@ -247,7 +248,7 @@
             let on = claimed_machines(&world);
             assert!(
                 on.iter().all(|m| !returned.contains(m)),
-                "{what}: claims on machines that are gone"
+                "{what}: claims on returned machines"
             );
         }
         world.run_for(30_000);
@@ -261,12 +262,12 @@
         let inventory: String = inventory.map(|(_, e)| e.value.to_string()).collect();
         assert!(
             returned.iter().all(|m| !inventory.contains(m.as_str())),
-            "{what}: they stay in the records"
+            "{what}: returned machines are still in the inventory"
         );
     }
 }
 
-/// A machine is dead, and copies of what it said go on coming: it is given up as soon as without them.
+/// Copies of a dead machine's reports keep arriving. The machine must be returned no more than 2 s later than without them.
 #[test]
 fn old_reports_do_not_delay_the_return_of_a_dead_machine() {
     for round in 0..6u64 {
@@ -300,7 +301,7 @@
                     world.copy(&dead_machine_reports[n], leader);
                 }
             }
-            assert!(*took < 60_000, "{what}: never given up");
+            assert!(*took < 60_000, "{what}: the dead machine is still rented");
             world.run_for(120_000);
             assert_rules_kept(&world, &what);
             assert_all_ended(&world, &what);
@@ -309,8 +310,8 @@
     }
 }
 
-/// Copies of any reports at any time, to any node, most of them to a leader that has just begun; beside them leaders
-/// that end, machines that die, hang and are cut off, so that sessions and attempts are many.
+/// Copies of random reports arrive at random times, most of them at the leader and some at any node. Meanwhile leaders
+/// crash and machines die, hang and are cut off, so that there are many sessions and attempts.
 #[test]
 fn rules_hold_for_random_duplicate_reports() {
     for seed in 0..rounds_or_env(12) {
@@ -378,7 +379,7 @@
                 if all.is_empty() {
                     continue;
                 }
-                // From the last half minute, or from ever.
+                // One of the newest 200 reports, or any report.
                 let from = if rng.bool() {
                     0
                 } else {
