--- a/crates/standins/tests/one_task_flood.rs
+++ b/crates/standins/tests/one_task_flood.rs
@@ -7,7 +7,7 @@
 use wire::api::{JobSpec, Priority};
 
 /// What the state service bears.
-const LIMITS: Limits = Limits {
+const STATE_LIMITS: Limits = Limits {
     rps: 100.0,
     write_rps: 25.0,
     value_kb: 8.0,
@@ -21,7 +21,7 @@
 const URGENT_WAIT_MS: u64 = 8000;
 
 /// The flood, and urgent jobs of the same size now and then.
-fn flood(seed: u64, nodes: usize, machines: usize) -> World {
+fn world_with_job_flood(seed: u64, nodes: usize, machines: usize) -> World {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut jobs = Vec::new();
     for i in 0..FLOOD_MS / EVERY_MS {
@@ -50,7 +50,7 @@
     let scene = Scene {
         jobs,
         machines,
-        limits: Some(LIMITS),
+        limits: Some(STATE_LIMITS),
         ..Scene::default()
     };
     World::new(Plan::of_scene(
@@ -76,9 +76,9 @@
 }
 
 /// Plays the flood, with the leader lost in the middle of it or not, to the end of all jobs.
-fn play(seed: u64, nodes: usize, machines: usize, crash: bool) -> World {
+fn run_and_assert(seed: u64, nodes: usize, machines: usize, crash: bool) -> World {
     let what = format!("{nodes} nodes, {machines} machines, leader lost: {crash}");
-    let mut world = flood(seed, nodes, machines);
+    let mut world = world_with_job_flood(seed, nodes, machines);
     world.run_for(BEGIN_MS);
     let before = world.state.counts;
     world.run_for(FLOOD_MS / 2);
@@ -112,18 +112,18 @@
 }
 
 #[test]
-fn a_flood_of_small_jobs_stays_within_the_changes_that_there_are() {
+fn one_task_job_flood_stays_within_five_changes_per_job() {
     for (seed, nodes) in [3, 5].into_iter().enumerate() {
         for crash in [false, true] {
-            play(seed as u64, nodes, 16, crash);
+            run_and_assert(seed as u64, nodes, 16, crash);
         }
     }
 }
 
 /// With less room than the flood wants, the urgent are served as they come.
 #[test]
-fn the_urgent_do_not_wait_for_the_flood() {
-    let world = play(2, 3, 7, false);
+fn urgent_jobs_start_within_eight_seconds_during_a_flood() {
+    let world = run_and_assert(2, 3, 7, false);
     let waits = urgent_waits(&world);
     assert!(waits.iter().all(|w| *w <= URGENT_WAIT_MS), "{waits:?}");
 }
