--- a/crates/standins/tests/one_task_flood.rs
+++ b/crates/standins/tests/one_task_flood.rs
@@ -1,12 +1,12 @@
-//! One-task jobs come four a second for minutes, and a quarter of them is cancelled: what they cost in changes of the
-//! state service, and what of it the urgent feel.
+//! One-task jobs are submitted at four per second for two minutes, and a quarter of them is cancelled. Bounds the changes
+//! in the state service that they cause, and the delay of urgent jobs.
 
 use standins::scene::{Scene, Timed, array};
 use standins::state::Limits;
 use standins::world::{Plan, World};
 use wire::api::{JobSpec, Priority};
 
-/// What the state service bears.
+/// Limits of the state service.
 const STATE_LIMITS: Limits = Limits {
     rps: 100.0,
     write_rps: 25.0,
@@ -17,10 +17,10 @@
 const FLOOD_MS: u64 = 120_000;
 const EVERY_MS: u64 = 250;
 const URGENT_EVERY_MS: u64 = 5000;
-/// An urgent job waits no longer than this, the fetch of its image included.
+/// Longest allowed wait of an urgent job, including the fetch of its image.
 const URGENT_WAIT_MS: u64 = 8000;
 
-/// The flood, and urgent jobs of the same size now and then.
+/// The flood of one-task jobs, and an urgent one-task job every five seconds.
 fn world_with_job_flood(seed: u64, nodes: usize, machines: usize) -> World {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut jobs = Vec::new();
@@ -62,7 +62,7 @@
     ))
 }
 
-/// How long each urgent job waited for its start; as long as may be if it never started.
+/// Time that each urgent job waited for its start; a very large value if it never started.
 fn urgent_waits(world: &World) -> Vec<u64> {
     let waited = |i: u64| {
         let began = world
@@ -75,9 +75,9 @@
     (0..FLOOD_MS / URGENT_EVERY_MS).map(waited).collect()
 }
 
-/// Plays the flood, with the leader lost in the middle of it or not, to the end of all jobs.
+/// Runs the flood until all jobs end; with `crash`, the leader crashes in the middle of it.
 fn run_and_assert(seed: u64, nodes: usize, machines: usize, crash: bool) -> World {
-    let what = format!("{nodes} nodes, {machines} machines, leader lost: {crash}");
+    let what = format!("{nodes} nodes, {machines} machines, leader crashes: {crash}");
     let mut world = world_with_job_flood(seed, nodes, machines);
     world.run_for(BEGIN_MS);
     let before = world.state.counts;
@@ -95,7 +95,7 @@
     );
     assert!(
         counts.too_fast * 50 < counts.requests,
-        "{what}: refused too often: {counts:?}"
+        "{what}: too many rate-limited requests: {counts:?}"
     );
     world.run_for(150_000);
     assert!(
@@ -105,7 +105,7 @@
     );
     assert!(
         world.unfinished().is_empty(),
-        "{what}: never ended: {:?}",
+        "{what}: unfinished jobs: {:?}",
         world.unfinished()
     );
     world
@@ -120,7 +120,7 @@
     }
 }
 
-/// With less room than the flood wants, the urgent are served as they come.
+/// With less capacity than the flood requests, urgent jobs still start without delay.
 #[test]
 fn urgent_jobs_start_within_eight_seconds_during_a_flood() {
     let world = run_and_assert(2, 3, 7, false);
