--- a/crates/standins/tests/overload.rs
+++ b/crates/standins/tests/overload.rs
@@ -5,18 +5,18 @@
 use standins::world::processor::Costs;
 use standins::world::{Plan, World};
 
-const FIRST_MS: u64 = 30_000;
+const FIRST_SUBMISSION_MS: u64 = 30_000;
 /// Work comes for so long.
-const LOAD_MS: u64 = 120_000;
-const EVERY_MS: u64 = 300;
+const SUBMISSION_MS: u64 = 120_000;
+const SUBMIT_EVERY_MS: u64 = 300;
 const MACHINES: usize = 60;
 const SEEDS: std::ops::Range<u64> = 1..5;
 
 /// A fleet of its own size for work that comes for two minutes.
 fn world(seed: u64) -> World {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let jobs = (0..LOAD_MS / EVERY_MS).map(|i| Timed {
-        at: FIRST_MS + i * EVERY_MS,
+    let jobs = (0..SUBMISSION_MS / SUBMIT_EVERY_MS).map(|i| Timed {
+        at: FIRST_SUBMISSION_MS + i * SUBMIT_EVERY_MS,
         run_ms: rng.u64(2000..8000),
         cancel_ms: None,
         spec: array(1000 + i as u32, "red", 2, 5.0),
@@ -41,7 +41,7 @@
     }
 }
 
-fn kept(world: &World, what: &str) {
+fn assert_rules_kept_and_jobs_ended(world: &World, what: &str) {
     assert_rules_kept(world, what);
     assert_all_ended(world, what);
 }
@@ -50,13 +50,13 @@
 /// to renewals waited behind reports whose workers had given up: on the first of these days no leader stood for 52 s, 157
 /// leases ended, and 243 jobs had not ended five minutes after the last had come.
 #[test]
-fn a_leader_above_its_share_goes_on_leading() {
+fn overloaded_leader_keeps_its_lease() {
     for seed in SEEDS {
         let what = format!("seed {seed}");
         let mut world = world(seed);
-        world.run_for(FIRST_MS / 2);
+        world.run_for(FIRST_SUBMISSION_MS / 2);
         world.processors_cost(costs(16));
-        world.run_for(FIRST_MS / 2 + LOAD_MS);
+        world.run_for(FIRST_SUBMISSION_MS / 2 + SUBMISSION_MS);
         assert!(
             world.longest_unled_ms() < world.round_ms(),
             "{what}: {} ms without a leader",
@@ -64,20 +64,20 @@
         );
         assert_eq!(world.sessions_lost(), 0, "{what}");
         world.run_for(120_000);
-        kept(&world, &what);
+        assert_rules_kept_and_jobs_ended(&world, &what);
     }
 }
 
 /// What comes is far more than controllers can serve; when it is over, they catch up by themselves.
 #[test]
-fn what_was_shed_is_caught_up_with() {
+fn controllers_catch_up_after_an_overload() {
     for seed in SEEDS {
         let what = format!("seed {seed}");
         let mut world = world(seed);
-        world.run_for(FIRST_MS / 2);
+        world.run_for(FIRST_SUBMISSION_MS / 2);
         world.processors_cost(costs(20));
-        world.run_for(FIRST_MS / 2 + LOAD_MS + 400_000);
-        kept(&world, &what);
+        world.run_for(FIRST_SUBMISSION_MS / 2 + SUBMISSION_MS + 400_000);
+        assert_rules_kept_and_jobs_ended(&world, &what);
     }
 }
 
@@ -85,17 +85,17 @@
 /// had come in 100 ms, batches were not answered in time, and workers whose follower had redirected them to the leader
 /// came on top: 21, 53, 38 and 15 leases ended on these days.
 #[test]
-fn a_leader_above_its_share_keeps_the_leases_of_a_spread_fleet() {
+fn overloaded_leader_keeps_worker_leases_with_relayed_reports() {
     for seed in SEEDS {
         let what = format!("seed {seed}");
         let mut world = world(seed);
         world.tune("reach", "direct_machines", "20");
-        world.run_for(FIRST_MS / 2);
+        world.run_for(FIRST_SUBMISSION_MS / 2);
         world.processors_cost(costs(20));
-        world.run_for(FIRST_MS / 2 + LOAD_MS);
+        world.run_for(FIRST_SUBMISSION_MS / 2 + SUBMISSION_MS);
         assert!(world.relayed() > 0, "{what}: nothing was relayed");
         assert_eq!(world.sessions_lost(), 0, "{what}");
         world.run_for(400_000);
-        kept(&world, &what);
+        assert_rules_kept_and_jobs_ended(&world, &what);
     }
 }
