--- a/crates/standins/tests/overload.rs
+++ b/crates/standins/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Controllers that are short of processor time: they slow down, and do not collapse.
+//! Controllers with too little processor time: they slow down, but keep their leases and recover.
 
 use standins::scene::{Scene, Timed, array};
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
@@ -6,13 +6,13 @@
 use standins::world::{Plan, World};
 
 const FIRST_SUBMISSION_MS: u64 = 30_000;
-/// Work comes for so long.
+/// Duration for which jobs are submitted.
 const SUBMISSION_MS: u64 = 120_000;
 const SUBMIT_EVERY_MS: u64 = 300;
 const MACHINES: usize = 60;
 const SEEDS: std::ops::Range<u64> = 1..5;
 
-/// A fleet of its own size for work that comes for two minutes.
+/// A fleet of constant size, and jobs that are submitted for two minutes.
 fn world(seed: u64) -> World {
     let mut rng = fastrand::Rng::with_seed(seed);
     let jobs = (0..SUBMISSION_MS / SUBMIT_EVERY_MS).map(|i| Timed {
@@ -32,7 +32,7 @@
     world
 }
 
-/// Controllers that need so many milliseconds for a message, and as much again for each KiB.
+/// Costs of `message_ms` milliseconds for each message, and as much for each KiB.
 fn costs(message_ms: u64) -> Costs {
     Costs {
         message_us: message_ms * 1000,
@@ -46,9 +46,9 @@
     assert_all_ended(world, what);
 }
 
-/// Reports and what comes of them need more time than the leader has. Served in the order in which they came, answers
-/// to renewals waited behind reports whose workers had given up: on the first of these days no leader stood for 52 s, 157
-/// leases ended, and 243 jobs had not ended five minutes after the last had come.
+/// Reports and their processing need more time than the leader has. When messages were served in order of arrival,
+/// responses to lease renewals waited behind reports whose workers had given up. With the first seed there was no leader
+/// for 52 s, 157 leases ended, and 243 jobs had not ended five minutes after the last submission.
 #[test]
 fn overloaded_leader_keeps_its_lease() {
     for seed in SEEDS {
@@ -68,7 +68,7 @@
     }
 }
 
-/// What comes is far more than controllers can serve; when it is over, they catch up by themselves.
+/// Far more load arrives than the controllers can serve; once it is over, they recover on their own.
 #[test]
 fn controllers_catch_up_after_an_overload() {
     for seed in SEEDS {
@@ -81,9 +81,9 @@
     }
 }
 
-/// Reports go by way of followers, to a leader that needs more time for them than it has. With a message for whatever
-/// had come in 100 ms, batches were not answered in time, and workers whose follower had redirected them to the leader
-/// came on top: 21, 53, 38 and 15 leases ended on these days.
+/// Followers relay reports to a leader that has too little time for them. When followers sent one message for the
+/// reports of every 100 ms, batches were not answered in time, and workers that their follower had redirected to the
+/// leader added to the load: 21, 53, 38 and 15 leases ended with these seeds.
 #[test]
 fn overloaded_leader_keeps_worker_leases_with_relayed_reports() {
     for seed in SEEDS {
