--- a/crates/standins/tests/overload.rs
+++ b/crates/standins/tests/overload.rs
@@ -50,7 +50,7 @@
 /// responses to lease renewals waited behind reports whose workers had given up. With the first seed there was no leader
 /// for 52 s, 157 leases ended, and 243 jobs had not ended five minutes after the last submission.
 #[test]
-fn overloaded_leader_keeps_its_lease() {
+fn overloaded_leader_causes_no_leader_gap_and_no_lost_sessions() {
     for seed in SEEDS {
         let what = format!("seed {seed}");
         let mut world = world(seed);
