--- a/crates/standins/tests/spread_reports.rs
+++ b/crates/standins/tests/spread_reports.rs
@@ -8,10 +8,10 @@
 const MACHINES: usize = 12;
 /// From then on every worker has been sent where it belongs.
 const SETTLED_MS: u64 = 60_000;
-const NODES: [usize; 3] = [2, 3, 5];
+const NODE_COUNTS: [usize; 3] = [2, 3, 5];
 
 /// A fleet that is busy for good, and whose reports are spread if it has more machines than `direct`.
-fn world(seed: u64, nodes: usize, direct: &str) -> World {
+fn world(seed: u64, nodes: usize, direct_machines: &str) -> World {
     let jobs = (0..6).map(|i| Timed {
         at: 1000,
         run_ms: 400_000,
@@ -25,7 +25,7 @@
     };
     let plan = Plan::of_scene(seed, nodes, scene.team("red", 24.0, 0.0), 0, 600_000);
     let mut world = World::new(plan);
-    world.tune("reach", "direct_machines", direct);
+    world.tune("reach", "direct_machines", direct_machines);
     world
 }
 
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn a_large_fleet_reports_by_way_of_the_other_controllers() {
-    for nodes in NODES {
+fn large_fleet_reports_through_followers() {
+    for nodes in NODE_COUNTS {
         let mut world = world(1, nodes, "3");
         world.run_for(SETTLED_MS);
         let starts = world.rules.starts;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_small_fleet_reports_to_the_leader() {
+fn small_fleet_reports_to_the_leader_directly() {
     let mut world = world(1, 3, "2000");
     world.run_for(SETTLED_MS);
     assert_eq!(relayed_in(&mut world, 60_000), 0);
@@ -62,18 +62,18 @@
 
 /// The next leader is not met by the whole fleet, and the reports of one that is gone find another way.
 #[test]
-fn any_controller_may_end() {
+fn crash_of_any_controller_ends_no_worker_lease() {
     for nodes in [3, 5] {
         for seed in 0..6 {
             let what = format!("{nodes} nodes, seed {seed}");
             let mut world = world(seed, nodes, "3");
             world.run_for(SETTLED_MS);
             let leader = world.leader_at().expect("an owner");
-            let ends = match seed % 2 {
+            let crashed = match seed % 2 {
                 0 => leader,
                 _ => (leader + 1) % nodes,
             };
-            world.crash_node(ends);
+            world.crash_node(crashed);
             world.run_for(SETTLED_MS);
             let relayed = relayed_in(&mut world, 70_000);
             assert!(relayed >= 8 * MACHINES as u64, "{what}: {relayed} reports");
@@ -86,10 +86,10 @@
 /// Workers that come back, since they can't reach the controller that they were sent to, stay with the leader, but for
 /// one of a zone now and then. Were they sent there again each time, all their leases would end.
 #[test]
-fn who_comes_back_is_not_sent_again_at_once() {
+fn workers_that_cannot_reach_their_follower_stay_with_the_leader() {
     const CUT_MS: u64 = 250_000;
     /// All have found the leader by then.
-    const FOUND_MS: u64 = 40_000;
+    const LEADER_FOUND_MS: u64 = 40_000;
     for how in [How::Hold, How::Reset] {
         let mut world = world(1, 3, "3");
         world.run_for(SETTLED_MS);
@@ -105,9 +105,9 @@
                 )
             });
         }
-        world.run_for(FOUND_MS);
+        world.run_for(LEADER_FOUND_MS);
         let before = world.rules.starts;
-        world.run_for(CUT_MS - FOUND_MS);
+        world.run_for(CUT_MS - LEADER_FOUND_MS);
         assert_eq!(world.rules.starts, before, "{how:?}: tasks were lost");
         assert_eq!(world.on_machines().len(), 24, "{how:?}: tasks don't run");
         world.run_for(100_000);
@@ -118,15 +118,18 @@
 
 /// Any links cut at any time, leaders and machines that end: the rules hold, and all work is done.
 #[test]
-fn any_troubles_with_reports_spread() {
-    for nodes in NODES {
+fn rules_hold_for_random_faults_with_relayed_reports() {
+    for nodes in NODE_COUNTS {
         for seed in 0..12 {
             let what = format!("{nodes} nodes, seed {seed}");
             let mut rng = fastrand::Rng::with_seed(seed);
-            let mut world = troubled(&mut rng, seed, nodes);
+            let mut world = world_with_random_faults(&mut rng, seed, nodes);
             for _ in 0..20 {
                 world.run_for(6000);
-                let (from, to) = (any_side(&mut rng, nodes), any_side(&mut rng, nodes));
+                let (from, to) = (
+                    random_frontend(&mut rng, nodes),
+                    random_frontend(&mut rng, nodes),
+                );
                 let how = [How::Hold, How::Reset][rng.usize(0..2)];
                 let cut = Cut::between(from, to, world.now(), rng.u64(1000..30_000));
                 world.cut(Cut { how, ..cut });
@@ -143,7 +146,7 @@
     }
 }
 
-fn troubled(rng: &mut fastrand::Rng, seed: u64, nodes: usize) -> World {
+fn world_with_random_faults(rng: &mut fastrand::Rng, seed: u64, nodes: usize) -> World {
     let job = |i: u32| Timed {
         at: rng.u64(1000..110_000),
         run_ms: rng.u64(1000..40_000),
@@ -165,7 +168,7 @@
     world
 }
 
-fn any_side(rng: &mut fastrand::Rng, nodes: usize) -> Frontend {
+fn random_frontend(rng: &mut fastrand::Rng, nodes: usize) -> Frontend {
     match rng.u32(0..5) {
         0 | 1 => Frontend::Node(rng.usize(0..nodes)),
         2 => Frontend::State,
