--- a/crates/standins/tests/overload.rs
+++ b/crates/standins/tests/overload.rs
@@ -1,4 +1,5 @@
-//! Controllers with too little processor time: they slow down, but keep their leases and recover.
+//! Controllers with too little processor time: they slow down, but worker leases and leadership last and
+//! the backlog is processed afterwards.
 
 use standins::scene::{Scene, Timed, array};
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
--- a/crates/standins/tests/spread_reports.rs
+++ b/crates/standins/tests/spread_reports.rs
@@ -1,4 +1,4 @@
-//! Reports of a large fleet, which go by way of all controllers.
+//! Reports of a large fleet, which followers relay to the leader.
 
 use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
@@ -6,11 +6,11 @@
 use standins::world::{Plan, World};
 
 const MACHINES: usize = 12;
-/// From then on every worker has been sent where it belongs.
+/// Time after which every worker has been redirected to its controller.
 const SETTLED_MS: u64 = 60_000;
 const NODE_COUNTS: [usize; 3] = [2, 3, 5];
 
-/// A fleet that is busy for good, and whose reports are spread if it has more machines than `direct`.
+/// A fleet that is busy throughout the test. Followers relay its reports if it has more than `direct_machines` machines.
 fn world(seed: u64, nodes: usize, direct_machines: &str) -> World {
     let jobs = (0..6).map(|i| Timed {
         at: 1000,
@@ -48,7 +48,7 @@
             "{nodes} nodes: {relayed} reports"
         );
         assert_eq!(world.sessions_lost(), 0, "{nodes} nodes");
-        assert_eq!(world.rules.starts, starts, "{nodes} nodes: nothing is lost");
+        assert_eq!(world.rules.starts, starts, "{nodes} nodes: tasks were lost");
         assert_rules_kept(&world, "spread");
     }
 }
@@ -60,7 +60,8 @@
     assert_eq!(relayed_in(&mut world, 60_000), 0);
 }
 
-/// The next leader is not met by the whole fleet, and the reports of one that is gone find another way.
+/// After a leader crash, followers still relay reports to the next leader; after a follower crash, its workers report
+/// through another controller.
 #[test]
 fn crash_of_any_controller_ends_no_worker_lease() {
     for nodes in [3, 5] {
@@ -68,7 +69,7 @@
             let what = format!("{nodes} nodes, seed {seed}");
             let mut world = world(seed, nodes, "3");
             world.run_for(SETTLED_MS);
-            let leader = world.leader_at().expect("an owner");
+            let leader = world.leader_at().expect("some node leads");
             let crashed = match seed % 2 {
                 0 => leader,
                 _ => (leader + 1) % nodes,
@@ -83,17 +84,18 @@
     }
 }
 
-/// Workers that come back, since they can't reach the controller that they were sent to, stay with the leader, but for
-/// one of a zone now and then. Were they sent there again each time, all their leases would end.
+/// Workers that can't reach the follower they were redirected to return to the leader and stay with it, except that one
+/// worker of a zone is redirected again from time to time. If all were redirected again each time, all their leases
+/// would end.
 #[test]
 fn workers_that_cannot_reach_their_follower_stay_with_the_leader() {
     const CUT_MS: u64 = 250_000;
-    /// All have found the leader by then.
+    /// Time after which all workers have found the leader.
     const LEADER_FOUND_MS: u64 = 40_000;
     for how in [How::Hold, How::Reset] {
         let mut world = world(1, 3, "3");
         world.run_for(SETTLED_MS);
-        let leader = world.leader_at().expect("an owner");
+        let leader = world.leader_at().expect("some node leads");
         for node in (0..3).filter(|node| *node != leader) {
             world.cut(Cut {
                 how,
@@ -111,12 +113,15 @@
         assert_eq!(world.rules.starts, before, "{how:?}: tasks were lost");
         assert_eq!(world.on_machines().len(), 24, "{how:?}: tasks don't run");
         world.run_for(100_000);
-        assert!(relayed_in(&mut world, 50_000) > 0, "{how:?}: never again");
+        assert!(
+            relayed_in(&mut world, 50_000) > 0,
+            "{how:?}: nothing is relayed after the cut"
+        );
         assert_rules_kept(&world, &format!("{how:?}"));
     }
 }
 
-/// Any links cut at any time, leaders and machines that end: the rules hold, and all work is done.
+/// With random links cut at random times and crashes of controllers and machines, no rule is broken and all jobs end.
 #[test]
 fn rules_hold_for_random_faults_with_relayed_reports() {
     for nodes in NODE_COUNTS {
