--- a/crates/standins/tests/troubles.rs
+++ b/crates/standins/tests/troubles.rs
@@ -28,12 +28,12 @@
     world
 }
 
-fn kept(world: &World) {
+fn assert_rules_kept(world: &World) {
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
 
 #[test]
-fn late_writes_are_carried_out_after_newer_ones() {
+fn late_writes_are_applied_after_newer_ones() {
     let mut world = world(1);
     let before = world.state.counts.txns;
     world.bring(&Trouble::LateWrites {
@@ -48,7 +48,7 @@
         txns > hits.late_writes + hits.late_refused,
         "{hits:?} of {txns}"
     );
-    kept(&world);
+    assert_rules_kept(&world);
     // Over: nothing more is late.
     let hits = world.hits;
     world.run_for(30_000);
@@ -57,7 +57,7 @@
 
 /// What is late is carried out even if its node is refused meanwhile, and not within an outage.
 #[test]
-fn a_late_write_outlasts_a_refusal_and_waits_for_the_end_of_an_outage() {
+fn late_writes_are_applied_despite_refusals_but_not_during_an_outage() {
     let mut world = world(2);
     world.bring(&Trouble::LateWrites {
         share: 1.0,
@@ -76,11 +76,11 @@
     world.run_for(500);
     assert!(world.hits.late_writes > 0, "{:?}", world.hits);
     world.run_for(60_000);
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
 #[test]
-fn copies_of_reports_come_again_up_to_two_leases_later() {
+fn report_copies_arrive_up_to_two_leases_later() {
     let mut world = world(3);
     world.bring(&Trouble::LateReports {
         share: 0.5,
@@ -100,12 +100,12 @@
     let all = world.hits.copies;
     world.run_for(30_000);
     assert_eq!(world.hits.copies, all);
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
 /// The deaf lose their leases, and nobody else does.
 #[test]
-fn the_deaf_report_and_hear_nothing() {
+fn deaf_machines_lose_their_leases_and_others_do_not() {
     for (machines, seed) in [
         (Machines::Count(3), 4),
         (Machines::Share(0.25), 5),
@@ -130,13 +130,13 @@
         world.run_for(40_000);
         assert_eq!(world.sessions_lost() - before, lost, "{machines:?}");
         assert_eq!(world.hits, hits, "{machines:?}");
-        kept(&world);
+        assert_rules_kept(&world);
     }
 }
 
 /// Another node leads the fleet while the one cut off goes on answering users; it loses no lease.
 #[test]
-fn a_node_cut_off_loses_the_fleet_and_keeps_its_workers() {
+fn cut_off_leader_is_replaced_and_workers_keep_their_leases() {
     let mut world = world(7);
     let leader = world.leader_at().expect("some node owns the fleet");
     let before = world.sessions_lost();
@@ -152,12 +152,12 @@
     );
     world.run_for(40_000);
     assert_eq!(world.sessions_lost(), before);
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
 /// A trouble brought about by hand and one of a day are the same; `Who::Leader` is whoever leads the fleet now.
 #[test]
-fn the_leader_is_whoever_leads_the_fleet_now() {
+fn leader_faults_hit_the_current_leader() {
     let mut world = world(8);
     let first = world.leader_at().expect("some node owns the fleet");
     world.bring(&Trouble::Freeze {
@@ -179,5 +179,5 @@
     });
     world.run_for(8000);
     assert!(world.leader_at().is_some_and(|n| n != next));
-    kept(&world);
+    assert_rules_kept(&world);
 }
