--- a/crates/standins/tests/troubles.rs
+++ b/crates/standins/tests/troubles.rs
@@ -1,10 +1,10 @@
-//! Each trouble of the list does what it says: a trouble that hits nothing would let every test of it pass.
+//! Each kind of fault has the effect it documents: with a fault without effect, every test that uses it would pass.
 
 use standins::days::{Machines, NextLeader, Trouble, Who};
 use standins::scene::{Scene, Timed, array};
 use standins::world::{Plan, World};
 
-/// A dozen machines with tasks of 20 s that come one after the other, and half a minute of it.
+/// Twelve machines and a stream of jobs with 20 s tasks, after the first 30 s.
 fn world(seed: u64) -> World {
     let job = |i: u32| Timed {
         at: 1000 + u64::from(i) * 3000,
@@ -49,13 +49,13 @@
         "{hits:?} of {txns}"
     );
     assert_rules_kept(&world);
-    // Over: nothing more is late.
+    // The fault is over: no further write is late.
     let hits = world.hits;
     world.run_for(30_000);
     assert_eq!(world.hits, hits);
 }
 
-/// What is late is carried out even if its node is refused meanwhile, and not within an outage.
+/// A late write is applied even if requests of its node are refused meanwhile, but not during an outage.
 #[test]
 fn late_writes_are_applied_despite_refusals_but_not_during_an_outage() {
     let mut world = world(2);
@@ -103,7 +103,7 @@
     assert_rules_kept(&world);
 }
 
-/// The deaf lose their leases, and nobody else does.
+/// Only deaf machines lose their leases.
 #[test]
 fn deaf_machines_lose_their_leases_and_others_do_not() {
     for (machines, seed) in [
@@ -134,11 +134,12 @@
     }
 }
 
-/// Another node leads the fleet while the one cut off goes on answering users; it loses no lease.
+/// Another node becomes leader while the old one is cut off from the state service and the other nodes; no worker lease
+/// ends.
 #[test]
 fn cut_off_leader_is_replaced_and_workers_keep_their_leases() {
     let mut world = world(7);
-    let leader = world.leader_at().expect("some node owns the fleet");
+    let leader = world.leader_at().expect("some node leads");
     let before = world.sessions_lost();
     world.bring(&Trouble::CutOff {
         who: Who::Leader,
@@ -155,23 +156,23 @@
     assert_rules_kept(&world);
 }
 
-/// A trouble brought about by hand and one of a day are the same; `Who::Leader` is whoever leads the fleet now.
+/// `Who::Leader` is the node that leads when the fault is injected.
 #[test]
 fn leader_faults_hit_the_current_leader() {
     let mut world = world(8);
-    let first = world.leader_at().expect("some node owns the fleet");
+    let first = world.leader_at().expect("some node leads");
     world.bring(&Trouble::Freeze {
         who: Who::Leader,
         ms: 30_000,
     });
     world.run_for(15_000);
-    // The first stands still and is of its old mind; the next one is who is hit.
+    // The first leader is suspended and still believes that it leads; later faults must hit its successor.
     world.bring(&Trouble::Crash {
         who: Who::Node(first),
         back_ms: 60_000,
     });
     world.run_for(5000);
-    let next = world.leader_at().expect("another node owns the fleet");
+    let next = world.leader_at().expect("another node leads");
     assert_ne!(next, first);
     world.bring(&Trouble::Refused {
         who: Who::Leader,
