--- a/crates/standins/tests/urgent.rs
+++ b/crates/standins/tests/urgent.rs
@@ -1,16 +1,17 @@
-//! Work of the highest priority starts within a second of its acceptance, also on a full fleet, whenever it comes.
+//! Jobs of the highest priority start within a second of their submission, also on a full fleet and at any time between
+//! two planning rounds.
 
 use standins::scene::{Scene, Timed, array};
 use standins::world::{Plan, World};
 use wire::api::Priority;
 
-/// From submission to the task on its machine, without the fetch of its image.
+/// Longest allowed time from submission to the start of the task, without the fetch of its image.
 const MAX_START_DELAY_MS: u64 = 1000;
-/// Machines of the stand-ins take this long for any image.
+/// Time that simulated machines need to fetch any image.
 const FETCH_MS: u64 = 1000;
 const URGENT_JOBS: u64 = 24;
 const FIRST_URGENT_MS: u64 = 90_000;
-/// Odd, so that they fall into every part of the second between two full plans.
+/// Not a multiple of a second, so that submissions fall into every part of the second between two full plans.
 const URGENT_EVERY_MS: u64 = 1370;
 
 fn timed(at: u64, run_ms: u64, spec: wire::api::JobSpec) -> Timed {
@@ -26,7 +27,7 @@
     2000 + number as u32
 }
 
-/// A fleet full of long tasks of low urgency, and urgent single tasks.
+/// A fleet filled with long tasks of low priority, and one-task jobs of production priority.
 fn scene() -> Scene {
     let mut low = array(1000, "red", 60, 3600.0);
     low.priority = Priority::Low;
