--- a/crates/standins/tests/limits_that_change.rs
+++ b/crates/standins/tests/limits_that_change.rs
@@ -1,5 +1,6 @@
 //! The limits of the state service drop without notice: values of 2 KiB instead of 8, and 5 changes per transaction
-//! instead of 16. Whether or not the settings announce the new limits, nothing is lost and no write is rejected forever.
+//! instead of 16. Whether or not the settings announce the new limits, nothing is lost and no write is rejected
+//! forever.
 
 use standins::scene::{Scene, Timed, array};
 use standins::state::Limits;
@@ -168,8 +169,8 @@
     }
 }
 
-/// The limits drop and rise several times, and the leader crashes meanwhile. With announced limits, no request may be
-/// too large, also while the larger limits are back.
+/// The limits drop and rise several times, and the leader crashes meanwhile. Controllers must not rely on the larger
+/// limits again when these return.
 #[test]
 fn limits_that_fall_and_rise_repeatedly() {
     for (seed, next) in [(1, None), (2, Some(AFTER)), (3, None), (4, Some(SMALLEST))] {
--- a/crates/standins/tests/machine_meetings.rs
+++ b/crates/standins/tests/machine_meetings.rs
@@ -1,5 +1,5 @@
-//! Machine faults combined with leader changes: machines that are mute or hang during a cancellation, machines that boot
-//! while writes are late, reports held for the next leader, and repeated leader changes.
+//! Machine faults combined with leader changes: machines that are mute or hang during a cancellation, machines that
+//! boot while writes are late, reports held for the next leader, and repeated leader changes.
 
 use standins::days::{Machines, NextLeader, Trouble, Who};
 use standins::scene::{Scene, Timed, array};
@@ -84,8 +84,9 @@
     }
 }
 
-/// The team is at its limit while jobs are cancelled whose machines hang or are mute, for less or more than a lease, and
-/// the leader changes during the cancellation or soon after. No rule is broken and all jobs end.
+/// The team is at its limit while jobs are cancelled whose machines hang or are mute, for less or more than a lease,
+/// and the leader changes during the cancellation or soon after. Limits must hold, stops must arrive in time, and free
+/// capacity must be noticed.
 #[test]
 fn limits_hold_when_jobs_on_hung_or_mute_machines_are_cancelled() {
     for round in 0..rounds_or_env(12) {
@@ -112,8 +113,8 @@
     }
 }
 
-/// All machines become mute for a long time while they run tasks that take longer than a lease. The tasks must restart on
-/// other machines, not repeatedly on machines where they can't end.
+/// All machines become mute for a long time while they run tasks that take longer than a lease. The tasks must restart
+/// on other machines, not repeatedly on machines where they can't end.
 #[test]
 fn tasks_of_mute_machines_restart_on_other_machines() {
     for round in 0..rounds_or_env(3) {
@@ -244,8 +245,9 @@
     }
 }
 
-/// Ten leader changes in two minutes, with an outage of the state service and, in every second round, a time longer than
-/// a lease without any controller. All jobs end, and the state service rejects no request as too large.
+/// Ten leader changes in two minutes, with an outage of the state service and, in every second round, a time longer
+/// than a lease without any controller. Accepted jobs must end, and reading the state back must stay within the limits
+/// of the state service.
 #[test]
 fn jobs_end_after_ten_leader_changes_in_two_minutes() {
     for round in 0..rounds_or_env(4) {
--- a/crates/standins/tests/machine_troubles.rs
+++ b/crates/standins/tests/machine_troubles.rs
@@ -59,7 +59,8 @@
     assert_rules_kept(&world);
 }
 
-/// Late reports are delivered once another leader has begun, not earlier; held reports are delivered to that leader only.
+/// Late reports are delivered once another leader has begun, not earlier; held reports are delivered to that leader
+/// only.
 #[test]
 fn late_reports_are_delivered_after_a_leader_change() {
     for (next, seed) in NEXT_LEADER_MODES.into_iter().zip(2..) {
@@ -151,7 +152,8 @@
     assert_rules_kept(&world);
 }
 
-/// Machines that hang for less than a lease lose no session; those that hang for longer do.
+/// Machines that hang for less than a lease keep their sessions and tasks; those that hang for longer lose their
+/// sessions.
 #[test]
 fn machines_that_hang_less_than_a_lease_keep_their_sessions() {
     let mut world = world(7);
--- a/crates/standins/tests/meetings.rs
+++ b/crates/standins/tests/meetings.rs
@@ -1,6 +1,6 @@
 //! A small fixed set of scenarios with combined faults: every named scenario with 3, 5 and 7 controllers, and pairs and
-//! triples that cover every kind of fault. `cargo run --release -q -p standins --example meetings` runs the others; with
-//! `-- --day NAME SEED NODES` it runs one scenario and prints the controllers' logs.
+//! triples that cover every kind of fault. `cargo run --release -q -p standins --example meetings` runs the others;
+//! with `-- --day NAME SEED NODES` it runs one scenario and prints the controllers' logs.
 
 use standins::days::Trouble;
 use standins::meetings::{Played, day, kinds, meeting, named, play, sabotaged};
@@ -40,7 +40,8 @@
     let played = parallel::map(&days, THREADS, |(name, nodes)| {
         play_and_assert(name, *nodes as u64, *nodes)
     });
-    // Some cancelled tasks were on machines after their users were told; otherwise the bound on that time would test nothing.
+    // Some cancelled tasks were on machines after their users were told; otherwise the bound on that time would test
+    // nothing.
     assert!(played.iter().any(|p| p.cancelled_life_ms > 1000));
     assert!(played.iter().any(|p| p.lost > 0));
 }
--- a/crates/standins/tests/old_reports.rs
+++ b/crates/standins/tests/old_reports.rs
@@ -1,5 +1,5 @@
-//! Copies of old reports arrive after newer ones: from an earlier session or attempt, at the next leader before any other
-//! report, from machines that were returned long ago, and at followers that only forward them.
+//! Copies of old reports arrive after newer ones: from an earlier session or attempt, at the next leader before any
+//! other report, from machines that were returned long ago, and at followers that only forward them.
 
 use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
@@ -70,8 +70,8 @@
 }
 
 /// A task ended in a session whose reports never arrived, so its end was lost with the session, and it started again in
-/// the next one. A copy of the report that lists it as ended reaches the next leader first. The task must still count as
-/// running.
+/// the next one. A copy of the report that lists it as ended reaches the next leader first. The task must still count
+/// as running.
 #[test]
 fn task_end_of_an_earlier_session_does_not_end_the_later_run() {
     for round in 0..9u64 {
@@ -126,8 +126,8 @@
     }
 }
 
-/// A gang runs in its second attempt. A copy of a report from the first attempt reaches the next leader first. The tasks
-/// that it lists no longer exist, and the running gang must not be broken because of it.
+/// A gang runs in its second attempt. A copy of a report from the first attempt reaches the next leader first. The
+/// tasks that it lists no longer exist, and the running gang must not be broken because of it.
 #[test]
 fn report_of_an_earlier_attempt_does_not_break_the_running_gang() {
     for round in 0..9u64 {
@@ -209,8 +209,8 @@
     on.filter_map(|o| Some(o[0].as_str()?.to_owned())).collect()
 }
 
-/// Copies of reports from returned machines arrive at the next leader, or much later at the same one. The leader may add
-/// these machines to its inventory, but must give them no tasks and return them again.
+/// Copies of reports from returned machines arrive at the next leader, or much later at the same one. The leader may
+/// add these machines to its inventory, but must give them no tasks and return them again.
 #[test]
 fn returned_machine_in_an_old_report_gets_no_task() {
     for round in 0..12u64 {
@@ -267,7 +267,8 @@
     }
 }
 
-/// Copies of a dead machine's reports keep arriving. The machine must be returned no more than 2 s later than without them.
+/// Copies of a dead machine's reports keep arriving. The machine must be returned no more than 2 s later than without
+/// them.
 #[test]
 fn old_reports_do_not_delay_the_return_of_a_dead_machine() {
     for round in 0..6u64 {
--- a/crates/standins/tests/one_task_flood.rs
+++ b/crates/standins/tests/one_task_flood.rs
@@ -1,5 +1,5 @@
-//! One-task jobs are submitted at four per second for two minutes, and a quarter of them is cancelled. Bounds the changes
-//! in the state service that they cause, and the delay of urgent jobs.
+//! One-task jobs are submitted at four per second for two minutes, and a quarter of them is cancelled. Bounds the
+//! changes in the state service that they cause, and the delay of urgent jobs.
 
 use standins::scene::{Scene, Timed, array};
 use standins::state::Limits;
--- a/crates/standins/tests/overload.rs
+++ b/crates/standins/tests/overload.rs
@@ -48,8 +48,8 @@
 }
 
 /// Reports and their processing need more time than the leader has. When messages were served in order of arrival,
-/// responses to lease renewals waited behind reports whose workers had given up. With the first seed there was no leader
-/// for 52 s, 157 leases ended, and 243 jobs had not ended five minutes after the last submission.
+/// responses to lease renewals waited behind reports whose workers had given up. With the first seed there was no
+/// leader for 52 s, 157 leases ended, and 243 jobs had not ended five minutes after the last submission.
 #[test]
 fn overloaded_leader_causes_no_leader_gap_and_no_lost_sessions() {
     for seed in SEEDS {
--- a/crates/standins/tests/spread_reports.rs
+++ b/crates/standins/tests/spread_reports.rs
@@ -10,7 +10,8 @@
 const SETTLED_MS: u64 = 60_000;
 const NODE_COUNTS: [usize; 3] = [2, 3, 5];
 
-/// A fleet that is busy throughout the test. Followers relay its reports if it has more than `direct_machines` machines.
+/// A fleet that is busy throughout the test. Followers relay its reports if it has more than `direct_machines`
+/// machines.
 fn world(seed: u64, nodes: usize, direct_machines: &str) -> World {
     let jobs = (0..6).map(|i| Timed {
         at: 1000,
@@ -60,8 +61,8 @@
     assert_eq!(relayed_in(&mut world, 60_000), 0);
 }
 
-/// After a leader crash, followers still relay reports to the next leader; after a follower crash, its workers report
-/// through another controller.
+/// After a leader crash, the next leader must not receive the reports of the whole fleet directly; after a follower
+/// crash, its workers must report through another controller.
 #[test]
 fn crash_of_any_controller_ends_no_worker_lease() {
     for nodes in [3, 5] {
--- a/crates/standins/tests/troubles.rs
+++ b/crates/standins/tests/troubles.rs
@@ -134,8 +134,8 @@
     }
 }
 
-/// Another node becomes leader while the old one is cut off from the state service and the other nodes; no worker lease
-/// ends.
+/// Another node becomes leader while the old one is cut off from the state service and the other nodes but still
+/// reachable for workers and users. No worker lease ends.
 #[test]
 fn cut_off_leader_is_replaced_and_workers_keep_their_leases() {
     let mut world = world(7);
@@ -156,7 +156,7 @@
     assert_rules_kept(&world);
 }
 
-/// `Who::Leader` is the node that leads when the fault is injected.
+/// Faults injected directly act as those of a scenario: `Who::Leader` is the node that leads at that moment.
 #[test]
 fn leader_faults_hit_the_current_leader() {
     let mut world = world(8);
