--- a/crates/standins/tests/machine_troubles.rs
+++ b/crates/standins/tests/machine_troubles.rs
@@ -175,7 +175,7 @@
 
 /// With quick boots, more machines are up one second after the first one than with usual boots.
 #[test]
-fn quick_boots_bring_up_all_machines_at_once() {
+fn quick_boots_bring_up_more_machines_within_a_second() {
     let boots = |quick: bool| {
         let mut world = World::new(Plan::of_scene(
             8,
@@ -223,7 +223,7 @@
 
 /// While links are slow, most workers keep their leases; afterwards no further message is delayed.
 #[test]
-fn slow_links_are_limited_in_time_and_keep_leases() {
+fn slow_links_end_in_time_and_lose_fewer_than_twelve_sessions() {
     let mut world = world(9);
     let before = world.sessions_lost();
     world.bring(&Trouble::SlowLinks { ms: 20_000 });
