--- a/crates/standins/tests/machine_troubles.rs
+++ b/crates/standins/tests/machine_troubles.rs
@@ -221,7 +221,7 @@
     .team("red", 24.0, 0.0)
 }
 
-/// While links are slow, most workers keep their leases; afterwards no further message is delayed.
+/// Slow links delay messages and cost fewer than twelve sessions; after the fault, no further message is delayed.
 #[test]
 fn slow_links_end_in_time_and_lose_fewer_than_twelve_sessions() {
     let mut world = world(9);
