--- a/crates/standins/tests/machine_troubles.rs
+++ b/crates/standins/tests/machine_troubles.rs
@@ -1,16 +1,16 @@
-//! Troubles of machines, links and reports that wait for the next leader: each does what it says.
+//! Fault injection for machines, links and reports held for the next leader: each fault has the effect it documents.
 
 use standins::days::{Machines, NextLeader, Trouble, Who};
 use standins::scene::{Scene, Timed, array};
 use standins::world::{Plan, World};
 
-const NEXT: [NextLeader; 3] = [
+const NEXT_LEADER_MODES: [NextLeader; 3] = [
     NextLeader::CopyToOne,
     NextLeader::CopyToAll,
     NextLeader::Held,
 ];
 
-/// A dozen machines with tasks of 20 s that come one after the other, and half a minute of it.
+/// Twelve machines and a stream of jobs with 20 s tasks, after the first 30 s.
 fn world(seed: u64) -> World {
     let job = |i: u32| Timed {
         at: 1000 + u64::from(i) * 3000,
@@ -34,12 +34,12 @@
     world
 }
 
-fn kept(world: &World) {
+fn assert_rules_kept(world: &World) {
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
 
 #[test]
-fn only_the_answers_of_writes_are_lost() {
+fn late_writes_at_once_lose_only_the_response() {
     let mut world = world(1);
     let before = world.state.revision;
     world.bring(&Trouble::LateWrites {
@@ -56,13 +56,14 @@
     assert_eq!(hits.unanswered_writes, hits.late_writes + hits.late_refused);
     world.run_for(30_000);
     assert_eq!(world.hits, hits);
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
-/// They come once another leader has begun, not before, and those held back to nobody else.
+/// Late reports are delivered once another leader has begun, not earlier; held reports are delivered to that leader
+/// only.
 #[test]
-fn reports_wait_for_the_next_leader() {
-    for (next, seed) in NEXT.into_iter().zip(2..) {
+fn late_reports_are_delivered_after_a_leader_change() {
+    for (next, seed) in NEXT_LEADER_MODES.into_iter().zip(2..) {
         let mut world = world(seed);
         world.bring(&Trouble::LateReports {
             share: 0.3,
@@ -86,13 +87,13 @@
             _ => assert!(hits.copies > 5 && hits.held_reports == 0, "{hits:?}"),
         }
         world.run_for(60_000);
-        kept(&world);
+        assert_rules_kept(&world);
     }
 }
 
-/// A copy for all comes to all that are there, so there are more of them.
+/// `CopyToAll` delivers each copy to all three running nodes, so three times as many copies arrive.
 #[test]
-fn copies_for_all_come_to_all() {
+fn copy_to_all_delivers_a_copy_to_every_node() {
     let copies = |next| {
         let mut world = world(5);
         world.bring(&Trouble::LateReports {
@@ -114,9 +115,9 @@
     );
 }
 
-/// Mute machines lose their leases; what is sent to them directly is carried out and answered meanwhile.
+/// Mute machines lose their leases, but still execute and answer the commands that are sent to them directly.
 #[test]
-fn the_mute_hear_and_are_not_heard() {
+fn mute_machines_execute_commands_and_lose_their_sessions() {
     let mut world = world(6);
     let before = world.sessions_lost();
     world.bring(&Trouble::Mute {
@@ -124,16 +125,16 @@
         ms: 18_000,
     });
     world.run_for(1000);
-    let on_mute =
+    let runs_on_mute_machine =
         |w: &World, job: &str| w.machines_of(job).iter().any(|m| w.zone_of(m) == Some("a"));
     let job = (1000..1040)
         .map(|i| format!("job-{i:06}"))
-        .find(|job| on_mute(&world, job));
-    let job = job.expect("zone a is at work");
+        .find(|job| runs_on_mute_machine(&world, job));
+    let job = job.expect("a job runs in zone a");
     world.cancel(&job);
-    // Far less than a lease.
+    // Well below a lease.
     world.run_for(8000);
-    assert!(!on_mute(&world, &job), "{job}");
+    assert!(!runs_on_mute_machine(&world, &job), "{job}");
     world.run_for(9000);
     let lost = world.sessions_lost() - before;
     assert!(
@@ -143,17 +144,18 @@
     );
     let sessions = world.sessions();
     world.run_for(40_000);
-    // None is lost once they are heard again. Machines may be returned and hired meanwhile.
+    // No session is lost once reports arrive again. Machines may be returned and rented meanwhile.
     let later = world.sessions();
     let same = |(m, n): (&String, &u64)| *n == sessions.get(m).copied().unwrap_or(1);
     assert!(later.iter().all(same), "{sessions:?}, then {later:?}");
     assert!(later.keys().filter(|m| sessions.contains_key(*m)).count() * 2 > sessions.len());
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
-/// Machines that hang for less than a lease keep their tasks, and these go on.
+/// Machines that hang for less than a lease keep their sessions and tasks; those that hang for longer lose their
+/// sessions.
 #[test]
-fn machines_hang_and_go_on() {
+fn machines_that_hang_less_than_a_lease_keep_their_sessions() {
     let mut world = world(7);
     let before = world.sessions_lost();
     world.bring(&Trouble::Hang {
@@ -168,19 +170,19 @@
     });
     world.run_for(25_000);
     assert!(world.sessions_lost() > before);
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
-/// All that are rented are up within two seconds, and some before that was answered.
+/// With quick boots, more machines are up one second after the first one than with usual boots.
 #[test]
-fn boots_are_quick() {
+fn quick_boots_bring_up_more_machines_within_a_second() {
     let boots = |quick: bool| {
         let mut world = World::new(Plan::of_scene(
             8,
             3,
             Scene {
                 machines: 12,
-                ..scene()
+                ..one_job_scene()
             },
             0,
             600_000,
@@ -192,7 +194,7 @@
         while !begun(&world) && world.now() < 1_060_000 {
             world.run_for(100);
         }
-        // Nothing else was rented later than those.
+        // Counts the machines that boot within the next second.
         let (up, at) = (world.machines().len(), world.now());
         world.run_for(1000);
         (up, world.machines().len(), at)
@@ -205,7 +207,7 @@
     );
 }
 
-fn scene() -> Scene {
+fn one_job_scene() -> Scene {
     let job = Timed {
         at: 1000,
         run_ms: 20_000,
@@ -219,9 +221,9 @@
     .team("red", 24.0, 0.0)
 }
 
-/// Answers take as long as they may, leases of workers last, and all is as it was afterwards.
+/// Slow links delay messages and cost fewer than twelve sessions; after the fault, no further message is delayed.
 #[test]
-fn links_are_slow_for_a_while() {
+fn slow_links_end_in_time_and_lose_fewer_than_twelve_sessions() {
     let mut world = world(9);
     let before = world.sessions_lost();
     world.bring(&Trouble::SlowLinks { ms: 20_000 });
@@ -232,5 +234,5 @@
     world.run_for(30_000);
     assert_eq!(world.hits.slow, slow);
     assert!(world.sessions_lost() - before < 12);
-    kept(&world);
+    assert_rules_kept(&world);
 }
--- a/crates/standins/tests/one_task_flood.rs
+++ b/crates/standins/tests/one_task_flood.rs
@@ -1,13 +1,13 @@
-//! One-task jobs come four a second for minutes, and a quarter of them is cancelled: what they cost in changes of the
-//! state service, and what of it the urgent feel.
+//! One-task jobs are submitted at four per second for two minutes, and a quarter of them is cancelled. Bounds the
+//! changes in the state service that they cause, and the delay of urgent jobs.
 
 use standins::scene::{Scene, Timed, array};
 use standins::state::Limits;
 use standins::world::{Plan, World};
 use wire::api::{JobSpec, Priority};
 
-/// What the state service bears.
-const LIMITS: Limits = Limits {
+/// Limits of the state service.
+const STATE_LIMITS: Limits = Limits {
     rps: 100.0,
     write_rps: 25.0,
     value_kb: 8.0,
@@ -17,11 +17,11 @@
 const FLOOD_MS: u64 = 120_000;
 const EVERY_MS: u64 = 250;
 const URGENT_EVERY_MS: u64 = 5000;
-/// An urgent job waits no longer than this, the fetch of its image included.
+/// Longest allowed wait of an urgent job, including the fetch of its image.
 const URGENT_WAIT_MS: u64 = 8000;
 
-/// The flood, and urgent jobs of the same size now and then.
-fn flood(seed: u64, nodes: usize, machines: usize) -> World {
+/// The flood of one-task jobs, and an urgent one-task job every five seconds.
+fn world_with_job_flood(seed: u64, nodes: usize, machines: usize) -> World {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut jobs = Vec::new();
     for i in 0..FLOOD_MS / EVERY_MS {
@@ -50,7 +50,7 @@
     let scene = Scene {
         jobs,
         machines,
-        limits: Some(LIMITS),
+        limits: Some(STATE_LIMITS),
         ..Scene::default()
     };
     World::new(Plan::of_scene(
@@ -62,7 +62,7 @@
     ))
 }
 
-/// How long each urgent job waited for its start; as long as may be if it never started.
+/// Time that each urgent job waited for its start; a very large value if it never started.
 fn urgent_waits(world: &World) -> Vec<u64> {
     let waited = |i: u64| {
         let began = world
@@ -75,10 +75,10 @@
     (0..FLOOD_MS / URGENT_EVERY_MS).map(waited).collect()
 }
 
-/// Plays the flood, with the leader lost in the middle of it or not, to the end of all jobs.
-fn play(seed: u64, nodes: usize, machines: usize, crash: bool) -> World {
-    let what = format!("{nodes} nodes, {machines} machines, leader lost: {crash}");
-    let mut world = flood(seed, nodes, machines);
+/// Runs the flood until all jobs end; with `crash`, the leader crashes in the middle of it.
+fn run_and_assert(seed: u64, nodes: usize, machines: usize, crash: bool) -> World {
+    let what = format!("{nodes} nodes, {machines} machines, leader crashes: {crash}");
+    let mut world = world_with_job_flood(seed, nodes, machines);
     world.run_for(BEGIN_MS);
     let before = world.state.counts;
     world.run_for(FLOOD_MS / 2);
@@ -95,7 +95,7 @@
     );
     assert!(
         counts.too_fast * 50 < counts.requests,
-        "{what}: refused too often: {counts:?}"
+        "{what}: too many rate-limited requests: {counts:?}"
     );
     world.run_for(150_000);
     assert!(
@@ -105,25 +105,25 @@
     );
     assert!(
         world.unfinished().is_empty(),
-        "{what}: never ended: {:?}",
+        "{what}: unfinished jobs: {:?}",
         world.unfinished()
     );
     world
 }
 
 #[test]
-fn a_flood_of_small_jobs_stays_within_the_changes_that_there_are() {
+fn one_task_job_flood_stays_within_five_changes_per_job() {
     for (seed, nodes) in [3, 5].into_iter().enumerate() {
         for crash in [false, true] {
-            play(seed as u64, nodes, 16, crash);
+            run_and_assert(seed as u64, nodes, 16, crash);
         }
     }
 }
 
-/// With less room than the flood wants, the urgent are served as they come.
+/// With less capacity than the flood requests, urgent jobs still start without delay.
 #[test]
-fn the_urgent_do_not_wait_for_the_flood() {
-    let world = play(2, 3, 7, false);
+fn urgent_jobs_start_within_eight_seconds_during_a_flood() {
+    let world = run_and_assert(2, 3, 7, false);
     let waits = urgent_waits(&world);
     assert!(waits.iter().all(|w| *w <= URGENT_WAIT_MS), "{waits:?}");
 }
--- a/crates/standins/tests/troubles.rs
+++ b/crates/standins/tests/troubles.rs
@@ -1,10 +1,10 @@
-//! Each trouble of the list does what it says: a trouble that hits nothing would let every test of it pass.
+//! Each kind of fault has the effect it documents: with a fault without effect, every test that uses it would pass.
 
 use standins::days::{Machines, NextLeader, Trouble, Who};
 use standins::scene::{Scene, Timed, array};
 use standins::world::{Plan, World};
 
-/// A dozen machines with tasks of 20 s that come one after the other, and half a minute of it.
+/// Twelve machines and a stream of jobs with 20 s tasks, after the first 30 s.
 fn world(seed: u64) -> World {
     let job = |i: u32| Timed {
         at: 1000 + u64::from(i) * 3000,
@@ -28,12 +28,12 @@
     world
 }
 
-fn kept(world: &World) {
+fn assert_rules_kept(world: &World) {
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
 
 #[test]
-fn late_writes_are_carried_out_after_newer_ones() {
+fn late_writes_are_applied_after_newer_ones() {
     let mut world = world(1);
     let before = world.state.counts.txns;
     world.bring(&Trouble::LateWrites {
@@ -48,16 +48,16 @@
         txns > hits.late_writes + hits.late_refused,
         "{hits:?} of {txns}"
     );
-    kept(&world);
-    // Over: nothing more is late.
+    assert_rules_kept(&world);
+    // The fault is over: no further write is late.
     let hits = world.hits;
     world.run_for(30_000);
     assert_eq!(world.hits, hits);
 }
 
-/// What is late is carried out even if its node is refused meanwhile, and not within an outage.
+/// A late write is applied even if requests of its node are refused meanwhile, but not during an outage.
 #[test]
-fn a_late_write_outlasts_a_refusal_and_waits_for_the_end_of_an_outage() {
+fn late_writes_are_applied_despite_refusals_but_not_during_an_outage() {
     let mut world = world(2);
     world.bring(&Trouble::LateWrites {
         share: 1.0,
@@ -76,11 +76,11 @@
     world.run_for(500);
     assert!(world.hits.late_writes > 0, "{:?}", world.hits);
     world.run_for(60_000);
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
 #[test]
-fn copies_of_reports_come_again_up_to_two_leases_later() {
+fn report_copies_arrive_up_to_two_leases_later() {
     let mut world = world(3);
     world.bring(&Trouble::LateReports {
         share: 0.5,
@@ -100,12 +100,12 @@
     let all = world.hits.copies;
     world.run_for(30_000);
     assert_eq!(world.hits.copies, all);
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
-/// The deaf lose their leases, and nobody else does.
+/// Only deaf machines lose their leases.
 #[test]
-fn the_deaf_report_and_hear_nothing() {
+fn deaf_machines_lose_their_leases_and_others_do_not() {
     for (machines, seed) in [
         (Machines::Count(3), 4),
         (Machines::Share(0.25), 5),
@@ -130,15 +130,16 @@
         world.run_for(40_000);
         assert_eq!(world.sessions_lost() - before, lost, "{machines:?}");
         assert_eq!(world.hits, hits, "{machines:?}");
-        kept(&world);
+        assert_rules_kept(&world);
     }
 }
 
-/// Another node leads the fleet while the one cut off goes on answering users; it loses no lease.
+/// Another node becomes leader while the old one is cut off from the state service and the other nodes but still
+/// reachable for workers and users. No worker lease ends.
 #[test]
-fn a_node_cut_off_loses_the_fleet_and_keeps_its_workers() {
+fn cut_off_leader_is_replaced_and_workers_keep_their_leases() {
     let mut world = world(7);
-    let leader = world.leader_at().expect("some node owns the fleet");
+    let leader = world.leader_at().expect("some node leads");
     let before = world.sessions_lost();
     world.bring(&Trouble::CutOff {
         who: Who::Leader,
@@ -152,26 +153,26 @@
     );
     world.run_for(40_000);
     assert_eq!(world.sessions_lost(), before);
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
-/// A trouble brought about by hand and one of a day are the same; `Who::Leader` is whoever leads the fleet now.
+/// Faults injected directly act as those of a scenario: `Who::Leader` is the node that leads at that moment.
 #[test]
-fn the_leader_is_whoever_leads_the_fleet_now() {
+fn leader_faults_hit_the_current_leader() {
     let mut world = world(8);
-    let first = world.leader_at().expect("some node owns the fleet");
+    let first = world.leader_at().expect("some node leads");
     world.bring(&Trouble::Freeze {
         who: Who::Leader,
         ms: 30_000,
     });
     world.run_for(15_000);
-    // The first stands still and is of its old mind; the next one is who is hit.
+    // The first leader is suspended and still believes that it leads; later faults must hit its successor.
     world.bring(&Trouble::Crash {
         who: Who::Node(first),
         back_ms: 60_000,
     });
     world.run_for(5000);
-    let next = world.leader_at().expect("another node owns the fleet");
+    let next = world.leader_at().expect("another node leads");
     assert_ne!(next, first);
     world.bring(&Trouble::Refused {
         who: Who::Leader,
@@ -179,5 +180,5 @@
     });
     world.run_for(8000);
     assert!(world.leader_at().is_some_and(|n| n != next));
-    kept(&world);
+    assert_rules_kept(&world);
 }
