--- a/crates/county/src/bind.rs
+++ b/crates/county/src/bind.rs
@@ -1,6 +1,6 @@
 //! Checked counties, and which of them a job belongs to.
 
-use crate::spec::{Apart, CountySpec, Others, Rule, Spec, fits};
+use crate::spec::{Apart, CountySpec, Others, Rule, Spec, matches_pattern};
 use crate::{MAX_COUNTIES, MAX_ID, MAX_NAME, MAX_NAMES, MAX_RULES, MAX_ZONES, OTHER};
 use document::{Fault, Faults, Place};
 use std::collections::{BTreeSet, HashMap};
@@ -52,8 +52,8 @@
     /// All rules in order: the county, and the rule's number in it.
     rules: Vec<(usize, usize)>,
     /// Rules by one name that a job must have to fit; and those that have to be tried for every job.
-    by_name: HashMap<(Field, String), Vec<usize>>,
-    rest: Vec<usize>,
+    rules_by_name: HashMap<(Field, String), Vec<usize>>,
+    unindexed_rules: Vec<usize>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -87,23 +87,23 @@
         }
         let mut seen = BTreeSet::new();
         for (i, c) in spec.counties.iter().enumerate() {
-            check(spec, known, &mut faults, i);
+            check_county(spec, known, &mut faults, i);
             if !seen.insert(c.id.as_str()) {
                 faults.add(
                     Place::entry("county", i),
-                    path(c),
+                    fault_path(c),
                     "stands here a second time",
                 );
             }
         }
-        shadowed(spec, &mut faults);
+        report_shadowed_rules(spec, &mut faults);
         let mut out = Counties {
             spec: spec.clone(),
             rules: Vec::new(),
-            by_name: HashMap::new(),
-            rest: Vec::new(),
+            rules_by_name: HashMap::new(),
+            unindexed_rules: Vec::new(),
         };
-        out.index();
+        out.index_rules();
         faults.or(out)
     }
 
@@ -129,12 +129,12 @@
     pub fn bind(&self, job: &Job<'_>) -> Result<Bound, Unbound> {
         let none: &[usize] = &[];
         let at = |field, name: &str| {
-            self.by_name
+            self.rules_by_name
                 .get(&(field, name.to_owned()))
                 .map_or(none, Vec::as_slice)
         };
         let mut lists = vec![
-            self.rest.as_slice(),
+            self.unindexed_rules.as_slice(),
             at(Field::Id, job.id),
             at(Field::Team, job.team),
             at(Field::Image, job.image),
@@ -143,7 +143,7 @@
         lists.extend(job.zone.map(|z| at(Field::Zone, z)));
         lists.extend(job.desks.iter().map(|d| at(Field::Desk, d)));
         // Each list is in order: the first of each that fits, and of these the first.
-        let first = |list: &&[usize]| list.iter().copied().find(|n| self.fits(*n, job));
+        let first = |list: &&[usize]| list.iter().copied().find(|n| self.rule_matches(*n, job));
         let Some(n) = lists.iter().filter_map(first).min() else {
             return match self.spec.others {
                 Others::Refuse => Err(Unbound::NoCounty),
@@ -170,22 +170,24 @@
         })
     }
 
-    fn fits(&self, n: usize, job: &Job<'_>) -> bool {
+    fn rule_matches(&self, n: usize, job: &Job<'_>) -> bool {
         let (c, r) = self.rules[n];
         let rule = &self.spec.counties[c].rules[r];
-        let has = |list: &[String], name: &str| list.is_empty() || list.iter().any(|l| l == name);
-        let like =
-            |list: &[String], name: &str| list.is_empty() || list.iter().any(|l| fits(l, name));
-        has(&rule.teams, job.team)
-            && has(&rule.classes, job.class)
-            && (rule.zones.is_empty() || job.zone.is_some_and(|z| has(&rule.zones, z)))
-            && (rule.desks.is_empty() || job.desks.iter().any(|d| has(&rule.desks, d)))
-            && like(&rule.images, job.image)
-            && like(&rule.ids, job.id)
+        let contains =
+            |list: &[String], name: &str| list.is_empty() || list.iter().any(|l| l == name);
+        let matches_any = |list: &[String], name: &str| {
+            list.is_empty() || list.iter().any(|l| matches_pattern(l, name))
+        };
+        contains(&rule.teams, job.team)
+            && contains(&rule.classes, job.class)
+            && (rule.zones.is_empty() || job.zone.is_some_and(|z| contains(&rule.zones, z)))
+            && (rule.desks.is_empty() || job.desks.iter().any(|d| contains(&rule.desks, d)))
+            && matches_any(&rule.images, job.image)
+            && matches_any(&rule.ids, job.id)
     }
 
     /// Sorts the rules by a name that fitting jobs must have, of their narrowest list without beginnings.
-    fn index(&mut self) {
+    fn index_rules(&mut self) {
         for (c, county) in self
             .spec
             .counties
@@ -210,34 +212,34 @@
                 match lists.iter().find(exact) {
                     Some((field, names)) => {
                         for name in names.iter().collect::<BTreeSet<_>>() {
-                            self.by_name
+                            self.rules_by_name
                                 .entry((*field, name.clone()))
                                 .or_default()
                                 .push(n);
                         }
                     }
-                    None => self.rest.push(n),
+                    None => self.unindexed_rules.push(n),
                 }
             }
         }
     }
 }
 
-fn path(c: &CountySpec) -> String {
+fn fault_path(c: &CountySpec) -> String {
     format!("county {:?}", c.id)
 }
 
-fn plain(id: &str) -> bool {
+fn is_valid_id(id: &str) -> bool {
     let ok = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
     !id.is_empty() && id.len() <= MAX_ID && id.bytes().all(ok)
 }
 
-fn check(spec: &Spec, known: &Known, faults: &mut Faults, i: usize) {
+fn check_county(spec: &Spec, known: &Known, faults: &mut Faults, i: usize) {
     let c = &spec.counties[i];
     let place = || Place::entry("county", i);
     let mut bad =
-        |field: &str, what: String| faults.add(place(), format!("{}{field}", path(c)), what);
-    if !plain(&c.id) {
+        |field: &str, what: String| faults.add(place(), format!("{}{field}", fault_path(c)), what);
+    if !is_valid_id(&c.id) {
         bad(
             ".id",
             format!("must be 1 to {MAX_ID} of a-z, 0-9, '-', '_' and '.'"),
@@ -328,25 +330,27 @@
 }
 
 /// Rules that can never decide, since an earlier one fits all that they do.
-fn shadowed(spec: &Spec, faults: &mut Faults) {
+fn report_shadowed_rules(spec: &Spec, faults: &mut Faults) {
     // By one name that the narrower rule has: only wider rules with that name, or without such a list, can cover it.
     let mut seen: Vec<(usize, usize, &Rule)> = Vec::new();
-    let mut steps = 0usize;
+    let mut comparisons = 0usize;
     for (i, c) in spec.counties.iter().enumerate() {
         for (r, rule) in c.rules.iter().enumerate() {
             // Past so many comparisons the rest is not looked at: shadowed rules do no harm but to puzzle.
-            if steps > 4_000_000 {
+            if comparisons > 4_000_000 {
                 return;
             }
-            steps += seen.len();
-            if let Some((ei, er, _)) = seen.iter().find(|(_, _, earlier)| earlier.covers(rule)) {
+            comparisons += seen.len();
+            if let Some((earlier_county, earlier_rule, _)) =
+                seen.iter().find(|(_, _, earlier)| earlier.covers(rule))
+            {
                 let what = format!(
-                    "never decides: {}.rule[{er}] fits all that it does",
-                    path(&spec.counties[*ei])
+                    "never decides: {}.rule[{earlier_rule}] fits all that it does",
+                    fault_path(&spec.counties[*earlier_county])
                 );
                 faults.add(
                     Place::entry("county", i),
-                    format!("{}.rule[{r}]", path(c)),
+                    format!("{}.rule[{r}]", fault_path(c)),
                     what,
                 );
             }
@@ -358,7 +362,7 @@
 impl Spec {
     /// Without the names that have left what is known. A rule that named nothing else goes with them,
     /// since without its list it would fit more than before.
-    pub(crate) fn without_the_left(&self, known: &Known) -> Spec {
+    pub(crate) fn without_unknown_names(&self, known: &Known) -> Spec {
         let mut out = self.clone();
         for c in &mut out.counties {
             c.rules.retain_mut(|rule| {
--- a/crates/county/src/content.rs
+++ b/crates/county/src/content.rs
@@ -35,8 +35,8 @@
     fn build(&self, known: &Known) -> Result<Counties, Vec<Fault>> {
         Counties::build(self, known)
     }
-    fn differences(old: &Self, new: &Self, most: usize) -> Vec<String> {
-        spec::differences(old, new, most)
+    fn differences(old: &Self, new: &Self, max_lines: usize) -> Vec<String> {
+        spec::differences(old, new, max_lines)
     }
     fn size(counties: &Counties) -> String {
         let rules: usize = counties.spec().counties.iter().map(|c| c.rules.len()).sum();
@@ -46,6 +46,6 @@
         )
     }
     fn fitting(&self, known: &Known) -> Spec {
-        self.without_the_left(known)
+        self.without_unknown_names(known)
     }
 }
--- a/crates/county/src/spec.rs
+++ b/crates/county/src/spec.rs
@@ -67,24 +67,25 @@
             .iter()
             .zip(other.lists())
             .all(|((_, mine), (_, theirs))| {
-                let fits = |t: &String| mine.iter().any(|m| wider(m, t));
-                mine.is_empty() || (!theirs.is_empty() && theirs.iter().all(fits))
+                let is_covered = |t: &String| mine.iter().any(|m| pattern_covers(m, t));
+                mine.is_empty() || (!theirs.is_empty() && theirs.iter().all(is_covered))
             })
     }
 }
 
 /// Whether a name, or a beginning with `*`, fits all that another does.
-fn wider(a: &str, b: &str) -> bool {
+fn pattern_covers(a: &str, b: &str) -> bool {
     match a.strip_suffix('*') {
-        Some(start) => b.strip_suffix('*').unwrap_or(b).starts_with(start),
+        Some(prefix) => b.strip_suffix('*').unwrap_or(b).starts_with(prefix),
         None => a == b,
     }
 }
 
 /// Whether a name of a rule fits that of a job.
-pub(crate) fn fits(rule: &str, name: &str) -> bool {
-    rule.strip_suffix('*')
-        .map_or(rule == name, |start| name.starts_with(start))
+pub(crate) fn matches_pattern(pattern: &str, name: &str) -> bool {
+    pattern
+        .strip_suffix('*')
+        .map_or(pattern == name, |prefix| name.starts_with(prefix))
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
@@ -131,7 +132,7 @@
 }
 
 /// What another document changes, a line each, at most so many.
-pub fn differences(old: &Spec, new: &Spec, most: usize) -> Vec<String> {
+pub fn differences(old: &Spec, new: &Spec, max_lines: usize) -> Vec<String> {
     let by_id = |s: &Spec| {
         s.counties
             .iter()
@@ -152,7 +153,7 @@
     for (id, c) in &after {
         match before.get(id) {
             None => out.push(format!("{id}: new")),
-            Some(b) => out.extend(changes(b, c)),
+            Some(b) => out.extend(county_differences(b, c)),
         }
     }
     out.extend(
@@ -165,37 +166,37 @@
     if out.is_empty() && order(old) != order(new) {
         out.push("the order of the rules".to_owned());
     }
-    out.truncate(most);
+    out.truncate(max_lines);
     out
 }
 
-fn changes(b: &CountySpec, c: &CountySpec) -> Vec<String> {
-    let id = &c.id;
+fn county_differences(before: &CountySpec, after: &CountySpec) -> Vec<String> {
+    let id = &after.id;
     let mut out = Vec::new();
-    if b.title() != c.title() {
+    if before.title() != after.title() {
         out.push(format!(
             "{id}: renamed from {:?} to {:?}",
-            b.title(),
-            c.title()
+            before.title(),
+            after.title()
         ));
     }
-    if c.closed && !b.closed {
-        let into = if c.into.is_empty() {
+    if after.closed && !before.closed {
+        let into = if after.into.is_empty() {
             String::new()
         } else {
-            format!(", split into {}", c.into.join(", "))
+            format!(", split into {}", after.into.join(", "))
         };
         out.push(format!("{id}: closed{into}; what is bound to it stays so"));
     }
-    if b.closed && !c.closed {
+    if before.closed && !after.closed {
         out.push(format!("{id}: open again"));
     }
-    if (b.apart, &b.zones) != (c.apart, &c.zones) {
+    if (before.apart, &before.zones) != (after.apart, &after.zones) {
         out.push(format!(
             "{id}: kept apart otherwise, for jobs still to come"
         ));
     }
-    if b.rules != c.rules {
+    if before.rules != after.rules {
         out.push(format!("{id}: other rules, for jobs still to come"));
     }
     out
@@ -204,7 +205,7 @@
 /// Bindings to what the new document no longer has. A county goes only once it was closed in the document before, so
 /// that nothing was bound to it since, and once no job is bound to it any more.
 pub fn lost(old: &Spec, new: &Spec, live: &BTreeMap<String, u64>) -> Vec<Fault> {
-    let gone = old
+    let removed = old
         .counties
         .iter()
         .filter(|c| new.counties.iter().all(|n| n.id != c.id));
@@ -217,5 +218,5 @@
         };
         Some(Fault::whole(&format!("county {:?}", c.id), what))
     };
-    gone.filter_map(fault).collect()
+    removed.filter_map(fault).collect()
 }
--- a/crates/county/src/tally.rs
+++ b/crates/county/src/tally.rs
@@ -9,7 +9,7 @@
 //! Who drives this has one transaction at a time: what is [`Tally::noted`] has been committed, and a fold is
 //! committed, or nobody's any more, before the next is made.
 
-mod division;
+mod split;
 
 use crate::{MAX_CLASSES, OTHER};
 use serde::{Deserialize, Serialize};
@@ -32,16 +32,16 @@
 }
 
 impl Count {
-    fn add(&mut self, o: &Count) {
-        self.done += o.done;
-        self.cancelled += o.cancelled;
-        self.tasks += o.tasks;
+    fn add(&mut self, other: &Count) {
+        self.done += other.done;
+        self.cancelled += other.cancelled;
+        self.tasks += other.tasks;
     }
-    fn less(&self, o: &Count) -> Count {
+    fn subtract(&self, other: &Count) -> Count {
         Count {
-            done: self.done.saturating_sub(o.done),
-            cancelled: self.cancelled.saturating_sub(o.cancelled),
-            tasks: self.tasks.saturating_sub(o.tasks),
+            done: self.done.saturating_sub(other.done),
+            cancelled: self.cancelled.saturating_sub(other.cancelled),
+            tasks: self.tasks.saturating_sub(other.tasks),
         }
     }
 }
@@ -129,18 +129,18 @@
 }
 
 #[derive(Debug, Default)]
-struct Page {
+struct SheetState {
     /// 0 until it is put.
-    stamp: u64,
-    upto: u64,
-    size: usize,
+    revision: u64,
+    watermark: u64,
+    reserved_bytes: usize,
     cells: BTreeSet<Cell>,
     /// Numbers above the watermark that have deltas for it.
-    due: BTreeSet<u64>,
+    pending_records: BTreeSet<u64>,
     /// It has cells of another sheet and was not put yet.
-    unput: bool,
+    unwritten: bool,
     /// Sheets with cells of this one, to be put before it.
-    after: BTreeSet<u32>,
+    written_after: BTreeSet<u32>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -148,38 +148,38 @@
     sheet: u32,
     folded: Count,
     /// Of the log, above the watermark.
-    fresh: Count,
+    unfolded: Count,
     /// It stands in the sheet as it was last put.
-    recorded: bool,
+    in_written_sheet: bool,
 }
 
 #[derive(Debug)]
 pub struct Tally {
     state: Result<(), Unread>,
     /// Bound on a sheet's length.
-    limit: usize,
-    sheets: BTreeMap<u32, Page>,
+    max_sheet_bytes: usize,
+    sheets: BTreeMap<u32, SheetState>,
     cells: BTreeMap<Cell, Entry>,
     /// Deltas that were noted before the sheets were known.
-    early: BTreeMap<u64, Vec<Delta>>,
+    records_before_load: BTreeMap<u64, Vec<Delta>>,
     /// Log records with deltas that are not folded everywhere, and the sheets that they still wait for.
-    open: BTreeMap<u64, BTreeSet<u32>>,
-    classes: BTreeMap<String, BTreeSet<String>>,
-    highest: u64,
+    open_records: BTreeMap<u64, BTreeSet<u32>>,
+    classes_by_county: BTreeMap<String, BTreeSet<String>>,
+    highest_record: u64,
 }
 
 impl Tally {
     /// Knows nothing yet; its sheets will be no longer than this.
-    pub fn new(limit: usize) -> Self {
+    pub fn new(max_sheet_bytes: usize) -> Self {
         Tally {
             state: Err(Unread::NotYet),
-            limit,
+            max_sheet_bytes,
             sheets: BTreeMap::new(),
             cells: BTreeMap::new(),
-            early: BTreeMap::new(),
-            open: BTreeMap::new(),
-            classes: BTreeMap::new(),
-            highest: 0,
+            records_before_load: BTreeMap::new(),
+            open_records: BTreeMap::new(),
+            classes_by_county: BTreeMap::new(),
+            highest_record: 0,
         }
     }
 
@@ -197,42 +197,42 @@
     }
 
     pub fn sheet_read(&mut self, number: u32, stamp: u64, sheet: Sheet) {
-        let mut page = Page {
-            stamp,
-            upto: sheet.upto,
-            ..Page::default()
+        let mut sheet_state = SheetState {
+            revision: stamp,
+            watermark: sheet.upto,
+            ..SheetState::default()
         };
         for d in sheet.cells {
             let cell = d.cell();
-            page.size += Delta::frame(&d.county, &d.class);
-            self.class_seen(&d.county, &d.class);
-            if !self.counts_by(&cell, number, sheet.upto) {
+            sheet_state.reserved_bytes += Delta::frame(&d.county, &d.class);
+            self.register_class(&d.county, &d.class);
+            if !self.is_latest_copy(&cell, number, sheet.upto) {
                 continue;
             }
-            page.cells.insert(cell.clone());
+            sheet_state.cells.insert(cell.clone());
             let entry = Entry {
                 sheet: number,
                 folded: d.count(),
-                fresh: Count::default(),
-                recorded: true,
+                unfolded: Count::default(),
+                in_written_sheet: true,
             };
             self.cells.insert(cell, entry);
         }
-        self.sheets.insert(number, page);
+        self.sheets.insert(number, sheet_state);
     }
 
     /// All sheets were read, and whether all could be understood. Returns the log records that may go.
-    pub fn reading_over(&mut self, all: bool) -> Vec<u64> {
-        if !all {
+    pub fn reading_over(&mut self, all_decoded: bool) -> Vec<u64> {
+        if !all_decoded {
             self.state = Err(Unread::Bad);
             return Vec::new();
         }
         self.state = Ok(());
-        self.divide();
-        let early = std::mem::take(&mut self.early);
+        self.split_oversized_sheets();
+        let early = std::mem::take(&mut self.records_before_load);
         early
             .into_iter()
-            .filter(|(n, deltas)| !self.count(*n, deltas))
+            .filter(|(n, deltas)| !self.count_record(*n, deltas))
             .map(|(n, _)| n)
             .collect()
     }
@@ -240,106 +240,106 @@
     /// Deltas of a log record that stands. True if the record has to stay for them.
     pub fn noted(&mut self, number: u64, deltas: Vec<Delta>) -> bool {
         for d in &deltas {
-            self.class_seen(&d.county, &d.class);
+            self.register_class(&d.county, &d.class);
         }
         if self.state.is_err() {
-            self.early.insert(number, deltas);
+            self.records_before_load.insert(number, deltas);
             return true;
         }
-        self.count(number, &deltas)
+        self.count_record(number, &deltas)
     }
 
-    fn count(&mut self, number: u64, deltas: &[Delta]) -> bool {
-        self.highest = self.highest.max(number);
-        let mut waits = BTreeSet::new();
+    fn count_record(&mut self, number: u64, deltas: &[Delta]) -> bool {
+        self.highest_record = self.highest_record.max(number);
+        let mut waiting_sheets = BTreeSet::new();
         for d in deltas {
             let cell = d.cell();
             let sheet = self
                 .cells
                 .get(&cell)
                 .map(|e| e.sheet)
-                .unwrap_or_else(|| self.assign(&cell));
-            let (Some(entry), Some(page)) =
+                .unwrap_or_else(|| self.assign_sheet(&cell));
+            let (Some(entry), Some(sheet_state)) =
                 (self.cells.get_mut(&cell), self.sheets.get_mut(&sheet))
             else {
                 continue;
             };
             // What the sheet has already is not counted again.
-            if entry.recorded && page.upto >= number {
+            if entry.in_written_sheet && sheet_state.watermark >= number {
                 continue;
             }
-            entry.fresh.add(&d.count());
-            page.due.insert(number);
-            waits.insert(sheet);
+            entry.unfolded.add(&d.count());
+            sheet_state.pending_records.insert(number);
+            waiting_sheets.insert(sheet);
         }
-        let stays = !waits.is_empty();
-        if stays {
-            self.open.insert(number, waits);
+        let must_stay = !waiting_sheets.is_empty();
+        if must_stay {
+            self.open_records.insert(number, waiting_sheets);
         }
-        stays
+        must_stay
     }
 
     /// A sheet for a new cell: the last one that has room, or a new one.
-    fn assign(&mut self, cell: &Cell) -> u32 {
+    fn assign_sheet(&mut self, cell: &Cell) -> u32 {
         let size = Delta::frame(&cell.county, &cell.class);
         let last = self.sheets.iter().next_back();
         let open = last
-            .filter(|(_, p)| p.size + size <= self.limit)
+            .filter(|(_, p)| p.reserved_bytes + size <= self.max_sheet_bytes)
             .map(|(n, _)| *n);
         let number = open.unwrap_or_else(|| last.map_or(0, |(n, _)| n + 1));
-        let page = self.sheets.entry(number).or_default();
-        page.size += size;
-        page.cells.insert(cell.clone());
+        let sheet_state = self.sheets.entry(number).or_default();
+        sheet_state.reserved_bytes += size;
+        sheet_state.cells.insert(cell.clone());
         let entry = Entry {
             sheet: number,
             folded: Count::default(),
-            fresh: Count::default(),
-            recorded: false,
+            unfolded: Count::default(),
+            in_written_sheet: false,
         };
         self.cells.insert(cell.clone(), entry);
         number
     }
 
     /// The sheets that have waited longest, at most so many, as they are to be put.
-    pub fn fold(&self, most: usize) -> Option<Fold> {
+    pub fn fold(&self, max_sheets: usize) -> Option<Fold> {
         if self.state.is_err() {
             return None;
         }
-        let mut due: Vec<(u64, u32)> = self
+        let mut pending: Vec<(u64, u32)> = self
             .sheets
             .iter()
-            .filter(|(_, p)| self.may_put(p))
+            .filter(|(_, p)| self.may_write(p))
             .filter_map(|(n, p)| {
-                let first = if p.unput {
+                let first = if p.unwritten {
                     Some(0)
                 } else {
-                    p.due.first().copied()
+                    p.pending_records.first().copied()
                 };
                 Some((first?, *n))
             })
             .collect();
-        due.sort_unstable();
+        pending.sort_unstable();
         let put = |number: u32| {
-            let page = self.sheets.get(&number)?;
+            let sheet_state = self.sheets.get(&number)?;
             let cell = |c: &Cell| {
                 let entry = self.cells.get(c)?;
                 let mut count = entry.folded;
-                count.add(&entry.fresh);
+                count.add(&entry.unfolded);
                 Some(Delta::new(c, &count))
             };
-            let cells = page.cells.iter().filter_map(cell).collect();
+            let cells = sheet_state.cells.iter().filter_map(cell).collect();
             Some((
                 number,
-                page.stamp,
+                sheet_state.revision,
                 Sheet {
-                    upto: self.highest.max(page.upto),
+                    upto: self.highest_record.max(sheet_state.watermark),
                     cells,
                 },
             ))
         };
-        let puts: Vec<_> = due
+        let puts: Vec<_> = pending
             .into_iter()
-            .take(most)
+            .take(max_sheets)
             .filter_map(|(_, n)| put(n))
             .collect();
         (!puts.is_empty()).then_some(Fold { puts })
@@ -347,44 +347,44 @@
 
     /// A fold stands, at this revision. Returns the log records that may go.
     pub fn folded(&mut self, fold: &Fold, revision: u64) -> Vec<u64> {
-        let mut over = Vec::new();
+        let mut releasable = Vec::new();
         for (number, _, sheet) in &fold.puts {
-            let Some(page) = self.sheets.get_mut(number) else {
+            let Some(sheet_state) = self.sheets.get_mut(number) else {
                 continue;
             };
-            (page.stamp, page.upto) = (revision, sheet.upto);
-            page.unput = false;
-            let rest = page.due.split_off(&(sheet.upto + 1));
-            for n in std::mem::replace(&mut page.due, rest) {
-                let Some(waits) = self.open.get_mut(&n) else {
+            (sheet_state.revision, sheet_state.watermark) = (revision, sheet.upto);
+            sheet_state.unwritten = false;
+            let rest = sheet_state.pending_records.split_off(&(sheet.upto + 1));
+            for n in std::mem::replace(&mut sheet_state.pending_records, rest) {
+                let Some(waiting_sheets) = self.open_records.get_mut(&n) else {
                     continue;
                 };
-                waits.remove(number);
-                if waits.is_empty() {
-                    self.open.remove(&n);
-                    over.push(n);
+                waiting_sheets.remove(number);
+                if waiting_sheets.is_empty() {
+                    self.open_records.remove(&n);
+                    releasable.push(n);
                 }
             }
             for d in &sheet.cells {
                 if let Some(entry) = self.cells.get_mut(&d.cell()) {
                     // What came meanwhile is not in it.
-                    entry.fresh = entry.fresh.less(&d.count().less(&entry.folded));
+                    entry.unfolded = entry.unfolded.subtract(&d.count().subtract(&entry.folded));
                     entry.folded = d.count();
-                    entry.recorded = true;
+                    entry.in_written_sheet = true;
                 }
             }
         }
-        over
+        releasable
     }
 
-    fn class_seen(&mut self, county: &str, class: &str) -> bool {
-        let known = self.classes.entry(county.to_owned()).or_default();
+    fn register_class(&mut self, county: &str, class: &str) -> bool {
+        let known = self.classes_by_county.entry(county.to_owned()).or_default();
         known.contains(class) || (known.len() < MAX_CLASSES && known.insert(class.to_owned()))
     }
 
     /// The cell that a job is counted in.
     pub fn cell(&mut self, county: &str, class: &str) -> Cell {
-        let class = if self.class_seen(county, class) {
+        let class = if self.register_class(county, class) {
             class
         } else {
             OTHER
@@ -400,7 +400,7 @@
         self.state?;
         let sum = |e: &Entry| {
             let mut count = e.folded;
-            count.add(&e.fresh);
+            count.add(&e.unfolded);
             count
         };
         Ok(self
@@ -412,6 +412,9 @@
 
     /// Log records that wait to be folded, and the number of sheets.
     pub fn backlog(&self) -> (usize, usize) {
-        (self.open.len() + self.early.len(), self.sheets.len())
+        (
+            self.open_records.len() + self.records_before_load.len(),
+            self.sheets.len(),
+        )
     }
 }
