--- a/crates/county/src/bind.rs
+++ b/crates/county/src/bind.rs
@@ -1,58 +1,59 @@
-//! Checked counties, and which of them a job belongs to.
+//! Validates counties and binds jobs to them.
 
 use crate::spec::{Apart, CountySpec, Others, Rule, Spec, matches_pattern};
 use crate::{MAX_COUNTIES, MAX_ID, MAX_NAME, MAX_NAMES, MAX_RULES, MAX_ZONES, OTHER};
 use document::{Fault, Faults, Place};
 use std::collections::{BTreeSet, HashMap};
 
-/// What counties have to fit.
+/// The names that a counties document may refer to.
 #[derive(Debug, Clone, Default)]
 pub struct Known {
     pub teams: BTreeSet<String>,
     pub zones: BTreeSet<String>,
-    /// Nodes of the quota tree, where they are known.
+    /// Nodes of the quota tree; `None` if they are not known, in which case they are not checked.
     pub desks: Option<BTreeSet<String>>,
 }
 
-/// A job, as far as rules ask.
+/// The properties of a job that rules match on.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Job<'a> {
     pub id: &'a str,
     pub team: &'a str,
-    /// The nodes above its team.
+    /// The ancestors of its team in the quota tree.
     pub desks: &'a [&'a str],
     pub class: &'a str,
     pub zone: Option<&'a str>,
     pub image: &'a str,
 }
 
-/// What a job was bound to.
+/// The county that a job is bound to, with the restrictions on where it may run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Bound {
     pub county: String,
-    /// It shares no machine with others at the same time.
+    /// Whether the job must not share a machine with jobs outside its county at the same time.
     pub alone: bool,
-    /// The only zones that it may run in; none for all.
+    /// The only zones that the job may run in; empty if it may run in all.
     pub zones: Vec<String>,
 }
 
-/// Why a job is bound to nothing.
+/// Why a job could not be bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unbound {
-    /// No rule fits, and such jobs are refused.
+    /// No rule matches, and the document refuses such jobs.
     NoCounty,
-    /// It asks for a zone that its county may not use.
+    /// The job requests a zone that its county may not use.
     ForeignZone,
 }
 
-/// Counties that hold together.
+/// A validated counties document, indexed for binding jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Counties {
     spec: Spec,
-    /// All rules in order: the county, and the rule's number in it.
+    /// The rules of open counties, in order: index of the county, and index of the rule within it.
     rules: Vec<(usize, usize)>,
-    /// Rules by one name that a job must have to fit; and those that have to be tried for every job.
+    /// Indices into `rules`, by a name that a job must have to match the rule.
     rules_by_name: HashMap<(Field, String), Vec<usize>>,
+    /// Indices into `rules` of those that have to be tried for every job.
     unindexed_rules: Vec<usize>,
 }
 
@@ -67,13 +68,13 @@
 }
 
 impl Counties {
-    /// Checks that the counties hold together and fit what is known.
+    /// Validates the document by itself and against the known names.
     pub fn build(spec: &Spec, known: &Known) -> Result<Self, Vec<Fault>> {
         let mut faults = Faults::default();
         let rules: usize = spec.counties.iter().map(|c| c.rules.len()).sum();
         if spec.counties.len() > MAX_COUNTIES || rules > MAX_RULES {
             let what = format!(
-                "{} counties with {rules} rules; at most {MAX_COUNTIES} and {MAX_RULES}",
+                "{} counties with {rules} rules; at most {MAX_COUNTIES} and {MAX_RULES} are allowed",
                 spec.counties.len()
             );
             return Err(vec![Fault::whole("county", what)]);
@@ -82,7 +83,7 @@
             faults.add(
                 Place::Whole,
                 "others",
-                "without any rule every job would be refused",
+                "without any rule, every job would be refused",
             );
         }
         let mut seen = BTreeSet::new();
@@ -92,7 +93,7 @@
                 faults.add(
                     Place::entry("county", i),
                     fault_path(c),
-                    "stands here a second time",
+                    "duplicate county id",
                 );
             }
         }
@@ -115,7 +116,7 @@
         self.spec.counties.iter().find(|c| c.id == id)
     }
 
-    /// All nodes of the quota tree that rules ask for, with county and rule.
+    /// All nodes of the quota tree that rules refer to, with the county's id and the index of the rule.
     pub fn desks(&self) -> impl Iterator<Item = (&str, usize, &String)> {
         let rules = self
             .spec
@@ -125,7 +126,7 @@
         rules.flat_map(|(c, (r, rule))| rule.desks.iter().map(move |d| (c.id.as_str(), r, d)))
     }
 
-    /// The county of the first rule that fits.
+    /// Binds a job to the county of the first rule that matches it.
     pub fn bind(&self, job: &Job<'_>) -> Result<Bound, Unbound> {
         let none: &[usize] = &[];
         let at = |field, name: &str| {
@@ -142,7 +143,7 @@
         ];
         lists.extend(job.zone.map(|z| at(Field::Zone, z)));
         lists.extend(job.desks.iter().map(|d| at(Field::Desk, d)));
-        // Each list is in order: the first of each that fits, and of these the first.
+        // Each list is in rule order, so the first matching rule overall is the lowest of the first matches per list.
         let first = |list: &&[usize]| list.iter().copied().find(|n| self.rule_matches(*n, job));
         let Some(n) = lists.iter().filter_map(first).min() else {
             return match self.spec.others {
@@ -186,7 +187,8 @@
             && matches_any(&rule.ids, job.id)
     }
 
-    /// Sorts the rules by a name that fitting jobs must have, of their narrowest list without beginnings.
+    /// Indexes each rule by the names of its most selective list without `*` patterns; `lists` is in order of
+    /// selectivity. Closed counties are left out.
     fn index_rules(&mut self) {
         for (c, county) in self
             .spec
@@ -242,7 +244,7 @@
     if !is_valid_id(&c.id) {
         bad(
             ".id",
-            format!("must be 1 to {MAX_ID} of a-z, 0-9, '-', '_' and '.'"),
+            format!("must be 1 to {MAX_ID} characters of a-z, 0-9, '-', '_' and '.'"),
         );
     }
     if c.name
@@ -257,43 +259,46 @@
     if (c.apart == Apart::Zones) == c.zones.is_empty() {
         bad(
             ".zones",
-            "are named if, and only if, apart is \"zones\"".into(),
+            "must be set if, and only if, apart is \"zones\"".into(),
         );
     }
     if c.zones.len() > MAX_ZONES {
         bad(
             ".zones",
-            format!("{} zones; at most {MAX_ZONES}", c.zones.len()),
+            format!("{} zones; at most {MAX_ZONES} are allowed", c.zones.len()),
         );
     }
     for z in c.zones.iter().filter(|z| !known.zones.contains(*z)) {
-        bad(".zones", format!("no zone {z:?} in the settings"));
+        bad(".zones", format!("zone {z:?} is not in the settings"));
     }
     if c.closed && !c.rules.is_empty() {
         bad(
             ".rule",
-            "a closed county has no rules: nothing is bound to it any more".into(),
+            "a closed county must have no rules, since no jobs are bound to it any more".into(),
         );
     }
     if !c.closed && !c.into.is_empty() {
-        bad(".into", "only a closed county was split into others".into());
+        bad(".into", "only allowed for a closed county".into());
     }
     for other in &c.into {
         if *other == c.id || spec.counties.iter().all(|o| o.id != *other) {
-            bad(".into", format!("no other county {other:?}"));
+            bad(".into", format!("no other county has the id {other:?}"));
         }
     }
     for (r, rule) in c.rules.iter().enumerate() {
         if *rule == Rule::default() {
             bad(
                 &format!(".rule[{r}]"),
-                "names nothing, so it would fit every job".into(),
+                "has no lists, so it would match every job".into(),
             );
         }
         for (list, names) in rule.lists() {
             let at = format!(".rule[{r}].{list}");
             if names.len() > MAX_NAMES {
-                bad(&at, format!("{} names; at most {MAX_NAMES}", names.len()));
+                bad(
+                    &at,
+                    format!("{} names; at most {MAX_NAMES} are allowed", names.len()),
+                );
             }
             if let Some(n) = names
                 .iter()
@@ -301,7 +306,7 @@
             {
                 bad(
                     &at,
-                    format!("{n:?}: must be 1 to {MAX_NAME} bytes, and more than \"*\""),
+                    format!("{n:?}: must be 1 to {MAX_NAME} bytes, and not just \"*\""),
                 );
             }
             let all = match list {
@@ -323,20 +328,20 @@
         {
             bad(
                 &format!(".rule[{r}].zones"),
-                "none of them is a zone that the county may use".into(),
+                "the county may not use any of these zones".into(),
             );
         }
     }
 }
 
-/// Rules that can never decide, since an earlier one fits all that they do.
+/// Reports rules that can never decide because an earlier rule matches every job that they match.
 fn report_shadowed_rules(spec: &Spec, faults: &mut Faults) {
     // By one name that the narrower rule has: only wider rules with that name, or without such a list, can cover it.
     let mut seen: Vec<(usize, usize, &Rule)> = Vec::new();
     let mut comparisons = 0usize;
     for (i, c) in spec.counties.iter().enumerate() {
         for (r, rule) in c.rules.iter().enumerate() {
-            // Past so many comparisons the rest is not looked at: shadowed rules do no harm but to puzzle.
+            // Bounds the time of the check. Shadowed rules that it misses are confusing but harmless.
             if comparisons > 4_000_000 {
                 return;
             }
@@ -345,7 +350,7 @@
                 seen.iter().find(|(_, _, earlier)| earlier.covers(rule))
             {
                 let what = format!(
-                    "never decides: {}.rule[{earlier_rule}] fits all that it does",
+                    "never applies: {}.rule[{earlier_rule}] matches every job that it matches",
                     fault_path(&spec.counties[*earlier_county])
                 );
                 faults.add(
@@ -360,8 +365,8 @@
 }
 
 impl Spec {
-    /// Without the names that have left what is known. A rule that named nothing else goes with them,
-    /// since without its list it would fit more than before.
+    /// Removes names that are not known any more. A rule with a list that becomes empty is removed as a whole, since
+    /// without that list it would match more jobs than before.
     pub(crate) fn without_unknown_names(&self, known: &Known) -> Spec {
         let mut out = self.clone();
         for c in &mut out.counties {
--- a/crates/county/src/content.rs
+++ b/crates/county/src/content.rs
@@ -1,10 +1,10 @@
-//! Counties as a document.
+//! Implements the document interface for counties.
 
 use crate::{Counties, CountySpec, Known, Others, Spec, spec};
 use document::{Content, Fault, Packer};
 use serde::{Deserialize, Serialize};
 
-/// Some counties, as one record holds them.
+/// The counties that are stored in one record.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Part {
     #[serde(default)]
--- a/crates/county/src/file.rs
+++ b/crates/county/src/file.rs
@@ -1,4 +1,4 @@
-//! Counties as operators write them: TOML.
+//! The TOML file format of counties.
 
 use crate::spec::{CountySpec, Others, Spec};
 use document::Fault;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Reads a file's text. Whether it holds together is for [`crate::Counties::build`] to say.
+/// Parses a file's text. Its content is validated by [`crate::Counties::build`].
 pub fn parse(text: &str) -> Result<Parsed<Spec>, Vec<Fault>> {
     document::file::parse::<File>(text)
 }
--- a/crates/county/src/spec.rs
+++ b/crates/county/src/spec.rs
@@ -1,56 +1,56 @@
-//! What people and records say of counties, before it is checked, and how one document follows another.
+//! The counties document before validation, and comparisons between two of its versions.
 
 use document::Fault;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What becomes of jobs that no rule fits.
+/// How to treat jobs that no rule matches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Others {
-    /// They run, and are counted apart, as `(other)`.
+    /// Run them, and count them separately, as `(other)`.
     #[default]
     Count,
-    /// They are refused, with the reason.
+    /// Refuse them, with the reason.
     Refuse,
 }
 
-/// What is kept apart on machines.
+/// How a county's jobs are isolated from other jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Apart {
     #[default]
     Nothing,
-    /// On one machine at the same time with no work of any other county, or of none.
+    /// They never share a machine at the same time with jobs of another county or of no county.
     Machine,
-    /// Only on machines of the zones that are named.
+    /// They run only on machines in the listed zones.
     Zones,
 }
 
-/// A job belongs here if it fits every list that is given. Images and ids may end in `*`.
+/// A job matches the rule if it matches every non-empty list. Images and ids may end in `*`, which matches any suffix.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub teams: Vec<String>,
-    /// Nodes of the quota tree that the job's team hangs below.
+    /// Nodes of the quota tree that are ancestors of the job's team.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub desks: Vec<String>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub classes: Vec<String>,
-    /// Zones that the job itself asks for.
+    /// Zones that the job requests.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub zones: Vec<String>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<String>,
-    /// Single jobs.
+    /// Job ids.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub ids: Vec<String>,
 }
 
 impl Rule {
-    /// Its lists with their names.
+    /// The lists of this rule, with their field names.
     pub(crate) fn lists(&self) -> [(&'static str, &[String]); 6] {
         [
             ("teams", &self.teams),
@@ -61,7 +61,7 @@
             ("ids", &self.ids),
         ]
     }
-    /// It fits all that the other does.
+    /// Whether this rule matches every job that `other` matches.
     pub(crate) fn covers(&self, other: &Rule) -> bool {
         self.lists()
             .iter()
@@ -73,7 +73,7 @@
     }
 }
 
-/// Whether a name, or a beginning with `*`, fits all that another does.
+/// Whether the name or `*` pattern `a` matches every name that `b` matches.
 fn pattern_covers(a: &str, b: &str) -> bool {
     match a.strip_suffix('*') {
         Some(prefix) => b.strip_suffix('*').unwrap_or(b).starts_with(prefix),
@@ -81,7 +81,7 @@
     }
 }
 
-/// Whether a name of a rule fits that of a job.
+/// Whether a name or `*` pattern of a rule matches a name of a job.
 pub(crate) fn matches_pattern(pattern: &str, name: &str) -> bool {
     pattern
         .strip_suffix('*')
@@ -91,20 +91,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CountySpec {
-    /// Never changes: counts and bindings name it.
+    /// Must never change: counts and bindings refer to it.
     pub id: String,
-    /// For people; a county is renamed here.
+    /// Display name. Unlike the id, it can be changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub name: Option<String>,
     #[serde(default, skip_serializing_if = "is_default")]
     pub apart: Apart,
-    /// With `apart = "zones"`: which.
+    /// The zones that jobs may run in; set if, and only if, `apart = "zones"`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub zones: Vec<String>,
-    /// No job is bound to it any more; what is bound stays, and so do its counts.
+    /// No further jobs are bound to the county. Existing bindings and counts remain.
     #[serde(default, skip_serializing_if = "is_default")]
     pub closed: bool,
-    /// The counties that a closed one was split into, for those who read its counts later.
+    /// The counties that a closed county was split into; information for readers of its counts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub into: Vec<String>,
     #[serde(default, rename = "rule", skip_serializing_if = "Vec::is_empty")]
@@ -117,7 +117,7 @@
     }
 }
 
-/// Counties as they are written down; the first rule that fits decides, in the order of the file.
+/// The counties document. The first matching rule decides, in the order of the file.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Spec {
@@ -131,7 +131,7 @@
     *v == T::default()
 }
 
-/// What another document changes, a line each, at most so many.
+/// The changes from `old` to `new`, one line each, at most `max_lines`.
 pub fn differences(old: &Spec, new: &Spec, max_lines: usize) -> Vec<String> {
     let by_id = |s: &Spec| {
         s.counties
@@ -202,8 +202,9 @@
     out
 }
 
-/// Bindings to what the new document no longer has. A county goes only once it was closed in the document before, so
-/// that nothing was bound to it since, and once no job is bound to it any more.
+/// Faults for counties that `new` must not remove yet. A county can be removed only if it is closed in `old`, so that
+/// no job can be bound to it in the meantime, and if no live job is bound to it. `live` is the number of live jobs by
+/// county.
 pub fn lost(old: &Spec, new: &Spec, live: &BTreeMap<String, u64>) -> Vec<Fault> {
     let removed = old
         .counties
--- a/crates/county/src/tally.rs
+++ b/crates/county/src/tally.rs
@@ -1,13 +1,14 @@
-//! Counts of what has ended, each once.
+//! Counts of ended jobs, each counted exactly once.
 //!
-//! A delta stands in the log record that ends its jobs, and is known by that record's number; numbers only rise. A
-//! cell is one class of one county, and stands in one sheet for ever. A sheet is put with the highest number that is
-//! in it, its watermark: of the log, a cell that stands in a sheet still has to count only what is above that. So a
-//! put that is repeated, or a log record that is read again after it was folded, counts nothing twice. A log record
-//! may go once all sheets that its deltas belong to have passed it.
+//! A delta is part of the log record that ends its jobs, and is identified by that record's number; numbers only
+//! increase. A cell is one class of one county, and belongs to one sheet; it moves only when an oversized sheet is
+//! split. A sheet is written with its watermark, the highest record number that it includes. For a cell that is in a
+//! written sheet, only log records above the watermark still have to be added. A write that is repeated, or a log
+//! record that is read again after it was folded, is therefore not counted twice. A log record can be deleted once
+//! the watermarks of all sheets that its deltas belong to have reached it.
 //!
-//! Who drives this has one transaction at a time: what is [`Tally::noted`] has been committed, and a fold is
-//! committed, or nobody's any more, before the next is made.
+//! The caller has one transaction in progress at a time: records passed to [`Tally::noted`] are committed, and a fold
+//! is committed, or can no longer be, before the next one is made.
 
 mod split;
 
@@ -24,10 +25,11 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Count {
-    /// Jobs that ended done, and cancelled.
+    /// Jobs that ended as done.
     pub done: u64,
+    /// Jobs that ended as cancelled.
     pub cancelled: u64,
-    /// Tasks that were done when their jobs ended.
+    /// Tasks that were done when their jobs ended, of jobs with either outcome.
     pub tasks: u64,
 }
 
@@ -46,7 +48,7 @@
     }
 }
 
-/// A cell with a count, in a log record or a sheet.
+/// A count of one cell: an increment in a log record, a total in a sheet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     pub county: String,
@@ -87,11 +89,12 @@
             tasks: self.tasks,
         }
     }
-    /// Bounds its length in a record: JSON escapes at most six bytes for one, and counts have at most 20 digits.
+    /// Upper bound of the bytes that a delta takes in a record: JSON escapes a byte with at most six, and each of the
+    /// three counts has at most 20 digits.
     pub fn frame(county: &str, class: &str) -> usize {
         (county.len() + class.len()) * 6 + 3 * 20 + 70
     }
-    /// Adds a count to the cell's own among these, or a new one.
+    /// Adds a count to the delta of the cell, which is appended if there is none yet.
     pub fn add_to(all: &mut Vec<Delta>, cell: &Cell, count: &Count) {
         let same = |d: &&mut Delta| d.county == cell.county && d.class == cell.class;
         match all.iter_mut().find(same) {
@@ -105,41 +108,42 @@
     }
 }
 
-/// Several cells in one record.
+/// The totals of several cells, stored as one record.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Sheet {
-    /// Watermark: the highest number of a log record that is in it.
+    /// Watermark: the highest number of a log record that the totals include.
     pub upto: u64,
     pub cells: Vec<Delta>,
 }
 
-/// Sheets to be put in one transaction, each guarded by its stamp.
+/// Sheets to write in one transaction, as (number, expected revision, sheet); each write is conditional on the
+/// expected revision, 0 for a new sheet.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Fold {
     pub puts: Vec<(u32, u64, Sheet)>,
 }
 
-/// Why nothing can be said.
+/// Why counts are unavailable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unread {
-    /// The sheets were not read yet.
+    /// The sheets have not been read yet.
     NotYet,
-    /// Some sheet can't be understood.
+    /// A sheet could not be decoded.
     Bad,
 }
 
 #[derive(Debug, Default)]
 struct SheetState {
-    /// 0 until it is put.
+    /// The revision at which the sheet was last written; 0 if it never was.
     revision: u64,
     watermark: u64,
     reserved_bytes: usize,
     cells: BTreeSet<Cell>,
-    /// Numbers above the watermark that have deltas for it.
+    /// Numbers of log records above the watermark with deltas for this sheet.
     pending_records: BTreeSet<u64>,
-    /// It has cells of another sheet and was not put yet.
+    /// Whether the sheet took cells from an oversized sheet and has not been written yet.
     unwritten: bool,
-    /// Sheets with cells of this one, to be put before it.
+    /// Sheets that took cells from this one, which have to be written before it.
     written_after: BTreeSet<u32>,
 }
 
@@ -147,29 +151,29 @@
 struct Entry {
     sheet: u32,
     folded: Count,
-    /// Of the log, above the watermark.
+    /// Sum of the deltas of log records that are not in the sheet yet.
     unfolded: Count,
-    /// It stands in the sheet as it was last put.
+    /// Whether the sheet contained the cell when it was last written.
     in_written_sheet: bool,
 }
 
 #[derive(Debug)]
 pub struct Tally {
     state: Result<(), Unread>,
-    /// Bound on a sheet's length.
+    /// The most bytes of a sheet.
     max_sheet_bytes: usize,
     sheets: BTreeMap<u32, SheetState>,
     cells: BTreeMap<Cell, Entry>,
-    /// Deltas that were noted before the sheets were known.
+    /// Deltas of log records that were noted before the sheets had been read.
     records_before_load: BTreeMap<u64, Vec<Delta>>,
-    /// Log records with deltas that are not folded everywhere, and the sheets that they still wait for.
+    /// Log records with deltas that are not in all of their sheets yet, with the sheets that are still missing them.
     open_records: BTreeMap<u64, BTreeSet<u32>>,
     classes_by_county: BTreeMap<String, BTreeSet<String>>,
     highest_record: u64,
 }
 
 impl Tally {
-    /// Knows nothing yet; its sheets will be no longer than this.
+    /// A tally that has read no sheets yet, and whose sheets take at most `max_sheet_bytes`.
     pub fn new(max_sheet_bytes: usize) -> Self {
         Tally {
             state: Err(Unread::NotYet),
@@ -183,12 +187,12 @@
         }
     }
 
-    /// Whether counts may be told and folded.
+    /// Whether counts can be reported and folded.
     pub fn state(&self) -> Result<(), Unread> {
         self.state
     }
 
-    /// Reading begins, perhaps again after a sheet could not be understood.
+    /// Starts to read the sheets, possibly again after one could not be decoded.
     pub fn begin_reading(&mut self) {
         if self.state.is_err() {
             self.sheets.clear();
@@ -221,7 +225,8 @@
         self.sheets.insert(number, sheet_state);
     }
 
-    /// All sheets were read, and whether all could be understood. Returns the log records that may go.
+    /// Ends the reading of sheets. `all_decoded` is whether all of them could be decoded. Returns the log records that
+    /// can be deleted.
     pub fn reading_over(&mut self, all_decoded: bool) -> Vec<u64> {
         if !all_decoded {
             self.state = Err(Unread::Bad);
@@ -237,7 +242,7 @@
             .collect()
     }
 
-    /// Deltas of a log record that stands. True if the record has to stay for them.
+    /// Adds the deltas of a committed log record. Returns true if the record must be kept until they are folded.
     pub fn noted(&mut self, number: u64, deltas: Vec<Delta>) -> bool {
         for d in &deltas {
             self.register_class(&d.county, &d.class);
@@ -264,7 +269,7 @@
             else {
                 continue;
             };
-            // What the sheet has already is not counted again.
+            // The sheet already includes this record.
             if entry.in_written_sheet && sheet_state.watermark >= number {
                 continue;
             }
@@ -279,7 +284,7 @@
         must_stay
     }
 
-    /// A sheet for a new cell: the last one that has room, or a new one.
+    /// Assigns a new cell to the last sheet if that has room, else to a new sheet.
     fn assign_sheet(&mut self, cell: &Cell) -> u32 {
         let size = Delta::frame(&cell.county, &cell.class);
         let last = self.sheets.iter().next_back();
@@ -300,7 +305,8 @@
         number
     }
 
-    /// The sheets that have waited longest, at most so many, as they are to be put.
+    /// The sheets to write next, at most `max_sheets`: unwritten parts of split sheets first, then those with the oldest
+    /// pending log records.
     pub fn fold(&self, max_sheets: usize) -> Option<Fold> {
         if self.state.is_err() {
             return None;
@@ -345,7 +351,7 @@
         (!puts.is_empty()).then_some(Fold { puts })
     }
 
-    /// A fold stands, at this revision. Returns the log records that may go.
+    /// Records that a fold was committed at a revision. Returns the log records that can be deleted.
     pub fn folded(&mut self, fold: &Fold, revision: u64) -> Vec<u64> {
         let mut releasable = Vec::new();
         for (number, _, sheet) in &fold.puts {
@@ -367,7 +373,7 @@
             }
             for d in &sheet.cells {
                 if let Some(entry) = self.cells.get_mut(&d.cell()) {
-                    // What came meanwhile is not in it.
+                    // Deltas that arrived after the fold was made are not in it, and stay unfolded.
                     entry.unfolded = entry.unfolded.subtract(&d.count().subtract(&entry.folded));
                     entry.folded = d.count();
                     entry.in_written_sheet = true;
@@ -382,7 +388,7 @@
         known.contains(class) || (known.len() < MAX_CLASSES && known.insert(class.to_owned()))
     }
 
-    /// The cell that a job is counted in.
+    /// The cell that counts a job. Classes beyond [`MAX_CLASSES`] per county share the class [`OTHER`].
     pub fn cell(&mut self, county: &str, class: &str) -> Cell {
         let class = if self.register_class(county, class) {
             class
@@ -395,7 +401,7 @@
         }
     }
 
-    /// What has ended, by cell.
+    /// The counts of ended jobs by cell.
     pub fn counts(&self) -> Result<BTreeMap<Cell, Count>, Unread> {
         self.state?;
         let sum = |e: &Entry| {
@@ -410,7 +416,7 @@
             .collect())
     }
 
-    /// Log records that wait to be folded, and the number of sheets.
+    /// The number of log records that are not folded yet, and the number of sheets.
     pub fn backlog(&self) -> (usize, usize) {
         (
             self.open_records.len() + self.records_before_load.len(),
--- a/crates/county/src/tally/split.rs
+++ b/crates/county/src/tally/split.rs
@@ -1,20 +1,22 @@
-//! Sheets that were put when records could be larger: their cells are divided over further sheets.
+//! Splits sheets that were written under a larger size limit: the cells that exceed the limit move to new sheets.
 //!
-//! A new sheet is put before the one that its cells come from is put without them. In between a cell stands in both;
-//! whoever reads them then takes the one with the higher watermark, and of two that are the same the later sheet's.
+//! The new sheets are written before the original sheet is written without the moved cells. Between the two writes a
+//! cell is in both sheets. A reader uses the copy in the sheet with the higher watermark, or with equal watermarks the
+//! one in the sheet with the higher number.
 
 use super::{SheetState, Tally};
 use crate::{Cell, Delta};
 use document::text;
 use std::collections::BTreeSet;
 
-/// What a sheet takes without its cells.
+/// The bytes of a sheet without cells.
 const SHEET_FRAME_BYTES: usize = 48;
-/// A count may take so many more digits in time.
+/// Bytes by which the three counts of a cell can grow: from 1 to 20 digits each.
 const COUNT_GROWTH_BYTES: usize = 3 * 19;
 
 impl Tally {
-    /// Whether a cell that is read in this sheet counts by it, and not by another that was read before.
+    /// Whether the copy of a cell in the sheet that is being read replaces the copy in a sheet that was read earlier, or
+    /// is the only one. A replaced copy is dropped.
     pub(super) fn is_latest_copy(&mut self, cell: &Cell, number: u32, upto: u64) -> bool {
         let Some(other) = self.cells.get(cell).map(|e| e.sheet) else {
             return true;
@@ -29,7 +31,7 @@
         is_newer
     }
 
-    /// Takes cells out of sheets that are longer than they may be.
+    /// Moves cells out of sheets that exceed the size limit.
     pub(super) fn split_oversized_sheets(&mut self) {
         let numbers: Vec<u32> = self.sheets.keys().copied().collect();
         for number in numbers {
@@ -37,7 +39,7 @@
         }
     }
 
-    /// What a cell takes of a sheet, whatever it counts later.
+    /// Upper bound of the bytes that a cell takes in a sheet, for all later values of its counts.
     fn max_cell_bytes(&self, cell: &Cell) -> usize {
         let count = self.cells.get(cell).map(|e| e.folded).unwrap_or_default();
         text(&Delta::new(cell, &count)).len() + COUNT_GROWTH_BYTES
@@ -86,13 +88,13 @@
                 sheet_state.cells.retain(|c| !part.cells.contains(c));
             }
             sheet_state.written_after = parts.iter().map(|(n, _)| *n).collect::<BTreeSet<u32>>();
-            // No further cells: their lengths are bounded otherwise than these were counted.
+            // Marks the sheet as full, since new cells are measured by `Delta::frame` and these by `max_cell_bytes`.
             sheet_state.reserved_bytes = self.max_sheet_bytes;
         }
         self.sheets.extend(parts);
     }
 
-    /// Whether a sheet may be put: not before those that have taken cells of it.
+    /// Whether a sheet may be written: only after all sheets that took cells from it.
     pub(super) fn may_write(&self, sheet_state: &SheetState) -> bool {
         let is_written = |n: &u32| self.sheets.get(n).is_none_or(|p| !p.unwritten);
         sheet_state.written_after.iter().all(is_written)
--- a/crates/county/tests/counting.rs
+++ b/crates/county/tests/counting.rs
@@ -1,9 +1,10 @@
-//! Each end is counted once, whatever is lost, late or repeated: against a count kept beside.
+//! Compares the tally with independently kept counts, to check that each job end is counted exactly once with lost,
+//! late and repeated transactions.
 
 use county::{Cell, Count, Delta, Sheet, Tally};
 use std::collections::BTreeMap;
 
-/// What stands in the state service.
+/// The contents of the state service.
 #[derive(Clone, Default)]
 struct Store {
     log: BTreeMap<u64, Vec<Delta>>,
@@ -12,7 +13,7 @@
     owner: u64,
 }
 
-/// A transaction of one owner: what it puts, and what it takes away.
+/// A transaction of one owner: the records that it writes and the log records that it deletes.
 #[derive(Clone)]
 struct Txn {
     owner: u64,
@@ -22,7 +23,7 @@
 }
 
 impl Store {
-    /// Applied as a whole, or not at all: guarded by the owner and by the version of each key.
+    /// Applies the transaction atomically, if its owner is current and each key has the expected version.
     fn apply(&mut self, txn: &Txn) -> Option<u64> {
         let puts = || txn.fold.iter().flat_map(|f| &f.puts);
         let stamps =
@@ -52,7 +53,7 @@
     tally: Tally,
     serial: u64,
     limit: usize,
-    /// Log records that may go.
+    /// Log records that can be deleted.
     over: Vec<u64>,
     late: Option<Txn>,
     truth: BTreeMap<Cell, Count>,
@@ -73,7 +74,7 @@
         world
     }
 
-    /// Another owner, which reads the log and the sheets in either order.
+    /// Starts the next owner, which reads the log and the sheets in either order.
     fn take_over(&mut self, log_first: bool) {
         self.store.owner += 1;
         self.serial = 0;
@@ -143,7 +144,7 @@
         }
     }
 
-    /// What has been applied counts, whether or not its sender hears of it.
+    /// Applies a transaction. It counts once applied, whether or not the sender receives the answer.
     fn apply(&mut self, txn: &Txn) -> Option<u64> {
         let revision = self.store.apply(txn)?;
         for d in txn.log.iter().flat_map(|(_, deltas)| deltas) {
@@ -155,7 +156,9 @@
     }
 
     fn commit(&mut self, txn: &Txn) {
-        let revision = self.apply(txn).expect("the only owner's transaction");
+        let revision = self
+            .apply(txn)
+            .expect("the transaction of the only owner is applied");
         if let Some((n, deltas)) = &txn.log
             && !self.tally.noted(*n, deltas.clone())
         {
@@ -172,14 +175,14 @@
     }
 }
 
-/// One of the things that can happen next.
+/// Performs one of the possible steps of a history.
 fn step(world: &mut World, what: u8) {
     match what {
         0 => {
             let txn = world.end(&[(0, 0), (1, 0)]);
             world.commit(&txn);
         }
-        // One sheet of several is folded, together with another end.
+        // Folds one of several sheets, in the same transaction as another end.
         1 => {
             let txn = world.end(&[(1, 0), (2, 0)]);
             let txn = world.fold(1, Some(txn));
@@ -189,7 +192,8 @@
             let txn = world.fold(9, None);
             world.commit(&txn);
         }
-        // The owner is lost with a fold and an end on their way, which land before the next reads.
+        // The owner is lost with a fold and an end in flight. With step 3 they are applied before the next owner reads;
+        // with step 4 they are delayed.
         3 | 4 => {
             let txn = world.end(&[(0, 0)]);
             let txn = world.fold(1, Some(txn));
@@ -200,7 +204,7 @@
             }
             world.take_over(what == 3);
         }
-        // What an earlier owner had sent lands now.
+        // The delayed transaction of an earlier owner arrives and is rejected.
         _ => {
             if let Some(txn) = world.late.take() {
                 assert_eq!(world.store.apply(&txn), None);
@@ -209,11 +213,11 @@
     }
 }
 
-/// Every order of six steps.
+/// Tries all sequences of six steps.
 #[test]
 fn every_short_history_counts_each_end_once() {
     for mut code in 0..6u32.pow(6) {
-        // Two cells to a sheet: several sheets, and log records that wait for more than one of them.
+        // Two cells per sheet, so that there are several sheets and log records that wait for more than one of them.
         let mut world = World::new(2 * Delta::frame("c0", "k0"));
         let mut told = String::new();
         for _ in 0..6 {
@@ -226,7 +230,7 @@
     }
 }
 
-/// Hundreds of counties, more classes than are counted by themselves, owners lost at any time.
+/// Random histories with hundreds of counties, more classes than are counted separately, and owners lost at any time.
 #[test]
 fn long_histories_keep_their_bounds() {
     for seed in 0..20 {
@@ -258,7 +262,7 @@
                     if rng.bool() {
                         world.apply(&txn);
                     }
-                    // Another value_kb: sheets that were full have room again.
+                    // A different value_kb: sheets that were full may have room again.
                     world.limit = rng.usize(limit / 2..limit);
                     let log_first = rng.bool();
                     world.take_over(log_first);
@@ -267,7 +271,7 @@
             }
             world.check(&format!("seed {seed}"));
         }
-        // All is folded in the end, and nothing of the log has to stay.
+        // In the end everything is folded, and no log record has to be kept.
         for _ in 0..200 {
             let txn = world.fold(16, None);
             world.commit(&txn);
@@ -319,7 +323,7 @@
         (tally.counts(), tally.fold(9)),
         (Err(county::Unread::Bad), None)
     );
-    // Read again, once that sheet can be understood: what it has is not counted again.
+    // Read again once the sheet can be decoded: what it includes is not counted again.
     tally.begin_reading();
     tally.sheet_read(
         0,
@@ -339,8 +343,8 @@
     assert_eq!(tally.counts().map(|c| c[&cell].done), Ok(4));
 }
 
-/// A sheet that was put when records could be larger is divided: nothing is counted twice or lost, whichever of its
-/// parts have been put when an owner ends, and none that is put is too long.
+/// A sheet that was written under a larger size limit is split. Nothing is counted twice or lost, whichever of its parts
+/// have been written when an owner is lost, and no written sheet exceeds the limit.
 #[test]
 fn a_sheet_that_was_larger_is_divided() {
     const LIMIT: usize = 1000;
@@ -364,12 +368,12 @@
             cells: deltas(100),
         };
         sheets.insert(3, (1, whole));
-        // Three owners, each of which ends after so many folds; the log has one record that is not folded.
+        // Three owners, the first two lost after `folds` folds. The log has one record that is not folded.
         let mut told = BTreeMap::new();
         for owner in 0..3 {
             let mut tally = Tally::new(LIMIT);
             tally.begin_reading();
-            // The state service lists them in the order of their keys' text.
+            // The state service lists keys in lexical order.
             let mut listed: Vec<_> = sheets.iter().collect();
             listed.sort_by_key(|(n, _)| n.to_string());
             for (n, (stamp, sheet)) in listed {
@@ -389,7 +393,7 @@
                 }
                 tally.folded(&fold, revision);
             }
-            told = tally.counts().expect("all was read");
+            told = tally.counts().expect("all sheets were read");
         }
         let right: BTreeMap<Cell, Count> = (0..40).map(|i| (cell(i), count(101 + 2 * i))).collect();
         assert_eq!(told, right, "{folds} folds");
--- a/crates/county/tests/rules.rs
+++ b/crates/county/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Which county a job belongs to, and which documents are refused.
+//! Tests which county a job is bound to, and which documents are refused.
 
 use county::{Counties, Job, Known, Unbound, differences, file, lost};
 use document::{Content, Fault};
@@ -68,7 +68,7 @@
             ..job
         }),
         Err(Unbound::NoCounty),
-        "a rule's lists all count"
+        "a job must match all lists of a rule"
     );
     assert_eq!(
         bind(Job {
@@ -128,7 +128,7 @@
     assert_eq!(file::parse(&text).expect("parses").spec, *counties.spec());
 }
 
-/// The index finds what looking at all rules in order does.
+/// The rule index finds the same county as trying all rules in order.
 #[test]
 fn many_rules_decide_as_one_by_one() {
     let mut rng = fastrand::Rng::with_seed(3);
@@ -151,7 +151,7 @@
         }
     }
     let spec = file::parse(&text).expect("parses").spec;
-    // Rules that never decide are refused: without them.
+    // Shadowed rules are refused, so the counties that have them are removed first.
     let mut good = spec.clone();
     while let Err(faults) = Counties::build(&good, &known()) {
         let ids: Vec<String> = faults
@@ -191,8 +191,8 @@
 
 #[test]
 fn what_can_not_hold_is_refused_with_its_place() {
-    let told = |text: &str| match build(text) {
-        Ok(_) => "taken".to_owned(),
+    let fault_texts = |text: &str| match build(text) {
+        Ok(_) => "accepted".to_owned(),
         Err(f) => f
             .iter()
             .map(Fault::to_string)
@@ -218,26 +218,29 @@
             c("[[county.rule]]\ndesks = [\"c\"]"),
             "rule[0].desks: no desk \"c\"",
         ),
-        (c("[[county.rule]]\n"), "names nothing"),
-        (c("[[county.rule]]\nids = [\"*\"]"), "more than \"*\""),
-        (c("apart = \"zones\""), ".zones: are named if"),
-        (c("zones = [\"a\"]"), ".zones: are named if"),
+        (c("[[county.rule]]\n"), "has no lists"),
+        (c("[[county.rule]]\nids = [\"*\"]"), "not just \"*\""),
+        (c("apart = \"zones\""), ".zones: must be set if"),
+        (c("zones = [\"a\"]"), ".zones: must be set if"),
         (
             c("apart = \"zones\"\nzones = [\"a\"]\n[[county.rule]]\nzones = [\"b\"]"),
-            "none of them is a zone",
+            "the county may not use any of these zones",
         ),
         (
             c("closed = true\n[[county.rule]]\nteams = [\"east\"]"),
-            "a closed county has no rules",
+            "a closed county must have no rules",
         ),
-        (c("closed = true\ninto = [\"y\"]"), "no other county \"y\""),
-        (c(&c("")), "line 5: county \"x\": stands here a second time"),
+        (
+            c("closed = true\ninto = [\"y\"]"),
+            "no other county has the id \"y\"",
+        ),
+        (c(&c("")), "line 5: county \"x\": duplicate county id"),
         (c("").replace('x', "X y"), ".id: must be"),
         (
             c(
                 "[[county.rule]]\nimages = [\"a*\"]\n[[county.rule]]\nimages = [\"ab*\", \"ac\"]\nteams = [\"east\"]",
             ),
-            "county \"x\".rule[1]: never decides: county \"x\".rule[0]",
+            "county \"x\".rule[1]: never applies: county \"x\".rule[0]",
         ),
         (
             format!("others = \"{}\"", "x".repeat(file::MAX_FILE)),
@@ -251,8 +254,8 @@
         ),
     ];
     for (text, why) in cases {
-        let told = told(&text);
-        assert!(told.contains(why), "{why:?} is not in {told:?}");
+        let fault_text = fault_texts(&text);
+        assert!(fault_text.contains(why), "{why:?} is not in {fault_text:?}");
     }
 }
 
@@ -283,7 +286,8 @@
     assert!(told[1].contains("closed, split into b"), "{told:?}");
 }
 
-/// A team or a desk that has left takes with it the rules that name nothing else; no rule gets wider.
+/// Removing a team or a quota node that no longer exists also removes rules that name nothing else in that list, so
+/// that no rule matches more jobs than before.
 #[test]
 fn names_that_have_left_take_their_rules() {
     let spec = file::parse(FILE).expect("parses").spec;
