--- a/crates/county/tests/counting.rs
+++ b/crates/county/tests/counting.rs
@@ -19,7 +19,7 @@
     owner: u64,
     log: Option<(u64, Vec<Delta>)>,
     fold: Option<county::Fold>,
-    over: Vec<u64>,
+    releasable: Vec<u64>,
 }
 
 impl Store {
@@ -32,7 +32,7 @@
         if self.owner != txn.owner
             || !stamps
             || !log
-            || !txn.over.iter().all(|n| self.log.contains_key(n))
+            || !txn.releasable.iter().all(|n| self.log.contains_key(n))
         {
             return None;
         }
@@ -41,37 +41,37 @@
         let revision = self.revision;
         self.sheets
             .extend(puts().map(|(n, _, sheet)| (*n, (revision, sheet.clone()))));
-        txn.over.iter().for_each(|n| {
+        txn.releasable.iter().for_each(|n| {
             self.log.remove(n);
         });
         Some(revision)
     }
 }
 
-struct World {
+struct Harness {
     store: Store,
     tally: Tally,
     serial: u64,
     limit: usize,
     /// Log records that can be deleted.
-    over: Vec<u64>,
-    late: Option<Txn>,
-    truth: BTreeMap<Cell, Count>,
+    releasable: Vec<u64>,
+    delayed_txn: Option<Txn>,
+    expected_counts: BTreeMap<Cell, Count>,
 }
 
-impl World {
+impl Harness {
     fn new(limit: usize) -> Self {
-        let mut world = World {
+        let mut harness = Harness {
             store: Store::default(),
             tally: Tally::new(limit),
             serial: 0,
             limit,
-            over: Vec::new(),
-            late: None,
-            truth: BTreeMap::new(),
+            releasable: Vec::new(),
+            delayed_txn: None,
+            expected_counts: BTreeMap::new(),
         };
-        world.take_over(true);
-        world
+        harness.take_over(true);
+        harness
     }
 
     /// Starts the next owner, which reads the log and the sheets in either order.
@@ -79,12 +79,12 @@
         self.store.owner += 1;
         self.serial = 0;
         self.tally = Tally::new(self.limit);
-        self.over.clear();
+        self.releasable.clear();
         let log = self.store.log.clone();
-        let note = |world: &mut World| {
+        let note = |harness: &mut Harness| {
             for (n, deltas) in &log {
-                if !world.tally.noted(*n, deltas.clone()) {
-                    world.over.push(*n);
+                if !harness.tally.noted(*n, deltas.clone()) {
+                    harness.releasable.push(*n);
                 }
             }
         };
@@ -95,19 +95,19 @@
         for (n, (stamp, sheet)) in self.store.sheets.clone() {
             self.tally.sheet_read(n, stamp, sheet);
         }
-        let over = self.tally.reading_over(true);
-        self.over.extend(over);
+        let releasable = self.tally.reading_over(true);
+        self.releasable.extend(releasable);
         if !log_first {
             note(self);
         }
     }
 
-    fn number(&mut self) -> u64 {
+    fn next_record_number(&mut self) -> u64 {
         self.serial += 1;
         self.store.owner << 32 | self.serial
     }
 
-    fn end(&mut self, cells: &[(u32, u32)]) -> Txn {
+    fn end_jobs(&mut self, cells: &[(u32, u32)]) -> Txn {
         let mut deltas = Vec::new();
         for (county, class) in cells {
             let cell = self.tally.cell(&format!("c{county}"), &format!("k{class}"));
@@ -121,25 +121,25 @@
                 },
             );
         }
-        let number = self.number();
+        let number = self.next_record_number();
         Txn {
             owner: self.store.owner,
             log: Some((number, deltas)),
             fold: None,
-            over: Vec::new(),
+            releasable: Vec::new(),
         }
     }
 
-    fn fold(&mut self, most: usize, txn: Option<Txn>) -> Txn {
+    fn fold(&mut self, max_sheets: usize, txn: Option<Txn>) -> Txn {
         let empty = Txn {
             owner: self.store.owner,
             log: None,
             fold: None,
-            over: Vec::new(),
+            releasable: Vec::new(),
         };
         Txn {
-            fold: self.tally.fold(most),
-            over: std::mem::take(&mut self.over),
+            fold: self.tally.fold(max_sheets),
+            releasable: std::mem::take(&mut self.releasable),
             ..txn.unwrap_or(empty)
         }
     }
@@ -148,7 +148,7 @@
     fn apply(&mut self, txn: &Txn) -> Option<u64> {
         let revision = self.store.apply(txn)?;
         for d in txn.log.iter().flat_map(|(_, deltas)| deltas) {
-            let count = self.truth.entry(d.cell()).or_default();
+            let count = self.expected_counts.entry(d.cell()).or_default();
             count.done += d.done;
             count.tasks += d.tasks;
         }
@@ -162,52 +162,56 @@
         if let Some((n, deltas)) = &txn.log
             && !self.tally.noted(*n, deltas.clone())
         {
-            self.over.push(*n);
+            self.releasable.push(*n);
         }
         if let Some(fold) = &txn.fold {
-            let over = self.tally.folded(fold, revision);
-            self.over.extend(over);
+            let releasable = self.tally.folded(fold, revision);
+            self.releasable.extend(releasable);
         }
     }
 
-    fn check(&self, what: &str) {
-        assert_eq!(self.tally.counts().as_ref(), Ok(&self.truth), "{what}");
+    fn check(&self, context: &str) {
+        assert_eq!(
+            self.tally.counts().as_ref(),
+            Ok(&self.expected_counts),
+            "{context}"
+        );
     }
 }
 
 /// Performs one of the possible steps of a history.
-fn step(world: &mut World, what: u8) {
-    match what {
+fn perform(harness: &mut Harness, step: u8) {
+    match step {
         0 => {
-            let txn = world.end(&[(0, 0), (1, 0)]);
-            world.commit(&txn);
+            let txn = harness.end_jobs(&[(0, 0), (1, 0)]);
+            harness.commit(&txn);
         }
         // Folds one of several sheets, in the same transaction as another end.
         1 => {
-            let txn = world.end(&[(1, 0), (2, 0)]);
-            let txn = world.fold(1, Some(txn));
-            world.commit(&txn);
+            let txn = harness.end_jobs(&[(1, 0), (2, 0)]);
+            let txn = harness.fold(1, Some(txn));
+            harness.commit(&txn);
         }
         2 => {
-            let txn = world.fold(9, None);
-            world.commit(&txn);
+            let txn = harness.fold(9, None);
+            harness.commit(&txn);
         }
         // The owner is lost with a fold and an end in flight. With step 3 they are applied before the next owner reads;
         // with step 4 they are delayed.
         3 | 4 => {
-            let txn = world.end(&[(0, 0)]);
-            let txn = world.fold(1, Some(txn));
-            if what == 3 {
-                world.apply(&txn);
+            let txn = harness.end_jobs(&[(0, 0)]);
+            let txn = harness.fold(1, Some(txn));
+            if step == 3 {
+                harness.apply(&txn);
             } else {
-                world.late = Some(txn);
+                harness.delayed_txn = Some(txn);
             }
-            world.take_over(what == 3);
+            harness.take_over(step == 3);
         }
         // The delayed transaction of an earlier owner arrives and is rejected.
         _ => {
-            if let Some(txn) = world.late.take() {
-                assert_eq!(world.store.apply(&txn), None);
+            if let Some(txn) = harness.delayed_txn.take() {
+                assert_eq!(harness.store.apply(&txn), None);
             }
         }
     }
@@ -218,25 +222,25 @@
 fn every_short_history_counts_each_end_once() {
     for mut code in 0..6u32.pow(6) {
         // Two cells per sheet, so that there are several sheets and log records that wait for more than one of them.
-        let mut world = World::new(2 * Delta::frame("c0", "k0"));
-        let mut told = String::new();
+        let mut harness = Harness::new(2 * Delta::frame("c0", "k0"));
+        let mut history = String::new();
         for _ in 0..6 {
-            let what = (code % 6) as u8;
+            let step = (code % 6) as u8;
             code /= 6;
-            told.push((b'0' + what) as char);
-            step(&mut world, what);
-            world.check(&told);
+            history.push((b'0' + step) as char);
+            perform(&mut harness, step);
+            harness.check(&history);
         }
     }
 }
 
 /// Random histories with hundreds of counties, more classes than are counted separately, and owners lost at any time.
 #[test]
-fn long_histories_keep_their_bounds() {
+fn random_histories_count_each_end_once_within_size_bounds() {
     for seed in 0..20 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let limit = 4_000;
-        let mut world = World::new(limit);
+        let mut harness = Harness::new(limit);
         for _ in 0..600 {
             match rng.u8(..100) {
                 0..70 => {
@@ -248,45 +252,49 @@
                     } else {
                         cells
                     };
-                    let txn = world.end(&cells);
-                    world.commit(&txn);
+                    let txn = harness.end_jobs(&cells);
+                    harness.commit(&txn);
                 }
                 70..94 => {
-                    let most = rng.usize(1..20);
-                    let txn = world.fold(most, None);
-                    world.commit(&txn);
+                    let max_sheets = rng.usize(1..20);
+                    let txn = harness.fold(max_sheets, None);
+                    harness.commit(&txn);
                 }
                 _ => {
-                    let txn = world.end(&[(rng.u32(..300), 0)]);
-                    let txn = world.fold(3, Some(txn));
+                    let txn = harness.end_jobs(&[(rng.u32(..300), 0)]);
+                    let txn = harness.fold(3, Some(txn));
                     if rng.bool() {
-                        world.apply(&txn);
+                        harness.apply(&txn);
                     }
                     // A different value_kb: sheets that were full may have room again.
-                    world.limit = rng.usize(limit / 2..limit);
+                    harness.limit = rng.usize(limit / 2..limit);
                     let log_first = rng.bool();
-                    world.take_over(log_first);
-                    assert_eq!(world.store.apply(&txn), None);
+                    harness.take_over(log_first);
+                    assert_eq!(harness.store.apply(&txn), None);
                 }
             }
-            world.check(&format!("seed {seed}"));
+            harness.check(&format!("seed {seed}"));
         }
         // In the end everything is folded, and no log record has to be kept.
         for _ in 0..200 {
-            let txn = world.fold(16, None);
-            world.commit(&txn);
+            let txn = harness.fold(16, None);
+            harness.commit(&txn);
         }
         assert!(
-            world.store.log.is_empty(),
+            harness.store.log.is_empty(),
             "seed {seed}: {} log records stay",
-            world.store.log.len()
+            harness.store.log.len()
         );
-        let classes = world.truth.keys().filter(|c| c.county == "c7").count();
+        let classes = harness
+            .expected_counts
+            .keys()
+            .filter(|c| c.county == "c7")
+            .count();
         assert!(
             classes <= county::MAX_CLASSES + 1,
             "seed {seed}: {classes} classes"
         );
-        let longest = world
+        let longest = harness
             .store
             .sheets
             .values()
@@ -300,7 +308,7 @@
 }
 
 #[test]
-fn what_was_not_read_is_neither_told_nor_folded() {
+fn unread_counts_are_neither_reported_nor_folded() {
     let mut tally = Tally::new(1000);
     let cell = tally.cell("a", "k");
     assert!(tally.noted(
@@ -346,7 +354,7 @@
 /// A sheet that was written under a larger size limit is split. Nothing is counted twice or lost, whichever of its parts
 /// have been written when an owner is lost, and no written sheet exceeds the limit.
 #[test]
-fn a_sheet_that_was_larger_is_divided() {
+fn oversized_sheet_is_split_without_loss_or_double_counting() {
     const LIMIT: usize = 1000;
     let cell = |i: u64| Cell {
         county: format!("county-{i:03}"),
@@ -369,7 +377,7 @@
         };
         sheets.insert(3, (1, whole));
         // Three owners, the first two lost after `folds` folds. The log has one record that is not folded.
-        let mut told = BTreeMap::new();
+        let mut counts = BTreeMap::new();
         for owner in 0..3 {
             let mut tally = Tally::new(LIMIT);
             tally.begin_reading();
@@ -393,10 +401,11 @@
                 }
                 tally.folded(&fold, revision);
             }
-            told = tally.counts().expect("all sheets were read");
+            counts = tally.counts().expect("all sheets were read");
         }
-        let right: BTreeMap<Cell, Count> = (0..40).map(|i| (cell(i), count(101 + 2 * i))).collect();
-        assert_eq!(told, right, "{folds} folds");
+        let expected: BTreeMap<Cell, Count> =
+            (0..40).map(|i| (cell(i), count(101 + 2 * i))).collect();
+        assert_eq!(counts, expected, "{folds} folds");
         assert!(sheets.len() > 3);
     }
 }
--- a/crates/county/tests/rules.rs
+++ b/crates/county/tests/rules.rs
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn the_first_rule_that_fits_decides() {
-    let counties = build(FILE).expect("a good document");
+fn first_matching_rule_decides() {
+    let counties = build(FILE).expect("the document is valid");
     let job = Job {
         id: "job-000001",
         team: "west",
@@ -130,7 +130,7 @@
 
 /// The rule index finds the same county as trying all rules in order.
 #[test]
-fn many_rules_decide_as_one_by_one() {
+fn rule_index_agrees_with_linear_search() {
     let mut rng = fastrand::Rng::with_seed(3);
     let mut name = |p: &str, n: u32| format!("{p}{}", rng.u32(..n));
     let mut text = String::new();
@@ -152,17 +152,17 @@
     }
     let spec = file::parse(&text).expect("parses").spec;
     // Shadowed rules are refused, so the counties that have them are removed first.
-    let mut good = spec.clone();
-    while let Err(faults) = Counties::build(&good, &known()) {
+    let mut accepted = spec.clone();
+    while let Err(faults) = Counties::build(&accepted, &known()) {
         let ids: Vec<String> = faults
             .iter()
             .filter_map(|f| f.path.split('"').nth(1).map(str::to_owned))
             .collect();
-        good.counties.retain(|c| !ids.contains(&c.id));
+        accepted.counties.retain(|c| !ids.contains(&c.id));
     }
-    assert!(good.counties.len() > 50);
-    let counties = Counties::build(&good, &known()).expect("good");
-    let like = |l: &[String], n: &str| {
+    assert!(accepted.counties.len() > 50);
+    let counties = Counties::build(&accepted, &known()).expect("the document is valid");
+    let matches_any = |l: &[String], n: &str| {
         l.is_empty()
             || l.iter()
                 .any(|p| p.strip_suffix('*').map_or(p == n, |s| n.starts_with(s)))
@@ -173,9 +173,11 @@
             format!("i{}", rng.u32(..300)),
         );
         let team = if rng.bool() { "east" } else { "west" };
-        let first = good.counties.iter().find(|c| {
+        let first = accepted.counties.iter().find(|c| {
             let r = &c.rules[0];
-            like(&r.classes, &class) && like(&r.images, &image) && like(&r.teams, team)
+            matches_any(&r.classes, &class)
+                && matches_any(&r.images, &image)
+                && matches_any(&r.teams, team)
         });
         let first = first.map_or(county::OTHER, |c| c.id.as_str());
         let job = Job {
@@ -190,7 +192,7 @@
 }
 
 #[test]
-fn what_can_not_hold_is_refused_with_its_place() {
+fn invalid_documents_are_refused_with_line_and_path() {
     let fault_texts = |text: &str| match build(text) {
         Ok(_) => "accepted".to_owned(),
         Err(f) => f
@@ -260,7 +262,7 @@
 }
 
 #[test]
-fn a_county_goes_only_closed_and_empty() {
+fn county_is_removed_only_once_closed_and_without_jobs() {
     let spec = |text: &str| file::parse(text).expect("parses").spec;
     let open = spec(
         "[[county]]\nid = \"a\"\nname = \"A\"\n[[county.rule]]\nteams = [\"east\"]\n[[county]]\nid = \"b\"",
@@ -271,33 +273,33 @@
     let gone = spec("[[county]]\nid = \"b\"");
     let live = BTreeMap::from([("a".to_owned(), 2)]);
     let none = BTreeMap::new();
-    let why = |old, new, live| {
+    let faults = |old, new, live| {
         lost(old, new, live)
             .iter()
             .map(Fault::to_string)
             .collect::<String>()
     };
-    assert!(why(&open, &gone, &none).contains("close it first"));
-    assert!(why(&closed, &gone, &live).contains("2 jobs are bound to it"));
-    assert_eq!(why(&closed, &gone, &none), "");
-    assert_eq!(why(&open, &closed, &live), "");
-    let told = differences(&open, &closed, 10);
-    assert_eq!(told[0], "a: renamed from \"A\" to \"Ay\"");
-    assert!(told[1].contains("closed, split into b"), "{told:?}");
+    assert!(faults(&open, &gone, &none).contains("close it first"));
+    assert!(faults(&closed, &gone, &live).contains("2 jobs are bound to it"));
+    assert_eq!(faults(&closed, &gone, &none), "");
+    assert_eq!(faults(&open, &closed, &live), "");
+    let changes = differences(&open, &closed, 10);
+    assert_eq!(changes[0], "a: renamed from \"A\" to \"Ay\"");
+    assert!(changes[1].contains("closed, split into b"), "{changes:?}");
 }
 
 /// Removing a team or a quota node that no longer exists also removes rules that name nothing else in that list, so
 /// that no rule matches more jobs than before.
 #[test]
-fn names_that_have_left_take_their_rules() {
+fn rules_that_name_only_unknown_names_are_removed() {
     let spec = file::parse(FILE).expect("parses").spec;
-    let left = Known {
+    let reduced = Known {
         desks: Some(Default::default()),
         teams: ["west".to_owned()].into(),
         ..known()
     };
-    let fitting = spec.fitting(&left);
-    let counties = Counties::build(&fitting, &left).expect("fits");
+    let fitting = spec.fitting(&reduced);
+    let counties = Counties::build(&fitting, &reduced).expect("the document is valid");
     let job = Job {
         id: "job-1",
         team: "east",
