--- a/crates/county/src/tally.rs
+++ b/crates/county/src/tally.rs
@@ -200,9 +200,9 @@
         }
     }
 
-    pub fn sheet_read(&mut self, number: u32, stamp: u64, sheet: Sheet) {
+    pub fn sheet_read(&mut self, number: u32, revision: u64, sheet: Sheet) {
         let mut sheet_state = SheetState {
-            revision: stamp,
+            revision,
             watermark: sheet.upto,
             ..SheetState::default()
         };
@@ -325,7 +325,7 @@
             })
             .collect();
         pending.sort_unstable();
-        let put = |number: u32| {
+        let sheet_to_write = |number: u32| {
             let sheet_state = self.sheets.get(&number)?;
             let cell = |c: &Cell| {
                 let entry = self.cells.get(c)?;
@@ -346,7 +346,7 @@
         let puts: Vec<_> = pending
             .into_iter()
             .take(max_sheets)
-            .filter_map(|(_, n)| put(n))
+            .filter_map(|(_, n)| sheet_to_write(n))
             .collect();
         (!puts.is_empty()).then_some(Fold { puts })
     }
--- a/crates/county/src/tally/split.rs
+++ b/crates/county/src/tally/split.rs
@@ -60,20 +60,20 @@
                 kept += length;
             }
         }
-        let mut next = self.sheets.keys().next_back().map_or(0, |n| n + 1);
+        let mut next_number = self.sheets.keys().next_back().map_or(0, |n| n + 1);
         let mut parts: Vec<(u32, SheetState)> = Vec::new();
         for (cell, length) in moved {
-            let full =
+            let is_full =
                 |(_, p): &(u32, SheetState)| p.reserved_bytes + length > self.max_sheet_bytes;
-            if parts.last().is_none_or(full) {
+            if parts.last().is_none_or(is_full) {
                 let sheet_state = SheetState {
                     watermark,
                     reserved_bytes: SHEET_FRAME_BYTES,
                     unwritten: true,
                     ..SheetState::default()
                 };
-                parts.push((next, sheet_state));
-                next += 1;
+                parts.push((next_number, sheet_state));
+                next_number += 1;
             }
             if let Some((sheet, part)) = parts.last_mut() {
                 part.reserved_bytes += length;
--- a/crates/county/tests/counting.rs
+++ b/crates/county/tests/counting.rs
@@ -26,11 +26,12 @@
     /// Applies the transaction atomically, if its owner is current and each key has the expected version.
     fn apply(&mut self, txn: &Txn) -> Option<u64> {
         let puts = || txn.fold.iter().flat_map(|f| &f.puts);
-        let stamps =
-            puts().all(|(n, stamp, _)| self.sheets.get(n).map_or(0, |(s, _)| *s) == *stamp);
+        let revisions_match = puts().all(|(n, expected_revision, _)| {
+            self.sheets.get(n).map_or(0, |(s, _)| *s) == *expected_revision
+        });
         let log = txn.log.iter().all(|(n, _)| !self.log.contains_key(n));
         if self.owner != txn.owner
-            || !stamps
+            || !revisions_match
             || !log
             || !txn.releasable.iter().all(|n| self.log.contains_key(n))
         {
@@ -92,8 +93,8 @@
             note(self);
         }
         self.tally.begin_reading();
-        for (n, (stamp, sheet)) in self.store.sheets.clone() {
-            self.tally.sheet_read(n, stamp, sheet);
+        for (n, (revision, sheet)) in self.store.sheets.clone() {
+            self.tally.sheet_read(n, revision, sheet);
         }
         let releasable = self.tally.reading_over(true);
         self.releasable.extend(releasable);
@@ -384,8 +385,8 @@
             // The state service lists keys in lexical order.
             let mut listed: Vec<_> = sheets.iter().collect();
             listed.sort_by_key(|(n, _)| n.to_string());
-            for (n, (stamp, sheet)) in listed {
-                tally.sheet_read(*n, *stamp, sheet.clone());
+            for (n, (revision, sheet)) in listed {
+                tally.sheet_read(*n, *revision, sheet.clone());
             }
             tally.noted(9, deltas(1));
             tally.reading_over(true);
@@ -393,10 +394,10 @@
             for round in 0..rounds {
                 let Some(fold) = tally.fold(1) else { break };
                 let revision = 10 + owner * 100 + round;
-                for (n, stamp, sheet) in &fold.puts {
+                for (n, expected_revision, sheet) in &fold.puts {
                     let length = document::text(sheet).len();
                     assert!(length <= LIMIT, "sheet {n}: {length} bytes");
-                    assert_eq!(sheets.get(n).map_or(0, |(s, _)| *s), *stamp);
+                    assert_eq!(sheets.get(n).map_or(0, |(s, _)| *s), *expected_revision);
                     sheets.insert(*n, (revision, sheet.clone()));
                 }
                 tally.folded(&fold, revision);
--- a/crates/county/tests/rules.rs
+++ b/crates/county/tests/rules.rs
@@ -270,7 +270,7 @@
     let closed = spec(
         "[[county]]\nid = \"a\"\nname = \"Ay\"\nclosed = true\ninto = [\"b\"]\n[[county]]\nid = \"b\"",
     );
-    let gone = spec("[[county]]\nid = \"b\"");
+    let removed = spec("[[county]]\nid = \"b\"");
     let live = BTreeMap::from([("a".to_owned(), 2)]);
     let none = BTreeMap::new();
     let faults = |old, new, live| {
@@ -279,9 +279,9 @@
             .map(Fault::to_string)
             .collect::<String>()
     };
-    assert!(faults(&open, &gone, &none).contains("close it first"));
-    assert!(faults(&closed, &gone, &live).contains("2 jobs are bound to it"));
-    assert_eq!(faults(&closed, &gone, &none), "");
+    assert!(faults(&open, &removed, &none).contains("close it first"));
+    assert!(faults(&closed, &removed, &live).contains("2 jobs are bound to it"));
+    assert_eq!(faults(&closed, &removed, &none), "");
     assert_eq!(faults(&open, &closed, &live), "");
     let changes = differences(&open, &closed, 10);
     assert_eq!(changes[0], "a: renamed from \"A\" to \"Ay\"");
