--- a/crates/yarn/src/error.rs
+++ b/crates/yarn/src/error.rs
@@ -86,7 +86,7 @@
             Unsupported,
         ]
         .into_iter()
-        .find(|c| c.name() == name)
+        .find(|class| class.name() == name)
     }
 
     /// The REST interface's status for it.
--- a/crates/yarn/src/ids.rs
+++ b/crates/yarn/src/ids.rs
@@ -15,10 +15,10 @@
 impl ApplicationId {
     /// `application_1700000000000_0007`.
     pub fn parse(text: &str) -> Option<Self> {
-        let (stamp, id) = text.strip_prefix("application_")?.split_once('_')?;
+        let (timestamp, id) = text.strip_prefix("application_")?.split_once('_')?;
         Some(ApplicationId {
-            id: number(id)?,
-            cluster_timestamp: number(stamp)?,
+            id: parse_decimal(id)?,
+            cluster_timestamp: parse_decimal(timestamp)?,
         })
     }
 }
@@ -38,9 +38,9 @@
     /// `appattempt_1700000000000_0007_000001`.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.strip_prefix("appattempt_")?.split('_');
-        let cluster_timestamp = number(parts.next()?)?;
-        let id = number(parts.next()?)?;
-        let attempt_id = number(parts.next()?)?;
+        let cluster_timestamp = parse_decimal(parts.next()?)?;
+        let id = parse_decimal(parts.next()?)?;
+        let attempt_id = parse_decimal(parts.next()?)?;
         let application_id = Some(ApplicationId {
             id,
             cluster_timestamp,
@@ -55,11 +55,11 @@
 impl ContainerId {
     /// A number that is never given twice, as long as epochs rise.
     pub fn new(attempt: ApplicationAttemptId, epoch: u64, sequence: u64) -> Self {
-        let low = sequence & ((1 << SEQUENCE_BITS) - 1);
+        let masked_sequence = sequence & ((1 << SEQUENCE_BITS) - 1);
         ContainerId {
             app_id: None,
             app_attempt_id: Some(attempt),
-            id: (epoch << SEQUENCE_BITS | low) as i64,
+            id: (epoch << SEQUENCE_BITS | masked_sequence) as i64,
         }
     }
 
@@ -91,7 +91,7 @@
 }
 
 /// Digits alone: no sign, no spaces.
-fn number<T: std::str::FromStr>(text: &str) -> Option<T> {
-    let plain = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-    plain.then(|| text.parse().ok()).flatten()
+fn parse_decimal<T: std::str::FromStr>(text: &str) -> Option<T> {
+    let only_digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+    only_digits.then(|| text.parse().ok()).flatten()
 }
--- a/crates/yarn/src/rest.rs
+++ b/crates/yarn/src/rest.rs
@@ -20,7 +20,7 @@
     /// The form that a client prefers: the first of its `Accept` (or the one of its `Content-Type`) that is known.
     /// JSON where it does not care, `None` if nothing it names can be given.
     pub fn wanted(accept: &str) -> Option<Form> {
-        let mut named = false;
+        let mut has_unsupported = false;
         for part in accept
             .split(',')
             .map(|p| p.split(';').next().unwrap_or("").trim())
@@ -29,10 +29,10 @@
                 "" => {}
                 "application/json" | "*/*" | "application/*" => return Some(Form::Json),
                 "application/xml" | "text/xml" => return Some(Form::Xml),
-                _ => named = true,
+                _ => has_unsupported = true,
             }
         }
-        (!named).then_some(Form::Json)
+        (!has_unsupported).then_some(Form::Json)
     }
 
     pub fn content_type(self) -> &'static str {
@@ -44,9 +44,9 @@
 }
 
 /// A body with its root element. In JSON the root is written out unless the published form has none.
-pub fn render<T: Serialize>(form: Form, root: &str, bare: bool, value: &T) -> Vec<u8> {
+pub fn render<T: Serialize>(form: Form, root: &str, omit_json_root: bool, value: &T) -> Vec<u8> {
     match form {
-        Form::Json if bare => serde_json::to_vec(value).unwrap_or_default(),
+        Form::Json if omit_json_root => serde_json::to_vec(value).unwrap_or_default(),
         Form::Json => serde_json::to_vec(&json!({ root: value })).unwrap_or_default(),
         Form::Xml => quick_xml::se::to_string_with_root(root, value)
             .unwrap_or_default()
@@ -59,7 +59,7 @@
     match form {
         Form::Json => {
             let mut value = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-            listed(&mut value);
+            wrap_single_values(&mut value);
             serde_json::from_value(value).map_err(|e| e.to_string())
         }
         Form::Xml => {
@@ -70,21 +70,25 @@
 }
 
 /// Fields that hold lists.
-const LISTS: [&str; 4] = ["entry", "tag", "timeout", "resourceInformation"];
+const LIST_FIELDS: [&str; 4] = ["entry", "tag", "timeout", "resourceInformation"];
 
 /// Makes lists of the single values that clients write instead of a list of one.
-fn listed(value: &mut Value) {
+fn wrap_single_values(value: &mut Value) {
     match value {
         Value::Object(fields) => {
             for (name, field) in fields.iter_mut() {
-                listed(field);
-                if LISTS.contains(&name.as_str()) && !field.is_array() {
-                    let one = field.take();
-                    *field = Value::Array(if one.is_null() { Vec::new() } else { vec![one] });
+                wrap_single_values(field);
+                if LIST_FIELDS.contains(&name.as_str()) && !field.is_array() {
+                    let single = field.take();
+                    *field = Value::Array(if single.is_null() {
+                        Vec::new()
+                    } else {
+                        vec![single]
+                    });
                 }
             }
         }
-        Value::Array(all) => all.iter_mut().for_each(listed),
+        Value::Array(items) => items.iter_mut().for_each(wrap_single_values),
         _ => {}
     }
 }
@@ -92,9 +96,9 @@
 /// An error's body.
 pub fn error(form: Form, fault: &Fault) -> Vec<u8> {
     let class = fault.class.name();
-    let short = class.rsplit('.').next().unwrap_or(class);
+    let simple_name = class.rsplit('.').next().unwrap_or(class);
     let body = RemoteException {
-        exception: short.to_owned(),
+        exception: simple_name.to_owned(),
         message: fault.message.clone(),
         java_class_name: class.to_owned(),
     };
--- a/crates/yarn/src/rpc.rs
+++ b/crates/yarn/src/rpc.rs
@@ -135,7 +135,7 @@
 
 impl Fatal {
     /// The published error code.
-    pub fn detail(self) -> i32 {
+    pub fn error_code(self) -> i32 {
         match self {
             Fatal::NotRpc | Fatal::Length(_) => 10,
             Fatal::Kind(_) => 11,
@@ -147,7 +147,7 @@
     }
 
     /// The published exception class.
-    pub fn class(self) -> &'static str {
+    pub fn exception_class(self) -> &'static str {
         match self {
             Fatal::Version(_) => "org.apache.hadoop.ipc.RPC$VersionMismatch",
             Fatal::Auth(_) | Fatal::Unauthorized => {
@@ -179,12 +179,12 @@
 /// Reads the opening: the kind of authentication, `None` while bytes are missing. Wrong bytes are refused as soon as
 /// they are there.
 pub fn opening(buf: &[u8]) -> Result<Option<u8>, Fatal> {
-    let known = buf.len().min(MAGIC.len());
-    if buf[..known] != MAGIC[..known] {
+    let available = buf.len().min(MAGIC.len());
+    if buf[..available] != MAGIC[..available] {
         return Err(Fatal::NotRpc);
     }
     match (buf.get(4), buf.get(6)) {
-        (Some(v), _) if *v != VERSION => Err(Fatal::Version(*v)),
+        (Some(version), _) if *version != VERSION => Err(Fatal::Version(*version)),
         (Some(_), Some(auth)) if matches!(*auth, AUTH_SIMPLE | AUTH_SASL) => Ok(Some(*auth)),
         (Some(_), Some(auth)) => Err(Fatal::Auth(*auth)),
         _ => Ok(None),
@@ -204,7 +204,7 @@
     Ok(buf.get(4..4 + size).map(|body| (body, 4 + size)))
 }
 
-fn delimited<T: Message + Default>(body: &mut &[u8]) -> Result<T, prost::DecodeError> {
+fn decode_delimited<T: Message + Default>(body: &mut &[u8]) -> Result<T, prost::DecodeError> {
     T::decode_length_delimited(body)
 }
 
@@ -219,7 +219,7 @@
 
 /// The header of a frame and what follows it.
 pub fn parse_header(mut body: &[u8]) -> Result<(RequestHeader, &[u8]), Fatal> {
-    let header: RequestHeader = delimited(&mut body).map_err(|_| Fatal::Header)?;
+    let header: RequestHeader = decode_delimited(&mut body).map_err(|_| Fatal::Header)?;
     if header.client_id.len() > MAX_CLIENT_ID {
         return Err(Fatal::Header);
     }
@@ -240,7 +240,7 @@
     }
     let MethodHeader {
         method, protocol, ..
-    } = delimited(&mut rest).map_err(|_| Fatal::Request)?;
+    } = decode_delimited(&mut rest).map_err(|_| Fatal::Request)?;
     let size = prost::decode_length_delimiter(&mut rest).map_err(|_| Fatal::Request)?;
     if size != rest.len() {
         return Err(Fatal::Request);
@@ -255,7 +255,7 @@
 
 /// What follows the header of a connection's context, or of a step of authentication.
 pub fn message<T: Message + Default>(mut rest: &[u8]) -> Result<T, Fatal> {
-    let value = delimited(&mut rest).map_err(|_| Fatal::Request)?;
+    let value = decode_delimited(&mut rest).map_err(|_| Fatal::Request)?;
     if rest.is_empty() {
         Ok(value)
     } else {
@@ -264,29 +264,29 @@
 }
 
 /// Puts the four-byte length before parts that each have their own.
-fn frame(parts: &[Vec<u8>]) -> Vec<u8> {
+fn encode_frame(parts: &[Vec<u8>]) -> Vec<u8> {
     let size: usize = parts.iter().map(Vec::len).sum();
     let mut out = Vec::with_capacity(size + 4);
     out.extend_from_slice(&(size as u32).to_be_bytes());
-    parts.iter().for_each(|p| out.extend_from_slice(p));
+    parts.iter().for_each(|part| out.extend_from_slice(part));
     out
 }
 
 /// The seven bytes that open a connection.
-pub fn open(auth: u8) -> Vec<u8> {
+pub fn open(auth_method: u8) -> Vec<u8> {
     let mut out = MAGIC.to_vec();
-    out.extend_from_slice(&[VERSION, 0, auth]);
+    out.extend_from_slice(&[VERSION, 0, auth_method]);
     out
 }
 
-fn header(call_id: i32, client_id: &[u8], retry: i32) -> RequestHeader {
+fn request_header(call_id: i32, client_id: &[u8], retry_count: i32) -> RequestHeader {
     let client_id = client_id.to_vec();
     RequestHeader {
         rpc_kind: Some(2),
         rpc_op: Some(0),
         call_id,
         client_id,
-        retry_count: Some(retry),
+        retry_count: Some(retry_count),
     }
 }
 
@@ -307,7 +307,7 @@
 pub fn request<T: Message>(
     call_id: i32,
     client_id: &[u8],
-    retry: i32,
+    retry_count: i32,
     protocol: &str,
     method: &str,
     argument: &T,
@@ -315,7 +315,7 @@
     request_bytes(
         call_id,
         client_id,
-        retry,
+        retry_count,
         protocol,
         method,
         &argument.encode_to_vec(),
@@ -326,34 +326,34 @@
 pub fn request_bytes(
     call_id: i32,
     client_id: &[u8],
-    retry: i32,
+    retry_count: i32,
     protocol: &str,
     method: &str,
     argument: &[u8],
 ) -> Vec<u8> {
-    let named = MethodHeader {
+    let method_header = MethodHeader {
         method: method.to_owned(),
         protocol: protocol.to_owned(),
         version: 1,
     };
-    frame(&[
-        header(call_id, client_id, retry).encode_length_delimited_to_vec(),
-        named.encode_length_delimited_to_vec(),
-        delimit(argument),
+    encode_frame(&[
+        request_header(call_id, client_id, retry_count).encode_length_delimited_to_vec(),
+        method_header.encode_length_delimited_to_vec(),
+        length_prefixed(argument),
     ])
 }
 
 /// The frame of a message that is no call: a step of authentication, or a context.
 pub fn frame_of<T: Message>(call_id: i32, client_id: &[u8], message: &T) -> Vec<u8> {
-    let head = header(call_id, client_id, -1);
-    frame(&[
-        head.encode_length_delimited_to_vec(),
+    let header = request_header(call_id, client_id, -1);
+    encode_frame(&[
+        header.encode_length_delimited_to_vec(),
         message.encode_length_delimited_to_vec(),
     ])
 }
 
 /// Bytes with their length before them.
-fn delimit(body: &[u8]) -> Vec<u8> {
+fn length_prefixed(body: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(body.len() + 5);
     // A vector takes whatever is written to it.
     let _ = prost::encode_length_delimiter(body.len(), &mut out);
@@ -363,59 +363,59 @@
 
 /// The frame that keeps a connection alive.
 pub fn ping(client_id: &[u8]) -> Vec<u8> {
-    frame(&[header(PING_CALL, client_id, -1).encode_length_delimited_to_vec()])
+    encode_frame(&[request_header(PING_CALL, client_id, -1).encode_length_delimited_to_vec()])
 }
 
-fn answer_header(of: &RequestHeader, status: i32) -> ResponseHeader {
+fn response_header(request: &RequestHeader, status: i32) -> ResponseHeader {
     ResponseHeader {
         // Ids below zero stand as the published servers put them: the same 32 bits without a sign.
-        call_id: of.call_id as u32,
+        call_id: request.call_id as u32,
         status,
         server_version: Some(u32::from(VERSION)),
-        client_id: Some(of.client_id.clone()),
-        retry_count: of.retry_count,
+        client_id: Some(request.client_id.clone()),
+        retry_count: request.retry_count,
         ..ResponseHeader::default()
     }
 }
 
 /// The frame of an answer; `body` is the encoded message.
-pub fn answer(of: &RequestHeader, body: &[u8]) -> Vec<u8> {
-    frame(&[
-        answer_header(of, 0).encode_length_delimited_to_vec(),
-        delimit(body),
+pub fn answer(request: &RequestHeader, body: &[u8]) -> Vec<u8> {
+    encode_frame(&[
+        response_header(request, 0).encode_length_delimited_to_vec(),
+        length_prefixed(body),
     ])
 }
 
 /// The frame that says why a call was not served.
-pub fn refusal(of: &RequestHeader, fault: &Fault) -> Vec<u8> {
+pub fn refusal(request: &RequestHeader, fault: &Fault) -> Vec<u8> {
     let detail = match fault.class {
         Class::NoSuchMethod => 2,
         Class::NoSuchProtocol => 3,
         _ => 1,
     };
-    let head = ResponseHeader {
+    let header = ResponseHeader {
         exception_class: Some(fault.class.name().to_owned()),
         error: Some(fault.message.clone()),
         detail: Some(detail),
-        ..answer_header(of, 1)
+        ..response_header(request, 1)
     };
-    frame(&[head.encode_length_delimited_to_vec()])
+    encode_frame(&[header.encode_length_delimited_to_vec()])
 }
 
 /// The frame before a connection is closed.
-pub fn farewell(of: Option<&RequestHeader>, why: Fatal) -> Vec<u8> {
-    let nobody = header(-1, &[], -1);
-    let head = ResponseHeader {
-        exception_class: Some(why.class().to_owned()),
-        error: Some(why.to_string()),
-        detail: Some(why.detail()),
-        ..answer_header(of.unwrap_or(&nobody), 2)
+pub fn farewell(request: Option<&RequestHeader>, fatal: Fatal) -> Vec<u8> {
+    let unknown_call = request_header(-1, &[], -1);
+    let header = ResponseHeader {
+        exception_class: Some(fatal.exception_class().to_owned()),
+        error: Some(fatal.to_string()),
+        detail: Some(fatal.error_code()),
+        ..response_header(request.unwrap_or(&unknown_call), 2)
     };
-    frame(&[head.encode_length_delimited_to_vec()])
+    encode_frame(&[header.encode_length_delimited_to_vec()])
 }
 
 /// What a server says to a client that wants to negotiate: nothing needs to be proved.
-pub fn simple_will_do(of: &RequestHeader) -> Vec<u8> {
+pub fn simple_auth_response(request: &RequestHeader) -> Vec<u8> {
     let auth = SaslAuth {
         method: "SIMPLE".into(),
         ..SaslAuth::default()
@@ -425,24 +425,24 @@
         auths: vec![auth],
         ..Sasl::default()
     };
-    answer(of, &sasl.encode_to_vec())
+    answer(request, &sasl.encode_to_vec())
 }
 
 /// An answer as a client reads it: the message's bytes, or why there are none.
 pub fn parse_answer(mut body: &[u8]) -> Result<(ResponseHeader, Result<Vec<u8>, Fault>), Fatal> {
-    let head: ResponseHeader = delimited(&mut body).map_err(|_| Fatal::Header)?;
-    if head.status != 0 {
-        let class = head
+    let header: ResponseHeader = decode_delimited(&mut body).map_err(|_| Fatal::Header)?;
+    if header.status != 0 {
+        let class = header
             .exception_class
             .as_deref()
             .and_then(Class::of)
             .unwrap_or(Class::Yarn);
-        let fault = Fault::new(class, head.error.clone().unwrap_or_default());
-        return Ok((head, Err(fault)));
+        let fault = Fault::new(class, header.error.clone().unwrap_or_default());
+        return Ok((header, Err(fault)));
     }
     let size = prost::decode_length_delimiter(&mut body).map_err(|_| Fatal::Request)?;
     if size != body.len() {
         return Err(Fatal::Request);
     }
-    Ok((head, Ok(body.to_vec())))
+    Ok((header, Ok(body.to_vec())))
 }
