--- a/crates/yarn/src/error.rs
+++ b/crates/yarn/src/error.rs
@@ -1,40 +1,40 @@
-//! Errors as clients map them: by the class name of an exception.
+//! Errors as clients tell them apart: by the class name of the exception.
 
-/// Why a call was not served, in the words that clients act on.
+/// Why a call failed: the exception class that clients act on, and a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     pub class: Class,
     pub message: String,
 }
 
-/// Exception classes that clients know.
+/// Exception classes that YARN clients recognize.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
-    /// The call can't be served as it is; the client gives it up.
+    /// The call can't be served as it is; the client does not retry it.
     Yarn,
     ApplicationNotFound,
     AttemptNotFound,
     ContainerNotFound,
-    /// The resources asked for can't be had.
+    /// The requested resources can't be provided.
     InvalidRequest,
-    /// The master has to register (again) before it may ask.
+    /// The application master has to register (again) before it may send other requests.
     NotRegistered,
-    /// The user may not do this.
+    /// The user is not permitted to make this call.
     AccessDenied,
-    /// An argument of the call is missing or wrong.
+    /// An argument of the call is missing or invalid.
     BadArgument,
-    /// Try again here, a little later.
+    /// Retry at the same address after a short delay.
     Retriable,
-    /// Try another address of the service.
+    /// Retry at another address of the service.
     Standby,
     NoSuchMethod,
     NoSuchProtocol,
-    /// Not served here, now or later.
+    /// Not implemented by this server; a retry won't help.
     Unsupported,
 }
 
 impl Class {
-    /// The published class name.
+    /// The published, fully qualified Java class name.
     pub fn name(self) -> &'static str {
         match self {
             Class::Yarn => "org.apache.hadoop.yarn.exceptions.YarnException",
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The class behind a name, if it is one that this package knows.
+    /// Looks up a class by its published name; `None` for a name that this package does not know.
     pub fn of(name: &str) -> Option<Class> {
         use Class::{
             AccessDenied, ApplicationNotFound, AttemptNotFound, BadArgument, ContainerNotFound,
@@ -89,7 +89,7 @@
         .find(|class| class.name() == name)
     }
 
-    /// The REST interface's status for it.
+    /// The HTTP status that the REST interface returns for this class.
     pub fn status(self) -> u16 {
         match self {
             Class::ApplicationNotFound | Class::AttemptNotFound | Class::ContainerNotFound => 404,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The same call may be served later, here or elsewhere.
+    /// Whether the error is transient: the same call may succeed later, or at another address.
     pub fn is_passing(self) -> bool {
         matches!(self, Class::Retriable | Class::Standby)
     }
--- a/crates/yarn/src/ids.rs
+++ b/crates/yarn/src/ids.rs
@@ -1,9 +1,9 @@
-//! Ids in their text form, as the REST interface and people use them.
+//! The text form of ids, used by the REST interface and by people.
 
 use crate::proto::{ApplicationAttemptId, ApplicationId, ContainerId};
 use std::fmt;
 
-/// Bits of a container id that count within one epoch; those above are the epoch.
+/// Low bits of a container id that hold the sequence number within an epoch; the bits above hold the epoch.
 const SEQUENCE_BITS: u32 = 40;
 
 impl fmt::Display for ApplicationId {
@@ -13,7 +13,7 @@
 }
 
 impl ApplicationId {
-    /// `application_1700000000000_0007`.
+    /// Parses the form `application_1700000000000_0007`.
     pub fn parse(text: &str) -> Option<Self> {
         let (timestamp, id) = text.strip_prefix("application_")?.split_once('_')?;
         Some(ApplicationId {
@@ -35,7 +35,7 @@
 }
 
 impl ApplicationAttemptId {
-    /// `appattempt_1700000000000_0007_000001`.
+    /// Parses the form `appattempt_1700000000000_0007_000001`.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.strip_prefix("appattempt_")?.split('_');
         let cluster_timestamp = parse_decimal(parts.next()?)?;
@@ -53,7 +53,7 @@
 }
 
 impl ContainerId {
-    /// A number that is never given twice, as long as epochs rise.
+    /// Combines epoch and sequence number into one id, which is never reused as long as epochs increase.
     pub fn new(attempt: ApplicationAttemptId, epoch: u64, sequence: u64) -> Self {
         let masked_sequence = sequence & ((1 << SEQUENCE_BITS) - 1);
         ContainerId {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Digits alone: no sign, no spaces.
+/// Parses a number of ASCII digits only; signs and spaces are rejected.
 fn parse_decimal<T: std::str::FromStr>(text: &str) -> Option<T> {
     let only_digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     only_digits.then(|| text.parse().ok()).flatten()
--- a/crates/yarn/src/lib.rs
+++ b/crates/yarn/src/lib.rs
@@ -1,9 +1,9 @@
-//! YARN's published interfaces as they stand on the wire: Hadoop's RPC framing (version 9), the protobuf messages of
-//! the application client and application master protocols, and the resource manager's REST answers in JSON and XML.
-//! Field numbers, names and exception classes are the published ones; the definitions were written here.
+//! YARN's published wire formats: Hadoop RPC framing (version 9), the protobuf messages of the application client,
+//! application master and container management protocols, and the resource manager's REST bodies in JSON and XML.
+//! Field numbers, names and exception classes follow the published interfaces; the definitions are this project's own.
 //!
-//! For clients and servers alike: bytes in, values out. It holds no connection, no clock and no state, decides nothing,
-//! and knows nothing of stoathatch. YARN's words stay in this package and in `gateway`.
+//! This package only encodes and decodes, for clients and servers alike. It has no connections, clock, state or policy,
+//! and does not depend on the rest of stoathatch. YARN terms are used only in this package and in `gateway`.
 //!
 //! ```
 //! use yarn::{proto, rpc};
--- a/crates/yarn/src/master.rs
+++ b/crates/yarn/src/master.rs
@@ -5,7 +5,7 @@
     NodeReport, Priority, Resource, ResourceRequest, Token,
 };
 
-/// What a master is told to do.
+/// Command to an application master in an allocate response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum MasterCommand {
@@ -13,18 +13,18 @@
     Shutdown = 2,
 }
 
-/// Exit statuses that say who ended a container.
+/// Exit statuses that YARN reports in place of the process's own, to tell how a container ended.
 pub mod exit {
-    /// Released, or lost with its machine.
+    /// The container was released by its application, or lost with its node.
     pub const ABORTED: i32 = -100;
     pub const KILLED_BY_MASTER: i32 = -105;
-    /// Not over yet.
+    /// The container has not finished yet.
     pub const UNKNOWN: i32 = -1000;
 }
 
-/// The name of a request that any machine may serve.
+/// The resource name of a request that any node can satisfy.
 pub const ANY: &str = "*";
-/// The name under which GPUs are asked for.
+/// The resource type name of GPUs.
 pub const GPUS: &str = "yarn.io/gpu";
 
 #[derive(Clone, PartialEq, prost::Message)]
--- a/crates/yarn/src/proto.rs
+++ b/crates/yarn/src/proto.rs
@@ -1,7 +1,7 @@
 //! Messages of the application client protocol, with their published field numbers. Names follow the published ones
-//! without their `Proto`; amounts of memory are MiB, times are milliseconds since 1970.
+//! without the suffix `Proto`. Memory sizes are in MiB, times in milliseconds since 1970.
 
-/// States of an application, in the order that it passes them.
+/// States of an application, in the order in which it goes through them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum ApplicationState {
@@ -15,7 +15,7 @@
     Killed = 8,
 }
 
-/// How an application says that it ended.
+/// The outcome that an application reports for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum FinalStatus {
@@ -26,7 +26,7 @@
     Ended = 4,
 }
 
-/// States of one attempt of a master.
+/// States of an application attempt, which is one run of its application master.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum AttemptState {
@@ -43,7 +43,6 @@
     Killed = 11,
 }
 
-/// States of a container.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum ContainerState {
@@ -52,7 +51,7 @@
     Complete = 3,
 }
 
-/// States of a machine.
+/// States of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum NodeState {
@@ -66,7 +65,7 @@
     Shutdown = 8,
 }
 
-/// Whether a queue takes applications.
+/// Whether a queue accepts new applications.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum QueueState {
@@ -75,7 +74,7 @@
     Draining = 3,
 }
 
-/// What a user may do in a queue.
+/// Operations on a queue that a user can be granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum QueueAcl {
@@ -83,7 +82,7 @@
     AdministerQueue = 2,
 }
 
-/// What a file of a bundle is.
+/// The kind of a file that is provided to a container.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum LocalResourceType {
--- a/crates/yarn/src/rest.rs
+++ b/crates/yarn/src/rest.rs
@@ -1,7 +1,7 @@
-//! The resource manager's REST interface under `/ws/v1/cluster`: bodies in JSON or XML.
+//! The resource manager's REST interface under `/ws/v1/cluster`: request and response bodies in JSON or XML.
 //!
-//! Times are milliseconds since 1970 (0: not yet), memory is in MiB. Single values may stand where lists are expected,
-//! as published clients write them.
+//! Times are in milliseconds since 1970 (0 if not reached yet), memory is in MiB. A single value is accepted where a
+//! list is expected, because published clients send lists of one in this way.
 
 use crate::error::Fault;
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 
 pub const ROOT: &str = "/ws/v1/cluster";
 
-/// The form of a body.
+/// The format of a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Form {
     Json,
@@ -17,8 +17,8 @@
 }
 
 impl Form {
-    /// The form that a client prefers: the first of its `Accept` (or the one of its `Content-Type`) that is known.
-    /// JSON where it does not care, `None` if nothing it names can be given.
+    /// Selects the format from an `Accept` or `Content-Type` header: the first listed media type that is supported.
+    /// JSON if the header is empty, `None` if it lists only unsupported types.
     pub fn wanted(accept: &str) -> Option<Form> {
         let mut has_unsupported = false;
         for part in accept
@@ -43,7 +43,8 @@
     }
 }
 
-/// A body with its root element. In JSON the root is written out unless the published form has none.
+/// Renders a body. XML always has the root element; JSON has it unless `omit_json_root` is set, for bodies whose
+/// published JSON form has no root.
 pub fn render<T: Serialize>(form: Form, root: &str, omit_json_root: bool, value: &T) -> Vec<u8> {
     match form {
         Form::Json if omit_json_root => serde_json::to_vec(value).unwrap_or_default(),
@@ -54,7 +55,8 @@
     }
 }
 
-/// Reads a body whose root element does not matter.
+/// Parses a body. The name of the XML root element is ignored; a JSON body is parsed as it is, so a root has to be part
+/// of `T`.
 pub fn read<T: for<'de> Deserialize<'de>>(form: Form, body: &[u8]) -> Result<T, String> {
     match form {
         Form::Json => {
@@ -69,10 +71,10 @@
     }
 }
 
-/// Fields that hold lists.
+/// Names of the fields that contain lists.
 const LIST_FIELDS: [&str; 4] = ["entry", "tag", "timeout", "resourceInformation"];
 
-/// Makes lists of the single values that clients write instead of a list of one.
+/// Wraps single values of list fields in a list, because clients send a list of one as a bare value.
 fn wrap_single_values(value: &mut Value) {
     match value {
         Value::Object(fields) => {
@@ -93,7 +95,7 @@
     }
 }
 
-/// An error's body.
+/// Renders the body of an error response.
 pub fn error(form: Form, fault: &Fault) -> Vec<u8> {
     let class = fault.class.name();
     let simple_name = class.rsplit('.').next().unwrap_or(class);
@@ -229,7 +231,7 @@
     pub stat_item: Vec<StatItem>,
 }
 
-/// The state of an application, as it is read and as it is asked for.
+/// The state of an application, used both to report it and to request a change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AppState {
     pub state: String,
@@ -277,7 +279,7 @@
     pub queue: Vec<Queue>,
 }
 
-/// A queue with those below it; capacities are percentages of the whole.
+/// A queue and its child queues; capacities are percentages of the whole.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Queue {
@@ -337,7 +339,7 @@
     pub maximum_resource_capability: Capability,
 }
 
-/// What is submitted. Fields that are left out have the published defaults.
+/// An application submission. Omitted fields have the published defaults.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Submission {
@@ -384,7 +386,7 @@
     pub timeout: Vec<Timeout>,
 }
 
-/// An application that lives longer than this (seconds from its submission) is ended.
+/// Limit on an application's lifetime, in seconds from its submission; a longer-running application is ended.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Timeout {
     #[serde(rename = "type")]
--- a/crates/yarn/src/rpc.rs
+++ b/crates/yarn/src/rpc.rs
@@ -1,7 +1,8 @@
-//! Hadoop's RPC, version 9, with protobuf bodies: the connection's opening, frames, headers and answers.
+//! Hadoop RPC version 9 with protobuf bodies: the connection preamble, frames, headers and responses.
 //!
-//! A connection opens with seven bytes; then come frames of a four-byte length and a body. A body is a header, and
-//! after it whatever the header calls for, each with its own length before it. All of it is big-endian or varint.
+//! A connection starts with a seven-byte preamble, followed by frames. A frame is a four-byte big-endian length and a
+//! body. A body is a header followed by the messages that this kind of call requires, each prefixed with its length as
+//! a varint.
 
 use crate::error::{Class, Fault};
 use prost::Message;
@@ -12,34 +13,34 @@
 
 pub const MAGIC: &[u8; 4] = b"hrpc";
 pub const VERSION: u8 = 9;
-/// Bytes that open a connection: magic, version, service class, kind of authentication.
+/// Length of the connection preamble: magic (4 bytes), version, service class, authentication method.
 pub const OPENING: usize = 7;
-/// The connection says who its user is, and nothing proves it.
+/// The client states its user name without proof.
 pub const AUTH_SIMPLE: u8 = 0;
-/// Authentication is to be negotiated first.
+/// Authentication is negotiated by SASL before the first call.
 pub const AUTH_SASL: u8 = 0xdf;
 
-/// Call ids that are no calls.
+/// Reserved call ids of messages that are not calls.
 pub const CONTEXT_CALL: i32 = -3;
 pub const PING_CALL: i32 = -4;
 pub const SASL_CALL: i32 = -33;
 
-/// Longest client id; the published ones have 16 bytes.
+/// Upper bound on the length of a client id; published clients send 16 bytes.
 const MAX_CLIENT_ID: usize = 64;
 
 #[derive(Clone, PartialEq, Message)]
 pub struct RequestHeader {
-    /// 2 is protobuf; nothing else is spoken.
+    /// 2 is protobuf, the only supported kind.
     #[prost(int32, optional, tag = "1")]
     pub rpc_kind: Option<i32>,
-    /// 0 is a whole call, 2 closes the connection.
+    /// 0 is a complete call, 2 closes the connection.
     #[prost(int32, optional, tag = "2")]
     pub rpc_op: Option<i32>,
     #[prost(sint32, required, tag = "3")]
     pub call_id: i32,
     #[prost(bytes = "vec", required, tag = "4")]
     pub client_id: Vec<u8>,
-    /// How often the call was sent before; -1 for none that counts.
+    /// How often the call was sent before; -1 if retries are not counted.
     #[prost(sint32, optional, tag = "5")]
     pub retry_count: Option<i32>,
 }
@@ -48,7 +49,7 @@
 pub struct ResponseHeader {
     #[prost(uint32, required, tag = "1")]
     pub call_id: u32,
-    /// 0 served, 1 an error of the call, 2 the connection is over.
+    /// 0 success, 1 the call failed, 2 fatal: the connection is closed.
     #[prost(int32, required, tag = "2")]
     pub status: i32,
     #[prost(uint32, optional, tag = "3")]
@@ -118,14 +119,14 @@
     pub auths: Vec<SaslAuth>,
 }
 
-/// Why a connection can't go on, with the published code that says so.
+/// Errors after which a connection is closed. Each has a published error code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fatal {
-    /// The opening is not Hadoop's.
+    /// The connection does not start with the Hadoop RPC magic.
     NotRpc,
     Version(u8),
     Auth(u8),
-    /// A frame is larger than the bound, or of no sensible length.
+    /// A frame's length is above the limit, zero or negative.
     Length(i32),
     Header,
     Kind(i32),
@@ -176,8 +177,8 @@
     }
 }
 
-/// Reads the opening: the kind of authentication, `None` while bytes are missing. Wrong bytes are refused as soon as
-/// they are there.
+/// Parses the connection preamble and returns its authentication method, or `None` while bytes are missing. Invalid
+/// bytes are rejected as soon as they arrive, before the preamble is complete.
 pub fn opening(buf: &[u8]) -> Result<Option<u8>, Fatal> {
     let available = buf.len().min(MAGIC.len());
     if buf[..available] != MAGIC[..available] {
@@ -191,7 +192,8 @@
     }
 }
 
-/// Takes a frame's body off the front, with the bytes used; `None` while bytes are missing.
+/// Splits the first frame off `buf`: returns its body and the number of bytes consumed, or `None` while bytes are
+/// missing.
 pub fn take_frame(buf: &[u8], limit: usize) -> Result<Option<(&[u8], usize)>, Fatal> {
     let Some(head) = buf.first_chunk::<4>() else {
         return Ok(None);
@@ -208,7 +210,7 @@
     T::decode_length_delimited(body)
 }
 
-/// One call, its argument still as bytes.
+/// A call whose argument is not decoded yet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
     pub header: RequestHeader,
@@ -217,7 +219,7 @@
     pub argument: Vec<u8>,
 }
 
-/// The header of a frame and what follows it.
+/// Parses the header of a frame's body; returns it with the remaining bytes.
 pub fn parse_header(mut body: &[u8]) -> Result<(RequestHeader, &[u8]), Fatal> {
     let header: RequestHeader = decode_delimited(&mut body).map_err(|_| Fatal::Header)?;
     if header.client_id.len() > MAX_CLIENT_ID {
@@ -226,13 +228,13 @@
     Ok((header, body))
 }
 
-/// A frame that holds a call.
+/// Parses the body of a frame that contains a call.
 pub fn parse_request(body: &[u8]) -> Result<Request, Fatal> {
     let (header, rest) = parse_header(body)?;
     call(header, rest)
 }
 
-/// What follows the header of a call.
+/// Parses the part of a call that follows its header.
 pub fn call(header: RequestHeader, mut rest: &[u8]) -> Result<Request, Fatal> {
     let kind = header.rpc_kind.unwrap_or(0);
     if kind != 2 {
@@ -253,7 +255,7 @@
     })
 }
 
-/// What follows the header of a connection's context, or of a step of authentication.
+/// Parses the message that follows the header of a connection context or an authentication step.
 pub fn message<T: Message + Default>(mut rest: &[u8]) -> Result<T, Fatal> {
     let value = decode_delimited(&mut rest).map_err(|_| Fatal::Request)?;
     if rest.is_empty() {
@@ -263,7 +265,7 @@
     }
 }
 
-/// Puts the four-byte length before parts that each have their own.
+/// Builds a frame of parts that are already length-prefixed, with the four-byte total length in front.
 fn encode_frame(parts: &[Vec<u8>]) -> Vec<u8> {
     let size: usize = parts.iter().map(Vec::len).sum();
     let mut out = Vec::with_capacity(size + 4);
@@ -272,7 +274,7 @@
     out
 }
 
-/// The seven bytes that open a connection.
+/// Encodes the connection preamble.
 pub fn open(auth_method: u8) -> Vec<u8> {
     let mut out = MAGIC.to_vec();
     out.extend_from_slice(&[VERSION, 0, auth_method]);
@@ -290,7 +292,7 @@
     }
 }
 
-/// The frame that says who a connection's user is.
+/// Encodes the connection context, which names the connection's user.
 pub fn context(client_id: &[u8], user: &str, protocol: &str) -> Vec<u8> {
     let user = UserInformation {
         effective_user: Some(user.to_owned()),
@@ -303,7 +305,7 @@
     frame_of(CONTEXT_CALL, client_id, &context)
 }
 
-/// The frame of a call.
+/// Encodes a call.
 pub fn request<T: Message>(
     call_id: i32,
     client_id: &[u8],
@@ -322,7 +324,7 @@
     )
 }
 
-/// The frame of a call whose argument is encoded already.
+/// Encodes a call whose argument is already encoded.
 pub fn request_bytes(
     call_id: i32,
     client_id: &[u8],
@@ -343,7 +345,7 @@
     ])
 }
 
-/// The frame of a message that is no call: a step of authentication, or a context.
+/// Encodes a message that is not a call: an authentication step or a connection context.
 pub fn frame_of<T: Message>(call_id: i32, client_id: &[u8], message: &T) -> Vec<u8> {
     let header = request_header(call_id, client_id, -1);
     encode_frame(&[
@@ -352,23 +354,23 @@
     ])
 }
 
-/// Bytes with their length before them.
+/// Prefixes `body` with its length as a varint.
 fn length_prefixed(body: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(body.len() + 5);
-    // A vector takes whatever is written to it.
+    // A `Vec` grows as needed, so encoding into it can't fail.
     let _ = prost::encode_length_delimiter(body.len(), &mut out);
     out.extend_from_slice(body);
     out
 }
 
-/// The frame that keeps a connection alive.
+/// Encodes the ping that keeps a connection alive.
 pub fn ping(client_id: &[u8]) -> Vec<u8> {
     encode_frame(&[request_header(PING_CALL, client_id, -1).encode_length_delimited_to_vec()])
 }
 
 fn response_header(request: &RequestHeader, status: i32) -> ResponseHeader {
     ResponseHeader {
-        // Ids below zero stand as the published servers put them: the same 32 bits without a sign.
+        // As published servers do, negative ids are sent as the same 32 bits, unsigned.
         call_id: request.call_id as u32,
         status,
         server_version: Some(u32::from(VERSION)),
@@ -378,7 +380,7 @@
     }
 }
 
-/// The frame of an answer; `body` is the encoded message.
+/// Encodes a successful response; `body` is the encoded message.
 pub fn answer(request: &RequestHeader, body: &[u8]) -> Vec<u8> {
     encode_frame(&[
         response_header(request, 0).encode_length_delimited_to_vec(),
@@ -386,7 +388,7 @@
     ])
 }
 
-/// The frame that says why a call was not served.
+/// Encodes the error response to a call that failed.
 pub fn refusal(request: &RequestHeader, fault: &Fault) -> Vec<u8> {
     let detail = match fault.class {
         Class::NoSuchMethod => 2,
@@ -402,7 +404,7 @@
     encode_frame(&[header.encode_length_delimited_to_vec()])
 }
 
-/// The frame before a connection is closed.
+/// Encodes the fatal error response that is sent before the connection is closed.
 pub fn farewell(request: Option<&RequestHeader>, fatal: Fatal) -> Vec<u8> {
     let unknown_call = request_header(-1, &[], -1);
     let header = ResponseHeader {
@@ -414,7 +416,7 @@
     encode_frame(&[header.encode_length_delimited_to_vec()])
 }
 
-/// What a server says to a client that wants to negotiate: nothing needs to be proved.
+/// Encodes a server's response to SASL negotiation that offers only simple authentication, without proof of identity.
 pub fn simple_auth_response(request: &RequestHeader) -> Vec<u8> {
     let auth = SaslAuth {
         method: "SIMPLE".into(),
@@ -428,7 +430,7 @@
     answer(request, &sasl.encode_to_vec())
 }
 
-/// An answer as a client reads it: the message's bytes, or why there are none.
+/// Parses a response on the client side: its header, and either the encoded message or the error.
 pub fn parse_answer(mut body: &[u8]) -> Result<(ResponseHeader, Result<Vec<u8>, Fault>), Fatal> {
     let header: ResponseHeader = decode_delimited(&mut body).map_err(|_| Fatal::Header)?;
     if header.status != 0 {
