--- a/crates/yarn/src/lib.rs
+++ b/crates/yarn/src/lib.rs
@@ -7,8 +7,8 @@
 //!
 //! ```
 //! use yarn::{proto, rpc};
-//! let ask = proto::KillApplicationRequest::default();
-//! let frame = rpc::request(7, b"0123456789abcdef", 0, rpc::CLIENT_PROTOCOL, "forceKillApplication", &ask);
+//! let kill = proto::KillApplicationRequest::default();
+//! let frame = rpc::request(7, b"0123456789abcdef", 0, rpc::CLIENT_PROTOCOL, "forceKillApplication", &kill);
 //! let (body, used) = rpc::take_frame(&frame, 1 << 20).unwrap().unwrap();
 //! assert_eq!(used, frame.len());
 //! let call = rpc::parse_request(body).unwrap();
--- a/crates/yarn/tests/formats.rs
+++ b/crates/yarn/tests/formats.rs
@@ -10,7 +10,7 @@
 const CLIENT: &[u8] = b"0123456789abcdef";
 
 /// What is in a frame.
-fn body_of(frame: &[u8]) -> &[u8] {
+fn frame_body(frame: &[u8]) -> &[u8] {
     let (body, used) = rpc::take_frame(frame, 1 << 20)
         .expect("a frame")
         .expect("whole");
@@ -19,7 +19,7 @@
 }
 
 prop_compose! {
-    fn id()(id in 0..i32::MAX, cluster_timestamp in 0..i64::MAX) -> ApplicationId {
+    fn application_id()(id in 0..i32::MAX, cluster_timestamp in 0..i64::MAX) -> ApplicationId {
         ApplicationId { id, cluster_timestamp }
     }
 }
@@ -32,11 +32,11 @@
 }
 
 prop_compose! {
-    fn launch()(command in ".{0,40}", keys in prop::collection::vec("[A-Z]{1,6}", 0..4), size in any::<i64>(), token in prop::collection::vec(any::<u8>(), 0..20)) -> ContainerLaunchContext {
+    fn launch_context()(command in ".{0,40}", keys in prop::collection::vec("[A-Z]{1,6}", 0..4), size in any::<i64>(), token in prop::collection::vec(any::<u8>(), 0..20)) -> ContainerLaunchContext {
         let resource = Url { file: Some("/t.zip".into()), ..Url::default() };
-        let local = LocalResource { resource: Some(resource), size: Some(size), kind: Some(1), ..LocalResource::default() };
+        let local_resource = LocalResource { resource: Some(resource), size: Some(size), kind: Some(1), ..LocalResource::default() };
         ContainerLaunchContext {
-            local_resources: vec![StringLocalResource { key: "t".into(), value: Some(local) }],
+            local_resources: vec![StringLocalResource { key: "t".into(), value: Some(local_resource) }],
             environment: keys.into_iter().map(|key| StringString { key, value: Some("1".into()) }).collect(),
             command: vec![command],
             tokens: Some(token),
@@ -46,7 +46,7 @@
 }
 
 prop_compose! {
-    fn submission()(id in id(), resource in resource(), launch in launch(), name in ".{0,20}", tags in prop::collection::vec("[a-z]{0,9}", 0..4), priority in any::<i32>()) -> ApplicationSubmissionContext {
+    fn submission()(id in application_id(), resource in resource(), launch in launch_context(), name in ".{0,20}", tags in prop::collection::vec("[a-z]{0,9}", 0..4), priority in any::<i32>()) -> ApplicationSubmissionContext {
         ApplicationSubmissionContext {
             application_id: Some(id),
             application_name: Some(name),
@@ -61,10 +61,10 @@
 }
 
 prop_compose! {
-    fn allocation()(app in id(), attempt_id in 0..100, numbers in prop::collection::vec(any::<i64>(), 0..5), capability in resource(), count in any::<i32>(), response_id in any::<i32>()) -> master::AllocateRequest {
+    fn allocate_request()(app in application_id(), attempt_id in 0..100, container_numbers in prop::collection::vec(any::<i64>(), 0..5), capability in resource(), count in any::<i32>(), response_id in any::<i32>()) -> master::AllocateRequest {
         let attempt = ApplicationAttemptId { application_id: Some(app), attempt_id };
         let container = |id| ContainerId { app_id: None, app_attempt_id: Some(attempt), id };
-        let ask = ResourceRequest {
+        let request = ResourceRequest {
             priority: Some(Priority { priority: 1 }),
             resource_name: Some(master::ANY.into()),
             capability: Some(capability),
@@ -72,8 +72,8 @@
             ..ResourceRequest::default()
         };
         master::AllocateRequest {
-            ask: vec![ask],
-            release: numbers.into_iter().map(container).collect(),
+            ask: vec![request],
+            release: container_numbers.into_iter().map(container).collect(),
             response_id: Some(response_id),
             ..master::AllocateRequest::default()
         }
@@ -81,63 +81,63 @@
 }
 
 /// Cut, flipped or oversized bytes are read as something else or refused, and never cost more than they are.
-fn survives<T: Message + Default>(bytes: &[u8], cut: usize, flip: usize) {
+fn check_damaged_decode<T: Message + Default>(bytes: &[u8], cut: usize, flip: usize) {
     let _ = T::decode(&bytes[..cut.min(bytes.len())]);
-    let mut bent = bytes.to_vec();
-    if let Some(b) = bent.get_mut(flip % bytes.len().max(1)) {
-        *b ^= 1 << (flip % 8);
+    let mut corrupted = bytes.to_vec();
+    if let Some(byte) = corrupted.get_mut(flip % bytes.len().max(1)) {
+        *byte ^= 1 << (flip % 8);
     }
-    let _ = T::decode(bent.as_slice());
+    let _ = T::decode(corrupted.as_slice());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn calls_come_back_whole_or_not_at_all(context in submission(), ask in allocation(), call in 0..i32::MAX, retry in -1..9, cut in 0usize..400, flip in any::<usize>()) {
+    fn calls_round_trip_and_damaged_calls_do_not_panic(context in submission(), ask in allocate_request(), call in 0..i32::MAX, retry in -1..9, cut in 0usize..400, flip in any::<usize>()) {
         let submit = SubmitApplicationRequest { context: Some(context) };
         let frame = rpc::request(call, CLIENT, retry, rpc::CLIENT_PROTOCOL, "submitApplication", &submit);
-        let request = rpc::parse_request(body_of(&frame)).expect("a call");
+        let request = rpc::parse_request(frame_body(&frame)).expect("a call");
         prop_assert_eq!(request.header.call_id, call);
         prop_assert_eq!(request.header.retry_count, Some(retry));
         prop_assert_eq!(SubmitApplicationRequest::decode(request.argument.as_slice()).expect("its argument"), submit.clone());
-        let allocate = ask.encode_to_vec();
-        prop_assert_eq!(master::AllocateRequest::decode(allocate.as_slice()).expect("an allocation"), ask);
+        let encoded = ask.encode_to_vec();
+        prop_assert_eq!(master::AllocateRequest::decode(encoded.as_slice()).expect("an allocation"), ask);
 
-        survives::<SubmitApplicationRequest>(&submit.encode_to_vec(), cut, flip);
-        survives::<master::AllocateRequest>(&allocate, cut, flip);
+        check_damaged_decode::<SubmitApplicationRequest>(&submit.encode_to_vec(), cut, flip);
+        check_damaged_decode::<master::AllocateRequest>(&encoded, cut, flip);
         if cut < frame.len() {
             prop_assert_eq!(rpc::take_frame(&frame[..cut], 1 << 20), Ok(None));
         }
-        let mut bent = frame.clone();
-        let at = 4 + flip % (frame.len() - 4);
-        bent[at] ^= 1 << (flip % 8);
-        let _ = rpc::parse_request(&bent[4..]);
+        let mut corrupted = frame.clone();
+        let index = 4 + flip % (frame.len() - 4);
+        corrupted[index] ^= 1 << (flip % 8);
+        let _ = rpc::parse_request(&corrupted[4..]);
         prop_assert!(rpc::take_frame(&frame, frame.len() - 5).is_err(), "one byte above the bound");
     }
 
     #[test]
-    fn answers_and_refusals_come_back(report in ".{0,60}", call in 0..i32::MAX) {
-        let of = rpc::parse_request(body_of(&rpc::request(call, CLIENT, 2, "p", "m", &GetNewApplicationRequest {}))).expect("a call").header;
-        let answer = rpc::answer(&of, report.as_bytes());
-        let (head, body) = rpc::parse_answer(body_of(&answer)).expect("an answer");
-        prop_assert_eq!((head.call_id, head.retry_count), (call as u32, Some(2)));
+    fn responses_and_errors_round_trip(report in ".{0,60}", call in 0..i32::MAX) {
+        let header = rpc::parse_request(frame_body(&rpc::request(call, CLIENT, 2, "p", "m", &GetNewApplicationRequest {}))).expect("a call").header;
+        let answer = rpc::answer(&header, report.as_bytes());
+        let (response, body) = rpc::parse_answer(frame_body(&answer)).expect("an answer");
+        prop_assert_eq!((response.call_id, response.retry_count), (call as u32, Some(2)));
         prop_assert_eq!(body.expect("served"), report.as_bytes());
         let fault = Fault::new(Class::ApplicationNotFound, report);
-        let (_, refused) = rpc::parse_answer(body_of(&rpc::refusal(&of, &fault))).expect("an answer");
+        let (_, refused) = rpc::parse_answer(frame_body(&rpc::refusal(&header, &fault))).expect("an answer");
         prop_assert_eq!(refused.expect_err("refused"), fault);
     }
 
     #[test]
-    fn ids_come_back_from_their_text(app in id(), attempt in 0..i32::MAX) {
+    fn ids_round_trip_through_text(app in application_id(), attempt in 0..i32::MAX) {
         prop_assert_eq!(ApplicationId::parse(&app.to_string()), Some(app));
         let attempt = ApplicationAttemptId { application_id: Some(app), attempt_id: attempt };
         prop_assert_eq!(ApplicationAttemptId::parse(&attempt.to_string()), Some(attempt));
     }
 
     #[test]
-    fn submissions_are_the_same_in_both_forms(id in id(), tags in prop::collection::vec("[a-z]{1,9}", 0..4), key in "[A-Z]{1,5}", memory in 0i64..1 << 40) {
-        let all = rest::Submission {
+    fn submissions_round_trip_in_json_and_xml(id in application_id(), tags in prop::collection::vec("[a-z]{1,9}", 0..4), key in "[A-Z]{1,5}", memory in 0i64..1 << 40) {
+        let submission = rest::Submission {
             application_id: id.to_string(),
             application_tags: rest::Tags { tag: tags },
             am_container_spec: rest::Launch {
@@ -148,16 +148,16 @@
             resource: rest::Capability { memory, vcores: 2, named: None },
             ..rest::Submission::default()
         };
-        let json = rest::render(Form::Json, "", true, &all);
-        prop_assert_eq!(&rest::read::<rest::Submission>(Form::Json, &json).expect("JSON"), &all);
-        let xml = rest::render(Form::Xml, "application-submission-context", true, &all);
-        prop_assert_eq!(&rest::read::<rest::Submission>(Form::Xml, &xml).expect("XML"), &all);
+        let json = rest::render(Form::Json, "", true, &submission);
+        prop_assert_eq!(&rest::read::<rest::Submission>(Form::Json, &json).expect("JSON"), &submission);
+        let xml = rest::render(Form::Xml, "application-submission-context", true, &submission);
+        prop_assert_eq!(&rest::read::<rest::Submission>(Form::Xml, &xml).expect("XML"), &submission);
     }
 }
 
 /// The opening, a context, a ping and a call, byte by byte.
 #[test]
-fn known_bytes() {
+fn frames_and_ids_match_expected_bytes() {
     assert_eq!(rpc::open(rpc::AUTH_SIMPLE), b"hrpc\x09\x00\x00");
     // Header: kind 2, op 0, call -4 as zigzag 7, client id "x", retry -1 as zigzag 1.
     assert_eq!(
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn openings_are_refused_as_soon_as_they_are_wrong() {
+fn invalid_preambles_and_frame_lengths_are_rejected_early() {
     use rpc::Fatal;
     assert_eq!(rpc::opening(b"hrpc\x09\x00"), Ok(None));
     assert_eq!(rpc::opening(b"hrpc\x09\x00\xdf"), Ok(Some(rpc::AUTH_SASL)));
@@ -206,26 +206,34 @@
     assert_eq!(rpc::opening(b"hrpc\x08"), Err(Fatal::Version(8)));
     assert_eq!(rpc::opening(b"hrpc\x09\x00\x51"), Err(Fatal::Auth(0x51)));
     for length in [0, -1, i32::MIN, 1 << 21] {
-        let head = i32::to_be_bytes(length);
-        assert_eq!(rpc::take_frame(&head, 1 << 20), Err(Fatal::Length(length)));
+        let prefix = i32::to_be_bytes(length);
+        assert_eq!(
+            rpc::take_frame(&prefix, 1 << 20),
+            Err(Fatal::Length(length))
+        );
     }
 }
 
 /// What published clients write: single values for lists, and what they read.
 #[test]
-fn single_values_stand_for_lists() {
-    let text = br#"{"application-id":"application_1_0001","application-name":"tally",
+fn single_json_values_are_read_as_lists() {
+    let json = br#"{"application-id":"application_1_0001","application-name":"tally",
         "am-container-spec":{"commands":{"command":"run"},
           "environment":{"entry":{"key":"COUNTY","value":"garissa"}},
           "local-resources":{"entry":[{"key":"tally.zip","value":{"resource":"http://a/t.zip","type":"ARCHIVE",
             "visibility":"APPLICATION","size":43004,"timestamp":1405452071209}}]}},
         "max-app-attempts":2,"resource":{"memory":1024,"vCores":1},"application-type":"TALLY",
         "application-tags":{"tag":"census"},"unmanaged-AM":false,"some-later-field":1}"#;
-    let read: rest::Submission = rest::read(Form::Json, text).expect("readable");
-    assert_eq!(read.application_tags.tag, ["census"]);
-    assert_eq!(read.am_container_spec.environment.entry[0].value, "garissa");
+    let submission: rest::Submission = rest::read(Form::Json, json).expect("readable");
+    assert_eq!(submission.application_tags.tag, ["census"]);
     assert_eq!(
-        read.am_container_spec.local_resources.entry[0].value.kind,
+        submission.am_container_spec.environment.entry[0].value,
+        "garissa"
+    );
+    assert_eq!(
+        submission.am_container_spec.local_resources.entry[0]
+            .value
+            .kind,
         "ARCHIVE"
     );
     let apps = rest::Apps {
