--- a/crates/yarn/tests/formats.rs
+++ b/crates/yarn/tests/formats.rs
@@ -1,4 +1,5 @@
-//! Formats against generated values, damage, and byte sequences worked out by hand from the published descriptions.
+//! Encoding and decoding of generated values, of damaged input, and of byte sequences that were derived by hand from the
+//! published descriptions.
 
 use proptest::prelude::*;
 use prost::Message;
@@ -9,11 +10,11 @@
 
 const CLIENT: &[u8] = b"0123456789abcdef";
 
-/// What is in a frame.
+/// Splits off the body of `frame`, which has to be exactly one frame.
 fn frame_body(frame: &[u8]) -> &[u8] {
     let (body, used) = rpc::take_frame(frame, 1 << 20)
-        .expect("a frame")
-        .expect("whole");
+        .expect("frame length within the limit")
+        .expect("complete frame");
     assert_eq!(used, frame.len());
     body
 }
@@ -80,7 +81,8 @@
     }
 }
 
-/// Cut, flipped or oversized bytes are read as something else or refused, and never cost more than they are.
+/// Truncated input, input with a flipped bit and input that states too large a length may be decoded as another value or
+/// rejected, but must neither panic nor use memory out of proportion to its size.
 fn check_damaged_decode<T: Message + Default>(bytes: &[u8], cut: usize, flip: usize) {
     let _ = T::decode(&bytes[..cut.min(bytes.len())]);
     let mut corrupted = bytes.to_vec();
@@ -97,12 +99,12 @@
     fn calls_round_trip_and_damaged_calls_do_not_panic(context in submission(), ask in allocate_request(), call in 0..i32::MAX, retry in -1..9, cut in 0usize..400, flip in any::<usize>()) {
         let submit = SubmitApplicationRequest { context: Some(context) };
         let frame = rpc::request(call, CLIENT, retry, rpc::CLIENT_PROTOCOL, "submitApplication", &submit);
-        let request = rpc::parse_request(frame_body(&frame)).expect("a call");
+        let request = rpc::parse_request(frame_body(&frame)).expect("valid call");
         prop_assert_eq!(request.header.call_id, call);
         prop_assert_eq!(request.header.retry_count, Some(retry));
-        prop_assert_eq!(SubmitApplicationRequest::decode(request.argument.as_slice()).expect("its argument"), submit.clone());
+        prop_assert_eq!(SubmitApplicationRequest::decode(request.argument.as_slice()).expect("valid submission request"), submit.clone());
         let encoded = ask.encode_to_vec();
-        prop_assert_eq!(master::AllocateRequest::decode(encoded.as_slice()).expect("an allocation"), ask);
+        prop_assert_eq!(master::AllocateRequest::decode(encoded.as_slice()).expect("valid allocate request"), ask);
 
         check_damaged_decode::<SubmitApplicationRequest>(&submit.encode_to_vec(), cut, flip);
         check_damaged_decode::<master::AllocateRequest>(&encoded, cut, flip);
@@ -113,19 +115,19 @@
         let index = 4 + flip % (frame.len() - 4);
         corrupted[index] ^= 1 << (flip % 8);
         let _ = rpc::parse_request(&corrupted[4..]);
-        prop_assert!(rpc::take_frame(&frame, frame.len() - 5).is_err(), "one byte above the bound");
+        prop_assert!(rpc::take_frame(&frame, frame.len() - 5).is_err(), "frame one byte above the limit was accepted");
     }
 
     #[test]
     fn responses_and_errors_round_trip(report in ".{0,60}", call in 0..i32::MAX) {
-        let header = rpc::parse_request(frame_body(&rpc::request(call, CLIENT, 2, "p", "m", &GetNewApplicationRequest {}))).expect("a call").header;
+        let header = rpc::parse_request(frame_body(&rpc::request(call, CLIENT, 2, "p", "m", &GetNewApplicationRequest {}))).expect("valid call").header;
         let answer = rpc::answer(&header, report.as_bytes());
-        let (response, body) = rpc::parse_answer(frame_body(&answer)).expect("an answer");
+        let (response, body) = rpc::parse_answer(frame_body(&answer)).expect("valid response");
         prop_assert_eq!((response.call_id, response.retry_count), (call as u32, Some(2)));
-        prop_assert_eq!(body.expect("served"), report.as_bytes());
+        prop_assert_eq!(body.expect("successful response"), report.as_bytes());
         let fault = Fault::new(Class::ApplicationNotFound, report);
-        let (_, refused) = rpc::parse_answer(frame_body(&rpc::refusal(&header, &fault))).expect("an answer");
-        prop_assert_eq!(refused.expect_err("refused"), fault);
+        let (_, refused) = rpc::parse_answer(frame_body(&rpc::refusal(&header, &fault))).expect("valid response");
+        prop_assert_eq!(refused.expect_err("error response"), fault);
     }
 
     #[test]
@@ -149,13 +151,13 @@
             ..rest::Submission::default()
         };
         let json = rest::render(Form::Json, "", true, &submission);
-        prop_assert_eq!(&rest::read::<rest::Submission>(Form::Json, &json).expect("JSON"), &submission);
+        prop_assert_eq!(&rest::read::<rest::Submission>(Form::Json, &json).expect("valid JSON body"), &submission);
         let xml = rest::render(Form::Xml, "application-submission-context", true, &submission);
-        prop_assert_eq!(&rest::read::<rest::Submission>(Form::Xml, &xml).expect("XML"), &submission);
+        prop_assert_eq!(&rest::read::<rest::Submission>(Form::Xml, &xml).expect("valid XML body"), &submission);
     }
 }
 
-/// The opening, a context, a ping and a call, byte by byte.
+/// Compares the preamble, a ping, a connection context, a call and ids with their exact encodings.
 #[test]
 fn frames_and_ids_match_expected_bytes() {
     assert_eq!(rpc::open(rpc::AUTH_SIMPLE), b"hrpc\x09\x00\x00");
@@ -214,7 +216,8 @@
     }
 }
 
-/// What published clients write: single values for lists, and what they read.
+/// Published clients send a list of one as a bare value and expect repeated elements for lists in XML; `Accept` headers
+/// select the format.
 #[test]
 fn single_json_values_are_read_as_lists() {
     let json = br#"{"application-id":"application_1_0001","application-name":"tally",
@@ -224,7 +227,7 @@
             "visibility":"APPLICATION","size":43004,"timestamp":1405452071209}}]}},
         "max-app-attempts":2,"resource":{"memory":1024,"vCores":1},"application-type":"TALLY",
         "application-tags":{"tag":"census"},"unmanaged-AM":false,"some-later-field":1}"#;
-    let submission: rest::Submission = rest::read(Form::Json, json).expect("readable");
+    let submission: rest::Submission = rest::read(Form::Json, json).expect("valid JSON body");
     assert_eq!(submission.application_tags.tag, ["census"]);
     assert_eq!(
         submission.am_container_spec.environment.entry[0].value,
@@ -239,7 +242,7 @@
     let apps = rest::Apps {
         app: vec![rest::App::default(); 2],
     };
-    let xml = String::from_utf8(rest::render(Form::Xml, "apps", false, &apps)).expect("text");
+    let xml = String::from_utf8(rest::render(Form::Xml, "apps", false, &apps)).expect("UTF-8");
     assert_eq!(xml.matches("<app>").count(), 2, "{xml}");
     assert_eq!(
         Form::wanted("text/html, application/xml;q=0.9"),
