--- a/crates/control/src/agents/orders.rs
+++ b/crates/control/src/agents/orders.rs
@@ -19,7 +19,7 @@
 
 /// Whether a claimed task may be started now. A gang starts only once all its tasks are claimed.
 fn is_startable(claim: &Claim, job: &Job) -> bool {
-    let is_whole = !job.broken && job.claimed.len() == job.tasks as usize;
+    let is_whole = !job.is_gang_broken && job.claimed.len() == job.tasks as usize;
     let is_unstarted = claim.stage.is_none() && !claim.sent;
     is_unstarted && !job.is_ending() && (job.kind() != Kind::Gang || is_whole)
 }
@@ -76,7 +76,7 @@
             });
             // The worker keeps a successful result until it is recorded.
             let is_safe = exited.cause != Some(Cause::Done)
-                || job.is_none_or(|job| job.recorded(exited.task));
+                || job.is_none_or(|job| job.is_result_recorded(exited.task));
             !is_claimed && is_safe
         };
         let reap = |exited: &Exited| Order::Reap {
@@ -145,11 +145,15 @@
         let Some(machine) = shard.machine(m).filter(|x| x.command_in_flight.is_none()) else {
             return Vec::new();
         };
-        let stop_if_unwanted = |claim: &Claim| {
+        let stop_if_cancelled = |claim: &Claim| {
             let job = shard.job(claim.job);
-            let job = job.filter(|job| claim.sent && job.is_unwanted())?;
+            let job = job.filter(|job| claim.sent && job.is_cancelled_or_ended_before_term())?;
             Some(stop(claim, job, 0.0))
         };
-        machine.claims.iter().filter_map(stop_if_unwanted).collect()
+        machine
+            .claims
+            .iter()
+            .filter_map(stop_if_cancelled)
+            .collect()
     }
 }
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -435,7 +435,7 @@
         match end.cause {
             Some(Cause::Done) => {
                 if let Some((class, ratio)) = measured_ratio(job, &claim, now) {
-                    shard.classes.entry(class).or_default().learn(ratio);
+                    shard.classes.entry(class).or_default().record_run(ratio);
                 }
                 job.complete(claim.task);
                 machine.errors = 0;
@@ -447,7 +447,7 @@
             }
             _ => note_progress(job, &claim, end.saved, now),
         }
-        job.unclaim(claim.task, m, claim.attempt);
+        job.remove_claim(claim.task, m, claim.attempt);
         if machine.claims.is_empty() {
             machine.idle_since = now;
         }
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -132,7 +132,7 @@
             reports: heartbeats,
         };
         let what = Pending::Relayed { conns };
-        self.ask_peer(peer, &request, BATCH_TIMEOUT_MS, what);
+        self.send_peer_request(peer, &request, BATCH_TIMEOUT_MS, what);
     }
 
     fn refuse_queue(&mut self) {
@@ -254,7 +254,7 @@
                     addr: addr.to_string(),
                     body: body.into(),
                 };
-                self.ask_peer(peer, &request, timeout_ms, what);
+                self.send_peer_request(peer, &request, timeout_ms, what);
             }
             None => self.post_command(addr, body, timeout_ms, what),
         }
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -121,7 +121,7 @@
             .shard
             .iter()
             .flat_map(|shard| shard.jobs.iter().flatten())
-            .filter(|job| !job.is_over());
+            .filter(|job| !job.is_end_recorded());
         for county in jobs.filter_map(|job| job.county.as_ref()) {
             *live.entry(county.county.clone()).or_default() += 1;
         }
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -189,7 +189,11 @@
 
     /// The counties of live jobs, by job id.
     fn live_counties(&self) -> HashMap<String, String> {
-        let live = self.jobs.iter().flatten().filter(|job| !job.is_over());
+        let live = self
+            .jobs
+            .iter()
+            .flatten()
+            .filter(|job| !job.is_end_recorded());
         live.filter_map(|job| Some((job.id.clone(), job.county.as_ref()?.county.clone())))
             .collect()
     }
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -451,7 +451,11 @@
     /// Adds live jobs that were accepted up to a revision.
     fn add_live(&mut self, revision: u64, rows: &mut BTreeMap<Cell, Row>) {
         let counts = &mut self.county_counts.counts;
-        let live = self.jobs.iter().flatten().filter(|job| !job.is_over());
+        let live = self
+            .jobs
+            .iter()
+            .flatten()
+            .filter(|job| !job.is_end_recorded());
         for job in live.filter(|job| job.version <= revision) {
             if let (Some(county), Some(spec)) = (&job.county, &job.spec) {
                 let cell = counts.cell(&county.county, &spec.class);
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -213,7 +213,7 @@
     studio: &'a str,
 ) -> impl Iterator<Item = (JobIndex, &'a Job, u64)> {
     shard.jobs.iter().enumerate().filter_map(move |(ix, job)| {
-        let job = job.filter(|job| job.ending == Ending::No)?;
+        let job = job.filter(|job| job.ending == Ending::Undecided)?;
         let spec = job.spec.as_ref().filter(|s| s.kind != JobKind::Service)?;
         if calendar.studio_of(&job.team) != Some(studio) {
             return None;
@@ -224,7 +224,7 @@
 }
 
 fn is_due_at(job: &Job, due_ms: u64) -> bool {
-    job.hour
+    job.release_hour
         .as_ref()
         .is_some_and(|hour| hour.record.due_ms == due_ms)
 }
@@ -240,10 +240,13 @@
     let studio = calendar.studio_of(&job.team).unwrap_or_default();
     let local = |ms| calendar.local(studio, ms);
     let from = job
-        .hour
+        .release_hour
         .as_ref()
         .map_or_else(|| "none".to_owned(), |h| local(h.record.due_ms));
-    let before = job.hour.as_ref().and_then(|h| h.record.moved.as_ref());
+    let before = job
+        .release_hour
+        .as_ref()
+        .and_then(|h| h.record.moved.as_ref());
     let before = before
         .map(|m| format!(" (moved by {} before)", m.by))
         .unwrap_or_default();
@@ -274,7 +277,7 @@
             };
             let job = shard
                 .job(hour_move.ix)
-                .filter(|job| job.id == hour_move.job && job.ending == Ending::No);
+                .filter(|job| job.id == hour_move.job && job.ending == Ending::Undecided);
             let Some((job, spec)) = job.and_then(|job| Some((job, job.spec.as_ref()?))) else {
                 shard.hours.rejected_moves.push(hour_move);
                 continue;
@@ -303,7 +306,7 @@
 
 impl HourMove {
     fn record(&self, job: &Job, at_ms: u64) -> HourRecord {
-        let from_ms = job.hour.as_ref().map_or(0, |h| h.record.due_ms);
+        let from_ms = job.release_hour.as_ref().map_or(0, |h| h.record.due_ms);
         let moved = MovedRecord {
             by: self.by.clone(),
             at_ms,
@@ -330,7 +333,7 @@
         let record = hour_move.record(job, wall);
         let from_ms = record.moved.as_ref().map_or(0, |m| m.from_ms);
         job.version = revision;
-        job.hour = Some(Hour::new(record));
+        job.release_hour = Some(Hour::new(record));
         let job = shard.jobs.get(hour_move.ix);
         shard.hours.forget(from_ms, hour_move.ix);
         if let Some(job) = job {
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -67,7 +67,7 @@
 impl DeadlineWatch {
     /// Adds the hour of a job, if it has one.
     pub fn add(&mut self, job: &Job, ix: JobIndex) {
-        if let Some(hour) = &job.hour {
+        if let Some(hour) = &job.release_hour {
             self.upcoming.insert((hour.record.due_ms, ix));
         }
     }
@@ -85,7 +85,9 @@
 
     /// Determines whether a job's hour was kept, once the job's end is recorded.
     pub fn ended(&mut self, job: &Job, ix: JobIndex, stage: Stage) {
-        let Some(hour) = &job.hour else { return };
+        let Some(hour) = &job.release_hour else {
+            return;
+        };
         let due = hour.record.due_ms;
         self.forget(due, ix);
         let late = (hour.ended_ms > due).then(|| (hour.ended_ms - due) as f64 / 1000.0);
@@ -140,7 +142,7 @@
 
 /// The hour in the record of a job's end.
 pub(crate) fn end_record(job: &mut Job, ended_ms: u64) -> Option<EndHourRecord> {
-    let hour = job.hour.as_mut()?;
+    let hour = job.release_hour.as_mut()?;
     hour.ended_ms = ended_ms;
     Some(EndHourRecord {
         due_ms: hour.record.due_ms,
@@ -198,7 +200,9 @@
             let Some(job) = self.jobs.get_mut(ix) else {
                 continue;
             };
-            let Some(hour) = &mut job.hour else { continue };
+            let Some(hour) = &mut job.release_hour else {
+                continue;
+            };
             hour.state = state;
             if n < MAX_LOGGED {
                 log::info!(
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -84,7 +84,7 @@
             return self.malformed(requester, spec.id, fault);
         }
         if let Some(state) = self.final_states.get(&spec.id) {
-            return self.tell(requester, state);
+            return self.answer_state(requester, state);
         }
         if self.catalog().is_none() {
             return self.submit_without_catalog(requester, spec);
--- a/crates/control/src/jobs/answer_history.rs
+++ b/crates/control/src/jobs/answer_history.rs
@@ -34,7 +34,7 @@
     }
 
     /// Adds a final state. A state that is already cached is kept.
-    pub fn put(&mut self, job: &str, stage: Stage, done: u32) {
+    pub fn insert_if_absent(&mut self, job: &str, stage: Stage, done: u32) {
         debug_assert!(stage.is_final());
         if self.known.contains_key(job) {
             return;
--- a/crates/control/src/jobs/answers.rs
+++ b/crates/control/src/jobs/answers.rs
@@ -17,9 +17,10 @@
 
     /// Answers with the state of a job. If this node learned the job's final state while `state` was being fetched, the
     /// final state is sent instead.
-    pub(crate) fn tell(&mut self, requester: Requester, state: JobState) {
+    pub(crate) fn answer_state(&mut self, requester: Requester, state: JobState) {
         if state.stage.is_final() {
-            self.final_states.put(&state.id, state.stage, state.done);
+            self.final_states
+                .insert_if_absent(&state.id, state.stage, state.done);
         }
         self.answer_history.record(&state.id);
         let state = self.final_states.get(&state.id).unwrap_or(state);
@@ -33,7 +34,7 @@
     /// final state is sent then.
     pub(crate) fn answer_accepted(&mut self, requester: Requester, state: JobState) {
         if self.final_states.get(&state.id).is_some() {
-            return self.tell(requester, state);
+            return self.answer_state(requester, state);
         }
         self.answer_history.record(&state.id);
         match requester {
@@ -55,7 +56,7 @@
     }
 
     /// Answers that this node can neither tell nor decide anything at present.
-    pub(crate) fn not_now(&mut self, requester: Requester) {
+    pub(crate) fn answer_undecided(&mut self, requester: Requester) {
         match requester {
             Requester::User(conn) => self.refuse(conn, 503, "cannot be decided at present"),
             Requester::Peer(conn) => self.answer_peer(conn, &PeerResponse::NotNow),
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -24,14 +24,14 @@
             return self.cancel(&id, Requester::User(conn));
         }
         if let Some(state) = self.final_states.get(&id) {
-            return self.tell(Requester::User(conn), state);
+            return self.answer_state(Requester::User(conn), state);
         }
         let Some(peer) = self.leader_peer() else {
             return self.refuse(conn, 503, "no owner now");
         };
         let request = PeerRequest::Cancel { job: id.clone() };
         let what = Pending::PeerCancel { conn, job: id };
-        self.ask_peer(peer, &request, CANCEL_TIMEOUT_MS, what);
+        self.send_peer_request(peer, &request, CANCEL_TIMEOUT_MS, what);
     }
 
     /// The leader's answer to a forwarded cancellation. A job that the leader does not hold in memory may have ended,
@@ -39,7 +39,7 @@
     pub(crate) fn cancel_answered(&mut self, conn: u64, job: String, response: Option<Response>) {
         match peer_answer(response) {
             Some(PeerResponse::State(state)) if state.id == job => {
-                self.tell(Requester::User(conn), state)
+                self.answer_state(Requester::User(conn), state)
             }
             Some(PeerResponse::Unknown) => {
                 let question = self.question(Requester::User(conn), job, Purpose::Cancel);
@@ -59,24 +59,24 @@
         shard.job_to_write(ix);
         let Some(job) = shard.job_mut(ix) else { return };
         if job.kind() == Kind::Gang && !job.is_ending() {
-            job.broken = !job.claimed.is_empty() && !job.has_whole_gang_claimed();
+            job.is_gang_broken = !job.claimed.is_empty() && !job.has_whole_gang_claimed();
         }
-        if job.must_stop_tasks() || job.broken {
+        if job.must_stop_tasks() || job.is_gang_broken {
             for m in job.machines() {
                 shard.stop_job(ix, m, 0.0);
             }
         }
-        shard.note_unwanted(ix);
+        shard.update_cancelled_with_claims(ix);
         shard.maybe_forget_job(ix);
     }
 
     /// Handles a cancellation on the leader.
     pub(crate) fn cancel(&mut self, id: &str, requester: Requester) {
         if let Some(state) = self.final_states.get(id) {
-            return self.tell(requester, state);
+            return self.answer_state(requester, state);
         }
         if !self.may_decide() {
-            return self.not_now(requester);
+            return self.answer_undecided(requester);
         }
         self.to_write = true;
         let Some(shard) = &mut self.shard else { return };
@@ -87,24 +87,24 @@
         match job.ending {
             // Only claims are left of this job here, and whether it was done or cancelled is not known. The record
             // decides, so that a cancelled job is not reported as done.
-            Ending::Before => return self.cancel_unknown(requester, id),
+            Ending::BeforeTerm => return self.cancel_unknown(requester, id),
             Ending::Recorded(_) => {
                 let state = job.state();
-                return self.tell(requester, state);
+                return self.answer_state(requester, state);
             }
-            Ending::No => {
+            Ending::Undecided => {
                 log::info!("job {}: cancelled by its user", job.id);
-                job.ending = Ending::Wanted(Stage::Cancelled);
-                job.unsaved.clear();
+                job.ending = Ending::Decided(Stage::Cancelled);
+                job.unrecorded_tasks.clear();
             }
             // An end is already to be recorded. The requester is told that end, whichever it is.
             _ => {}
         }
         if job.waiters.len() >= MAX_WAITERS {
-            return self.not_now(requester);
+            return self.answer_undecided(requester);
         }
         job.waiters.push(requester);
-        shard.note_unwanted(ix);
+        shard.update_cancelled_with_claims(ix);
         shard.job_to_write(ix);
     }
 
@@ -115,7 +115,7 @@
         let Some(shard) = &mut self.shard else { return };
         if std::mem::replace(&mut shard.had_valid_lease, has_valid_lease) && !has_valid_lease {
             for requester in shard.take_waiters() {
-                self.not_now(requester);
+                self.answer_undecided(requester);
             }
         }
     }
--- a/crates/control/src/jobs/class.rs
+++ b/crates/control/src/jobs/class.rs
@@ -4,7 +4,7 @@
 
 /// Statistics of one class: run times relative to estimates, and the arrival rate of its jobs.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Class {
+pub(crate) struct ClassStatistics {
     /// Number of runs observed.
     runs: f64,
     /// Moving average of the logarithm of run time over estimate.
@@ -19,7 +19,7 @@
     /// Images, each with its size in GB and a moving average of its share of the jobs.
     pub images: Vec<(String, f64, f64)>,
     /// Spec of the latest job, taken as a model of the next one.
-    pub like: Option<Box<JobSpec>>,
+    pub latest_spec: Option<Box<JobSpec>>,
 }
 
 /// Time constant of the exponential decay of the arrival rate.
@@ -42,10 +42,10 @@
 const MIN_FACTOR: f64 = 0.3;
 const MAX_FACTOR: f64 = 3.0;
 
-impl Class {
+impl ClassStatistics {
     /// Adds a run, given its time over the estimate. Each further run has less weight, down to a twentieth, so that the
     /// correction still follows changes over the day.
-    pub fn learn(&mut self, ratio: f64) {
+    pub fn record_run(&mut self, ratio: f64) {
         self.runs += 1.0;
         let weight = (1.0 / (self.runs + 2.0)).max(MIN_RUN_WEIGHT);
         let ratio = ratio.clamp(MIN_RATIO, MAX_RATIO);
@@ -53,10 +53,10 @@
     }
 
     /// Counts a job that was accepted at `at_ms`, a wall-clock time.
-    pub fn arrived(&mut self, spec: &JobSpec, at_ms: u64) {
+    pub fn record_arrival(&mut self, spec: &JobSpec, at_ms: u64) {
         self.rate = self.rate(at_ms) + 1000.0 / ARRIVAL_TIME_CONSTANT_MS;
         self.rate_updated_at = self.rate_updated_at.max(at_ms);
-        let weight = if self.like.is_none() {
+        let weight = if self.latest_spec.is_none() {
             1.0
         } else {
             TASKS_WEIGHT
@@ -65,7 +65,7 @@
         self.tasks += (tasks - self.tasks) * weight;
         self.tasks_squared += (tasks * tasks - self.tasks_squared) * weight;
         self.count_image(spec);
-        self.like = Some(Box::new(spec.clone()));
+        self.latest_spec = Some(Box::new(spec.clone()));
     }
 
     /// Raises the share of the job's image and lowers that of all others.
@@ -102,7 +102,7 @@
     }
 
     /// Factor by which estimates are to be multiplied.
-    pub fn factor(&self) -> f64 {
+    pub fn estimate_factor(&self) -> f64 {
         self.log_ratio.exp().clamp(MIN_FACTOR, MAX_FACTOR)
     }
 }
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -190,7 +190,7 @@
         }
         let conn = forwarded.conn;
         match peer_answer(response) {
-            Some(PeerResponse::State(state)) => self.tell(Requester::User(conn), state),
+            Some(PeerResponse::State(state)) => self.answer_state(Requester::User(conn), state),
             Some(PeerResponse::Accepted(state)) => {
                 self.answer_accepted(Requester::User(conn), state)
             }
@@ -215,7 +215,7 @@
             .filter(|_| matches!(status, 400 | 404 | 422))
         {
             if let Some(state) = self.final_states.get(job) {
-                return self.tell(Requester::User(conn), state);
+                return self.answer_state(Requester::User(conn), state);
             }
             if self.answer_history.may_have_answered_since(job, mark) {
                 return self.refuse(conn, 503, "undecided");
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -13,15 +13,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Ending {
     /// The job is not ending.
-    No,
+    Undecided,
     /// The end is decided and still to be written to the state service.
-    Wanted(Stage),
+    Decided(Stage),
     /// The write of the end record is in flight; its outcome is not known.
     Writing(Stage),
     /// The end record is in the state service.
     Recorded(Stage),
     /// The job had ended before this node became the leader. Only its record says how.
-    Before,
+    BeforeTerm,
 }
 
 /// A job that has not ended, or that still has claims.
@@ -54,14 +54,14 @@
     /// Number of tasks that are running or saving a checkpoint.
     pub running: u32,
     /// Completed tasks that are not recorded yet.
-    pub unsaved: BTreeSet<u32>,
+    pub unrecorded_tasks: BTreeSet<u32>,
     /// Claim log segments that hold results of this job.
     pub segments: BTreeSet<u64>,
     pub ending: Ending,
     /// Requesters that wait for its end.
     pub waiters: Vec<Requester>,
     /// The gang lost a task, and its remaining tasks are being stopped.
-    pub broken: bool,
+    pub is_gang_broken: bool,
     /// Seconds of work that were saved in checkpoints before the present attempt.
     pub progress_s: f64,
     pub failures: u32,
@@ -72,13 +72,13 @@
     /// No task is started before this time.
     pub backoff_until: u64,
     /// The job may have changed since the last plan.
-    pub touched: bool,
+    pub changed_since_plan: bool,
     /// Some task was running when a plan was made.
-    pub began: bool,
+    pub was_running_at_plan: bool,
     /// For the job of a model: how many of its tasks may exist now. Only [`crate::models`] sets it.
     pub replicas: Option<u32>,
     /// The job's release time, if it has one.
-    pub hour: Option<Box<crate::documents::hours::Hour>>,
+    pub release_hour: Option<Box<crate::documents::hours::Hour>>,
 }
 
 /// State of an accepted job about which nothing else is known.
@@ -105,9 +105,9 @@
         job.done = vec![0; spec.tasks.div_ceil(64) as usize];
         job.at_ms = rec.at_ms;
         job.county = rec.county;
-        job.hour = rec.hour.map(crate::documents::hours::Hour::new);
+        job.release_hour = rec.hour.map(crate::documents::hours::Hour::new);
         job.version = version;
-        job.ending = Ending::No;
+        job.ending = Ending::Undecided;
         job.spec = Some(Box::new(spec));
         job
     }
@@ -130,27 +130,27 @@
             freed: BTreeSet::new(),
             claimed: HashMap::new(),
             running: 0,
-            unsaved: BTreeSet::new(),
+            unrecorded_tasks: BTreeSet::new(),
             segments: BTreeSet::new(),
-            ending: Ending::Before,
+            ending: Ending::BeforeTerm,
             waiters: Vec::new(),
-            broken: false,
+            is_gang_broken: false,
             progress_s: 0.0,
             failures: 0,
             failed_on: BTreeSet::new(),
             succeeded: false,
             backoff_until: 0,
-            touched: false,
-            began: false,
+            changed_since_plan: false,
+            was_running_at_plan: false,
             replicas: None,
-            hour: None,
+            release_hour: None,
         }
     }
 
     /// Whether its pending tasks may be waiting for their first start, as far as is known. For an array this always
     /// holds, since any of its tasks may.
-    pub fn waits(&self) -> bool {
-        self.kind() == Kind::Array || !self.began && self.progress_s == 0.0
+    pub fn may_await_first_start(&self) -> bool {
+        self.kind() == Kind::Array || !self.was_running_at_plan && self.progress_s == 0.0
     }
 
     /// Kind of the job. One of which only claims are left counts as an array.
@@ -162,20 +162,20 @@
         self.spec.as_ref().map_or(Priority::Low, |s| s.priority)
     }
     /// Whether the end is recorded. The job stays in memory until its last claims have ended.
-    pub fn is_over(&self) -> bool {
-        matches!(self.ending, Ending::Recorded(_) | Ending::Before)
+    pub fn is_end_recorded(&self) -> bool {
+        matches!(self.ending, Ending::Recorded(_) | Ending::BeforeTerm)
     }
     /// Whether no task of the job may be started any more.
     pub fn is_ending(&self) -> bool {
-        self.ending != Ending::No
+        self.ending != Ending::Undecided
     }
     /// Whether its tasks must be stopped: a cancellation is recorded or being written, or the job had ended before this
     /// node became the leader. A write in flight counts because others may have read its record already.
     pub fn must_stop_tasks(&self) -> bool {
-        use Ending::{Before, Recorded, Writing};
+        use Ending::{BeforeTerm, Recorded, Writing};
         matches!(
             self.ending,
-            Recorded(Stage::Cancelled) | Writing(Stage::Cancelled) | Before
+            Recorded(Stage::Cancelled) | Writing(Stage::Cancelled) | BeforeTerm
         )
     }
 
@@ -185,11 +185,11 @@
     }
 
     /// Whether its user has cancelled it, recorded or not, or it had ended before this node became the leader.
-    pub fn is_unwanted(&self) -> bool {
-        use Ending::{Before, Recorded, Wanted, Writing};
+    pub fn is_cancelled_or_ended_before_term(&self) -> bool {
+        use Ending::{BeforeTerm, Decided, Recorded, Writing};
         match self.ending {
-            Wanted(stage) | Writing(stage) | Recorded(stage) => stage == Stage::Cancelled,
-            ending => ending == Before,
+            Decided(stage) | Writing(stage) | Recorded(stage) => stage == Stage::Cancelled,
+            ending => ending == BeforeTerm,
         }
     }
 
@@ -228,10 +228,10 @@
         self.succeeded = true;
         if self.done_count == self.tasks {
             // The end record implies all results, so the last ones need not be recorded one by one.
-            self.unsaved.clear();
-            self.ending = Ending::Wanted(Stage::Done);
+            self.unrecorded_tasks.clear();
+            self.ending = Ending::Decided(Stage::Done);
         } else {
-            self.unsaved.insert(task);
+            self.unrecorded_tasks.insert(task);
         }
     }
 
@@ -240,26 +240,28 @@
         for t in tasks {
             self.set_done(t);
         }
-        if self.done_count == self.tasks && self.ending == Ending::No {
-            self.ending = Ending::Wanted(Stage::Done);
+        if self.done_count == self.tasks && self.ending == Ending::Undecided {
+            self.ending = Ending::Decided(Stage::Done);
         }
     }
 
     /// All recorded results, for moving them into another record.
-    pub fn saved(&self) -> impl Iterator<Item = u32> + '_ {
-        (0..self.tasks).filter(|t| self.is_done(*t) && !self.unsaved.contains(t))
+    pub fn recorded_tasks(&self) -> impl Iterator<Item = u32> + '_ {
+        (0..self.tasks).filter(|t| self.is_done(*t) && !self.unrecorded_tasks.contains(t))
     }
 
     /// Whether the result of a task is known to be stored in the state service.
-    pub fn recorded(&self, task: u32) -> bool {
-        // Once an end is decided, results that were to be recorded are dropped from `unsaved`, so until the end is
+    pub fn is_result_recorded(&self, task: u32) -> bool {
+        // Once an end is decided, results that were to be recorded are dropped from `unrecorded_tasks`, so until the end is
         // recorded nothing shows that this task's result is stored.
-        self.is_over()
-            || (self.is_done(task) && !self.unsaved.contains(&task) && self.ending == Ending::No)
+        self.is_end_recorded()
+            || (self.is_done(task)
+                && !self.unrecorded_tasks.contains(&task)
+                && self.ending == Ending::Undecided)
     }
 
     /// Adds a claim to a task.
-    pub fn claim(&mut self, task: u32, machine: usize, attempt: u64) {
+    pub fn add_claim(&mut self, task: u32, machine: usize, attempt: u64) {
         self.claimed
             .entry(task)
             .or_default()
@@ -268,7 +270,7 @@
     }
 
     /// Removes a claim that has ended. The task is free again unless it is done or has another claim.
-    pub fn unclaim(&mut self, task: u32, machine: usize, attempt: u64) {
+    pub fn remove_claim(&mut self, task: u32, machine: usize, attempt: u64) {
         if let Some(claims) = self.claimed.get_mut(&task) {
             claims.retain(|c| *c != (machine, attempt));
             if claims.is_empty() {
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -57,7 +57,7 @@
     }
 
     /// Sends a request to a peer. `what` says what its answer belongs to.
-    pub(crate) fn ask_peer(
+    pub(crate) fn send_peer_request(
         &mut self,
         peer: usize,
         request: &PeerRequest,
@@ -77,7 +77,7 @@
     /// does not know the job.
     fn queried_as_leader(&mut self, conn: u64, job: &str) {
         match self.state_as_leader(job) {
-            Some(state) => self.tell(Requester::Peer(conn), state),
+            Some(state) => self.answer_state(Requester::Peer(conn), state),
             None if self.may_decide() => self.answer_peer(conn, &PeerResponse::Unknown),
             None => self.answer_peer(conn, &PeerResponse::NotNow),
         }
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -36,7 +36,7 @@
     /// The leader has been asked, or need not be asked.
     pub past_leader: bool,
     /// [`crate::jobs::answer_history::AnswerHistory::mark`] at the start of its reads.
-    pub mark: u64,
+    pub answer_mark: u64,
 }
 
 /// Users wait 2 s for a state, and a peer that asks on behalf of a user waits less.
@@ -77,7 +77,7 @@
             purpose,
             deadline: self.now.mono + wait_ms,
             past_leader: false,
-            mark: 0,
+            answer_mark: 0,
         }
     }
 
@@ -93,7 +93,7 @@
             return self.answer_error(question.requester, 404, "no such job");
         }
         if let Some(state) = self.local_state(&question.job) {
-            return self.tell(question.requester, state);
+            return self.answer_state(question.requester, state);
         }
         question.past_leader |= self.leads();
         let now = self.now.mono;
@@ -111,7 +111,7 @@
                     peer,
                     sent: now,
                 };
-                self.ask_peer(peer, &request, timeout, what);
+                self.send_peer_request(peer, &request, timeout, what);
             }
             None => self.read_job(question),
         }
@@ -154,7 +154,7 @@
         self.record_peer_outcome(peer, sent, response.is_some());
         match peer_answer(response) {
             Some(PeerResponse::State(state)) if state.id == question.job => {
-                self.tell(question.requester, state)
+                self.answer_state(question.requester, state)
             }
             _ => {
                 question.past_leader = true;
@@ -167,7 +167,7 @@
     /// that direction, so a job under neither key was never accepted.
     pub(crate) fn read_job(&mut self, mut question: Question) {
         let now = self.now.mono;
-        question.mark = self.answer_history.mark();
+        question.answer_mark = self.answer_history.mark();
         // If the state service does not answer this node, or its request budget is used up, a peer is asked instead.
         if let Some(conn) = question.user()
             && (self.state_down() || self.requests.level(now) < 1.0)
@@ -210,7 +210,7 @@
             Some(200) => {
                 let known = self.local_state(&question.job);
                 let state = known.unwrap_or(unstarted(question.job));
-                self.tell(question.requester, state);
+                self.answer_state(question.requester, state);
             }
             Some(404) => {
                 let timeout = question.timeout(self.now.mono, READ_TIMEOUT_MS);
@@ -238,7 +238,7 @@
             done,
             running: 0,
         };
-        self.tell(question.requester, state)
+        self.answer_state(question.requester, state)
     }
 
     /// The job is under neither key. Whatever this node has learned since the reads began is newer and takes
@@ -248,12 +248,12 @@
             return self.cancel(&question.job, question.requester);
         }
         if let Some(state) = self.local_state(&question.job) {
-            return self.tell(question.requester, state);
+            return self.answer_state(question.requester, state);
         }
         if self.has_loaded_job(&question.job)
             || self
                 .answer_history
-                .may_have_answered_since(&question.job, question.mark)
+                .may_have_answered_since(&question.job, question.answer_mark)
         {
             return self.reread_job(question);
         }
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -350,7 +350,7 @@
         if let Some(shard) = self.shard.take() {
             let mut shard = self.abandon_hour_moves(shard);
             for requester in shard.take_waiters() {
-                self.not_now(requester);
+                self.answer_undecided(requester);
             }
         }
         self.reread_shared(0);
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -56,10 +56,13 @@
             .filter(|_| self.may_decide() && self.tuning.keepers > 0.0)?;
         let zone = &self.settings.peers.get(peer)?.zone;
         debug_assert!(
-            shard.unwanted_is_right(),
-            "a cancelled job with claims is missing from the unwanted jobs"
+            shard.is_cancelled_with_claims_complete(),
+            "a cancelled job with claims is missing from `cancelled_with_claims`"
         );
-        let jobs = shard.unwanted.iter().filter_map(|job| shard.job(*job));
+        let jobs = shard
+            .cancelled_with_claims
+            .iter()
+            .filter_map(|job| shard.job(*job));
         let machines = jobs
             .flat_map(|j| j.claimed.values().flatten())
             .filter_map(|(m, _)| shard.machine(*m));
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -122,7 +122,9 @@
     fn observe(&self, model: &str) -> Option<Observation> {
         let shard = self.shard.as_ref()?;
         let ix = shard.jobs.index_of(model)?;
-        let job = shard.job(ix).filter(|job| job.ending == Ending::No)?;
+        let job = shard
+            .job(ix)
+            .filter(|job| job.ending == Ending::Undecided)?;
         let rule = self.models.rule(job.spec.as_ref()?)?;
         Some(Observation {
             ix,
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -202,7 +202,7 @@
             .jobs
             .index_of(&model)
             .and_then(|ix| shard.job(ix))
-            .is_some_and(|job| !job.is_over());
+            .is_some_and(|job| !job.is_end_recorded());
         let Some(stamp) = leader_state
             .records
             .get(&model)
--- a/crates/control/src/scheduling/apply_plan.rs
+++ b/crates/control/src/scheduling/apply_plan.rs
@@ -91,7 +91,7 @@
             .job_mut(job_index)
             .filter(|job| job.kind() == Kind::Gang);
         if let Some(job) = gang {
-            job.broken = job.claimed.len() != job.tasks as usize;
+            job.is_gang_broken = job.claimed.len() != job.tasks as usize;
         }
         self.to_write = true;
     }
--- a/crates/control/src/scheduling/entitlement/tests.rs
+++ b/crates/control/src/scheduling/entitlement/tests.rs
@@ -82,7 +82,7 @@
     let mut counted = Counted::new(&shard, tree);
     let all = counted.live.steps;
     for job_index in [0, 999, 55_555] {
-        shard.job_mut(job_index).expect("there").claim(0, 7, 1);
+        shard.job_mut(job_index).expect("there").add_claim(0, 7, 1);
         let touched = shard.take_touched();
         assert_eq!(touched, [job_index]);
         let before = counted.live.steps;
--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -3,7 +3,7 @@
 
 use super::reservations::reservations;
 use crate::agents::machine::Need;
-use crate::jobs::class::Class;
+use crate::jobs::class::ClassStatistics;
 use crate::jobs::job::{Job, JobIndex};
 use crate::scheduling::entitlement::Entitlement;
 use crate::scheduling::{entitlement, fair_share};
@@ -91,7 +91,7 @@
     fn of(
         job: &Job,
         teams: &HashMap<&str, u16>,
-        classes: &BTreeMap<String, Class>,
+        classes: &BTreeMap<String, ClassStatistics>,
         images: &mut shard::Names,
     ) -> Self {
         let team = teams.get(job.team.as_str()).copied();
@@ -103,7 +103,9 @@
                 image: None,
             };
         };
-        let factor = classes.get(&spec.class).map_or(1.0, Class::factor);
+        let factor = classes
+            .get(&spec.class)
+            .map_or(1.0, ClassStatistics::estimate_factor);
         ClaimedJob {
             team,
             expected_s: (spec.estimate_s * factor - job.progress_s).max(1.0),
@@ -138,7 +140,7 @@
     /// Marks the jobs that have begun to run. This precedes `add_jobs`, which reads whether jobs still wait.
     fn note_begun_jobs(&mut self) {
         for job in self.shard.jobs.iter_mut().flatten() {
-            job.began |= job.running > 0;
+            job.was_running_at_plan |= job.running > 0;
         }
     }
 
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -3,7 +3,7 @@
 use super::objectives::Objectives;
 use super::plan_input::{InputBuilder, NameIndex, Scope};
 use crate::documents::county_counts;
-use crate::jobs::class::Class;
+use crate::jobs::class::ClassStatistics;
 use crate::jobs::job::{Ending, Job, JobIndex};
 use crate::scheduling::urgent;
 use crate::store::shard;
@@ -36,7 +36,7 @@
             return;
         };
         let Some(spec) = &job.spec else { return };
-        if job.ending != Ending::No || job.backoff_until > now.mono {
+        if job.ending != Ending::Undecided || job.backoff_until > now.mono {
             return;
         }
         let age_s = now.wall.saturating_sub(job.at_ms) as f64 / 1000.0;
@@ -52,12 +52,15 @@
         if pending == 0 {
             return;
         }
-        let factor = shard.classes.get(&spec.class).map_or(1.0, Class::factor);
+        let factor = shard
+            .classes
+            .get(&spec.class)
+            .map_or(1.0, ClassStatistics::estimate_factor);
         let template = plan::Job {
             arrival: -age_s,
             estimate: (spec.estimate_s * factor - job.progress_s).max(1.0),
             zones: tasks_by_zone(job, zone_of),
-            waits: job.waits(),
+            waits: job.may_await_first_start(),
             avoid: job
                 .failed_on
                 .iter()
@@ -88,7 +91,7 @@
             };
             let part = objectives.with_deadline(part, spec, &self.entitlement, job_index);
             self.index.jobs.push(job_index);
-            self.input.jobs.push(match &job.hour {
+            self.input.jobs.push(match &job.release_hour {
                 Some(hour) => hour.cap(part, spec, self.names.catalog, now.wall),
                 None => part,
             });
--- a/crates/control/src/scheduling/reservations.rs
+++ b/crates/control/src/scheduling/reservations.rs
@@ -4,7 +4,7 @@
 use super::plan_input::NameIndex;
 use super::plan_jobs::planner_job;
 use crate::Tuning;
-use crate::jobs::class::Class;
+use crate::jobs::class::ClassStatistics;
 use crate::store::shard::{self, Shard};
 use wire::api::{JobSpec, Kind, MachineType, Priority};
 use wire::settings::Objective;
@@ -53,10 +53,10 @@
     fn reservation(
         &self,
         name: &str,
-        class: &Class,
+        class: &ClassStatistics,
         images: &mut shard::Names,
     ) -> Option<plan::Reservation> {
-        let spec = class.like.as_ref()?;
+        let spec = class.latest_spec.as_ref()?;
         let team = *self.names.teams.get(spec.team.as_str())?;
         let like = planner_job(spec, images, self.names, team);
         let lead_s = self.lead_s(spec, like.types)?;
--- a/crates/control/src/scheduling/scaling.rs
+++ b/crates/control/src/scheduling/scaling.rs
@@ -217,6 +217,6 @@
             .jobs
             .index_of(&exited.job)
             .and_then(|job_index| shard.job(job_index));
-        job.is_some_and(|job| !job.recorded(exited.task))
+        job.is_some_and(|job| !job.is_result_recorded(exited.task))
     })
 }
--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -37,7 +37,7 @@
             for_kind!(kind, K => self.head_written::<K>(revision));
         }
         for (requester, state) in actions.answers {
-            self.tell(requester, state);
+            self.answer_state(requester, state);
         }
         for job in actions.changed_jobs {
             self.job_changed(job);
@@ -92,7 +92,8 @@
         log::info!("job {}: {stage:?}", job.id);
         let state: JobState = job.state();
         let waiters = std::mem::take(&mut job.waiters);
-        self.final_states.put(&job.id, stage, job.done_count);
+        self.final_states
+            .insert_if_absent(&job.id, stage, job.done_count);
         let answers = waiters.into_iter().map(|w| (w, state.clone()));
         actions.answers.extend(answers);
         let segments = std::mem::take(&mut job.segments);
@@ -183,7 +184,10 @@
     /// Applies recorded results. Returns whether the job still needs them to be in this segment.
     fn results_recorded(&mut self, results: PendingResults, segment: u64) -> bool {
         let index = results.job;
-        let Some(job) = self.job_mut(index).filter(|j| j.ending == Ending::No) else {
+        let Some(job) = self
+            .job_mut(index)
+            .filter(|j| j.ending == Ending::Undecided)
+        else {
             return false;
         };
         match results.scope {
@@ -193,7 +197,7 @@
             }
             ResultScope::Unsaved => {
                 for task in results.tasks {
-                    job.unsaved.remove(&task);
+                    job.unrecorded_tasks.remove(&task);
                 }
                 job.segments.insert(segment);
             }
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -211,7 +211,7 @@
             return;
         }
         if let Some(job) = self.job_mut(id.job) {
-            job.claim(id.task, id.machine, id.attempt);
+            job.add_claim(id.task, id.machine, id.attempt);
         }
         if let Some(machine) = self.machine_mut(id.machine) {
             machine.claims.push(claim);
@@ -231,10 +231,10 @@
             return;
         };
         match job.ending {
-            Ending::No if !job.unsaved.is_empty() => {
+            Ending::Undecided if !job.unrecorded_tasks.is_empty() => {
                 self.claim_log.unsaved.insert(index);
             }
-            Ending::Wanted(stage) => self.claim_log.queue_end(index, stage),
+            Ending::Decided(stage) => self.claim_log.queue_end(index, stage),
             _ => {}
         }
     }
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -133,13 +133,13 @@
     }
 
     fn write_results(&mut self, shard: &mut Shard, index: JobIndex, scope: ResultScope) {
-        let Some(job) = shard.job(index).filter(|j| j.ending == Ending::No) else {
+        let Some(job) = shard.job(index).filter(|j| j.ending == Ending::Undecided) else {
             shard.claim_log.unsaved.remove(&index);
             return;
         };
         let mut tasks: Vec<u32> = match scope {
-            ResultScope::All => job.saved().collect(),
-            ResultScope::Unsaved => job.unsaved.iter().copied().collect(),
+            ResultScope::All => job.recorded_tasks().collect(),
+            ResultScope::Unsaved => job.unrecorded_tasks.iter().copied().collect(),
         };
         let mut ranges = records::ranges(tasks.iter().copied());
         let base_size = self.size + DoneRecord::frame(&job.id);
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -127,7 +127,7 @@
         claim.loaded = true;
         claim.sent = true;
         if let Some(job) = self.job_mut(id.job) {
-            job.claim(id.task, id.machine, id.attempt);
+            job.add_claim(id.task, id.machine, id.attempt);
         }
         if let Some(machine) = self.machine_mut(id.machine) {
             machine.claims.push(claim);
@@ -454,7 +454,7 @@
             .classes
             .entry(record.spec.class.clone())
             .or_default()
-            .arrived(&record.spec, record.at_ms);
+            .record_arrival(&record.spec, record.at_ms);
         shard.plan_triggers.urgent.arrived(&record.spec);
         let job = shard.add_job(Job::new(record, version));
         shard.plan_triggers.request();
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -4,7 +4,7 @@
 use crate::agents::machine::Machine;
 use crate::documents::county_counts::CountyCounts;
 use crate::documents::hours::DeadlineWatch;
-use crate::jobs::class::Class;
+use crate::jobs::class::ClassStatistics;
 use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::lease_bound::Attestations;
 use crate::scheduling::quota_usage::Counted;
@@ -74,7 +74,7 @@
     /// Whether the token is to be raised, because a command sent under it may still be executed late.
     pub raise_token: bool,
     /// Statistics of the jobs of each class.
-    pub classes: BTreeMap<String, Class>,
+    pub classes: BTreeMap<String, ClassStatistics>,
     /// Images, as indices for the planner.
     pub images: Names,
     pub returned: ReturnedMachines,
@@ -86,8 +86,8 @@
     pub allotment: AllotmentState,
     /// Jobs that may have changed since the last plan.
     touched: Vec<JobIndex>,
-    /// Unwanted jobs, such as cancelled ones, that still have claims.
-    pub unwanted: BTreeSet<JobIndex>,
+    /// Jobs that were cancelled, or had ended before this term, and that still have claims.
+    pub cancelled_with_claims: BTreeSet<JobIndex>,
     /// Use and demand in the quota tree, with the tree's version.
     pub counted: Option<(u64, Counted)>,
     /// Release hours of the shard's jobs.
@@ -126,7 +126,7 @@
             plan_triggers: PlanTriggers::default(),
             allotment: AllotmentState::default(),
             touched: Vec::new(),
-            unwanted: BTreeSet::new(),
+            cancelled_with_claims: BTreeSet::new(),
             counted: None,
             hours: DeadlineWatch::default(),
             county_counts: CountyCounts::new(limits.value_bytes()),
@@ -165,7 +165,7 @@
     /// Returns a job for modification, and marks it as changed for the next plan.
     pub fn job_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
         let job = self.jobs.get_mut(index)?;
-        if !std::mem::replace(&mut job.touched, true) {
+        if !std::mem::replace(&mut job.changed_since_plan, true) {
             self.touched.push(index);
         }
         Some(job)
@@ -176,7 +176,7 @@
         let all = std::mem::take(&mut self.touched);
         for index in &all {
             if let Some(job) = self.jobs.get_mut(*index) {
-                job.touched = false;
+                job.changed_since_plan = false;
             }
         }
         all
@@ -238,7 +238,7 @@
             machine.claims.retain(|c| !id.matches(c));
         }
         if let Some(job) = self.job_mut(id.job) {
-            job.unclaim(id.task, id.machine, id.attempt);
+            job.remove_claim(id.task, id.machine, id.attempt);
         }
     }
 
@@ -252,34 +252,35 @@
         }
     }
 
-    /// Whether a job is unwanted and still has claims.
-    fn is_unwanted_with_claims(&self, index: JobIndex) -> bool {
+    /// Whether a job was cancelled, or had ended before this term, and still has claims.
+    fn is_cancelled_with_claims(&self, index: JobIndex) -> bool {
         self.job(index)
-            .is_some_and(|j| j.is_unwanted() && !j.claimed.is_empty())
+            .is_some_and(|j| j.is_cancelled_or_ended_before_term() && !j.claimed.is_empty())
     }
 
-    /// Updates a job's membership in the set of unwanted jobs that still have claims.
-    pub fn note_unwanted(&mut self, index: JobIndex) {
-        if self.is_unwanted_with_claims(index) {
-            self.unwanted.insert(index);
+    /// Updates a job's membership in `cancelled_with_claims`.
+    pub fn update_cancelled_with_claims(&mut self, index: JobIndex) {
+        if self.is_cancelled_with_claims(index) {
+            self.cancelled_with_claims.insert(index);
         } else {
-            self.unwanted.remove(&index);
+            self.cancelled_with_claims.remove(&index);
         }
     }
 
-    /// Whether the set of unwanted jobs is complete, by a check of all jobs.
-    pub fn unwanted_is_right(&self) -> bool {
-        (0..self.jobs.slots())
-            .all(|job| self.unwanted.contains(&job) || !self.is_unwanted_with_claims(job))
+    /// Whether `cancelled_with_claims` is complete, by a check of all jobs.
+    pub fn is_cancelled_with_claims_complete(&self) -> bool {
+        (0..self.jobs.slots()).all(|job| {
+            self.cancelled_with_claims.contains(&job) || !self.is_cancelled_with_claims(job)
+        })
     }
 
     /// Removes an ended job once it has no claims on any machine.
     pub fn maybe_forget_job(&mut self, index: JobIndex) {
         let gone = self
             .job(index)
-            .is_some_and(|j| j.is_over() && j.claimed.is_empty());
+            .is_some_and(|j| j.is_end_recorded() && j.claimed.is_empty());
         if gone && self.jobs.remove(index, |job| &job.id).is_some() {
-            self.unwanted.remove(&index);
+            self.cancelled_with_claims.remove(&index);
             self.touched.push(index);
         }
     }
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -238,7 +238,7 @@
         let Some(job) = shard.job_mut(index) else {
             return;
         };
-        let Ending::Wanted(stage) = job.ending else {
+        let Ending::Decided(stage) = job.ending else {
             return;
         };
         let done = job.done_count;
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -94,7 +94,7 @@
                 if let Some(job) = self.job_mut(index)
                     && let Ending::Writing(stage) = job.ending
                 {
-                    job.ending = Ending::Wanted(stage);
+                    job.ending = Ending::Decided(stage);
                     self.claim_log.ending.push_front(index);
                 }
             }
