--- a/crates/control/src/agents/commands.rs
+++ b/crates/control/src/agents/commands.rs
@@ -45,7 +45,7 @@
             agent_epoch: Some(machine.seen.0),
             orders,
         });
-        let what = Pending::Direct {
+        let what = Pending::DirectCommand {
             term,
             machine: m,
             serial,
@@ -58,11 +58,16 @@
     /// too.
     fn command_heartbeat(&mut self, response: Option<Response>) -> Option<Heartbeat> {
         let response = response.filter(|r| r.status == 200 || r.status == 409)?;
-        self.read("worker", &response)
+        self.decode_answer("worker", &response)
     }
 
     /// Handles the outcome of a direct command; `response` is `None` if none arrived in time.
-    pub(crate) fn direct_received(&mut self, m: usize, serial: u64, response: Option<Response>) {
+    pub(crate) fn direct_command_answered(
+        &mut self,
+        m: usize,
+        serial: u64,
+        response: Option<Response>,
+    ) {
         let unsent = response.as_ref().is_some_and(|r| r.status == NOT_SENT);
         let heartbeat = self.command_heartbeat(response);
         let Some(shard) = &mut self.shard else { return };
@@ -133,7 +138,7 @@
     }
 
     /// Handles the outcome of a probe. A missing response counts as a reason to return the machine.
-    pub(crate) fn probe_received(&mut self, m: usize, serial: u64, response: Option<Response>) {
+    pub(crate) fn probe_answered(&mut self, m: usize, serial: u64, response: Option<Response>) {
         let heartbeat = self.command_heartbeat(response);
         let Some(shard) = &mut self.shard else { return };
         let Some(machine) = shard.machine_mut(m) else {
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -131,7 +131,7 @@
             node: self.settings.node.clone(),
             reports: heartbeats,
         };
-        let what = Pending::Relayed { conns };
+        let what = Pending::RelayedHeartbeats { conns };
         self.send_peer_request(peer, &request, BATCH_TIMEOUT_MS, what);
     }
 
@@ -211,7 +211,12 @@
         let is_served = self.relay.ways.serves(self.now.mono, machine) && self.relays();
         match addr.parse::<SocketAddr>() {
             Ok(addr) if is_served => {
-                self.post_command(addr, body, COMMAND_TIMEOUT_MS, Pending::Tell { conn });
+                self.post_command(
+                    addr,
+                    body,
+                    COMMAND_TIMEOUT_MS,
+                    Pending::RelayedCommand { conn },
+                );
             }
             _ => self.relayed_command_unsent(conn),
         }
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -367,7 +367,7 @@
         let path = reading
             .cursor
             .path(&records::tally_prefix(SHARD), PAGE_SIZE);
-        self.get_state(path, TIMEOUT_MS, Pending::Sheets { term });
+        self.get_state(path, TIMEOUT_MS, Pending::CounterSheets { term });
     }
 
     /// Handles a page of sheets; `None` if there was no answer.
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -3,7 +3,7 @@
 use crate::documents::kind::{ALL, PartOf, prefix};
 use crate::documents::{Kind, for_kind};
 use crate::state_requests::PageCursor;
-use crate::store::recovery::Load;
+use crate::store::recovery::RecoveryStep;
 use crate::{Node, Pending};
 use std::collections::BTreeMap;
 use wire::api::{Item, Range};
@@ -141,7 +141,7 @@
             (false, _) => K::version_activated(self),
             (true, true) => self.load_documents(),
             // A new leader starts no task without the document: it reads again, beginning with the heads.
-            (true, false) => self.load_later(Load::Heads),
+            (true, false) => self.load_later(RecoveryStep::Heads),
         }
     }
 
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -182,7 +182,7 @@
         };
         conditions.extend(absence_conditions(&spec.id));
         // Checked on each attempt, since another document version may have come into force meanwhile.
-        let (writes, denied) = match self.validated(spec, wall) {
+        let (writes, infeasible) = match self.validated(spec, wall) {
             Ok(rec) => {
                 let record = Record::Job(Box::new(rec));
                 (vec![Write::put(records::live_key(&spec.id), record)], None)
@@ -192,8 +192,8 @@
         let body = wire::encode(&Transaction { conditions, writes });
         let what = Pending::Accept {
             submission,
-            denied,
-            mark: self.answer_history.mark(),
+            infeasible,
+            answer_mark: self.answer_history.mark(),
         };
         self.send(
             Destination::State,
@@ -232,12 +232,12 @@
     pub(crate) fn accept_answered(
         &mut self,
         submission: Submission,
-        denied: Option<Infeasible>,
-        mark: u64,
+        infeasible: Option<Infeasible>,
+        answer_mark: u64,
         response: Option<Response>,
     ) {
         let requester = submission.requester;
-        match (response.as_ref().map(|r| r.status), denied) {
+        match (response.as_ref().map(|r| r.status), infeasible) {
             // The state service may be unavailable to this node only, so another may accept the job at once. If our own
             // transaction has succeeded, that node will find the job known.
             (None | Some(503), _) if let Requester::User(conn) = requester => {
@@ -247,7 +247,7 @@
             (Some(200), Some(_))
                 if self
                     .answer_history
-                    .may_have_answered_since(&submission.spec.id, mark) =>
+                    .may_have_answered_since(&submission.spec.id, answer_mark) =>
             {
                 self.query_for(requester, submission.spec.id, Purpose::Resubmission)
             }
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -162,7 +162,7 @@
             forwarded,
             peer,
             sent: now,
-            mark: self.answer_history.mark(),
+            answer_mark: self.answer_history.mark(),
         };
         self.send(
             Destination::Peer(peer),
@@ -181,7 +181,7 @@
         forwarded: ForwardedRequest,
         peer: usize,
         sent: u64,
-        mark: u64,
+        answer_mark: u64,
         response: Option<Response>,
     ) {
         self.record_peer_outcome(peer, sent, response.is_some());
@@ -195,7 +195,7 @@
                 self.answer_accepted(Requester::User(conn), state)
             }
             Some(PeerResponse::Refused { status, why }) => {
-                self.refused_by_peer(&forwarded, mark, status, &why)
+                self.refused_by_peer(&forwarded, answer_mark, status, &why)
             }
             _ => self.refuse(conn, 503, "state service not available"),
         }
@@ -203,7 +203,13 @@
 
     /// Passes a peer's refusal on to the user. A negative answer is as old as the peer's reads, so whatever this node
     /// has answered since the request was forwarded takes precedence.
-    fn refused_by_peer(&mut self, forwarded: &ForwardedRequest, mark: u64, status: u16, why: &str) {
+    fn refused_by_peer(
+        &mut self,
+        forwarded: &ForwardedRequest,
+        answer_mark: u64,
+        status: u16,
+        why: &str,
+    ) {
         let conn = forwarded.conn;
         let why = if why.is_empty() {
             "refused by a peer"
@@ -217,7 +223,10 @@
             if let Some(state) = self.final_states.get(job) {
                 return self.answer_state(Requester::User(conn), state);
             }
-            if self.answer_history.may_have_answered_since(job, mark) {
+            if self
+                .answer_history
+                .may_have_answered_since(job, answer_mark)
+            {
                 return self.refuse(conn, 503, "undecided");
             }
         }
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -228,7 +228,7 @@
             Some(r) if r.status == 404 => return self.not_found(question),
             other => return self.read_failed(question, other.map(|r| r.status)),
         };
-        let Some(item) = self.read::<Item<EndRecord>>("state service", &response) else {
+        let Some(item) = self.decode_answer::<Item<EndRecord>>("state service", &response) else {
             return self.refuse_unanswered(&question, "unreadable record");
         };
         let EndRecord { stage, done, .. } = item.value;
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -172,7 +172,7 @@
         }
         let grant = response
             .filter(|r| r.status == 200)
-            .and_then(|r| self.read::<Grant>("state service", &r));
+            .and_then(|r| self.decode_answer::<Grant>("state service", &r));
         let Some(Grant { lease }) = grant else {
             return self.back_off(NO_LEASE_BACKOFF_MS);
         };
--- a/crates/control/src/leadership/shared_state.rs
+++ b/crates/control/src/leadership/shared_state.rs
@@ -169,7 +169,7 @@
         self.shared.request_in_flight = false;
         let range = response
             .filter(|r| r.status == 200)
-            .and_then(|r| self.read::<Range<SharedRecord>>("state service", &r));
+            .and_then(|r| self.decode_answer::<Range<SharedRecord>>("state service", &r));
         let Some(range) = range else {
             return self.retry_shared();
         };
@@ -200,7 +200,8 @@
             410 => return self.reread_shared(0),
             _ => return self.retry_shared(),
         }
-        let Some(changes) = self.read::<Changes<SharedRecord>>("state service", &response) else {
+        let Some(changes) = self.decode_answer::<Changes<SharedRecord>>("state service", &response)
+        else {
             return self.reread_shared(UNREADABLE_REREAD_DELAY_MS);
         };
         for change in changes.events {
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -225,7 +225,7 @@
             peer::PATH.into(),
             body,
             FORWARD_TIMEOUT_MS,
-            Pending::WakeForward { waiter },
+            Pending::ForwardedDemand { waiter },
         );
     }
 
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -2,7 +2,7 @@
 
 use crate::models::{LeaderState, ReadState, VersionedRecord, set_replicas};
 use crate::state_requests::PageCursor;
-use crate::store::recovery::Load;
+use crate::store::recovery::RecoveryStep;
 use crate::{Node, Pending};
 use model::Rec;
 use wire::api::{Change, Changes, Item, Range};
@@ -48,7 +48,7 @@
     /// Handles a page of records; `None` if there was no answer.
     pub(crate) fn models_received(&mut self, response: Option<Response>) {
         let Some(page) = self.read_state::<Range<Rec>>(response) else {
-            return self.load_later(Load::Models);
+            return self.load_later(RecoveryStep::Models);
         };
         let leader_state = &mut self.models.leader_state;
         if leader_state.cursor.is_at_start() {
@@ -130,7 +130,7 @@
         if response.status != 200 {
             return;
         }
-        let Some(changes) = self.read::<Changes<Rec>>("state service", &response) else {
+        let Some(changes) = self.decode_answer::<Changes<Rec>>("state service", &response) else {
             return;
         };
         let leader_state = &mut self.models.leader_state;
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -16,7 +16,7 @@
 const MAX_TRIES: u32 = 5;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Step {
+pub(crate) enum WakeUpStep {
     Job,
     Record,
     Write,
@@ -104,11 +104,11 @@
             }
             return;
         }
-        self.read_for_wake_up(model, Step::Job);
+        self.read_for_wake_up(model, WakeUpStep::Job);
     }
 
-    fn read_for_wake_up(&mut self, model: &str, step: Step) {
-        let key = if step == Step::Job {
+    fn read_for_wake_up(&mut self, model: &str, step: WakeUpStep) {
+        let key = if step == WakeUpStep::Job {
             records::live_key(model)
         } else {
             records::model_key(model)
@@ -139,16 +139,16 @@
     pub(crate) fn wake_up_received(
         &mut self,
         model: String,
-        step: Step,
+        step: WakeUpStep,
         response: Option<Response>,
     ) {
         if !self.models.demand.wake_ups.contains_key(&model) {
             return;
         }
         match step {
-            Step::Job => self.wake_up_job_read(&model, response),
-            Step::Record => self.wake_up_record_read(&model, response),
-            Step::Write => self.wake_up_written(&model, response),
+            WakeUpStep::Job => self.wake_up_job_read(&model, response),
+            WakeUpStep::Record => self.wake_up_record_read(&model, response),
+            WakeUpStep::Write => self.wake_up_written(&model, response),
         }
     }
 
@@ -165,7 +165,7 @@
             return self.fail_wake_up(model, 503, "the record can't be decoded");
         };
         if self.rule_found(model, Box::new(item.value.spec), item.version) {
-            self.read_for_wake_up(model, Step::Record);
+            self.read_for_wake_up(model, WakeUpStep::Record);
         }
     }
 
@@ -221,7 +221,7 @@
         if wake_up.tries >= MAX_TRIES {
             return self.fail_wake_up(model, 503, UNAVAILABLE);
         }
-        self.read_for_wake_up(model, Step::Job);
+        self.read_for_wake_up(model, WakeUpStep::Job);
     }
 
     fn record_found(&mut self, model: &str, known: VersionedRecord) {
@@ -258,7 +258,7 @@
         }
         let pending = Pending::WakeUp {
             model: model.to_owned(),
-            step: Step::Write,
+            step: WakeUpStep::Write,
         };
         self.post_transaction(body, TIMEOUT_MS, pending);
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -251,19 +251,21 @@
             return;
         };
         match pending {
-            Pending::Direct {
+            Pending::DirectCommand {
                 term: sent_in,
                 machine,
                 serial,
                 ..
-            } if sent_in == term => self.direct_received(machine, serial, Some(relay::not_sent())),
+            } if sent_in == term => {
+                self.direct_command_answered(machine, serial, Some(relay::not_sent()))
+            }
             Pending::Probe {
                 term: sent_in,
                 machine,
                 serial,
                 ..
             } if sent_in == term => self.probe_unsent(machine, serial),
-            Pending::Tell { conn } => self.relayed_command_unsent(conn),
+            Pending::RelayedCommand { conn } => self.relayed_command_unsent(conn),
             pending => self.answer_received(pending, None),
         }
     }
@@ -328,13 +330,15 @@
             }
             Pending::IgnoreAnswer => {}
             Pending::PeerStatus { sent, peer } => self.peer_status_received(sent, peer, response),
-            Pending::Relayed { conns } => self.relayed_heartbeats_answered(conns, response),
-            Pending::Tell { conn } => self.relayed_command_answered(conn, response),
+            Pending::RelayedHeartbeats { conns } => {
+                self.relayed_heartbeats_answered(conns, response)
+            }
+            Pending::RelayedCommand { conn } => self.relayed_command_answered(conn, response),
             Pending::Accept {
                 submission,
-                denied,
-                mark,
-            } => self.accept_answered(submission, denied, mark, response),
+                infeasible,
+                answer_mark,
+            } => self.accept_answered(submission, infeasible, answer_mark, response),
             Pending::ReadLive { question } => self.live_record_received(question, response),
             Pending::ReadEnd { question } => self.end_record_received(question, response),
             Pending::PeerQuery {
@@ -347,41 +351,41 @@
                 forwarded,
                 peer,
                 sent,
-                mark,
-            } => self.forward_answered(forwarded, peer, sent, mark, response),
+                answer_mark,
+            } => self.forward_answered(forwarded, peer, sent, answer_mark, response),
             Pending::Admin { conn } => self.admin_answered(conn, response),
             Pending::Frontend { tag } => self.frontend_answered(tag, response),
             Pending::WakeUp { model, step } => self.wake_up_received(model, step, response),
-            Pending::WakeForward { waiter } => self.demand_forwarded(waiter, response),
+            Pending::ForwardedDemand { waiter } => self.demand_forwarded(waiter, response),
             Pending::LeaderNotified { model } => self.leader_notified(&model, response),
             Pending::Catalog => self.catalog_received(response),
-            Pending::Load { what, .. } => self.load_received(what, response),
+            Pending::Load { step, .. } => self.load_received(step, response),
             Pending::Audit { record_set, .. } => self.audit_received(record_set, response),
-            Pending::Sheets { .. } => self.sheets_received(response),
+            Pending::CounterSheets { .. } => self.sheets_received(response),
             Pending::Models { .. } => self.models_received(response),
             Pending::ModelWatch { .. } => self.model_changes_received(response),
             Pending::ModelWrite { model, .. } => self.model_written(model, response),
             Pending::Parts { kind, .. } => {
                 for_kind!(kind, K => self.parts_received::<K>(response))
             }
-            Pending::LiveWatch { .. } => self.live_changes(response),
-            Pending::Commit { .. } => self.committed(response),
-            Pending::Verify { .. } => self.verified(response),
+            Pending::LiveWatch { .. } => self.live_changes_received(response),
+            Pending::Commit { .. } => self.commit_answered(response),
+            Pending::ProbeOutcome { .. } => self.outcome_probe_answered(response),
             Pending::List { .. } => self.list_received(response),
-            Pending::Rental { name, .. } => self.rental_answered(name, response),
-            Pending::Delete { machines, .. } => self.returns_received(machines, response),
-            Pending::Direct {
+            Pending::RentMachines { name, .. } => self.rental_answered(name, response),
+            Pending::ReturnMachines { machines, .. } => self.returns_received(machines, response),
+            Pending::DirectCommand {
                 machine,
                 serial,
                 via,
                 ..
-            } => self.direct_received(machine, serial, unwrap_relayed(response, via)),
+            } => self.direct_command_answered(machine, serial, unwrap_relayed(response, via)),
             Pending::Probe {
                 machine,
                 serial,
                 via,
                 ..
-            } => self.probe_received(machine, serial, unwrap_relayed(response, via)),
+            } => self.probe_answered(machine, serial, unwrap_relayed(response, via)),
         }
     }
 }
--- a/crates/control/src/outgoing.rs
+++ b/crates/control/src/outgoing.rs
@@ -70,7 +70,7 @@
     }
 
     /// Decodes the body of an answer; one that cannot be decoded is treated as no answer.
-    pub(crate) fn read<T: DeserializeOwned>(
+    pub(crate) fn decode_answer<T: DeserializeOwned>(
         &mut self,
         from: &str,
         response: &Response,
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -28,24 +28,27 @@
     /// A status request to a peer.
     PeerStatus { sent: u64, peer: usize },
     /// Heartbeats that were relayed to the leader.
-    Relayed { conns: Vec<u64> },
+    RelayedHeartbeats { conns: Vec<u64> },
     /// A command that is relayed to a worker on behalf of the leader.
-    Tell { conn: u64 },
+    RelayedCommand { conn: u64 },
     /// A request whose answer is ignored.
     IgnoreAnswer,
     /// A page of the state that a new leader reads back after a failover.
-    Load { term: u64, what: recovery::Load },
+    Load {
+        term: u64,
+        step: recovery::RecoveryStep,
+    },
     /// The watch of accepted jobs.
     LiveWatch { term: u64 },
     /// The leader's transaction.
     Commit { term: u64 },
     /// A check whether a transaction with unknown outcome was committed.
-    Verify { term: u64 },
+    ProbeOutcome { term: u64 },
     /// A submitted job is written to the state service.
     Accept {
         submission: admission::Submission,
-        denied: Option<feasibility::Infeasible>,
-        mark: u64,
+        infeasible: Option<feasibility::Infeasible>,
+        answer_mark: u64,
     },
     /// A read of a job's live record.
     ReadLive { question: query::Question },
@@ -64,14 +67,14 @@
         forwarded: forwarding::ForwardedRequest,
         peer: usize,
         sent: u64,
-        mark: u64,
+        answer_mark: u64,
     },
     /// An operator's request that was forwarded to the leader.
     Admin { conn: u64 },
     /// A request of another front end of this process.
     Frontend { tag: u64 },
     /// A read of the counts by county.
-    Sheets { term: u64 },
+    CounterSheets { term: u64 },
     /// A read of records for an audit of the counts by county.
     Audit {
         term: u64,
@@ -84,9 +87,12 @@
     /// A write of a model's record.
     ModelWrite { term: u64, model: String },
     /// A read or write of a model's record because of demand for the model.
-    WakeUp { model: String, step: wake_up::Step },
+    WakeUp {
+        model: String,
+        step: wake_up::WakeUpStep,
+    },
     /// Demand for a model that was forwarded to the leader.
-    WakeForward { waiter: demand::Waiter },
+    ForwardedDemand { waiter: demand::Waiter },
     /// A notification of the leader of demand for a model.
     LeaderNotified { model: String },
     /// A read of parts of a document.
@@ -96,11 +102,11 @@
     /// A request to the cloud for the list of rented machines.
     List { term: u64 },
     /// A request to the cloud for more machines.
-    Rental { term: u64, name: String },
+    RentMachines { term: u64, name: String },
     /// A return of machines to the cloud.
-    Delete { term: u64, machines: Vec<usize> },
+    ReturnMachines { term: u64, machines: Vec<usize> },
     /// Orders for a worker, sent through a peer if `via`.
-    Direct {
+    DirectCommand {
         term: u64,
         machine: usize,
         serial: u64,
@@ -119,27 +125,27 @@
     /// The term of leadership that the request belongs to, if any.
     pub(crate) fn term(&self) -> Option<u64> {
         use Pending::{
-            Accept, Admin, Audit, Catalog, Commit, Delete, Direct, Forward, Frontend, GrantLease,
-            IgnoreAnswer, LeaderNotified, List, LiveWatch, Load, ModelWatch, ModelWrite, Models,
-            Parts, PeerCancel, PeerQuery, PeerStatus, Probe, ReadEnd, ReadLive, Relayed,
-            RenewLease, Rental, SharedRead, SharedWatch, Sheets, Tell, Verify, WakeForward, WakeUp,
-            WriteLeaderRecord,
+            Accept, Admin, Audit, Catalog, Commit, CounterSheets, DirectCommand, Forward,
+            ForwardedDemand, Frontend, GrantLease, IgnoreAnswer, LeaderNotified, List, LiveWatch,
+            Load, ModelWatch, ModelWrite, Models, Parts, PeerCancel, PeerQuery, PeerStatus, Probe,
+            ProbeOutcome, ReadEnd, ReadLive, RelayedCommand, RelayedHeartbeats, RenewLease,
+            RentMachines, ReturnMachines, SharedRead, SharedWatch, WakeUp, WriteLeaderRecord,
         };
         match self {
             Load { term, .. }
             | LiveWatch { term }
             | Commit { term }
-            | Verify { term }
-            | Sheets { term }
+            | ProbeOutcome { term }
+            | CounterSheets { term }
             | Audit { term, .. }
             | Models { term }
             | ModelWatch { term }
             | ModelWrite { term, .. }
             | Parts { term, .. }
             | List { term }
-            | Rental { term, .. }
-            | Delete { term, .. }
-            | Direct { term, .. }
+            | RentMachines { term, .. }
+            | ReturnMachines { term, .. }
+            | DirectCommand { term, .. }
             | Probe { term, .. } => Some(*term),
             SharedRead
             | SharedWatch { .. }
@@ -147,8 +153,8 @@
             | RenewLease { .. }
             | WriteLeaderRecord { .. }
             | PeerStatus { .. }
-            | Relayed { .. }
-            | Tell { .. }
+            | RelayedHeartbeats { .. }
+            | RelayedCommand { .. }
             | IgnoreAnswer
             | Accept { .. }
             | ReadLive { .. }
@@ -159,7 +165,7 @@
             | Admin { .. }
             | Frontend { .. }
             | WakeUp { .. }
-            | WakeForward { .. }
+            | ForwardedDemand { .. }
             | LeaderNotified { .. }
             | Catalog => None,
         }
@@ -173,7 +179,7 @@
             Pending::WriteLeaderRecord { .. } => Some("a take-over"),
             Pending::ModelWrite { .. } => Some("a model's record"),
             Pending::WakeUp {
-                step: wake_up::Step::Write,
+                step: wake_up::WakeUpStep::Write,
                 ..
             } => Some("a wake"),
             _ => None,
@@ -184,8 +190,9 @@
     /// excludes watches.
     pub(crate) fn shows_state_health(&self) -> bool {
         use Pending::{
-            Accept, Audit, Commit, Frontend, GrantLease, Load, ModelWrite, Models, Parts, ReadEnd,
-            ReadLive, RenewLease, SharedRead, Sheets, Verify, WakeUp, WriteLeaderRecord,
+            Accept, Audit, Commit, CounterSheets, Frontend, GrantLease, Load, ModelWrite, Models,
+            Parts, ProbeOutcome, ReadEnd, ReadLive, RenewLease, SharedRead, WakeUp,
+            WriteLeaderRecord,
         };
         matches!(
             self,
@@ -194,11 +201,11 @@
                 | RenewLease { .. }
                 | WriteLeaderRecord { .. }
                 | Load { .. }
-                | Sheets { .. }
+                | CounterSheets { .. }
                 | Audit { .. }
                 | Parts { .. }
                 | Commit { .. }
-                | Verify { .. }
+                | ProbeOutcome { .. }
                 | Accept { .. }
                 | ReadLive { .. }
                 | ReadEnd { .. }
--- a/crates/control/src/provisioning/catalog.rs
+++ b/crates/control/src/provisioning/catalog.rs
@@ -21,14 +21,14 @@
             return;
         }
         self.catalog_at = now + CATALOG_INTERVAL_MS;
-        self.ask_cloud("GET", "/catalog".into(), Vec::new(), Pending::Catalog);
+        self.send_cloud_request("GET", "/catalog".into(), Vec::new(), Pending::Catalog);
     }
 
     /// Handles the cloud's answer to a catalog request, or its absence.
     pub(crate) fn catalog_received(&mut self, response: Option<Response>) {
         let catalog = response
             .filter(|r| r.status == 200)
-            .and_then(|r| self.read::<Catalog>("cloud", &r));
+            .and_then(|r| self.decode_answer::<Catalog>("cloud", &r));
         let Some(mut catalog) = catalog else {
             self.catalog_at = self.now.mono + self.rng.u64(RETRY_DELAY_MS);
             return;
--- a/crates/control/src/provisioning/listing.rs
+++ b/crates/control/src/provisioning/listing.rs
@@ -43,14 +43,14 @@
             .as_ref()
             .map(|after| format!("from={after}&"));
         let path = format!("/machines?{}limit={PAGE}", from.unwrap_or_default());
-        self.ask_cloud("GET", path, Vec::new(), Pending::List { term });
+        self.send_cloud_request("GET", path, Vec::new(), Pending::List { term });
     }
 
     /// Handles a page of the list, or the absence of an answer.
     pub(crate) fn list_received(&mut self, response: Option<Response>) {
         let list = response
             .filter(|r| r.status == 200)
-            .and_then(|r| self.read::<MachineList>("cloud", &r));
+            .and_then(|r| self.decode_answer::<MachineList>("cloud", &r));
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
         shard.returned.forget_old(now);
--- a/crates/control/src/provisioning/mod.rs
+++ b/crates/control/src/provisioning/mod.rs
@@ -32,7 +32,13 @@
     }
 
     /// Sends a request to the cloud. `what` says what its answer belongs to.
-    fn ask_cloud(&mut self, method: &'static str, path: String, body: Vec<u8>, what: Pending) {
+    fn send_cloud_request(
+        &mut self,
+        method: &'static str,
+        path: String,
+        body: Vec<u8>,
+        what: Pending,
+    ) {
         self.send(
             Destination::Cloud,
             method,
--- a/crates/control/src/provisioning/rentals.rs
+++ b/crates/control/src/provisioning/rentals.rs
@@ -87,8 +87,8 @@
                 spot: rec.spot,
                 count: rec.count,
             });
-            let what = Pending::Rental { term, name };
-            self.ask_cloud("POST", "/machines".into(), body, what);
+            let what = Pending::RentMachines { term, name };
+            self.send_cloud_request("POST", "/machines".into(), body, what);
         }
     }
 
@@ -128,7 +128,7 @@
         };
         match response.status {
             200 => self
-                .read::<MachineNames>("cloud", &response)
+                .decode_answer::<MachineNames>("cloud", &response)
                 .map_or(RentalAnswer::Unknown, |got| {
                     RentalAnswer::Granted(got.machines)
                 }),
--- a/crates/control/src/provisioning/returns.rs
+++ b/crates/control/src/provisioning/returns.rs
@@ -35,8 +35,8 @@
             .filter_map(|m| Some(shard.machine(*m)?.name.clone()))
             .collect();
         let body = wire::encode(&MachineNames { machines: names });
-        let what = Pending::Delete { term, machines };
-        self.ask_cloud("POST", "/machines/delete".into(), body, what);
+        let what = Pending::ReturnMachines { term, machines };
+        self.send_cloud_request("POST", "/machines/delete".into(), body, what);
     }
 
     /// Handles the cloud's answer to a return of machines, or its absence.
--- a/crates/control/src/state_requests.rs
+++ b/crates/control/src/state_requests.rs
@@ -63,7 +63,7 @@
         response: Option<Response>,
     ) -> Option<T> {
         let response = response.filter(|response| response.status == 200)?;
-        self.read(STATE_SERVICE, &response)
+        self.decode_answer(STATE_SERVICE, &response)
     }
 }
 
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -169,7 +169,7 @@
     }
 
     /// Handles the answer to a transaction; `None` if there was no answer.
-    pub(crate) fn committed(&mut self, response: Option<Response>) {
+    pub(crate) fn commit_answered(&mut self, response: Option<Response>) {
         let retry_at = self.now.mono + self.rng.u64(RETRY_MS);
         let Some(shard) = &mut self.shard else { return };
         shard.commit.in_flight = false;
@@ -222,7 +222,7 @@
             path,
             Vec::new(),
             ANSWER_TIMEOUT_MS,
-            Pending::Verify { term },
+            Pending::ProbeOutcome { term },
         );
     }
 
@@ -237,7 +237,7 @@
     }
 
     /// Handles the answer to the probe of a transaction whose outcome is unknown.
-    pub(crate) fn verified(&mut self, response: Option<Response>) {
+    pub(crate) fn outcome_probe_answered(&mut self, response: Option<Response>) {
         let Some(shard) = &mut self.shard else { return };
         shard.commit.in_flight = false;
         let Some(probe) = shard.commit.probe.clone() else {
--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -73,7 +73,7 @@
         );
     }
 
-    pub(crate) fn live_changes(&mut self, response: Option<Response>) {
+    pub(crate) fn live_changes_received(&mut self, response: Option<Response>) {
         let now = self.now.mono;
         let retry = now + self.rng.u64(RETRY_MS);
         let Some(shard) = &mut self.shard else { return };
@@ -84,7 +84,8 @@
             410 => return self.step_down("the watch missed changes; all records are read again"),
             _ => return,
         }
-        let Some(changes) = self.read::<Changes<JobRecord>>("state service", &response) else {
+        let Some(changes) = self.decode_answer::<Changes<JobRecord>>("state service", &response)
+        else {
             return;
         };
         for change in changes.events {
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -20,7 +20,7 @@
 
 /// The steps of recovery, in their order: what is read from the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Load {
+pub(crate) enum RecoveryStep {
     Jobs,
     Inventory,
     Log,
@@ -42,13 +42,13 @@
     /// The last key on the pages read so far in the current step.
     last_key: Option<String>,
     /// A step whose read failed, and when it is repeated.
-    retry: Option<(Load, u64)>,
+    retry: Option<(RecoveryStep, u64)>,
 }
 
 impl RecoveryProgress {
-    fn take_due(&mut self, now: u64) -> Option<Load> {
-        let (what, _) = self.retry.take_if(|(_, at)| *at <= now)?;
-        Some(what)
+    fn take_due(&mut self, now: u64) -> Option<RecoveryStep> {
+        let (step, _) = self.retry.take_if(|(_, at)| *at <= now)?;
+        Some(step)
     }
 }
 
@@ -209,27 +209,27 @@
 
 impl Node {
     pub(crate) fn start_load(&mut self) {
-        self.load(Load::Jobs);
+        self.load(RecoveryStep::Jobs);
     }
 
-    pub(crate) fn load(&mut self, what: Load) {
+    pub(crate) fn load(&mut self, step: RecoveryStep) {
         let Some(shard) = &self.shard else { return };
-        let prefix = match what {
-            Load::Jobs => records::LIVE.to_owned(),
-            Load::Inventory => records::inventory_prefix(SHARD),
-            Load::Log => records::log_prefix(SHARD),
-            Load::Rentals => records::rentals_prefix(SHARD),
-            Load::Allotment => records::allotment_key(SHARD),
-            Load::Heads => records::SHARED.to_owned(),
-            Load::Models => return self.read_models(),
+        let prefix = match step {
+            RecoveryStep::Jobs => records::LIVE.to_owned(),
+            RecoveryStep::Inventory => records::inventory_prefix(SHARD),
+            RecoveryStep::Log => records::log_prefix(SHARD),
+            RecoveryStep::Rentals => records::rentals_prefix(SHARD),
+            RecoveryStep::Allotment => records::allotment_key(SHARD),
+            RecoveryStep::Heads => records::SHARED.to_owned(),
+            RecoveryStep::Models => return self.read_models(),
         };
         let mut path = format!("/keys?under={prefix}&limit=1000");
         if let Some(after) = &shard.recovery.last_key {
             path.push_str(&format!("&from={after}"));
         }
-        let what = Pending::Load {
+        let pending = Pending::Load {
             term: self.term,
-            what,
+            step,
         };
         self.send(
             Destination::State,
@@ -237,74 +237,74 @@
             path,
             Vec::new(),
             LOAD_TIMEOUT_MS,
-            what,
+            pending,
         );
     }
 
     /// Schedules a read to be repeated from the same position. The delay keeps recovery from using up the request
     /// rate that lease renewals and acceptances of jobs by other controllers need. A leader that cannot read keeps or
     /// loses its lease independently of this.
-    pub(crate) fn load_later(&mut self, what: Load) {
+    pub(crate) fn load_later(&mut self, step: RecoveryStep) {
         let at = self.now.mono + self.rng.u64(LOAD_RETRY_MS);
         if let Some(shard) = &mut self.shard {
-            shard.recovery.retry = Some((what, at));
+            shard.recovery.retry = Some((step, at));
         }
     }
 
     pub(crate) fn load_tick(&mut self) {
         let now = self.now.mono;
         let shard = self.shard.as_mut();
-        if let Some(what) = shard.and_then(|s| s.recovery.take_due(now)) {
-            self.load(what);
+        if let Some(step) = shard.and_then(|s| s.recovery.take_due(now)) {
+            self.load(step);
         }
     }
 
     /// Handles the answer to a read; `None` if there was no answer.
-    pub(crate) fn load_received(&mut self, what: Load, response: Option<Response>) {
+    pub(crate) fn load_received(&mut self, step: RecoveryStep, response: Option<Response>) {
         let page = response
             .filter(|r| r.status == 200)
-            .and_then(|r| self.load_page(what, &r));
+            .and_then(|r| self.load_page(step, &r));
         match page {
-            None => self.load_later(what),
-            Some(Page::More) => self.load(what),
-            Some(Page::Last) => self.load_next(what),
+            None => self.load_later(step),
+            Some(Page::More) => self.load(step),
+            Some(Page::Last) => self.load_next(step),
         }
     }
 
-    fn load_page(&mut self, what: Load, response: &Response) -> Option<Page> {
-        match what {
-            Load::Jobs => self.load_items(response, Self::load_job),
-            Load::Inventory => self.load_items(response, Self::load_inventory),
-            Load::Log => self.load_items(response, Self::load_log),
-            Load::Rentals => self.load_items(response, Self::load_rental),
-            Load::Allotment => {
-                let range = self.read("state service", response)?;
+    fn load_page(&mut self, step: RecoveryStep, response: &Response) -> Option<Page> {
+        match step {
+            RecoveryStep::Jobs => self.load_items(response, Self::load_job),
+            RecoveryStep::Inventory => self.load_items(response, Self::load_inventory),
+            RecoveryStep::Log => self.load_items(response, Self::load_log),
+            RecoveryStep::Rentals => self.load_items(response, Self::load_rental),
+            RecoveryStep::Allotment => {
+                let range = self.decode_answer("state service", response)?;
                 self.load_allotment(range);
                 Some(Page::Last)
             }
-            Load::Heads => {
-                let range = self.read("state service", response)?;
+            RecoveryStep::Heads => {
+                let range = self.decode_answer("state service", response)?;
                 self.load_heads(range);
                 Some(Page::Last)
             }
             // Their pages are handled by [`Node::models_received`].
-            Load::Models => None,
+            RecoveryStep::Models => None,
         }
     }
 
     /// Continues with the next step.
-    fn load_next(&mut self, what: Load) {
+    fn load_next(&mut self, step: RecoveryStep) {
         if let Some(shard) = &mut self.shard {
             shard.recovery.last_key = None;
         }
-        match what {
-            Load::Jobs => self.load(Load::Inventory),
-            Load::Inventory => self.load(Load::Log),
-            Load::Log => self.load(Load::Rentals),
-            Load::Rentals => self.load(Load::Allotment),
-            Load::Allotment => self.load(Load::Heads),
-            Load::Heads => self.load_documents(),
-            Load::Models => {}
+        match step {
+            RecoveryStep::Jobs => self.load(RecoveryStep::Inventory),
+            RecoveryStep::Inventory => self.load(RecoveryStep::Log),
+            RecoveryStep::Log => self.load(RecoveryStep::Rentals),
+            RecoveryStep::Rentals => self.load(RecoveryStep::Allotment),
+            RecoveryStep::Allotment => self.load(RecoveryStep::Heads),
+            RecoveryStep::Heads => self.load_documents(),
+            RecoveryStep::Models => {}
         }
     }
 
@@ -314,7 +314,7 @@
         response: &Response,
         load: impl Fn(&mut Self, Item<T>),
     ) -> Option<Page> {
-        let range: Range<T> = self.read("state service", response)?;
+        let range: Range<T> = self.decode_answer("state service", response)?;
         let page = self.page_end(&range);
         for item in range.items {
             load(self, item);
