--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -145,7 +145,7 @@
     pub probe_in_flight: Option<u64>,
     pub probed_at: u64,
     /// The machine is to be returned to the cloud.
-    pub deleting: bool,
+    pub to_be_returned: bool,
     /// The cloud lists it as failed.
     pub failed: bool,
     pub idle_since: u64,
@@ -187,7 +187,7 @@
             unanswered_command: None,
             probe_in_flight: None,
             probed_at: 0,
-            deleting: false,
+            to_be_returned: false,
             failed: false,
             idle_since: 0,
             images: Vec::new(),
@@ -218,7 +218,7 @@
         self.up
             && self.unconfirmed_token.is_none()
             && self.recorded
-            && !self.deleting
+            && !self.to_be_returned
             && !self.failed
             && !self.cordoned
             && self.reclaim_at.is_none()
@@ -232,7 +232,7 @@
             && self.addr.is_some()
             && self.command_in_flight.is_none()
             && self.unanswered_command.is_none()
-            && !self.deleting
+            && !self.to_be_returned
     }
 
     /// Whether its worker has been heard by this leader, or by an earlier one that placed tasks on it.
@@ -253,7 +253,7 @@
     }
 
     /// Positions of the recorded claims whose start was never sent, by this leader or an earlier one.
-    pub fn unsent(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn unsent_claims(&self) -> impl Iterator<Item = usize> + '_ {
         let unsent = |c: &Claim| c.state == ClaimState::Recorded && !c.sent;
         self.claims
             .iter()
--- a/crates/control/src/agents/orders.rs
+++ b/crates/control/src/agents/orders.rs
@@ -109,7 +109,7 @@
         let has_unanswered_command = machine.unanswered_command.is_some();
         // No task starts shortly before the worker's lease ends, or on a machine that is to be returned.
         let may_start = !has_unanswered_command
-            && !machine.deleting
+            && !machine.to_be_returned
             && !machine.is_heartbeat_overdue(now, silent);
         let agent_epoch = machine.seen.0;
         let mut orders = Vec::new();
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -6,7 +6,7 @@
 use crate::Node;
 use crate::agents::machine::{Claim, ClaimState, Exited, Machine};
 use crate::jobs::job::{Job, JobIndex};
-use crate::scheduling::apply_plan::grace;
+use crate::scheduling::apply_plan::grace_period_s;
 use crate::store::claim_log::ClaimId;
 use crate::store::shard::Shard;
 use std::collections::BTreeSet;
@@ -481,11 +481,11 @@
             let can_save = spec.checkpoint_s > 0.0;
             let remaining_s = spec.estimate_s - claim.ran_s(now).unwrap_or(0.0);
             if can_save || claim.running_since.is_none() || remaining_s > left_s {
-                stops.push((claim.job, grace(spec)));
+                stops.push((claim.job, grace_period_s(spec)));
             }
         }
-        for (job_index, grace) in stops {
-            self.stop_on_machine(job_index, m, grace);
+        for (job_index, grace_s) in stops {
+            self.stop_on_machine(job_index, m, grace_s);
         }
     }
 
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -195,7 +195,7 @@
                 .machines
                 .iter()
                 .flatten()
-                .any(|m| !m.up && !m.deleting && !m.failed),
+                .any(|m| !m.up && !m.to_be_returned && !m.failed),
         };
         let mut changes = Vec::new();
         for (ix, planned) in planned_jobs(shard, input, output, jobs) {
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -2,7 +2,7 @@
 //! them, and a new version is written in one transaction with the allotment that refers to it.
 
 use crate::documents::{Document, Documents, Kind, KindId};
-use crate::scheduling::quota_usage::Counted;
+use crate::scheduling::quota_usage::QuotaUsage;
 use crate::store::shard::Shard;
 use crate::store::transaction::TransactionDraft;
 use crate::{Node, documents};
@@ -148,7 +148,7 @@
 impl Node {
     /// The usage of a tree at this moment.
     fn live_usage(&self, tree: &Arc<Tree>) -> Option<Live> {
-        Some(Counted::new(self.shard.as_ref()?, tree.clone()).live)
+        Some(QuotaUsage::new(self.shard.as_ref()?, tree.clone()).live)
     }
 
     /// The tree in force, or a tree of the teams alone if there is none.
@@ -200,7 +200,7 @@
     }
 
     /// Whether an amount exceeds the maximum of any node on a team's path.
-    pub(crate) fn above_its_tree(&self, team: &str, all: &quota::Amount) -> bool {
+    pub(crate) fn exceeds_quota_tree(&self, team: &str, all: &quota::Amount) -> bool {
         let Some(active) = &self.shared.documents.quota.active else {
             return false;
         };
--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -4,7 +4,7 @@
 
 use crate::Node;
 use crate::leadership::election::SHARD;
-use crate::scheduling::quota_usage::takes;
+use crate::scheduling::quota_usage::resource_amount;
 use crate::store::record_sizes;
 use std::collections::BTreeSet;
 use std::fmt;
@@ -100,8 +100,8 @@
         if exceeds(team.cpus_max, spec.cores) || exceeds(team.gpus_max, spec.gpus) {
             return Err(Infeasible::AboveTeamLimit);
         }
-        let all = takes(spec.cores * tasks, spec.gpus * tasks, spec.mem_gb * tasks);
-        if self.above_its_tree(&spec.team, &all) {
+        let all = resource_amount(spec.cores * tasks, spec.gpus * tasks, spec.mem_gb * tasks);
+        if self.exceeds_quota_tree(&spec.team, &all) {
             return Err(Infeasible::AboveTreeLimit);
         }
         Ok(())
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -6,7 +6,7 @@
 use crate::jobs::job::{Ending, Job, JobIndex};
 use crate::models::VersionedRecord;
 use crate::models::weights::machines_with_weights;
-use crate::scheduling::apply_plan::grace;
+use crate::scheduling::apply_plan::grace_period_s;
 use model::{Asked, Begin, Phase, Rec, Rule, Seen, asked};
 use std::collections::BTreeSet;
 
@@ -173,7 +173,7 @@
     fn stop_replicas(&mut self, ix: JobIndex, keep: u32) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
-        let grace = job.spec.as_deref().map_or(0.0, grace);
+        let grace_s = job.spec.as_deref().map_or(0.0, grace_period_s);
         let surplus = surplus_tasks(job, keep);
         let machines: BTreeSet<usize> = job
             .claimed
@@ -186,7 +186,7 @@
             let Some(machine) = shard.machine_mut(m) else {
                 continue;
             };
-            if stop_claims(machine, ix, &surplus, grace) {
+            if stop_claims(machine, ix, &surplus, grace_s) {
                 shard.push.insert(m);
             }
         }
@@ -201,12 +201,12 @@
 }
 
 /// Stops a job's claims for some tasks on a machine; true if the machine has to be notified.
-fn stop_claims(machine: &mut Machine, job: JobIndex, tasks: &BTreeSet<u32>, grace: f64) -> bool {
+fn stop_claims(machine: &mut Machine, job: JobIndex, tasks: &BTreeSet<u32>, grace_s: f64) -> bool {
     let mut is_changed = false;
     let claims = machine.claims.iter_mut();
     for claim in claims.filter(|c| c.job == job && tasks.contains(&c.task)) {
         is_changed |= claim.stop.is_none();
-        claim.stop.get_or_insert(grace);
+        claim.stop.get_or_insert(grace_s);
     }
     is_changed
 }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -225,9 +225,9 @@
         }
         self.load_tick();
         if self.shard.as_ref().is_some_and(|p| p.loaded) {
-            self.fleet_tick();
+            self.provisioning_tick();
             self.machines_tick();
-            self.sched_tick();
+            self.scheduling_tick();
             self.hours_tick();
             self.county_counts_tick();
             self.audit_tick();
--- a/crates/control/src/provisioning/listing.rs
+++ b/crates/control/src/provisioning/listing.rs
@@ -79,13 +79,13 @@
                 machine.addr = listed.addr.parse().ok();
             }
             // A failed machine costs nothing more, but only its return to the cloud proves that its tasks have ended.
-            if listed.stage == FAILED_STAGE && !machine.deleting {
+            if listed.stage == FAILED_STAGE && !machine.to_be_returned {
                 log::info!(
                     "machine {}: reported as failed by the cloud, to be returned",
                     machine.name
                 );
                 machine.failed = true;
-                machine.deleting = true;
+                machine.to_be_returned = true;
             }
             return;
         }
@@ -114,7 +114,7 @@
         );
         machine.addr = listed.addr.parse().ok();
         machine.failed = listed.stage == FAILED_STAGE;
-        machine.deleting = machine.failed;
+        machine.to_be_returned = machine.failed;
         shard.add_machine(machine);
     }
 }
--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -128,20 +128,20 @@
         for (m, machine) in shard.machines.iter_mut().enumerate() {
             let Some(machine) = machine else { continue };
             let is_overdue = machine.is_heartbeat_overdue(now.mono, silent_ms);
-            if (is_overdue || machine.deleting) && machine.unsent().next().is_some() {
+            if (is_overdue || machine.to_be_returned) && machine.unsent_claims().next().is_some() {
                 survey.unsent.push(m);
             }
-            if machine.deleting {
+            if machine.to_be_returned {
                 continue;
             }
             if machine.is_known_up() {
                 survey.add_known_up(m, machine, now.mono, silent_ms);
             } else if never_came_up(machine, boot_s(catalog, machine), patience, now) {
                 log::info!("machine {}: did not come up, to be returned", machine.name);
-                machine.deleting = true;
+                machine.to_be_returned = true;
             }
             if machine.cordoned && machine.claims.is_empty() {
-                machine.deleting = true;
+                machine.to_be_returned = true;
             }
         }
         Some(survey)
@@ -166,7 +166,9 @@
     /// Releases the claims whose start was never sent, on a machine that receives no orders.
     fn release_unsent_claims(&mut self, m: usize) {
         let machine = self.shard.as_ref().and_then(|shard| shard.machine(m));
-        let claims: Vec<usize> = machine.map(|x| x.unsent().collect()).unwrap_or_default();
+        let claims: Vec<usize> = machine
+            .map(|x| x.unsent_claims().collect())
+            .unwrap_or_default();
         self.never_started(m, &claims);
     }
 
@@ -184,7 +186,7 @@
                 "machine {}: silent and without a known address, to be returned",
                 machine.name
             );
-            machine.deleting = true;
+            machine.to_be_returned = true;
         }
     }
 
@@ -201,7 +203,7 @@
             .machines
             .iter()
             .flatten()
-            .filter(|m| m.is_known_up() && !m.deleting)
+            .filter(|m| m.is_known_up() && !m.to_be_returned)
         {
             let (up, overdue, relayed) = zones.entry(machine.zone.as_str()).or_default();
             *up += 1;
@@ -235,7 +237,7 @@
                 && m.addr.is_some()
                 && m.probe_in_flight.is_none()
                 && m.probed_at < since
-                && !m.deleting
+                && !m.to_be_returned
         };
         let due = shard
             .machines
@@ -279,7 +281,7 @@
             "machine {}: silent and did not answer a probe, to be returned",
             machine.name
         );
-        machine.deleting = true;
+        machine.to_be_returned = true;
     }
 
     /// The worker lease: how long a worker keeps its tasks running after its last heartbeat.
--- a/crates/control/src/provisioning/mod.rs
+++ b/crates/control/src/provisioning/mod.rs
@@ -16,7 +16,7 @@
 impl Node {
     /// Watches the live jobs if that is due. While the lease is valid, it also sends the requests that are due to the
     /// cloud: rentals first, then returns, then the list.
-    pub(crate) fn fleet_tick(&mut self) {
+    pub(crate) fn provisioning_tick(&mut self) {
         let now = self.now.mono;
         let has_valid_lease = self.has_valid_lease();
         let Some(shard) = &mut self.shard else { return };
--- a/crates/control/src/provisioning/rentals.rs
+++ b/crates/control/src/provisioning/rentals.rs
@@ -31,7 +31,7 @@
 
 impl Node {
     /// Adds a rental. It is sent to the cloud once its record is stored.
-    pub(crate) fn rental(&mut self, machine_type: &str, zone: &str, spot: bool, count: u32) {
+    pub(crate) fn add_rental(&mut self, machine_type: &str, zone: &str, spot: bool, count: u32) {
         let wall = self.now.wall;
         let Some(shard) = &mut self.shard else { return };
         let serial = shard.next_serial();
--- a/crates/control/src/provisioning/returns.rs
+++ b/crates/control/src/provisioning/returns.rs
@@ -23,7 +23,11 @@
             return;
         }
         let machines: Vec<usize> = (0..shard.machines.slots())
-            .filter(|m| shard.machine(*m).is_some_and(|machine| machine.deleting))
+            .filter(|m| {
+                shard
+                    .machine(*m)
+                    .is_some_and(|machine| machine.to_be_returned)
+            })
             .take(MAX_MACHINES_PER_REQUEST)
             .collect();
         if machines.is_empty() || !self.cloud.try_take(now, REQUEST_COST) {
--- a/crates/control/src/scheduling/apply_plan.rs
+++ b/crates/control/src/scheduling/apply_plan.rs
@@ -14,7 +14,7 @@
 const GRACE_MARGIN_S: f64 = 1.0;
 
 /// The grace period in which a stopped task may save; 0 if it can't.
-pub(crate) fn grace(spec: &JobSpec) -> f64 {
+pub(crate) fn grace_period_s(spec: &JobSpec) -> f64 {
     if spec.checkpoint_s > 0.0 {
         spec.save_s * GRACE_FACTOR + GRACE_MARGIN_S
     } else {
@@ -102,13 +102,13 @@
             return;
         };
         let Some(spec) = &job.spec else { return };
-        let grace = grace(spec);
+        let grace_s = grace_period_s(spec);
         let Some((machine, _)) = job.claimed.values().flatten().next().copied() else {
             return;
         };
         log::info!("job {}: preempted for another team's guarantee", job.id);
         self.stats.preempts += u64::from(job.tasks);
-        self.stop_on_machine(job_index, machine, grace);
+        self.stop_on_machine(job_index, machine, grace_s);
     }
 
     /// Stops the task of one claim, with a grace period to save.
@@ -123,7 +123,7 @@
         let Some(job) = shard.job(claim.job) else {
             return;
         };
-        let grace = job.spec.as_deref().map_or(0.0, grace);
+        let grace_s = job.spec.as_deref().map_or(0.0, grace_period_s);
         log::info!(
             "task {}/{} on {}: preempted to make room",
             job.id,
@@ -134,7 +134,7 @@
             .machine_mut(machine_index)
             .and_then(|machine| machine.claims.get_mut(claim_index));
         if let Some(claim) = claim {
-            claim.stop = Some(grace);
+            claim.stop = Some(grace_s);
         }
         shard.push.insert(machine_index);
         self.stats.preempts += 1;
--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -7,7 +7,7 @@
 use super::quota_usage::open_tasks;
 use crate::documents::quotas::ActiveTree;
 use crate::jobs::job::JobIndex;
-use crate::scheduling::quota_usage::{Counted, takes};
+use crate::scheduling::quota_usage::{QuotaUsage, resource_amount};
 use crate::store::shard::Shard;
 use quota::{Amount, Live, MAX_RESOURCES, Share, TeamId, Tree};
 use std::collections::{HashMap, HashSet};
@@ -114,7 +114,7 @@
             *job_index,
             allocate_levels(
                 left,
-                &takes(spec.cores, spec.gpus, spec.mem_gb),
+                &resource_amount(spec.cores, spec.gpus, spec.mem_gb),
                 tasks,
                 spec.kind,
             ),
@@ -232,8 +232,8 @@
     active: Option<&ActiveTree>,
     team_index: &HashMap<&str, u16>,
 ) -> Entitlement {
-    let touched = shard.take_touched();
-    let previous = shard.counted.take();
+    let changed = shard.take_touched();
+    let previous = shard.quota_usage.take();
     let Some(active) = active else {
         return Entitlement::flat(within_guarantee(shard, &open_jobs(shard), teams));
     };
@@ -242,24 +242,24 @@
     if tree.nodes.is_empty() {
         return Entitlement::flat(within_guarantee(shard, &open_jobs(shard), &guarantees));
     }
-    let mut counted = match previous.filter(|(version, _)| *version == active.version) {
-        Some((_, mut counted)) => {
-            counted.update(shard, touched);
-            counted
+    let mut usage = match previous.filter(|(version, _)| *version == active.version) {
+        Some((_, mut usage)) => {
+            usage.update(shard, changed);
+            usage
         }
-        None => Counted::new(shard, tree.clone()),
+        None => QuotaUsage::new(shard, tree.clone()),
     };
     debug_assert!(
-        counted.is_consistent(shard),
-        "a job changed without being marked as touched"
+        usage.is_consistent(shard),
+        "a job changed without being listed in `changed_since_plan`"
     );
     let open = open_jobs(shard);
     let entitlement = Entitlement {
         flat: within_guarantee(shard, &open, &guarantees),
-        nested: nested_levels(shard, &open, &mut counted.live),
-        fulfilled: fulfilled_by_team(tree, &counted.live, team_index),
+        nested: nested_levels(shard, &open, &mut usage.live),
+        fulfilled: fulfilled_by_team(tree, &usage.live, team_index),
     };
-    shard.counted = Some((active.version, counted));
+    shard.quota_usage = Some((active.version, usage));
     entitlement
 }
 
--- a/crates/control/src/scheduling/entitlement/tests.rs
+++ b/crates/control/src/scheduling/entitlement/tests.rs
@@ -79,23 +79,23 @@
         shard.add_job(Job::new(JobRecord::new(spec, u64::from(i), 0), 1));
     }
     shard.take_touched();
-    let mut counted = Counted::new(&shard, tree);
-    let all = counted.live.steps;
+    let mut usage = QuotaUsage::new(&shard, tree);
+    let all = usage.live.steps;
     for job_index in [0, 999, 55_555] {
         shard.job_mut(job_index).expect("there").add_claim(0, 7, 1);
-        let touched = shard.take_touched();
-        assert_eq!(touched, [job_index]);
-        let before = counted.live.steps;
-        counted.update(&shard, touched);
-        let steps = counted.live.steps - before;
+        let changed = shard.take_touched();
+        assert_eq!(changed, [job_index]);
+        let before = usage.live.steps;
+        usage.update(&shard, changed);
+        let steps = usage.live.steps - before;
         assert!(
             steps <= 2 * 7 && steps * 1000 < all,
             "job {job_index}: {steps} steps of {all}"
         );
     }
-    assert!(counted.is_consistent(&shard));
+    assert!(usage.is_consistent(&shard));
     assert_eq!(
-        nested_levels(&shard, &open_jobs(&shard), &mut counted.live).len(),
+        nested_levels(&shard, &open_jobs(&shard), &mut usage.live).len(),
         100_000
     );
 }
@@ -143,19 +143,19 @@
 #[test]
 fn guarantee_levels_cover_tasks_as_far_as_they_fit() {
     let mut left = [share(10), share(6), share(3)];
-    let two = takes(1.0, 2.0, 1.0);
+    let two = resource_amount(1.0, 2.0, 1.0);
     assert_eq!(allocate_levels(&mut left, &two, 4, Kind::Array), [4, 3, 1]);
     // 2, 0 and 1 GPUs are left.
     assert_eq!(
-        allocate_levels(&mut left, &takes(0.0, 1.0, 0.0), 2, Kind::Gang),
+        allocate_levels(&mut left, &resource_amount(0.0, 1.0, 0.0), 2, Kind::Gang),
         [2, 0, 0]
     );
     assert_eq!(
-        allocate_levels(&mut left, &takes(0.0, 1.0, 0.0), 1, Kind::Service),
+        allocate_levels(&mut left, &resource_amount(0.0, 1.0, 0.0), 1, Kind::Service),
         [1, 1, 1]
     );
     assert_eq!(
-        allocate_levels(&mut left, &takes(8.0, 0.0, 1.0), 9, Kind::Array),
+        allocate_levels(&mut left, &resource_amount(8.0, 0.0, 1.0), 9, Kind::Array),
         [0, 0, 0],
         "nothing of it is guaranteed"
     );
@@ -259,6 +259,6 @@
         let without = entitlement(&mut shard, &teams, None, &index);
         let with = entitlement(&mut shard, &teams, Some(&active), &index);
         assert_eq!(without.flat, with.flat);
-        assert!(with.nested.is_empty() && with.fulfilled.is_empty() && shard.counted.is_none());
+        assert!(with.nested.is_empty() && with.fulfilled.is_empty() && shard.quota_usage.is_none());
     }
 }
--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -191,8 +191,8 @@
         };
         let teams = index_names(cluster.teams.iter().map(|team| &team.name));
         let entitlement = entitlement::entitlement(shard, &cluster.teams, active.as_ref(), &teams);
-        if let (Some(tree), Some((_, counted))) = (&tree, &shard.counted) {
-            input.groups = fair_share::planner_groups(tree, &counted.live);
+        if let (Some(tree), Some((_, usage))) = (&tree, &shard.quota_usage) {
+            input.groups = fair_share::planner_groups(tree, &usage.live);
         }
         let unguaranteed_teams = tree
             .iter()
--- a/crates/control/src/scheduling/plan_machines.rs
+++ b/crates/control/src/scheduling/plan_machines.rs
@@ -130,7 +130,7 @@
 
 /// The time in which a booting machine is expected to take tasks, also if it is overdue. Infinite if it is not booting.
 fn ready_in(machine: &Machine, boot_s: f64, wall: u64) -> f64 {
-    if machine.up || machine.deleting || machine.failed {
+    if machine.up || machine.to_be_returned || machine.failed {
         return f64::INFINITY;
     }
     let age_s = wall.saturating_sub(machine.rented_ms) as f64 / 1000.0;
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -16,7 +16,7 @@
 
 impl Node {
     /// Makes and applies a plan if one is due.
-    pub(crate) fn sched_tick(&mut self) {
+    pub(crate) fn scheduling_tick(&mut self) {
         if !self.may_decide() {
             return;
         }
@@ -40,7 +40,7 @@
         let interval = self.plan_pacing.interval(self.tuning.every_ms as u64);
         let shard = self.shard.as_mut()?;
         if shard.plan_triggers.is_due(now, interval) {
-            shard.plan_triggers.planned(now);
+            shard.plan_triggers.note_plan(now);
             return Some(Scope::All);
         }
         shard
@@ -121,5 +121,5 @@
     shard
         .plan_triggers
         .urgent
-        .planned(now, still_waits, made_progress);
+        .note_plan(now, still_waits, made_progress);
 }
--- a/crates/control/src/scheduling/quota_usage.rs
+++ b/crates/control/src/scheduling/quota_usage.rs
@@ -8,7 +8,7 @@
 use wire::api::{JobSpec, Kind};
 
 /// The resources of a task as an amount of the quota tree.
-pub(crate) fn takes(cores: f64, gpus: f64, mem_gb: f64) -> Amount {
+pub(crate) fn resource_amount(cores: f64, gpus: f64, mem_gb: f64) -> Amount {
     amount(&[("cpus", cores), ("gpus", gpus), ("mem_gb", mem_gb)])
 }
 
@@ -30,7 +30,7 @@
 /// What a job adds to its team's demand and usage: all open tasks, and all claims on any machine.
 fn job_usage(job: &Job, tree: &Tree) -> Option<(TeamId, Count)> {
     let team = tree.team(&job.team)?;
-    let need = takes(job.need.cores, job.need.gpus, job.need.mem_gb);
+    let need = resource_amount(job.need.cores, job.need.gpus, job.need.mem_gb);
     let claims: usize = job.claimed.values().map(Vec::len).sum();
     let open = job
         .spec
@@ -45,15 +45,15 @@
 }
 
 /// A quota tree with the demand and usage of its teams, updated incrementally from the jobs that changed.
-pub(crate) struct Counted {
+pub(crate) struct QuotaUsage {
     pub live: Live,
     by_job: HashMap<JobIndex, (TeamId, Count)>,
 }
 
-impl Counted {
+impl QuotaUsage {
     /// Counts all jobs.
     pub fn new(shard: &Shard, tree: Arc<Tree>) -> Self {
-        let mut out = Counted {
+        let mut out = QuotaUsage {
             live: Live::new(tree),
             by_job: HashMap::new(),
         };
@@ -61,14 +61,14 @@
         out
     }
 
-    pub(super) fn update(&mut self, shard: &Shard, touched: impl IntoIterator<Item = JobIndex>) {
+    pub(super) fn update(&mut self, shard: &Shard, changed: impl IntoIterator<Item = JobIndex>) {
         let mut teams: HashMap<TeamId, Count> = HashMap::new();
         let mut add_to_team = |live: &Live, team: TeamId, by: &Count, sign: i64| {
             let count = teams.entry(team).or_insert_with(|| live.team(team));
             add(&mut count.demand, &by.demand, sign);
             add(&mut count.used, &by.used, sign);
         };
-        for job_index in touched {
+        for job_index in changed {
             let after = shard
                 .job(job_index)
                 .and_then(|job| job_usage(job, self.live.tree()));
@@ -93,7 +93,7 @@
 
     /// Whether a full recount gives the same result.
     pub(super) fn is_consistent(&self, shard: &Shard) -> bool {
-        let recounted = Counted::new(shard, self.live.tree().clone());
+        let recounted = QuotaUsage::new(shard, self.live.tree().clone());
         (0..self.live.tree().leaves.len() as u32)
             .map(TeamId)
             .all(|t| recounted.live.team(t) == self.live.team(t))
--- a/crates/control/src/scheduling/scaling.rs
+++ b/crates/control/src/scheduling/scaling.rs
@@ -57,7 +57,7 @@
             .machines
             .iter()
             .flatten()
-            .filter(|m| !m.up && !m.deleting && !m.failed)
+            .filter(|m| !m.up && !m.to_be_returned && !m.failed)
             .map(|m| ((m.machine_type.clone(), m.zone.clone(), m.spot), 1));
         let rented = shard
             .rentals
@@ -165,7 +165,7 @@
         let mut left = count.min(calls * MAX_PER_CALL);
         while left > 0 {
             let count = left.min(MAX_PER_CALL);
-            self.rental(machine_type, zone, *spot, count);
+            self.add_rental(machine_type, zone, *spot, count);
             left -= count;
         }
     }
@@ -188,7 +188,7 @@
         for m in returned {
             if let Some(machine) = shard.machines.get_mut(m) {
                 log::info!("machine {}: idle, will be returned", machine.name);
-                machine.deleting = true;
+                machine.to_be_returned = true;
             }
         }
     }
@@ -200,7 +200,7 @@
         machine.up
             && machine.claims.is_empty()
             && !has_unrecorded_result(shard, machine)
-            && !machine.deleting
+            && !machine.to_be_returned
             && machine.idle_since + idle_ms < now
     })
 }
--- a/crates/control/src/scheduling/urgent.rs
+++ b/crates/control/src/scheduling/urgent.rs
@@ -16,15 +16,15 @@
 
 /// When the next urgent plan is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Urgent {
+pub(crate) struct UrgentPlanTimer {
     has_waiting: bool,
     planned_at: u64,
     interval_ms: u64,
 }
 
-impl Default for Urgent {
+impl Default for UrgentPlanTimer {
     fn default() -> Self {
-        Urgent {
+        UrgentPlanTimer {
             has_waiting: false,
             planned_at: 0,
             interval_ms: MIN_INTERVAL_MS,
@@ -32,9 +32,9 @@
     }
 }
 
-impl Urgent {
+impl UrgentPlanTimer {
     /// Notes the arrival of a job.
-    pub fn arrived(&mut self, spec: &JobSpec) {
+    pub fn note_arrival(&mut self, spec: &JobSpec) {
         if is_urgent(spec) {
             self.has_waiting = true;
             self.interval_ms = MIN_INTERVAL_MS;
@@ -48,7 +48,7 @@
 
     /// Notes a plan: whether urgent work still waits, and whether the plan made progress. Without progress the interval
     /// doubles, so that jobs that fit nowhere don't take processor time from others.
-    pub fn planned(&mut self, now: u64, still_waits: bool, made_progress: bool) {
+    pub fn note_plan(&mut self, now: u64, still_waits: bool, made_progress: bool) {
         self.planned_at = now;
         self.has_waiting = still_waits;
         self.interval_ms = if made_progress {
--- a/crates/control/src/store/plan_triggers.rs
+++ b/crates/control/src/store/plan_triggers.rs
@@ -1,7 +1,7 @@
 //! When the leader's next plan is due.
 
 use crate::jobs::job::JobIndex;
-use crate::scheduling::urgent::Urgent;
+use crate::scheduling::urgent::UrgentPlanTimer;
 
 /// Interval at which new rentals are considered.
 const RENTALS_INTERVAL_MS: u64 = 1000;
@@ -14,7 +14,7 @@
     /// The job at which the last full plan reached its limit of steps.
     pub stopped_at: Option<JobIndex>,
     /// Triggers of plans for urgent jobs alone.
-    pub urgent: Urgent,
+    pub urgent: UrgentPlanTimer,
     rentals_due_at: u64,
 }
 
@@ -25,7 +25,7 @@
             requested: true,
             planned_at: 0,
             stopped_at: None,
-            urgent: Urgent::default(),
+            urgent: UrgentPlanTimer::default(),
             rentals_due_at: 0,
         }
     }
@@ -44,7 +44,7 @@
     }
 
     /// Records that a full plan is being made.
-    pub fn planned(&mut self, now: u64) {
+    pub fn note_plan(&mut self, now: u64) {
         self.requested = false;
         self.planned_at = now;
     }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -455,7 +455,7 @@
             .entry(record.spec.class.clone())
             .or_default()
             .record_arrival(&record.spec, record.at_ms);
-        shard.plan_triggers.urgent.arrived(&record.spec);
+        shard.plan_triggers.urgent.note_arrival(&record.spec);
         let job = shard.add_job(Job::new(record, version));
         shard.plan_triggers.request();
         self.bind_model(job);
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -7,7 +7,7 @@
 use crate::jobs::class::ClassStatistics;
 use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::lease_bound::Attestations;
-use crate::scheduling::quota_usage::Counted;
+use crate::scheduling::quota_usage::QuotaUsage;
 use crate::store::allotment::AllotmentState;
 use crate::store::claim_log::{ClaimId, ClaimLog};
 use crate::store::cloud_calls::CloudCalls;
@@ -89,7 +89,7 @@
     /// Jobs that were cancelled, or had ended before this term, and that still have claims.
     pub cancelled_with_claims: BTreeSet<JobIndex>,
     /// Use and demand in the quota tree, with the tree's version.
-    pub counted: Option<(u64, Counted)>,
+    pub quota_usage: Option<(u64, QuotaUsage)>,
     /// Release hours of the shard's jobs.
     pub hours: DeadlineWatch,
     /// Counts of jobs by county.
@@ -127,7 +127,7 @@
             allotment: AllotmentState::default(),
             touched: Vec::new(),
             cancelled_with_claims: BTreeSet::new(),
-            counted: None,
+            quota_usage: None,
             hours: DeadlineWatch::default(),
             county_counts: CountyCounts::new(limits.value_bytes()),
         }
