--- a/crates/control/src/agents/commands.rs
+++ b/crates/control/src/agents/commands.rs
@@ -11,14 +11,19 @@
 const DIRECT_TIMEOUT_MS: u64 = 2000;
 
 impl Node {
-    /// Sends pending orders to the machines in `shard.push` now instead of in the reply to their next heartbeat.
+    /// Sends pending orders to the machines in `shard.machines_with_orders` now instead of in the reply to their next heartbeat.
     pub(crate) fn push_orders(&mut self) {
         if !self.may_decide() {
             return;
         }
         let Some(shard) = &self.shard else { return };
         let is_ready = |m: &usize| shard.machine(*m).is_some_and(Machine::takes_commands);
-        let due: Vec<usize> = shard.push.iter().copied().filter(is_ready).collect();
+        let due: Vec<usize> = shard
+            .machines_with_orders
+            .iter()
+            .copied()
+            .filter(is_ready)
+            .collect();
         for m in due {
             let orders = self.orders_for(m);
             // Reaping is not urgent: it waits for the next heartbeat.
@@ -103,7 +108,7 @@
     /// however late, and a machine that resumes after a hang receives them first.
     pub(crate) fn probe_machine(&mut self, m: usize) {
         let (now, term) = (self.now.mono, self.term);
-        let orders = self.last_orders(m);
+        let orders = self.cancellation_stops(m);
         let Some(shard) = &mut self.shard else { return };
         let (serial, token) = (shard.next_serial(), shard.token);
         let Some(machine) = shard.machine_mut(m) else {
@@ -152,7 +157,7 @@
         match heartbeat.filter(|heartbeat| heartbeat.machine == machine.name) {
             Some(heartbeat) => {
                 machine.unconfirmed_token = None;
-                shard.heard_itself |= direct;
+                shard.heard_directly |= direct;
                 self.reconcile(m, &heartbeat);
             }
             None => self.probe_failed(m),
--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -2,7 +2,7 @@
 
 use crate::Node;
 use crate::agents::machine::Machine;
-use crate::leadership::peer_status::TOKEN_BOUND;
+use crate::leadership::peer_status::FIRST_IMPLAUSIBLE_TOKEN;
 use std::fmt;
 use wire::api::{Heartbeat, Order, Orders, Redirect};
 
@@ -99,7 +99,7 @@
             return HeartbeatReply::Refused(HeartbeatRefusal::NotLeader);
         };
         if heartbeat.token > shard.token {
-            return HeartbeatReply::Refused(self.outranked(heartbeat.token));
+            return HeartbeatReply::Refused(self.handle_higher_token(heartbeat.token));
         }
         let token = shard.token;
         if !shard.loaded {
@@ -123,7 +123,7 @@
             }
             // An older heartbeat. The worker may still be waiting for this reply, which renews its lease, so the reply
             // has to stop the tasks of cancelled jobs.
-            Some(m) => self.last_orders(m),
+            Some(m) => self.cancellation_stops(m),
             None => Vec::new(),
         };
         HeartbeatReply::Orders(wire::encode(&Orders {
@@ -151,7 +151,7 @@
             return false;
         };
         let (own_token, now) = (shard.token, self.now.mono);
-        shard.heard_itself |= via.is_none();
+        shard.heard_directly |= via.is_none();
         let Some(machine) = shard.machine_mut(m) else {
             return false;
         };
@@ -173,11 +173,11 @@
 
     /// Handles a worker that reports a higher token than ours. While our lease is valid there can't be a newer leader,
     /// so the token is spurious and we raise ours above it. Otherwise a new leader has been elected, and we step down.
-    fn outranked(&mut self, token: u64) -> HeartbeatRefusal {
+    fn handle_higher_token(&mut self, token: u64) -> HeartbeatRefusal {
         log::warn!("a worker reports token {token}, higher than ours");
         if self.has_valid_lease() {
             // A corrupt value from one worker must neither exhaust the token counter nor depose a valid leader.
-            if token >= TOKEN_BOUND {
+            if token >= FIRST_IMPLAUSIBLE_TOKEN {
                 return HeartbeatRefusal::ImpossibleToken;
             }
             self.shared.token = self.shared.token.max(token);
--- a/crates/control/src/agents/orders.rs
+++ b/crates/control/src/agents/orders.rs
@@ -91,7 +91,7 @@
     /// The orders for a worker now. A leader whose lease may have expired only stops tasks of cancelled jobs.
     pub(crate) fn orders_for(&mut self, m: usize) -> Vec<Order> {
         if !self.may_decide() {
-            return self.last_orders(m);
+            return self.cancellation_stops(m);
         }
         let now = self.now.mono;
         let silent = self.silent_ms();
@@ -105,7 +105,7 @@
         if machine.command_in_flight.is_some() {
             return Vec::new();
         }
-        shard.push.remove(&m);
+        shard.machines_with_orders.remove(&m);
         let has_unanswered_command = machine.unanswered_command.is_some();
         // No task starts shortly before the worker's lease ends, or on a machine that is to be returned.
         let may_start = !has_unanswered_command
@@ -113,14 +113,14 @@
             && !machine.is_heartbeat_overdue(now, silent);
         let agent_epoch = machine.seen.0;
         let mut orders = Vec::new();
-        let mut never_started = Vec::new();
+        let mut unsent = Vec::new();
         for (position, claim) in machine.claims.iter_mut().enumerate() {
             let job = shard.jobs.get(claim.job);
             let Some(job) = job.filter(|_| claim.state == ClaimState::Recorded) else {
                 continue;
             };
             match claim.stop {
-                Some(_) if !claim.sent => never_started.push(position),
+                Some(_) if !claim.sent => unsent.push(position),
                 Some(grace_s) => orders.extend(stop_if_due(claim, job, grace_s, now)),
                 None if may_start && is_startable(claim, job) => {
                     orders.push(start(claim, job, agent_epoch));
@@ -131,14 +131,14 @@
         if !has_unanswered_command {
             orders.extend(shard.reaps(m));
         }
-        self.never_started(m, &never_started);
+        self.end_unsent_claims(m, &unsent);
         orders.truncate(MAX_ORDERS);
         orders
     }
 
     /// The only orders in a probe, or from a leader whose lease may have expired: stops for the tasks of cancelled
     /// jobs. A cancellation is never undone, and no worker's lease may be renewed without delivering it.
-    pub(crate) fn last_orders(&self, m: usize) -> Vec<Order> {
+    pub(crate) fn cancellation_stops(&self, m: usize) -> Vec<Order> {
         let Some(shard) = &self.shard else {
             return Vec::new();
         };
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -233,7 +233,7 @@
             } else {
                 // The start never arrived. The attempt was not reaped, so it can be started again.
                 claim.sent = false;
-                self.push.insert(m);
+                self.machines_with_orders.insert(m);
             }
         }
     }
@@ -456,7 +456,7 @@
     }
 
     /// Ends claims whose start was never sent, which needs no proof.
-    pub(crate) fn never_started(&mut self, m: usize, claims: &[usize]) {
+    pub(crate) fn end_unsent_claims(&mut self, m: usize, claims: &[usize]) {
         let ended = claims.iter().copied().map(EndedClaim::unexplained);
         for job_index in self.end_claims(m, ended.collect()) {
             self.job_changed(job_index);
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -73,7 +73,7 @@
         let leader = Leader {
             node,
             token,
-            avoided: self.hears_no_agents(node) || self.is_spread(),
+            avoided: self.reports_no_heartbeats(node) || self.is_spread(),
         };
         let caller = Caller {
             machine: &heartbeat.machine,
@@ -98,10 +98,10 @@
     /// not accepted a batch, usually by a timeout. Workers redirected to it then would all connect at once and slow
     /// it further.
     pub(crate) fn leader_is_slow(&self) -> bool {
-        let is_heard = |peer| self.is_heard(peer);
+        let has_recent_status = |peer| self.has_recent_status(peer);
         self.is_spread()
             && self.now.mono < self.relay.paused_until
-            && self.leader_peer().is_some_and(is_heard)
+            && self.leader_peer().is_some_and(has_recent_status)
     }
 
     /// Sends the queued heartbeats, unless they still wait for a fuller batch.
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -53,7 +53,7 @@
 
     /// Notes whether heartbeats are spread, according to the leader's status. The value is kept while the leader
     /// changes, so that the next leader doesn't receive the heartbeats of the whole fleet at once.
-    pub(crate) fn spread_heard(&mut self, is_spread: bool) {
+    pub(crate) fn note_spread(&mut self, is_spread: bool) {
         if !self.leads() {
             self.routing.is_spread = is_spread;
         }
@@ -109,7 +109,7 @@
     /// among several.
     fn relay_for(&self, heartbeat: &Heartbeat) -> Option<usize> {
         let peers = 0..self.settings.peers.len();
-        let alive: Vec<usize> = peers.filter(|peer| self.is_heard(*peer)).collect();
+        let alive: Vec<usize> = peers.filter(|peer| self.has_recent_status(*peer)).collect();
         let in_zone = |peer: &&usize| self.settings.peers[**peer].zone == heartbeat.zone;
         let same_zone: Vec<usize> = alive.iter().filter(in_zone).copied().collect();
         let candidates = if same_zone.is_empty() {
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -113,7 +113,7 @@
         let reporting_down = |down: Option<bool>| -> Vec<usize> {
             let candidates = candidates.iter().copied();
             candidates
-                .filter(|peer| self.says_down(*peer) == down)
+                .filter(|peer| self.reports_state_down(*peer) == down)
                 .collect()
         };
         let (served, unreported) = (reporting_down(Some(false)), reporting_down(None));
@@ -128,7 +128,7 @@
         let leader = self
             .leader_peer()
             .filter(|p| !past_leader && candidates.contains(p));
-        if let Some(leader) = leader.filter(|p| self.says_down(*p) != Some(true)) {
+        if let Some(leader) = leader.filter(|p| self.reports_state_down(*p) != Some(true)) {
             return Some(leader);
         }
         let targets = if served.is_empty() {
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -16,7 +16,7 @@
 /// A node counts as served by the state service if it was answered within this time: a watch is answered every 5 s.
 const STATE_CONTACT_MS: u64 = 6500;
 /// Bound on plausible tokens: the state service's counter does not get this high, so any such token is invalid.
-pub(crate) const TOKEN_BOUND: u64 = 1 << 31;
+pub(crate) const FIRST_IMPLAUSIBLE_TOKEN: u64 = 1 << 31;
 
 /// The latest status of each peer and when it was received.
 #[derive(Debug, Default)]
@@ -63,7 +63,10 @@
                 .as_ref()
                 .filter(|_| self.may_decide())
                 .map(|p| p.token),
-            hears_no_agents: self.shard.as_ref().is_some_and(|p| p.hears_no_agents(now)),
+            hears_no_agents: self
+                .shard
+                .as_ref()
+                .is_some_and(|p| p.receives_no_heartbeats(now)),
             down: self.state_good_at.is_none() || self.state_down(),
             spreads: self.leads() && self.is_spread(),
             delegation: None,
@@ -71,18 +74,18 @@
     }
 
     /// Stores a peer's status, from a request or an answer. Rejects an unknown node name and an implausible token.
-    pub(crate) fn peer_status_seen(&mut self, peer_status: PeerStatus) -> Option<usize> {
+    pub(crate) fn store_peer_status(&mut self, peer_status: PeerStatus) -> Option<usize> {
         let peer = self.peer_named(&peer_status.node)?;
         if peer_status
             .leads
             .max(peer_status.token)
-            .is_some_and(|t| t >= TOKEN_BOUND)
+            .is_some_and(|t| t >= FIRST_IMPLAUSIBLE_TOKEN)
         {
             self.stats.bad_answers += 1;
             return None;
         }
         if let Some(token) = peer_status.leads {
-            self.spread_heard(peer_status.spreads);
+            self.note_spread(peer_status.spreads);
             self.leader_asserted(peer_status.node.clone(), token);
         }
         let now = self.now.mono;
@@ -109,20 +112,20 @@
             .clone()
             .filter(|terms| peer_status.leads == Some(terms.token));
         let token = peer_status.token;
-        if self.peer_status_seen(peer_status) == Some(peer) {
+        if self.store_peer_status(peer_status) == Some(peer) {
             self.attestation_received(sent, peer, token);
             self.note_delegation(sent, delegation);
         }
     }
 
     /// Whether a peer reports that it is the leader and receives no heartbeats from workers.
-    pub(crate) fn hears_no_agents(&self, peer: usize) -> bool {
+    pub(crate) fn reports_no_heartbeats(&self, peer: usize) -> bool {
         self.fresh_status(peer)
             .is_some_and(|peer_status| peer_status.hears_no_agents)
     }
 
     /// Whether a peer reports that the state service does not serve it; `None` without a recent status of that peer.
-    pub(crate) fn says_down(&self, peer: usize) -> Option<bool> {
+    pub(crate) fn reports_state_down(&self, peer: usize) -> Option<bool> {
         self.fresh_status(peer).map(|peer_status| peer_status.down)
     }
 
@@ -136,7 +139,7 @@
     }
 
     /// Whether there is a recent status of a peer.
-    pub(crate) fn is_heard(&self, peer: usize) -> bool {
+    pub(crate) fn has_recent_status(&self, peer: usize) -> bool {
         self.fresh_status(peer).is_some()
     }
 
@@ -158,7 +161,7 @@
 
     /// Whether another node may be able to lead instead of this one: a peer reports that the state service answers it,
     /// or there is no recent status of any peer, so that nothing rules it out.
-    pub(crate) fn could_be_followed(&self) -> bool {
+    pub(crate) fn may_have_successor(&self) -> bool {
         let reaches_state = |(age, status): (u64, &PeerStatus)| {
             status
                 .state_ms
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -67,8 +67,8 @@
     /// What the leader sees of a model.
     pub(super) fn seen(&self, job: &Job) -> Seen {
         let now = self.now.mono;
-        let since = self.shard.as_ref().map_or(0, |shard| shard.since);
-        let last_demand = self.models.demand.last_demand(&job.id).max(since);
+        let ready_since = self.shard.as_ref().map_or(0, |shard| shard.ready_since);
+        let last_demand = self.models.demand.last_demand(&job.id).max(ready_since);
         let near = self
             .shard
             .as_ref()
@@ -187,7 +187,7 @@
                 continue;
             };
             if stop_claims(machine, ix, &surplus, grace_s) {
-                shard.push.insert(m);
+                shard.machines_with_orders.insert(m);
             }
         }
     }
--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -17,7 +17,7 @@
 /// How often a machine with claims is probed for the state of its tasks if it answers commands but its heartbeats are
 /// overdue.
 const OVERDUE_PROBE_MS: u64 = 2000;
-/// A new leader probes machines that it has not heard from, between these times after the start of its term.
+/// A new leader probes machines that it has not heard from, between these times after the end of recovery.
 const PROBE_AFTER_MS: u64 = 500;
 const PROBE_UNTIL_MS: u64 = 8000;
 /// Each tick probes this many machines, or more if needed to probe all within `TICKS_TO_PROBE_ALL` ticks.
@@ -92,12 +92,12 @@
         self.probe_unheard_machines();
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
-        if now < shard.looked_at + SURVEY_INTERVAL_MS {
+        if now < shard.silence_checked_at + SURVEY_INTERVAL_MS {
             return;
         }
-        shard.looked_at = now;
+        shard.silence_checked_at = now;
         self.survey_zones();
-        let has_successor = self.could_be_followed();
+        let has_successor = self.may_have_successor();
         let Some(survey) = self.survey_machines() else {
             return;
         };
@@ -121,7 +121,7 @@
         let catalog = self.shared.catalog.as_ref();
         let settle_ms = (self.settings.cluster.workers.report_s * 1000.0) as u64;
         let shard = self.shard.as_mut()?;
-        if now.mono < shard.since + settle_ms {
+        if now.mono < shard.ready_since + settle_ms {
             return None;
         }
         let mut survey = Survey::default();
@@ -169,7 +169,7 @@
         let claims: Vec<usize> = machine
             .map(|x| x.unsent_claims().collect())
             .unwrap_or_default();
-        self.never_started(m, &claims);
+        self.end_unsent_claims(m, &claims);
     }
 
     /// Probes a machine for its heartbeat. One whose address is known neither from its worker nor from the cloud's list
@@ -212,15 +212,16 @@
             *overdue += u32::from(now.saturating_sub(machine.heard_at) > late_ms);
         }
         // If some machines of a zone are heard through a peer, the others are likely to find that peer too.
-        let detour = zones
+        let relayed_zones = zones
             .iter()
             .filter(|(_, (up, _, relayed))| relayed * 8 > *up);
-        let detour: BTreeSet<String> = detour.map(|(zone, _)| (*zone).to_owned()).collect();
+        let relayed_zones: BTreeSet<String> =
+            relayed_zones.map(|(zone, _)| (*zone).to_owned()).collect();
         let cut = zones
             .iter()
             .filter(|(_, (up, overdue, _))| *up >= MIN_MACHINES && overdue * 3 > *up);
         let cut: BTreeSet<String> = cut.map(|(zone, _)| (*zone).to_owned()).collect();
-        shard.zones.observe(cut, detour);
+        shard.zones.observe(cut, relayed_zones);
     }
 
     /// After a failover, probes the machines that have not sent a heartbeat by themselves, a few per tick. Their
@@ -228,15 +229,15 @@
     fn probe_unheard_machines(&mut self) {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
-        if now < shard.since + PROBE_AFTER_MS || now >= shard.since + PROBE_UNTIL_MS {
+        if now < shard.ready_since + PROBE_AFTER_MS || now >= shard.ready_since + PROBE_UNTIL_MS {
             return;
         }
-        let since = shard.since;
+        let ready_since = shard.ready_since;
         let unheard = |m: &Machine| {
-            m.heard_at <= since
+            m.heard_at <= ready_since
                 && m.addr.is_some()
                 && m.probe_in_flight.is_none()
-                && m.probed_at < since
+                && m.probed_at < ready_since
                 && !m.to_be_returned
         };
         let due = shard
--- a/crates/control/src/scheduling/apply_plan.rs
+++ b/crates/control/src/scheduling/apply_plan.rs
@@ -41,7 +41,7 @@
     /// free room is unknown. Heartbeats are late by up to a quarter of the interval at times.
     pub(super) fn apply_preemptions(&mut self, planned: &Planned) {
         let Some(shard) = &self.shard else { return };
-        if self.now.mono < shard.since + self.heartbeat_interval_ms() * 5 / 4 {
+        if self.now.mono < shard.ready_since + self.heartbeat_interval_ms() * 5 / 4 {
             return;
         }
         for preempt in &planned.output.preempts {
@@ -136,7 +136,7 @@
         if let Some(claim) = claim {
             claim.stop = Some(grace_s);
         }
-        shard.push.insert(machine_index);
+        shard.machines_with_orders.insert(machine_index);
         self.stats.preempts += 1;
     }
 }
--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -232,7 +232,7 @@
     active: Option<&ActiveTree>,
     team_index: &HashMap<&str, u16>,
 ) -> Entitlement {
-    let changed = shard.take_touched();
+    let changed = shard.take_changed_since_plan();
     let previous = shard.quota_usage.take();
     let Some(active) = active else {
         return Entitlement::flat(within_guarantee(shard, &open_jobs(shard), teams));
--- a/crates/control/src/scheduling/entitlement/tests.rs
+++ b/crates/control/src/scheduling/entitlement/tests.rs
@@ -78,12 +78,12 @@
         let spec = spec(i, &teams[i as usize % 10_000].name, 2, 1.0, 0.0);
         shard.add_job(Job::new(JobRecord::new(spec, u64::from(i), 0), 1));
     }
-    shard.take_touched();
+    shard.take_changed_since_plan();
     let mut usage = QuotaUsage::new(&shard, tree);
     let all = usage.live.steps;
     for job_index in [0, 999, 55_555] {
         shard.job_mut(job_index).expect("there").add_claim(0, 7, 1);
-        let changed = shard.take_touched();
+        let changed = shard.take_changed_since_plan();
         assert_eq!(changed, [job_index]);
         let before = usage.live.steps;
         usage.update(&shard, changed);
--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -92,7 +92,7 @@
         job: &Job,
         teams: &HashMap<&str, u16>,
         classes: &BTreeMap<String, ClassStatistics>,
-        images: &mut shard::Names,
+        images: &mut shard::NameInterner,
     ) -> Self {
         let team = teams.get(job.team.as_str()).copied();
         let Some(spec) = &job.spec else {
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -102,7 +102,7 @@
 /// The planner's form of a job, from its spec alone.
 pub(super) fn planner_job(
     spec: &JobSpec,
-    images: &mut shard::Names,
+    images: &mut shard::NameInterner,
     names: &NameIndex<'_>,
     team: u16,
 ) -> plan::Job {
--- a/crates/control/src/scheduling/reservations.rs
+++ b/crates/control/src/scheduling/reservations.rs
@@ -54,7 +54,7 @@
         &self,
         name: &str,
         class: &ClassStatistics,
-        images: &mut shard::Names,
+        images: &mut shard::NameInterner,
     ) -> Option<plan::Reservation> {
         let spec = class.latest_spec.as_ref()?;
         let team = *self.names.teams.get(spec.team.as_str())?;
--- a/crates/control/src/scheduling/scaling.rs
+++ b/crates/control/src/scheduling/scaling.rs
@@ -121,7 +121,7 @@
     /// existing machines.
     pub(super) fn scale(&mut self, planned: &Planned, catalog: &Catalog) {
         let Some(shard) = &self.shard else { return };
-        let is_settled = self.now.mono >= shard.since + 2 * self.heartbeat_interval_ms();
+        let is_settled = self.now.mono >= shard.ready_since + 2 * self.heartbeat_interval_ms();
         if planned.scope != Scope::All || !is_settled {
             return;
         }
--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -116,7 +116,7 @@
                 .as_ref()
                 .is_some_and(|x| x.unanswered_command.is_some())
             {
-                shard.push.insert(m);
+                shard.machines_with_orders.insert(m);
             }
         }
     }
@@ -167,7 +167,7 @@
             segment.live_claims += 1;
             segment.claims.push(id);
             if is_new {
-                self.push.insert(id.machine);
+                self.machines_with_orders.insert(id.machine);
             } else {
                 self.claim_log.ended(previous_segment);
             }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -410,7 +410,7 @@
         let Some(shard) = &mut self.shard else { return };
         shard.allotment.request_if_different(whole);
         shard.loaded = true;
-        shard.since = now;
+        shard.ready_since = now;
         for machine in shard.machines.iter_mut().flatten() {
             (machine.heard_at, machine.heartbeat_at) = (now, now);
         }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -24,11 +24,11 @@
 
 /// Assigns dense indices to names of one kind.
 #[derive(Default)]
-pub(crate) struct Names {
+pub(crate) struct NameInterner {
     index: HashMap<String, u32>,
 }
 
-impl Names {
+impl NameInterner {
     /// Returns the index of a name; a new name gets the next index.
     pub fn get(&mut self, name: &str) -> u32 {
         if let Some(i) = self.index.get(name) {
@@ -56,9 +56,9 @@
     /// Attestations of the other nodes while it is uncertain whether the lease is valid.
     pub attestations: Attestations,
     /// Whether some worker has reported or answered directly, not through a peer.
-    pub heard_itself: bool,
-    /// When this term began or, once recovery is complete, when it was completed.
-    pub since: u64,
+    pub heard_directly: bool,
+    /// When recovery was completed; until then, when the term began.
+    pub ready_since: u64,
     pub recovery: RecoveryProgress,
     pub live_watch: LiveWatch,
     pub jobs: Table<Job>,
@@ -70,22 +70,22 @@
     /// Limits on the sizes of records and transactions.
     pub limits: WriteLimits,
     /// Machines whose workers are to be sent orders immediately.
-    pub push: BTreeSet<usize>,
+    pub machines_with_orders: BTreeSet<usize>,
     /// Whether the token is to be raised, because a command sent under it may still be executed late.
     pub raise_token: bool,
     /// Statistics of the jobs of each class.
     pub classes: BTreeMap<String, ClassStatistics>,
     /// Images, as indices for the planner.
-    pub images: Names,
+    pub images: NameInterner,
     pub returned: ReturnedMachines,
     /// When machines were last checked for silence.
-    pub looked_at: u64,
+    pub silence_checked_at: u64,
     pub zones: ZoneReachability,
     pub cloud_calls: CloudCalls,
     pub plan_triggers: PlanTriggers,
     pub allotment: AllotmentState,
     /// Jobs that may have changed since the last plan.
-    touched: Vec<JobIndex>,
+    changed_since_plan: Vec<JobIndex>,
     /// Jobs that were cancelled, or had ended before this term, and that still have claims.
     pub cancelled_with_claims: BTreeSet<JobIndex>,
     /// Use and demand in the quota tree, with the tree's version.
@@ -104,8 +104,8 @@
             loaded: false,
             had_valid_lease: false,
             attestations: Attestations::default(),
-            heard_itself: false,
-            since: now,
+            heard_directly: false,
+            ready_since: now,
             recovery: RecoveryProgress::default(),
             live_watch: LiveWatch::default(),
             jobs: Table::default(),
@@ -115,17 +115,17 @@
             commit: Commit::default(),
             claim_log: ClaimLog::default(),
             limits: *limits,
-            push: BTreeSet::new(),
+            machines_with_orders: BTreeSet::new(),
             raise_token: false,
             classes: BTreeMap::new(),
-            images: Names::default(),
+            images: NameInterner::default(),
             returned: ReturnedMachines::default(),
-            looked_at: 0,
+            silence_checked_at: 0,
             zones: ZoneReachability::default(),
             cloud_calls: CloudCalls::default(),
             plan_triggers: PlanTriggers::default(),
             allotment: AllotmentState::default(),
-            touched: Vec::new(),
+            changed_since_plan: Vec::new(),
             cancelled_with_claims: BTreeSet::new(),
             quota_usage: None,
             hours: DeadlineWatch::default(),
@@ -134,11 +134,11 @@
     }
 
     /// Whether no worker has reached this leader directly although a fleet of this size should have by now.
-    pub fn hears_no_agents(&self, now: u64) -> bool {
+    pub fn receives_no_heartbeats(&self, now: u64) -> bool {
         self.loaded
-            && !self.heard_itself
+            && !self.heard_directly
             && self.machines.count() >= SILENCE_MIN_MACHINES
-            && now >= self.since + SILENCE_MS
+            && now >= self.ready_since + SILENCE_MS
     }
 
     /// The next serial number of this term. Together with the token, which is unique, it is never reused.
@@ -166,14 +166,14 @@
     pub fn job_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
         let job = self.jobs.get_mut(index)?;
         if !std::mem::replace(&mut job.changed_since_plan, true) {
-            self.touched.push(index);
+            self.changed_since_plan.push(index);
         }
         Some(job)
     }
 
     /// Returns the jobs that may have been changed, added or removed since the last call; some may be listed twice.
-    pub fn take_touched(&mut self) -> Vec<JobIndex> {
-        let all = std::mem::take(&mut self.touched);
+    pub fn take_changed_since_plan(&mut self) -> Vec<JobIndex> {
+        let all = std::mem::take(&mut self.changed_since_plan);
         for index in &all {
             if let Some(job) = self.jobs.get_mut(*index) {
                 job.changed_since_plan = false;
@@ -197,7 +197,7 @@
         if let Some(job) = self.jobs.get(index) {
             self.hours.add(job, index);
         }
-        self.touched.push(index);
+        self.changed_since_plan.push(index);
         index
     }
 
@@ -227,7 +227,7 @@
         let Some(machine) = self.machines.remove(index, |m| &m.name) else {
             return;
         };
-        self.push.remove(&index);
+        self.machines_with_orders.remove(&index);
         self.claim_log
             .remove_from_inventory_shard(machine.inventory_shard, index, machine.size);
     }
@@ -248,7 +248,7 @@
             .machine_mut(machine)
             .is_some_and(|m| m.stop_job(job, grace_s));
         if stopped {
-            self.push.insert(machine);
+            self.machines_with_orders.insert(machine);
         }
     }
 
@@ -281,7 +281,7 @@
             .is_some_and(|j| j.is_end_recorded() && j.claimed.is_empty());
         if gone && self.jobs.remove(index, |job| &job.id).is_some() {
             self.cancelled_with_claims.remove(&index);
-            self.touched.push(index);
+            self.changed_since_plan.push(index);
         }
     }
 
