--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -66,7 +66,7 @@
     /// Handles a heartbeat on a node that does not lead the fleet: renews the worker's lease as a lease delegate,
     /// forwards the heartbeat, or redirects the worker to the leader.
     fn heartbeat_for_leader(&mut self, conn: u64, heartbeat: &Heartbeat, body: &[u8]) {
-        if let Some(body) = self.delegate_answer(heartbeat) {
+        if let Some(body) = self.answer_as_delegate(heartbeat) {
             return self.respond(conn, 200, body, None);
         }
         if self.forward_heartbeat(conn, heartbeat, body) {
@@ -112,7 +112,7 @@
             });
             return HeartbeatReply::Orders(body);
         }
-        if !self.may_renew() {
+        if !self.may_renew_worker_leases() {
             return HeartbeatReply::Refused(HeartbeatRefusal::LeaseUncertain);
         }
         let orders = match self.find_or_add_sender(heartbeat) {
--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -171,7 +171,7 @@
             prepared.head.version
         );
         K::document_mut(&mut self.shared.documents).pending_change = Some(prepared);
-        self.to_write = true;
+        self.may_have_changes = true;
     }
 
     /// Builds and validates the new version; no state is changed yet.
@@ -235,7 +235,7 @@
         let is_needed = document.first.is_some()
             && document.head.version == 0
             && document.pending_change.is_none()
-            && self.shared.known;
+            && self.shared.is_current;
         if !is_needed || !self.may_decide() {
             return;
         }
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -130,7 +130,7 @@
             by: sanitized_name(by),
             conn: Some(conn),
         });
-        self.to_write = true;
+        self.may_have_changes = true;
         Ok(None)
     }
 
@@ -181,7 +181,7 @@
                 "writing moves of the hours of {jobs} jobs of {studio}, requested by {by:?}"
             );
             shard.hours.moves.extend(moves);
-            self.to_write = true;
+            self.may_have_changes = true;
         }
         Ok(Some(Moved {
             dry_run,
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -192,7 +192,7 @@
             return None;
         }
         let mut conditions = Vec::new();
-        let stale = self.now.mono >= self.shared.heard_at + HEADS_STALE_MS;
+        let stale = self.now.mono >= self.shared.updated_at + HEADS_STALE_MS;
         for kind in ALL {
             let (guards, stamp, is_current) = for_kind!(kind, K => {
                 let document = K::document(&self.shared.documents);
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -173,7 +173,7 @@
         }
         shard.allotment.want(whole);
         shard.plan_triggers.request();
-        self.to_write = true;
+        self.may_have_changes = true;
         // Claims that were planned under the old bounds and are not recorded yet are planned again.
         self.drop_unrecorded_claims();
     }
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -194,7 +194,7 @@
 impl Node {
     /// Whether a user has named a job id that is reserved for jobs of the front end.
     pub(crate) fn is_reserved_for_frontend(&self, conn: u64, id: &str) -> bool {
-        self.beside && conn < FIRST_CONNECTION && wire::ids::reserved_job_id(id)
+        self.has_other_frontend && conn < FIRST_CONNECTION && wire::ids::reserved_job_id(id)
     }
 
     /// Takes changes for the front end, if they can be spared: from its own share, which it has only while it makes
@@ -217,8 +217,8 @@
 
     /// Gives the front end a share of this node's changes while it makes requests, and takes it back afterwards.
     pub(crate) fn share_writes(&mut self) {
-        let is_active =
-            self.beside && self.now.mono < self.frontend.last_requested_at + ACTIVE_WINDOW_MS;
+        let is_active = self.has_other_frontend
+            && self.now.mono < self.frontend.last_requested_at + ACTIVE_WINDOW_MS;
         if is_active == self.frontend.has_share {
             return;
         }
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -52,7 +52,7 @@
     /// Follows up on a change of a job: stops the remaining tasks of a broken gang, and removes an ended job without
     /// claims from memory.
     pub(crate) fn job_changed(&mut self, ix: JobIndex) {
-        self.to_write = true;
+        self.may_have_changes = true;
         self.model_changed(ix);
         let Some(shard) = &mut self.shard else { return };
         shard.plan_triggers.request();
@@ -78,7 +78,7 @@
         if !self.may_decide() {
             return self.answer_undecided(requester);
         }
-        self.to_write = true;
+        self.may_have_changes = true;
         let Some(shard) = &mut self.shard else { return };
         let Some(ix) = shard.jobs.index_of(id) else {
             return self.cancel_unknown(requester, id);
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -97,7 +97,7 @@
 
     /// Whether the state service seems unavailable to this node. It may still answer others.
     pub(crate) fn state_down(&self) -> bool {
-        self.state_bad_at
+        self.state_failed_at
             .is_some_and(|at| self.now.mono < at + STATE_DOWN_MS)
     }
 
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -40,7 +40,7 @@
                 })
             }
             PeerRequest::Leads { node, token } => {
-                self.leader_asserted(node, token);
+                self.leadership_claimed(node, token);
                 self.answer_peer(conn, &PeerResponse::NotNow);
             }
             PeerRequest::PeerStatus(status) => self.exchange_peer_status(conn, status),
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -23,8 +23,8 @@
 /// rejects some writes, and they are retried.
 const LEADER_REQUEST_SHARE: f64 = 0.5;
 const FOLLOWER_REQUEST_SHARE: f64 = 0.4;
-pub(crate) const LEADER_WRITES: f64 = 0.9;
-pub(crate) const OTHER_WRITES: f64 = 0.3;
+pub(crate) const LEADER_WRITE_SHARE: f64 = 0.9;
+pub(crate) const FOLLOWER_WRITE_SHARE: f64 = 0.3;
 
 /// A candidate gives up its campaign after this time.
 const CAMPAIGN_TIMEOUT_MS: u64 = 4000;
@@ -78,7 +78,7 @@
     /// Campaigns if the shard has no leader, or if its leader is an earlier incarnation of this node.
     fn check_for_vacancy(&mut self, may_campaign_at: u64) {
         let now = self.now.mono;
-        let vacant = self.shared.known && self.replaceable_record().is_some();
+        let vacant = self.shared.is_current && self.replaceable_record().is_some();
         if vacant && may_campaign_at == 0 && self.shared.leader.is_none() {
             self.back_off(CAMPAIGN_DELAY_MS);
         } else if vacant && now >= may_campaign_at {
@@ -277,7 +277,7 @@
         let now = self.now.mono;
         self.incarnation.note_leadership();
         self.revoke_former_lease();
-        self.shared.highest = self.shared.highest.max(token);
+        self.shared.highest_token = self.shared.highest_token.max(token);
         self.role = Role::Leader(HeldLease::new(lease, sent, now));
         self.term += 1;
         self.shared.documents.forget_readings();
@@ -308,7 +308,7 @@
     fn apply_leader_shares(&mut self) {
         let rps = self.write_limits.requests_per_s();
         self.requests.set_rate(rps * LEADER_REQUEST_SHARE);
-        self.set_write_rate(self.changes_per_s() * LEADER_WRITES);
+        self.set_write_rate(self.changes_per_s() * LEADER_WRITE_SHARE);
     }
 
     /// Followers keep enough of the rates to accept jobs.
@@ -317,7 +317,7 @@
         let nodes = self.settings.peers.len() as f64 + 1.0;
         self.requests
             .set_rate(rps * FOLLOWER_REQUEST_SHARE / (nodes - 1.0).max(1.0));
-        self.set_write_rate(self.changes_per_s() * OTHER_WRITES);
+        self.set_write_rate(self.changes_per_s() * FOLLOWER_WRITE_SHARE);
     }
 
     fn announce_leadership(&mut self, token: u64) {
@@ -357,7 +357,7 @@
     }
 
     /// Does not campaign for `ms` milliseconds, so that a node with better connectivity can win the election.
-    pub(crate) fn stand_aside(&mut self, ms: u64) {
+    pub(crate) fn pause_campaigning(&mut self, ms: u64) {
         self.role = Role::Follower {
             may_campaign_at: self.now.mono + ms,
         };
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -85,7 +85,7 @@
     }
 
     /// The answer of this lease delegate to a worker's heartbeat; `None` if it may not answer.
-    pub(crate) fn delegate_answer(&self, heartbeat: &Heartbeat) -> Option<Vec<u8>> {
+    pub(crate) fn answer_as_delegate(&self, heartbeat: &Heartbeat) -> Option<Vec<u8>> {
         let delegation = self.delegation.as_ref()?;
         let token = delegation.terms.token;
         let answer_window = delegation.answer_window(&self.settings.cluster.workers);
@@ -105,7 +105,7 @@
 
     /// How much longer than their leases, in milliseconds, tasks in a silent zone may live because a lease delegate was
     /// up there at `heard_at`, when the machine was last heard from.
-    pub(crate) fn delegated_ms(&self, zone: &str, heard_at: u64) -> u64 {
+    pub(crate) fn delegated_lease_extension_ms(&self, zone: &str, heard_at: u64) -> u64 {
         let peers = self.settings.peers.iter().enumerate();
         let delegate_was_up = peers
             .filter(|(_, p)| p.zone == zone)
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -55,7 +55,7 @@
         let now = self.now.mono;
         PeerStatus {
             node: self.settings.node.clone(),
-            state_ms: self.state_good_at.map(|at| now.saturating_sub(at)),
+            state_ms: self.state_served_at.map(|at| now.saturating_sub(at)),
             // Until the counter has been read, this node does not know which tokens it knew before it was restarted.
             token: (self.shared.revision > 0).then(|| self.highest_token()),
             leads: self
@@ -67,7 +67,7 @@
                 .shard
                 .as_ref()
                 .is_some_and(|p| p.receives_no_heartbeats(now)),
-            down: self.state_good_at.is_none() || self.state_down(),
+            down: self.state_served_at.is_none() || self.state_down(),
             spreads: self.leads() && self.is_spread(),
             delegation: None,
         }
@@ -86,7 +86,7 @@
         }
         if let Some(token) = peer_status.leads {
             self.note_spread(peer_status.spreads);
-            self.leader_asserted(peer_status.node.clone(), token);
+            self.leadership_claimed(peer_status.node.clone(), token);
         }
         let now = self.now.mono;
         self.peer_statuses
--- a/crates/control/src/leadership/shared_state.rs
+++ b/crates/control/src/leadership/shared_state.rs
@@ -43,20 +43,20 @@
 
 /// The watched state as far as this controller knows it.
 #[derive(Default)]
-pub(crate) struct Shared {
-    pub known: bool,
+pub(crate) struct SharedState {
+    pub is_current: bool,
     pub revision: u64,
     pub leader: Option<ObservedLeader>,
     pub token: u64,
     pub token_version: u64,
     /// The highest token that this node has ever read or assigned. It never decreases, whereas a late read may lower
     /// `token`.
-    pub highest: u64,
+    pub highest_token: u64,
     pub catalog: Option<Catalog>,
     pub catalog_version: u64,
     pub documents: Documents,
     /// When the state service last reported this state.
-    pub heard_at: u64,
+    pub updated_at: u64,
     /// Whether a read or a watch is in flight; if not, the next one is sent at `retry_at`.
     request_in_flight: bool,
     generation: u64,
@@ -70,13 +70,13 @@
     until: u64,
 }
 
-impl Shared {
+impl SharedState {
     fn leader_removed(&mut self) {
         self.leader = None;
     }
 
     fn token_put(&mut self, token: u64, version: u64) {
-        self.highest = self.highest.max(token);
+        self.highest_token = self.highest_token.max(token);
         if version >= self.token_version {
             self.token = token;
             self.token_version = version;
@@ -114,7 +114,7 @@
             return;
         }
         self.shared.request_in_flight = true;
-        if self.shared.known {
+        if self.shared.is_current {
             self.watch_shared();
         } else {
             self.read_shared();
@@ -154,7 +154,7 @@
 
     /// Schedules a full read after `wait` milliseconds.
     pub(crate) fn reread_shared(&mut self, wait: u64) {
-        self.shared.known = false;
+        self.shared.is_current = false;
         self.shared.request_in_flight = false;
         self.shared.generation += 1;
         self.shared.retry_at = self.now.mono + wait;
@@ -179,8 +179,8 @@
             self.shared_put(&item.key, item.value, item.version);
         }
         self.shared.revision = range.revision;
-        self.shared.known = true;
-        self.shared.heard_at = self.now.mono;
+        self.shared.is_current = true;
+        self.shared.updated_at = self.now.mono;
         self.leader_observed();
     }
 
@@ -212,7 +212,7 @@
             }
         }
         self.shared.revision = self.shared.revision.max(changes.revision);
-        self.shared.heard_at = self.now.mono;
+        self.shared.updated_at = self.now.mono;
         self.leader_observed();
     }
 
@@ -234,7 +234,7 @@
     /// Handles another node's claim to lead the shard. An earlier leader that cannot reach the state service learns of
     /// its successor here first, and steps down; otherwise its workers would stay with it and never reach the new
     /// leader.
-    pub(crate) fn leader_asserted(&mut self, node: String, token: u64) {
+    pub(crate) fn leadership_claimed(&mut self, node: String, token: u64) {
         if !self.has_valid_lease() && self.shard.as_ref().is_some_and(|p| p.token < token) {
             self.step_down("a peer leads the fleet with a higher token");
         }
@@ -255,7 +255,7 @@
     /// The highest token that this node knows of, from the state service or from the latest announcement by a peer.
     pub(crate) fn highest_token(&self) -> u64 {
         let announced = self.announced_leader.as_ref().map_or(0, |a| a.token);
-        self.shared.highest.max(announced)
+        self.shared.highest_token.max(announced)
     }
 
     /// The name of the node that workers should send heartbeats to.
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -6,7 +6,7 @@
 use crate::frontend;
 use crate::jobs::{admission, answer_history, forwarding};
 use crate::leadership::role::Role;
-use crate::leadership::shared_state::{AnnouncedLeader, Shared};
+use crate::leadership::shared_state::{AnnouncedLeader, SharedState};
 use crate::leadership::{election, incarnation, lease_delegate, peer_status};
 use crate::models;
 use crate::outstanding::Pending;
@@ -47,7 +47,7 @@
     pub(crate) effects: Vec<Effect>,
     pub(crate) pending: HashMap<u64, Pending>,
     pub(crate) next_tag: u64,
-    pub(crate) shared: Shared,
+    pub(crate) shared: SharedState,
     pub(crate) role: Role,
     pub(crate) incarnation: incarnation::Incarnation,
     pub(crate) announced_leader: Option<AnnouncedLeader>,
@@ -62,9 +62,9 @@
     /// Submissions that the state service was too busy to store, with the time of the next attempt.
     pub(crate) retries: VecDeque<(u64, admission::Submission)>,
     /// When the state service last failed to serve this node, unless it has served it since.
-    pub(crate) state_bad_at: Option<u64>,
+    pub(crate) state_failed_at: Option<u64>,
     /// When the state service last served this node.
-    pub(crate) state_good_at: Option<u64>,
+    pub(crate) state_served_at: Option<u64>,
     /// The latest status of each peer.
     pub(crate) peer_statuses: peer_status::PeerStatusTable,
     /// How well peers answer forwarded requests.
@@ -79,11 +79,11 @@
     pub(crate) delegation: Option<lease_delegate::Delegation>,
     pub(crate) catalog_at: u64,
     /// When this node last gave up leadership because it heard nothing from most machines.
-    pub(crate) stood_aside_at: Option<u64>,
+    pub(crate) stepped_down_for_silence_at: Option<u64>,
     /// Whether there may be changes to write. If not, only ticks check for them.
-    pub(crate) to_write: bool,
+    pub(crate) may_have_changes: bool,
     /// Whether another front end of this process is open, which has reserved job ids.
-    pub(crate) beside: bool,
+    pub(crate) has_other_frontend: bool,
     pub(crate) frontend: frontend::Frontend,
     pub(crate) models: models::Models,
     /// Writes that the state service has refused.
@@ -105,7 +105,7 @@
             .clamp(1000, 1_000_000);
         Node {
             requests: Bucket::new(write_limits.requests_per_s() * STATE_REQUEST_SHARE / nodes),
-            writes: Bucket::new(cluster.state.write_rps * election::OTHER_WRITES),
+            writes: Bucket::new(cluster.state.write_rps * election::FOLLOWER_WRITE_SHARE),
             cloud: Bucket::new(cluster.cloud.rps * CLOUD_CALL_SHARE),
             settings,
             write_limits,
@@ -116,7 +116,7 @@
             effects: Vec::new(),
             pending: HashMap::new(),
             next_tag: 1,
-            shared: Shared::default(),
+            shared: SharedState::default(),
             role: Role::FOLLOWER,
             announced_leader: None,
             term: 0,
@@ -124,8 +124,8 @@
             final_states: answer_history::FinalStates::new(final_states),
             answer_history: answer_history::AnswerHistory::default(),
             retries: VecDeque::new(),
-            state_bad_at: None,
-            state_good_at: None,
+            state_failed_at: None,
+            state_served_at: None,
             peer_statuses: peer_status::PeerStatusTable::default(),
             responsiveness: forwarding::PeerResponsiveness::default(),
             relay: relay::Relay::default(),
@@ -134,9 +134,9 @@
             load_shedding: load_shedding::LoadShedding::default(),
             delegation: None,
             catalog_at: 0,
-            stood_aside_at: None,
-            to_write: false,
-            beside: false,
+            stepped_down_for_silence_at: None,
+            may_have_changes: false,
+            has_other_frontend: false,
             frontend: frontend::Frontend::new(),
             models: models::Models::default(),
             refusals: Refusals::default(),
@@ -172,7 +172,7 @@
     /// Notes that another front end of this process is open; users cannot use the job ids reserved for it.
     pub fn with_frontend(self) -> Self {
         Node {
-            beside: true,
+            has_other_frontend: true,
             ..self
         }
     }
@@ -190,7 +190,7 @@
     /// Handles one event and returns the effects to carry out.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
         self.now = now;
-        self.to_write |= matches!(event, Event::Tick);
+        self.may_have_changes |= matches!(event, Event::Tick);
         match event {
             Event::Client { conn, request } => self.user_request(conn, request),
             Event::Peer { conn, request } => self.peer_request(conn, &request),
@@ -306,12 +306,12 @@
     fn note_state_health(&mut self, response: Option<&Response>) {
         let now = self.now.mono;
         let failed = response.is_none_or(|r| r.status == 503);
-        self.state_bad_at = failed.then_some(now);
+        self.state_failed_at = failed.then_some(now);
         if !failed {
-            self.state_good_at = Some(now);
+            self.state_served_at = Some(now);
         }
         // A follower keeps reading until the service serves it again. The leader's renewals have the same effect.
-        if failed && self.shared.known && !self.leads() {
+        if failed && self.shared.is_current && !self.leads() {
             self.reread_shared(STATE_REREAD_DELAY_MS);
         }
     }
--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -7,9 +7,9 @@
 use wire::api::Catalog;
 
 /// Minimum time between two step-downs because most machines are silent.
-const STAND_ASIDE_INTERVAL_MS: u64 = 180_000;
+const STEP_DOWN_INTERVAL_MS: u64 = 180_000;
 /// How long this node then stays out of elections, so that another can take over.
-const STAND_ASIDE_MS: u64 = 15_000;
+const CAMPAIGN_PAUSE_MS: u64 = 15_000;
 /// How often all machines are checked.
 const SURVEY_INTERVAL_MS: u64 = 500;
 /// How often a silent machine is probed for its heartbeat.
@@ -101,8 +101,11 @@
         let Some(survey) = self.survey_machines() else {
             return;
         };
-        if has_successor && survey.most_are_unreachable() && !self.stood_aside_recently() {
-            return self.stand_aside_for_silence();
+        if has_successor
+            && survey.most_are_unreachable()
+            && !self.has_recently_stepped_down_for_silence()
+        {
+            return self.step_down_for_silence();
         }
         for m in survey.unsent {
             self.release_unsent_claims(m);
@@ -149,18 +152,19 @@
 
     /// Whether this node stepped down because of silent machines recently. If most machines have really failed, nodes
     /// that stepped down each time would pass leadership round forever, and none would return the machines.
-    fn stood_aside_recently(&self) -> bool {
+    fn has_recently_stepped_down_for_silence(&self) -> bool {
         let now = self.now.mono;
-        let until = |at| at + STAND_ASIDE_INTERVAL_MS;
-        self.stood_aside_at.is_some_and(|at| now <= until(at))
+        let until = |at| at + STEP_DOWN_INTERVAL_MS;
+        self.stepped_down_for_silence_at
+            .is_some_and(|at| now <= until(at))
     }
 
     /// Steps down because most machines are silent. So many machines seldom fail at once: more likely this node is cut
     /// off from them, and another is not.
-    fn stand_aside_for_silence(&mut self) {
-        self.stood_aside_at = Some(self.now.mono);
+    fn step_down_for_silence(&mut self) {
+        self.stepped_down_for_silence_at = Some(self.now.mono);
         self.step_down("most machines are unreachable from this node");
-        self.stand_aside(STAND_ASIDE_MS);
+        self.pause_campaigning(CAMPAIGN_PAUSE_MS);
     }
 
     /// Releases the claims whose start was never sent, on a machine that receives no orders.
@@ -267,13 +271,13 @@
         let Some(machine) = self.shard.as_ref().and_then(|shard| shard.machine(m)) else {
             return;
         };
-        let delegated_ms = self.delegated_ms(&machine.zone, machine.heard_at);
-        let lease_ms = self.lease_ms() + silent_ms + delegated_ms;
+        let extension_ms = self.delegated_lease_extension_ms(&machine.zone, machine.heard_at);
+        let lease_ms = self.lease_ms() + silent_ms + extension_ms;
         let Some(shard) = &mut self.shard else { return };
         let Some(machine) = shard.machines.get_mut(m) else {
             return;
         };
-        let may_come_back = shard.zones.is_doubtful(&machine.zone);
+        let may_come_back = shard.zones.may_be_cut_off(&machine.zone);
         let silent_for_ms = now.saturating_sub(machine.heard_at);
         if may_come_back && (machine.claims.is_empty() || silent_for_ms <= lease_ms) {
             return;
--- a/crates/control/src/provisioning/rentals.rs
+++ b/crates/control/src/provisioning/rentals.rs
@@ -101,7 +101,7 @@
         let Some(rental) = shard.rentals.get_mut(&name) else {
             return;
         };
-        self.to_write = true;
+        self.may_have_changes = true;
         rental.busy = false;
         let rec = rental.record.clone();
         match answer {
--- a/crates/control/src/scheduling/apply_plan.rs
+++ b/crates/control/src/scheduling/apply_plan.rs
@@ -93,7 +93,7 @@
         if let Some(job) = gang {
             job.is_gang_broken = job.claimed.len() != job.tasks as usize;
         }
-        self.to_write = true;
+        self.may_have_changes = true;
     }
 
     /// Stops a gang that runs beyond its team's guarantee, with a grace period to save.
--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -109,7 +109,7 @@
         shard.token = token;
         shard.raise_token = false;
         self.shared.token = token;
-        self.shared.highest = self.shared.highest.max(token);
+        self.shared.highest_token = self.shared.highest_token.max(token);
         self.shared.token_version = self.shared.token_version.max(revision);
         for (m, machine) in shard.machines.iter().enumerate() {
             if machine
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -117,7 +117,7 @@
     /// Sends the next transaction, or the pending one again, if it is time.
     pub(crate) fn flush_commit(&mut self) {
         let now = self.now.mono;
-        let has_valid_lease = self.may_decide();
+        let may_decide = self.may_decide();
         let Some(shard) = &self.shard else { return };
         if !shard.commit.may_send(now) {
             return;
@@ -129,7 +129,7 @@
             }
             return;
         }
-        if has_valid_lease && self.to_write {
+        if may_decide && self.may_have_changes {
             self.begin_transaction();
         }
     }
@@ -142,7 +142,7 @@
         if budget < 1 || self.requests.level(now.mono) < 1.0 {
             return;
         }
-        self.to_write = false;
+        self.may_have_changes = false;
         self.before_heads(budget);
         let Some(shard) = &mut self.shard else { return };
         let draft = TransactionDraft::fill(shard, &mut self.shared, &limits, budget, now);
@@ -174,7 +174,7 @@
         let Some(shard) = &mut self.shard else { return };
         shard.commit.in_flight = false;
         // Changes may have accumulated meanwhile.
-        self.to_write = true;
+        self.may_have_changes = true;
         let Some(response) = response else {
             shard.commit.outcome_unknown = true;
             shard.commit.retry_at = retry_at;
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -5,7 +5,7 @@
 use crate::event::Now;
 use crate::jobs::job::{Ending, JobIndex};
 use crate::leadership::election::SHARD;
-use crate::leadership::shared_state::Shared;
+use crate::leadership::shared_state::SharedState;
 use crate::store::allotment::AllotmentState;
 use crate::store::claim_records::PendingLogRecord;
 use crate::store::rental::RentalState;
@@ -88,7 +88,7 @@
     /// Collects pending writes. Returns `None` if there are none.
     pub fn fill(
         shard: &mut Shard,
-        shared: &mut Shared,
+        shared: &mut SharedState,
         limits: &WriteLimits,
         budget: usize,
         now: Now,
@@ -264,7 +264,7 @@
         shard.allotment.write_requested(self);
     }
 
-    fn put_token(&mut self, shard: &mut Shard, shared: &Shared, now: u64) {
+    fn put_token(&mut self, shard: &mut Shard, shared: &SharedState, now: u64) {
         let due = shard.raise_token && now >= shard.commit.token_attempted_at + TOKEN_RETRY_MS;
         if !due || !self.has_room() {
             return;
@@ -355,7 +355,7 @@
         }
     }
 
-    fn put_catalog(&mut self, shard: &mut Shard, shared: &Shared, value_kb: f64) {
+    fn put_catalog(&mut self, shard: &mut Shard, shared: &SharedState, value_kb: f64) {
         if !shard.cloud_calls.catalog_dirty || !self.has_room() {
             return;
         }
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -80,7 +80,7 @@
         if !limits_shrank && doublings >= MAX_DELAY_DOUBLINGS {
             self.step_down("the state service refuses even the smallest transactions");
             let ms = self.rng.u64(ABSTAIN_MS);
-            self.stand_aside(ms);
+            self.pause_campaigning(ms);
         }
     }
 }
--- a/crates/control/src/store/write_rate.rs
+++ b/crates/control/src/store/write_rate.rs
@@ -5,7 +5,7 @@
 //! estimate costs no more than some refusals or a short delay, so unlike the limits on record sizes it is reverted.
 
 use crate::Node;
-use crate::leadership::election::{LEADER_WRITES, OTHER_WRITES};
+use crate::leadership::election::{FOLLOWER_WRITE_SHARE, LEADER_WRITE_SHARE};
 
 /// This many refusals within `REFUSAL_WINDOW_MS` mean that the lower rate is in effect.
 const REFUSAL_THRESHOLD: u32 = 3;
@@ -57,9 +57,9 @@
     /// This node's share of that rate.
     fn share_of_writes(&self) -> f64 {
         let share = if self.leads() {
-            LEADER_WRITES
+            LEADER_WRITE_SHARE
         } else {
-            OTHER_WRITES
+            FOLLOWER_WRITE_SHARE
         };
         self.changes_per_s() * share
     }
--- a/crates/control/src/store/zone_reachability.rs
+++ b/crates/control/src/store/zone_reachability.rs
@@ -18,7 +18,7 @@
     }
 
     /// Whether a silent machine of this zone may still be running, with only its connection to the leader lost.
-    pub fn is_doubtful(&self, zone: &str) -> bool {
+    pub fn may_be_cut_off(&self, zone: &str) -> bool {
         self.cut.contains(zone) || self.relayed.contains(zone)
     }
 
