--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -419,7 +419,7 @@
             return None;
         }
         let claim = machine.claims.remove(end.position);
-        shard.claim_log.ended(claim.segment);
+        shard.claim_log.release_claim(claim.segment);
         let job = shard.jobs.get_mut(claim.job)?;
         log::debug!(
             "task {}/{} attempt {} on {}: ended, {:?}",
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -6,7 +6,7 @@
 //! forwarded heartbeat is the worker's own, and the reply is the leader's own, with its token.
 
 use crate::Node;
-use crate::store::rate_budget::Bucket;
+use crate::store::rate_budget::TokenBucket;
 use reach::{Caller, Leader, Turn, Ways};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use wire::api::Heartbeat;
@@ -29,7 +29,7 @@
 /// Whether heartbeats are spread over all controllers, as far as this one knows.
 pub(crate) struct Routing {
     is_spread: bool,
-    redirects: Bucket,
+    redirects: TokenBucket,
     /// Which workers were redirected, and whether they reached their target.
     ways: Ways,
 }
@@ -39,7 +39,7 @@
     pub fn new() -> Self {
         Routing {
             is_spread: false,
-            redirects: Bucket::new(MIN_REDIRECTS_PER_S),
+            redirects: TokenBucket::new(MIN_REDIRECTS_PER_S),
             ways: Ways::default(),
         }
     }
@@ -85,7 +85,7 @@
     /// one of them has reached its target.
     pub(crate) fn redirect_target(&mut self, heartbeat: &Heartbeat) -> Option<String> {
         let now = self.now.mono;
-        if !self.is_spread() || !self.may_decide() || self.routing.redirects.level(now) < 1.0 {
+        if !self.is_spread() || !self.may_decide() || self.routing.redirects.available(now) < 1.0 {
             return None;
         }
         let shard = self.shard.as_ref()?;
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -207,7 +207,7 @@
     /// Requests the next page, if the request budget has room for it.
     pub(crate) fn audit_tick(&mut self) {
         let term = self.term;
-        let has_spare_requests = self.requests.level(self.now.mono) > RESERVED_REQUESTS;
+        let has_spare_requests = self.requests.available(self.now.mono) > RESERVED_REQUESTS;
         let Some(audit) = self.audit_mut() else {
             return;
         };
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -332,7 +332,7 @@
     /// Sheets were committed: log records that were kept for their deltas alone may be removed.
     pub fn counter_sheets_written(&mut self, fold: &Fold, revision: u64) {
         let releasable = self.county_counts.counts.folded(fold, revision);
-        self.claim_log.counted(releasable);
+        self.claim_log.release_counts(releasable);
     }
 }
 
@@ -385,7 +385,7 @@
             Some(false) => {
                 let all_decoded = shard.county_counts.stop_reading(now + UNREADABLE_RETRY_MS);
                 let releasable = shard.county_counts.counts.reading_over(all_decoded);
-                shard.claim_log.counted(releasable);
+                shard.claim_log.release_counts(releasable);
             }
         }
     }
@@ -440,7 +440,7 @@
     /// The latest revision up to which both acceptances and ends are known.
     fn counted_revision(&self) -> u64 {
         // A transaction in flight may have been committed already, after the last known end.
-        let last_known_end = if self.commit.is_out() {
+        let last_known_end = if self.commit.is_pending() {
             self.last_known_end()
         } else {
             u64::MAX
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -263,7 +263,7 @@
         value_bytes: usize,
         room: impl Fn(&TransactionDraft) -> bool,
     ) {
-        let max_moves = if shard.claim_log.fresh.is_empty() {
+        let max_moves = if shard.claim_log.unrecorded_claims.is_empty() {
             usize::MAX
         } else {
             MOVES_PER_TRANSACTION
@@ -283,7 +283,7 @@
                 continue;
             };
             let key = records::live_key(&job.id);
-            if self.writes_to(&key) {
+            if self.has_condition_on(&key) {
                 // Moved twice: the second move is written once the first is committed.
                 shard.hours.moves.push_front(hour_move);
                 return;
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -171,7 +171,7 @@
         if shard.allotment.is_settled_on(&whole) {
             return;
         }
-        shard.allotment.want(whole);
+        shard.allotment.request(whole);
         shard.plan_triggers.request();
         self.may_have_changes = true;
         // Claims that were planned under the old bounds and are not recorded yet are planned again.
@@ -182,8 +182,8 @@
     pub(crate) fn drop_unrecorded_claims(&mut self) {
         let Some(shard) = &mut self.shard else { return };
         let mut jobs = BTreeSet::new();
-        let fresh: Vec<_> = shard.claim_log.fresh.drain(..).collect();
-        for id in fresh {
+        let unrecorded: Vec<_> = shard.claim_log.unrecorded_claims.drain(..).collect();
+        for id in unrecorded {
             let is_unsent = shard
                 .claim_mut(&id)
                 .is_some_and(|c| c.state == crate::agents::machine::ClaimState::New && !c.sent);
@@ -191,7 +191,7 @@
                 shard.drop_claim(&id);
                 jobs.insert(id.job);
             } else {
-                shard.claim_log.fresh.push_back(id);
+                shard.claim_log.unrecorded_claims.push_back(id);
             }
         }
         for ix in jobs {
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -141,7 +141,7 @@
             (false, _) => K::version_activated(self),
             (true, true) => self.load_documents(),
             // A new leader starts no task without the document: it reads again, beginning with the heads.
-            (true, false) => self.load_later(RecoveryStep::Heads),
+            (true, false) => self.retry_load_later(RecoveryStep::Heads),
         }
     }
 
@@ -169,6 +169,6 @@
                 return for_kind!(kind, K => self.read_parts::<K>());
             }
         }
-        self.load_ended();
+        self.finish_recovery();
     }
 }
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -9,7 +9,7 @@
 use crate::leadership::election::SHARD;
 use crate::models::demand::Waiter;
 use crate::state_requests::{encode_transaction, page_path};
-use crate::store::rate_budget::Bucket;
+use crate::store::rate_budget::TokenBucket;
 use crate::store::write_limits::WriteLimits;
 use crate::{Node, Pending};
 use serde_json::Value;
@@ -43,7 +43,7 @@
 
 /// The rate limits of the front end at this node.
 pub(crate) struct Frontend {
-    writes: Bucket,
+    writes: TokenBucket,
     /// Whether the front end has its share of the node's changes now.
     has_share: bool,
     last_requested_at: u64,
@@ -53,7 +53,7 @@
     /// Limits of a front end that has not made any request.
     pub fn new() -> Self {
         Frontend {
-            writes: Bucket::new(0.0),
+            writes: TokenBucket::new(0.0),
             has_share: false,
             last_requested_at: 0,
         }
@@ -110,7 +110,7 @@
 
 impl Change {
     /// The condition that the record has the required version.
-    fn guard(&self) -> Option<Condition> {
+    fn condition(&self) -> Option<Condition> {
         self.version.map(|version| Condition {
             key: self.key.clone(),
             version,
@@ -203,11 +203,11 @@
         let now = self.now.mono;
         self.frontend.last_requested_at = now;
         self.share_writes();
-        let has_own_share =
-            self.frontend.writes.level(now) >= cost.min(self.frontend.writes.share_of_second(0.9));
+        let has_own_share = self.frontend.writes.available(now)
+            >= cost.min(self.frontend.writes.share_of_second(0.9));
         if has_own_share {
             self.frontend.writes.take(now, cost);
-        } else if self.writes.level(now) >= cost + self.writes.share_of_second(RESERVED_SHARE) {
+        } else if self.writes.available(now) >= cost + self.writes.share_of_second(RESERVED_SHARE) {
             self.writes.take(now, cost);
         } else {
             return false;
@@ -250,7 +250,8 @@
     pub(crate) fn has_room_for(&mut self, conn: Option<u64>) -> bool {
         let now = self.now.mono;
         if conn.is_some_and(|conn| conn >= FIRST_CONNECTION) {
-            return self.requests.level(now) >= 1.0 + self.requests.share_of_second(RESERVED_SHARE)
+            return self.requests.available(now)
+                >= 1.0 + self.requests.share_of_second(RESERVED_SHARE)
                 && self.take_spare_writes(1.0);
         }
         // The leader answers queries from memory, but has claims to write.
@@ -262,8 +263,8 @@
         } else {
             (self.requests.share_of_second(RESERVED_SHARE), 0.0)
         };
-        self.requests.level(now) >= 1.0 + reserved_requests
-            && self.writes.level(now) >= 1.0 + reserved_writes
+        self.requests.available(now) >= 1.0 + reserved_requests
+            && self.writes.available(now) >= 1.0 + reserved_writes
     }
 
     /// Acceptances in flight. The leader charges its budget for those that its watch has seen, so these are not charged
@@ -281,7 +282,7 @@
             return self.answer_frontend(tag, Answer::Refused);
         }
         let now = self.now.mono;
-        if self.requests.level(now) < 1.0 + self.requests.share_of_second(RESERVED_SHARE) {
+        if self.requests.available(now) < 1.0 + self.requests.share_of_second(RESERVED_SHARE) {
             return self.answer_frontend(tag, Answer::Busy);
         }
         match request {
@@ -312,7 +313,7 @@
         }];
         let mut state_writes = Vec::new();
         for change in writes {
-            conditions.extend(change.guard());
+            conditions.extend(change.condition());
             state_writes.push(change.into_write());
         }
         let body = encode_transaction(conditions, state_writes);
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -155,7 +155,7 @@
         if writes {
             self.has_room_for(conn)
         } else {
-            self.requests.level(self.now.mono) >= 1.0
+            self.requests.available(self.now.mono) >= 1.0
         }
     }
 
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -56,7 +56,7 @@
         self.model_changed(ix);
         let Some(shard) = &mut self.shard else { return };
         shard.plan_triggers.request();
-        shard.job_to_write(ix);
+        shard.queue_job_write(ix);
         let Some(job) = shard.job_mut(ix) else { return };
         if job.kind() == Kind::Gang && !job.is_ending() {
             job.is_gang_broken = !job.claimed.is_empty() && !job.has_whole_gang_claimed();
@@ -105,7 +105,7 @@
         }
         job.waiters.push(requester);
         shard.update_cancelled_with_claims(ix);
-        shard.job_to_write(ix);
+        shard.queue_job_write(ix);
     }
 
     /// Releases all requesters that wait for a job's end once the leader's lease is no longer valid. A pending write of
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -46,8 +46,8 @@
     pub done_count: u32,
     /// The lowest task that has never been handed out by [`Job::next_task`]; all above it are free too unless done or
     /// claimed.
-    next_fresh: u32,
-    /// Tasks below `next_fresh` that are free again after losing their claims.
+    first_never_assigned: u32,
+    /// Tasks below `first_never_assigned` that are free again after losing their claims.
     freed: BTreeSet<u32>,
     /// Claims by task, as machine and attempt. A task has several only until the old attempts are proved to have ended.
     pub claimed: HashMap<u32, Vec<(usize, u64)>>,
@@ -126,7 +126,7 @@
             tasks: 0,
             done: Vec::new(),
             done_count: 0,
-            next_fresh: 0,
+            first_never_assigned: 0,
             freed: BTreeSet::new(),
             claimed: HashMap::new(),
             running: 0,
@@ -275,7 +275,7 @@
             claims.retain(|c| *c != (machine, attempt));
             if claims.is_empty() {
                 self.claimed.remove(&task);
-                if task < self.next_fresh && !self.is_done(task) {
+                if task < self.first_never_assigned && !self.is_done(task) {
                     self.freed.insert(task);
                 }
             }
@@ -313,9 +313,9 @@
                 return Some(t);
             }
         }
-        while self.next_fresh < self.tasks {
-            let t = self.next_fresh;
-            self.next_fresh += 1;
+        while self.first_never_assigned < self.tasks {
+            let t = self.first_never_assigned;
+            self.first_never_assigned += 1;
             if !self.is_done(t) && !self.claimed.contains_key(&t) {
                 return Some(t);
             }
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -170,11 +170,11 @@
         question.answer_mark = self.answer_history.mark();
         // If the state service does not answer this node, or its request budget is used up, a peer is asked instead.
         if let Some(conn) = question.user()
-            && (self.state_down() || self.requests.level(now) < 1.0)
+            && (self.state_down() || self.requests.available(now) < 1.0)
         {
             return self.forward_lookup(conn, question);
         }
-        if self.requests.level(now) < 1.0 {
+        if self.requests.available(now) < 1.0 {
             return self.refuse_unanswered(&question, "busy");
         }
         let timeout = question.timeout(now, READ_TIMEOUT_MS);
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -195,11 +195,11 @@
     fn write_own_record(&mut self, lease: u64, version: u64) {
         let token = self.shared.token + 1;
         let leader = self.own_record(token, lease);
-        let guard = |key: String, version: u64| Condition { key, version };
+        let condition = |key: String, version: u64| Condition { key, version };
         let txn = Transaction {
             conditions: vec![
-                guard(records::leader_key(SHARD), version),
-                guard(records::TOKEN.into(), self.shared.token_version),
+                condition(records::leader_key(SHARD), version),
+                condition(records::TOKEN.into(), self.shared.token_version),
             ],
             writes: vec![
                 Write::Put {
@@ -283,7 +283,7 @@
         self.shared.documents.forget_readings();
         self.apply_leader_shares();
         self.shard = Some(Shard::new(token, version, now, &self.write_limits));
-        self.start_load();
+        self.start_recovery();
         self.announce_leadership(token);
     }
 
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -145,7 +145,7 @@
         if self.state_down() && !forwarded && !self.settings.peers.is_empty() {
             return self.forward_demand(model, waiter);
         }
-        if self.requests.level(now) < 1.0 {
+        if self.requests.available(now) < 1.0 {
             return self.deny_demand(waiter, 503, "busy");
         }
         let wake_up = WakeUp::for_waiter(waiter);
@@ -203,7 +203,7 @@
         if let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) {
             wake_up.touch = true;
         } else if self.models.demand.wake_ups.len() < MAX_WAKE_UPS
-            && self.requests.level(self.now.mono) >= 1.0
+            && self.requests.available(self.now.mono) >= 1.0
         {
             self.start_wake_up(model, WakeUp::for_leader());
         } else {
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -90,7 +90,7 @@
     /// Sends a transaction, or the read that determines its outcome, if the rate budgets have room.
     pub(super) fn send_record_write(&mut self, model: &str) {
         let now = self.now.mono;
-        if self.requests.level(now) < 1.0 || self.writes.level(now) < 1.0 {
+        if self.requests.available(now) < 1.0 || self.writes.available(now) < 1.0 {
             return;
         }
         let term = self.term;
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -48,7 +48,7 @@
     /// Handles a page of records; `None` if there was no answer.
     pub(crate) fn models_received(&mut self, response: Option<Response>) {
         let Some(page) = self.read_state::<Range<Rec>>(response) else {
-            return self.load_later(RecoveryStep::Models);
+            return self.retry_load_later(RecoveryStep::Models);
         };
         let leader_state = &mut self.models.leader_state;
         if leader_state.cursor.is_at_start() {
@@ -78,7 +78,7 @@
         (leader_state.read, leader_state.cursor) = (ReadState::Complete, PageCursor::default());
         self.bind_models();
         if self.shard.as_ref().is_some_and(|shard| !shard.loaded) {
-            self.load_ended();
+            self.finish_recovery();
         }
     }
 
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -248,7 +248,7 @@
         let Some(record) = record else {
             return self.complete_wake_up(model, &known.record, &asked);
         };
-        if self.requests.level(now) < 1.0 || self.writes.level(now) < 1.0 {
+        if self.requests.available(now) < 1.0 || self.writes.available(now) < 1.0 {
             return self.fail_wake_up(model, 503, "busy");
         }
         self.writes.take(now, 1.0);
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -12,7 +12,7 @@
 use crate::outstanding::Pending;
 use crate::overload::{load_shedding, plan_pacing};
 use crate::stats::Stats;
-use crate::store::rate_budget::Bucket;
+use crate::store::rate_budget::TokenBucket;
 use crate::store::shard::Shard;
 use crate::store::transaction_split::Refusals;
 use crate::store::write_limits::WriteLimits;
@@ -54,9 +54,9 @@
     pub(crate) term: u64,
     pub(crate) shard: Option<Shard>,
     /// Remaining budget of requests and writes to the state service.
-    pub(crate) requests: Bucket,
-    pub(crate) writes: Bucket,
-    pub(crate) cloud: Bucket,
+    pub(crate) requests: TokenBucket,
+    pub(crate) writes: TokenBucket,
+    pub(crate) cloud: TokenBucket,
     pub(crate) final_states: answer_history::FinalStates,
     pub(crate) answer_history: answer_history::AnswerHistory,
     /// Submissions that the state service was too busy to store, with the time of the next attempt.
@@ -104,9 +104,9 @@
             as usize)
             .clamp(1000, 1_000_000);
         Node {
-            requests: Bucket::new(write_limits.requests_per_s() * STATE_REQUEST_SHARE / nodes),
-            writes: Bucket::new(cluster.state.write_rps * election::FOLLOWER_WRITE_SHARE),
-            cloud: Bucket::new(cluster.cloud.rps * CLOUD_CALL_SHARE),
+            requests: TokenBucket::new(write_limits.requests_per_s() * STATE_REQUEST_SHARE / nodes),
+            writes: TokenBucket::new(cluster.state.write_rps * election::FOLLOWER_WRITE_SHARE),
+            cloud: TokenBucket::new(cluster.cloud.rps * CLOUD_CALL_SHARE),
             settings,
             write_limits,
             tuning,
@@ -223,7 +223,7 @@
         if self.shared.catalog.is_none() || self.leads() {
             self.catalog_tick();
         }
-        self.load_tick();
+        self.recovery_tick();
         if self.shard.as_ref().is_some_and(|p| p.loaded) {
             self.provisioning_tick();
             self.machines_tick();
--- a/crates/control/src/provisioning/rentals.rs
+++ b/crates/control/src/provisioning/rentals.rs
@@ -106,12 +106,12 @@
         let rec = rental.record.clone();
         match answer {
             RentalAnswer::Granted(machines) => {
-                rental.state = RentalState::Over;
+                rental.state = RentalState::Answered;
                 shard.rental_granted(&rec, machines, now);
             }
             RentalAnswer::Refused => {
                 log::info!("rental {name}: refused, or no capacity");
-                rental.state = RentalState::Over;
+                rental.state = RentalState::Answered;
                 shard.rental_refused(&rec, now);
             }
             RentalAnswer::Unknown => rental.retry_at = now + wait,
--- a/crates/control/src/provisioning/returns.rs
+++ b/crates/control/src/provisioning/returns.rs
@@ -50,7 +50,7 @@
         let Some(shard) = &mut self.shard else { return };
         shard.cloud_calls.deletion_ended();
         if response.is_none_or(|r| r.status != 200) {
-            shard.cloud_calls.delete_again_at(now + wait);
+            shard.cloud_calls.retry_deletion_at(now + wait);
             return;
         }
         let mut changed = BTreeSet::new();
--- a/crates/control/src/store/allotment.rs
+++ b/crates/control/src/store/allotment.rs
@@ -38,7 +38,7 @@
     }
 
     /// Requests that an allotment be written.
-    pub fn want(&mut self, allotment: AllotmentRecord) {
+    pub fn request(&mut self, allotment: AllotmentRecord) {
         self.requested = Some(allotment);
     }
 
--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -169,7 +169,7 @@
             if is_new {
                 self.machines_with_orders.insert(id.machine);
             } else {
-                self.claim_log.ended(previous_segment);
+                self.claim_log.release_claim(previous_segment);
             }
         }
         for results in log.results {
@@ -195,7 +195,7 @@
                 let old = std::mem::replace(&mut job.segments, BTreeSet::from([segment]));
                 self.claim_log.release_results(index, old);
             }
-            ResultScope::Unsaved => {
+            ResultScope::Unrecorded => {
                 for task in results.tasks {
                     job.unrecorded_tasks.remove(&task);
                 }
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -69,9 +69,9 @@
     /// Segments whose records are to be removed.
     pub garbage: BTreeSet<u64>,
     /// Claims to be recorded, most urgent first.
-    pub fresh: VecDeque<ClaimId>,
+    pub unrecorded_claims: VecDeque<ClaimId>,
     /// Jobs with results to be recorded.
-    pub unsaved: BTreeSet<JobIndex>,
+    pub unrecorded_results: BTreeSet<JobIndex>,
     /// Jobs whose end is to be recorded, cancelled ones first.
     pub ending: VecDeque<JobIndex>,
     pub inventory: BTreeMap<u64, InventoryShard>,
@@ -95,7 +95,7 @@
     }
 
     /// Records that a claim of this segment has ended.
-    pub fn ended(&mut self, segment: u64) {
+    pub fn release_claim(&mut self, segment: u64) {
         self.update_segment(segment, |s| s.live_claims = s.live_claims.saturating_sub(1));
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Records that the counts of these segments are in their counter sheets.
-    pub fn counted(&mut self, segments: impl IntoIterator<Item = u64>) {
+    pub fn release_counts(&mut self, segments: impl IntoIterator<Item = u64>) {
         for number in segments {
             self.update_segment(number, |s| s.has_unfolded_counts = false);
         }
@@ -117,7 +117,7 @@
 
     /// Queues a job's end to be recorded; its results no longer have to be.
     fn queue_end(&mut self, job: JobIndex, stage: Stage) {
-        self.unsaved.remove(&job);
+        self.unrecorded_results.remove(&job);
         if self.ending.contains(&job) {
             return;
         }
@@ -216,7 +216,7 @@
         if let Some(machine) = self.machine_mut(id.machine) {
             machine.claims.push(claim);
         }
-        self.claim_log.fresh.push_back(id);
+        self.claim_log.unrecorded_claims.push_back(id);
     }
 
     /// The claim, if it is still valid.
@@ -226,13 +226,13 @@
     }
 
     /// Queues a job's results, or its end, to be recorded.
-    pub fn job_to_write(&mut self, index: JobIndex) {
+    pub fn queue_job_write(&mut self, index: JobIndex) {
         let Some(job) = self.jobs.get(index) else {
             return;
         };
         match job.ending {
             Ending::Undecided if !job.unrecorded_tasks.is_empty() => {
-                self.claim_log.unsaved.insert(index);
+                self.claim_log.unrecorded_results.insert(index);
             }
             Ending::Decided(stage) => self.claim_log.queue_end(index, stage),
             _ => {}
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ResultScope {
     /// Results that no record holds yet.
-    Unsaved,
+    Unrecorded,
     /// All known results, so that earlier records no longer have to hold them.
     All,
 }
@@ -134,12 +134,12 @@
 
     fn write_results(&mut self, shard: &mut Shard, index: JobIndex, scope: ResultScope) {
         let Some(job) = shard.job(index).filter(|j| j.ending == Ending::Undecided) else {
-            shard.claim_log.unsaved.remove(&index);
+            shard.claim_log.unrecorded_results.remove(&index);
             return;
         };
         let mut tasks: Vec<u32> = match scope {
             ResultScope::All => job.recorded_tasks().collect(),
-            ResultScope::Unsaved => job.unrecorded_tasks.iter().copied().collect(),
+            ResultScope::Unrecorded => job.unrecorded_tasks.iter().copied().collect(),
         };
         let mut ranges = records::ranges(tasks.iter().copied());
         let base_size = self.size + DoneRecord::frame(&job.id);
@@ -151,8 +151,8 @@
         if ranges.len() > max_ranges {
             ranges.truncate(max_ranges);
             tasks.truncate(records::unrange(&ranges).count());
-        } else if scope == ResultScope::Unsaved {
-            shard.claim_log.unsaved.remove(&index);
+        } else if scope == ResultScope::Unrecorded {
+            shard.claim_log.unrecorded_results.remove(&index);
         }
         self.size = base_size + ranges.len() * DoneRecord::ENTRY;
         self.record.done.push(DoneRecord {
@@ -203,13 +203,16 @@
 
     /// Jobs whose results are to be written; those of the compacted segment come last.
     fn results_to_write(&self, compacted: Option<u64>) -> Vec<(JobIndex, ResultScope)> {
-        let unsaved = self.unsaved.iter().map(|job| (*job, ResultScope::Unsaved));
+        let unrecorded = self
+            .unrecorded_results
+            .iter()
+            .map(|job| (*job, ResultScope::Unrecorded));
         let moved = compacted
             .and_then(|number| self.segments.get(&number))
             .into_iter()
             .flat_map(|s| &s.jobs)
             .map(|job| (*job, ResultScope::All));
-        unsaved.chain(moved).collect()
+        unrecorded.chain(moved).collect()
     }
 }
 
@@ -219,7 +222,7 @@
     pub(super) fn put_log_record(&mut self, shard: &mut Shard) {
         let ended = self.counts.take();
         let mut builder = LogRecordBuilder::new(shard.next_log(), ended, self.write_limits());
-        if !self.add_fresh_claims(shard, &mut builder) {
+        if !self.add_unrecorded_claims(shard, &mut builder) {
             return;
         }
         let machines = shard.machines.count();
@@ -240,10 +243,10 @@
     }
 
     /// Adds claims that are not recorded yet. Returns false if a claim's job is unknown; no record is written then.
-    fn add_fresh_claims(&mut self, shard: &mut Shard, builder: &mut LogRecordBuilder) -> bool {
-        while let Some(id) = shard.claim_log.fresh.front().copied() {
+    fn add_unrecorded_claims(&mut self, shard: &mut Shard, builder: &mut LogRecordBuilder) -> bool {
+        while let Some(id) = shard.claim_log.unrecorded_claims.front().copied() {
             let Some(claim) = shard.claim_mut(&id).filter(|c| c.state == ClaimState::New) else {
-                shard.claim_log.fresh.pop_front();
+                shard.claim_log.unrecorded_claims.pop_front();
                 continue;
             };
             let sent = claim.sent;
@@ -253,23 +256,23 @@
             // A planned claim that was not sent is dropped if its job has ended since: a condition on the job's
             // record would fail the whole transaction.
             if job.is_ending() && !sent {
-                shard.claim_log.fresh.pop_front();
+                shard.claim_log.unrecorded_claims.pop_front();
                 shard.drop_claim(&id);
                 continue;
             }
             // A condition on the job's record keeps a claim from being committed after its job's end.
             let (key, version) = (records::live_key(&job.id), job.version);
-            let has_condition = job.is_ending() || self.writes_to(&key);
+            let has_condition = job.is_ending() || self.has_condition_on(&key);
             if (!has_condition && !self.has_room_for_conditions()) || !builder.try_add(shard, &id) {
                 break;
             }
             if !has_condition {
-                self.guard(key, version);
+                self.add_condition(key, version);
             }
             if let Some(claim) = shard.claim_mut(&id) {
                 claim.state = ClaimState::Writing;
             }
-            shard.claim_log.fresh.pop_front();
+            shard.claim_log.unrecorded_claims.pop_front();
             builder.pending.claims.push(id);
         }
         true
--- a/crates/control/src/store/cloud_calls.rs
+++ b/crates/control/src/store/cloud_calls.rs
@@ -50,7 +50,7 @@
     }
 
     /// Sets the time of the next attempt after a request to return machines failed.
-    pub fn delete_again_at(&mut self, at: u64) {
+    pub fn retry_deletion_at(&mut self, at: u64) {
         self.deletion_retry_at = at;
     }
 
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -45,7 +45,7 @@
 
 impl Commit {
     /// Whether a transaction is pending: it was begun, and its outcome is not known yet.
-    pub fn is_out(&self) -> bool {
+    pub fn is_pending(&self) -> bool {
         !self.body.is_empty()
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// No transaction is sent before this time.
-    pub fn wait_until(&mut self, time: u64) {
+    pub fn retry_no_earlier_than(&mut self, time: u64) {
         self.retry_at = time;
     }
 
@@ -122,9 +122,9 @@
         if !shard.commit.may_send(now) {
             return;
         }
-        if shard.commit.is_out() {
+        if shard.commit.is_pending() {
             // The pending transaction is sent again unchanged.
-            if self.requests.level(now) >= 1.0 {
+            if self.requests.available(now) >= 1.0 {
                 self.send_transaction();
             }
             return;
@@ -137,9 +137,9 @@
     fn begin_transaction(&mut self) {
         let now = self.now;
         let limits = self.write_limits;
-        let writes = self.writes.level(now.mono).floor().max(0.0) as usize;
+        let writes = self.writes.available(now.mono).floor().max(0.0) as usize;
         let budget = writes.min(limits.changes());
-        if budget < 1 || self.requests.level(now.mono) < 1.0 {
+        if budget < 1 || self.requests.available(now.mono) < 1.0 {
             return;
         }
         self.may_have_changes = false;
--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -91,7 +91,7 @@
         for change in changes.events {
             if let Some(record) = change.value {
                 self.writes.take(now, 1.0);
-                self.job_known(record, change.version);
+                self.add_accepted_job(record, change.version);
             }
         }
         if let Some(shard) = &mut self.shard {
--- a/crates/control/src/store/rate_budget.rs
+++ b/crates/control/src/store/rate_budget.rs
@@ -1,17 +1,17 @@
 //! Token buckets for this controller's share of rate limits that apply to all controllers together.
 
 /// A token bucket that allows bursts of one second's worth of tokens.
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     rate: f64,
-    level: f64,
+    available: f64,
     at: u64,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub fn new(rate: f64) -> Self {
-        Bucket {
+        TokenBucket {
             rate,
-            level: rate,
+            available: rate,
             at: 0,
         }
     }
@@ -30,24 +30,24 @@
     }
 
     /// Number of tokens available now; negative while the bucket is overdrawn.
-    pub fn level(&mut self, now: u64) -> f64 {
+    pub fn available(&mut self, now: u64) -> f64 {
         let elapsed_s = now.saturating_sub(self.at) as f64 / 1000.0;
         self.at = self.at.max(now);
-        self.level = (self.level + elapsed_s * self.rate).min(self.rate.max(1.0));
-        self.level
+        self.available = (self.available + elapsed_s * self.rate).min(self.rate.max(1.0));
+        self.available
     }
 
     /// Takes tokens even if that overdraws the bucket, for requests that cannot be delayed.
     pub fn take(&mut self, now: u64, n: f64) {
-        self.level(now);
-        self.level -= n;
+        self.available(now);
+        self.available -= n;
     }
 
     pub fn try_take(&mut self, now: u64, n: f64) -> bool {
-        if self.level(now) < n {
+        if self.available(now) < n {
             return false;
         }
-        self.level -= n;
+        self.available -= n;
         true
     }
 }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -184,7 +184,7 @@
         for id in self.superseded_claims() {
             let segment = self.claim_mut(&id).map(|c| c.segment);
             self.drop_claim(&id);
-            self.claim_log.ended(segment.unwrap_or(0));
+            self.claim_log.release_claim(segment.unwrap_or(0));
         }
     }
 
@@ -208,7 +208,7 @@
 }
 
 impl Node {
-    pub(crate) fn start_load(&mut self) {
+    pub(crate) fn start_recovery(&mut self) {
         self.load(RecoveryStep::Jobs);
     }
 
@@ -244,14 +244,14 @@
     /// Schedules a read to be repeated from the same position. The delay keeps recovery from using up the request
     /// rate that lease renewals and acceptances of jobs by other controllers need. A leader that cannot read keeps or
     /// loses its lease independently of this.
-    pub(crate) fn load_later(&mut self, step: RecoveryStep) {
+    pub(crate) fn retry_load_later(&mut self, step: RecoveryStep) {
         let at = self.now.mono + self.rng.u64(LOAD_RETRY_MS);
         if let Some(shard) = &mut self.shard {
             shard.recovery.retry = Some((step, at));
         }
     }
 
-    pub(crate) fn load_tick(&mut self) {
+    pub(crate) fn recovery_tick(&mut self) {
         let now = self.now.mono;
         let shard = self.shard.as_mut();
         if let Some(step) = shard.and_then(|s| s.recovery.take_due(now)) {
@@ -265,7 +265,7 @@
             .filter(|r| r.status == 200)
             .and_then(|r| self.load_page(step, &r));
         match page {
-            None => self.load_later(step),
+            None => self.retry_load_later(step),
             Some(Page::More) => self.load(step),
             Some(Page::Last) => self.load_next(step),
         }
@@ -338,7 +338,7 @@
     }
 
     fn load_job(&mut self, item: Item<JobRecord>) {
-        self.job_known(item.value, item.version);
+        self.add_accepted_job(item.value, item.version);
     }
 
     fn load_inventory(&mut self, item: Item<InventoryRecord>) {
@@ -400,7 +400,7 @@
         )
     }
 
-    pub(crate) fn load_ended(&mut self) {
+    pub(crate) fn finish_recovery(&mut self) {
         if self.models_to_read() {
             return;
         }
@@ -433,7 +433,7 @@
         self.watch_live();
     }
 
-    pub(crate) fn job_known(&mut self, record: JobRecord, version: u64) {
+    pub(crate) fn add_accepted_job(&mut self, record: JobRecord, version: u64) {
         // The watch may report a job whose end this controller has recorded already.
         if self.final_states.get(&record.spec.id).is_some() {
             return;
--- a/crates/control/src/store/rental.rs
+++ b/crates/control/src/store/rental.rs
@@ -31,5 +31,5 @@
     New,
     Recorded,
     /// Answered; its record is to be removed.
-    Over,
+    Answered,
 }
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -152,7 +152,7 @@
                 removed: false,
             });
         }
-        self.guard(key.clone(), version);
+        self.add_condition(key.clone(), version);
         self.writes.push(Write::put(key, record));
     }
 
@@ -172,17 +172,17 @@
                 removed: true,
             });
         }
-        self.guard(key.clone(), version);
+        self.add_condition(key.clone(), version);
         self.writes.push(Write::Remove { key });
     }
 
     /// Adds a condition: the transaction fails unless the key is at this version.
-    pub(super) fn guard(&mut self, key: String, version: u64) {
+    pub(super) fn add_condition(&mut self, key: String, version: u64) {
         self.conditions.push(Condition { key, version });
     }
 
     /// Whether the transaction has a condition on this key, as for every key that `put` or `remove` was called with.
-    pub fn writes_to(&self, key: &str) -> bool {
+    pub fn has_condition_on(&self, key: &str) -> bool {
         self.conditions.iter().any(|g| g.key == key)
     }
 
@@ -226,7 +226,7 @@
     fn writes_for_ends(&self, shard: &Shard, head_writes: Option<usize>) -> usize {
         let budget = self.limits.max_writes;
         let for_counts = shard.county_counts.reserved_writes(budget);
-        let for_claims = usize::from(budget > 2 && !shard.claim_log.fresh.is_empty());
+        let for_claims = usize::from(budget > 2 && !shard.claim_log.unrecorded_claims.is_empty());
         let reserved = match head_writes {
             Some(writes) => writes + for_counts,
             None => for_claims.max(for_counts),
@@ -296,8 +296,8 @@
             self.put_log_record(shard);
         }
         while self.has_room()
-            && (!shard.claim_log.fresh.is_empty()
-                || (cleanup_due && !shard.claim_log.unsaved.is_empty()))
+            && (!shard.claim_log.unrecorded_claims.is_empty()
+                || (cleanup_due && !shard.claim_log.unrecorded_results.is_empty()))
         {
             let before = self.pending_writes.len();
             self.put_log_record(shard);
@@ -344,7 +344,7 @@
 
     /// Removes answered rentals. A rental's record is removed in the transaction that records its machines, or later.
     fn remove_rentals(&mut self, shard: &Shard) {
-        let is_answered = |state: RentalState| state == RentalState::Over;
+        let is_answered = |state: RentalState| state == RentalState::Answered;
         for (name, rental) in shard.rentals.iter().filter(|(_, r)| is_answered(r.state)) {
             if !shard.claim_log.grown_inventory.is_empty() || !self.has_room() {
                 return;
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -71,7 +71,7 @@
         let doublings = self.refusals.consecutive.min(MAX_DELAY_DOUBLINGS);
         self.refusals.consecutive = doublings + 1;
         let delay = self.rng.u64(RETRY_DELAY_MS) << doublings;
-        shard.commit.wait_until(self.now.mono + delay);
+        shard.commit.retry_no_earlier_than(self.now.mono + delay);
         for kind in ALL {
             if reverted_kinds.contains(&(kind as usize)) {
                 for_kind!(kind, K => self.change_given_up::<K>());
@@ -136,11 +136,11 @@
                 && claim.state == ClaimState::Writing
             {
                 claim.state = ClaimState::New;
-                self.claim_log.fresh.push_front(id);
+                self.claim_log.unrecorded_claims.push_front(id);
             }
         }
         for results in log.results {
-            self.job_to_write(results.job);
+            self.queue_job_write(results.job);
         }
     }
 }
