--- a/crates/control/src/documents/change.rs
+++ b/crates/control/src/documents/change.rs
@@ -3,7 +3,7 @@
 
 use crate::Node;
 use crate::documents::kind::{ALL, PartOf};
-use crate::documents::operator_api::{refused, refused_with_faults};
+use crate::documents::operator_api::{refusal, refusal_with_faults};
 use crate::documents::{ActiveVersion, Document, Kind, for_kind};
 use document::{Content, Head, Past, SHORT};
 use std::collections::VecDeque;
@@ -23,7 +23,7 @@
     pub(super) head: Head,
     active: ActiveVersion<K::Content>,
     /// Version of the record of the head that this change replaces.
-    pub(super) stamp: u64,
+    pub(super) record_version: u64,
     /// Parts that are not part of a transaction yet.
     pub(super) parts: VecDeque<(String, PartOf<K>)>,
     /// Number of parts in transactions whose outcome is not known yet.
@@ -64,11 +64,11 @@
 }
 
 impl Conflict {
-    fn refused(&self) -> Refused {
+    fn refusal(&self) -> Refused {
         let (Conflict::Outdated { version, .. } | Conflict::InProgress { version }) = self;
         Refused {
             version: Some(*version),
-            ..refused(&self.to_string())
+            ..refusal(&self.to_string())
         }
     }
 }
@@ -129,7 +129,7 @@
     pub(crate) fn change<K: Kind>(&mut self, conn: u64, change: ChangeOf<K::Edit>) {
         if !is_valid_id(&change.id) {
             let why = format!("id: must be 1 to {SHORT} bytes without control characters");
-            return self.deny_admin(conn, 400, refused(&why));
+            return self.refuse_operator(conn, 400, refusal(&why));
         }
         match K::document_mut(&mut self.shared.documents).admit(conn, &change) {
             Admission::New => self.prepare_or_refuse::<K>(conn, &change),
@@ -141,13 +141,13 @@
                     ..Changed::default()
                 },
             ),
-            Admission::Conflict(conflict) => self.deny_admin(conn, 409, conflict.refused()),
+            Admission::Conflict(conflict) => self.refuse_operator(conn, 409, conflict.refusal()),
         }
     }
 
     fn prepare_or_refuse<K: Kind>(&mut self, conn: u64, change: &ChangeOf<K::Edit>) {
         match self.prepare::<K>(Some(conn), change) {
-            Err(why) => self.deny_admin(conn, 422, why),
+            Err(why) => self.refuse_operator(conn, 422, why),
             Ok(prepared) if change.dry_run => {
                 let answer = Changed {
                     version: K::document(&self.shared.documents).head.version,
@@ -184,11 +184,11 @@
         let context = K::context(self);
         let old = document.fitting(&context);
         let spec = K::apply_edit(&change.edit, &old, &context)
-            .map_err(|fault| refused_with_faults::<K>(vec![fault]))?;
-        let built = Arc::new(spec.build(&context).map_err(refused_with_faults::<K>)?);
-        K::check_change(self, &built).map_err(refused_with_faults::<K>)?;
+            .map_err(|fault| refusal_with_faults::<K>(vec![fault]))?;
+        let built = Arc::new(spec.build(&context).map_err(refusal_with_faults::<K>)?);
+        K::check_change(self, &built).map_err(refusal_with_faults::<K>)?;
         let value_limit = self.write_limits.value_bytes();
-        let parts = document::split(&spec, value_limit).map_err(|e| refused(&e))?;
+        let parts = document::split(&spec, value_limit).map_err(|e| refusal(&e))?;
         let differences = K::Content::differences(&old, &spec, MAX_DIFFERENCES);
         let past = Past::new(
             document.head.version + 1,
@@ -201,7 +201,7 @@
         let head = document
             .head
             .next(names, past, value_limit)
-            .map_err(|e| refused(&e))?;
+            .map_err(|e| refusal(&e))?;
         let head = Head {
             format: K::Content::FORMAT,
             ..head
@@ -222,7 +222,7 @@
             conn,
             head,
             active,
-            stamp: document.stamp,
+            record_version: document.record_version,
             parts: document.missing(parts),
             parts_in_flight: 0,
             answer,
@@ -232,14 +232,17 @@
     /// Starts to write the document that this node was started with, if no version has ever existed.
     pub(super) fn write_initial_version<K: Kind>(&mut self) {
         let document = K::document(&self.shared.documents);
-        let is_needed = document.first.is_some()
+        let is_needed = document.initial_content.is_some()
             && document.head.version == 0
             && document.pending_change.is_none()
             && self.shared.is_current;
         if !is_needed || !self.may_decide() {
             return;
         }
-        let Some(spec) = K::document_mut(&mut self.shared.documents).first.take() else {
+        let Some(spec) = K::document_mut(&mut self.shared.documents)
+            .initial_content
+            .take()
+        else {
             return;
         };
         let (id, by) = ("first".to_owned(), self.settings.node.clone());
@@ -264,7 +267,7 @@
     }
 
     /// Lets the kind whose head is due prepare for the next transaction.
-    pub(crate) fn before_heads(&mut self, budget: usize) {
+    pub(crate) fn prepare_due_head(&mut self, budget: usize) {
         let due_kind = self
             .shard
             .as_ref()
@@ -290,7 +293,7 @@
 
     /// Drops a change whose parts are larger than the records that may be written now. Nothing of it is in force: an
     /// operator has to send it again, and the initial version is prepared again.
-    pub(crate) fn change_given_up<K: Kind>(&mut self) {
+    pub(crate) fn abandon_oversized_change<K: Kind>(&mut self) {
         let document = K::document_mut(&mut self.shared.documents);
         let Some(change) = document.pending_change.take() else {
             return;
@@ -299,23 +302,23 @@
             Some(conn) => {
                 let why =
                     "records must be smaller than before; the change was not made, send it again";
-                self.deny_admin(conn, 503, refused(why));
+                self.refuse_operator(conn, 503, refusal(why));
             }
-            None => document.first = Some((*change.active.spec).clone()),
+            None => document.initial_content = Some((*change.active.spec).clone()),
         }
     }
 
     /// Answers the operators of pending changes when a term of leadership ends. Whether a change was made can only be
     /// read from the head.
     pub(crate) fn abandon_document_changes(&mut self) {
-        self.shared.documents.forget_readings();
+        self.shared.documents.abandon_reads();
         for kind in ALL {
             let conn = for_kind!(kind, K => {
                 K::document_mut(&mut self.shared.documents).pending_change.take().and_then(|c| c.conn)
             });
             if let Some(conn) = conn {
                 let why = "the leader changed; see the history for whether the change was made";
-                self.deny_admin(conn, 503, refused(why));
+                self.refuse_operator(conn, 503, refusal(why));
             }
         }
     }
--- a/crates/control/src/documents/change_writes.rs
+++ b/crates/control/src/documents/change_writes.rs
@@ -26,7 +26,7 @@
         self.parts
             .iter()
             .filter(is_unreferenced)
-            .map(|(name, stamp)| (name.clone(), *stamp))
+            .map(|(name, record_version)| (name.clone(), *record_version))
             .collect()
     }
 }
@@ -48,7 +48,7 @@
     }
 
     /// Writes the head of a change whose parts are all written.
-    pub fn head(&mut self, all: &Documents, shard: &mut Shard, kind: KindId) {
+    pub fn put_head(&mut self, all: &Documents, shard: &mut Shard, kind: KindId) {
         for_kind!(kind, K => self.put_head_of::<K>(all, shard));
     }
 
@@ -59,7 +59,7 @@
         let version = change.head.version;
         self.put(
             records::head_key(K::Content::KIND),
-            change.stamp,
+            change.record_version,
             K::record(change.head.clone()),
         );
         K::write_with_head(self, shard, version);
@@ -67,7 +67,7 @@
     }
 
     /// Writes parts of pending changes, as far as there is room.
-    pub fn parts(&mut self, all: &mut Documents, room: impl Fn(&TransactionDraft) -> bool) {
+    pub fn put_parts(&mut self, all: &mut Documents, room: impl Fn(&TransactionDraft) -> bool) {
         for kind in ALL {
             for_kind!(kind, K => self.put_parts_of::<K>(K::document_mut(all), &room));
         }
@@ -99,13 +99,15 @@
         room: impl Fn(&TransactionDraft) -> bool,
     ) {
         for kind in ALL {
-            for (name, stamp) in for_kind!(kind, K => K::document(all).unreferenced_parts()) {
+            for (name, record_version) in
+                for_kind!(kind, K => K::document(all).unreferenced_parts())
+            {
                 if !room(self) {
                     return;
                 }
                 self.remove(
                     format!("{}{name}", for_kind!(kind, K => prefix::<K>())),
-                    stamp,
+                    record_version,
                 );
                 self.pending_writes
                     .push(PendingWrite::RemoveDocumentPart(kind, name));
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -1,7 +1,7 @@
 //! Counties: the document in force, and the county that a job is bound to when it is accepted.
 
 use crate::documents::county_counts::CountsUnavailable;
-use crate::documents::{Document, Documents, Kind, KindId, refused};
+use crate::documents::{Document, Documents, Kind, KindId, refusal};
 use crate::{Node, documents::quotas::Quota};
 use county::{Cell, Counties, Job, Known, OTHER, Spec, Unbound, Unread};
 use document::Fault;
@@ -145,7 +145,7 @@
                 .counties
                 .iter()
                 .any(|c| new.county(&c.id).is_none());
-            if drops_county && seen_revision < counties.stamp {
+            if drops_county && seen_revision < counties.record_version {
                 let what = "jobs accepted under the version in force were not all seen yet; retry in a second";
                 faults.push(Fault::whole("county", what));
             }
@@ -168,7 +168,7 @@
         let Some(shard) = &mut self.shard else { return };
         let (revision, rows) = match shard.counts_by_county() {
             Ok(counts) => counts,
-            Err(why) => return self.deny_admin(conn, 503, refused(unavailable_message(why))),
+            Err(why) => return self.refuse_operator(conn, 503, refusal(unavailable_message(why))),
         };
         let active = self.shared.documents.counties.active.as_ref();
         let name = |id: &str| active.and_then(|active| active.built.county(id)?.name.clone());
@@ -190,7 +190,7 @@
             })
             .collect();
         if let Some(c) = county.filter(|c| lines.is_empty() && !is_known(c)) {
-            return self.deny_admin(conn, 404, refused(&format!("no county {c:?}")));
+            return self.refuse_operator(conn, 404, refusal(&format!("no county {c:?}")));
         }
         self.respond(conn, 200, admin::encode(&Counts { revision, lines }), None);
     }
@@ -199,8 +199,8 @@
         let Some(shard) = &mut self.shard else { return };
         match shard.audit(id) {
             Ok(Some(progress)) => self.respond(conn, 200, admin::encode(&progress), None),
-            Ok(None) => self.deny_admin(conn, 409, refused("another audit is under way")),
-            Err(why) => self.deny_admin(conn, 503, refused(unavailable_message(why))),
+            Ok(None) => self.refuse_operator(conn, 409, refusal("another audit is under way")),
+            Err(why) => self.refuse_operator(conn, 503, refusal(unavailable_message(why))),
         }
     }
 }
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -53,11 +53,11 @@
         }
     }
 
-    fn compare_live_record(&mut self, record: &JobRecord, stamp: u64) {
+    fn compare_live_record(&mut self, record: &JobRecord, record_version: u64) {
         let Some(county) = &record.county else { return };
         match self.unmatched_live.remove(&record.spec.id) {
             Some(known) if known == county.county => {}
-            None if stamp > self.seen_revision => {}
+            None if record_version > self.seen_revision => {}
             Some(known) => self.add_difference(format!(
                 "{}: bound to {}, counted for {known}",
                 record.spec.id, county.county
@@ -69,11 +69,11 @@
         }
     }
 
-    fn compare_end_record(&mut self, job: &str, record: &EndRecord, stamp: u64) {
+    fn compare_end_record(&mut self, job: &str, record: &EndRecord, record_version: u64) {
         let Some(counted) = &record.county else {
             return;
         };
-        if stamp > self.revision {
+        if record_version > self.revision {
             // It ended after the snapshot, so the snapshot has it as live, if at all.
             if let Some(known) = self
                 .unmatched_live
@@ -232,13 +232,13 @@
     pub(crate) fn audit_received(&mut self, record_set: RecordSet, response: Option<Response>) {
         let page = match record_set {
             RecordSet::Live => self.read_state(response).map(|page| {
-                self.audit_page(page, |audit, job: JobRecord, _, stamp| {
-                    audit.compare_live_record(&job, stamp)
+                self.audit_page(page, |audit, job: JobRecord, _, record_version| {
+                    audit.compare_live_record(&job, record_version)
                 })
             }),
             RecordSet::Ended => self.read_state(response).map(|page| {
-                self.audit_page(page, |audit, end: EndRecord, key, stamp| {
-                    audit.compare_end_record(key, &end, stamp)
+                self.audit_page(page, |audit, end: EndRecord, key, record_version| {
+                    audit.compare_end_record(key, &end, record_version)
                 })
             }),
         };
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -89,14 +89,14 @@
 }
 
 /// Upper bound of the bytes that a job's county adds to a record of its claims.
-pub(crate) fn claims_bytes(job: &Job) -> usize {
+pub(crate) fn max_claims_bytes(job: &Job) -> usize {
     job.county
         .as_ref()
         .map_or(0, |c| ClaimsRecord::county(&c.county))
 }
 
 /// Upper bound of the bytes that deltas add to a log record.
-pub(crate) fn deltas_bytes(deltas: &[Delta]) -> usize {
+pub(crate) fn max_deltas_bytes(deltas: &[Delta]) -> usize {
     deltas
         .iter()
         .map(|d| Delta::frame(&d.county, &d.class))
@@ -105,7 +105,7 @@
 
 /// The zones that a job's county restricts it to, as indices for the planner. A zone that does not exist any more
 /// becomes `u16::MAX`, so that the restriction remains if none of them exists.
-pub(crate) fn zones(job: &Job, index: &HashMap<&str, u16>) -> Vec<u16> {
+pub(crate) fn allowed_zones(job: &Job, index: &HashMap<&str, u16>) -> Vec<u16> {
     let names = job.county.iter().flat_map(|c| &c.zones);
     names
         .map(|z| index.get(z.as_str()).copied().unwrap_or(u16::MAX))
@@ -149,7 +149,7 @@
 
     /// Whether the transaction should take no more ends.
     pub fn is_full(&self) -> bool {
-        deltas_bytes(&self.deltas) > self.max_bytes
+        max_deltas_bytes(&self.deltas) > self.max_bytes
     }
 
     /// Writes that the transaction still needs for the deltas.
@@ -291,7 +291,7 @@
 
 impl TransactionDraft {
     /// Writes the sheets whose deltas have waited longest, as many as there is room for.
-    pub fn counter_sheets(
+    pub fn put_counter_sheets(
         &mut self,
         shard: &mut Shard,
         now: u64,
@@ -309,16 +309,16 @@
             return;
         };
         let mut puts = Vec::new();
-        for (number, stamp, sheet) in fold.puts {
+        for (number, record_version, sheet) in fold.puts {
             if !room(self) {
                 break;
             }
             self.put(
                 records::tally_key(SHARD, number),
-                stamp,
+                record_version,
                 Record::Tally(sheet.clone()),
             );
-            puts.push((number, stamp, sheet));
+            puts.push((number, record_version, sheet));
         }
         if !puts.is_empty() {
             shard.county_counts.sheets_written_at = now;
--- a/crates/control/src/documents/hours/mod.rs
+++ b/crates/control/src/documents/hours/mod.rs
@@ -11,7 +11,7 @@
 mod watch;
 
 pub(crate) use moving::HourMove;
-pub(crate) use watch::{DeadlineWatch, Hour, end_record};
+pub(crate) use watch::{DeadlineWatch, ReleaseHour, record_end_of_hour};
 
 use crate::Node;
 use crate::documents::{ActiveVersion, Document, Documents, Kind, KindId};
@@ -102,7 +102,7 @@
     }
 
     /// Builds the calendar again for a new quota tree: studios that refer to its nodes may have other teams now.
-    pub(crate) fn refit_hours(&mut self) {
+    pub(crate) fn rebuild_calendar(&mut self) {
         let Some(active) = self
             .shared
             .documents
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -1,8 +1,8 @@
 //! Moves of hours that operators request: of one job, or of all jobs of a studio to what the calendar in force says.
 
 use crate::Node;
-use crate::documents::hours::Hour;
-use crate::documents::refused;
+use crate::documents::hours::ReleaseHour;
+use crate::documents::refusal;
 use crate::jobs::job::{Ending, Job, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::store::shard::Shard;
@@ -27,7 +27,7 @@
 /// A move of a job's hour that is not recorded yet.
 #[derive(Debug)]
 pub(crate) struct HourMove {
-    ix: JobIndex,
+    job_index: JobIndex,
     pub(super) job: String,
     due_ms: u64,
     version: u64,
@@ -82,12 +82,12 @@
         match self.begin_move(conn, id, to, by) {
             Ok(None) => {}
             Ok(Some(answer)) => self.respond(conn, 200, admin::encode(&answer), None),
-            Err(error) => self.deny_move(conn, &error),
+            Err(error) => self.answer_move_error(conn, &error),
         }
     }
 
-    fn deny_move(&mut self, conn: u64, error: &MoveError) {
-        self.deny_admin(conn, error.status(), refused(&error.to_string()));
+    fn answer_move_error(&mut self, conn: u64, error: &MoveError) {
+        self.refuse_operator(conn, error.status(), refusal(&error.to_string()));
     }
 
     /// Queues the move of a job's hour; returns the answer if the hour is already the requested one.
@@ -123,7 +123,7 @@
         log::info!("writing move of hour: {line}, requested by {by:?}");
         shard.hours.waiting_operators.insert(conn);
         shard.hours.moves.push_back(HourMove {
-            ix,
+            job_index: ix,
             job: id.to_owned(),
             due_ms,
             version,
@@ -139,7 +139,7 @@
         match self.begin_reagreement(studio, by, dry_run) {
             Ok(None) => {}
             Ok(Some(answer)) => self.respond(conn, 200, admin::encode(&answer), None),
-            Err(error) => self.deny_move(conn, &error),
+            Err(error) => self.answer_move_error(conn, &error),
         }
     }
 
@@ -164,7 +164,7 @@
                 lines.push(moved_line(job, due_ms, &active.built));
             }
             moves.push(HourMove {
-                ix,
+                job_index: ix,
                 job: job.id.clone(),
                 due_ms,
                 version: active.version,
@@ -256,7 +256,7 @@
 impl TransactionDraft {
     /// Writes the records of jobs whose hours move. Ends of jobs are put into the transaction earlier, so moves don't
     /// delay them.
-    pub fn hour_moves(
+    pub fn put_hour_moves(
         &mut self,
         shard: &mut Shard,
         wall: u64,
@@ -276,7 +276,7 @@
                 return;
             };
             let job = shard
-                .job(hour_move.ix)
+                .job(hour_move.job_index)
                 .filter(|job| job.id == hour_move.job && job.ending == Ending::Undecided);
             let Some((job, spec)) = job.and_then(|job| Some((job, job.spec.as_ref()?))) else {
                 shard.hours.rejected_moves.push(hour_move);
@@ -327,17 +327,17 @@
         hour_move.conn.iter().for_each(|conn| {
             shard.hours.waiting_operators.remove(conn);
         });
-        let Some(job) = shard.job_mut(hour_move.ix) else {
+        let Some(job) = shard.job_mut(hour_move.job_index) else {
             return;
         };
         let record = hour_move.record(job, wall);
         let from_ms = record.moved.as_ref().map_or(0, |m| m.from_ms);
         job.version = revision;
-        job.release_hour = Some(Hour::new(record));
-        let job = shard.jobs.get(hour_move.ix);
-        shard.hours.forget(from_ms, hour_move.ix);
+        job.release_hour = Some(ReleaseHour::new(record));
+        let job = shard.jobs.get(hour_move.job_index);
+        shard.hours.forget(from_ms, hour_move.job_index);
         if let Some(job) = job {
-            shard.hours.add(job, hour_move.ix);
+            shard.hours.add(job, hour_move.job_index);
         }
         shard.plan_triggers.request();
         let line = format!(
@@ -360,10 +360,10 @@
     /// read from the job's record.
     pub(crate) fn abandon_hour_moves(&mut self, mut shard: Shard) -> Shard {
         for conn in shard.hours.unanswered() {
-            self.deny_admin(
+            self.refuse_operator(
                 conn,
                 503,
-                refused("the leader changed; see the list of hours for whether the hour was moved"),
+                refusal("the leader changed; see the list of hours for whether the hour was moved"),
             );
         }
         shard
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -1,7 +1,7 @@
 //! Hours in the plan: they cap the deadlines of jobs, and the plan shows which hours are at risk, and why.
 
 use crate::Node;
-use crate::documents::hours::Hour;
+use crate::documents::hours::ReleaseHour;
 use crate::jobs::job::{Job, JobIndex};
 use crate::store::shard::Shard;
 use std::collections::BTreeMap;
@@ -11,11 +11,17 @@
 /// Time between a plan and the start of its tasks: their claims are recorded, then sent to the worker.
 const START_DELAY_S: f64 = 2.0;
 
-impl Hour {
+impl ReleaseHour {
     /// Caps a planned job's deadline at its hour, less the time to start, to fetch the image and to save. An hour that
     /// can't be kept any more caps nothing, since its job must not come before jobs whose hours can be kept. The
     /// planner itself leaves arrays time to fetch.
-    pub fn cap(&self, job: plan::Job, spec: &JobSpec, catalog: &Catalog, wall: u64) -> plan::Job {
+    pub fn cap_deadline(
+        &self,
+        job: plan::Job,
+        spec: &JobSpec,
+        catalog: &Catalog,
+        wall: u64,
+    ) -> plan::Job {
         let remaining_s = self.seconds_left(wall) - START_DELAY_S - spec.save_s;
         let fetch_s = least_fetch_s(spec, catalog);
         if remaining_s - fetch_s < job.estimate {
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::Node;
 use crate::documents::hours::HourMove;
-use crate::documents::refused;
+use crate::documents::refusal;
 use crate::jobs::job::{Job, JobIndex};
 use crate::store::shard::Shard;
 use std::collections::{BTreeSet, VecDeque};
@@ -17,7 +17,7 @@
 
 /// A job's hour in the leader's memory.
 #[derive(Debug, Clone)]
-pub(crate) struct Hour {
+pub(crate) struct ReleaseHour {
     /// The hour in the job's record.
     pub record: HourRecord,
     /// The state that was last determined.
@@ -26,10 +26,10 @@
     ended_ms: u64,
 }
 
-impl Hour {
+impl ReleaseHour {
     /// The hour of a job that was accepted or read back.
-    pub fn new(record: HourRecord) -> Box<Hour> {
-        Box::new(Hour {
+    pub fn new(record: HourRecord) -> Box<ReleaseHour> {
+        Box::new(ReleaseHour {
             record,
             state: State::Due,
             ended_ms: 0,
@@ -73,7 +73,7 @@
     }
 
     /// Queues a move again after its transaction was refused, before moves that came after it.
-    pub fn take_back(&mut self, hour_move: HourMove) {
+    pub fn requeue_move(&mut self, hour_move: HourMove) {
         self.moves.push_front(hour_move);
     }
 
@@ -141,7 +141,7 @@
 }
 
 /// The hour in the record of a job's end.
-pub(crate) fn end_record(job: &mut Job, ended_ms: u64) -> Option<EndHourRecord> {
+pub(crate) fn record_end_of_hour(job: &mut Job, ended_ms: u64) -> Option<EndHourRecord> {
     let hour = job.release_hour.as_mut()?;
     hour.ended_ms = ended_ms;
     Some(EndHourRecord {
@@ -172,7 +172,7 @@
         if let Some(shard) = &mut self.shard {
             shard.hours.waiting_operators.remove(&conn);
         }
-        self.deny_admin(conn, 409, refused(&why));
+        self.refuse_operator(conn, 409, refusal(&why));
     }
 }
 
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -51,7 +51,7 @@
     /// The head as last seen.
     pub head: Head,
     /// The version of the head's record in the state service; 0 if there is none.
-    pub stamp: u64,
+    pub record_version: u64,
     /// The version in force on this controller.
     pub active: Option<ActiveVersion<K::Content>>,
     /// The latest version that failed validation, and the reason.
@@ -67,14 +67,14 @@
     /// A change that this node, as the leader, is writing to the state service.
     pub(super) pending_change: Option<PendingChange<K>>,
     /// The initial content that this node was started with, for when no version has ever existed.
-    pub first: Option<K::Content>,
+    pub initial_content: Option<K::Content>,
 }
 
 impl<K: Kind> Default for Document<K> {
     fn default() -> Self {
         Document {
             head: Head::default(),
-            stamp: 0,
+            record_version: 0,
             active: None,
             rejected: None,
             parts: BTreeMap::new(),
@@ -82,7 +82,7 @@
             read_in_term: 0,
             retry_at: 0,
             pending_change: None,
-            first: None,
+            initial_content: None,
         }
     }
 }
@@ -99,9 +99,9 @@
     }
 
     /// Notes a head that was read or watched, unless it is older than the known one.
-    pub(super) fn observe_head(&mut self, head: Head, stamp: u64) {
-        if stamp >= self.stamp {
-            (self.head, self.stamp) = (head, stamp);
+    pub(super) fn observe_head(&mut self, head: Head, record_version: u64) {
+        if record_version >= self.record_version {
+            (self.head, self.record_version) = (head, record_version);
         }
     }
 
@@ -165,17 +165,17 @@
 
 impl Documents {
     /// Notes a head that was read or watched.
-    pub fn observe_head(&mut self, key: &str, record: &SharedRecord, stamp: u64) {
+    pub fn observe_head(&mut self, key: &str, record: &SharedRecord, record_version: u64) {
         let kind = key
             .strip_prefix(records::SHARED)
             .and_then(KindId::from_name);
         if let (Some(kind), Some(head)) = (kind, &record.document) {
-            for_kind!(kind, K => K::document_mut(self).observe_head(head.clone(), stamp));
+            for_kind!(kind, K => K::document_mut(self).observe_head(head.clone(), record_version));
         }
     }
 
     /// Drops reads in progress, which belong to another term of leadership.
-    pub fn forget_readings(&mut self) {
+    pub fn abandon_reads(&mut self) {
         for kind in ALL {
             for_kind!(kind, K => K::document_mut(self).reading = None);
         }
@@ -194,18 +194,18 @@
         let mut conditions = Vec::new();
         let stale = self.now.mono >= self.shared.updated_at + HEADS_STALE_MS;
         for kind in ALL {
-            let (guards, stamp, is_current) = for_kind!(kind, K => {
+            let (guards, record_version, is_current) = for_kind!(kind, K => {
                 let document = K::document(&self.shared.documents);
-                (K::GUARDS_ACCEPTANCE, document.stamp, document.is_current() && document.version().is_some())
+                (K::GUARDS_ACCEPTANCE, document.record_version, document.is_current() && document.version().is_some())
             });
-            if guards && (stamp > 0 || stale) {
+            if guards && (record_version > 0 || stale) {
                 if !is_current {
                     return None;
                 }
                 let key = records::head_key(for_kind!(kind, K => <K as Kind>::Content::KIND));
                 conditions.push(Condition {
                     key,
-                    version: stamp,
+                    version: record_version,
                 });
             }
         }
--- a/crates/control/src/documents/mod.rs
+++ b/crates/control/src/documents/mod.rs
@@ -24,4 +24,4 @@
 
 pub(crate) use in_force::{ActiveVersion, Document, Documents};
 pub(crate) use kind::{ALL, Kind, KindId, for_kind};
-pub(crate) use operator_api::refused;
+pub(crate) use operator_api::refusal;
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -18,14 +18,14 @@
             return false;
         };
         if request.method != "POST" {
-            self.deny_admin(conn, 405, refused("method not allowed"));
+            self.refuse_operator(conn, 405, refusal("method not allowed"));
         } else if !self.leads() {
             self.forward_admin(conn, request);
         } else if !self.may_decide() {
-            self.deny_admin(
+            self.refuse_operator(
                 conn,
                 503,
-                refused("the leader is still loading, or its lease is not certain"),
+                refusal("the leader is still loading, or its lease is not certain"),
             );
         } else {
             for_kind!(kind, K => self.serve::<K>(conn, &request.body));
@@ -43,13 +43,13 @@
                 self.respond(conn, 200, answer, None);
             }
             Ok(AskOf::Change(change)) => self.change::<K>(conn, change),
-            Err(e) => self.deny_admin(conn, 400, refused(&e.to_string())),
+            Err(e) => self.refuse_operator(conn, 400, refusal(&e.to_string())),
         }
     }
 
     fn forward_admin(&mut self, conn: u64, request: &Request) {
         let Some(peer) = self.leader_peer() else {
-            return self.deny_admin(conn, 503, refused("no leader is known"));
+            return self.refuse_operator(conn, 503, refusal("no leader is known"));
         };
         let pending = Pending::Admin { conn };
         let (path, body) = (request.path.clone(), request.body.clone());
@@ -67,16 +67,16 @@
     pub(crate) fn admin_answered(&mut self, conn: u64, response: Option<Response>) {
         match response {
             Some(r) => self.respond(conn, r.status, r.body, r.retry_after_s),
-            None => self.deny_admin(
+            None => self.refuse_operator(
                 conn,
                 503,
-                refused("the leader does not answer; a change may have been made"),
+                refusal("the leader does not answer; a change may have been made"),
             ),
         }
     }
 
     /// Refuses a request; a 503 says when to retry.
-    pub(crate) fn deny_admin(&mut self, conn: u64, status: u16, why: Refused) {
+    pub(crate) fn refuse_operator(&mut self, conn: u64, status: u16, why: Refused) {
         let retry = (status == 503).then_some(1);
         self.respond(conn, status, admin::encode(&why), retry);
     }
@@ -102,7 +102,7 @@
 }
 
 /// A refusal that has only a reason.
-pub(crate) fn refused(why: &str) -> Refused {
+pub(crate) fn refusal(why: &str) -> Refused {
     Refused {
         error: why.to_owned(),
         ..Refused::default()
@@ -110,13 +110,13 @@
 }
 
 /// The refusal of a version because of these faults.
-pub(super) fn refused_with_faults<K: Kind>(faults: Vec<Fault>) -> Refused {
+pub(super) fn refusal_with_faults<K: Kind>(faults: Vec<Fault>) -> Refused {
     let why = format!(
         "the {} is refused; the one in force stays",
         K::Content::NAME
     );
     Refused {
         faults,
-        ..refused(&why)
+        ..refusal(&why)
     }
 }
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -63,7 +63,7 @@
             Some(why) => node.respond(conn, 200, admin::encode(&why), None),
             None => {
                 let why = format!("no team {team:?} in the settings");
-                node.deny_admin(conn, 404, documents::refused(&why))
+                node.refuse_operator(conn, 404, documents::refusal(&why))
             }
         }
     }
@@ -163,7 +163,7 @@
 
     /// On the leader, has the bounds of a new version recorded before any task starts under them.
     pub(crate) fn apply_active_tree(&mut self) {
-        self.refit_hours();
+        self.rebuild_calendar();
         let whole = self.whole_allotment();
         let Some(shard) = self.shard.as_mut().filter(|shard| shard.loaded) else {
             return;
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -118,7 +118,7 @@
         document.read_in_term = term;
         document.parts = found
             .iter()
-            .map(|(name, (stamp, _))| (name.clone(), *stamp))
+            .map(|(name, (record_version, _))| (name.clone(), *record_version))
             .collect();
         if document.is_current() {
             return;
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -280,7 +280,7 @@
         self.shared.highest_token = self.shared.highest_token.max(token);
         self.role = Role::Leader(HeldLease::new(lease, sent, now));
         self.term += 1;
-        self.shared.documents.forget_readings();
+        self.shared.documents.abandon_reads();
         self.apply_leader_shares();
         self.shard = Some(Shard::new(token, version, now, &self.write_limits));
         self.start_recovery();
--- a/crates/control/src/models/demand.rs
+++ b/crates/control/src/models/demand.rs
@@ -96,10 +96,10 @@
         }
         match admin::decode::<Demand>(&request.body) {
             _ if request.method != "POST" => {
-                self.deny_demand(Waiter::Operator(conn), 405, "method not allowed")
+                self.refuse_demand(Waiter::Operator(conn), 405, "method not allowed")
             }
             Ok(Demand { model }) => self.demand(&model, Waiter::Operator(conn)),
-            Err(e) => self.deny_demand(Waiter::Operator(conn), 400, &e.to_string()),
+            Err(e) => self.refuse_demand(Waiter::Operator(conn), 400, &e.to_string()),
         }
         true
     }
@@ -116,12 +116,12 @@
     pub(crate) fn demand(&mut self, model: &str, waiter: Waiter) {
         let now = self.now.mono;
         if !self.models.in_force() || !wire::ids::valid_job_id(model) {
-            return self.deny_demand(waiter, 404, "no such model");
+            return self.refuse_demand(waiter, 404, "no such model");
         }
         let demand = &mut self.models.demand;
         if let Some(wake_up) = demand.wake_ups.get_mut(model) {
             if demand.waiting >= MAX_WAITERS {
-                return self.deny_demand(waiter, 503, "too many requests are waiting");
+                return self.refuse_demand(waiter, 503, "too many requests are waiting");
             }
             wake_up.waiters.push(waiter);
             demand.waiting += 1;
@@ -138,7 +138,7 @@
             return self.answer_demand(waiter, &status);
         }
         if demand.wake_ups.len() >= MAX_WAKE_UPS {
-            return self.deny_demand(waiter, 503, "too many models are being woken up");
+            return self.refuse_demand(waiter, 503, "too many models are being woken up");
         }
         // A node that the state service does not serve forwards the demand, at most once.
         let forwarded = matches!(waiter, Waiter::Peer(_));
@@ -146,7 +146,7 @@
             return self.forward_demand(model, waiter);
         }
         if self.requests.available(now) < 1.0 {
-            return self.deny_demand(waiter, 503, "busy");
+            return self.refuse_demand(waiter, 503, "busy");
         }
         let wake_up = WakeUp::for_waiter(waiter);
         self.models.demand.waiting += 1;
@@ -172,7 +172,7 @@
         }
         notified_at.insert(model.to_owned(), now);
         let Some(leader) = self.leader_peer() else {
-            return self.touch_record(model);
+            return self.write_demand_to_record(model);
         };
         let body = peer::encode(&PeerRequest::Wake {
             model: model.to_owned(),
@@ -194,14 +194,14 @@
     /// Handles the leader's answer to a notification of demand.
     pub(crate) fn leader_notified(&mut self, model: &str, response: Option<Response>) {
         if !matches!(peer_answer(response), Some(PeerResponse::Model(_))) {
-            self.touch_record(model);
+            self.write_demand_to_record(model);
         }
     }
 
     /// Writes demand to the record, since the leader could not be notified.
-    fn touch_record(&mut self, model: &str) {
+    fn write_demand_to_record(&mut self, model: &str) {
         if let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) {
-            wake_up.touch = true;
+            wake_up.must_record_demand = true;
         } else if self.models.demand.wake_ups.len() < MAX_WAKE_UPS
             && self.requests.available(self.now.mono) >= 1.0
         {
@@ -234,9 +234,9 @@
         match peer_answer(response) {
             Some(PeerResponse::Model(status)) => self.answer_demand(waiter, &status),
             Some(PeerResponse::Refused { status, why }) => {
-                self.deny_demand(waiter, status, peer::bounded(&why))
+                self.refuse_demand(waiter, status, peer::bounded(&why))
             }
-            _ => self.deny_demand(waiter, 503, UNAVAILABLE),
+            _ => self.refuse_demand(waiter, 503, UNAVAILABLE),
         }
     }
 
@@ -257,7 +257,7 @@
     }
 
     /// Refuses a waiter's request.
-    pub(super) fn deny_demand(&mut self, waiter: Waiter, status: u16, why: &str) {
+    pub(super) fn refuse_demand(&mut self, waiter: Waiter, status: u16, why: &str) {
         match waiter {
             Waiter::Operator(conn) => {
                 let refused = admin::Refused {
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -28,7 +28,7 @@
 impl Observation {
     /// Whether a record exists and says that the model is not up.
     fn is_asleep(&self) -> bool {
-        self.known.stamp > 0 && !self.known.record.is_up()
+        self.known.record_version > 0 && !self.known.record.is_up()
     }
 }
 
@@ -36,7 +36,7 @@
     /// Removes old demand; on the leader, watches the records and checks the models.
     pub(crate) fn models_tick(&mut self) {
         self.demand_tick();
-        if !self.models.in_force() || !self.may_decide() || self.models_to_read() {
+        if !self.models.in_force() || !self.may_decide() || self.needs_model_records() {
             return;
         }
         let now = self.now.mono;
@@ -112,7 +112,7 @@
         self.write_record(
             model,
             Some(record),
-            known.stamp,
+            known.record_version,
             Some(observation.job_version),
         );
         true
@@ -146,7 +146,8 @@
             ..
         } = observation;
         let (node, wall) = (self.settings.node.as_str(), self.now.wall);
-        let is_first = known.stamp == 0 && (rule.begin == Begin::Awake || seen.claimed > 0);
+        let is_first =
+            known.record_version == 0 && (rule.begin == Begin::Awake || seen.claimed > 0);
         let is_wanted_again =
             observation.is_asleep() && self.demanded_since(model, known.record.since_ms);
         if (is_first || is_wanted_again)
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -72,7 +72,7 @@
         node.respond(conn, 200, admin::encode(&all), None);
     }
     fn version_activated(node: &mut Node) {
-        node.models_in_force();
+        node.apply_model_rules();
     }
 }
 
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct VersionedRecord {
     pub record: Rec,
-    pub stamp: u64,
+    pub record_version: u64,
 }
 
 #[derive(Default)]
@@ -158,7 +158,7 @@
 
 impl Node {
     /// Applies the document in force, if it has changed.
-    fn models_in_force(&mut self) {
+    fn apply_model_rules(&mut self) {
         let spec = self
             .shared
             .documents
@@ -179,17 +179,17 @@
         if !self.models.in_force() {
             self.models.leader_state = LeaderState::default();
         }
-        self.bind_models();
+        self.update_model_bindings();
     }
 
     /// Determines again which jobs are models, after the document or the set of jobs may have changed.
-    fn bind_models(&mut self) {
+    fn update_model_bindings(&mut self) {
         let Some(shard) = &self.shard else { return };
         let all: Vec<JobIndex> = (0..shard.jobs.slots())
             .filter(|ix| shard.job(*ix).is_some())
             .collect();
         for ix in all {
-            self.bind_model(ix);
+            self.update_model_binding(ix);
         }
         let Some(shard) = &self.shard else { return };
         let leader_state = &mut self.models.leader_state;
@@ -203,7 +203,7 @@
     }
 
     /// Determines whether a job is a model, after the job was loaded or accepted or the rules have changed.
-    pub(crate) fn bind_model(&mut self, ix: JobIndex) {
+    pub(crate) fn update_model_binding(&mut self, ix: JobIndex) {
         let Some(shard) = &mut self.shard else { return };
         let Some(job) = shard.job(ix) else { return };
         let rule = job.spec.as_ref().and_then(|spec| self.models.rule(spec));
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -50,7 +50,7 @@
         &mut self,
         model: &str,
         record: Option<Rec>,
-        stamp: u64,
+        record_version: u64,
         job_version: Option<u64>,
     ) {
         let Some(shard) = &self.shard else { return };
@@ -62,7 +62,7 @@
             },
             Condition {
                 key: key.clone(),
-                version: stamp,
+                version: record_version,
             },
         ];
         conditions.extend(job_version.map(|version| Condition {
@@ -157,10 +157,16 @@
         true
     }
 
-    fn record_written(&mut self, model: &str, record: Rec, stamp: u64) {
+    fn record_written(&mut self, model: &str, record: Rec, record_version: u64) {
         let (phase, generation) = (record.phase, record.generation);
         log::info!("model {model}: {phase:?}, generation {generation}");
-        self.record_observed(model, VersionedRecord { record, stamp });
+        self.record_observed(
+            model,
+            VersionedRecord {
+                record,
+                record_version,
+            },
+        );
     }
 
     /// Handles the record that was read to learn the outcome of a transaction; false if it can't be decoded.
@@ -179,7 +185,7 @@
         self.models.leader_state.writes.remove(model);
         let known = VersionedRecord {
             record: item.value,
-            stamp: item.version,
+            record_version: item.version,
         };
         self.record_observed(model, known);
         true
@@ -203,10 +209,10 @@
             .index_of(&model)
             .and_then(|ix| shard.job(ix))
             .is_some_and(|job| !job.is_end_recorded());
-        let Some(stamp) = leader_state
+        let Some(record_version) = leader_state
             .records
             .get(&model)
-            .map(|known| known.stamp)
+            .map(|known| known.record_version)
             .filter(|_| !is_live)
         else {
             return;
@@ -217,6 +223,6 @@
         }
         // The guard requires that the job has no record: this node may not know yet of a job that was accepted a moment
         // ago.
-        self.write_record(&model, None, stamp, Some(0));
+        self.write_record(&model, None, record_version, Some(0));
     }
 }
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -18,8 +18,8 @@
 impl Node {
     /// Whether a new leader still has to read records before it starts any task. If so, they are read, and the load
     /// continues after that.
-    pub(crate) fn models_to_read(&mut self) -> bool {
-        self.models_in_force();
+    pub(crate) fn needs_model_records(&mut self) -> bool {
+        self.apply_model_rules();
         if !self.models.in_force() {
             return false;
         }
@@ -66,7 +66,7 @@
                     model.to_owned(),
                     VersionedRecord {
                         record: value,
-                        stamp: version,
+                        record_version: version,
                     },
                 );
             }
@@ -76,7 +76,7 @@
         }
         let leader_state = &mut self.models.leader_state;
         (leader_state.read, leader_state.cursor) = (ReadState::Complete, PageCursor::default());
-        self.bind_models();
+        self.update_model_bindings();
         if self.shard.as_ref().is_some_and(|shard| !shard.loaded) {
             self.finish_recovery();
         }
@@ -89,7 +89,7 @@
         if leader_state
             .records
             .get(model)
-            .is_some_and(|current| current.stamp > known.stamp)
+            .is_some_and(|current| current.record_version > known.record_version)
         {
             return;
         }
@@ -150,14 +150,20 @@
         let Some(model) = key.strip_prefix(records::MODELS).map(str::to_owned) else {
             return;
         };
-        let stamp = change.version;
+        let record_version = change.version;
         match change.value {
-            Some(record) => self.record_observed(&model, VersionedRecord { record, stamp }),
+            Some(record) => self.record_observed(
+                &model,
+                VersionedRecord {
+                    record,
+                    record_version,
+                },
+            ),
             None => self
                 .models
                 .leader_state
                 .records
-                .retain(|name, known| *name != model || known.stamp > stamp),
+                .retain(|name, known| *name != model || known.record_version > record_version),
         }
     }
 }
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -27,7 +27,7 @@
     /// Who is answered when the wake-up ends.
     pub(super) waiters: Vec<Waiter>,
     /// The leader could not be notified, so the demand has to be written to the record.
-    pub(super) touch: bool,
+    pub(super) must_record_demand: bool,
     tries: u32,
     job: Option<WantedJob>,
     /// The record that is being written.
@@ -54,19 +54,19 @@
     /// A wake-up without a waiter: it records a demand that the leader could not be notified of.
     pub fn for_leader() -> WakeUp {
         WakeUp {
-            touch: true,
+            must_record_demand: true,
             ..WakeUp::default()
         }
     }
 }
 
 /// A transaction that writes a model's record if neither the record nor the job has changed since they were read.
-fn record_transaction(model: &str, record: &Rec, stamp: u64, job_version: u64) -> Vec<u8> {
+fn record_transaction(model: &str, record: &Rec, record_version: u64, job_version: u64) -> Vec<u8> {
     let key = records::model_key(model);
     let conditions = vec![
         Condition {
             key: key.clone(),
-            version: stamp,
+            version: record_version,
         },
         Condition {
             key: records::live_key(model),
@@ -180,7 +180,7 @@
         };
         let known = VersionedRecord {
             record: item.value,
-            stamp: item.version,
+            record_version: item.version,
         };
         self.record_found(model, known);
     }
@@ -204,7 +204,7 @@
         if self.may_decide() {
             let known = VersionedRecord {
                 record: record.clone(),
-                stamp: revision,
+                record_version: revision,
             };
             self.record_observed(model, known);
         }
@@ -239,10 +239,10 @@
             return;
         };
         let asked = asked(&known.record, rule, spec.tasks, &node, wall);
-        let (version, touch) = (*version, wake_up.touch);
+        let (version, must_record_demand) = (*version, wake_up.must_record_demand);
         let record = match &asked {
             Asked::Wake(record) => Some((**record).clone()),
-            Asked::Follow if touch => known.record.touched(wall),
+            Asked::Follow if must_record_demand => known.record.touched(wall),
             _ => None,
         };
         let Some(record) = record else {
@@ -252,7 +252,7 @@
             return self.fail_wake_up(model, 503, "busy");
         }
         self.writes.take(now, 1.0);
-        let body = record_transaction(model, &record, known.stamp, version);
+        let body = record_transaction(model, &record, known.record_version, version);
         if let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) {
             wake_up.record = Some(record);
         }
@@ -308,7 +308,7 @@
         if !wake_up.waiters.is_empty() {
             demand.note_demand(model, now);
         }
-        if !wake_up.touch {
+        if !wake_up.must_record_demand {
             self.notify_leader(model, notify_interval_ms);
         }
     }
@@ -318,7 +318,7 @@
             return;
         };
         for waiter in wake_up.waiters {
-            self.deny_demand(waiter, status, why);
+            self.refuse_demand(waiter, status, why);
         }
     }
 }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -147,25 +147,25 @@
 
     /// Sets an initial quota tree, which is stored only if there has never been one.
     pub fn with_first_tree(mut self, spec: Option<quota::Spec>) -> Self {
-        self.shared.documents.quota.first = spec;
+        self.shared.documents.quota.initial_content = spec;
         self
     }
 
     /// Sets an initial calendar of release hours.
     pub fn with_first_hours(mut self, spec: Option<::hours::Spec>) -> Self {
-        self.shared.documents.hours.first = spec;
+        self.shared.documents.hours.initial_content = spec;
         self
     }
 
     /// Sets initial counties.
     pub fn with_first_counties(mut self, spec: Option<county::Spec>) -> Self {
-        self.shared.documents.counties.first = spec;
+        self.shared.documents.counties.initial_content = spec;
         self
     }
 
     /// Sets an initial list of models.
     pub fn with_first_models(mut self, spec: Option<model::Spec>) -> Self {
-        self.shared.documents.models.first = spec;
+        self.shared.documents.models.initial_content = spec;
         self
     }
 
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -67,7 +67,7 @@
                 .filter_map(|m| self.machine_index.get(m).copied())
                 .collect(),
             tenant: job.tenant,
-            only: county_counts::zones(job, &self.names.zones),
+            only: county_counts::allowed_zones(job, &self.names.zones),
             ..planner_job(spec, &mut shard.images, &self.names, *team)
         };
         let objectives = Objectives {
@@ -92,7 +92,7 @@
             let part = objectives.with_deadline(part, spec, &self.entitlement, job_index);
             self.index.jobs.push(job_index);
             self.input.jobs.push(match &job.release_hour {
-                Some(hour) => hour.cap(part, spec, self.names.catalog, now.wall),
+                Some(hour) => hour.cap_deadline(part, spec, self.names.catalog, now.wall),
                 None => part,
             });
         }
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -65,7 +65,7 @@
 impl LogRecordBuilder {
     fn new(number: u64, ended: Vec<county::Delta>, limits: &WriteLimits) -> Self {
         LogRecordBuilder {
-            size: LOG_RECORD_OVERHEAD + county_counts::deltas_bytes(&ended),
+            size: LOG_RECORD_OVERHEAD + county_counts::max_deltas_bytes(&ended),
             record: LogRecord {
                 ended: ended.clone(),
                 ..LogRecord::default()
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -143,7 +143,7 @@
             return;
         }
         self.may_have_changes = false;
-        self.before_heads(budget);
+        self.prepare_due_head(budget);
         let Some(shard) = &mut self.shard else { return };
         let draft = TransactionDraft::fill(shard, &mut self.shared, &limits, budget, now);
         if let Some(draft) = draft {
--- a/crates/control/src/store/record_sizes.rs
+++ b/crates/control/src/store/record_sizes.rs
@@ -21,7 +21,7 @@
 /// Length that claims on a job's tasks add to a log record, without the machines.
 pub(crate) fn claims_frame(limits: &WriteLimits, job: &Job) -> usize {
     if !limits.are_tight() {
-        return ClaimsRecord::frame(&job.id, &job.team) + county_counts::claims_bytes(job);
+        return ClaimsRecord::frame(&job.id, &job.team) + county_counts::max_claims_bytes(job);
     }
     // `u64::MAX` has as many digits as any attempt number; one more byte is for the comma.
     length(&ClaimsRecord {
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -401,12 +401,12 @@
     }
 
     pub(crate) fn finish_recovery(&mut self) {
-        if self.models_to_read() {
+        if self.needs_model_records() {
             return;
         }
         let now = self.now.mono;
         let whole = self.whole_allotment();
-        self.refit_hours();
+        self.rebuild_calendar();
         let Some(shard) = &mut self.shard else { return };
         shard.allotment.request_if_different(whole);
         shard.loaded = true;
@@ -458,6 +458,6 @@
         shard.plan_triggers.urgent.note_arrival(&record.spec);
         let job = shard.add_job(Job::new(record, version));
         shard.plan_triggers.request();
-        self.bind_model(job);
+        self.update_model_binding(job);
     }
 }
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -102,19 +102,19 @@
         draft.put_ends(shard, head.map(|(_, writes)| writes), now.wall);
         draft.put_allotment(shard);
         if let Some((kind, _)) = head {
-            draft.head(&shared.documents, shard, kind);
+            draft.put_head(&shared.documents, shard, kind);
         }
         draft.put_token(shard, shared, now.mono);
         draft.put_new_rentals(shard);
-        draft.hour_moves(shard, now.wall, limits.value_bytes(), Self::has_room);
+        draft.put_hour_moves(shard, now.wall, limits.value_bytes(), Self::has_room);
         draft.put_log_records(shard, cleanup_due);
         draft.put_grown_inventory(shard);
         draft.remove_rentals(shard);
         draft.put_catalog(shard, shared, limits.value_kb());
-        draft.parts(&mut shared.documents, Self::has_room);
+        draft.put_parts(&mut shared.documents, Self::has_room);
         if cleanup_due {
             shard.commit.last_cleanup_at = now.mono;
-            draft.counter_sheets(shard, now.mono, Self::has_room);
+            draft.put_counter_sheets(shard, now.mono, Self::has_room);
             draft.remove_unreferenced_parts(&shared.documents, Self::has_room);
             draft.put_shrunk_inventory(shard);
             draft.remove_segments(shard);
@@ -242,7 +242,7 @@
             return;
         };
         let done = job.done_count;
-        let hour = hours::end_record(job, wall);
+        let hour = hours::record_end_of_hour(job, wall);
         job.ending = Ending::Writing(stage);
         let (id, version) = (job.id.clone(), job.version);
         let county = self.counts.add(shard, index, stage);
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -74,7 +74,7 @@
         shard.commit.retry_no_earlier_than(self.now.mono + delay);
         for kind in ALL {
             if reverted_kinds.contains(&(kind as usize)) {
-                for_kind!(kind, K => self.change_given_up::<K>());
+                for_kind!(kind, K => self.abandon_oversized_change::<K>());
             }
         }
         if !limits_shrank && doublings >= MAX_DELAY_DOUBLINGS {
@@ -118,7 +118,7 @@
             }
             PendingWrite::Catalog => self.cloud_calls.catalog_dirty = true,
             PendingWrite::Allotment(previous) => self.allotment.revert(*previous),
-            PendingWrite::Hour(hour, _) => self.hours.take_back(hour),
+            PendingWrite::Hour(hour, _) => self.hours.requeue_move(hour),
             PendingWrite::DocumentPart(kind, _) | PendingWrite::Head(kind) => return Some(kind),
             // Their own state still marks them as to be written.
             PendingWrite::Token(_)
