--- a/crates/control/src/agents/commands.rs
+++ b/crates/control/src/agents/commands.rs
@@ -24,22 +24,22 @@
             .copied()
             .filter(is_ready)
             .collect();
-        for m in due {
-            let orders = self.orders_for(m);
+        for machine_index in due {
+            let orders = self.orders_for(machine_index);
             // Reaping is not urgent: it waits for the next heartbeat.
             if orders.iter().all(|o| matches!(o, Order::Reap { .. })) {
                 continue;
             }
-            self.send_orders(m, orders);
+            self.send_orders(machine_index, orders);
         }
     }
 
     /// Sends a direct command if the machine's address is known.
-    fn send_orders(&mut self, m: usize, orders: Vec<Order>) {
+    fn send_orders(&mut self, machine_index: usize, orders: Vec<Order>) {
         let term = self.term;
         let Some(shard) = &mut self.shard else { return };
         let (serial, token) = (shard.next_serial(), shard.token);
-        let Some(machine) = shard.machine_mut(m) else {
+        let Some(machine) = shard.machine_mut(machine_index) else {
             return;
         };
         let Some(addr) = machine.addr else { return };
@@ -52,11 +52,11 @@
         });
         let what = Pending::DirectCommand {
             term,
-            machine: m,
+            machine: machine_index,
             serial,
             via,
         };
-        self.send_command(m, addr, body, DIRECT_TIMEOUT_MS, what);
+        self.send_command(machine_index, addr, body, DIRECT_TIMEOUT_MS, what);
     }
 
     /// Decodes the heartbeat in a worker's response to a command. A worker that rejects the command (409) sends one
@@ -69,7 +69,7 @@
     /// Handles the outcome of a direct command; `response` is `None` if none arrived in time.
     pub(crate) fn direct_command_answered(
         &mut self,
-        m: usize,
+        machine_index: usize,
         serial: u64,
         response: Option<Response>,
     ) {
@@ -77,7 +77,7 @@
         let heartbeat = self.command_heartbeat(response);
         let Some(shard) = &mut self.shard else { return };
         let token = shard.token;
-        let Some(machine) = shard.machine_mut(m) else {
+        let Some(machine) = shard.machine_mut(machine_index) else {
             return;
         };
         if machine.command_in_flight != Some(serial) {
@@ -87,7 +87,7 @@
         match heartbeat {
             Some(heartbeat) if heartbeat.machine == machine.name => {
                 machine.unconfirmed_token = None;
-                self.reconcile(m, &heartbeat);
+                self.reconcile(machine_index, &heartbeat);
             }
             // The command was never sent, so it can't be executed later. The next heartbeat shows which orders are
             // still needed.
@@ -106,12 +106,12 @@
     /// Asks a worker for its heartbeat with a command, which also carries our token to a worker that still follows an
     /// earlier leader. The command's only orders stop tasks of cancelled jobs: those are safe to execute at any time,
     /// however late, and a machine that resumes after a hang receives them first.
-    pub(crate) fn probe_machine(&mut self, m: usize) {
+    pub(crate) fn probe_machine(&mut self, machine_index: usize) {
         let (now, term) = (self.now.mono, self.term);
-        let orders = self.cancellation_stops(m);
+        let orders = self.cancellation_stops(machine_index);
         let Some(shard) = &mut self.shard else { return };
         let (serial, token) = (shard.next_serial(), shard.token);
-        let Some(machine) = shard.machine_mut(m) else {
+        let Some(machine) = shard.machine_mut(machine_index) else {
             return;
         };
         let Some(addr) = machine.addr else { return };
@@ -127,26 +127,34 @@
         });
         let what = Pending::Probe {
             term,
-            machine: m,
+            machine: machine_index,
             serial,
             via,
         };
-        self.send_command(m, addr, body, DIRECT_TIMEOUT_MS, what);
+        self.send_command(machine_index, addr, body, DIRECT_TIMEOUT_MS, what);
     }
 
     /// Handles a probe that could not be sent: clears it so that the machine can be probed again.
-    pub(crate) fn probe_unsent(&mut self, m: usize, serial: u64) {
-        let machine = self.shard.as_mut().and_then(|p| p.machine_mut(m));
+    pub(crate) fn probe_unsent(&mut self, machine_index: usize, serial: u64) {
+        let machine = self
+            .shard
+            .as_mut()
+            .and_then(|shard| shard.machine_mut(machine_index));
         if let Some(machine) = machine.filter(|x| x.probe_in_flight == Some(serial)) {
             machine.probe_in_flight = None;
         }
     }
 
     /// Handles the outcome of a probe. A missing response counts as a reason to return the machine.
-    pub(crate) fn probe_answered(&mut self, m: usize, serial: u64, response: Option<Response>) {
+    pub(crate) fn probe_answered(
+        &mut self,
+        machine_index: usize,
+        serial: u64,
+        response: Option<Response>,
+    ) {
         let heartbeat = self.command_heartbeat(response);
         let Some(shard) = &mut self.shard else { return };
-        let Some(machine) = shard.machine_mut(m) else {
+        let Some(machine) = shard.machine_mut(machine_index) else {
             return;
         };
         if machine.probe_in_flight != Some(serial) {
@@ -158,9 +166,9 @@
             Some(heartbeat) => {
                 machine.unconfirmed_token = None;
                 shard.heard_directly |= direct;
-                self.reconcile(m, &heartbeat);
+                self.reconcile(machine_index, &heartbeat);
             }
-            None => self.probe_failed(m),
+            None => self.probe_failed(machine_index),
         }
     }
 }
--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -116,14 +116,14 @@
             return HeartbeatReply::Refused(HeartbeatRefusal::LeaseUncertain);
         }
         let orders = match self.find_or_add_sender(heartbeat) {
-            Some(m) if self.note_heartbeat(m, heartbeat, via) => {
-                let orders = self.orders_for(m);
-                self.note_unacknowledged_start(m, &orders);
+            Some(machine_index) if self.note_heartbeat(machine_index, heartbeat, via) => {
+                let orders = self.orders_for(machine_index);
+                self.note_unacknowledged_start(machine_index, &orders);
                 orders
             }
             // An older heartbeat. The worker may still be waiting for this reply, which renews its lease, so the reply
             // has to stop the tasks of cancelled jobs.
-            Some(m) => self.cancellation_stops(m),
+            Some(machine_index) => self.cancellation_stops(machine_index),
             None => Vec::new(),
         };
         HeartbeatReply::Orders(wire::encode(&Orders {
@@ -135,9 +135,12 @@
 
     /// Notes that the reply to a heartbeat contains a start. It may arrive before or after a command that is sent
     /// concurrently, so until the next heartbeat a response to a command doesn't prove that the task is absent.
-    fn note_unacknowledged_start(&mut self, m: usize, orders: &[Order]) {
+    fn note_unacknowledged_start(&mut self, machine_index: usize, orders: &[Order]) {
         if orders.iter().any(|o| matches!(o, Order::Start { .. }))
-            && let Some(machine) = self.shard.as_mut().and_then(|p| p.machine_mut(m))
+            && let Some(machine) = self
+                .shard
+                .as_mut()
+                .and_then(|shard| shard.machine_mut(machine_index))
         {
             machine.unacknowledged_start = Some(machine.seen);
         }
@@ -146,13 +149,18 @@
     /// Applies a heartbeat that the worker sent on its own, not in response to a command. Returns true if it is the
     /// newest. Its sender no longer waits for the replies to earlier heartbeats, so orders in those can't be executed
     /// any more.
-    fn note_heartbeat(&mut self, m: usize, heartbeat: &Heartbeat, via: Option<usize>) -> bool {
+    fn note_heartbeat(
+        &mut self,
+        machine_index: usize,
+        heartbeat: &Heartbeat,
+        via: Option<usize>,
+    ) -> bool {
         let Some(shard) = &mut self.shard else {
             return false;
         };
         let (own_token, now) = (shard.token, self.now.mono);
         shard.heard_directly |= via.is_none();
-        let Some(machine) = shard.machine_mut(m) else {
+        let Some(machine) = shard.machine_mut(machine_index) else {
             return false;
         };
         let sequence = (heartbeat.agent_epoch, heartbeat.seq);
@@ -168,7 +176,7 @@
                 .unacknowledged_start
                 .filter(|start| *start >= sequence);
         }
-        self.reconcile(m, heartbeat)
+        self.reconcile(machine_index, heartbeat)
     }
 
     /// Handles a worker that reports a higher token than ours. While our lease is valid there can't be a newer leader,
@@ -194,8 +202,8 @@
     fn find_or_add_sender(&mut self, heartbeat: &Heartbeat) -> Option<usize> {
         let now = self.now;
         let shard = self.shard.as_mut()?;
-        if let Some(m) = shard.machines.index_of(&heartbeat.machine) {
-            return Some(m);
+        if let Some(machine_index) = shard.machines.index_of(&heartbeat.machine) {
+            return Some(machine_index);
         }
         if shard.returned.contains(&heartbeat.machine) || !is_valid_name(&heartbeat.machine) {
             return None;
@@ -214,9 +222,9 @@
         );
         machine.unconfirmed_token = Some(heartbeat.token);
         machine.addr = heartbeat.addr.parse().ok();
-        let m = shard.add_machine(machine);
-        self.probe_machine(m);
-        Some(m)
+        let machine_index = shard.add_machine(machine);
+        self.probe_machine(machine_index);
+        Some(machine_index)
     }
 }
 
--- a/crates/control/src/agents/orders.rs
+++ b/crates/control/src/agents/orders.rs
@@ -62,8 +62,8 @@
 impl Shard {
     /// Reap orders for the exited tasks that the worker may forget: those without a claim whose success, if any,
     /// is recorded.
-    fn reaps(&self, m: usize) -> Vec<Order> {
-        let Some(machine) = self.machine(m) else {
+    fn reaps(&self, machine_index: usize) -> Vec<Order> {
+        let Some(machine) = self.machine(machine_index) else {
             return Vec::new();
         };
         let may_reap = |exited: &&Exited| {
@@ -89,23 +89,23 @@
 
 impl Node {
     /// The orders for a worker now. A leader whose lease may have expired only stops tasks of cancelled jobs.
-    pub(crate) fn orders_for(&mut self, m: usize) -> Vec<Order> {
+    pub(crate) fn orders_for(&mut self, machine_index: usize) -> Vec<Order> {
         if !self.may_decide() {
-            return self.cancellation_stops(m);
+            return self.cancellation_stops(machine_index);
         }
         let now = self.now.mono;
         let silent = self.silent_ms();
         let Some(shard) = &mut self.shard else {
             return Vec::new();
         };
-        let Some(machine) = shard.machines.get_mut(m) else {
+        let Some(machine) = shard.machines.get_mut(machine_index) else {
             return Vec::new();
         };
         // With orders on two paths at once, a task missing from a heartbeat could still be started by the other path.
         if machine.command_in_flight.is_some() {
             return Vec::new();
         }
-        shard.machines_with_orders.remove(&m);
+        shard.machines_with_orders.remove(&machine_index);
         let has_unanswered_command = machine.unanswered_command.is_some();
         // No task starts shortly before the worker's lease ends, or on a machine that is to be returned.
         let may_start = !has_unanswered_command
@@ -129,20 +129,23 @@
             }
         }
         if !has_unanswered_command {
-            orders.extend(shard.reaps(m));
+            orders.extend(shard.reaps(machine_index));
         }
-        self.end_unsent_claims(m, &unsent);
+        self.end_unsent_claims(machine_index, &unsent);
         orders.truncate(MAX_ORDERS);
         orders
     }
 
     /// The only orders in a probe, or from a leader whose lease may have expired: stops for the tasks of cancelled
     /// jobs. A cancellation is never undone, and no worker's lease may be renewed without delivering it.
-    pub(crate) fn cancellation_stops(&self, m: usize) -> Vec<Order> {
+    pub(crate) fn cancellation_stops(&self, machine_index: usize) -> Vec<Order> {
         let Some(shard) = &self.shard else {
             return Vec::new();
         };
-        let Some(machine) = shard.machine(m).filter(|x| x.command_in_flight.is_none()) else {
+        let Some(machine) = shard
+            .machine(machine_index)
+            .filter(|x| x.command_in_flight.is_none())
+        else {
             return Vec::new();
         };
         let stop_if_cancelled = |claim: &Claim| {
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -68,8 +68,8 @@
 
 impl Shard {
     /// Updates what any message from a machine shows about it, whatever tasks it lists.
-    fn note_contact(&mut self, m: usize, heartbeat: &Heartbeat, now: u64) {
-        let Some(machine) = self.machines.get_mut(m) else {
+    fn note_contact(&mut self, machine_index: usize, heartbeat: &Heartbeat, now: u64) {
+        let Some(machine) = self.machines.get_mut(machine_index) else {
             return;
         };
         machine.seen = (heartbeat.agent_epoch, heartbeat.seq);
@@ -97,8 +97,8 @@
     /// Whether a task that is not listed is gone for good. It is not if a message that could start it may still be in
     /// flight: a command with an earlier token, a direct command without a response, or a start in the reply to a
     /// heartbeat.
-    fn proves_absence(&self, m: usize, heartbeat: &Heartbeat) -> bool {
-        self.machine(m).is_some_and(|machine| {
+    fn proves_absence(&self, machine_index: usize, heartbeat: &Heartbeat) -> bool {
+        self.machine(machine_index).is_some_and(|machine| {
             heartbeat.token >= self.token
                 && machine.command_in_flight.is_none()
                 && machine.unacknowledged_start.is_none()
@@ -107,8 +107,8 @@
     }
 
     /// Notes when the cloud reclaims the machine, if the heartbeat says so. Returns true if that was not known before.
-    fn note_notice(&mut self, m: usize, heartbeat: &Heartbeat, now: u64) -> bool {
-        let Some(machine) = self.machine_mut(m) else {
+    fn note_notice(&mut self, machine_index: usize, heartbeat: &Heartbeat, now: u64) -> bool {
+        let Some(machine) = self.machine_mut(machine_index) else {
             return false;
         };
         let noticed = heartbeat
@@ -123,7 +123,7 @@
     /// Compares the tasks that the worker lists with the claims on its machine, and updates the claims' stages.
     fn compare_listed(
         &mut self,
-        m: usize,
+        machine_index: usize,
         heartbeat: &Heartbeat,
         catalog: Option<&Catalog>,
         now: u64,
@@ -140,7 +140,7 @@
             let job_index = self.jobs.index_of(id);
             let position = job_index.and_then(|job_index| {
                 comparison.listed.push((job_index, task, status.attempt));
-                self.machine(m)?
+                self.machine(machine_index)?
                     .claim_position(job_index, task, status.attempt)
             });
             match position {
@@ -153,7 +153,9 @@
                     });
                     comparison.note_exited(job_index, task, position, status);
                 }
-                Some(position) => self.note_stage(m, position, status.stage, catalog, now),
+                Some(position) => {
+                    self.note_stage(machine_index, position, status.stage, catalog, now)
+                }
                 // A heartbeat with an earlier leader's token may be a delayed copy of an old one.
                 None if heartbeat.token < self.token => {}
                 None => {
@@ -170,7 +172,7 @@
                 }
             }
         }
-        if let Some(machine) = self.machine_mut(m) {
+        if let Some(machine) = self.machine_mut(machine_index) {
             machine.exited = exited;
         }
         comparison
@@ -179,13 +181,13 @@
     /// Updates the stage of a claimed task that is listed and has not exited.
     fn note_stage(
         &mut self,
-        m: usize,
+        machine_index: usize,
         position: usize,
         stage: TaskStage,
         catalog: Option<&Catalog>,
         now: u64,
     ) {
-        let Some(machine) = self.machines.get_mut(m) else {
+        let Some(machine) = self.machines.get_mut(machine_index) else {
             return;
         };
         let claim = &mut machine.claims[position];
@@ -213,8 +215,8 @@
     }
 
     /// Finds the claims whose tasks are missing from a heartbeat that proves their absence.
-    fn find_absent(&mut self, m: usize, agent_epoch: u64, comparison: &mut Comparison) {
-        let Some(machine) = self.machines.get_mut(m) else {
+    fn find_absent(&mut self, machine_index: usize, agent_epoch: u64, comparison: &mut Comparison) {
+        let Some(machine) = self.machines.get_mut(machine_index) else {
             return;
         };
         for (position, claim) in machine.claims.iter_mut().enumerate() {
@@ -233,17 +235,17 @@
             } else {
                 // The start never arrived. The attempt was not reaped, so it can be started again.
                 claim.sent = false;
-                self.machines_with_orders.insert(m);
+                self.machines_with_orders.insert(machine_index);
             }
         }
     }
 
     /// Adds claims for tasks that have none. Returns their jobs.
-    fn add_stray_claims(&mut self, m: usize, strays: Vec<Claim>) -> BTreeSet<JobIndex> {
+    fn add_stray_claims(&mut self, machine_index: usize, strays: Vec<Claim>) -> BTreeSet<JobIndex> {
         let mut jobs = BTreeSet::new();
         for stray in strays {
             let id = ClaimId {
-                machine: m,
+                machine: machine_index,
                 job: stray.job,
                 task: stray.task,
                 attempt: stray.attempt,
@@ -307,9 +309,15 @@
 
 /// Handles a failed task. A job that failed on several machines and succeeded on none backs off; otherwise the machine
 /// may be at fault, and is paused or cordoned.
-fn task_failed(job: &mut Job, machine: &mut Machine, m: usize, claim: &Claim, now: u64) {
+fn task_failed(
+    job: &mut Job,
+    machine: &mut Machine,
+    machine_index: usize,
+    claim: &Claim,
+    now: u64,
+) {
     job.failures += 1;
-    job.failed_on.insert(m);
+    job.failed_on.insert(machine_index);
     if job.failed_on.len() >= FAILING_JOB_MACHINES && !job.succeeded {
         let backoff = FAILING_JOB_BACKOFF_MS << job.failures.min(FAILING_JOB_DOUBLINGS);
         job.backoff_until = now + backoff.min(MAX_BACKOFF_MS);
@@ -365,30 +373,30 @@
 impl Node {
     /// Applies a heartbeat to the machine, its claims and their jobs, unless a newer one was seen. Returns true if it
     /// is the newest.
-    pub(crate) fn reconcile(&mut self, m: usize, heartbeat: &Heartbeat) -> bool {
+    pub(crate) fn reconcile(&mut self, machine_index: usize, heartbeat: &Heartbeat) -> bool {
         let now = self.now.mono;
         let catalog = self.shared.catalog.as_ref();
         let Some(shard) = &mut self.shard else {
             return false;
         };
-        let Some(machine) = shard.machine_mut(m) else {
+        let Some(machine) = shard.machine_mut(machine_index) else {
             return false;
         };
         if (heartbeat.agent_epoch, heartbeat.seq) <= machine.seen {
             return false;
         }
-        shard.note_contact(m, heartbeat, now);
-        let proves_absence = shard.proves_absence(m, heartbeat);
-        let has_new_notice = shard.note_notice(m, heartbeat, now);
-        let mut comparison = shard.compare_listed(m, heartbeat, catalog, now);
+        shard.note_contact(machine_index, heartbeat, now);
+        let proves_absence = shard.proves_absence(machine_index, heartbeat);
+        let has_new_notice = shard.note_notice(machine_index, heartbeat, now);
+        let mut comparison = shard.compare_listed(machine_index, heartbeat, catalog, now);
         if proves_absence {
-            shard.find_absent(m, heartbeat.agent_epoch, &mut comparison);
+            shard.find_absent(machine_index, heartbeat.agent_epoch, &mut comparison);
         }
-        let mut changed = shard.add_stray_claims(m, comparison.strays);
+        let mut changed = shard.add_stray_claims(machine_index, comparison.strays);
         changed.extend(shard.complete_finished(comparison.finished));
-        changed.extend(self.end_claims(m, comparison.ended));
+        changed.extend(self.end_claims(machine_index, comparison.ended));
         if has_new_notice {
-            self.drain_for_notice(m);
+            self.drain_for_notice(machine_index);
         }
         for job_index in changed {
             self.job_changed(job_index);
@@ -399,22 +407,22 @@
     /// Ends several claims of a machine. Returns their jobs.
     pub(crate) fn end_claims(
         &mut self,
-        m: usize,
+        machine_index: usize,
         mut ended: Vec<EndedClaim>,
     ) -> BTreeSet<JobIndex> {
         // From last to first, because each removal shifts the positions after it.
         ended.sort_unstable_by_key(|end| std::cmp::Reverse(end.position));
         ended
             .into_iter()
-            .filter_map(|end| self.claim_ended(m, end))
+            .filter_map(|end| self.claim_ended(machine_index, end))
             .collect()
     }
 
     /// Ends the claim of a task that is proved gone. Returns its job.
-    fn claim_ended(&mut self, m: usize, end: EndedClaim) -> Option<JobIndex> {
+    fn claim_ended(&mut self, machine_index: usize, end: EndedClaim) -> Option<JobIndex> {
         let now = self.now.mono;
         let shard = self.shard.as_mut()?;
-        let machine = shard.machines.get_mut(m)?;
+        let machine = shard.machines.get_mut(machine_index)?;
         if end.position >= machine.claims.len() {
             return None;
         }
@@ -441,13 +449,13 @@
                 machine.errors = 0;
                 machine.error_jobs.clear();
             }
-            Some(Cause::Error) => task_failed(job, machine, m, &claim, now),
+            Some(Cause::Error) => task_failed(job, machine, machine_index, &claim, now),
             Some(cause @ (Cause::NoRoom | Cause::Busy | Cause::Unknown)) => {
                 task_refused(job, machine, &claim, cause, now);
             }
             _ => note_progress(job, &claim, end.saved, now),
         }
-        job.remove_claim(claim.task, m, claim.attempt);
+        job.remove_claim(claim.task, machine_index, claim.attempt);
         if machine.claims.is_empty() {
             machine.idle_since = now;
         }
@@ -456,19 +464,19 @@
     }
 
     /// Ends claims whose start was never sent, which needs no proof.
-    pub(crate) fn end_unsent_claims(&mut self, m: usize, claims: &[usize]) {
+    pub(crate) fn end_unsent_claims(&mut self, machine_index: usize, claims: &[usize]) {
         let ended = claims.iter().copied().map(EndedClaim::unexplained);
-        for job_index in self.end_claims(m, ended.collect()) {
+        for job_index in self.end_claims(machine_index, ended.collect()) {
             self.job_changed(job_index);
         }
     }
 
     /// Drains a machine that the cloud is about to reclaim: stops the tasks that can save, that have not begun to run
     /// or that would not end in time, so that they can start elsewhere.
-    fn drain_for_notice(&mut self, m: usize) {
+    fn drain_for_notice(&mut self, machine_index: usize) {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
-        let Some(machine) = shard.machine(m) else {
+        let Some(machine) = shard.machine(machine_index) else {
             return;
         };
         log::info!("machine {}: the cloud is about to reclaim it", machine.name);
@@ -485,21 +493,28 @@
             }
         }
         for (job_index, grace_s) in stops {
-            self.stop_on_machine(job_index, m, grace_s);
+            self.stop_on_machine(job_index, machine_index, grace_s);
         }
     }
 
     /// Stops a job's tasks on one machine; those of a gang on all, since they end together.
-    pub(crate) fn stop_on_machine(&mut self, index: JobIndex, m: usize, grace_s: f64) {
+    pub(crate) fn stop_on_machine(
+        &mut self,
+        job_index: JobIndex,
+        machine_index: usize,
+        grace_s: f64,
+    ) {
         let Some(shard) = &mut self.shard else { return };
-        let Some(job) = shard.job(index) else { return };
+        let Some(job) = shard.job(job_index) else {
+            return;
+        };
         let machines: BTreeSet<usize> = if job.kind() == Kind::Gang {
             job.machines()
         } else {
-            BTreeSet::from([m])
+            BTreeSet::from([machine_index])
         };
-        for m in machines {
-            shard.stop_job(index, m, grace_s);
+        for machine_index in machines {
+            shard.stop_job(job_index, machine_index, grace_s);
         }
     }
 }
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -244,13 +244,16 @@
     /// Sends a command to a worker, through the peer that relays its heartbeats if there is one.
     pub(crate) fn send_command(
         &mut self,
-        m: usize,
+        machine_index: usize,
         addr: SocketAddr,
         body: Vec<u8>,
         timeout_ms: u64,
         what: Pending,
     ) {
-        let machine = self.shard.as_ref().and_then(|p| p.machine(m));
+        let machine = self
+            .shard
+            .as_ref()
+            .and_then(|shard| shard.machine(machine_index));
         let via = machine.and_then(|m| Some((m.via?, m.name.clone())));
         match via {
             Some((peer, machine)) => {
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -122,8 +122,13 @@
     }
 
     /// Counts a job's end, if it has a county.
-    pub fn add(&mut self, shard: &mut Shard, ix: JobIndex, stage: Stage) -> Option<CountedRecord> {
-        let job = shard.jobs.get(ix)?;
+    pub fn add(
+        &mut self,
+        shard: &mut Shard,
+        job_index: JobIndex,
+        stage: Stage,
+    ) -> Option<CountedRecord> {
+        let job = shard.jobs.get(job_index)?;
         let (county, class) = (
             job.county.as_ref()?.county.clone(),
             job.spec.as_ref()?.class.clone(),
--- a/crates/control/src/documents/hours/listing.rs
+++ b/crates/control/src/documents/hours/listing.rs
@@ -96,8 +96,8 @@
             studio,
             list: List::default(),
         };
-        for (due_ms, ix) in shard.hours.passed.iter().chain(&shard.hours.upcoming) {
-            let job = shard.job(*ix);
+        for (due_ms, job_index) in shard.hours.passed.iter().chain(&shard.hours.upcoming) {
+            let job = shard.job(*job_index);
             if let Some(entry) = job.and_then(|job| Entry::of_job(job, *due_ms, self.now.wall)) {
                 listing.add(&entry);
             }
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -105,7 +105,7 @@
         let Some(shard) = &mut self.shard else {
             return Ok(None);
         };
-        let (ix, job) = movable_job(shard, id)?;
+        let (job_index, job) = movable_job(shard, id)?;
         let studio = calendar.studio_of(&job.team).unwrap_or_default();
         let due_ms = calendar.moment(studio, to).map_err(MoveError::NoSuchTime)?;
         let line = moved_line(job, due_ms, &calendar);
@@ -123,7 +123,7 @@
         log::info!("writing move of hour: {line}, requested by {by:?}");
         shard.hours.waiting_operators.insert(conn);
         shard.hours.moves.push_back(HourMove {
-            job_index: ix,
+            job_index,
             job: id.to_owned(),
             due_ms,
             version,
@@ -159,12 +159,12 @@
         };
         let mut moves: Vec<HourMove> = Vec::new();
         let mut lines = Vec::new();
-        for (ix, job, due_ms) in jobs_to_reagree(shard, &active.built, studio) {
+        for (job_index, job, due_ms) in jobs_to_reagree(shard, &active.built, studio) {
             if lines.len() < MAX_MOVED_LINES {
                 lines.push(moved_line(job, due_ms, &active.built));
             }
             moves.push(HourMove {
-                job_index: ix,
+                job_index,
                 job: job.id.clone(),
                 due_ms,
                 version: active.version,
@@ -196,14 +196,14 @@
     let found = shard
         .jobs
         .index_of(id)
-        .and_then(|ix| Some((ix, shard.job(ix)?)));
-    let (ix, job) = found
+        .and_then(|job_index| Some((job_index, shard.job(job_index)?)));
+    let (job_index, job) = found
         .filter(|(_, job)| job.spec.is_some())
         .ok_or_else(|| MoveError::UnknownJob(id.to_owned()))?;
     if job.is_ending() || job.kind() == JobKind::Service {
         return Err(MoveError::NotMovable(id.to_owned()));
     }
-    Ok((ix, job))
+    Ok((job_index, job))
 }
 
 /// A studio's jobs whose hours differ from the calendar in force, with the hours that it gives them.
@@ -212,15 +212,19 @@
     calendar: &'a Calendar,
     studio: &'a str,
 ) -> impl Iterator<Item = (JobIndex, &'a Job, u64)> {
-    shard.jobs.iter().enumerate().filter_map(move |(ix, job)| {
-        let job = job.filter(|job| job.ending == Ending::Undecided)?;
-        let spec = job.spec.as_ref().filter(|s| s.kind != JobKind::Service)?;
-        if calendar.studio_of(&job.team) != Some(studio) {
-            return None;
-        }
-        let due = calendar.due(&job.team, &spec.class, &job.id, job.at_ms)?;
-        (!is_due_at(job, due.at_ms)).then_some((ix, job, due.at_ms))
-    })
+    shard
+        .jobs
+        .iter()
+        .enumerate()
+        .filter_map(move |(job_index, job)| {
+            let job = job.filter(|job| job.ending == Ending::Undecided)?;
+            let spec = job.spec.as_ref().filter(|s| s.kind != JobKind::Service)?;
+            if calendar.studio_of(&job.team) != Some(studio) {
+                return None;
+            }
+            let due = calendar.due(&job.team, &spec.class, &job.id, job.at_ms)?;
+            (!is_due_at(job, due.at_ms)).then_some((job_index, job, due.at_ms))
+        })
 }
 
 fn is_due_at(job: &Job, due_ms: u64) -> bool {
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -72,16 +72,19 @@
     jobs: &[JobIndex],
 ) -> BTreeMap<JobIndex, Planned> {
     let mut planned: BTreeMap<JobIndex, Planned> = BTreeMap::new();
-    for (index, ix) in jobs.iter().enumerate() {
-        if shard.job(*ix).is_some_and(|job| job.release_hour.is_some()) {
-            let planned_job = planned.entry(*ix).or_default();
+    for (index, job_index) in jobs.iter().enumerate() {
+        if shard
+            .job(*job_index)
+            .is_some_and(|job| job.release_hour.is_some())
+        {
+            let planned_job = planned.entry(*job_index).or_default();
             planned_job.pending += input.jobs[index].pending;
             planned_job.index = index;
         }
     }
     for start in &output.starts {
         let job = jobs.get(start.job as usize);
-        if let Some(planned_job) = job.and_then(|ix| planned.get_mut(ix)) {
+        if let Some(planned_job) = job.and_then(|job_index| planned.get_mut(job_index)) {
             planned_job.started += start.count;
         }
     }
@@ -204,12 +207,14 @@
                 .any(|m| !m.up && !m.to_be_returned && !m.failed),
         };
         let mut changes = Vec::new();
-        for (ix, planned) in planned_jobs(shard, input, output, jobs) {
-            let Some(job) = shard.job(ix) else { continue };
+        for (job_index, planned) in planned_jobs(shard, input, output, jobs) {
+            let Some(job) = shard.job(job_index) else {
+                continue;
+            };
             let state = assessment.state(job, &planned);
             let known = job.release_hour.as_ref().map(|hour| hour.state);
             if let Some(state) = state.filter(|state| Some(*state) != known) {
-                changes.push((ix, state));
+                changes.push((job_index, state));
             }
         }
         shard.set_states(changes, wall);
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -66,9 +66,9 @@
 
 impl DeadlineWatch {
     /// Adds the hour of a job, if it has one.
-    pub fn add(&mut self, job: &Job, ix: JobIndex) {
+    pub fn add(&mut self, job: &Job, job_index: JobIndex) {
         if let Some(hour) = &job.release_hour {
-            self.upcoming.insert((hour.record.due_ms, ix));
+            self.upcoming.insert((hour.record.due_ms, job_index));
         }
     }
 
@@ -78,18 +78,18 @@
     }
 
     /// Removes an hour.
-    pub(super) fn forget(&mut self, due_ms: u64, ix: JobIndex) {
-        self.upcoming.remove(&(due_ms, ix));
-        self.passed.remove(&(due_ms, ix));
+    pub(super) fn forget(&mut self, due_ms: u64, job_index: JobIndex) {
+        self.upcoming.remove(&(due_ms, job_index));
+        self.passed.remove(&(due_ms, job_index));
     }
 
     /// Determines whether a job's hour was kept, once the job's end is recorded.
-    pub fn ended(&mut self, job: &Job, ix: JobIndex, stage: Stage) {
+    pub fn ended(&mut self, job: &Job, job_index: JobIndex, stage: Stage) {
         let Some(hour) = &job.release_hour else {
             return;
         };
         let due = hour.record.due_ms;
-        self.forget(due, ix);
+        self.forget(due, job_index);
         let late = (hour.ended_ms > due).then(|| (hour.ended_ms - due) as f64 / 1000.0);
         let (state, late_s) = match (stage, late) {
             (Stage::Cancelled, _) => (State::Withdrawn, None),
@@ -196,8 +196,8 @@
     /// Sets new states of hours, and logs the first ones.
     pub(super) fn set_states(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
         let unlogged = changes.len().saturating_sub(MAX_LOGGED);
-        for (n, (ix, state)) in changes.into_iter().enumerate() {
-            let Some(job) = self.jobs.get_mut(ix) else {
+        for (n, (job_index, state)) in changes.into_iter().enumerate() {
+            let Some(job) = self.jobs.get_mut(job_index) else {
                 continue;
             };
             let Some(hour) = &mut job.release_hour else {
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -194,8 +194,8 @@
                 shard.claim_log.unrecorded_claims.push_back(id);
             }
         }
-        for ix in jobs {
-            self.job_changed(ix);
+        for job_index in jobs {
+            self.job_changed(job_index);
         }
     }
 
--- a/crates/control/src/leadership/lease.rs
+++ b/crates/control/src/leadership/lease.rs
@@ -48,7 +48,7 @@
 
     /// Whether this node may make decisions: it is the leader, its lease is valid and the shard's state is loaded.
     pub(crate) fn may_decide(&self) -> bool {
-        self.has_valid_lease() && self.shard.as_ref().is_some_and(|p| p.loaded)
+        self.has_valid_lease() && self.shard.as_ref().is_some_and(|shard| shard.loaded)
     }
 
     /// Renews the lease if a renewal is due and none is in flight.
--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -68,7 +68,7 @@
     /// Whether an answer to a worker's heartbeat may renew its lease now.
     pub(crate) fn may_renew_worker_leases(&self) -> bool {
         // Jobs that have not been read back yet may have been cancelled long ago.
-        let Some(shard) = self.shard.as_ref().filter(|p| p.loaded) else {
+        let Some(shard) = self.shard.as_ref().filter(|shard| shard.loaded) else {
             return false;
         };
         let Role::Leader(lease) = self.role else {
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -62,11 +62,11 @@
                 .shard
                 .as_ref()
                 .filter(|_| self.may_decide())
-                .map(|p| p.token),
+                .map(|shard| shard.token),
             hears_no_agents: self
                 .shard
                 .as_ref()
-                .is_some_and(|p| p.receives_no_heartbeats(now)),
+                .is_some_and(|shard| shard.receives_no_heartbeats(now)),
             down: self.state_served_at.is_none() || self.state_down(),
             spreads: self.leads() && self.is_spread(),
             delegation: None,
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -17,7 +17,7 @@
 
 /// What the leader sees when it checks a model.
 struct Observation {
-    ix: JobIndex,
+    job_index: JobIndex,
     rule: Rule,
     known: VersionedRecord,
     seen: Seen,
@@ -98,7 +98,7 @@
         let Observation { known, rule, .. } = &observation;
         if observation.is_asleep() {
             self.stop_replicas(
-                observation.ix,
+                observation.job_index,
                 known.record.replicas(rule, observation.tasks),
             );
         }
@@ -121,13 +121,13 @@
     /// What the leader sees of a model now; `None` unless a rule matches its job and the job is not ending.
     fn observe(&self, model: &str) -> Option<Observation> {
         let shard = self.shard.as_ref()?;
-        let ix = shard.jobs.index_of(model)?;
+        let job_index = shard.jobs.index_of(model)?;
         let job = shard
-            .job(ix)
+            .job(job_index)
             .filter(|job| job.ending == Ending::Undecided)?;
         let rule = self.models.rule(job.spec.as_ref()?)?;
         Some(Observation {
-            ix,
+            job_index,
             rule,
             known: self.models.known(model).unwrap_or_default(),
             seen: self.seen(job),
@@ -171,9 +171,11 @@
     }
 
     /// Stops all replicas but the first `keep` ones.
-    fn stop_replicas(&mut self, ix: JobIndex, keep: u32) {
+    fn stop_replicas(&mut self, job_index: JobIndex, keep: u32) {
         let Some(shard) = &mut self.shard else { return };
-        let Some(job) = shard.job(ix) else { return };
+        let Some(job) = shard.job(job_index) else {
+            return;
+        };
         let grace_s = job.spec.as_deref().map_or(0.0, grace_period_s);
         let surplus = surplus_tasks(job, keep);
         let machines: BTreeSet<usize> = job
@@ -183,12 +185,12 @@
             .flat_map(|(_, claims)| claims)
             .map(|(machine, _)| *machine)
             .collect();
-        for m in machines {
-            let Some(machine) = shard.machine_mut(m) else {
+        for machine_index in machines {
+            let Some(machine) = shard.machine_mut(machine_index) else {
                 continue;
             };
-            if stop_claims(machine, ix, &surplus, grace_s) {
-                shard.machines_with_orders.insert(m);
+            if stop_claims(machine, job_index, &surplus, grace_s) {
+                shard.machines_with_orders.insert(machine_index);
             }
         }
     }
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -186,10 +186,10 @@
     fn update_model_bindings(&mut self) {
         let Some(shard) = &self.shard else { return };
         let all: Vec<JobIndex> = (0..shard.jobs.slots())
-            .filter(|ix| shard.job(*ix).is_some())
+            .filter(|job_index| shard.job(*job_index).is_some())
             .collect();
-        for ix in all {
-            self.update_model_binding(ix);
+        for job_index in all {
+            self.update_model_binding(job_index);
         }
         let Some(shard) = &self.shard else { return };
         let leader_state = &mut self.models.leader_state;
@@ -203,16 +203,18 @@
     }
 
     /// Determines whether a job is a model, after the job was loaded or accepted or the rules have changed.
-    pub(crate) fn update_model_binding(&mut self, ix: JobIndex) {
+    pub(crate) fn update_model_binding(&mut self, job_index: JobIndex) {
         let Some(shard) = &mut self.shard else { return };
-        let Some(job) = shard.job(ix) else { return };
+        let Some(job) = shard.job(job_index) else {
+            return;
+        };
         let rule = job.spec.as_ref().and_then(|spec| self.models.rule(spec));
         if rule.is_none() && job.replicas.is_none() {
             return;
         }
         let id = job.id.clone();
         let Some(rule) = rule else {
-            if let Some(job) = shard.job_mut(ix) {
+            if let Some(job) = shard.job_mut(job_index) {
                 job.replicas = None;
             }
             shard.plan_triggers.request();
@@ -222,17 +224,17 @@
         let replicas = known
             .as_ref()
             .map_or(0, |known| known.record.replicas(&rule, job.tasks));
-        set_replicas(shard, ix, replicas);
+        set_replicas(shard, job_index, replicas);
         if let Some(known) = known {
             self.models.mark_for_check(&id);
-            self.restore_weights(ix, &known.record);
+            self.restore_weights(job_index, &known.record);
             self.retain_machines(&id, &rule, &known.record);
         }
     }
 
     /// Handles a change of a job, if the job is a model.
-    pub(crate) fn model_changed(&mut self, ix: JobIndex) {
-        let Some(job) = self.shard.as_ref().and_then(|shard| shard.job(ix)) else {
+    pub(crate) fn model_changed(&mut self, job_index: JobIndex) {
+        let Some(job) = self.shard.as_ref().and_then(|shard| shard.job(job_index)) else {
             return;
         };
         if job.replicas.is_none() {
@@ -247,12 +249,12 @@
     }
 }
 
-fn set_replicas(shard: &mut Shard, ix: JobIndex, replicas: u32) {
+fn set_replicas(shard: &mut Shard, job_index: JobIndex, replicas: u32) {
     if shard
-        .job(ix)
+        .job(job_index)
         .is_some_and(|job| job.replicas != Some(replicas))
     {
-        if let Some(job) = shard.job_mut(ix) {
+        if let Some(job) = shard.job_mut(job_index) {
             job.replicas = Some(replicas);
         }
         shard.plan_triggers.request();
--- a/crates/control/src/models/record_writes.rs
+++ b/crates/control/src/models/record_writes.rs
@@ -207,7 +207,7 @@
         let is_live = shard
             .jobs
             .index_of(&model)
-            .and_then(|ix| shard.job(ix))
+            .and_then(|job_index| shard.job(job_index))
             .is_some_and(|job| !job.is_end_recorded());
         let Some(record_version) = leader_state
             .records
--- a/crates/control/src/models/weights.rs
+++ b/crates/control/src/models/weights.rs
@@ -11,7 +11,7 @@
 
 impl Node {
     /// Takes from the record which machines hold a model's weights, for a leader that has not seen this itself.
-    pub(super) fn restore_weights(&mut self, ix: JobIndex, record: &Rec) {
+    pub(super) fn restore_weights(&mut self, job_index: JobIndex, record: &Rec) {
         let caches: HashMap<String, f64> = self
             .catalog()
             .map(|catalog| {
@@ -23,16 +23,16 @@
             })
             .unwrap_or_default();
         let Some(shard) = &mut self.shard else { return };
-        let Some(spec) = shard.job(ix).and_then(|job| job.spec.as_deref()) else {
+        let Some(spec) = shard.job(job_index).and_then(|job| job.spec.as_deref()) else {
             return;
         };
         let (image, image_gb) = (spec.image.clone(), spec.image_gb);
         let image = shard.images.get(&image);
         for name in record.near.iter().take(MAX_NEAR) {
-            let Some(m) = shard.machines.index_of(name) else {
+            let Some(machine_index) = shard.machines.index_of(name) else {
                 continue;
             };
-            let Some(machine) = shard.machine_mut(m) else {
+            let Some(machine) = shard.machine_mut(machine_index) else {
                 continue;
             };
             let cache_gb = caches.get(&machine.machine_type).copied().unwrap_or(0.0);
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -224,7 +224,7 @@
             self.catalog_tick();
         }
         self.recovery_tick();
-        if self.shard.as_ref().is_some_and(|p| p.loaded) {
+        if self.shard.as_ref().is_some_and(|shard| shard.loaded) {
             self.provisioning_tick();
             self.machines_tick();
             self.scheduling_tick();
--- a/crates/control/src/provisioning/listing.rs
+++ b/crates/control/src/provisioning/listing.rs
@@ -71,8 +71,8 @@
     /// Updates a known machine from its entry in the list, or adds one that is not known and was not returned lately.
     fn apply_listed_machine(&mut self, listed: ListedMachine) {
         let Some(shard) = &mut self.shard else { return };
-        if let Some(m) = shard.machines.index_of(&listed.name) {
-            let Some(machine) = shard.machine_mut(m) else {
+        if let Some(machine_index) = shard.machines.index_of(&listed.name) {
+            let Some(machine) = shard.machine_mut(machine_index) else {
                 return;
             };
             if machine.addr.is_none() {
--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -42,7 +42,7 @@
 
 impl Survey {
     /// Counts a machine that is known to be up, and decides whether to probe it.
-    fn add_known_up(&mut self, m: usize, machine: &Machine, now: u64, silent_ms: u64) {
+    fn add_known_up(&mut self, machine_index: usize, machine: &Machine, now: u64, silent_ms: u64) {
         let is_silent = now.saturating_sub(machine.heard_at) > silent_ms;
         let is_overdue = machine.is_heartbeat_overdue(now, silent_ms);
         // A machine counts as unreachable only if a probe had no answer. Machines that send no heartbeats but still
@@ -58,7 +58,7 @@
             return;
         };
         if now >= machine.probed_at + interval && machine.probe_in_flight.is_none() {
-            self.to_probe.push(m);
+            self.to_probe.push(machine_index);
         }
     }
 
@@ -107,11 +107,11 @@
         {
             return self.step_down_for_silence();
         }
-        for m in survey.unsent {
-            self.release_unsent_claims(m);
+        for machine_index in survey.unsent {
+            self.release_unsent_claims(machine_index);
         }
-        for m in survey.to_probe {
-            self.probe_or_return(m);
+        for machine_index in survey.to_probe {
+            self.probe_or_return(machine_index);
         }
     }
 
@@ -128,17 +128,17 @@
             return None;
         }
         let mut survey = Survey::default();
-        for (m, machine) in shard.machines.iter_mut().enumerate() {
+        for (machine_index, machine) in shard.machines.iter_mut().enumerate() {
             let Some(machine) = machine else { continue };
             let is_overdue = machine.is_heartbeat_overdue(now.mono, silent_ms);
             if (is_overdue || machine.to_be_returned) && machine.unsent_claims().next().is_some() {
-                survey.unsent.push(m);
+                survey.unsent.push(machine_index);
             }
             if machine.to_be_returned {
                 continue;
             }
             if machine.is_known_up() {
-                survey.add_known_up(m, machine, now.mono, silent_ms);
+                survey.add_known_up(machine_index, machine, now.mono, silent_ms);
             } else if never_came_up(machine, boot_s(catalog, machine), patience, now) {
                 log::info!("machine {}: did not come up, to be returned", machine.name);
                 machine.to_be_returned = true;
@@ -168,23 +168,29 @@
     }
 
     /// Releases the claims whose start was never sent, on a machine that receives no orders.
-    fn release_unsent_claims(&mut self, m: usize) {
-        let machine = self.shard.as_ref().and_then(|shard| shard.machine(m));
+    fn release_unsent_claims(&mut self, machine_index: usize) {
+        let machine = self
+            .shard
+            .as_ref()
+            .and_then(|shard| shard.machine(machine_index));
         let claims: Vec<usize> = machine
             .map(|x| x.unsent_claims().collect())
             .unwrap_or_default();
-        self.end_unsent_claims(m, &claims);
+        self.end_unsent_claims(machine_index, &claims);
     }
 
     /// Probes a machine for its heartbeat. One whose address is known neither from its worker nor from the cloud's list
     /// can't be probed, and is returned after a worker lease without a heartbeat.
-    fn probe_or_return(&mut self, m: usize) {
+    fn probe_or_return(&mut self, machine_index: usize) {
         let now = self.now.mono;
         let lease_ms = self.lease_ms();
-        let machine = self.shard.as_mut().and_then(|shard| shard.machine_mut(m));
+        let machine = self
+            .shard
+            .as_mut()
+            .and_then(|shard| shard.machine_mut(machine_index));
         let Some(machine) = machine else { return };
         if machine.addr.is_some() {
-            self.probe_machine(m);
+            self.probe_machine(machine_index);
         } else if now.saturating_sub(machine.heard_at) > lease_ms {
             log::warn!(
                 "machine {}: silent and without a known address, to be returned",
@@ -251,30 +257,37 @@
             .filter(|(_, m)| m.is_some_and(unheard));
         let max_probes = PROBES_PER_TICK.max(shard.machines.count().div_ceil(TICKS_TO_PROBE_ALL));
         let due: Vec<usize> = due.map(|(m, _)| m).take(max_probes).collect();
-        for m in due {
-            self.probe_machine(m);
+        for machine_index in due {
+            self.probe_machine(machine_index);
         }
     }
 
     /// Handles a probe that had no answer: a silent machine is to be returned. If its whole zone seems cut off, the
     /// machine is likely to come back, with its tasks if their leases have not ended by then. It is then returned only
     /// if it holds claims and the leases have ended, so that the tasks can be run elsewhere.
-    pub(crate) fn probe_failed(&mut self, m: usize) {
+    pub(crate) fn probe_failed(&mut self, machine_index: usize) {
         let now = self.now.mono;
         let silent_ms = self.silent_ms();
         let is_silent = |machine: &Machine| now.saturating_sub(machine.heard_at) > silent_ms;
-        let machine = self.shard.as_ref().and_then(|shard| shard.machine(m));
+        let machine = self
+            .shard
+            .as_ref()
+            .and_then(|shard| shard.machine(machine_index));
         if !machine.is_some_and(is_silent) {
             return;
         }
         self.survey_zones();
-        let Some(machine) = self.shard.as_ref().and_then(|shard| shard.machine(m)) else {
+        let Some(machine) = self
+            .shard
+            .as_ref()
+            .and_then(|shard| shard.machine(machine_index))
+        else {
             return;
         };
         let extension_ms = self.delegated_lease_extension_ms(&machine.zone, machine.heard_at);
         let lease_ms = self.lease_ms() + silent_ms + extension_ms;
         let Some(shard) = &mut self.shard else { return };
-        let Some(machine) = shard.machines.get_mut(m) else {
+        let Some(machine) = shard.machines.get_mut(machine_index) else {
             return;
         };
         let may_come_back = shard.zones.may_be_cut_off(&machine.zone);
--- a/crates/control/src/provisioning/returns.rs
+++ b/crates/control/src/provisioning/returns.rs
@@ -54,22 +54,22 @@
             return;
         }
         let mut changed = BTreeSet::new();
-        for m in machines {
-            changed.extend(self.machine_returned(m));
+        for machine_index in machines {
+            changed.extend(self.machine_returned(machine_index));
         }
-        for ix in changed {
-            self.job_changed(ix);
+        for job_index in changed {
+            self.job_changed(job_index);
         }
     }
 
     /// Removes a returned machine. The cloud's confirmation proves that all its tasks have ended. The result is the set
     /// of jobs that had claims there.
-    fn machine_returned(&mut self, m: usize) -> BTreeSet<JobIndex> {
+    fn machine_returned(&mut self, machine_index: usize) -> BTreeSet<JobIndex> {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else {
             return BTreeSet::new();
         };
-        let Some(machine) = shard.machine(m) else {
+        let Some(machine) = shard.machine(machine_index) else {
             return BTreeSet::new();
         };
         log::info!("machine {}: returned", machine.name);
@@ -77,9 +77,9 @@
         let ended = (0..machine.claims.len()).map(EndedClaim::unexplained);
         let ended = ended.collect();
         shard.returned.add(name, now);
-        let changed = self.end_claims(m, ended);
+        let changed = self.end_claims(machine_index, ended);
         if let Some(shard) = &mut self.shard {
-            shard.remove_machine(m);
+            shard.remove_machine(machine_index);
         }
         changed
     }
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -165,8 +165,8 @@
 /// The number of a job's claimed tasks in each zone.
 fn tasks_by_zone(job: &Job, zone_of: &[Option<u16>]) -> Vec<(u16, u32)> {
     let mut by_zone: Vec<(u16, u32)> = Vec::new();
-    for (m, _) in job.claimed.values().flatten() {
-        let Some(Some(zone)) = zone_of.get(*m) else {
+    for (machine_index, _) in job.claimed.values().flatten() {
+        let Some(Some(zone)) = zone_of.get(*machine_index) else {
             continue;
         };
         match by_zone.iter_mut().find(|(z, _)| z == zone) {
--- a/crates/control/src/scheduling/plan_machines.rs
+++ b/crates/control/src/scheduling/plan_machines.rs
@@ -32,13 +32,13 @@
     }
 
     pub(super) fn add_machines(&mut self) {
-        for m in 0..self.shard.machines.slots() {
-            let Some((machine, claims)) = self.planner_machine(m) else {
+        for machine_index in 0..self.shard.machines.slots() {
+            let Some((machine, claims)) = self.planner_machine(machine_index) else {
                 continue;
             };
             self.machine_index
-                .insert(m, self.input.machines.len() as u32);
-            self.index.machines.push(m);
+                .insert(machine_index, self.input.machines.len() as u32);
+            self.index.machines.push(machine_index);
             self.index.claims.push(claims);
             self.input.machines.push(machine);
         }
@@ -46,9 +46,9 @@
 
     /// The planner's form of a machine, and the positions of the claims behind its running tasks. `None` if its type or
     /// zone is unknown.
-    fn planner_machine(&mut self, m: usize) -> Option<(plan::Machine, Vec<usize>)> {
+    fn planner_machine(&mut self, machine_index: usize) -> Option<(plan::Machine, Vec<usize>)> {
         let now = self.now;
-        let machine = self.shard.machines.get(m)?;
+        let machine = self.shard.machines.get(machine_index)?;
         let type_index = *self.names.types.get(machine.machine_type.as_str())?;
         let machine_type = &self.names.catalog.types[usize::from(type_index)];
         let zone = *self.names.zones.get(machine.zone.as_str())?;
--- a/crates/control/src/scheduling/scaling.rs
+++ b/crates/control/src/scheduling/scaling.rs
@@ -185,8 +185,8 @@
             .filter(|m| !kept.contains(m))
             .filter(|m| is_idle(shard, *m, now, idle_ms))
             .collect();
-        for m in returned {
-            if let Some(machine) = shard.machines.get_mut(m) {
+        for machine_index in returned {
+            if let Some(machine) = shard.machines.get_mut(machine_index) {
                 log::info!("machine {}: idle, will be returned", machine.name);
                 machine.to_be_returned = true;
             }
@@ -195,8 +195,8 @@
 }
 
 /// Whether a machine has been idle for `idle_ms` and may be returned.
-fn is_idle(shard: &Shard, m: usize, now: u64, idle_ms: u64) -> bool {
-    shard.machine(m).is_some_and(|machine| {
+fn is_idle(shard: &Shard, machine_index: usize, now: u64, idle_ms: u64) -> bool {
+    shard.machine(machine_index).is_some_and(|machine| {
         machine.up
             && machine.claims.is_empty()
             && !has_unrecorded_result(shard, machine)
--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -111,12 +111,12 @@
         self.shared.token = token;
         self.shared.highest_token = self.shared.highest_token.max(token);
         self.shared.token_version = self.shared.token_version.max(revision);
-        for (m, machine) in shard.machines.iter().enumerate() {
+        for (machine_index, machine) in shard.machines.iter().enumerate() {
             if machine
                 .as_ref()
                 .is_some_and(|x| x.unanswered_command.is_some())
             {
-                shard.machines_with_orders.insert(m);
+                shard.machines_with_orders.insert(machine_index);
             }
         }
     }
--- a/crates/control/src/store/inventory_split.rs
+++ b/crates/control/src/store/inventory_split.rs
@@ -53,9 +53,9 @@
         record_sizes::inventory_entry(&machine.name) + kind
     }
 
-    fn add(&mut self, number: usize, machine: &Machine) {
+    fn add(&mut self, machine_index: usize, machine: &Machine) {
         self.size += self.added_by(machine);
-        self.machines.push(number);
+        self.machines.push(machine_index);
         let entry = (machine.name.clone(), machine.rented_ms);
         match self.record.kinds.iter_mut().find(|k| is_kind(k, machine)) {
             Some(kind) => kind.machines.push(entry),
@@ -108,14 +108,14 @@
     ) -> Vec<InventoryPiece> {
         let machines = || indices.iter().filter_map(|m| Some((*m, self.machine(*m)?)));
         let mut whole = InventoryPiece::default();
-        for (m, machine) in machines() {
-            whole.add(m, machine);
+        for (machine_index, machine) in machines() {
+            whole.add(machine_index, machine);
         }
         if record_sizes::length(&whole.record) <= max_bytes {
             return vec![whole];
         }
         let mut pieces = vec![InventoryPiece::default()];
-        for (m, machine) in machines() {
+        for (machine_index, machine) in machines() {
             let full = |p: &InventoryPiece| {
                 !p.machines.is_empty() && p.size + p.added_by(machine) > max_bytes
             };
@@ -123,7 +123,7 @@
                 pieces.push(InventoryPiece::default());
             }
             if let Some(piece) = pieces.last_mut() {
-                piece.add(m, machine);
+                piece.add(machine_index, machine);
             }
         }
         pieces
@@ -134,8 +134,8 @@
         let sizes = machines.iter().filter_map(|m| self.machine(*m));
         let size: usize = sizes.map(|m| m.size).sum();
         let number = self.claim_log.split_inventory_shard(from, machines, size);
-        for m in machines {
-            if let Some(machine) = self.machine_mut(*m) {
+        for machine_index in machines {
+            if let Some(machine) = self.machine_mut(*machine_index) {
                 machine.inventory_shard = number;
             }
         }
@@ -144,8 +144,8 @@
 
     /// Moves all machines of an inventory shard that was not recorded back to the shard they came from.
     pub fn undo_inventory_split(&mut self, number: u64, from: u64) {
-        for m in self.claim_log.merge_inventory_shard(number, from) {
-            if let Some(machine) = self.machine_mut(m) {
+        for machine_index in self.claim_log.merge_inventory_shard(number, from) {
+            if let Some(machine) = self.machine_mut(machine_index) {
                 machine.inventory_shard = from;
             }
         }
@@ -153,9 +153,9 @@
 
     /// Assigns a machine that is to be recorded to an inventory shard, where lengths are computed exactly. Returns
     /// the shard's number.
-    pub fn assign_inventory_shard_exact(&mut self, m: usize) -> u64 {
+    pub fn assign_inventory_shard_exact(&mut self, machine_index: usize) -> u64 {
         let limit = self.limits.value_bytes().saturating_sub(RECORD_OVERHEAD);
-        let Some(machine) = self.machine(m) else {
+        let Some(machine) = self.machine(machine_index) else {
             return 0;
         };
         let entry = record_sizes::inventory_entry(&machine.name);
@@ -174,9 +174,10 @@
         } else {
             entry + kind
         };
-        if let Some(machine) = self.machine_mut(m) {
+        if let Some(machine) = self.machine_mut(machine_index) {
             machine.size = size;
         }
-        self.claim_log.assign_inventory_shard(m, size, limit)
+        self.claim_log
+            .assign_inventory_shard(machine_index, size, limit)
     }
 }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -390,7 +390,7 @@
         let recorded = self
             .shard
             .as_ref()
-            .and_then(|p| p.allotment.current())
+            .and_then(|shard| shard.allotment.current())
             .map_or(0, |a| a.tree);
         let value = self.write_limits.value_bytes();
         AllotmentRecord::whole(
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -44,7 +44,10 @@
         self.stats.refused_writes += 1;
         if self.refusals.logged.insert(kind) {
             let (value, changes) = (self.write_limits.value_kb(), self.write_limits.changes());
-            let pending_size = self.shard.as_ref().map_or((0, 0), |p| p.commit.size());
+            let pending_size = self
+                .shard
+                .as_ref()
+                .map_or((0, 0), |shard| shard.commit.size());
             log::error!(
                 "{kind}: refused by the state service with 400: {what}; current limits are values of {value} KiB and \
                  {changes} changes per transaction; the leader's transaction has {} changes in {} bytes",
