--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -498,23 +498,16 @@
     }
 
     /// Stops a job's tasks on one machine; those of a gang on all, since they end together.
-    pub(crate) fn stop_on_machine(
-        &mut self,
-        job_index: JobIndex,
-        machine_index: usize,
-        grace_s: f64,
-    ) {
+    pub(crate) fn stop_on_machine(&mut self, index: JobIndex, machine_index: usize, grace_s: f64) {
         let Some(shard) = &mut self.shard else { return };
-        let Some(job) = shard.job(job_index) else {
-            return;
-        };
+        let Some(job) = shard.job(index) else { return };
         let machines: BTreeSet<usize> = if job.kind() == Kind::Gang {
             job.machines()
         } else {
             BTreeSet::from([machine_index])
         };
         for machine_index in machines {
-            shard.stop_job(job_index, machine_index, grace_s);
+            shard.stop_job(index, machine_index, grace_s);
         }
     }
 }
--- a/crates/control/src/documents/hours/listing.rs
+++ b/crates/control/src/documents/hours/listing.rs
@@ -33,7 +33,7 @@
 impl Entry<'_> {
     /// The entry of a job that has not ended; `None` if it has no hour.
     fn of_job(job: &Job, due_ms: u64, wall: u64) -> Option<Entry<'_>> {
-        let (hour, spec) = (job.release_hour.as_ref()?, job.spec.as_ref()?);
+        let (hour, spec) = (job.hour.as_ref()?, job.spec.as_ref()?);
         let is_missed = hour.state == State::Missed;
         Some(Entry {
             job: &job.id,
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -228,7 +228,7 @@
 }
 
 fn is_due_at(job: &Job, due_ms: u64) -> bool {
-    job.release_hour
+    job.hour
         .as_ref()
         .is_some_and(|hour| hour.record.due_ms == due_ms)
 }
@@ -244,13 +244,10 @@
     let studio = calendar.studio_of(&job.team).unwrap_or_default();
     let local = |ms| calendar.local(studio, ms);
     let from = job
-        .release_hour
+        .hour
         .as_ref()
         .map_or_else(|| "none".to_owned(), |h| local(h.record.due_ms));
-    let before = job
-        .release_hour
-        .as_ref()
-        .and_then(|h| h.record.moved.as_ref());
+    let before = job.hour.as_ref().and_then(|h| h.record.moved.as_ref());
     let before = before
         .map(|m| format!(" (moved by {} before)", m.by))
         .unwrap_or_default();
@@ -310,7 +307,7 @@
 
 impl HourMove {
     fn record(&self, job: &Job, at_ms: u64) -> HourRecord {
-        let from_ms = job.release_hour.as_ref().map_or(0, |h| h.record.due_ms);
+        let from_ms = job.hour.as_ref().map_or(0, |h| h.record.due_ms);
         let moved = MovedRecord {
             by: self.by.clone(),
             at_ms,
@@ -337,7 +334,7 @@
         let record = hour_move.record(job, wall);
         let from_ms = record.moved.as_ref().map_or(0, |m| m.from_ms);
         job.version = revision;
-        job.release_hour = Some(ReleaseHour::new(record));
+        job.hour = Some(ReleaseHour::new(record));
         let job = shard.jobs.get(hour_move.job_index);
         shard.hours.forget(from_ms, hour_move.job_index);
         if let Some(job) = job {
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -73,10 +73,7 @@
 ) -> BTreeMap<JobIndex, Planned> {
     let mut planned: BTreeMap<JobIndex, Planned> = BTreeMap::new();
     for (index, job_index) in jobs.iter().enumerate() {
-        if shard
-            .job(*job_index)
-            .is_some_and(|job| job.release_hour.is_some())
-        {
+        if shard.job(*job_index).is_some_and(|job| job.hour.is_some()) {
             let planned_job = planned.entry(*job_index).or_default();
             planned_job.pending += input.jobs[index].pending;
             planned_job.index = index;
@@ -105,7 +102,7 @@
 impl Assessment<'_> {
     /// The state of a job's hour; `None` if it does not change any more.
     fn state(&self, job: &Job, planned: &Planned) -> Option<State> {
-        let (hour, spec) = (job.release_hour.as_ref()?, job.spec.as_ref()?);
+        let (hour, spec) = (job.hour.as_ref()?, job.spec.as_ref()?);
         if hour.state == State::Missed || job.is_ending() {
             return None;
         }
@@ -207,14 +204,12 @@
                 .any(|m| !m.up && !m.to_be_returned && !m.failed),
         };
         let mut changes = Vec::new();
-        for (job_index, planned) in planned_jobs(shard, input, output, jobs) {
-            let Some(job) = shard.job(job_index) else {
-                continue;
-            };
+        for (ix, planned) in planned_jobs(shard, input, output, jobs) {
+            let Some(job) = shard.job(ix) else { continue };
             let state = assessment.state(job, &planned);
-            let known = job.release_hour.as_ref().map(|hour| hour.state);
+            let known = job.hour.as_ref().map(|hour| hour.state);
             if let Some(state) = state.filter(|state| Some(*state) != known) {
-                changes.push((job_index, state));
+                changes.push((ix, state));
             }
         }
         shard.set_states(changes, wall);
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -67,7 +67,7 @@
 impl DeadlineWatch {
     /// Adds the hour of a job, if it has one.
     pub fn add(&mut self, job: &Job, job_index: JobIndex) {
-        if let Some(hour) = &job.release_hour {
+        if let Some(hour) = &job.hour {
             self.upcoming.insert((hour.record.due_ms, job_index));
         }
     }
@@ -85,9 +85,7 @@
 
     /// Determines whether a job's hour was kept, once the job's end is recorded.
     pub fn ended(&mut self, job: &Job, job_index: JobIndex, stage: Stage) {
-        let Some(hour) = &job.release_hour else {
-            return;
-        };
+        let Some(hour) = &job.hour else { return };
         let due = hour.record.due_ms;
         self.forget(due, job_index);
         let late = (hour.ended_ms > due).then(|| (hour.ended_ms - due) as f64 / 1000.0);
@@ -142,7 +140,7 @@
 
 /// The hour in the record of a job's end.
 pub(crate) fn record_end_of_hour(job: &mut Job, ended_ms: u64) -> Option<EndHourRecord> {
-    let hour = job.release_hour.as_mut()?;
+    let hour = job.hour.as_mut()?;
     hour.ended_ms = ended_ms;
     Some(EndHourRecord {
         due_ms: hour.record.due_ms,
@@ -200,9 +198,7 @@
             let Some(job) = self.jobs.get_mut(job_index) else {
                 continue;
             };
-            let Some(hour) = &mut job.release_hour else {
-                continue;
-            };
+            let Some(hour) = &mut job.hour else { continue };
             hour.state = state;
             if n < MAX_LOGGED {
                 log::info!(
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -51,25 +51,23 @@
 
     /// Follows up on a change of a job: stops the remaining tasks of a broken gang, and removes an ended job without
     /// claims from memory.
-    pub(crate) fn job_changed(&mut self, job_index: JobIndex) {
+    pub(crate) fn job_changed(&mut self, ix: JobIndex) {
         self.may_have_changes = true;
-        self.model_changed(job_index);
+        self.model_changed(ix);
         let Some(shard) = &mut self.shard else { return };
         shard.plan_triggers.request();
-        shard.queue_job_write(job_index);
-        let Some(job) = shard.job_mut(job_index) else {
-            return;
-        };
+        shard.queue_job_write(ix);
+        let Some(job) = shard.job_mut(ix) else { return };
         if job.kind() == Kind::Gang && !job.is_ending() {
             job.is_gang_broken = !job.claimed.is_empty() && !job.has_whole_gang_claimed();
         }
         if job.must_stop_tasks() || job.is_gang_broken {
             for machine_index in job.machines() {
-                shard.stop_job(job_index, machine_index, 0.0);
+                shard.stop_job(ix, machine_index, 0.0);
             }
         }
-        shard.update_cancelled_with_claims(job_index);
-        shard.maybe_forget_job(job_index);
+        shard.update_cancelled_with_claims(ix);
+        shard.maybe_forget_job(ix);
     }
 
     /// Handles a cancellation on the leader.
@@ -82,12 +80,10 @@
         }
         self.may_have_changes = true;
         let Some(shard) = &mut self.shard else { return };
-        let Some(job_index) = shard.jobs.index_of(id) else {
+        let Some(ix) = shard.jobs.index_of(id) else {
             return self.cancel_unknown(requester, id);
         };
-        let Some(job) = shard.job_mut(job_index) else {
-            return;
-        };
+        let Some(job) = shard.job_mut(ix) else { return };
         match job.ending {
             // Only claims are left of this job here, and whether it was done or cancelled is not known. The record
             // decides, so that a cancelled job is not reported as done.
@@ -108,8 +104,8 @@
             return self.answer_undecided(requester);
         }
         job.waiters.push(requester);
-        shard.update_cancelled_with_claims(job_index);
-        shard.queue_job_write(job_index);
+        shard.update_cancelled_with_claims(ix);
+        shard.queue_job_write(ix);
     }
 
     /// Releases all requesters that wait for a job's end once the leader's lease is no longer valid. A pending write of
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -78,7 +78,7 @@
     /// For the job of a model: how many of its tasks may exist now. Only [`crate::models`] sets it.
     pub replicas: Option<u32>,
     /// The job's release time, if it has one.
-    pub release_hour: Option<Box<crate::documents::hours::ReleaseHour>>,
+    pub hour: Option<Box<crate::documents::hours::ReleaseHour>>,
 }
 
 /// State of an accepted job about which nothing else is known.
@@ -105,7 +105,7 @@
         job.done = vec![0; spec.tasks.div_ceil(64) as usize];
         job.at_ms = rec.at_ms;
         job.county = rec.county;
-        job.release_hour = rec.hour.map(crate::documents::hours::ReleaseHour::new);
+        job.hour = rec.hour.map(crate::documents::hours::ReleaseHour::new);
         job.version = version;
         job.ending = Ending::Undecided;
         job.spec = Some(Box::new(spec));
@@ -143,7 +143,7 @@
             changed_since_plan: false,
             was_running_at_plan: false,
             replicas: None,
-            release_hour: None,
+            hour: None,
         }
     }
 
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -171,11 +171,9 @@
     }
 
     /// Stops all replicas but the first `keep` ones.
-    fn stop_replicas(&mut self, job_index: JobIndex, keep: u32) {
+    fn stop_replicas(&mut self, index: JobIndex, keep: u32) {
         let Some(shard) = &mut self.shard else { return };
-        let Some(job) = shard.job(job_index) else {
-            return;
-        };
+        let Some(job) = shard.job(index) else { return };
         let grace_s = job.spec.as_deref().map_or(0.0, grace_period_s);
         let surplus = surplus_tasks(job, keep);
         let machines: BTreeSet<usize> = job
@@ -189,7 +187,7 @@
             let Some(machine) = shard.machine_mut(machine_index) else {
                 continue;
             };
-            if stop_claims(machine, job_index, &surplus, grace_s) {
+            if stop_claims(machine, index, &surplus, grace_s) {
                 shard.machines_with_orders.insert(machine_index);
             }
         }
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -203,18 +203,16 @@
     }
 
     /// Determines whether a job is a model, after the job was loaded or accepted or the rules have changed.
-    pub(crate) fn update_model_binding(&mut self, job_index: JobIndex) {
+    pub(crate) fn update_model_binding(&mut self, index: JobIndex) {
         let Some(shard) = &mut self.shard else { return };
-        let Some(job) = shard.job(job_index) else {
-            return;
-        };
+        let Some(job) = shard.job(index) else { return };
         let rule = job.spec.as_ref().and_then(|spec| self.models.rule(spec));
         if rule.is_none() && job.replicas.is_none() {
             return;
         }
         let id = job.id.clone();
         let Some(rule) = rule else {
-            if let Some(job) = shard.job_mut(job_index) {
+            if let Some(job) = shard.job_mut(index) {
                 job.replicas = None;
             }
             shard.plan_triggers.request();
@@ -224,10 +222,10 @@
         let replicas = known
             .as_ref()
             .map_or(0, |known| known.record.replicas(&rule, job.tasks));
-        set_replicas(shard, job_index, replicas);
+        set_replicas(shard, index, replicas);
         if let Some(known) = known {
             self.models.mark_for_check(&id);
-            self.restore_weights(job_index, &known.record);
+            self.restore_weights(index, &known.record);
             self.retain_machines(&id, &rule, &known.record);
         }
     }
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -96,16 +96,14 @@
         leader_state.records.insert(model.to_owned(), known.clone());
         leader_state.to_check.insert(model.to_owned());
         let Some(shard) = &mut self.shard else { return };
-        let Some(job_index) = shard.jobs.index_of(model) else {
-            return;
-        };
-        let Some(job) = shard.job(job_index) else {
+        let Some(index) = shard.jobs.index_of(model) else {
             return;
         };
+        let Some(job) = shard.job(index) else { return };
         let Some(rule) = job.spec.as_ref().and_then(|spec| self.models.rule(spec)) else {
             return;
         };
-        set_replicas(shard, job_index, known.record.replicas(&rule, job.tasks));
+        set_replicas(shard, index, known.record.replicas(&rule, job.tasks));
     }
 
     /// Requests changes of records after the last known revision.
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -91,7 +91,7 @@
             };
             let part = objectives.with_deadline(part, spec, &self.entitlement, job_index);
             self.index.jobs.push(job_index);
-            self.input.jobs.push(match &job.release_hour {
+            self.input.jobs.push(match &job.hour {
                 Some(hour) => hour.cap_deadline(part, spec, self.names.catalog, now.wall),
                 None => part,
             });
