--- a/crates/control/src/agents/commands.rs
+++ b/crates/control/src/agents/commands.rs
@@ -47,7 +47,7 @@
         let via = machine.via.is_some();
         let body = wire::encode(&Orders {
             token,
-            agent_epoch: Some(machine.seen.0),
+            agent_epoch: Some(machine.newest_message.0),
             orders,
         });
         let what = Pending::DirectCommand {
@@ -97,7 +97,7 @@
                 // it, rules that out. Until then no exited task is reaped, a task missing from a heartbeat does not
                 // count as gone, and no new task is placed on this machine.
                 log::info!("machine {}: no response to a direct command", machine.name);
-                machine.unanswered_command = Some((token, machine.seen.0));
+                machine.unanswered_command = Some((token, machine.newest_message.0));
                 shard.raise_token = true;
             }
         }
@@ -122,7 +122,7 @@
             token,
             // Most agents are in their first epoch, having never lost their lease. If this one is not, its rejection
             // carries the current epoch.
-            agent_epoch: Some(machine.seen.0.max(1)),
+            agent_epoch: Some(machine.newest_message.0.max(1)),
             orders,
         });
         let what = Pending::Probe {
--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -22,7 +22,7 @@
     /// The leader has been unable to confirm its own lease for longer than it may still renew the leases of workers.
     LeaseUncertain,
     /// The worker reports a token that no leader can have held.
-    ImpossibleToken,
+    ImplausibleToken,
     /// The worker reports a higher token, and the leader raises its own above it.
     RaisingToken,
     /// The worker follows a later leader.
@@ -36,7 +36,7 @@
             HeartbeatRefusal::LeaseUncertain => {
                 "the leader could not confirm its lease for too long"
             }
-            HeartbeatRefusal::ImpossibleToken => "the token was never issued",
+            HeartbeatRefusal::ImplausibleToken => "the token was never issued",
             HeartbeatRefusal::RaisingToken => "the leader is raising its token",
             HeartbeatRefusal::SteppedDown => "no longer the leader",
         })
@@ -142,7 +142,7 @@
                 .as_mut()
                 .and_then(|shard| shard.machine_mut(machine_index))
         {
-            machine.unacknowledged_start = Some(machine.seen);
+            machine.unacknowledged_start = Some(machine.newest_message);
         }
     }
 
@@ -164,7 +164,7 @@
             return false;
         };
         let sequence = (heartbeat.agent_epoch, heartbeat.seq);
-        if sequence > machine.seen {
+        if sequence > machine.newest_message {
             machine.via = via;
             machine.heartbeat_at = now;
             // The worker reports our token, which it did not know at its first heartbeat: it has heard from us since,
@@ -186,7 +186,7 @@
         if self.has_valid_lease() {
             // A corrupt value from one worker must neither exhaust the token counter nor depose a valid leader.
             if token >= FIRST_IMPLAUSIBLE_TOKEN {
-                return HeartbeatRefusal::ImpossibleToken;
+                return HeartbeatRefusal::ImplausibleToken;
             }
             self.shared.token = self.shared.token.max(token);
             if let Some(shard) = &mut self.shard {
--- a/crates/control/src/agents/machine.rs
+++ b/crates/control/src/agents/machine.rs
@@ -130,7 +130,7 @@
     /// lease.
     pub heartbeat_at: u64,
     /// Agent epoch and sequence number of the newest message.
-    pub seen: (u64, u64),
+    pub newest_message: (u64, u64),
     /// When the cloud reclaims the machine, if it has given notice.
     pub reclaim_at: Option<u64>,
     pub claims: Vec<Claim>,
@@ -179,7 +179,7 @@
             unconfirmed_token: None,
             heard_at: 0,
             heartbeat_at: 0,
-            seen: (0, 0),
+            newest_message: (0, 0),
             reclaim_at: None,
             claims: Vec::new(),
             exited: Vec::new(),
--- a/crates/control/src/agents/orders.rs
+++ b/crates/control/src/agents/orders.rs
@@ -25,7 +25,7 @@
 }
 
 /// Builds the start order for a claimed task and marks it as sent.
-fn start(claim: &mut Claim, job: &Job, agent_epoch: u64) -> Order {
+fn start_order(claim: &mut Claim, job: &Job, agent_epoch: u64) -> Order {
     claim.sent = true;
     claim.agent_epoch = agent_epoch;
     Order::Start {
@@ -34,7 +34,7 @@
     }
 }
 
-fn stop(claim: &Claim, job: &Job, grace_s: f64) -> Order {
+fn stop_order(claim: &Claim, job: &Job, grace_s: f64) -> Order {
     Order::Stop {
         task: ids::task_name(&job.id, claim.task),
         attempt: claim.attempt,
@@ -44,7 +44,7 @@
 
 /// Builds the stop order for a started task unless one was sent lately. While the task saves, the order is repeated
 /// only if the grace period is 0.
-fn stop_if_due(claim: &mut Claim, job: &Job, grace_s: f64, now: u64) -> Option<Order> {
+fn stop_order_if_due(claim: &mut Claim, job: &Job, grace_s: f64, now: u64) -> Option<Order> {
     let is_told = claim
         .stop_sent
         .is_some_and(|at| claim.stage == Some(TaskStage::Saving) || at + STOP_RETRY_MS > now);
@@ -56,13 +56,13 @@
         return None;
     }
     claim.stop_sent = Some(now);
-    Some(stop(claim, job, grace_s))
+    Some(stop_order(claim, job, grace_s))
 }
 
 impl Shard {
     /// Reap orders for the exited tasks that the worker may forget: those without a claim whose success, if any,
     /// is recorded.
-    fn reaps(&self, machine_index: usize) -> Vec<Order> {
+    fn reap_orders(&self, machine_index: usize) -> Vec<Order> {
         let Some(machine) = self.machine(machine_index) else {
             return Vec::new();
         };
@@ -111,7 +111,7 @@
         let may_start = !has_unanswered_command
             && !machine.to_be_returned
             && !machine.is_heartbeat_overdue(now, silent);
-        let agent_epoch = machine.seen.0;
+        let agent_epoch = machine.newest_message.0;
         let mut orders = Vec::new();
         let mut unsent = Vec::new();
         for (position, claim) in machine.claims.iter_mut().enumerate() {
@@ -121,15 +121,15 @@
             };
             match claim.stop {
                 Some(_) if !claim.sent => unsent.push(position),
-                Some(grace_s) => orders.extend(stop_if_due(claim, job, grace_s, now)),
+                Some(grace_s) => orders.extend(stop_order_if_due(claim, job, grace_s, now)),
                 None if may_start && is_startable(claim, job) => {
-                    orders.push(start(claim, job, agent_epoch));
+                    orders.push(start_order(claim, job, agent_epoch));
                 }
                 None => {}
             }
         }
         if !has_unanswered_command {
-            orders.extend(shard.reaps(machine_index));
+            orders.extend(shard.reap_orders(machine_index));
         }
         self.end_unsent_claims(machine_index, &unsent);
         orders.truncate(MAX_ORDERS);
@@ -151,7 +151,7 @@
         let stop_if_cancelled = |claim: &Claim| {
             let job = shard.job(claim.job);
             let job = job.filter(|job| claim.sent && job.is_cancelled_or_ended_before_term())?;
-            Some(stop(claim, job, 0.0))
+            Some(stop_order(claim, job, 0.0))
         };
         machine
             .claims
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -72,7 +72,7 @@
         let Some(machine) = self.machines.get_mut(machine_index) else {
             return;
         };
-        machine.seen = (heartbeat.agent_epoch, heartbeat.seq);
+        machine.newest_message = (heartbeat.agent_epoch, heartbeat.seq);
         machine.heard_at = now;
         // A worker ignores replies to heartbeats of an earlier agent epoch. While a worker only responds to
         // commands, a new epoch is the only proof that the start can't be executed any more.
@@ -107,7 +107,12 @@
     }
 
     /// Notes when the cloud reclaims the machine, if the heartbeat says so. Returns true if that was not known before.
-    fn note_notice(&mut self, machine_index: usize, heartbeat: &Heartbeat, now: u64) -> bool {
+    fn note_reclaim_notice(
+        &mut self,
+        machine_index: usize,
+        heartbeat: &Heartbeat,
+        now: u64,
+    ) -> bool {
         let Some(machine) = self.machine_mut(machine_index) else {
             return false;
         };
@@ -382,12 +387,12 @@
         let Some(machine) = shard.machine_mut(machine_index) else {
             return false;
         };
-        if (heartbeat.agent_epoch, heartbeat.seq) <= machine.seen {
+        if (heartbeat.agent_epoch, heartbeat.seq) <= machine.newest_message {
             return false;
         }
         shard.note_contact(machine_index, heartbeat, now);
         let proves_absence = shard.proves_absence(machine_index, heartbeat);
-        let has_new_notice = shard.note_notice(machine_index, heartbeat, now);
+        let has_new_notice = shard.note_reclaim_notice(machine_index, heartbeat, now);
         let mut comparison = shard.compare_listed(machine_index, heartbeat, catalog, now);
         if proves_absence {
             shard.find_absent(machine_index, heartbeat.agent_epoch, &mut comparison);
@@ -396,7 +401,7 @@
         changed.extend(shard.complete_finished(comparison.finished));
         changed.extend(self.end_claims(machine_index, comparison.ended));
         if has_new_notice {
-            self.drain_for_notice(machine_index);
+            self.drain_before_reclaim(machine_index);
         }
         for job_index in changed {
             self.job_changed(job_index);
@@ -473,7 +478,7 @@
 
     /// Drains a machine that the cloud is about to reclaim: stops the tasks that can save, that have not begun to run
     /// or that would not end in time, so that they can start elsewhere.
-    fn drain_for_notice(&mut self, machine_index: usize) {
+    fn drain_before_reclaim(&mut self, machine_index: usize) {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
         let Some(machine) = shard.machine(machine_index) else {
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -52,7 +52,7 @@
 
 impl Node {
     /// Whether heartbeats and commands may be relayed by peers.
-    pub(crate) fn relays(&self) -> bool {
+    pub(crate) fn may_relay(&self) -> bool {
         self.tuning.relays > 0.0
     }
 
@@ -66,7 +66,7 @@
         let now = self.now.mono;
         let leader = self.leader_peer().zip(self.leader_token());
         let Some((node, token)) =
-            leader.filter(|_| self.relays() && now >= self.relay.paused_until)
+            leader.filter(|_| self.may_relay() && now >= self.relay.paused_until)
         else {
             return false;
         };
@@ -208,7 +208,7 @@
 
     /// Forwards a command from the leader to a worker that sends its heartbeats to this node.
     pub(crate) fn relay_command(&mut self, conn: u64, machine: &str, addr: &str, body: Vec<u8>) {
-        let is_served = self.relay.ways.serves(self.now.mono, machine) && self.relays();
+        let is_served = self.relay.ways.serves(self.now.mono, machine) && self.may_relay();
         match addr.parse::<SocketAddr>() {
             Ok(addr) if is_served => {
                 self.post_command(
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -48,7 +48,7 @@
 impl Node {
     /// Whether workers send their heartbeats to any controller, according to the leader's last status.
     pub(crate) fn is_spread(&self) -> bool {
-        self.routing.is_spread && self.relays()
+        self.routing.is_spread && self.may_relay()
     }
 
     /// Notes whether heartbeats are spread, according to the leader's status. The value is kept while the leader
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -357,10 +357,10 @@
             cursor: PageCursor::default(),
             all_decoded: true,
         });
-        self.read_sheets();
+        self.read_counter_sheets();
     }
 
-    fn read_sheets(&mut self) {
+    fn read_counter_sheets(&mut self) {
         let term = self.term;
         let Some(reading) = self
             .shard
@@ -376,7 +376,7 @@
     }
 
     /// Handles a page of sheets; `None` if there was no answer.
-    pub(crate) fn sheets_received(&mut self, response: Option<Response>) {
+    pub(crate) fn counter_sheets_received(&mut self, response: Option<Response>) {
         let now = self.now.mono;
         let page = self.read_state::<Range<serde_json::Value>>(response);
         let Some(shard) = &mut self.shard else { return };
@@ -386,7 +386,7 @@
         };
         match shard.county_counts.page_read(page) {
             None => {}
-            Some(true) => self.read_sheets(),
+            Some(true) => self.read_counter_sheets(),
             Some(false) => {
                 let all_decoded = shard.county_counts.stop_reading(now + UNREADABLE_RETRY_MS);
                 let releasable = shard.county_counts.counts.reading_over(all_decoded);
--- a/crates/control/src/documents/hours/mod.rs
+++ b/crates/control/src/documents/hours/mod.rs
@@ -11,7 +11,7 @@
 mod watch;
 
 pub(crate) use moving::HourMove;
-pub(crate) use watch::{DeadlineWatch, ReleaseHour, record_end_of_hour};
+pub(crate) use watch::{ReleaseHour, ReleaseHourWatch, record_end_of_hour};
 
 use crate::Node;
 use crate::documents::{ActiveVersion, Document, Documents, Kind, KindId};
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -57,7 +57,7 @@
 
 /// A job's part in a plan.
 #[derive(Default)]
-struct Planned {
+struct PlannedJob {
     pending: u32,
     started: u32,
     /// The job's index in the plan's input; the last one if it has several.
@@ -70,8 +70,8 @@
     input: &plan::Input,
     output: &plan::Output,
     jobs: &[JobIndex],
-) -> BTreeMap<JobIndex, Planned> {
-    let mut planned: BTreeMap<JobIndex, Planned> = BTreeMap::new();
+) -> BTreeMap<JobIndex, PlannedJob> {
+    let mut planned: BTreeMap<JobIndex, PlannedJob> = BTreeMap::new();
     for (index, job_index) in jobs.iter().enumerate() {
         if shard.job(*job_index).is_some_and(|job| job.hour.is_some()) {
             let planned_job = planned.entry(*job_index).or_default();
@@ -101,7 +101,7 @@
 
 impl Assessment<'_> {
     /// The state of a job's hour; `None` if it does not change any more.
-    fn state(&self, job: &Job, planned: &Planned) -> Option<State> {
+    fn state(&self, job: &Job, planned: &PlannedJob) -> Option<State> {
         let (hour, spec) = (job.hour.as_ref()?, job.spec.as_ref()?);
         if hour.state == State::Missed || job.is_ending() {
             return None;
@@ -116,7 +116,7 @@
     }
 
     /// Estimated seconds until the job is done, with as many tasks at a time as are placed now.
-    fn needed_s(&self, spec: &JobSpec, planned: &Planned, placed_tasks: u32) -> f64 {
+    fn needed_s(&self, spec: &JobSpec, planned: &PlannedJob, placed_tasks: u32) -> f64 {
         let later_rounds = planned
             .pending
             .saturating_sub(planned.started)
@@ -133,7 +133,7 @@
     }
 
     /// Why an hour can't be kept.
-    fn risk(&self, job: &Job, spec: &JobSpec, planned: &Planned, placed_tasks: u32) -> Risk {
+    fn risk(&self, job: &Job, spec: &JobSpec, planned: &PlannedJob, placed_tasks: u32) -> Risk {
         let planned = &self.input.jobs[planned.index];
         if self.is_cut_off(spec) {
             Risk::Cut
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -49,7 +49,7 @@
 
 /// The hours of the shard's jobs.
 #[derive(Default)]
-pub(crate) struct DeadlineWatch {
+pub(crate) struct ReleaseHourWatch {
     /// Jobs that have not ended and whose hour is in the future, by hour.
     pub(super) upcoming: BTreeSet<(u64, JobIndex)>,
     /// Likewise, those whose hour has passed.
@@ -64,7 +64,7 @@
     pub(super) waiting_operators: BTreeSet<u64>,
 }
 
-impl DeadlineWatch {
+impl ReleaseHourWatch {
     /// Adds the hour of a job, if it has one.
     pub fn add(&mut self, job: &Job, job_index: JobIndex) {
         if let Some(hour) = &job.hour {
--- a/crates/control/src/jobs/answers.rs
+++ b/crates/control/src/jobs/answers.rs
@@ -48,7 +48,7 @@
     pub(crate) fn cancel_unknown(&mut self, requester: Requester, job: &str) {
         match requester {
             Requester::User(_) => {
-                let question = self.question(requester, job.to_owned(), Purpose::Cancel);
+                let question = self.new_question(requester, job.to_owned(), Purpose::Cancel);
                 self.read_job(question)
             }
             Requester::Peer(conn) => self.answer_peer(conn, &PeerResponse::Unknown),
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -42,7 +42,7 @@
                 self.answer_state(Requester::User(conn), state)
             }
             Some(PeerResponse::Unknown) => {
-                let question = self.question(Requester::User(conn), job, Purpose::Cancel);
+                let question = self.new_question(Requester::User(conn), job, Purpose::Cancel);
                 self.read_job(question)
             }
             _ => self.refuse(conn, 503, "the owner does not answer"),
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -33,7 +33,7 @@
             PeerRequest::Cancel { job } => self.cancel(&job, Requester::Peer(conn)),
             PeerRequest::Submit { spec } => self.submit(Requester::Peer(conn), *spec),
             PeerRequest::Lookup { job, past_leader } => {
-                let question = self.question(Requester::Peer(conn), job, Purpose::Query);
+                let question = self.new_question(Requester::Peer(conn), job, Purpose::Query);
                 self.query(Question {
                     past_leader,
                     ..question
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -65,7 +65,12 @@
 
 impl Node {
     /// A question that is asked now.
-    pub(crate) fn question(&self, requester: Requester, job: String, purpose: Purpose) -> Question {
+    pub(crate) fn new_question(
+        &self,
+        requester: Requester,
+        job: String,
+        purpose: Purpose,
+    ) -> Question {
         let wait_ms = if matches!(requester, Requester::User(_)) {
             USER_DEADLINE_MS
         } else {
@@ -83,7 +88,7 @@
 
     /// Looks up a job's state for a requester.
     pub(crate) fn query_for(&mut self, requester: Requester, id: String, purpose: Purpose) {
-        let question = self.question(requester, id, purpose);
+        let question = self.new_question(requester, id, purpose);
         self.query(question);
     }
 
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -40,7 +40,9 @@
             return;
         }
         let now = self.now.mono;
-        if !self.models.leader_state.watching && now >= self.models.leader_state.next_watch_at {
+        if !self.models.leader_state.watch_in_flight
+            && now >= self.models.leader_state.next_watch_at
+        {
             self.watch_models();
         }
         if now < self.models.leader_state.checked_at + CHECK_INTERVAL_MS {
--- a/crates/control/src/models/mod.rs
+++ b/crates/control/src/models/mod.rs
@@ -108,7 +108,7 @@
     /// Machines that are retained for a model, and until when.
     retained_machines: BTreeMap<String, (u64, Vec<String>)>,
     revision: u64,
-    watching: bool,
+    watch_in_flight: bool,
     next_watch_at: u64,
     /// Models whose jobs are over, so that their records have to be removed.
     ended_models: BTreeSet<String>,
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -109,7 +109,7 @@
     /// Requests changes of records after the last known revision.
     pub(super) fn watch_models(&mut self) {
         let term = self.term;
-        self.models.leader_state.watching = true;
+        self.models.leader_state.watch_in_flight = true;
         let from = self.models.leader_state.revision;
         let path = format!("/changes?under={}&from={from}&waitMs=5000", records::MODELS);
         self.get_state(path, WATCH_TIMEOUT_MS, Pending::ModelWatch { term });
@@ -119,7 +119,7 @@
     pub(crate) fn model_changes_received(&mut self, response: Option<Response>) {
         let retry = self.now.mono + self.rng.u64(100..400);
         let leader_state = &mut self.models.leader_state;
-        leader_state.watching = false;
+        leader_state.watch_in_flight = false;
         leader_state.next_watch_at = retry;
         let Some(response) = response else { return };
         if response.status == 410 {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -77,7 +77,7 @@
     pub(crate) load_shedding: load_shedding::LoadShedding,
     /// The leader's delegation to renew workers' leases.
     pub(crate) delegation: Option<lease_delegate::Delegation>,
-    pub(crate) catalog_at: u64,
+    pub(crate) next_catalog_read_at: u64,
     /// When this node last gave up leadership because it heard nothing from most machines.
     pub(crate) stepped_down_for_silence_at: Option<u64>,
     /// Whether there may be changes to write. If not, only ticks check for them.
@@ -133,7 +133,7 @@
             plan_pacing: plan_pacing::PlanPacing::default(),
             load_shedding: load_shedding::LoadShedding::default(),
             delegation: None,
-            catalog_at: 0,
+            next_catalog_read_at: 0,
             stepped_down_for_silence_at: None,
             may_have_changes: false,
             has_other_frontend: false,
@@ -361,7 +361,7 @@
             Pending::Catalog => self.catalog_received(response),
             Pending::Load { step, .. } => self.load_received(step, response),
             Pending::Audit { record_set, .. } => self.audit_received(record_set, response),
-            Pending::CounterSheets { .. } => self.sheets_received(response),
+            Pending::CounterSheets { .. } => self.counter_sheets_received(response),
             Pending::Models { .. } => self.models_received(response),
             Pending::ModelWatch { .. } => self.model_changes_received(response),
             Pending::ModelWrite { model, .. } => self.model_written(model, response),
@@ -373,7 +373,7 @@
             Pending::ProbeOutcome { .. } => self.outcome_probe_answered(response),
             Pending::List { .. } => self.list_received(response),
             Pending::RentMachines { name, .. } => self.rental_answered(name, response),
-            Pending::ReturnMachines { machines, .. } => self.returns_received(machines, response),
+            Pending::ReturnMachines { machines, .. } => self.return_answered(machines, response),
             Pending::DirectCommand {
                 machine,
                 serial,
--- a/crates/control/src/provisioning/catalog.rs
+++ b/crates/control/src/provisioning/catalog.rs
@@ -17,10 +17,10 @@
     /// Requests the catalog if that is due and the cloud request budget allows it.
     pub(crate) fn catalog_tick(&mut self) {
         let now = self.now.mono;
-        if now < self.catalog_at || !self.cloud.try_take(now, REQUEST_COST) {
+        if now < self.next_catalog_read_at || !self.cloud.try_take(now, REQUEST_COST) {
             return;
         }
-        self.catalog_at = now + CATALOG_INTERVAL_MS;
+        self.next_catalog_read_at = now + CATALOG_INTERVAL_MS;
         self.send_cloud_request("GET", "/catalog".into(), Vec::new(), Pending::Catalog);
     }
 
@@ -30,7 +30,7 @@
             .filter(|r| r.status == 200)
             .and_then(|r| self.decode_answer::<Catalog>("cloud", &r));
         let Some(mut catalog) = catalog else {
-            self.catalog_at = self.now.mono + self.rng.u64(RETRY_DELAY_MS);
+            self.next_catalog_read_at = self.now.mono + self.rng.u64(RETRY_DELAY_MS);
             return;
         };
         catalog.types.truncate(MAX_TYPES);
--- a/crates/control/src/provisioning/mod.rs
+++ b/crates/control/src/provisioning/mod.rs
@@ -21,7 +21,7 @@
         let has_valid_lease = self.has_valid_lease();
         let Some(shard) = &mut self.shard else { return };
         if shard.live_watch.is_due(now) {
-            self.watch_live();
+            self.watch_live_jobs();
         }
         if !has_valid_lease {
             return;
--- a/crates/control/src/provisioning/rentals.rs
+++ b/crates/control/src/provisioning/rentals.rs
@@ -49,7 +49,7 @@
             Rental {
                 record: rec,
                 version: 0,
-                busy: false,
+                in_flight: false,
                 retry_at: 0,
                 state: RentalState::New,
             },
@@ -61,7 +61,7 @@
         let (now, term) = (self.now.mono, self.term);
         let Some(shard) = &self.shard else { return };
         let is_due = |rental: &Rental| {
-            rental.state == RentalState::Recorded && !rental.busy && rental.retry_at <= now
+            rental.state == RentalState::Recorded && !rental.in_flight && rental.retry_at <= now
         };
         let due: Vec<(String, RentalRecord)> = shard
             .rentals
@@ -78,7 +78,7 @@
                 .as_mut()
                 .and_then(|shard| shard.rentals.get_mut(&name))
             {
-                rental.busy = true;
+                rental.in_flight = true;
             }
             let body = wire::encode(&HireRequest {
                 request: name.clone(),
@@ -102,7 +102,7 @@
             return;
         };
         self.may_have_changes = true;
-        rental.busy = false;
+        rental.in_flight = false;
         let rec = rental.record.clone();
         match answer {
             RentalAnswer::Granted(machines) => {
--- a/crates/control/src/provisioning/returns.rs
+++ b/crates/control/src/provisioning/returns.rs
@@ -19,7 +19,7 @@
     pub(super) fn send_returns(&mut self) {
         let (now, term) = (self.now.mono, self.term);
         let Some(shard) = &mut self.shard else { return };
-        if !shard.cloud_calls.may_delete(now) {
+        if !shard.cloud_calls.may_return_machines(now) {
             return;
         }
         let machines: Vec<usize> = (0..shard.machines.slots())
@@ -33,7 +33,7 @@
         if machines.is_empty() || !self.cloud.try_take(now, REQUEST_COST) {
             return;
         }
-        shard.cloud_calls.deletion_sent();
+        shard.cloud_calls.return_sent();
         let names = machines
             .iter()
             .filter_map(|m| Some(shard.machine(*m)?.name.clone()))
@@ -44,13 +44,13 @@
     }
 
     /// Handles the cloud's answer to a return of machines, or its absence.
-    pub(crate) fn returns_received(&mut self, machines: Vec<usize>, response: Option<Response>) {
+    pub(crate) fn return_answered(&mut self, machines: Vec<usize>, response: Option<Response>) {
         let now = self.now.mono;
         let wait = self.rng.u64(RETRY_DELAY_MS);
         let Some(shard) = &mut self.shard else { return };
-        shard.cloud_calls.deletion_ended();
+        shard.cloud_calls.return_ended();
         if response.is_none_or(|r| r.status != 200) {
-            shard.cloud_calls.retry_deletion_at(now + wait);
+            shard.cloud_calls.retry_return_at(now + wait);
             return;
         }
         let mut changed = BTreeSet::new();
--- a/crates/control/src/scheduling/apply_plan.rs
+++ b/crates/control/src/scheduling/apply_plan.rs
@@ -33,7 +33,7 @@
                 .or_insert_with(|| shard.next_attempt());
             let job = planned.index.jobs[start.job as usize];
             let machine = planned.index.machines[start.machine as usize];
-            self.start(job, machine, start.count, attempt);
+            self.claim_tasks(job, machine, start.count, attempt);
         }
     }
 
@@ -61,7 +61,7 @@
 
     /// Creates claims for tasks of a job; their starts are sent once the claims are recorded. All have the same attempt
     /// number, by which the tasks of a gang find each other.
-    fn start(&mut self, job_index: JobIndex, machine_index: usize, count: u32, attempt: u64) {
+    fn claim_tasks(&mut self, job_index: JobIndex, machine_index: usize, count: u32, attempt: u64) {
         let Some(shard) = &mut self.shard else { return };
         for _ in 0..count {
             let Some(task) = shard
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -221,7 +221,8 @@
     /// results.
     pub(super) fn put_log_record(&mut self, shard: &mut Shard) {
         let ended = self.counts.take();
-        let mut builder = LogRecordBuilder::new(shard.next_log(), ended, self.write_limits());
+        let mut builder =
+            LogRecordBuilder::new(shard.next_log_number(), ended, self.write_limits());
         if !self.add_unrecorded_claims(shard, &mut builder) {
             return;
         }
--- a/crates/control/src/store/cloud_calls.rs
+++ b/crates/control/src/store/cloud_calls.rs
@@ -28,30 +28,30 @@
     pub listing: Listing,
     /// Whether the catalog has changed and is to be recorded.
     pub catalog_dirty: bool,
-    deletion_busy: bool,
-    deletion_retry_at: u64,
+    return_in_flight: bool,
+    return_retry_at: u64,
     refused: HashMap<MachineKind, Refusal>,
 }
 
 impl CloudCalls {
     /// Whether machines may be returned now: no such request is in flight or waiting to be retried.
-    pub fn may_delete(&self, now: u64) -> bool {
-        !self.deletion_busy && now >= self.deletion_retry_at
+    pub fn may_return_machines(&self, now: u64) -> bool {
+        !self.return_in_flight && now >= self.return_retry_at
     }
 
     /// Records that a request to return machines was sent.
-    pub fn deletion_sent(&mut self) {
-        self.deletion_busy = true;
+    pub fn return_sent(&mut self) {
+        self.return_in_flight = true;
     }
 
     /// Records that a request to return machines was answered or timed out.
-    pub fn deletion_ended(&mut self) {
-        self.deletion_busy = false;
+    pub fn return_ended(&mut self) {
+        self.return_in_flight = false;
     }
 
     /// Sets the time of the next attempt after a request to return machines failed.
-    pub fn retry_deletion_at(&mut self, at: u64) {
-        self.deletion_retry_at = at;
+    pub fn retry_return_at(&mut self, at: u64) {
+        self.return_retry_at = at;
     }
 
     /// Whether a kind was refused so recently that it is not requested.
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -6,7 +6,7 @@
 
 use crate::jobs::job::JobIndex;
 use crate::leadership::election::SHARD;
-use crate::store::transaction::{PendingWrite, Probe, TransactionDraft};
+use crate::store::transaction::{OutcomeProbe, PendingWrite, TransactionDraft};
 use crate::{Destination, Node, Pending};
 use std::ops;
 use wire::api::{Conflict, Item, Revision, Transaction};
@@ -31,7 +31,7 @@
     pending_writes: Vec<PendingWrite>,
     /// The encoded transaction; empty if there is none.
     body: Vec<u8>,
-    probe: Option<Probe>,
+    probe: Option<OutcomeProbe>,
     in_flight: bool,
     /// An attempt was not answered: it may have been applied, or may be applied later.
     outcome_unknown: bool,
--- a/crates/control/src/store/live_jobs.rs
+++ b/crates/control/src/store/live_jobs.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct LiveWatch {
     revision: u64,
-    busy: bool,
+    in_flight: bool,
     retry_at: u64,
 }
 
@@ -28,7 +28,7 @@
 
     /// Whether a watch request is to be sent.
     pub fn is_due(&self, now: u64) -> bool {
-        !self.busy && now >= self.retry_at
+        !self.in_flight && now >= self.retry_at
     }
 
     /// Sets the revision from which changes are watched: that of the first page read during recovery, as everything
@@ -40,11 +40,11 @@
     }
 
     fn begin(&mut self) {
-        self.busy = true;
+        self.in_flight = true;
     }
 
     fn ended(&mut self, retry_at: u64) {
-        self.busy = false;
+        self.in_flight = false;
         self.retry_at = retry_at;
     }
 
@@ -54,7 +54,7 @@
 }
 
 impl Node {
-    pub(crate) fn watch_live(&mut self) {
+    pub(crate) fn watch_live_jobs(&mut self) {
         let term = self.term;
         let Some(shard) = &mut self.shard else { return };
         shard.live_watch.begin();
@@ -97,6 +97,6 @@
         if let Some(shard) = &mut self.shard {
             shard.live_watch.advance_to(changes.revision);
         }
-        self.watch_live();
+        self.watch_live_jobs();
     }
 }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -430,7 +430,7 @@
         for job in all {
             self.job_changed(job);
         }
-        self.watch_live();
+        self.watch_live_jobs();
     }
 
     pub(crate) fn add_accepted_job(&mut self, record: JobRecord, version: u64) {
--- a/crates/control/src/store/rental.rs
+++ b/crates/control/src/store/rental.rs
@@ -7,7 +7,7 @@
     pub record: RentalRecord,
     pub version: u64,
     /// Whether the request is in flight.
-    pub busy: bool,
+    pub in_flight: bool,
     pub retry_at: u64,
     pub state: RentalState,
 }
@@ -18,7 +18,7 @@
         Rental {
             record,
             version,
-            busy: false,
+            in_flight: false,
             retry_at: 0,
             state: RentalState::Recorded,
         }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -3,7 +3,7 @@
 use crate::Requester;
 use crate::agents::machine::Machine;
 use crate::documents::county_counts::CountyCounts;
-use crate::documents::hours::DeadlineWatch;
+use crate::documents::hours::ReleaseHourWatch;
 use crate::jobs::class::ClassStatistics;
 use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::lease_bound::Attestations;
@@ -91,7 +91,7 @@
     /// Use and demand in the quota tree, with the tree's version.
     pub quota_usage: Option<(u64, QuotaUsage)>,
     /// Release hours of the shard's jobs.
-    pub hours: DeadlineWatch,
+    pub hours: ReleaseHourWatch,
     /// Counts of jobs by county.
     pub county_counts: CountyCounts,
 }
@@ -128,7 +128,7 @@
             changed_since_plan: Vec::new(),
             cancelled_with_claims: BTreeSet::new(),
             quota_usage: None,
-            hours: DeadlineWatch::default(),
+            hours: ReleaseHourWatch::default(),
             county_counts: CountyCounts::new(limits.value_bytes()),
         }
     }
@@ -154,7 +154,7 @@
     }
 
     /// The number of a new log record, unique in the same way as attempt numbers.
-    pub fn next_log(&mut self) -> u64 {
+    pub fn next_log_number(&mut self) -> u64 {
         self.next_attempt()
     }
 
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -57,7 +57,7 @@
 
 /// A key that shows whether a transaction whose answer was lost has been applied.
 #[derive(Clone)]
-pub(crate) struct Probe {
+pub(crate) struct OutcomeProbe {
     pub key: String,
     pub version_before: u64,
     /// Whether the transaction removes the key.
@@ -77,7 +77,7 @@
     pub pending_writes: Vec<PendingWrite>,
     pub(super) conditions: Vec<Condition>,
     pub(super) writes: Vec<Write>,
-    pub(super) probe: Option<Probe>,
+    pub(super) probe: Option<OutcomeProbe>,
     size: usize,
     limits: TransactionLimits,
     /// Counts of the jobs that the transaction ends, for its log record.
@@ -146,7 +146,7 @@
         // A written record is preferred to a removed one as the probe, because it also shows at which revision the
         // transaction was applied.
         if self.probe.as_ref().is_none_or(|p| p.removed) {
-            self.probe = Some(Probe {
+            self.probe = Some(OutcomeProbe {
                 key: key.clone(),
                 version_before: version,
                 removed: false,
@@ -166,7 +166,7 @@
     /// Removes a record, on condition that it is at this version.
     pub fn remove(&mut self, key: String, version: u64) {
         if self.probe.is_none() {
-            self.probe = Some(Probe {
+            self.probe = Some(OutcomeProbe {
                 key: key.clone(),
                 version_before: version,
                 removed: true,
