--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -77,7 +77,7 @@
         }
         match self.leader_name().filter(|o| *o != self.settings.node) {
             Some(node) => self.redirect(conn, node),
-            None => self.refuse(conn, 503, "no leader is known yet"),
+            None => self.refuse(conn, 503, "no leader is known"),
         }
     }
 
@@ -209,7 +209,7 @@
             return None;
         }
         log::info!(
-            "machine {}: heartbeats unexpectedly, taken in",
+            "machine {}: sent a heartbeat but was not known, added",
             heartbeat.machine
         );
         let mut machine = Machine::unrecorded(
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -116,7 +116,7 @@
     pub(super) fn activate(&mut self, active: ActiveVersion<K::Content>) {
         let (name, size) = (K::Content::NAME, K::Content::size(&active.built));
         log::info!(
-            "{name}: version {} is in force here, with {size}",
+            "{name}: version {} is now in force on this node, with {size}",
             active.version
         );
         self.active = Some(active);
--- a/crates/control/src/documents/operator_api.rs
+++ b/crates/control/src/documents/operator_api.rs
@@ -25,7 +25,7 @@
             self.refuse_operator(
                 conn,
                 503,
-                refusal("the leader is still loading, or its lease is not certain"),
+                refusal("the leader is still recovering, or its lease may have expired"),
             );
         } else {
             for_kind!(kind, K => self.serve::<K>(conn, &request.body));
@@ -70,7 +70,7 @@
             None => self.refuse_operator(
                 conn,
                 503,
-                refusal("the leader does not answer; a change may have been made"),
+                refusal("the leader does not respond; a change may have been made"),
             ),
         }
     }
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -216,7 +216,7 @@
         } = submission;
         if retries >= MAX_RETRIES || now >= started_at + RETRY_WINDOW_MS {
             // An earlier attempt may have been accepted; a retry by the requester gets the outcome.
-            return self.answer_error(requester, 503, "state service not available");
+            return self.answer_error(requester, 503, "the state service is not available");
         }
         let due = now + self.rng.u64(RETRY_DELAY_MS);
         self.retries.push_back((
@@ -268,7 +268,7 @@
             (Some(409), _) => self.query_for(requester, submission.spec.id, Purpose::Resubmission),
             (Some(429 | 503), _) => self.retry_accept_later(submission),
             // The job may have been accepted; a retry by the requester gets the outcome.
-            _ => self.answer_error(requester, 503, "state service not available"),
+            _ => self.answer_error(requester, 503, "the state service is not available"),
         }
     }
 
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -27,7 +27,7 @@
             return self.answer_state(Requester::User(conn), state);
         }
         let Some(peer) = self.leader_peer() else {
-            return self.refuse(conn, 503, "no owner now");
+            return self.refuse(conn, 503, "no leader is known");
         };
         let request = PeerRequest::Cancel { job: id.clone() };
         let what = Pending::PeerCancel { conn, job: id };
@@ -45,7 +45,7 @@
                 let question = self.new_question(Requester::User(conn), job, Purpose::Cancel);
                 self.read_job(question)
             }
-            _ => self.refuse(conn, 503, "the owner does not answer"),
+            _ => self.refuse(conn, 503, "the leader does not respond"),
         }
     }
 
--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -48,7 +48,7 @@
             Infeasible::FitsNoMachineType => "fits no allowed machine type",
             Infeasible::FitsNoMachineTypeInCounty => "fits no machine type in its county's zones",
             Infeasible::CannotSpread => "its tasks are to be spread, and may be in one zone only",
-            Infeasible::RecordTooLarge => "too large with what would be agreed for it",
+            Infeasible::RecordTooLarge => "too large with the data that would be bound to it",
         };
         f.write_str(text)
     }
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -153,7 +153,7 @@
         let Some(peer) = target else {
             self.stats.unanswered +=
                 u64::from(matches!(*forwarded.request, PeerRequest::Lookup { .. }));
-            return self.refuse(forwarded.conn, 503, "state service not available");
+            return self.refuse(forwarded.conn, 503, "the state service is not available");
         };
         self.stats.forwarded += 1;
         let body = peer::encode(&*forwarded.request);
@@ -197,7 +197,7 @@
             Some(PeerResponse::Refused { status, why }) => {
                 self.refused_by_peer(&forwarded, answer_mark, status, &why)
             }
-            _ => self.refuse(conn, 503, "state service not available"),
+            _ => self.refuse(conn, 503, "the state service is not available"),
         }
     }
 
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -86,7 +86,7 @@
     /// Handles a peer's status, and answers with this node's status and the lease delegation for the peer.
     fn exchange_peer_status(&mut self, conn: u64, status: PeerStatus) {
         let Some(peer) = self.store_peer_status(status) else {
-            let why = "peer status: unknown node, or an impossible token";
+            let why = "peer status: unknown node, or an implausible token";
             return self.refuse(conn, 400, why);
         };
         let status = PeerStatus {
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -292,7 +292,7 @@
             .filter(|_| matches!(status, None | Some(503)))
         {
             Some(conn) => self.forward_lookup(conn, question),
-            None => self.refuse_unanswered(&question, "state service not available"),
+            None => self.refuse_unanswered(&question, "the state service is not available"),
         }
     }
 
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -176,12 +176,12 @@
         match self {
             Pending::Commit { .. } => Some("the leader's transaction"),
             Pending::Accept { .. } => Some("an acceptance"),
-            Pending::WriteLeaderRecord { .. } => Some("a take-over"),
+            Pending::WriteLeaderRecord { .. } => Some("the leader record"),
             Pending::ModelWrite { .. } => Some("a model's record"),
             Pending::WakeUp {
                 step: wake_up::WakeUpStep::Write,
                 ..
-            } => Some("a wake"),
+            } => Some("a wake-up"),
             _ => None,
         }
     }
--- a/crates/control/src/store/write_rate.rs
+++ b/crates/control/src/store/write_rate.rs
@@ -75,7 +75,7 @@
         let (reduced, changed) = self.write_rate.update(self.now.mono);
         if changed {
             log::info!(
-                "state service: {} changes a second are taken to be borne",
+                "state service: assuming that it accepts {} changes per second",
                 if reduced { "fewer" } else { "all" }
             );
             self.set_write_rate(self.share_of_writes());
