--- a/crates/control/src/agents/commands.rs
+++ b/crates/control/src/agents/commands.rs
@@ -120,8 +120,8 @@
         let via = machine.via.is_some();
         let body = wire::encode(&Orders {
             token,
-            // Most agents are in their first epoch, having never lost their lease. If this one is not, its rejection
-            // carries the current epoch.
+            // Most workers are in their first agent epoch, having never lost their lease. If this one is not, its
+            // rejection carries the current epoch.
             agent_epoch: Some(machine.newest_message.0.max(1)),
             orders,
         });
--- a/crates/control/src/agents/mod.rs
+++ b/crates/control/src/agents/mod.rs
@@ -1,5 +1,5 @@
-//! Communication with the agents on worker machines: heartbeats, the orders sent in reply, direct commands, and
-//! relaying by other controllers.
+//! Communication with workers, the agents that run on the machines: heartbeats, the orders sent in reply, direct
+//! commands, and relaying by other controllers.
 
 pub(crate) mod commands;
 pub(crate) mod heartbeat;
--- a/crates/control/src/agents/reconciliation.rs
+++ b/crates/control/src/agents/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciles the tasks that an agent lists with the recorded claims.
+//! Reconciles the tasks that a worker lists with the recorded claims.
 //!
 //! A claim ends only on proof that its task is gone and can't be started again. A task's absence from a heartbeat is
 //! such proof only while no message is in flight that could still start it.
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -55,7 +55,7 @@
     spec.image_gb / rates.fold(0.01, f64::max)
 }
 
-/// A job's part in a plan.
+/// A job's tasks in a plan.
 #[derive(Default)]
 struct PlannedJob {
     pending: u32,
@@ -64,7 +64,7 @@
     index: usize,
 }
 
-/// The parts of jobs with hours in a plan.
+/// The planned tasks of jobs with release hours.
 fn planned_jobs(
     shard: &Shard,
     input: &plan::Input,
@@ -95,7 +95,7 @@
     catalog: &'a Catalog,
     zones: &'a [String],
     wall: u64,
-    /// Whether a machine was requested and has not reported yet.
+    /// Whether a machine was rented and is not up yet.
     has_booting_machine: bool,
 }
 
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of deadlines: which hours are upcoming or have passed, and the state of each.
+//! Tracks release hours: which are upcoming or have passed, and the state of each.
 
 use crate::Node;
 use crate::documents::hours::HourMove;
@@ -15,7 +15,7 @@
 /// The most changes of state that are logged one by one at a time; of the others, only the number is logged.
 const MAX_LOGGED: usize = 20;
 
-/// A job's hour in the leader's memory.
+/// A job's release hour in the leader's memory.
 #[derive(Debug, Clone)]
 pub(crate) struct ReleaseHour {
     /// The hour in the job's record.
@@ -47,7 +47,7 @@
     pub(super) late_s: Option<f64>,
 }
 
-/// The hours of the shard's jobs.
+/// The release hours of the shard's jobs.
 #[derive(Default)]
 pub(crate) struct ReleaseHourWatch {
     /// Jobs that have not ended and whose hour is in the future, by hour.
--- a/crates/control/src/frontend.rs
+++ b/crates/control/src/frontend.rs
@@ -401,6 +401,6 @@
     pub zone: &'a str,
     /// The number of claims on it.
     pub tasks: usize,
-    /// Whether it has reported.
+    /// Whether its worker has sent a heartbeat.
     pub up: bool,
 }
--- a/crates/control/src/jobs/answer_history.rs
+++ b/crates/control/src/jobs/answer_history.rs
@@ -13,7 +13,7 @@
 }
 
 impl FinalStates {
-    /// A cache of at most `cap` states.
+    /// A cache of at most `capacity` states.
     pub fn new(capacity: usize) -> Self {
         FinalStates {
             known: HashMap::new(),
--- a/crates/control/src/jobs/answers.rs
+++ b/crates/control/src/jobs/answers.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Answers that this node can neither tell nor decide anything at present.
+    /// Answers that this node can neither give the state of the job nor decide about it at present.
     pub(crate) fn answer_undecided(&mut self, requester: Requester) {
         match requester {
             Requester::User(conn) => self.refuse(conn, 503, "cannot be decided at present"),
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -44,8 +44,7 @@
     /// Done tasks, as a bitmap.
     done: Vec<u64>,
     pub done_count: u32,
-    /// The lowest task that has never been handed out by [`Job::next_task`]; all above it are free too unless done or
-    /// claimed.
+    /// The lowest task that [`Job::next_task`] has never returned; all above it are free too unless done or claimed.
     first_never_assigned: u32,
     /// Tasks below `first_never_assigned` that are free again after losing their claims.
     freed: BTreeSet<u32>,
--- a/crates/control/src/leadership/peer_status.rs
+++ b/crates/control/src/leadership/peer_status.rs
@@ -15,7 +15,7 @@
 const MAX_AGE_MS: u64 = 3000;
 /// A node counts as served by the state service if it was answered within this time: a watch is answered every 5 s.
 const STATE_CONTACT_MS: u64 = 6500;
-/// Bound on plausible tokens: the state service's counter does not get this high, so any such token is invalid.
+/// Tokens from this one on are implausible: the state service's counter does not get this high.
 pub(crate) const FIRST_IMPLAUSIBLE_TOKEN: u64 = 1 << 31;
 
 /// The latest status of each peer and when it was received.
--- a/crates/control/src/leadership/shared_state.rs
+++ b/crates/control/src/leadership/shared_state.rs
@@ -44,6 +44,7 @@
 /// The watched state as far as this controller knows it.
 #[derive(Default)]
 pub(crate) struct SharedState {
+    /// Whether everything was read and is kept up to date by watches; if not, the next request is a full read.
     pub is_current: bool,
     pub revision: u64,
     pub leader: Option<ObservedLeader>,
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -51,6 +51,8 @@
     pub(crate) role: Role,
     pub(crate) incarnation: incarnation::Incarnation,
     pub(crate) announced_leader: Option<AnnouncedLeader>,
+    /// Incremented whenever this node becomes or ceases to be the leader. Answers to requests of an earlier term are
+    /// ignored.
     pub(crate) term: u64,
     pub(crate) shard: Option<Shard>,
     /// Remaining budget of requests and writes to the state service.
@@ -77,6 +79,7 @@
     pub(crate) load_shedding: load_shedding::LoadShedding,
     /// The leader's delegation to renew workers' leases.
     pub(crate) delegation: Option<lease_delegate::Delegation>,
+    /// When the catalog of machine types is next requested from the cloud.
     pub(crate) next_catalog_read_at: u64,
     /// When this node last gave up leadership because it heard nothing from most machines.
     pub(crate) stepped_down_for_silence_at: Option<u64>,
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -42,7 +42,7 @@
     LiveWatch { term: u64 },
     /// The leader's transaction.
     Commit { term: u64 },
-    /// A check whether a transaction with unknown outcome was committed.
+    /// A read of a key that shows whether a transaction with unknown outcome was committed.
     ProbeOutcome { term: u64 },
     /// A submitted job is written to the state service.
     Accept {
--- a/crates/control/src/overload/precedence.rs
+++ b/crates/control/src/overload/precedence.rs
@@ -62,8 +62,8 @@
     Refuse(T),
 }
 
-/// Items waiting to be served, by precedence and then in order of arrival. The backlog itself is unbounded; its owner
-/// bounds it by the number of its connections.
+/// Items waiting to be served, by precedence and then in order of arrival. The backlog itself is unbounded; the
+/// program that uses it limits it by the number of its connections.
 #[derive(Debug)]
 pub struct Backlog<T> {
     queues: [VecDeque<(u64, T)>; PRECEDENCE_COUNT],
--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -235,7 +235,7 @@
     }
 
     /// After a failover, probes the machines that have not sent a heartbeat by themselves, a few per tick. Their
-    /// workers may still report to an earlier leader, and many decisions have to wait for their reports.
+    /// workers may still send heartbeats to an earlier leader, and many decisions have to wait for these.
     fn probe_unheard_machines(&mut self) {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
--- a/crates/control/src/store/claim_log.rs
+++ b/crates/control/src/store/claim_log.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// A log record in the state service.
+/// A segment of the log: one log record in the state service, and what is known of its entries.
 #[derive(Default)]
 pub(crate) struct Segment {
     pub version: u64,
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Among at least this many machines, some report or answer a probe within `SILENCE_MS` of the end of recovery.
+/// Of at least this many machines, some send a heartbeat or answer a probe within `SILENCE_MS` of the end of recovery.
 const SILENCE_MIN_MACHINES: usize = 4;
 const SILENCE_MS: u64 = 2000;
 
@@ -55,7 +55,7 @@
     pub had_valid_lease: bool,
     /// Attestations of the other nodes while it is uncertain whether the lease is valid.
     pub attestations: Attestations,
-    /// Whether some worker has reported or answered directly, not through a peer.
+    /// Whether a heartbeat or an answer of some worker has arrived directly, not through a peer.
     pub heard_directly: bool,
     /// When recovery was completed; until then, when the term began.
     pub ready_since: u64,
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -21,7 +21,7 @@
 const MAX_DELAY_DOUBLINGS: u32 = 6;
 /// How long a leader whose smallest transactions are refused stays out of the election after stepping down, in
 /// milliseconds.
-const ABSTAIN_MS: Range<u64> = 2000..6000;
+const CAMPAIGN_PAUSE_MS: Range<u64> = 2000..6000;
 
 /// Writes that were refused as invalid, for logging and for the back-off.
 #[derive(Debug, Default)]
@@ -82,7 +82,7 @@
         }
         if !limits_shrank && doublings >= MAX_DELAY_DOUBLINGS {
             self.step_down("the state service refuses even the smallest transactions");
-            let ms = self.rng.u64(ABSTAIN_MS);
+            let ms = self.rng.u64(CAMPAIGN_PAUSE_MS);
             self.pause_campaigning(ms);
         }
     }
--- a/crates/control/src/store/write_rate.rs
+++ b/crates/control/src/store/write_rate.rs
@@ -75,8 +75,12 @@
         let (reduced, changed) = self.write_rate.update(self.now.mono);
         if changed {
             log::info!(
-                "state service: assuming that it accepts {} changes per second",
-                if reduced { "fewer" } else { "all" }
+                "state service: keeping to the {} rate of changes",
+                if reduced {
+                    "announced lower"
+                } else {
+                    "current"
+                }
             );
             self.set_write_rate(self.share_of_writes());
         }
