--- a/crates/control/src/agents/commands.rs
+++ b/crates/control/src/agents/commands.rs
@@ -50,13 +50,13 @@
             agent_epoch: Some(machine.newest_message.0),
             orders,
         });
-        let what = Pending::DirectCommand {
+        let pending = Pending::DirectCommand {
             term,
             machine: machine_index,
             serial,
             via,
         };
-        self.send_command(machine_index, addr, body, DIRECT_TIMEOUT_MS, what);
+        self.send_command(machine_index, addr, body, DIRECT_TIMEOUT_MS, pending);
     }
 
     /// Decodes the heartbeat in a worker's response to a command. A worker that rejects the command (409) sends one
@@ -125,13 +125,13 @@
             agent_epoch: Some(machine.newest_message.0.max(1)),
             orders,
         });
-        let what = Pending::Probe {
+        let pending = Pending::Probe {
             term,
             machine: machine_index,
             serial,
             via,
         };
-        self.send_command(machine_index, addr, body, DIRECT_TIMEOUT_MS, what);
+        self.send_command(machine_index, addr, body, DIRECT_TIMEOUT_MS, pending);
     }
 
     /// Handles a probe that could not be sent: clears it so that the machine can be probed again.
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -131,8 +131,8 @@
             node: self.settings.node.clone(),
             reports: heartbeats,
         };
-        let what = Pending::RelayedHeartbeats { conns };
-        self.send_peer_request(peer, &request, BATCH_TIMEOUT_MS, what);
+        let pending = Pending::RelayedHeartbeats { conns };
+        self.send_peer_request(peer, &request, BATCH_TIMEOUT_MS, pending);
     }
 
     fn refuse_queue(&mut self) {
@@ -222,9 +222,9 @@
         }
     }
 
-    fn post_command(&mut self, addr: SocketAddr, body: Vec<u8>, timeout_ms: u64, what: Pending) {
+    fn post_command(&mut self, addr: SocketAddr, body: Vec<u8>, timeout_ms: u64, pending: Pending) {
         let to = Destination::Worker(addr);
-        self.send(to, "POST", "/commands".into(), body, timeout_ms, what);
+        self.send(to, "POST", "/commands".into(), body, timeout_ms, pending);
     }
 
     /// Tells the leader that its command was not sent.
@@ -248,7 +248,7 @@
         addr: SocketAddr,
         body: Vec<u8>,
         timeout_ms: u64,
-        what: Pending,
+        pending: Pending,
     ) {
         let machine = self
             .shard
@@ -262,9 +262,9 @@
                     addr: addr.to_string(),
                     body: body.into(),
                 };
-                self.send_peer_request(peer, &request, timeout_ms, what);
+                self.send_peer_request(peer, &request, timeout_ms, pending);
             }
-            None => self.post_command(addr, body, timeout_ms, what),
+            None => self.post_command(addr, body, timeout_ms, pending),
         }
     }
 }
--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -146,8 +146,8 @@
                 .iter()
                 .any(|c| new.county(&c.id).is_none());
             if drops_county && seen_revision < counties.record_version {
-                let what = "jobs accepted under the version in force were not all seen yet; retry in a second";
-                faults.push(Fault::whole("county", what));
+                let message = "jobs accepted under the version in force were not all seen yet; retry in a second";
+                faults.push(Fault::whole("county", message));
             }
         }
         let tree = Quota::document(&self.shared.documents).active.as_ref();
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -47,9 +47,9 @@
 }
 
 impl Audit {
-    fn add_difference(&mut self, what: String) {
+    fn add_difference(&mut self, difference: String) {
         if self.differences.len() < DIFFERENCES {
-            self.differences.push(what);
+            self.differences.push(difference);
         }
     }
 
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -190,7 +190,7 @@
             Err(why) => (Vec::new(), Some(why)),
         };
         let body = wire::encode(&Transaction { conditions, writes });
-        let what = Pending::Accept {
+        let pending = Pending::Accept {
             submission,
             infeasible,
             answer_mark: self.answer_history.mark(),
@@ -201,7 +201,7 @@
             "/txn".into(),
             body,
             ACCEPT_TIMEOUT_MS,
-            what,
+            pending,
         );
     }
 
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -30,8 +30,8 @@
             return self.refuse(conn, 503, "no leader is known");
         };
         let request = PeerRequest::Cancel { job: id.clone() };
-        let what = Pending::PeerCancel { conn, job: id };
-        self.send_peer_request(peer, &request, CANCEL_TIMEOUT_MS, what);
+        let pending = Pending::PeerCancel { conn, job: id };
+        self.send_peer_request(peer, &request, CANCEL_TIMEOUT_MS, pending);
     }
 
     /// The leader's answer to a forwarded cancellation. A job that the leader does not hold in memory may have ended,
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -158,7 +158,7 @@
         self.stats.forwarded += 1;
         let body = peer::encode(&*forwarded.request);
         let timeout = (forwarded.deadline - now).min(FORWARD_TIMEOUT_MS);
-        let what = Pending::Forward {
+        let pending = Pending::Forward {
             forwarded,
             peer,
             sent: now,
@@ -170,7 +170,7 @@
             peer::PATH.into(),
             body,
             timeout,
-            what,
+            pending,
         );
     }
 
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -56,16 +56,16 @@
         }
     }
 
-    /// Sends a request to a peer. `what` says what its answer belongs to.
+    /// Sends a request to a peer. `pending` determines how its answer is handled.
     pub(crate) fn send_peer_request(
         &mut self,
         peer: usize,
         request: &PeerRequest,
         timeout_ms: u64,
-        what: Pending,
+        pending: Pending,
     ) {
         let (to, body) = (Destination::Peer(peer), peer::encode(request));
-        self.send(to, "POST", peer::PATH.into(), body, timeout_ms, what);
+        self.send(to, "POST", peer::PATH.into(), body, timeout_ms, pending);
     }
 
     /// Answers a peer's request.
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -111,12 +111,12 @@
                     job: question.job.clone(),
                 };
                 let timeout = question.timeout(now, LEADER_TIMEOUT_MS);
-                let what = Pending::PeerQuery {
+                let pending = Pending::PeerQuery {
                     question,
                     peer,
                     sent: now,
                 };
-                self.send_peer_request(peer, &request, timeout, what);
+                self.send_peer_request(peer, &request, timeout, pending);
             }
             None => self.read_job(question),
         }
@@ -187,7 +187,7 @@
         self.read_key(&key, timeout, Pending::ReadLive { question });
     }
 
-    fn read_key(&mut self, key: &str, timeout_ms: u64, what: Pending) {
+    fn read_key(&mut self, key: &str, timeout_ms: u64, pending: Pending) {
         let path = format!("/keys/{key}");
         self.send(
             Destination::State,
@@ -195,7 +195,7 @@
             path,
             Vec::new(),
             timeout_ms,
-            what,
+            pending,
         );
     }
 
--- a/crates/control/src/provisioning/mod.rs
+++ b/crates/control/src/provisioning/mod.rs
@@ -31,13 +31,13 @@
         self.request_list_page();
     }
 
-    /// Sends a request to the cloud. `what` says what its answer belongs to.
+    /// Sends a request to the cloud. `pending` determines how its answer is handled.
     fn send_cloud_request(
         &mut self,
         method: &'static str,
         path: String,
         body: Vec<u8>,
-        what: Pending,
+        pending: Pending,
     ) {
         self.send(
             Destination::Cloud,
@@ -45,7 +45,7 @@
             path,
             body,
             CLOUD_TIMEOUT_MS,
-            what,
+            pending,
         );
     }
 }
--- a/crates/control/src/provisioning/rentals.rs
+++ b/crates/control/src/provisioning/rentals.rs
@@ -87,8 +87,8 @@
                 spot: rec.spot,
                 count: rec.count,
             });
-            let what = Pending::RentMachines { term, name };
-            self.send_cloud_request("POST", "/machines".into(), body, what);
+            let pending = Pending::RentMachines { term, name };
+            self.send_cloud_request("POST", "/machines".into(), body, pending);
         }
     }
 
--- a/crates/control/src/provisioning/returns.rs
+++ b/crates/control/src/provisioning/returns.rs
@@ -39,8 +39,8 @@
             .filter_map(|m| Some(shard.machine(*m)?.name.clone()))
             .collect();
         let body = wire::encode(&MachineNames { machines: names });
-        let what = Pending::ReturnMachines { term, machines };
-        self.send_cloud_request("POST", "/machines/delete".into(), body, what);
+        let pending = Pending::ReturnMachines { term, machines };
+        self.send_cloud_request("POST", "/machines/delete".into(), body, pending);
     }
 
     /// Handles the cloud's answer to a return of machines, or its absence.
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -40,7 +40,7 @@
 
 impl Node {
     /// Counts a write that the state service refused as invalid, and logs the first of each kind.
-    pub(crate) fn write_refused(&mut self, kind: &'static str, what: &str) {
+    pub(crate) fn write_refused(&mut self, kind: &'static str, reason: &str) {
         self.stats.refused_writes += 1;
         if self.refusals.logged.insert(kind) {
             let (value, changes) = (self.write_limits.value_kb(), self.write_limits.changes());
@@ -49,7 +49,7 @@
                 .as_ref()
                 .map_or((0, 0), |shard| shard.commit.size());
             log::error!(
-                "{kind}: refused by the state service with 400: {what}; current limits are values of {value} KiB and \
+                "{kind}: refused by the state service with 400: {reason}; current limits are values of {value} KiB and \
                  {changes} changes per transaction; the leader's transaction has {} changes in {} bytes",
                 pending_size.0,
                 pending_size.1
