--- a/crates/control/src/jobs/answers.rs
+++ b/crates/control/src/jobs/answers.rs
@@ -48,8 +48,8 @@
     pub(crate) fn cancel_unknown(&mut self, requester: Requester, job: &str) {
         match requester {
             Requester::User(_) => {
-                let question = self.new_question(requester, job.to_owned(), Purpose::Cancel);
-                self.read_job(question)
+                let lookup = self.new_lookup(requester, job.to_owned(), Purpose::Cancel);
+                self.read_job(lookup)
             }
             Requester::Peer(conn) => self.answer_peer(conn, &PeerResponse::Unknown),
         }
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -42,8 +42,8 @@
                 self.answer_state(Requester::User(conn), state)
             }
             Some(PeerResponse::Unknown) => {
-                let question = self.new_question(Requester::User(conn), job, Purpose::Cancel);
-                self.read_job(question)
+                let lookup = self.new_lookup(Requester::User(conn), job, Purpose::Cancel);
+                self.read_job(lookup)
             }
             _ => self.refuse(conn, 503, "the leader does not respond"),
         }
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -1,7 +1,7 @@
 //! Requests from peers. A request that a peer forwards on behalf of a user goes only to the leader and the state
 //! service; it is not forwarded a second time.
 
-use crate::jobs::query::{Purpose, Question};
+use crate::jobs::query::{Lookup, Purpose};
 use crate::{Destination, Node, Pending, Requester};
 use wire::http::{Request, Response};
 use wire::peer::{self, PeerRequest, PeerResponse, PeerStatus};
@@ -33,10 +33,10 @@
             PeerRequest::Cancel { job } => self.cancel(&job, Requester::Peer(conn)),
             PeerRequest::Submit { spec } => self.submit(Requester::Peer(conn), *spec),
             PeerRequest::Lookup { job, past_leader } => {
-                let question = self.new_question(Requester::Peer(conn), job, Purpose::Query);
-                self.query(Question {
+                let lookup = self.new_lookup(Requester::Peer(conn), job, Purpose::Query);
+                self.query(Lookup {
                     past_leader,
-                    ..question
+                    ..lookup
                 })
             }
             PeerRequest::Leads { node, token } => {
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -27,7 +27,7 @@
 
 /// A lookup of a job that is not answered yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Question {
+pub(crate) struct Lookup {
     pub requester: Requester,
     pub job: String,
     pub purpose: Purpose,
@@ -47,7 +47,7 @@
 /// Minimum timeout of a request. With less time left, the job is not read again.
 const MIN_REMAINING_MS: u64 = 50;
 
-impl Question {
+impl Lookup {
     fn timeout(&self, now: u64, max_ms: u64) -> u64 {
         self.deadline
             .saturating_sub(now)
@@ -64,19 +64,14 @@
 }
 
 impl Node {
-    /// A question that is asked now.
-    pub(crate) fn new_question(
-        &self,
-        requester: Requester,
-        job: String,
-        purpose: Purpose,
-    ) -> Question {
+    /// A lookup that starts now.
+    pub(crate) fn new_lookup(&self, requester: Requester, job: String, purpose: Purpose) -> Lookup {
         let wait_ms = if matches!(requester, Requester::User(_)) {
             USER_DEADLINE_MS
         } else {
             PEER_DEADLINE_MS
         };
-        Question {
+        Lookup {
             requester,
             job,
             purpose,
@@ -88,37 +83,37 @@
 
     /// Looks up a job's state for a requester.
     pub(crate) fn query_for(&mut self, requester: Requester, id: String, purpose: Purpose) {
-        let question = self.new_question(requester, id, purpose);
-        self.query(question);
+        let lookup = self.new_lookup(requester, id, purpose);
+        self.query(lookup);
     }
 
-    /// Answers a question from local knowledge, else from the leader, else from a read of the state service.
-    pub(crate) fn query(&mut self, mut question: Question) {
-        if !wire::ids::valid_job_id(&question.job) {
-            return self.answer_error(question.requester, 404, "no such job");
+    /// Performs a lookup: from local knowledge, else by the leader, else by a read of the state service.
+    pub(crate) fn query(&mut self, mut lookup: Lookup) {
+        if !wire::ids::valid_job_id(&lookup.job) {
+            return self.answer_error(lookup.requester, 404, "no such job");
         }
-        if let Some(state) = self.local_state(&question.job) {
-            return self.answer_state(question.requester, state);
+        if let Some(state) = self.local_state(&lookup.job) {
+            return self.answer_state(lookup.requester, state);
         }
-        question.past_leader |= self.leads();
+        lookup.past_leader |= self.leads();
         let now = self.now.mono;
-        let leader = self.leader_peer().filter(|peer| {
-            !question.past_leader && !self.responsiveness.is_backing_off(*peer, now)
-        });
+        let leader = self
+            .leader_peer()
+            .filter(|peer| !lookup.past_leader && !self.responsiveness.is_backing_off(*peer, now));
         match leader {
             Some(peer) => {
                 let request = PeerRequest::Query {
-                    job: question.job.clone(),
+                    job: lookup.job.clone(),
                 };
-                let timeout = question.timeout(now, LEADER_TIMEOUT_MS);
+                let timeout = lookup.timeout(now, LEADER_TIMEOUT_MS);
                 let pending = Pending::PeerQuery {
-                    question,
+                    lookup,
                     peer,
                     sent: now,
                 };
                 self.send_peer_request(peer, &request, timeout, pending);
             }
-            None => self.read_job(question),
+            None => self.read_job(lookup),
         }
     }
 
@@ -151,40 +146,40 @@
     /// Handles the leader's answer to a query. Without a state in it, the record is read.
     pub(crate) fn query_answered(
         &mut self,
-        mut question: Question,
+        mut lookup: Lookup,
         peer: usize,
         sent: u64,
         response: Option<Response>,
     ) {
         self.record_peer_outcome(peer, sent, response.is_some());
         match peer_answer(response) {
-            Some(PeerResponse::State(state)) if state.id == question.job => {
-                self.answer_state(question.requester, state)
+            Some(PeerResponse::State(state)) if state.id == lookup.job => {
+                self.answer_state(lookup.requester, state)
             }
             _ => {
-                question.past_leader = true;
-                self.read_job(question)
+                lookup.past_leader = true;
+                self.read_job(lookup)
             }
         }
     }
 
     /// Looks the job up in the state service, first under its live key and then under its end key. Jobs only move in
     /// that direction, so a job under neither key was never accepted.
-    pub(crate) fn read_job(&mut self, mut question: Question) {
+    pub(crate) fn read_job(&mut self, mut lookup: Lookup) {
         let now = self.now.mono;
-        question.answer_mark = self.answer_history.mark();
+        lookup.answer_mark = self.answer_history.mark();
         // If the state service does not answer this node, or its request budget is used up, a peer is asked instead.
-        if let Some(conn) = question.user()
+        if let Some(conn) = lookup.user()
             && (self.state_down() || self.requests.available(now) < 1.0)
         {
-            return self.forward_lookup(conn, question);
+            return self.forward_lookup(conn, lookup);
         }
         if self.requests.available(now) < 1.0 {
-            return self.refuse_unanswered(&question, "busy");
+            return self.refuse_unanswered(&lookup, "busy");
         }
-        let timeout = question.timeout(now, READ_TIMEOUT_MS);
-        let key = records::live_key(&question.job);
-        self.read_key(&key, timeout, Pending::ReadLive { question });
+        let timeout = lookup.timeout(now, READ_TIMEOUT_MS);
+        let key = records::live_key(&lookup.job);
+        self.read_key(&key, timeout, Pending::ReadLive { lookup });
     }
 
     fn read_key(&mut self, key: &str, timeout_ms: u64, pending: Pending) {
@@ -200,123 +195,118 @@
     }
 
     /// Handles the read of the job's live record.
-    pub(crate) fn live_record_received(&mut self, question: Question, response: Option<Response>) {
+    pub(crate) fn live_record_received(&mut self, lookup: Lookup, response: Option<Response>) {
         match response.map(|r| r.status) {
-            Some(200)
-                if question.purpose == Purpose::Cancel && self.has_loaded_job(&question.job) =>
-            {
-                self.cancel(&question.job, question.requester)
+            Some(200) if lookup.purpose == Purpose::Cancel && self.has_loaded_job(&lookup.job) => {
+                self.cancel(&lookup.job, lookup.requester)
             }
-            Some(200) if question.purpose == Purpose::Cancel => self.answer_error(
-                question.requester,
+            Some(200) if lookup.purpose == Purpose::Cancel => self.answer_error(
+                lookup.requester,
                 503,
                 "the leader has not loaded the job yet",
             ),
             Some(200) => {
-                let known = self.local_state(&question.job);
-                let state = known.unwrap_or(unstarted(question.job));
-                self.answer_state(question.requester, state);
+                let known = self.local_state(&lookup.job);
+                let state = known.unwrap_or(unstarted(lookup.job));
+                self.answer_state(lookup.requester, state);
             }
             Some(404) => {
-                let timeout = question.timeout(self.now.mono, READ_TIMEOUT_MS);
-                let key = records::end_key(&question.job);
-                self.read_key(&key, timeout, Pending::ReadEnd { question });
+                let timeout = lookup.timeout(self.now.mono, READ_TIMEOUT_MS);
+                let key = records::end_key(&lookup.job);
+                self.read_key(&key, timeout, Pending::ReadEnd { lookup });
             }
-            status => self.read_failed(question, status),
+            status => self.read_failed(lookup, status),
         }
     }
 
     /// Handles the read of the job's end record.
-    pub(crate) fn end_record_received(&mut self, question: Question, response: Option<Response>) {
+    pub(crate) fn end_record_received(&mut self, lookup: Lookup, response: Option<Response>) {
         let response = match response {
             Some(r) if r.status == 200 => r,
-            Some(r) if r.status == 404 => return self.not_found(question),
-            other => return self.read_failed(question, other.map(|r| r.status)),
+            Some(r) if r.status == 404 => return self.not_found(lookup),
+            other => return self.read_failed(lookup, other.map(|r| r.status)),
         };
         let Some(item) = self.decode_answer::<Item<EndRecord>>("state service", &response) else {
-            return self.refuse_unanswered(&question, "unreadable record");
+            return self.refuse_unanswered(&lookup, "unreadable record");
         };
         let EndRecord { stage, done, .. } = item.value;
         let state = JobState {
-            id: question.job,
+            id: lookup.job,
             stage,
             done,
             running: 0,
         };
-        self.answer_state(question.requester, state)
+        self.answer_state(lookup.requester, state)
     }
 
     /// The job is under neither key. Whatever this node has learned since the reads began is newer and takes
     /// precedence.
-    fn not_found(&mut self, question: Question) {
-        if question.purpose == Purpose::Cancel && self.has_loaded_job(&question.job) {
-            return self.cancel(&question.job, question.requester);
+    fn not_found(&mut self, lookup: Lookup) {
+        if lookup.purpose == Purpose::Cancel && self.has_loaded_job(&lookup.job) {
+            return self.cancel(&lookup.job, lookup.requester);
         }
-        if let Some(state) = self.local_state(&question.job) {
-            return self.answer_state(question.requester, state);
+        if let Some(state) = self.local_state(&lookup.job) {
+            return self.answer_state(lookup.requester, state);
         }
-        if self.has_loaded_job(&question.job)
+        if self.has_loaded_job(&lookup.job)
             || self
                 .answer_history
-                .may_have_answered_since(&question.job, question.answer_mark)
+                .may_have_answered_since(&lookup.job, lookup.answer_mark)
         {
-            return self.reread_job(question);
+            return self.reread_job(lookup);
         }
-        match question.purpose {
+        match lookup.purpose {
             Purpose::Malformed(fault) => {
-                self.answer_error(question.requester, 400, &fault.to_string())
+                self.answer_error(lookup.requester, 400, &fault.to_string())
             }
             // Its record made the acceptance fail a moment ago and is not found now. A retry by the user will be
             // decided anew.
-            Purpose::Resubmission => self.answer_error(question.requester, 503, "undecided"),
+            Purpose::Resubmission => self.answer_error(lookup.requester, 503, "undecided"),
             Purpose::Query | Purpose::Cancel => {
-                self.answer_error(question.requester, 404, "no such job")
+                self.answer_error(lookup.requester, 404, "no such job")
             }
         }
     }
 
     /// Reads the job again if there is time before the deadline.
-    fn reread_job(&mut self, question: Question) {
-        if self.now.mono + MIN_REMAINING_MS < question.deadline {
-            self.read_job(question)
+    fn reread_job(&mut self, lookup: Lookup) {
+        if self.now.mono + MIN_REMAINING_MS < lookup.deadline {
+            self.read_job(lookup)
         } else {
-            self.refuse_unanswered(&question, "undecided")
+            self.refuse_unanswered(&lookup, "undecided")
         }
     }
 
     /// The state service gave no usable answer. If it was silent or refused with 503, that may concern only this node,
     /// so a peer is asked on behalf of a user.
-    fn read_failed(&mut self, question: Question, status: Option<u16>) {
-        match question
-            .user()
-            .filter(|_| matches!(status, None | Some(503)))
-        {
-            Some(conn) => self.forward_lookup(conn, question),
-            None => self.refuse_unanswered(&question, "the state service is not available"),
+    fn read_failed(&mut self, lookup: Lookup, status: Option<u16>) {
+        match lookup.user().filter(|_| matches!(status, None | Some(503))) {
+            Some(conn) => self.forward_lookup(conn, lookup),
+            None => self.refuse_unanswered(&lookup, "the state service is not available"),
         }
     }
 
-    /// Forwards a question to a peer that the state service may be answering.
-    fn forward_lookup(&mut self, conn: u64, question: Question) {
+    /// Forwards a lookup to a peer that the state service may be answering.
+    fn forward_lookup(&mut self, conn: u64, lookup: Lookup) {
         let request = PeerRequest::Lookup {
-            job: question.job,
-            past_leader: question.past_leader,
+            job: lookup.job,
+            past_leader: lookup.past_leader,
         };
-        let fault = match question.purpose {
+        let fault = match lookup.purpose {
             Purpose::Malformed(fault) => Some(fault),
             _ => None,
         };
         self.forward(ForwardedRequest {
             conn,
             request: Box::new(request),
-            deadline: question.deadline,
+            deadline: lookup.deadline,
             fault,
         });
     }
 
-    /// Refuses a question that could not be answered, and counts it.
-    fn refuse_unanswered(&mut self, question: &Question, why: &str) {
+    /// Refuses a lookup that could not be answered, and counts it.
+    fn refuse_unanswered(&mut self, lookup: &Lookup, why: &str) {
         self.stats.unanswered += 1;
-        self.answer_error(question.requester, 503, why);
+        self.answer_error(lookup.requester, 503, why);
     }
 }
--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -35,7 +35,7 @@
 }
 
 impl Attestations {
-    /// Starts a new round of questions to all peers.
+    /// Starts a new round of requests to all peers.
     pub fn ask(&mut self, now: u64, peers: usize) {
         self.asked_at = now;
         self.answered = vec![false; peers];
@@ -80,7 +80,7 @@
             || self.now.mono < confirmed_at + bound_ms(&self.settings.cluster.workers)
     }
 
-    /// Starts a round of attestations; the questions are the peer status requests that are sent at `now`.
+    /// Starts a round of attestations; the requests are the peer status requests that are sent at `now`.
     pub(crate) fn begin_attestation_round(&mut self, now: u64, peers: usize) {
         if let Some(shard) = &mut self.shard {
             shard.attestations.ask(now, peers);
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -342,13 +342,11 @@
                 infeasible,
                 answer_mark,
             } => self.accept_answered(submission, infeasible, answer_mark, response),
-            Pending::ReadLive { question } => self.live_record_received(question, response),
-            Pending::ReadEnd { question } => self.end_record_received(question, response),
-            Pending::PeerQuery {
-                question,
-                peer,
-                sent,
-            } => self.query_answered(question, peer, sent, response),
+            Pending::ReadLive { lookup } => self.live_record_received(lookup, response),
+            Pending::ReadEnd { lookup } => self.end_record_received(lookup, response),
+            Pending::PeerQuery { lookup, peer, sent } => {
+                self.query_answered(lookup, peer, sent, response)
+            }
             Pending::PeerCancel { conn, job } => self.cancel_answered(conn, job, response),
             Pending::Forward {
                 forwarded,
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -51,12 +51,12 @@
         answer_mark: u64,
     },
     /// A read of a job's live record.
-    ReadLive { question: query::Question },
+    ReadLive { lookup: query::Lookup },
     /// A read of a job's end record.
-    ReadEnd { question: query::Question },
+    ReadEnd { lookup: query::Lookup },
     /// A query of a job's state to a peer.
     PeerQuery {
-        question: query::Question,
+        lookup: query::Lookup,
         peer: usize,
         sent: u64,
     },
