--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -2,7 +2,7 @@
 
 use crate::Node;
 use crate::agents::machine::Machine;
-use crate::leadership::peer_status::TOKEN_BOUND;
+use crate::leadership::peer_status::FIRST_IMPLAUSIBLE_TOKEN;
 use std::fmt;
 use wire::api::{Heartbeat, Order, Orders, Redirect};
 
@@ -22,7 +22,7 @@
     /// The leader has been unable to confirm its own lease for longer than it may still renew the leases of workers.
     LeaseUncertain,
     /// The worker reports a token that no leader can have held.
-    ImpossibleToken,
+    ImplausibleToken,
     /// The worker reports a higher token, and the leader raises its own above it.
     RaisingToken,
     /// The worker follows a later leader.
@@ -36,7 +36,7 @@
             HeartbeatRefusal::LeaseUncertain => {
                 "the leader could not confirm its lease for too long"
             }
-            HeartbeatRefusal::ImpossibleToken => "the token was never issued",
+            HeartbeatRefusal::ImplausibleToken => "the token was never issued",
             HeartbeatRefusal::RaisingToken => "the leader is raising its token",
             HeartbeatRefusal::SteppedDown => "no longer the leader",
         })
@@ -66,7 +66,7 @@
     /// Handles a heartbeat on a node that does not lead the fleet: renews the worker's lease as a lease delegate,
     /// forwards the heartbeat, or redirects the worker to the leader.
     fn heartbeat_for_leader(&mut self, conn: u64, heartbeat: &Heartbeat, body: &[u8]) {
-        if let Some(body) = self.delegate_answer(heartbeat) {
+        if let Some(body) = self.answer_as_delegate(heartbeat) {
             return self.respond(conn, 200, body, None);
         }
         if self.forward_heartbeat(conn, heartbeat, body) {
@@ -77,7 +77,7 @@
         }
         match self.leader_name().filter(|o| *o != self.settings.node) {
             Some(node) => self.redirect(conn, node),
-            None => self.refuse(conn, 503, "no leader is known yet"),
+            None => self.refuse(conn, 503, "no leader is known"),
         }
     }
 
@@ -99,7 +99,7 @@
             return HeartbeatReply::Refused(HeartbeatRefusal::NotLeader);
         };
         if heartbeat.token > shard.token {
-            return HeartbeatReply::Refused(self.outranked(heartbeat.token));
+            return HeartbeatReply::Refused(self.handle_higher_token(heartbeat.token));
         }
         let token = shard.token;
         if !shard.loaded {
@@ -112,18 +112,18 @@
             });
             return HeartbeatReply::Orders(body);
         }
-        if !self.may_renew() {
+        if !self.may_renew_worker_leases() {
             return HeartbeatReply::Refused(HeartbeatRefusal::LeaseUncertain);
         }
         let orders = match self.find_or_add_sender(heartbeat) {
-            Some(m) if self.note_heartbeat(m, heartbeat, via) => {
-                let orders = self.orders_for(m);
-                self.note_unacknowledged_start(m, &orders);
+            Some(machine_index) if self.note_heartbeat(machine_index, heartbeat, via) => {
+                let orders = self.orders_for(machine_index);
+                self.note_unacknowledged_start(machine_index, &orders);
                 orders
             }
             // An older heartbeat. The worker may still be waiting for this reply, which renews its lease, so the reply
             // has to stop the tasks of cancelled jobs.
-            Some(m) => self.last_orders(m),
+            Some(machine_index) => self.cancellation_stops(machine_index),
             None => Vec::new(),
         };
         HeartbeatReply::Orders(wire::encode(&Orders {
@@ -135,28 +135,36 @@
 
     /// Notes that the reply to a heartbeat contains a start. It may arrive before or after a command that is sent
     /// concurrently, so until the next heartbeat a response to a command doesn't prove that the task is absent.
-    fn note_unacknowledged_start(&mut self, m: usize, orders: &[Order]) {
+    fn note_unacknowledged_start(&mut self, machine_index: usize, orders: &[Order]) {
         if orders.iter().any(|o| matches!(o, Order::Start { .. }))
-            && let Some(machine) = self.shard.as_mut().and_then(|p| p.machine_mut(m))
+            && let Some(machine) = self
+                .shard
+                .as_mut()
+                .and_then(|shard| shard.machine_mut(machine_index))
         {
-            machine.unacknowledged_start = Some(machine.seen);
+            machine.unacknowledged_start = Some(machine.newest_message);
         }
     }
 
     /// Applies a heartbeat that the worker sent on its own, not in response to a command. Returns true if it is the
     /// newest. Its sender no longer waits for the replies to earlier heartbeats, so orders in those can't be executed
     /// any more.
-    fn note_heartbeat(&mut self, m: usize, heartbeat: &Heartbeat, via: Option<usize>) -> bool {
+    fn note_heartbeat(
+        &mut self,
+        machine_index: usize,
+        heartbeat: &Heartbeat,
+        via: Option<usize>,
+    ) -> bool {
         let Some(shard) = &mut self.shard else {
             return false;
         };
         let (own_token, now) = (shard.token, self.now.mono);
-        shard.heard_itself |= via.is_none();
-        let Some(machine) = shard.machine_mut(m) else {
+        shard.heard_directly |= via.is_none();
+        let Some(machine) = shard.machine_mut(machine_index) else {
             return false;
         };
         let sequence = (heartbeat.agent_epoch, heartbeat.seq);
-        if sequence > machine.seen {
+        if sequence > machine.newest_message {
             machine.via = via;
             machine.heartbeat_at = now;
             // The worker reports our token, which it did not know at its first heartbeat: it has heard from us since,
@@ -168,17 +176,17 @@
                 .unacknowledged_start
                 .filter(|start| *start >= sequence);
         }
-        self.reconcile(m, heartbeat)
+        self.reconcile(machine_index, heartbeat)
     }
 
     /// Handles a worker that reports a higher token than ours. While our lease is valid there can't be a newer leader,
     /// so the token is spurious and we raise ours above it. Otherwise a new leader has been elected, and we step down.
-    fn outranked(&mut self, token: u64) -> HeartbeatRefusal {
+    fn handle_higher_token(&mut self, token: u64) -> HeartbeatRefusal {
         log::warn!("a worker reports token {token}, higher than ours");
         if self.has_valid_lease() {
             // A corrupt value from one worker must neither exhaust the token counter nor depose a valid leader.
-            if token >= TOKEN_BOUND {
-                return HeartbeatRefusal::ImpossibleToken;
+            if token >= FIRST_IMPLAUSIBLE_TOKEN {
+                return HeartbeatRefusal::ImplausibleToken;
             }
             self.shared.token = self.shared.token.max(token);
             if let Some(shard) = &mut self.shard {
@@ -194,14 +202,14 @@
     fn find_or_add_sender(&mut self, heartbeat: &Heartbeat) -> Option<usize> {
         let now = self.now;
         let shard = self.shard.as_mut()?;
-        if let Some(m) = shard.machines.index_of(&heartbeat.machine) {
-            return Some(m);
+        if let Some(machine_index) = shard.machines.index_of(&heartbeat.machine) {
+            return Some(machine_index);
         }
         if shard.returned.contains(&heartbeat.machine) || !is_valid_name(&heartbeat.machine) {
             return None;
         }
         log::info!(
-            "machine {}: heartbeats unexpectedly, taken in",
+            "machine {}: sent a heartbeat but was not known, added",
             heartbeat.machine
         );
         let mut machine = Machine::unrecorded(
@@ -214,9 +222,9 @@
         );
         machine.unconfirmed_token = Some(heartbeat.token);
         machine.addr = heartbeat.addr.parse().ok();
-        let m = shard.add_machine(machine);
-        self.probe_machine(m);
-        Some(m)
+        let machine_index = shard.add_machine(machine);
+        self.probe_machine(machine_index);
+        Some(machine_index)
     }
 }
 
--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -52,7 +52,7 @@
 
 impl Node {
     /// Whether heartbeats and commands may be relayed by peers.
-    pub(crate) fn relays(&self) -> bool {
+    pub(crate) fn may_relay(&self) -> bool {
         self.tuning.relays > 0.0
     }
 
@@ -66,14 +66,14 @@
         let now = self.now.mono;
         let leader = self.leader_peer().zip(self.leader_token());
         let Some((node, token)) =
-            leader.filter(|_| self.relays() && now >= self.relay.paused_until)
+            leader.filter(|_| self.may_relay() && now >= self.relay.paused_until)
         else {
             return false;
         };
         let leader = Leader {
             node,
             token,
-            avoided: self.hears_no_agents(node) || self.is_spread(),
+            avoided: self.reports_no_heartbeats(node) || self.is_spread(),
         };
         let caller = Caller {
             machine: &heartbeat.machine,
@@ -98,10 +98,10 @@
     /// not accepted a batch, usually by a timeout. Workers redirected to it then would all connect at once and slow
     /// it further.
     pub(crate) fn leader_is_slow(&self) -> bool {
-        let is_heard = |peer| self.is_heard(peer);
+        let has_recent_status = |peer| self.has_recent_status(peer);
         self.is_spread()
             && self.now.mono < self.relay.paused_until
-            && self.leader_peer().is_some_and(is_heard)
+            && self.leader_peer().is_some_and(has_recent_status)
     }
 
     /// Sends the queued heartbeats, unless they still wait for a fuller batch.
@@ -131,8 +131,8 @@
             node: self.settings.node.clone(),
             reports: heartbeats,
         };
-        let what = Pending::Relayed { conns };
-        self.ask_peer(peer, &request, BATCH_TIMEOUT_MS, what);
+        let pending = Pending::RelayedHeartbeats { conns };
+        self.send_peer_request(peer, &request, BATCH_TIMEOUT_MS, pending);
     }
 
     fn refuse_queue(&mut self) {
@@ -208,18 +208,23 @@
 
     /// Forwards a command from the leader to a worker that sends its heartbeats to this node.
     pub(crate) fn relay_command(&mut self, conn: u64, machine: &str, addr: &str, body: Vec<u8>) {
-        let is_served = self.relay.ways.serves(self.now.mono, machine) && self.relays();
+        let is_served = self.relay.ways.serves(self.now.mono, machine) && self.may_relay();
         match addr.parse::<SocketAddr>() {
             Ok(addr) if is_served => {
-                self.post_command(addr, body, COMMAND_TIMEOUT_MS, Pending::Tell { conn });
+                self.post_command(
+                    addr,
+                    body,
+                    COMMAND_TIMEOUT_MS,
+                    Pending::RelayedCommand { conn },
+                );
             }
             _ => self.relayed_command_unsent(conn),
         }
     }
 
-    fn post_command(&mut self, addr: SocketAddr, body: Vec<u8>, timeout_ms: u64, what: Pending) {
+    fn post_command(&mut self, addr: SocketAddr, body: Vec<u8>, timeout_ms: u64, pending: Pending) {
         let to = Destination::Worker(addr);
-        self.send(to, "POST", "/commands".into(), body, timeout_ms, what);
+        self.send(to, "POST", "/commands".into(), body, timeout_ms, pending);
     }
 
     /// Tells the leader that its command was not sent.
@@ -239,13 +244,16 @@
     /// Sends a command to a worker, through the peer that relays its heartbeats if there is one.
     pub(crate) fn send_command(
         &mut self,
-        m: usize,
+        machine_index: usize,
         addr: SocketAddr,
         body: Vec<u8>,
         timeout_ms: u64,
-        what: Pending,
+        pending: Pending,
     ) {
-        let machine = self.shard.as_ref().and_then(|p| p.machine(m));
+        let machine = self
+            .shard
+            .as_ref()
+            .and_then(|shard| shard.machine(machine_index));
         let via = machine.and_then(|m| Some((m.via?, m.name.clone())));
         match via {
             Some((peer, machine)) => {
@@ -254,9 +262,9 @@
                     addr: addr.to_string(),
                     body: body.into(),
                 };
-                self.ask_peer(peer, &request, timeout_ms, what);
+                self.send_peer_request(peer, &request, timeout_ms, pending);
             }
-            None => self.post_command(addr, body, timeout_ms, what),
+            None => self.post_command(addr, body, timeout_ms, pending),
         }
     }
 }
--- a/crates/control/src/documents/county_audit.rs
+++ b/crates/control/src/documents/county_audit.rs
@@ -47,17 +47,17 @@
 }
 
 impl Audit {
-    fn add_difference(&mut self, what: String) {
+    fn add_difference(&mut self, difference: String) {
         if self.differences.len() < DIFFERENCES {
-            self.differences.push(what);
+            self.differences.push(difference);
         }
     }
 
-    fn compare_live_record(&mut self, record: &JobRecord, stamp: u64) {
+    fn compare_live_record(&mut self, record: &JobRecord, record_version: u64) {
         let Some(county) = &record.county else { return };
         match self.unmatched_live.remove(&record.spec.id) {
             Some(known) if known == county.county => {}
-            None if stamp > self.seen_revision => {}
+            None if record_version > self.seen_revision => {}
             Some(known) => self.add_difference(format!(
                 "{}: bound to {}, counted for {known}",
                 record.spec.id, county.county
@@ -69,11 +69,11 @@
         }
     }
 
-    fn compare_end_record(&mut self, job: &str, record: &EndRecord, stamp: u64) {
+    fn compare_end_record(&mut self, job: &str, record: &EndRecord, record_version: u64) {
         let Some(counted) = &record.county else {
             return;
         };
-        if stamp > self.revision {
+        if record_version > self.revision {
             // It ended after the snapshot, so the snapshot has it as live, if at all.
             if let Some(known) = self
                 .unmatched_live
@@ -189,7 +189,11 @@
 
     /// The counties of live jobs, by job id.
     fn live_counties(&self) -> HashMap<String, String> {
-        let live = self.jobs.iter().flatten().filter(|job| !job.is_over());
+        let live = self
+            .jobs
+            .iter()
+            .flatten()
+            .filter(|job| !job.is_end_recorded());
         live.filter_map(|job| Some((job.id.clone(), job.county.as_ref()?.county.clone())))
             .collect()
     }
@@ -203,7 +207,7 @@
     /// Requests the next page, if the request budget has room for it.
     pub(crate) fn audit_tick(&mut self) {
         let term = self.term;
-        let has_spare_requests = self.requests.level(self.now.mono) > RESERVED_REQUESTS;
+        let has_spare_requests = self.requests.available(self.now.mono) > RESERVED_REQUESTS;
         let Some(audit) = self.audit_mut() else {
             return;
         };
@@ -228,13 +232,13 @@
     pub(crate) fn audit_received(&mut self, record_set: RecordSet, response: Option<Response>) {
         let page = match record_set {
             RecordSet::Live => self.read_state(response).map(|page| {
-                self.audit_page(page, |audit, job: JobRecord, _, stamp| {
-                    audit.compare_live_record(&job, stamp)
+                self.audit_page(page, |audit, job: JobRecord, _, record_version| {
+                    audit.compare_live_record(&job, record_version)
                 })
             }),
             RecordSet::Ended => self.read_state(response).map(|page| {
-                self.audit_page(page, |audit, end: EndRecord, key, stamp| {
-                    audit.compare_end_record(key, &end, stamp)
+                self.audit_page(page, |audit, end: EndRecord, key, record_version| {
+                    audit.compare_end_record(key, &end, record_version)
                 })
             }),
         };
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -89,14 +89,14 @@
 }
 
 /// Upper bound of the bytes that a job's county adds to a record of its claims.
-pub(crate) fn claims_bytes(job: &Job) -> usize {
+pub(crate) fn max_claims_bytes(job: &Job) -> usize {
     job.county
         .as_ref()
         .map_or(0, |c| ClaimsRecord::county(&c.county))
 }
 
 /// Upper bound of the bytes that deltas add to a log record.
-pub(crate) fn deltas_bytes(deltas: &[Delta]) -> usize {
+pub(crate) fn max_deltas_bytes(deltas: &[Delta]) -> usize {
     deltas
         .iter()
         .map(|d| Delta::frame(&d.county, &d.class))
@@ -105,7 +105,7 @@
 
 /// The zones that a job's county restricts it to, as indices for the planner. A zone that does not exist any more
 /// becomes `u16::MAX`, so that the restriction remains if none of them exists.
-pub(crate) fn zones(job: &Job, index: &HashMap<&str, u16>) -> Vec<u16> {
+pub(crate) fn allowed_zones(job: &Job, index: &HashMap<&str, u16>) -> Vec<u16> {
     let names = job.county.iter().flat_map(|c| &c.zones);
     names
         .map(|z| index.get(z.as_str()).copied().unwrap_or(u16::MAX))
@@ -122,8 +122,13 @@
     }
 
     /// Counts a job's end, if it has a county.
-    pub fn add(&mut self, shard: &mut Shard, ix: JobIndex, stage: Stage) -> Option<CountedRecord> {
-        let job = shard.jobs.get(ix)?;
+    pub fn add(
+        &mut self,
+        shard: &mut Shard,
+        job_index: JobIndex,
+        stage: Stage,
+    ) -> Option<CountedRecord> {
+        let job = shard.jobs.get(job_index)?;
         let (county, class) = (
             job.county.as_ref()?.county.clone(),
             job.spec.as_ref()?.class.clone(),
@@ -149,7 +154,7 @@
 
     /// Whether the transaction should take no more ends.
     pub fn is_full(&self) -> bool {
-        deltas_bytes(&self.deltas) > self.max_bytes
+        max_deltas_bytes(&self.deltas) > self.max_bytes
     }
 
     /// Writes that the transaction still needs for the deltas.
@@ -291,7 +296,7 @@
 
 impl TransactionDraft {
     /// Writes the sheets whose deltas have waited longest, as many as there is room for.
-    pub fn counter_sheets(
+    pub fn put_counter_sheets(
         &mut self,
         shard: &mut Shard,
         now: u64,
@@ -309,16 +314,16 @@
             return;
         };
         let mut puts = Vec::new();
-        for (number, stamp, sheet) in fold.puts {
+        for (number, record_version, sheet) in fold.puts {
             if !room(self) {
                 break;
             }
             self.put(
                 records::tally_key(SHARD, number),
-                stamp,
+                record_version,
                 Record::Tally(sheet.clone()),
             );
-            puts.push((number, stamp, sheet));
+            puts.push((number, record_version, sheet));
         }
         if !puts.is_empty() {
             shard.county_counts.sheets_written_at = now;
@@ -332,7 +337,7 @@
     /// Sheets were committed: log records that were kept for their deltas alone may be removed.
     pub fn counter_sheets_written(&mut self, fold: &Fold, revision: u64) {
         let releasable = self.county_counts.counts.folded(fold, revision);
-        self.claim_log.counted(releasable);
+        self.claim_log.release_counts(releasable);
     }
 }
 
@@ -352,10 +357,10 @@
             cursor: PageCursor::default(),
             all_decoded: true,
         });
-        self.read_sheets();
+        self.read_counter_sheets();
     }
 
-    fn read_sheets(&mut self) {
+    fn read_counter_sheets(&mut self) {
         let term = self.term;
         let Some(reading) = self
             .shard
@@ -367,11 +372,11 @@
         let path = reading
             .cursor
             .path(&records::tally_prefix(SHARD), PAGE_SIZE);
-        self.get_state(path, TIMEOUT_MS, Pending::Sheets { term });
+        self.get_state(path, TIMEOUT_MS, Pending::CounterSheets { term });
     }
 
     /// Handles a page of sheets; `None` if there was no answer.
-    pub(crate) fn sheets_received(&mut self, response: Option<Response>) {
+    pub(crate) fn counter_sheets_received(&mut self, response: Option<Response>) {
         let now = self.now.mono;
         let page = self.read_state::<Range<serde_json::Value>>(response);
         let Some(shard) = &mut self.shard else { return };
@@ -381,11 +386,11 @@
         };
         match shard.county_counts.page_read(page) {
             None => {}
-            Some(true) => self.read_sheets(),
+            Some(true) => self.read_counter_sheets(),
             Some(false) => {
                 let all_decoded = shard.county_counts.stop_reading(now + UNREADABLE_RETRY_MS);
                 let releasable = shard.county_counts.counts.reading_over(all_decoded);
-                shard.claim_log.counted(releasable);
+                shard.claim_log.release_counts(releasable);
             }
         }
     }
@@ -440,7 +445,7 @@
     /// The latest revision up to which both acceptances and ends are known.
     fn counted_revision(&self) -> u64 {
         // A transaction in flight may have been committed already, after the last known end.
-        let last_known_end = if self.commit.is_out() {
+        let last_known_end = if self.commit.is_pending() {
             self.last_known_end()
         } else {
             u64::MAX
@@ -451,7 +456,11 @@
     /// Adds live jobs that were accepted up to a revision.
     fn add_live(&mut self, revision: u64, rows: &mut BTreeMap<Cell, Row>) {
         let counts = &mut self.county_counts.counts;
-        let live = self.jobs.iter().flatten().filter(|job| !job.is_over());
+        let live = self
+            .jobs
+            .iter()
+            .flatten()
+            .filter(|job| !job.is_end_recorded());
         for job in live.filter(|job| job.version <= revision) {
             if let (Some(county), Some(spec)) = (&job.county, &job.spec) {
                 let cell = counts.cell(&county.county, &spec.class);
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -1,7 +1,7 @@
 //! Hours in the plan: they cap the deadlines of jobs, and the plan shows which hours are at risk, and why.
 
 use crate::Node;
-use crate::documents::hours::Hour;
+use crate::documents::hours::ReleaseHour;
 use crate::jobs::job::{Job, JobIndex};
 use crate::store::shard::Shard;
 use std::collections::BTreeMap;
@@ -11,11 +11,17 @@
 /// Time between a plan and the start of its tasks: their claims are recorded, then sent to the worker.
 const START_DELAY_S: f64 = 2.0;
 
-impl Hour {
+impl ReleaseHour {
     /// Caps a planned job's deadline at its hour, less the time to start, to fetch the image and to save. An hour that
     /// can't be kept any more caps nothing, since its job must not come before jobs whose hours can be kept. The
     /// planner itself leaves arrays time to fetch.
-    pub fn cap(&self, job: plan::Job, spec: &JobSpec, catalog: &Catalog, wall: u64) -> plan::Job {
+    pub fn cap_deadline(
+        &self,
+        job: plan::Job,
+        spec: &JobSpec,
+        catalog: &Catalog,
+        wall: u64,
+    ) -> plan::Job {
         let remaining_s = self.seconds_left(wall) - START_DELAY_S - spec.save_s;
         let fetch_s = least_fetch_s(spec, catalog);
         if remaining_s - fetch_s < job.estimate {
@@ -49,33 +55,33 @@
     spec.image_gb / rates.fold(0.01, f64::max)
 }
 
-/// A job's part in a plan.
+/// A job's tasks in a plan.
 #[derive(Default)]
-struct Planned {
+struct PlannedJob {
     pending: u32,
     started: u32,
     /// The job's index in the plan's input; the last one if it has several.
     index: usize,
 }
 
-/// The parts of jobs with hours in a plan.
+/// The planned tasks of jobs with release hours.
 fn planned_jobs(
     shard: &Shard,
     input: &plan::Input,
     output: &plan::Output,
     jobs: &[JobIndex],
-) -> BTreeMap<JobIndex, Planned> {
-    let mut planned: BTreeMap<JobIndex, Planned> = BTreeMap::new();
-    for (index, ix) in jobs.iter().enumerate() {
-        if shard.job(*ix).is_some_and(|job| job.hour.is_some()) {
-            let planned_job = planned.entry(*ix).or_default();
+) -> BTreeMap<JobIndex, PlannedJob> {
+    let mut planned: BTreeMap<JobIndex, PlannedJob> = BTreeMap::new();
+    for (index, job_index) in jobs.iter().enumerate() {
+        if shard.job(*job_index).is_some_and(|job| job.hour.is_some()) {
+            let planned_job = planned.entry(*job_index).or_default();
             planned_job.pending += input.jobs[index].pending;
             planned_job.index = index;
         }
     }
     for start in &output.starts {
         let job = jobs.get(start.job as usize);
-        if let Some(planned_job) = job.and_then(|ix| planned.get_mut(ix)) {
+        if let Some(planned_job) = job.and_then(|job_index| planned.get_mut(job_index)) {
             planned_job.started += start.count;
         }
     }
@@ -89,13 +95,13 @@
     catalog: &'a Catalog,
     zones: &'a [String],
     wall: u64,
-    /// Whether a machine was requested and has not reported yet.
+    /// Whether a machine was rented and is not up yet.
     has_booting_machine: bool,
 }
 
 impl Assessment<'_> {
     /// The state of a job's hour; `None` if it does not change any more.
-    fn state(&self, job: &Job, planned: &Planned) -> Option<State> {
+    fn state(&self, job: &Job, planned: &PlannedJob) -> Option<State> {
         let (hour, spec) = (job.hour.as_ref()?, job.spec.as_ref()?);
         if hour.state == State::Missed || job.is_ending() {
             return None;
@@ -110,7 +116,7 @@
     }
 
     /// Estimated seconds until the job is done, with as many tasks at a time as are placed now.
-    fn needed_s(&self, spec: &JobSpec, planned: &Planned, placed_tasks: u32) -> f64 {
+    fn needed_s(&self, spec: &JobSpec, planned: &PlannedJob, placed_tasks: u32) -> f64 {
         let later_rounds = planned
             .pending
             .saturating_sub(planned.started)
@@ -127,7 +133,7 @@
     }
 
     /// Why an hour can't be kept.
-    fn risk(&self, job: &Job, spec: &JobSpec, planned: &Planned, placed_tasks: u32) -> Risk {
+    fn risk(&self, job: &Job, spec: &JobSpec, planned: &PlannedJob, placed_tasks: u32) -> Risk {
         let planned = &self.input.jobs[planned.index];
         if self.is_cut_off(spec) {
             Risk::Cut
@@ -195,7 +201,7 @@
                 .machines
                 .iter()
                 .flatten()
-                .any(|m| !m.up && !m.deleting && !m.failed),
+                .any(|m| !m.up && !m.to_be_returned && !m.failed),
         };
         let mut changes = Vec::new();
         for (ix, planned) in planned_jobs(shard, input, output, jobs) {
--- a/crates/control/src/documents/hours/watch.rs
+++ b/crates/control/src/documents/hours/watch.rs
@@ -1,8 +1,8 @@
-//! The watch of deadlines: which hours are upcoming or have passed, and the state of each.
+//! Tracks release hours: which are upcoming or have passed, and the state of each.
 
 use crate::Node;
 use crate::documents::hours::HourMove;
-use crate::documents::refused;
+use crate::documents::refusal;
 use crate::jobs::job::{Job, JobIndex};
 use crate::store::shard::Shard;
 use std::collections::{BTreeSet, VecDeque};
@@ -15,9 +15,9 @@
 /// The most changes of state that are logged one by one at a time; of the others, only the number is logged.
 const MAX_LOGGED: usize = 20;
 
-/// A job's hour in the leader's memory.
+/// A job's release hour in the leader's memory.
 #[derive(Debug, Clone)]
-pub(crate) struct Hour {
+pub(crate) struct ReleaseHour {
     /// The hour in the job's record.
     pub record: HourRecord,
     /// The state that was last determined.
@@ -26,10 +26,10 @@
     ended_ms: u64,
 }
 
-impl Hour {
+impl ReleaseHour {
     /// The hour of a job that was accepted or read back.
-    pub fn new(record: HourRecord) -> Box<Hour> {
-        Box::new(Hour {
+    pub fn new(record: HourRecord) -> Box<ReleaseHour> {
+        Box::new(ReleaseHour {
             record,
             state: State::Due,
             ended_ms: 0,
@@ -47,9 +47,9 @@
     pub(super) late_s: Option<f64>,
 }
 
-/// The hours of the shard's jobs.
+/// The release hours of the shard's jobs.
 #[derive(Default)]
-pub(crate) struct DeadlineWatch {
+pub(crate) struct ReleaseHourWatch {
     /// Jobs that have not ended and whose hour is in the future, by hour.
     pub(super) upcoming: BTreeSet<(u64, JobIndex)>,
     /// Likewise, those whose hour has passed.
@@ -64,30 +64,30 @@
     pub(super) waiting_operators: BTreeSet<u64>,
 }
 
-impl DeadlineWatch {
+impl ReleaseHourWatch {
     /// Adds the hour of a job, if it has one.
-    pub fn add(&mut self, job: &Job, ix: JobIndex) {
+    pub fn add(&mut self, job: &Job, job_index: JobIndex) {
         if let Some(hour) = &job.hour {
-            self.upcoming.insert((hour.record.due_ms, ix));
+            self.upcoming.insert((hour.record.due_ms, job_index));
         }
     }
 
     /// Queues a move again after its transaction was refused, before moves that came after it.
-    pub fn take_back(&mut self, hour_move: HourMove) {
+    pub fn requeue_move(&mut self, hour_move: HourMove) {
         self.moves.push_front(hour_move);
     }
 
     /// Removes an hour.
-    pub(super) fn forget(&mut self, due_ms: u64, ix: JobIndex) {
-        self.upcoming.remove(&(due_ms, ix));
-        self.passed.remove(&(due_ms, ix));
+    pub(super) fn forget(&mut self, due_ms: u64, job_index: JobIndex) {
+        self.upcoming.remove(&(due_ms, job_index));
+        self.passed.remove(&(due_ms, job_index));
     }
 
     /// Determines whether a job's hour was kept, once the job's end is recorded.
-    pub fn ended(&mut self, job: &Job, ix: JobIndex, stage: Stage) {
+    pub fn ended(&mut self, job: &Job, job_index: JobIndex, stage: Stage) {
         let Some(hour) = &job.hour else { return };
         let due = hour.record.due_ms;
-        self.forget(due, ix);
+        self.forget(due, job_index);
         let late = (hour.ended_ms > due).then(|| (hour.ended_ms - due) as f64 / 1000.0);
         let (state, late_s) = match (stage, late) {
             (Stage::Cancelled, _) => (State::Withdrawn, None),
@@ -139,7 +139,7 @@
 }
 
 /// The hour in the record of a job's end.
-pub(crate) fn end_record(job: &mut Job, ended_ms: u64) -> Option<EndHourRecord> {
+pub(crate) fn record_end_of_hour(job: &mut Job, ended_ms: u64) -> Option<EndHourRecord> {
     let hour = job.hour.as_mut()?;
     hour.ended_ms = ended_ms;
     Some(EndHourRecord {
@@ -170,7 +170,7 @@
         if let Some(shard) = &mut self.shard {
             shard.hours.waiting_operators.remove(&conn);
         }
-        self.deny_admin(conn, 409, refused(&why));
+        self.refuse_operator(conn, 409, refusal(&why));
     }
 }
 
@@ -194,8 +194,8 @@
     /// Sets new states of hours, and logs the first ones.
     pub(super) fn set_states(&mut self, changes: Vec<(JobIndex, State)>, wall: u64) {
         let unlogged = changes.len().saturating_sub(MAX_LOGGED);
-        for (n, (ix, state)) in changes.into_iter().enumerate() {
-            let Some(job) = self.jobs.get_mut(ix) else {
+        for (n, (job_index, state)) in changes.into_iter().enumerate() {
+            let Some(job) = self.jobs.get_mut(job_index) else {
                 continue;
             };
             let Some(hour) = &mut job.hour else { continue };
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -2,7 +2,7 @@
 //! them, and a new version is written in one transaction with the allotment that refers to it.
 
 use crate::documents::{Document, Documents, Kind, KindId};
-use crate::scheduling::quota_usage::Counted;
+use crate::scheduling::quota_usage::QuotaUsage;
 use crate::store::shard::Shard;
 use crate::store::transaction::TransactionDraft;
 use crate::{Node, documents};
@@ -63,7 +63,7 @@
             Some(why) => node.respond(conn, 200, admin::encode(&why), None),
             None => {
                 let why = format!("no team {team:?} in the settings");
-                node.deny_admin(conn, 404, documents::refused(&why))
+                node.refuse_operator(conn, 404, documents::refusal(&why))
             }
         }
     }
@@ -148,7 +148,7 @@
 impl Node {
     /// The usage of a tree at this moment.
     fn live_usage(&self, tree: &Arc<Tree>) -> Option<Live> {
-        Some(Counted::new(self.shard.as_ref()?, tree.clone()).live)
+        Some(QuotaUsage::new(self.shard.as_ref()?, tree.clone()).live)
     }
 
     /// The tree in force, or a tree of the teams alone if there is none.
@@ -163,7 +163,7 @@
 
     /// On the leader, has the bounds of a new version recorded before any task starts under them.
     pub(crate) fn apply_active_tree(&mut self) {
-        self.refit_hours();
+        self.rebuild_calendar();
         let whole = self.whole_allotment();
         let Some(shard) = self.shard.as_mut().filter(|shard| shard.loaded) else {
             return;
@@ -171,9 +171,9 @@
         if shard.allotment.is_settled_on(&whole) {
             return;
         }
-        shard.allotment.want(whole);
+        shard.allotment.request(whole);
         shard.plan_triggers.request();
-        self.to_write = true;
+        self.may_have_changes = true;
         // Claims that were planned under the old bounds and are not recorded yet are planned again.
         self.drop_unrecorded_claims();
     }
@@ -182,8 +182,8 @@
     pub(crate) fn drop_unrecorded_claims(&mut self) {
         let Some(shard) = &mut self.shard else { return };
         let mut jobs = BTreeSet::new();
-        let fresh: Vec<_> = shard.claim_log.fresh.drain(..).collect();
-        for id in fresh {
+        let unrecorded: Vec<_> = shard.claim_log.unrecorded_claims.drain(..).collect();
+        for id in unrecorded {
             let is_unsent = shard
                 .claim_mut(&id)
                 .is_some_and(|c| c.state == crate::agents::machine::ClaimState::New && !c.sent);
@@ -191,16 +191,16 @@
                 shard.drop_claim(&id);
                 jobs.insert(id.job);
             } else {
-                shard.claim_log.fresh.push_back(id);
+                shard.claim_log.unrecorded_claims.push_back(id);
             }
         }
-        for ix in jobs {
-            self.job_changed(ix);
+        for job_index in jobs {
+            self.job_changed(job_index);
         }
     }
 
     /// Whether an amount exceeds the maximum of any node on a team's path.
-    pub(crate) fn above_its_tree(&self, team: &str, all: &quota::Amount) -> bool {
+    pub(crate) fn exceeds_quota_tree(&self, team: &str, all: &quota::Amount) -> bool {
         let Some(active) = &self.shared.documents.quota.active else {
             return false;
         };
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -24,14 +24,14 @@
             return self.cancel(&id, Requester::User(conn));
         }
         if let Some(state) = self.final_states.get(&id) {
-            return self.tell(Requester::User(conn), state);
+            return self.answer_state(Requester::User(conn), state);
         }
         let Some(peer) = self.leader_peer() else {
-            return self.refuse(conn, 503, "no owner now");
+            return self.refuse(conn, 503, "no leader is known");
         };
         let request = PeerRequest::Cancel { job: id.clone() };
-        let what = Pending::PeerCancel { conn, job: id };
-        self.ask_peer(peer, &request, CANCEL_TIMEOUT_MS, what);
+        let pending = Pending::PeerCancel { conn, job: id };
+        self.send_peer_request(peer, &request, CANCEL_TIMEOUT_MS, pending);
     }
 
     /// The leader's answer to a forwarded cancellation. A job that the leader does not hold in memory may have ended,
@@ -39,46 +39,46 @@
     pub(crate) fn cancel_answered(&mut self, conn: u64, job: String, response: Option<Response>) {
         match peer_answer(response) {
             Some(PeerResponse::State(state)) if state.id == job => {
-                self.tell(Requester::User(conn), state)
+                self.answer_state(Requester::User(conn), state)
             }
             Some(PeerResponse::Unknown) => {
-                let question = self.question(Requester::User(conn), job, Purpose::Cancel);
-                self.read_job(question)
+                let lookup = self.new_lookup(Requester::User(conn), job, Purpose::Cancel);
+                self.read_job(lookup)
             }
-            _ => self.refuse(conn, 503, "the owner does not answer"),
+            _ => self.refuse(conn, 503, "the leader does not respond"),
         }
     }
 
     /// Follows up on a change of a job: stops the remaining tasks of a broken gang, and removes an ended job without
     /// claims from memory.
     pub(crate) fn job_changed(&mut self, ix: JobIndex) {
-        self.to_write = true;
+        self.may_have_changes = true;
         self.model_changed(ix);
         let Some(shard) = &mut self.shard else { return };
         shard.plan_triggers.request();
-        shard.job_to_write(ix);
+        shard.queue_job_write(ix);
         let Some(job) = shard.job_mut(ix) else { return };
         if job.kind() == Kind::Gang && !job.is_ending() {
-            job.broken = !job.claimed.is_empty() && !job.has_whole_gang_claimed();
+            job.is_gang_broken = !job.claimed.is_empty() && !job.has_whole_gang_claimed();
         }
-        if job.must_stop_tasks() || job.broken {
-            for m in job.machines() {
-                shard.stop_job(ix, m, 0.0);
+        if job.must_stop_tasks() || job.is_gang_broken {
+            for machine_index in job.machines() {
+                shard.stop_job(ix, machine_index, 0.0);
             }
         }
-        shard.note_unwanted(ix);
+        shard.update_cancelled_with_claims(ix);
         shard.maybe_forget_job(ix);
     }
 
     /// Handles a cancellation on the leader.
     pub(crate) fn cancel(&mut self, id: &str, requester: Requester) {
         if let Some(state) = self.final_states.get(id) {
-            return self.tell(requester, state);
+            return self.answer_state(requester, state);
         }
         if !self.may_decide() {
-            return self.not_now(requester);
+            return self.answer_undecided(requester);
         }
-        self.to_write = true;
+        self.may_have_changes = true;
         let Some(shard) = &mut self.shard else { return };
         let Some(ix) = shard.jobs.index_of(id) else {
             return self.cancel_unknown(requester, id);
@@ -87,25 +87,25 @@
         match job.ending {
             // Only claims are left of this job here, and whether it was done or cancelled is not known. The record
             // decides, so that a cancelled job is not reported as done.
-            Ending::Before => return self.cancel_unknown(requester, id),
+            Ending::BeforeTerm => return self.cancel_unknown(requester, id),
             Ending::Recorded(_) => {
                 let state = job.state();
-                return self.tell(requester, state);
+                return self.answer_state(requester, state);
             }
-            Ending::No => {
+            Ending::Undecided => {
                 log::info!("job {}: cancelled by its user", job.id);
-                job.ending = Ending::Wanted(Stage::Cancelled);
-                job.unsaved.clear();
+                job.ending = Ending::Decided(Stage::Cancelled);
+                job.unrecorded_tasks.clear();
             }
             // An end is already to be recorded. The requester is told that end, whichever it is.
             _ => {}
         }
         if job.waiters.len() >= MAX_WAITERS {
-            return self.not_now(requester);
+            return self.answer_undecided(requester);
         }
         job.waiters.push(requester);
-        shard.note_unwanted(ix);
-        shard.job_to_write(ix);
+        shard.update_cancelled_with_claims(ix);
+        shard.queue_job_write(ix);
     }
 
     /// Releases all requesters that wait for a job's end once the leader's lease is no longer valid. A pending write of
@@ -115,7 +115,7 @@
         let Some(shard) = &mut self.shard else { return };
         if std::mem::replace(&mut shard.had_valid_lease, has_valid_lease) && !has_valid_lease {
             for requester in shard.take_waiters() {
-                self.not_now(requester);
+                self.answer_undecided(requester);
             }
         }
     }
--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -4,7 +4,7 @@
 
 use crate::Node;
 use crate::leadership::election::SHARD;
-use crate::scheduling::quota_usage::takes;
+use crate::scheduling::quota_usage::resource_amount;
 use crate::store::record_sizes;
 use std::collections::BTreeSet;
 use std::fmt;
@@ -48,7 +48,7 @@
             Infeasible::FitsNoMachineType => "fits no allowed machine type",
             Infeasible::FitsNoMachineTypeInCounty => "fits no machine type in its county's zones",
             Infeasible::CannotSpread => "its tasks are to be spread, and may be in one zone only",
-            Infeasible::RecordTooLarge => "too large with what would be agreed for it",
+            Infeasible::RecordTooLarge => "too large with the data that would be bound to it",
         };
         f.write_str(text)
     }
@@ -100,8 +100,8 @@
         if exceeds(team.cpus_max, spec.cores) || exceeds(team.gpus_max, spec.gpus) {
             return Err(Infeasible::AboveTeamLimit);
         }
-        let all = takes(spec.cores * tasks, spec.gpus * tasks, spec.mem_gb * tasks);
-        if self.above_its_tree(&spec.team, &all) {
+        let all = resource_amount(spec.cores * tasks, spec.gpus * tasks, spec.mem_gb * tasks);
+        if self.exceeds_quota_tree(&spec.team, &all) {
             return Err(Infeasible::AboveTreeLimit);
         }
         Ok(())
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -97,7 +97,7 @@
 
     /// Whether the state service seems unavailable to this node. It may still answer others.
     pub(crate) fn state_down(&self) -> bool {
-        self.state_bad_at
+        self.state_failed_at
             .is_some_and(|at| self.now.mono < at + STATE_DOWN_MS)
     }
 
@@ -113,7 +113,7 @@
         let reporting_down = |down: Option<bool>| -> Vec<usize> {
             let candidates = candidates.iter().copied();
             candidates
-                .filter(|peer| self.says_down(*peer) == down)
+                .filter(|peer| self.reports_state_down(*peer) == down)
                 .collect()
         };
         let (served, unreported) = (reporting_down(Some(false)), reporting_down(None));
@@ -128,7 +128,7 @@
         let leader = self
             .leader_peer()
             .filter(|p| !past_leader && candidates.contains(p));
-        if let Some(leader) = leader.filter(|p| self.says_down(*p) != Some(true)) {
+        if let Some(leader) = leader.filter(|p| self.reports_state_down(*p) != Some(true)) {
             return Some(leader);
         }
         let targets = if served.is_empty() {
@@ -153,16 +153,16 @@
         let Some(peer) = target else {
             self.stats.unanswered +=
                 u64::from(matches!(*forwarded.request, PeerRequest::Lookup { .. }));
-            return self.refuse(forwarded.conn, 503, "state service not available");
+            return self.refuse(forwarded.conn, 503, "the state service is not available");
         };
         self.stats.forwarded += 1;
         let body = peer::encode(&*forwarded.request);
         let timeout = (forwarded.deadline - now).min(FORWARD_TIMEOUT_MS);
-        let what = Pending::Forward {
+        let pending = Pending::Forward {
             forwarded,
             peer,
             sent: now,
-            mark: self.answer_history.mark(),
+            answer_mark: self.answer_history.mark(),
         };
         self.send(
             Destination::Peer(peer),
@@ -170,7 +170,7 @@
             peer::PATH.into(),
             body,
             timeout,
-            what,
+            pending,
         );
     }
 
@@ -181,7 +181,7 @@
         forwarded: ForwardedRequest,
         peer: usize,
         sent: u64,
-        mark: u64,
+        answer_mark: u64,
         response: Option<Response>,
     ) {
         self.record_peer_outcome(peer, sent, response.is_some());
@@ -190,20 +190,26 @@
         }
         let conn = forwarded.conn;
         match peer_answer(response) {
-            Some(PeerResponse::State(state)) => self.tell(Requester::User(conn), state),
+            Some(PeerResponse::State(state)) => self.answer_state(Requester::User(conn), state),
             Some(PeerResponse::Accepted(state)) => {
                 self.answer_accepted(Requester::User(conn), state)
             }
             Some(PeerResponse::Refused { status, why }) => {
-                self.refused_by_peer(&forwarded, mark, status, &why)
+                self.refused_by_peer(&forwarded, answer_mark, status, &why)
             }
-            _ => self.refuse(conn, 503, "state service not available"),
+            _ => self.refuse(conn, 503, "the state service is not available"),
         }
     }
 
     /// Passes a peer's refusal on to the user. A negative answer is as old as the peer's reads, so whatever this node
     /// has answered since the request was forwarded takes precedence.
-    fn refused_by_peer(&mut self, forwarded: &ForwardedRequest, mark: u64, status: u16, why: &str) {
+    fn refused_by_peer(
+        &mut self,
+        forwarded: &ForwardedRequest,
+        answer_mark: u64,
+        status: u16,
+        why: &str,
+    ) {
         let conn = forwarded.conn;
         let why = if why.is_empty() {
             "refused by a peer"
@@ -215,9 +221,12 @@
             .filter(|_| matches!(status, 400 | 404 | 422))
         {
             if let Some(state) = self.final_states.get(job) {
-                return self.tell(Requester::User(conn), state);
+                return self.answer_state(Requester::User(conn), state);
             }
-            if self.answer_history.may_have_answered_since(job, mark) {
+            if self
+                .answer_history
+                .may_have_answered_since(job, answer_mark)
+            {
                 return self.refuse(conn, 503, "undecided");
             }
         }
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -56,10 +56,13 @@
             .filter(|_| self.may_decide() && self.tuning.keepers > 0.0)?;
         let zone = &self.settings.peers.get(peer)?.zone;
         debug_assert!(
-            shard.unwanted_is_right(),
-            "a cancelled job with claims is missing from the unwanted jobs"
+            shard.is_cancelled_with_claims_complete(),
+            "a cancelled job with claims is missing from `cancelled_with_claims`"
         );
-        let jobs = shard.unwanted.iter().filter_map(|job| shard.job(*job));
+        let jobs = shard
+            .cancelled_with_claims
+            .iter()
+            .filter_map(|job| shard.job(*job));
         let machines = jobs
             .flat_map(|j| j.claimed.values().flatten())
             .filter_map(|(m, _)| shard.machine(*m));
@@ -82,7 +85,7 @@
     }
 
     /// The answer of this lease delegate to a worker's heartbeat; `None` if it may not answer.
-    pub(crate) fn delegate_answer(&self, heartbeat: &Heartbeat) -> Option<Vec<u8>> {
+    pub(crate) fn answer_as_delegate(&self, heartbeat: &Heartbeat) -> Option<Vec<u8>> {
         let delegation = self.delegation.as_ref()?;
         let token = delegation.terms.token;
         let answer_window = delegation.answer_window(&self.settings.cluster.workers);
@@ -102,7 +105,7 @@
 
     /// How much longer than their leases, in milliseconds, tasks in a silent zone may live because a lease delegate was
     /// up there at `heard_at`, when the machine was last heard from.
-    pub(crate) fn delegated_ms(&self, zone: &str, heard_at: u64) -> u64 {
+    pub(crate) fn delegated_lease_extension_ms(&self, zone: &str, heard_at: u64) -> u64 {
         let peers = self.settings.peers.iter().enumerate();
         let delegate_was_up = peers
             .filter(|(_, p)| p.zone == zone)
--- a/crates/control/src/models/records.rs
+++ b/crates/control/src/models/records.rs
@@ -2,7 +2,7 @@
 
 use crate::models::{LeaderState, ReadState, VersionedRecord, set_replicas};
 use crate::state_requests::PageCursor;
-use crate::store::recovery::Load;
+use crate::store::recovery::RecoveryStep;
 use crate::{Node, Pending};
 use model::Rec;
 use wire::api::{Change, Changes, Item, Range};
@@ -18,8 +18,8 @@
 impl Node {
     /// Whether a new leader still has to read records before it starts any task. If so, they are read, and the load
     /// continues after that.
-    pub(crate) fn models_to_read(&mut self) -> bool {
-        self.models_in_force();
+    pub(crate) fn needs_model_records(&mut self) -> bool {
+        self.apply_model_rules();
         if !self.models.in_force() {
             return false;
         }
@@ -48,7 +48,7 @@
     /// Handles a page of records; `None` if there was no answer.
     pub(crate) fn models_received(&mut self, response: Option<Response>) {
         let Some(page) = self.read_state::<Range<Rec>>(response) else {
-            return self.load_later(Load::Models);
+            return self.retry_load_later(RecoveryStep::Models);
         };
         let leader_state = &mut self.models.leader_state;
         if leader_state.cursor.is_at_start() {
@@ -66,7 +66,7 @@
                     model.to_owned(),
                     VersionedRecord {
                         record: value,
-                        stamp: version,
+                        record_version: version,
                     },
                 );
             }
@@ -76,9 +76,9 @@
         }
         let leader_state = &mut self.models.leader_state;
         (leader_state.read, leader_state.cursor) = (ReadState::Complete, PageCursor::default());
-        self.bind_models();
+        self.update_model_bindings();
         if self.shard.as_ref().is_some_and(|shard| !shard.loaded) {
-            self.load_ended();
+            self.finish_recovery();
         }
     }
 
@@ -89,27 +89,27 @@
         if leader_state
             .records
             .get(model)
-            .is_some_and(|current| current.stamp > known.stamp)
+            .is_some_and(|current| current.record_version > known.record_version)
         {
             return;
         }
         leader_state.records.insert(model.to_owned(), known.clone());
         leader_state.to_check.insert(model.to_owned());
         let Some(shard) = &mut self.shard else { return };
-        let Some(ix) = shard.jobs.index_of(model) else {
+        let Some(index) = shard.jobs.index_of(model) else {
             return;
         };
-        let Some(job) = shard.job(ix) else { return };
+        let Some(job) = shard.job(index) else { return };
         let Some(rule) = job.spec.as_ref().and_then(|spec| self.models.rule(spec)) else {
             return;
         };
-        set_replicas(shard, ix, known.record.replicas(&rule, job.tasks));
+        set_replicas(shard, index, known.record.replicas(&rule, job.tasks));
     }
 
     /// Requests changes of records after the last known revision.
     pub(super) fn watch_models(&mut self) {
         let term = self.term;
-        self.models.leader_state.watching = true;
+        self.models.leader_state.watch_in_flight = true;
         let from = self.models.leader_state.revision;
         let path = format!("/changes?under={}&from={from}&waitMs=5000", records::MODELS);
         self.get_state(path, WATCH_TIMEOUT_MS, Pending::ModelWatch { term });
@@ -119,7 +119,7 @@
     pub(crate) fn model_changes_received(&mut self, response: Option<Response>) {
         let retry = self.now.mono + self.rng.u64(100..400);
         let leader_state = &mut self.models.leader_state;
-        leader_state.watching = false;
+        leader_state.watch_in_flight = false;
         leader_state.next_watch_at = retry;
         let Some(response) = response else { return };
         if response.status == 410 {
@@ -130,7 +130,7 @@
         if response.status != 200 {
             return;
         }
-        let Some(changes) = self.read::<Changes<Rec>>("state service", &response) else {
+        let Some(changes) = self.decode_answer::<Changes<Rec>>("state service", &response) else {
             return;
         };
         let leader_state = &mut self.models.leader_state;
@@ -150,14 +150,20 @@
         let Some(model) = key.strip_prefix(records::MODELS).map(str::to_owned) else {
             return;
         };
-        let stamp = change.version;
+        let record_version = change.version;
         match change.value {
-            Some(record) => self.record_observed(&model, VersionedRecord { record, stamp }),
+            Some(record) => self.record_observed(
+                &model,
+                VersionedRecord {
+                    record,
+                    record_version,
+                },
+            ),
             None => self
                 .models
                 .leader_state
                 .records
-                .retain(|name, known| *name != model || known.stamp > stamp),
+                .retain(|name, known| *name != model || known.record_version > record_version),
         }
     }
 }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -6,13 +6,13 @@
 use crate::frontend;
 use crate::jobs::{admission, answer_history, forwarding};
 use crate::leadership::role::Role;
-use crate::leadership::shared_state::{AnnouncedLeader, Shared};
+use crate::leadership::shared_state::{AnnouncedLeader, SharedState};
 use crate::leadership::{election, incarnation, lease_delegate, peer_status};
 use crate::models;
 use crate::outstanding::Pending;
 use crate::overload::{load_shedding, plan_pacing};
 use crate::stats::Stats;
-use crate::store::rate_budget::Bucket;
+use crate::store::rate_budget::TokenBucket;
 use crate::store::shard::Shard;
 use crate::store::transaction_split::Refusals;
 use crate::store::write_limits::WriteLimits;
@@ -47,24 +47,26 @@
     pub(crate) effects: Vec<Effect>,
     pub(crate) pending: HashMap<u64, Pending>,
     pub(crate) next_tag: u64,
-    pub(crate) shared: Shared,
+    pub(crate) shared: SharedState,
     pub(crate) role: Role,
     pub(crate) incarnation: incarnation::Incarnation,
     pub(crate) announced_leader: Option<AnnouncedLeader>,
+    /// Incremented whenever this node becomes or ceases to be the leader. Answers to requests of an earlier term are
+    /// ignored.
     pub(crate) term: u64,
     pub(crate) shard: Option<Shard>,
     /// Remaining budget of requests and writes to the state service.
-    pub(crate) requests: Bucket,
-    pub(crate) writes: Bucket,
-    pub(crate) cloud: Bucket,
+    pub(crate) requests: TokenBucket,
+    pub(crate) writes: TokenBucket,
+    pub(crate) cloud: TokenBucket,
     pub(crate) final_states: answer_history::FinalStates,
     pub(crate) answer_history: answer_history::AnswerHistory,
     /// Submissions that the state service was too busy to store, with the time of the next attempt.
     pub(crate) retries: VecDeque<(u64, admission::Submission)>,
     /// When the state service last failed to serve this node, unless it has served it since.
-    pub(crate) state_bad_at: Option<u64>,
+    pub(crate) state_failed_at: Option<u64>,
     /// When the state service last served this node.
-    pub(crate) state_good_at: Option<u64>,
+    pub(crate) state_served_at: Option<u64>,
     /// The latest status of each peer.
     pub(crate) peer_statuses: peer_status::PeerStatusTable,
     /// How well peers answer forwarded requests.
@@ -77,13 +79,14 @@
     pub(crate) load_shedding: load_shedding::LoadShedding,
     /// The leader's delegation to renew workers' leases.
     pub(crate) delegation: Option<lease_delegate::Delegation>,
-    pub(crate) catalog_at: u64,
+    /// When the catalog of machine types is next requested from the cloud.
+    pub(crate) next_catalog_read_at: u64,
     /// When this node last gave up leadership because it heard nothing from most machines.
-    pub(crate) stood_aside_at: Option<u64>,
+    pub(crate) stepped_down_for_silence_at: Option<u64>,
     /// Whether there may be changes to write. If not, only ticks check for them.
-    pub(crate) to_write: bool,
+    pub(crate) may_have_changes: bool,
     /// Whether another front end of this process is open, which has reserved job ids.
-    pub(crate) beside: bool,
+    pub(crate) has_other_frontend: bool,
     pub(crate) frontend: frontend::Frontend,
     pub(crate) models: models::Models,
     /// Writes that the state service has refused.
@@ -104,9 +107,9 @@
             as usize)
             .clamp(1000, 1_000_000);
         Node {
-            requests: Bucket::new(write_limits.requests_per_s() * STATE_REQUEST_SHARE / nodes),
-            writes: Bucket::new(cluster.state.write_rps * election::OTHER_WRITES),
-            cloud: Bucket::new(cluster.cloud.rps * CLOUD_CALL_SHARE),
+            requests: TokenBucket::new(write_limits.requests_per_s() * STATE_REQUEST_SHARE / nodes),
+            writes: TokenBucket::new(cluster.state.write_rps * election::FOLLOWER_WRITE_SHARE),
+            cloud: TokenBucket::new(cluster.cloud.rps * CLOUD_CALL_SHARE),
             settings,
             write_limits,
             tuning,
@@ -116,7 +119,7 @@
             effects: Vec::new(),
             pending: HashMap::new(),
             next_tag: 1,
-            shared: Shared::default(),
+            shared: SharedState::default(),
             role: Role::FOLLOWER,
             announced_leader: None,
             term: 0,
@@ -124,8 +127,8 @@
             final_states: answer_history::FinalStates::new(final_states),
             answer_history: answer_history::AnswerHistory::default(),
             retries: VecDeque::new(),
-            state_bad_at: None,
-            state_good_at: None,
+            state_failed_at: None,
+            state_served_at: None,
             peer_statuses: peer_status::PeerStatusTable::default(),
             responsiveness: forwarding::PeerResponsiveness::default(),
             relay: relay::Relay::default(),
@@ -133,10 +136,10 @@
             plan_pacing: plan_pacing::PlanPacing::default(),
             load_shedding: load_shedding::LoadShedding::default(),
             delegation: None,
-            catalog_at: 0,
-            stood_aside_at: None,
-            to_write: false,
-            beside: false,
+            next_catalog_read_at: 0,
+            stepped_down_for_silence_at: None,
+            may_have_changes: false,
+            has_other_frontend: false,
             frontend: frontend::Frontend::new(),
             models: models::Models::default(),
             refusals: Refusals::default(),
@@ -147,32 +150,32 @@
 
     /// Sets an initial quota tree, which is stored only if there has never been one.
     pub fn with_first_tree(mut self, spec: Option<quota::Spec>) -> Self {
-        self.shared.documents.quota.first = spec;
+        self.shared.documents.quota.initial_content = spec;
         self
     }
 
     /// Sets an initial calendar of release hours.
     pub fn with_first_hours(mut self, spec: Option<::hours::Spec>) -> Self {
-        self.shared.documents.hours.first = spec;
+        self.shared.documents.hours.initial_content = spec;
         self
     }
 
     /// Sets initial counties.
     pub fn with_first_counties(mut self, spec: Option<county::Spec>) -> Self {
-        self.shared.documents.counties.first = spec;
+        self.shared.documents.counties.initial_content = spec;
         self
     }
 
     /// Sets an initial list of models.
     pub fn with_first_models(mut self, spec: Option<model::Spec>) -> Self {
-        self.shared.documents.models.first = spec;
+        self.shared.documents.models.initial_content = spec;
         self
     }
 
     /// Notes that another front end of this process is open; users cannot use the job ids reserved for it.
     pub fn with_frontend(self) -> Self {
         Node {
-            beside: true,
+            has_other_frontend: true,
             ..self
         }
     }
@@ -190,7 +193,7 @@
     /// Handles one event and returns the effects to carry out.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
         self.now = now;
-        self.to_write |= matches!(event, Event::Tick);
+        self.may_have_changes |= matches!(event, Event::Tick);
         match event {
             Event::Client { conn, request } => self.user_request(conn, request),
             Event::Peer { conn, request } => self.peer_request(conn, &request),
@@ -223,11 +226,11 @@
         if self.shared.catalog.is_none() || self.leads() {
             self.catalog_tick();
         }
-        self.load_tick();
-        if self.shard.as_ref().is_some_and(|p| p.loaded) {
-            self.fleet_tick();
+        self.recovery_tick();
+        if self.shard.as_ref().is_some_and(|shard| shard.loaded) {
+            self.provisioning_tick();
             self.machines_tick();
-            self.sched_tick();
+            self.scheduling_tick();
             self.hours_tick();
             self.county_counts_tick();
             self.audit_tick();
@@ -251,19 +254,21 @@
             return;
         };
         match pending {
-            Pending::Direct {
+            Pending::DirectCommand {
                 term: sent_in,
                 machine,
                 serial,
                 ..
-            } if sent_in == term => self.direct_received(machine, serial, Some(relay::not_sent())),
+            } if sent_in == term => {
+                self.direct_command_answered(machine, serial, Some(relay::not_sent()))
+            }
             Pending::Probe {
                 term: sent_in,
                 machine,
                 serial,
                 ..
             } if sent_in == term => self.probe_unsent(machine, serial),
-            Pending::Tell { conn } => self.relayed_command_unsent(conn),
+            Pending::RelayedCommand { conn } => self.relayed_command_unsent(conn),
             pending => self.answer_received(pending, None),
         }
     }
@@ -304,12 +309,12 @@
     fn note_state_health(&mut self, response: Option<&Response>) {
         let now = self.now.mono;
         let failed = response.is_none_or(|r| r.status == 503);
-        self.state_bad_at = failed.then_some(now);
+        self.state_failed_at = failed.then_some(now);
         if !failed {
-            self.state_good_at = Some(now);
+            self.state_served_at = Some(now);
         }
         // A follower keeps reading until the service serves it again. The leader's renewals have the same effect.
-        if failed && self.shared.known && !self.leads() {
+        if failed && self.shared.is_current && !self.leads() {
             self.reread_shared(STATE_REREAD_DELAY_MS);
         }
     }
@@ -328,60 +333,60 @@
             }
             Pending::IgnoreAnswer => {}
             Pending::PeerStatus { sent, peer } => self.peer_status_received(sent, peer, response),
-            Pending::Relayed { conns } => self.relayed_heartbeats_answered(conns, response),
-            Pending::Tell { conn } => self.relayed_command_answered(conn, response),
+            Pending::RelayedHeartbeats { conns } => {
+                self.relayed_heartbeats_answered(conns, response)
+            }
+            Pending::RelayedCommand { conn } => self.relayed_command_answered(conn, response),
             Pending::Accept {
                 submission,
-                denied,
-                mark,
-            } => self.accept_answered(submission, denied, mark, response),
-            Pending::ReadLive { question } => self.live_record_received(question, response),
-            Pending::ReadEnd { question } => self.end_record_received(question, response),
-            Pending::PeerQuery {
-                question,
-                peer,
-                sent,
-            } => self.query_answered(question, peer, sent, response),
+                infeasible,
+                answer_mark,
+            } => self.accept_answered(submission, infeasible, answer_mark, response),
+            Pending::ReadLive { lookup } => self.live_record_received(lookup, response),
+            Pending::ReadEnd { lookup } => self.end_record_received(lookup, response),
+            Pending::PeerQuery { lookup, peer, sent } => {
+                self.query_answered(lookup, peer, sent, response)
+            }
             Pending::PeerCancel { conn, job } => self.cancel_answered(conn, job, response),
             Pending::Forward {
                 forwarded,
                 peer,
                 sent,
-                mark,
-            } => self.forward_answered(forwarded, peer, sent, mark, response),
+                answer_mark,
+            } => self.forward_answered(forwarded, peer, sent, answer_mark, response),
             Pending::Admin { conn } => self.admin_answered(conn, response),
             Pending::Frontend { tag } => self.frontend_answered(tag, response),
             Pending::WakeUp { model, step } => self.wake_up_received(model, step, response),
-            Pending::WakeForward { waiter } => self.demand_forwarded(waiter, response),
+            Pending::ForwardedDemand { waiter } => self.demand_forwarded(waiter, response),
             Pending::LeaderNotified { model } => self.leader_notified(&model, response),
             Pending::Catalog => self.catalog_received(response),
-            Pending::Load { what, .. } => self.load_received(what, response),
+            Pending::Load { step, .. } => self.load_received(step, response),
             Pending::Audit { record_set, .. } => self.audit_received(record_set, response),
-            Pending::Sheets { .. } => self.sheets_received(response),
+            Pending::CounterSheets { .. } => self.counter_sheets_received(response),
             Pending::Models { .. } => self.models_received(response),
             Pending::ModelWatch { .. } => self.model_changes_received(response),
             Pending::ModelWrite { model, .. } => self.model_written(model, response),
             Pending::Parts { kind, .. } => {
                 for_kind!(kind, K => self.parts_received::<K>(response))
             }
-            Pending::LiveWatch { .. } => self.live_changes(response),
-            Pending::Commit { .. } => self.committed(response),
-            Pending::Verify { .. } => self.verified(response),
+            Pending::LiveWatch { .. } => self.live_changes_received(response),
+            Pending::Commit { .. } => self.commit_answered(response),
+            Pending::ProbeOutcome { .. } => self.outcome_probe_answered(response),
             Pending::List { .. } => self.list_received(response),
-            Pending::Rental { name, .. } => self.rental_answered(name, response),
-            Pending::Delete { machines, .. } => self.returns_received(machines, response),
-            Pending::Direct {
+            Pending::RentMachines { name, .. } => self.rental_answered(name, response),
+            Pending::ReturnMachines { machines, .. } => self.return_answered(machines, response),
+            Pending::DirectCommand {
                 machine,
                 serial,
                 via,
                 ..
-            } => self.direct_received(machine, serial, unwrap_relayed(response, via)),
+            } => self.direct_command_answered(machine, serial, unwrap_relayed(response, via)),
             Pending::Probe {
                 machine,
                 serial,
                 via,
                 ..
-            } => self.probe_received(machine, serial, unwrap_relayed(response, via)),
+            } => self.probe_answered(machine, serial, unwrap_relayed(response, via)),
         }
     }
 }
--- a/crates/control/src/provisioning/listing.rs
+++ b/crates/control/src/provisioning/listing.rs
@@ -43,14 +43,14 @@
             .as_ref()
             .map(|after| format!("from={after}&"));
         let path = format!("/machines?{}limit={PAGE}", from.unwrap_or_default());
-        self.ask_cloud("GET", path, Vec::new(), Pending::List { term });
+        self.send_cloud_request("GET", path, Vec::new(), Pending::List { term });
     }
 
     /// Handles a page of the list, or the absence of an answer.
     pub(crate) fn list_received(&mut self, response: Option<Response>) {
         let list = response
             .filter(|r| r.status == 200)
-            .and_then(|r| self.read::<MachineList>("cloud", &r));
+            .and_then(|r| self.decode_answer::<MachineList>("cloud", &r));
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
         shard.returned.forget_old(now);
@@ -71,21 +71,21 @@
     /// Updates a known machine from its entry in the list, or adds one that is not known and was not returned lately.
     fn apply_listed_machine(&mut self, listed: ListedMachine) {
         let Some(shard) = &mut self.shard else { return };
-        if let Some(m) = shard.machines.index_of(&listed.name) {
-            let Some(machine) = shard.machine_mut(m) else {
+        if let Some(machine_index) = shard.machines.index_of(&listed.name) {
+            let Some(machine) = shard.machine_mut(machine_index) else {
                 return;
             };
             if machine.addr.is_none() {
                 machine.addr = listed.addr.parse().ok();
             }
             // A failed machine costs nothing more, but only its return to the cloud proves that its tasks have ended.
-            if listed.stage == FAILED_STAGE && !machine.deleting {
+            if listed.stage == FAILED_STAGE && !machine.to_be_returned {
                 log::info!(
                     "machine {}: reported as failed by the cloud, to be returned",
                     machine.name
                 );
                 machine.failed = true;
-                machine.deleting = true;
+                machine.to_be_returned = true;
             }
             return;
         }
@@ -114,7 +114,7 @@
         );
         machine.addr = listed.addr.parse().ok();
         machine.failed = listed.stage == FAILED_STAGE;
-        machine.deleting = machine.failed;
+        machine.to_be_returned = machine.failed;
         shard.add_machine(machine);
     }
 }
--- a/crates/control/src/provisioning/machine_health.rs
+++ b/crates/control/src/provisioning/machine_health.rs
@@ -7,9 +7,9 @@
 use wire::api::Catalog;
 
 /// Minimum time between two step-downs because most machines are silent.
-const STAND_ASIDE_INTERVAL_MS: u64 = 180_000;
+const STEP_DOWN_INTERVAL_MS: u64 = 180_000;
 /// How long this node then stays out of elections, so that another can take over.
-const STAND_ASIDE_MS: u64 = 15_000;
+const CAMPAIGN_PAUSE_MS: u64 = 15_000;
 /// How often all machines are checked.
 const SURVEY_INTERVAL_MS: u64 = 500;
 /// How often a silent machine is probed for its heartbeat.
@@ -17,7 +17,7 @@
 /// How often a machine with claims is probed for the state of its tasks if it answers commands but its heartbeats are
 /// overdue.
 const OVERDUE_PROBE_MS: u64 = 2000;
-/// A new leader probes machines that it has not heard from, between these times after the start of its term.
+/// A new leader probes machines that it has not heard from, between these times after the end of recovery.
 const PROBE_AFTER_MS: u64 = 500;
 const PROBE_UNTIL_MS: u64 = 8000;
 /// Each tick probes this many machines, or more if needed to probe all within `TICKS_TO_PROBE_ALL` ticks.
@@ -42,7 +42,7 @@
 
 impl Survey {
     /// Counts a machine that is known to be up, and decides whether to probe it.
-    fn add_known_up(&mut self, m: usize, machine: &Machine, now: u64, silent_ms: u64) {
+    fn add_known_up(&mut self, machine_index: usize, machine: &Machine, now: u64, silent_ms: u64) {
         let is_silent = now.saturating_sub(machine.heard_at) > silent_ms;
         let is_overdue = machine.is_heartbeat_overdue(now, silent_ms);
         // A machine counts as unreachable only if a probe had no answer. Machines that send no heartbeats but still
@@ -58,7 +58,7 @@
             return;
         };
         if now >= machine.probed_at + interval && machine.probe_in_flight.is_none() {
-            self.to_probe.push(m);
+            self.to_probe.push(machine_index);
         }
     }
 
@@ -92,23 +92,26 @@
         self.probe_unheard_machines();
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
-        if now < shard.looked_at + SURVEY_INTERVAL_MS {
+        if now < shard.silence_checked_at + SURVEY_INTERVAL_MS {
             return;
         }
-        shard.looked_at = now;
+        shard.silence_checked_at = now;
         self.survey_zones();
-        let has_successor = self.could_be_followed();
+        let has_successor = self.may_have_successor();
         let Some(survey) = self.survey_machines() else {
             return;
         };
-        if has_successor && survey.most_are_unreachable() && !self.stood_aside_recently() {
-            return self.stand_aside_for_silence();
+        if has_successor
+            && survey.most_are_unreachable()
+            && !self.has_recently_stepped_down_for_silence()
+        {
+            return self.step_down_for_silence();
         }
-        for m in survey.unsent {
-            self.release_unsent_claims(m);
+        for machine_index in survey.unsent {
+            self.release_unsent_claims(machine_index);
         }
-        for m in survey.to_probe {
-            self.probe_or_return(m);
+        for machine_index in survey.to_probe {
+            self.probe_or_return(machine_index);
         }
     }
 
@@ -121,27 +124,27 @@
         let catalog = self.shared.catalog.as_ref();
         let settle_ms = (self.settings.cluster.workers.report_s * 1000.0) as u64;
         let shard = self.shard.as_mut()?;
-        if now.mono < shard.since + settle_ms {
+        if now.mono < shard.ready_since + settle_ms {
             return None;
         }
         let mut survey = Survey::default();
-        for (m, machine) in shard.machines.iter_mut().enumerate() {
+        for (machine_index, machine) in shard.machines.iter_mut().enumerate() {
             let Some(machine) = machine else { continue };
             let is_overdue = machine.is_heartbeat_overdue(now.mono, silent_ms);
-            if (is_overdue || machine.deleting) && machine.unsent().next().is_some() {
-                survey.unsent.push(m);
+            if (is_overdue || machine.to_be_returned) && machine.unsent_claims().next().is_some() {
+                survey.unsent.push(machine_index);
             }
-            if machine.deleting {
+            if machine.to_be_returned {
                 continue;
             }
             if machine.is_known_up() {
-                survey.add_known_up(m, machine, now.mono, silent_ms);
+                survey.add_known_up(machine_index, machine, now.mono, silent_ms);
             } else if never_came_up(machine, boot_s(catalog, machine), patience, now) {
                 log::info!("machine {}: did not come up, to be returned", machine.name);
-                machine.deleting = true;
+                machine.to_be_returned = true;
             }
             if machine.cordoned && machine.claims.is_empty() {
-                machine.deleting = true;
+                machine.to_be_returned = true;
             }
         }
         Some(survey)
@@ -149,42 +152,51 @@
 
     /// Whether this node stepped down because of silent machines recently. If most machines have really failed, nodes
     /// that stepped down each time would pass leadership round forever, and none would return the machines.
-    fn stood_aside_recently(&self) -> bool {
+    fn has_recently_stepped_down_for_silence(&self) -> bool {
         let now = self.now.mono;
-        let until = |at| at + STAND_ASIDE_INTERVAL_MS;
-        self.stood_aside_at.is_some_and(|at| now <= until(at))
+        let until = |at| at + STEP_DOWN_INTERVAL_MS;
+        self.stepped_down_for_silence_at
+            .is_some_and(|at| now <= until(at))
     }
 
     /// Steps down because most machines are silent. So many machines seldom fail at once: more likely this node is cut
     /// off from them, and another is not.
-    fn stand_aside_for_silence(&mut self) {
-        self.stood_aside_at = Some(self.now.mono);
+    fn step_down_for_silence(&mut self) {
+        self.stepped_down_for_silence_at = Some(self.now.mono);
         self.step_down("most machines are unreachable from this node");
-        self.stand_aside(STAND_ASIDE_MS);
+        self.pause_campaigning(CAMPAIGN_PAUSE_MS);
     }
 
     /// Releases the claims whose start was never sent, on a machine that receives no orders.
-    fn release_unsent_claims(&mut self, m: usize) {
-        let machine = self.shard.as_ref().and_then(|shard| shard.machine(m));
-        let claims: Vec<usize> = machine.map(|x| x.unsent().collect()).unwrap_or_default();
-        self.never_started(m, &claims);
+    fn release_unsent_claims(&mut self, machine_index: usize) {
+        let machine = self
+            .shard
+            .as_ref()
+            .and_then(|shard| shard.machine(machine_index));
+        let claims: Vec<usize> = machine
+            .map(|x| x.unsent_claims().collect())
+            .unwrap_or_default();
+        self.end_unsent_claims(machine_index, &claims);
     }
 
     /// Probes a machine for its heartbeat. One whose address is known neither from its worker nor from the cloud's list
     /// can't be probed, and is returned after a worker lease without a heartbeat.
-    fn probe_or_return(&mut self, m: usize) {
+    fn probe_or_return(&mut self, machine_index: usize) {
         let now = self.now.mono;
         let lease_ms = self.lease_ms();
-        let machine = self.shard.as_mut().and_then(|shard| shard.machine_mut(m));
+        let machine = self
+            .shard
+            .as_mut()
+            .and_then(|shard| shard.machine_mut(machine_index));
         let Some(machine) = machine else { return };
         if machine.addr.is_some() {
-            self.probe_machine(m);
+            self.probe_machine(machine_index);
         } else if now.saturating_sub(machine.heard_at) > lease_ms {
             log::warn!(
                 "machine {}: silent and without a known address, to be returned",
                 machine.name
             );
-            machine.deleting = true;
+            machine.to_be_returned = true;
         }
     }
 
@@ -201,7 +213,7 @@
             .machines
             .iter()
             .flatten()
-            .filter(|m| m.is_known_up() && !m.deleting)
+            .filter(|m| m.is_known_up() && !m.to_be_returned)
         {
             let (up, overdue, relayed) = zones.entry(machine.zone.as_str()).or_default();
             *up += 1;
@@ -210,32 +222,33 @@
             *overdue += u32::from(now.saturating_sub(machine.heard_at) > late_ms);
         }
         // If some machines of a zone are heard through a peer, the others are likely to find that peer too.
-        let detour = zones
+        let relayed_zones = zones
             .iter()
             .filter(|(_, (up, _, relayed))| relayed * 8 > *up);
-        let detour: BTreeSet<String> = detour.map(|(zone, _)| (*zone).to_owned()).collect();
+        let relayed_zones: BTreeSet<String> =
+            relayed_zones.map(|(zone, _)| (*zone).to_owned()).collect();
         let cut = zones
             .iter()
             .filter(|(_, (up, overdue, _))| *up >= MIN_MACHINES && overdue * 3 > *up);
         let cut: BTreeSet<String> = cut.map(|(zone, _)| (*zone).to_owned()).collect();
-        shard.zones.observe(cut, detour);
+        shard.zones.observe(cut, relayed_zones);
     }
 
     /// After a failover, probes the machines that have not sent a heartbeat by themselves, a few per tick. Their
-    /// workers may still report to an earlier leader, and many decisions have to wait for their reports.
+    /// workers may still send heartbeats to an earlier leader, and many decisions have to wait for these.
     fn probe_unheard_machines(&mut self) {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else { return };
-        if now < shard.since + PROBE_AFTER_MS || now >= shard.since + PROBE_UNTIL_MS {
+        if now < shard.ready_since + PROBE_AFTER_MS || now >= shard.ready_since + PROBE_UNTIL_MS {
             return;
         }
-        let since = shard.since;
+        let ready_since = shard.ready_since;
         let unheard = |m: &Machine| {
-            m.heard_at <= since
+            m.heard_at <= ready_since
                 && m.addr.is_some()
                 && m.probe_in_flight.is_none()
-                && m.probed_at < since
-                && !m.deleting
+                && m.probed_at < ready_since
+                && !m.to_be_returned
         };
         let due = shard
             .machines
@@ -244,33 +257,40 @@
             .filter(|(_, m)| m.is_some_and(unheard));
         let max_probes = PROBES_PER_TICK.max(shard.machines.count().div_ceil(TICKS_TO_PROBE_ALL));
         let due: Vec<usize> = due.map(|(m, _)| m).take(max_probes).collect();
-        for m in due {
-            self.probe_machine(m);
+        for machine_index in due {
+            self.probe_machine(machine_index);
         }
     }
 
     /// Handles a probe that had no answer: a silent machine is to be returned. If its whole zone seems cut off, the
     /// machine is likely to come back, with its tasks if their leases have not ended by then. It is then returned only
     /// if it holds claims and the leases have ended, so that the tasks can be run elsewhere.
-    pub(crate) fn probe_failed(&mut self, m: usize) {
+    pub(crate) fn probe_failed(&mut self, machine_index: usize) {
         let now = self.now.mono;
         let silent_ms = self.silent_ms();
         let is_silent = |machine: &Machine| now.saturating_sub(machine.heard_at) > silent_ms;
-        let machine = self.shard.as_ref().and_then(|shard| shard.machine(m));
+        let machine = self
+            .shard
+            .as_ref()
+            .and_then(|shard| shard.machine(machine_index));
         if !machine.is_some_and(is_silent) {
             return;
         }
         self.survey_zones();
-        let Some(machine) = self.shard.as_ref().and_then(|shard| shard.machine(m)) else {
+        let Some(machine) = self
+            .shard
+            .as_ref()
+            .and_then(|shard| shard.machine(machine_index))
+        else {
             return;
         };
-        let delegated_ms = self.delegated_ms(&machine.zone, machine.heard_at);
-        let lease_ms = self.lease_ms() + silent_ms + delegated_ms;
+        let extension_ms = self.delegated_lease_extension_ms(&machine.zone, machine.heard_at);
+        let lease_ms = self.lease_ms() + silent_ms + extension_ms;
         let Some(shard) = &mut self.shard else { return };
-        let Some(machine) = shard.machines.get_mut(m) else {
+        let Some(machine) = shard.machines.get_mut(machine_index) else {
             return;
         };
-        let may_come_back = shard.zones.is_doubtful(&machine.zone);
+        let may_come_back = shard.zones.may_be_cut_off(&machine.zone);
         let silent_for_ms = now.saturating_sub(machine.heard_at);
         if may_come_back && (machine.claims.is_empty() || silent_for_ms <= lease_ms) {
             return;
@@ -279,7 +299,7 @@
             "machine {}: silent and did not answer a probe, to be returned",
             machine.name
         );
-        machine.deleting = true;
+        machine.to_be_returned = true;
     }
 
     /// The worker lease: how long a worker keeps its tasks running after its last heartbeat.
--- a/crates/control/src/provisioning/returns.rs
+++ b/crates/control/src/provisioning/returns.rs
@@ -19,53 +19,57 @@
     pub(super) fn send_returns(&mut self) {
         let (now, term) = (self.now.mono, self.term);
         let Some(shard) = &mut self.shard else { return };
-        if !shard.cloud_calls.may_delete(now) {
+        if !shard.cloud_calls.may_return_machines(now) {
             return;
         }
         let machines: Vec<usize> = (0..shard.machines.slots())
-            .filter(|m| shard.machine(*m).is_some_and(|machine| machine.deleting))
+            .filter(|m| {
+                shard
+                    .machine(*m)
+                    .is_some_and(|machine| machine.to_be_returned)
+            })
             .take(MAX_MACHINES_PER_REQUEST)
             .collect();
         if machines.is_empty() || !self.cloud.try_take(now, REQUEST_COST) {
             return;
         }
-        shard.cloud_calls.deletion_sent();
+        shard.cloud_calls.return_sent();
         let names = machines
             .iter()
             .filter_map(|m| Some(shard.machine(*m)?.name.clone()))
             .collect();
         let body = wire::encode(&MachineNames { machines: names });
-        let what = Pending::Delete { term, machines };
-        self.ask_cloud("POST", "/machines/delete".into(), body, what);
+        let pending = Pending::ReturnMachines { term, machines };
+        self.send_cloud_request("POST", "/machines/delete".into(), body, pending);
     }
 
     /// Handles the cloud's answer to a return of machines, or its absence.
-    pub(crate) fn returns_received(&mut self, machines: Vec<usize>, response: Option<Response>) {
+    pub(crate) fn return_answered(&mut self, machines: Vec<usize>, response: Option<Response>) {
         let now = self.now.mono;
         let wait = self.rng.u64(RETRY_DELAY_MS);
         let Some(shard) = &mut self.shard else { return };
-        shard.cloud_calls.deletion_ended();
+        shard.cloud_calls.return_ended();
         if response.is_none_or(|r| r.status != 200) {
-            shard.cloud_calls.delete_again_at(now + wait);
+            shard.cloud_calls.retry_return_at(now + wait);
             return;
         }
         let mut changed = BTreeSet::new();
-        for m in machines {
-            changed.extend(self.machine_returned(m));
+        for machine_index in machines {
+            changed.extend(self.machine_returned(machine_index));
         }
-        for ix in changed {
-            self.job_changed(ix);
+        for job_index in changed {
+            self.job_changed(job_index);
         }
     }
 
     /// Removes a returned machine. The cloud's confirmation proves that all its tasks have ended. The result is the set
     /// of jobs that had claims there.
-    fn machine_returned(&mut self, m: usize) -> BTreeSet<JobIndex> {
+    fn machine_returned(&mut self, machine_index: usize) -> BTreeSet<JobIndex> {
         let now = self.now.mono;
         let Some(shard) = &mut self.shard else {
             return BTreeSet::new();
         };
-        let Some(machine) = shard.machine(m) else {
+        let Some(machine) = shard.machine(machine_index) else {
             return BTreeSet::new();
         };
         log::info!("machine {}: returned", machine.name);
@@ -73,9 +77,9 @@
         let ended = (0..machine.claims.len()).map(EndedClaim::unexplained);
         let ended = ended.collect();
         shard.returned.add(name, now);
-        let changed = self.end_claims(m, ended);
+        let changed = self.end_claims(machine_index, ended);
         if let Some(shard) = &mut self.shard {
-            shard.remove_machine(m);
+            shard.remove_machine(machine_index);
         }
         changed
     }
--- a/crates/control/src/scheduling/apply_plan.rs
+++ b/crates/control/src/scheduling/apply_plan.rs
@@ -14,7 +14,7 @@
 const GRACE_MARGIN_S: f64 = 1.0;
 
 /// The grace period in which a stopped task may save; 0 if it can't.
-pub(crate) fn grace(spec: &JobSpec) -> f64 {
+pub(crate) fn grace_period_s(spec: &JobSpec) -> f64 {
     if spec.checkpoint_s > 0.0 {
         spec.save_s * GRACE_FACTOR + GRACE_MARGIN_S
     } else {
@@ -33,7 +33,7 @@
                 .or_insert_with(|| shard.next_attempt());
             let job = planned.index.jobs[start.job as usize];
             let machine = planned.index.machines[start.machine as usize];
-            self.start(job, machine, start.count, attempt);
+            self.claim_tasks(job, machine, start.count, attempt);
         }
     }
 
@@ -41,7 +41,7 @@
     /// free room is unknown. Heartbeats are late by up to a quarter of the interval at times.
     pub(super) fn apply_preemptions(&mut self, planned: &Planned) {
         let Some(shard) = &self.shard else { return };
-        if self.now.mono < shard.since + self.heartbeat_interval_ms() * 5 / 4 {
+        if self.now.mono < shard.ready_since + self.heartbeat_interval_ms() * 5 / 4 {
             return;
         }
         for preempt in &planned.output.preempts {
@@ -61,7 +61,7 @@
 
     /// Creates claims for tasks of a job; their starts are sent once the claims are recorded. All have the same attempt
     /// number, by which the tasks of a gang find each other.
-    fn start(&mut self, job_index: JobIndex, machine_index: usize, count: u32, attempt: u64) {
+    fn claim_tasks(&mut self, job_index: JobIndex, machine_index: usize, count: u32, attempt: u64) {
         let Some(shard) = &mut self.shard else { return };
         for _ in 0..count {
             let Some(task) = shard
@@ -91,9 +91,9 @@
             .job_mut(job_index)
             .filter(|job| job.kind() == Kind::Gang);
         if let Some(job) = gang {
-            job.broken = job.claimed.len() != job.tasks as usize;
+            job.is_gang_broken = job.claimed.len() != job.tasks as usize;
         }
-        self.to_write = true;
+        self.may_have_changes = true;
     }
 
     /// Stops a gang that runs beyond its team's guarantee, with a grace period to save.
@@ -102,13 +102,13 @@
             return;
         };
         let Some(spec) = &job.spec else { return };
-        let grace = grace(spec);
+        let grace_s = grace_period_s(spec);
         let Some((machine, _)) = job.claimed.values().flatten().next().copied() else {
             return;
         };
         log::info!("job {}: preempted for another team's guarantee", job.id);
         self.stats.preempts += u64::from(job.tasks);
-        self.stop_on_machine(job_index, machine, grace);
+        self.stop_on_machine(job_index, machine, grace_s);
     }
 
     /// Stops the task of one claim, with a grace period to save.
@@ -123,7 +123,7 @@
         let Some(job) = shard.job(claim.job) else {
             return;
         };
-        let grace = job.spec.as_deref().map_or(0.0, grace);
+        let grace_s = job.spec.as_deref().map_or(0.0, grace_period_s);
         log::info!(
             "task {}/{} on {}: preempted to make room",
             job.id,
@@ -134,9 +134,9 @@
             .machine_mut(machine_index)
             .and_then(|machine| machine.claims.get_mut(claim_index));
         if let Some(claim) = claim {
-            claim.stop = Some(grace);
+            claim.stop = Some(grace_s);
         }
-        shard.push.insert(machine_index);
+        shard.machines_with_orders.insert(machine_index);
         self.stats.preempts += 1;
     }
 }
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -3,7 +3,7 @@
 use super::objectives::Objectives;
 use super::plan_input::{InputBuilder, NameIndex, Scope};
 use crate::documents::county_counts;
-use crate::jobs::class::Class;
+use crate::jobs::class::ClassStatistics;
 use crate::jobs::job::{Ending, Job, JobIndex};
 use crate::scheduling::urgent;
 use crate::store::shard;
@@ -36,7 +36,7 @@
             return;
         };
         let Some(spec) = &job.spec else { return };
-        if job.ending != Ending::No || job.backoff_until > now.mono {
+        if job.ending != Ending::Undecided || job.backoff_until > now.mono {
             return;
         }
         let age_s = now.wall.saturating_sub(job.at_ms) as f64 / 1000.0;
@@ -52,19 +52,22 @@
         if pending == 0 {
             return;
         }
-        let factor = shard.classes.get(&spec.class).map_or(1.0, Class::factor);
+        let factor = shard
+            .classes
+            .get(&spec.class)
+            .map_or(1.0, ClassStatistics::estimate_factor);
         let template = plan::Job {
             arrival: -age_s,
             estimate: (spec.estimate_s * factor - job.progress_s).max(1.0),
             zones: tasks_by_zone(job, zone_of),
-            waits: job.waits(),
+            waits: job.may_await_first_start(),
             avoid: job
                 .failed_on
                 .iter()
                 .filter_map(|m| self.machine_index.get(m).copied())
                 .collect(),
             tenant: job.tenant,
-            only: county_counts::zones(job, &self.names.zones),
+            only: county_counts::allowed_zones(job, &self.names.zones),
             ..planner_job(spec, &mut shard.images, &self.names, *team)
         };
         let objectives = Objectives {
@@ -89,7 +92,7 @@
             let part = objectives.with_deadline(part, spec, &self.entitlement, job_index);
             self.index.jobs.push(job_index);
             self.input.jobs.push(match &job.hour {
-                Some(hour) => hour.cap(part, spec, self.names.catalog, now.wall),
+                Some(hour) => hour.cap_deadline(part, spec, self.names.catalog, now.wall),
                 None => part,
             });
         }
@@ -99,7 +102,7 @@
 /// The planner's form of a job, from its spec alone.
 pub(super) fn planner_job(
     spec: &JobSpec,
-    images: &mut shard::Names,
+    images: &mut shard::NameInterner,
     names: &NameIndex<'_>,
     team: u16,
 ) -> plan::Job {
@@ -162,8 +165,8 @@
 /// The number of a job's claimed tasks in each zone.
 fn tasks_by_zone(job: &Job, zone_of: &[Option<u16>]) -> Vec<(u16, u32)> {
     let mut by_zone: Vec<(u16, u32)> = Vec::new();
-    for (m, _) in job.claimed.values().flatten() {
-        let Some(Some(zone)) = zone_of.get(*m) else {
+    for (machine_index, _) in job.claimed.values().flatten() {
+        let Some(Some(zone)) = zone_of.get(*machine_index) else {
             continue;
         };
         match by_zone.iter_mut().find(|(z, _)| z == zone) {
--- a/crates/control/src/store/apply.rs
+++ b/crates/control/src/store/apply.rs
@@ -37,7 +37,7 @@
             for_kind!(kind, K => self.head_written::<K>(revision));
         }
         for (requester, state) in actions.answers {
-            self.tell(requester, state);
+            self.answer_state(requester, state);
         }
         for job in actions.changed_jobs {
             self.job_changed(job);
@@ -92,7 +92,8 @@
         log::info!("job {}: {stage:?}", job.id);
         let state: JobState = job.state();
         let waiters = std::mem::take(&mut job.waiters);
-        self.final_states.put(&job.id, stage, job.done_count);
+        self.final_states
+            .insert_if_absent(&job.id, stage, job.done_count);
         let answers = waiters.into_iter().map(|w| (w, state.clone()));
         actions.answers.extend(answers);
         let segments = std::mem::take(&mut job.segments);
@@ -108,14 +109,14 @@
         shard.token = token;
         shard.raise_token = false;
         self.shared.token = token;
-        self.shared.highest = self.shared.highest.max(token);
+        self.shared.highest_token = self.shared.highest_token.max(token);
         self.shared.token_version = self.shared.token_version.max(revision);
-        for (m, machine) in shard.machines.iter().enumerate() {
+        for (machine_index, machine) in shard.machines.iter().enumerate() {
             if machine
                 .as_ref()
                 .is_some_and(|x| x.unanswered_command.is_some())
             {
-                shard.push.insert(m);
+                shard.machines_with_orders.insert(machine_index);
             }
         }
     }
@@ -166,9 +167,9 @@
             segment.live_claims += 1;
             segment.claims.push(id);
             if is_new {
-                self.push.insert(id.machine);
+                self.machines_with_orders.insert(id.machine);
             } else {
-                self.claim_log.ended(previous_segment);
+                self.claim_log.release_claim(previous_segment);
             }
         }
         for results in log.results {
@@ -183,7 +184,10 @@
     /// Applies recorded results. Returns whether the job still needs them to be in this segment.
     fn results_recorded(&mut self, results: PendingResults, segment: u64) -> bool {
         let index = results.job;
-        let Some(job) = self.job_mut(index).filter(|j| j.ending == Ending::No) else {
+        let Some(job) = self
+            .job_mut(index)
+            .filter(|j| j.ending == Ending::Undecided)
+        else {
             return false;
         };
         match results.scope {
@@ -191,9 +195,9 @@
                 let old = std::mem::replace(&mut job.segments, BTreeSet::from([segment]));
                 self.claim_log.release_results(index, old);
             }
-            ResultScope::Unsaved => {
+            ResultScope::Unrecorded => {
                 for task in results.tasks {
-                    job.unsaved.remove(&task);
+                    job.unrecorded_tasks.remove(&task);
                 }
                 job.segments.insert(segment);
             }
--- a/crates/control/src/store/recovery.rs
+++ b/crates/control/src/store/recovery.rs
@@ -20,7 +20,7 @@
 
 /// The steps of recovery, in their order: what is read from the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Load {
+pub(crate) enum RecoveryStep {
     Jobs,
     Inventory,
     Log,
@@ -42,13 +42,13 @@
     /// The last key on the pages read so far in the current step.
     last_key: Option<String>,
     /// A step whose read failed, and when it is repeated.
-    retry: Option<(Load, u64)>,
+    retry: Option<(RecoveryStep, u64)>,
 }
 
 impl RecoveryProgress {
-    fn take_due(&mut self, now: u64) -> Option<Load> {
-        let (what, _) = self.retry.take_if(|(_, at)| *at <= now)?;
-        Some(what)
+    fn take_due(&mut self, now: u64) -> Option<RecoveryStep> {
+        let (step, _) = self.retry.take_if(|(_, at)| *at <= now)?;
+        Some(step)
     }
 }
 
@@ -127,7 +127,7 @@
         claim.loaded = true;
         claim.sent = true;
         if let Some(job) = self.job_mut(id.job) {
-            job.claim(id.task, id.machine, id.attempt);
+            job.add_claim(id.task, id.machine, id.attempt);
         }
         if let Some(machine) = self.machine_mut(id.machine) {
             machine.claims.push(claim);
@@ -184,7 +184,7 @@
         for id in self.superseded_claims() {
             let segment = self.claim_mut(&id).map(|c| c.segment);
             self.drop_claim(&id);
-            self.claim_log.ended(segment.unwrap_or(0));
+            self.claim_log.release_claim(segment.unwrap_or(0));
         }
     }
 
@@ -208,28 +208,28 @@
 }
 
 impl Node {
-    pub(crate) fn start_load(&mut self) {
-        self.load(Load::Jobs);
+    pub(crate) fn start_recovery(&mut self) {
+        self.load(RecoveryStep::Jobs);
     }
 
-    pub(crate) fn load(&mut self, what: Load) {
+    pub(crate) fn load(&mut self, step: RecoveryStep) {
         let Some(shard) = &self.shard else { return };
-        let prefix = match what {
-            Load::Jobs => records::LIVE.to_owned(),
-            Load::Inventory => records::inventory_prefix(SHARD),
-            Load::Log => records::log_prefix(SHARD),
-            Load::Rentals => records::rentals_prefix(SHARD),
-            Load::Allotment => records::allotment_key(SHARD),
-            Load::Heads => records::SHARED.to_owned(),
-            Load::Models => return self.read_models(),
+        let prefix = match step {
+            RecoveryStep::Jobs => records::LIVE.to_owned(),
+            RecoveryStep::Inventory => records::inventory_prefix(SHARD),
+            RecoveryStep::Log => records::log_prefix(SHARD),
+            RecoveryStep::Rentals => records::rentals_prefix(SHARD),
+            RecoveryStep::Allotment => records::allotment_key(SHARD),
+            RecoveryStep::Heads => records::SHARED.to_owned(),
+            RecoveryStep::Models => return self.read_models(),
         };
         let mut path = format!("/keys?under={prefix}&limit=1000");
         if let Some(after) = &shard.recovery.last_key {
             path.push_str(&format!("&from={after}"));
         }
-        let what = Pending::Load {
+        let pending = Pending::Load {
             term: self.term,
-            what,
+            step,
         };
         self.send(
             Destination::State,
@@ -237,74 +237,74 @@
             path,
             Vec::new(),
             LOAD_TIMEOUT_MS,
-            what,
+            pending,
         );
     }
 
     /// Schedules a read to be repeated from the same position. The delay keeps recovery from using up the request
     /// rate that lease renewals and acceptances of jobs by other controllers need. A leader that cannot read keeps or
     /// loses its lease independently of this.
-    pub(crate) fn load_later(&mut self, what: Load) {
+    pub(crate) fn retry_load_later(&mut self, step: RecoveryStep) {
         let at = self.now.mono + self.rng.u64(LOAD_RETRY_MS);
         if let Some(shard) = &mut self.shard {
-            shard.recovery.retry = Some((what, at));
+            shard.recovery.retry = Some((step, at));
         }
     }
 
-    pub(crate) fn load_tick(&mut self) {
+    pub(crate) fn recovery_tick(&mut self) {
         let now = self.now.mono;
         let shard = self.shard.as_mut();
-        if let Some(what) = shard.and_then(|s| s.recovery.take_due(now)) {
-            self.load(what);
+        if let Some(step) = shard.and_then(|s| s.recovery.take_due(now)) {
+            self.load(step);
         }
     }
 
     /// Handles the answer to a read; `None` if there was no answer.
-    pub(crate) fn load_received(&mut self, what: Load, response: Option<Response>) {
+    pub(crate) fn load_received(&mut self, step: RecoveryStep, response: Option<Response>) {
         let page = response
             .filter(|r| r.status == 200)
-            .and_then(|r| self.load_page(what, &r));
+            .and_then(|r| self.load_page(step, &r));
         match page {
-            None => self.load_later(what),
-            Some(Page::More) => self.load(what),
-            Some(Page::Last) => self.load_next(what),
+            None => self.retry_load_later(step),
+            Some(Page::More) => self.load(step),
+            Some(Page::Last) => self.load_next(step),
         }
     }
 
-    fn load_page(&mut self, what: Load, response: &Response) -> Option<Page> {
-        match what {
-            Load::Jobs => self.load_items(response, Self::load_job),
-            Load::Inventory => self.load_items(response, Self::load_inventory),
-            Load::Log => self.load_items(response, Self::load_log),
-            Load::Rentals => self.load_items(response, Self::load_rental),
-            Load::Allotment => {
-                let range = self.read("state service", response)?;
+    fn load_page(&mut self, step: RecoveryStep, response: &Response) -> Option<Page> {
+        match step {
+            RecoveryStep::Jobs => self.load_items(response, Self::load_job),
+            RecoveryStep::Inventory => self.load_items(response, Self::load_inventory),
+            RecoveryStep::Log => self.load_items(response, Self::load_log),
+            RecoveryStep::Rentals => self.load_items(response, Self::load_rental),
+            RecoveryStep::Allotment => {
+                let range = self.decode_answer("state service", response)?;
                 self.load_allotment(range);
                 Some(Page::Last)
             }
-            Load::Heads => {
-                let range = self.read("state service", response)?;
+            RecoveryStep::Heads => {
+                let range = self.decode_answer("state service", response)?;
                 self.load_heads(range);
                 Some(Page::Last)
             }
             // Their pages are handled by [`Node::models_received`].
-            Load::Models => None,
+            RecoveryStep::Models => None,
         }
     }
 
     /// Continues with the next step.
-    fn load_next(&mut self, what: Load) {
+    fn load_next(&mut self, step: RecoveryStep) {
         if let Some(shard) = &mut self.shard {
             shard.recovery.last_key = None;
         }
-        match what {
-            Load::Jobs => self.load(Load::Inventory),
-            Load::Inventory => self.load(Load::Log),
-            Load::Log => self.load(Load::Rentals),
-            Load::Rentals => self.load(Load::Allotment),
-            Load::Allotment => self.load(Load::Heads),
-            Load::Heads => self.load_documents(),
-            Load::Models => {}
+        match step {
+            RecoveryStep::Jobs => self.load(RecoveryStep::Inventory),
+            RecoveryStep::Inventory => self.load(RecoveryStep::Log),
+            RecoveryStep::Log => self.load(RecoveryStep::Rentals),
+            RecoveryStep::Rentals => self.load(RecoveryStep::Allotment),
+            RecoveryStep::Allotment => self.load(RecoveryStep::Heads),
+            RecoveryStep::Heads => self.load_documents(),
+            RecoveryStep::Models => {}
         }
     }
 
@@ -314,7 +314,7 @@
         response: &Response,
         load: impl Fn(&mut Self, Item<T>),
     ) -> Option<Page> {
-        let range: Range<T> = self.read("state service", response)?;
+        let range: Range<T> = self.decode_answer("state service", response)?;
         let page = self.page_end(&range);
         for item in range.items {
             load(self, item);
@@ -338,7 +338,7 @@
     }
 
     fn load_job(&mut self, item: Item<JobRecord>) {
-        self.job_known(item.value, item.version);
+        self.add_accepted_job(item.value, item.version);
     }
 
     fn load_inventory(&mut self, item: Item<InventoryRecord>) {
@@ -390,7 +390,7 @@
         let recorded = self
             .shard
             .as_ref()
-            .and_then(|p| p.allotment.current())
+            .and_then(|shard| shard.allotment.current())
             .map_or(0, |a| a.tree);
         let value = self.write_limits.value_bytes();
         AllotmentRecord::whole(
@@ -400,17 +400,17 @@
         )
     }
 
-    pub(crate) fn load_ended(&mut self) {
-        if self.models_to_read() {
+    pub(crate) fn finish_recovery(&mut self) {
+        if self.needs_model_records() {
             return;
         }
         let now = self.now.mono;
         let whole = self.whole_allotment();
-        self.refit_hours();
+        self.rebuild_calendar();
         let Some(shard) = &mut self.shard else { return };
         shard.allotment.request_if_different(whole);
         shard.loaded = true;
-        shard.since = now;
+        shard.ready_since = now;
         for machine in shard.machines.iter_mut().flatten() {
             (machine.heard_at, machine.heartbeat_at) = (now, now);
         }
@@ -430,10 +430,10 @@
         for job in all {
             self.job_changed(job);
         }
-        self.watch_live();
+        self.watch_live_jobs();
     }
 
-    pub(crate) fn job_known(&mut self, record: JobRecord, version: u64) {
+    pub(crate) fn add_accepted_job(&mut self, record: JobRecord, version: u64) {
         // The watch may report a job whose end this controller has recorded already.
         if self.final_states.get(&record.spec.id).is_some() {
             return;
@@ -454,10 +454,10 @@
             .classes
             .entry(record.spec.class.clone())
             .or_default()
-            .arrived(&record.spec, record.at_ms);
-        shard.plan_triggers.urgent.arrived(&record.spec);
+            .record_arrival(&record.spec, record.at_ms);
+        shard.plan_triggers.urgent.note_arrival(&record.spec);
         let job = shard.add_job(Job::new(record, version));
         shard.plan_triggers.request();
-        self.bind_model(job);
+        self.update_model_binding(job);
     }
 }
--- a/crates/control/src/store/shard.rs
+++ b/crates/control/src/store/shard.rs
@@ -3,11 +3,11 @@
 use crate::Requester;
 use crate::agents::machine::Machine;
 use crate::documents::county_counts::CountyCounts;
-use crate::documents::hours::DeadlineWatch;
-use crate::jobs::class::Class;
+use crate::documents::hours::ReleaseHourWatch;
+use crate::jobs::class::ClassStatistics;
 use crate::jobs::job::{Job, JobIndex};
 use crate::leadership::lease_bound::Attestations;
-use crate::scheduling::quota_usage::Counted;
+use crate::scheduling::quota_usage::QuotaUsage;
 use crate::store::allotment::AllotmentState;
 use crate::store::claim_log::{ClaimId, ClaimLog};
 use crate::store::cloud_calls::CloudCalls;
@@ -24,11 +24,11 @@
 
 /// Assigns dense indices to names of one kind.
 #[derive(Default)]
-pub(crate) struct Names {
+pub(crate) struct NameInterner {
     index: HashMap<String, u32>,
 }
 
-impl Names {
+impl NameInterner {
     /// Returns the index of a name; a new name gets the next index.
     pub fn get(&mut self, name: &str) -> u32 {
         if let Some(i) = self.index.get(name) {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Among at least this many machines, some report or answer a probe within `SILENCE_MS` of the end of recovery.
+/// Of at least this many machines, some send a heartbeat or answer a probe within `SILENCE_MS` of the end of recovery.
 const SILENCE_MIN_MACHINES: usize = 4;
 const SILENCE_MS: u64 = 2000;
 
@@ -55,10 +55,10 @@
     pub had_valid_lease: bool,
     /// Attestations of the other nodes while it is uncertain whether the lease is valid.
     pub attestations: Attestations,
-    /// Whether some worker has reported or answered directly, not through a peer.
-    pub heard_itself: bool,
-    /// When this term began or, once recovery is complete, when it was completed.
-    pub since: u64,
+    /// Whether a heartbeat or an answer of some worker has arrived directly, not through a peer.
+    pub heard_directly: bool,
+    /// When recovery was completed; until then, when the term began.
+    pub ready_since: u64,
     pub recovery: RecoveryProgress,
     pub live_watch: LiveWatch,
     pub jobs: Table<Job>,
@@ -70,28 +70,28 @@
     /// Limits on the sizes of records and transactions.
     pub limits: WriteLimits,
     /// Machines whose workers are to be sent orders immediately.
-    pub push: BTreeSet<usize>,
+    pub machines_with_orders: BTreeSet<usize>,
     /// Whether the token is to be raised, because a command sent under it may still be executed late.
     pub raise_token: bool,
     /// Statistics of the jobs of each class.
-    pub classes: BTreeMap<String, Class>,
+    pub classes: BTreeMap<String, ClassStatistics>,
     /// Images, as indices for the planner.
-    pub images: Names,
+    pub images: NameInterner,
     pub returned: ReturnedMachines,
     /// When machines were last checked for silence.
-    pub looked_at: u64,
+    pub silence_checked_at: u64,
     pub zones: ZoneReachability,
     pub cloud_calls: CloudCalls,
     pub plan_triggers: PlanTriggers,
     pub allotment: AllotmentState,
     /// Jobs that may have changed since the last plan.
-    touched: Vec<JobIndex>,
-    /// Unwanted jobs, such as cancelled ones, that still have claims.
-    pub unwanted: BTreeSet<JobIndex>,
+    changed_since_plan: Vec<JobIndex>,
+    /// Jobs that were cancelled, or had ended before this term, and that still have claims.
+    pub cancelled_with_claims: BTreeSet<JobIndex>,
     /// Use and demand in the quota tree, with the tree's version.
-    pub counted: Option<(u64, Counted)>,
+    pub quota_usage: Option<(u64, QuotaUsage)>,
     /// Release hours of the shard's jobs.
-    pub hours: DeadlineWatch,
+    pub hours: ReleaseHourWatch,
     /// Counts of jobs by county.
     pub county_counts: CountyCounts,
 }
@@ -104,8 +104,8 @@
             loaded: false,
             had_valid_lease: false,
             attestations: Attestations::default(),
-            heard_itself: false,
-            since: now,
+            heard_directly: false,
+            ready_since: now,
             recovery: RecoveryProgress::default(),
             live_watch: LiveWatch::default(),
             jobs: Table::default(),
@@ -115,30 +115,30 @@
             commit: Commit::default(),
             claim_log: ClaimLog::default(),
             limits: *limits,
-            push: BTreeSet::new(),
+            machines_with_orders: BTreeSet::new(),
             raise_token: false,
             classes: BTreeMap::new(),
-            images: Names::default(),
+            images: NameInterner::default(),
             returned: ReturnedMachines::default(),
-            looked_at: 0,
+            silence_checked_at: 0,
             zones: ZoneReachability::default(),
             cloud_calls: CloudCalls::default(),
             plan_triggers: PlanTriggers::default(),
             allotment: AllotmentState::default(),
-            touched: Vec::new(),
-            unwanted: BTreeSet::new(),
-            counted: None,
-            hours: DeadlineWatch::default(),
+            changed_since_plan: Vec::new(),
+            cancelled_with_claims: BTreeSet::new(),
+            quota_usage: None,
+            hours: ReleaseHourWatch::default(),
             county_counts: CountyCounts::new(limits.value_bytes()),
         }
     }
 
     /// Whether no worker has reached this leader directly although a fleet of this size should have by now.
-    pub fn hears_no_agents(&self, now: u64) -> bool {
+    pub fn receives_no_heartbeats(&self, now: u64) -> bool {
         self.loaded
-            && !self.heard_itself
+            && !self.heard_directly
             && self.machines.count() >= SILENCE_MIN_MACHINES
-            && now >= self.since + SILENCE_MS
+            && now >= self.ready_since + SILENCE_MS
     }
 
     /// The next serial number of this term. Together with the token, which is unique, it is never reused.
@@ -154,7 +154,7 @@
     }
 
     /// The number of a new log record, unique in the same way as attempt numbers.
-    pub fn next_log(&mut self) -> u64 {
+    pub fn next_log_number(&mut self) -> u64 {
         self.next_attempt()
     }
 
@@ -165,18 +165,18 @@
     /// Returns a job for modification, and marks it as changed for the next plan.
     pub fn job_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
         let job = self.jobs.get_mut(index)?;
-        if !std::mem::replace(&mut job.touched, true) {
-            self.touched.push(index);
+        if !std::mem::replace(&mut job.changed_since_plan, true) {
+            self.changed_since_plan.push(index);
         }
         Some(job)
     }
 
     /// Returns the jobs that may have been changed, added or removed since the last call; some may be listed twice.
-    pub fn take_touched(&mut self) -> Vec<JobIndex> {
-        let all = std::mem::take(&mut self.touched);
+    pub fn take_changed_since_plan(&mut self) -> Vec<JobIndex> {
+        let all = std::mem::take(&mut self.changed_since_plan);
         for index in &all {
             if let Some(job) = self.jobs.get_mut(*index) {
-                job.touched = false;
+                job.changed_since_plan = false;
             }
         }
         all
@@ -197,7 +197,7 @@
         if let Some(job) = self.jobs.get(index) {
             self.hours.add(job, index);
         }
-        self.touched.push(index);
+        self.changed_since_plan.push(index);
         index
     }
 
@@ -227,7 +227,7 @@
         let Some(machine) = self.machines.remove(index, |m| &m.name) else {
             return;
         };
-        self.push.remove(&index);
+        self.machines_with_orders.remove(&index);
         self.claim_log
             .remove_from_inventory_shard(machine.inventory_shard, index, machine.size);
     }
@@ -238,7 +238,7 @@
             machine.claims.retain(|c| !id.matches(c));
         }
         if let Some(job) = self.job_mut(id.job) {
-            job.unclaim(id.task, id.machine, id.attempt);
+            job.remove_claim(id.task, id.machine, id.attempt);
         }
     }
 
@@ -248,39 +248,40 @@
             .machine_mut(machine)
             .is_some_and(|m| m.stop_job(job, grace_s));
         if stopped {
-            self.push.insert(machine);
+            self.machines_with_orders.insert(machine);
         }
     }
 
-    /// Whether a job is unwanted and still has claims.
-    fn is_unwanted_with_claims(&self, index: JobIndex) -> bool {
+    /// Whether a job was cancelled, or had ended before this term, and still has claims.
+    fn is_cancelled_with_claims(&self, index: JobIndex) -> bool {
         self.job(index)
-            .is_some_and(|j| j.is_unwanted() && !j.claimed.is_empty())
+            .is_some_and(|j| j.is_cancelled_or_ended_before_term() && !j.claimed.is_empty())
     }
 
-    /// Updates a job's membership in the set of unwanted jobs that still have claims.
-    pub fn note_unwanted(&mut self, index: JobIndex) {
-        if self.is_unwanted_with_claims(index) {
-            self.unwanted.insert(index);
+    /// Updates a job's membership in `cancelled_with_claims`.
+    pub fn update_cancelled_with_claims(&mut self, index: JobIndex) {
+        if self.is_cancelled_with_claims(index) {
+            self.cancelled_with_claims.insert(index);
         } else {
-            self.unwanted.remove(&index);
+            self.cancelled_with_claims.remove(&index);
         }
     }
 
-    /// Whether the set of unwanted jobs is complete, by a check of all jobs.
-    pub fn unwanted_is_right(&self) -> bool {
-        (0..self.jobs.slots())
-            .all(|job| self.unwanted.contains(&job) || !self.is_unwanted_with_claims(job))
+    /// Whether `cancelled_with_claims` is complete, by a check of all jobs.
+    pub fn is_cancelled_with_claims_complete(&self) -> bool {
+        (0..self.jobs.slots()).all(|job| {
+            self.cancelled_with_claims.contains(&job) || !self.is_cancelled_with_claims(job)
+        })
     }
 
     /// Removes an ended job once it has no claims on any machine.
     pub fn maybe_forget_job(&mut self, index: JobIndex) {
         let gone = self
             .job(index)
-            .is_some_and(|j| j.is_over() && j.claimed.is_empty());
+            .is_some_and(|j| j.is_end_recorded() && j.claimed.is_empty());
         if gone && self.jobs.remove(index, |job| &job.id).is_some() {
-            self.unwanted.remove(&index);
-            self.touched.push(index);
+            self.cancelled_with_claims.remove(&index);
+            self.changed_since_plan.push(index);
         }
     }
 
--- a/crates/control/src/store/transaction.rs
+++ b/crates/control/src/store/transaction.rs
@@ -5,7 +5,7 @@
 use crate::event::Now;
 use crate::jobs::job::{Ending, JobIndex};
 use crate::leadership::election::SHARD;
-use crate::leadership::shared_state::Shared;
+use crate::leadership::shared_state::SharedState;
 use crate::store::allotment::AllotmentState;
 use crate::store::claim_records::PendingLogRecord;
 use crate::store::rental::RentalState;
@@ -57,7 +57,7 @@
 
 /// A key that shows whether a transaction whose answer was lost has been applied.
 #[derive(Clone)]
-pub(crate) struct Probe {
+pub(crate) struct OutcomeProbe {
     pub key: String,
     pub version_before: u64,
     /// Whether the transaction removes the key.
@@ -77,7 +77,7 @@
     pub pending_writes: Vec<PendingWrite>,
     pub(super) conditions: Vec<Condition>,
     pub(super) writes: Vec<Write>,
-    pub(super) probe: Option<Probe>,
+    pub(super) probe: Option<OutcomeProbe>,
     size: usize,
     limits: TransactionLimits,
     /// Counts of the jobs that the transaction ends, for its log record.
@@ -88,7 +88,7 @@
     /// Collects pending writes. Returns `None` if there are none.
     pub fn fill(
         shard: &mut Shard,
-        shared: &mut Shared,
+        shared: &mut SharedState,
         limits: &WriteLimits,
         budget: usize,
         now: Now,
@@ -102,19 +102,19 @@
         draft.put_ends(shard, head.map(|(_, writes)| writes), now.wall);
         draft.put_allotment(shard);
         if let Some((kind, _)) = head {
-            draft.head(&shared.documents, shard, kind);
+            draft.put_head(&shared.documents, shard, kind);
         }
         draft.put_token(shard, shared, now.mono);
         draft.put_new_rentals(shard);
-        draft.hour_moves(shard, now.wall, limits.value_bytes(), Self::has_room);
+        draft.put_hour_moves(shard, now.wall, limits.value_bytes(), Self::has_room);
         draft.put_log_records(shard, cleanup_due);
         draft.put_grown_inventory(shard);
         draft.remove_rentals(shard);
         draft.put_catalog(shard, shared, limits.value_kb());
-        draft.parts(&mut shared.documents, Self::has_room);
+        draft.put_parts(&mut shared.documents, Self::has_room);
         if cleanup_due {
             shard.commit.last_cleanup_at = now.mono;
-            draft.counter_sheets(shard, now.mono, Self::has_room);
+            draft.put_counter_sheets(shard, now.mono, Self::has_room);
             draft.remove_unreferenced_parts(&shared.documents, Self::has_room);
             draft.put_shrunk_inventory(shard);
             draft.remove_segments(shard);
@@ -146,13 +146,13 @@
         // A written record is preferred to a removed one as the probe, because it also shows at which revision the
         // transaction was applied.
         if self.probe.as_ref().is_none_or(|p| p.removed) {
-            self.probe = Some(Probe {
+            self.probe = Some(OutcomeProbe {
                 key: key.clone(),
                 version_before: version,
                 removed: false,
             });
         }
-        self.guard(key.clone(), version);
+        self.add_condition(key.clone(), version);
         self.writes.push(Write::put(key, record));
     }
 
@@ -166,23 +166,23 @@
     /// Removes a record, on condition that it is at this version.
     pub fn remove(&mut self, key: String, version: u64) {
         if self.probe.is_none() {
-            self.probe = Some(Probe {
+            self.probe = Some(OutcomeProbe {
                 key: key.clone(),
                 version_before: version,
                 removed: true,
             });
         }
-        self.guard(key.clone(), version);
+        self.add_condition(key.clone(), version);
         self.writes.push(Write::Remove { key });
     }
 
     /// Adds a condition: the transaction fails unless the key is at this version.
-    pub(super) fn guard(&mut self, key: String, version: u64) {
+    pub(super) fn add_condition(&mut self, key: String, version: u64) {
         self.conditions.push(Condition { key, version });
     }
 
     /// Whether the transaction has a condition on this key, as for every key that `put` or `remove` was called with.
-    pub fn writes_to(&self, key: &str) -> bool {
+    pub fn has_condition_on(&self, key: &str) -> bool {
         self.conditions.iter().any(|g| g.key == key)
     }
 
@@ -226,7 +226,7 @@
     fn writes_for_ends(&self, shard: &Shard, head_writes: Option<usize>) -> usize {
         let budget = self.limits.max_writes;
         let for_counts = shard.county_counts.reserved_writes(budget);
-        let for_claims = usize::from(budget > 2 && !shard.claim_log.fresh.is_empty());
+        let for_claims = usize::from(budget > 2 && !shard.claim_log.unrecorded_claims.is_empty());
         let reserved = match head_writes {
             Some(writes) => writes + for_counts,
             None => for_claims.max(for_counts),
@@ -238,11 +238,11 @@
         let Some(job) = shard.job_mut(index) else {
             return;
         };
-        let Ending::Wanted(stage) = job.ending else {
+        let Ending::Decided(stage) = job.ending else {
             return;
         };
         let done = job.done_count;
-        let hour = hours::end_record(job, wall);
+        let hour = hours::record_end_of_hour(job, wall);
         job.ending = Ending::Writing(stage);
         let (id, version) = (job.id.clone(), job.version);
         let county = self.counts.add(shard, index, stage);
@@ -264,7 +264,7 @@
         shard.allotment.write_requested(self);
     }
 
-    fn put_token(&mut self, shard: &mut Shard, shared: &Shared, now: u64) {
+    fn put_token(&mut self, shard: &mut Shard, shared: &SharedState, now: u64) {
         let due = shard.raise_token && now >= shard.commit.token_attempted_at + TOKEN_RETRY_MS;
         if !due || !self.has_room() {
             return;
@@ -296,8 +296,8 @@
             self.put_log_record(shard);
         }
         while self.has_room()
-            && (!shard.claim_log.fresh.is_empty()
-                || (cleanup_due && !shard.claim_log.unsaved.is_empty()))
+            && (!shard.claim_log.unrecorded_claims.is_empty()
+                || (cleanup_due && !shard.claim_log.unrecorded_results.is_empty()))
         {
             let before = self.pending_writes.len();
             self.put_log_record(shard);
@@ -344,7 +344,7 @@
 
     /// Removes answered rentals. A rental's record is removed in the transaction that records its machines, or later.
     fn remove_rentals(&mut self, shard: &Shard) {
-        let is_answered = |state: RentalState| state == RentalState::Over;
+        let is_answered = |state: RentalState| state == RentalState::Answered;
         for (name, rental) in shard.rentals.iter().filter(|(_, r)| is_answered(r.state)) {
             if !shard.claim_log.grown_inventory.is_empty() || !self.has_room() {
                 return;
@@ -355,7 +355,7 @@
         }
     }
 
-    fn put_catalog(&mut self, shard: &mut Shard, shared: &Shared, value_kb: f64) {
+    fn put_catalog(&mut self, shard: &mut Shard, shared: &SharedState, value_kb: f64) {
         if !shard.cloud_calls.catalog_dirty || !self.has_room() {
             return;
         }
--- a/crates/control/src/store/transaction_split.rs
+++ b/crates/control/src/store/transaction_split.rs
@@ -21,7 +21,7 @@
 const MAX_DELAY_DOUBLINGS: u32 = 6;
 /// How long a leader whose smallest transactions are refused stays out of the election after stepping down, in
 /// milliseconds.
-const ABSTAIN_MS: Range<u64> = 2000..6000;
+const CAMPAIGN_PAUSE_MS: Range<u64> = 2000..6000;
 
 /// Writes that were refused as invalid, for logging and for the back-off.
 #[derive(Debug, Default)]
@@ -40,13 +40,16 @@
 
 impl Node {
     /// Counts a write that the state service refused as invalid, and logs the first of each kind.
-    pub(crate) fn write_refused(&mut self, kind: &'static str, what: &str) {
+    pub(crate) fn write_refused(&mut self, kind: &'static str, reason: &str) {
         self.stats.refused_writes += 1;
         if self.refusals.logged.insert(kind) {
             let (value, changes) = (self.write_limits.value_kb(), self.write_limits.changes());
-            let pending_size = self.shard.as_ref().map_or((0, 0), |p| p.commit.size());
+            let pending_size = self
+                .shard
+                .as_ref()
+                .map_or((0, 0), |shard| shard.commit.size());
             log::error!(
-                "{kind}: refused by the state service with 400: {what}; current limits are values of {value} KiB and \
+                "{kind}: refused by the state service with 400: {reason}; current limits are values of {value} KiB and \
                  {changes} changes per transaction; the leader's transaction has {} changes in {} bytes",
                 pending_size.0,
                 pending_size.1
@@ -71,16 +74,16 @@
         let doublings = self.refusals.consecutive.min(MAX_DELAY_DOUBLINGS);
         self.refusals.consecutive = doublings + 1;
         let delay = self.rng.u64(RETRY_DELAY_MS) << doublings;
-        shard.commit.wait_until(self.now.mono + delay);
+        shard.commit.retry_no_earlier_than(self.now.mono + delay);
         for kind in ALL {
             if reverted_kinds.contains(&(kind as usize)) {
-                for_kind!(kind, K => self.change_given_up::<K>());
+                for_kind!(kind, K => self.abandon_oversized_change::<K>());
             }
         }
         if !limits_shrank && doublings >= MAX_DELAY_DOUBLINGS {
             self.step_down("the state service refuses even the smallest transactions");
-            let ms = self.rng.u64(ABSTAIN_MS);
-            self.stand_aside(ms);
+            let ms = self.rng.u64(CAMPAIGN_PAUSE_MS);
+            self.pause_campaigning(ms);
         }
     }
 }
@@ -94,7 +97,7 @@
                 if let Some(job) = self.job_mut(index)
                     && let Ending::Writing(stage) = job.ending
                 {
-                    job.ending = Ending::Wanted(stage);
+                    job.ending = Ending::Decided(stage);
                     self.claim_log.ending.push_front(index);
                 }
             }
@@ -118,7 +121,7 @@
             }
             PendingWrite::Catalog => self.cloud_calls.catalog_dirty = true,
             PendingWrite::Allotment(previous) => self.allotment.revert(*previous),
-            PendingWrite::Hour(hour, _) => self.hours.take_back(hour),
+            PendingWrite::Hour(hour, _) => self.hours.requeue_move(hour),
             PendingWrite::DocumentPart(kind, _) | PendingWrite::Head(kind) => return Some(kind),
             // Their own state still marks them as to be written.
             PendingWrite::Token(_)
@@ -136,11 +139,11 @@
                 && claim.state == ClaimState::Writing
             {
                 claim.state = ClaimState::New;
-                self.claim_log.fresh.push_front(id);
+                self.claim_log.unrecorded_claims.push_front(id);
             }
         }
         for results in log.results {
-            self.job_to_write(results.job);
+            self.queue_job_write(results.job);
         }
     }
 }
--- a/crates/control/src/store/write_rate.rs
+++ b/crates/control/src/store/write_rate.rs
@@ -5,7 +5,7 @@
 //! estimate costs no more than some refusals or a short delay, so unlike the limits on record sizes it is reverted.
 
 use crate::Node;
-use crate::leadership::election::{LEADER_WRITES, OTHER_WRITES};
+use crate::leadership::election::{FOLLOWER_WRITE_SHARE, LEADER_WRITE_SHARE};
 
 /// This many refusals within `REFUSAL_WINDOW_MS` mean that the lower rate is in effect.
 const REFUSAL_THRESHOLD: u32 = 3;
@@ -57,9 +57,9 @@
     /// This node's share of that rate.
     fn share_of_writes(&self) -> f64 {
         let share = if self.leads() {
-            LEADER_WRITES
+            LEADER_WRITE_SHARE
         } else {
-            OTHER_WRITES
+            FOLLOWER_WRITE_SHARE
         };
         self.changes_per_s() * share
     }
@@ -75,8 +75,12 @@
         let (reduced, changed) = self.write_rate.update(self.now.mono);
         if changed {
             log::info!(
-                "state service: {} changes a second are taken to be borne",
-                if reduced { "fewer" } else { "all" }
+                "state service: keeping to the {} rate of changes",
+                if reduced {
+                    "announced lower"
+                } else {
+                    "current"
+                }
             );
             self.set_write_rate(self.share_of_writes());
         }
