--- a/crates/control/src/agents/heartbeat.rs
+++ b/crates/control/src/agents/heartbeat.rs
@@ -209,7 +209,7 @@
             return None;
         }
         log::info!(
-            "machine {}: sent a heartbeat but was not known, added",
+            "machine {}: heartbeats unexpectedly, taken in",
             heartbeat.machine
         );
         let mut machine = Machine::unrecorded(
--- a/crates/control/src/documents/in_force.rs
+++ b/crates/control/src/documents/in_force.rs
@@ -115,10 +115,7 @@
     /// Puts a version in force on this controller.
     pub(super) fn activate(&mut self, active: ActiveVersion<K::Content>) {
         let (name, size) = (K::Content::NAME, K::Content::size(&active.built));
-        log::info!(
-            "{name}: version {} is now in force on this node, with {size}",
-            active.version
-        );
+        log::info!("{name}: version {} with {size}", active.version);
         self.active = Some(active);
         self.rejected = None;
     }
--- a/crates/control/src/leadership/election.rs
+++ b/crates/control/src/leadership/election.rs
@@ -147,7 +147,7 @@
                 "another process runs under the node name {node}; only one of them can serve"
             );
         }
-        self.step_down("the leader record in the state service is not this node's");
+        self.step_down("another leader, or none, stands in the state service");
     }
 
     /// Becomes the leader if the leader record was written although the answer to that write was lost.
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -190,7 +190,7 @@
             },
             409 if shard.commit.outcome_unknown && leadership_lost(Some(&response)) => {
                 // A later leader may have written the same keys: their versions say nothing about our own attempts.
-                self.step_down("the leader record in the state service is not this node's");
+                self.step_down("another leader, or none, stands in the state service");
             }
             // Only this term's transactions write these keys, so a conflict means that an earlier attempt was
             // applied. A transaction refused for its size may also have been applied by an earlier attempt, before
--- a/crates/control/src/store/write_rate.rs
+++ b/crates/control/src/store/write_rate.rs
@@ -75,12 +75,8 @@
         let (reduced, changed) = self.write_rate.update(self.now.mono);
         if changed {
             log::info!(
-                "state service: keeping to the {} rate of changes",
-                if reduced {
-                    "announced lower"
-                } else {
-                    "current"
-                }
+                "state service: {} changes a second are taken to be borne",
+                if reduced { "fewer" } else { "all" }
             );
             self.set_write_rate(self.share_of_writes());
         }
