--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -196,7 +196,7 @@
         };
         plan::Tenant {
             county: number,
-            alone: c.alone,
+            is_isolated: c.alone,
         }
     }
 
--- a/crates/control/src/documents/hours/risk.rs
+++ b/crates/control/src/documents/hours/risk.rs
@@ -33,7 +33,7 @@
             remaining_s
         };
         plan::Job {
-            due: Some(job.due.map_or(cap_s, |due| due.min(cap_s))),
+            deadline: Some(job.deadline.map_or(cap_s, |due| due.min(cap_s))),
             ..job
         }
     }
@@ -170,7 +170,7 @@
             free.count(&job.need, 1) == 0
         };
         team.allows(&job.need, 1) == 0
-            || (!self.input.groups.is_empty() && team.path.iter().any(is_full))
+            || (!self.input.groups.is_empty() && team.groups.iter().any(is_full))
     }
 }
 
--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -1,7 +1,7 @@
 //! Entitlement: how many levels of guarantees cover each job's tasks. In nested quotas a task may be covered by its
 //! team's own guarantee, by what sibling teams leave of their parent's guarantee, and so on up to the root's.
 //!
-//! A task that guarantees cover is called held, as in [`plan::Job::held`].
+//! A task that guarantees cover is called held, as in [`plan::Job::guarantee_levels`].
 
 use super::fair_share::fulfilled_share;
 use super::quota_usage::open_tasks;
--- a/crates/control/src/scheduling/objectives.rs
+++ b/crates/control/src/scheduling/objectives.rs
@@ -58,7 +58,7 @@
     ) -> plan::Job {
         let share = entitlement.fulfilled.get(&job.team).copied().unwrap_or(1.0);
         let guaranteed = guarantee_objective(self.all)
-            .filter(|_| job.held > 0)
+            .filter(|_| job.guarantee_levels > 0)
             .map(|within| within * share);
         let target = match spec.kind {
             Kind::Gang => wait_target(self.all, &spec.class, guaranteed, -job.arrival),
@@ -68,14 +68,14 @@
         let target = target.map(|within| within + job.estimate);
         let due = spec.deadline_s.into_iter().chain(target).reduce(f64::min);
         // With nested quotas, work within a guarantee stays due even after the wait objective was missed.
-        let promised = if entitlement.is_nested(job_index) {
-            job.held > 0
+        let is_within_guarantee = if entitlement.is_nested(job_index) {
+            job.guarantee_levels > 0
         } else {
             guaranteed.is_some_and(|within| within + job.arrival > 0.0)
         };
         plan::Job {
-            due: due.map(|d| d + job.arrival),
-            promised,
+            deadline: due.map(|d| d + job.arrival),
+            is_within_guarantee,
             ..job
         }
     }
--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -235,8 +235,8 @@
             online_factor: self.tuning.online_factor,
             patience: self.tuning.patience_s,
             aging: plan::AgingThresholds {
-                old: self.tuning.wait_s,
-                latest: self.tuning.latest_s,
+                aged_after: self.tuning.wait_s,
+                first_of_all_after: self.tuning.latest_s,
             },
             max_steps: (self.settings.limits().cores * STEPS_PER_CORE) as u64,
             ..plan::Input::default()
@@ -270,7 +270,7 @@
             let whole_limits = is_whole.then_some((team.cpus_max, team.gpus_max));
             let (cpus_max, gpus_max) = listed_limits.or(whole_limits).unwrap_or(NO_ALLOTMENT);
             plan::Team {
-                path: path.into_iter().map(|node| node.0 as u16).collect(),
+                groups: path.into_iter().map(|node| node.0 as u16).collect(),
                 cores_used: 0.0,
                 gpus_used: 0.0,
                 cores_max: planner_limit(cpus_max),
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -40,7 +40,7 @@
             return;
         }
         let age_s = now.wall.saturating_sub(job.at_ms) as f64 / 1000.0;
-        let is_old = age_s >= self.input.aging.old;
+        let is_old = age_s >= self.input.aging.aged_after;
         let goes_first = urgent::is_urgent(spec) || is_old && spec.kind != Kind::Service;
         if scope == Scope::Urgent && !goes_first {
             return;
@@ -59,15 +59,15 @@
         let template = plan::Job {
             arrival: -age_s,
             estimate: (spec.estimate_s * factor - job.progress_s).max(1.0),
-            zones: tasks_by_zone(job, zone_of),
-            waits: job.may_await_first_start(),
-            avoid: job
+            tasks_by_zone: tasks_by_zone(job, zone_of),
+            awaits_first_start: job.may_await_first_start(),
+            excluded_machines: job
                 .failed_on
                 .iter()
                 .filter_map(|m| self.machine_index.get(m).copied())
                 .collect(),
             tenant: job.tenant,
-            only: county_counts::allowed_zones(job, &self.names.zones),
+            allowed_zones: county_counts::allowed_zones(job, &self.names.zones),
             ..planner_job(spec, &mut shard.images, &self.names, *team)
         };
         let objectives = Objectives {
@@ -77,16 +77,16 @@
         let parts =
             self.entitlement
                 .waiting(job_index, spec, self.continuing_claims[job_index], pending);
-        for (k, (held, pending)) in parts.into_iter().enumerate() {
+        for (k, (guarantee_levels, pending)) in parts.into_iter().enumerate() {
             // In nested quotas, tasks beyond the guarantees come after all tasks within them, even if urgent.
-            let is_due = held > 0 || !nested || is_old;
+            let is_due = guarantee_levels > 0 || !nested || is_old;
             if scope == Scope::Urgent && !is_due {
                 continue;
             }
             let part = plan::Job {
                 pending,
-                held,
-                waits: template.waits && k == 0,
+                guarantee_levels,
+                awaits_first_start: template.awaits_first_start && k == 0,
                 ..template.clone()
             };
             let part = objectives.with_deadline(part, spec, &self.entitlement, job_index);
@@ -123,7 +123,7 @@
             gpus: spec.gpus,
             mem: spec.mem_gb,
         },
-        types: allowed_types(spec, names),
+        machine_types: allowed_types(spec, names),
         zone: spec.zone.as_ref().map(zone_index),
         one_zone: spec.one_zone,
         spread: spec.spread,
@@ -131,14 +131,14 @@
         image: images.get(&spec.image),
         image_gb: spec.image_gb,
         team,
-        due: None,
-        waits: false,
-        promised: false,
-        held: 0,
-        zones: Vec::new(),
-        avoid: Vec::new(),
+        deadline: None,
+        awaits_first_start: false,
+        is_within_guarantee: false,
+        guarantee_levels: 0,
+        tasks_by_zone: Vec::new(),
+        excluded_machines: Vec::new(),
         tenant: plan::Tenant::default(),
-        only: Vec::new(),
+        allowed_zones: Vec::new(),
     }
 }
 
--- a/crates/control/src/scheduling/plan_machines.rs
+++ b/crates/control/src/scheduling/plan_machines.rs
@@ -63,10 +63,10 @@
             };
             let mut task = running_task(claim, job, known, now.mono);
             // Tasks that are being stopped don't count against the guarantee any more.
-            if !task.leaving {
+            if !task.is_stopping {
                 let nth = &mut self.continuing_claims[claim.job];
-                task.held = self.entitlement.held(claim.job, *nth);
-                task.spared = is_spared(job, *nth, &self.input.aging, now.wall);
+                task.guarantee_levels = self.entitlement.held(claim.job, *nth);
+                task.is_protected_by_aging = is_spared(job, *nth, &self.input.aging, now.wall);
                 *nth += 1;
             }
             images.extend(known.image.filter(|image| !images.contains(image)));
@@ -79,7 +79,7 @@
             zone,
             spot: machine.spot,
             usable: machine.usable(now.mono) && !is_silent,
-            ready: ready_in(machine, machine_type.boot_s, now.wall),
+            usable_at: ready_in(machine, machine_type.boot_s, now.wall),
             total: total_of(machine_type),
             slots: self.max_claims.saturating_sub(running.len() as u32),
             running,
@@ -98,22 +98,22 @@
         .map_or(0.0, |since| now_ms.saturating_sub(since) as f64 / 1000.0);
     plan::Running {
         need: job.need.into(),
-        ends: if is_leaving {
+        expected_end: if is_leaving {
             EXPECTED_STOP_S
         } else {
             remaining_s(ran_s, known.expected_s)
         },
         priority: job.priority() as u8,
-        lost: if known.checkpoint_s > 0.0 {
+        lost_on_preemption: if known.checkpoint_s > 0.0 {
             ran_s.min(MAX_CHECKPOINT_LOSS_S)
         } else {
             ran_s
         },
-        stoppable: !is_leaving && job.kind() != Kind::Gang && job.kind() != Kind::Service,
-        leaving: is_leaving,
+        is_preemptible: !is_leaving && job.kind() != Kind::Gang && job.kind() != Kind::Service,
+        is_stopping: is_leaving,
         team: known.team.unwrap_or(u16::MAX),
-        held: 0,
-        spared: false,
+        guarantee_levels: 0,
+        is_protected_by_aging: false,
         gang: (job.kind() == Kind::Gang).then_some(claim.job as u32),
         tenant: job.tenant,
     }
@@ -150,5 +150,5 @@
     };
     let age_s = wall.saturating_sub(job.at_ms) as f64 / 1000.0;
     let is_first = job.done_count == 0 && nth < plan::first_share(plan::Shape::Array, spec.tasks);
-    age_s >= aging.latest || is_first && age_s >= aging.old
+    age_s >= aging.first_of_all_after || is_first && age_s >= aging.aged_after
 }
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -104,7 +104,7 @@
 fn note_urgent(shard: &mut Shard, now: u64, input: &plan::Input, output: &plan::Output) {
     let is_urgent = |job: usize| {
         let job = &input.jobs[job];
-        let may_go_first = input.groups.is_empty() || job.held > 0;
+        let may_go_first = input.groups.is_empty() || job.guarantee_levels > 0;
         job.priority >= plan::URGENT && job.shape != plan::Shape::Service && may_go_first
     };
     let mut started: HashMap<u32, u32> = HashMap::new();
--- a/crates/control/src/scheduling/reservations.rs
+++ b/crates/control/src/scheduling/reservations.rs
@@ -36,7 +36,7 @@
         .iter()
         .filter_map(|(name, class)| context.reservation(name, class, images))
         .collect();
-    reservations.sort_by_key(|r| (std::cmp::Reverse(r.like.priority), r.like.image));
+    reservations.sort_by_key(|r| (std::cmp::Reverse(r.template.priority), r.template.image));
     reservations
 }
 
@@ -58,8 +58,8 @@
     ) -> Option<plan::Reservation> {
         let spec = class.latest_spec.as_ref()?;
         let team = *self.names.teams.get(spec.team.as_str())?;
-        let like = planner_job(spec, images, self.names, team);
-        let lead_s = self.lead_s(spec, like.types)?;
+        let template = planner_job(spec, images, self.names, team);
+        let lead_s = self.lead_s(spec, template.machine_types)?;
         let share = self.share(name, spec, team, lead_s)?;
         // On average, ending tasks free as much room as arriving jobs need. The reservation covers the fluctuation
         // around that: the standard deviation of the arrivals during the lead time.
@@ -72,7 +72,7 @@
             .map(|(name, gb, share)| (images.get(name), *gb, *share))
             .collect();
         (count > 0).then_some(plan::Reservation {
-            like,
+            template,
             count,
             images,
         })
--- a/crates/control/src/scheduling/scaling.rs
+++ b/crates/control/src/scheduling/scaling.rs
@@ -149,7 +149,7 @@
             input: &planned.input,
             output: &planned.output,
             offers: &rentable_offers,
-            coming: &coming,
+            booting: &coming,
             horizon: self.tuning.horizon_s,
             max_machines: MAX_PENDING_MACHINES,
         });
@@ -173,7 +173,7 @@
     /// Returns machines that have been idle for a while, except those that the plan or models keep. It does so even
     /// while tasks wait: an idle machine is one that they can't use, and it may take the place of one that they can.
     fn return_idle(&mut self, planned: &Planned) {
-        let kept_by_plan = planned.output.kept.iter();
+        let kept_by_plan = planned.output.reserved_machines.iter();
         let mut kept: Vec<usize> = kept_by_plan
             .map(|m| planned.index.machines[*m as usize])
             .collect();
--- a/crates/control/src/store/claim_records.rs
+++ b/crates/control/src/store/claim_records.rs
@@ -127,7 +127,7 @@
                 attempt,
                 on: ranges_by_machine(shard, machines),
                 county: county_counts::claims_county(job),
-                alone: job.tenant.alone,
+                alone: job.tenant.is_isolated,
             });
         }
     }
--- a/crates/control/src/store/record_sizes.rs
+++ b/crates/control/src/store/record_sizes.rs
@@ -33,7 +33,7 @@
         attempt: u64::MAX,
         on: Vec::new(),
         county: county_counts::claims_county(job),
-        alone: job.tenant.alone,
+        alone: job.tenant.is_isolated,
     }) + 1
 }
 
--- a/crates/plan/src/advance_reservations.rs
+++ b/crates/plan/src/advance_reservations.rs
@@ -27,7 +27,7 @@
         let running = self.input.machines[m]
             .running
             .iter()
-            .map(|r| (r.ends, &r.need));
+            .map(|r| (r.expected_end, &r.need));
         let started = self.timelines[m]
             .ends
             .iter()
@@ -93,7 +93,7 @@
                 .failed_searches
                 .is_known_to_fail(job, SearchKind::FutureCapacity, want)
         {
-            if job.promised {
+            if job.is_within_guarantee {
                 self.preempt_for_quota(i, want);
             }
             return;
@@ -105,7 +105,7 @@
                 .add(job, SearchKind::FutureCapacity, want - 1);
         }
         let is_soon = first.is_some_and(|first| first.at <= self.input.patience);
-        let is_preempted = job.promised && !is_soon && self.preempt_for_quota(i, want);
+        let is_preempted = job.is_within_guarantee && !is_soon && self.preempt_for_quota(i, want);
         if let Some(first) = first.filter(|_| !is_preempted) {
             self.reserve_start(i, want, &capacity, first);
         }
@@ -199,7 +199,7 @@
             .reserved
             .push((at, job.need.times(n), job.tenant));
         self.changed_machines.push(m as u32);
-        self.output.kept.push(m as u32);
+        self.output.reserved_machines.push(m as u32);
     }
 
     /// How many tasks of a gang may use a release, given the tasks that it has in the zone, and counts them there.
@@ -260,7 +260,11 @@
         };
         list.remove_machine(m);
         let machine = &self.input.machines[m];
-        let from = if machine.usable { 0.0 } else { machine.ready };
+        let from = if machine.usable {
+            0.0
+        } else {
+            machine.usable_at
+        };
         if !from.is_finite() || !self.is_eligible(job, m) || self.reserved_until[m].is_some() {
             return;
         }
@@ -268,7 +272,7 @@
             return;
         }
         let from = from.max(self.free_of_conflicts_at(job, m));
-        let running = machine.running.iter().map(|r| r.ends);
+        let running = machine.running.iter().map(|r| r.expected_end);
         let started = self.timelines[m].ends.iter().map(|e| e.0);
         let mut times: Vec<Secs> = running
             .chain(started)
@@ -291,5 +295,5 @@
 
 /// Whether equivalent jobs may use the future capacity that is found for this one.
 fn can_share(job: &Job) -> bool {
-    job.avoid.is_empty()
+    job.excluded_machines.is_empty()
 }
--- a/crates/plan/src/anti_affinity.rs
+++ b/crates/plan/src/anti_affinity.rs
@@ -14,7 +14,7 @@
         let running = self.input.machines[m]
             .running
             .iter()
-            .map(|r| (r.ends, &r.tenant));
+            .map(|r| (r.expected_end, &r.tenant));
         let started = self.timelines[m]
             .ends
             .iter()
@@ -39,7 +39,7 @@
     pub(crate) fn reserve_machine_for_tenant(&mut self, i: usize) {
         let job = &self.input.jobs[i];
         if !self.has_isolated_tenants
-            || job.zones.iter().any(|(_, n)| *n > 0)
+            || job.tasks_by_zone.iter().any(|(_, n)| *n > 0)
             || self.is_past_soft_limit()
         {
             return;
--- a/crates/plan/src/candidates.rs
+++ b/crates/plan/src/candidates.rs
@@ -40,9 +40,9 @@
 
     /// Whether a job may use machines of this class.
     pub fn accepts(&self, job: &Job) -> bool {
-        job.types >> self.machine_type & 1 == 1
+        job.machine_types >> self.machine_type & 1 == 1
             && job.zone.is_none_or(|zone| zone == self.zone)
-            && (job.only.is_empty() || job.only.contains(&self.zone))
+            && (job.allowed_zones.is_empty() || job.allowed_zones.contains(&self.zone))
             && (job.spot || !self.spot)
     }
 
@@ -122,7 +122,7 @@
     /// The slowest fetch rate among the machine types that the job may use, in GB per second.
     pub fn slowest_fetch_gb_per_s(&self, job: &Job) -> f64 {
         let classes = self.classes.iter();
-        let usable = classes.filter(|class| job.types >> class.machine_type & 1 == 1);
+        let usable = classes.filter(|class| job.machine_types >> class.machine_type & 1 == 1);
         usable
             .map(|class| class.fetch_gb_per_s)
             .fold(f64::INFINITY, f64::min)
--- a/crates/plan/src/failed_searches.rs
+++ b/crates/plan/src/failed_searches.rs
@@ -36,8 +36,8 @@
 
 /// Whether the machines that a job can use depend on nothing but its [`JobKind`].
 fn depends_on_kind_only(job: &Job) -> bool {
-    let has_zone = job.one_zone && job.zones.iter().any(|(_, n)| *n > 0);
-    job.avoid.is_empty() && !job.spread && !has_zone
+    let has_zone = job.one_zone && job.tasks_by_zone.iter().any(|(_, n)| *n > 0);
+    job.excluded_machines.is_empty() && !job.spread && !has_zone
 }
 
 impl FailedSearches {
--- a/crates/plan/src/input.rs
+++ b/crates/plan/src/input.rs
@@ -8,21 +8,21 @@
     /// Resources that it uses.
     pub need: Resources,
     /// When it is expected to end.
-    pub ends: Secs,
+    pub expected_end: Secs,
     /// Its priority; higher is more urgent.
     pub priority: u8,
     /// Run time that is lost if it is preempted now.
-    pub lost: Secs,
+    pub lost_on_preemption: Secs,
     /// It may be preempted by itself: a task of an array that is not being stopped already.
-    pub stoppable: bool,
+    pub is_preemptible: bool,
     /// It is being stopped. Its resources become free soon, so nothing else needs to be preempted for them.
-    pub leaving: bool,
+    pub is_stopping: bool,
     /// Index of its team.
     pub team: u16,
-    /// How many levels of its team's guarantees cover it, see [`Job::held`].
-    pub held: u8,
+    /// How many levels of its team's guarantees cover it, see [`Job::guarantee_levels`].
+    pub guarantee_levels: u8,
     /// It belongs to the first share of an aged job: it is not preempted for priority alone.
-    pub spared: bool,
+    pub is_protected_by_aging: bool,
     /// The gang that it belongs to; a gang is preempted as a whole.
     pub gang: Option<u32>,
     /// The tenant that owns it.
@@ -41,7 +41,7 @@
     /// It accepts new tasks.
     pub usable: bool,
     /// When an unusable machine is expected to accept tasks; infinity if it is not expected to.
-    pub ready: Secs,
+    pub usable_at: Secs,
     /// Its total resources.
     pub total: Resources,
     /// Tasks on it.
@@ -94,7 +94,7 @@
     /// Resources that one task needs.
     pub need: Resources,
     /// Allowed machine types, as a bit mask of their indices.
-    pub types: u64,
+    pub machine_types: u64,
     /// The zone that it must run in, if it asks for one.
     pub zone: Option<u16>,
     /// All its tasks must run in one zone.
@@ -110,24 +110,24 @@
     /// Index of its team.
     pub team: u16,
     /// Its pending tasks wait for their first start, as far as is known, so that the time since its arrival is a wait.
-    pub waits: bool,
+    pub awaits_first_start: bool,
     /// The deadline that it was submitted with, from now.
-    pub due: Option<Secs>,
+    pub deadline: Option<Secs>,
     /// Its start is covered by a guarantee and not yet late for it, so that tasks beyond their guarantees may be
     /// preempted for it.
-    pub promised: bool,
+    pub is_within_guarantee: bool,
     /// How many levels of guarantees cover it, counted from the root: 0 if none does; 1 if its share of the guarantee
     /// of its team's topmost group does; one more than the number of its team's groups if the team's own guarantee
     /// does. A guarantee that covers it on one level covers it on all levels above.
-    pub held: u8,
+    pub guarantee_levels: u8,
     /// Number of its tasks that are on machines now, by zone.
-    pub zones: Vec<(u16, u32)>,
+    pub tasks_by_zone: Vec<(u16, u32)>,
     /// Machines that it must not use.
-    pub avoid: Vec<u32>,
+    pub excluded_machines: Vec<u32>,
     /// The tenant that owns it.
     pub tenant: Tenant,
     /// The zones that it is restricted to; empty if it may use all.
-    pub only: Vec<u16>,
+    pub allowed_zones: Vec<u16>,
 }
 
 /// A node of the quota tree, whose limit applies to the sum of all teams below it.
@@ -145,7 +145,7 @@
 #[derive(Debug, Clone)]
 pub struct Team {
     /// Indices of its groups, the topmost first; empty without nested quotas.
-    pub path: Vec<u16>,
+    pub groups: Vec<u16>,
     /// Cores used by its tasks.
     pub cores_used: f64,
     /// GPUs used by its tasks.
@@ -176,7 +176,7 @@
 #[derive(Debug, Clone)]
 pub struct Reservation {
     /// A job like the expected ones.
-    pub like: Job,
+    pub template: Job,
     /// Number of expected tasks.
     pub count: u32,
     /// Images that they are expected to need: index, size in GB and share of the jobs.
@@ -220,7 +220,7 @@
         let path = |t: u16| {
             self.teams
                 .get(usize::from(t))
-                .map_or(&[][..], |team| &team.path)
+                .map_or(&[][..], |team| &team.groups)
         };
         path(a)
             .iter()
@@ -233,7 +233,9 @@
     /// where their teams part, a guarantee covers the job and none covers the task.
     pub fn may_be_reclaimed_for(&self, r: &Running, job: &Job) -> bool {
         let common_groups = self.common_groups(r.team, job.team);
-        r.team != job.team && r.held <= common_groups && job.held > common_groups
+        r.team != job.team
+            && r.guarantee_levels <= common_groups
+            && job.guarantee_levels > common_groups
     }
 
     /// Whether a task may be preempted for a job of higher priority. The first share of an aged job may not. With
@@ -242,9 +244,13 @@
     pub fn may_be_preempted_for(&self, r: &Running, job: &Job) -> bool {
         let borrows = || {
             let common_groups = self.common_groups(r.team, job.team);
-            r.team != job.team && r.held > common_groups && job.held <= common_groups
+            r.team != job.team
+                && r.guarantee_levels > common_groups
+                && job.guarantee_levels <= common_groups
         };
-        r.priority < job.priority && !r.spared && (self.groups.is_empty() || !borrows())
+        r.priority < job.priority
+            && !r.is_protected_by_aging
+            && (self.groups.is_empty() || !borrows())
     }
 }
 
--- a/crates/plan/src/job_kind.rs
+++ b/crates/plan/src/job_kind.rs
@@ -25,13 +25,13 @@
                 job.need.mem.to_bits(),
             ],
             priority: job.priority,
-            types: job.types,
+            types: job.machine_types,
             zone: job.zone,
             one_zone: job.one_zone,
             spot: job.spot,
             image: job.image,
             tenant: job.tenant,
-            only: job.only.clone(),
+            only: job.allowed_zones.clone(),
         }
     }
 }
--- a/crates/plan/src/limit_enforcement.rs
+++ b/crates/plan/src/limit_enforcement.rs
@@ -21,9 +21,9 @@
 impl PreemptionUnit {
     /// An empty unit, ranked like this task.
     fn new(task: &Running) -> Self {
-        let is_service = !task.stoppable && task.gang.is_none();
+        let is_service = !task.is_preemptible && task.gang.is_none();
         PreemptionUnit {
-            rank: (is_service, task.held, task.priority),
+            rank: (is_service, task.guarantee_levels, task.priority),
             lost: 0.0,
             gang: task.gang,
             tasks: Vec::new(),
@@ -32,7 +32,7 @@
     }
 
     fn add(&mut self, machine: usize, index: usize, task: &Running) {
-        self.lost += task.lost;
+        self.lost += task.lost_on_preemption;
         self.tasks.push((machine, index));
         self.freed.add(&task.need, 1.0);
     }
@@ -44,7 +44,7 @@
     pub(crate) fn enforce_limits(&mut self) {
         let input = self.input;
         let depth = |g: usize| {
-            let at = |t: &crate::Team| t.path.iter().position(|p| usize::from(*p) == g);
+            let at = |t: &crate::Team| t.groups.iter().position(|p| usize::from(*p) == g);
             input.teams.iter().find_map(at).unwrap_or(0)
         };
         let over = |g: &crate::Group| g.preempts_excess && !g.max.fits(&g.used);
@@ -64,7 +64,7 @@
         self.input
             .teams
             .get(usize::from(r.team))
-            .is_some_and(|t| t.path.contains(&group))
+            .is_some_and(|t| t.groups.contains(&group))
     }
 
     /// Preempts tasks and gangs below a group until its usage is within its limit.
@@ -94,7 +94,7 @@
             self.output.steps += 1 + machine.running.len() as u64;
             let tasks = machine.running.iter().enumerate();
             for (k, task) in tasks.filter(|(_, task)| self.is_below(task, group)) {
-                let is_leaving = task.leaving
+                let is_leaving = task.is_stopping
                     || task
                         .gang
                         .is_some_and(|gang| preempted_gangs.contains(&gang))
--- a/crates/plan/src/output.rs
+++ b/crates/plan/src/output.rs
@@ -33,7 +33,7 @@
     pub waiting: Vec<(u32, u32)>,
     /// Machines on which capacity is reserved: for expected jobs, for a job that others are preempted for, or for a
     /// gang that starts later.
-    pub kept: Vec<u32>,
+    pub reserved_machines: Vec<u32>,
     /// For each reservation, the number of its tasks that no capacity was found for.
     pub unmet_reservations: Vec<u32>,
     /// The smallest feasible stretch.
--- a/crates/plan/src/placement.rs
+++ b/crates/plan/src/placement.rs
@@ -16,7 +16,7 @@
 
     /// Whether a job may ever use a machine, whatever runs on it now.
     pub(crate) fn is_eligible(&self, job: &Job, m: usize) -> bool {
-        self.candidates.class(m).accepts(job) && !job.avoid.contains(&(m as u32))
+        self.candidates.class(m).accepts(job) && !job.excluded_machines.contains(&(m as u32))
     }
 
     /// How many more tasks the job may have in a zone, given the tasks that it has.
@@ -110,7 +110,7 @@
         self.slots[m] -= n;
         self.tenants[m].add(&job.tenant);
         self.teams[job.team as usize].take(&job.need, n);
-        for g in &input.teams[job.team as usize].path {
+        for g in &input.teams[job.team as usize].groups {
             self.groups[*g as usize].used.add(&job.need, f64::from(n));
         }
         *count_in(&mut self.tasks_by_zone[i], zone) += n;
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -73,13 +73,13 @@
             let is_aged = self.is_aged(job);
             RankedJob {
                 job: *i,
-                is_guaranteed: has_nested_quotas && job.held > 0,
+                is_guaranteed: has_nested_quotas && job.guarantee_levels > 0,
                 priority: job.priority,
-                goes_first: is_aged || job.promised && job.shape == Shape::Gang,
+                goes_first: is_aged || job.is_within_guarantee && job.shape == Shape::Gang,
                 deadline: if is_aged {
                     job.arrival
                 } else {
-                    job.due.map_or(deadline, |own| own.min(deadline))
+                    job.deadline.map_or(deadline, |own| own.min(deadline))
                 },
             }
         });
@@ -135,7 +135,7 @@
         if !*reservations_made
             && reservations
                 .iter()
-                .all(|s| s.like.priority > ranked.priority)
+                .all(|s| s.template.priority > ranked.priority)
         {
             *reservations_made = true;
             self.reserve_for_expected_jobs();
@@ -175,7 +175,7 @@
         // Capacity that a nested guarantee covers is due at once, whatever the width: borrowers are preempted for it.
         let has_nested_quotas = !self.input.groups.is_empty();
         let is_reclaim_due =
-            has_nested_quotas && job.promised && -job.arrival > self.input.patience;
+            has_nested_quotas && job.is_within_guarantee && -job.arrival > self.input.patience;
         if is_reclaim_due && remaining[i] > 0 && !self.is_past_soft_limit() {
             remaining[i] -= self.start_tasks(i, remaining[i], true);
             let want = self.allows(job, remaining[i]);
--- a/crates/plan/src/priority_preemption.rs
+++ b/crates/plan/src/priority_preemption.rs
@@ -63,7 +63,7 @@
             let m = option.machine;
             self.reserved_until[m] = Some(option.at);
             self.changed_machines.push(m as u32);
-            self.output.kept.push(m as u32);
+            self.output.reserved_machines.push(m as u32);
             let victims = option.victims.iter().map(|t| Preempt {
                 machine: m as u32,
                 task: *t as u32,
@@ -164,7 +164,16 @@
                 .running
                 .iter()
                 .enumerate()
-                .map(|(k, r)| (if r.leaving { 0.0 } else { r.ends.max(0.0) }, k))
+                .map(|(k, r)| {
+                    (
+                        if r.is_stopping {
+                            0.0
+                        } else {
+                            r.expected_end.max(0.0)
+                        },
+                        k,
+                    )
+                })
                 .collect();
             ends.sort_by(|a, b| a.0.total_cmp(&b.0));
             let mut at = 0.0;
@@ -215,17 +224,18 @@
     pub(crate) fn cheapest_victims(&self, job: &Job, m: usize) -> Option<(f64, Vec<usize>)> {
         let machine = &self.input.machines[m];
         let mut free = self.free[m];
-        for r in machine.running.iter().filter(|r| r.leaving) {
+        for r in machine.running.iter().filter(|r| r.is_stopping) {
             free.add(&r.need, 1.0);
         }
         let mut victims: Vec<usize> = (0..machine.running.len())
             .filter(|k| {
                 let r = &machine.running[*k];
-                r.stoppable && !r.leaving && self.input.may_be_preempted_for(r, job)
+                r.is_preemptible && !r.is_stopping && self.input.may_be_preempted_for(r, job)
             })
             .collect();
         let cost = |k: &usize| {
-            machine.running[*k].lost * machine.total.dominant_share(&machine.running[*k].need)
+            machine.running[*k].lost_on_preemption
+                * machine.total.dominant_share(&machine.running[*k].need)
         };
         victims.sort_by(|a, b| cost(a).total_cmp(&cost(b)));
         // While a machine fetches the image, the resources of the new task are idle; that counts as lost too.
--- a/crates/plan/src/quota_preemption.rs
+++ b/crates/plan/src/quota_preemption.rs
@@ -138,7 +138,7 @@
             }
             self.output.steps += 1 + machine.running.len() as u64;
             let mut free = self.free_at(m, 0.0, f64::INFINITY);
-            for task in machine.running.iter().filter(|task| task.leaving) {
+            for task in machine.running.iter().filter(|task| task.is_stopping) {
                 free.add(&task.need, 1.0);
             }
             free_by_machine.insert(m, free);
@@ -264,8 +264,8 @@
                 let stopping = stopped.contains(&(m as u32, k as u32))
                     || r.gang.is_some_and(|g| preempted_gangs.contains(&g));
                 if !self.input.may_be_reclaimed_for(r, job)
-                    || r.leaving
-                    || r.ends < ENDING_SOON
+                    || r.is_stopping
+                    || r.expected_end < ENDING_SOON
                     || stopping
                 {
                     continue;
@@ -281,11 +281,15 @@
                             common_groups,
                         });
                         victim.tasks.push((m, k));
-                        victim.cost += r.lost + GANG_LOSS;
+                        victim.cost += r.lost_on_preemption + GANG_LOSS;
                     }
-                    None if r.stoppable && free_by_machine.contains_key(&m) => {
-                        let spared = if r.spared { FIRST_SHARE_LOSS } else { 0.0 };
-                        let cost = r.lost + TASK_LOSS + spared;
+                    None if r.is_preemptible && free_by_machine.contains_key(&m) => {
+                        let spared = if r.is_protected_by_aging {
+                            FIRST_SHARE_LOSS
+                        } else {
+                            0.0
+                        };
+                        let cost = r.lost_on_preemption + TASK_LOSS + spared;
                         out.push(Victim {
                             gang: None,
                             tasks: vec![(m, k)],
--- a/crates/plan/src/reservations.rs
+++ b/crates/plan/src/reservations.rs
@@ -19,7 +19,7 @@
 
     /// Reserves machines; returns the number of expected tasks that no capacity was found for.
     fn reserve_for(&mut self, reservation: &Reservation) -> u32 {
-        let job = &reservation.like;
+        let job = &reservation.template;
         let order = self.machines_for_reservation(reservation);
         let mut left = reservation.count;
         let total_share: f64 = reservation.images.iter().map(|(_, _, share)| share).sum();
@@ -52,7 +52,7 @@
     /// Machines that expected tasks fit on, those first where they would start soonest.
     fn machines_for_reservation(&mut self, reservation: &Reservation) -> Vec<usize> {
         let input = self.input;
-        let job = &reservation.like;
+        let job = &reservation.template;
         // The mean fetch time of the expected jobs on this machine.
         let mean_fetch_time = |m: usize| {
             let missing = reservation
@@ -79,7 +79,7 @@
     fn reserve_machine(&mut self, job: &Job, m: usize) -> u32 {
         self.reserved_until[m] = Some(0.0);
         self.changed_machines.push(m as u32);
-        self.output.kept.push(m as u32);
+        self.output.reserved_machines.push(m as u32);
         self.unreserved_capacity(job, m)
     }
 
@@ -90,13 +90,13 @@
         job.shape == Shape::Array
             && -job.arrival >= RESERVATION_WAIT_LIMIT
             && has_no_tasks
-            && !self.output.kept.is_empty()
+            && !self.output.reserved_machines.is_empty()
     }
 
     /// Starts a first task of an array on a reserved machine, so that it is not starved by jobs that are only expected.
     /// The remaining capacity stays reserved, so that it is given away one task at a time.
     pub(crate) fn start_from_reservations(&mut self, i: usize) -> u32 {
-        let kept = self.output.kept.clone();
+        let kept = self.output.reserved_machines.clone();
         kept.iter()
             .for_each(|m| self.reserved_until[*m as usize] = None);
         self.failed_searches.clear();
--- a/crates/plan/src/scale_out.rs
+++ b/crates/plan/src/scale_out.rs
@@ -32,10 +32,10 @@
     /// The machines that can be rented.
     pub offers: &'a [MachineOffer],
     /// Machines that are rented and not usable yet: their kind, and how many.
-    pub coming: &'a [(MachineOffer, u32)],
+    pub booting: &'a [(MachineOffer, u32)],
     /// Time within which an array's pending work should be done; a shorter one makes it faster and more expensive.
     pub horizon: Secs,
-    /// Limit of the machines considered, those in `coming` included.
+    /// Limit of the machines considered, those in `booting` included.
     pub max_machines: usize,
 }
 
@@ -69,15 +69,15 @@
     unplaced.sort_by_key(|(job, _)| Reverse(job.priority));
     let short = scale.output.unmet_reservations.iter();
     let reserved = scale.input.reservations.iter().zip(short);
-    unplaced.extend(reserved.map(|(reservation, tasks)| (&reservation.like, *tasks)));
+    unplaced.extend(reserved.map(|(reservation, tasks)| (&reservation.template, *tasks)));
     unplaced
 }
 
 /// Whether a task of the job may run on a machine of this offer, and fits on an empty one.
 fn fits(job: &Job, offer: &MachineOffer) -> bool {
-    job.types >> offer.machine_type & 1 == 1
+    job.machine_types >> offer.machine_type & 1 == 1
         && job.zone.is_none_or(|zone| zone == offer.zone)
-        && (job.only.is_empty() || job.only.contains(&offer.zone))
+        && (job.allowed_zones.is_empty() || job.allowed_zones.contains(&offer.zone))
         && (job.spot || !offer.spot)
         && offer.total.fits(&job.need)
 }
@@ -93,7 +93,7 @@
     let usable = scale.offers.iter().filter(|offer| fits(job, offer));
     let lead_time = usable.map(lead_time).fold(0.0, f64::max);
     let time = job
-        .due
+        .deadline
         .map_or(scale.horizon, |due| scale.horizon.min(due - lead_time));
     let rounds = (time / (job.estimate.max(1.0) * RUN_TIME_SLACK))
         .floor()
@@ -156,7 +156,7 @@
             job,
             left: tasks,
             max_per_zone,
-            tasks_by_zone: job.zones.clone(),
+            tasks_by_zone: job.tasks_by_zone.clone(),
             home_zone,
         }
     }
@@ -196,7 +196,7 @@
 impl<'a> VirtualFleet<'a> {
     /// A fleet of the machines that are rented but not usable yet.
     fn new(scale: &ScaleOutInput<'a>) -> Self {
-        let coming = scale.coming.iter();
+        let coming = scale.booting.iter();
         let open = coming.flat_map(|(offer, count)| {
             (0..*count).map(|_| VirtualMachine {
                 offer: offer.clone(),
@@ -217,7 +217,7 @@
     /// pending tasks fit on machines of this fleet, if capacity for the rest can be rented there. None while any zone
     /// will do.
     fn home_zone(&self, job: &Job, tasks: u32) -> Option<u16> {
-        if let Some((zone, _)) = job.zones.iter().find(|(_, n)| *n > 0) {
+        if let Some((zone, _)) = job.tasks_by_zone.iter().find(|(_, n)| *n > 0) {
             return Some(*zone);
         }
         let mut coming: Vec<(u16, u32)> = Vec::new();
--- a/crates/plan/src/starvation_aging.rs
+++ b/crates/plan/src/starvation_aging.rs
@@ -15,16 +15,16 @@
 #[derive(Debug, Clone, Copy)]
 pub struct AgingThresholds {
     /// From this wait on a job goes before younger ones of its priority, and its first share before all others.
-    pub old: Secs,
+    pub aged_after: Secs,
     /// From this wait on all of its tasks go before all others.
-    pub latest: Secs,
+    pub first_of_all_after: Secs,
 }
 
 impl Default for AgingThresholds {
     fn default() -> Self {
         AgingThresholds {
-            old: Secs::INFINITY,
-            latest: Secs::INFINITY,
+            aged_after: Secs::INFINITY,
+            first_of_all_after: Secs::INFINITY,
         }
     }
 }
@@ -41,10 +41,10 @@
 impl AgingThresholds {
     /// How many of an aged job's pending tasks go before all other jobs.
     fn tasks_before_all(&self, job: &Job) -> u32 {
-        if job.shape == Shape::Gang || -job.arrival >= self.latest {
+        if job.shape == Shape::Gang || -job.arrival >= self.first_of_all_after {
             return job.pending;
         }
-        let placed: u32 = job.zones.iter().map(|(_, n)| n).sum();
+        let placed: u32 = job.tasks_by_zone.iter().map(|(_, n)| n).sum();
         first_share(job.shape, job.tasks)
             .saturating_sub(placed)
             .min(job.pending)
@@ -60,7 +60,7 @@
             Shape::Gang => job.priority < self.highest_pending_priority,
             Shape::Service => false,
         };
-        counts && job.waits && -job.arrival >= self.input.aging.old
+        counts && job.awaits_first_start && -job.arrival >= self.input.aging.aged_after
     }
 
     /// Serves aged jobs, the longest wait first.
@@ -71,7 +71,7 @@
             .collect();
         // Jobs that nested guarantees cover go first: they would only preempt the others again.
         let has_nested_quotas = !self.input.groups.is_empty();
-        let key = |j: &Job| Reverse(has_nested_quotas && j.held > 0);
+        let key = |j: &Job| Reverse(has_nested_quotas && j.guarantee_levels > 0);
         order.sort_by(|a, b| {
             let (x, y) = (&jobs[*a], &jobs[*b]);
             key(x)
--- a/crates/plan/src/state.rs
+++ b/crates/plan/src/state.rs
@@ -83,11 +83,11 @@
                 .iter()
                 .map(|m| Tenants::of(m.running.iter().map(|r| &r.tenant)))
                 .collect(),
-            has_isolated_tenants: tenants.any(|t| t.alone),
+            has_isolated_tenants: tenants.any(|t| t.is_isolated),
             tenants_with_reservation: BTreeSet::new(),
             teams: input.teams.clone(),
             groups: input.groups.clone(),
-            tasks_by_zone: input.jobs.iter().map(|j| j.zones.clone()).collect(),
+            tasks_by_zone: input.jobs.iter().map(|j| j.tasks_by_zone.clone()).collect(),
             preemption_options: HashMap::new(),
             output: Output::default(),
         };
@@ -127,7 +127,7 @@
     /// How many more of a job's tasks the limits of its team and its team's groups allow, at most `cap`.
     pub fn allows(&self, job: &Job, cap: u32) -> u32 {
         let team = &self.teams[job.team as usize];
-        let above = team.path.iter().map(|g| &self.groups[*g as usize]);
+        let above = team.groups.iter().map(|g| &self.groups[*g as usize]);
         above.fold(team.allows(&job.need, cap), |n, g| {
             let mut headroom = g.max;
             headroom.add(&g.used, -1.0);
--- a/crates/plan/src/tenant.rs
+++ b/crates/plan/src/tenant.rs
@@ -6,13 +6,13 @@
     /// Number of the county, 0 for none.
     pub county: u16,
     /// Its tasks share no machine with those of other counties.
-    pub alone: bool,
+    pub is_isolated: bool,
 }
 
 impl Tenant {
     /// Whether tasks of the two must not be on one machine at the same time.
     pub fn conflicts_with(&self, other: &Tenant) -> bool {
-        self.county != other.county && (self.alone || other.alone)
+        self.county != other.county && (self.is_isolated || other.is_isolated)
     }
 }
 
@@ -34,12 +34,12 @@
         match self.county {
             None => true,
             Some(county) if !self.has_several && county == new.county => true,
-            Some(_) => !self.has_isolated && !new.alone,
+            Some(_) => !self.has_isolated && !new.is_isolated,
         }
     }
     pub fn add(&mut self, new: &Tenant) {
         self.has_several |= self.county.is_some_and(|c| c != new.county);
         self.county = Some(new.county);
-        self.has_isolated |= new.alone;
+        self.has_isolated |= new.is_isolated;
     }
 }
--- a/crates/plan/tests/anti_affinity.rs
+++ b/crates/plan/tests/anti_affinity.rs
@@ -51,8 +51,8 @@
     let mut rng = 7u64;
     for now in 0..400u32 {
         for m in &mut machines {
-            m.running.iter_mut().for_each(|r| r.ends -= 1.0);
-            m.running.retain(|r| r.ends > 0.0);
+            m.running.iter_mut().for_each(|r| r.expected_end -= 1.0);
+            m.running.retain(|r| r.expected_end > 0.0);
         }
         // The job, and an array of the others that is as old and always has pending tasks; that one starts first.
         let mut jobs = vec![waits.clone(), job(Shape::Array, 1000, others)];
@@ -81,10 +81,10 @@
                 rng = rng
                     .wrapping_mul(6364136223846793005)
                     .wrapping_add(1442695040888963407);
-                let ends = 10.0 + (rng >> 33) as f64 % 21.0;
+                let expected_end = 10.0 + (rng >> 33) as f64 % 21.0;
                 machines[s.machine as usize].running.push(Running {
                     need: GPU,
-                    ends,
+                    expected_end,
                     tenant: j.tenant,
                     ..defaults::running()
                 });
@@ -98,16 +98,16 @@
 fn isolated_jobs_start_on_a_busy_fleet() {
     let alone = Tenant {
         county: 1,
-        alone: true,
+        is_isolated: true,
     };
     let (others, plain) = (
         Tenant {
             county: 2,
-            alone: true,
+            is_isolated: true,
         },
         Tenant {
             county: 2,
-            alone: false,
+            is_isolated: false,
         },
     );
     for shape in [Shape::Array, Shape::Gang, Shape::Service] {
@@ -135,7 +135,7 @@
                 2,
                 Tenant {
                     county,
-                    alone: county < 3,
+                    is_isolated: county < 3,
                 },
             )
         })
@@ -163,7 +163,7 @@
         input: &input,
         output: &output,
         offers: &offers,
-        coming: &coming,
+        booting: &coming,
         horizon: 60.0,
         max_machines: 50,
     };
@@ -190,7 +190,7 @@
 fn tasks_of_one_county_share_its_machines() {
     let alone = Tenant {
         county: 1,
-        alone: true,
+        is_isolated: true,
     };
     let jobs = vec![
         job(Shape::Gang, 2, alone),
--- a/crates/plan/tests/defaults/mod.rs
+++ b/crates/plan/tests/defaults/mod.rs
@@ -15,7 +15,7 @@
         tasks: 1,
         pending: 1,
         need: Resources::default(),
-        types: 1,
+        machine_types: 1,
         zone: None,
         one_zone: false,
         spread: false,
@@ -23,14 +23,14 @@
         image: 0,
         image_gb: 0.0,
         team: 0,
-        due: None,
-        waits: false,
-        promised: false,
-        held: 0,
-        zones: Vec::new(),
-        avoid: Vec::new(),
+        deadline: None,
+        awaits_first_start: false,
+        is_within_guarantee: false,
+        guarantee_levels: 0,
+        tasks_by_zone: Vec::new(),
+        excluded_machines: Vec::new(),
         tenant: Tenant::default(),
-        only: Vec::new(),
+        allowed_zones: Vec::new(),
     }
 }
 
@@ -41,7 +41,7 @@
         zone: 0,
         spot: false,
         usable: true,
-        ready: f64::INFINITY,
+        usable_at: f64::INFINITY,
         total: Resources::default(),
         running: Vec::new(),
         images: Vec::new(),
@@ -54,14 +54,14 @@
 pub fn running() -> Running {
     Running {
         need: Resources::default(),
-        ends: 0.0,
+        expected_end: 0.0,
         priority: 1,
-        lost: 0.0,
-        stoppable: false,
-        leaving: false,
+        lost_on_preemption: 0.0,
+        is_preemptible: false,
+        is_stopping: false,
         team: 0,
-        held: 0,
-        spared: false,
+        guarantee_levels: 0,
+        is_protected_by_aging: false,
         gang: None,
         tenant: Tenant::default(),
     }
@@ -70,7 +70,7 @@
 /// A team without groups and limits.
 pub fn team() -> Team {
     Team {
-        path: Vec::new(),
+        groups: Vec::new(),
         cores_used: 0.0,
         gpus_used: 0.0,
         cores_max: f64::INFINITY,
--- a/crates/plan/tests/fleets/mod.rs
+++ b/crates/plan/tests/fleets/mod.rs
@@ -21,17 +21,17 @@
 }
 
 fn running(rng: &mut fastrand::Rng, gpus: u32, gang: Option<u32>) -> Running {
-    let ends = 5.0 + rng.f64() * 200.0;
+    let expected_end = 5.0 + rng.f64() * 200.0;
     Running {
         need: resources_of_gpus(f64::from(gpus)),
-        ends,
+        expected_end,
         priority: if gang.is_some() { 2 } else { 0 },
-        lost: rng.f64() * 60.0,
-        stoppable: gang.is_none(),
-        leaving: false,
+        lost_on_preemption: rng.f64() * 60.0,
+        is_preemptible: gang.is_none(),
+        is_stopping: false,
         team: rng.u16(0..TEAMS),
-        held: 0,
-        spared: false,
+        guarantee_levels: 0,
+        is_protected_by_aging: false,
         gang,
         tenant: Tenant::default(),
     }
@@ -44,7 +44,7 @@
         zone: rng.u16(0..zones),
         spot: rng.bool(),
         usable: rng.u32(0..50) > 0,
-        ready: f64::INFINITY,
+        usable_at: f64::INFINITY,
         total: resources_of_gpus(f64::from(GPUS)),
         running: Vec::new(),
         images: (0..IMAGES).filter(|_| rng.u32(0..3) == 0).collect(),
@@ -97,7 +97,7 @@
         tasks,
         pending: tasks,
         need,
-        types: 1,
+        machine_types: 1,
         zone: None,
         one_zone: is_gang && rng.bool(),
         spread: false,
@@ -105,20 +105,20 @@
         image: rng.u32(0..IMAGES),
         image_gb: IMAGE_GB,
         team: rng.u16(0..TEAMS),
-        waits: true,
-        due: None,
-        promised: false,
-        held: 0,
-        zones: Vec::new(),
-        avoid: Vec::new(),
+        awaits_first_start: true,
+        deadline: None,
+        is_within_guarantee: false,
+        guarantee_levels: 0,
+        tasks_by_zone: Vec::new(),
+        excluded_machines: Vec::new(),
         tenant: Tenant::default(),
-        only: Vec::new(),
+        allowed_zones: Vec::new(),
     }
 }
 
 fn team() -> Team {
     Team {
-        path: Vec::new(),
+        groups: Vec::new(),
         cores_used: 0.0,
         gpus_used: 0.0,
         cores_max: f64::INFINITY,
--- a/crates/plan/tests/floods.rs
+++ b/crates/plan/tests/floods.rs
@@ -11,8 +11,8 @@
 
 /// In turns.
 const AGING: AgingThresholds = AgingThresholds {
-    old: 20.0,
-    latest: 30.0,
+    aged_after: 20.0,
+    first_of_all_after: 30.0,
 };
 const PLACES: u32 = 4;
 
@@ -38,7 +38,7 @@
         pending: tasks,
         need,
         image_gb: 0.0,
-        waits: true,
+        awaits_first_start: true,
         ..defaults::job()
     }
 }
@@ -46,7 +46,7 @@
 /// A machine that [`PLACES`] tasks of an array fit on.
 fn machine() -> Machine {
     Machine {
-        ready: 0.0,
+        usable_at: 0.0,
         total: Resources {
             cores: 4.0,
             gpus: 4.0,
@@ -114,17 +114,18 @@
             let (array, first) = (job.shape == Shape::Array, first_share(job.shape, job.tasks));
             let age = f64::from(now - self.jobs[p.job].0);
             let share = self.done[p.job] == 0 && claims[p.job] < first;
-            let spared =
-                self.with_aging && array && (age >= AGING.latest || share && age >= AGING.old);
+            let is_protected_by_aging = self.with_aging
+                && array
+                && (age >= AGING.first_of_all_after || share && age >= AGING.aged_after);
             claims[p.job] += 1;
             tasks_on[p.machine].push(k);
             input.machines[p.machine].running.push(Running {
                 need: job.need,
-                ends: f64::from(p.ends - now),
+                expected_end: f64::from(p.ends - now),
                 priority: job.priority,
-                lost: f64::from(now - p.started_at),
-                stoppable: array,
-                spared,
+                lost_on_preemption: f64::from(now - p.started_at),
+                is_preemptible: array,
+                is_protected_by_aging,
                 gang: (!array).then_some(p.job as u32),
                 ..defaults::running()
             });
@@ -135,17 +136,17 @@
             if *at > now || left == 0 || (job.shape == Shape::Gang && claims[j] > 0) {
                 continue;
             }
-            let zones = if claims[j] > 0 {
+            let tasks_by_zone = if claims[j] > 0 {
                 vec![(0, claims[j])]
             } else {
                 vec![]
             };
-            let waits = job.shape == Shape::Array || self.first_start[j].is_none();
+            let awaits_first_start = job.shape == Shape::Array || self.first_start[j].is_none();
             input.jobs.push(Job {
                 arrival: f64::from(at - now),
                 pending: left,
-                zones,
-                waits,
+                tasks_by_zone,
+                awaits_first_start,
                 ..job.clone()
             });
             job_indices.push(j);
@@ -250,7 +251,7 @@
         for (k, (began, (at, shape, tasks))) in fleet.first_start.iter().zip(&large).enumerate() {
             let before = large.iter().enumerate().filter(|(o, l)| *o != k && l.0 <= *at);
             let loads: u32 = before.map(|(_, (_, s, n))| if *s == Shape::Array { n.div_ceil(PLACES) } else { *n }).sum();
-            let bound = AGING.old as i32 + 12 + (loads * 6).div_ceil(machines as u32) as i32;
+            let bound = AGING.aged_after as i32 + 12 + (loads * 6).div_ceil(machines as u32) as i32;
             let waited = began.map(|b| b - at);
             prop_assert!(waited.is_some_and(|w| w <= bound), "{shape:?} of {tasks}: {waited:?}, {bound}");
         }
@@ -280,7 +281,7 @@
         let (mut input, _, _) = fleet.input(0);
         let young = plan(&input);
         // It is the only job of its priority, so that aging has no effect within it.
-        input.jobs[0].arrival = -AGING.old;
+        input.jobs[0].arrival = -AGING.aged_after;
         let old = plan(&input);
         let sums = |out: &Output| {
             let mut sums = std::collections::BTreeMap::new();
@@ -298,12 +299,12 @@
         arrival: -waited,
         ..job(Shape::Array, 1, 3)
     };
-    array.zones = if running > 0 {
+    array.tasks_by_zone = if running > 0 {
         vec![(0, running)]
     } else {
         vec![]
     };
-    let like = job(Shape::Gang, 3, 1);
+    let template = job(Shape::Gang, 3, 1);
     let input = Input {
         machines: vec![machine()],
         jobs: vec![array],
@@ -313,7 +314,7 @@
             ..defaults::team()
         }],
         reservations: vec![Reservation {
-            like,
+            template,
             count: 1,
             images: vec![(0, 0.0, 1.0)],
         }],
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -13,7 +13,7 @@
 fn tenant_of(county: u16) -> Tenant {
     Tenant {
         county,
-        alone: county > 1,
+        is_isolated: county > 1,
     }
 }
 
@@ -26,8 +26,8 @@
                  running in prop::collection::vec((1u32..4, 0.0f64..60.0, 0u8..3, any::<bool>(), prop::option::of(0u32..3), 0u16..3), 0..3),
                  images in prop::collection::vec(0u32..3, 0..2)) -> Machine {
         let total = res(32.0, f64::from(kind + 1) * 4.0, 128.0);
-         let running = running.into_iter().map(|(g, ends, priority, beyond, gang, county)| Running { need: res(2.0 * f64::from(g), f64::from(g), 8.0), ends, priority, lost: 5.0, stoppable: gang.is_none(), team: 1, held: u8::from(!beyond), gang, tenant: tenant_of(county), ..defaults::running() }).collect();
-        let mut m = Machine { machine_type: kind, zone, spot, usable, ready: 20.0, total, running, images, ..defaults::machine() };
+         let running = running.into_iter().map(|(g, expected_end, priority, beyond, gang, county)| Running { need: res(2.0 * f64::from(g), f64::from(g), 8.0), expected_end, priority, lost_on_preemption: 5.0, is_preemptible: gang.is_none(), team: 1, guarantee_levels: u8::from(!beyond), gang, tenant: tenant_of(county), ..defaults::running() }).collect();
+        let mut m = Machine { machine_type: kind, zone, spot, usable, usable_at: 20.0, total, running, images, ..defaults::machine() };
         while m.free().gpus < 0.0 {
             m.running.pop();
         }
@@ -37,11 +37,11 @@
 
 prop_compose! {
     fn job()(shape in 0u8..3, priority in 0u8..4, arrival in -100.0f64..0.0, estimate in 1.0f64..100.0,
-             tasks in 1u32..12, gpus in 1u32..5, types in 1u64..4, zone in prop::option::of(0u16..2),
+             tasks in 1u32..12, gpus in 1u32..5, machine_types in 1u64..4, zone in prop::option::of(0u16..2),
              flags in (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>()), image in 0u32..3, team in 0u16..2, county in 0u16..4,
-             only in prop::collection::vec(0u16..2, 0..2)) -> Job {
+             allowed_zones in prop::collection::vec(0u16..2, 0..2)) -> Job {
         let shape = [Shape::Array, Shape::Gang, Shape::Service][shape as usize];
-        Job { shape, priority, arrival, estimate, tasks, pending: tasks, need: res(4.0, f64::from(gpus), 16.0), types, zone, one_zone: flags.0, spread: flags.1 && !flags.0, spot: flags.2, image, image_gb: 4.0, team, promised: flags.3, held: u8::from(flags.3), tenant: tenant_of(county), only, ..defaults::job() }
+        Job { shape, priority, arrival, estimate, tasks, pending: tasks, need: res(4.0, f64::from(gpus), 16.0), machine_types, zone, one_zone: flags.0, spread: flags.1 && !flags.0, spot: flags.2, image, image_gb: 4.0, team, is_within_guarantee: flags.3, guarantee_levels: u8::from(flags.3), tenant: tenant_of(county), allowed_zones, ..defaults::job() }
     }
 }
 
@@ -65,9 +65,9 @@
         let mut zones = vec![[0u32; 2]; input.jobs.len()];
         for s in &out.starts {
             let (j, m) = (&input.jobs[s.job as usize], &input.machines[s.machine as usize]);
-            prop_assert!(m.usable && j.types >> m.machine_type & 1 == 1);
+            prop_assert!(m.usable && j.machine_types >> m.machine_type & 1 == 1);
             prop_assert!(j.zone.is_none_or(|z| z == m.zone) && (j.spot || !m.spot));
-            prop_assert!(j.only.is_empty() || j.only.contains(&m.zone), "outside the zones of its county");
+            prop_assert!(j.allowed_zones.is_empty() || j.allowed_zones.contains(&m.zone), "outside the zones of its county");
             let there = m.running.iter().map(|r| r.tenant);
             let with = out.starts.iter().filter(|o| o.machine == s.machine).map(|o| input.jobs[o.job as usize].tenant);
             prop_assert!(!there.chain(with).any(|t| t.conflicts_with(&j.tenant)), "two counties on a machine");
@@ -91,14 +91,14 @@
         // Only tasks of lower priority are preempted, or tasks beyond a guarantee for a job within one.
         for p in &out.preempts {
             let victim = &input.machines[p.machine as usize].running[p.task as usize];
-            let waits = |j: &Job| victim.priority < j.priority || (j.promised && victim.held == 0 && j.team != victim.team);
+            let waits = |j: &Job| victim.priority < j.priority || (j.is_within_guarantee && victim.guarantee_levels == 0 && j.team != victim.team);
             prop_assert!(victim.gang.is_none() && out.waiting.iter().any(|(j, _)| waits(&input.jobs[*j as usize])));
         }
         // Gangs are preempted only for a guarantee of another team.
         for g in &out.preempted_gangs {
             let mut of_it = input.machines.iter().flat_map(|m| &m.running).filter(|r| r.gang == Some(*g));
-            prop_assert!(of_it.any(|r| r.held == 0 && r.team == 1));
-            prop_assert!(out.waiting.iter().any(|(j, _)| input.jobs[*j as usize].promised && input.jobs[*j as usize].team == 0));
+            prop_assert!(of_it.any(|r| r.guarantee_levels == 0 && r.team == 1));
+            prop_assert!(out.waiting.iter().any(|(j, _)| input.jobs[*j as usize].is_within_guarantee && input.jobs[*j as usize].team == 0));
         }
     }
 
@@ -106,7 +106,7 @@
     #[test]
     fn array_fills_free_capacity(tasks in 1u32..20, n in 1usize..6) {
         let total = res(32.0, 4.0, 128.0);
-        let machine = Machine { ready: 0.0, total, slots: 50, ..defaults::machine() };
+        let machine = Machine { usable_at: 0.0, total, slots: 50, ..defaults::machine() };
         let job = Job { shape: Shape::Array, priority: 1, arrival: 0.0, estimate: 10.0, tasks, pending: tasks, need: res(1.0, 1.0, 1.0), image_gb: 1.0, ..defaults::job() };
         let team = unlimited_team(&[]);
         let input = Input { machines: vec![machine; n], jobs: vec![job], teams: vec![team], online_factor: 1.0, patience: 1.0, max_steps: u64::MAX / 4, ..Input::default() };
@@ -136,21 +136,21 @@
 }
 
 /// A machine filled by one task of this priority.
-fn busy(zone: u16, lost: f64, priority: u8) -> Machine {
+fn busy(zone: u16, lost_on_preemption: f64, priority: u8) -> Machine {
     let need = res(8.0, 4.0, 8.0);
     let running = Running {
         need,
-        ends: 90.0,
+        expected_end: 90.0,
         priority,
-        lost,
-        stoppable: true,
+        lost_on_preemption,
+        is_preemptible: true,
         team: 1,
-        held: 1,
+        guarantee_levels: 1,
         ..defaults::running()
     };
     Machine {
         zone,
-        ready: 0.0,
+        usable_at: 0.0,
         total: res(32.0, 4.0, 128.0),
         running: vec![running],
         slots: 10,
@@ -175,9 +175,9 @@
 }
 
 fn unlimited_team(path: &[u16]) -> Team {
-    let path = path.to_vec();
+    let groups = path.to_vec();
     Team {
-        path,
+        groups,
         ..defaults::team()
     }
 }
@@ -211,7 +211,7 @@
         }]
     );
     // While a task is being stopped, no other is preempted for the same gang.
-    input.machines[1].running[0].leaving = true;
+    input.machines[1].running[0].is_stopping = true;
     assert!(plan(&input).preempts.is_empty());
 }
 
@@ -272,7 +272,7 @@
             input,
             output,
             offers: &offers,
-            coming: &[],
+            booting: &[],
             horizon: 100.0,
             max_machines: 100,
         })
@@ -347,10 +347,10 @@
 fn wide_gang_reserves_the_earliest_future_capacity() {
     let mut machines = vec![busy(0, 5.0, 2), busy(0, 5.0, 2), busy(0, 5.0, 2)];
     machines[0].running.clear();
-    machines[1].running[0].ends = 30.0;
+    machines[1].running[0].expected_end = 30.0;
     for (estimate, may) in [(20.0, true), (50.0, false)] {
         let wide = Job {
-            due: Some(1.0),
+            deadline: Some(1.0),
             ..gang(2, true)
         };
         // Submitted later, so served later.
@@ -372,7 +372,11 @@
                 if may { vec![1] } else { vec![] },
                 "estimate {estimate}"
             );
-            assert!(out.kept.contains(&0) && out.kept.contains(&1) && !out.kept.contains(&2));
+            assert!(
+                out.reserved_machines.contains(&0)
+                    && out.reserved_machines.contains(&1)
+                    && !out.reserved_machines.contains(&2)
+            );
         }
     }
 }
@@ -380,7 +384,7 @@
 /// A machine with a task beyond its team's guarantee, of the same priority as the gang that needs the machine.
 fn machine_over_guarantee(zone: u16, gang: Option<u32>) -> Machine {
     let mut m = busy(zone, 0.0, 2);
-    m.running[0].held = 0;
+    m.running[0].guarantee_levels = 0;
     m.running[0].gang = gang;
     m
 }
@@ -389,8 +393,8 @@
 #[test]
 fn tasks_beyond_a_guarantee_are_preempted_for_a_guaranteed_gang() {
     let wide = Job {
-        promised: true,
-        held: 1,
+        is_within_guarantee: true,
+        guarantee_levels: 1,
         ..gang(2, true)
     };
     // One zone has tasks that may be preempted one by one, the other a gang of three that is preempted as a whole.
@@ -404,13 +408,13 @@
     let out = plan(&input_of(machines.clone(), vec![wide.clone()]));
     let stopped: Vec<u32> = out.preempts.iter().map(|p| p.machine).collect();
     assert_eq!((stopped, out.preempted_gangs.len()), (vec![0, 1], 0));
-    assert!(out.kept.contains(&0) && out.kept.contains(&1));
+    assert!(out.reserved_machines.contains(&0) && out.reserved_machines.contains(&1));
     // If only the gang can free enough capacity, it is preempted as a whole.
     let out = plan(&input_of(machines[1..].to_vec(), vec![wide.clone()]));
     assert_eq!((out.preempts.len(), out.preempted_gangs), (0, vec![7]));
     // Nothing is preempted for a gang that is not covered in time, from its own team, or if tasks are being stopped.
     let late = Job {
-        promised: false,
+        is_within_guarantee: false,
         ..wide.clone()
     };
     let own = Job {
@@ -421,7 +425,7 @@
     input.teams.push(input.teams[0].clone());
     let mut leaving = input.clone();
     for m in &mut leaving.machines {
-        (m.running[0].leaving, m.running[0].ends) = (true, 1.0);
+        (m.running[0].is_stopping, m.running[0].expected_end) = (true, 1.0);
     }
     leaving.jobs = vec![wide];
     let owned = Input {
@@ -446,14 +450,14 @@
         .collect();
     let stopped = Job {
         arrival: -300.0,
-        due: Some(1.0),
+        deadline: Some(1.0),
         team: 1,
         ..gang(2, true)
     };
     let guaranteed = Job {
-        promised: true,
-        held: 1,
-        due: Some(60.0),
+        is_within_guarantee: true,
+        guarantee_levels: 1,
+        deadline: Some(60.0),
         ..gang(2, true)
     };
     let mut input = input_of(machines, vec![stopped, guaranteed]);
@@ -482,7 +486,7 @@
 /// A machine filled by one task of this team that so many levels of guarantees cover.
 fn machine_with_task(team: u16, held: u8, lost: f64) -> Machine {
     let mut m = busy(0, lost, 2);
-    (m.running[0].team, m.running[0].held) = (team, held);
+    (m.running[0].team, m.running[0].guarantee_levels) = (team, held);
     m
 }
 
@@ -491,8 +495,8 @@
 #[test]
 fn borrowers_nearest_in_the_tree_are_preempted_first() {
     let wide = Job {
-        promised: true,
-        held: 3,
+        is_within_guarantee: true,
+        guarantee_levels: 3,
         ..gang(1, false)
     };
     let all = [
@@ -507,14 +511,17 @@
         // Without the nearest borrowers, the next ones are preempted.
         let mut machines = all.to_vec();
         for k in 0..gone {
-            machines[2 - k].running[0].held = 3;
+            machines[2 - k].running[0].guarantee_levels = 3;
         }
         let out = plan(&nested_quotas(machines, vec![wide.clone()]));
         let stopped: Vec<u32> = out.preempts.iter().map(|p| p.machine).collect();
         assert_eq!(stopped, Vec::from_iter(expected), "without {gone}");
     }
     // A job that only the guarantee of the topmost group covers has no claim on teams below that group.
-    let lent = Job { held: 1, ..wide };
+    let lent = Job {
+        guarantee_levels: 1,
+        ..wide
+    };
     let out = plan(&nested_quotas(all.to_vec(), vec![lent]));
     assert_eq!(
         out.preempts.iter().map(|p| p.machine).collect::<Vec<_>>(),
@@ -528,8 +535,8 @@
 fn guaranteed_array_preempts_one_borrower_per_pending_task() {
     let array = Job {
         shape: Shape::Array,
-        promised: true,
-        held: 3,
+        is_within_guarantee: true,
+        guarantee_levels: 3,
         image_gb: 0.0,
         ..gang(2, false)
     };
@@ -541,8 +548,8 @@
         out.preempts.iter().map(|p| p.machine).collect::<Vec<_>>(),
         [0, 1]
     );
-    machines[0].running[0].leaving = true;
-    machines[1].running[0].leaving = true;
+    machines[0].running[0].is_stopping = true;
+    machines[1].running[0].is_stopping = true;
     assert_eq!(
         plan(&nested_quotas(machines.clone(), vec![array.clone()])).preempts,
         []
@@ -551,7 +558,7 @@
     let mut flat = input_of(
         machines,
         vec![Job {
-            held: 1,
+            guarantee_levels: 1,
             team: 0,
             ..array
         }],
@@ -575,8 +582,8 @@
         []
     );
     let own = Job {
-        promised: true,
-        held: 3,
+        is_within_guarantee: true,
+        guarantee_levels: 3,
         ..urgent.clone()
     };
     assert_eq!(
@@ -590,8 +597,8 @@
         ..busy(0, 0.0, 0)
     };
     let modest = Job {
-        promised: true,
-        held: 3,
+        is_within_guarantee: true,
+        guarantee_levels: 3,
         priority: 0,
         ..gang(1, false)
     };
@@ -651,7 +658,7 @@
         [2, 3],
         "one below group 1, then one more below group 0"
     );
-    input.machines[2].running[0].leaving = true;
+    input.machines[2].running[0].is_stopping = true;
     assert_eq!(
         stopped(&input),
         [3],
--- a/crates/plan/tests/search.rs
+++ b/crates/plan/tests/search.rs
@@ -24,13 +24,13 @@
     let has_isolated_tenants = rng.u32(0..3) == 0;
     for machine in &mut input.machines {
         if !machine.usable && rng.bool() {
-            machine.ready = rng.f64() * 60.0;
+            machine.usable_at = rng.f64() * 60.0;
         }
         machine.slots = [1, 3, 200][rng.usize(0..3)];
         for running in &mut machine.running {
-            running.held = rng.u8(0..2);
-            running.leaving = rng.u32(0..10) == 0;
-            running.spared = rng.u32(0..10) == 0;
+            running.guarantee_levels = rng.u8(0..2);
+            running.is_stopping = rng.u32(0..10) == 0;
+            running.is_protected_by_aging = rng.u32(0..10) == 0;
             if has_isolated_tenants {
                 running.tenant = random_tenant(&mut rng);
             }
@@ -45,18 +45,18 @@
         }
     }
     if rng.bool() {
-        let like = fleets::job(&mut rng);
+        let template = fleets::job(&mut rng);
         let images = (0..fleets::IMAGES)
             .map(|image| (image, fleets::IMAGE_GB, 1.0 / f64::from(fleets::IMAGES)));
         input.reservations.push(plan::Reservation {
-            like,
+            template,
             count: rng.u32(1..6),
             images: images.collect(),
         });
     }
     input.aging = plan::AgingThresholds {
-        old: 40.0,
-        latest: 55.0,
+        aged_after: 40.0,
+        first_of_all_after: 55.0,
     };
     for team in &mut input.teams {
         team.gpus_max = f64::from(rng.u32(4..80));
@@ -73,7 +73,7 @@
         estimate: 20.0 + rng.f64() * 200.0,
         arrival: -rng.f64() * 60.0,
         team: rng.u16(0..fleets::TEAMS),
-        zones: Vec::new(),
+        tasks_by_zone: Vec::new(),
         ..job.clone()
     }
 }
@@ -81,26 +81,26 @@
 fn random_tenant(rng: &mut fastrand::Rng) -> Tenant {
     Tenant {
         county: rng.u16(0..3),
-        alone: rng.u32(0..3) == 0,
+        is_isolated: rng.u32(0..3) == 0,
     }
 }
 
 fn vary_job(rng: &mut fastrand::Rng, job: &mut Job, machines: u32, has_isolated_tenants: bool) {
     match rng.u32(0..8) {
         0 => job.shape = Shape::Service,
-        1 => job.avoid = vec![rng.u32(0..machines)],
+        1 => job.excluded_machines = vec![rng.u32(0..machines)],
         2 => job.zone = Some(rng.u16(0..fleets::ZONES)),
-        3 => job.only = vec![rng.u16(0..fleets::ZONES), rng.u16(0..fleets::ZONES)],
+        3 => job.allowed_zones = vec![rng.u16(0..fleets::ZONES), rng.u16(0..fleets::ZONES)],
         4 => job.spread = !job.one_zone,
         5 => job.image_gb = 0.0,
         6 if job.shape == Shape::Array => {
             job.one_zone = rng.bool();
-            job.zones = vec![(rng.u16(0..fleets::ZONES), 1)];
+            job.tasks_by_zone = vec![(rng.u16(0..fleets::ZONES), 1)];
         }
         _ => {}
     }
-    job.promised = rng.u32(0..4) == 0;
-    job.held = u8::from(job.promised);
+    job.is_within_guarantee = rng.u32(0..4) == 0;
+    job.guarantee_levels = u8::from(job.is_within_guarantee);
     if has_isolated_tenants {
         job.tenant = random_tenant(rng);
     }
@@ -118,7 +118,7 @@
         prop_assert_eq!(indexed.starts, linear.starts);
         prop_assert_eq!(indexed.preempts, linear.preempts);
         prop_assert_eq!(indexed.preempted_gangs, linear.preempted_gangs);
-        prop_assert_eq!(indexed.kept, linear.kept);
+        prop_assert_eq!(indexed.reserved_machines, linear.reserved_machines);
         prop_assert_eq!(indexed.unmet_reservations, linear.unmet_reservations);
         prop_assert_eq!(indexed.waiting, linear.waiting);
         prop_assert!(indexed.stretch <= linear.stretch);
@@ -212,8 +212,8 @@
     (young.arrival, young.tasks, young.pending) = (0.0, 5, 5);
     input.jobs = vec![old, young];
     input.aging = plan::AgingThresholds {
-        old: 90.0,
-        latest: 900.0,
+        aged_after: 90.0,
+        first_of_all_after: 900.0,
     };
     let full = starts(&plan(&input));
     input.min_priority = plan::URGENT;
--- a/crates/plan/tests/zones.rs
+++ b/crates/plan/tests/zones.rs
@@ -27,7 +27,7 @@
         need: res(1.0),
         one_zone: true,
         image_gb: 1.0,
-        zones: zones.to_vec(),
+        tasks_by_zone: zones.to_vec(),
         ..defaults::job()
     }
 }
@@ -36,16 +36,16 @@
 fn machine(zone: u16, busy: usize) -> Machine {
     let running = Running {
         need: res(1.0),
-        ends: 90.0,
+        expected_end: 90.0,
         priority: 2,
-        lost: 1.0,
-        stoppable: true,
+        lost_on_preemption: 1.0,
+        is_preemptible: true,
         team: 1,
         ..defaults::running()
     };
     Machine {
         zone,
-        ready: 0.0,
+        usable_at: 0.0,
         total: res(4.0),
         running: vec![running; busy],
         slots: 10,
@@ -55,7 +55,7 @@
 
 fn input(machines: Vec<Machine>, jobs: Vec<Job>) -> Input {
     let team = |path: &[u16]| Team {
-        path: path.to_vec(),
+        groups: path.to_vec(),
         ..defaults::team()
     };
     let none = Resources {
@@ -94,7 +94,7 @@
 fn rentals(
     job: Job,
     offers: &[MachineOffer],
-    coming: &[(MachineOffer, u32)],
+    booting: &[(MachineOffer, u32)],
 ) -> Vec<RentalRequest> {
     let input = input(vec![], vec![job]);
     let output = plan(&input);
@@ -102,7 +102,7 @@
         input: &input,
         output: &output,
         offers,
-        coming,
+        booting,
         horizon: 10.0,
         max_machines: 100,
     })
@@ -167,19 +167,22 @@
 #[test]
 fn no_preemption_in_zones_that_the_job_cannot_use() {
     let due = |zones: &[(u16, u32)]| Job {
-        promised: true,
-        held: 2,
+        is_within_guarantee: true,
+        guarantee_levels: 2,
         ..array(4, zones)
     };
     // Preemption costs less in zone 1.
     let mut machines = vec![machine(0, 4), machine(1, 4)];
-    machines[0].running.iter_mut().for_each(|r| r.lost = 30.0);
+    machines[0]
+        .running
+        .iter_mut()
+        .for_each(|r| r.lost_on_preemption = 30.0);
     let stopped = |machines: &[Machine], job: Job| {
         let out = plan(&input(machines.to_vec(), vec![job]));
         let mut on: Vec<u32> = out.preempts.iter().map(|p| p.machine).collect();
         on.sort_unstable();
         on.dedup();
-        (on, out.kept)
+        (on, out.reserved_machines)
     };
     assert_eq!(
         stopped(&machines, due(&[])),
