--- a/crates/control/src/agents/relay.rs
+++ b/crates/control/src/agents/relay.rs
@@ -9,7 +9,7 @@
 use crate::agents::heartbeat::HeartbeatReply;
 use crate::jobs::peer_requests::peer_answer;
 use crate::{Destination, Node, Pending};
-use reach::{Caller, Leader, Turn, Ways};
+use reach::{Leader, LeaderReachability, ReportRoute, Reporter};
 use serde_bytes::ByteBuf;
 use std::net::SocketAddr;
 use wire::api::Heartbeat;
@@ -38,7 +38,7 @@
 #[derive(Default)]
 pub(crate) struct Relay {
     /// Estimates which workers can reach the leader directly.
-    pub ways: Ways,
+    pub reachability: LeaderReachability,
     /// Heartbeats that wait for the next batch, with their connections, and their total size in bytes.
     queue: Vec<(u64, ByteBuf)>,
     bytes: usize,
@@ -73,14 +73,14 @@
         let leader = Leader {
             node,
             token,
-            avoided: self.reports_no_heartbeats(node) || self.is_spread(),
+            accepts_no_workers: self.reports_no_heartbeats(node) || self.is_spread(),
         };
-        let caller = Caller {
+        let reporter = Reporter {
             machine: &heartbeat.machine,
             zone: &heartbeat.zone,
             token: heartbeat.token,
         };
-        if self.relay.ways.came(now, &caller, leader) == Turn::Send {
+        if self.relay.reachability.route_report(now, &reporter, leader) == ReportRoute::Redirect {
             return false;
         }
         if self.relay.queue.is_empty() {
@@ -208,7 +208,8 @@
 
     /// Forwards a command from the leader to a worker that sends its heartbeats to this node.
     pub(crate) fn relay_command(&mut self, conn: u64, machine: &str, addr: &str, body: Vec<u8>) {
-        let is_served = self.relay.ways.serves(self.now.mono, machine) && self.may_relay();
+        let is_served =
+            self.relay.reachability.is_served(self.now.mono, machine) && self.may_relay();
         match addr.parse::<SocketAddr>() {
             Ok(addr) if is_served => {
                 self.post_command(
--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -7,7 +7,7 @@
 
 use crate::Node;
 use crate::store::rate_budget::TokenBucket;
-use reach::{Caller, Leader, Turn, Ways};
+use reach::{Leader, LeaderReachability, ReportRoute, Reporter};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use wire::api::Heartbeat;
 
@@ -20,7 +20,7 @@
 const OTHER_CONTROLLERS: Leader = Leader {
     node: 0,
     token: 1,
-    avoided: false,
+    accepts_no_workers: false,
 };
 const UNSEEN_TOKEN: u64 = 0;
 /// Hysteresis: spreading stops when the machines fall to this share of the number that starts it.
@@ -31,7 +31,7 @@
     is_spread: bool,
     redirects: TokenBucket,
     /// Which workers were redirected, and whether they reached their target.
-    ways: Ways,
+    reachability: LeaderReachability,
 }
 
 impl Routing {
@@ -40,7 +40,7 @@
         Routing {
             is_spread: false,
             redirects: TokenBucket::new(MIN_REDIRECTS_PER_S),
-            ways: Ways::default(),
+            reachability: LeaderReachability::default(),
         }
     }
 }
@@ -93,12 +93,17 @@
             return None;
         }
         let peer = self.relay_for(heartbeat)?;
-        let caller = Caller {
+        let reporter = Reporter {
             machine: &heartbeat.machine,
             zone: &heartbeat.zone,
             token: UNSEEN_TOKEN,
         };
-        if self.routing.ways.came(now, &caller, OTHER_CONTROLLERS) == Turn::Take {
+        if self
+            .routing
+            .reachability
+            .route_report(now, &reporter, OTHER_CONTROLLERS)
+            == ReportRoute::Accept
+        {
             return None;
         }
         self.routing.redirects.take(now, 1.0);
--- a/crates/reach/src/lib.rs
+++ b/crates/reach/src/lib.rs
@@ -10,14 +10,14 @@
 //! 2002). Unlike there, no heartbeats are measured, but workers that turn away from the leader.
 //!
 //! ```
-//! use reach::{Caller, Leader, Turn, Ways};
-//! let mut ways = Ways::default();
-//! let leader = Leader { node: 2, token: 7, avoided: false };
-//! let caller = |token| Caller { machine: "m1", zone: "a", token };
+//! use reach::{Leader, LeaderReachability, ReportRoute, Reporter};
+//! let mut reachability = LeaderReachability::default();
+//! let leader = Leader { node: 2, token: 7, accepts_no_workers: false };
+//! let reporter = |token| Reporter { machine: "m1", zone: "a", token };
 //! // It has seen the token of an earlier leader only, so it may just not have found the present one yet.
-//! assert_eq!(ways.came(0, &caller(6), leader), Turn::Send);
+//! assert_eq!(reachability.route_report(0, &reporter(6), leader), ReportRoute::Redirect);
 //! // It was sent to the leader and is back: it cannot reach it.
-//! assert_eq!(ways.came(6_000, &caller(6), leader), Turn::Take);
+//! assert_eq!(reachability.route_report(6_000, &reporter(6), leader), ReportRoute::Accept);
 //! ```
 
 use std::collections::HashMap;
@@ -43,7 +43,7 @@
 
 /// A worker that reports to a node that does not lead the fleet.
 #[derive(Debug, Clone, Copy)]
-pub struct Caller<'a> {
+pub struct Reporter<'a> {
     pub machine: &'a str,
     pub zone: &'a str,
     /// The highest leader token that it has seen.
@@ -58,28 +58,28 @@
     pub token: u64,
     /// No worker is to be sent to it: it has heard from none directly since it became the leader, or it spreads the
     /// workers' reports over all nodes.
-    pub avoided: bool,
+    pub accepts_no_workers: bool,
 }
 
 /// What to do with a worker that reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum ReportRoute {
     /// Redirect it to the leader.
-    Send,
+    Redirect,
     /// Accept its report and relay it to the leader.
-    Take,
+    Accept,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LastTurn {
-    Sent,
-    Taken,
+enum LastRoute {
+    Redirected,
+    Accepted,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct SeenMachine {
     at: u64,
-    last: LastTurn,
+    last: LastRoute,
 }
 
 /// State of the path from a zone to the leader.
@@ -149,7 +149,7 @@
 
 /// What a node that does not lead the fleet knows from the workers that report to it.
 #[derive(Debug, Default)]
-pub struct Ways {
+pub struct LeaderReachability {
     /// The leader, with the first of its tokens that this node saw. The leader may raise its token, which keeps the
     /// state; another leader resets it, since the paths to it are others.
     leader: Option<Leader>,
@@ -157,55 +157,60 @@
     zones: HashMap<String, ZonePath>,
 }
 
-impl Ways {
+impl LeaderReachability {
     /// Decides what to do with a worker that reports to this node while `leader` leads the fleet.
-    pub fn came(&mut self, now: u64, caller: &Caller<'_>, leader: Leader) -> Turn {
+    pub fn route_report(
+        &mut self,
+        now: u64,
+        reporter: &Reporter<'_>,
+        leader: Leader,
+    ) -> ReportRoute {
         if self.leader.is_none_or(|o| o.node != leader.node) {
-            *self = Ways {
+            *self = LeaderReachability {
                 leader: Some(leader),
-                ..Ways::default()
+                ..LeaderReachability::default()
             };
         }
         let since = self.leader.map_or(leader.token, |o| o.token);
-        let seen = self.machines.get(caller.machine).copied();
+        let seen = self.machines.get(reporter.machine).copied();
         let has_returned =
-            seen.is_some_and(|s| s.last == LastTurn::Sent && now < s.at + RETURN_WINDOW_MS);
+            seen.is_some_and(|s| s.last == LastRoute::Redirected && now < s.at + RETURN_WINDOW_MS);
         // It has seen a token of this leader and reports here instead, or it was sent to the leader in vain.
         let has_failed =
-            has_returned || (seen.is_none() && (since..=leader.token).contains(&caller.token));
-        if self.zones.len() >= MAX_ZONES && !self.zones.contains_key(caller.zone) {
-            return Turn::Send;
+            has_returned || (seen.is_none() && (since..=leader.token).contains(&reporter.token));
+        if self.zones.len() >= MAX_ZONES && !self.zones.contains_key(reporter.zone) {
+            return ReportRoute::Redirect;
         }
         let zone = self
             .zones
-            .entry(caller.zone.to_owned())
+            .entry(reporter.zone.to_owned())
             .or_insert_with(|| ZonePath::new(now));
-        let is_taken = seen.is_some_and(|s| s.last == LastTurn::Taken);
-        let turn = if leader.avoided {
-            Turn::Take
+        let is_accepted = seen.is_some_and(|s| s.last == LastRoute::Accepted);
+        let route = if leader.accepts_no_workers {
+            ReportRoute::Accept
         } else if has_failed {
-            zone.record_failure(now, caller.machine);
-            Turn::Take
-        } else if is_taken && zone.should_probe(now, caller.machine) {
-            Turn::Send
-        } else if is_taken || zone.suspicion(now) >= SUSPICION_THRESHOLD {
-            Turn::Take
+            zone.record_failure(now, reporter.machine);
+            ReportRoute::Accept
+        } else if is_accepted && zone.should_probe(now, reporter.machine) {
+            ReportRoute::Redirect
+        } else if is_accepted || zone.suspicion(now) >= SUSPICION_THRESHOLD {
+            ReportRoute::Accept
         } else {
-            Turn::Send
+            ReportRoute::Redirect
         };
-        self.record_turn(
+        self.record_route(
             now,
-            caller.machine,
-            if turn == Turn::Take {
-                LastTurn::Taken
+            reporter.machine,
+            if route == ReportRoute::Accept {
+                LastRoute::Accepted
             } else {
-                LastTurn::Sent
+                LastRoute::Redirected
             },
         );
-        turn
+        route
     }
 
-    fn record_turn(&mut self, now: u64, machine: &str, last: LastTurn) {
+    fn record_route(&mut self, now: u64, machine: &str, last: LastRoute) {
         if self.machines.len() >= MAX_MACHINES && !self.machines.contains_key(machine) {
             self.machines
                 .retain(|_, s| now < s.at + 2 * RETURN_WINDOW_MS);
@@ -219,17 +224,17 @@
     }
 
     /// Number of workers served through this node at present; bounded by the number of tracked machines.
-    pub fn taken(&self, now: u64) -> usize {
+    pub fn served_count(&self, now: u64) -> usize {
         self.machines
             .values()
-            .filter(|s| s.last == LastTurn::Taken && now < s.at + RETURN_WINDOW_MS)
+            .filter(|s| s.last == LastRoute::Accepted && now < s.at + RETURN_WINDOW_MS)
             .count()
     }
 
     /// Whether a worker is served through this node at present. Only such workers are given anything from the leader.
-    pub fn serves(&self, now: u64, machine: &str) -> bool {
+    pub fn is_served(&self, now: u64, machine: &str) -> bool {
         self.machines
             .get(machine)
-            .is_some_and(|s| s.last == LastTurn::Taken && now < s.at + RETURN_WINDOW_MS)
+            .is_some_and(|s| s.last == LastRoute::Accepted && now < s.at + RETURN_WINDOW_MS)
     }
 }
