--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -20,10 +20,10 @@
 //! | `Node::highest` | `Node::highest_token` (`shared_state`) |
 //! | `Node::has_read` | `shared.revision > 0`: this incarnation has read the token counter |
 //! | `Role`, `token`, `loaded` | `role::Role`, `Shard::token`, `Shard::loaded` |
-//! | `renewed` | `HeldLease::renewed`, or `Campaign::sent` |
-//! | `last_attested` | the later of `renewed` and `Attestations::complete_at`, in `Node::may_renew` (`lease_bound`) |
-//! | `question_age`, `answered` | `Attestations::asked`, `Attestations::answered` |
-//! | `knows_cancel` | `Job::is_unwanted`: the end is requested, in flight, recorded, or from an earlier term |
+//! | `renewed` | `HeldLease::renewed_at`, or `Campaign::sent` |
+//! | `last_attested` | `lease_bound::may_renew_worker_leases`: the later of `renewed` and `complete_at` |
+//! | `question_age`, `answered` | `Attestations::asked_at`, `Attestations::answered` |
+//! | `knows_cancel` | `Job::is_cancelled_or_ended_before_term`: requested, in flight, recorded, or of an earlier term |
 //! | `has_led` | `Incarnation::has_led` |
 //! | `Delegation` | `lease_delegate::Delegation` |
 //! | `Delegation::excludes_worker` | the worker's machine is in `LeaseDelegation::except` |
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
     Original,
-    /// `may_renew` without its bound.
+    /// `may_renew_worker_leases` without its bound.
     NoBound,
     /// The bound is one tick longer.
     LongBound,
@@ -92,7 +92,7 @@
     AttestsAnyToken,
     /// The attestation of all peers counts from the last answer's arrival, not from the question.
     AttestationFromArrival,
-    /// `delegate_answer` without its bound.
+    /// `answer_as_delegate` without its bound.
     DelegateNoBound,
     /// A delegation's time counts from its arrival at the delegate, not from the delegate's question.
     DelegateFromArrival,
@@ -228,7 +228,7 @@
         self.loaded && self.has_valid_lease(b)
     }
 
-    /// `lease_bound::may_renew`.
+    /// `lease_bound::may_renew_worker_leases`.
     fn may_renew(&self, b: &Bounds) -> bool {
         let bound = match b.mutation {
             Mutation::NoBound => NEVER + 1,
@@ -295,7 +295,7 @@
     current_incarnation: bool,
     /// Its node still waits for the answer to its take-over, and will recognise the record as its own.
     awaited: bool,
-    /// Its node has sent the DELETE of `lease::end_lease`.
+    /// Its node has sent the DELETE of `lease::revoke_lease`.
     released: bool,
 }
 
@@ -374,7 +374,7 @@
     Violation(&'static str),
 }
 
-/// `Attestations::note`: how many peers have to attest.
+/// `Attestations::check_complete`: how many peers have to attest.
 fn attestations_needed(b: &Bounds) -> usize {
     if b.mutation == Mutation::MajorityAttests {
         b.nodes / 2
@@ -794,7 +794,7 @@
         true
     }
 
-    /// The leader record's lease ends: by expiry, or by the DELETE of `lease::end_lease`, whenever that arrives.
+    /// The leader record's lease ends: by expiry, or by the DELETE of `lease::revoke_lease`, whenever that arrives.
     fn lapse(&mut self, b: &Bounds) -> bool {
         let due = !self.state_down
             && self
@@ -835,7 +835,7 @@
         true
     }
 
-    /// `shared_state::shared_read` or `shared_changes`, followed by `election::leader_observed`.
+    /// `shared_state::shared_read_received` or `shared_changes_received`, followed by `election::leader_observed`.
     fn read(&mut self, n: u8) -> bool {
         if self.state_down {
             return false;
@@ -868,15 +868,15 @@
         self.node(n).reset();
     }
 
-    /// `election::follow` and `granted`. A node with an outdated read would send a transaction that fails; one with a
-    /// current read sends this transaction, which may arrive late.
+    /// `election::check_for_vacancy` and `grant_answered`. A node with an outdated read would send a transaction that
+    /// fails; one with a current read sends this transaction, which may arrive late.
     fn campaign(&mut self, n: u8, b: &Bounds) -> bool {
         let node = *self.node(n);
         let room = self.in_flight.contains(&None) && self.token_counter < b.tokens;
         if self.state_down || !room || !node.has_read || node.role != Role::Follower {
             return false;
         }
-        // `election::replaceable` and `Incarnation::succeeds`.
+        // `election::replaceable_record` and `Incarnation::may_supersede`.
         let is_replaceable = |r: &LeaderRecord| {
             !r.current_incarnation && !node.has_led || b.mutation == Mutation::NoIncarnationCheck
         };
@@ -910,7 +910,7 @@
         true
     }
 
-    /// `election::wait_for_outcome` after `give_up_at`: the transaction may still arrive.
+    /// `election::check_campaign_timeout` after `give_up_at`: the transaction may still arrive.
     fn abandon_campaign(&mut self, n: u8) -> bool {
         if self.node(n).role != Role::Candidate {
             return false;
@@ -953,7 +953,7 @@
                 let token_ok = self.token_counter == token_counter
                     || matches!(b.mutation, Mutation::NoGuards | Mutation::NoTokenGuard);
                 if !leader_ok || !token_ok {
-                    // `election::took` with a 409.
+                    // `election::takeover_answered` with a 409.
                     if answered && awaited && self.node(node).role == Role::Candidate {
                         self.node(node).reset();
                     }
@@ -1000,7 +1000,7 @@
         // A delegation by another leader is not dropped, but ends by time. It is not used while this node leads.
     }
 
-    /// `lease::renewed`. Without `answered` the answer comes later or never.
+    /// `lease::renewal_answered`. Without `answered` the answer comes later or never.
     fn renew(&mut self, n: u8, answered: bool) -> bool {
         let node = *self.node(n);
         if self.state_down || node.role != Role::Leader || node.renewing != NEVER {
@@ -1043,7 +1043,8 @@
         true
     }
 
-    /// `recovery::start_load` to `load_ended`: everything is read after the node's own leader record was stored.
+    /// `recovery::start_recovery` to `finish_recovery`: everything is read after the node's own leader record was
+    /// stored.
     fn load(&mut self, n: u8) -> bool {
         let end_recorded = self.end_recorded;
         let state_down = self.state_down;
@@ -1052,7 +1053,7 @@
             return false;
         }
         node.loaded = true;
-        // `Ending::Before`.
+        // `Ending::BeforeTerm`.
         node.knows_cancel = end_recorded;
         node.heard_end = end_recorded;
         true
@@ -1087,8 +1088,8 @@
     }
 
     /// The cancel is confirmed to a user: by the leader whose transaction was answered (`apply::apply`) or verified
-    /// (`commit::verified`), or by any node that reads the record (`query::end_record_received`). Only the first
-    /// confirmation matters, so later ones from a node's answer history are left out.
+    /// (`commit::outcome_probe_answered`), or by any node that reads the record (`query::end_record_received`). Only
+    /// the first confirmation matters, so later ones from a node's answer history are left out.
     fn confirm_cancel(&mut self) -> bool {
         let may = self.end_recorded && !self.state_down && self.cancel_confirmed == NEVER;
         if may {
@@ -1097,7 +1098,7 @@
         may
     }
 
-    /// `peer_status::peer_status_tick` and `lease_bound::ask_for_attestations`.
+    /// `peer_status::peer_status_tick` and `lease_bound::begin_attestation_round`.
     fn request_attestations(&mut self, n: u8, b: &Bounds) -> bool {
         let node = self.node(n);
         // With one peer the question and its answer may as well happen at once.
@@ -1114,7 +1115,7 @@
     }
 
     /// A peer answers `PeerRequest::PeerStatus`: `peer_status::peer_status`, then `peer_status_received`,
-    /// `attestation_received` and `Attestations::note`.
+    /// `attestation_received` and `Attestations::check_complete`.
     fn attest(&mut self, n: u8, peer: u8, b: &Bounds) -> bool {
         let token = self.node(n).token;
         let attests = self.node(peer).attests(token, b);
@@ -1139,7 +1140,7 @@
         true
     }
 
-    /// `shared_state::leader_asserted`: a peer hears of the leader by `PeerRequest::Leads` or a peer status.
+    /// `shared_state::leadership_claimed`: a peer hears of the leader by `PeerRequest::Leads` or a peer status.
     fn announce_leader(&mut self, n: u8, peer: u8, b: &Bounds) -> bool {
         let leader = *self.node(n);
         let other = self.node(peer);
@@ -1198,12 +1199,12 @@
         self.note_delegation(to, delegation, b)
     }
 
-    /// `heartbeat::heartbeat_received` and `take_heartbeat`: the token of the answer, or `None` for no answer. An
+    /// `heartbeat::heartbeat_received` and `handle_heartbeat`: the token of the answer, or `None` for no answer. An
     /// answer with a stop order would end the task, so only its loss is modelled, which equals no answer.
     fn answer_token(&self, n: u8, b: &Bounds) -> Option<u8> {
         let node = &self.nodes[n as usize];
         if node.role == Role::Leader {
-            // `orders_for` and `last_orders`. An end in flight that was not answered counts as recorded.
+            // `orders_for` and `cancellation_stops`. An end in flight that was not answered counts as recorded.
             let stops = match b.mutation {
                 Mutation::NoStops => false,
                 Mutation::StopsAfterCommitAnswer => {
@@ -1214,7 +1215,7 @@
             return (self.worker_token <= node.token && node.may_renew(b) && !stops)
                 .then_some(node.token);
         }
-        // `lease_delegate::delegate_answer`.
+        // `lease_delegate::answer_as_delegate`.
         let delegation = node.delegation?;
         let bound = if b.mutation == Mutation::DelegateNoBound {
             NEVER
@@ -1232,7 +1233,7 @@
 
     /// A heartbeat is answered; the answer arrives in the same step, or later.
     fn heartbeat(&mut self, n: u8, late: bool, b: &Bounds) -> bool {
-        // `heartbeat::outranked`.
+        // `heartbeat::handle_higher_token`.
         let node = *self.node(n);
         if node.role == Role::Leader && self.worker_token > node.token && !node.has_valid_lease(b) {
             self.step_down(n);
