--- a/crates/control/src/leadership/lease_bound.rs
+++ b/crates/control/src/leadership/lease_bound.rs
@@ -19,7 +19,7 @@
 /// How long, in milliseconds, heartbeats may be answered after the last moment at which no other node can have
 /// confirmed a cancellation to anybody. A task whose lease is renewed at the end of that time is gone `cancel_s` after
 /// that moment.
-pub fn bound_ms(workers: &Workers) -> u64 {
+pub fn renewal_bound_ms(workers: &Workers) -> u64 {
     let left = workers.cancel_s * (1.0 - DRIFT) - workers.lease_s * (1.0 + DRIFT);
     (left * 1000.0 - SLACK_MS).max(0.0) as u64
 }
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub struct Attestations {
     /// When the latest round that all peers have answered was sent.
-    complete_at: Option<u64>,
+    last_complete_round_at: Option<u64>,
     /// When the current round was sent, and which peers have answered it.
     asked_at: u64,
     answered: Vec<bool>,
@@ -36,14 +36,14 @@
 
 impl Attestations {
     /// Starts a new round of requests to all peers.
-    pub fn ask(&mut self, now: u64, peers: usize) {
+    pub fn begin_round(&mut self, now: u64, peers: usize) {
         self.asked_at = now;
         self.answered = vec![false; peers];
         self.check_complete(now);
     }
 
     /// Notes that a peer has attested the round that was sent at `sent`.
-    pub fn answer(&mut self, sent: u64, peer: usize) {
+    pub fn record_answer(&mut self, sent: u64, peer: usize) {
         if sent == self.asked_at
             && let Some(answered) = self.answered.get_mut(peer)
         {
@@ -53,13 +53,13 @@
     }
 
     /// When the latest round that all peers have answered was sent.
-    pub fn complete_at(&self) -> Option<u64> {
-        self.complete_at
+    pub fn last_complete_round_at(&self) -> Option<u64> {
+        self.last_complete_round_at
     }
 
     fn check_complete(&mut self, sent: u64) {
         if self.answered.iter().all(|a| *a) {
-            self.complete_at = self.complete_at.max(Some(sent));
+            self.last_complete_round_at = self.last_complete_round_at.max(Some(sent));
         }
     }
 }
@@ -74,16 +74,16 @@
         let Role::Leader(lease) = self.role else {
             return false;
         };
-        let attested = shard.attestations.complete_at();
+        let attested = shard.attestations.last_complete_round_at();
         let confirmed_at = attested.map_or(lease.renewed_at, |at| at.max(lease.renewed_at));
         self.has_valid_lease()
-            || self.now.mono < confirmed_at + bound_ms(&self.settings.cluster.workers)
+            || self.now.mono < confirmed_at + renewal_bound_ms(&self.settings.cluster.workers)
     }
 
     /// Starts a round of attestations; the requests are the peer status requests that are sent at `now`.
     pub(crate) fn begin_attestation_round(&mut self, now: u64, peers: usize) {
         if let Some(shard) = &mut self.shard {
-            shard.attestations.ask(now, peers);
+            shard.attestations.begin_round(now, peers);
         }
     }
 
@@ -93,7 +93,7 @@
         if let Some(shard) = &mut self.shard
             && token.is_some_and(|t| t <= shard.token)
         {
-            shard.attestations.answer(sent, peer);
+            shard.attestations.record_answer(sent, peer);
         }
     }
 }
--- a/crates/control/src/leadership/lease_delegate.rs
+++ b/crates/control/src/leadership/lease_delegate.rs
@@ -7,7 +7,7 @@
 //! and ends with the delegate's process.
 
 use crate::Node;
-use crate::leadership::lease_bound::bound_ms;
+use crate::leadership::lease_bound::renewal_bound_ms;
 use std::collections::BTreeSet;
 use std::ops::Range;
 use wire::api::{Heartbeat, Orders};
@@ -38,7 +38,7 @@
     /// The time in which the delegate may answer heartbeats.
     fn answer_window(&self, workers: &Workers) -> Range<u64> {
         let from = self.asked_at + (workers.lease_s * START_DELAY_MS_PER_LEASE_S) as u64;
-        let until = self.asked_at + bound_ms(workers);
+        let until = self.asked_at + renewal_bound_ms(workers);
         from..until
     }
 
@@ -111,7 +111,7 @@
             .filter(|(_, p)| p.zone == zone)
             .any(|(i, _)| self.last_heard_at(i) + SAME_OUTAGE_MS > heard_at);
         if delegate_was_up && self.tuning.keepers > 0.0 {
-            bound_ms(&self.settings.cluster.workers)
+            renewal_bound_ms(&self.settings.cluster.workers)
         } else {
             0
         }
--- a/crates/control/tests/search/model.rs
+++ b/crates/control/tests/search/model.rs
@@ -21,7 +21,7 @@
 //! | `Node::has_read` | `shared.revision > 0`: this incarnation has read the token counter |
 //! | `Role`, `token`, `loaded` | `role::Role`, `Shard::token`, `Shard::loaded` |
 //! | `renewed` | `HeldLease::renewed_at`, or `Campaign::sent` |
-//! | `last_attested` | `lease_bound::may_renew_worker_leases`: the later of `renewed` and `complete_at` |
+//! | `last_attested` | `lease_bound::may_renew_worker_leases`: the later of `renewed` and `last_complete_round_at` |
 //! | `question_age`, `answered` | `Attestations::asked_at`, `Attestations::answered` |
 //! | `knows_cancel` | `Job::is_cancelled_or_ended_before_term`: requested, in flight, recorded, or of an earlier term |
 //! | `has_led` | `Incarnation::has_led` |
@@ -58,8 +58,8 @@
 }
 
 impl Durations {
-    /// `lease_bound::bound_ms`. A worker's lease ends at the tick at which it is `lease` old, so that a lease renewed
-    /// in the last tick of the bound ends exactly when the time for the cancel does.
+    /// `lease_bound::renewal_bound_ms`. A worker's lease ends at the tick at which it is `lease` old, so that a lease
+    /// renewed in the last tick of the bound ends exactly when the time for the cancel does.
     fn bound(&self) -> u8 {
         self.cancel - self.lease + 1
     }
