--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -7,7 +7,7 @@
 use crate::store::transaction::TransactionDraft;
 use crate::{Node, documents};
 use document::{Fault, Head};
-use quota::{Live, Spec, Tree, edit};
+use quota::{QuotaState, Spec, Tree, edit};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use wire::admin::{self, Edit, Question};
@@ -42,7 +42,7 @@
     fn apply_edit(edit: &Edit, old: &Spec, teams: &Vec<quota::Team>) -> Result<Spec, Fault> {
         match edit {
             Edit::Set { spec } => Ok(spec.clone()),
-            Edit::Move { name, to } => edit::transfer(old, teams, name, to.as_deref()),
+            Edit::Move { name, to } => edit::move_subtree(old, teams, name, to.as_deref()),
             Edit::Shrink {
                 name,
                 guarantee,
@@ -58,7 +58,7 @@
         let live = node
             .active_or_default_tree()
             .and_then(|tree| node.live_usage(&tree));
-        let found = live.and_then(|mut live| live.tree().team(&team).map(|t| live.why(t)));
+        let found = live.and_then(|mut live| live.tree().team(&team).map(|t| live.explain_wait(t)));
         match found {
             Some(why) => node.respond(conn, 200, admin::encode(&why), None),
             None => {
@@ -82,8 +82,8 @@
         admin::encode(&admin::Tree {
             version,
             spec,
-            nodes: live.as_ref().map(Live::nodes).unwrap_or_default(),
-            teams: live.as_ref().map(Live::teams).unwrap_or_default(),
+            nodes: live.as_ref().map(QuotaState::nodes).unwrap_or_default(),
+            teams: live.as_ref().map(QuotaState::teams).unwrap_or_default(),
             history: document.head.history.clone(),
             refused: document.rejection(),
         })
@@ -120,7 +120,7 @@
 }
 
 /// Nodes whose usage is above their maximum, and what happens to the excess, a line each.
-fn nodes_above_maximum(live: &Live) -> Vec<String> {
+fn nodes_above_maximum(live: &QuotaState) -> Vec<String> {
     let tree = live.tree();
     let mut lines = Vec::new();
     for (i, node) in tree.nodes.iter().enumerate() {
@@ -147,7 +147,7 @@
 
 impl Node {
     /// The usage of a tree at this moment.
-    fn live_usage(&self, tree: &Arc<Tree>) -> Option<Live> {
+    fn live_usage(&self, tree: &Arc<Tree>) -> Option<QuotaState> {
         Some(QuotaUsage::new(self.shard.as_ref()?, tree.clone()).live)
     }
 
--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -9,7 +9,7 @@
 use crate::jobs::job::JobIndex;
 use crate::scheduling::quota_usage::{QuotaUsage, resource_amount};
 use crate::store::shard::Shard;
-use quota::{Amount, Live, MAX_RESOURCES, Share, TeamId, Tree};
+use quota::{Amount, EntitledAmounts, MAX_RESOURCES, QuotaState, TeamId, Tree};
 use std::collections::{HashMap, HashSet};
 use wire::api::{JobSpec, Kind};
 use wire::settings::Team;
@@ -92,10 +92,10 @@
 fn nested_levels(
     shard: &Shard,
     open: &[(JobIndex, &JobSpec)],
-    live: &mut Live,
+    live: &mut QuotaState,
 ) -> HashMap<JobIndex, Levels> {
     let tree = live.tree().clone();
-    let mut left: HashMap<TeamId, Vec<Share>> = HashMap::new();
+    let mut left: HashMap<TeamId, Vec<EntitledAmounts>> = HashMap::new();
     let mut out = HashMap::new();
     for (job_index, spec) in open {
         let Some(team) = tree.team(&spec.team) else {
@@ -125,7 +125,7 @@
 
 /// Deducts a job's tasks from what its team is entitled to on each level, as far as they fit. Tasks of an array are
 /// counted one by one, those of other jobs all or none.
-fn allocate_levels(left: &mut [Share], need: &Amount, tasks: u32, kind: Kind) -> Levels {
+fn allocate_levels(left: &mut [EntitledAmounts], need: &Amount, tasks: u32, kind: Kind) -> Levels {
     let mut levels = vec![0; left.len()];
     let mut deeper = 0;
     for (at, share) in left.iter_mut().enumerate().rev() {
@@ -266,7 +266,7 @@
 /// For each team below a node, the share of its due guarantee that its least fulfilled node uses.
 fn fulfilled_by_team(
     tree: &Tree,
-    live: &Live,
+    live: &QuotaState,
     team_index: &HashMap<&str, u16>,
 ) -> HashMap<u16, f64> {
     tree.leaves
--- a/crates/control/src/scheduling/entitlement/tests.rs
+++ b/crates/control/src/scheduling/entitlement/tests.rs
@@ -32,7 +32,7 @@
     }
 }
 
-fn share(gpus: i64) -> Share {
+fn share(gpus: i64) -> EntitledAmounts {
     let mut out = [None; MAX_RESOURCES];
     out[quota::GPUS] = Some(gpus * 1000);
     out
@@ -121,7 +121,7 @@
         ],
     };
     let teams = ["ta", "tb", "flat"].map(quota::Team::new);
-    let mut live = Live::new(Tree::build(&spec, &teams).expect("good").into());
+    let mut live = QuotaState::new(Tree::build(&spec, &teams).expect("good").into());
     let at = |n: f64| amount(&[("gpus", n)]);
     for (team, demand, used) in [(0, 10.0, 2.0), (1, 12.0, 8.0), (2, 5.0, 0.0)] {
         live.set_demand(TeamId(team), at(demand));
--- a/crates/control/src/scheduling/quota_usage.rs
+++ b/crates/control/src/scheduling/quota_usage.rs
@@ -2,7 +2,7 @@
 
 use crate::jobs::job::{Job, JobIndex};
 use crate::store::shard::Shard;
-use quota::{Amount, Count, Live, TeamId, Tree, amount};
+use quota::{Amount, QuotaState, TeamId, TeamUsage, Tree, amount};
 use std::collections::HashMap;
 use std::sync::Arc;
 use wire::api::{JobSpec, Kind};
@@ -28,7 +28,7 @@
 }
 
 /// What a job adds to its team's demand and usage: all open tasks, and all claims on any machine.
-fn job_usage(job: &Job, tree: &Tree) -> Option<(TeamId, Count)> {
+fn job_usage(job: &Job, tree: &Tree) -> Option<(TeamId, TeamUsage)> {
     let team = tree.team(&job.team)?;
     let need = resource_amount(job.need.cores, job.need.gpus, job.need.mem_gb);
     let claims: usize = job.claimed.values().map(Vec::len).sum();
@@ -37,7 +37,7 @@
         .as_deref()
         .filter(|_| !job.is_ending())
         .map_or(0, |spec| open_tasks(job, spec));
-    let mut count = Count::default();
+    let mut count = TeamUsage::default();
     add(&mut count.used, &need, claims as i64);
     // Tasks of an ended job that still run count as demand until they are gone.
     add(&mut count.demand, &need, i64::from(open).max(claims as i64));
@@ -46,15 +46,15 @@
 
 /// A quota tree with the demand and usage of its teams, updated incrementally from the jobs that changed.
 pub(crate) struct QuotaUsage {
-    pub live: Live,
-    by_job: HashMap<JobIndex, (TeamId, Count)>,
+    pub live: QuotaState,
+    by_job: HashMap<JobIndex, (TeamId, TeamUsage)>,
 }
 
 impl QuotaUsage {
     /// Counts all jobs.
     pub fn new(shard: &Shard, tree: Arc<Tree>) -> Self {
         let mut out = QuotaUsage {
-            live: Live::new(tree),
+            live: QuotaState::new(tree),
             by_job: HashMap::new(),
         };
         out.update(shard, 0..shard.jobs.slots());
@@ -62,8 +62,8 @@
     }
 
     pub(super) fn update(&mut self, shard: &Shard, changed: impl IntoIterator<Item = JobIndex>) {
-        let mut teams: HashMap<TeamId, Count> = HashMap::new();
-        let mut add_to_team = |live: &Live, team: TeamId, by: &Count, sign: i64| {
+        let mut teams: HashMap<TeamId, TeamUsage> = HashMap::new();
+        let mut add_to_team = |live: &QuotaState, team: TeamId, by: &TeamUsage, sign: i64| {
             let count = teams.entry(team).or_insert_with(|| live.team(team));
             add(&mut count.demand, &by.demand, sign);
             add(&mut count.used, &by.used, sign);
--- a/crates/quota/examples/scale.rs
+++ b/crates/quota/examples/scale.rs
@@ -1,6 +1,6 @@
 //! Compares the cost of a change in a large tree with a full recomputation. The last line of output is JSON.
 
-use quota::{Amounts, Live, NodeSpec, Spec, Team, TeamId, TeamSpec, Tree, amount};
+use quota::{Amounts, NodeSpec, QuotaState, Spec, Team, TeamId, TeamSpec, Tree, amount};
 use std::sync::Arc;
 
 const TEAMS: usize = 10_000;
@@ -58,7 +58,7 @@
 fn main() {
     let (spec, teams) = balanced_tree();
     let tree = Tree::build(&spec, &teams).unwrap_or_else(|f| panic!("{}", f[0]));
-    let mut live = Live::new(Arc::new(tree));
+    let mut live = QuotaState::new(Arc::new(tree));
     let mut rng = fastrand::Rng::with_seed(1);
     for t in 0..TEAMS {
         let gpus = rng.u32(0..6);
@@ -68,7 +68,7 @@
         );
     }
     live.refresh();
-    let entitled_sum = |live: &mut Live| {
+    let entitled_sum = |live: &mut QuotaState| {
         let before = live.steps;
         let sum: i64 = (0..TEAMS as u32)
             .filter_map(|t| live.entitled(TeamId(t), 0)[quota::GPUS])
@@ -92,7 +92,7 @@
     updates.sort_unstable();
     let (_, sum) = entitled_sum(&mut live);
     // A recomputation from the same demands must give the same result.
-    let mut recomputed = Live::new(live.tree().clone());
+    let mut recomputed = QuotaState::new(live.tree().clone());
     (0..TEAMS as u32)
         .map(TeamId)
         .for_each(|t| recomputed.set_demand(t, live.team(t).demand));
--- a/crates/quota/src/edit.rs
+++ b/crates/quota/src/edit.rs
@@ -33,7 +33,12 @@
 
 /// Moves a team, or a node with its subtree, below another node or the root. Its guarantee moves with it: it is
 /// subtracted from the former ancestors and added to the new ones.
-pub fn transfer(spec: &Spec, teams: &[Team], name: &str, to: Option<&str>) -> Result<Spec, Fault> {
+pub fn move_subtree(
+    spec: &Spec,
+    teams: &[Team],
+    name: &str,
+    to: Option<&str>,
+) -> Result<Spec, Fault> {
     let mut out = spec.clone();
     if let Some(to) = to
         && spec.node_index(to).is_none()
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,8 +1,8 @@
 //! Hierarchical quotas: a tree of inner nodes, at most [`MAX_DEPTH`] levels deep, with teams as its leaves.
 //!
-//! A [`Tree`] is validated once and immutable. [`Live`] adds the demand and usage of each team and computes what each
-//! is entitled to. [`Spec`] is the unvalidated description in files and records, [`edit`] derives a new one from an
-//! old one, and [`mod@file`] reads and writes it for operators.
+//! A [`Tree`] is validated once and immutable. [`QuotaState`] adds the demand and usage of each team and computes what
+//! each is entitled to. [`Spec`] is the unvalidated description in files and records, [`edit`] derives a new one from
+//! an old one, and [`mod@file`] reads and writes it for operators.
 //!
 //! Guaranteed capacity that a team does not use is lent to its siblings first and then upward, level by level. The
 //! team is entitled to it again as soon as its demand rises. `docs/quotas/design.md` compares the alternatives and
@@ -11,7 +11,7 @@
 //! This package must not do I/O, read a clock or draw random numbers. It does not depend on jobs, machines or records.
 //!
 //! ```
-//! use quota::{Live, Spec, Tree, amount};
+//! use quota::{QuotaState, Spec, Tree, amount};
 //! let text = r#"
 //! [[node]]
 //! name = "studio"
@@ -27,7 +27,7 @@
 //! // The teams of the settings with their guarantees.
 //! let comp = quota::Team { guarantee: [("gpus".into(), 2.0)].into(), ..quota::Team::new("comp") };
 //! let tree = Tree::build(&spec, &[comp, quota::Team::new("fx")]).map_err(|f| f[0].to_string())?;
-//! let mut live = Live::new(tree.into());
+//! let mut live = QuotaState::new(tree.into());
 //! let (comp, fx) = (live.tree().team("comp").unwrap(), live.tree().team("fx").unwrap());
 //! live.set_demand(fx, amount(&[("gpus", 10.0)]));
 //! assert_eq!(live.entitled(fx, 0)[quota::GPUS], Some(8_000), "what its sibling does not use");
@@ -47,7 +47,7 @@
 
 pub use content::Part;
 pub use document::{Fault, Place};
-pub use live::{Count, Live, Share};
+pub use live::{EntitledAmounts, QuotaState, TeamUsage};
 pub use spec::{Amounts, NodeSpec, Over, Spec, TeamSpec};
 pub use tree::{Node, NodeId, Team, TeamId, Tree};
 pub use why::{Standing, Why};
@@ -56,7 +56,7 @@
 pub const MAX_RESOURCES: usize = 6;
 pub const CPUS: usize = 0;
 pub const GPUS: usize = 1;
-pub const MEM: usize = 2;
+pub const MEMORY_GB: usize = 2;
 /// Names of the resources that every tree has, by resource index.
 pub const COMMON_RESOURCES: [&str; 3] = ["cpus", "gpus", "mem_gb"];
 
@@ -71,7 +71,7 @@
 
 /// Amount of each resource in thousandths of a unit: integers, so that sums are exact in any order.
 pub type Amount = [i64; MAX_RESOURCES];
-pub const NOTHING: Amount = [0; MAX_RESOURCES];
+pub const ZERO: Amount = [0; MAX_RESOURCES];
 /// A maximum without a limit.
 pub const UNBOUNDED: i64 = i64::MAX;
 
@@ -83,7 +83,7 @@
 
 /// Builds an amount from names of the common resources and units. Other names are ignored.
 pub fn amount(parts: &[(&str, f64)]) -> Amount {
-    let mut out = NOTHING;
+    let mut out = ZERO;
     for (name, units) in parts {
         if let Some(r) = COMMON_RESOURCES.iter().position(|c| c == name) {
             out[r] = milli(*units);
--- a/crates/quota/src/live.rs
+++ b/crates/quota/src/live.rs
@@ -6,18 +6,18 @@
 
 use crate::tree::{Leaf, add_amount};
 use crate::water_filling::{ChildDemand, FillLevels, fill_levels};
-use crate::{Amount, MAX_RESOURCES, NOTHING, NodeId, TeamId, Tree, UNBOUNDED};
+use crate::{Amount, MAX_RESOURCES, NodeId, TeamId, Tree, UNBOUNDED, ZERO};
 use imbl::Vector;
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 /// Entitlement by resource; `None` if the node that it comes from guarantees nothing of the resource.
-pub type Share = [Option<i64>; MAX_RESOURCES];
+pub type EntitledAmounts = [Option<i64>; MAX_RESOURCES];
 
 /// Demand and usage of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Count {
+pub struct TeamUsage {
     pub demand: Amount,
     pub used: Amount,
 }
@@ -44,9 +44,9 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Live {
+pub struct QuotaState {
     tree: Arc<Tree>,
-    teams: Vector<Count>,
+    teams: Vector<TeamUsage>,
     nodes: Vector<NodeState>,
     /// Nodes whose `guaranteed` amount has to be recomputed, deepest first.
     stale: BTreeSet<(Reverse<u8>, NodeId)>,
@@ -58,11 +58,11 @@
     std::array::from_fn(|r| amount[r].min(max[r]))
 }
 
-impl Live {
+impl QuotaState {
     pub fn new(tree: Arc<Tree>) -> Self {
-        let teams = tree.leaves.iter().map(|_| Count::default()).collect();
+        let teams = tree.leaves.iter().map(|_| TeamUsage::default()).collect();
         let nodes = tree.nodes.iter().map(|_| NodeState::default()).collect();
-        Live {
+        QuotaState {
             tree,
             teams,
             nodes,
@@ -74,7 +74,7 @@
     pub fn tree(&self) -> &Arc<Tree> {
         &self.tree
     }
-    pub fn team(&self, team: TeamId) -> Count {
+    pub fn team(&self, team: TeamId) -> TeamUsage {
         self.teams[team.0 as usize]
     }
     /// Total usage below a node.
@@ -82,7 +82,7 @@
         self.nodes[node.0 as usize].used
     }
     /// Total demand below a node, with each child capped at its maximum.
-    pub fn wanted(&self, node: NodeId) -> Amount {
+    pub fn demand(&self, node: NodeId) -> Amount {
         self.nodes[node.0 as usize].demand
     }
 
@@ -99,7 +99,7 @@
         self.steps += 1;
         let mut change: Amount = std::array::from_fn(|r| after[r] - before[r]);
         while let Some(n) = at
-            && change != NOTHING
+            && change != ZERO
         {
             self.steps += 1;
             let node = &self.tree.nodes[n.0 as usize];
@@ -122,7 +122,7 @@
         count.used = used;
         self.steps += 1;
         while let Some(n) = at
-            && change != NOTHING
+            && change != ZERO
         {
             self.steps += 1;
             add_amount(&mut self.nodes[n.0 as usize].used, &change);
@@ -146,7 +146,7 @@
     /// below that node. The depth after the last node stands for the team itself and its own guarantee. A higher node
     /// entitles to at least as much, as unused guarantees of siblings are added first, then those of the parent's
     /// siblings, and so on.
-    pub fn entitled(&mut self, team: TeamId, depth: usize) -> Share {
+    pub fn entitled(&mut self, team: TeamId, depth: usize) -> EntitledAmounts {
         self.refresh();
         let path = self.tree.path(team);
         let Some(origin) = path.get(depth) else {
@@ -171,7 +171,7 @@
         while let Some((Reverse(depth), n)) = self.stale.pop_first() {
             let budget = self.tree.nodes[n.0 as usize].guarantee;
             let levels = self.levels(n, usize::from(depth), budget);
-            let mut guaranteed = NOTHING;
+            let mut guaranteed = ZERO;
             for child in self.child_demands(n) {
                 add_amount(&mut guaranteed, &child.allocation(&budget, &levels));
             }
@@ -242,7 +242,7 @@
             .iter()
             .map(|s| s.cached_levels.capacity() * size_of::<Option<CachedLevels>>())
             .sum();
-        self.teams.len() * size_of::<Count>()
+        self.teams.len() * size_of::<TeamUsage>()
             + self.nodes.len() * size_of::<NodeState>()
             + cached_levels
     }
--- a/crates/quota/src/tree.rs
+++ b/crates/quota/src/tree.rs
@@ -6,7 +6,7 @@
     Amount, COMMON_RESOURCES, MAX_AMOUNT, MAX_DEPTH, MAX_NAME, MAX_NODES, MAX_RESOURCES, MAX_TEAMS,
     UNBOUNDED,
 };
-use crate::{NOTHING, milli};
+use crate::{ZERO, milli};
 use document::{Fault, Faults, short};
 use std::collections::HashMap;
 
@@ -419,7 +419,7 @@
 
     /// Checks that the guarantees of a node's children add up to no more than its own.
     fn check_guarantee_sums(&mut self) {
-        let mut sums = vec![NOTHING; self.tree.nodes.len()];
+        let mut sums = vec![ZERO; self.tree.nodes.len()];
         let inner = self.tree.nodes.iter().map(|n| (n.parent, n.guarantee));
         let leaves = self.tree.leaves.iter().map(|l| (l.parent, l.guarantee));
         for (parent, guarantee) in inner.chain(leaves) {
--- a/crates/quota/src/water_filling.rs
+++ b/crates/quota/src/water_filling.rs
@@ -5,7 +5,7 @@
 //! altogether once its demand is met. The result is one fill level per resource, from which any child's allocation
 //! follows directly.
 
-use crate::{Amount, MAX_RESOURCES, NOTHING};
+use crate::{Amount, MAX_RESOURCES, ZERO};
 
 /// The demand of one child on its parent's budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -65,7 +65,7 @@
 ) -> FillLevels {
     *steps += children.len() as u64;
     let mut remaining = *budget;
-    let mut total_unmet = NOTHING;
+    let mut total_unmet = ZERO;
     for child in children {
         for r in 0..MAX_RESOURCES {
             remaining[r] -= child.guaranteed[r];
--- a/crates/quota/src/why.rs
+++ b/crates/quota/src/why.rs
@@ -1,7 +1,7 @@
 //! Reports for operators on the nodes and teams of a tree in use.
 
 use crate::tree::display_units;
-use crate::{Amount, Amounts, Live, MAX_RESOURCES, NodeId, TeamId, UNBOUNDED};
+use crate::{Amount, Amounts, MAX_RESOURCES, NodeId, QuotaState, TeamId, UNBOUNDED};
 use serde::{Deserialize, Serialize};
 
 /// Current state of a node or team; amounts in units.
@@ -40,7 +40,7 @@
     pub short: Amounts,
 }
 
-fn amounts_by_name(live: &Live, amount: &Amount) -> Amounts {
+fn amounts_by_name(live: &QuotaState, amount: &Amount) -> Amounts {
     let names = live.tree().resources.iter().zip(amount);
     let named = names.filter(|(_, v)| **v != 0 && **v != UNBOUNDED);
     named
@@ -48,7 +48,7 @@
         .collect()
 }
 
-impl Live {
+impl QuotaState {
     /// The state of all nodes, parents first.
     pub fn nodes(&self) -> Vec<Standing> {
         let row = |(i, n): (usize, &crate::Node)| {
@@ -63,7 +63,7 @@
                 max: amounts_by_name(self, &n.max),
                 weight: n.weight,
                 used: amounts_by_name(self, &self.used(id)),
-                wanted: amounts_by_name(self, &self.wanted(id)),
+                wanted: amounts_by_name(self, &self.demand(id)),
             }
         };
         self.tree().nodes.iter().enumerate().map(row).collect()
@@ -87,7 +87,7 @@
         self.tree().leaves.iter().enumerate().map(row).collect()
     }
 
-    pub fn why(&mut self, team: TeamId) -> Why {
+    pub fn explain_wait(&mut self, team: TeamId) -> Why {
         let tree = self.tree().clone();
         let leaf = &tree.leaves[team.0 as usize];
         let path = tree.path(team);
--- a/crates/quota/tests/entitlement.rs
+++ b/crates/quota/tests/entitlement.rs
@@ -4,18 +4,18 @@
 
 use common::trees;
 use proptest::prelude::*;
-use quota::{Amount, GPUS, Live, NOTHING, NodeId, Spec, Team, TeamId, Tree};
+use quota::{Amount, GPUS, NodeId, QuotaState, Spec, Team, TeamId, Tree, ZERO};
 use std::sync::Arc;
 
 fn gpus(n: i64) -> Amount {
-    let mut out = NOTHING;
+    let mut out = ZERO;
     out[GPUS] = n * 1000;
     out
 }
 
-fn live(spec: &Spec, teams: &[Team], demands: &[i64]) -> Live {
+fn live(spec: &Spec, teams: &[Team], demands: &[i64]) -> QuotaState {
     let tree = Tree::build(spec, teams).unwrap_or_else(|f| panic!("{f:?}"));
-    let mut live = Live::new(Arc::new(tree));
+    let mut live = QuotaState::new(Arc::new(tree));
     for (i, d) in demands.iter().take(teams.len()).enumerate() {
         live.set_demand(TeamId(i as u32), gpus(*d));
     }
@@ -30,13 +30,13 @@
         .collect()
 }
 
-fn entitled(live: &mut Live, team: TeamId, depth: usize) -> i64 {
+fn entitled(live: &mut QuotaState, team: TeamId, depth: usize) -> i64 {
     live.entitled(team, depth)[GPUS].unwrap_or(0)
 }
 
 /// Demand of the subtree of a node, capped at the maximum of the node and of everything below it.
-fn capped_demand(live: &Live, node: NodeId) -> i64 {
-    live.wanted(node)[GPUS].min(live.tree().nodes[node.0 as usize].max[GPUS])
+fn capped_demand(live: &QuotaState, node: NodeId) -> i64 {
+    live.demand(node)[GPUS].min(live.tree().nodes[node.0 as usize].max[GPUS])
 }
 
 proptest! {
@@ -148,7 +148,7 @@
                 demands.push(*demand);
             }
         }
-        let mut live = Live::new(Arc::new(Tree::build(&spec, &teams).expect("good")));
+        let mut live = QuotaState::new(Arc::new(Tree::build(&spec, &teams).expect("good")));
         demands.iter().enumerate().for_each(|(t, d)| live.set_demand(TeamId(t as u32), gpus(*d)));
         let mut allocated = (0..teams.len()).map(|t| entitled(&mut live, TeamId(t as u32), 0) as f64 / 1000.0);
         let allocated: Vec<Vec<f64>> =
@@ -218,7 +218,7 @@
         .map(|t| quota::TeamSpec::new(&t.name, Some("n")))
         .collect();
     let tree = Tree::build(&spec, &teams).expect("good");
-    let mut live = Live::new(Arc::new(tree));
+    let mut live = QuotaState::new(Arc::new(tree));
     let (a, b) = (TeamId(0), TeamId(1));
     // The example of the dominant resource fairness paper (Ghodsi et al., 2011), ten times as large and with GPUs in
     // place of memory: tasks of 10 CPUs and 4 GPUs against tasks of 30 CPUs and 1 GPU.
--- a/crates/quota/tests/trees.rs
+++ b/crates/quota/tests/trees.rs
@@ -218,7 +218,7 @@
         ("red", "nowhere"),
     ] {
         assert!(
-            edit::transfer(&spec, &teams(), name, Some(to)).is_err(),
+            edit::move_subtree(&spec, &teams(), name, Some(to)).is_err(),
             "{name} to {to}"
         );
     }
@@ -235,12 +235,12 @@
         let team = &teams[what.index(teams.len())].name;
         let to = spec.nodes.get(to.index(spec.nodes.len() + 1)).map(|n| n.name.clone());
         let from = spec.teams.iter().find(|t| t.name == *team).and_then(|t| t.parent.clone());
-        let moved = edit::transfer(&spec, &teams, team, to.as_deref()).expect("both are known");
+        let moved = edit::move_subtree(&spec, &teams, team, to.as_deref()).expect("both are known");
         let tree = Tree::build(&moved, &teams);
         prop_assert!(tree.is_ok(), "{:?}", tree.err());
         let parent = tree.ok().and_then(|t| t.leaves[t.team(team)?.0 as usize].parent.map(|p| t.nodes[p.0 as usize].name.clone()));
         prop_assert_eq!(&parent, &to);
-        let back = edit::transfer(&moved, &teams, team, from.as_deref()).expect("both are known");
+        let back = edit::move_subtree(&moved, &teams, team, from.as_deref()).expect("both are known");
         prop_assert_eq!(edit::differences(&spec, &back, 10), Vec::<String>::new());
     }
 
