--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -7,7 +7,7 @@
 use crate::models::VersionedRecord;
 use crate::models::weights::machines_with_weights;
 use crate::scheduling::apply_plan::grace_period_s;
-use model::{Asked, Begin, Phase, Rec, Rule, Seen, asked};
+use model::{Begin, DemandDecision, OwnerView, Phase, Rec, Rule, decide_demand};
 use std::collections::BTreeSet;
 
 /// Interval between checks of models that are up or waking.
@@ -20,7 +20,7 @@
     job_index: JobIndex,
     rule: Rule,
     known: VersionedRecord,
-    seen: Seen,
+    view: OwnerView,
     tasks: u32,
     job_version: u64,
 }
@@ -67,7 +67,7 @@
     }
 
     /// What the leader sees of a model.
-    pub(super) fn seen(&self, job: &Job) -> Seen {
+    pub(super) fn owner_view(&self, job: &Job) -> OwnerView {
         let now = self.now.mono;
         let ready_since = self.shard.as_ref().map_or(0, |shard| shard.ready_since);
         let last_demand = self.models.demand.last_demand(&job.id).max(ready_since);
@@ -76,7 +76,7 @@
             .as_ref()
             .map(|shard| machines_with_weights(shard, job))
             .unwrap_or_default();
-        Seen {
+        OwnerView {
             claimed: job.claimed.len() as u32,
             running: job.running,
             quiet_ms: now.saturating_sub(last_demand),
@@ -105,7 +105,7 @@
             );
         }
         let Some(record) = next else {
-            return known.record.phase != Phase::Asleep || observation.seen.claimed > 0;
+            return known.record.phase != Phase::Asleep || observation.view.claimed > 0;
         };
         if self.models.leader_state.writes.len() >= MAX_WRITES_IN_FLIGHT {
             return true;
@@ -132,7 +132,7 @@
             job_index,
             rule,
             known: self.models.known(model).unwrap_or_default(),
-            seen: self.seen(job),
+            view: self.owner_view(job),
             tasks: job.tasks,
             job_version: job.version,
         })
@@ -143,21 +143,22 @@
         let Observation {
             known,
             rule,
-            seen,
+            view,
             tasks,
             ..
         } = observation;
         let (node, wall) = (self.settings.node.as_str(), self.now.wall);
         let is_first =
-            known.record_version == 0 && (rule.begin == Begin::Awake || seen.claimed > 0);
+            known.record_version == 0 && (rule.begin == Begin::Awake || view.claimed > 0);
         let is_wanted_again =
             observation.is_asleep() && self.demanded_since(model, known.record.since_ms);
         if (is_first || is_wanted_again)
-            && let Asked::Wake(record) = asked(&known.record, rule, *tasks, node, wall)
+            && let DemandDecision::Wake(record) =
+                decide_demand(&known.record, rule, *tasks, node, wall)
         {
             return Some(*record);
         }
-        known.record.next(rule, *tasks, node, wall, seen)
+        known.record.next_record(rule, *tasks, node, wall, view)
     }
 
     /// Whether this node has seen demand after the model was put to sleep, by a decision that was made before the
--- a/crates/control/src/models/status.rs
+++ b/crates/control/src/models/status.rs
@@ -1,15 +1,20 @@
 //! The status of models: of one model for whoever requests it, or of all models on the leader.
 
 use crate::Node;
-use model::{Asked, Phase, Rec, asked};
+use model::{DemandDecision, Phase, Rec, decide_demand};
 use wire::api::JobSpec;
 use wire::models::{ModelStatus, Standing};
 
 impl Node {
     /// The status of a model, given the result of a request for it.
-    pub(crate) fn model_status(&self, spec: &JobSpec, record: &Rec, asked: &Asked) -> ModelStatus {
-        let (why, not_before_ms) = match asked {
-            Asked::NotNow { why, until_ms } => (Some(why.clone()), Some(*until_ms)),
+    pub(crate) fn model_status(
+        &self,
+        spec: &JobSpec,
+        record: &Rec,
+        decision: &DemandDecision,
+    ) -> ModelStatus {
+        let (why, not_before_ms) = match decision {
+            DemandDecision::NotNow { why, until_ms } => (Some(why.clone()), Some(*until_ms)),
             _ => (None, None),
         };
         let types = self
@@ -58,19 +63,19 @@
                 continue;
             };
             let known = self.models.known(&job.id).unwrap_or_default();
-            let asked = asked(&known.record, &rule, job.tasks, "", self.now.wall);
-            let seen = self.seen(job);
+            let decision = decide_demand(&known.record, &rule, job.tasks, "", self.now.wall);
+            let view = self.owner_view(job);
             models.push(Standing {
-                told: self.model_status(spec, &known.record, &asked),
+                told: self.model_status(spec, &known.record, &decision),
                 rule: rule.name,
                 class: spec.class.clone(),
                 team: spec.team.clone(),
                 wanted: job.replicas.unwrap_or(0),
-                claimed: seen.claimed,
-                running: seen.running,
+                claimed: view.claimed,
+                running: view.running,
                 by: known.record.by,
                 near: known.record.near,
-                quiet_ms: seen.quiet_ms,
+                quiet_ms: view.quiet_ms,
             });
         }
         models.sort_by(|a, b| a.told.model.cmp(&b.told.model));
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -5,7 +5,7 @@
 use crate::models::demand::{CachedStatus, MAX_MODELS, UNAVAILABLE, Waiter};
 use crate::state_requests::encode_transaction;
 use crate::{Node, Pending};
-use model::{Asked, Rec, Rule, asked};
+use model::{DemandDecision, Rec, Rule, decide_demand};
 use wire::api::{Condition, Item, JobSpec, Revision, Write};
 use wire::http::Response;
 use wire::models::ModelStatus;
@@ -208,7 +208,7 @@
             };
             self.record_observed(model, known);
         }
-        self.complete_wake_up(model, &record, &Asked::Follow);
+        self.complete_wake_up(model, &record, &DemandDecision::Follow);
     }
 
     /// Reads the job and the record again: a transaction that was made shows in the record, and one that arrives late
@@ -238,15 +238,15 @@
         else {
             return;
         };
-        let asked = asked(&known.record, rule, spec.tasks, &node, wall);
+        let decision = decide_demand(&known.record, rule, spec.tasks, &node, wall);
         let (version, must_record_demand) = (*version, wake_up.must_record_demand);
-        let record = match &asked {
-            Asked::Wake(record) => Some((**record).clone()),
-            Asked::Follow if must_record_demand => known.record.touched(wall),
+        let record = match &decision {
+            DemandDecision::Wake(record) => Some((**record).clone()),
+            DemandDecision::Follow if must_record_demand => known.record.with_demand_at(wall),
             _ => None,
         };
         let Some(record) = record else {
-            return self.complete_wake_up(model, &known.record, &asked);
+            return self.complete_wake_up(model, &known.record, &decision);
         };
         if self.requests.available(now) < 1.0 || self.writes.available(now) < 1.0 {
             return self.fail_wake_up(model, 503, "busy");
@@ -270,16 +270,16 @@
     }
 
     /// Ends a wake-up and answers all its waiters with the model's status.
-    fn complete_wake_up(&mut self, model: &str, record: &Rec, asked: &Asked) {
+    fn complete_wake_up(&mut self, model: &str, record: &Rec, decision: &DemandDecision) {
         let Some(wake_up) = self.remove_wake_up(model) else {
             return;
         };
         let Some(WantedJob { spec, rule, .. }) = &wake_up.job else {
             return;
         };
-        let status = self.model_status(spec, record, asked);
+        let status = self.model_status(spec, record, decision);
         if record.is_up() {
-            self.model_is_up(model, rule.say_again_ms(), &wake_up, &status);
+            self.model_is_up(model, rule.demand_refresh_ms(), &wake_up, &status);
         }
         for waiter in wake_up.waiters {
             self.answer_demand(waiter, &status);
--- a/crates/control/src/models/weights.rs
+++ b/crates/control/src/models/weights.rs
@@ -3,7 +3,7 @@
 use crate::Node;
 use crate::jobs::job::{Job, JobIndex};
 use crate::store::shard::Shard;
-use model::{MAX_NEAR, Phase, Rec, Rule};
+use model::{MAX_WEIGHT_HOLDERS, Phase, Rec, Rule};
 use std::collections::{BTreeSet, HashMap};
 
 /// The most models that machines are retained for at a time.
@@ -28,7 +28,7 @@
         };
         let (image, image_gb) = (spec.image.clone(), spec.image_gb);
         let image = shard.images.get(&image);
-        for name in record.near.iter().take(MAX_NEAR) {
+        for name in record.near.iter().take(MAX_WEIGHT_HOLDERS) {
             let Some(machine_index) = shard.machines.index_of(name) else {
                 continue;
             };
@@ -83,6 +83,6 @@
         .into_iter()
         .filter_map(|m| shard.machine(m))
         .map(|m| m.name.clone())
-        .take(MAX_NEAR)
+        .take(MAX_WEIGHT_HOLDERS)
         .collect()
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,9 +1,9 @@
 //! Scale-to-zero for models that are served by `standing` jobs: a model without demand releases its machines.
 //!
 //! [`Spec`] defines which jobs are models and when they go to sleep; [`mod@file`] parses it. [`Rec`] is the record of
-//! one model in the state service. [`asked`] decides, on any node, what to do about demand for a model, and
-//! [`Rec::next`] decides its owner's next step. Either decision takes effect only by a write of the record that is
-//! conditional on the version that was read, made before any other action. So of all nodes that try to begin a
+//! one model in the state service. [`decide_demand`] decides, on any node, what to do about demand for a model, and
+//! [`Rec::next_record`] decides its owner's next step. Either decision takes effect only by a write of the record that
+//! is conditional on the version that was read, made before any other action. So of all nodes that try to begin a
 //! generation one succeeds, and the others follow it.
 //!
 //! This package must not do I/O, read a clock or draw random numbers. It does not depend on machines or state services.
@@ -13,8 +13,8 @@
 mod rules;
 mod spec;
 
-pub use rec::{MAX_NEAR, Phase, Rec, Seen};
-pub use rules::{Asked, Why, asked};
+pub use rec::{MAX_WEIGHT_HOLDERS, OwnerView, Phase, Rec};
+pub use rules::{DemandDecision, Why, decide_demand};
 pub use spec::{Begin, Job, Rule, Spec};
 
 /// Maximum number of rules in a document.
--- a/crates/model/src/rec.rs
+++ b/crates/model/src/rec.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum number of machines that a record lists as holding the model's weights.
-pub const MAX_NEAR: usize = 8;
+pub const MAX_WEIGHT_HOLDERS: usize = 8;
 /// Base of the exponential backoff after failed wakes, doubled per consecutive failure: the first failure waits 60 s.
 const BASE_BACKOFF_MS: u64 = 30_000;
 const MAX_BACKOFF_MS: u64 = 3_600_000;
@@ -63,7 +63,7 @@
 
 /// The owner's current view of a model.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct OwnerView {
     /// Replicas that hold a claim, including those being stopped.
     pub claimed: u32,
     /// Replicas that run.
@@ -131,19 +131,19 @@
     }
 
     /// The record that the owner has to write next, or `None` if nothing changes.
-    pub fn next(
+    pub fn next_record(
         &self,
         rule: &Rule,
         tasks: u32,
         node: &str,
         now_ms: u64,
-        seen: &Seen,
+        view: &OwnerView,
     ) -> Option<Rec> {
         let resting = rule.resting_replicas(tasks);
         let phase_ms = now_ms.saturating_sub(self.since_ms);
         let in_phase = |phase: Phase| {
-            let mut near = seen.near.clone();
-            near.truncate(MAX_NEAR);
+            let mut near = view.near.clone();
+            near.truncate(MAX_WEIGHT_HOLDERS);
             let near = if near.is_empty() {
                 self.near.clone()
             } else {
@@ -158,7 +158,7 @@
             }
         };
         match self.phase {
-            Phase::Waking if seen.running > 0 => Some(Rec {
+            Phase::Waking if view.running > 0 => Some(Rec {
                 failed: 0,
                 not_before_ms: 0,
                 ..in_phase(Phase::Awake)
@@ -176,11 +176,11 @@
             }
             Phase::Awake if resting < self.wanted => {
                 let since_asked_ms = now_ms.saturating_sub(self.asked_ms);
-                let idle_ms = seen.quiet_ms.min(phase_ms).min(since_asked_ms) as f64;
+                let idle_ms = view.quiet_ms.min(phase_ms).min(since_asked_ms) as f64;
                 (idle_ms >= rule.idle_s * (1.0 + DEMAND_REFRESH_RATIO) * 1000.0)
                     .then(|| in_phase(Phase::Leaving))
             }
-            Phase::Leaving if seen.claimed <= resting => Some(in_phase(Phase::Asleep)),
+            Phase::Leaving if view.claimed <= resting => Some(in_phase(Phase::Asleep)),
             _ => None,
         }
     }
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -16,7 +16,7 @@
 
 /// What the node that receives demand has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Asked {
+pub enum DemandDecision {
     /// Nothing: the model is awake or waking, and the demand follows that generation.
     Follow,
     /// Begin the next generation by writing this record, on condition that the record did not change since it was read.
@@ -27,12 +27,18 @@
 
 /// Decides what to do when `node` receives demand for a model with the record `rec`. A model in [`Phase::Leaving`] is
 /// woken too: replicas that are being stopped keep their claims, so none is started again before its end is proved.
-pub fn asked(rec: &Rec, rule: &Rule, tasks: u32, node: &str, now_ms: u64) -> Asked {
+pub fn decide_demand(
+    rec: &Rec,
+    rule: &Rule,
+    tasks: u32,
+    node: &str,
+    now_ms: u64,
+) -> DemandDecision {
     if rec.is_up() {
-        return Asked::Follow;
+        return DemandDecision::Follow;
     }
     if now_ms < rec.not_before_ms {
-        return Asked::NotNow {
+        return DemandDecision::NotNow {
             why: Why::Backoff { failed: rec.failed },
             until_ms: rec.not_before_ms,
         };
@@ -46,18 +52,18 @@
         .collect();
     if recent.len() >= rule.wakes as usize {
         let excess = recent.len() - rule.wakes as usize;
-        return Asked::NotNow {
+        return DemandDecision::NotNow {
             why: Why::TooOften,
             until_ms: recent[excess] + period_ms,
         };
     }
-    Asked::Wake(Box::new(rec.begin_generation(rule, tasks, node, now_ms)))
+    DemandDecision::Wake(Box::new(rec.begin_generation(rule, tasks, node, now_ms)))
 }
 
 impl Rec {
     /// The record that notes demand for an awake model when the owner cannot be reached. A concurrent transition to
     /// sleep that did not take this demand into account then fails, because its condition on the record does not hold.
-    pub fn touched(&self, now_ms: u64) -> Option<Rec> {
+    pub fn with_demand_at(&self, now_ms: u64) -> Option<Rec> {
         (self.phase == Phase::Awake).then(|| Rec {
             asked_ms: now_ms,
             ..self.clone()
@@ -67,7 +73,7 @@
 
 impl Rule {
     /// Interval within which nodes report continuing demand again.
-    pub fn say_again_ms(&self) -> u64 {
+    pub fn demand_refresh_ms(&self) -> u64 {
         (self.idle_s * DEMAND_REFRESH_RATIO * 1000.0) as u64
     }
 }
--- a/crates/model/tests/rules.rs
+++ b/crates/model/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Rejected documents, and the transitions of a model over time.
 
-use model::{Asked, Phase, Rec, Rule, Seen, Why, asked, file};
+use model::{DemandDecision, OwnerView, Phase, Rec, Rule, Why, decide_demand, file};
 
 const DOC: &str = r#"
 [[model]]
@@ -89,20 +89,20 @@
 }
 
 fn wake(rec: &Rec, rule: &Rule, now_ms: u64) -> Rec {
-    match asked(rec, rule, 4, "n", now_ms) {
-        Asked::Wake(rec) => *rec,
+    match decide_demand(rec, rule, 4, "n", now_ms) {
+        DemandDecision::Wake(rec) => *rec,
         other => panic!("{other:?}"),
     }
 }
 
 fn next(rec: &Rec, rule: &Rule, now_ms: u64, seen: (u32, u32, u64)) -> Option<Rec> {
     let (claimed, running, quiet_ms) = seen;
-    rec.next(
+    rec.next_record(
         rule,
         4,
         "n",
         now_ms,
-        &Seen {
+        &OwnerView {
             claimed,
             running,
             quiet_ms,
@@ -121,7 +121,10 @@
         (rec.phase, rec.generation, rec.replicas(&rule, 4)),
         (Phase::Waking, 1, 2)
     );
-    assert_eq!(asked(&rec, &rule, 4, "n", 1001), Asked::Follow);
+    assert_eq!(
+        decide_demand(&rec, &rule, 4, "n", 1001),
+        DemandDecision::Follow
+    );
     assert_eq!(next(&rec, &rule, 2000, (1, 0, 0)), None);
     rec = next(&rec, &rule, 3000, (2, 1, 0)).expect("a replica runs");
     assert_eq!((rec.phase, rec.near.len()), (Phase::Awake, 8));
@@ -132,7 +135,7 @@
         None,
         "the owner waits a quarter longer than the idle time, within which nodes report demand again"
     );
-    let touched = rec.touched(90_000).expect("awake");
+    let touched = rec.with_demand_at(90_000).expect("awake");
     assert_eq!(
         next(&touched, &rule, 100_000, (2, 2, 90_000)),
         None,
@@ -153,11 +156,11 @@
         phase: Phase::Asleep,
         ..rec
     };
-    let too_often = Asked::NotNow {
+    let too_often = DemandDecision::NotNow {
         why: Why::TooOften,
         until_ms: 601_000,
     };
-    assert_eq!(asked(&rec, &rule, 4, "n", 103_000), too_often);
+    assert_eq!(decide_demand(&rec, &rule, 4, "n", 103_000), too_often);
     assert_eq!(wake(&rec, &rule, 601_000).wakes, [102_000, 601_000]);
 }
 
@@ -176,8 +179,8 @@
         rec = next(&rec, &rule, now, (4, 0, 0)).expect("given up");
         rec = next(&rec, &rule, now, (0, 0, 0)).expect("gone");
         assert!(matches!(
-            asked(&rec, &rule, 4, "n", now),
-            Asked::NotNow {
+            decide_demand(&rec, &rule, 4, "n", now),
+            DemandDecision::NotNow {
                 why: Why::Backoff { .. },
                 ..
             }
--- a/crates/model/tests/search.rs
+++ b/crates/model/tests/search.rs
@@ -4,7 +4,7 @@
 //! The decisions are those of the package. The environment is minimal: a record with a version (its stamp), a counter
 //! of owner tokens, and replicas that are claimed under the owner's token.
 
-use model::{Asked, Phase, Rec, Rule, Seen, asked};
+use model::{DemandDecision, OwnerView, Phase, Rec, Rule, decide_demand};
 use std::collections::{HashSet, VecDeque};
 
 const NOW_MS: u64 = 1_000_000_000;
@@ -192,7 +192,7 @@
         let rec = read.rec();
         if (read.generation as usize) < MAX_GENERATIONS
             && has_room
-            && let Asked::Wake(woken) = asked(&rec, rule, TASKS, "n", NOW_MS)
+            && let DemandDecision::Wake(woken) = decide_demand(&rec, rule, TASKS, "n", NOW_MS)
         {
             out.push(self.clone().send(Txn {
                 stamp,
@@ -229,13 +229,13 @@
         };
         for quiet_ms in [0, NOW_MS] {
             let running = self.claimed - self.leaving;
-            let seen = Seen {
+            let seen = OwnerView {
                 claimed,
                 running,
                 quiet_ms,
                 near: Vec::new(),
             };
-            if has_room && let Some(next) = rec.next(rule, TASKS, "n", NOW_MS, &seen) {
+            if has_room && let Some(next) = rec.next_record(rule, TASKS, "n", NOW_MS, &seen) {
                 out.push(self.clone().send(Txn {
                     stamp,
                     token: Some(term),
@@ -255,7 +255,7 @@
             if rec.phase == Phase::Awake {
                 return true;
             }
-            if let Asked::Wake(next) = asked(&rec, rule, TASKS, "n", NOW_MS) {
+            if let DemandDecision::Wake(next) = decide_demand(&rec, rule, TASKS, "n", NOW_MS) {
                 let txn = Txn {
                     stamp: w.stamp,
                     token: None,
@@ -265,13 +265,13 @@
             }
             w.claimed = w.claimed.saturating_sub(w.leaving).max(1);
             w.leaving = 0;
-            let seen = Seen {
+            let seen = OwnerView {
                 claimed: w.claimed,
                 running: w.claimed,
                 quiet_ms: 0,
                 near: Vec::new(),
             };
-            if let Some(next) = w.rec.rec().next(rule, TASKS, "n", NOW_MS, &seen) {
+            if let Some(next) = w.rec.rec().next_record(rule, TASKS, "n", NOW_MS, &seen) {
                 let txn = Txn {
                     stamp: w.stamp,
                     token: Some(w.token),
