--- a/crates/control/src/agents/routing.rs
+++ b/crates/control/src/agents/routing.rs
@@ -6,8 +6,8 @@
 //! forwarded heartbeat is the worker's own, and the reply is the leader's own, with its token.
 
 use crate::Node;
-use crate::store::rate_budget::Bucket;
-use reach::{Caller, Leader, Turn, Ways};
+use crate::store::rate_budget::TokenBucket;
+use reach::{Leader, LeaderReachability, ReportRoute, Reporter};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use wire::api::Heartbeat;
 
@@ -20,7 +20,7 @@
 const OTHER_CONTROLLERS: Leader = Leader {
     node: 0,
     token: 1,
-    avoided: false,
+    accepts_no_workers: false,
 };
 const UNSEEN_TOKEN: u64 = 0;
 /// Hysteresis: spreading stops when the machines fall to this share of the number that starts it.
@@ -29,9 +29,9 @@
 /// Whether heartbeats are spread over all controllers, as far as this one knows.
 pub(crate) struct Routing {
     is_spread: bool,
-    redirects: Bucket,
+    redirects: TokenBucket,
     /// Which workers were redirected, and whether they reached their target.
-    ways: Ways,
+    reachability: LeaderReachability,
 }
 
 impl Routing {
@@ -39,8 +39,8 @@
     pub fn new() -> Self {
         Routing {
             is_spread: false,
-            redirects: Bucket::new(MIN_REDIRECTS_PER_S),
-            ways: Ways::default(),
+            redirects: TokenBucket::new(MIN_REDIRECTS_PER_S),
+            reachability: LeaderReachability::default(),
         }
     }
 }
@@ -48,12 +48,12 @@
 impl Node {
     /// Whether workers send their heartbeats to any controller, according to the leader's last status.
     pub(crate) fn is_spread(&self) -> bool {
-        self.routing.is_spread && self.relays()
+        self.routing.is_spread && self.may_relay()
     }
 
     /// Notes whether heartbeats are spread, according to the leader's status. The value is kept while the leader
     /// changes, so that the next leader doesn't receive the heartbeats of the whole fleet at once.
-    pub(crate) fn spread_heard(&mut self, is_spread: bool) {
+    pub(crate) fn note_spread(&mut self, is_spread: bool) {
         if !self.leads() {
             self.routing.is_spread = is_spread;
         }
@@ -85,7 +85,7 @@
     /// one of them has reached its target.
     pub(crate) fn redirect_target(&mut self, heartbeat: &Heartbeat) -> Option<String> {
         let now = self.now.mono;
-        if !self.is_spread() || !self.may_decide() || self.routing.redirects.level(now) < 1.0 {
+        if !self.is_spread() || !self.may_decide() || self.routing.redirects.available(now) < 1.0 {
             return None;
         }
         let shard = self.shard.as_ref()?;
@@ -93,12 +93,17 @@
             return None;
         }
         let peer = self.relay_for(heartbeat)?;
-        let caller = Caller {
+        let reporter = Reporter {
             machine: &heartbeat.machine,
             zone: &heartbeat.zone,
             token: UNSEEN_TOKEN,
         };
-        if self.routing.ways.came(now, &caller, OTHER_CONTROLLERS) == Turn::Take {
+        if self
+            .routing
+            .reachability
+            .route_report(now, &reporter, OTHER_CONTROLLERS)
+            == ReportRoute::Accept
+        {
             return None;
         }
         self.routing.redirects.take(now, 1.0);
@@ -109,7 +114,7 @@
     /// among several.
     fn relay_for(&self, heartbeat: &Heartbeat) -> Option<usize> {
         let peers = 0..self.settings.peers.len();
-        let alive: Vec<usize> = peers.filter(|peer| self.is_heard(*peer)).collect();
+        let alive: Vec<usize> = peers.filter(|peer| self.has_recent_status(*peer)).collect();
         let in_zone = |peer: &&usize| self.settings.peers[**peer].zone == heartbeat.zone;
         let same_zone: Vec<usize> = alive.iter().filter(in_zone).copied().collect();
         let candidates = if same_zone.is_empty() {
--- a/crates/control/src/documents/hours/moving.rs
+++ b/crates/control/src/documents/hours/moving.rs
@@ -1,8 +1,8 @@
 //! Moves of hours that operators request: of one job, or of all jobs of a studio to what the calendar in force says.
 
 use crate::Node;
-use crate::documents::hours::Hour;
-use crate::documents::refused;
+use crate::documents::hours::ReleaseHour;
+use crate::documents::refusal;
 use crate::jobs::job::{Ending, Job, JobIndex};
 use crate::leadership::election::SHARD;
 use crate::store::shard::Shard;
@@ -27,7 +27,7 @@
 /// A move of a job's hour that is not recorded yet.
 #[derive(Debug)]
 pub(crate) struct HourMove {
-    ix: JobIndex,
+    job_index: JobIndex,
     pub(super) job: String,
     due_ms: u64,
     version: u64,
@@ -82,12 +82,12 @@
         match self.begin_move(conn, id, to, by) {
             Ok(None) => {}
             Ok(Some(answer)) => self.respond(conn, 200, admin::encode(&answer), None),
-            Err(error) => self.deny_move(conn, &error),
+            Err(error) => self.answer_move_error(conn, &error),
         }
     }
 
-    fn deny_move(&mut self, conn: u64, error: &MoveError) {
-        self.deny_admin(conn, error.status(), refused(&error.to_string()));
+    fn answer_move_error(&mut self, conn: u64, error: &MoveError) {
+        self.refuse_operator(conn, error.status(), refusal(&error.to_string()));
     }
 
     /// Queues the move of a job's hour; returns the answer if the hour is already the requested one.
@@ -105,7 +105,7 @@
         let Some(shard) = &mut self.shard else {
             return Ok(None);
         };
-        let (ix, job) = movable_job(shard, id)?;
+        let (job_index, job) = movable_job(shard, id)?;
         let studio = calendar.studio_of(&job.team).unwrap_or_default();
         let due_ms = calendar.moment(studio, to).map_err(MoveError::NoSuchTime)?;
         let line = moved_line(job, due_ms, &calendar);
@@ -123,14 +123,14 @@
         log::info!("writing move of hour: {line}, requested by {by:?}");
         shard.hours.waiting_operators.insert(conn);
         shard.hours.moves.push_back(HourMove {
-            ix,
+            job_index,
             job: id.to_owned(),
             due_ms,
             version,
             by: sanitized_name(by),
             conn: Some(conn),
         });
-        self.to_write = true;
+        self.may_have_changes = true;
         Ok(None)
     }
 
@@ -139,7 +139,7 @@
         match self.begin_reagreement(studio, by, dry_run) {
             Ok(None) => {}
             Ok(Some(answer)) => self.respond(conn, 200, admin::encode(&answer), None),
-            Err(error) => self.deny_move(conn, &error),
+            Err(error) => self.answer_move_error(conn, &error),
         }
     }
 
@@ -159,12 +159,12 @@
         };
         let mut moves: Vec<HourMove> = Vec::new();
         let mut lines = Vec::new();
-        for (ix, job, due_ms) in jobs_to_reagree(shard, &active.built, studio) {
+        for (job_index, job, due_ms) in jobs_to_reagree(shard, &active.built, studio) {
             if lines.len() < MAX_MOVED_LINES {
                 lines.push(moved_line(job, due_ms, &active.built));
             }
             moves.push(HourMove {
-                ix,
+                job_index,
                 job: job.id.clone(),
                 due_ms,
                 version: active.version,
@@ -181,7 +181,7 @@
                 "writing moves of the hours of {jobs} jobs of {studio}, requested by {by:?}"
             );
             shard.hours.moves.extend(moves);
-            self.to_write = true;
+            self.may_have_changes = true;
         }
         Ok(Some(Moved {
             dry_run,
@@ -196,14 +196,14 @@
     let found = shard
         .jobs
         .index_of(id)
-        .and_then(|ix| Some((ix, shard.job(ix)?)));
-    let (ix, job) = found
+        .and_then(|job_index| Some((job_index, shard.job(job_index)?)));
+    let (job_index, job) = found
         .filter(|(_, job)| job.spec.is_some())
         .ok_or_else(|| MoveError::UnknownJob(id.to_owned()))?;
     if job.is_ending() || job.kind() == JobKind::Service {
         return Err(MoveError::NotMovable(id.to_owned()));
     }
-    Ok((ix, job))
+    Ok((job_index, job))
 }
 
 /// A studio's jobs whose hours differ from the calendar in force, with the hours that it gives them.
@@ -212,15 +212,19 @@
     calendar: &'a Calendar,
     studio: &'a str,
 ) -> impl Iterator<Item = (JobIndex, &'a Job, u64)> {
-    shard.jobs.iter().enumerate().filter_map(move |(ix, job)| {
-        let job = job.filter(|job| job.ending == Ending::No)?;
-        let spec = job.spec.as_ref().filter(|s| s.kind != JobKind::Service)?;
-        if calendar.studio_of(&job.team) != Some(studio) {
-            return None;
-        }
-        let due = calendar.due(&job.team, &spec.class, &job.id, job.at_ms)?;
-        (!is_due_at(job, due.at_ms)).then_some((ix, job, due.at_ms))
-    })
+    shard
+        .jobs
+        .iter()
+        .enumerate()
+        .filter_map(move |(job_index, job)| {
+            let job = job.filter(|job| job.ending == Ending::Undecided)?;
+            let spec = job.spec.as_ref().filter(|s| s.kind != JobKind::Service)?;
+            if calendar.studio_of(&job.team) != Some(studio) {
+                return None;
+            }
+            let due = calendar.due(&job.team, &spec.class, &job.id, job.at_ms)?;
+            (!is_due_at(job, due.at_ms)).then_some((job_index, job, due.at_ms))
+        })
 }
 
 fn is_due_at(job: &Job, due_ms: u64) -> bool {
@@ -253,14 +257,14 @@
 impl TransactionDraft {
     /// Writes the records of jobs whose hours move. Ends of jobs are put into the transaction earlier, so moves don't
     /// delay them.
-    pub fn hour_moves(
+    pub fn put_hour_moves(
         &mut self,
         shard: &mut Shard,
         wall: u64,
         value_bytes: usize,
         room: impl Fn(&TransactionDraft) -> bool,
     ) {
-        let max_moves = if shard.claim_log.fresh.is_empty() {
+        let max_moves = if shard.claim_log.unrecorded_claims.is_empty() {
             usize::MAX
         } else {
             MOVES_PER_TRANSACTION
@@ -273,14 +277,14 @@
                 return;
             };
             let job = shard
-                .job(hour_move.ix)
-                .filter(|job| job.id == hour_move.job && job.ending == Ending::No);
+                .job(hour_move.job_index)
+                .filter(|job| job.id == hour_move.job && job.ending == Ending::Undecided);
             let Some((job, spec)) = job.and_then(|job| Some((job, job.spec.as_ref()?))) else {
                 shard.hours.rejected_moves.push(hour_move);
                 continue;
             };
             let key = records::live_key(&job.id);
-            if self.writes_to(&key) {
+            if self.has_condition_on(&key) {
                 // Moved twice: the second move is written once the first is committed.
                 shard.hours.moves.push_front(hour_move);
                 return;
@@ -324,17 +328,17 @@
         hour_move.conn.iter().for_each(|conn| {
             shard.hours.waiting_operators.remove(conn);
         });
-        let Some(job) = shard.job_mut(hour_move.ix) else {
+        let Some(job) = shard.job_mut(hour_move.job_index) else {
             return;
         };
         let record = hour_move.record(job, wall);
         let from_ms = record.moved.as_ref().map_or(0, |m| m.from_ms);
         job.version = revision;
-        job.hour = Some(Hour::new(record));
-        let job = shard.jobs.get(hour_move.ix);
-        shard.hours.forget(from_ms, hour_move.ix);
+        job.hour = Some(ReleaseHour::new(record));
+        let job = shard.jobs.get(hour_move.job_index);
+        shard.hours.forget(from_ms, hour_move.job_index);
         if let Some(job) = job {
-            shard.hours.add(job, hour_move.ix);
+            shard.hours.add(job, hour_move.job_index);
         }
         shard.plan_triggers.request();
         let line = format!(
@@ -357,10 +361,10 @@
     /// read from the job's record.
     pub(crate) fn abandon_hour_moves(&mut self, mut shard: Shard) -> Shard {
         for conn in shard.hours.unanswered() {
-            self.deny_admin(
+            self.refuse_operator(
                 conn,
                 503,
-                refused("the leader changed; see the list of hours for whether the hour was moved"),
+                refusal("the leader changed; see the list of hours for whether the hour was moved"),
             );
         }
         shard
--- a/crates/control/src/documents/quotas.rs
+++ b/crates/control/src/documents/quotas.rs
@@ -2,12 +2,12 @@
 //! them, and a new version is written in one transaction with the allotment that refers to it.
 
 use crate::documents::{Document, Documents, Kind, KindId};
-use crate::scheduling::quota_usage::Counted;
+use crate::scheduling::quota_usage::QuotaUsage;
 use crate::store::shard::Shard;
 use crate::store::transaction::TransactionDraft;
 use crate::{Node, documents};
 use document::{Fault, Head};
-use quota::{Live, Spec, Tree, edit};
+use quota::{QuotaState, Spec, Tree, edit};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use wire::admin::{self, Edit, Question};
@@ -42,7 +42,7 @@
     fn apply_edit(edit: &Edit, old: &Spec, teams: &Vec<quota::Team>) -> Result<Spec, Fault> {
         match edit {
             Edit::Set { spec } => Ok(spec.clone()),
-            Edit::Move { name, to } => edit::transfer(old, teams, name, to.as_deref()),
+            Edit::Move { name, to } => edit::move_subtree(old, teams, name, to.as_deref()),
             Edit::Shrink {
                 name,
                 guarantee,
@@ -58,12 +58,12 @@
         let live = node
             .active_or_default_tree()
             .and_then(|tree| node.live_usage(&tree));
-        let found = live.and_then(|mut live| live.tree().team(&team).map(|t| live.why(t)));
+        let found = live.and_then(|mut live| live.tree().team(&team).map(|t| live.explain_wait(t)));
         match found {
             Some(why) => node.respond(conn, 200, admin::encode(&why), None),
             None => {
                 let why = format!("no team {team:?} in the settings");
-                node.deny_admin(conn, 404, documents::refused(&why))
+                node.refuse_operator(conn, 404, documents::refusal(&why))
             }
         }
     }
@@ -82,8 +82,8 @@
         admin::encode(&admin::Tree {
             version,
             spec,
-            nodes: live.as_ref().map(Live::nodes).unwrap_or_default(),
-            teams: live.as_ref().map(Live::teams).unwrap_or_default(),
+            nodes: live.as_ref().map(QuotaState::nodes).unwrap_or_default(),
+            teams: live.as_ref().map(QuotaState::teams).unwrap_or_default(),
             history: document.head.history.clone(),
             refused: document.rejection(),
         })
@@ -120,7 +120,7 @@
 }
 
 /// Nodes whose usage is above their maximum, and what happens to the excess, a line each.
-fn nodes_above_maximum(live: &Live) -> Vec<String> {
+fn nodes_above_maximum(live: &QuotaState) -> Vec<String> {
     let tree = live.tree();
     let mut lines = Vec::new();
     for (i, node) in tree.nodes.iter().enumerate() {
@@ -147,8 +147,8 @@
 
 impl Node {
     /// The usage of a tree at this moment.
-    fn live_usage(&self, tree: &Arc<Tree>) -> Option<Live> {
-        Some(Counted::new(self.shard.as_ref()?, tree.clone()).live)
+    fn live_usage(&self, tree: &Arc<Tree>) -> Option<QuotaState> {
+        Some(QuotaUsage::new(self.shard.as_ref()?, tree.clone()).live)
     }
 
     /// The tree in force, or a tree of the teams alone if there is none.
@@ -163,7 +163,7 @@
 
     /// On the leader, has the bounds of a new version recorded before any task starts under them.
     pub(crate) fn apply_active_tree(&mut self) {
-        self.refit_hours();
+        self.rebuild_calendar();
         let whole = self.whole_allotment();
         let Some(shard) = self.shard.as_mut().filter(|shard| shard.loaded) else {
             return;
@@ -171,9 +171,9 @@
         if shard.allotment.is_settled_on(&whole) {
             return;
         }
-        shard.allotment.want(whole);
+        shard.allotment.request(whole);
         shard.plan_triggers.request();
-        self.to_write = true;
+        self.may_have_changes = true;
         // Claims that were planned under the old bounds and are not recorded yet are planned again.
         self.drop_unrecorded_claims();
     }
@@ -182,8 +182,8 @@
     pub(crate) fn drop_unrecorded_claims(&mut self) {
         let Some(shard) = &mut self.shard else { return };
         let mut jobs = BTreeSet::new();
-        let fresh: Vec<_> = shard.claim_log.fresh.drain(..).collect();
-        for id in fresh {
+        let unrecorded: Vec<_> = shard.claim_log.unrecorded_claims.drain(..).collect();
+        for id in unrecorded {
             let is_unsent = shard
                 .claim_mut(&id)
                 .is_some_and(|c| c.state == crate::agents::machine::ClaimState::New && !c.sent);
@@ -191,16 +191,16 @@
                 shard.drop_claim(&id);
                 jobs.insert(id.job);
             } else {
-                shard.claim_log.fresh.push_back(id);
+                shard.claim_log.unrecorded_claims.push_back(id);
             }
         }
-        for ix in jobs {
-            self.job_changed(ix);
+        for job_index in jobs {
+            self.job_changed(job_index);
         }
     }
 
     /// Whether an amount exceeds the maximum of any node on a team's path.
-    pub(crate) fn above_its_tree(&self, team: &str, all: &quota::Amount) -> bool {
+    pub(crate) fn exceeds_quota_tree(&self, team: &str, all: &quota::Amount) -> bool {
         let Some(active) = &self.shared.documents.quota.active else {
             return false;
         };
--- a/crates/control/src/documents/reading.rs
+++ b/crates/control/src/documents/reading.rs
@@ -3,7 +3,7 @@
 use crate::documents::kind::{ALL, PartOf, prefix};
 use crate::documents::{Kind, for_kind};
 use crate::state_requests::PageCursor;
-use crate::store::recovery::Load;
+use crate::store::recovery::RecoveryStep;
 use crate::{Node, Pending};
 use std::collections::BTreeMap;
 use wire::api::{Item, Range};
@@ -118,7 +118,7 @@
         document.read_in_term = term;
         document.parts = found
             .iter()
-            .map(|(name, (stamp, _))| (name.clone(), *stamp))
+            .map(|(name, (record_version, _))| (name.clone(), *record_version))
             .collect();
         if document.is_current() {
             return;
@@ -141,7 +141,7 @@
             (false, _) => K::version_activated(self),
             (true, true) => self.load_documents(),
             // A new leader starts no task without the document: it reads again, beginning with the heads.
-            (true, false) => self.load_later(Load::Heads),
+            (true, false) => self.retry_load_later(RecoveryStep::Heads),
         }
     }
 
@@ -169,6 +169,6 @@
                 return for_kind!(kind, K => self.read_parts::<K>());
             }
         }
-        self.load_ended();
+        self.finish_recovery();
     }
 }
--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -84,7 +84,7 @@
             return self.malformed(requester, spec.id, fault);
         }
         if let Some(state) = self.final_states.get(&spec.id) {
-            return self.tell(requester, state);
+            return self.answer_state(requester, state);
         }
         if self.catalog().is_none() {
             return self.submit_without_catalog(requester, spec);
@@ -155,7 +155,7 @@
         if writes {
             self.has_room_for(conn)
         } else {
-            self.requests.level(self.now.mono) >= 1.0
+            self.requests.available(self.now.mono) >= 1.0
         }
     }
 
@@ -182,7 +182,7 @@
         };
         conditions.extend(absence_conditions(&spec.id));
         // Checked on each attempt, since another document version may have come into force meanwhile.
-        let (writes, denied) = match self.validated(spec, wall) {
+        let (writes, infeasible) = match self.validated(spec, wall) {
             Ok(rec) => {
                 let record = Record::Job(Box::new(rec));
                 (vec![Write::put(records::live_key(&spec.id), record)], None)
@@ -190,10 +190,10 @@
             Err(why) => (Vec::new(), Some(why)),
         };
         let body = wire::encode(&Transaction { conditions, writes });
-        let what = Pending::Accept {
+        let pending = Pending::Accept {
             submission,
-            denied,
-            mark: self.answer_history.mark(),
+            infeasible,
+            answer_mark: self.answer_history.mark(),
         };
         self.send(
             Destination::State,
@@ -201,7 +201,7 @@
             "/txn".into(),
             body,
             ACCEPT_TIMEOUT_MS,
-            what,
+            pending,
         );
     }
 
@@ -216,7 +216,7 @@
         } = submission;
         if retries >= MAX_RETRIES || now >= started_at + RETRY_WINDOW_MS {
             // An earlier attempt may have been accepted; a retry by the requester gets the outcome.
-            return self.answer_error(requester, 503, "state service not available");
+            return self.answer_error(requester, 503, "the state service is not available");
         }
         let due = now + self.rng.u64(RETRY_DELAY_MS);
         self.retries.push_back((
@@ -232,12 +232,12 @@
     pub(crate) fn accept_answered(
         &mut self,
         submission: Submission,
-        denied: Option<Infeasible>,
-        mark: u64,
+        infeasible: Option<Infeasible>,
+        answer_mark: u64,
         response: Option<Response>,
     ) {
         let requester = submission.requester;
-        match (response.as_ref().map(|r| r.status), denied) {
+        match (response.as_ref().map(|r| r.status), infeasible) {
             // The state service may be unavailable to this node only, so another may accept the job at once. If our own
             // transaction has succeeded, that node will find the job known.
             (None | Some(503), _) if let Requester::User(conn) = requester => {
@@ -247,7 +247,7 @@
             (Some(200), Some(_))
                 if self
                     .answer_history
-                    .may_have_answered_since(&submission.spec.id, mark) =>
+                    .may_have_answered_since(&submission.spec.id, answer_mark) =>
             {
                 self.query_for(requester, submission.spec.id, Purpose::Resubmission)
             }
@@ -268,7 +268,7 @@
             (Some(409), _) => self.query_for(requester, submission.spec.id, Purpose::Resubmission),
             (Some(429 | 503), _) => self.retry_accept_later(submission),
             // The job may have been accepted; a retry by the requester gets the outcome.
-            _ => self.answer_error(requester, 503, "state service not available"),
+            _ => self.answer_error(requester, 503, "the state service is not available"),
         }
     }
 
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -1,7 +1,7 @@
 //! Requests from peers. A request that a peer forwards on behalf of a user goes only to the leader and the state
 //! service; it is not forwarded a second time.
 
-use crate::jobs::query::{Purpose, Question};
+use crate::jobs::query::{Lookup, Purpose};
 use crate::{Destination, Node, Pending, Requester};
 use wire::http::{Request, Response};
 use wire::peer::{self, PeerRequest, PeerResponse, PeerStatus};
@@ -33,14 +33,14 @@
             PeerRequest::Cancel { job } => self.cancel(&job, Requester::Peer(conn)),
             PeerRequest::Submit { spec } => self.submit(Requester::Peer(conn), *spec),
             PeerRequest::Lookup { job, past_leader } => {
-                let question = self.question(Requester::Peer(conn), job, Purpose::Query);
-                self.query(Question {
+                let lookup = self.new_lookup(Requester::Peer(conn), job, Purpose::Query);
+                self.query(Lookup {
                     past_leader,
-                    ..question
+                    ..lookup
                 })
             }
             PeerRequest::Leads { node, token } => {
-                self.leader_asserted(node, token);
+                self.leadership_claimed(node, token);
                 self.answer_peer(conn, &PeerResponse::NotNow);
             }
             PeerRequest::PeerStatus(status) => self.exchange_peer_status(conn, status),
@@ -56,16 +56,16 @@
         }
     }
 
-    /// Sends a request to a peer. `what` says what its answer belongs to.
-    pub(crate) fn ask_peer(
+    /// Sends a request to a peer. `pending` determines how its answer is handled.
+    pub(crate) fn send_peer_request(
         &mut self,
         peer: usize,
         request: &PeerRequest,
         timeout_ms: u64,
-        what: Pending,
+        pending: Pending,
     ) {
         let (to, body) = (Destination::Peer(peer), peer::encode(request));
-        self.send(to, "POST", peer::PATH.into(), body, timeout_ms, what);
+        self.send(to, "POST", peer::PATH.into(), body, timeout_ms, pending);
     }
 
     /// Answers a peer's request.
@@ -77,7 +77,7 @@
     /// does not know the job.
     fn queried_as_leader(&mut self, conn: u64, job: &str) {
         match self.state_as_leader(job) {
-            Some(state) => self.tell(Requester::Peer(conn), state),
+            Some(state) => self.answer_state(Requester::Peer(conn), state),
             None if self.may_decide() => self.answer_peer(conn, &PeerResponse::Unknown),
             None => self.answer_peer(conn, &PeerResponse::NotNow),
         }
@@ -85,8 +85,8 @@
 
     /// Handles a peer's status, and answers with this node's status and the lease delegation for the peer.
     fn exchange_peer_status(&mut self, conn: u64, status: PeerStatus) {
-        let Some(peer) = self.peer_status_seen(status) else {
-            let why = "peer status: unknown node, or an impossible token";
+        let Some(peer) = self.store_peer_status(status) else {
+            let why = "peer status: unknown node, or an implausible token";
             return self.refuse(conn, 400, why);
         };
         let status = PeerStatus {
--- a/crates/control/src/models/idle_watch.rs
+++ b/crates/control/src/models/idle_watch.rs
@@ -6,8 +6,8 @@
 use crate::jobs::job::{Ending, Job, JobIndex};
 use crate::models::VersionedRecord;
 use crate::models::weights::machines_with_weights;
-use crate::scheduling::apply_plan::grace;
-use model::{Asked, Begin, Phase, Rec, Rule, Seen, asked};
+use crate::scheduling::apply_plan::grace_period_s;
+use model::{Begin, DemandDecision, OwnerView, Phase, Rec, Rule, decide_demand};
 use std::collections::BTreeSet;
 
 /// Interval between checks of models that are up or waking.
@@ -17,10 +17,10 @@
 
 /// What the leader sees when it checks a model.
 struct Observation {
-    ix: JobIndex,
+    job_index: JobIndex,
     rule: Rule,
     known: VersionedRecord,
-    seen: Seen,
+    view: OwnerView,
     tasks: u32,
     job_version: u64,
 }
@@ -28,7 +28,7 @@
 impl Observation {
     /// Whether a record exists and says that the model is not up.
     fn is_asleep(&self) -> bool {
-        self.known.stamp > 0 && !self.known.record.is_up()
+        self.known.record_version > 0 && !self.known.record.is_up()
     }
 }
 
@@ -36,11 +36,13 @@
     /// Removes old demand; on the leader, watches the records and checks the models.
     pub(crate) fn models_tick(&mut self) {
         self.demand_tick();
-        if !self.models.in_force() || !self.may_decide() || self.models_to_read() {
+        if !self.models.in_force() || !self.may_decide() || self.needs_model_records() {
             return;
         }
         let now = self.now.mono;
-        if !self.models.leader_state.watching && now >= self.models.leader_state.next_watch_at {
+        if !self.models.leader_state.watch_in_flight
+            && now >= self.models.leader_state.next_watch_at
+        {
             self.watch_models();
         }
         if now < self.models.leader_state.checked_at + CHECK_INTERVAL_MS {
@@ -65,16 +67,16 @@
     }
 
     /// What the leader sees of a model.
-    pub(super) fn seen(&self, job: &Job) -> Seen {
+    pub(super) fn owner_view(&self, job: &Job) -> OwnerView {
         let now = self.now.mono;
-        let since = self.shard.as_ref().map_or(0, |shard| shard.since);
-        let last_demand = self.models.demand.last_demand(&job.id).max(since);
+        let ready_since = self.shard.as_ref().map_or(0, |shard| shard.ready_since);
+        let last_demand = self.models.demand.last_demand(&job.id).max(ready_since);
         let near = self
             .shard
             .as_ref()
             .map(|shard| machines_with_weights(shard, job))
             .unwrap_or_default();
-        Seen {
+        OwnerView {
             claimed: job.claimed.len() as u32,
             running: job.running,
             quiet_ms: now.saturating_sub(last_demand),
@@ -98,12 +100,12 @@
         let Observation { known, rule, .. } = &observation;
         if observation.is_asleep() {
             self.stop_replicas(
-                observation.ix,
+                observation.job_index,
                 known.record.replicas(rule, observation.tasks),
             );
         }
         let Some(record) = next else {
-            return known.record.phase != Phase::Asleep || observation.seen.claimed > 0;
+            return known.record.phase != Phase::Asleep || observation.view.claimed > 0;
         };
         if self.models.leader_state.writes.len() >= MAX_WRITES_IN_FLIGHT {
             return true;
@@ -112,7 +114,7 @@
         self.write_record(
             model,
             Some(record),
-            known.stamp,
+            known.record_version,
             Some(observation.job_version),
         );
         true
@@ -121,14 +123,16 @@
     /// What the leader sees of a model now; `None` unless a rule matches its job and the job is not ending.
     fn observe(&self, model: &str) -> Option<Observation> {
         let shard = self.shard.as_ref()?;
-        let ix = shard.jobs.index_of(model)?;
-        let job = shard.job(ix).filter(|job| job.ending == Ending::No)?;
+        let job_index = shard.jobs.index_of(model)?;
+        let job = shard
+            .job(job_index)
+            .filter(|job| job.ending == Ending::Undecided)?;
         let rule = self.models.rule(job.spec.as_ref()?)?;
         Some(Observation {
-            ix,
+            job_index,
             rule,
             known: self.models.known(model).unwrap_or_default(),
-            seen: self.seen(job),
+            view: self.owner_view(job),
             tasks: job.tasks,
             job_version: job.version,
         })
@@ -139,20 +143,22 @@
         let Observation {
             known,
             rule,
-            seen,
+            view,
             tasks,
             ..
         } = observation;
         let (node, wall) = (self.settings.node.as_str(), self.now.wall);
-        let is_first = known.stamp == 0 && (rule.begin == Begin::Awake || seen.claimed > 0);
+        let is_first =
+            known.record_version == 0 && (rule.begin == Begin::Awake || view.claimed > 0);
         let is_wanted_again =
             observation.is_asleep() && self.demanded_since(model, known.record.since_ms);
         if (is_first || is_wanted_again)
-            && let Asked::Wake(record) = asked(&known.record, rule, *tasks, node, wall)
+            && let DemandDecision::Wake(record) =
+                decide_demand(&known.record, rule, *tasks, node, wall)
         {
             return Some(*record);
         }
-        known.record.next(rule, *tasks, node, wall, seen)
+        known.record.next_record(rule, *tasks, node, wall, view)
     }
 
     /// Whether this node has seen demand after the model was put to sleep, by a decision that was made before the
@@ -168,10 +174,10 @@
     }
 
     /// Stops all replicas but the first `keep` ones.
-    fn stop_replicas(&mut self, ix: JobIndex, keep: u32) {
+    fn stop_replicas(&mut self, index: JobIndex, keep: u32) {
         let Some(shard) = &mut self.shard else { return };
-        let Some(job) = shard.job(ix) else { return };
-        let grace = job.spec.as_deref().map_or(0.0, grace);
+        let Some(job) = shard.job(index) else { return };
+        let grace_s = job.spec.as_deref().map_or(0.0, grace_period_s);
         let surplus = surplus_tasks(job, keep);
         let machines: BTreeSet<usize> = job
             .claimed
@@ -180,12 +186,12 @@
             .flat_map(|(_, claims)| claims)
             .map(|(machine, _)| *machine)
             .collect();
-        for m in machines {
-            let Some(machine) = shard.machine_mut(m) else {
+        for machine_index in machines {
+            let Some(machine) = shard.machine_mut(machine_index) else {
                 continue;
             };
-            if stop_claims(machine, ix, &surplus, grace) {
-                shard.push.insert(m);
+            if stop_claims(machine, index, &surplus, grace_s) {
+                shard.machines_with_orders.insert(machine_index);
             }
         }
     }
@@ -199,12 +205,12 @@
 }
 
 /// Stops a job's claims for some tasks on a machine; true if the machine has to be notified.
-fn stop_claims(machine: &mut Machine, job: JobIndex, tasks: &BTreeSet<u32>, grace: f64) -> bool {
+fn stop_claims(machine: &mut Machine, job: JobIndex, tasks: &BTreeSet<u32>, grace_s: f64) -> bool {
     let mut is_changed = false;
     let claims = machine.claims.iter_mut();
     for claim in claims.filter(|c| c.job == job && tasks.contains(&c.task)) {
         is_changed |= claim.stop.is_none();
-        claim.stop.get_or_insert(grace);
+        claim.stop.get_or_insert(grace_s);
     }
     is_changed
 }
--- a/crates/control/src/models/wake_up.rs
+++ b/crates/control/src/models/wake_up.rs
@@ -5,7 +5,7 @@
 use crate::models::demand::{CachedStatus, MAX_MODELS, UNAVAILABLE, Waiter};
 use crate::state_requests::encode_transaction;
 use crate::{Node, Pending};
-use model::{Asked, Rec, Rule, asked};
+use model::{DemandDecision, Rec, Rule, decide_demand};
 use wire::api::{Condition, Item, JobSpec, Revision, Write};
 use wire::http::Response;
 use wire::models::ModelStatus;
@@ -16,7 +16,7 @@
 const MAX_TRIES: u32 = 5;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Step {
+pub(crate) enum WakeUpStep {
     Job,
     Record,
     Write,
@@ -27,7 +27,7 @@
     /// Who is answered when the wake-up ends.
     pub(super) waiters: Vec<Waiter>,
     /// The leader could not be notified, so the demand has to be written to the record.
-    pub(super) touch: bool,
+    pub(super) must_record_demand: bool,
     tries: u32,
     job: Option<WantedJob>,
     /// The record that is being written.
@@ -54,19 +54,19 @@
     /// A wake-up without a waiter: it records a demand that the leader could not be notified of.
     pub fn for_leader() -> WakeUp {
         WakeUp {
-            touch: true,
+            must_record_demand: true,
             ..WakeUp::default()
         }
     }
 }
 
 /// A transaction that writes a model's record if neither the record nor the job has changed since they were read.
-fn record_transaction(model: &str, record: &Rec, stamp: u64, job_version: u64) -> Vec<u8> {
+fn record_transaction(model: &str, record: &Rec, record_version: u64, job_version: u64) -> Vec<u8> {
     let key = records::model_key(model);
     let conditions = vec![
         Condition {
             key: key.clone(),
-            version: stamp,
+            version: record_version,
         },
         Condition {
             key: records::live_key(model),
@@ -104,11 +104,11 @@
             }
             return;
         }
-        self.read_for_wake_up(model, Step::Job);
+        self.read_for_wake_up(model, WakeUpStep::Job);
     }
 
-    fn read_for_wake_up(&mut self, model: &str, step: Step) {
-        let key = if step == Step::Job {
+    fn read_for_wake_up(&mut self, model: &str, step: WakeUpStep) {
+        let key = if step == WakeUpStep::Job {
             records::live_key(model)
         } else {
             records::model_key(model)
@@ -139,16 +139,16 @@
     pub(crate) fn wake_up_received(
         &mut self,
         model: String,
-        step: Step,
+        step: WakeUpStep,
         response: Option<Response>,
     ) {
         if !self.models.demand.wake_ups.contains_key(&model) {
             return;
         }
         match step {
-            Step::Job => self.wake_up_job_read(&model, response),
-            Step::Record => self.wake_up_record_read(&model, response),
-            Step::Write => self.wake_up_written(&model, response),
+            WakeUpStep::Job => self.wake_up_job_read(&model, response),
+            WakeUpStep::Record => self.wake_up_record_read(&model, response),
+            WakeUpStep::Write => self.wake_up_written(&model, response),
         }
     }
 
@@ -165,7 +165,7 @@
             return self.fail_wake_up(model, 503, "the record can't be decoded");
         };
         if self.rule_found(model, Box::new(item.value.spec), item.version) {
-            self.read_for_wake_up(model, Step::Record);
+            self.read_for_wake_up(model, WakeUpStep::Record);
         }
     }
 
@@ -180,7 +180,7 @@
         };
         let known = VersionedRecord {
             record: item.value,
-            stamp: item.version,
+            record_version: item.version,
         };
         self.record_found(model, known);
     }
@@ -204,11 +204,11 @@
         if self.may_decide() {
             let known = VersionedRecord {
                 record: record.clone(),
-                stamp: revision,
+                record_version: revision,
             };
             self.record_observed(model, known);
         }
-        self.complete_wake_up(model, &record, &Asked::Follow);
+        self.complete_wake_up(model, &record, &DemandDecision::Follow);
     }
 
     /// Reads the job and the record again: a transaction that was made shows in the record, and one that arrives late
@@ -221,7 +221,7 @@
         if wake_up.tries >= MAX_TRIES {
             return self.fail_wake_up(model, 503, UNAVAILABLE);
         }
-        self.read_for_wake_up(model, Step::Job);
+        self.read_for_wake_up(model, WakeUpStep::Job);
     }
 
     fn record_found(&mut self, model: &str, known: VersionedRecord) {
@@ -238,27 +238,27 @@
         else {
             return;
         };
-        let asked = asked(&known.record, rule, spec.tasks, &node, wall);
-        let (version, touch) = (*version, wake_up.touch);
-        let record = match &asked {
-            Asked::Wake(record) => Some((**record).clone()),
-            Asked::Follow if touch => known.record.touched(wall),
+        let decision = decide_demand(&known.record, rule, spec.tasks, &node, wall);
+        let (version, must_record_demand) = (*version, wake_up.must_record_demand);
+        let record = match &decision {
+            DemandDecision::Wake(record) => Some((**record).clone()),
+            DemandDecision::Follow if must_record_demand => known.record.with_demand_at(wall),
             _ => None,
         };
         let Some(record) = record else {
-            return self.complete_wake_up(model, &known.record, &asked);
+            return self.complete_wake_up(model, &known.record, &decision);
         };
-        if self.requests.level(now) < 1.0 || self.writes.level(now) < 1.0 {
+        if self.requests.available(now) < 1.0 || self.writes.available(now) < 1.0 {
             return self.fail_wake_up(model, 503, "busy");
         }
         self.writes.take(now, 1.0);
-        let body = record_transaction(model, &record, known.stamp, version);
+        let body = record_transaction(model, &record, known.record_version, version);
         if let Some(wake_up) = self.models.demand.wake_ups.get_mut(model) {
             wake_up.record = Some(record);
         }
         let pending = Pending::WakeUp {
             model: model.to_owned(),
-            step: Step::Write,
+            step: WakeUpStep::Write,
         };
         self.post_transaction(body, TIMEOUT_MS, pending);
     }
@@ -270,16 +270,16 @@
     }
 
     /// Ends a wake-up and answers all its waiters with the model's status.
-    fn complete_wake_up(&mut self, model: &str, record: &Rec, asked: &Asked) {
+    fn complete_wake_up(&mut self, model: &str, record: &Rec, decision: &DemandDecision) {
         let Some(wake_up) = self.remove_wake_up(model) else {
             return;
         };
         let Some(WantedJob { spec, rule, .. }) = &wake_up.job else {
             return;
         };
-        let status = self.model_status(spec, record, asked);
+        let status = self.model_status(spec, record, decision);
         if record.is_up() {
-            self.model_is_up(model, rule.say_again_ms(), &wake_up, &status);
+            self.model_is_up(model, rule.demand_refresh_ms(), &wake_up, &status);
         }
         for waiter in wake_up.waiters {
             self.answer_demand(waiter, &status);
@@ -308,7 +308,7 @@
         if !wake_up.waiters.is_empty() {
             demand.note_demand(model, now);
         }
-        if !wake_up.touch {
+        if !wake_up.must_record_demand {
             self.notify_leader(model, notify_interval_ms);
         }
     }
@@ -318,7 +318,7 @@
             return;
         };
         for waiter in wake_up.waiters {
-            self.deny_demand(waiter, status, why);
+            self.refuse_demand(waiter, status, why);
         }
     }
 }
--- a/crates/control/src/provisioning/mod.rs
+++ b/crates/control/src/provisioning/mod.rs
@@ -16,12 +16,12 @@
 impl Node {
     /// Watches the live jobs if that is due. While the lease is valid, it also sends the requests that are due to the
     /// cloud: rentals first, then returns, then the list.
-    pub(crate) fn fleet_tick(&mut self) {
+    pub(crate) fn provisioning_tick(&mut self) {
         let now = self.now.mono;
         let has_valid_lease = self.has_valid_lease();
         let Some(shard) = &mut self.shard else { return };
         if shard.live_watch.is_due(now) {
-            self.watch_live();
+            self.watch_live_jobs();
         }
         if !has_valid_lease {
             return;
@@ -31,15 +31,21 @@
         self.request_list_page();
     }
 
-    /// Sends a request to the cloud. `what` says what its answer belongs to.
-    fn ask_cloud(&mut self, method: &'static str, path: String, body: Vec<u8>, what: Pending) {
+    /// Sends a request to the cloud. `pending` determines how its answer is handled.
+    fn send_cloud_request(
+        &mut self,
+        method: &'static str,
+        path: String,
+        body: Vec<u8>,
+        pending: Pending,
+    ) {
         self.send(
             Destination::Cloud,
             method,
             path,
             body,
             CLOUD_TIMEOUT_MS,
-            what,
+            pending,
         );
     }
 }
--- a/crates/control/src/provisioning/rentals.rs
+++ b/crates/control/src/provisioning/rentals.rs
@@ -31,7 +31,7 @@
 
 impl Node {
     /// Adds a rental. It is sent to the cloud once its record is stored.
-    pub(crate) fn rental(&mut self, machine_type: &str, zone: &str, spot: bool, count: u32) {
+    pub(crate) fn add_rental(&mut self, machine_type: &str, zone: &str, spot: bool, count: u32) {
         let wall = self.now.wall;
         let Some(shard) = &mut self.shard else { return };
         let serial = shard.next_serial();
@@ -49,7 +49,7 @@
             Rental {
                 record: rec,
                 version: 0,
-                busy: false,
+                in_flight: false,
                 retry_at: 0,
                 state: RentalState::New,
             },
@@ -61,7 +61,7 @@
         let (now, term) = (self.now.mono, self.term);
         let Some(shard) = &self.shard else { return };
         let is_due = |rental: &Rental| {
-            rental.state == RentalState::Recorded && !rental.busy && rental.retry_at <= now
+            rental.state == RentalState::Recorded && !rental.in_flight && rental.retry_at <= now
         };
         let due: Vec<(String, RentalRecord)> = shard
             .rentals
@@ -78,7 +78,7 @@
                 .as_mut()
                 .and_then(|shard| shard.rentals.get_mut(&name))
             {
-                rental.busy = true;
+                rental.in_flight = true;
             }
             let body = wire::encode(&HireRequest {
                 request: name.clone(),
@@ -87,8 +87,8 @@
                 spot: rec.spot,
                 count: rec.count,
             });
-            let what = Pending::Rental { term, name };
-            self.ask_cloud("POST", "/machines".into(), body, what);
+            let pending = Pending::RentMachines { term, name };
+            self.send_cloud_request("POST", "/machines".into(), body, pending);
         }
     }
 
@@ -101,17 +101,17 @@
         let Some(rental) = shard.rentals.get_mut(&name) else {
             return;
         };
-        self.to_write = true;
-        rental.busy = false;
+        self.may_have_changes = true;
+        rental.in_flight = false;
         let rec = rental.record.clone();
         match answer {
             RentalAnswer::Granted(machines) => {
-                rental.state = RentalState::Over;
+                rental.state = RentalState::Answered;
                 shard.rental_granted(&rec, machines, now);
             }
             RentalAnswer::Refused => {
                 log::info!("rental {name}: refused, or no capacity");
-                rental.state = RentalState::Over;
+                rental.state = RentalState::Answered;
                 shard.rental_refused(&rec, now);
             }
             RentalAnswer::Unknown => rental.retry_at = now + wait,
@@ -128,7 +128,7 @@
         };
         match response.status {
             200 => self
-                .read::<MachineNames>("cloud", &response)
+                .decode_answer::<MachineNames>("cloud", &response)
                 .map_or(RentalAnswer::Unknown, |got| {
                     RentalAnswer::Granted(got.machines)
                 }),
--- a/crates/control/src/scheduling/entitlement.rs
+++ b/crates/control/src/scheduling/entitlement.rs
@@ -1,15 +1,15 @@
 //! Entitlement: how many levels of guarantees cover each job's tasks. In nested quotas a task may be covered by its
 //! team's own guarantee, by what sibling teams leave of their parent's guarantee, and so on up to the root's.
 //!
-//! A task that guarantees cover is called held, as in [`plan::Job::held`].
+//! A task that guarantees cover is called held, as in [`plan::Job::guarantee_levels`].
 
 use super::fair_share::fulfilled_share;
 use super::quota_usage::open_tasks;
 use crate::documents::quotas::ActiveTree;
 use crate::jobs::job::JobIndex;
-use crate::scheduling::quota_usage::{Counted, takes};
+use crate::scheduling::quota_usage::{QuotaUsage, resource_amount};
 use crate::store::shard::Shard;
-use quota::{Amount, Live, MAX_RESOURCES, Share, TeamId, Tree};
+use quota::{Amount, EntitledAmounts, MAX_RESOURCES, QuotaState, TeamId, Tree};
 use std::collections::{HashMap, HashSet};
 use wire::api::{JobSpec, Kind};
 use wire::settings::Team;
@@ -92,10 +92,10 @@
 fn nested_levels(
     shard: &Shard,
     open: &[(JobIndex, &JobSpec)],
-    live: &mut Live,
+    live: &mut QuotaState,
 ) -> HashMap<JobIndex, Levels> {
     let tree = live.tree().clone();
-    let mut left: HashMap<TeamId, Vec<Share>> = HashMap::new();
+    let mut left: HashMap<TeamId, Vec<EntitledAmounts>> = HashMap::new();
     let mut out = HashMap::new();
     for (job_index, spec) in open {
         let Some(team) = tree.team(&spec.team) else {
@@ -114,7 +114,7 @@
             *job_index,
             allocate_levels(
                 left,
-                &takes(spec.cores, spec.gpus, spec.mem_gb),
+                &resource_amount(spec.cores, spec.gpus, spec.mem_gb),
                 tasks,
                 spec.kind,
             ),
@@ -125,7 +125,7 @@
 
 /// Deducts a job's tasks from what its team is entitled to on each level, as far as they fit. Tasks of an array are
 /// counted one by one, those of other jobs all or none.
-fn allocate_levels(left: &mut [Share], need: &Amount, tasks: u32, kind: Kind) -> Levels {
+fn allocate_levels(left: &mut [EntitledAmounts], need: &Amount, tasks: u32, kind: Kind) -> Levels {
     let mut levels = vec![0; left.len()];
     let mut deeper = 0;
     for (at, share) in left.iter_mut().enumerate().rev() {
@@ -232,8 +232,8 @@
     active: Option<&ActiveTree>,
     team_index: &HashMap<&str, u16>,
 ) -> Entitlement {
-    let touched = shard.take_touched();
-    let previous = shard.counted.take();
+    let changed = shard.take_changed_since_plan();
+    let previous = shard.quota_usage.take();
     let Some(active) = active else {
         return Entitlement::flat(within_guarantee(shard, &open_jobs(shard), teams));
     };
@@ -242,31 +242,31 @@
     if tree.nodes.is_empty() {
         return Entitlement::flat(within_guarantee(shard, &open_jobs(shard), &guarantees));
     }
-    let mut counted = match previous.filter(|(version, _)| *version == active.version) {
-        Some((_, mut counted)) => {
-            counted.update(shard, touched);
-            counted
+    let mut usage = match previous.filter(|(version, _)| *version == active.version) {
+        Some((_, mut usage)) => {
+            usage.update(shard, changed);
+            usage
         }
-        None => Counted::new(shard, tree.clone()),
+        None => QuotaUsage::new(shard, tree.clone()),
     };
     debug_assert!(
-        counted.is_consistent(shard),
-        "a job changed without being marked as touched"
+        usage.is_consistent(shard),
+        "a job changed without being listed in `changed_since_plan`"
     );
     let open = open_jobs(shard);
     let entitlement = Entitlement {
         flat: within_guarantee(shard, &open, &guarantees),
-        nested: nested_levels(shard, &open, &mut counted.live),
-        fulfilled: fulfilled_by_team(tree, &counted.live, team_index),
+        nested: nested_levels(shard, &open, &mut usage.live),
+        fulfilled: fulfilled_by_team(tree, &usage.live, team_index),
     };
-    shard.counted = Some((active.version, counted));
+    shard.quota_usage = Some((active.version, usage));
     entitlement
 }
 
 /// For each team below a node, the share of its due guarantee that its least fulfilled node uses.
 fn fulfilled_by_team(
     tree: &Tree,
-    live: &Live,
+    live: &QuotaState,
     team_index: &HashMap<&str, u16>,
 ) -> HashMap<u16, f64> {
     tree.leaves
--- a/crates/control/src/scheduling/plan_input.rs
+++ b/crates/control/src/scheduling/plan_input.rs
@@ -3,7 +3,7 @@
 
 use super::reservations::reservations;
 use crate::agents::machine::Need;
-use crate::jobs::class::Class;
+use crate::jobs::class::ClassStatistics;
 use crate::jobs::job::{Job, JobIndex};
 use crate::scheduling::entitlement::Entitlement;
 use crate::scheduling::{entitlement, fair_share};
@@ -91,8 +91,8 @@
     fn of(
         job: &Job,
         teams: &HashMap<&str, u16>,
-        classes: &BTreeMap<String, Class>,
-        images: &mut shard::Names,
+        classes: &BTreeMap<String, ClassStatistics>,
+        images: &mut shard::NameInterner,
     ) -> Self {
         let team = teams.get(job.team.as_str()).copied();
         let Some(spec) = &job.spec else {
@@ -103,7 +103,9 @@
                 image: None,
             };
         };
-        let factor = classes.get(&spec.class).map_or(1.0, Class::factor);
+        let factor = classes
+            .get(&spec.class)
+            .map_or(1.0, ClassStatistics::estimate_factor);
         ClaimedJob {
             team,
             expected_s: (spec.estimate_s * factor - job.progress_s).max(1.0),
@@ -138,7 +140,7 @@
     /// Marks the jobs that have begun to run. This precedes `add_jobs`, which reads whether jobs still wait.
     fn note_begun_jobs(&mut self) {
         for job in self.shard.jobs.iter_mut().flatten() {
-            job.began |= job.running > 0;
+            job.was_running_at_plan |= job.running > 0;
         }
     }
 
@@ -189,8 +191,8 @@
         };
         let teams = index_names(cluster.teams.iter().map(|team| &team.name));
         let entitlement = entitlement::entitlement(shard, &cluster.teams, active.as_ref(), &teams);
-        if let (Some(tree), Some((_, counted))) = (&tree, &shard.counted) {
-            input.groups = fair_share::planner_groups(tree, &counted.live);
+        if let (Some(tree), Some((_, usage))) = (&tree, &shard.quota_usage) {
+            input.groups = fair_share::planner_groups(tree, &usage.live);
         }
         let unguaranteed_teams = tree
             .iter()
@@ -233,8 +235,8 @@
             online_factor: self.tuning.online_factor,
             patience: self.tuning.patience_s,
             aging: plan::AgingThresholds {
-                old: self.tuning.wait_s,
-                latest: self.tuning.latest_s,
+                aged_after: self.tuning.wait_s,
+                first_of_all_after: self.tuning.latest_s,
             },
             max_steps: (self.settings.limits().cores * STEPS_PER_CORE) as u64,
             ..plan::Input::default()
@@ -268,7 +270,7 @@
             let whole_limits = is_whole.then_some((team.cpus_max, team.gpus_max));
             let (cpus_max, gpus_max) = listed_limits.or(whole_limits).unwrap_or(NO_ALLOTMENT);
             plan::Team {
-                path: path.into_iter().map(|node| node.0 as u16).collect(),
+                groups: path.into_iter().map(|node| node.0 as u16).collect(),
                 cores_used: 0.0,
                 gpus_used: 0.0,
                 cores_max: planner_limit(cpus_max),
--- a/crates/control/src/scheduling/plan_jobs.rs
+++ b/crates/control/src/scheduling/plan_jobs.rs
@@ -3,7 +3,7 @@
 use super::objectives::Objectives;
 use super::plan_input::{InputBuilder, NameIndex, Scope};
 use crate::documents::county_counts;
-use crate::jobs::class::Class;
+use crate::jobs::class::ClassStatistics;
 use crate::jobs::job::{Ending, Job, JobIndex};
 use crate::scheduling::urgent;
 use crate::store::shard;
@@ -36,11 +36,11 @@
             return;
         };
         let Some(spec) = &job.spec else { return };
-        if job.ending != Ending::No || job.backoff_until > now.mono {
+        if job.ending != Ending::Undecided || job.backoff_until > now.mono {
             return;
         }
         let age_s = now.wall.saturating_sub(job.at_ms) as f64 / 1000.0;
-        let is_old = age_s >= self.input.aging.old;
+        let is_old = age_s >= self.input.aging.aged_after;
         let goes_first = urgent::is_urgent(spec) || is_old && spec.kind != Kind::Service;
         if scope == Scope::Urgent && !goes_first {
             return;
@@ -52,19 +52,22 @@
         if pending == 0 {
             return;
         }
-        let factor = shard.classes.get(&spec.class).map_or(1.0, Class::factor);
+        let factor = shard
+            .classes
+            .get(&spec.class)
+            .map_or(1.0, ClassStatistics::estimate_factor);
         let template = plan::Job {
             arrival: -age_s,
             estimate: (spec.estimate_s * factor - job.progress_s).max(1.0),
-            zones: tasks_by_zone(job, zone_of),
-            waits: job.waits(),
-            avoid: job
+            tasks_by_zone: tasks_by_zone(job, zone_of),
+            awaits_first_start: job.may_await_first_start(),
+            excluded_machines: job
                 .failed_on
                 .iter()
                 .filter_map(|m| self.machine_index.get(m).copied())
                 .collect(),
             tenant: job.tenant,
-            only: county_counts::zones(job, &self.names.zones),
+            allowed_zones: county_counts::allowed_zones(job, &self.names.zones),
             ..planner_job(spec, &mut shard.images, &self.names, *team)
         };
         let objectives = Objectives {
@@ -74,22 +77,22 @@
         let parts =
             self.entitlement
                 .waiting(job_index, spec, self.continuing_claims[job_index], pending);
-        for (k, (held, pending)) in parts.into_iter().enumerate() {
+        for (k, (guarantee_levels, pending)) in parts.into_iter().enumerate() {
             // In nested quotas, tasks beyond the guarantees come after all tasks within them, even if urgent.
-            let is_due = held > 0 || !nested || is_old;
+            let is_due = guarantee_levels > 0 || !nested || is_old;
             if scope == Scope::Urgent && !is_due {
                 continue;
             }
             let part = plan::Job {
                 pending,
-                held,
-                waits: template.waits && k == 0,
+                guarantee_levels,
+                awaits_first_start: template.awaits_first_start && k == 0,
                 ..template.clone()
             };
             let part = objectives.with_deadline(part, spec, &self.entitlement, job_index);
             self.index.jobs.push(job_index);
             self.input.jobs.push(match &job.hour {
-                Some(hour) => hour.cap(part, spec, self.names.catalog, now.wall),
+                Some(hour) => hour.cap_deadline(part, spec, self.names.catalog, now.wall),
                 None => part,
             });
         }
@@ -99,7 +102,7 @@
 /// The planner's form of a job, from its spec alone.
 pub(super) fn planner_job(
     spec: &JobSpec,
-    images: &mut shard::Names,
+    images: &mut shard::NameInterner,
     names: &NameIndex<'_>,
     team: u16,
 ) -> plan::Job {
@@ -120,7 +123,7 @@
             gpus: spec.gpus,
             mem: spec.mem_gb,
         },
-        types: allowed_types(spec, names),
+        machine_types: allowed_types(spec, names),
         zone: spec.zone.as_ref().map(zone_index),
         one_zone: spec.one_zone,
         spread: spec.spread,
@@ -128,14 +131,14 @@
         image: images.get(&spec.image),
         image_gb: spec.image_gb,
         team,
-        due: None,
-        waits: false,
-        promised: false,
-        held: 0,
-        zones: Vec::new(),
-        avoid: Vec::new(),
+        deadline: None,
+        awaits_first_start: false,
+        is_within_guarantee: false,
+        guarantee_levels: 0,
+        tasks_by_zone: Vec::new(),
+        excluded_machines: Vec::new(),
         tenant: plan::Tenant::default(),
-        only: Vec::new(),
+        allowed_zones: Vec::new(),
     }
 }
 
@@ -162,8 +165,8 @@
 /// The number of a job's claimed tasks in each zone.
 fn tasks_by_zone(job: &Job, zone_of: &[Option<u16>]) -> Vec<(u16, u32)> {
     let mut by_zone: Vec<(u16, u32)> = Vec::new();
-    for (m, _) in job.claimed.values().flatten() {
-        let Some(Some(zone)) = zone_of.get(*m) else {
+    for (machine_index, _) in job.claimed.values().flatten() {
+        let Some(Some(zone)) = zone_of.get(*machine_index) else {
             continue;
         };
         match by_zone.iter_mut().find(|(z, _)| z == zone) {
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -16,7 +16,7 @@
 
 impl Node {
     /// Makes and applies a plan if one is due.
-    pub(crate) fn sched_tick(&mut self) {
+    pub(crate) fn scheduling_tick(&mut self) {
         if !self.may_decide() {
             return;
         }
@@ -26,7 +26,7 @@
         let Some(catalog) = self.shared.catalog.clone() else {
             return;
         };
-        self.plan_pacing.planned();
+        self.plan_pacing.record_plan();
         let planned = self.make_plan(&catalog, scope);
         self.note_planned(&planned);
         self.apply_starts(&planned);
@@ -40,7 +40,7 @@
         let interval = self.plan_pacing.interval(self.tuning.every_ms as u64);
         let shard = self.shard.as_mut()?;
         if shard.plan_triggers.is_due(now, interval) {
-            shard.plan_triggers.planned(now);
+            shard.plan_triggers.note_plan(now);
             return Some(Scope::All);
         }
         shard
@@ -104,7 +104,7 @@
 fn note_urgent(shard: &mut Shard, now: u64, input: &plan::Input, output: &plan::Output) {
     let is_urgent = |job: usize| {
         let job = &input.jobs[job];
-        let may_go_first = input.groups.is_empty() || job.held > 0;
+        let may_go_first = input.groups.is_empty() || job.guarantee_levels > 0;
         job.priority >= plan::URGENT && job.shape != plan::Shape::Service && may_go_first
     };
     let mut started: HashMap<u32, u32> = HashMap::new();
@@ -121,5 +121,5 @@
     shard
         .plan_triggers
         .urgent
-        .planned(now, still_waits, made_progress);
+        .note_plan(now, still_waits, made_progress);
 }
--- a/crates/control/src/scheduling/scaling.rs
+++ b/crates/control/src/scheduling/scaling.rs
@@ -57,7 +57,7 @@
             .machines
             .iter()
             .flatten()
-            .filter(|m| !m.up && !m.deleting && !m.failed)
+            .filter(|m| !m.up && !m.to_be_returned && !m.failed)
             .map(|m| ((m.machine_type.clone(), m.zone.clone(), m.spot), 1));
         let rented = shard
             .rentals
@@ -121,7 +121,7 @@
     /// existing machines.
     pub(super) fn scale(&mut self, planned: &Planned, catalog: &Catalog) {
         let Some(shard) = &self.shard else { return };
-        let is_settled = self.now.mono >= shard.since + 2 * self.heartbeat_interval_ms();
+        let is_settled = self.now.mono >= shard.ready_since + 2 * self.heartbeat_interval_ms();
         if planned.scope != Scope::All || !is_settled {
             return;
         }
@@ -149,7 +149,7 @@
             input: &planned.input,
             output: &planned.output,
             offers: &rentable_offers,
-            coming: &coming,
+            booting: &coming,
             horizon: self.tuning.horizon_s,
             max_machines: MAX_PENDING_MACHINES,
         });
@@ -165,7 +165,7 @@
         let mut left = count.min(calls * MAX_PER_CALL);
         while left > 0 {
             let count = left.min(MAX_PER_CALL);
-            self.rental(machine_type, zone, *spot, count);
+            self.add_rental(machine_type, zone, *spot, count);
             left -= count;
         }
     }
@@ -173,7 +173,7 @@
     /// Returns machines that have been idle for a while, except those that the plan or models keep. It does so even
     /// while tasks wait: an idle machine is one that they can't use, and it may take the place of one that they can.
     fn return_idle(&mut self, planned: &Planned) {
-        let kept_by_plan = planned.output.kept.iter();
+        let kept_by_plan = planned.output.reserved_machines.iter();
         let mut kept: Vec<usize> = kept_by_plan
             .map(|m| planned.index.machines[*m as usize])
             .collect();
@@ -185,22 +185,22 @@
             .filter(|m| !kept.contains(m))
             .filter(|m| is_idle(shard, *m, now, idle_ms))
             .collect();
-        for m in returned {
-            if let Some(machine) = shard.machines.get_mut(m) {
+        for machine_index in returned {
+            if let Some(machine) = shard.machines.get_mut(machine_index) {
                 log::info!("machine {}: idle, will be returned", machine.name);
-                machine.deleting = true;
+                machine.to_be_returned = true;
             }
         }
     }
 }
 
 /// Whether a machine has been idle for `idle_ms` and may be returned.
-fn is_idle(shard: &Shard, m: usize, now: u64, idle_ms: u64) -> bool {
-    shard.machine(m).is_some_and(|machine| {
+fn is_idle(shard: &Shard, machine_index: usize, now: u64, idle_ms: u64) -> bool {
+    shard.machine(machine_index).is_some_and(|machine| {
         machine.up
             && machine.claims.is_empty()
             && !has_unrecorded_result(shard, machine)
-            && !machine.deleting
+            && !machine.to_be_returned
             && machine.idle_since + idle_ms < now
     })
 }
@@ -217,6 +217,6 @@
             .jobs
             .index_of(&exited.job)
             .and_then(|job_index| shard.job(job_index));
-        job.is_some_and(|job| !job.recorded(exited.task))
+        job.is_some_and(|job| !job.is_result_recorded(exited.task))
     })
 }
--- a/crates/control/src/store/commit.rs
+++ b/crates/control/src/store/commit.rs
@@ -6,7 +6,7 @@
 
 use crate::jobs::job::JobIndex;
 use crate::leadership::election::SHARD;
-use crate::store::transaction::{PendingWrite, Probe, TransactionDraft};
+use crate::store::transaction::{OutcomeProbe, PendingWrite, TransactionDraft};
 use crate::{Destination, Node, Pending};
 use std::ops;
 use wire::api::{Conflict, Item, Revision, Transaction};
@@ -31,7 +31,7 @@
     pending_writes: Vec<PendingWrite>,
     /// The encoded transaction; empty if there is none.
     body: Vec<u8>,
-    probe: Option<Probe>,
+    probe: Option<OutcomeProbe>,
     in_flight: bool,
     /// An attempt was not answered: it may have been applied, or may be applied later.
     outcome_unknown: bool,
@@ -45,7 +45,7 @@
 
 impl Commit {
     /// Whether a transaction is pending: it was begun, and its outcome is not known yet.
-    pub fn is_out(&self) -> bool {
+    pub fn is_pending(&self) -> bool {
         !self.body.is_empty()
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// No transaction is sent before this time.
-    pub fn wait_until(&mut self, time: u64) {
+    pub fn retry_no_earlier_than(&mut self, time: u64) {
         self.retry_at = time;
     }
 
@@ -117,19 +117,19 @@
     /// Sends the next transaction, or the pending one again, if it is time.
     pub(crate) fn flush_commit(&mut self) {
         let now = self.now.mono;
-        let has_valid_lease = self.may_decide();
+        let may_decide = self.may_decide();
         let Some(shard) = &self.shard else { return };
         if !shard.commit.may_send(now) {
             return;
         }
-        if shard.commit.is_out() {
+        if shard.commit.is_pending() {
             // The pending transaction is sent again unchanged.
-            if self.requests.level(now) >= 1.0 {
+            if self.requests.available(now) >= 1.0 {
                 self.send_transaction();
             }
             return;
         }
-        if has_valid_lease && self.to_write {
+        if may_decide && self.may_have_changes {
             self.begin_transaction();
         }
     }
@@ -137,13 +137,13 @@
     fn begin_transaction(&mut self) {
         let now = self.now;
         let limits = self.write_limits;
-        let writes = self.writes.level(now.mono).floor().max(0.0) as usize;
+        let writes = self.writes.available(now.mono).floor().max(0.0) as usize;
         let budget = writes.min(limits.changes());
-        if budget < 1 || self.requests.level(now.mono) < 1.0 {
+        if budget < 1 || self.requests.available(now.mono) < 1.0 {
             return;
         }
-        self.to_write = false;
-        self.before_heads(budget);
+        self.may_have_changes = false;
+        self.prepare_due_head(budget);
         let Some(shard) = &mut self.shard else { return };
         let draft = TransactionDraft::fill(shard, &mut self.shared, &limits, budget, now);
         if let Some(draft) = draft {
@@ -169,12 +169,12 @@
     }
 
     /// Handles the answer to a transaction; `None` if there was no answer.
-    pub(crate) fn committed(&mut self, response: Option<Response>) {
+    pub(crate) fn commit_answered(&mut self, response: Option<Response>) {
         let retry_at = self.now.mono + self.rng.u64(RETRY_MS);
         let Some(shard) = &mut self.shard else { return };
         shard.commit.in_flight = false;
         // Changes may have accumulated meanwhile.
-        self.to_write = true;
+        self.may_have_changes = true;
         let Some(response) = response else {
             shard.commit.outcome_unknown = true;
             shard.commit.retry_at = retry_at;
@@ -222,7 +222,7 @@
             path,
             Vec::new(),
             ANSWER_TIMEOUT_MS,
-            Pending::Verify { term },
+            Pending::ProbeOutcome { term },
         );
     }
 
@@ -237,7 +237,7 @@
     }
 
     /// Handles the answer to the probe of a transaction whose outcome is unknown.
-    pub(crate) fn verified(&mut self, response: Option<Response>) {
+    pub(crate) fn outcome_probe_answered(&mut self, response: Option<Response>) {
         let Some(shard) = &mut self.shard else { return };
         shard.commit.in_flight = false;
         let Some(probe) = shard.commit.probe.clone() else {
