--- a/crates/document/src/fault.rs
+++ b/crates/document/src/fault.rs
@@ -83,7 +83,7 @@
 impl std::error::Error for Fault {}
 
 /// No more faults than this are told at once.
-const MOST: usize = 50;
+const MAX_FAULTS: usize = 50;
 
 /// What a check has found so far.
 #[derive(Debug, Clone, Default)]
@@ -91,7 +91,7 @@
 
 impl Faults {
     pub fn add(&mut self, place: Place, path: impl Into<String>, what: impl Into<String>) {
-        if self.0.len() < MOST {
+        if self.0.len() < MAX_FAULTS {
             self.0.push(Fault {
                 place,
                 path: path.into(),
--- a/crates/document/src/file.rs
+++ b/crates/document/src/file.rs
@@ -20,26 +20,26 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Lines {
     /// Where each line starts.
-    starts: Vec<usize>,
+    line_starts: Vec<usize>,
     entries: BTreeMap<&'static str, Vec<usize>>,
 }
 
 impl Lines {
-    fn of(text: &str) -> Self {
-        let starts = std::iter::once(0)
+    fn from_text(text: &str) -> Self {
+        let line_starts = std::iter::once(0)
             .chain(text.match_indices('\n').map(|(i, _)| i + 1))
             .collect();
         Lines {
-            starts,
+            line_starts,
             entries: BTreeMap::new(),
         }
     }
-    fn at(&self, byte: usize) -> usize {
-        self.starts.partition_point(|s| *s <= byte)
+    fn line_at(&self, byte: usize) -> usize {
+        self.line_starts.partition_point(|start| *start <= byte)
     }
     /// Notes the lines of a list's entries, which follow those that it had.
     pub fn list<T>(&mut self, name: &'static str, all: Vec<Spanned<T>>) -> Vec<T> {
-        let lines: Vec<usize> = all.iter().map(|s| self.at(s.span().start)).collect();
+        let lines: Vec<usize> = all.iter().map(|s| self.line_at(s.span().start)).collect();
         self.entries.entry(name).or_default().extend(lines);
         all.into_iter().map(Spanned::into_inner).collect()
     }
@@ -71,21 +71,21 @@
 
 /// Reads a file's text. Whether the document holds together is for [`crate::Content::build`] to say.
 pub fn parse<R: Raw>(text: &str) -> Result<Parsed<R::Spec>, Vec<Fault>> {
-    let mut lines = Lines::of(text);
-    let whole = |line, what: &str| {
+    let mut lines = Lines::from_text(text);
+    let file_fault = |line, what: &str| {
         vec![Fault {
             line,
             ..Fault::whole("file", what.trim())
         }]
     };
     if text.len() > MAX_FILE {
-        return Err(whole(
+        return Err(file_fault(
             None,
             &format!("{} bytes; at most {MAX_FILE} are read", text.len()),
         ));
     }
     let raw: R = toml::from_str(text)
-        .map_err(|e| whole(e.span().map(|s| lines.at(s.start)), e.message()))?;
+        .map_err(|e| file_fault(e.span().map(|s| lines.line_at(s.start)), e.message()))?;
     let spec = raw.spec(&mut lines);
     Ok(Parsed { spec, lines })
 }
--- a/crates/document/src/head.rs
+++ b/crates/document/src/head.rs
@@ -10,9 +10,9 @@
 pub const HISTORY: usize = 16;
 /// Characters of an operator's name or change id, and of what was changed.
 pub const SHORT: usize = 40;
-const LONG: usize = 160;
+const MAX_DESCRIPTION_CHARS: usize = 160;
 /// What stands around the head in its record: its kind's word, quoted.
-const FRAME: usize = MAX_KIND + 8;
+const RECORD_OVERHEAD: usize = MAX_KIND + 8;
 
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Head {
@@ -41,20 +41,25 @@
 impl Past {
     /// Words of others are cut.
     pub fn new(version: u64, change: &str, at_ms: u64, by: &str, what: &str) -> Self {
-        let cut = |s: &str, most: usize| s.chars().filter(|c| !c.is_control()).take(most).collect();
+        let sanitize = |s: &str, max_chars: usize| {
+            s.chars()
+                .filter(|c| !c.is_control())
+                .take(max_chars)
+                .collect()
+        };
         Past {
             version,
-            change: cut(change, SHORT),
+            change: sanitize(change, SHORT),
             at_ms,
-            by: cut(by, SHORT),
-            what: cut(what, LONG),
+            by: sanitize(by, SHORT),
+            what: sanitize(what, MAX_DESCRIPTION_CHARS),
         }
     }
 }
 
 impl Head {
     /// The head after a change, whose record takes at most `value` bytes: the oldest changes are forgotten.
-    pub fn next(&self, parts: Vec<String>, past: Past, value: usize) -> Result<Head, String> {
+    pub fn next(&self, parts: Vec<String>, past: Past, max_bytes: usize) -> Result<Head, String> {
         let mut history = vec![past];
         history.extend(self.history.iter().take(HISTORY - 1).cloned());
         let mut head = Head {
@@ -63,11 +68,11 @@
             parts,
             history,
         };
-        while text(&head).len() + FRAME > value {
+        while text(&head).len() + RECORD_OVERHEAD > max_bytes {
             let n = head.parts.len();
             if head.history.len() <= 1 {
                 return Err(format!(
-                    "it takes {n} records, more than a list of {value} bytes holds"
+                    "it takes {n} records, more than a list of {max_bytes} bytes holds"
                 ));
             }
             head.history.pop();
--- a/crates/document/src/parts.rs
+++ b/crates/document/src/parts.rs
@@ -7,12 +7,12 @@
 use std::fmt::Write;
 
 /// Characters of a part's name: half as many bytes of a digest.
-const NAME: usize = 24;
+const PART_NAME_CHARS: usize = 24;
 
 /// The first half of a digest, in hexadecimal.
 pub fn digest<T: Serialize>(value: &T) -> String {
-    let mut out = String::with_capacity(NAME);
-    for byte in Sha256::digest(text(value)).iter().take(NAME / 2) {
+    let mut out = String::with_capacity(PART_NAME_CHARS);
+    for byte in Sha256::digest(text(value)).iter().take(PART_NAME_CHARS / 2) {
         // Writing to a string can't fail.
         let _ = write!(out, "{byte:02x}");
     }
@@ -26,42 +26,42 @@
 
 /// Fills one part after the other, each up to its bound.
 pub struct Packer<P> {
-    value: usize,
-    frame: usize,
-    size: usize,
+    max_bytes: usize,
+    empty_bytes: usize,
+    part_bytes: usize,
     parts: Vec<P>,
 }
 
 impl<P: Default + Serialize> Packer<P> {
     /// Parts of at most `value` bytes, an empty one of which takes at most `frame`.
-    pub fn new(value: usize, frame: usize) -> Self {
+    pub fn new(max_bytes: usize, empty_bytes: usize) -> Self {
         Packer {
-            value,
-            frame,
-            size: usize::MAX,
+            max_bytes,
+            empty_bytes,
+            part_bytes: usize::MAX,
             parts: Vec::new(),
         }
     }
 
     /// Puts an entry into the part that is being filled, or into the next.
-    pub fn push<T: Serialize>(&mut self, entry: &T, put: impl FnOnce(&mut P)) {
-        let more = text(entry).len() + 1;
-        if self.size.saturating_add(more) > self.value {
+    pub fn push<T: Serialize>(&mut self, entry: &T, add: impl FnOnce(&mut P)) {
+        let entry_bytes = text(entry).len() + 1;
+        if self.part_bytes.saturating_add(entry_bytes) > self.max_bytes {
             self.parts.push(P::default());
-            self.size = self.frame;
+            self.part_bytes = self.empty_bytes;
         }
-        self.size += more;
+        self.part_bytes += entry_bytes;
         if let Some(part) = self.parts.last_mut() {
-            put(part);
+            add(part);
         }
     }
 
     fn finish(self) -> Result<Vec<(String, P)>, String> {
-        if let Some(large) = self.parts.iter().find(|p| text(p).len() > self.value) {
+        if let Some(oversized) = self.parts.iter().find(|p| text(p).len() > self.max_bytes) {
             return Err(format!(
                 "one entry takes {} bytes of {}",
-                text(large).len(),
-                self.value
+                text(oversized).len(),
+                self.max_bytes
             ));
         }
         Ok(self.parts.into_iter().map(|p| (digest(&p), p)).collect())
@@ -69,8 +69,8 @@
 }
 
 /// Cuts a document into parts of at most `value` bytes.
-pub fn split<C: Content>(content: &C, value: usize) -> Result<Vec<(String, C::Part)>, String> {
-    let mut packer = Packer::new(value, C::FRAME);
+pub fn split<C: Content>(content: &C, max_bytes: usize) -> Result<Vec<(String, C::Part)>, String> {
+    let mut packer = Packer::new(max_bytes, C::FRAME);
     content.pack(&mut packer);
     packer.finish()
 }
