--- a/crates/hours/src/calendar.rs
+++ b/crates/hours/src/calendar.rs
@@ -1,8 +1,11 @@
 //! A calendar that has been checked. It never changes.
 
 use crate::file::{AGREEMENT, EXCEPTION, HOLIDAY, RELEASE, STUDIO};
+use crate::local_time::{
+    WEEKDAYS, first_reached_ms, is_skipped, parse_date, parse_date_time, parse_time, parse_weekday,
+    weekday_index,
+};
 use crate::spec::{Agreement, Exception, Holiday, Release, Spec, Studio};
-use crate::when::{DAYS, date, day, day_of, is_skipped, moment, reached, time};
 use crate::{
     MAX_AGREEMENTS, MAX_AHEAD_DAYS, MAX_DATES, MAX_HOURS, MAX_NAME, MAX_NOTICE, MAX_RELEASES,
     MAX_STUDIOS, MAX_TEAMS,
@@ -38,29 +41,29 @@
     pub agreed: bool,
 }
 
-struct House {
+struct StudioRules {
     name: String,
     zone: TimeZone,
     notice_ms: i64,
-    by_class: HashMap<Option<String>, Rule>,
+    by_class: HashMap<Option<String>, ReleaseRule>,
     /// Hours of single days, by class.
     exceptions: BTreeMap<Date, HashMap<Option<String>, Vec<Time>>>,
     holidays: BTreeSet<Date>,
 }
 
-struct Rule {
-    hours: Vec<Time>,
-    days: [bool; DAYS.len()],
+struct ReleaseRule {
+    times: Vec<Time>,
+    days: [bool; WEEKDAYS.len()],
     notice_ms: Option<i64>,
 }
 
 /// Which hour applies to each job.
 #[derive(Default)]
 pub struct Calendar {
-    houses: Vec<House>,
-    of_team: HashMap<String, usize>,
+    studios: Vec<StudioRules>,
+    studio_of_team: HashMap<String, usize>,
     /// Hours of single jobs.
-    agreed: HashMap<String, u64>,
+    agreed_times: HashMap<String, u64>,
 }
 
 impl Calendar {
@@ -70,30 +73,31 @@
             spec,
             faults: Faults::default(),
             calendar: Calendar::default(),
-            index: HashMap::new(),
+            studio_index: HashMap::new(),
         };
-        b.sizes();
+        b.check_entry_counts();
         if b.faults.is_empty() {
-            b.studios();
-            b.teams(around);
-            b.releases();
-            b.holidays();
-            b.exceptions();
-            b.agreements();
+            b.add_studios();
+            b.assign_teams(around);
+            b.add_releases();
+            b.add_holidays();
+            b.add_exceptions();
+            b.add_agreements();
         }
         b.faults.or(b.calendar)
     }
 
     /// The hour of a job that was accepted at this time of day; none where nothing is agreed for its studio.
     pub fn due(&self, team: &str, class: &str, job: &str, accepted_ms: u64) -> Option<Due> {
-        if let Some(at_ms) = self.agreed.get(job) {
+        if let Some(at_ms) = self.agreed_times.get(job) {
             return Some(Due {
                 at_ms: *at_ms,
                 agreed: true,
             });
         }
-        let house = self.houses.get(*self.of_team.get(team)?)?;
-        let at_ms = u64::try_from(house.due(class, i64::try_from(accepted_ms).ok()?)?).ok()?;
+        let rules = self.studios.get(*self.studio_of_team.get(team)?)?;
+        let at_ms =
+            u64::try_from(rules.next_release(class, i64::try_from(accepted_ms).ok()?)?).ok()?;
         Some(Due {
             at_ms,
             agreed: false,
@@ -102,28 +106,28 @@
 
     /// The studio that a team belongs to.
     pub fn studio_of(&self, team: &str) -> Option<&str> {
-        self.of_team
+        self.studio_of_team
             .get(team)
-            .and_then(|i| self.houses.get(*i))
-            .map(|h| h.name.as_str())
+            .and_then(|i| self.studios.get(*i))
+            .map(|s| s.name.as_str())
     }
 
     pub fn studios(&self) -> Vec<&str> {
-        self.houses.iter().map(|h| h.name.as_str()).collect()
+        self.studios.iter().map(|s| s.name.as_str()).collect()
     }
 
     /// How many jobs have an hour of their own.
     pub fn agreed(&self) -> usize {
-        self.agreed.len()
+        self.agreed_times.len()
     }
 
     /// A moment as a studio's clocks show it; as UTC for none that is known.
     pub fn local(&self, studio: &str, at_ms: u64) -> String {
         let zone = self
-            .houses
+            .studios
             .iter()
-            .find(|h| h.name == studio)
-            .map_or(TimeZone::UTC, |h| h.zone.clone());
+            .find(|s| s.name == studio)
+            .map_or(TimeZone::UTC, |s| s.zone.clone());
         let at = i64::try_from(at_ms)
             .ok()
             .and_then(|ms| Timestamp::from_millisecond(ms).ok());
@@ -139,14 +143,14 @@
 
     /// A moment that an operator names for a studio: its local time (`2026-12-24T18:00`), or with an offset.
     pub fn moment(&self, studio: &str, text: &str) -> Result<u64, String> {
-        let house = self.houses.iter().find(|h| h.name == studio);
-        let at = match (moment(text), house) {
-            (Some(local), Some(house)) if is_skipped(&house.zone, local) => {
+        let rules = self.studios.iter().find(|s| s.name == studio);
+        let at = match (parse_date_time(text), rules) {
+            (Some(local), Some(rules)) if is_skipped(&rules.zone, local) => {
                 return Err(format!(
                     "{text} does not exist in {studio}: its clocks skip it"
                 ));
             }
-            (Some(local), Some(house)) => reached(&house.zone, local),
+            (Some(local), Some(rules)) => first_reached_ms(&rules.zone, local),
             _ => text
                 .parse::<Timestamp>()
                 .ok()
@@ -159,28 +163,28 @@
     }
 }
 
-impl House {
-    fn due(&self, class: &str, accepted_ms: i64) -> Option<i64> {
-        let named = Some(class.to_owned());
+impl StudioRules {
+    fn next_release(&self, class: &str, accepted_ms: i64) -> Option<i64> {
+        let class = Some(class.to_owned());
         let rule = self
             .by_class
-            .get(&named)
+            .get(&class)
             .or_else(|| self.by_class.get(&None));
         let notice = rule.and_then(|r| r.notice_ms).unwrap_or(self.notice_ms);
-        let least = accepted_ms.checked_add(notice)?;
-        let today = Timestamp::from_millisecond(least)
+        let earliest_ms = accepted_ms.checked_add(notice)?;
+        let today = Timestamp::from_millisecond(earliest_ms)
             .ok()?
             .to_zoned(self.zone.clone())
             .date();
         // A clock may have been set back over midnight: what it reached first lies up to two days further on.
         let mut day = today.checked_sub(2.days()).ok()?;
         for _ in 0..MAX_AHEAD_DAYS {
-            let hours = self.hours(&named, rule, day);
+            let times = self.times_on(&class, rule, day);
             // Rising in time as in name, since each is due when the clock first reaches it.
-            let due = hours
+            let due = times
                 .iter()
-                .filter_map(|h| reached(&self.zone, day.to_datetime(*h)));
-            if let Some(at) = due.into_iter().find(|at| *at >= least) {
+                .filter_map(|time| first_reached_ms(&self.zone, day.to_datetime(*time)));
+            if let Some(at) = due.into_iter().find(|at| *at >= earliest_ms) {
                 return Some(at);
             }
             day = day.tomorrow().ok()?;
@@ -189,21 +193,22 @@
     }
 
     /// The hours of one day.
-    fn hours<'a>(
+    fn times_on<'a>(
         &'a self,
         class: &Option<String>,
-        rule: Option<&'a Rule>,
+        rule: Option<&'a ReleaseRule>,
         day: Date,
     ) -> &'a [Time] {
-        let own = self
+        let exception = self
             .exceptions
             .get(&day)
             .and_then(|e| e.get(class).or_else(|| e.get(&None)));
-        if let Some(hours) = own {
-            return hours;
+        if let Some(times) = exception {
+            return times;
         }
-        let rule = rule.filter(|r| r.days[day_of(day.weekday())] && !self.holidays.contains(&day));
-        rule.map_or(&[], |r| r.hours.as_slice())
+        let rule =
+            rule.filter(|r| r.days[weekday_index(day.weekday())] && !self.holidays.contains(&day));
+        rule.map_or(&[], |r| r.times.as_slice())
     }
 }
 
@@ -211,11 +216,11 @@
     spec: &'a Spec,
     faults: Faults,
     calendar: Calendar,
-    index: HashMap<&'a str, usize>,
+    studio_index: HashMap<&'a str, usize>,
 }
 
 impl Builder<'_> {
-    fn sizes(&mut self) {
+    fn check_entry_counts(&mut self) {
         let s = self.spec;
         let dates = s.exceptions.len() + s.holidays.iter().map(|h| h.dates.len()).sum::<usize>();
         for (what, n, most) in [
@@ -235,22 +240,29 @@
     }
 
     /// Something is wrong with a field of an entry that is known by a name.
-    fn fault(&mut self, list: &str, i: usize, name: &str, field: &str, what: impl Into<String>) {
+    fn add_fault(
+        &mut self,
+        list: &str,
+        i: usize,
+        name: &str,
+        field: &str,
+        what: impl Into<String>,
+    ) {
         let path = format!("{list} {:?}.{field}", short(name));
         self.faults.add(Place::entry(list, i), path, what);
     }
 
     /// A name that can be kept and shown.
-    fn name(&mut self, list: &str, i: usize, name: &str, field: &str) {
+    fn check_name(&mut self, list: &str, i: usize, name: &str, field: &str) {
         if name.is_empty() || name.len() > MAX_NAME || name.chars().any(char::is_control) {
             let what = format!("must be 1 to {MAX_NAME} bytes without control characters");
-            self.fault(list, i, name, field, what);
+            self.add_fault(list, i, name, field, what);
         }
     }
 
-    fn notice(&mut self, list: &str, i: usize, name: &str, minutes: u32) -> i64 {
+    fn check_notice(&mut self, list: &str, i: usize, name: &str, minutes: u32) -> i64 {
         if minutes > MAX_NOTICE {
-            self.fault(
+            self.add_fault(
                 list,
                 i,
                 name,
@@ -261,7 +273,7 @@
         i64::from(minutes) * 60_000
     }
 
-    fn studios(&mut self) {
+    fn add_studios(&mut self) {
         let spec = self.spec;
         let zones = TimeZoneDatabase::bundled();
         for (
@@ -275,16 +287,16 @@
             },
         ) in spec.studios.iter().enumerate()
         {
-            self.name(STUDIO, i, name, "name");
-            if self.index.insert(name, i).is_some() {
-                self.fault(STUDIO, i, name, "name", "is named twice");
+            self.check_name(STUDIO, i, name, "name");
+            if self.studio_index.insert(name, i).is_some() {
+                self.add_fault(STUDIO, i, name, "name", "is named twice");
             }
             if teams.len() > MAX_TEAMS {
-                self.fault(STUDIO, i, name, "teams", format!("more than {MAX_TEAMS}"));
+                self.add_fault(STUDIO, i, name, "teams", format!("more than {MAX_TEAMS}"));
             }
             let known = zones.get(zone);
             if known.is_err() {
-                self.fault(
+                self.add_fault(
                     STUDIO,
                     i,
                     name,
@@ -292,8 +304,8 @@
                     format!("{:?} is no time zone", short(zone)),
                 );
             }
-            let notice_ms = self.notice(STUDIO, i, name, *notice_min);
-            self.calendar.houses.push(House {
+            let notice_ms = self.check_notice(STUDIO, i, name, *notice_min);
+            self.calendar.studios.push(StudioRules {
                 name: name.clone(),
                 zone: known.unwrap_or(TimeZone::UTC),
                 notice_ms,
@@ -305,7 +317,7 @@
     }
 
     /// Which studio each team belongs to: the one that names it, or else the one of the nearest node above it.
-    fn teams(&mut self, around: &Around) {
+    fn assign_teams(&mut self, around: &Around) {
         let spec = self.spec;
         let known = around.teams.as_ref();
         let names: Option<BTreeSet<&str>> =
@@ -318,69 +330,84 @@
                     .is_some_and(|names| !names.contains(team.as_str()))
                 {
                     let what = format!("{:?} is no team of the settings", short(team));
-                    self.fault(STUDIO, i, &studio.name, "teams", what);
+                    self.add_fault(STUDIO, i, &studio.name, "teams", what);
                 }
-                if self.calendar.of_team.insert(team.clone(), i).is_some() {
+                if self
+                    .calendar
+                    .studio_of_team
+                    .insert(team.clone(), i)
+                    .is_some()
+                {
                     let what = format!("{:?} is named twice", short(team));
-                    self.fault(STUDIO, i, &studio.name, "teams", what);
+                    self.add_fault(STUDIO, i, &studio.name, "teams", what);
                 }
             }
             let Some(node) = &studio.node else { continue };
             if known.is_some() && !around.nodes.contains(node) {
                 let what = format!("{:?} is no node of the quota tree", short(node));
-                self.fault(STUDIO, i, &studio.name, "node", what);
+                self.add_fault(STUDIO, i, &studio.name, "node", what);
             }
             if of_node.insert(node, i).is_some() {
                 let what = format!("{:?} is another studio's", short(node));
-                self.fault(STUDIO, i, &studio.name, "node", what);
+                self.add_fault(STUDIO, i, &studio.name, "node", what);
             }
         }
         for team in known.into_iter().flatten() {
             let nearest = team.path.iter().rev().find_map(|n| of_node.get(n.as_str()));
             if let Some(i) = nearest {
-                self.calendar.of_team.entry(team.name.clone()).or_insert(*i);
+                self.calendar
+                    .studio_of_team
+                    .entry(team.name.clone())
+                    .or_insert(*i);
             }
         }
     }
 
     /// The studio that an entry is of.
-    fn studio(&mut self, list: &str, i: usize, name: &str) -> Option<usize> {
-        let at = self.index.get(name).copied();
-        if at.is_none() {
-            self.fault(list, i, name, "studio", "is no studio of this calendar");
+    fn find_studio(&mut self, list: &str, i: usize, name: &str) -> Option<usize> {
+        let index = self.studio_index.get(name).copied();
+        if index.is_none() {
+            self.add_fault(list, i, name, "studio", "is no studio of this calendar");
         }
-        at
+        index
     }
 
     /// Local times of an entry, in order.
-    fn hours(&mut self, list: &str, i: usize, name: &str, at: &[String]) -> Vec<Time> {
+    fn parse_times(&mut self, list: &str, i: usize, name: &str, at: &[String]) -> Vec<Time> {
         if at.len() > MAX_HOURS {
-            self.fault(list, i, name, "at", format!("more than {MAX_HOURS} hours"));
+            self.add_fault(list, i, name, "at", format!("more than {MAX_HOURS} hours"));
         }
         let mut out = BTreeSet::new();
         for text in at {
-            match time(text) {
-                Some(hour) if out.insert(hour) => {}
-                Some(_) => self.fault(list, i, name, "at", format!("{text:?} is named twice")),
+            match parse_time(text) {
+                Some(time) if out.insert(time) => {}
+                Some(_) => self.add_fault(list, i, name, "at", format!("{text:?} is named twice")),
                 None => {
                     let what = format!("{:?} is no time of day; like \"07:30\"", short(text));
-                    self.fault(list, i, name, "at", what)
+                    self.add_fault(list, i, name, "at", what)
                 }
             }
         }
         out.into_iter().collect()
     }
 
-    fn date(&mut self, list: &str, i: usize, name: &str, field: &str, text: &str) -> Option<Date> {
-        let day = date(text);
+    fn parse_date(
+        &mut self,
+        list: &str,
+        i: usize,
+        name: &str,
+        field: &str,
+        text: &str,
+    ) -> Option<Date> {
+        let day = parse_date(text);
         if day.is_none() {
             let what = format!("{:?} is no date; like \"2026-12-24\"", short(text));
-            self.fault(list, i, name, field, what);
+            self.add_fault(list, i, name, field, what);
         }
         day
     }
 
-    fn releases(&mut self) {
+    fn add_releases(&mut self) {
         let spec = self.spec;
         for (
             i,
@@ -393,15 +420,15 @@
             },
         ) in spec.releases.iter().enumerate()
         {
-            let hours = self.hours(RELEASE, i, studio, at);
+            let times = self.parse_times(RELEASE, i, studio, at);
             if at.is_empty() {
-                self.fault(RELEASE, i, studio, "at", "must have at least one hour");
+                self.add_fault(RELEASE, i, studio, "at", "must have at least one hour");
             }
-            let mut week = [days.is_empty(); DAYS.len()];
+            let mut week = [days.is_empty(); WEEKDAYS.len()];
             for name in days {
-                match day(name) {
+                match parse_weekday(name) {
                     Some(d) if !week[d] => week[d] = true,
-                    Some(_) => self.fault(
+                    Some(_) => self.add_fault(
                         RELEASE,
                         i,
                         studio,
@@ -409,23 +436,28 @@
                         format!("{name:?} is named twice"),
                     ),
                     None => {
-                        let what =
-                            format!("{:?} is no weekday; one of {}", short(name), DAYS.join(" "));
-                        self.fault(RELEASE, i, studio, "days", what)
+                        let what = format!(
+                            "{:?} is no weekday; one of {}",
+                            short(name),
+                            WEEKDAYS.join(" ")
+                        );
+                        self.add_fault(RELEASE, i, studio, "days", what)
                     }
                 }
             }
-            class.iter().for_each(|c| self.name(RELEASE, i, c, "class"));
-            let notice_ms = notice_min.map(|n| self.notice(RELEASE, i, studio, n));
-            let Some(house) = self.studio(RELEASE, i, studio) else {
+            class
+                .iter()
+                .for_each(|c| self.check_name(RELEASE, i, c, "class"));
+            let notice_ms = notice_min.map(|n| self.check_notice(RELEASE, i, studio, n));
+            let Some(index) = self.find_studio(RELEASE, i, studio) else {
                 continue;
             };
-            let rule = Rule {
-                hours,
+            let rule = ReleaseRule {
+                times,
                 days: week,
                 notice_ms,
             };
-            if self.calendar.houses[house]
+            if self.calendar.studios[index]
                 .by_class
                 .insert(class.clone(), rule)
                 .is_some()
@@ -437,30 +469,32 @@
                     ),
                     None => "any class has another release of this studio already".to_owned(),
                 };
-                self.fault(RELEASE, i, studio, "class", what);
+                self.add_fault(RELEASE, i, studio, "class", what);
             }
         }
     }
 
-    fn holidays(&mut self) {
+    fn add_holidays(&mut self) {
         let spec = self.spec;
         for (i, Holiday { studio, dates }) in spec.holidays.iter().enumerate() {
             let name = studio.as_deref().unwrap_or("all");
             let days: Vec<Date> = dates
                 .iter()
-                .filter_map(|text| self.date(HOLIDAY, i, name, "dates", text))
+                .filter_map(|text| self.parse_date(HOLIDAY, i, name, "dates", text))
                 .collect();
-            let whose = match studio {
-                Some(studio) => self.studio(HOLIDAY, i, studio).map_or(0..0, |h| h..h + 1),
-                None => 0..self.calendar.houses.len(),
+            let range = match studio {
+                Some(studio) => self
+                    .find_studio(HOLIDAY, i, studio)
+                    .map_or(0..0, |s| s..s + 1),
+                None => 0..self.calendar.studios.len(),
             };
-            for house in &mut self.calendar.houses[whose] {
-                house.holidays.extend(&days);
+            for rules in &mut self.calendar.studios[range] {
+                rules.holidays.extend(&days);
             }
         }
     }
 
-    fn exceptions(&mut self) {
+    fn add_exceptions(&mut self) {
         let spec = self.spec;
         for (
             i,
@@ -472,20 +506,20 @@
             },
         ) in spec.exceptions.iter().enumerate()
         {
-            let hours = self.hours(EXCEPTION, i, studio, at);
+            let times = self.parse_times(EXCEPTION, i, studio, at);
             class
                 .iter()
-                .for_each(|c| self.name(EXCEPTION, i, c, "class"));
-            let day = self.date(EXCEPTION, i, studio, "date", text);
-            let (Some(house), Some(day)) = (self.studio(EXCEPTION, i, studio), day) else {
+                .for_each(|c| self.check_name(EXCEPTION, i, c, "class"));
+            let day = self.parse_date(EXCEPTION, i, studio, "date", text);
+            let (Some(index), Some(day)) = (self.find_studio(EXCEPTION, i, studio), day) else {
                 continue;
             };
-            let of_day = self.calendar.houses[house]
+            let of_day = self.calendar.studios[index]
                 .exceptions
                 .entry(day)
                 .or_default();
-            if of_day.insert(class.clone(), hours).is_some() {
-                self.fault(
+            if of_day.insert(class.clone(), times).is_some() {
+                self.add_fault(
                     EXCEPTION,
                     i,
                     studio,
@@ -496,34 +530,39 @@
         }
     }
 
-    fn agreements(&mut self) {
+    fn add_agreements(&mut self) {
         let spec = self.spec;
         for (i, Agreement { studio, job, at }) in spec.agreements.iter().enumerate() {
-            self.name(AGREEMENT, i, job, "job");
-            let Some(house) = self.studio(AGREEMENT, i, studio) else {
+            self.check_name(AGREEMENT, i, job, "job");
+            let Some(index) = self.find_studio(AGREEMENT, i, studio) else {
                 continue;
             };
-            let zone = self.calendar.houses[house].zone.clone();
-            let Some(local) = moment(at) else {
+            let zone = self.calendar.studios[index].zone.clone();
+            let Some(local) = parse_date_time(at) else {
                 let what = format!(
                     "{:?} is no local time; like \"2026-12-24T18:00\"",
                     short(at)
                 );
-                self.fault(AGREEMENT, i, job, "at", what);
+                self.add_fault(AGREEMENT, i, job, "at", what);
                 continue;
             };
             if is_skipped(&zone, local) {
                 let what = format!("{at} does not exist in {studio}: its clocks skip it");
-                self.fault(AGREEMENT, i, job, "at", what);
+                self.add_fault(AGREEMENT, i, job, "at", what);
                 continue;
             }
-            let due = reached(&zone, local).and_then(|ms| u64::try_from(ms).ok());
+            let due = first_reached_ms(&zone, local).and_then(|ms| u64::try_from(ms).ok());
             let Some(due) = due else {
-                self.fault(AGREEMENT, i, job, "at", format!("{at} is too long ago"));
+                self.add_fault(AGREEMENT, i, job, "at", format!("{at} is too long ago"));
                 continue;
             };
-            if self.calendar.agreed.insert(job.clone(), due).is_some() {
-                self.fault(AGREEMENT, i, job, "job", "has another agreement already");
+            if self
+                .calendar
+                .agreed_times
+                .insert(job.clone(), due)
+                .is_some()
+            {
+                self.add_fault(AGREEMENT, i, job, "job", "has another agreement already");
             }
         }
     }
--- a/crates/hours/src/content.rs
+++ b/crates/hours/src/content.rs
@@ -40,7 +40,7 @@
         Calendar::build(self, around)
     }
     fn differences(old: &Self, new: &Self, most: usize) -> Vec<String> {
-        let (before, after) = (lines(old), lines(new));
+        let (before, after) = (describe_entries(old), describe_entries(new));
         let mut out: Vec<String> = Vec::new();
         for key in before.keys().chain(after.keys()).collect::<BTreeSet<_>>() {
             match (before.get(key), after.get(key)) {
@@ -50,10 +50,10 @@
                 _ => {}
             }
         }
-        let more = out.len().saturating_sub(most);
+        let omitted = out.len().saturating_sub(most);
         out.truncate(most);
-        if more > 0 {
-            out.push(format!("and {more} more"));
+        if omitted > 0 {
+            out.push(format!("and {omitted} more"));
         }
         out
     }
@@ -79,7 +79,7 @@
 }
 
 /// Entries by what names them, in words.
-fn lines(spec: &Spec) -> BTreeMap<String, String> {
+fn describe_entries(spec: &Spec) -> BTreeMap<String, String> {
     let class = |c: &Option<String>| {
         c.as_ref()
             .map_or_else(|| "any class".to_owned(), |c| format!("class {c:?}"))
@@ -91,13 +91,13 @@
             .iter()
             .map(|n| format!(" and node {n}"))
             .collect::<String>();
-        let words = format!(
+        let description = format!(
             "teams {}{node} in {}, notice {} min",
             s.teams.join(" "),
             s.zone,
             s.notice_min
         );
-        out.insert(format!("{} {}", file::STUDIO, s.name), words);
+        out.insert(format!("{} {}", file::STUDIO, s.name), description);
     }
     for r in &spec.releases {
         let days = if r.days.is_empty() {
@@ -114,10 +114,10 @@
         out.insert(key, format!("{} on {days}{notice}", r.at.join(" ")));
     }
     for h in &spec.holidays {
-        let who = h.studio.as_deref().unwrap_or("all studios");
+        let studios = h.studio.as_deref().unwrap_or("all studios");
         for date in &h.dates {
             out.insert(
-                format!("{} of {who} on {date}", file::HOLIDAY),
+                format!("{} of {studios} on {date}", file::HOLIDAY),
                 "no releases".to_owned(),
             );
         }
--- a/crates/hours/src/lib.rs
+++ b/crates/hours/src/lib.rs
@@ -36,8 +36,8 @@
 mod calendar;
 mod content;
 pub mod file;
+mod local_time;
 mod spec;
-mod when;
 
 pub use calendar::{Around, Calendar, Due, TeamAt};
 pub use document::{Fault, Place};
--- a/crates/hours/src/local_time.rs
+++ b/crates/hours/src/local_time.rs
@@ -3,13 +3,13 @@
 use jiff::civil::{Date, DateTime, Time, Weekday};
 use jiff::tz::{AmbiguousOffset, TimeZone};
 
-pub(crate) fn date(text: &str) -> Option<Date> {
+pub(crate) fn parse_date(text: &str) -> Option<Date> {
     // The library takes more forms than are written here.
     (text.len() == 10).then(|| text.parse().ok())?
 }
 
 /// `07:30`.
-pub(crate) fn time(text: &str) -> Option<Time> {
+pub(crate) fn parse_time(text: &str) -> Option<Time> {
     let (hour, minute) = text
         .split_once(':')
         .filter(|(h, m)| h.len() == 2 && m.len() == 2)?;
@@ -22,18 +22,18 @@
 }
 
 /// `2026-12-24T18:00`.
-pub(crate) fn moment(text: &str) -> Option<DateTime> {
-    let (day, hour) = text.split_once('T')?;
-    Some(date(day)?.to_datetime(time(hour)?))
+pub(crate) fn parse_date_time(text: &str) -> Option<DateTime> {
+    let (date, time) = text.split_once('T')?;
+    Some(parse_date(date)?.to_datetime(parse_time(time)?))
 }
 
-pub(crate) const DAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
+pub(crate) const WEEKDAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
-pub(crate) fn day(text: &str) -> Option<usize> {
-    DAYS.iter().position(|d| *d == text)
+pub(crate) fn parse_weekday(text: &str) -> Option<usize> {
+    WEEKDAYS.iter().position(|d| *d == text)
 }
 
-pub(crate) fn day_of(weekday: Weekday) -> usize {
+pub(crate) fn weekday_index(weekday: Weekday) -> usize {
     weekday.to_monday_zero_offset() as usize
 }
 
@@ -46,7 +46,7 @@
 }
 
 /// The first moment at which the zone's clock has reached this, in milliseconds.
-pub(crate) fn reached(zone: &TimeZone, at: DateTime) -> Option<i64> {
+pub(crate) fn first_reached_ms(zone: &TimeZone, at: DateTime) -> Option<i64> {
     let ambiguous = zone.to_ambiguous_timestamp(at);
     if let AmbiguousOffset::Gap { .. } = ambiguous.offset() {
         // The clock passes it by: at the change that lies between the two readings.
--- a/crates/hours/tests/calendars.rs
+++ b/crates/hours/tests/calendars.rs
@@ -7,7 +7,7 @@
 
 const MINUTE: i64 = 60_000;
 
-fn ms(text: &str) -> u64 {
+fn timestamp_ms(text: &str) -> u64 {
     text.parse::<Timestamp>()
         .expect("a moment")
         .as_millisecond() as u64
@@ -55,27 +55,27 @@
 
 /// The reference walks the studio's clock minute by minute: an hour is due when the clock, never counted back, first
 /// shows it or has passed it by.
-struct Walk<'a> {
+struct ClockWalk<'a> {
     zone: &'a TimeZone,
-    hours: &'a dyn Fn(Date) -> Vec<String>,
+    times_on: &'a dyn Fn(Date) -> Vec<String>,
 }
 
-impl Walk<'_> {
-    fn due(&self, least: i64) -> Option<i64> {
-        let local = |at: i64| {
+impl ClockWalk<'_> {
+    fn next_release(&self, earliest_ms: i64) -> Option<i64> {
+        let local_time = |at: i64| {
             let at = Timestamp::from_millisecond(at).expect("in range");
             at.to_zoned(self.zone.clone()).datetime()
         };
-        let mut at = (least - 3 * 24 * 60 * MINUTE).div_euclid(MINUTE) * MINUTE;
-        let mut highest = local(at);
-        while at < least + 9 * 24 * 60 * MINUTE {
+        let mut at = (earliest_ms - 3 * 24 * 60 * MINUTE).div_euclid(MINUTE) * MINUTE;
+        let mut latest_local = local_time(at);
+        while at < earliest_ms + 9 * 24 * 60 * MINUTE {
             at += MINUTE;
-            let now = local(at);
-            if now > highest {
-                if at >= least && self.is_reached(highest, now) {
+            let local_now = local_time(at);
+            if local_now > latest_local {
+                if at >= earliest_ms && self.is_reached(latest_local, local_now) {
                     return Some(at);
                 }
-                highest = now;
+                latest_local = local_now;
             }
         }
         None
@@ -87,7 +87,7 @@
             .series(jiff::Span::new().days(1))
             .take_while(|d| *d <= days[1]);
         between.into_iter().any(|day| {
-            (self.hours)(day).iter().any(|h| {
+            (self.times_on)(day).iter().any(|h| {
                 let at = format!("{day}T{h}").parse::<DateTime>().expect("an hour");
                 at > before && at <= now
             })
@@ -97,7 +97,7 @@
 
 /// Any zone, hours, weekdays, holidays and exceptions, around changes of clocks: as the clock on the wall says.
 #[test]
-fn hours_are_those_of_the_clock_on_the_wall() {
+fn due_times_match_a_minute_by_minute_reference() {
     let mut rng = fastrand::Rng::with_seed(27);
     let zones = [
         "Europe/Paris",
@@ -111,7 +111,7 @@
         "UTC",
     ];
     // Clocks forward, back, and a day that one zone never had.
-    let around = [
+    let transition_dates = [
         "2026-03-29",
         "2026-10-25",
         "2026-04-05",
@@ -119,32 +119,35 @@
         "2011-12-30",
         "2026-12-31",
     ];
-    let names = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
-    let mut none = 0;
+    let weekdays = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
+    let mut without_expected = 0;
     for case in 0..150 {
         let zone = zones[rng.usize(0..zones.len())];
-        let day: Date = around[rng.usize(0..around.len())].parse().expect("a date");
-        let near = |rng: &mut fastrand::Rng| {
+        let day: Date = transition_dates[rng.usize(0..transition_dates.len())]
+            .parse()
+            .expect("a date");
+        let nearby_date = |rng: &mut fastrand::Rng| {
             day.checked_add(jiff::Span::new().days(rng.i64(-3..4)))
                 .expect("in range")
         };
-        let hour = |rng: &mut fastrand::Rng| {
+        let random_time = |rng: &mut fastrand::Rng| {
             format!(
                 "{:02}:{:02}",
                 rng.u8(0..5) * rng.u8(1..6) % 24,
                 rng.u8(0..60)
             )
         };
-        let hours = |rng: &mut fastrand::Rng, n| {
-            let all: std::collections::BTreeSet<String> = (0..n).map(|_| hour(rng)).collect();
+        let random_times = |rng: &mut fastrand::Rng, n| {
+            let all: std::collections::BTreeSet<String> =
+                (0..n).map(|_| random_time(rng)).collect();
             all.into_iter().collect::<Vec<_>>()
         };
         let n = rng.usize(1..4);
-        let at = hours(&mut rng, n);
-        let days: Vec<&str> = names.into_iter().filter(|_| rng.bool()).collect();
-        let holiday = near(&mut rng);
-        let (special, n) = (near(&mut rng), rng.usize(0..3));
-        let instead = hours(&mut rng, n);
+        let at = random_times(&mut rng, n);
+        let days: Vec<&str> = weekdays.into_iter().filter(|_| rng.bool()).collect();
+        let holiday = nearby_date(&mut rng);
+        let (exception_date, n) = (nearby_date(&mut rng), rng.usize(0..3));
+        let exception_times = random_times(&mut rng, n);
         let notice = rng.u32(0..3) * 45;
         let spec = Spec {
             studios: vec![Studio {
@@ -162,16 +165,16 @@
             exceptions: vec![Exception {
                 studio: "s".into(),
                 class: None,
-                date: special.to_string(),
-                at: instead.clone(),
+                date: exception_date.to_string(),
+                at: exception_times.clone(),
             }],
             agreements: vec![],
         };
         let calendar = build(&spec);
-        let of_day = |d: Date| {
-            let weekday = names[d.weekday().to_monday_zero_offset() as usize];
-            if d == special {
-                instead.clone()
+        let times_on = |d: Date| {
+            let weekday = weekdays[d.weekday().to_monday_zero_offset() as usize];
+            if d == exception_date {
+                exception_times.clone()
             } else if d == holiday || !(days.is_empty() || days.contains(&weekday)) {
                 Vec::new()
             } else {
@@ -179,18 +182,18 @@
             }
         };
         let tz = TimeZoneDatabase::bundled().get(zone).expect("known");
-        let walk = Walk {
+        let walk = ClockWalk {
             zone: &tz,
-            hours: &of_day,
+            times_on: &times_on,
         };
         for _ in 0..3 {
-            let accepted =
-                ms(&format!("{}T00:00:00Z", near(&mut rng))) as i64 + rng.i64(0..86_400_000);
-            let expected = walk.due(accepted + i64::from(notice) * MINUTE);
+            let accepted = timestamp_ms(&format!("{}T00:00:00Z", nearby_date(&mut rng))) as i64
+                + rng.i64(0..86_400_000);
+            let expected = walk.next_release(accepted + i64::from(notice) * MINUTE);
             let due = calendar
                 .due("t", "any", "job", accepted as u64)
                 .map(|d| d.at_ms as i64);
-            none += usize::from(expected.is_none());
+            without_expected += usize::from(expected.is_none());
             if expected.is_some() {
                 assert_eq!(
                     due, expected,
@@ -208,18 +211,18 @@
             }
         }
     }
-    assert!(none < 100, "most have an hour within the walk");
+    assert!(without_expected < 100, "most have an hour within the walk");
 }
 
 /// At the very instant it is the hour itself; a millisecond later it is the next.
 #[test]
-fn the_very_instant_counts() {
+fn job_accepted_at_a_release_time_is_due_at_it() {
     let calendar = build(&Spec {
         studios: vec![studio("Europe/Paris")],
         releases: vec![release(&["07:00"], &[])],
         ..Spec::default()
     });
-    let hour = ms("2026-12-02T06:00:00Z");
+    let hour = timestamp_ms("2026-12-02T06:00:00Z");
     let due = |at| calendar.due("t", "c", "j", at).map(|d| d.at_ms);
     assert_eq!(due(hour), Some(hour));
     assert_eq!(due(hour + 1), Some(hour + 86_400_000));
@@ -228,26 +231,30 @@
 
 /// Skipped: when the clock skips it. Twice: the first time.
 #[test]
-fn hours_that_come_twice_or_not_at_all_are_decided() {
+fn skipped_time_is_due_at_the_gap_and_repeated_time_at_its_first_occurrence() {
     let calendar = build(&Spec {
         studios: vec![studio("Europe/Paris")],
         releases: vec![release(&["02:30"], &[])],
         ..Spec::default()
     });
-    let due = |at: &str| calendar.due("t", "c", "j", ms(at)).map(|d| d.at_ms);
+    let due = |at: &str| {
+        calendar
+            .due("t", "c", "j", timestamp_ms(at))
+            .map(|d| d.at_ms)
+    };
     assert_eq!(
         due("2026-03-28T22:00:00Z"),
-        Some(ms("2026-03-29T01:00:00Z")),
+        Some(timestamp_ms("2026-03-29T01:00:00Z")),
         "skipped at two"
     );
     assert_eq!(
         due("2026-10-24T22:00:00Z"),
-        Some(ms("2026-10-25T00:30:00Z")),
+        Some(timestamp_ms("2026-10-25T00:30:00Z")),
         "the first of two"
     );
     assert_eq!(
         due("2026-10-25T00:31:00Z"),
-        Some(ms("2026-10-26T01:30:00Z")),
+        Some(timestamp_ms("2026-10-26T01:30:00Z")),
         "never the second"
     );
 }
@@ -255,7 +262,7 @@
 /// A job's own agreement stands before its studio's hours, even if it is past; a class before any class; a named team
 /// before its node, a nearer node before one above.
 #[test]
-fn what_is_named_more_closely_goes_first() {
+fn most_specific_entry_takes_precedence() {
     let text = r#"
         studio = [
             { name = "s", teams = ["t"], zone = "UTC" },
@@ -291,7 +298,7 @@
         .expect("good");
     let hour = |team: &str, class: &str, job: &str, at: &str| {
         calendar
-            .due(team, class, job, ms(at))
+            .due(team, class, job, timestamp_ms(at))
             .map(|d| (calendar.local("s", d.at_ms), d.agreed))
     };
     let at = |hour: &str| Some((format!("2026-12-02T{hour}:00+00:00"), false));
@@ -318,7 +325,7 @@
 
 /// What is wrong is told with line, entry and field.
 #[test]
-fn bad_calendars_are_refused_by_line_and_field() {
+fn invalid_calendars_are_rejected_with_line_and_field() {
     let known = Around {
         teams: Some(vec![TeamAt {
             name: "t".into(),
@@ -394,10 +401,10 @@
         ),
     ] {
         let text = text.replace("STUDIO", studio);
-        let said = faults(&text, &known);
+        let reported = faults(&text, &known);
         assert!(
-            said.iter().any(|f| f.contains(expected)),
-            "{text}\nshould be told {expected:?}, was {said:?}"
+            reported.iter().any(|f| f.contains(expected)),
+            "{text}\nshould be told {expected:?}, was {reported:?}"
         );
     }
     let many = (0..=hours::MAX_AGREEMENTS).map(|i| Agreement {
@@ -420,7 +427,7 @@
 
 /// Records hold any calendar, in parts; what differs is told by entry.
 #[test]
-fn parts_make_the_calendar_again() {
+fn split_and_joined_calendar_is_unchanged() {
     use document::Content;
     let spec = Spec {
         studios: (0..40)
