--- a/crates/document/src/fault.rs
+++ b/crates/document/src/fault.rs
@@ -1,16 +1,16 @@
-//! What is wrong with a document, and where.
+//! Validation errors of a document and their locations.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Where in a document something is wrong.
+/// The location of a fault in a document.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "Form", into = "Form")]
 pub enum Place {
     /// The document as a whole.
     Whole,
-    /// An entry of one of its lists.
+    /// An entry of one of the document's lists: the list's name and the index.
     Entry(String, usize),
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// As records and answers have it: `"whole"`, or `{"node": 3}`.
+/// The serialized form in records and responses: `"whole"`, or `{"node": 3}`.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum Form {
@@ -49,13 +49,13 @@
     }
 }
 
-/// One thing that is wrong, with its place.
+/// One validation error and its location.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
     pub place: Place,
-    /// The path to the field: `node "a".guarantee.gpus`.
+    /// Path to the field, such as `node "a".guarantee.gpus`.
     pub path: String,
-    /// Line of a file, counted from 1, where there is one.
+    /// Line number in the file, starting at 1, if known.
     pub line: Option<usize>,
     pub what: String,
 }
@@ -82,10 +82,10 @@
 
 impl std::error::Error for Fault {}
 
-/// No more faults than this are told at once.
+/// Faults found beyond this number are not reported.
 const MAX_FAULTS: usize = 50;
 
-/// What a check has found so far.
+/// The faults that a check has found so far, at most `MAX_FAULTS`.
 #[derive(Debug, Clone, Default)]
 pub struct Faults(Vec<Fault>);
 
@@ -103,7 +103,7 @@
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
-    /// What was checked, if nothing is wrong with it.
+    /// Returns `good` if no fault was found, and the faults otherwise.
     pub fn or<T>(self, good: T) -> Result<T, Vec<Fault>> {
         if self.0.is_empty() {
             Ok(good)
@@ -113,7 +113,7 @@
     }
 }
 
-/// A name of somebody else's, cut for messages.
+/// Truncates a name from outside the program for use in messages.
 pub fn short(name: &str) -> String {
     name.chars().take(60).collect()
 }
--- a/crates/document/src/file.rs
+++ b/crates/document/src/file.rs
@@ -1,4 +1,4 @@
-//! Documents as operators write them: TOML, since INI can't hold lists of things with parts.
+//! Document files written by operators. The format is TOML, since INI can't express lists of structured entries.
 
 use crate::{Fault, Place};
 use schemars::JsonSchema;
@@ -6,21 +6,22 @@
 use std::collections::BTreeMap;
 pub use toml::Spanned;
 
-/// Larger files are refused unread: a tree of 20,000 teams takes less.
+/// Files of more bytes are rejected before parsing. A quota tree of 20,000 teams is smaller than this.
 pub const MAX_FILE: usize = 4 << 20;
 
-/// A file's form, with the places of its entries.
+/// The deserialized form of a file, whose entries carry their byte spans.
 pub trait Raw: DeserializeOwned {
     type Spec;
-    /// The document that it says, the places of its entries handed over with [`Lines::list`].
+    /// Converts to the document and records the lines of its entries with [`Lines::list`].
     fn spec(self, lines: &mut Lines) -> Self::Spec;
 }
 
-/// Where each entry stands in the file.
+/// The line of each entry in the file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Lines {
-    /// Where each line starts.
+    /// Byte offset at which each line starts.
     line_starts: Vec<usize>,
+    /// Line numbers of the entries of each list.
     entries: BTreeMap<&'static str, Vec<usize>>,
 }
 
@@ -37,7 +38,7 @@
     fn line_at(&self, byte: usize) -> usize {
         self.line_starts.partition_point(|start| *start <= byte)
     }
-    /// Notes the lines of a list's entries, which follow those that it had.
+    /// Records the lines of a list's entries, after those already recorded for the list, and returns the entries.
     pub fn list<T>(&mut self, name: &'static str, all: Vec<Spanned<T>>) -> Vec<T> {
         let lines: Vec<usize> = all.iter().map(|s| self.line_at(s.span().start)).collect();
         self.entries.entry(name).or_default().extend(lines);
@@ -45,7 +46,7 @@
     }
 }
 
-/// A file that could be read, and the lines of its entries.
+/// A parsed file and the lines of its entries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Parsed<S> {
     pub spec: S,
@@ -53,7 +54,7 @@
 }
 
 impl<S> Parsed<S> {
-    /// Adds the lines to what is wrong with the document.
+    /// Sets the line numbers of faults in the document.
     pub fn locate(&self, faults: Vec<Fault>) -> Vec<Fault> {
         let line = |place: &Place| match place {
             Place::Whole => None,
@@ -69,7 +70,7 @@
     }
 }
 
-/// Reads a file's text. Whether the document holds together is for [`crate::Content::build`] to say.
+/// Parses the text of a file. The document is validated by [`crate::Content::build`].
 pub fn parse<R: Raw>(text: &str) -> Result<Parsed<R::Spec>, Vec<Fault>> {
     let mut lines = Lines::from_text(text);
     let file_fault = |line, what: &str| {
@@ -81,7 +82,7 @@
     if text.len() > MAX_FILE {
         return Err(file_fault(
             None,
-            &format!("{} bytes; at most {MAX_FILE} are read", text.len()),
+            &format!("{} bytes; at most {MAX_FILE} are allowed", text.len()),
         ));
     }
     let raw: R = toml::from_str(text)
@@ -90,12 +91,12 @@
     Ok(Parsed { spec, lines })
 }
 
-/// The document as text that [`parse`] reads back to the same.
+/// Renders a document as TOML, from which [`parse`] returns an equal document.
 pub fn render<S: Serialize>(spec: &S) -> Result<String, String> {
     toml::to_string(spec).map_err(|e| e.to_string())
 }
 
-/// The published schema of such files (JSON Schema), generated from the types.
+/// The published JSON Schema of the files, generated from the types.
 pub fn schema<S: JsonSchema>() -> String {
     let schema = schemars::schema_for!(S);
     format!("{:#}", schema.as_value())
--- a/crates/document/src/head.rs
+++ b/crates/document/src/head.rs
@@ -1,45 +1,46 @@
-//! The head of a document in the state service: its version, its parts by name, and its latest changes.
+//! The head record of a document in the state service: its version, the names of its parts, and its latest changes.
 
 use crate::MAX_KIND;
 use crate::parts::text;
 use serde::{Deserialize, Serialize};
 
-/// The form of heads and parts where a kind names no later one.
+/// Format version of heads and parts, unless a kind declares a later one with [`crate::Content::FORMAT`].
 pub const FORMAT: u32 = 1;
-/// Changes that the head remembers at most; fewer where a value has less room.
+/// Maximum number of changes in a head's history. The oldest are dropped earlier if the record would get too large.
 pub const HISTORY: usize = 16;
-/// Characters of an operator's name or change id, and of what was changed.
+/// Maximum number of characters of an operator's name and of a change id.
 pub const SHORT: usize = 40;
+/// Maximum number of characters of a change's description.
 const MAX_DESCRIPTION_CHARS: usize = 160;
-/// What stands around the head in its record: its kind's word, quoted.
+/// Bytes that the record takes beside the serialized head: the kind's name and its punctuation.
 const RECORD_OVERHEAD: usize = MAX_KIND + 8;
 
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Head {
     pub format: u32,
-    /// Rises by one with each change; 0 stands for no document.
+    /// Incremented by each change; 0 means that there is no document.
     pub version: u64,
     /// Names of the parts, in order.
     pub parts: Vec<String>,
-    /// The latest changes, newest first.
+    /// Latest changes, newest first.
     #[serde(default)]
     pub history: Vec<Past>,
 }
 
-/// One change, for people, and for the operator who asks again after a lost answer.
+/// One change, kept for display and to recognise a request that is repeated after its response was lost.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Past {
     pub version: u64,
-    /// The operator's own id of the change.
+    /// Change id chosen by the operator.
     pub change: String,
-    /// Time of day, in milliseconds.
+    /// Wall-clock time in milliseconds since the Unix epoch.
     pub at_ms: u64,
     pub by: String,
     pub what: String,
 }
 
 impl Past {
-    /// Words of others are cut.
+    /// Truncates the given texts and removes their control characters.
     pub fn new(version: u64, change: &str, at_ms: u64, by: &str, what: &str) -> Self {
         let sanitize = |s: &str, max_chars: usize| {
             s.chars()
@@ -58,7 +59,7 @@
 }
 
 impl Head {
-    /// The head after a change, whose record takes at most `value` bytes: the oldest changes are forgotten.
+    /// Returns the head after a change. Drops the oldest changes until its record fits into `max_bytes`.
     pub fn next(&self, parts: Vec<String>, past: Past, max_bytes: usize) -> Result<Head, String> {
         let mut history = vec![past];
         history.extend(self.history.iter().take(HISTORY - 1).cloned());
@@ -72,7 +73,7 @@
             let n = head.parts.len();
             if head.history.len() <= 1 {
                 return Err(format!(
-                    "it takes {n} records, more than a list of {max_bytes} bytes holds"
+                    "it takes {n} parts, too many for a head of at most {max_bytes} bytes"
                 ));
             }
             head.history.pop();
@@ -80,7 +81,7 @@
         Ok(head)
     }
 
-    /// The change with this id of an operator's, if it is remembered.
+    /// Finds a change in the history by the operator's change id.
     pub fn made(&self, change: &str) -> Option<&Past> {
         self.history.iter().find(|p| p.change == change)
     }
--- a/crates/document/src/lib.rs
+++ b/crates/document/src/lib.rs
@@ -1,11 +1,12 @@
-//! Documents that operators put in force: a quota tree, and whatever else all controllers must act on as one whole
-//! version.
+//! Versioned documents that operators put in force, such as a quota tree. All controllers act on one complete version
+//! at a time.
 //!
-//! An operator writes a file ([`mod@file`]), its type ([`Content`]) checks it and says what is wrong and where
-//! ([`Fault`]). In the state service a version is a [`Head`] that names its parts, and the parts, each named by a
-//! digest of what it holds ([`split`], [`join`]): parts are written first, and the head makes the change, whole.
+//! An operator writes a file ([`mod@file`]); its type ([`Content`]) validates it and reports errors with their location
+//! ([`Fault`]). In the state service a version consists of a [`Head`] and the parts that it lists, each named by a
+//! digest of its content ([`split`], [`join`]). The parts are written first; writing the head then applies the change
+//! atomically.
 //!
-//! This package may not do I/O, read a clock or draw random numbers. It knows nothing of what a document means.
+//! This package must not do I/O, read a clock or draw random numbers. It is independent of what a document means.
 
 mod fault;
 pub mod file;
@@ -19,39 +20,39 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
 
-/// A document of one kind, as people and records say it, before it is checked.
+/// A document of one kind in its file and record form, before validation.
 pub trait Content: Clone + Debug + Default + PartialEq + Serialize + DeserializeOwned {
-    /// Its word in keys, paths and commands; at most [`MAX_KIND`] plain letters.
+    /// Name of the kind in keys, paths and commands: at most [`MAX_KIND`] ASCII letters.
     const KIND: &'static str;
-    /// What people call it.
+    /// Name of the kind in messages.
     const NAME: &'static str;
-    /// The form of its records. A head of a later one is refused.
+    /// Format version of the kind's records. Heads of a later version are rejected.
     const FORMAT: u32 = FORMAT;
-    /// Bounds what an empty part takes.
+    /// Upper bound of the serialized size of an empty part, in bytes.
     const FRAME: usize = 40;
 
-    /// Some of its entries, as a record holds them.
+    /// A subset of the entries, as stored in one record.
     type Part: Clone + Debug + Default + PartialEq + Serialize + DeserializeOwned;
-    /// What it has to fit.
+    /// What the document is validated against, such as the teams in the settings.
     type Context;
-    /// It has been checked.
+    /// The validated document.
     type Built;
 
-    /// Hands over its entries, one by one and in order.
+    /// Pushes all entries in order.
     fn pack(&self, into: &mut Packer<Self::Part>);
-    /// Adds the entries of a part.
+    /// Appends the entries of a part.
     fn unpack(&mut self, part: &Self::Part);
-    /// Checks it. All that is wrong is returned, not just the first.
+    /// Validates the document. Returns all faults, not only the first.
     fn build(&self, context: &Self::Context) -> Result<Self::Built, Vec<Fault>>;
-    /// What differs between two versions, a line each, for people; at most `most` lines.
+    /// Describes the differences between two versions for display, one per line. Lists at most `most` differences.
     fn differences(old: &Self, new: &Self, most: usize) -> Vec<String>;
-    /// How much there is of it, for the log: `3 nodes and 4 teams`.
+    /// Summary of the document's size for the log, such as `3 nodes and 4 teams`.
     fn size(built: &Self::Built) -> String;
-    /// The same without what has left the context since it was put in force.
+    /// Returns the document without references to what has been removed from the context since it was put in force.
     fn fitting(&self, _context: &Self::Context) -> Self {
         self.clone()
     }
 }
 
-/// Letters of a kind's word.
+/// Maximum length of [`Content::KIND`].
 pub const MAX_KIND: usize = 16;
--- a/crates/document/src/parts.rs
+++ b/crates/document/src/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a document: entries in records of bounded size, each named by a digest of what it holds.
+//! Splits a document into parts: records of bounded size, each named by a digest of its content.
 
 use crate::{Content, Head};
 use serde::Serialize;
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Characters of a part's name: half as many bytes of a digest.
+/// Length of a part's name: two hexadecimal digits for each digest byte that is kept.
 const PART_NAME_CHARS: usize = 24;
 
-/// The first half of a digest, in hexadecimal.
+/// Returns the first 12 bytes of the SHA-256 digest of the value's JSON, in hexadecimal.
 pub fn digest<T: Serialize>(value: &T) -> String {
     let mut out = String::with_capacity(PART_NAME_CHARS);
     for byte in Sha256::digest(text(value)).iter().take(PART_NAME_CHARS / 2) {
@@ -19,21 +19,23 @@
     out
 }
 
-/// The form that limits are counted in, and that digests are made of.
+/// Serializes a value as JSON, the form used for size limits and digests.
 pub fn text<T: Serialize>(value: &T) -> Vec<u8> {
     serde_json::to_vec(value).unwrap_or_default()
 }
 
-/// Fills one part after the other, each up to its bound.
+/// Distributes entries over parts, starting a new part when the size limit is reached.
 pub struct Packer<P> {
     max_bytes: usize,
+    /// Upper bound of the size of a part without entries.
     empty_bytes: usize,
+    /// Upper bound of the size of the last part; `usize::MAX` before the first, so that the first entry starts a part.
     part_bytes: usize,
     parts: Vec<P>,
 }
 
 impl<P: Default + Serialize> Packer<P> {
-    /// Parts of at most `value` bytes, an empty one of which takes at most `frame`.
+    /// Creates a packer for parts of at most `max_bytes`, where an empty part takes at most `empty_bytes`.
     pub fn new(max_bytes: usize, empty_bytes: usize) -> Self {
         Packer {
             max_bytes,
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Puts an entry into the part that is being filled, or into the next.
+    /// Adds an entry to the last part, or to a new one if it doesn't fit.
     pub fn push<T: Serialize>(&mut self, entry: &T, add: impl FnOnce(&mut P)) {
         let entry_bytes = text(entry).len() + 1;
         if self.part_bytes.saturating_add(entry_bytes) > self.max_bytes {
@@ -59,7 +61,7 @@
     fn finish(self) -> Result<Vec<(String, P)>, String> {
         if let Some(oversized) = self.parts.iter().find(|p| text(p).len() > self.max_bytes) {
             return Err(format!(
-                "one entry takes {} bytes of {}",
+                "one entry takes {} bytes; at most {} are allowed",
                 text(oversized).len(),
                 self.max_bytes
             ));
@@ -68,14 +70,14 @@
     }
 }
 
-/// Cuts a document into parts of at most `value` bytes.
+/// Splits a document into parts of at most `max_bytes`, paired with their names.
 pub fn split<C: Content>(content: &C, max_bytes: usize) -> Result<Vec<(String, C::Part)>, String> {
     let mut packer = Packer::new(max_bytes, C::FRAME);
     content.pack(&mut packer);
     packer.finish()
 }
 
-/// Puts a document together again. The error names what is missing or damaged.
+/// Reassembles a document from its parts. The error names the part that is missing or damaged.
 pub fn join<C: Content>(head: &Head, parts: &BTreeMap<String, C::Part>) -> Result<C, String> {
     if head.format > C::FORMAT {
         let known = C::FORMAT;
