--- a/crates/hours/src/calendar.rs
+++ b/crates/hours/src/calendar.rs
@@ -1,4 +1,4 @@
-//! A calendar that has been checked. It never changes.
+//! The validated, immutable calendar.
 
 use crate::file::{AGREEMENT, EXCEPTION, HOLIDAY, RELEASE, STUDIO};
 use crate::local_time::{
@@ -16,58 +16,62 @@
 use jiff::{Timestamp, ToSpan};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A team, and the nodes above it in the quota tree, the nearest last.
+/// A team and the nodes above it in the quota tree, the nearest last.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct TeamAt {
     pub name: String,
     pub path: Vec<String>,
 }
 
-/// What a calendar has to fit.
+/// The settings and the quota tree that a calendar is validated against.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Around {
-    /// The teams of the settings; without them no name is compared.
+    /// Teams in the settings. With `None`, names of teams and nodes are not checked.
     pub teams: Option<Vec<TeamAt>>,
-    /// The nodes of the quota tree.
+    /// Names of the nodes in the quota tree.
     pub nodes: BTreeSet<String>,
 }
 
-/// The hour that applies to a job.
+/// The release time that applies to a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Due {
-    /// Time of day, in milliseconds.
+    /// Wall-clock time in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Agreed for this job alone.
+    /// Whether the time was agreed for this job alone.
     pub agreed: bool,
 }
 
+/// Validated release rules of one studio.
 struct StudioRules {
     name: String,
     zone: TimeZone,
     notice_ms: i64,
+    /// Rules by job class; `None` holds the rule of classes without one of their own.
     by_class: HashMap<Option<String>, ReleaseRule>,
-    /// Hours of single days, by class.
+    /// Release times that replace the rules on single days, by job class as in `by_class`.
     exceptions: BTreeMap<Date, HashMap<Option<String>, Vec<Time>>>,
     holidays: BTreeSet<Date>,
 }
 
+/// Regular release times on weekdays, sorted, and the minimum notice if it differs from the studio's.
 struct ReleaseRule {
     times: Vec<Time>,
     days: [bool; WEEKDAYS.len()],
     notice_ms: Option<i64>,
 }
 
-/// Which hour applies to each job.
+/// Determines the release time of each job.
 #[derive(Default)]
 pub struct Calendar {
     studios: Vec<StudioRules>,
+    /// Index into `studios` by team name.
     studio_of_team: HashMap<String, usize>,
-    /// Hours of single jobs.
+    /// Agreed release times by job id, in milliseconds since the Unix epoch.
     agreed_times: HashMap<String, u64>,
 }
 
 impl Calendar {
-    /// Checks a description. All that is wrong is returned, not just the first.
+    /// Validates a spec. Returns all faults, not only the first.
     pub fn build(spec: &Spec, around: &Around) -> Result<Calendar, Vec<Fault>> {
         let mut b = Builder {
             spec,
@@ -87,7 +91,8 @@
         b.faults.or(b.calendar)
     }
 
-    /// The hour of a job that was accepted at this time of day; none where nothing is agreed for its studio.
+    /// The release time of a job accepted at `accepted_ms`; `None` if the job has no agreement and its team no studio,
+    /// or if the studio has no release within [`MAX_AHEAD_DAYS`].
     pub fn due(&self, team: &str, class: &str, job: &str, accepted_ms: u64) -> Option<Due> {
         if let Some(at_ms) = self.agreed_times.get(job) {
             return Some(Due {
@@ -104,7 +109,7 @@
         })
     }
 
-    /// The studio that a team belongs to.
+    /// Name of the studio that a team belongs to.
     pub fn studio_of(&self, team: &str) -> Option<&str> {
         self.studio_of_team
             .get(team)
@@ -116,12 +121,12 @@
         self.studios.iter().map(|s| s.name.as_str()).collect()
     }
 
-    /// How many jobs have an hour of their own.
+    /// Number of agreements for single jobs.
     pub fn agreed(&self) -> usize {
         self.agreed_times.len()
     }
 
-    /// A moment as a studio's clocks show it; as UTC for none that is known.
+    /// Formats a timestamp in the studio's time zone, or in UTC if the studio is unknown.
     pub fn local(&self, studio: &str, at_ms: u64) -> String {
         let zone = self
             .studios
@@ -141,13 +146,13 @@
         )
     }
 
-    /// A moment that an operator names for a studio: its local time (`2026-12-24T18:00`), or with an offset.
+    /// Parses a time that an operator gives for a studio: a local time (`2026-12-24T18:00`), or one with an offset.
     pub fn moment(&self, studio: &str, text: &str) -> Result<u64, String> {
         let rules = self.studios.iter().find(|s| s.name == studio);
         let at = match (parse_date_time(text), rules) {
             (Some(local), Some(rules)) if is_skipped(&rules.zone, local) => {
                 return Err(format!(
-                    "{text} does not exist in {studio}: its clocks skip it"
+                    "{text} does not exist in {studio}: its clocks are set forward past it"
                 ));
             }
             (Some(local), Some(rules)) => first_reached_ms(&rules.zone, local),
@@ -158,7 +163,9 @@
         };
         let at = at.and_then(|ms| u64::try_from(ms).ok());
         at.ok_or_else(|| {
-            format!("{text:?} is no time; like 2026-12-24T18:00, or 2026-12-24T18:00:00+01:00")
+            format!(
+                "{text:?} is not a valid time; use 2026-12-24T18:00 or 2026-12-24T18:00:00+01:00"
+            )
         })
     }
 }
@@ -180,7 +187,7 @@
         let mut day = today.checked_sub(2.days()).ok()?;
         for _ in 0..MAX_AHEAD_DAYS {
             let times = self.times_on(&class, rule, day);
-            // Rising in time as in name, since each is due when the clock first reaches it.
+            // Sorted local times give ascending instants, since each is due when the clock first reaches it.
             let due = times
                 .iter()
                 .filter_map(|time| first_reached_ms(&self.zone, day.to_datetime(*time)));
@@ -192,7 +199,7 @@
         None
     }
 
-    /// The hours of one day.
+    /// Release times on one day: those of an exception if there is one, otherwise those of the rule.
     fn times_on<'a>(
         &'a self,
         class: &Option<String>,
@@ -212,14 +219,17 @@
     }
 }
 
+/// Validates a spec and collects its faults while it fills the calendar.
 struct Builder<'a> {
     spec: &'a Spec,
     faults: Faults,
     calendar: Calendar,
+    /// Index of each studio by name.
     studio_index: HashMap<&'a str, usize>,
 }
 
 impl Builder<'_> {
+    /// Rejects lists above their limits. The entries are then not checked at all.
     fn check_entry_counts(&mut self) {
         let s = self.spec;
         let dates = s.exceptions.len() + s.holidays.iter().map(|h| h.dates.len()).sum::<usize>();
@@ -239,7 +249,7 @@
         }
     }
 
-    /// Something is wrong with a field of an entry that is known by a name.
+    /// Adds a fault for a field of the entry with the given index and name.
     fn add_fault(
         &mut self,
         list: &str,
@@ -252,7 +262,7 @@
         self.faults.add(Place::entry(list, i), path, what);
     }
 
-    /// A name that can be kept and shown.
+    /// Checks that a name can be stored and displayed.
     fn check_name(&mut self, list: &str, i: usize, name: &str, field: &str) {
         if name.is_empty() || name.len() > MAX_NAME || name.chars().any(char::is_control) {
             let what = format!("must be 1 to {MAX_NAME} bytes without control characters");
@@ -260,6 +270,7 @@
         }
     }
 
+    /// Checks a notice period and converts it to milliseconds.
     fn check_notice(&mut self, list: &str, i: usize, name: &str, minutes: u32) -> i64 {
         if minutes > MAX_NOTICE {
             self.add_fault(
@@ -316,7 +327,7 @@
         }
     }
 
-    /// Which studio each team belongs to: the one that names it, or else the one of the nearest node above it.
+    /// Assigns each team to the studio that names it, or else to the studio of the nearest node above it.
     fn assign_teams(&mut self, around: &Around) {
         let spec = self.spec;
         let known = around.teams.as_ref();
@@ -329,7 +340,7 @@
                     .as_ref()
                     .is_some_and(|names| !names.contains(team.as_str()))
                 {
-                    let what = format!("{:?} is no team of the settings", short(team));
+                    let what = format!("{:?} is not a team in the settings", short(team));
                     self.add_fault(STUDIO, i, &studio.name, "teams", what);
                 }
                 if self
@@ -344,11 +355,11 @@
             }
             let Some(node) = &studio.node else { continue };
             if known.is_some() && !around.nodes.contains(node) {
-                let what = format!("{:?} is no node of the quota tree", short(node));
+                let what = format!("{:?} is not a node of the quota tree", short(node));
                 self.add_fault(STUDIO, i, &studio.name, "node", what);
             }
             if of_node.insert(node, i).is_some() {
-                let what = format!("{:?} is another studio's", short(node));
+                let what = format!("{:?} belongs to another studio already", short(node));
                 self.add_fault(STUDIO, i, &studio.name, "node", what);
             }
         }
@@ -363,19 +374,19 @@
         }
     }
 
-    /// The studio that an entry is of.
+    /// Finds the index of the studio that an entry refers to.
     fn find_studio(&mut self, list: &str, i: usize, name: &str) -> Option<usize> {
         let index = self.studio_index.get(name).copied();
         if index.is_none() {
-            self.add_fault(list, i, name, "studio", "is no studio of this calendar");
+            self.add_fault(list, i, name, "studio", "is not a studio of this calendar");
         }
         index
     }
 
-    /// Local times of an entry, in order.
+    /// Parses the local times of an entry and sorts them.
     fn parse_times(&mut self, list: &str, i: usize, name: &str, at: &[String]) -> Vec<Time> {
         if at.len() > MAX_HOURS {
-            self.add_fault(list, i, name, "at", format!("more than {MAX_HOURS} hours"));
+            self.add_fault(list, i, name, "at", format!("more than {MAX_HOURS} times"));
         }
         let mut out = BTreeSet::new();
         for text in at {
@@ -383,7 +394,7 @@
                 Some(time) if out.insert(time) => {}
                 Some(_) => self.add_fault(list, i, name, "at", format!("{text:?} is named twice")),
                 None => {
-                    let what = format!("{:?} is no time of day; like \"07:30\"", short(text));
+                    let what = format!("{:?} is not a time of day such as \"07:30\"", short(text));
                     self.add_fault(list, i, name, "at", what)
                 }
             }
@@ -401,7 +412,7 @@
     ) -> Option<Date> {
         let day = parse_date(text);
         if day.is_none() {
-            let what = format!("{:?} is no date; like \"2026-12-24\"", short(text));
+            let what = format!("{:?} is not a date such as \"2026-12-24\"", short(text));
             self.add_fault(list, i, name, field, what);
         }
         day
@@ -422,7 +433,7 @@
         {
             let times = self.parse_times(RELEASE, i, studio, at);
             if at.is_empty() {
-                self.add_fault(RELEASE, i, studio, "at", "must have at least one hour");
+                self.add_fault(RELEASE, i, studio, "at", "must have at least one time");
             }
             let mut week = [days.is_empty(); WEEKDAYS.len()];
             for name in days {
@@ -437,7 +448,7 @@
                     ),
                     None => {
                         let what = format!(
-                            "{:?} is no weekday; one of {}",
+                            "{:?} is not a weekday; must be one of {}",
                             short(name),
                             WEEKDAYS.join(" ")
                         );
@@ -524,7 +535,7 @@
                     i,
                     studio,
                     "date",
-                    format!("{text} has another one of this class already"),
+                    format!("{text} has another exception for this class already"),
                 );
             }
         }
@@ -540,20 +551,27 @@
             let zone = self.calendar.studios[index].zone.clone();
             let Some(local) = parse_date_time(at) else {
                 let what = format!(
-                    "{:?} is no local time; like \"2026-12-24T18:00\"",
+                    "{:?} is not a local time such as \"2026-12-24T18:00\"",
                     short(at)
                 );
                 self.add_fault(AGREEMENT, i, job, "at", what);
                 continue;
             };
             if is_skipped(&zone, local) {
-                let what = format!("{at} does not exist in {studio}: its clocks skip it");
+                let what =
+                    format!("{at} does not exist in {studio}: its clocks are set forward past it");
                 self.add_fault(AGREEMENT, i, job, "at", what);
                 continue;
             }
             let due = first_reached_ms(&zone, local).and_then(|ms| u64::try_from(ms).ok());
             let Some(due) = due else {
-                self.add_fault(AGREEMENT, i, job, "at", format!("{at} is too long ago"));
+                self.add_fault(
+                    AGREEMENT,
+                    i,
+                    job,
+                    "at",
+                    format!("{at} is out of range; must be in 1970 or later"),
+                );
                 continue;
             };
             if self
--- a/crates/hours/src/content.rs
+++ b/crates/hours/src/content.rs
@@ -1,4 +1,4 @@
-//! The calendar as a document.
+//! Implements [`Content`] for the calendar.
 
 use crate::{Around, Calendar, Spec, file};
 use document::{Content, Fault, Packer};
@@ -64,7 +64,8 @@
             calendar.agreed()
         )
     }
-    /// Teams that have left the settings, and nodes that have left the quota tree, have no work to be released.
+    /// Teams removed from the settings and nodes removed from the quota tree have no jobs left to release, so their
+    /// names are dropped.
     fn fitting(&self, around: &Around) -> Spec {
         let mut spec = self.clone();
         if let Some(teams) = &around.teams {
@@ -78,7 +79,7 @@
     }
 }
 
-/// Entries by what names them, in words.
+/// Descriptions of the entries for display, keyed by what identifies each entry.
 fn describe_entries(spec: &Spec) -> BTreeMap<String, String> {
     let class = |c: &Option<String>| {
         c.as_ref()
--- a/crates/hours/src/file.rs
+++ b/crates/hours/src/file.rs
@@ -1,18 +1,18 @@
-//! A calendar as operators write it.
+//! The file format in which operators write a calendar.
 
 use crate::spec::{Agreement, Exception, Holiday, Release, Spec, Studio};
 use document::Fault;
 use document::file::{self, Lines, Spanned};
 use serde::Deserialize;
 
-/// Lists of a file, as faults name them.
+// Names of the lists in a file, also used in faults.
 pub(crate) const STUDIO: &str = "studio";
 pub(crate) const RELEASE: &str = "release";
 pub(crate) const HOLIDAY: &str = "holiday";
 pub(crate) const EXCEPTION: &str = "exception";
 pub(crate) const AGREEMENT: &str = "agreement";
 
-/// A file that could be read, and the lines of its entries.
+/// A parsed file and the lines of its entries.
 pub type Parsed = file::Parsed<Spec>;
 
 #[derive(Deserialize)]
@@ -43,7 +43,7 @@
     }
 }
 
-/// Reads a file's text. Whether the calendar holds together is for [`crate::Calendar::build`] to say.
+/// Parses the text of a file. The calendar is validated by [`crate::Calendar::build`].
 pub fn parse(text: &str) -> Result<Parsed, Vec<Fault>> {
     file::parse::<Raw>(text)
 }
--- a/crates/hours/src/lib.rs
+++ b/crates/hours/src/lib.rs
@@ -1,17 +1,18 @@
-//! Release hours: by when each studio's jobs are to be released.
+//! Release hours: the deadlines by which each studio's jobs are to be released.
 //!
-//! A [`Spec`] is what operators write: studios (teams, or nodes of the quota tree), for each class of their jobs the
-//! local times of release with weekdays, holidays, exceptions and the least notice, and agreements for single jobs.
-//! [`Calendar::build`] checks it; [`Calendar::due`] says which hour applies to a job accepted at a moment: the first
-//! one that leaves at least the notice.
+//! A [`Spec`] is what operators write: studios (teams, or nodes of the quota tree), the local release times for each
+//! class of their jobs with weekdays, holidays, exceptions and the minimum notice, and agreements for single jobs.
+//! [`Calendar::build`] validates it. [`Calendar::due`] returns the release time that applies to a job accepted at a
+//! given time: the first one that is at least the notice away.
 //!
-//! An hour is due at the first moment at which the zone's clock has reached it. So an hour that a clock skips is due
-//! when it skips it, and of one that comes twice the first counts: both on the side of an earlier release.
-//! `docs/hours/design.md` weighs the ways and names the published sources.
+//! A release time is due at the first instant at which the zone's local clock has reached it. A time in a gap (clocks
+//! set forward) is due at the transition, and a time that occurs twice (clocks set back) is due at its first
+//! occurrence. Both choices prefer the earlier release. `docs/hours/design.md` compares the alternatives and names the
+//! published sources.
 //!
-//! Time zones are those of the bundled tz database, so that all controllers of one version agree.
+//! Time zones come from the bundled tz database, so that all controllers of the same version agree.
 //!
-//! This package may not do I/O, read a clock or draw random numbers. It knows nothing of records or plans.
+//! This package must not do I/O, read a clock or draw random numbers. It is independent of records and plans.
 //!
 //! ```
 //! let text = r#"
@@ -27,7 +28,7 @@
 //! "#;
 //! let spec = hours::file::parse(text).map_err(|f| f[0].to_string())?.spec;
 //! let calendar = hours::Calendar::build(&spec, &hours::Around::default()).map_err(|f| f[0].to_string())?;
-//! // Friday, 2026-12-04 06:31 in Paris: half an hour's notice is no longer left, and the next is on Monday.
+//! // Friday, 2026-12-04 06:31 in Paris: less than 30 minutes remain before 07:00, so the job is due on Monday.
 //! let due = calendar.due("comp", "any", "job-000001", 1_796_362_260_000).expect("a studio's job");
 //! assert_eq!(due.at_ms, 1_796_623_200_000);
 //! # Ok::<(), String>(())
@@ -43,17 +44,20 @@
 pub use document::{Fault, Place};
 pub use spec::{Agreement, Exception, Holiday, Release, Spec, Studio};
 
+// Limits on what a calendar may contain.
+
 pub const MAX_STUDIOS: usize = 1_000;
 pub const MAX_RELEASES: usize = 5_000;
-/// Exceptions, and holidays.
+/// Exceptions and holiday dates together.
 pub const MAX_DATES: usize = 10_000;
 pub const MAX_AGREEMENTS: usize = 20_000;
-/// Hours of one day, and teams of one studio.
+/// Release times in one `at` list.
 pub const MAX_HOURS: usize = 48;
+/// Teams named by one studio.
 pub const MAX_TEAMS: usize = 1_000;
-/// Bytes of a name.
+/// Length of a name in bytes.
 pub const MAX_NAME: usize = 120;
 /// Minutes of notice: two weeks.
 pub const MAX_NOTICE: u32 = 14 * 24 * 60;
-/// A job whose studio releases nothing for so many days has no hour.
+/// Number of days searched for a release time. A job whose studio releases nothing in that period has none.
 pub const MAX_AHEAD_DAYS: u32 = 400;
--- a/crates/hours/src/local_time.rs
+++ b/crates/hours/src/local_time.rs
@@ -1,14 +1,15 @@
-//! Local times as moments.
+//! Parsing of local dates and times, and their conversion to timestamps.
 
 use jiff::civil::{Date, DateTime, Time, Weekday};
 use jiff::tz::{AmbiguousOffset, TimeZone};
 
+/// Parses a date such as `2026-12-24`.
 pub(crate) fn parse_date(text: &str) -> Option<Date> {
-    // The library takes more forms than are written here.
+    // jiff accepts more date formats than this one.
     (text.len() == 10).then(|| text.parse().ok())?
 }
 
-/// `07:30`.
+/// Parses a time of day such as `07:30`.
 pub(crate) fn parse_time(text: &str) -> Option<Time> {
     let (hour, minute) = text
         .split_once(':')
@@ -21,7 +22,7 @@
     Time::new(digits(hour)?, digits(minute)?, 0, 0).ok()
 }
 
-/// `2026-12-24T18:00`.
+/// Parses a local date and time such as `2026-12-24T18:00`.
 pub(crate) fn parse_date_time(text: &str) -> Option<DateTime> {
     let (date, time) = text.split_once('T')?;
     Some(parse_date(date)?.to_datetime(parse_time(time)?))
@@ -29,6 +30,7 @@
 
 pub(crate) const WEEKDAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
+/// Returns the index of a weekday name, counted from Monday.
 pub(crate) fn parse_weekday(text: &str) -> Option<usize> {
     WEEKDAYS.iter().position(|d| *d == text)
 }
@@ -37,7 +39,7 @@
     weekday.to_monday_zero_offset() as usize
 }
 
-/// Whether no clock of the zone ever shows this.
+/// Whether a local time lies in a gap, which the zone's clock skips at a transition.
 pub(crate) fn is_skipped(zone: &TimeZone, at: DateTime) -> bool {
     matches!(
         zone.to_ambiguous_timestamp(at).offset(),
@@ -45,11 +47,11 @@
     )
 }
 
-/// The first moment at which the zone's clock has reached this, in milliseconds.
+/// The first instant at which the zone's clock has reached a local time, in milliseconds since the Unix epoch.
 pub(crate) fn first_reached_ms(zone: &TimeZone, at: DateTime) -> Option<i64> {
     let ambiguous = zone.to_ambiguous_timestamp(at);
     if let AmbiguousOffset::Gap { .. } = ambiguous.offset() {
-        // The clock passes it by: at the change that lies between the two readings.
+        // `earlier` resolves a time in a gap to an instant before the transition, so the next transition is the gap's.
         let before = ambiguous.earlier().ok()?;
         return zone
             .following(before)
--- a/crates/hours/src/spec.rs
+++ b/crates/hours/src/spec.rs
@@ -1,4 +1,4 @@
-//! What people and records say of release hours, before it is checked. Dates are `2026-12-24`, times `07:30`.
+//! The calendar in its file and record form, before validation. Dates are written `2026-12-24`, times `07:30`.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -91,7 +91,7 @@
 }
 
 impl Spec {
-    /// Some studio is a node of the quota tree: its teams change with that.
+    /// Whether a studio refers to a node of the quota tree, so that its teams depend on the tree.
     pub fn follows_tree(&self) -> bool {
         self.studios.iter().any(|s| s.node.is_some())
     }
--- a/crates/hours/tests/calendars.rs
+++ b/crates/hours/tests/calendars.rs
@@ -1,4 +1,4 @@
-//! Hours against a plain reference, and what is refused.
+//! Release times compared with a simple reference implementation, and calendars that are rejected.
 
 use hours::{Agreement, Around, Calendar, Exception, Holiday, Release, Spec, Studio, TeamAt, file};
 use jiff::Timestamp;
@@ -9,7 +9,7 @@
 
 fn timestamp_ms(text: &str) -> u64 {
     text.parse::<Timestamp>()
-        .expect("a moment")
+        .expect("a timestamp")
         .as_millisecond() as u64
 }
 
@@ -35,7 +35,7 @@
 }
 
 fn build(spec: &Spec) -> Calendar {
-    Calendar::build(spec, &Around::default()).expect("good")
+    Calendar::build(spec, &Around::default()).expect("a valid calendar")
 }
 
 fn faults(text: &str, around: &Around) -> Vec<String> {
@@ -53,8 +53,8 @@
         .collect()
 }
 
-/// The reference walks the studio's clock minute by minute: an hour is due when the clock, never counted back, first
-/// shows it or has passed it by.
+/// Reference implementation that steps through the studio's local clock minute by minute. A time is due when the latest
+/// local time seen so far first equals or passes it; setting the clock back doesn't lower that.
 struct ClockWalk<'a> {
     zone: &'a TimeZone,
     times_on: &'a dyn Fn(Date) -> Vec<String>,
@@ -88,14 +88,17 @@
             .take_while(|d| *d <= days[1]);
         between.into_iter().any(|day| {
             (self.times_on)(day).iter().any(|h| {
-                let at = format!("{day}T{h}").parse::<DateTime>().expect("an hour");
+                let at = format!("{day}T{h}")
+                    .parse::<DateTime>()
+                    .expect("a time of day");
                 at > before && at <= now
             })
         })
     }
 }
 
-/// Any zone, hours, weekdays, holidays and exceptions, around changes of clocks: as the clock on the wall says.
+/// Random zones, times, weekdays, holidays and exceptions around clock transitions give the same result as the
+/// reference.
 #[test]
 fn due_times_match_a_minute_by_minute_reference() {
     let mut rng = fastrand::Rng::with_seed(27);
@@ -110,7 +113,7 @@
         "Africa/Casablanca",
         "UTC",
     ];
-    // Clocks forward, back, and a day that one zone never had.
+    // Clocks are set forward and back, and Pacific/Apia skipped 2011-12-30.
     let transition_dates = [
         "2026-03-29",
         "2026-10-25",
@@ -181,7 +184,9 @@
                 at.clone()
             }
         };
-        let tz = TimeZoneDatabase::bundled().get(zone).expect("known");
+        let tz = TimeZoneDatabase::bundled()
+            .get(zone)
+            .expect("a known time zone");
         let walk = ClockWalk {
             zone: &tz,
             times_on: &times_on,
@@ -200,7 +205,7 @@
                     "case {case}: {zone} {at:?} {days:?} accepted {accepted}"
                 );
             }
-            // An hour stays the same for whoever is accepted at it, and is never before it.
+            // Without notice, a job accepted exactly at a release time is due at that time.
             if let Some(due) = due.filter(|_| notice == 0) {
                 assert_eq!(
                     calendar
@@ -211,10 +216,13 @@
             }
         }
     }
-    assert!(without_expected < 100, "most have an hour within the walk");
+    assert!(
+        without_expected < 100,
+        "most cases have a release time within the range of the reference"
+    );
 }
 
-/// At the very instant it is the hour itself; a millisecond later it is the next.
+/// A job accepted a millisecond after a release time is due at the next one.
 #[test]
 fn job_accepted_at_a_release_time_is_due_at_it() {
     let calendar = build(&Spec {
@@ -226,10 +234,13 @@
     let due = |at| calendar.due("t", "c", "j", at).map(|d| d.at_ms);
     assert_eq!(due(hour), Some(hour));
     assert_eq!(due(hour + 1), Some(hour + 86_400_000));
-    assert_eq!(calendar.due("other", "c", "j", hour), None, "no studio's");
+    assert_eq!(
+        calendar.due("other", "c", "j", hour),
+        None,
+        "the team has no studio"
+    );
 }
 
-/// Skipped: when the clock skips it. Twice: the first time.
 #[test]
 fn skipped_time_is_due_at_the_gap_and_repeated_time_at_its_first_occurrence() {
     let calendar = build(&Spec {
@@ -245,22 +256,23 @@
     assert_eq!(
         due("2026-03-28T22:00:00Z"),
         Some(timestamp_ms("2026-03-29T01:00:00Z")),
-        "skipped at two"
+        "the transition at 02:00 skips it"
     );
     assert_eq!(
         due("2026-10-24T22:00:00Z"),
         Some(timestamp_ms("2026-10-25T00:30:00Z")),
-        "the first of two"
+        "first occurrence"
     );
     assert_eq!(
         due("2026-10-25T00:31:00Z"),
         Some(timestamp_ms("2026-10-26T01:30:00Z")),
-        "never the second"
+        "not the second occurrence"
     );
 }
 
-/// A job's own agreement stands before its studio's hours, even if it is past; a class before any class; a named team
-/// before its node, a nearer node before one above.
+/// An agreement for a job takes precedence over its studio's times, even if it is in the past. A rule for the class
+/// takes precedence over one for any class, a studio that names the team over one that names a node above it, and a
+/// nearer node over one further up.
 #[test]
 fn most_specific_entry_takes_precedence() {
     let text = r#"
@@ -292,10 +304,10 @@
         teams: Some(teams),
         nodes: ["house", "desk"].map(str::to_owned).into(),
     };
-    let spec = file::parse(text).expect("read").spec;
+    let spec = file::parse(text).expect("a valid file").spec;
     let calendar = Calendar::build(&spec, &around)
         .map_err(|f| f[0].to_string())
-        .expect("good");
+        .expect("a valid calendar");
     let hour = |team: &str, class: &str, job: &str, at: &str| {
         calendar
             .due(team, class, job, timestamp_ms(at))
@@ -310,7 +322,7 @@
     assert_eq!(
         hour("v", "trailer", "j", "2026-12-02T09:00:00Z"),
         at("09:30"),
-        "its own notice"
+        "notice of the class's own rule"
     );
     assert_eq!(
         hour("v", "x", "j", "2026-12-02T08:30:00Z").map(|d| d.0[..10].to_owned()),
@@ -323,7 +335,7 @@
     );
 }
 
-/// What is wrong is told with line, entry and field.
+/// Faults name the line, the entry and the field.
 #[test]
 fn invalid_calendars_are_rejected_with_line_and_field() {
     let known = Around {
@@ -341,11 +353,11 @@
         ),
         (
             "[[studio]]\nname = \"s\"\nzone = \"UTC\"\nteams = [\"x\"]",
-            "line 1: studio \"s\".teams: \"x\" is no team",
+            "line 1: studio \"s\".teams: \"x\" is not a team",
         ),
         (
             "[[studio]]\nname = \"s\"\nzone = \"UTC\"\nnode = \"n\"",
-            "line 1: studio \"s\".node: \"n\" is no node",
+            "line 1: studio \"s\".node: \"n\" is not a node",
         ),
         (
             "[[studio]]\nname = \"s\"\nzone = \"UTC\"\ncolour = 1",
@@ -361,11 +373,11 @@
         ),
         (
             "STUDIO[[release]]\nstudio = \"s\"\nat = [\"24:00\"]",
-            "line 5: release \"s\".at: \"24:00\" is no time",
+            "line 5: release \"s\".at: \"24:00\" is not a time",
         ),
         (
             "STUDIO[[release]]\nstudio = \"s\"\nat = [\"7:00\"]",
-            "line 5: release \"s\".at: \"7:00\" is no time",
+            "line 5: release \"s\".at: \"7:00\" is not a time",
         ),
         (
             "STUDIO[[release]]\nstudio = \"s\"\nat = []",
@@ -373,7 +385,7 @@
         ),
         (
             "STUDIO[[release]]\nstudio = \"x\"\nat = [\"07:00\"]",
-            "line 5: release \"x\".studio: is no studio",
+            "line 5: release \"x\".studio: is not a studio",
         ),
         (
             "STUDIO[[release]]\nstudio = \"s\"\nat = [\"07:00\"]\ndays = [\"monday\"]",
@@ -385,11 +397,11 @@
         ),
         (
             "STUDIO[[holiday]]\ndates = [\"2026-02-30\"]",
-            "line 5: holiday \"all\".dates: \"2026-02-30\" is no date",
+            "line 5: holiday \"all\".dates: \"2026-02-30\" is not a date",
         ),
         (
             "STUDIO[[exception]]\nstudio = \"s\"\ndate = \"2026-13-01\"",
-            "line 5: exception \"s\".date: \"2026-13-01\" is no date",
+            "line 5: exception \"s\".date: \"2026-13-01\" is not a date",
         ),
         (
             "STUDIO[[agreement]]\nstudio = \"s\"\njob = \"j\"\nat = \"2026-03-29T02:30\"",
@@ -397,14 +409,14 @@
         ),
         (
             "STUDIO[[agreement]]\nstudio = \"s\"\njob = \"j\"\nat = \"soon\"",
-            "line 5: agreement \"j\".at: \"soon\" is no local time",
+            "line 5: agreement \"j\".at: \"soon\" is not a local time",
         ),
     ] {
         let text = text.replace("STUDIO", studio);
         let reported = faults(&text, &known);
         assert!(
             reported.iter().any(|f| f.contains(expected)),
-            "{text}\nshould be told {expected:?}, was {reported:?}"
+            "{text}\nexpected a fault with {expected:?}, got {reported:?}"
         );
     }
     let many = (0..=hours::MAX_AGREEMENTS).map(|i| Agreement {
@@ -425,7 +437,7 @@
     );
 }
 
-/// Records hold any calendar, in parts; what differs is told by entry.
+/// A calendar survives splitting into parts and rendering as TOML, and differences are listed by entry.
 #[test]
 fn split_and_joined_calendar_is_unchanged() {
     use document::Content;
@@ -453,8 +465,8 @@
         document::join::<Spec>(&head, &parts.into_iter().collect()),
         Ok(spec.clone())
     );
-    let text = document::file::render(&spec).expect("written");
-    assert_eq!(file::parse(&text).expect("read").spec, spec);
+    let text = document::file::render(&spec).expect("rendered");
+    assert_eq!(file::parse(&text).expect("a valid file").spec, spec);
     let mut other = spec.clone();
     other.releases[0].at = vec!["08:00".into()];
     other.holidays.clear();
