--- a/crates/standins/tests/ways.rs
+++ b/crates/standins/tests/ways.rs
@@ -38,7 +38,7 @@
 /// told users that their jobs were cancelled and could prove nothing, since the cloud was out too. Seen to fail
 /// without the bound in `renewal`.
 #[test]
-fn nothing_cancelled_outlives_its_time_in_a_cut_zone() {
+fn cancelled_tasks_stop_in_time_in_a_partitioned_zone() {
     for nodes in [3, 5, 7] {
         for seed in 0..20 {
             let mut world = world(seed, nodes, 400_000);
@@ -56,7 +56,7 @@
 
 /// The same with several leaders in a row, each of them cut off in its turn.
 #[test]
-fn several_leaders_cut_off_in_a_row_renew_for_a_bounded_time() {
+fn successive_partitioned_leaders_renew_leases_for_a_bounded_time() {
     for seed in 0..20 {
         let mut world = world(seed, 5, 400_000);
         world.run_for(30_000);
@@ -88,7 +88,7 @@
 /// While the state service answers nobody, no other node can have told of a cancel, which the others say: leases go on
 /// however long it takes.
 #[test]
-fn an_outage_of_the_state_service_costs_no_lease() {
+fn state_service_outage_ends_no_leases() {
     for nodes in [1, 3, 5] {
         let mut world = world(1, nodes, 400_000);
         world.run_for(30_000);
@@ -102,7 +102,7 @@
 
 /// A node that began in the outage may have been the leader before it ended: its word does not count, and leases end.
 #[test]
-fn a_node_that_knows_nothing_vouches_for_nobody() {
+fn restarted_node_without_state_does_not_extend_leases() {
     let mut world = world(1, 3, 400_000);
     world.run_for(30_000);
     let before = world.sessions_lost();
@@ -120,29 +120,29 @@
 /// A leader that hears its workers and reaches its peers, but not the state service; the next one reaches neither the
 /// machines nor the earlier leader. Its word is asked for, and must not be given: it has told users of cancels.
 #[test]
-fn a_later_leader_does_not_vouch_for_an_earlier_one() {
+fn later_leader_does_not_extend_leases_of_an_earlier_one() {
     for seed in 0..10 {
         let mut world = world(seed, 3, 400_000);
         world.run_for(30_000);
-        let old = leader(&world);
+        let old_leader = leader(&world);
         world.cloud_out(200_000);
         world.cut(Cut::between(
-            Frontend::Node(old),
+            Frontend::Node(old_leader),
             Frontend::State,
             world.now(),
             150_000,
         ));
-        for other in (0..3).filter(|n| *n != old) {
-            let unheard = Cut::between(
+        for other in (0..3).filter(|n| *n != old_leader) {
+            let refused = Cut::between(
                 Frontend::Node(other),
-                Frontend::Node(old),
+                Frontend::Node(old_leader),
                 world.now(),
                 150_000,
             );
             world.cut(Cut {
                 both: false,
                 how: How::Reset,
-                ..unheard
+                ..refused
             });
             world.cut(Cut::between(
                 Frontend::Node(other),
@@ -161,15 +161,15 @@
 /// Cancelled just before the state service goes out, with the machines out of reach for the moment in which their leader
 /// was still sure. It goes on renewing through the outage, and its answers must say that those tasks are to end.
 #[test]
-fn an_unsure_leader_still_stops_what_it_has_cancelled() {
+fn leader_without_state_service_still_stops_cancelled_tasks() {
     for seed in 0..10 {
         let mut world = world(seed, 3, 400_000);
         world.run_for(30_000);
-        let unheard = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 4000);
+        let refused = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 4000);
         // Refused, since a command that is held would come through afterwards.
         world.cut(Cut {
             how: How::Reset,
-            ..unheard
+            ..refused
         });
         (1000..1006).for_each(|id| world.cancel(&format!("job-{id:06}")));
         world.run_for(1000);
@@ -187,7 +187,7 @@
 }
 
 /// Short tasks without end, relays on.
-fn busy(seed: u64, nodes: usize) -> World {
+fn world_with_relays(seed: u64, nodes: usize) -> World {
     let job = |i: u32| {
         let spec = array(1000 + i, "red", 6, 8.0);
         Timed {
@@ -208,11 +208,11 @@
 }
 
 /// Nobody has both ways: all but one node lose the state service, the last one loses the machines.
-fn no_node_has_both(world: &mut World, nodes: usize, how: How, ms: u64) {
-    let blind = (leader(world) + 1) % nodes;
+fn cut_state_service_or_machines_of_each_node(world: &mut World, nodes: usize, how: How, ms: u64) {
+    let without_machines = (leader(world) + 1) % nodes;
     let now = world.now();
     for n in 0..nodes {
-        let lost = if n == blind {
+        let lost = if n == without_machines {
             Frontend::Machines
         } else {
             Frontend::State
@@ -226,7 +226,7 @@
 
 /// Where no node had both ways, all tasks were killed by their leases and nothing was started for as long as it lasted.
 #[test]
-fn work_goes_on_though_no_node_has_both_ways() {
+fn tasks_start_while_no_node_reaches_both_state_service_and_machines() {
     for nodes in [3, 5, 7] {
         for (seed, how) in [
             (1, How::Hold),
@@ -234,11 +234,11 @@
             (3, How::Hold),
             (4, How::Reset),
         ] {
-            let what = format!("{nodes} nodes, seed {seed}, {how:?}");
-            let mut world = busy(seed, nodes);
+            let context = format!("{nodes} nodes, seed {seed}, {how:?}");
+            let mut world = world_with_relays(seed, nodes);
             world.run_for(40_000);
             let lost = world.sessions_lost();
-            no_node_has_both(&mut world, nodes, how, 60_000);
+            cut_state_service_or_machines_of_each_node(&mut world, nodes, how, 60_000);
             world.run_for(14_000);
             let before = world.rules.starts;
             for second in 0..4 {
@@ -246,32 +246,32 @@
                 world.run_for(10_000);
                 assert!(
                     world.rules.starts > before,
-                    "{what}: no start in ten seconds, {second}"
+                    "{context}: no start in ten seconds, {second}"
                 );
             }
             assert!(
                 world.rules.starts > before + 40,
-                "{what}: {} starts",
+                "{context}: {} starts",
                 world.rules.starts - before
             );
             assert!(
                 world.relayed() > 20,
-                "{what}: {} reports relayed",
+                "{context}: {} reports relayed",
                 world.relayed()
             );
             assert!(
                 world.sessions_lost() <= lost + 1,
-                "{what}: {} leases",
+                "{context}: {} leases",
                 world.sessions_lost() - lost
             );
             world.run_for(300_000);
-            assert_rules_kept(&world, &what);
-            assert_all_ended(&world, &what);
+            assert_rules_kept(&world, &context);
+            assert_all_ended(&world, &context);
         }
     }
 }
 
-fn any_side(rng: &mut fastrand::Rng, nodes: usize) -> Frontend {
+fn random_endpoint(rng: &mut fastrand::Rng, nodes: usize) -> Frontend {
     let zone = ["a", "b"][rng.usize(0..2)].to_owned();
     match rng.u32(0..9) {
         0..3 => Frontend::Node(rng.usize(0..nodes)),
@@ -291,8 +291,8 @@
 }
 
 /// Any link, one way or both, held or refused, steady or flapping.
-fn any_cut(rng: &mut fastrand::Rng, nodes: usize, now: u64) -> Cut {
-    let (from, to) = (any_side(rng, nodes), any_side(rng, nodes));
+fn random_cut(rng: &mut fastrand::Rng, nodes: usize, now: u64) -> Cut {
+    let (from, to) = (random_endpoint(rng, nodes), random_endpoint(rng, nodes));
     let flaps = (rng.u32(0..4) == 0).then(|| (rng.u64(1000..8000), rng.u64(1000..8000)));
     let how = [How::Hold, How::Reset][rng.usize(0..2)];
     let cut = Cut::between(from, to, now, rng.u64(1000..60_000));
@@ -305,7 +305,7 @@
 }
 
 /// A day of any cuts, beside all other faults; every third task-rich job is cancelled at some time.
-fn any_day(seed: u64, nodes: usize) -> World {
+fn random_faults_world(seed: u64, nodes: usize) -> World {
     let mut rng = fastrand::Rng::with_seed(seed);
     let job = |i: u32| {
         let spec = array(1000 + i, "red", rng.u32(1..6), 8.0);
@@ -331,7 +331,7 @@
     for _ in 0..24 {
         world.run_for(5000);
         for _ in 0..rng.usize(0..3) {
-            let cut = any_cut(&mut rng, nodes, world.now());
+            let cut = random_cut(&mut rng, nodes, world.now());
             world.cut(cut);
         }
         // Several machines at once, now and then.
@@ -346,14 +346,14 @@
 
 /// Whatever is cut and fails beside it, no rule is broken, and once all is whole again all that was accepted ends.
 #[test]
-fn rules_hold_under_any_cuts() {
+fn invariants_hold_under_random_partitions() {
     let mut relayed = 0;
     for (nodes, seeds) in [(3, 0..60), (5, 100..130), (7, 200..220)] {
         for seed in seeds {
-            let world = any_day(seed, nodes);
-            let what = format!("{nodes} nodes, seed {seed}");
-            assert_rules_kept(&world, &what);
-            assert_all_ended(&world, &what);
+            let world = random_faults_world(seed, nodes);
+            let context = format!("{nodes} nodes, seed {seed}");
+            assert_rules_kept(&world, &context);
+            assert_all_ended(&world, &context);
             relayed += world.relayed();
         }
     }
@@ -362,30 +362,30 @@
 
 /// Leases of a zone that is cut off whole ended after fifteen seconds, though a controller stood among its machines.
 #[test]
-fn a_keeper_lets_tasks_live_through_a_cut() {
+fn lease_delegation_keeps_tasks_running_through_a_partition() {
     for nodes in [3, 5, 7] {
         for seed in 0..5 {
-            let what = format!("{nodes} nodes, seed {seed}");
+            let context = format!("{nodes} nodes, seed {seed}");
             let mut world = world(seed, nodes, 400_000);
             world.run_for(30_000);
             let zone = zone_of(leader(&world) + 1);
             let lost = world.sessions_lost();
             world.cut_off(zone, 27_000);
             world.run_for(45_000);
-            assert_eq!(world.sessions_lost(), lost, "{what}");
+            assert_eq!(world.sessions_lost(), lost, "{context}");
             assert_eq!(
                 (world.on_machines().len(), world.rules.starts),
                 (24, 24),
-                "{what}: started again"
+                "{context}: started again"
             );
-            assert_rules_kept(&world, &what);
+            assert_rules_kept(&world, &context);
         }
     }
 }
 
 /// What the leader outside cancels, before the cut or in it, is not kept alive inside for longer than cancels may take.
 #[test]
-fn a_keeper_keeps_nothing_cancelled_alive() {
+fn lease_delegation_does_not_prolong_cancelled_tasks() {
     for nodes in [3, 5, 7] {
         for seed in 0..20u64 {
             let mut world = world(seed, nodes, 400_000);
@@ -417,7 +417,7 @@
 /// As workers found the way by a peer, some were late still. Their zone did not count as cut any more, the leader could
 /// not reach them itself, and hundreds of sound machines were returned with their tasks.
 #[test]
-fn machines_on_their_way_to_a_peer_are_not_returned() {
+fn machines_switching_to_a_peer_are_not_returned() {
     let job = |i: u32| {
         let spec = array(1000 + i, "red", 100, 30.0);
         Timed {
