--- a/crates/standins/tests/ways.rs
+++ b/crates/standins/tests/ways.rs
@@ -1,11 +1,11 @@
-//! Cuts that leave some links up, with machines that fail beside them.
+//! Partial network partitions, in which some links stay up, combined with machine failures.
 
 use standins::links::{Cut, Frontend, How};
 use standins::scene::{Scene, Timed, array};
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
 use standins::world::{Plan, World};
 
-/// A dozen machines, full of long tasks.
+/// Twelve machines, fully occupied by long tasks.
 fn world(seed: u64, nodes: usize, run_ms: u64) -> World {
     let jobs = (0..6).map(|i| Timed {
         at: 1000,
@@ -31,12 +31,12 @@
 }
 
 fn leader(world: &World) -> usize {
-    world.leader_at().expect("some node owns the fleet")
+    world.leader_at().expect("no node leads the fleet")
 }
 
-/// A leader in a cut zone went on answering its workers for as long as the cut lasted, while the next one, outside,
-/// told users that their jobs were cancelled and could prove nothing, since the cloud was out too. Seen to fail
-/// without the bound in `renewal`.
+/// Guards against a leader in a partitioned zone that answers its workers for as long as the partition lasts, while
+/// the next leader, outside the zone, confirms cancellations to users. The cloud is out too, so the next leader cannot
+/// prove that the tasks have ended. Fails without the bound in `control::leadership::lease_bound`.
 #[test]
 fn cancelled_tasks_stop_in_time_in_a_partitioned_zone() {
     for nodes in [3, 5, 7] {
@@ -54,7 +54,7 @@
     }
 }
 
-/// The same with several leaders in a row, each of them cut off in its turn.
+/// As above, with several successive leaders, each of which is partitioned in its turn.
 #[test]
 fn successive_partitioned_leaders_renew_leases_for_a_bounded_time() {
     for seed in 0..20 {
@@ -63,7 +63,7 @@
         world.cloud_out(200_000);
         for _ in 0..3 {
             let node = leader(&world);
-            // It goes on hearing its workers, and they it.
+            // The links between the leader and its workers stay up.
             for frontend in [
                 Frontend::State,
                 Frontend::Nodes,
@@ -85,8 +85,8 @@
     }
 }
 
-/// While the state service answers nobody, no other node can have told of a cancel, which the others say: leases go on
-/// however long it takes.
+/// While the state service answers nobody, no other node can have confirmed a cancellation. The peers attest that, so
+/// leases are renewed for as long as the outage lasts.
 #[test]
 fn state_service_outage_ends_no_leases() {
     for nodes in [1, 3, 5] {
@@ -100,7 +100,8 @@
     }
 }
 
-/// A node that began in the outage may have been the leader before it ended: its word does not count, and leases end.
+/// A node that restarted during the outage may have been the leader before it crashed, so its attestation does not
+/// count, and leases expire.
 #[test]
 fn restarted_node_without_state_does_not_extend_leases() {
     let mut world = world(1, 3, 400_000);
@@ -112,13 +113,14 @@
     world.run_for(100_000);
     assert!(
         world.sessions_lost() > before,
-        "leases were kept alive on the word of a node that has read nothing"
+        "leases were renewed on the attestation of a node that has read no state"
     );
     assert_rules_kept(&world, "outage");
 }
 
-/// A leader that hears its workers and reaches its peers, but not the state service; the next one reaches neither the
-/// machines nor the earlier leader. Its word is asked for, and must not be given: it has told users of cancels.
+/// The old leader reaches its workers and its peers, but not the state service; the next leader reaches neither the
+/// machines nor the old leader. The next leader must not give the old one its attestation, since it has confirmed
+/// cancellations to users.
 #[test]
 fn later_leader_does_not_extend_leases_of_an_earlier_one() {
     for seed in 0..10 {
@@ -158,15 +160,16 @@
     }
 }
 
-/// Cancelled just before the state service goes out, with the machines out of reach for the moment in which their leader
-/// was still sure. It goes on renewing through the outage, and its answers must say that those tasks are to end.
+/// Jobs are cancelled just before a state service outage, and the machines are unreachable for the first seconds, in
+/// which the leader still has a confirmed lease. The leader renews leases through the outage, and its answers must
+/// order those tasks to stop.
 #[test]
 fn leader_without_state_service_still_stops_cancelled_tasks() {
     for seed in 0..10 {
         let mut world = world(seed, 3, 400_000);
         world.run_for(30_000);
         let refused = Cut::between(Frontend::Nodes, Frontend::Machines, world.now(), 4000);
-        // Refused, since a command that is held would come through afterwards.
+        // Reset, since a command that is held would be delivered after the cut.
         world.cut(Cut {
             how: How::Reset,
             ..refused
@@ -181,12 +184,15 @@
             .values()
             .filter(|j| j.told_cancelled.is_some())
             .count();
-        assert!(told > 0, "seed {seed}: nobody was told in time");
+        assert!(
+            told > 0,
+            "seed {seed}: no cancellation was confirmed in time"
+        );
         assert_rules_kept(&world, &format!("seed {seed}"));
     }
 }
 
-/// Short tasks without end, relays on.
+/// A steady load of short tasks, with relaying of reports switched on.
 fn world_with_relays(seed: u64, nodes: usize) -> World {
     let job = |i: u32| {
         let spec = array(1000 + i, "red", 6, 8.0);
@@ -207,7 +213,7 @@
     world
 }
 
-/// Nobody has both ways: all but one node lose the state service, the last one loses the machines.
+/// Leaves no node that reaches both: one node loses the machines, all others lose the state service.
 fn cut_state_service_or_machines_of_each_node(world: &mut World, nodes: usize, how: How, ms: u64) {
     let without_machines = (leader(world) + 1) % nodes;
     let now = world.now();
@@ -224,7 +230,8 @@
     }
 }
 
-/// Where no node had both ways, all tasks were killed by their leases and nothing was started for as long as it lasted.
+/// Guards against a standstill while no node reaches both the state service and the machines: all tasks were killed
+/// when their leases expired, and none was started.
 #[test]
 fn tasks_start_while_no_node_reaches_both_state_service_and_machines() {
     for nodes in [3, 5, 7] {
@@ -246,12 +253,12 @@
                 world.run_for(10_000);
                 assert!(
                     world.rules.starts > before,
-                    "{context}: no start in ten seconds, {second}"
+                    "{context}: no task started in ten seconds, interval {second}"
                 );
             }
             assert!(
                 world.rules.starts > before + 40,
-                "{context}: {} starts",
+                "{context}: {} task starts",
                 world.rules.starts - before
             );
             assert!(
@@ -261,7 +268,7 @@
             );
             assert!(
                 world.sessions_lost() <= lost + 1,
-                "{context}: {} leases",
+                "{context}: {} sessions lost to lease expiry",
                 world.sessions_lost() - lost
             );
             world.run_for(300_000);
@@ -290,7 +297,7 @@
     }
 }
 
-/// Any link, one way or both, held or refused, steady or flapping.
+/// A cut of any link, in one direction or both, held or reset, steady or flapping.
 fn random_cut(rng: &mut fastrand::Rng, nodes: usize, now: u64) -> Cut {
     let (from, to) = (random_endpoint(rng, nodes), random_endpoint(rng, nodes));
     let flaps = (rng.u32(0..4) == 0).then(|| (rng.u64(1000..8000), rng.u64(1000..8000)));
@@ -304,7 +311,7 @@
     }
 }
 
-/// A day of any cuts, beside all other faults; every third task-rich job is cancelled at some time.
+/// A run with random cuts beside all other faults; every third job is cancelled at a random time.
 fn random_faults_world(seed: u64, nodes: usize) -> World {
     let mut rng = fastrand::Rng::with_seed(seed);
     let job = |i: u32| {
@@ -334,7 +341,7 @@
             let cut = random_cut(&mut rng, nodes, world.now());
             world.cut(cut);
         }
-        // Several machines at once, now and then.
+        // Occasionally several machines fail at once.
         if rng.u32(0..6) == 0 {
             let all = world.machines_of("job-001000");
             all.iter().for_each(|m| world.lose(m));
@@ -344,7 +351,7 @@
     world
 }
 
-/// Whatever is cut and fails beside it, no rule is broken, and once all is whole again all that was accepted ends.
+/// Under random cuts and failures no invariant is broken, and after recovery every accepted job ends.
 #[test]
 fn invariants_hold_under_random_partitions() {
     let mut relayed = 0;
@@ -360,7 +367,8 @@
     assert!(relayed > 100, "only {relayed} reports were relayed");
 }
 
-/// Leases of a zone that is cut off whole ended after fifteen seconds, though a controller stood among its machines.
+/// Guards against leases that expire after fifteen seconds in a zone that is partitioned as a whole, though a
+/// controller in the zone could renew them.
 #[test]
 fn lease_delegation_keeps_tasks_running_through_a_partition() {
     for nodes in [3, 5, 7] {
@@ -376,14 +384,15 @@
             assert_eq!(
                 (world.on_machines().len(), world.rules.starts),
                 (24, 24),
-                "{context}: started again"
+                "{context}: tasks were lost or restarted"
             );
             assert_rules_kept(&world, &context);
         }
     }
 }
 
-/// What the leader outside cancels, before the cut or in it, is not kept alive inside for longer than cancels may take.
+/// Tasks that the leader outside the zone cancels, before or during the partition, do not run in the zone for longer
+/// than the cancellation bound.
 #[test]
 fn lease_delegation_does_not_prolong_cancelled_tasks() {
     for nodes in [3, 5, 7] {
@@ -391,7 +400,8 @@
             let mut world = world(seed, nodes, 400_000);
             world.run_for(30_000);
             let zone = zone_of(leader(&world) + 1);
-            // Half of the jobs just before, with commands refused, so that no stop arrives; the others in the cut.
+            // Half of the jobs are cancelled just before the partition, with commands reset so that no stop arrives;
+            // the others during it.
             let machines = Cut::between(
                 Frontend::Any,
                 Frontend::MachinesIn(zone.into()),
@@ -414,8 +424,9 @@
     }
 }
 
-/// As workers found the way by a peer, some were late still. Their zone did not count as cut any more, the leader could
-/// not reach them itself, and hundreds of sound machines were returned with their tasks.
+/// Guards against returning healthy machines. While most workers had switched to reporting through a peer, some were
+/// still late. Their zone no longer counted as partitioned and the leader could not reach them itself, so hundreds of
+/// healthy machines were returned with their tasks.
 #[test]
 fn machines_switching_to_a_peer_are_not_returned() {
     let job = |i: u32| {
@@ -447,5 +458,5 @@
     world.run_for(60_000);
     assert!(world.relayed() > 100, "{} reports relayed", world.relayed());
     assert_eq!(world.lost, 0, "tasks were on machines that were returned");
-    assert_rules_kept(&world, "owner without workers");
+    assert_rules_kept(&world, "leader without workers");
 }
