--- a/crates/standins/tests/search.rs
+++ b/crates/standins/tests/search.rs
@@ -1,9 +1,9 @@
-//! All short histories of troubles, played by the controllers themselves: three nodes, a state service, one worker that
-//! nobody can command directly, and one job whose user cancels it. At each of some moments, a second and more apart, one
-//! thing is switched or ends, and all choices at all moments are played.
+//! Exhaustive test of all short fault sequences against the real controller code: three nodes, a state service, one
+//! worker that cannot be commanded directly, and one job whose user cancels it. At each of a few steps, more than a
+//! second apart, one fault is applied; every combination of faults is run.
 //!
-//! `crates/control/tests/search.rs` looks at every order of every step, in a model. This looks at fewer histories, by
-//! the code itself.
+//! `crates/control/tests/search.rs` explores every ordering of every step in a model. This test covers fewer sequences,
+//! but runs the code itself.
 
 use control::{Destination, Effect, Event, Node, Now, Tuning};
 use serde_json::{Value, json};
@@ -14,22 +14,24 @@
 use wire::settings::Settings;
 
 const NODES: usize = 3;
-/// Leases are 3 s and cancels 8 s, the shortest that leave a bound: 2.98 s.
+/// Worker leases last 3 s and cancellations may take 8 s, the shortest values that leave time to renew leases after the
+/// last contact: 2.98 s.
 const LEASE_MS: u64 = 3000;
 const CANCEL_MS: u64 = 8000;
 const TTL_MS: u64 = 1000;
-/// Moments at which something may change, and how far they lie apart.
+/// Number of steps at which a fault may be applied, and the time between them.
 const STEPS: usize = 4;
 const STEP_MS: u64 = 1300;
 const JOB: &str = "job-000001";
 
-/// What may come at a moment. `Old` is the node that led the fleet at first, `New` whoever owns it now, or the next.
+/// What may be applied at a step. The old leader is the node that leads the fleet at first; the new one is the current
+/// leader, or the next node while the old one still leads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     Nothing,
-    /// The state service begins to refuse the old leader, or ends to.
+    /// The state service starts or stops refusing the old leader.
     ToggleRefusal,
-    /// It goes out for all, or comes back.
+    /// The state service goes out for all nodes, or comes back.
     ToggleOutage,
     RestartOld,
     RestartNew,
@@ -43,11 +45,11 @@
     Fault::RestartNew,
 ];
 
-/// What passes between the old leader and the others.
+/// Which requests are delivered between the old leader and the other nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Peers {
     All,
-    /// It asks them and is answered, and does not hear what they ask.
+    /// The old leader's requests are delivered and answered; requests to it are lost.
     OldLeaderRequests,
     Nothing,
 }
@@ -56,14 +58,14 @@
 struct FaultSequence {
     faults: [Fault; STEPS],
     peers: Peers,
-    /// After which moment the user begins to ask for the cancel.
+    /// The step from which on the user requests the cancellation.
     cancel_step: usize,
 }
 
 enum Message {
-    /// For a life of a node.
+    /// For one incarnation of a node: node, incarnation, event.
     Node(usize, u64, Event),
-    /// A watch has waited for as long as it was asked to.
+    /// A watch has reached its timeout.
     WatchTimeout(u64),
 }
 
@@ -71,10 +73,10 @@
     reports_to: usize,
     latest_token: u64,
     seq: u64,
-    /// Sending of the last report that was answered.
+    /// When the last report that was answered was sent.
     lease_renewed_at: u64,
     next_report_at: u64,
-    /// The connection of the report under way, and when it was sent.
+    /// The connection of the unanswered report, and when it was sent.
     pending: Option<(u64, u64)>,
 }
 
@@ -103,7 +105,7 @@
     watches: BTreeMap<u64, (usize, u64, u64, Watch)>,
     worker: Worker,
     confirmed: Option<u64>,
-    /// The task has ended: by a stop, or with its lease.
+    /// What ended the task: a stop order or the expiry of its lease.
     ended_by: Option<&'static str>,
 }
 
@@ -113,7 +115,7 @@
 
 fn settings(n: usize) -> Settings {
     let mut s: Value = serde_json::from_str(include_str!("../../../deploy/settings-example.json"))
-        .expect("the example is json");
+        .expect("settings example is not valid JSON");
     s["node"] = name(n).into();
     let peers = (0..NODES).filter(|p| *p != n);
     let peers = peers.map(
@@ -124,18 +126,21 @@
     s["cluster"]["workers"]["report_s"] = 0.5.into();
     s["cluster"]["workers"]["lease_s"] = (LEASE_MS as f64 / 1000.0).into();
     s["cluster"]["workers"]["cancel_s"] = (CANCEL_MS as f64 / 1000.0).into();
-    serde_json::from_value(s).expect("the example is accepted")
+    serde_json::from_value(s).expect("settings example was rejected")
 }
 
 fn peer_of(n: usize, index: usize) -> usize {
-    (0..NODES).filter(|p| *p != n).nth(index).expect("a peer")
+    (0..NODES)
+        .filter(|p| *p != n)
+        .nth(index)
+        .expect("no peer at this index")
 }
 
 fn new_node(n: usize, incarnation: u64, now: u64) -> Node {
     let mut tuning = Tuning::default();
     tuning
         .set("owner", "ttl_ms", &TTL_MS.to_string())
-        .expect("in bounds");
+        .expect("ttl_ms was rejected");
     Node::new(
         settings(n),
         tuning,
@@ -186,7 +191,7 @@
         simulation
     }
 
-    /// One machine and one job, whose task an earlier leader has started there.
+    /// Writes one machine and one job, whose task an earlier leader has started on the machine.
     fn write_initial_records(&mut self) {
         let spec = json!({
             "nameId": JOB, "lot": "c", "desk": "effects", "shape": "array", "urgency": "normal", "pieces": 1,
@@ -216,7 +221,7 @@
         let done = self.state.handle(self.now, "POST", "/txn", &body);
         assert!(
             matches!(done, Outcome::Now(200, _)),
-            "the records are taken"
+            "state service rejected the initial records"
         );
     }
 
@@ -289,7 +294,7 @@
                     self.schedule(until, Message::WatchTimeout(id));
                 }
             },
-            // The cloud takes no machine back, so that nothing ends the task but a stop or its lease.
+            // The cloud accepts no returns, so only a stop order or lease expiry can end the task.
             Destination::Cloud if method == "GET" => {
                 let kind = json!({"label": "g8", "cores": 64.0, "gpus": 8.0, "ramGb": 512.0, "localGb": 200.0,
                     "fetchGbPerS": 1.0, "hourly": 12.0, "lowPrice": 4.5, "startupS": 45.0, "halls": ["a"]});
@@ -352,7 +357,7 @@
         }
     }
 
-    /// What the worker does with an answer, by the protocol.
+    /// Handles a response as the worker protocol demands.
     fn handle_worker_response(&mut self, n: usize, conn: u64, r: &Response) {
         let Some((_, sent)) = self.worker.pending.filter(|(c, _)| *c == conn) else {
             return;
@@ -429,7 +434,7 @@
         }
     }
 
-    /// The newest leader by the record, whoever knows of it.
+    /// The leader by the record in the state service, whichever nodes know of it.
     fn leader(&self) -> Option<usize> {
         let rec = self.state.keys.get("sys/owner/0")?;
         (0..NODES).find(|n| rec.value["node"] == name(*n))
@@ -511,7 +516,7 @@
         }
     }
 
-    /// Watches that have something to say; while the service is out, or refuses their node, they wait.
+    /// Answers a watch that has changes. While the service is out, or refuses the node, its watches wait.
     fn answer_watches(&mut self) {
         if self.outage {
             return;
@@ -533,15 +538,15 @@
         }
     }
 
-    /// Plays it all; the longest that the task lived after the cancel was told.
+    /// Runs the whole sequence and returns how long the task ran after the cancellation was confirmed.
     fn run_to_end(mut self) -> RunResult {
-        // A leader stands, has read everything, and serves the worker.
+        // Time for a leader to be elected, to read all records and to serve the worker.
         self.run(3000, false);
-        self.old_leader = self.leader().expect("somebody owns the fleet");
+        self.old_leader = self.leader().expect("no node leads the fleet");
         assert_eq!(
             (self.worker.reports_to, self.worker.latest_token),
             (self.old_leader, 2),
-            "{:?}: the worker is served",
+            "{:?}: the leader does not serve the worker",
             self.sequence
         );
         let faults = self.sequence.faults;
@@ -585,8 +590,8 @@
     all
 }
 
-/// Guards against a leader that goes on renewing when another may have told of a cancel. Seen to fail without the bound
-/// in `renewal::may_renew`.
+/// Guards against a leader that goes on renewing leases when another may have confirmed a cancellation. Fails without
+/// the bound in `control::leadership::lease_bound` (`may_renew`).
 #[test]
 fn cancelled_task_stops_in_time_in_every_short_fault_sequence() {
     let all = fault_sequences();
@@ -610,7 +615,7 @@
         "{} fault sequences: {confirmed} confirmed, {stopped} stopped, {leases} by lease, {longest} ms",
         all.len()
     );
-    // A play in which nobody is told, or each task is stopped at once, would prove nothing.
+    // Runs in which no cancellation is confirmed, or every task is stopped at once, would prove nothing.
     assert!(
         confirmed >= 2000 && leases >= 400 && longest >= LEASE_MS,
         "{confirmed} confirmed, {leases} leases, {longest} ms"
