--- a/crates/standins/tests/placement.rs
+++ b/crates/standins/tests/placement.rs
@@ -14,13 +14,13 @@
 
 /// How work comes in.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum By {
+enum Interface {
     Native,
     Rpc,
     Rest,
 }
 
-const ALL: [By; 3] = [By::Native, By::Rpc, By::Rest];
+const INTERFACES: [Interface; 3] = [Interface::Native, Interface::Rpc, Interface::Rest];
 
 fn scene() -> Scene {
     let config = Config::parse("[work]\nmaster_s = 5\n[most]\nper_user = 1000\n").expect("good");
@@ -37,8 +37,16 @@
 }
 
 /// One task for a team, as each door carries it.
-fn submit(scene: &mut Scene, by: By, i: u32, team: &str, at: u64, gpus: f64, priority: Priority) {
-    if by == By::Native {
+fn submit(
+    scene: &mut Scene,
+    interface: Interface,
+    i: u32,
+    team: &str,
+    at: u64,
+    gpus: f64,
+    priority: Priority,
+) {
+    if interface == Interface::Native {
         let spec = JobSpec {
             gpus,
             cores: 1.0,
@@ -55,21 +63,21 @@
         });
         return;
     }
-    let tool = Tally {
+    let tally = Tally {
         stages: Vec::new(),
         run_ms: 5000,
         fails: 0,
     };
-    let mut client = Client::new("ann", team, at, tool);
-    (client.web, client.gpus) = (by == By::Rest, gpus as i64);
+    let mut client = Client::new("ann", team, at, tally);
+    (client.web, client.gpus) = (interface == Interface::Rest, gpus as i64);
     client.priority = if priority == Priority::High { 9 } else { 0 };
     scene.clients.push(client);
 }
 
 /// When the tasks of a job first ran, in order of submission.
-fn began(world: &World, by: By) -> Vec<Option<u64>> {
+fn first_starts(world: &World, interface: Interface) -> Vec<Option<u64>> {
     let native = |id: &String| {
-        if by == By::Native {
+        if interface == Interface::Native {
             !id.starts_with("job-9")
         } else {
             id.ends_with("0000000")
@@ -80,11 +88,11 @@
         .collect()
 }
 
-fn most_at_once(world: &mut World, ms: u64) -> usize {
-    let mut most = 0;
+fn max_tasks_at_once(world: &mut World, ms: u64) -> usize {
+    let mut max_tasks = 0;
     for _ in 0..ms / 200 {
         world.run_for(200);
-        most = most.max(world.on_machines().len());
+        max_tasks = max_tasks.max(world.on_machines().len());
         assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
         assert!(
             world.yarn.checks.broken.is_empty(),
@@ -92,62 +100,89 @@
             world.yarn.checks.broken
         );
     }
-    most
+    max_tasks
 }
 
 #[test]
-fn a_teams_limit_holds_for_all() {
-    for by in ALL {
+fn team_limit_applies_to_native_rpc_and_rest_submissions() {
+    for interface in INTERFACES {
         let mut scene = scene();
-        (0..10).for_each(|i| submit(&mut scene, by, i, "red", 2000, 1.0, Priority::Normal));
+        (0..10).for_each(|i| submit(&mut scene, interface, i, "red", 2000, 1.0, Priority::Normal));
         let mut world = world(1, scene);
-        assert_eq!(most_at_once(&mut world, 60_000), 4, "{by:?}");
+        assert_eq!(max_tasks_at_once(&mut world, 60_000), 4, "{interface:?}");
         assert!(
-            began(&world, by).iter().all(Option::is_some),
-            "{by:?}: all ran"
+            first_starts(&world, interface).iter().all(Option::is_some),
+            "{interface:?}: all ran"
         );
     }
 }
 
 #[test]
-fn what_can_never_run_is_refused_by_all() {
-    for by in ALL {
+fn unplaceable_task_is_refused_natively_and_by_rpc_and_rest() {
+    for interface in INTERFACES {
         let mut scene = scene();
-        submit(&mut scene, by, 1, "red", 2000, 9.0, Priority::Normal);
+        submit(&mut scene, interface, 1, "red", 2000, 9.0, Priority::Normal);
         let mut world = world(2, scene);
-        most_at_once(&mut world, 20_000);
-        assert!(began(&world, by).iter().all(Option::is_none), "{by:?}");
-        if by != By::Native {
+        max_tasks_at_once(&mut world, 20_000);
+        assert!(
+            first_starts(&world, interface).iter().all(Option::is_none),
+            "{interface:?}"
+        );
+        if interface != Interface::Native {
             let refused = world.yarn.clients[0].refused.as_ref().map(|f| f.class);
-            assert_eq!(refused, Some(Class::InvalidRequest), "{by:?}");
+            assert_eq!(refused, Some(Class::InvalidRequest), "{interface:?}");
         }
     }
 }
 
 #[test]
-fn the_urgent_go_first_for_all() {
-    for by in ALL {
+fn high_priority_task_starts_first_natively_and_by_rpc_and_rest() {
+    for interface in INTERFACES {
         let mut scene = scene();
         // All room is taken when both come; the urgent one has what is given back first.
-        (0..8).for_each(|i| submit(&mut scene, by, i, "blue", 2000, 1.0, Priority::Normal));
-        submit(&mut scene, by, 8, "blue", 8000, 4.0, Priority::Normal);
-        submit(&mut scene, by, 9, "blue", 8200, 4.0, Priority::High);
+        (0..8).for_each(|i| {
+            submit(
+                &mut scene,
+                interface,
+                i,
+                "blue",
+                2000,
+                1.0,
+                Priority::Normal,
+            )
+        });
+        submit(
+            &mut scene,
+            interface,
+            8,
+            "blue",
+            8000,
+            4.0,
+            Priority::Normal,
+        );
+        submit(&mut scene, interface, 9, "blue", 8200, 4.0, Priority::High);
         let mut world = world(3, scene);
-        most_at_once(&mut world, 80_000);
-        let began = began(&world, by);
-        assert!(began.iter().all(Option::is_some), "{by:?}: {began:?}");
-        assert!(began[9] <= began[8], "{by:?}: {began:?}");
+        max_tasks_at_once(&mut world, 80_000);
+        let started_at = first_starts(&world, interface);
+        assert!(
+            started_at.iter().all(Option::is_some),
+            "{interface:?}: {started_at:?}"
+        );
+        assert!(
+            started_at[9] <= started_at[8],
+            "{interface:?}: {started_at:?}"
+        );
     }
 }
 
 /// Calls of one client, one after the other, at a node that runs.
-struct Caller<'a> {
+struct TestClient<'a> {
     world: &'a mut World,
     user: &'static str,
     token: Option<Token>,
 }
 
-impl Caller<'_> {
+impl TestClient<'_> {
     fn call<A: Message, R: Message + Default>(
         &mut self,
         protocol: &'static str,
@@ -219,7 +254,7 @@
         id.expect("an id")
     }
 
-    fn beat(
+    fn heartbeat(
         &mut self,
         response_id: i32,
         ask: Vec<ResourceRequest>,
@@ -235,25 +270,25 @@
     }
 }
 
-impl Caller<'_> {
+impl TestClient<'_> {
     /// What a master is given within 40 s.
-    fn given(&mut self, number: &mut i32) -> Vec<Container> {
-        let mut given = Vec::new();
+    fn collect_allocated(&mut self, number: &mut i32) -> Vec<Container> {
+        let mut allocated = Vec::new();
         for _ in 0..40 {
             self.world.run_for(1000);
             let beat = self
-                .beat(*number, Vec::new(), Vec::new())
+                .heartbeat(*number, Vec::new(), Vec::new())
                 .expect("a heartbeat");
             *number = beat.response_id.unwrap_or(0);
-            given.extend(beat.allocated);
+            allocated.extend(beat.allocated);
         }
-        given
+        allocated
     }
 }
 
 fn ask(name: &str, n: i32, relax: bool) -> ResourceRequest {
     ResourceRequest {
-        priority: Some(Priority_ { priority: 1 }),
+        priority: Some(YarnPriority { priority: 1 }),
         resource_name: Some(name.into()),
         capability: Some(Resource {
             memory: Some(512),
@@ -266,29 +301,29 @@
     }
 }
 
-use yarn::proto::Priority as Priority_;
+use yarn::proto::Priority as YarnPriority;
 
-fn ready(seed: u64) -> World {
+fn started_world(seed: u64) -> World {
     let mut world = world(seed, scene());
     world.run_for(8000);
     world
 }
 
 #[test]
-fn an_unmanaged_master_registers_beats_and_says_goodbye() {
-    let mut world = ready(4);
-    let mut c = Caller {
+fn unmanaged_master_registers_heartbeats_and_unregisters() {
+    let mut world = started_world(4);
+    let mut c = TestClient {
         world: &mut world,
         user: "ann",
         token: None,
     };
     let early = c
-        .beat(0, Vec::new(), Vec::new())
+        .heartbeat(0, Vec::new(), Vec::new())
         .expect_err("without a token");
     assert_eq!(early.class, Class::AccessDenied);
     let id = c.unmanaged();
     let early = c
-        .beat(0, Vec::new(), Vec::new())
+        .heartbeat(0, Vec::new(), Vec::new())
         .expect_err("before it registers");
     assert_eq!(early.class, Class::NotRegistered);
     let register = RegisterRequest {
@@ -306,22 +341,22 @@
         .expect("registered");
 
     let first = c
-        .beat(0, vec![ask(ANY, 3, true)], Vec::new())
+        .heartbeat(0, vec![ask(ANY, 3, true)], Vec::new())
         .expect("a heartbeat");
     let again = c
-        .beat(0, vec![ask(ANY, 3, true)], Vec::new())
+        .heartbeat(0, vec![ask(ANY, 3, true)], Vec::new())
         .expect("repeated");
     assert_eq!(first, again, "a repeated heartbeat is answered as it was");
     let wrong = c
-        .beat(7, Vec::new(), Vec::new())
+        .heartbeat(7, Vec::new(), Vec::new())
         .expect_err("a number out of turn");
     assert!(wrong.message.contains("Invalid responseId"), "{wrong}");
     let mut number = first.response_id.unwrap_or(0);
-    let given = c.given(&mut number);
-    assert_eq!(given.len(), 3, "as many as were asked for, and no more");
+    let allocated = c.collect_allocated(&mut number);
+    assert_eq!(allocated.len(), 3, "as many as were asked for, and no more");
 
     // One is released before it runs, one is stopped by its master.
-    let ids: Vec<ContainerId> = given.iter().filter_map(|g| g.id).collect();
+    let ids: Vec<ContainerId> = allocated.iter().filter_map(|g| g.id).collect();
     let stop = StopContainersRequest {
         containers: vec![ids[1]],
     };
@@ -329,7 +364,7 @@
         .call(rpc::CONTAINER_PROTOCOL, "stopContainers", &stop)
         .expect("stopped");
     let beat = c
-        .beat(number, Vec::new(), vec![ids[0]])
+        .heartbeat(number, Vec::new(), vec![ids[0]])
         .expect("a heartbeat");
     let mut ended: Vec<(i64, i32)> = beat
         .completed
@@ -385,9 +420,9 @@
 
 /// What can't be served is refused before anything of the heartbeat is taken; places in a zone are.
 #[test]
-fn heartbeats_are_taken_whole_or_not_at_all() {
-    let mut world = ready(5);
-    let mut c = Caller {
+fn heartbeats_are_accepted_whole_or_refused_whole() {
+    let mut world = started_world(5);
+    let mut c = TestClient {
         world: &mut world,
         user: "ann",
         token: None,
@@ -430,18 +465,18 @@
         (vec![ask(ANY, -1, true)], "number of containers"),
         (vec![ask(ANY, 1 << 30, true)], "number of containers"),
     ] {
-        let fault = c.beat(0, asks, Vec::new()).expect_err(why);
+        let fault = c.heartbeat(0, asks, Vec::new()).expect_err(why);
         assert!(fault.message.contains(why), "{fault} should say {why}");
         assert_eq!(fault.class, Class::InvalidRequest);
     }
     let mut number = c
-        .beat(0, vec![ask(ANY, 2, false), ask("/b", 2, true)], Vec::new())
+        .heartbeat(0, vec![ask(ANY, 2, false), ask("/b", 2, true)], Vec::new())
         .expect("taken")
         .response_id
         .unwrap_or(0);
-    let given = c.given(&mut number);
+    let allocated = c.collect_allocated(&mut number);
     assert_eq!(
-        given.len(),
+        allocated.len(),
         2,
         "nothing of what was refused, and all that was taken"
     );
@@ -455,9 +490,9 @@
 
 /// The leader is replaced: the master is told to register again, and keeps the containers that run.
 #[test]
-fn masters_register_again_with_the_next_leader() {
-    let mut world = ready(6);
-    let mut c = Caller {
+fn masters_register_again_after_a_leader_change() {
+    let mut world = started_world(6);
+    let mut c = TestClient {
         world: &mut world,
         user: "ann",
         token: None,
@@ -469,17 +504,17 @@
     c.world.crash_all();
     c.world.run_for(12_000);
     let fault = c
-        .beat(0, Vec::new(), Vec::new())
+        .heartbeat(0, Vec::new(), Vec::new())
         .expect_err("the next owner does not know the session");
     assert_eq!(fault.class, Class::NotRegistered);
     let _: RegisterResponse = c
         .master("registerApplicationMaster", &RegisterRequest::default())
         .expect("registered");
-    c.beat(0, Vec::new(), Vec::new()).expect("a heartbeat");
+    c.heartbeat(0, Vec::new(), Vec::new()).expect("a heartbeat");
     // Nobody else's token will do, nor may others end it.
     let own = c.token.clone();
     c.unmanaged();
-    let mut stranger = Caller {
+    let mut stranger = TestClient {
         world: c.world,
         user: "eve",
         token: None,
@@ -496,7 +531,7 @@
     forged.password[0] ^= 1;
     stranger.token = Some(forged);
     let denied = stranger
-        .beat(0, Vec::new(), Vec::new())
+        .heartbeat(0, Vec::new(), Vec::new())
         .expect_err("a forged token");
     assert_eq!(denied.class, Class::AccessDenied);
 }
@@ -524,27 +559,27 @@
 /// Generated calls, in any order and with leaders lost between them, against the reference: each answer, and what is
 /// shown afterwards.
 #[test]
-fn applications_follow_their_reference() {
+fn application_states_follow_the_reference_model() {
     for seed in 0..40 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut world = ready(1000 + seed);
-        let mut c = Caller {
+        let mut world = started_world(1000 + seed);
+        let mut c = TestClient {
             world: &mut world,
             user: "ann",
             token: None,
         };
         let id = c.unmanaged();
         let (mut model, mut number) = (Model::Accepted, 0);
-        let mut past = Vec::new();
+        let mut operations = Vec::new();
         for _ in 0..14 {
-            let op = rng.u32(0..100);
-            past.push(op);
-            let told = |model: Model| match model {
+            let operation = rng.u32(0..100);
+            operations.push(operation);
+            let expected_error = |model: Model| match model {
                 Model::Accepted | Model::Running(false) => Some(Class::NotRegistered),
                 Model::Running(true) => None,
                 Model::Over(..) => Some(Class::AttemptNotFound),
             };
-            match op {
+            match operation {
                 0..30 => {
                     let r = c.master::<_, RegisterResponse>(
                         "registerApplicationMaster",
@@ -554,7 +589,7 @@
                     assert_eq!(
                         r.err().map(|f| f.class),
                         over.then_some(Class::AttemptNotFound),
-                        "{seed}: {past:?}"
+                        "{seed}: {operations:?}"
                     );
                     if !over {
                         // A session that is known goes on with its numbers.
@@ -566,12 +601,16 @@
                         model = Model::Running(true);
                     }
                 }
-                30..65 => match c.beat(number, Vec::new(), Vec::new()) {
+                30..65 => match c.heartbeat(number, Vec::new(), Vec::new()) {
                     Ok(beat) => {
-                        assert_eq!(told(model), None, "{seed}: {past:?}");
+                        assert_eq!(expected_error(model), None, "{seed}: {operations:?}");
                         number = beat.response_id.unwrap_or(0);
                     }
-                    Err(fault) => assert_eq!(told(model), Some(fault.class), "{seed}: {past:?}"),
+                    Err(fault) => assert_eq!(
+                        expected_error(model),
+                        Some(fault.class),
+                        "{seed}: {operations:?}"
+                    ),
                 },
                 65..75 => {
                     let status = [FinalStatus::Succeeded, FinalStatus::Failed][rng.usize(0..2)];
@@ -580,16 +619,18 @@
                         ..FinishRequest::default()
                     };
                     let r = c.master::<_, FinishResponse>("finishApplicationMaster", &finish);
-                    match (model, told(model)) {
+                    match (model, expected_error(model)) {
                         // Whoever says goodbye to what is over is told that it is.
                         (Model::Over(..), _) | (_, None) => {
                             assert_eq!(
                                 r.expect("goodbye").is_unregistered,
                                 Some(true),
-                                "{seed}: {past:?}"
+                                "{seed}: {operations:?}"
                             );
                         }
-                        (_, why) => assert_eq!(r.err().map(|f| f.class), why, "{seed}: {past:?}"),
+                        (_, why) => {
+                            assert_eq!(r.err().map(|f| f.class), why, "{seed}: {operations:?}")
+                        }
                     }
                     if model == Model::Running(true) {
                         model = Model::Over(ApplicationState::Finished, status);
@@ -630,7 +671,7 @@
             assert_eq!(
                 shown,
                 (Some(state as i32), Some(status as i32)),
-                "{seed}: {past:?} {model:?}"
+                "{seed}: {operations:?} {model:?}"
             );
         }
     }
@@ -638,8 +679,8 @@
 
 /// Connections take any bytes without harm: they answer in their protocol's way or close, and hold a bounded amount.
 #[test]
-fn any_bytes_are_survived() {
-    let mut world = ready(7);
+fn malformed_bytes_do_not_harm_connections() {
+    let mut world = started_world(7);
     let mut rng = fastrand::Rng::with_seed(9);
     let good = {
         let submit = SubmitApplicationRequest::default();
@@ -678,7 +719,7 @@
     world.run_for(30_000);
     // Those that were begun and not ended are gone, and whoever comes now is served.
     assert_eq!(world.leader().map(|o| o.connections().1), Some(0));
-    let mut c = Caller {
+    let mut c = TestClient {
         world: &mut world,
         user: "ann",
         token: None,
@@ -688,7 +729,7 @@
 
 /// An exchange that the stand-ins' own client is built on comes to its end.
 #[test]
-fn exchanges_end() {
+fn web_exchange_ends_after_the_response_body() {
     let ask = standins::yarn::Ask::Web {
         method: "GET",
         target: "/x".into(),
