--- a/crates/standins/tests/placement.rs
+++ b/crates/standins/tests/placement.rs
@@ -1,5 +1,6 @@
-//! One suite of placement expectations for native users and for YARN's clients, by RPC and by REST: the same core, the
-//! same limits, the same repeats. And what a client of YARN's may do with masters and containers besides.
+//! One suite of placement tests for native users and for YARN clients, over RPC and over REST: the same scheduler, the
+//! same limits and the same retries apply to all. Also tests what YARN clients may do with application masters and
+//! containers.
 
 use gateway::Config;
 use prost::Message;
@@ -12,7 +13,7 @@
 use yarn::proto::*;
 use yarn::rpc;
 
-/// How work comes in.
+/// The interface by which tasks are submitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Interface {
     Native,
@@ -23,7 +24,8 @@
 const INTERFACES: [Interface; 3] = [Interface::Native, Interface::Rpc, Interface::Rest];
 
 fn scene() -> Scene {
-    let config = Config::parse("[work]\nmaster_s = 5\n[most]\nper_user = 1000\n").expect("good");
+    let config = Config::parse("[work]\nmaster_s = 5\n[most]\nper_user = 1000\n")
+        .expect("gateway configuration was rejected");
     let scene = Scene {
         machines: 2,
         yarn: Some(config),
@@ -36,7 +38,7 @@
     World::new(Plan::of_scene(seed, 3, scene, 60_000, 300_000))
 }
 
-/// One task for a team, as each door carries it.
+/// Submits one task for a team through the given interface.
 fn submit(
     scene: &mut Scene,
     interface: Interface,
@@ -74,7 +76,7 @@
     scene.clients.push(client);
 }
 
-/// When the tasks of a job first ran, in order of submission.
+/// When the first task of each job first ran, in order of submission.
 fn first_starts(world: &World, interface: Interface) -> Vec<Option<u64>> {
     let native = |id: &String| {
         if interface == Interface::Native {
@@ -112,7 +114,7 @@
         assert_eq!(max_tasks_at_once(&mut world, 60_000), 4, "{interface:?}");
         assert!(
             first_starts(&world, interface).iter().all(Option::is_some),
-            "{interface:?}: all ran"
+            "{interface:?}: some task never ran"
         );
     }
 }
@@ -139,7 +141,7 @@
 fn high_priority_task_starts_first_natively_and_by_rpc_and_rest() {
     for interface in INTERFACES {
         let mut scene = scene();
-        // All room is taken when both come; the urgent one has what is given back first.
+        // All machines are full when both are submitted; the high priority task gets the freed resources first.
         (0..8).for_each(|i| {
             submit(
                 &mut scene,
@@ -175,7 +177,7 @@
     }
 }
 
-/// Calls of one client, one after the other, at a node that runs.
+/// A client that makes one call after the other to a running node.
 struct TestClient<'a> {
     world: &'a mut World,
     user: &'static str,
@@ -196,11 +198,12 @@
             method,
             body: argument.encode_to_vec(),
         };
-        // Messages are lost now and then: repeated as clients do.
+        // Messages are lost occasionally; calls are retried, as real clients do.
         for _ in 0..20 {
             match self.world.call(ask.clone()) {
                 Some(Ok(body)) => {
-                    return Ok(R::decode(body.as_slice()).expect("an answer of that kind"));
+                    return Ok(R::decode(body.as_slice())
+                        .expect("response does not decode as the expected type"));
                 }
                 Some(Err(fault)) if !fault.class.is_passing() => return Err(fault),
                 _ => self.world.run_for(1000),
@@ -225,11 +228,11 @@
         self.call(rpc::MASTER_PROTOCOL, method, argument)
     }
 
-    /// A new unmanaged application, with the token of its master.
+    /// Submits a new unmanaged application and keeps the token of its master.
     fn unmanaged(&mut self) -> ApplicationId {
         let new: GetNewApplicationResponse = self
             .client("getNewApplication", &GetNewApplicationRequest {})
-            .expect("an id");
+            .expect("no application id");
         let id = new.application_id;
         let context = ApplicationSubmissionContext {
             application_id: id,
@@ -245,13 +248,15 @@
         let submit = SubmitApplicationRequest {
             context: Some(context),
         };
-        let _: SubmitApplicationResponse =
-            self.client("submitApplication", &submit).expect("taken");
+        let _: SubmitApplicationResponse = self
+            .client("submitApplication", &submit)
+            .expect("submission was refused");
         let ask = GetApplicationReportRequest { application_id: id };
-        let report: GetApplicationReportResponse =
-            self.client("getApplicationReport", &ask).expect("known");
+        let report: GetApplicationReportResponse = self
+            .client("getApplicationReport", &ask)
+            .expect("application is unknown");
         self.token = report.report.and_then(|r| r.am_rm_token);
-        id.expect("an id")
+        id.expect("no application id")
     }
 
     fn heartbeat(
@@ -271,14 +276,14 @@
 }
 
 impl TestClient<'_> {
-    /// What a master is given within 40 s.
+    /// Containers that a master is allocated within 40 s.
     fn collect_allocated(&mut self, number: &mut i32) -> Vec<Container> {
         let mut allocated = Vec::new();
         for _ in 0..40 {
             self.world.run_for(1000);
             let beat = self
                 .heartbeat(*number, Vec::new(), Vec::new())
-                .expect("a heartbeat");
+                .expect("heartbeat was refused");
             *number = beat.response_id.unwrap_or(0);
             allocated.extend(beat.allocated);
         }
@@ -319,12 +324,12 @@
     };
     let early = c
         .heartbeat(0, Vec::new(), Vec::new())
-        .expect_err("without a token");
+        .expect_err("heartbeat without a token was accepted");
     assert_eq!(early.class, Class::AccessDenied);
     let id = c.unmanaged();
     let early = c
         .heartbeat(0, Vec::new(), Vec::new())
-        .expect_err("before it registers");
+        .expect_err("heartbeat before registration was accepted");
     assert_eq!(early.class, Class::NotRegistered);
     let register = RegisterRequest {
         host: Some("h".into()),
@@ -333,27 +338,34 @@
     };
     let r: RegisterResponse = c
         .master("registerApplicationMaster", &register)
-        .expect("registered");
+        .expect("registration was refused");
     assert_eq!(r.queue.as_deref(), Some("root.blue"));
-    // Repeated after a lost answer: the same.
+    // A retry after a lost response succeeds too.
     let _: RegisterResponse = c
         .master("registerApplicationMaster", &register)
-        .expect("registered");
+        .expect("registration was refused");
 
     let first = c
         .heartbeat(0, vec![ask(ANY, 3, true)], Vec::new())
-        .expect("a heartbeat");
+        .expect("heartbeat was refused");
     let again = c
         .heartbeat(0, vec![ask(ANY, 3, true)], Vec::new())
-        .expect("repeated");
-    assert_eq!(first, again, "a repeated heartbeat is answered as it was");
+        .expect("repeated heartbeat was refused");
+    assert_eq!(
+        first, again,
+        "a repeated heartbeat was answered differently"
+    );
     let wrong = c
         .heartbeat(7, Vec::new(), Vec::new())
-        .expect_err("a number out of turn");
+        .expect_err("a response id out of sequence was accepted");
     assert!(wrong.message.contains("Invalid responseId"), "{wrong}");
     let mut number = first.response_id.unwrap_or(0);
     let allocated = c.collect_allocated(&mut number);
-    assert_eq!(allocated.len(), 3, "as many as were asked for, and no more");
+    assert_eq!(
+        allocated.len(),
+        3,
+        "allocated containers differ from the request"
+    );
 
     // One is released before it runs, one is stopped by its master.
     let ids: Vec<ContainerId> = allocated.iter().filter_map(|g| g.id).collect();
@@ -362,10 +374,10 @@
     };
     let _: StopContainersResponse = c
         .call(rpc::CONTAINER_PROTOCOL, "stopContainers", &stop)
-        .expect("stopped");
+        .expect("stop was refused");
     let beat = c
         .heartbeat(number, Vec::new(), vec![ids[0]])
-        .expect("a heartbeat");
+        .expect("heartbeat was refused");
     let mut ended: Vec<(i64, i32)> = beat
         .completed
         .iter()
@@ -390,11 +402,11 @@
     };
     let f: FinishResponse = c
         .master("finishApplicationMaster", &finish)
-        .expect("goodbye");
+        .expect("finishApplicationMaster was refused");
     assert_eq!(f.is_unregistered, Some(true));
     let f: FinishResponse = c
         .master("finishApplicationMaster", &finish)
-        .expect("goodbye again");
+        .expect("repeated finishApplicationMaster was refused");
     assert_eq!(f.is_unregistered, Some(true));
     let report: GetApplicationReportResponse = c
         .client(
@@ -403,8 +415,8 @@
                 application_id: Some(id),
             },
         )
-        .expect("known");
-    let report = report.report.expect("a report");
+        .expect("application is unknown");
+    let report = report.report.expect("no application report");
     assert_eq!(
         report.yarn_application_state,
         Some(ApplicationState::Finished as i32)
@@ -412,13 +424,14 @@
     assert_eq!(
         report.final_application_status,
         Some(FinalStatus::Failed as i32),
-        "as its master says"
+        "final status differs from the master's"
     );
     world.run_for(60_000);
     assert!(world.on_machines().is_empty(), "{:?}", world.on_machines());
 }
 
-/// What can't be served is refused before anything of the heartbeat is taken; places in a zone are.
+/// A heartbeat with a request that cannot be served is refused before any part of it takes effect. Requests bound to a
+/// zone are accepted.
 #[test]
 fn heartbeats_are_accepted_whole_or_refused_whole() {
     let mut world = started_world(5);
@@ -430,7 +443,7 @@
     c.unmanaged();
     let _: RegisterResponse = c
         .master("registerApplicationMaster", &RegisterRequest::default())
-        .expect("registered");
+        .expect("registration was refused");
     let huge = ResourceRequest {
         capability: Some(Resource {
             memory: Some(1 << 40),
@@ -471,14 +484,14 @@
     }
     let mut number = c
         .heartbeat(0, vec![ask(ANY, 2, false), ask("/b", 2, true)], Vec::new())
-        .expect("taken")
+        .expect("request was refused")
         .response_id
         .unwrap_or(0);
     let allocated = c.collect_allocated(&mut number);
     assert_eq!(
         allocated.len(),
         2,
-        "nothing of what was refused, and all that was taken"
+        "allocated containers differ from the accepted requests"
     );
     let jobs = world.rules.jobs.values().filter_map(|j| j.spec.as_ref());
     let bound: Vec<_> = jobs
@@ -488,7 +501,8 @@
     assert_eq!(bound, [Some("b".to_owned())]);
 }
 
-/// The leader is replaced: the master is told to register again, and keeps the containers that run.
+/// After a leader change the master is asked to register again, and keeps its running containers. A forged token and
+/// a kill by another user are refused.
 #[test]
 fn masters_register_again_after_a_leader_change() {
     let mut world = started_world(6);
@@ -500,18 +514,19 @@
     let id = c.unmanaged();
     let _: RegisterResponse = c
         .master("registerApplicationMaster", &RegisterRequest::default())
-        .expect("registered");
+        .expect("registration was refused");
     c.world.crash_all();
     c.world.run_for(12_000);
     let fault = c
         .heartbeat(0, Vec::new(), Vec::new())
-        .expect_err("the next owner does not know the session");
+        .expect_err("the next leader accepted a session that it does not know");
     assert_eq!(fault.class, Class::NotRegistered);
     let _: RegisterResponse = c
         .master("registerApplicationMaster", &RegisterRequest::default())
-        .expect("registered");
-    c.heartbeat(0, Vec::new(), Vec::new()).expect("a heartbeat");
-    // Nobody else's token will do, nor may others end it.
+        .expect("registration was refused");
+    c.heartbeat(0, Vec::new(), Vec::new())
+        .expect("heartbeat was refused");
+    // A forged token is refused, and other users may not kill the application.
     let own = c.token.clone();
     c.unmanaged();
     let mut stranger = TestClient {
@@ -525,23 +540,23 @@
     };
     let denied = stranger
         .client::<_, KillApplicationResponse>("forceKillApplication", &kill)
-        .expect_err("not hers");
+        .expect_err("another user killed the application");
     assert_eq!(denied.class, Class::AccessDenied);
-    let mut forged = own.expect("a token");
+    let mut forged = own.expect("no token");
     forged.password[0] ^= 1;
     stranger.token = Some(forged);
     let denied = stranger
         .heartbeat(0, Vec::new(), Vec::new())
-        .expect_err("a forged token");
+        .expect_err("a forged token was accepted");
     assert_eq!(denied.class, Class::AccessDenied);
 }
 
-/// What is known of an unmanaged application: the reference that the service is held against.
+/// Reference model of an unmanaged application, with which the service is compared.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Model {
-    /// Nobody has registered for it.
+    /// No master has registered.
     Accepted,
-    /// Its master has, and whether the leader of the fleet knows him.
+    /// The master has registered; the flag says whether the current leader knows its session.
     Running(bool),
     Over(ApplicationState, FinalStatus),
 }
@@ -556,8 +571,8 @@
     }
 }
 
-/// Generated calls, in any order and with leaders lost between them, against the reference: each answer, and what is
-/// shown afterwards.
+/// Compares random sequences of calls, with leader changes between them, with the reference model: each response, and
+/// the application report afterwards.
 #[test]
 fn application_states_follow_the_reference_model() {
     for seed in 0..40 {
@@ -592,7 +607,7 @@
                         "{seed}: {operations:?}"
                     );
                     if !over {
-                        // A session that is known goes on with its numbers.
+                        // A known session continues its response ids.
                         number = if model == Model::Running(true) {
                             number
                         } else {
@@ -620,10 +635,11 @@
                     };
                     let r = c.master::<_, FinishResponse>("finishApplicationMaster", &finish);
                     match (model, expected_error(model)) {
-                        // Whoever says goodbye to what is over is told that it is.
+                        // Unregistering from an application that has ended succeeds.
                         (Model::Over(..), _) | (_, None) => {
                             assert_eq!(
-                                r.expect("goodbye").is_unregistered,
+                                r.expect("finishApplicationMaster was refused")
+                                    .is_unregistered,
                                 Some(true),
                                 "{seed}: {operations:?}"
                             );
@@ -641,8 +657,9 @@
                         application_id: Some(id),
                         diagnostics: None,
                     };
-                    let _: KillApplicationResponse =
-                        c.client("forceKillApplication", &kill).expect("killed");
+                    let _: KillApplicationResponse = c
+                        .client("forceKillApplication", &kill)
+                        .expect("kill was refused");
                     c.world.run_for(3000);
                     if !matches!(model, Model::Over(..)) {
                         model = Model::Over(ApplicationState::Killed, FinalStatus::Killed);
@@ -660,9 +677,10 @@
             let ask = GetApplicationReportRequest {
                 application_id: Some(id),
             };
-            let report: GetApplicationReportResponse =
-                c.client("getApplicationReport", &ask).expect("known");
-            let report = report.report.expect("a report");
+            let report: GetApplicationReportResponse = c
+                .client("getApplicationReport", &ask)
+                .expect("application is unknown");
+            let report = report.report.expect("no application report");
             let (state, status) = model.shown();
             let shown = (
                 report.yarn_application_state,
@@ -677,7 +695,8 @@
     }
 }
 
-/// Connections take any bytes without harm: they answer in their protocol's way or close, and hold a bounded amount.
+/// Malformed bytes do no harm: connections answer according to their protocol or close, and hold a bounded amount of
+/// data.
 #[test]
 fn malformed_bytes_do_not_harm_connections() {
     let mut world = started_world(7);
@@ -717,7 +736,7 @@
         world.pour(i % 2 == 1, bytes);
     }
     world.run_for(30_000);
-    // Those that were begun and not ended are gone, and whoever comes now is served.
+    // Incomplete connections are closed, and new clients are served.
     assert_eq!(world.leader().map(|o| o.connections().1), Some(0));
     let mut c = TestClient {
         world: &mut world,
@@ -727,7 +746,7 @@
     c.unmanaged();
 }
 
-/// An exchange that the stand-ins' own client is built on comes to its end.
+/// The exchange that the simulated client is built on ends once the whole response has arrived.
 #[test]
 fn web_exchange_ends_after_the_response_body() {
     let ask = standins::yarn::Ask::Web {
