--- a/crates/standins/tests/models.rs
+++ b/crates/standins/tests/models.rs
@@ -26,7 +26,7 @@
     }
 }
 
-fn id(n: u32) -> String {
+fn job_id(n: u32) -> String {
     format!("job-{n:06}")
 }
 
@@ -52,24 +52,24 @@
     World::new(Plan::of_scene(seed, nodes, scene, 0, 900_000))
 }
 
-fn rec(w: &World, n: u32) -> (Phase, u64) {
+fn phase_and_generation(w: &World, n: u32) -> (Phase, u64) {
     w.models
         .recs
-        .get(&id(n))
+        .get(&job_id(n))
         .map_or((Phase::Asleep, 0), |r| (r.phase, r.generation))
 }
 
 /// A boot may take several times its time.
-fn until_awake(w: &mut World, n: u32) {
+fn run_until_awake(w: &mut World, n: u32) {
     for _ in 0..24 {
-        if rec(w, n).0 == Phase::Awake {
+        if phase_and_generation(w, n).0 == Phase::Awake {
             return;
         }
         w.run_for(1000);
     }
 }
 
-fn is_whole(w: &World) {
+fn assert_models_consistent(w: &World) {
     assert!(w.rules.broken.is_empty(), "{:?}", w.rules.broken);
     let cancelled = |m: &str| {
         w.rules
@@ -87,23 +87,27 @@
 /// Asleep at first, woken by ten thousand at once by one transaction, up, idle, asleep by proof with its machines given
 /// back, and woken again into the next generation.
 #[test]
-fn a_model_wakes_once_and_gives_its_machines_back() {
+fn model_wakes_once_and_returns_its_machines_when_asleep() {
     let mut w = world(1, 3, scene(1..2, 4, rule()));
     w.run_for(30_000);
     assert_eq!(
-        (rec(&w, 1), w.models.replicas(&id(1)), w.models.recs.len()),
+        (
+            phase_and_generation(&w, 1),
+            w.models.replicas(&job_id(1)),
+            w.models.recs.len()
+        ),
         ((Phase::Asleep, 0), 0, 0)
     );
     for i in 0..10_000 {
-        w.demand(&id(1), Some(i % 3));
+        w.demand(&job_id(1), Some(i % 3));
         if i % 10 == 0 {
             w.run_for(1);
         }
     }
     w.run_for(12_000);
-    assert_eq!(rec(&w, 1), (Phase::Awake, 1));
+    assert_eq!(phase_and_generation(&w, 1), (Phase::Awake, 1));
     assert_eq!(w.models.written["waking"], 1);
-    let told = |status| {
+    let answered_with = |status| {
         w.models
             .answers
             .iter()
@@ -111,13 +115,20 @@
             .count()
     };
     assert_eq!(
-        (told(200) + told(503), w.models.replicas(&id(1))),
+        (
+            answered_with(200) + answered_with(503),
+            w.models.replicas(&job_id(1))
+        ),
         (10_000, 2)
     );
-    assert!(told(200) > 5000, "{} were told", told(200));
+    assert!(
+        answered_with(200) > 5000,
+        "{} were told",
+        answered_with(200)
+    );
     w.run_for(60_000);
     assert_eq!(
-        (rec(&w, 1), w.models.replicas(&id(1))),
+        (phase_and_generation(&w, 1), w.models.replicas(&job_id(1))),
         ((Phase::Asleep, 1), 0)
     );
     w.run_for(30_000);
@@ -126,22 +137,22 @@
         0,
         "all machines are given back"
     );
-    w.demand(&id(1), None);
+    w.demand(&job_id(1), None);
     w.run_for(12_000);
-    assert_eq!(rec(&w, 1), (Phase::Awake, 2));
-    is_whole(&w);
+    assert_eq!(phase_and_generation(&w, 1), (Phase::Awake, 2));
+    assert_models_consistent(&w);
 }
 
 /// Without a document, the same standing job starts all its tasks, and nothing of models is ever written or read; with one
 /// that it does not fit, nothing is written.
 #[test]
-fn without_a_document_nothing_differs() {
+fn service_job_without_matching_model_rule_runs_unchanged() {
     for models in [false, true] {
         let mut scene = scene(
             1..2,
             4,
             Rule {
-                jobs: vec![id(7)],
+                jobs: vec![job_id(7)],
                 ..rule()
             },
         );
@@ -150,7 +161,7 @@
         }
         let mut w = world(2, 3, scene);
         w.run_for(20_000);
-        w.demand(&id(1), None);
+        w.demand(&job_id(1), None);
         w.run_for(40_000);
         assert!(w.rules.broken.is_empty(), "{:?}", w.rules.broken);
         assert_eq!((w.on_machines().len(), w.models.written.len()), (3, 0));
@@ -162,13 +173,13 @@
 /// The leader is lost before, in and after each write of a wake and of a sleep, with one restart or all controllers at
 /// once and back within 0.2 s: one generation, whoever goes on with it.
 #[test]
-fn whoever_dies_at_each_write_the_generation_goes_on() {
+fn generation_survives_crashes_at_each_write() {
     for nodes in [3, 5, 7] {
         // Every third moment of all: each fleet has other ones.
         for step in (nodes as u64 / 2 % 3..24).step_by(3) {
             let mut w = world(100 + step, nodes, scene(1..3, 6, rule()));
             w.run_for(20_000 + step * 7);
-            (1..3).for_each(|n| w.demand(&id(n), None));
+            (1..3).for_each(|n| w.demand(&job_id(n), None));
             w.run_for([2, 20, 60, 200, 400, 900, 2500, 7000][step as usize % 8]);
             match step / 8 {
                 0 => w.doom_leader(),
@@ -181,11 +192,11 @@
             }
             // Whoever asked a node that died was not answered, and asks again once all are back.
             w.run_for(4000);
-            (1..3).for_each(|n| w.demand(&id(n), None));
+            (1..3).for_each(|n| w.demand(&job_id(n), None));
             w.run_for(24_000);
-            is_whole(&w);
+            assert_models_consistent(&w);
             assert_eq!(
-                (rec(&w, 1), rec(&w, 2)),
+                (phase_and_generation(&w, 1), phase_and_generation(&w, 2)),
                 ((Phase::Awake, 1), (Phase::Awake, 1)),
                 "{nodes}, {step}"
             );
@@ -193,9 +204,9 @@
             w.run_for(step * 50);
             w.doom_leader();
             w.run_for(45_000);
-            is_whole(&w);
+            assert_models_consistent(&w);
             assert_eq!(
-                (rec(&w, 1), rec(&w, 2)),
+                (phase_and_generation(&w, 1), phase_and_generation(&w, 2)),
                 ((Phase::Asleep, 1), (Phase::Asleep, 1)),
                 "{nodes}, {step}"
             );
@@ -206,90 +217,94 @@
 /// Demand at both sides of a cut is one generation; a node that can't reach the leader keeps the model awake by its
 /// record, or wakes the next generation after a sleep.
 #[test]
-fn demand_at_two_sides_of_a_cut_is_one_generation() {
+fn demand_on_both_sides_of_a_partition_wakes_one_generation() {
     for seed in 0..6 {
         let mut w = world(200 + seed, 5, scene(1..2, 4, rule()));
         w.run_for(20_000);
         let leader = w.leader_at().expect("an owner");
-        let far = (leader + 1) % 5;
+        let partitioned_node = (leader + 1) % 5;
         w.cut(Cut::between(
-            Frontend::Node(far),
+            Frontend::Node(partitioned_node),
             Frontend::Nodes,
             w.now(),
             200_000,
         ));
-        w.demand(&id(1), Some(far));
-        w.demand(&id(1), Some(leader));
-        until_awake(&mut w, 1);
-        assert_eq!(rec(&w, 1), (Phase::Awake, 1));
+        w.demand(&job_id(1), Some(partitioned_node));
+        w.demand(&job_id(1), Some(leader));
+        run_until_awake(&mut w, 1);
+        assert_eq!(phase_and_generation(&w, 1), (Phase::Awake, 1));
         // Only the node that the leader does not hear goes on asking.
         for _ in 0..20 {
-            w.demand(&id(1), Some(far));
+            w.demand(&job_id(1), Some(partitioned_node));
             w.run_for(4000);
         }
         assert_eq!(
-            rec(&w, 1),
+            phase_and_generation(&w, 1),
             (Phase::Awake, 1),
             "its demand stands in the record"
         );
         w.run_for(40_000);
-        assert_eq!(rec(&w, 1), (Phase::Asleep, 1));
-        w.demand(&id(1), Some(far));
+        assert_eq!(phase_and_generation(&w, 1), (Phase::Asleep, 1));
+        w.demand(&job_id(1), Some(partitioned_node));
         w.run_for(18_000);
-        assert_eq!(rec(&w, 1), (Phase::Awake, 2));
-        is_whole(&w);
+        assert_eq!(phase_and_generation(&w, 1), (Phase::Awake, 2));
+        assert_models_consistent(&w);
     }
 }
 
 /// Demand at any moment of a sleep: the model is kept, or comes back in the next generation, and no replica runs twice.
 #[test]
-fn a_wake_in_the_midst_of_a_sleep_turns_it_round() {
+fn demand_while_falling_asleep_wakes_the_model_again() {
     for step in 0..16 {
         let mut w = world(300 + step, 3, scene(1..2, 4, rule()));
         w.run_for(20_000);
-        w.demand(&id(1), None);
-        let leaves = (0..600).find(|_| {
+        w.demand(&job_id(1), None);
+        let falls_asleep = (0..600).find(|_| {
             w.run_for(100);
-            rec(&w, 1).0 == Phase::Leaving
+            phase_and_generation(&w, 1).0 == Phase::Leaving
         });
-        assert!(leaves.is_some(), "it never sleeps: {:?}", w.rules.broken);
+        assert!(
+            falls_asleep.is_some(),
+            "it never sleeps: {:?}",
+            w.rules.broken
+        );
         w.run_for(step * 60);
-        w.demand(&id(1), None);
+        w.demand(&job_id(1), None);
         w.run_for(12_000);
         assert_eq!(
-            (rec(&w, 1), w.models.replicas(&id(1))),
+            (phase_and_generation(&w, 1), w.models.replicas(&job_id(1))),
             ((Phase::Awake, 2), 2),
             "{step}"
         );
-        is_whole(&w);
+        assert_models_consistent(&w);
     }
 }
 
 /// The cloud is out in the midst of a wake: it goes on when the cloud is back. A cancelled model never wakes, and its
 /// record goes.
 #[test]
-fn a_wake_outlasts_the_cloud_and_a_cancelled_model_never_wakes() {
+fn wake_survives_cloud_outage_and_cancelled_model_never_wakes() {
     let mut w = world(4, 3, scene(1..9, 8, rule()));
     w.run_for(20_000);
     w.cloud_out(30_000);
-    (1..9).for_each(|n| w.demand(&id(n), None));
+    (1..9).for_each(|n| w.demand(&job_id(n), None));
     w.run_for(25_000);
     let waking: Vec<u32> = (1..9)
-        .filter(|n| rec(&w, *n) == (Phase::Waking, 1))
+        .filter(|n| phase_and_generation(&w, *n) == (Phase::Waking, 1))
         .collect();
     assert!(waking.len() >= 4 && waking.contains(&2), "{waking:?}");
-    w.cancel(&id(2));
+    w.cancel(&job_id(2));
     w.run_for(20_000);
-    let up = |n: u32| waking.contains(&n) && n != 2;
+    let expected_awake = |n: u32| waking.contains(&n) && n != 2;
     let awake = (1..9)
-        .filter(|n| up(*n))
-        .all(|n| rec(&w, n) == (Phase::Awake, 1));
+        .filter(|n| expected_awake(*n))
+        .all(|n| phase_and_generation(&w, n) == (Phase::Awake, 1));
     assert!(
-        awake && w.models.replicas(&id(2)) == 0,
+        awake && w.models.replicas(&job_id(2)) == 0,
         "{:?}",
         w.models.recs
     );
-    (0..3).for_each(|n| w.demand(&id(2), Some(n)));
+    (0..3).for_each(|n| w.demand(&job_id(2), Some(n)));
     w.run_for(60_000);
     assert_eq!(
         w.models
@@ -305,13 +320,13 @@
         !w.state.keys.contains_key("model/job-000002"),
         "its record is gone"
     );
-    is_whole(&w);
+    assert_models_consistent(&w);
 }
 
 /// Two hundred models, a tenth of them awake, and a flood of demand on the rest: one generation and two writes each
 /// until they are up, and nobody is answered late.
 #[test]
-fn a_flood_on_two_hundred_models_wakes_each_once() {
+fn demand_flood_wakes_each_of_200_models_once() {
     let mut w = world(
         5,
         5,
@@ -326,20 +341,20 @@
         ),
     );
     w.run_for(30_000);
-    (1..21).for_each(|n| w.demand(&id(n), None));
+    (1..21).for_each(|n| w.demand(&job_id(n), None));
     w.run_for(20_000);
     assert_eq!(w.models.written["waking"], 20);
     for round in 0..40 {
         for n in 1..201 {
-            w.demand(&id(n), Some((n + round) as usize % 5));
+            w.demand(&job_id(n), Some((n + round) as usize % 5));
         }
         w.run_for(100);
     }
     w.run_for(60_000);
-    is_whole(&w);
+    assert_models_consistent(&w);
     assert_eq!(
         (1..201)
-            .filter(|n| rec(&w, *n) == (Phase::Awake, 1))
+            .filter(|n| phase_and_generation(&w, *n) == (Phase::Awake, 1))
             .count(),
         200
     );
