--- a/crates/standins/tests/models.rs
+++ b/crates/standins/tests/models.rs
@@ -1,4 +1,5 @@
-//! Models in virtual time: woken once whoever asks and whoever dies, asleep by proof, and back again.
+//! Models in virtual time: each is woken once, whichever node is asked and whichever crashes, is asleep only once its
+//! replicas have provably ended, and can be woken again.
 
 use model::{Begin, Phase, Rule, Spec};
 use standins::links::{Cut, Frontend};
@@ -30,7 +31,7 @@
     format!("job-{n:06}")
 }
 
-/// Models that are submitted at the begin, and so many machines.
+/// Models that are submitted at the start, and the given number of machines.
 fn scene(models: std::ops::Range<u32>, machines: usize, rule: Rule) -> Scene {
     let mut scene = Scene {
         machines,
@@ -59,7 +60,7 @@
         .map_or((Phase::Asleep, 0), |r| (r.phase, r.generation))
 }
 
-/// A boot may take several times its time.
+/// Waits up to 24 s, since a boot may take several times its usual time.
 fn run_until_awake(w: &mut World, n: u32) {
     for _ in 0..24 {
         if phase_and_generation(w, n).0 == Phase::Awake {
@@ -84,8 +85,8 @@
     );
 }
 
-/// Asleep at first, woken by ten thousand at once by one transaction, up, idle, asleep by proof with its machines given
-/// back, and woken again into the next generation.
+/// A model is asleep at first and is woken by ten thousand concurrent requests with one transaction. Once idle it falls
+/// asleep, with its machines returned, and new demand wakes its next generation.
 #[test]
 fn model_wakes_once_and_returns_its_machines_when_asleep() {
     let mut w = world(1, 3, scene(1..2, 4, rule()));
@@ -123,7 +124,7 @@
     );
     assert!(
         answered_with(200) > 5000,
-        "{} were told",
+        "only {} requests were answered with 200",
         answered_with(200)
     );
     w.run_for(60_000);
@@ -133,9 +134,9 @@
     );
     w.run_for(30_000);
     assert_eq!(
-        w.leader().expect("owner").node().machine_count(),
+        w.leader().expect("no leader").node().machine_count(),
         0,
-        "all machines are given back"
+        "machines were not returned"
     );
     w.demand(&job_id(1), None);
     w.run_for(12_000);
@@ -143,8 +144,8 @@
     assert_models_consistent(&w);
 }
 
-/// Without a document, the same standing job starts all its tasks, and nothing of models is ever written or read; with one
-/// that it does not fit, nothing is written.
+/// Without a models document, the same service job starts all its tasks, and no model records are written or read. With
+/// a document whose rule does not match the job, no model records are written.
 #[test]
 fn service_job_without_matching_model_rule_runs_unchanged() {
     for models in [false, true] {
@@ -170,12 +171,12 @@
     }
 }
 
-/// The leader is lost before, in and after each write of a wake and of a sleep, with one restart or all controllers at
-/// once and back within 0.2 s: one generation, whoever goes on with it.
+/// Controllers crash before, during and after each write of a wake and of falling asleep: the leader alone, the leader
+/// and another node, or all controllers at once, back within 0.3 s. The next leader continues the same generation.
 #[test]
 fn generation_survives_crashes_at_each_write() {
     for nodes in [3, 5, 7] {
-        // Every third moment of all: each fleet has other ones.
+        // A third of all steps, different ones for each number of nodes.
         for step in (nodes as u64 / 2 % 3..24).step_by(3) {
             let mut w = world(100 + step, nodes, scene(1..3, 6, rule()));
             w.run_for(20_000 + step * 7);
@@ -190,7 +191,7 @@
                     w.crash_node((leader + 1) % nodes);
                 }
             }
-            // Whoever asked a node that died was not answered, and asks again once all are back.
+            // Requests to a crashed node were not answered; they are repeated once all nodes are back.
             w.run_for(4000);
             (1..3).for_each(|n| w.demand(&job_id(n), None));
             w.run_for(24_000);
@@ -200,7 +201,7 @@
                 ((Phase::Awake, 1), (Phase::Awake, 1)),
                 "{nodes}, {step}"
             );
-            // And in the midst of going to sleep.
+            // Crash the leader also while the models fall asleep.
             w.run_for(step * 50);
             w.doom_leader();
             w.run_for(45_000);
@@ -214,14 +215,14 @@
     }
 }
 
-/// Demand at both sides of a cut is one generation; a node that can't reach the leader keeps the model awake by its
-/// record, or wakes the next generation after a sleep.
+/// Demand on both sides of a partition wakes one generation. A node that cannot reach the leader keeps the model awake
+/// through the model's record, or wakes the next generation once the model is asleep.
 #[test]
 fn demand_on_both_sides_of_a_partition_wakes_one_generation() {
     for seed in 0..6 {
         let mut w = world(200 + seed, 5, scene(1..2, 4, rule()));
         w.run_for(20_000);
-        let leader = w.leader_at().expect("an owner");
+        let leader = w.leader_at().expect("no leader");
         let partitioned_node = (leader + 1) % 5;
         w.cut(Cut::between(
             Frontend::Node(partitioned_node),
@@ -233,7 +234,7 @@
         w.demand(&job_id(1), Some(leader));
         run_until_awake(&mut w, 1);
         assert_eq!(phase_and_generation(&w, 1), (Phase::Awake, 1));
-        // Only the node that the leader does not hear goes on asking.
+        // Only the node that cannot reach the leader still has demand.
         for _ in 0..20 {
             w.demand(&job_id(1), Some(partitioned_node));
             w.run_for(4000);
@@ -241,7 +242,7 @@
         assert_eq!(
             phase_and_generation(&w, 1),
             (Phase::Awake, 1),
-            "its demand stands in the record"
+            "demand in the record did not keep the model awake"
         );
         w.run_for(40_000);
         assert_eq!(phase_and_generation(&w, 1), (Phase::Asleep, 1));
@@ -252,7 +253,7 @@
     }
 }
 
-/// Demand at any moment of a sleep: the model is kept, or comes back in the next generation, and no replica runs twice.
+/// Demand at any time while a model falls asleep keeps or wakes it as the next generation, and no replica runs twice.
 #[test]
 fn demand_while_falling_asleep_wakes_the_model_again() {
     for step in 0..16 {
@@ -265,7 +266,7 @@
         });
         assert!(
             falls_asleep.is_some(),
-            "it never sleeps: {:?}",
+            "model never starts to fall asleep: {:?}",
             w.rules.broken
         );
         w.run_for(step * 60);
@@ -280,8 +281,8 @@
     }
 }
 
-/// The cloud is out in the midst of a wake: it goes on when the cloud is back. A cancelled model never wakes, and its
-/// record goes.
+/// A wake that is interrupted by a cloud outage continues when the cloud is back. A cancelled model never wakes, and
+/// its record is removed.
 #[test]
 fn wake_survives_cloud_outage_and_cancelled_model_never_wakes() {
     let mut w = world(4, 3, scene(1..9, 8, rule()));
@@ -318,13 +319,13 @@
     );
     assert!(
         !w.state.keys.contains_key("model/job-000002"),
-        "its record is gone"
+        "record of the cancelled model was not removed"
     );
     assert_models_consistent(&w);
 }
 
-/// Two hundred models, a tenth of them awake, and a flood of demand on the rest: one generation and two writes each
-/// until they are up, and nobody is answered late.
+/// Of two hundred models a tenth are awake, and a flood of demand arrives for all. Each model is woken for one
+/// generation with two writes, and no request is answered late.
 #[test]
 fn demand_flood_wakes_each_of_200_models_once() {
     let mut w = world(
@@ -368,5 +369,5 @@
         .iter()
         .filter(|a| a.at > a.asked + 2000)
         .count();
-    assert_eq!(slow, 0, "answers that took long");
+    assert_eq!(slow, 0, "requests were answered late");
 }
