--- a/crates/standins/tests/yarn.rs
+++ b/crates/standins/tests/yarn.rs
@@ -8,7 +8,7 @@
 use yarn::error::Class;
 use yarn::proto::{ApplicationState, FinalStatus};
 
-const TOOL: Tally = Tally {
+const SINGLE_COMMAND: Tally = Tally {
     stages: Vec::new(),
     run_ms: 3000,
     fails: 0,
@@ -40,7 +40,7 @@
     Plan::of_scene(seed, nodes, scene, 120_000, 600_000)
 }
 
-fn sound(world: &World) {
+fn assert_rules_kept(world: &World) {
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
     assert!(
         world.yarn.checks.broken.is_empty(),
@@ -50,25 +50,25 @@
 }
 
 /// Plays until all clients are through.
-fn through(world: &mut World, most_ms: u64) {
-    let mut left = most_ms;
+fn run_until_all_over(world: &mut World, max_ms: u64) {
+    let mut left = max_ms;
     while left > 0 && !world.yarn.clients.iter().all(Client::is_over) {
         world.run_for(1000);
-        sound(world);
+        assert_rules_kept(world);
         left = left.saturating_sub(1000);
     }
     for c in &world.yarn.clients {
-        assert!(c.is_over(), "{:?} {:?} after {most_ms} ms", c.id, c.state);
+        assert!(c.is_over(), "{:?} {:?} after {max_ms} ms", c.id, c.state);
     }
 }
 
 #[test]
-fn a_tool_runs_once_by_rpc_and_by_rest() {
+fn command_runs_once_when_submitted_by_rpc_or_rest() {
     for web in [false, true] {
-        let mut client = Client::new("ann", "red", 2000, TOOL);
+        let mut client = Client::new("ann", "red", 2000, SINGLE_COMMAND);
         client.web = web;
         let mut world = World::new(plan(1, 3, scene(vec![client])));
-        through(&mut world, 120_000);
+        run_until_all_over(&mut world, 120_000);
         let c = &world.yarn.clients[0];
         assert_eq!(c.state, Some(ApplicationState::Finished), "web {web}");
         assert_eq!(
@@ -86,13 +86,13 @@
 
 /// The two-stage tally of a hundred containers, with a machine lost and the leader replaced in its midst.
 #[test]
-fn a_tally_of_two_stages_ends_though_machines_and_leaders_go() {
-    for moment in 0..12 {
+fn two_stage_application_finishes_despite_machine_and_leader_loss() {
+    for step in 0..12 {
         let client = Client::new("ann", "red", 2000, tally(&[100, 20]));
-        let mut world = World::new(plan(2 + moment, 3, scene(vec![client])));
+        let mut world = World::new(plan(2 + step, 3, scene(vec![client])));
         while world.yarn.checks.containers_done == 0 {
             world.run_for(500);
-            sound(&world);
+            assert_rules_kept(&world);
         }
         let machine = world
             .machines_of("job-900000000010000001")
@@ -100,9 +100,9 @@
             .expect("containers run");
         world.lose(&machine);
         // Each time another moment of the containers that end then.
-        world.run_for(10_000 + moment * 230);
+        world.run_for(10_000 + step * 230);
         world.doom_leader();
-        through(&mut world, 400_000);
+        run_until_all_over(&mut world, 400_000);
         let c = &world.yarn.clients[0];
         assert_eq!(
             (c.state, c.outcome),
@@ -117,7 +117,7 @@
             world.yarn.checks.containers_done
         );
         world.run_for(60_000);
-        sound(&world);
+        assert_rules_kept(&world);
         assert!(
             world.on_machines().is_empty(),
             "nothing is left of it: {:?}",
@@ -128,7 +128,7 @@
 
 /// A master that fails is begun again as another attempt, and no more often than its submitter allows.
 #[test]
-fn masters_are_begun_again_as_often_as_allowed() {
+fn failed_masters_are_restarted_up_to_the_attempt_limit() {
     let once = Client::new(
         "ann",
         "red",
@@ -148,7 +148,7 @@
         },
     );
     let mut world = World::new(plan(3, 3, scene(vec![once, always])));
-    through(&mut world, 300_000);
+    run_until_all_over(&mut world, 300_000);
     let states: Vec<_> = world.yarn.clients.iter().map(|c| c.state).collect();
     assert_eq!(
         states,
@@ -161,7 +161,7 @@
 
 /// Submissions, repeats, kills and tallies under all faults, with three and seven nodes: natively accepted once each.
 #[test]
-fn one_placement_each_under_any_faults() {
+fn each_submission_is_placed_once_under_random_faults() {
     let mut lost = 0;
     for seed in 0..12 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -169,7 +169,7 @@
             let tally = if i % 3 == 0 {
                 tally(&[rng.u32(1..9), 2])
             } else {
-                TOOL
+                SINGLE_COMMAND
             };
             let mut c = Client::new(
                 ["ann", "bob"][i % 2],
@@ -197,7 +197,7 @@
             calm: false,
             ..plan(seed, nodes, scene)
         });
-        through(&mut world, 500_000);
+        run_until_all_over(&mut world, 500_000);
         lost += world.yarn.clients.iter().map(|c| c.lost).sum::<u32>();
         for c in &world.yarn.clients {
             assert!(c.refused.is_none(), "seed {seed}: {:?}", c.refused);
@@ -208,7 +208,7 @@
             );
         }
         world.run_for(100_000);
-        sound(&world);
+        assert_rules_kept(&world);
         assert!(
             world.on_machines().is_empty(),
             "seed {seed}: {:?}",
@@ -220,13 +220,13 @@
 
 /// What is not wanted is refused at once, for good, and by name.
 #[test]
-fn refusals_are_final_and_say_why() {
-    let client = |queue: &str| Client::new("ann", queue, 2000, TOOL);
+fn refused_submissions_name_the_reason() {
+    let client = |queue: &str| Client::new("ann", queue, 2000, SINGLE_COMMAND);
     let mut scene = scene(vec![client("nowhere"), client("root")]);
     scene.yarn = Some(Config::parse("[submit]\nroot = bob\n").expect("good"));
     scene.clients.push(client("red"));
     let mut world = World::new(plan(4, 3, scene));
-    through(&mut world, 60_000);
+    run_until_all_over(&mut world, 60_000);
     let why: Vec<_> = world
         .yarn
         .clients
@@ -244,12 +244,12 @@
 }
 
 /// After all is quiet: nothing runs, and no job was accepted of which no record is left.
-fn nothing_left(world: &mut World, what: &str) {
+fn assert_nothing_left(world: &mut World, context: &str) {
     world.run_for(90_000);
-    sound(world);
+    assert_rules_kept(world);
     assert!(
         world.on_machines().is_empty(),
-        "{what}: {:?}",
+        "{context}: {:?}",
         world.on_machines()
     );
     let known = world.applications();
@@ -257,7 +257,7 @@
         let app: u32 = job[5..15].parse().expect("an id of the gateway's");
         assert!(
             known.contains(&app),
-            "{what}: {job} ran for nobody: {known:?}"
+            "{context}: {job} ran for nobody: {known:?}"
         );
     }
 }
@@ -265,11 +265,11 @@
 /// The leader is lost at each step of a submission, of a kill during it, and of its repeat; its last transaction lands
 /// late. Whoever was told "yes" finds his application, and whoever was not may find it or not, but never half of it.
 #[test]
-fn crashes_at_each_step_leave_one_placement_or_none() {
+fn leader_crash_at_each_step_leaves_one_placement_or_none() {
     for step in 0..60 {
-        let mut repeats = Client::new("ann", "red", 2000, TOOL);
+        let mut repeats = Client::new("ann", "red", 2000, SINGLE_COMMAND);
         repeats.repeat_after = Some(0);
-        let mut gives_up = Client::new("ann", "red", 2000, TOOL);
+        let mut gives_up = Client::new("ann", "red", 2000, SINGLE_COMMAND);
         (gives_up.gives_up, gives_up.web) = (true, true);
         let mut killed = Client::new("bob", "blue", 2000, tally(&[2]));
         killed.kill_after = Some(step * 180);
@@ -280,8 +280,8 @@
         let mut world = World::new(plan(100 + step, 3, scene));
         world.run_for(2000 + step * 500);
         world.doom_leader();
-        through(&mut world, 200_000);
-        nothing_left(&mut world, &format!("step {step}"));
+        run_until_all_over(&mut world, 200_000);
+        assert_nothing_left(&mut world, &format!("step {step}"));
         assert_eq!(
             world.yarn.clients[0].state,
             Some(ApplicationState::Finished),
@@ -293,21 +293,21 @@
 /// Whoever repeats a submission whose record is still on its way is not told "yes" before it stands: the state service
 /// refuses it in the end, and both hear that they have to come again.
 #[test]
-fn repeats_wait_for_the_record_too() {
+fn repeated_submission_waits_for_the_record() {
     for seed in 0..6 {
-        let mut scene = scene(vec![Client::new("ann", "red", 12_000, TOOL)]);
+        let mut scene = scene(vec![Client::new("ann", "red", 12_000, SINGLE_COMMAND)]);
         scene.records_ms = 700;
         let mut world = World::new(plan(200 + seed, 3, scene));
         world.run_for(11_000);
         while world.yarn.clients[0].submissions == 0 {
             world.run_for(50);
         }
-        let mut twin = Client::new("ann", "red", 0, TOOL);
-        twin.id = world.yarn.clients[0].id;
-        world.yarn.clients.push(twin);
+        let mut duplicate = Client::new("ann", "red", 0, SINGLE_COMMAND);
+        duplicate.id = world.yarn.clients[0].id;
+        world.yarn.clients.push(duplicate);
         world.run_for(250);
         world.refuse_leader(10_000);
-        through(&mut world, 200_000);
+        run_until_all_over(&mut world, 200_000);
         assert!(
             world
                 .yarn
@@ -316,27 +316,31 @@
                 .all(|c| c.state == Some(ApplicationState::Finished)),
             "seed {seed}"
         );
-        nothing_left(&mut world, &format!("seed {seed}"));
+        assert_nothing_left(&mut world, &format!("seed {seed}"));
     }
 }
 
 /// A drain that was answered holds, whoever leads the fleet: nothing that comes later is taken, what runs may end, and
 /// what is left at the deadline is ended.
 #[test]
-fn drains_outlive_leaders_and_end_what_is_left() {
+fn drain_survives_leader_change_and_kills_the_rest_at_its_deadline() {
     for seed in 0..8 {
         let long = Tally {
             run_ms: 500_000,
-            ..TOOL
+            ..SINGLE_COMMAND
         };
         let mut clients = vec![
             Client::new("ann", "red", 2000, long),
-            Client::new("ann", "red", 2000, TOOL),
+            Client::new("ann", "red", 2000, SINGLE_COMMAND),
         ];
-        clients.extend(
-            (0..30)
-                .map(|i| Client::new("bob", ["red", "blue"][i % 2], 8000 + 700 * i as u64, TOOL)),
-        );
+        clients.extend((0..30).map(|i| {
+            Client::new(
+                "bob",
+                ["red", "blue"][i % 2],
+                8000 + 700 * i as u64,
+                SINGLE_COMMAND,
+            )
+        }));
         let mut scene = scene(clients);
         scene.yarn = Some(Config::parse("[door]\nadmins = operator\n").expect("good"));
         scene.records_ms = 500;
@@ -348,11 +352,13 @@
             containers: false,
         };
         scene.drains = vec![(9000, ask(false)), (100_000, ask(true))];
-        scene.clients.push(Client::new("bob", "red", 120_000, TOOL));
+        scene
+            .clients
+            .push(Client::new("bob", "red", 120_000, SINGLE_COMMAND));
         let mut world = World::new(plan(300 + seed, 3, scene));
         world.run_for(9000 + seed * 150);
         world.doom_leader();
-        through(&mut world, 300_000);
+        run_until_all_over(&mut world, 300_000);
         let states: Vec<_> = world.yarn.clients.iter().map(|c| c.state).collect();
         assert_eq!(
             states[..2],
@@ -371,38 +377,52 @@
         let other = refused.clone().find(|f| !f.message.contains("DRAINING"));
         assert!(other.is_none(), "seed {seed}: {other:?}");
         assert!(refused.count() >= 4, "seed {seed}: {states:?}");
-        nothing_left(&mut world, &format!("seed {seed}"));
+        assert_nothing_left(&mut world, &format!("seed {seed}"));
     }
 }
 
 /// The same id with another content is another application, and is refused; so is an id that was never given, and one
 /// whose application is over and forgotten.
 #[test]
-fn ids_stand_for_one_content() {
+fn application_id_is_bound_to_one_submission_context() {
     let mut scene = scene(
         (0..6)
-            .map(|i| Client::new("ann", "red", 2000 + 9000 * i, TOOL))
+            .map(|i| Client::new("ann", "red", 2000 + 9000 * i, SINGLE_COMMAND))
             .collect(),
     );
     scene.yarn = Some(Config::parse("[most]\nremembered = 2\n").expect("good"));
     let mut world = World::new(plan(5, 3, scene));
-    through(&mut world, 120_000);
+    run_until_all_over(&mut world, 120_000);
     world.run_for(10_000);
     let (first, last) = (world.yarn.clients[0].clone(), world.yarn.clients[5].clone());
     let again = |id: &Client, user: &str, run_ms: u64| {
-        let mut c = Client::new(user, "red", 0, Tally { run_ms, ..TOOL });
+        let mut c = Client::new(
+            user,
+            "red",
+            0,
+            Tally {
+                run_ms,
+                ..SINGLE_COMMAND
+            },
+        );
         c.id = id.id;
         c
     };
-    let mut stranger = again(&last, "ann", TOOL.run_ms);
+    let mut stranger = again(&last, "ann", SINGLE_COMMAND.run_ms);
     stranger.id = last.id.map(|i| yarn::proto::ApplicationId {
         id: i.id + 500,
         ..i
     });
     let cases = [
         (again(&last, "ann", 1), "another content"),
-        (again(&last, "eve", TOOL.run_ms), "another content"),
-        (again(&first, "ann", TOOL.run_ms), "ask for a new id"),
+        (
+            again(&last, "eve", SINGLE_COMMAND.run_ms),
+            "another content",
+        ),
+        (
+            again(&first, "ann", SINGLE_COMMAND.run_ms),
+            "ask for a new id",
+        ),
         (stranger, "ask for a new id"),
     ];
     let known = world.yarn.clients.len();
@@ -410,8 +430,11 @@
         .yarn
         .clients
         .extend(cases.iter().map(|(c, _)| c.clone()));
-    world.yarn.clients.push(again(&last, "ann", TOOL.run_ms));
-    through(&mut world, 60_000);
+    world
+        .yarn
+        .clients
+        .push(again(&last, "ann", SINGLE_COMMAND.run_ms));
+    run_until_all_over(&mut world, 60_000);
     for (i, (_, why)) in cases.iter().enumerate() {
         let refused = world.yarn.clients[known + i]
             .refused
@@ -429,7 +452,7 @@
 
 /// Masters that go on after their successors have registered get nothing any more.
 #[test]
-fn successors_fence_their_predecessors() {
+fn registered_master_fences_its_predecessor() {
     let mut fenced = 0;
     for seed in 0..4 {
         let mut scene = scene(
@@ -442,14 +465,14 @@
         // Its master has asked for containers, and some have come.
         while world.machines_of("job-900000000010000001").is_empty() {
             world.run_for(500);
-            sound(&world);
+            assert_rules_kept(&world);
         }
         let machine = world
             .machines_of("job-900000000010000000")
             .pop()
             .expect("a master runs");
         world.lose(&machine);
-        through(&mut world, 300_000);
+        run_until_all_over(&mut world, 300_000);
         fenced += world.yarn.checks.fenced;
         assert!(
             world
@@ -459,21 +482,25 @@
                 .all(|c| c.state == Some(ApplicationState::Finished)),
             "seed {seed}"
         );
-        nothing_left(&mut world, &format!("seed {seed}"));
+        assert_nothing_left(&mut world, &format!("seed {seed}"));
     }
     assert!(fenced > 0, "some predecessor came back");
 }
 
 /// Transactions of a leader that has died land after its successor has read, written and answered: they change nothing.
 #[test]
-fn what_lands_late_changes_nothing() {
+fn late_transactions_of_crashed_leaders_change_nothing() {
     for seed in 0..25 {
         let clients = (0..8).map(|i| {
             let mut c = Client::new(
                 "ann",
                 "red",
                 2000 + i * 1500,
-                if i % 2 == 0 { TOOL } else { tally(&[2]) },
+                if i % 2 == 0 {
+                    SINGLE_COMMAND
+                } else {
+                    tally(&[2])
+                },
             );
             c.kill_after = (i % 3 == 0).then_some(4000 + i * 1000);
             c.looks_back = Some((3000, 25));
@@ -486,17 +513,17 @@
             world.run_for(6000);
             world.doom_leader();
         }
-        through(&mut world, 400_000);
-        nothing_left(&mut world, &format!("seed {seed}"));
+        run_until_all_over(&mut world, 400_000);
+        assert_nothing_left(&mut world, &format!("seed {seed}"));
     }
 }
 
 /// Guards against containers of one application being taken for those of another: their numbers are the same.
 #[test]
-fn tallies_frontend_by_frontend_do_not_meet() {
+fn containers_of_concurrent_applications_are_not_confused() {
     let clients = (0..4).map(|i| Client::new("ann", "red", 2000 + i, tally(&[20, 10])));
     let mut world = World::new(plan(6, 3, scene(clients.collect())));
-    through(&mut world, 200_000);
+    run_until_all_over(&mut world, 200_000);
     assert_eq!(
         (
             world.yarn.checks.starts_refused,
@@ -508,7 +535,7 @@
 
 /// A machine that is drained gets no further containers, and after the deadline it has none; the tally goes on elsewhere.
 #[test]
-fn drained_machines_lose_their_containers() {
+fn drained_machine_has_no_containers_after_the_deadline() {
     let long = Tally {
         run_ms: 25_000,
         ..tally(&[24])
@@ -541,7 +568,7 @@
         .values()
         .filter(|r| r.machine == machine && r.holds());
     assert_eq!(left.count(), 0, "containers are left on {machine}");
-    through(&mut world, 300_000);
+    run_until_all_over(&mut world, 300_000);
     assert_eq!(
         world.yarn.clients[0].state,
         Some(ApplicationState::Finished)
@@ -550,7 +577,7 @@
 
 /// As long as a machine is drained nothing new begins there; what runs may end.
 #[test]
-fn nothing_new_begins_on_a_drained_machine() {
+fn no_container_starts_on_a_drained_machine() {
     let mut scene = scene(vec![Client::new("ann", "red", 2000, tally(&[150, 30]))]);
     scene.yarn =
         Some(Config::parse("[door]\nadmins = operator\n[work]\nestimate_s = 3\n").expect("good"));
@@ -567,7 +594,7 @@
     world.yarn.drains.push(standins::yarn::Drain::new(0, ask));
     world.run_for(5000);
     assert!(world.yarn.drains[0].done);
-    let holders = |world: &World| -> Vec<(String, u64)> {
+    let active_runners = |world: &World| -> Vec<(String, u64)> {
         let here = world
             .yarn
             .runners
@@ -579,8 +606,8 @@
     let before: Vec<_> = world.yarn.runners.keys().cloned().collect();
     while !world.yarn.clients[0].is_over() {
         world.run_for(500);
-        sound(&world);
-        let new: Vec<_> = holders(&world)
+        assert_rules_kept(&world);
+        let new: Vec<_> = active_runners(&world)
             .into_iter()
             .filter(|h| !before.contains(h))
             .collect();
@@ -594,7 +621,7 @@
 
 /// Runners that come again after they were told to leave get nothing, however many containers are wanted.
 #[test]
-fn whoever_was_told_to_leave_gets_nothing() {
+fn runner_told_to_leave_gets_no_container() {
     let mut world = World::new(plan(
         9,
         3,
@@ -608,7 +635,7 @@
             .values_mut()
             .filter(|r| r.holds())
             .for_each(|r| r.deaf = true);
-        sound(&world);
+        assert_rules_kept(&world);
     }
     assert_eq!(world.yarn.checks.containers_done, 80);
 }
@@ -616,8 +643,8 @@
 /// Guards against descriptions that stay in the state service for ever: one that takes more records than a transaction
 /// may change is taken away by several, with those that are over.
 #[test]
-fn long_descriptions_go_with_their_application() {
-    let mut client = Client::new("ann", "red", 2000, TOOL);
+fn long_submission_records_are_removed_with_their_application() {
+    let mut client = Client::new("ann", "red", 2000, SINGLE_COMMAND);
     client.padding = 45_000;
     let mut world = World::new(plan(10, 3, scene(vec![client])));
     let parts = |world: &World| {
@@ -634,15 +661,15 @@
         "more than one transaction: {}",
         parts(&world)
     );
-    through(&mut world, 120_000);
+    run_until_all_over(&mut world, 120_000);
     world.run_for(20_000);
     assert_eq!(parts(&world), 0);
 }
 
 /// A world in which sixty containers of one tally hold their places at once. On some seeds machines never come up and
 /// there is no room for so many: this was once waited for without end, while the tally was long over.
-fn sixty_at_once(moment: u64) -> World {
-    for seed in (600 + moment..).step_by(14).take(10) {
+fn world_with_sixty_running_containers(step: u64) -> World {
+    for seed in (600 + step..).step_by(14).take(10) {
         let client = Client::new(
             "ann",
             "red",
@@ -660,15 +687,15 @@
             }
         }
     }
-    panic!("moment {moment}: on no seed do sixty hold at once");
+    panic!("step {step}: on no seed do sixty hold at once");
 }
 
 /// Guards against a container that is lost for ever: its machine dies, its task begins again elsewhere, and the leader
 /// dies before the master has heard of the loss. The next leader can learn it from that task's runner only.
 #[test]
-fn losses_are_told_though_the_leader_dies_first() {
-    for moment in 0..14 {
-        let mut world = sixty_at_once(moment);
+fn container_loss_is_reported_though_the_leader_crashes_first() {
+    for step in 0..14 {
+        let mut world = world_with_sixty_running_containers(step);
         let master = world.machines_of("job-900000000010000000");
         let mut others = world
             .yarn
@@ -704,18 +731,18 @@
         while !again(&world) {
             assert!(
                 world.now() < end,
-                "moment {moment}: what was lost is not begun again"
+                "step {step}: what was lost is not begun again"
             );
             world.run_for(50);
-            sound(&world);
+            assert_rules_kept(&world);
         }
-        world.run_for(moment * 100);
+        world.run_for(step * 100);
         world.crash_all();
-        through(&mut world, 300_000);
+        run_until_all_over(&mut world, 300_000);
         assert_eq!(
             world.yarn.clients[0].state,
             Some(ApplicationState::Finished),
-            "moment {moment}"
+            "step {step}"
         );
     }
 }
