--- a/crates/standins/tests/yarn.rs
+++ b/crates/standins/tests/yarn.rs
@@ -1,5 +1,5 @@
-//! YARN's clients in virtual time: one placement for each submission, one word on how it ended, and tallies that come
-//! to their end, whatever fails.
+//! YARN clients in virtual time: under all faults each submission is placed once, has one final status, and its
+//! application runs to completion.
 
 use gateway::Config;
 use standins::scene::{Scene, Timed, array};
@@ -23,7 +23,8 @@
 }
 
 fn config() -> Config {
-    Config::parse("[work]\nmaster_s = 20\nestimate_s = 3\n").expect("good")
+    Config::parse("[work]\nmaster_s = 20\nestimate_s = 3\n")
+        .expect("gateway configuration was rejected")
 }
 
 fn scene(clients: Vec<Client>) -> Scene {
@@ -49,7 +50,7 @@
     );
 }
 
-/// Plays until all clients are through.
+/// Runs until the applications of all clients are over.
 fn run_until_all_over(world: &mut World, max_ms: u64) {
     let mut left = max_ms;
     while left > 0 && !world.yarn.clients.iter().all(Client::is_over) {
@@ -84,7 +85,8 @@
     }
 }
 
-/// The two-stage tally of a hundred containers, with a machine lost and the leader replaced in its midst.
+/// An application of two stages, with a hundred containers in the first, during which a machine is lost and the leader
+/// is replaced.
 #[test]
 fn two_stage_application_finishes_despite_machine_and_leader_loss() {
     for step in 0..12 {
@@ -97,9 +99,9 @@
         let machine = world
             .machines_of("job-900000000010000001")
             .pop()
-            .expect("containers run");
+            .expect("no containers run");
         world.lose(&machine);
-        // Each time another moment of the containers that end then.
+        // A different time for each step, since containers end around then.
         world.run_for(10_000 + step * 230);
         world.doom_leader();
         run_until_all_over(&mut world, 400_000);
@@ -120,13 +122,13 @@
         assert_rules_kept(&world);
         assert!(
             world.on_machines().is_empty(),
-            "nothing is left of it: {:?}",
+            "tasks are left on machines: {:?}",
             world.on_machines()
         );
     }
 }
 
-/// A master that fails is begun again as another attempt, and no more often than its submitter allows.
+/// A master that fails is restarted as another attempt, up to the number of attempts that its submitter allows.
 #[test]
 fn failed_masters_are_restarted_up_to_the_attempt_limit() {
     let once = Client::new(
@@ -159,7 +161,8 @@
     );
 }
 
-/// Submissions, repeats, kills and tallies under all faults, with three and seven nodes: natively accepted once each.
+/// Submissions, retries, kills and multi-stage applications under all faults, with three and seven nodes: each is
+/// accepted once as a native job.
 #[test]
 fn each_submission_is_placed_once_under_random_faults() {
     let mut lost = 0;
@@ -204,7 +207,7 @@
             let killed = c.state == Some(ApplicationState::Killed);
             assert!(
                 !killed || c.kill_after.is_some(),
-                "seed {seed}: nobody asked for it"
+                "seed {seed}: killed though no kill was requested"
             );
         }
         world.run_for(100_000);
@@ -215,15 +218,19 @@
             world.on_machines()
         );
     }
-    assert!(lost >= 10, "answers to submissions were lost: {lost}");
+    assert!(
+        lost >= 10,
+        "too few responses to submissions were lost: {lost}"
+    );
 }
 
-/// What is not wanted is refused at once, for good, and by name.
+/// Invalid submissions are refused at once and permanently, with the reason.
 #[test]
 fn refused_submissions_name_the_reason() {
     let client = |queue: &str| Client::new("ann", queue, 2000, SINGLE_COMMAND);
     let mut scene = scene(vec![client("nowhere"), client("root")]);
-    scene.yarn = Some(Config::parse("[submit]\nroot = bob\n").expect("good"));
+    scene.yarn =
+        Some(Config::parse("[submit]\nroot = bob\n").expect("gateway configuration was rejected"));
     scene.clients.push(client("red"));
     let mut world = World::new(plan(4, 3, scene));
     run_until_all_over(&mut world, 60_000);
@@ -231,7 +238,7 @@
         .yarn
         .clients
         .iter()
-        .map(|c| c.refused.clone().expect("refused"))
+        .map(|c| c.refused.clone().expect("submission was not refused"))
         .collect();
     assert!(
         why[0].message.contains("unknown queue: nowhere"),
@@ -243,7 +250,7 @@
     assert!(world.yarn.checks.accepts.is_empty());
 }
 
-/// After all is quiet: nothing runs, and no job was accepted of which no record is left.
+/// Asserts that after a quiet time nothing runs, and that a record is left of each accepted job.
 fn assert_nothing_left(world: &mut World, context: &str) {
     world.run_for(90_000);
     assert_rules_kept(world);
@@ -254,16 +261,17 @@
     );
     let known = world.applications();
     for job in world.yarn.checks.accepts.keys() {
-        let app: u32 = job[5..15].parse().expect("an id of the gateway's");
+        let app: u32 = job[5..15].parse().expect("not an id of the gateway");
         assert!(
             known.contains(&app),
-            "{context}: {job} ran for nobody: {known:?}"
+            "{context}: {job} was accepted for no known application: {known:?}"
         );
     }
 }
 
-/// The leader is lost at each step of a submission, of a kill during it, and of its repeat; its last transaction lands
-/// late. Whoever was told "yes" finds his application, and whoever was not may find it or not, but never half of it.
+/// The leader crashes at each step of a submission, of a kill during it, and of its retry; its last transaction is
+/// applied late. A client whose submission was confirmed finds its application. One without a confirmation may find it
+/// or not, but never a part of it.
 #[test]
 fn leader_crash_at_each_step_leaves_one_placement_or_none() {
     for step in 0..60 {
@@ -290,8 +298,8 @@
     }
 }
 
-/// Whoever repeats a submission whose record is still on its way is not told "yes" before it stands: the state service
-/// refuses it in the end, and both hear that they have to come again.
+/// A repeated submission whose record is not yet written is not confirmed before it is. Here the state service refuses
+/// the record in the end, and both clients are told to retry.
 #[test]
 fn repeated_submission_waits_for_the_record() {
     for seed in 0..6 {
@@ -320,8 +328,8 @@
     }
 }
 
-/// A drain that was answered holds, whoever leads the fleet: nothing that comes later is taken, what runs may end, and
-/// what is left at the deadline is ended.
+/// A confirmed drain survives leader changes: later submissions are refused, running applications may finish, and what
+/// is left at the deadline is killed.
 #[test]
 fn drain_survives_leader_change_and_kills_the_rest_at_its_deadline() {
     for seed in 0..8 {
@@ -342,7 +350,10 @@
             )
         }));
         let mut scene = scene(clients);
-        scene.yarn = Some(Config::parse("[door]\nadmins = operator\n").expect("good"));
+        scene.yarn = Some(
+            Config::parse("[door]\nadmins = operator\n")
+                .expect("gateway configuration was rejected"),
+        );
         scene.records_ms = 500;
         let ask = |off| gateway::book::web::DrainAsk {
             queue: "red".into(),
@@ -371,7 +382,7 @@
         assert_eq!(
             states.last(),
             Some(&Some(ApplicationState::Finished)),
-            "seed {seed}: open again"
+            "seed {seed}: queue was not reopened"
         );
         let refused = world.yarn.clients.iter().filter_map(|c| c.refused.as_ref());
         let other = refused.clone().find(|f| !f.message.contains("DRAINING"));
@@ -381,8 +392,8 @@
     }
 }
 
-/// The same id with another content is another application, and is refused; so is an id that was never given, and one
-/// whose application is over and forgotten.
+/// A submission that reuses an id with other content is refused; so is an id that was never issued, and one whose
+/// application is over and no longer recorded.
 #[test]
 fn application_id_is_bound_to_one_submission_context() {
     let mut scene = scene(
@@ -390,7 +401,9 @@
             .map(|i| Client::new("ann", "red", 2000 + 9000 * i, SINGLE_COMMAND))
             .collect(),
     );
-    scene.yarn = Some(Config::parse("[most]\nremembered = 2\n").expect("good"));
+    scene.yarn = Some(
+        Config::parse("[most]\nremembered = 2\n").expect("gateway configuration was rejected"),
+    );
     let mut world = World::new(plan(5, 3, scene));
     run_until_all_over(&mut world, 120_000);
     world.run_for(10_000);
@@ -439,7 +452,7 @@
         let refused = world.yarn.clients[known + i]
             .refused
             .clone()
-            .expect("refused");
+            .expect("submission was not refused");
         assert!(refused.message.contains(why), "{refused}");
     }
     // The same content by the same user is the same application.
@@ -450,7 +463,7 @@
     assert!(world.yarn.checks.accepts.values().all(|n| *n == 1));
 }
 
-/// Masters that go on after their successors have registered get nothing any more.
+/// Masters that keep running after their successors have registered are allocated no more containers.
 #[test]
 fn registered_master_fences_its_predecessor() {
     let mut fenced = 0;
@@ -462,7 +475,7 @@
         );
         scene.undead = true;
         let mut world = World::new(plan(400 + seed, 3, scene));
-        // Its master has asked for containers, and some have come.
+        // Wait until the master has requested containers and some were allocated.
         while world.machines_of("job-900000000010000001").is_empty() {
             world.run_for(500);
             assert_rules_kept(&world);
@@ -470,7 +483,7 @@
         let machine = world
             .machines_of("job-900000000010000000")
             .pop()
-            .expect("a master runs");
+            .expect("no master runs");
         world.lose(&machine);
         run_until_all_over(&mut world, 300_000);
         fenced += world.yarn.checks.fenced;
@@ -484,10 +497,10 @@
         );
         assert_nothing_left(&mut world, &format!("seed {seed}"));
     }
-    assert!(fenced > 0, "some predecessor came back");
+    assert!(fenced > 0, "no predecessor was fenced");
 }
 
-/// Transactions of a leader that has died land after its successor has read, written and answered: they change nothing.
+/// Transactions of a crashed leader that are applied after its successor has read, written and answered change nothing.
 #[test]
 fn late_transactions_of_crashed_leaders_change_nothing() {
     for seed in 0..25 {
@@ -518,7 +531,7 @@
     }
 }
 
-/// Guards against containers of one application being taken for those of another: their numbers are the same.
+/// Guards against containers of one application being taken for those of another, since their numbers are the same.
 #[test]
 fn containers_of_concurrent_applications_are_not_confused() {
     let clients = (0..4).map(|i| Client::new("ann", "red", 2000 + i, tally(&[20, 10])));
@@ -533,7 +546,8 @@
     );
 }
 
-/// A machine that is drained gets no further containers, and after the deadline it has none; the tally goes on elsewhere.
+/// A drained machine gets no further containers, and after the deadline it has none; the application continues on other
+/// machines.
 #[test]
 fn drained_machine_has_no_containers_after_the_deadline() {
     let long = Tally {
@@ -541,19 +555,23 @@
         ..tally(&[24])
     };
     let mut scene = scene(vec![Client::new("ann", "red", 2000, long)]);
-    scene.yarn =
-        Some(Config::parse("[door]\nadmins = operator\n[work]\nestimate_s = 25\n").expect("good"));
+    scene.yarn = Some(
+        Config::parse("[door]\nadmins = operator\n[work]\nestimate_s = 25\n")
+            .expect("gateway configuration was rejected"),
+    );
     let mut world = World::new(plan(2, 3, scene));
     world.run_for(25_000);
     let containers = "job-900000000010000001";
-    // Not the master's own: see "Known" in docs/yarn/design.md.
+    // Not the machine of the master: see "Known" in docs/yarn/design.md.
     let master = world.machines_of("job-900000000010000000");
     let mut others = world
         .machines_of(containers)
         .into_iter()
         .rev()
         .filter(|m| !master.contains(m));
-    let machine = others.next().expect("containers run beside the master");
+    let machine = others
+        .next()
+        .expect("no containers run on machines without the master");
     let ask = gateway::book::web::DrainAsk {
         machine: Some(machine.clone()),
         within_s: Some(5),
@@ -575,18 +593,20 @@
     );
 }
 
-/// As long as a machine is drained nothing new begins there; what runs may end.
+/// While a machine is drained no container starts on it; running containers may finish.
 #[test]
 fn no_container_starts_on_a_drained_machine() {
     let mut scene = scene(vec![Client::new("ann", "red", 2000, tally(&[150, 30]))]);
-    scene.yarn =
-        Some(Config::parse("[door]\nadmins = operator\n[work]\nestimate_s = 3\n").expect("good"));
+    scene.yarn = Some(
+        Config::parse("[door]\nadmins = operator\n[work]\nestimate_s = 3\n")
+            .expect("gateway configuration was rejected"),
+    );
     let mut world = World::new(plan(8, 3, scene));
     world.run_for(20_000);
     let machine = world
         .machines_of("job-900000000010000001")
         .pop()
-        .expect("containers run");
+        .expect("no containers run");
     let ask = gateway::book::web::DrainAsk {
         machine: Some(machine.clone()),
         ..Default::default()
@@ -602,7 +622,7 @@
             .filter(|(_, r)| r.machine == machine && r.holds());
         here.map(|(key, _)| key.clone()).collect()
     };
-    // What was given there before may still begin.
+    // Containers that were allocated there before may still start.
     let before: Vec<_> = world.yarn.runners.keys().cloned().collect();
     while !world.yarn.clients[0].is_over() {
         world.run_for(500);
@@ -611,7 +631,7 @@
             .into_iter()
             .filter(|h| !before.contains(h))
             .collect();
-        assert!(new.is_empty(), "{new:?} began on {machine}");
+        assert!(new.is_empty(), "{new:?} started on {machine}");
     }
     assert_eq!(
         world.yarn.clients[0].state,
@@ -619,7 +639,7 @@
     );
 }
 
-/// Runners that come again after they were told to leave get nothing, however many containers are wanted.
+/// Runners that check in again after they were told to leave get no container, however many are requested.
 #[test]
 fn runner_told_to_leave_gets_no_container() {
     let mut world = World::new(plan(
@@ -640,8 +660,8 @@
     assert_eq!(world.yarn.checks.containers_done, 80);
 }
 
-/// Guards against descriptions that stay in the state service for ever: one that takes more records than a transaction
-/// may change is taken away by several, with those that are over.
+/// Guards against submission records that stay in the state service for ever: if there are more than one transaction
+/// may change, several transactions remove them once the application is over.
 #[test]
 fn long_submission_records_are_removed_with_their_application() {
     let mut client = Client::new("ann", "red", 2000, SINGLE_COMMAND);
@@ -658,7 +678,7 @@
     world.run_for(9000);
     assert!(
         parts(&world) > 8,
-        "more than one transaction: {}",
+        "the records fit into one transaction: {}",
         parts(&world)
     );
     run_until_all_over(&mut world, 120_000);
@@ -666,8 +686,8 @@
     assert_eq!(parts(&world), 0);
 }
 
-/// A world in which sixty containers of one tally hold their places at once. On some seeds machines never come up and
-/// there is no room for so many: this was once waited for without end, while the tally was long over.
+/// A world in which sixty containers of one application run at once. With some seeds machines never boot and there is
+/// no room for so many, so the wait is bounded: without a bound it went on after the application was over.
 fn world_with_sixty_running_containers(step: u64) -> World {
     for seed in (600 + step..).step_by(14).take(10) {
         let client = Client::new(
@@ -687,11 +707,11 @@
             }
         }
     }
-    panic!("step {step}: on no seed do sixty hold at once");
+    panic!("step {step}: sixty containers run at once with none of the seeds");
 }
 
-/// Guards against a container that is lost for ever: its machine dies, its task begins again elsewhere, and the leader
-/// dies before the master has heard of the loss. The next leader can learn it from that task's runner only.
+/// Guards against a container loss that is never reported: the machine fails, the task is restarted elsewhere, and the
+/// leader crashes before the master has been told. The next leader can learn of the loss only from that task's runner.
 #[test]
 fn container_loss_is_reported_though_the_leader_crashes_first() {
     for step in 0..14 {
@@ -704,7 +724,7 @@
             .filter(|r| r.holds() && !master.contains(&r.machine));
         let machine = others
             .next()
-            .expect("containers run beside the master")
+            .expect("no containers run on machines without the master")
             .machine
             .clone();
         let on = |world: &World| -> Vec<(String, u64)> {
@@ -731,7 +751,7 @@
         while !again(&world) {
             assert!(
                 world.now() < end,
-                "step {step}: what was lost is not begun again"
+                "step {step}: no lost container was restarted"
             );
             world.run_for(50);
             assert_rules_kept(&world);
