--- a/crates/standins/tests/rules.rs
+++ b/crates/standins/tests/rules.rs
@@ -19,7 +19,7 @@
     }
 }
 
-fn kept(world: &World, what: &str) {
+fn assert_rules_kept_and_all_ended(world: &World, what: &str) {
     assert_rules_kept(world, what);
     assert_all_ended(world, what);
     let counts = world.state.counts;
@@ -31,11 +31,11 @@
 
 /// Whatever fails, no rule is broken, and once nothing fails any more all that was accepted ends.
 #[test]
-fn rules_hold_and_work_ends_under_any_faults() {
+fn rules_hold_and_all_jobs_end_under_random_faults() {
     let starts = in_parallel(0..150, |seed| {
         let mut world = World::new(plan(seed, Sabotage::None));
         world.run();
-        kept(&world, &format!("seed {seed}"));
+        assert_rules_kept_and_all_ended(&world, &format!("seed {seed}"));
         world.rules.starts
     });
     let starts: u64 = starts.iter().sum();
@@ -44,54 +44,62 @@
 
 /// Seven nodes, and wide gangs of one urgency that make others give their places back.
 #[test]
-fn wide_gangs_and_many_nodes_keep_the_rules() {
-    let play = |seed: u64| {
+fn rules_hold_with_wide_gangs_on_seven_nodes() {
+    let run_seed = |seed: u64| {
         let mut plan = plan(seed, Sabotage::None);
         (plan.nodes, plan.jobs, plan.wide, plan.end) = (7, 50, true, 1_200_000);
         let mut world = World::new(plan);
         world.run();
-        kept(&world, &format!("seed {seed}"));
+        assert_rules_kept_and_all_ended(&world, &format!("seed {seed}"));
         world.stopped
     };
-    let mut stopped: u64 = in_parallel(1000..1080, play).iter().sum();
+    let mut preempted: u64 = in_parallel(1000..1080, run_seed).iter().sum();
     // Few seeds in a hundred make a gang call places back, then several at once: some more are played if need be.
     for seed in 1080..1240 {
-        if stopped > 5 {
+        if preempted > 5 {
             break;
         }
-        stopped += play(seed);
+        preempted += run_seed(seed);
     }
-    assert!(stopped > 5, "only {stopped} tasks gave their places back");
+    assert!(
+        preempted > 5,
+        "only {preempted} tasks gave their places back"
+    );
 }
 
 /// Plays each seed, on as many threads as the host has processors, and returns what came of them in their order.
-fn in_parallel<T: Send>(seeds: Range<u64>, play: impl Fn(u64) -> T + Sync) -> Vec<T> {
+fn in_parallel<T: Send>(seeds: Range<u64>, run_seed: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
-    let play = &play;
-    let mut played: Vec<(u64, T)> = std::thread::scope(|scope| {
-        let of_thread = |thread: u64| {
-            let own = seeds
+    let run_seed = &run_seed;
+    let mut results: Vec<(u64, T)> = std::thread::scope(|scope| {
+        let spawn_thread = |thread: u64| {
+            let own_seeds = seeds
                 .clone()
                 .skip(thread as usize)
                 .step_by(threads as usize);
-            scope.spawn(move || own.map(|seed| (seed, play(seed))).collect::<Vec<_>>())
+            scope.spawn(move || {
+                own_seeds
+                    .map(|seed| (seed, run_seed(seed)))
+                    .collect::<Vec<_>>()
+            })
         };
-        let running: Vec<_> = (0..threads).map(of_thread).collect();
-        let ends = running.into_iter().map(std::thread::ScopedJoinHandle::join);
-        ends.flat_map(|end| end.unwrap_or_else(|panic| std::panic::resume_unwind(panic)))
+        let running: Vec<_> = (0..threads).map(spawn_thread).collect();
+        let outcomes = running.into_iter().map(std::thread::ScopedJoinHandle::join);
+        outcomes
+            .flat_map(|outcome| outcome.unwrap_or_else(|panic| std::panic::resume_unwind(panic)))
             .collect()
     });
-    played.sort_by_key(|(seed, _)| *seed);
-    played.into_iter().map(|(_, of_seed)| of_seed).collect()
+    results.sort_by_key(|(seed, _)| *seed);
+    results.into_iter().map(|(_, result)| result).collect()
 }
 
 /// Days on which sabotage is looked for, and on how many of them it has to be seen.
 const SEEDS: u64 = 60;
-const LEAST_SEEN: usize = 3;
+const MIN_SEEDS_CAUGHT: usize = 3;
 
 /// Each check fails when what it watches over is broken on purpose.
 #[test]
-fn every_check_can_fail() {
+fn each_sabotage_is_caught_by_its_checks() {
     let cases = [
         (Sabotage::CloudLies, &["ran_twice"][..]),
         (Sabotage::LimitsRaised, &["quota"]),
@@ -106,15 +114,15 @@
     in_parallel(0..cases.len() as u64, |case| {
         let (sabotage, rules) = cases[case as usize];
         for rule in rules {
-            let is_seen = |seed: &u64| {
+            let is_caught = |seed: &u64| {
                 let mut world = World::new(plan(*seed, sabotage));
                 world.run();
                 world.rules.broken.contains_key(rule)
             };
             // Not by the luck of one seed: on one day in twenty at least.
-            let seen = (0..SEEDS).filter(is_seen).take(LEAST_SEEN).count();
+            let caught = (0..SEEDS).filter(is_caught).take(MIN_SEEDS_CAUGHT).count();
             assert_eq!(
-                seen, LEAST_SEEN,
+                caught, MIN_SEEDS_CAUGHT,
                 "{sabotage:?} was not caught as {rule} often enough"
             );
         }
@@ -124,12 +132,12 @@
 /// Over a thousand machines and arrays of hundreds of tasks, under a state service that bears 25 changes a second:
 /// rules hold, and what a task costs there does not grow with the fleet. Counts, not times.
 #[test]
-fn a_large_fleet_needs_few_writes() {
+fn large_fleet_needs_few_state_writes() {
     let mut plan = plan(7, Sabotage::None);
     (plan.jobs, plan.faults_until, plan.end, plan.large) = (140, 60_000, 300_000, true);
     let mut world = World::new(plan);
     world.run();
-    kept(&world, "large fleet");
+    assert_rules_kept_and_all_ended(&world, "large fleet");
     let (starts, counts) = (world.rules.starts, world.state.counts);
     assert!(starts > 10_000, "only {starts} tasks were started");
     assert!(
@@ -142,7 +150,7 @@
     );
 }
 
-fn calm_and_large() -> World {
+fn calm_large_world() -> World {
     let mut plan = plan(3, Sabotage::None);
     (plan.jobs, plan.faults_until, plan.calm, plan.large) = (120, 60_000, true, true);
     World::new(plan)
@@ -150,24 +158,24 @@
 
 /// All machines of a cut zone were returned after seconds of silence, and others rented in the same zone.
 #[test]
-fn a_silent_zone_is_not_given_back() {
-    let mut world = calm_and_large();
+fn machines_of_a_briefly_cut_zone_stay_rented() {
+    let mut world = calm_large_world();
     world.run_for(30_000);
     let machines = world.cut_zone("b", 14_000);
     world.run_for(14_000);
-    let kept = machines.iter().filter(|m| world.is_rented(m)).count();
+    let still_rented = machines.iter().filter(|m| world.is_rented(m)).count();
     assert!(
-        machines.len() > 20 && kept * 10 > machines.len() * 9,
-        "{kept} of {} kept",
+        machines.len() > 20 && still_rented * 10 > machines.len() * 9,
+        "{still_rented} of {} kept",
         machines.len()
     );
     // One that never comes back is returned in the end: it may hold tasks.
     let machines = world.cut_zone("b", 300_000);
     world.run_for(60_000);
-    let kept = machines.iter().filter(|m| world.is_rented(m)).count();
+    let still_rented = machines.iter().filter(|m| world.is_rented(m)).count();
     assert!(
-        kept * 4 < machines.len(),
-        "{kept} of {} kept for ever",
+        still_rented * 4 < machines.len(),
+        "{still_rented} of {} kept for ever",
         machines.len()
     );
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
@@ -175,17 +183,17 @@
 
 /// Workers stayed with a leader that had lost only the state service, and the next one heard no machine.
 #[test]
-fn a_new_leader_reaches_the_machines_of_one_that_was_refused() {
-    let mut world = calm_and_large();
+fn new_leader_reaches_the_machines_of_a_refused_leader() {
+    let mut world = calm_large_world();
     world.run_for(30_000);
     world.refuse_leader(25_000);
     world.run_for(7000);
-    let before = world.rules.starts;
+    let starts_before = world.rules.starts;
     world.run_for(5000);
     assert!(
-        world.rules.starts > before + 50,
+        world.rules.starts > starts_before + 50,
         "{} starts in 5 s",
-        world.rules.starts - before
+        world.rules.starts - starts_before
     );
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
