--- a/crates/standins/tests/refusals.rs
+++ b/crates/standins/tests/refusals.rs
@@ -10,23 +10,23 @@
 use standins::world::{Plan, World};
 
 /// Jobs that run for a minute and more, of which most are cancelled, and a steady flow of short ones that end.
-const LONG: u32 = 12;
-const SHORT: u32 = 60;
+const LONG_JOBS: u32 = 12;
+const SHORT_JOBS: u32 = 60;
 /// When troubles begin.
-const BEGIN: u64 = 30_000;
+const FAULTS_START_MS: u64 = 30_000;
 
-fn long(i: u32) -> String {
+fn long_job_id(i: u32) -> String {
     format!("job-{:06}", 1000 + i)
 }
 
 fn world(seed: u64, nodes: usize) -> World {
-    let long = (0..LONG).map(|i| Timed {
+    let long = (0..LONG_JOBS).map(|i| Timed {
         at: 1000,
         run_ms: 90_000,
         cancel_ms: None,
         spec: array(1000 + i, "red", 1, 90.0),
     });
-    let short = (0..SHORT).map(|i| Timed {
+    let short = (0..SHORT_JOBS).map(|i| Timed {
         at: 20_000 + u64::from(i) * 400,
         run_ms: 1000,
         cancel_ms: None,
@@ -51,73 +51,76 @@
 }
 
 /// Cancels come one after the other, this often, each at another node, while all nodes are asked about all of them.
-fn cancel_and_ask(world: &mut World, nodes: usize, every: u64) {
-    for i in 0..LONG {
-        world.cancel_at(i as usize % nodes, &long(i));
+fn cancel_and_poll(world: &mut World, nodes: usize, interval_ms: u64) {
+    for i in 0..LONG_JOBS {
+        world.cancel_at(i as usize % nodes, &long_job_id(i));
         for j in 0..=i {
-            world.poll_at((i + j) as usize % nodes, &long(j));
+            world.poll_at((i + j) as usize % nodes, &long_job_id(j));
         }
-        world.run_for(every);
+        world.run_for(interval_ms);
     }
 }
 
 /// Once all is over, everybody is told what stands, at every node, and nobody has been forgotten.
-fn ends(world: &mut World, what: &str) {
+fn assert_all_told_and_ended(world: &mut World, what: &str) {
     world.run_for(20_000);
     assert_rules_kept(world, what);
-    let silent = world.unanswered_for(75_000);
-    assert!(silent.is_empty(), "{what}: no answers about {silent:?}");
+    let unanswered = world.unanswered_for(75_000);
+    assert!(
+        unanswered.is_empty(),
+        "{what}: no answers about {unanswered:?}"
+    );
     world.ask_everywhere();
     world.run_for(200_000);
     assert_rules_kept(world, what);
     assert_all_ended(world, what);
-    let told = world
+    let told_cancelled = world
         .rules
         .jobs
         .values()
         .filter(|j| j.told_cancelled.is_some())
         .count();
     assert!(
-        told * 2 > LONG as usize,
-        "{what}: {told} told of their cancels"
+        told_cancelled * 2 > LONG_JOBS as usize,
+        "{what}: {told_cancelled} told of their cancels"
     );
 }
 
 /// The leader alone is refused, the next one confirms, then nobody is served for longer than `cancel_s`. Cancels and
 /// questions sweep the time from before the refusal to the outage in steps of a few hundredths of a second.
 #[test]
-fn a_refused_leader_and_then_an_outage() {
+fn cancels_are_answered_across_a_refused_leader_and_an_outage() {
     for nodes in [3, 5, 7] {
         for step in 0..9 {
             let what = format!("{nodes} nodes, step {step}");
             let mut world = world(step, nodes);
-            world.run_for(BEGIN - 100 + step * 23);
-            let begun = world.now();
-            let every = [40, 160, 420][step as usize / 2 % 3];
+            world.run_for(FAULTS_START_MS - 100 + step * 23);
+            let started_at = world.now();
+            let interval_ms = [40, 160, 420][step as usize / 2 % 3];
             if step % 2 == 0 {
                 world.bring(&Trouble::Refused {
                     who: Who::Leader,
                     ms: 14_000,
                 });
-                cancel_and_ask(&mut world, nodes, every);
+                cancel_and_poll(&mut world, nodes, interval_ms);
             } else {
                 // The refusal comes in the midst of it.
                 let leader = leader(&world);
                 world.bring(&Trouble::StateSlow { ms: 4000 });
-                world.run_for(every);
-                (0..3).for_each(|i| world.cancel_at(i as usize % nodes, &long(i)));
+                world.run_for(interval_ms);
+                (0..3).for_each(|i| world.cancel_at(i as usize % nodes, &long_job_id(i)));
                 world.run_for(step * 3);
                 world.bring(&Trouble::Refused {
                     who: Who::Node(leader),
                     ms: 14_000,
                 });
-                cancel_and_ask(&mut world, nodes, every);
+                cancel_and_poll(&mut world, nodes, interval_ms);
             }
-            world.run_for((begun + 2000 + step * 300).saturating_sub(world.now()));
+            world.run_for((started_at + 2000 + step * 300).saturating_sub(world.now()));
             world.bring(&Trouble::StateOut { ms: 45_000 });
-            cancel_and_ask(&mut world, nodes, every);
+            cancel_and_poll(&mut world, nodes, interval_ms);
             world.run_for(50_000);
-            ends(&mut world, &what);
+            assert_all_told_and_ended(&mut world, &what);
         }
     }
 }
@@ -125,20 +128,20 @@
 /// Answers take up to half a second and the leader is refused, stands still or crashes in the midst of them, so that
 /// they come when its lease has ended.
 #[test]
-fn slow_answers_that_come_after_the_lease_has_ended() {
+fn slow_state_responses_after_the_lease_expired_break_no_rule() {
     for nodes in [3, 5, 7] {
         for step in 0..9u64 {
             let what = format!("{nodes} nodes, step {step}");
             let mut world = world(100 + step, nodes);
-            world.run_for(BEGIN);
+            world.run_for(FAULTS_START_MS);
             world.bring(&Trouble::StateSlow { ms: 40_000 });
             for round in 0..4u32 {
                 world.run_for(2000);
-                let before = leader_or(&world, 0);
-                (0..3).for_each(|i| world.cancel_at(before, &long(round * 3 + i)));
+                let old_leader = leader_or_node(&world, 0);
+                (0..3).for_each(|i| world.cancel_at(old_leader, &long_job_id(round * 3 + i)));
                 // From the cancel to its record and the answer, and beyond.
                 world.run_for(step * 31);
-                let who = Who::Node(before);
+                let who = Who::Node(old_leader);
                 world.bring(&match (step + u64::from(round)) % 3 {
                     0 => Trouble::Freeze {
                         who,
@@ -151,35 +154,35 @@
                     },
                 });
                 for i in 0..(round + 1) * 3 {
-                    world.poll_at(before, &long(i));
-                    world.poll_at((before + 1) % nodes, &long(i));
+                    world.poll_at(old_leader, &long_job_id(i));
+                    world.poll_at((old_leader + 1) % nodes, &long_job_id(i));
                 }
             }
             world.run_for(10_000);
-            ends(&mut world, &what);
+            assert_all_told_and_ended(&mut world, &what);
         }
     }
 }
 
-fn leader_or(world: &World, node: usize) -> usize {
+fn leader_or_node(world: &World, node: usize) -> usize {
     world.leader_at().unwrap_or(node)
 }
 
 /// A leader without the state service and the other controllers, whose workers and users reach it, and whose last
 /// transaction never landed; the next one cancels what it took for done. Back again, it told of its own end.
 #[test]
-fn a_leader_cut_off_with_an_end_on_its_way() {
+fn isolated_leader_with_an_uncommitted_job_end_breaks_no_rule() {
     for nodes in [3, 5, 7] {
         for step in 0..8u64 {
             let what = format!("{nodes} nodes, step {step}");
             let mut world = world(200 + step, nodes);
-            world.run_for(BEGIN + step * 17);
-            let old = leader(&world);
+            world.run_for(FAULTS_START_MS + step * 17);
+            let old_leader = leader(&world);
             let ms = 7000 + step * 61;
             let how = [How::Reset, How::Hold][usize::from(step % 4 == 3)];
             for from in [Frontend::State, Frontend::Nodes] {
                 world.bring(&Trouble::Cut {
-                    who: Who::Node(old),
+                    who: Who::Node(old_leader),
                     from,
                     how,
                     ms,
@@ -188,17 +191,18 @@
             // Its short jobs end there while it is sure, and its users cancel some.
             world.run_for(600 + step * 20);
             for i in 0..4 {
-                world.cancel_at(old, &long(i));
+                world.cancel_at(old_leader, &long_job_id(i));
             }
             world.run_for(4200);
             // All that the next one still takes for open is cancelled there, in turn.
-            let open: Vec<String> = world.unfinished().into_iter().map(str::to_owned).collect();
-            for (i, job) in open.iter().enumerate() {
-                world.cancel_at((old + 1 + i % (nodes - 1)) % nodes, job);
+            let unfinished: Vec<String> =
+                world.unfinished().into_iter().map(str::to_owned).collect();
+            for (i, job) in unfinished.iter().enumerate() {
+                world.cancel_at((old_leader + 1 + i % (nodes - 1)) % nodes, job);
             }
-            (0..LONG).for_each(|i| world.poll_at(old, &long(i)));
+            (0..LONG_JOBS).for_each(|i| world.poll_at(old_leader, &long_job_id(i)));
             world.run_for(ms);
-            ends(&mut world, &what);
+            assert_all_told_and_ended(&mut world, &what);
         }
     }
 }
@@ -206,12 +210,12 @@
 /// The others reach the state service and not the leader, whose answers are slow to come: what they have read of an end
 /// and told, it has not heard yet, and went on calling the job running.
 #[test]
-fn what_others_have_read_is_not_unsaid_by_the_leader() {
+fn leader_does_not_contradict_job_ends_reported_by_followers() {
     for nodes in [3, 5, 7] {
         for seed in 0..3u64 {
             let what = format!("{nodes} nodes, seed {seed}");
             let mut world = world(400 + seed, nodes);
-            world.run_for(BEGIN);
+            world.run_for(FAULTS_START_MS);
             let leader = leader(&world);
             world.bring(&Trouble::Cut {
                 who: Who::Node(leader),
@@ -220,15 +224,15 @@
                 ms: 9000,
             });
             world.bring(&Trouble::StateSlow { ms: 9000 });
-            for i in 0..LONG {
-                world.cancel_at(leader, &long(i));
+            for i in 0..LONG_JOBS {
+                world.cancel_at(leader, &long_job_id(i));
                 for _ in 0..8 {
-                    world.poll_at((leader + 1) % nodes, &long(i));
+                    world.poll_at((leader + 1) % nodes, &long_job_id(i));
                     world.run_for(60 + seed * 7);
-                    world.poll_at(leader, &long(i));
+                    world.poll_at(leader, &long_job_id(i));
                 }
             }
-            ends(&mut world, &what);
+            assert_all_told_and_ended(&mut world, &what);
         }
     }
 }
@@ -236,7 +240,7 @@
 /// Alone with its users, a leader is asked to cancel what ends under the next one a moment later. Its own record never
 /// landed; back again, it took the other's for it and told of a cancel, once in some ways in which it may come back.
 #[test]
-fn an_end_that_never_landed_is_told_by_nobody() {
+fn uncommitted_job_end_is_never_reported() {
     for nodes in [3, 5, 7] {
         for seed in 0..12u64 {
             let what = format!("{nodes} nodes, seed {seed}");
@@ -255,8 +259,8 @@
             }
             .team("red", 24.0, 0.0);
             let mut world = World::new(Plan::of_scene(seed, nodes, scene, 0, 600_000));
-            world.run_for(BEGIN);
-            let old = leader(&world);
+            world.run_for(FAULTS_START_MS);
+            let old_leader = leader(&world);
             for from in [
                 Frontend::State,
                 Frontend::Nodes,
@@ -264,16 +268,16 @@
                 Frontend::Cloud,
             ] {
                 world.bring(&Trouble::Cut {
-                    who: Who::Node(old),
+                    who: Who::Node(old_leader),
                     from,
                     how: How::Reset,
                     ms: 9000 + seed * 11,
                 });
             }
-            world.cancel_at(old, "job-002000");
+            world.cancel_at(old_leader, "job-002000");
             world.run_for(9000 + seed * 11);
             for _ in 0..20 {
-                world.poll_at(old, "job-002000");
+                world.poll_at(old_leader, "job-002000");
                 world.run_for(50);
             }
             world.ask_everywhere();
@@ -287,17 +291,17 @@
 /// The combined cut, longer than a user may go without an answer: users whose connections lead to the node that is cut
 /// off have to be answered too.
 #[test]
-fn nobody_is_forgotten_behind_a_leader_that_is_cut_off() {
+fn users_of_an_isolated_leader_are_answered() {
     for (nodes, ms) in [(3, 30_000), (5, 60_000), (7, 95_000)] {
         let what = format!("{nodes} nodes, {ms} ms");
         let mut world = world(300, nodes);
-        world.run_for(BEGIN);
+        world.run_for(FAULTS_START_MS);
         world.bring(&Trouble::CutOff {
             who: Who::Leader,
             ms,
         });
-        cancel_and_ask(&mut world, nodes, 900);
+        cancel_and_poll(&mut world, nodes, 900);
         world.run_for(ms);
-        ends(&mut world, &what);
+        assert_all_told_and_ended(&mut world, &what);
     }
 }
