--- a/crates/standins/tests/rules.rs
+++ b/crates/standins/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Random orders of crashes, take-overs, late messages, lost answers and cancels, in virtual time.
+//! Random sequences of crashes, take-overs, late messages, lost responses and cancels, in virtual time.
 
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
 use standins::world::{Plan, Sabotage, World};
@@ -25,11 +25,11 @@
     let counts = world.state.counts;
     assert_eq!(
         counts.too_large, 0,
-        "{what}: larger than the state service takes: {counts:?}"
+        "{what}: writes above the size limit of the state service: {counts:?}"
     );
 }
 
-/// Whatever fails, no rule is broken, and once nothing fails any more all that was accepted ends.
+/// No rule is broken under random faults, and all accepted jobs end once the faults are over.
 #[test]
 fn rules_hold_and_all_jobs_end_under_random_faults() {
     let starts = in_parallel(0..150, |seed| {
@@ -42,7 +42,7 @@
     assert!(starts > 1000, "only {starts} tasks were started");
 }
 
-/// Seven nodes, and wide gangs of one urgency that make others give their places back.
+/// Seven nodes, and wide gangs of a single priority that cause other tasks to be preempted.
 #[test]
 fn rules_hold_with_wide_gangs_on_seven_nodes() {
     let run_seed = |seed: u64| {
@@ -54,34 +54,28 @@
         world.stopped
     };
     let mut preempted: u64 = in_parallel(1000..1080, run_seed).iter().sum();
-    // Few seeds in a hundred make a gang call places back, then several at once: some more are played if need be.
+    // A gang preempts tasks with only a few seeds in a hundred, but then several at once, so more seeds are run if
+    // too few tasks were preempted.
     for seed in 1080..1240 {
         if preempted > 5 {
             break;
         }
         preempted += run_seed(seed);
     }
-    assert!(
-        preempted > 5,
-        "only {preempted} tasks gave their places back"
-    );
+    assert!(preempted > 5, "only {preempted} tasks were preempted");
 }
 
-/// Plays each seed, on as many threads as the host has processors, and returns what came of them in their order.
+/// Runs each seed, on as many threads as the host has processors, and returns the results in the order of the seeds.
 fn in_parallel<T: Send>(seeds: Range<u64>, run_seed: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
     let run_seed = &run_seed;
     let mut results: Vec<(u64, T)> = std::thread::scope(|scope| {
         let spawn_thread = |thread: u64| {
-            let own_seeds = seeds
+            let own = seeds
                 .clone()
                 .skip(thread as usize)
                 .step_by(threads as usize);
-            scope.spawn(move || {
-                own_seeds
-                    .map(|seed| (seed, run_seed(seed)))
-                    .collect::<Vec<_>>()
-            })
+            scope.spawn(move || own.map(|seed| (seed, run_seed(seed))).collect::<Vec<_>>())
         };
         let running: Vec<_> = (0..threads).map(spawn_thread).collect();
         let outcomes = running.into_iter().map(std::thread::ScopedJoinHandle::join);
@@ -93,11 +87,11 @@
     results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// Days on which sabotage is looked for, and on how many of them it has to be seen.
+/// Number of seeds to run with a sabotage, and on how many of them a check must catch it.
 const SEEDS: u64 = 60;
 const MIN_SEEDS_CAUGHT: usize = 3;
 
-/// Each check fails when what it watches over is broken on purpose.
+/// Each check fails when what it guards is broken on purpose.
 #[test]
 fn each_sabotage_is_caught_by_its_checks() {
     let cases = [
@@ -119,7 +113,7 @@
                 world.run();
                 world.rules.broken.contains_key(rule)
             };
-            // Not by the luck of one seed: on one day in twenty at least.
+            // Required on at least one seed in twenty, so that it does not depend on a single lucky seed.
             let caught = (0..SEEDS).filter(is_caught).take(MIN_SEEDS_CAUGHT).count();
             assert_eq!(
                 caught, MIN_SEEDS_CAUGHT,
@@ -129,8 +123,8 @@
     });
 }
 
-/// Over a thousand machines and arrays of hundreds of tasks, under a state service that bears 25 changes a second:
-/// rules hold, and what a task costs there does not grow with the fleet. Counts, not times.
+/// Over a thousand machines and arrays of hundreds of tasks, with a state service that accepts 25 changes per second:
+/// rules hold, and the number of state changes per task does not grow with the fleet. Asserts counts, not times.
 #[test]
 fn large_fleet_needs_few_state_writes() {
     let mut plan = plan(7, Sabotage::None);
@@ -156,7 +150,8 @@
     World::new(plan)
 }
 
-/// All machines of a cut zone were returned after seconds of silence, and others rented in the same zone.
+/// Guards against a fault in which all machines of an unreachable zone were returned after a few seconds without
+/// reports, and others were rented in the same zone.
 #[test]
 fn machines_of_a_briefly_cut_zone_stay_rented() {
     let mut world = calm_large_world();
@@ -166,22 +161,23 @@
     let still_rented = machines.iter().filter(|m| world.is_rented(m)).count();
     assert!(
         machines.len() > 20 && still_rented * 10 > machines.len() * 9,
-        "{still_rented} of {} kept",
+        "{still_rented} of {} still rented",
         machines.len()
     );
-    // One that never comes back is returned in the end: it may hold tasks.
+    // Machines that stay unreachable are returned in the end, because they may hold tasks.
     let machines = world.cut_zone("b", 300_000);
     world.run_for(60_000);
     let still_rented = machines.iter().filter(|m| world.is_rented(m)).count();
     assert!(
         still_rented * 4 < machines.len(),
-        "{still_rented} of {} kept for ever",
+        "{still_rented} of {} still rented after 60 s without contact",
         machines.len()
     );
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
 
-/// Workers stayed with a leader that had lost only the state service, and the next one heard no machine.
+/// Guards against a fault in which workers stayed connected to a leader that had lost only the state service, so that
+/// the next leader received no machine reports.
 #[test]
 fn new_leader_reaches_the_machines_of_a_refused_leader() {
     let mut world = calm_large_world();
