--- a/crates/standins/tests/refusals.rs
+++ b/crates/standins/tests/refusals.rs
@@ -1,7 +1,7 @@
-//! The state service slow, or refusing the leader and then everybody, and a leader cut off from the state service and
-//! the other controllers, while users submit, cancel and ask at every node, in every moment of it.
+//! The state service is slow, or refuses the leader and then all nodes, or the leader is cut off from the state service
+//! and the other controllers, while users submit, cancel and poll at every node throughout the fault.
 //!
-//! Beside the rules, what users are told is held against what stands in the state service at that moment.
+//! In addition to the rules, responses to users are compared with the contents of the state service at that moment.
 
 use standins::days::{Trouble, Who};
 use standins::links::{Frontend, How};
@@ -9,10 +9,11 @@
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
 use standins::world::{Plan, World};
 
-/// Jobs that run for a minute and more, of which most are cancelled, and a steady flow of short ones that end.
+/// Numbers of jobs that run for more than a minute, most of which are cancelled, and of short jobs that arrive
+/// steadily and end.
 const LONG_JOBS: u32 = 12;
 const SHORT_JOBS: u32 = 60;
-/// When troubles begin.
+/// When faults start.
 const FAULTS_START_MS: u64 = 30_000;
 
 fn long_job_id(i: u32) -> String {
@@ -47,10 +48,11 @@
 }
 
 fn leader(world: &World) -> usize {
-    world.leader_at().expect("some node owns the fleet")
+    world.leader_at().expect("a node leads the fleet")
 }
 
-/// Cancels come one after the other, this often, each at another node, while all nodes are asked about all of them.
+/// Cancels the long jobs one by one at the given interval, each at another node, and polls all jobs cancelled so far
+/// at the nodes in turn.
 fn cancel_and_poll(world: &mut World, nodes: usize, interval_ms: u64) {
     for i in 0..LONG_JOBS {
         world.cancel_at(i as usize % nodes, &long_job_id(i));
@@ -61,14 +63,15 @@
     }
 }
 
-/// Once all is over, everybody is told what stands, at every node, and nobody has been forgotten.
+/// After the faults, checks that every node reports the recorded state of each job, that all polls were answered and
+/// that all accepted jobs ended.
 fn assert_all_told_and_ended(world: &mut World, what: &str) {
     world.run_for(20_000);
     assert_rules_kept(world, what);
     let unanswered = world.unanswered_for(75_000);
     assert!(
         unanswered.is_empty(),
-        "{what}: no answers about {unanswered:?}"
+        "{what}: no responses about {unanswered:?}"
     );
     world.ask_everywhere();
     world.run_for(200_000);
@@ -82,12 +85,12 @@
         .count();
     assert!(
         told_cancelled * 2 > LONG_JOBS as usize,
-        "{what}: {told_cancelled} told of their cancels"
+        "{what}: only {told_cancelled} jobs were reported as cancelled"
     );
 }
 
-/// The leader alone is refused, the next one confirms, then nobody is served for longer than `cancel_s`. Cancels and
-/// questions sweep the time from before the refusal to the outage in steps of a few hundredths of a second.
+/// The state service refuses only the leader, the next one confirms, then an outage lasts longer than `cancel_s`.
+/// Cancels and polls cover the time from before the refusal to the outage in steps of a few hundredths of a second.
 #[test]
 fn cancels_are_answered_across_a_refused_leader_and_an_outage() {
     for nodes in [3, 5, 7] {
@@ -104,7 +107,7 @@
                 });
                 cancel_and_poll(&mut world, nodes, interval_ms);
             } else {
-                // The refusal comes in the midst of it.
+                // The refusal starts while cancels are in progress.
                 let leader = leader(&world);
                 world.bring(&Trouble::StateSlow { ms: 4000 });
                 world.run_for(interval_ms);
@@ -125,8 +128,8 @@
     }
 }
 
-/// Answers take up to half a second and the leader is refused, stands still or crashes in the midst of them, so that
-/// they come when its lease has ended.
+/// Responses of the state service take up to half a second, and the leader is refused, freezes or crashes while it
+/// waits for them, so that they arrive after its lease has expired.
 #[test]
 fn slow_state_responses_after_the_lease_expired_break_no_rule() {
     for nodes in [3, 5, 7] {
@@ -139,7 +142,7 @@
                 world.run_for(2000);
                 let old_leader = leader_or_node(&world, 0);
                 (0..3).for_each(|i| world.cancel_at(old_leader, &long_job_id(round * 3 + i)));
-                // From the cancel to its record and the answer, and beyond.
+                // Depending on the step, the fault comes before the cancel is recorded, before the response, or later.
                 world.run_for(step * 31);
                 let who = Who::Node(old_leader);
                 world.bring(&match (step + u64::from(round)) % 3 {
@@ -168,8 +171,9 @@
     world.leader_at().unwrap_or(node)
 }
 
-/// A leader without the state service and the other controllers, whose workers and users reach it, and whose last
-/// transaction never landed; the next one cancels what it took for done. Back again, it told of its own end.
+/// A leader is cut off from the state service and the other controllers but not from its workers and users, and its
+/// last transaction never commits. The next leader cancels the jobs that it considered done. Guards against a fault in
+/// which the old leader, once reconnected, reported its own uncommitted end of a job.
 #[test]
 fn isolated_leader_with_an_uncommitted_job_end_breaks_no_rule() {
     for nodes in [3, 5, 7] {
@@ -188,13 +192,13 @@
                     ms,
                 });
             }
-            // Its short jobs end there while it is sure, and its users cancel some.
+            // Short jobs end at the old leader while its lease is valid, and its users cancel some jobs.
             world.run_for(600 + step * 20);
             for i in 0..4 {
                 world.cancel_at(old_leader, &long_job_id(i));
             }
             world.run_for(4200);
-            // All that the next one still takes for open is cancelled there, in turn.
+            // All jobs that have not ended for the next leader are cancelled at the other nodes, in turn.
             let unfinished: Vec<String> =
                 world.unfinished().into_iter().map(str::to_owned).collect();
             for (i, job) in unfinished.iter().enumerate() {
@@ -207,8 +211,9 @@
     }
 }
 
-/// The others reach the state service and not the leader, whose answers are slow to come: what they have read of an end
-/// and told, it has not heard yet, and went on calling the job running.
+/// The other nodes reach the state service but not the leader, for which responses of the state service are slow.
+/// Guards against a fault in which the leader still reported a job as running after another node had read its end from
+/// the state service and reported it.
 #[test]
 fn leader_does_not_contradict_job_ends_reported_by_followers() {
     for nodes in [3, 5, 7] {
@@ -237,8 +242,9 @@
     }
 }
 
-/// Alone with its users, a leader is asked to cancel what ends under the next one a moment later. Its own record never
-/// landed; back again, it took the other's for it and told of a cancel, once in some ways in which it may come back.
+/// An isolated leader is asked to cancel a job that ends under the next leader a moment later, and its own record is
+/// never committed. Guards against a fault in which the old leader, with some timings of its return, took the other
+/// leader's record for its own and reported a cancel.
 #[test]
 fn uncommitted_job_end_is_never_reported() {
     for nodes in [3, 5, 7] {
@@ -288,8 +294,8 @@
     }
 }
 
-/// The combined cut, longer than a user may go without an answer: users whose connections lead to the node that is cut
-/// off have to be answered too.
+/// The leader is isolated for longer than a user may go without a response: users that are connected to the isolated
+/// node must be answered too.
 #[test]
 fn users_of_an_isolated_leader_are_answered() {
     for (nodes, ms) in [(3, 30_000), (5, 60_000), (7, 95_000)] {
