--- a/crates/standins/tests/quick.rs
+++ b/crates/standins/tests/quick.rs
@@ -7,7 +7,7 @@
 use wire::api::{JobSpec, Kind, Priority};
 
 /// No leader for longer than this after a quick restart, outside of an outage.
-const VACANT_MS: u64 = 1500;
+const MAX_LEADERLESS_MS: u64 = 1500;
 
 /// A dozen machines: long tasks on most of them, short ones beside these, and some that are cancelled.
 fn world(seed: u64, nodes: usize, faults_until: u64) -> World {
@@ -43,14 +43,14 @@
 }
 
 /// Plays to the end, when all that was accepted must have ended.
-fn ends(world: &mut World, what: &str) {
+fn run_to_end(world: &mut World, what: &str) {
     world.run_for(250_000);
     assert_rules_kept(world, what);
     assert_all_ended(world, what);
 }
 
 /// Node, token, life and lease of the leader record.
-fn record(world: &World) -> Option<(String, u64, u64, u64)> {
+fn leader_record(world: &World) -> Option<(String, u64, u64, u64)> {
     let rec = &world.state.keys.get("sys/owner/0")?.value;
     let number = |k: &str| rec[k].as_u64().unwrap_or(0);
     Some((
@@ -62,22 +62,22 @@
 }
 
 /// A life that is shorter than this need not come to lead the fleet.
-const TAKES_MS: u64 = 400;
+const TAKE_OVER_MS: u64 = 400;
 const STEP_MS: u64 = 10;
 
 /// Plays on, and adds up for how long nobody leads the fleet: the longest time in one piece.
-struct Watched {
-    vacant: u64,
-    longest: u64,
-    fewest: usize,
+struct LeadershipMonitor {
+    leaderless_ms: u64,
+    longest_ms: u64,
+    fewest_tasks: usize,
 }
 
-impl Watched {
+impl LeadershipMonitor {
     fn new() -> Self {
-        Watched {
-            vacant: 0,
-            longest: 0,
-            fewest: usize::MAX,
+        LeadershipMonitor {
+            leaderless_ms: 0,
+            longest_ms: 0,
+            fewest_tasks: usize::MAX,
         }
     }
 
@@ -92,13 +92,13 @@
             } else {
                 STEP_MS
             };
-            self.vacant = if world.leader().is_some() {
+            self.leaderless_ms = if world.leader().is_some() {
                 0
             } else {
-                self.vacant + world.now() - before
+                self.leaderless_ms + world.now() - before
             };
-            self.longest = self.longest.max(self.vacant);
-            self.fewest = self.fewest.min(world.on_machines().len());
+            self.longest_ms = self.longest_ms.max(self.leaderless_ms);
+            self.fewest_tasks = self.fewest_tasks.min(world.on_machines().len());
         }
     }
 }
@@ -111,56 +111,56 @@
     All,
 }
 
-fn crash(world: &mut World, who: Who, nodes: usize, last: &mut usize) {
-    let leader = world.leader_at().unwrap_or(*last);
-    *last = leader;
-    let many = match who {
+fn crash(world: &mut World, who: Who, nodes: usize, last_leader: &mut usize) {
+    let leader = world.leader_at().unwrap_or(*last_leader);
+    *last_leader = leader;
+    let count = match who {
         Who::Leader => 1,
         Who::Two => 2,
         Who::All => nodes,
     };
-    (0..many).for_each(|i| world.crash_node((leader + i) % nodes));
+    (0..count).for_each(|i| world.crash_node((leader + i) % nodes));
 }
 
 /// Nobody led the fleet as long as processes came back faster than a lease ends, and workers' leases ran out.
 #[test]
-fn crash_loops_leave_the_fleet_owned() {
+fn fleet_keeps_a_leader_during_crash_loops() {
     // How often they crash, for how long, and after how long they come back.
-    let often = [
+    let crash_patterns = [
         (400, 50, 30_000),
         (1000, 100, 30_000),
         (3000, 150, 30_000),
         (5000, 300, 30_000),
         (100, 50, 8000),
     ];
-    for (nodes, often) in [(3, &often[..]), (5, &often[1..3])] {
-        for (i, (every, back, loops_ms)) in often.iter().copied().enumerate() {
+    for (nodes, patterns) in [(3, &crash_patterns[..]), (5, &crash_patterns[1..3])] {
+        for (i, (interval_ms, restart_ms, loops_ms)) in patterns.iter().copied().enumerate() {
             for who in [Who::Leader, Who::Two, Who::All] {
-                let what = format!("{nodes} nodes, {who:?} every {every} ms");
+                let what = format!("{nodes} nodes, {who:?} every {interval_ms} ms");
                 let mut world = world(i as u64, nodes, 0);
                 world.run_for(40_000);
-                let before = world.on_machines().len();
-                world.come_back_after(back);
-                let (mut watched, mut last) = (Watched::new(), 0);
-                for _ in 0..(loops_ms / every) {
-                    crash(&mut world, who, nodes, &mut last);
-                    watched.run_for(&mut world, every);
+                let tasks_before = world.on_machines().len();
+                world.come_back_after(restart_ms);
+                let (mut monitor, mut last_leader) = (LeadershipMonitor::new(), 0);
+                for _ in 0..(loops_ms / interval_ms) {
+                    crash(&mut world, who, nodes, &mut last_leader);
+                    monitor.run_for(&mut world, interval_ms);
                 }
-                if every < TAKES_MS {
-                    watched = Watched::new();
+                if interval_ms < TAKE_OVER_MS {
+                    monitor = LeadershipMonitor::new();
                 }
-                watched.run_for(&mut world, 3000);
+                monitor.run_for(&mut world, 3000);
                 assert!(
-                    watched.longest <= VACANT_MS,
+                    monitor.longest_ms <= MAX_LEADERLESS_MS,
                     "{what}: no owner for {} ms",
-                    watched.longest
+                    monitor.longest_ms
                 );
                 assert!(
-                    watched.fewest * 2 >= before,
-                    "{what}: {} tasks of {before}",
-                    watched.fewest
+                    monitor.fewest_tasks * 2 >= tasks_before,
+                    "{what}: {} tasks of {tasks_before}",
+                    monitor.fewest_tasks
                 );
-                ends(&mut world, &what);
+                run_to_end(&mut world, &what);
             }
         }
     }
@@ -168,7 +168,7 @@
 
 /// A life ends at each step of a take-over, until the next one may go on.
 #[test]
-fn a_life_that_ends_at_any_step_of_a_take_over_leaves_it_to_the_next() {
+fn fleet_gets_a_leader_in_time_after_crashes_at_any_take_over_step() {
     for nodes in [3, 5] {
         for step in 1..=16 {
             let what = format!("{nodes} nodes, step {step}");
@@ -179,15 +179,15 @@
             for _ in 0..3 {
                 world.crash_node(leader);
                 world.dies_asking(leader, step);
-                let mut watched = Watched::new();
-                watched.run_for(&mut world, 4000);
+                let mut monitor = LeadershipMonitor::new();
+                monitor.run_for(&mut world, 4000);
                 assert!(
-                    watched.longest <= VACANT_MS,
+                    monitor.longest_ms <= MAX_LEADERLESS_MS,
                     "{what}: no owner for {} ms",
-                    watched.longest
+                    monitor.longest_ms
                 );
             }
-            ends(&mut world, &what);
+            run_to_end(&mut world, &what);
         }
     }
 }
@@ -195,19 +195,19 @@
 /// What a former incarnation had on its way lands after the next one has taken over: its claims, its ends of jobs, and its own
 /// take-over. Nothing of it may count.
 #[test]
-fn what_a_former_life_had_on_its_way_changes_nothing() {
+fn late_transactions_of_former_incarnations_have_no_effect() {
     for seed in 0..24u64 {
         let what = format!("seed {seed}");
         let nodes = [3, 5][seed as usize % 2];
         let mut world = world(seed, nodes, 110_000);
         world.run_for(40_000);
         world.come_back_after(100);
-        let held = [30, 80, 150, 400, 1500, 9000][seed as usize % 6];
+        let txn_delay_ms = [30, 80, 150, 400, 1500, 9000][seed as usize % 6];
         // A token stands for one term of one life, and none is followed by a lower one.
         let mut terms: BTreeMap<u64, u64> = BTreeMap::new();
         for round in 0..12 {
             if let Some(leader) = world.leader_at() {
-                world.doom(leader, held);
+                world.doom(leader, txn_delay_ms);
                 // Every third time the next life's take-over is what comes late.
                 if round % 3 == 0 {
                     world.crash_node(leader);
@@ -215,7 +215,7 @@
             }
             for _ in 0..15 {
                 world.run_for(200);
-                let Some((_, token, incarnation, _)) = record(&world) else {
+                let Some((_, token, incarnation, _)) = leader_record(&world) else {
                     continue;
                 };
                 let highest = terms.last_key_value().map_or(0, |(token, _)| *token);
@@ -227,13 +227,13 @@
                 );
             }
         }
-        ends(&mut world, &what);
+        run_to_end(&mut world, &what);
     }
 }
 
 /// Long tasks of low urgency on a fleet of which most falls free within a minute and is kept, then urgent gangs that
 /// all fit.
-fn roomy(seed: u64) -> World {
+fn world_with_spare_capacity(seed: u64) -> World {
     let timed = |at, run_ms, spec| Timed {
         at,
         run_ms,
@@ -272,23 +272,25 @@
 /// A leader that has just begun sees free room only on machines that it has heard, and stopped tasks for room that lay
 /// free elsewhere.
 #[test]
-fn nothing_is_stopped_for_room_that_a_new_leader_does_not_see_yet() {
+fn new_leader_preempts_nothing_before_all_machines_have_reported() {
     for seed in 0..32u64 {
         // Without crashes nothing has to be stopped, so there is room for all.
         for crashes in [false, true] {
             let what = format!("seed {seed}, crashes {crashes}");
             let mut rng = fastrand::Rng::with_seed(seed);
-            let (mut world, mut last) = (roomy(seed), 0);
+            let (mut world, mut last_leader) = (world_with_spare_capacity(seed), 0);
             world.run_for(90_000);
             assert_eq!(world.on_machines().len(), 10, "{what}: tasks that ran");
             for _ in 0..10 {
                 world.come_back_after(rng.u64(100..300));
-                let before = world.stopped;
+                let preempted_before = world.stopped;
                 if crashes {
-                    crash(&mut world, Who::Leader, 3, &mut last);
+                    crash(&mut world, Who::Leader, 3, &mut last_leader);
                 }
-                let (begun, mut step) = (world.now(), STEP_MS);
-                while world.leader().is_none() && world.now() + step < begun + VACANT_MS {
+                let (started_at, mut step) = (world.now(), STEP_MS);
+                while world.leader().is_none()
+                    && world.now() + step < started_at + MAX_LEADERLESS_MS
+                {
                     let at = world.now();
                     world.run_for(step);
                     // Nothing happened yet.
@@ -300,7 +302,11 @@
                 }
                 assert!(world.leader().is_some(), "{what}: no owner");
                 world.run_for(REPORT_MS);
-                assert_eq!(world.stopped - before, 0, "{what}: stopped to make room");
+                assert_eq!(
+                    world.stopped - preempted_before,
+                    0,
+                    "{what}: stopped to make room"
+                );
                 world.run_for(rng.u64(1000..2500));
             }
             assert!(
@@ -309,13 +315,13 @@
                 world.stopped
             );
             world.run_for(25_000);
-            let began = |i: &u32| {
+            let has_started = |i: &u32| {
                 world
                     .began
                     .contains_key(&wire::ids::task_name(&format!("job-{:06}", 100 + i), 0))
             };
             assert_eq!(
-                (0..GANGS).filter(began).count(),
+                (0..GANGS).filter(has_started).count(),
                 GANGS as usize,
                 "{what}: gangs that began"
             );
@@ -326,7 +332,7 @@
 
 /// Two processes go by one name. Each takes over from the other once at most, so that the fleet has a lasting leader.
 #[test]
-fn two_processes_of_one_name_do_not_take_turns() {
+fn two_nodes_with_one_name_take_over_at_most_once() {
     for seed in 0..10 {
         let what = format!("seed {seed}");
         let mut world = world(seed, 3, 0);
@@ -337,13 +343,13 @@
         world.rename(twin, leader);
         world.crash_node(twin);
         world.run_for(2000);
-        let (name, _, incarnation, _) = record(&world).expect("an owner");
+        let (name, _, incarnation, _) = leader_record(&world).expect("an owner");
         assert_eq!(name, format!("burrow-{leader}"), "{what}");
         let mut changes = 0;
         let mut last = incarnation;
         for _ in 0..300 {
             world.run_for(100);
-            let now = record(&world).map_or(last, |(_, _, incarnation, _)| incarnation);
+            let now = leader_record(&world).map_or(last, |(_, _, incarnation, _)| incarnation);
             changes += u32::from(now != last);
             last = now;
         }
@@ -354,7 +360,7 @@
 
 /// Lives that end in cuts and outages come back to what others have done meanwhile.
 #[test]
-fn quick_restarts_within_other_troubles_keep_the_rules() {
+fn rules_hold_with_quick_restarts_during_other_faults() {
     for seed in 0..24u64 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let nodes = [3, 5][seed as usize % 2];
@@ -386,6 +392,6 @@
                 _ => {}
             }
         }
-        ends(&mut world, &format!("seed {seed}"));
+        run_to_end(&mut world, &format!("seed {seed}"));
     }
 }
