--- a/crates/standins/tests/quick.rs
+++ b/crates/standins/tests/quick.rs
@@ -1,4 +1,4 @@
-//! Processes that come back within fractions of a second, again and again.
+//! Controllers that crash and restart within fractions of a second, repeatedly.
 
 use standins::scene::{Scene, Timed, array};
 use standins::world::asserts::{assert_all_ended, assert_rules_kept};
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use wire::api::{JobSpec, Kind, Priority};
 
-/// No leader for longer than this after a quick restart, outside of an outage.
+/// Longest allowed time without a leader after a quick restart, except during an outage.
 const MAX_LEADERLESS_MS: u64 = 1500;
 
-/// A dozen machines: long tasks on most of them, short ones beside these, and some that are cancelled.
+/// Twelve machines with long tasks on most of them, and short tasks, some of which are cancelled.
 fn world(seed: u64, nodes: usize, faults_until: u64) -> World {
     let long = (0..5).map(|i| Timed {
         at: 1000,
@@ -28,7 +28,7 @@
         machines: 12,
         ..Scene::default()
     };
-    // Until then messages are lost now and then, and some come long after.
+    // Until `faults_until`, some messages are lost and some arrive very late.
     World::new(Plan::of_scene(
         seed,
         nodes,
@@ -42,14 +42,14 @@
     array(id, "red", 4, estimate_s)
 }
 
-/// Plays to the end, when all that was accepted must have ended.
+/// Runs the scenario to its end and checks that all accepted jobs have ended.
 fn run_to_end(world: &mut World, what: &str) {
     world.run_for(250_000);
     assert_rules_kept(world, what);
     assert_all_ended(world, what);
 }
 
-/// Node, token, life and lease of the leader record.
+/// Node, token, incarnation and lease of the leader record.
 fn leader_record(world: &World) -> Option<(String, u64, u64, u64)> {
     let rec = &world.state.keys.get("sys/owner/0")?.value;
     let number = |k: &str| rec[k].as_u64().unwrap_or(0);
@@ -61,11 +61,11 @@
     ))
 }
 
-/// A life that is shorter than this need not come to lead the fleet.
+/// An incarnation that crashes sooner than this after its start is not required to become leader.
 const TAKE_OVER_MS: u64 = 400;
 const STEP_MS: u64 = 10;
 
-/// Plays on, and adds up for how long nobody leads the fleet: the longest time in one piece.
+/// Runs the world and records the longest uninterrupted time without a leader and the lowest number of running tasks.
 struct LeadershipMonitor {
     leaderless_ms: u64,
     longest_ms: u64,
@@ -86,7 +86,7 @@
         while world.now() + step <= end {
             let before = world.now();
             world.run_for(step);
-            // Nothing happened yet.
+            // The clock advances only with events; use a longer step if there was none.
             step = if world.now() == before {
                 step + STEP_MS
             } else {
@@ -122,10 +122,11 @@
     (0..count).for_each(|i| world.crash_node((leader + i) % nodes));
 }
 
-/// Nobody led the fleet as long as processes came back faster than a lease ends, and workers' leases ran out.
+/// Guards against a fault in which there was no leader as long as controllers restarted faster than a lease expires,
+/// so that the workers' leases expired.
 #[test]
 fn fleet_keeps_a_leader_during_crash_loops() {
-    // How often they crash, for how long, and after how long they come back.
+    // Crash interval, restart delay and duration of the crash loop, in milliseconds.
     let crash_patterns = [
         (400, 50, 30_000),
         (1000, 100, 30_000),
@@ -152,12 +153,12 @@
                 monitor.run_for(&mut world, 3000);
                 assert!(
                     monitor.longest_ms <= MAX_LEADERLESS_MS,
-                    "{what}: no owner for {} ms",
+                    "{what}: no leader for {} ms",
                     monitor.longest_ms
                 );
                 assert!(
                     monitor.fewest_tasks * 2 >= tasks_before,
-                    "{what}: {} tasks of {tasks_before}",
+                    "{what}: only {} of {tasks_before} tasks still ran",
                     monitor.fewest_tasks
                 );
                 run_to_end(&mut world, &what);
@@ -166,7 +167,7 @@
     }
 }
 
-/// A life ends at each step of a take-over, until the next one may go on.
+/// The restarted leader crashes at each step of its take-over, and the next incarnation must complete one in time.
 #[test]
 fn fleet_gets_a_leader_in_time_after_crashes_at_any_take_over_step() {
     for nodes in [3, 5] {
@@ -175,7 +176,7 @@
             let mut world = world(u64::from(step), nodes, 0);
             world.run_for(40_000);
             world.come_back_after(150);
-            let leader = world.leader_at().expect("some node owns the fleet");
+            let leader = world.leader_at().expect("a node leads the fleet");
             for _ in 0..3 {
                 world.crash_node(leader);
                 world.dies_asking(leader, step);
@@ -183,7 +184,7 @@
                 monitor.run_for(&mut world, 4000);
                 assert!(
                     monitor.longest_ms <= MAX_LEADERLESS_MS,
-                    "{what}: no owner for {} ms",
+                    "{what}: no leader for {} ms",
                     monitor.longest_ms
                 );
             }
@@ -192,8 +193,8 @@
     }
 }
 
-/// What a former incarnation had on its way lands after the next one has taken over: its claims, its ends of jobs, and its own
-/// take-over. Nothing of it may count.
+/// Transactions of a former incarnation arrive after the next one has taken over: its claims, its ends of jobs, and its
+/// own take-over. None of them may take effect.
 #[test]
 fn late_transactions_of_former_incarnations_have_no_effect() {
     for seed in 0..24u64 {
@@ -203,12 +204,12 @@
         world.run_for(40_000);
         world.come_back_after(100);
         let txn_delay_ms = [30, 80, 150, 400, 1500, 9000][seed as usize % 6];
-        // A token stands for one term of one life, and none is followed by a lower one.
+        // A token belongs to one term of one incarnation, and tokens never decrease.
         let mut terms: BTreeMap<u64, u64> = BTreeMap::new();
         for round in 0..12 {
             if let Some(leader) = world.leader_at() {
                 world.doom(leader, txn_delay_ms);
-                // Every third time the next life's take-over is what comes late.
+                // In every third round the delayed transaction is the take-over of the next incarnation.
                 if round % 3 == 0 {
                     world.crash_node(leader);
                 }
@@ -223,7 +224,7 @@
                 assert_eq!(
                     *terms.entry(token).or_insert(incarnation),
                     incarnation,
-                    "{what}: two lives with token {token}"
+                    "{what}: two incarnations with token {token}"
                 );
             }
         }
@@ -231,8 +232,8 @@
     }
 }
 
-/// Long tasks of low urgency on a fleet of which most falls free within a minute and is kept, then urgent gangs that
-/// all fit.
+/// Low-priority tasks on a fleet of which most becomes free within a minute and stays rented, then high-priority gangs
+/// that all fit.
 fn world_with_spare_capacity(seed: u64) -> World {
     let timed = |at, run_ms, spec| Timed {
         at,
@@ -266,21 +267,25 @@
 }
 
 const GANGS: u32 = 40;
-/// A little less than the stand-ins' machines take from one report to the next at most, a quarter late.
+/// Slightly less than the longest time between two reports of a simulated machine, which is a quarter above the period.
 const REPORT_MS: u64 = 1200;
 
-/// A leader that has just begun sees free room only on machines that it has heard, and stopped tasks for room that lay
-/// free elsewhere.
+/// A new leader knows free capacity only on machines that have reported to it. Guards against a fault in which it
+/// preempted tasks although there was free capacity on other machines.
 #[test]
 fn new_leader_preempts_nothing_before_all_machines_have_reported() {
     for seed in 0..32u64 {
-        // Without crashes nothing has to be stopped, so there is room for all.
+        // The runs without crashes show that there is capacity for all: nothing is preempted.
         for crashes in [false, true] {
             let what = format!("seed {seed}, crashes {crashes}");
             let mut rng = fastrand::Rng::with_seed(seed);
             let (mut world, mut last_leader) = (world_with_spare_capacity(seed), 0);
             world.run_for(90_000);
-            assert_eq!(world.on_machines().len(), 10, "{what}: tasks that ran");
+            assert_eq!(
+                world.on_machines().len(),
+                10,
+                "{what}: number of running tasks"
+            );
             for _ in 0..10 {
                 world.come_back_after(rng.u64(100..300));
                 let preempted_before = world.stopped;
@@ -293,25 +298,25 @@
                 {
                     let at = world.now();
                     world.run_for(step);
-                    // Nothing happened yet.
+                    // The clock advances only with events; use a longer step if there was none.
                     step = if world.now() == at {
                         step + STEP_MS
                     } else {
                         STEP_MS
                     };
                 }
-                assert!(world.leader().is_some(), "{what}: no owner");
+                assert!(world.leader().is_some(), "{what}: no leader");
                 world.run_for(REPORT_MS);
                 assert_eq!(
                     world.stopped - preempted_before,
                     0,
-                    "{what}: stopped to make room"
+                    "{what}: tasks preempted"
                 );
                 world.run_for(rng.u64(1000..2500));
             }
             assert!(
                 crashes || world.stopped == 0,
-                "{what}: {} stopped to make room",
+                "{what}: {} tasks preempted",
                 world.stopped
             );
             world.run_for(25_000);
@@ -323,14 +328,14 @@
             assert_eq!(
                 (0..GANGS).filter(has_started).count(),
                 GANGS as usize,
-                "{what}: gangs that began"
+                "{what}: number of started gangs"
             );
             assert_rules_kept(&world, &what);
         }
     }
 }
 
-/// Two processes go by one name. Each takes over from the other once at most, so that the fleet has a lasting leader.
+/// Two controllers share one name. Leadership changes at most once between them, so that the fleet has a stable leader.
 #[test]
 fn two_nodes_with_one_name_take_over_at_most_once() {
     for seed in 0..10 {
@@ -338,12 +343,12 @@
         let mut world = world(seed, 3, 0);
         world.run_for(40_000);
         world.come_back_after(100);
-        let leader = world.leader_at().expect("some node owns the fleet");
+        let leader = world.leader_at().expect("a node leads the fleet");
         let twin = (leader + 1) % 3;
         world.rename(twin, leader);
         world.crash_node(twin);
         world.run_for(2000);
-        let (name, _, incarnation, _) = leader_record(&world).expect("an owner");
+        let (name, _, incarnation, _) = leader_record(&world).expect("a leader record");
         assert_eq!(name, format!("burrow-{leader}"), "{what}");
         let mut changes = 0;
         let mut last = incarnation;
@@ -353,12 +358,12 @@
             changes += u32::from(now != last);
             last = now;
         }
-        assert!(changes <= 1, "{what}: the owner changed {changes} times");
+        assert!(changes <= 1, "{what}: the leader changed {changes} times");
         assert_rules_kept(&world, &what);
     }
 }
 
-/// Lives that end in cuts and outages come back to what others have done meanwhile.
+/// Controllers crash during cuts and outages, and restart after other nodes have changed the recorded state.
 #[test]
 fn rules_hold_with_quick_restarts_during_other_faults() {
     for seed in 0..24u64 {
