--- a/crates/standins/tests/room.rs
+++ b/crates/standins/tests/room.rs
@@ -5,13 +5,13 @@
 use standins::scene::array;
 use wire::api::{JobSpec, Kind};
 
-const ID: &str = "job-000001";
+const JOB_ID: &str = "job-000001";
 
 fn job(tasks: u32) -> JobSpec {
     array(1, "red", tasks, 10.0)
 }
 
-fn rules(spec: JobSpec) -> Rules {
+fn rules_with_job(spec: JobSpec) -> Rules {
     let mut rules = Rules::default();
     let accepted = Job {
         spec: Some(spec.clone()),
@@ -23,7 +23,7 @@
 }
 
 /// A machine with room for so many one-GPU tasks.
-fn up(name: &str, zone: &str, gpus: f64) -> Up {
+fn machine_with_gpus(name: &str, zone: &str, gpus: f64) -> Up {
     Up {
         name: name.into(),
         machine_type: "g2".into(),
@@ -39,27 +39,27 @@
 }
 
 /// Whether a job is left waiting beside machines that stay as they are for two minutes.
-fn waits(rules: &Rules, up: &[Up]) -> bool {
-    waits_while(rules, |_| up.to_vec())
+fn is_left_waiting(rules: &Rules, machines: &[Up]) -> bool {
+    is_left_waiting_with(rules, |_| machines.to_vec())
 }
 
-fn waits_while(rules: &Rules, up: impl Fn(u64) -> Vec<Up>) -> bool {
+fn is_left_waiting_with(rules: &Rules, machines_at: impl Fn(u64) -> Vec<Up>) -> bool {
     let mut room = Room::default();
-    (0..120).for_each(|s| room.look(1000 * s, &up(s), rules));
+    (0..120).for_each(|s| room.look(1000 * s, &machines_at(s), rules));
     let (left, longest) = room.left_waiting();
     assert_eq!(!left.is_empty(), longest >= BESIDE_ROOM_MS);
-    left == [ID]
+    left == [JOB_ID]
 }
 
 #[test]
-fn room_counts_where_the_job_may_be() {
-    let machine = [up("m", "a", 2.0)];
-    assert!(waits(&rules(job(3)), &machine));
-    assert!(!waits(&rules(job(3)), &[]));
+fn only_allowed_machines_count_as_capacity_for_a_job() {
+    let machine = [machine_with_gpus("m", "a", 2.0)];
+    assert!(is_left_waiting(&rules_with_job(job(3)), &machine));
+    assert!(!is_left_waiting(&rules_with_job(job(3)), &[]));
     let is = |f: fn(&mut JobSpec)| {
         let mut spec = job(3);
         f(&mut spec);
-        waits(&rules(spec), &machine)
+        is_left_waiting(&rules_with_job(spec), &machine)
     };
     assert!(is(|s| s.zone = Some("a".into())) && !is(|s| s.zone = Some("b".into())));
     assert!(
@@ -67,114 +67,122 @@
     );
     assert!(is(|s| s.gpus = 2.0) && !is(|s| s.gpus = 3.0));
     assert!(!is(|s| s.cores = 17.0) && !is(|s| s.mem_gb = 65.0));
-    let lent = [Up {
+    let spot = [Up {
         spot: true,
-        ..up("m", "a", 2.0)
+        ..machine_with_gpus("m", "a", 2.0)
     }];
-    assert!(!waits(&rules(job(3)), &lent));
-    assert!(waits(
-        &rules(JobSpec {
+    assert!(!is_left_waiting(&rules_with_job(job(3)), &spot));
+    assert!(is_left_waiting(
+        &rules_with_job(JobSpec {
             spot: true,
             ..job(3)
         }),
-        &lent
+        &spot
     ));
 }
 
 /// A task of it that runs neither ends the wait of the next one, nor is its room free.
 #[test]
-fn the_next_task_of_an_array_waits_too() {
+fn waiting_array_is_reported_while_another_task_runs() {
     let running = |gpus: f64| {
         [Up {
-            tasks: vec![(format!("{ID}/0"), 1)],
-            ..up("m", "a", gpus)
+            tasks: vec![(format!("{JOB_ID}/0"), 1)],
+            ..machine_with_gpus("m", "a", gpus)
         }]
     };
-    assert!(waits(&rules(job(3)), &running(2.0)));
-    assert!(!waits(&rules(job(3)), &running(1.0)));
-    assert!(!waits(&rules(job(1)), &running(2.0)));
-    let mut rules = rules(job(3));
-    rules.jobs.get_mut(ID).expect("the job").done.extend([1, 2]);
-    assert!(!waits(&rules, &running(2.0)));
+    assert!(is_left_waiting(&rules_with_job(job(3)), &running(2.0)));
+    assert!(!is_left_waiting(&rules_with_job(job(3)), &running(1.0)));
+    assert!(!is_left_waiting(&rules_with_job(job(1)), &running(2.0)));
+    let mut rules = rules_with_job(job(3));
+    rules
+        .jobs
+        .get_mut(JOB_ID)
+        .expect("the job")
+        .done
+        .extend([1, 2]);
+    assert!(!is_left_waiting(&rules, &running(2.0)));
 }
 
 #[test]
-fn a_team_at_its_limit_waits_rightly() {
+fn job_of_a_team_at_its_limit_is_not_reported() {
     let machine = [Up {
-        tasks: vec![(format!("{ID}/0"), 1)],
-        ..up("m", "a", 4.0)
+        tasks: vec![(format!("{JOB_ID}/0"), 1)],
+        ..machine_with_gpus("m", "a", 4.0)
     }];
     let with = |limit: f64| {
-        let mut rules = rules(job(3));
+        let mut rules = rules_with_job(job(3));
         rules.gpu_limits.insert("red".into(), limit);
-        waits(&rules, &machine)
+        is_left_waiting(&rules, &machine)
     };
     assert!(with(2.0) && !with(1.0));
 }
 
 /// All tasks of a gang have to fit at once, within its bounds on zones.
 #[test]
-fn a_gang_waits_for_room_for_all() {
-    let two = [up("m", "a", 2.0), up("n", "b", 2.0)];
+fn gang_is_reported_only_with_capacity_for_all_tasks() {
+    let two = [
+        machine_with_gpus("m", "a", 2.0),
+        machine_with_gpus("n", "b", 2.0),
+    ];
     let gang = |tasks: u32, f: fn(&mut JobSpec)| {
         let mut spec = JobSpec {
             kind: Kind::Gang,
             ..job(tasks)
         };
         f(&mut spec);
-        rules(spec)
+        rules_with_job(spec)
     };
-    assert!(waits(&gang(4, |_| ()), &two) && !waits(&gang(5, |_| ()), &two));
+    assert!(is_left_waiting(&gang(4, |_| ()), &two) && !is_left_waiting(&gang(5, |_| ()), &two));
     assert!(
-        waits(&gang(2, |s| s.one_zone = true), &two)
-            && !waits(&gang(3, |s| s.one_zone = true), &two)
+        is_left_waiting(&gang(2, |s| s.one_zone = true), &two)
+            && !is_left_waiting(&gang(3, |s| s.one_zone = true), &two)
     );
     assert!(
-        waits(&gang(4, |s| s.spread = true), &two)
-            && !waits(&gang(4, |s| s.spread = true), &two[..1])
+        is_left_waiting(&gang(4, |s| s.spread = true), &two)
+            && !is_left_waiting(&gang(4, |s| s.spread = true), &two[..1])
     );
     let mut some_there = two.clone();
-    some_there[0].tasks.push((format!("{ID}/0"), 1));
-    assert!(!waits(&gang(3, |_| ()), &some_there));
+    some_there[0].tasks.push((format!("{JOB_ID}/0"), 1));
+    assert!(!is_left_waiting(&gang(3, |_| ()), &some_there));
     let mut limited = gang(4, |_| ());
     limited.gpu_limits.insert("red".into(), 3.0);
-    assert!(!waits(&limited, &two));
+    assert!(!is_left_waiting(&limited, &two));
 }
 
 /// A start, a moment without room, or room that never stands for long: none of them is a long wait.
 #[test]
-fn only_what_lasts_counts() {
-    let rules = rules(job(9));
+fn only_lasting_capacity_is_reported() {
+    let rules = rules_with_job(job(9));
     let there = |n: u64| Up {
-        tasks: vec![(format!("{ID}/{n}"), 1)],
-        ..up("m", "a", 4.0)
+        tasks: vec![(format!("{JOB_ID}/{n}"), 1)],
+        ..machine_with_gpus("m", "a", 4.0)
     };
-    assert!(!waits_while(&rules, |s| vec![there(s / 60)]));
-    assert!(!waits_while(&rules, |s| if s == 60 {
+    assert!(!is_left_waiting_with(&rules, |s| vec![there(s / 60)]));
+    assert!(!is_left_waiting_with(&rules, |s| if s == 60 {
         vec![]
     } else {
-        vec![up("m", "a", 2.0)]
+        vec![machine_with_gpus("m", "a", 2.0)]
     }));
-    assert!(!waits_while(&rules, |s| vec![up(
+    assert!(!is_left_waiting_with(&rules, |s| vec![machine_with_gpus(
         ["m", "n"][s as usize / 4 % 2],
         "a",
         2.0
     )]));
     // Two that have room by turns, each for long enough: there is room at all times.
-    let full = |name: &str, is: bool| up(name, "a", if is { 0.0 } else { 2.0 });
-    assert!(waits_while(&rules, |s| vec![
+    let full = |name: &str, is: bool| machine_with_gpus(name, "a", if is { 0.0 } else { 2.0 });
+    assert!(is_left_waiting_with(&rules, |s| vec![
         full("m", s / 20 % 2 == 1 && s % 20 > 6),
         full("n", s / 20 % 2 == 0 && s % 20 > 6)
     ]));
 }
 
 #[test]
-fn whoever_is_not_wanted_or_not_accepted_waits_for_nothing() {
-    let machine = [up("m", "a", 2.0)];
+fn unaccepted_cancelled_and_ended_jobs_are_not_reported() {
+    let machine = [machine_with_gpus("m", "a", 2.0)];
     let with = |f: fn(&mut Job)| {
-        let mut rules = rules(job(3));
-        f(rules.jobs.get_mut(ID).expect("the job"));
-        waits(&rules, &machine)
+        let mut rules = rules_with_job(job(3));
+        f(rules.jobs.get_mut(JOB_ID).expect("the job"));
+        is_left_waiting(&rules, &machine)
     };
     assert!(with(|_| ()));
     assert!(!with(|j| j.accepted = None) && !with(|j| j.cancel_asked = true));
