--- a/crates/standins/tests/room.rs
+++ b/crates/standins/tests/room.rs
@@ -1,4 +1,4 @@
-//! The check for jobs left waiting beside room: what it counts, and what it doesn't.
+//! The check for jobs that are left waiting although there is capacity: which cases it reports, and which not.
 
 use standins::checks::room::{BESIDE_ROOM_MS, Free, Room, Up};
 use standins::rules::{Job, Rules};
@@ -22,7 +22,7 @@
     rules
 }
 
-/// A machine with room for so many one-GPU tasks.
+/// A machine with the given number of GPUs.
 fn machine_with_gpus(name: &str, zone: &str, gpus: f64) -> Up {
     Up {
         name: name.into(),
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether a job is left waiting beside machines that stay as they are for two minutes.
+/// Whether the job is reported as left waiting when the machines stay unchanged for two minutes.
 fn is_left_waiting(rules: &Rules, machines: &[Up]) -> bool {
     is_left_waiting_with(rules, |_| machines.to_vec())
 }
@@ -81,7 +81,7 @@
     ));
 }
 
-/// A task of it that runs neither ends the wait of the next one, nor is its room free.
+/// A running task of the array does not end the wait of its next task, and the capacity that it uses is not free.
 #[test]
 fn waiting_array_is_reported_while_another_task_runs() {
     let running = |gpus: f64| {
@@ -117,7 +117,7 @@
     assert!(with(2.0) && !with(1.0));
 }
 
-/// All tasks of a gang have to fit at once, within its bounds on zones.
+/// All tasks of a gang must fit at the same time, within its zone constraints.
 #[test]
 fn gang_is_reported_only_with_capacity_for_all_tasks() {
     let two = [
@@ -149,7 +149,7 @@
     assert!(!is_left_waiting(&limited, &two));
 }
 
-/// A start, a moment without room, or room that never stands for long: none of them is a long wait.
+/// A task start, a moment without capacity, or capacity that is never free for long do not count as a long wait.
 #[test]
 fn only_lasting_capacity_is_reported() {
     let rules = rules_with_job(job(9));
@@ -168,7 +168,7 @@
         "a",
         2.0
     )]));
-    // Two that have room by turns, each for long enough: there is room at all times.
+    // Two machines have capacity in turn, each for long enough, so that there is always capacity.
     let full = |name: &str, is: bool| machine_with_gpus(name, "a", if is { 0.0 } else { 2.0 });
     assert!(is_left_waiting_with(&rules, |s| vec![
         full("m", s / 20 % 2 == 1 && s % 20 > 6),
