--- a/crates/standins/tests/odd_requests.rs
+++ b/crates/standins/tests/odd_requests.rs
@@ -10,10 +10,10 @@
 
 const NODES: usize = 3;
 /// A job that goes on, one that is done, and one that was cancelled, when the odd requests come.
-const LIVE: &str = "job-001000";
-const DONE: &str = "job-001001";
-const CANCELLED: &str = "job-001002";
-const BEGIN: u64 = 25_000;
+const LIVE_JOB: &str = "job-001000";
+const DONE_JOB: &str = "job-001001";
+const CANCELLED_JOB: &str = "job-001002";
+const FIRST_REQUESTS_MS: u64 = 25_000;
 
 fn world(seed: u64, jobs: Vec<Timed>) -> World {
     let scene = Scene {
@@ -34,7 +34,7 @@
     }
 }
 
-fn three(seed: u64) -> World {
+fn world_with_three_jobs(seed: u64) -> World {
     let cancelled = Timed {
         cancel_ms: Some(10_000),
         ..timed(200_000, array(1002, "red", 1, 200.0))
@@ -47,7 +47,7 @@
 }
 
 /// Changes that make a good submission an odd one, and what it is told.
-fn odd() -> Vec<(Value, &'static str)> {
+fn rejected_submissions() -> Vec<(Value, &'static str)> {
     vec![
         (json!({"lot": null}), "invalid: lot: missing"),
         (json!({"gpus": "1"}), "invalid: gpus: must be a number"),
@@ -94,8 +94,13 @@
 
 /// Every node is sent every odd submission, under an id of its own and under those of the three jobs.
 fn send_all(world: &mut World) {
-    for (i, (changes, _)) in odd().iter().enumerate() {
-        for job in [format!("job-00900{i}").as_str(), LIVE, DONE, CANCELLED] {
+    for (i, (changes, _)) in rejected_submissions().iter().enumerate() {
+        for job in [
+            format!("job-00900{i}").as_str(),
+            LIVE_JOB,
+            DONE_JOB,
+            CANCELLED_JOB,
+        ] {
             for node in 0..NODES {
                 world.send_at(node, job, body(job, changes));
             }
@@ -106,31 +111,40 @@
 }
 
 /// What users are to be told, by job.
-fn right() -> BTreeMap<String, (u16, String)> {
+fn expected_responses() -> BTreeMap<String, (u16, String)> {
     let status = |why: &str| if why.starts_with("invalid") { 400 } else { 422 };
-    let of = |(i, (_, why)): (usize, &(Value, &str))| {
+    let rejected = |(i, (_, why)): (usize, &(Value, &str))| {
         (format!("job-00900{i}"), (status(why), (*why).to_owned()))
     };
-    let known = [(LIVE, "Running"), (DONE, "Done"), (CANCELLED, "Cancelled")];
+    let known = [
+        (LIVE_JOB, "Running"),
+        (DONE_JOB, "Done"),
+        (CANCELLED_JOB, "Cancelled"),
+    ];
     let known = known.map(|(job, stage)| (job.to_owned(), (200, stage.to_owned())));
-    odd().iter().enumerate().map(of).chain(known).collect()
+    rejected_submissions()
+        .iter()
+        .enumerate()
+        .map(rejected)
+        .chain(known)
+        .collect()
 }
 
 /// Definite answers are right, wherever and whenever they were given, and the others say when to come again. Returns how
 /// many were definite.
-fn judge(answers: &[OddAnswer], what: &str) -> usize {
-    let right = right();
+fn count_checked_responses(answers: &[OddAnswer], what: &str) -> usize {
+    let expected = expected_responses();
     let mut definite = 0;
     for a in answers.iter().filter(|a| a.status != 0) {
         if matches!(a.status, 429 | 503) {
             assert!(a.again_s.is_some(), "{what}: {a:?}");
             continue;
         }
-        let (status, told) = &right[&a.job];
+        let (status, told) = &expected[&a.job];
         // A job that goes on is called pending by whoever has only read that it is live.
-        let same = a.told == *told || (a.job == LIVE && a.told == "Pending");
+        let same_text = a.told == *told || (a.job == LIVE_JOB && a.told == "Pending");
         assert!(
-            a.status == *status && same && a.again_s.is_none(),
+            a.status == *status && same_text && a.again_s.is_none(),
             "{what}: {a:?}, not {told}"
         );
         definite += 1;
@@ -139,27 +153,27 @@
 }
 
 #[test]
-fn odd_submissions_are_told_alike_whoever_leads() {
-    let asked = odd().len() * 4 * NODES;
+fn all_nodes_reject_odd_submissions_alike_across_a_leader_crash() {
+    let sent = rejected_submissions().len() * 4 * NODES;
     for seed in 0..3 {
-        let mut world = three(seed);
-        world.run_for(BEGIN);
+        let mut world = world_with_three_jobs(seed);
+        world.run_for(FIRST_REQUESTS_MS);
         send_all(&mut world);
         world.run_for(2000);
-        let before = judge(&std::mem::take(&mut world.odd), "before");
-        assert_eq!(before, asked, "seed {seed}");
+        let before = count_checked_responses(&std::mem::take(&mut world.odd), "before");
+        assert_eq!(before, sent, "seed {seed}");
         let leader = world.leader_at().expect("somebody leads");
         world.crash_node(leader);
         send_all(&mut world);
         world.run_for(6000);
-        let meanwhile = judge(&std::mem::take(&mut world.odd), "meanwhile");
-        assert!(meanwhile * 2 > asked, "seed {seed}: {meanwhile} of {asked}");
+        let meanwhile = count_checked_responses(&std::mem::take(&mut world.odd), "meanwhile");
+        assert!(meanwhile * 2 > sent, "seed {seed}: {meanwhile} of {sent}");
         assert_ne!(world.leader_at(), None);
         send_all(&mut world);
         world.run_for(2000);
         assert_eq!(
-            judge(&std::mem::take(&mut world.odd), "after"),
-            asked,
+            count_checked_responses(&std::mem::take(&mut world.odd), "after"),
+            sent,
             "seed {seed}"
         );
         assert!(
@@ -179,42 +193,42 @@
 
 /// A node that the state service refuses passes them on, and the peer's reason reaches the user.
 #[test]
-fn a_refused_node_s_users_hear_the_same() {
-    let mut world = three(7);
-    world.run_for(BEGIN);
+fn refused_node_gives_its_users_the_same_rejections() {
+    let mut world = world_with_three_jobs(7);
+    world.run_for(FIRST_REQUESTS_MS);
     world.refuse_leader(20_000);
     world.run_for(4000);
     send_all(&mut world);
     world.run_for(3000);
-    let definite = judge(&std::mem::take(&mut world.odd), "refused");
-    assert_eq!(definite, odd().len() * 4 * NODES);
+    let definite = count_checked_responses(&std::mem::take(&mut world.odd), "refused");
+    assert_eq!(definite, rejected_submissions().len() * 4 * NODES);
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
 
 /// What is odd and accepted runs to its end: nothing is taken that waits for ever.
 #[test]
-fn what_is_odd_and_accepted_runs() {
-    let of = |id, tasks, change: fn(&mut JobSpec)| {
+fn unusual_but_valid_jobs_run_to_their_end() {
+    let timed_job = |id, tasks, change: fn(&mut JobSpec)| {
         let mut spec = array(id, "red", tasks, 2.0);
         change(&mut spec);
         timed(2000, spec)
     };
     let jobs = vec![
-        of(1, 7, |s| (s.spread, s.one_zone) = (true, true)),
-        of(2, 2, |s| (s.spread, s.one_zone) = (true, true)),
-        of(3, 9, |s| (s.spread, s.zone) = (true, Some("b".into()))),
-        of(4, 1, |s| {
+        timed_job(1, 7, |s| (s.spread, s.one_zone) = (true, true)),
+        timed_job(2, 2, |s| (s.spread, s.one_zone) = (true, true)),
+        timed_job(3, 9, |s| (s.spread, s.zone) = (true, Some("b".into()))),
+        timed_job(4, 1, |s| {
             (s.kind, s.spread, s.one_zone) = (Kind::Gang, true, true)
         }),
-        of(5, 5, |s| (s.kind, s.spread) = (Kind::Gang, true)),
-        of(6, 3, |s| {
+        timed_job(5, 5, |s| (s.kind, s.spread) = (Kind::Gang, true)),
+        timed_job(6, 3, |s| {
             s.types = Some(vec!["unheard".into(), "g4".into()])
         }),
-        of(7, 30, |s| (s.one_zone, s.zone) = (true, Some("a".into()))),
-        of(8, 12, |s| s.kind = Kind::Gang),
-        of(9, 2, |s| s.gpus = 4.0),
-        of(10, 3, |s| (s.cores, s.gpus, s.mem_gb) = (0.0, 0.0, 0.0)),
-        of(11, 2, |s| (s.estimate_s, s.deadline_s) = (0.0, Some(0.0))),
+        timed_job(7, 30, |s| (s.one_zone, s.zone) = (true, Some("a".into()))),
+        timed_job(8, 12, |s| s.kind = Kind::Gang),
+        timed_job(9, 2, |s| s.gpus = 4.0),
+        timed_job(10, 3, |s| (s.cores, s.gpus, s.mem_gb) = (0.0, 0.0, 0.0)),
+        timed_job(11, 2, |s| (s.estimate_s, s.deadline_s) = (0.0, Some(0.0))),
     ];
     let all = jobs.len();
     for seed in 0..2 {
