--- a/crates/standins/tests/odd_requests.rs
+++ b/crates/standins/tests/odd_requests.rs
@@ -1,5 +1,5 @@
-//! Submissions with a fault, those that can never run, and what is odd and can: told alike by every node before, while
-//! and after the leader ends, and run if accepted.
+//! Malformed submissions, submissions that can never run, and unusual but valid ones: every node answers them alike
+//! before, during and after a leader crash, and accepted ones run.
 
 use serde_json::{Value, json};
 use standins::scene::{Scene, Timed, array};
@@ -9,7 +9,7 @@
 use wire::api::{JobSpec, Kind};
 
 const NODES: usize = 3;
-/// A job that goes on, one that is done, and one that was cancelled, when the odd requests come.
+/// A job that is running, one that is done, and one that was cancelled when the odd requests are sent.
 const LIVE_JOB: &str = "job-001000";
 const DONE_JOB: &str = "job-001001";
 const CANCELLED_JOB: &str = "job-001002";
@@ -46,7 +46,7 @@
     world(seed, jobs.into_iter().chain([cancelled]).collect())
 }
 
-/// Changes that make a good submission an odd one, and what it is told.
+/// Field changes that make a valid submission malformed or impossible, each with the expected error text.
 fn rejected_submissions() -> Vec<(Value, &'static str)> {
     vec![
         (json!({"lot": null}), "invalid: lot: missing"),
@@ -92,7 +92,7 @@
     wire::encode(&spec)
 }
 
-/// Every node is sent every odd submission, under an id of its own and under those of the three jobs.
+/// Sends every odd submission to every node, under an ID of its own and under the IDs of the three jobs.
 fn send_all(world: &mut World) {
     for (i, (changes, _)) in rejected_submissions().iter().enumerate() {
         for job in [
@@ -105,12 +105,12 @@
                 world.send_at(node, job, body(job, changes));
             }
         }
-        // No faster than nodes may ask.
+        // Spaces the requests so that the nodes stay within their rate limit.
         world.run_for(400);
     }
 }
 
-/// What users are to be told, by job.
+/// The expected status code and text of definite responses, by job.
 fn expected_responses() -> BTreeMap<String, (u16, String)> {
     let status = |why: &str| if why.starts_with("invalid") { 400 } else { 422 };
     let rejected = |(i, (_, why)): (usize, &(Value, &str))| {
@@ -130,8 +130,8 @@
         .collect()
 }
 
-/// Definite answers are right, wherever and whenever they were given, and the others say when to come again. Returns how
-/// many were definite.
+/// Checks that definite responses are as expected, from any node at any time, and that all others give a time to retry.
+/// Returns the number of definite responses.
 fn count_checked_responses(answers: &[OddAnswer], what: &str) -> usize {
     let expected = expected_responses();
     let mut definite = 0;
@@ -141,7 +141,7 @@
             continue;
         }
         let (status, told) = &expected[&a.job];
-        // A job that goes on is called pending by whoever has only read that it is live.
+        // A node that has only read that a job is live reports it as pending.
         let same_text = a.told == *told || (a.job == LIVE_JOB && a.told == "Pending");
         assert!(
             a.status == *status && same_text && a.again_s.is_none(),
@@ -162,7 +162,7 @@
         world.run_for(2000);
         let before = count_checked_responses(&std::mem::take(&mut world.odd), "before");
         assert_eq!(before, sent, "seed {seed}");
-        let leader = world.leader_at().expect("somebody leads");
+        let leader = world.leader_at().expect("a node leads");
         world.crash_node(leader);
         send_all(&mut world);
         world.run_for(6000);
@@ -191,7 +191,7 @@
     }
 }
 
-/// A node that the state service refuses passes them on, and the peer's reason reaches the user.
+/// A node that is refused by the state service forwards submissions to a peer, and the peer's reason reaches the user.
 #[test]
 fn refused_node_gives_its_users_the_same_rejections() {
     let mut world = world_with_three_jobs(7);
@@ -205,7 +205,7 @@
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
 
-/// What is odd and accepted runs to its end: nothing is taken that waits for ever.
+/// Unusual submissions that are accepted run to their end: no job is accepted that would wait forever.
 #[test]
 fn unusual_but_valid_jobs_run_to_their_end() {
     let timed_job = |id, tasks, change: fn(&mut JobSpec)| {
