--- a/crates/standins/tests/users.rs
+++ b/crates/standins/tests/users.rs
@@ -34,7 +34,7 @@
     world
 }
 
-fn kept(world: &World) {
+fn assert_rules_kept(world: &World) {
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
     assert_eq!(
         world.rules.after_cancel.ordered, 0,
@@ -44,12 +44,15 @@
 }
 
 #[test]
-fn all_nodes_are_asked_within_milliseconds() {
+fn close_looks_poll_every_node_and_stop_with_the_fault() {
     let mut world = world(1, 8000, Sabotage::None);
-    let before = world.heard_by_users().judged;
+    let judged_before = world.heard_by_users().judged;
     world.bring(&Trouble::CloseLooks { ms: 20_000 });
     world.run_for(20_000);
-    let (asides, judged) = (world.asides(), world.heard_by_users().judged - before);
+    let (asides, judged) = (
+        world.asides(),
+        world.heard_by_users().judged - judged_before,
+    );
     // Five times each; each asks three nodes and submits there once more.
     assert!(
         asides.looks > 100 && asides.cancelled_at_once > 0,
@@ -65,11 +68,11 @@
         after.looks < asides.looks + 50,
         "over: {after:?} after {asides:?}"
     );
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
 #[test]
-fn many_are_cancelled_at_once_and_their_machines_hang() {
+fn cancels_complete_while_machines_hang() {
     // Within the lease of 15 s and beyond it.
     for (seed, hang_ms) in [(2, 8000), (3, 30_000), (4, 0)] {
         let mut world = world(seed, 90_000, Sabotage::None);
@@ -101,13 +104,13 @@
             hang_ms > 0,
             "{hang_ms}"
         );
-        kept(&world);
+        assert_rules_kept(&world);
     }
 }
 
 /// Some are cancelled before the end is known, and some too late.
 #[test]
-fn cancels_meet_the_end() {
+fn cancels_around_the_end_of_jobs_report_either_result() {
     let mut world = world(5, 5000, Sabotage::None);
     world.bring(&Trouble::CancelAtEnd {
         share: 1.0,
@@ -123,16 +126,17 @@
         cancelled > 2 && done > 2,
         "{cancelled} cancelled, {done} done"
     );
-    let whole = |j: &&standins::rules::Job| j.told_cancelled.is_some() && j.done.len() == 2;
+    let all_tasks_done =
+        |j: &&standins::rules::Job| j.told_cancelled.is_some() && j.done.len() == 2;
     assert!(
-        asked().filter(whole).count() > 0,
+        asked().filter(all_tasks_done).count() > 0,
         "none was cancelled after its last task had ended"
     );
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
 #[test]
-fn what_is_odd_is_refused() {
+fn odd_requests_are_refused() {
     let mut world = world(6, 8000, Sabotage::None);
     world.bring(&Trouble::OddRequests { ms: 30_000 });
     world.run_for(31_000);
@@ -142,33 +146,33 @@
         heard.odd_refused * 2 > odd && heard.odd_judged > heard.odd_refused,
         "{heard:?}"
     );
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
-fn fails(played: &Played, what: &str) -> bool {
+fn has_failure(played: &Played, what: &str) -> bool {
     played.failures.iter().any(|f| f.starts_with(what))
 }
 
 /// Each check of users' days fails when what it watches over is broken on purpose.
 #[test]
-fn every_check_of_users_can_fail() {
+fn each_user_sabotage_is_caught_by_its_check() {
     let plan = |name: &str| day(name, 1, 3).expect("a known day");
-    let unheard = sabotaged(plan("many-cancelled"), Sabotage::CancelsUnheard);
+    let outcome = sabotaged(plan("many-cancelled"), Sabotage::CancelsUnheard);
     assert!(
-        fails(&unheard, "ran_cancelled") && unheard.cancelled_life_ms > unheard.cancel_ms,
-        "{unheard:?}"
+        has_failure(&outcome, "ran_cancelled") && outcome.cancelled_life_ms > outcome.cancel_ms,
+        "{outcome:?}"
     );
-    let unheard = sabotaged(plan("asked-everywhere"), Sabotage::CancelsUnheard);
-    assert!(fails(&unheard, "ordered_cancelled"), "{unheard:?}");
+    let outcome = sabotaged(plan("asked-everywhere"), Sabotage::CancelsUnheard);
+    assert!(has_failure(&outcome, "ordered_cancelled"), "{outcome:?}");
     assert!(
-        unheard.after_cancel.started > 0 && unheard.after_cancel.ordered > 0,
-        "{unheard:?}"
+        outcome.after_cancel.started > 0 && outcome.after_cancel.ordered > 0,
+        "{outcome:?}"
     );
-    assert!(fails(
+    assert!(has_failure(
         &sabotaged(plan("asked-everywhere"), Sabotage::AnswersOlder),
         "older"
     ));
-    assert!(fails(
+    assert!(has_failure(
         &sabotaged(plan("odd-users"), Sabotage::AllAccepted),
         "accepted_unfit"
     ));
@@ -176,7 +180,7 @@
 
 /// A task that goes on after its machine hung counts, and a stop that it ignores is seen.
 #[test]
-fn what_goes_on_after_a_hang_is_seen() {
+fn tasks_that_ignore_stops_after_a_hang_are_reported() {
     let mut world = world(7, 90_000, Sabotage::StopsIgnored);
     world.bring(&Trouble::CancelNow {
         count: 5,
@@ -197,7 +201,7 @@
 const CANCELLED: Option<Stage> = Some(Stage::Cancelled);
 
 /// Answers as (received, asked, status, stage): whether the last of them is older than one before.
-fn is_older(history: &[(u64, u64, u16, Option<Stage>)]) -> bool {
+fn is_last_outdated(history: &[(u64, u64, u16, Option<Stage>)]) -> bool {
     let mut answers = Answers::default();
     let mut judge = |(now, asked, status, stage): &(u64, u64, u16, _)| {
         answers.told(*now, *asked, "job-1", *status, *stage)
@@ -208,41 +212,63 @@
 }
 
 #[test]
-fn older_answers_are_told_apart() {
+fn outdated_responses_are_detected() {
     let accepted = (10, 5, 201, PENDING);
     for status in [400, 404, 422] {
-        assert!(is_older(&[accepted, (13, 11, status, None)]), "{status}");
         assert!(
-            !is_older(&[accepted, (13, 10, status, None)]),
+            is_last_outdated(&[accepted, (13, 11, status, None)]),
+            "{status}"
+        );
+        assert!(
+            !is_last_outdated(&[accepted, (13, 10, status, None)]),
             "asked before it came: {status}"
         );
     }
     for status in [429, 503, 504, 0] {
-        assert!(!is_older(&[accepted, (13, 11, status, None)]), "{status}");
+        assert!(
+            !is_last_outdated(&[accepted, (13, 11, status, None)]),
+            "{status}"
+        );
     }
     for (ended, other) in [(DONE, CANCELLED), (CANCELLED, DONE)] {
-        let told = (20, 15, 200, ended);
-        assert!(!is_older(&[accepted, told, (30, 25, 200, ended)]));
-        assert!(is_older(&[accepted, told, (30, 25, 200, RUNNING)]));
-        assert!(is_older(&[accepted, told, (30, 25, 404, None)]));
+        let end_response = (20, 15, 200, ended);
+        assert!(!is_last_outdated(&[
+            accepted,
+            end_response,
+            (30, 25, 200, ended)
+        ]));
+        assert!(is_last_outdated(&[
+            accepted,
+            end_response,
+            (30, 25, 200, RUNNING)
+        ]));
+        assert!(is_last_outdated(&[
+            accepted,
+            end_response,
+            (30, 25, 404, None)
+        ]));
         assert!(
-            !is_older(&[accepted, told, (30, 20, 200, RUNNING)]),
+            !is_last_outdated(&[accepted, end_response, (30, 20, 200, RUNNING)]),
             "asked before it came"
         );
         // Of two ends one is wrong, whenever they were asked for.
-        assert!(is_older(&[accepted, told, (30, 10, 200, other)]));
+        assert!(is_last_outdated(&[
+            accepted,
+            end_response,
+            (30, 10, 200, other)
+        ]));
     }
     // Tasks may have been lost; before the acceptance nothing was known.
-    assert!(!is_older(&[
+    assert!(!is_last_outdated(&[
         accepted,
         (13, 11, 200, RUNNING),
         (16, 14, 200, PENDING)
     ]));
-    assert!(!is_older(&[(3, 1, 404, None), accepted]));
+    assert!(!is_last_outdated(&[(3, 1, 404, None), accepted]));
 }
 
 #[test]
-fn what_can_not_be_taken_is_refused_by_its_kind() {
+fn unfit_submissions_must_get_the_status_of_their_kind() {
     let mut answers = Answers::default();
     assert!(answers.sends("a", Unfit::Malformed, "no map".into()));
     assert!(answers.sends("b", Unfit::Impossible, "cores".into()));
@@ -301,7 +327,7 @@
 
 /// A cancel is asked for until it is told, though the node that was asked first ends.
 #[test]
-fn a_cancel_aside_is_asked_for_until_it_is_told() {
+fn extra_cancels_are_retried_until_confirmed() {
     let mut world = world(8, 90_000, Sabotage::None);
     world.bring(&Trouble::CancelNow {
         count: 5,
@@ -314,7 +340,7 @@
     world.run_for(20_000);
     let asked = || world.rules.jobs.values().filter(|j| j.cancel_asked);
     assert!(asked().count() == 5 && asked().all(|j| j.told_cancelled.is_some()));
-    kept(&world);
+    assert_rules_kept(&world);
 }
 
 /// Four a second for two minutes: none of them waits for the others, and what each takes of the state service is told.
@@ -332,12 +358,12 @@
 }
 
 #[test]
-fn days_of_users_repeat() {
-    let seen = || {
+fn user_scenarios_are_deterministic() {
+    let run = || {
         format!(
             "{:?}",
             play(day("asked-everywhere-troubled", 3, 5).expect("a known day")).1
         )
     };
-    assert_eq!(seen(), seen());
+    assert_eq!(run(), run());
 }
