--- a/crates/standins/tests/users.rs
+++ b/crates/standins/tests/users.rs
@@ -1,4 +1,5 @@
-//! What users do beside their usual questions does what it says, and each check of their answers can fail.
+//! Extra user actions outside the regular submit, poll and cancel sequence have their documented effect, and each check
+//! of the responses to users can fail.
 
 use standins::checks::answers::{Answers, Unfit};
 use standins::checks::starts::AfterCancel;
@@ -10,7 +11,7 @@
 use standins::world::{Plan, Sabotage, World};
 use wire::api::Stage;
 
-/// Jobs of two tasks of so long every second and a half, half a minute of it.
+/// Submits a job of two tasks with the given run time every 1.5 s, and runs the first 30 s.
 fn world(seed: u64, run_ms: u64, sabotage: Sabotage) -> World {
     let job = |i: u32| Timed {
         at: 1000 + u64::from(i) * 1500,
@@ -53,7 +54,7 @@
         world.asides(),
         world.heard_by_users().judged - judged_before,
     );
-    // Five times each; each asks three nodes and submits there once more.
+    // Each look polls three nodes and submits the job there again.
     assert!(
         asides.looks > 100 && asides.cancelled_at_once > 0,
         "{asides:?}"
@@ -66,14 +67,14 @@
     let after = world.asides();
     assert!(
         after.looks < asides.looks + 50,
-        "over: {after:?} after {asides:?}"
+        "looks continued after the fault: {after:?} after {asides:?}"
     );
     assert_rules_kept(&world);
 }
 
 #[test]
 fn cancels_complete_while_machines_hang() {
-    // Within the lease of 15 s and beyond it.
+    // Hangs shorter and longer than the lease of 15 s, and none.
     for (seed, hang_ms) in [(2, 8000), (3, 30_000), (4, 0)] {
         let mut world = world(seed, 90_000, Sabotage::None);
         let (sessions, lost) = (world.sessions_lost(), world.lost);
@@ -90,7 +91,7 @@
         assert_eq!(asides.hung > 0, hang_ms > 0, "{asides:?}");
         assert!(asides.hung <= 8, "{asides:?}");
         world.run_for(60_000);
-        // Beyond the lease, whatever is on them ends with their session, or with them.
+        // If a machine hangs for longer than the lease, its tasks end with its session, or with the machine.
         if hang_ms > 15_000 {
             assert!(
                 world.sessions_lost() > sessions || world.lost > lost,
@@ -108,7 +109,7 @@
     }
 }
 
-/// Some are cancelled before the end is known, and some too late.
+/// Some jobs are cancelled before their end is known, and some too late.
 #[test]
 fn cancels_around_the_end_of_jobs_report_either_result() {
     let mut world = world(5, 5000, Sabotage::None);
@@ -153,10 +154,10 @@
     played.failures.iter().any(|f| f.starts_with(what))
 }
 
-/// Each check of users' days fails when what it watches over is broken on purpose.
+/// Each check of the user scenarios fails when what it guards is broken on purpose.
 #[test]
 fn each_user_sabotage_is_caught_by_its_check() {
-    let plan = |name: &str| day(name, 1, 3).expect("a known day");
+    let plan = |name: &str| day(name, 1, 3).expect("a known scenario");
     let outcome = sabotaged(plan("many-cancelled"), Sabotage::CancelsUnheard);
     assert!(
         has_failure(&outcome, "ran_cancelled") && outcome.cancelled_life_ms > outcome.cancel_ms,
@@ -178,7 +179,7 @@
     ));
 }
 
-/// A task that goes on after its machine hung counts, and a stop that it ignores is seen.
+/// A task that continues after its machine hung is counted, and an ignored stop is reported.
 #[test]
 fn tasks_that_ignore_stops_after_a_hang_are_reported() {
     let mut world = world(7, 90_000, Sabotage::StopsIgnored);
@@ -200,13 +201,13 @@
 const DONE: Option<Stage> = Some(Stage::Done);
 const CANCELLED: Option<Stage> = Some(Stage::Cancelled);
 
-/// Answers as (received, asked, status, stage): whether the last of them is older than one before.
+/// Takes responses as (received, asked, status, stage). Whether the last one is older than one of the others.
 fn is_last_outdated(history: &[(u64, u64, u16, Option<Stage>)]) -> bool {
     let mut answers = Answers::default();
     let mut judge = |(now, asked, status, stage): &(u64, u64, u16, _)| {
         answers.told(*now, *asked, "job-1", *status, *stage)
     };
-    let (last, before) = history.split_last().expect("some answer");
+    let (last, before) = history.split_last().expect("a response");
     assert!(before.iter().all(|a| judge(a).is_none()), "{history:?}");
     judge(last).is_some()
 }
@@ -221,7 +222,7 @@
         );
         assert!(
             !is_last_outdated(&[accepted, (13, 10, status, None)]),
-            "asked before it came: {status}"
+            "requested before the earlier response arrived: {status}"
         );
     }
     for status in [429, 503, 504, 0] {
@@ -249,16 +250,16 @@
         ]));
         assert!(
             !is_last_outdated(&[accepted, end_response, (30, 20, 200, RUNNING)]),
-            "asked before it came"
+            "requested before the earlier response arrived"
         );
-        // Of two ends one is wrong, whenever they were asked for.
+        // Of two different ends one is wrong, whenever the requests were sent.
         assert!(is_last_outdated(&[
             accepted,
             end_response,
             (30, 10, 200, other)
         ]));
     }
-    // Tasks may have been lost; before the acceptance nothing was known.
+    // Running jobs may become pending again because tasks were lost, and a job is unknown before it is accepted.
     assert!(!is_last_outdated(&[
         accepted,
         (13, 11, 200, RUNNING),
@@ -325,7 +326,7 @@
     );
 }
 
-/// A cancel is asked for until it is told, though the node that was asked first ends.
+/// An extra cancel is retried until it is confirmed, even if all nodes crash.
 #[test]
 fn extra_cancels_are_retried_until_confirmed() {
     let mut world = world(8, 90_000, Sabotage::None);
@@ -343,13 +344,13 @@
     assert_rules_kept(&world);
 }
 
-/// Four a second for two minutes: none of them waits for the others, and what each takes of the state service is told.
+/// Four jobs per second for two minutes: no check fails, and the number of state changes per job is bounded.
 #[test]
 fn one_task_jobs_cost_the_state_service_a_bounded_number_of_changes() {
-    let (_, played) = play(day("one-task-jobs", 0, 3).expect("a known day"));
+    let (_, played) = play(day("one-task-jobs", 0, 3).expect("a known scenario"));
     assert!(played.failures.is_empty(), "{:?}", played.failures);
     assert!(played.verdict.jobs > 480, "{}", played.verdict.jobs);
-    println!("changes for each job: {:.2}", played.changes_per_job);
+    println!("state changes per job: {:.2}", played.changes_per_job);
     assert!(
         played.changes_per_job > 1.0 && played.changes_per_job < 20.0,
         "{}",
@@ -362,7 +363,7 @@
     let run = || {
         format!(
             "{:?}",
-            play(day("asked-everywhere-troubled", 3, 5).expect("a known day")).1
+            play(day("asked-everywhere-troubled", 3, 5).expect("a known scenario")).1
         )
     };
     assert_eq!(run(), run());
