--- a/crates/standins/tests/quotas.rs
+++ b/crates/standins/tests/quotas.rs
@@ -20,7 +20,7 @@
 }
 
 /// One house with two desks, another with one; four teams.
-fn houses() -> Spec {
+fn quota_tree() -> Spec {
     Spec {
         nodes: vec![
             node("north", None, 12.0, 16.0),
@@ -65,17 +65,17 @@
 }
 
 /// GPUs that a team's tasks have now.
-fn uses(world: &World, team: &str) -> usize {
-    let of = |task: &String| {
+fn gpus_used_by(world: &World, team: &str) -> usize {
+    let is_of_team = |task: &String| {
         let job = wire::ids::parse_task(task).and_then(|(id, _)| world.rules.jobs.get(id));
         job.and_then(|j| j.spec.as_ref())
             .is_some_and(|s| s.team == team)
     };
-    world.on_machines().iter().filter(|t| of(t)).count()
+    world.on_machines().iter().filter(|t| is_of_team(t)).count()
 }
 
 /// The version in force, with all its parts, and nothing besides in the state service.
-fn whole(world: &World, scene: &Scene) -> u64 {
+fn assert_whole_tree(world: &World, scene: &Scene) -> u64 {
     let (version, _) = scene.tree_in(&world.state, false).expect("a whole tree");
     let parts = world
         .state
@@ -93,9 +93,9 @@
 }
 
 /// Jobs of all teams, and operators who shrink, move and replace while anything may fail.
-fn drawn(seed: u64) -> Scene {
+fn random_scene(seed: u64) -> Scene {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut scene = scene().tree(1000, "first", &houses());
+    let mut scene = scene().tree(1000, "first", &quota_tree());
     for i in 0..40u32 {
         let team = ["red", "blue", "green", "amber"][rng.usize(0..4)];
         let mut spec = array(1000 + i, team, rng.u32(1..9), 15.0);
@@ -112,7 +112,7 @@
             spec,
         });
     }
-    let mut smaller = houses();
+    let mut smaller = quota_tree();
     smaller.nodes[0].max = gpus(12.0);
     smaller.nodes[1].over = if rng.bool() {
         Over::Reclaim
@@ -151,10 +151,10 @@
 /// Whatever fails, no node is above its bound, each version is whole, each change is made at most once, and all that
 /// was accepted ends.
 #[test]
-fn inner_limits_hold_under_any_faults() {
+fn node_limits_hold_under_random_faults() {
     let mut versions = 0;
     for seed in 0..60 {
-        let scene = drawn(seed);
+        let scene = random_scene(seed);
         let mut world = World::new(Plan {
             calm: false,
             ..plan_of(
@@ -193,7 +193,7 @@
             world.changes
         );
         assert_eq!(
-            whole(&world, &scene),
+            assert_whole_tree(&world, &scene),
             made as u64,
             "seed {seed}: a version for each change that was made"
         );
@@ -211,8 +211,8 @@
 
 /// The checker sees a node above its bound when the controllers were told another one.
 #[test]
-fn the_check_of_inner_limits_can_fail() {
-    let scene = scene().tree(1000, "first", &houses());
+fn raised_node_limits_are_caught_by_the_check() {
+    let scene = scene().tree(1000, "first", &quota_tree());
     let jobs = (0..6)
         .map(|i| timed(100_000, 30_000, array(1000 + i, "red", 8, 30.0)))
         .collect();
@@ -232,8 +232,8 @@
 /// A tree of many records, and a change of it whose leader crashes at each step: the old or the new version is whole,
 /// the operator who asks again is told of one change, and nothing is left over.
 #[test]
-fn a_mover_that_dies_at_any_step_leaves_one_whole_tree() {
-    let mut large = houses();
+fn leader_crash_at_any_step_of_a_change_leaves_one_complete_tree() {
+    let mut large = quota_tree();
     for i in 0..260 {
         let name = format!("desk-{i}-with-a-name-that-takes-some-room");
         large.nodes.push(NodeSpec {
@@ -242,16 +242,16 @@
         });
     }
     for nodes in [3, 7] {
-        let mut deaths = 0;
+        let mut crashes = 0;
         for step in 0..24u64 {
             let scene = scene()
-                .tree(5000, "first", &houses())
+                .tree(5000, "first", &quota_tree())
                 .tree(20_000, "large", &large);
             let mut world = world(step, nodes, scene.clone());
             world.run_for(20_000 + step * 2);
             world.doom_leader();
             world.run_for(500);
-            deaths += usize::from(!world.changes.contains_key("large"));
+            crashes += usize::from(!world.changes.contains_key("large"));
             world.run_for(60_000);
             assert!(
                 world.rules.broken.is_empty(),
@@ -259,19 +259,22 @@
                 world.rules.broken
             );
             assert_eq!(world.changes["large"], (200, 2), "step {step}");
-            assert_eq!(whole(&world, &scene), 2, "step {step}");
+            assert_eq!(assert_whole_tree(&world, &scene), 2, "step {step}");
             let (_, tree) = scene.tree_in(&world.state, false).expect("whole");
             assert_eq!(tree.nodes.len(), large.nodes.len());
         }
-        assert!(deaths >= 5, "only {deaths} owners died in the midst of it");
+        assert!(
+            crashes >= 5,
+            "only {crashes} owners died in the midst of it"
+        );
     }
 }
 
 /// Two operators at once: one change is made, the other operator is told which version is in force.
 #[test]
-fn one_of_two_changes_at_once_is_a_conflict() {
+fn one_of_two_concurrent_changes_is_a_conflict() {
     for seed in 0..10 {
-        let mut scene = scene().tree(5000, "first", &houses());
+        let mut scene = scene().tree(5000, "first", &quota_tree());
         // In the midst of the other one, or well after it.
         let later = if seed < 7 { seed } else { 1000 * seed };
         for (id, at) in [("a", 20_000), ("b", 20_000 + later)] {
@@ -291,19 +294,19 @@
             matches!(ended[1].1, 1 | 2),
             "seed {seed}: the version is named"
         );
-        assert_eq!(whole(&world, &scene), 2);
+        assert_eq!(assert_whole_tree(&world, &scene), 2);
     }
 }
 
 /// An id that is remembered cut made each repeat another change.
 #[test]
-fn a_change_without_a_good_id_is_refused() {
+fn change_with_an_invalid_id_is_refused() {
     let mut scene = scene();
     let ids = [String::new(), "x".repeat(41), "a\nb".to_owned()];
     for id in &ids {
         scene
             .changes
-            .push((5000, change(id, None, Edit::Set { spec: houses() })));
+            .push((5000, change(id, None, Edit::Set { spec: quota_tree() })));
     }
     let mut world = world(1, 3, scene);
     world.run_for(10_000);
@@ -314,9 +317,9 @@
 
 /// What runs above a bound that shrinks is stopped within seconds, and no more than that; or left to end.
 #[test]
-fn a_shrunk_node_comes_back_to_its_bound() {
+fn usage_above_a_reduced_limit_is_reclaimed_or_left_to_end() {
     for over in [Over::Reclaim, Over::LetEnd] {
-        let mut tree = houses();
+        let mut tree = quota_tree();
         tree.nodes[1].over = over;
         let mut scene = scene().tree(2000, "first", &tree);
         scene.jobs = vec![timed(5000, 90_000, array(1000, "red", 10, 90.0))];
@@ -329,7 +332,7 @@
         scene.changes.push((40_000, change("less", None, edit)));
         let mut world = world(1, 3, scene);
         world.run_for(39_000);
-        assert_eq!(uses(&world, "red"), 10);
+        assert_eq!(gpus_used_by(&world, "red"), 10);
         world.run_for(16_000);
         let (kept, stopped) = if over == Over::Reclaim {
             (6, 4)
@@ -337,7 +340,7 @@
             (10, 0)
         };
         assert_eq!(
-            (uses(&world, "red"), world.stopped),
+            (gpus_used_by(&world, "red"), world.stopped),
             (kept, stopped),
             "{over:?}"
         );
@@ -352,8 +355,8 @@
 
 /// A team moves with what it runs: from then on that counts where it has come to, and no longer where it was.
 #[test]
-fn a_team_moves_with_running_and_pending_work() {
-    let mut scene = scene().tree(2000, "first", &houses());
+fn team_moves_with_running_and_pending_work() {
+    let mut scene = scene().tree(2000, "first", &quota_tree());
     scene.jobs = vec![
         timed(5000, 120_000, array(1000, "red", 6, 120.0)),
         timed(5000, 120_000, array(1001, "green", 8, 120.0)),
@@ -369,18 +372,20 @@
     world.run_for(69_000);
     // The house may use 16: 14 were taken when blue came.
     assert_eq!(
-        (uses(&world, "red") + uses(&world, "green") + uses(&world, "blue")),
+        (gpus_used_by(&world, "red")
+            + gpus_used_by(&world, "green")
+            + gpus_used_by(&world, "blue")),
         16
     );
     world.run_for(30_000);
     assert_eq!(world.changes["move"], (200, 2));
-    let film = uses(&world, "red") + uses(&world, "green");
+    let film_gpus = gpus_used_by(&world, "red") + gpus_used_by(&world, "green");
     assert!(
-        film <= 12,
-        "the other desk may use 12, its teams use {film}"
+        film_gpus <= 12,
+        "the other desk may use 12, its teams use {film_gpus}"
     );
     assert!(
-        uses(&world, "blue") >= 4,
+        gpus_used_by(&world, "blue") >= 4,
         "the room at its own desk is blue's now"
     );
     world.run_for(600_000);
@@ -394,8 +399,8 @@
 /// One desk floods the queue with work that runs for minutes, of the highest urgency. Its siblings and the other house
 /// have what they are guaranteed within a minute of asking for it, also when the leader is lost just then.
 #[test]
-fn a_flood_does_not_starve_the_neighbours() {
-    let mut scene = scene().tree(1000, "first", &houses());
+fn flood_of_one_team_does_not_starve_other_teams() {
+    let mut scene = scene().tree(1000, "first", &quota_tree());
     // Eighteen GPUs, which is what is guaranteed.
     scene.machines = 9;
     for i in 0..60 {
@@ -415,17 +420,20 @@
     for nodes in [3, 7] {
         let mut world = world(1, nodes, scene.clone());
         world.run_for(59_000);
-        let flood = uses(&world, "green");
-        assert!(flood >= 11, "the flood has what it may: {flood}");
+        let flooding_gpus = gpus_used_by(&world, "green");
+        assert!(
+            flooding_gpus >= 11,
+            "the flood has what it may: {flooding_gpus}"
+        );
         world.run_for(2000);
         if nodes == 7 {
             world.doom_leader();
         }
         world.run_for(59_000);
-        let has = ["red", "blue", "amber"].map(|t| uses(&world, t));
-        assert!(has[0] >= 2 && has[1] >= 2 && has[2] >= 4, "{has:?}");
+        let used = ["red", "blue", "amber"].map(|t| gpus_used_by(&world, t));
+        assert!(used[0] >= 2 && used[1] >= 2 && used[2] >= 4, "{used:?}");
         assert!(
-            uses(&world, "green") >= 4,
+            gpus_used_by(&world, "green") >= 4,
             "and what it is guaranteed itself"
         );
         assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
@@ -435,12 +443,12 @@
 /// A head from a later program, or with a part that is missing: the last good tree stays in force as long as somebody
 /// has it; a leader that has none starts nothing, until an operator puts a good one in its place.
 #[test]
-fn a_tree_that_does_not_check_out_is_refused() {
+fn invalid_tree_is_refused_and_the_last_valid_one_kept() {
     for (format, parts) in [
         (99, vec![]),
         (1, vec!["0123456789abcdef01234567".to_owned()]),
     ] {
-        let mut scene = scene().tree(2000, "first", &houses());
+        let mut scene = scene().tree(2000, "first", &quota_tree());
         for i in 0..12 {
             scene.jobs.push(timed(
                 20_000 + 5000 * i,
@@ -448,7 +456,7 @@
                 array(1000 + i as u32, "red", 6, 9.0),
             ));
         }
-        let again = Edit::Set { spec: houses() };
+        let again = Edit::Set { spec: quota_tree() };
         scene
             .changes
             .push((110_000, change("mended", Some(2), again)));
@@ -465,19 +473,22 @@
         world.write(wire::api::Write::put(wire::records::QUOTA.into(), bad));
         world.run_for(30_000);
         assert!(
-            uses(&world, "red") > 0 && uses(&world, "red") <= 10,
+            gpus_used_by(&world, "red") > 0 && gpus_used_by(&world, "red") <= 10,
             "the last good one stays in force"
         );
         world.doom_leader();
         world.run_for(20_000);
-        let before = world.rules.starts;
+        let starts_before = world.rules.starts;
         world.run_for(10_000);
-        assert!(world.rules.starts > before, "the next owner has it too");
+        assert!(
+            world.rules.starts > starts_before,
+            "the next owner has it too"
+        );
         world.crash_all();
         world.run_for(15_000);
-        let before = world.rules.starts;
+        let starts_before = world.rules.starts;
         world.run_for(20_000);
-        assert_eq!(world.rules.starts, before, "nobody has it any more");
+        assert_eq!(world.rules.starts, starts_before, "nobody has it any more");
         world.run_for(200_000);
         assert_eq!(world.changes["mended"], (200, 3));
         assert!(
@@ -485,19 +496,19 @@
             "{:?}",
             world.rules.broken
         );
-        assert_eq!(whole(&world, &scene), 3);
+        assert_eq!(assert_whole_tree(&world, &scene), 3);
     }
 }
 
 /// The allotment listed every team in one record: with more than some hundred it was refused as too large, and
 /// nothing ever started.
 #[test]
-fn a_thousand_teams_fit() {
+fn thousand_teams_fit_into_the_records() {
     let mut scene = Scene {
         machines: 8,
         ..Scene::default()
     };
-    let mut tree = houses();
+    let mut tree = quota_tree();
     tree.teams.clear();
     for i in 0..1000 {
         let name = format!("team-{i}-with-a-name-of-its-own");
@@ -520,16 +531,19 @@
         world.rules.broken
     );
     assert_eq!(
-        (world.state.counts.too_large, whole(&world, &scene)),
+        (
+            world.state.counts.too_large,
+            assert_whole_tree(&world, &scene)
+        ),
         (0, 1)
     );
 }
 
 /// The head and the allotment came on top of as many ends as a transaction takes: it was refused as too large.
 #[test]
-fn a_change_amid_many_ends_fits_into_its_transaction() {
+fn change_during_many_job_ends_fits_into_its_transaction() {
     for seed in 0..12u64 {
-        let mut scene = scene().tree(2000, "first", &houses());
+        let mut scene = scene().tree(2000, "first", &quota_tree());
         scene.machines = 12;
         for i in 0..24 {
             let team = ["amber", "green"][i % 2];
@@ -539,7 +553,7 @@
         }
         // All end within some tenths of a second, and are told with the next reports.
         for k in 0..12 {
-            let edit = Edit::Set { spec: houses() };
+            let edit = Edit::Set { spec: quota_tree() };
             scene.changes.push((
                 27_000 + k * 250 + seed * 20,
                 change(&format!("c{k}"), None, edit),
@@ -558,6 +572,6 @@
             .values()
             .filter(|(status, _)| *status == 200)
             .count();
-        assert_eq!(whole(&world, &scene), made as u64);
+        assert_eq!(assert_whole_tree(&world, &scene), made as u64);
     }
 }
