--- a/crates/standins/tests/quotas.rs
+++ b/crates/standins/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Nested quotas in virtual time: floods, shrinks and moves under crashes, late and repeated transactions.
+//! Nested quotas in virtual time: floods, reduced limits and moves under crashes, late and repeated transactions.
 
 use quota::{Amounts, NodeSpec, Over, Spec, TeamSpec};
 use standins::scene::{Scene, Timed, array, change};
@@ -19,7 +19,7 @@
     }
 }
 
-/// One house with two desks, another with one; four teams.
+/// A quota tree with one top-level node that has two children, another without children, and four teams.
 fn quota_tree() -> Spec {
     Spec {
         nodes: vec![
@@ -64,7 +64,7 @@
     }
 }
 
-/// GPUs that a team's tasks have now.
+/// Number of GPUs that a team's tasks use now.
 fn gpus_used_by(world: &World, team: &str) -> usize {
     let is_of_team = |task: &String| {
         let job = wire::ids::parse_task(task).and_then(|(id, _)| world.rules.jobs.get(id));
@@ -74,9 +74,9 @@
     world.on_machines().iter().filter(|t| is_of_team(t)).count()
 }
 
-/// The version in force, with all its parts, and nothing besides in the state service.
+/// Checks that the state service holds all parts of the current version and no others, and returns that version.
 fn assert_whole_tree(world: &World, scene: &Scene) -> u64 {
-    let (version, _) = scene.tree_in(&world.state, false).expect("a whole tree");
+    let (version, _) = scene.tree_in(&world.state, false).expect("a complete tree");
     let parts = world
         .state
         .keys
@@ -87,12 +87,12 @@
     assert_eq!(
         parts,
         head.as_array().map_or(0, Vec::len),
-        "parts that no version names"
+        "parts that the current version does not reference"
     );
     version
 }
 
-/// Jobs of all teams, and operators who shrink, move and replace while anything may fail.
+/// Jobs of all teams, and operators who reduce limits, move teams and replace the tree during random faults.
 fn random_scene(seed: u64) -> Scene {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut scene = scene().tree(1000, "first", &quota_tree());
@@ -148,8 +148,8 @@
     scene
 }
 
-/// Whatever fails, no node is above its bound, each version is whole, each change is made at most once, and all that
-/// was accepted ends.
+/// Under random faults, no node exceeds its limit, each version is complete, each change is made at most once, and all
+/// accepted jobs end.
 #[test]
 fn node_limits_hold_under_random_faults() {
     let mut versions = 0;
@@ -195,7 +195,7 @@
         assert_eq!(
             assert_whole_tree(&world, &scene),
             made as u64,
-            "seed {seed}: a version for each change that was made"
+            "seed {seed}: number of versions and of applied changes"
         );
         versions += made;
     }
@@ -209,7 +209,7 @@
     }
 }
 
-/// The checker sees a node above its bound when the controllers were told another one.
+/// The check reports a node above its limit when the controllers received a higher limit.
 #[test]
 fn raised_node_limits_are_caught_by_the_check() {
     let scene = scene().tree(1000, "first", &quota_tree());
@@ -229,8 +229,8 @@
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
 
-/// A tree of many records, and a change of it whose leader crashes at each step: the old or the new version is whole,
-/// the operator who asks again is told of one change, and nothing is left over.
+/// The leader crashes at each step of a change to a tree of many records: the old or the new version is complete, the
+/// operator who retries gets the response of a single change, and no records are left over.
 #[test]
 fn leader_crash_at_any_step_of_a_change_leaves_one_complete_tree() {
     let mut large = quota_tree();
@@ -260,22 +260,23 @@
             );
             assert_eq!(world.changes["large"], (200, 2), "step {step}");
             assert_eq!(assert_whole_tree(&world, &scene), 2, "step {step}");
-            let (_, tree) = scene.tree_in(&world.state, false).expect("whole");
+            let (_, tree) = scene.tree_in(&world.state, false).expect("a complete tree");
             assert_eq!(tree.nodes.len(), large.nodes.len());
         }
         assert!(
             crashes >= 5,
-            "only {crashes} owners died in the midst of it"
+            "only {crashes} leaders crashed during the change"
         );
     }
 }
 
-/// Two operators at once: one change is made, the other operator is told which version is in force.
+/// Two operators change the tree at the same time: one change is made, and the other operator gets a conflict with the
+/// current version.
 #[test]
 fn one_of_two_concurrent_changes_is_a_conflict() {
     for seed in 0..10 {
         let mut scene = scene().tree(5000, "first", &quota_tree());
-        // In the midst of the other one, or well after it.
+        // During the other change, or well after it.
         let later = if seed < 7 { seed } else { 1000 * seed };
         for (id, at) in [("a", 20_000), ("b", 20_000 + later)] {
             let edit = Edit::Move {
@@ -292,13 +293,13 @@
         assert_eq!(ended[1].0, 409, "seed {seed}");
         assert!(
             matches!(ended[1].1, 1 | 2),
-            "seed {seed}: the version is named"
+            "seed {seed}: the conflict names the version"
         );
         assert_eq!(assert_whole_tree(&world, &scene), 2);
     }
 }
 
-/// An id that is remembered cut made each repeat another change.
+/// Guards against a fault in which a truncated ID was stored, so that each retry made another change.
 #[test]
 fn change_with_an_invalid_id_is_refused() {
     let mut scene = scene();
@@ -315,7 +316,7 @@
     assert!(!world.state.keys.contains_key(wire::records::QUOTA));
 }
 
-/// What runs above a bound that shrinks is stopped within seconds, and no more than that; or left to end.
+/// Tasks above a reduced limit are preempted within seconds, and no others; or they are left to end.
 #[test]
 fn usage_above_a_reduced_limit_is_reclaimed_or_left_to_end() {
     for over in [Over::Reclaim, Over::LetEnd] {
@@ -353,14 +354,14 @@
     }
 }
 
-/// A team moves with what it runs: from then on that counts where it has come to, and no longer where it was.
+/// A team moves with its running tasks: from then on they count at the new parent, and no longer at the old one.
 #[test]
 fn team_moves_with_running_and_pending_work() {
     let mut scene = scene().tree(2000, "first", &quota_tree());
     scene.jobs = vec![
         timed(5000, 120_000, array(1000, "red", 6, 120.0)),
         timed(5000, 120_000, array(1001, "green", 8, 120.0)),
-        // Waits for room at the first desk, since red has what blue leaves.
+        // Waits for quota of node `news`, the rest of which red uses.
         timed(30_000, 60_000, array(1002, "blue", 6, 60.0)),
     ];
     let edit = Edit::Move {
@@ -370,7 +371,7 @@
     scene.changes.push((70_000, change("move", None, edit)));
     let mut world = world(1, 3, scene);
     world.run_for(69_000);
-    // The house may use 16: 14 were taken when blue came.
+    // The limit of node `north` is 16, of which 14 were used when blue's job arrived.
     assert_eq!(
         (gpus_used_by(&world, "red")
             + gpus_used_by(&world, "green")
@@ -382,11 +383,11 @@
     let film_gpus = gpus_used_by(&world, "red") + gpus_used_by(&world, "green");
     assert!(
         film_gpus <= 12,
-        "the other desk may use 12, its teams use {film_gpus}"
+        "the limit of film is 12, its teams use {film_gpus}"
     );
     assert!(
         gpus_used_by(&world, "blue") >= 4,
-        "the room at its own desk is blue's now"
+        "blue may use the quota that red left"
     );
     world.run_for(600_000);
     assert!(
@@ -396,12 +397,12 @@
     );
 }
 
-/// One desk floods the queue with work that runs for minutes, of the highest urgency. Its siblings and the other house
-/// have what they are guaranteed within a minute of asking for it, also when the leader is lost just then.
+/// One node floods the queue with tasks of the highest priority that run for minutes. Its sibling and the other
+/// top-level node get their guarantee within a minute of the request, also if the leader crashes at that time.
 #[test]
 fn flood_of_one_team_does_not_starve_other_teams() {
     let mut scene = scene().tree(1000, "first", &quota_tree());
-    // Eighteen GPUs, which is what is guaranteed.
+    // Eighteen GPUs, which is the sum of the guarantees.
     scene.machines = 9;
     for i in 0..60 {
         let mut spec = array(1000 + i, "green", 4, 240.0);
@@ -423,7 +424,7 @@
         let flooding_gpus = gpus_used_by(&world, "green");
         assert!(
             flooding_gpus >= 11,
-            "the flood has what it may: {flooding_gpus}"
+            "the flooding team uses up to its limit: {flooding_gpus}"
         );
         world.run_for(2000);
         if nodes == 7 {
@@ -434,14 +435,14 @@
         assert!(used[0] >= 2 && used[1] >= 2 && used[2] >= 4, "{used:?}");
         assert!(
             gpus_used_by(&world, "green") >= 4,
-            "and what it is guaranteed itself"
+            "the flooding team keeps its own guarantee"
         );
         assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
     }
 }
 
-/// A head from a later program, or with a part that is missing: the last good tree stays in force as long as somebody
-/// has it; a leader that has none starts nothing, until an operator puts a good one in its place.
+/// The head record has a newer format or references a missing part: the last valid tree stays in force as long as a
+/// node has it. A leader without a valid tree starts nothing until an operator writes a valid one.
 #[test]
 fn invalid_tree_is_refused_and_the_last_valid_one_kept() {
     for (format, parts) in [
@@ -460,7 +461,7 @@
         scene
             .changes
             .push((110_000, change("mended", Some(2), again)));
-        // Of these seeds another node follows; one that has crashed does not have the good tree.
+        // With these seeds another node takes over; a node that has crashed does not have the valid tree.
         let mut world = world(format as u64 + 7, 3, scene.clone());
         world.run_for(10_000);
         let quota = wire::tree::Head {
@@ -474,7 +475,7 @@
         world.run_for(30_000);
         assert!(
             gpus_used_by(&world, "red") > 0 && gpus_used_by(&world, "red") <= 10,
-            "the last good one stays in force"
+            "the last valid tree stays in force"
         );
         world.doom_leader();
         world.run_for(20_000);
@@ -482,13 +483,16 @@
         world.run_for(10_000);
         assert!(
             world.rules.starts > starts_before,
-            "the next owner has it too"
+            "the next leader has the valid tree too"
         );
         world.crash_all();
         world.run_for(15_000);
         let starts_before = world.rules.starts;
         world.run_for(20_000);
-        assert_eq!(world.rules.starts, starts_before, "nobody has it any more");
+        assert_eq!(
+            world.rules.starts, starts_before,
+            "no node has the valid tree any more"
+        );
         world.run_for(200_000);
         assert_eq!(world.changes["mended"], (200, 3));
         assert!(
@@ -500,8 +504,8 @@
     }
 }
 
-/// The allotment listed every team in one record: with more than some hundred it was refused as too large, and
-/// nothing ever started.
+/// Guards against a fault in which the allotment listed every team in one record: with more than a few hundred teams it
+/// was refused as too large, and no task was started.
 #[test]
 fn thousand_teams_fit_into_the_records() {
     let mut scene = Scene {
@@ -539,7 +543,8 @@
     );
 }
 
-/// The head and the allotment came on top of as many ends as a transaction takes: it was refused as too large.
+/// Guards against a fault in which the head and the allotment were added to a transaction that was already full of job
+/// ends, so that it was refused as too large.
 #[test]
 fn change_during_many_job_ends_fits_into_its_transaction() {
     for seed in 0..12u64 {
@@ -551,7 +556,7 @@
                 .jobs
                 .push(timed(10_000, 15_000, array(1000 + i as u32, team, 1, 15.0)));
         }
-        // All end within some tenths of a second, and are told with the next reports.
+        // All jobs end within a few tenths of a second, and the ends arrive with the next reports.
         for k in 0..12 {
             let edit = Edit::Set { spec: quota_tree() };
             scene.changes.push((
