--- a/crates/control/src/documents/counties.rs
+++ b/crates/control/src/documents/counties.rs
@@ -208,13 +208,11 @@
 fn unavailable_message(why: CountsUnavailable) -> &'static str {
     match why {
         CountsUnavailable::Unread(Unread::NotYet) => {
-            "counts are unavailable: their records are being read"
+            "counts are held back: their records are being read"
         }
         CountsUnavailable::Unread(Unread::Bad) => {
-            "counts are unavailable: one of their records can't be decoded"
-        }
-        CountsUnavailable::Behind => {
-            "counts are unavailable: the watch of live jobs is too far behind"
+            "counts are held back: a record of them can't be understood"
         }
+        CountsUnavailable::Behind => "counts are held back: acceptances were not seen far enough",
     }
 }
--- a/crates/control/src/documents/county_counts.rs
+++ b/crates/control/src/documents/county_counts.rs
@@ -271,7 +271,7 @@
                 (Some(number), Ok(sheet)) => self.counts.sheet_read(number, version, sheet),
                 _ => {
                     reading.all_decoded = false;
-                    log::error!("{key} can't be decoded: counts by county are unavailable");
+                    log::error!("{key} can't be understood: counts by county are held back");
                 }
             }
         }
--- a/crates/control/src/scheduling/apply_plan.rs
+++ b/crates/control/src/scheduling/apply_plan.rs
@@ -125,7 +125,7 @@
         };
         let grace_s = job.spec.as_deref().map_or(0.0, grace_period_s);
         log::info!(
-            "task {}/{} on {}: preempted to make room",
+            "task {}/{} on {}: stopped to make room",
             job.id,
             claim.task,
             machine.name
--- a/crates/hours/src/calendar.rs
+++ b/crates/hours/src/calendar.rs
@@ -152,7 +152,7 @@
         let at = match (parse_date_time(text), rules) {
             (Some(local), Some(rules)) if is_skipped(&rules.zone, local) => {
                 return Err(format!(
-                    "{text} does not exist in {studio}: its clocks are set forward past it"
+                    "{text} does not exist in {studio}: its clocks skip it"
                 ));
             }
             (Some(local), Some(rules)) => first_reached_ms(&rules.zone, local),
@@ -558,8 +558,7 @@
                 continue;
             };
             if is_skipped(&zone, local) {
-                let what =
-                    format!("{at} does not exist in {studio}: its clocks are set forward past it");
+                let what = format!("{at} does not exist in {studio}: its clocks skip it");
                 self.add_fault(AGREEMENT, i, job, "at", what);
                 continue;
             }
--- a/crates/stoathatch/src/ask.rs
+++ b/crates/stoathatch/src/ask.rs
@@ -54,7 +54,7 @@
             Ok(r) => {
                 let why = admin::decode(&r.body).unwrap_or_else(|_| Refused {
                     error: format!(
-                        "{node} responded with status {}; is the admin interface enabled ([admin] door = 1)?",
+                        "{node} answered {}; is the door open ([admin] door = 1)?",
                         r.status
                     ),
                     ..Refused::default()
