--- a/crates/control/src/jobs/admission.rs
+++ b/crates/control/src/jobs/admission.rs
@@ -1,5 +1,5 @@
-//! Admission of submissions. Any controller admits them, by one transaction with the state service, so that a repeated
-//! submission is accepted once.
+//! Admission of submitted jobs. Any controller can admit a job, by one conditional transaction with the state service,
+//! so that a repeated submission is accepted only once.
 
 use crate::jobs::feasibility::Infeasible;
 use crate::jobs::forwarding::ForwardedRequest;
@@ -15,14 +15,16 @@
 use wire::submission::{self, Fault, Malformed};
 
 const ACCEPT_TIMEOUT_MS: u64 = 700;
-/// A submission that the state service was too busy for is tried again so often, for so long, each time after this long.
+/// Maximum number of retries of a submission that the state service was too busy for.
 const MAX_RETRIES: u32 = 3;
+/// No retry is scheduled after this time since the first attempt.
 const RETRY_WINDOW_MS: u64 = 700;
+/// Delay before each retry.
 const RETRY_DELAY_MS: Range<u64> = 60..200;
-/// Users wait 5 s for a submission, of which our own try has taken some.
+/// Time left for a forwarded submission. Users wait 5 s, of which this node's own attempt has used a part.
 const FORWARDED_SUBMIT_DEADLINE_MS: u64 = 3500;
 
-/// A submission that is being accepted, since when, and how often that was tried before.
+/// A submission that is being accepted, with the time of the first attempt and the number of earlier ones.
 pub(crate) struct Submission {
     pub requester: Requester,
     pub spec: Box<JobSpec>,
@@ -30,7 +32,7 @@
     pub tries: u32,
 }
 
-/// Whether nothing but another version of a document stood against a transaction.
+/// Whether a transaction failed only on conditions about the versions of documents.
 fn only_heads_failed(response: &Response) -> bool {
     let failed = wire::decode::<Conflict>(&response.body)
         .map(|c| c.failed)
@@ -38,14 +40,14 @@
     !failed.is_empty() && failed.iter().all(|key| key.starts_with(records::SHARED))
 }
 
-/// Guards that hold only while the job is neither live nor ended.
+/// Conditions that hold only while the job has neither a live record nor an end record.
 fn absence_conditions(id: &str) -> [Condition; 2] {
     let is_absent = |key| Condition { key, version: 0 };
     [records::live_key(id), records::end_key(id)].map(is_absent)
 }
 
 impl Node {
-    /// What a user sent as a submission.
+    /// Handles a submission by a user.
     pub(super) fn submission_received(&mut self, conn: u64, body: &[u8]) {
         let read = submission::read(body);
         let id = read
@@ -68,7 +70,7 @@
         }
     }
 
-    /// A submission with a fault. A repeat of an accepted job is told its state whatever came with its id.
+    /// Handles a malformed submission. If a job with its id was accepted before, the answer is the state of that job.
     fn malformed(&mut self, requester: Requester, id: String, fault: Fault) {
         if !wire::ids::valid_job_id(&id) {
             return self.answer_error(requester, 400, &fault.to_string());
@@ -76,7 +78,7 @@
         self.query_for(requester, id, Purpose::Malformed(fault));
     }
 
-    /// A submission of a user, or one that a peer forwards for its user.
+    /// Handles a well-formed submission, from a user or forwarded by a peer.
     pub(super) fn submit(&mut self, requester: Requester, spec: JobSpec) {
         if let Err(fault) = self.check_form(&spec) {
             return self.malformed(requester, spec.id, fault);
@@ -96,12 +98,12 @@
             return self.forward_submission(conn, Box::new(spec));
         }
         let now = self.now.mono;
-        // What can never run writes nothing.
+        // The transaction for an infeasible job has conditions only and writes nothing.
         let writes = self.validated(&spec, self.now.wall).is_ok();
         if !self.has_room_to_admit(requester, writes) {
             return self.answer_error(requester, 429, "busy");
         }
-        // The leader sees all accepts, its own too, and counts them when they have been made.
+        // The leader watches all acceptances, its own included, and charges them to its write budget when it sees them.
         let counted_here = writes && !self.leads();
         self.writes.take(now, if counted_here { 1.0 } else { 0.0 });
         self.accept(Submission {
@@ -112,15 +114,16 @@
         });
     }
 
-    /// Whether a submission is one at all, whatever is in force now.
+    /// Checks what does not depend on the documents and machine types in force.
     fn check_form(&self, spec: &JobSpec) -> Result<(), Fault> {
         spec.check()?;
-        // Where smaller limits are to come, what was accepted under larger ones must not be refused: the judgement says
-        // it, under the conditions of the job's absence.
+        // With tighter limits announced, a job that was accepted under the earlier limits must not be refused on
+        // resubmission. The size is then checked with the feasibility, which is conditional on the job's absence.
         if self.write_limits.are_tight() {
             return Ok(());
         }
-        // As it is without what is bound to it: a repeat must not be refused for a later document.
+        // Measured without the data bound at acceptance: a resubmission must not be refused because of a later
+        // document.
         let rec = JobRecord::new(spec.clone(), self.now.wall, SHARD);
         if self.is_storable(&rec) {
             Ok(())
@@ -129,7 +132,7 @@
         }
     }
 
-    /// This node has only begun, and another may know the machine types.
+    /// Handles a submission while this node, just started, does not know the machine types. A peer may know them.
     fn submit_without_catalog(&mut self, requester: Requester, spec: JobSpec) {
         match requester {
             Requester::User(conn) => self.forward_submission(conn, Box::new(spec)),
@@ -137,13 +140,13 @@
         }
     }
 
-    /// Whether the leader, while it is sure of its lease, has the job in memory.
+    /// Whether this node is the leader, may decide, and has the job in memory.
     fn leads_and_knows(&self, id: &str) -> bool {
         let shard = self.shard.as_ref().filter(|_| self.may_decide());
         shard.is_some_and(|shard| shard.jobs.contains(id))
     }
 
-    /// Whether the state service may be asked for one more submission now.
+    /// Whether the request budget, and for a write the write budget, allows one more submission now.
     fn has_room_to_admit(&mut self, requester: Requester, writes: bool) -> bool {
         let conn = match requester {
             Requester::User(conn) => Some(conn),
@@ -156,8 +159,8 @@
         }
     }
 
-    /// Accepts a job, or refuses it for good: both in one transaction, which holds only if the job is not known yet
-    /// and the documents that it was judged by are in force.
+    /// Accepts a job, or refuses it as infeasible. Both take one transaction, whose conditions are that the job is not
+    /// known yet and that the documents it was checked against are still in force.
     fn accept(&mut self, submission: Submission) {
         let Submission {
             requester,
@@ -165,11 +168,11 @@
             at,
             ..
         } = &submission;
-        // The acceptance counts from the first try.
+        // The time of acceptance is that of the first attempt.
         let wall = self.now.wall - (self.now.mono - at);
-        // What can be bound, and to what, is for the versions in force to say.
+        // What is bound to the job depends on the document versions in force, so these must be known.
         let Some(mut conditions) = self.head_conditions() else {
-            // A peer has read what this node has not yet.
+            // This node has not read the shared state yet; a peer may have.
             return match requester {
                 Requester::User(conn) if self.shared.revision == 0 => {
                     self.forward_submission(*conn, submission.spec)
@@ -178,7 +181,7 @@
             };
         };
         conditions.extend(absence_conditions(&spec.id));
-        // Judged each time: between two tries another version may have come into force.
+        // Checked on each attempt, since another document version may have come into force meanwhile.
         let (writes, denied) = match self.validated(spec, wall) {
             Ok(rec) => {
                 let record = Record::Job(Box::new(rec));
@@ -202,7 +205,7 @@
         );
     }
 
-    /// Once more in a moment, if there is time for it.
+    /// Schedules another attempt after a random delay, if retries and time are left.
     fn retry_accept_later(&mut self, submission: Submission) {
         let now = self.now.mono;
         let Submission {
@@ -212,7 +215,7 @@
             ..
         } = submission;
         if tries >= MAX_RETRIES || now >= at + RETRY_WINDOW_MS {
-            // It may be accepted all the same: the retry will be told.
+            // An earlier attempt may have been accepted; a retry by the requester gets the outcome.
             return self.answer_error(requester, 503, "state service not available");
         }
         let again = now + self.rng.u64(RETRY_DELAY_MS);
@@ -225,7 +228,7 @@
         ));
     }
 
-    /// The state service has answered a transaction of [`Node::accept`], or not.
+    /// Handles the state service's answer to a transaction of [`Node::accept`], or its absence.
     pub(crate) fn accept_answered(
         &mut self,
         submission: Submission,
@@ -235,17 +238,17 @@
     ) {
         let requester = submission.requester;
         match (response.as_ref().map(|r| r.status), denied) {
-            // Only this node may be refused, or not heard: another may take the job at once. Should our own try
-            // have gone through, it will find the job known.
+            // The state service may be unavailable to this node only, so another may accept the job at once. If our own
+            // transaction has succeeded, that node will find the job known.
             (None | Some(503), _) if let Requester::User(conn) = requester => {
                 self.forward_submission(conn, submission.spec)
             }
-            // The denial is as old as its transaction: what this node has told since is newer.
+            // The refusal is as old as its transaction, so whatever this node has answered since takes precedence.
             (Some(200), Some(_)) if self.answer_history.since(&submission.spec.id, mark) => {
                 self.query_for(requester, submission.spec.id, Purpose::Resubmission)
             }
             (Some(200), Some(why)) => {
-                log::debug!("job {}: can never run: {why}", submission.spec.id);
+                log::debug!("job {}: refused, can never run: {why}", submission.spec.id);
                 self.answer_error(requester, 422, &format!("can never run: {why}"))
             }
             (Some(200), None) => {
@@ -253,14 +256,14 @@
                 log::debug!("job {}: accepted", submission.spec.id);
                 self.answer_accepted(requester, unstarted(submission.spec.id))
             }
-            // Judged and bound by a version that is no longer in force, and neither accepted nor refused.
+            // Checked against a document version that is no longer in force: neither accepted nor refused.
             (Some(409), _) if response.is_some_and(|r| only_heads_failed(&r)) => {
                 self.reread_shared(0);
                 self.retry_accept_later(submission)
             }
             (Some(409), _) => self.query_for(requester, submission.spec.id, Purpose::Resubmission),
             (Some(429 | 503), _) => self.retry_accept_later(submission),
-            // It may be accepted all the same: the retry will be told.
+            // The job may have been accepted; a retry by the requester gets the outcome.
             _ => self.answer_error(requester, 503, "state service not available"),
         }
     }
@@ -275,7 +278,7 @@
         });
     }
 
-    /// Tries again what the state service was too busy for.
+    /// Repeats the submissions whose retry delay has passed.
     pub(crate) fn admission_tick(&mut self) {
         let now = self.now.mono;
         for _ in 0..self.retries.len() {
--- a/crates/control/src/jobs/answer_history.rs
+++ b/crates/control/src/jobs/answer_history.rs
@@ -1,11 +1,11 @@
-//! What this node has told of jobs: the floor below which none of its answers goes, also of those that were under way
-//! when it told something newer.
+//! Answers that this node has given about jobs. They guarantee monotonic reads: no later answer is older than one
+//! already given, not even an answer whose read was in flight when the newer one was sent.
 
 use std::collections::{HashMap, VecDeque};
 use wire::api::{JobState, Stage};
 
-/// Final states that were seen: they never change, so any copy is as good as the record. What is dropped is read again;
-/// there is room for far more ends than can come while one answer is under way.
+/// Cache of final job states. They never change, so a cached copy is as good as the record, and an evicted one is read
+/// again. The capacity far exceeds the number of jobs that can end while one answer is in flight.
 pub(crate) struct FinalStates {
     known: HashMap<String, (Stage, u32)>,
     order: VecDeque<String>,
@@ -13,7 +13,7 @@
 }
 
 impl FinalStates {
-    /// Room for so many.
+    /// A cache of at most `cap` states.
     pub fn new(cap: usize) -> Self {
         FinalStates {
             known: HashMap::new(),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The final state of a job, if it is remembered.
+    /// The final state of a job, if it is in the cache.
     pub fn get(&self, job: &str) -> Option<JobState> {
         let (stage, done) = self.known.get(job).copied()?;
         Some(JobState {
@@ -33,7 +33,7 @@
         })
     }
 
-    /// The first word stands.
+    /// Adds a final state. A state that is already cached is kept.
     pub fn put(&mut self, job: &str, stage: Stage, done: u32) {
         debug_assert!(stage.is_final());
         if self.known.contains_key(job) {
@@ -49,28 +49,28 @@
     }
 }
 
-/// So many words are remembered.
+/// Maximum number of answers that are remembered.
 const MAX_ANSWERS: usize = 4096;
 
-/// Which jobs were lately said to be there. It only speaks against a denial that was under way meanwhile, and gives no
-/// answer itself: what it says is read anew.
+/// Jobs that recent answers said to exist. The history serves only to detect that a negative answer in flight is
+/// outdated; it gives no state itself, and the job is then read again.
 #[derive(Default)]
 pub(crate) struct AnswerHistory {
-    /// The last word on each job, by the count of all words.
+    /// Sequence number of the latest answer about each job.
     last_seq: HashMap<String, u64>,
     order: VecDeque<(u64, String)>,
     count: u64,
-    /// Words up to this one were dropped. They may have been about any job.
+    /// Answers up to this sequence number have been dropped. They may have been about any job.
     dropped_seq: u64,
 }
 
 impl AnswerHistory {
-    /// How much has been said so far.
+    /// Number of answers so far, as a mark for [`AnswerHistory::since`].
     pub fn mark(&self) -> u64 {
         self.count
     }
 
-    /// A job was said to be there.
+    /// Records that an answer said that the job exists.
     pub fn note(&mut self, job: &str) {
         self.count += 1;
         self.last_seq.insert(job.to_owned(), self.count);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether the job may have been said to be there since.
+    /// Whether an answer since the mark may have said that the job exists.
     pub fn since(&self, job: &str, mark: u64) -> bool {
         self.dropped_seq > mark || self.last_seq.get(job).is_some_and(|seq| *seq > mark)
     }
--- a/crates/control/src/jobs/answers.rs
+++ b/crates/control/src/jobs/answers.rs
@@ -1,4 +1,5 @@
-//! Answers to whoever asked, a user or a peer, within the session guarantees of [`crate::jobs::answer_history`].
+//! Answers to a requester, which is a user or a peer. They keep the session guarantees of
+//! [`crate::jobs::answer_history`].
 
 use crate::jobs::query::Purpose;
 use crate::{Node, Requester};
@@ -6,7 +7,7 @@
 use wire::peer::PeerResponse;
 
 impl Node {
-    /// An error for a requester, as [`Node::refuse`] says it to a user.
+    /// Answers with an error. A user gets it through [`Node::refuse`], a peer as a refusal with the same status.
     pub(crate) fn answer_error(&mut self, requester: Requester, status: u16, why: &str) {
         match requester {
             Requester::User(conn) => self.refuse(conn, status, why),
@@ -14,8 +15,8 @@
         }
     }
 
-    /// Gives a requester the state of a job. It may have been under way while this node heard of the job's end, which it
-    /// gives way to.
+    /// Answers with the state of a job. If this node learned the job's final state while `state` was being fetched, the
+    /// final state is sent instead.
     pub(crate) fn tell(&mut self, requester: Requester, state: JobState) {
         if state.stage.is_final() {
             self.final_states.put(&state.id, state.stage, state.done);
@@ -28,7 +29,8 @@
         }
     }
 
-    /// Tells that a job has been accepted just now. That may have taken longer than its life.
+    /// Answers that a job was accepted. The job may already have ended by the time the acceptance is confirmed; its
+    /// final state is sent then.
     pub(crate) fn answer_accepted(&mut self, requester: Requester, state: JobState) {
         if self.final_states.get(&state.id).is_some() {
             return self.tell(requester, state);
@@ -40,7 +42,8 @@
         }
     }
 
-    /// A cancel of a job that the leader has not in memory: its record decides.
+    /// Handles a cancellation of a job that the leader does not hold in memory. For a user, the record in the state
+    /// service decides; a peer is told that the job is unknown and reads the record itself.
     pub(crate) fn cancel_unknown(&mut self, requester: Requester, job: &str) {
         match requester {
             Requester::User(_) => {
@@ -51,10 +54,10 @@
         }
     }
 
-    /// Says that nothing is known or can be decided now.
+    /// Answers that this node can neither tell nor decide anything at present.
     pub(crate) fn not_now(&mut self, requester: Requester) {
         match requester {
-            Requester::User(conn) => self.refuse(conn, 503, "not sure now"),
+            Requester::User(conn) => self.refuse(conn, 503, "cannot be decided at present"),
             Requester::Peer(conn) => self.answer_peer(conn, &PeerResponse::NotNow),
         }
     }
--- a/crates/control/src/jobs/api.rs
+++ b/crates/control/src/jobs/api.rs
@@ -1,4 +1,4 @@
-//! Routing of users' requests: which path is served by what, and refusals with the time to come back.
+//! Routing of users' requests by method and path, and error answers with a `Retry-After` time.
 
 use crate::jobs::query::Purpose;
 use crate::{Node, Requester};
@@ -8,15 +8,16 @@
 const HEARTBEAT_PATH: &str = "/hello";
 const SUBMISSION_PATH: &str = "/work";
 const READY_PATH: &str = "/ready";
-/// Before a job's id, and after it in the path of a cancel.
+/// Prefix of the paths of one job, before its id.
 const JOB_PATH: &str = "/work/";
+/// Follows the id in the path of a cancellation.
 const CANCEL_SUFFIX: &str = "/cancel";
 
-/// Whoever meets trouble that may be over at any time comes back after so many seconds.
+/// `Retry-After` for failures that may be over at any time, in seconds.
 const RETRY_SOON_S: u32 = 1;
 
 impl Node {
-    /// A request of a user's or a worker's.
+    /// Routes a request from a user or a worker.
     pub(crate) fn user_request(&mut self, conn: u64, request: Request) {
         let path = request.path.split('?').next().unwrap_or("");
         let job = path.strip_prefix(JOB_PATH);
@@ -42,8 +43,8 @@
         }
     }
 
-    /// An error, with the time to come back where coming back helps: soon, but where this node is too busy, which is
-    /// then over by and by.
+    /// Answers with an error. Statuses for which a retry can help carry a `Retry-After` time: a short one for 503, and
+    /// for 429 one that grows with the number of requests shed, so that retries are spread out.
     pub(crate) fn refuse(&mut self, conn: u64, status: u16, why: &str) {
         let retry_after_s = match status {
             429 => Some(self.record_shed_request()),
@@ -57,7 +58,7 @@
         self.respond(conn, status, body, retry_after_s);
     }
 
-    /// Counts one more who is turned away, and says when to come back.
+    /// Counts one more request shed for overload, and returns after how many seconds to retry.
     fn record_shed_request(&mut self) -> u32 {
         let served_per_s = self.accepts_per_s();
         self.load_shedding.turn_away(self.now.mono, served_per_s)
--- a/crates/control/src/jobs/cancellation.rs
+++ b/crates/control/src/jobs/cancellation.rs
@@ -1,4 +1,5 @@
-//! Cancellation of jobs, and what follows when a job changes: a broken gang is stopped, an ended job forgotten.
+//! Cancellation of jobs, and follow-up of job changes: a broken gang is stopped, and an ended job is removed from
+//! memory.
 
 use crate::jobs::job::{Ending, JobIndex};
 use crate::jobs::peer_requests::peer_answer;
@@ -8,13 +9,13 @@
 use wire::http::Response;
 use wire::peer::{PeerRequest, PeerResponse};
 
-/// The leader has this long to answer a cancel that is forwarded to it.
+/// Timeout of a cancellation that is forwarded to the leader.
 const CANCEL_TIMEOUT_MS: u64 = 3500;
-/// So many requesters may wait for the end of one job.
+/// Maximum number of requesters that wait for the end of one job.
 const MAX_WAITERS: usize = 16;
 
 impl Node {
-    /// A user's cancel: decided by the leader, here or where it is.
+    /// A user's cancellation. Only the leader decides it; other nodes forward it there.
     pub(super) fn cancel_requested(&mut self, conn: u64, id: String) {
         if !wire::ids::valid_job_id(&id) {
             return self.refuse(conn, 404, "no such job");
@@ -33,7 +34,8 @@
         self.ask_peer(peer, &ask, CANCEL_TIMEOUT_MS, what);
     }
 
-    /// The leader's answer to a forwarded cancel. A job that it has not in memory may have ended: its record decides.
+    /// The leader's answer to a forwarded cancellation. A job that the leader does not hold in memory may have ended,
+    /// so its record decides.
     pub(crate) fn cancel_answered(&mut self, conn: u64, job: String, response: Option<Response>) {
         match peer_answer(response) {
             Some(PeerResponse::State(state)) if state.id == job => {
@@ -47,7 +49,8 @@
         }
     }
 
-    /// Follows up on a change of a job: what is left of a broken gang goes, an ended job is forgotten.
+    /// Follows up on a change of a job: stops the remaining tasks of a broken gang, and removes an ended job without
+    /// claims from memory.
     pub(crate) fn job_changed(&mut self, ix: JobIndex) {
         self.to_write = true;
         self.model_changed(ix);
@@ -67,7 +70,7 @@
         shard.maybe_forget_job(ix);
     }
 
-    /// A cancel that may be decided here.
+    /// Handles a cancellation on the leader.
     pub(crate) fn cancel(&mut self, id: &str, requester: Requester) {
         if let Some(state) = self.final_states.get(id) {
             return self.tell(requester, state);
@@ -82,7 +85,8 @@
         };
         let Some(job) = shard.job_mut(ix) else { return };
         match job.ending {
-            // Guards against calling a cancelled job done, of which only tasks on machines are left here.
+            // Only claims are left of this job here, and whether it was done or cancelled is not known. The record
+            // decides, so that a cancelled job is not reported as done.
             Ending::Before => return self.cancel_unknown(requester, id),
             Ending::Recorded(_) => {
                 let state = job.state();
@@ -93,7 +97,7 @@
                 job.ending = Ending::Wanted(Stage::Cancelled);
                 job.unsaved.clear();
             }
-            // Whatever end is recorded, the requester is told.
+            // An end is already to be recorded. The requester is told that end, whichever it is.
             _ => {}
         }
         if job.waiters.len() >= MAX_WAITERS {
@@ -104,8 +108,8 @@
         shard.job_to_write(ix);
     }
 
-    /// A leader that has grown unsure keeps nobody waiting for an end: what is on its way may land, or never does, and
-    /// whoever asks again is told by those who know.
+    /// Releases all requesters that wait for a job's end once the leader's lease is no longer valid. A pending write of
+    /// the end may or may not succeed; a retry by the requester gets the outcome from the leader or the state service.
     pub(crate) fn waiters_tick(&mut self) {
         let has_valid_lease = self.has_valid_lease();
         let Some(shard) = &mut self.shard else { return };
--- a/crates/control/src/jobs/class.rs
+++ b/crates/control/src/jobs/class.rs
@@ -1,45 +1,50 @@
-//! Statistics of job classes: run times against estimates, and arrivals, from which demand is predicted.
+//! Statistics of job classes: run times relative to estimates, and arrivals, from which demand is predicted.
 
 use wire::api::JobSpec;
 
-/// What was seen of a class: run times against estimates, and how often its jobs come.
+/// Statistics of one class: run times relative to estimates, and the arrival rate of its jobs.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Class {
-    /// Runs seen, and the logarithm of their times over the estimates, as a mean that forgets.
+    /// Number of runs observed.
     runs: f64,
+    /// Moving average of the logarithm of run time over estimate.
     log_ratio: f64,
-    /// Jobs a second, as a mean that forgets, and the time of day it was last brought up to.
+    /// Jobs per second, as an exponentially decaying average.
     rate: f64,
+    /// Wall-clock time of the last update of `rate`.
     rate_updated_at: u64,
-    /// Tasks a job, and their square, as means that forget.
+    /// Moving averages of the number of tasks per job, and of its square.
     pub tasks: f64,
     pub tasks_squared: f64,
-    /// Images with their size and their share of the jobs, as means that forget.
+    /// Images, each with its size in GB and a moving average of its share of the jobs.
     pub images: Vec<(String, f64, f64)>,
-    /// Its latest job, which the next is expected to resemble.
+    /// Spec of the latest job, taken as a model of the next one.
     pub like: Option<Box<JobSpec>>,
 }
 
-/// Arrivals longer ago than this hardly count.
+/// Time constant of the exponential decay of the arrival rate.
 const ARRIVAL_TIME_CONSTANT_MS: f64 = 150_000.0;
-/// So many arrivals fitting into the time since the last one would make that silence unlikely.
+/// Caps the expected rate at this many arrivals per time since the last one: at a higher rate, a gap that long would be
+/// unlikely.
 const MAX_MISSED_ARRIVALS: f64 = 3.0;
-/// How fast the share of an image follows the arrivals; with it, some two hundred images are remembered at most.
+/// Weight of the latest job in the share of each image. With this weight, at most about two hundred images are kept.
 const IMAGE_WEIGHT: f64 = 0.03;
-/// An image with no greater share is forgotten.
+/// An image whose share is not above this is removed.
 const MIN_IMAGE_SHARE: f64 = IMAGE_WEIGHT / 8.0;
-/// How fast the mean of tasks a job follows the arrivals.
+/// Weight of the latest job in the averages of tasks per job.
 const TASKS_WEIGHT: f64 = 0.1;
-/// A run counts for no less than this, however many came before it.
+/// Lower bound of the weight of a run, however many came before it.
 const MIN_RUN_WEIGHT: f64 = 0.05;
-/// One run proves no more than these, and estimates are corrected by no more than those.
+/// Bounds of the ratio that one run contributes.
 const MIN_RATIO: f64 = 0.1;
 const MAX_RATIO: f64 = 10.0;
+/// Bounds of the factor by which estimates are corrected.
 const MIN_FACTOR: f64 = 0.3;
 const MAX_FACTOR: f64 = 3.0;
 
 impl Class {
-    /// Learns from a run, by its time over the estimate. Each run moves the correction less, down to a twentieth, so that it follows the day.
+    /// Adds a run, given its time over the estimate. Each further run has less weight, down to a twentieth, so that the
+    /// correction still follows changes over the day.
     pub fn learn(&mut self, ratio: f64) {
         self.runs += 1.0;
         let weight = (1.0 / (self.runs + 2.0)).max(MIN_RUN_WEIGHT);
@@ -47,7 +52,7 @@
         self.log_ratio += (ratio.ln() - self.log_ratio) * weight;
     }
 
-    /// Counts a job that was accepted at that time of day.
+    /// Counts a job that was accepted at `at_ms`, a wall-clock time.
     pub fn arrived(&mut self, spec: &JobSpec, at_ms: u64) {
         self.rate = self.rate(at_ms) + 1000.0 / ARRIVAL_TIME_CONSTANT_MS;
         self.rate_updated_at = self.rate_updated_at.max(at_ms);
@@ -63,7 +68,7 @@
         self.like = Some(Box::new(spec.clone()));
     }
 
-    /// Raises the share of a job's image at the cost of all others.
+    /// Raises the share of the job's image and lowers that of all others.
     fn count_image(&mut self, spec: &JobSpec) {
         self.images
             .iter_mut()
@@ -85,18 +90,18 @@
         }
     }
 
-    /// Jobs a second that are to be expected.
+    /// Expected jobs per second.
     pub fn rate(&self, wall_ms: u64) -> f64 {
         let elapsed_ms = wall_ms.saturating_sub(self.rate_updated_at) as f64;
         if self.rate_updated_at == 0 {
             return 0.0;
         }
-        // A long silence speaks against a high rate sooner than the mean forgets it.
+        // A long gap since the last arrival disproves a high rate sooner than the average decays.
         (self.rate * (-elapsed_ms / ARRIVAL_TIME_CONSTANT_MS).exp())
             .min(MAX_MISSED_ARRIVALS * 1000.0 / elapsed_ms.max(1.0))
     }
 
-    /// What estimates are to be multiplied by.
+    /// Factor by which estimates are to be multiplied.
     pub fn factor(&self) -> f64 {
         self.log_ratio.exp().clamp(MIN_FACTOR, MAX_FACTOR)
     }
--- a/crates/control/src/jobs/feasibility.rs
+++ b/crates/control/src/jobs/feasibility.rs
@@ -1,6 +1,6 @@
-//! Whether a job can ever run: the one judgement of all nodes, by the job's own words, the settings, the machine types
-//! and the documents in force. What it says counts only together with a transaction that is guarded by the same
-//! documents and by the job's absence: an accepted job is never judged again.
+//! Feasibility check: whether a job can ever run, given its spec, the settings, the machine types and the documents in
+//! force. Every node applies the same check. Its result takes effect only through a transaction whose conditions are
+//! the same document versions and the absence of the job, so that an accepted job is never checked again.
 
 use crate::Node;
 use crate::leadership::election::SHARD;
@@ -11,28 +11,28 @@
 use wire::api::{BODY_LIMIT, Catalog, JobSpec, Kind, MachineType};
 use wire::records::JobRecord;
 
-/// Amounts that differ by less are equal, as for the planner.
+/// Amounts that differ by no more than this count as equal. The planner uses the same tolerance.
 const EPS: f64 = 1e-6;
-/// The state service counts values in another form, which takes somewhat more.
+/// The state service measures values in another encoding, which is somewhat larger than ours.
 const STORED_SIZE_FACTOR: f64 = 1.3;
 
-/// Why a job can never run. Its user reads the text.
+/// Why a job can never run. The text is sent to the user.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Infeasible {
     UnknownTeam,
     AboveTeamLimit,
-    /// A node of the quota tree above the team may use less.
+    /// A node above the team in the quota tree has a lower limit.
     AboveTreeLimit,
-    /// The county's document has no place for it.
+    /// The counties document does not admit the job, for the given reason.
     County(String),
     CatalogUnknown,
     FitsNoMachineType,
     FitsNoMachineTypeInCounty,
-    /// Its tasks are to be spread over zones, of which only one is left to it.
+    /// Its tasks must be spread over zones, but only one zone is possible.
     CannotSpread,
-    /// Its record would be too large together with what is bound to it.
+    /// Its record, with the data bound to the job at acceptance, would exceed the state service's value limit.
     RecordTooLarge,
-    /// Its record would be too large for limits that are to come, mostly for this field.
+    /// Its record would exceed the announced tighter limits; this field is the largest.
     FieldTooLong(&'static str),
 }
 
@@ -55,7 +55,8 @@
 }
 
 impl Node {
-    /// The record of a job accepted now, with all that is agreed for it from then on; or why it can never run.
+    /// The record of a job accepted now, including the release time and county that are bound to it; or why the job can
+    /// never run.
     pub(crate) fn validated(&self, spec: &JobSpec, wall: u64) -> Result<JobRecord, Infeasible> {
         self.within_limits(spec)?;
         let county = self
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Whether the state service takes the record.
+    /// Whether the record is within the state service's value limit.
     pub(crate) fn is_storable(&self, rec: &JobRecord) -> bool {
         if self.write_limits.are_tight() {
             return record_sizes::length(rec) <= self.write_limits.value_bytes();
@@ -86,7 +87,8 @@
         wire::encode(rec).len() as f64 * STORED_SIZE_FACTOR <= limit
     }
 
-    /// Whether the team's limit, and all above it, would let the job run if nothing else ran. Of an array one task has to.
+    /// Checks that the limits of the team, and of the nodes above it, would let the job run if nothing else ran. For an
+    /// array, it is enough that one task can run.
     fn within_limits(&self, spec: &JobSpec) -> Result<(), Infeasible> {
         let teams = &self.settings.cluster.teams;
         let team = teams
@@ -106,7 +108,7 @@
     }
 }
 
-/// Names the field that takes most of a record which would be too large.
+/// Wire name of the largest field, for the message about a record that is too large.
 fn largest_field(spec: &JobSpec) -> &'static str {
     let fields = [
         (record_sizes::length(&spec.class), "lot"),
@@ -119,7 +121,7 @@
     largest.map_or("record", |(_, field)| field)
 }
 
-/// Tasks that have to run at one time, or the job never does what it is for.
+/// Tasks that must run at the same time for the job to be of use.
 fn concurrent_tasks(spec: &JobSpec) -> u32 {
     if spec.kind == Kind::Array {
         1
@@ -128,8 +130,8 @@
     }
 }
 
-/// Whether some zones have machine types for all tasks that must run at one time. How many machines there are is known
-/// to nobody.
+/// Checks that some zones offer machine types for all tasks that must run at the same time. The number of machines that
+/// the cloud could supply is unknown and not checked.
 fn check_zones(spec: &JobSpec, catalog: &Catalog, county: &[String]) -> Result<(), Infeasible> {
     let zones = zones_for(spec, catalog, county);
     if zones.is_empty() {
@@ -140,8 +142,8 @@
             Infeasible::FitsNoMachineType
         });
     }
-    // One zone has half of the tasks, rounded up; two zones have all. An array goes on with the other half when the
-    // first is done.
+    // When tasks are spread, one zone holds at most half of them, rounded up, and two zones hold all. An array runs the
+    // second half after the first.
     let half = spec.tasks.div_ceil(2);
     if spec.spread && concurrent_tasks(spec) > half && (spec.one_zone || zones.len() < 2) {
         return Err(Infeasible::CannotSpread);
@@ -149,7 +151,7 @@
     Ok(())
 }
 
-/// Where machines that a task fits can be had, for a job that may be in these zones only, or in all.
+/// Zones that offer a machine type large enough for a task. Only the zones in `only` count, or all if it is empty.
 fn zones_for<'a>(spec: &JobSpec, catalog: &'a Catalog, only: &[String]) -> BTreeSet<&'a str> {
     let fits = |t: &&MachineType| {
         spec.types
--- a/crates/control/src/jobs/forwarding.rs
+++ b/crates/control/src/jobs/forwarding.rs
@@ -1,5 +1,5 @@
-//! Forwarding a user's request to a peer that may be better placed, and choosing which. What nodes say of themselves once
-//! a second only chooses: whoever is asked answers by its own rules.
+//! Forwarding of users' requests to a peer that may be able to answer them, and the choice of the peer. The status that
+//! nodes exchange once a second only guides the choice: the chosen peer applies its own checks.
 
 use crate::jobs::peer_requests::peer_answer;
 use crate::{Destination, Node, Pending, Requester};
@@ -7,16 +7,16 @@
 use wire::peer::{self, PeerRequest, PeerResponse};
 use wire::submission::Fault;
 
-/// A peer has this long to answer for us.
+/// Timeout of a forwarded request.
 const FORWARD_TIMEOUT_MS: u64 = 1500;
-/// A peer that has left something unanswered is not asked for so long, unless it says something.
+/// How long a peer that left a request unanswered is skipped, unless it answers something else meanwhile.
 const PEER_BACKOFF_MS: u64 = 1000;
-/// After a refusal, or silence, the state service is taken to be out of reach for so long.
+/// How long the state service is considered unavailable to this node after a refusal or a timeout.
 const STATE_DOWN_MS: u64 = 3000;
-/// With less time left than this, nobody else is asked.
+/// With less time left than this, the request is not forwarded.
 const MIN_REMAINING_MS: u64 = 100;
 
-/// How peers have answered what they were asked for users.
+/// How peers have answered the requests that were sent to them on behalf of users.
 #[derive(Debug, Default)]
 pub(crate) struct PeerResponsiveness {
     by_peer: Vec<Responsiveness>,
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Responsiveness {
     answered_at: u64,
-    /// It is passed over until then.
+    /// The peer is skipped until then.
     backoff_until: u64,
 }
 
@@ -37,13 +37,14 @@
         &mut self.by_peer[peer]
     }
 
-    /// Whether a peer is passed over now.
+    /// Whether a peer is skipped now.
     pub fn is_backing_off(&self, peer: usize, now: u64) -> bool {
         let peer = self.by_peer.get(peer);
         peer.is_some_and(|peer| now < peer.backoff_until)
     }
 
-    /// What was sent then has been answered, or not. Silence counts only if nothing has been answered since.
+    /// Records whether the request sent at `sent` was answered. A timeout counts only if the peer has answered nothing
+    /// since the request was sent.
     fn record_outcome(&mut self, peer: usize, sent: u64, answered: bool, now: u64) {
         let peer = self.entry(peer);
         if answered {
@@ -55,13 +56,14 @@
     }
 }
 
-/// A user's request that a peer is to answer.
+/// A user's request that is forwarded to a peer.
 pub(crate) struct ForwardedRequest {
     pub conn: u64,
     pub ask: Box<PeerRequest>,
-    /// Whoever asks waits no longer.
+    /// The user does not wait beyond this time.
     pub deadline: u64,
-    /// A malformed submission is only looked up: what is wrong with it, for a job that was never accepted.
+    /// The fault of a malformed submission, which is forwarded as a lookup. It is the answer if the job was never
+    /// accepted.
     pub fault: Option<Fault>,
 }
 
@@ -76,31 +78,32 @@
 }
 
 impl Node {
-    /// A peer has answered what was sent to it then, or not.
+    /// Records whether a peer answered the request that was sent to it at `sent`.
     pub(crate) fn record_peer_outcome(&mut self, peer: usize, sent: u64, answered: bool) {
         self.responsiveness
             .record_outcome(peer, sent, answered, self.now.mono);
     }
 
-    /// The peer that leads the fleet, as far as is known here.
+    /// The peer that is the leader, as far as this node knows.
     pub(crate) fn leader_peer(&self) -> Option<usize> {
         let leader = self.leader_name()?;
         self.peer_named(&leader)
     }
 
-    /// The peer of this name.
+    /// Index of the peer with this node name.
     pub(crate) fn peer_named(&self, node: &str) -> Option<usize> {
         self.settings.peers.iter().position(|p| p.node == node)
     }
 
-    /// Whether the state service seems not to serve this node now; others may be served.
+    /// Whether the state service seems unavailable to this node. It may still answer others.
     pub(crate) fn state_down(&self) -> bool {
         self.state_bad_at
             .is_some_and(|at| self.now.mono < at + STATE_DOWN_MS)
     }
 
-    /// Whom a request is forwarded to: the leader, or another that says it is served, or one that says nothing. If all say
-    /// that they are not served, only a job's end may still be known, best to the leader.
+    /// Chooses the peer for a forwarded request: the leader, else a peer that reports the state service as available,
+    /// else a peer without a recent report. If all report it as unavailable, a lookup still goes to the leader, which
+    /// is the most likely to know the end of a job.
     fn forwarding_target(&mut self, ask: &PeerRequest) -> Option<usize> {
         let now = self.now.mono;
         let peers = 0..self.settings.peers.len();
@@ -139,7 +142,7 @@
         Some(targets[self.rng.usize(0..targets.len())])
     }
 
-    /// Forwards a user's request on.
+    /// Forwards a user's request to a peer, or refuses it if there is none or too little time.
     pub(crate) fn forward(&mut self, forwarded: ForwardedRequest) {
         let now = self.now.mono;
         let target = if forwarded.deadline < now + MIN_REMAINING_MS {
@@ -171,7 +174,8 @@
         );
     }
 
-    /// A peer's answer to what was forwarded to it. One that gives none rests, so another is asked while there is time.
+    /// Handles a peer's answer to a forwarded request. A peer that gives none is skipped for a while, and another is
+    /// asked if there is time.
     pub(crate) fn forward_answered(
         &mut self,
         forwarded: ForwardedRequest,
@@ -197,8 +201,8 @@
         }
     }
 
-    /// The user hears the peer's reason as if he had asked there. A denial is as old as the peer's reads: what this node
-    /// has told since is newer.
+    /// Passes a peer's refusal on to the user. A negative answer is as old as the peer's reads, so whatever this node
+    /// has answered since the request was forwarded takes precedence.
     fn refused_by_peer(&mut self, forwarded: &ForwardedRequest, mark: u64, status: u16, why: &str) {
         let conn = forwarded.conn;
         let why = if why.is_empty() {
@@ -218,7 +222,7 @@
             }
         }
         match (status, forwarded.fault) {
-            // Never accepted, so that what is wrong with it counts.
+            // The job was never accepted, so the fault of the submission is the answer.
             (404, Some(fault)) => self.refuse(conn, 400, &fault.to_string()),
             (400 | 404 | 422 | 429, _) => self.refuse(conn, status, why),
             _ => self.refuse(conn, 503, why),
--- a/crates/control/src/jobs/job.rs
+++ b/crates/control/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! A job in the leader's memory: which tasks are done, claimed or free, and how it ends.
+//! A job in the leader's memory: which of its tasks are done, claimed or free, and how far its end has been recorded.
 
 use crate::Requester;
 use crate::agents::machine::Need;
@@ -6,79 +6,82 @@
 use wire::api::{JobSpec, JobState, Kind, Priority, Stage};
 use wire::records::{CountyRecord, JobRecord};
 
-/// Where a job is in the leader's table.
+/// Slot of a job in the leader's table.
 pub(crate) type JobIndex = usize;
 
-/// How far the end of a job has come.
+/// How far the end of a job has been recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Ending {
-    /// It goes on.
+    /// The job is not ending.
     No,
-    /// To be recorded.
+    /// The end is decided and still to be written to the state service.
     Wanted(Stage),
-    /// The record is on its way.
+    /// The write of the end record is in flight; its outcome is not known.
     Writing(Stage),
+    /// The end record is in the state service.
     Recorded(Stage),
-    /// It had ended when we took over; how, only its record says.
+    /// The job had ended before this node became the leader. Only its record says how.
     Before,
 }
 
-/// A job that has not ended, or still has claims.
+/// A job that has not ended, or that still has claims.
 pub(crate) struct Job {
     pub id: String,
-    /// `None` for a job that had ended when we took over.
+    /// `None` for a job that had ended before this node became the leader.
     pub spec: Option<Box<JobSpec>>,
     pub team: String,
-    /// What one of its tasks takes.
+    /// Resources that one of its tasks needs.
     pub need: Need,
-    /// Bound when it was accepted, or as its claims say.
+    /// The county bound to the job at acceptance; for a job of which only claims are left, the county in the claims.
     pub county: Option<CountyRecord>,
-    /// The same for the planner.
+    /// The planner's form of the county.
     pub tenant: plan::Tenant,
-    /// The time of day of its acceptance.
+    /// Wall-clock time of its acceptance.
     pub at_ms: u64,
     /// Version of its live record.
     pub version: u64,
     pub tasks: u32,
-    /// Done tasks, a bit each.
+    /// Done tasks, as a bitmap.
     done: Vec<u64>,
     pub done_count: u32,
-    /// Tasks that are neither done nor claimed, as ranges of fresh ones and single returned ones.
+    /// The lowest task that has never been handed out by [`Job::next_task`]; all above it are free too unless done or
+    /// claimed.
     next_fresh: u32,
+    /// Tasks below `next_fresh` that are free again after losing their claims.
     freed: BTreeSet<u32>,
-    /// Claims by task: the machines and attempts. More than one only until the old ones are proved gone.
+    /// Claims by task, as machine and attempt. A task has several only until the old attempts are proved to have ended.
     pub claimed: HashMap<u32, Vec<(usize, u64)>>,
-    /// Tasks that run or save.
+    /// Number of tasks that are running or saving a checkpoint.
     pub running: u32,
     /// Completed tasks that are not recorded yet.
     pub unsaved: BTreeSet<u32>,
-    /// Log records with results of this job.
+    /// Claim log segments that hold results of this job.
     pub segments: BTreeSet<u64>,
     pub ending: Ending,
-    /// Who waits for its end.
+    /// Requesters that wait for its end.
     pub waiters: Vec<Requester>,
-    /// The gang is being taken apart after the loss of a task.
+    /// The gang lost a task, and its remaining tasks are being stopped.
     pub broken: bool,
-    /// Seconds of work that were saved before its present attempt.
+    /// Seconds of work that were saved in checkpoints before the present attempt.
     pub progress_s: f64,
     pub failures: u32,
     /// Machines on which its tasks failed.
     pub failed_on: BTreeSet<usize>,
-    /// Some task was done.
+    /// Whether any task has completed.
     pub succeeded: bool,
-    /// Nothing of it is started until then.
+    /// No task is started before this time.
     pub backoff_until: u64,
-    /// It may have changed since the last plan.
+    /// The job may have changed since the last plan.
     pub touched: bool,
-    /// A plan has seen some of it run.
+    /// Some task was running when a plan was made.
     pub began: bool,
-    /// Of a model: how many of its tasks may be there now. Only [`crate::models`] sets it.
+    /// For the job of a model: how many of its tasks may exist now. Only [`crate::models`] sets it.
     pub replicas: Option<u32>,
-    /// By when it is to be released.
+    /// The job's release time, if it has one.
     pub hour: Option<Box<crate::documents::hours::Hour>>,
 }
 
-/// The state of an accepted job of which nothing more is known.
+/// State of an accepted job about which nothing else is known.
 pub(crate) fn unstarted(id: String) -> JobState {
     JobState {
         id,
@@ -89,7 +92,7 @@
 }
 
 impl Job {
-    /// A live job, by its record.
+    /// A live job, from its record.
     pub fn new(rec: JobRecord, version: u64) -> Self {
         let spec = rec.spec;
         let need = Need {
@@ -144,29 +147,30 @@
         }
     }
 
-    /// Whether what is pending waits for its first start, as far as is known. Of an array, any task may.
+    /// Whether its pending tasks may be waiting for their first start, as far as is known. For an array this always
+    /// holds, since any of its tasks may.
     pub fn waits(&self) -> bool {
         self.kind() == Kind::Array || !self.began && self.progress_s == 0.0
     }
 
-    /// A job of which only claims are left counts as an array.
+    /// Kind of the job. One of which only claims are left counts as an array.
     pub fn kind(&self) -> Kind {
         self.spec.as_ref().map_or(Kind::Array, |s| s.kind)
     }
-    /// A job of which only claims are left has the lowest.
+    /// Priority of the job. One of which only claims are left has the lowest.
     pub fn priority(&self) -> Priority {
         self.spec.as_ref().map_or(Priority::Low, |s| s.priority)
     }
-    /// The end is recorded: the job only waits for its last tasks to go.
+    /// Whether the end is recorded. The job stays in memory until its last claims have ended.
     pub fn is_over(&self) -> bool {
         matches!(self.ending, Ending::Recorded(_) | Ending::Before)
     }
-    /// Nothing of it may be started any more.
+    /// Whether no task of the job may be started any more.
     pub fn is_ending(&self) -> bool {
         self.ending != Ending::No
     }
-    /// Its tasks are to be stopped, since their user has cancelled it or it had ended before our time. While the end is
-    /// on its way, others may have read it already.
+    /// Whether its tasks must be stopped: a cancellation is recorded or being written, or the job had ended before this
+    /// node became the leader. A write in flight counts because others may have read its record already.
     pub fn must_stop_tasks(&self) -> bool {
         use Ending::{Before, Recorded, Writing};
         matches!(
@@ -175,12 +179,12 @@
         )
     }
 
-    /// Whether its end may be recorded though we have not heard so: only a read tells.
+    /// Whether the end may be recorded without this node knowing it. Only a read of the record can tell.
     pub fn may_have_ended(&self) -> bool {
         matches!(self.ending, Ending::Writing(_))
     }
 
-    /// Its user has asked for its end, whether or not that is recorded yet, or it had ended before our time.
+    /// Whether its user has cancelled it, recorded or not, or it had ended before this node became the leader.
     pub fn is_unwanted(&self) -> bool {
         use Ending::{Before, Recorded, Wanted, Writing};
         match self.ending {
@@ -189,14 +193,14 @@
         }
     }
 
-    /// Whether a task is done, recorded or not.
+    /// Whether a task is done, whether or not the result is recorded.
     pub fn is_done(&self, task: u32) -> bool {
         self.done
             .get(task as usize / 64)
             .is_some_and(|w| w >> (task % 64) & 1 == 1)
     }
 
-    /// True if that is news.
+    /// Marks a task as done. Returns whether it was not done before.
     fn set_done(&mut self, task: u32) -> bool {
         if task >= self.tasks || self.is_done(task) {
             return false;
@@ -207,7 +211,7 @@
         true
     }
 
-    /// Notes a completed task, to be recorded.
+    /// Marks a task as completed, with the result to be recorded.
     pub fn complete(&mut self, task: u32) {
         if self.is_ending() {
             return;
@@ -223,7 +227,7 @@
         }
         self.succeeded = true;
         if self.done_count == self.tasks {
-            // The end says it all: no need to record the last results one by one.
+            // The end record implies all results, so the last ones need not be recorded one by one.
             self.unsaved.clear();
             self.ending = Ending::Wanted(Stage::Done);
         } else {
@@ -231,7 +235,7 @@
         }
     }
 
-    /// Results that were recorded before our time.
+    /// Loads results that were recorded before this node became the leader.
     pub fn load_done(&mut self, tasks: impl Iterator<Item = u32>) {
         for t in tasks {
             self.set_done(t);
@@ -241,19 +245,20 @@
         }
     }
 
-    /// All results that are recorded, for moving them into another record.
+    /// All recorded results, for moving them into another record.
     pub fn saved(&self) -> impl Iterator<Item = u32> + '_ {
         (0..self.tasks).filter(|t| self.is_done(*t) && !self.unsaved.contains(t))
     }
 
-    /// The result of a task is safe in the state service.
+    /// Whether the result of a task is known to be stored in the state service.
     pub fn recorded(&self, task: u32) -> bool {
-        // While the end is on its way, nothing says that this task's result is in the log.
+        // Once an end is decided, results that were to be recorded are dropped from `unsaved`, so until the end is
+        // recorded nothing shows that this task's result is stored.
         self.is_over()
             || (self.is_done(task) && !self.unsaved.contains(&task) && self.ending == Ending::No)
     }
 
-    /// A task has one claim more.
+    /// Adds a claim to a task.
     pub fn claim(&mut self, task: u32, machine: usize, attempt: u64) {
         self.claimed
             .entry(task)
@@ -262,7 +267,7 @@
         self.freed.remove(&task);
     }
 
-    /// A claim has ended. The task is free again unless it is done or claimed elsewhere.
+    /// Removes a claim that has ended. The task is free again unless it is done or has another claim.
     pub fn unclaim(&mut self, task: u32, machine: usize, attempt: u64) {
         if let Some(claims) = self.claimed.get_mut(&task) {
             claims.retain(|c| *c != (machine, attempt));
@@ -275,25 +280,25 @@
         }
     }
 
-    /// Whether all tasks of a gang have claims, of the same attempt.
+    /// Whether all tasks of a gang have claims that belong to one attempt.
     pub fn has_whole_gang_claimed(&self) -> bool {
         let claims = self.claimed.values().flatten();
         let attempts: BTreeSet<u64> = claims.map(|(_, attempt)| *attempt).collect();
         self.claimed.len() == self.tasks as usize && attempts.len() == 1
     }
 
-    /// The machines that it has claims on.
+    /// Machines on which the job has claims.
     pub fn machines(&self) -> BTreeSet<usize> {
         let claims = self.claimed.values().flatten();
         claims.map(|(machine, _)| *machine).collect()
     }
 
-    /// How many tasks could be started.
+    /// Number of tasks that could be started.
     pub fn pending(&self) -> u32 {
         let open = self.tasks - self.done_count.min(self.tasks);
         let claimed_open = self.claimed.keys().filter(|t| !self.is_done(**t)).count() as u32;
         let unclaimed = open.saturating_sub(claimed_open);
-        // Whatever still holds a place, also on its way out, is one of its replicas.
+        // Every claimed task counts as a replica, also one that is being stopped.
         self.replicas.map_or(unclaimed, |n| {
             n.saturating_sub(self.claimed.len() as u32).min(unclaimed)
         })
@@ -316,14 +321,14 @@
         None
     }
 
-    /// What users are told of it.
+    /// The state that is sent to users.
     pub fn state(&self) -> JobState {
         let stage = match self.ending {
             Ending::Recorded(stage) => stage,
             _ if self.running > 0 => Stage::Running,
             _ => Stage::Pending,
         };
-        // Not all are done as long as that is not recorded.
+        // All tasks are reported as done only once the job is recorded as done.
         let open = u32::from(stage != Stage::Done && self.done_count == self.tasks);
         JobState {
             id: self.id.clone(),
--- a/crates/control/src/jobs/mod.rs
+++ b/crates/control/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs: their table, admission, cancellation and queries, and the session guarantees of what users are told.
+//! Jobs: the job itself, admission, cancellation and queries, and the session guarantees of the answers to users.
 
 pub(crate) mod admission;
 pub(crate) mod answer_history;
--- a/crates/control/src/jobs/peer_requests.rs
+++ b/crates/control/src/jobs/peer_requests.rs
@@ -1,11 +1,12 @@
-//! Peers' requests. What a peer forwards for a user goes no further than to the leader and the state service.
+//! Requests from peers. A request that a peer forwards on behalf of a user goes only to the leader and the state
+//! service; it is not forwarded a second time.
 
 use crate::jobs::query::{Purpose, Question};
 use crate::{Destination, Node, Pending, Requester};
 use wire::http::{Request, Response};
 use wire::peer::{self, PeerRequest, PeerResponse, PeerStatus};
 
-/// What a peer answered; anything else than an answer is none.
+/// A peer's answer; `None` for an error status or an unreadable body.
 pub(crate) fn peer_answer(response: Option<Response>) -> Option<PeerResponse> {
     response
         .filter(|r| r.status == 200)
@@ -13,7 +14,7 @@
 }
 
 impl Node {
-    /// A request at the peers' port.
+    /// Handles a request on the peers' port. Operators' requests arrive there too.
     pub(crate) fn peer_request(&mut self, conn: u64, request: &Request) {
         if self.operator_demand(conn, request) || self.admin_requested(conn, request) {
             return;
@@ -21,10 +22,11 @@
         let is_ask = request.method == "POST" && request.path == peer::PATH;
         match is_ask.then(|| peer::decode::<PeerRequest>(&request.body).ok()) {
             Some(Some(ask)) => self.dispatch_peer_request(conn, ask),
-            _ => self.refuse(conn, 400, "not understood"),
+            _ => self.refuse(conn, 400, "unreadable peer request"),
         }
     }
 
+    /// Dispatches a request from a peer by its kind.
     fn dispatch_peer_request(&mut self, conn: u64, ask: PeerRequest) {
         match ask {
             PeerRequest::Query { job } => self.queried_as_leader(conn, &job),
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Asks a peer something. `what` says what its answer belongs to.
+    /// Sends a request to a peer. `what` says what its answer belongs to.
     pub(crate) fn ask_peer(
         &mut self,
         peer: usize,
@@ -71,7 +73,8 @@
         self.respond(conn, 200, peer::encode(answer), None);
     }
 
-    /// A peer takes this node for the leader. A leader that is sure may also say that it does not know the job.
+    /// Answers a query by a peer that takes this node for the leader. Only a leader that may decide can say that it
+    /// does not know the job.
     fn queried_as_leader(&mut self, conn: u64, job: &str) {
         match self.state_as_leader(job) {
             Some(state) => self.tell(Requester::Peer(conn), state),
@@ -80,10 +83,10 @@
         }
     }
 
-    /// A peer tells its status, and is told ours with what it is to keep for the leader.
+    /// Handles a peer's status, and answers with this node's status and the lease delegation for the peer.
     fn exchange_peer_status(&mut self, conn: u64, status: PeerStatus) {
         let Some(peer) = self.peer_status_seen(status) else {
-            let why = "view: from nobody we know, or a token that can't be";
+            let why = "peer status: unknown node, or an impossible token";
             return self.refuse(conn, 400, why);
         };
         let status = PeerStatus {
--- a/crates/control/src/jobs/query.rs
+++ b/crates/control/src/jobs/query.rs
@@ -1,5 +1,6 @@
-//! Questions about jobs. They are answered from known ends, by the leader while it is sure of its lease, or from a
-//! fresh read of the state service, by this node or by a peer that is served; each step takes what time is left.
+//! Queries of job states. A query is answered from cached final states, by the leader while its lease is valid, or from
+//! a fresh read of the state service, made by this node or by a peer that the service answers. All steps share one
+//! deadline.
 
 use crate::jobs::forwarding::ForwardedRequest;
 use crate::jobs::job::{Job, unstarted};
@@ -11,39 +12,39 @@
 use wire::records::{self, EndRecord};
 use wire::submission::Fault;
 
-/// For what a job's state is looked up.
+/// Why a job's state is looked up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// A user asks.
+    /// A query by a user.
     Query,
-    /// A repeated submission, to be answered with the current state.
+    /// A resubmission of a known job, to be answered with its current state.
     Resubmission,
-    /// A submission with a fault. Its job may have been accepted all the same.
+    /// A malformed submission. A job with its id may have been accepted before.
     Malformed(Fault),
-    /// A cancel of a job that the leader does not know.
+    /// A cancellation of a job that the leader does not hold in memory.
     Cancel,
 }
 
-/// A question that is still to be answered.
+/// A lookup of a job that is not answered yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Question {
     pub requester: Requester,
     pub job: String,
     pub purpose: Purpose,
-    /// Whoever asks waits no longer.
+    /// The requester does not wait beyond this time.
     pub deadline: u64,
-    /// The leader has been asked, or need not be.
+    /// The leader has been asked, or need not be asked.
     pub past_leader: bool,
-    /// What had been said here when its reads began.
+    /// [`crate::jobs::answer_history::AnswerHistory::mark`] at the start of its reads.
     pub mark: u64,
 }
 
-/// Users wait 2 s for a state, and peers that ask for them less.
+/// Users wait 2 s for a state, and a peer that asks on behalf of a user waits less.
 const USER_DEADLINE_MS: u64 = 1800;
 const PEER_DEADLINE_MS: u64 = 1000;
 const READ_TIMEOUT_MS: u64 = 900;
 const LEADER_TIMEOUT_MS: u64 = 700;
-/// With less time left than this, nobody else is asked.
+/// Minimum timeout of a request. With less time left, the job is not read again.
 const MIN_REMAINING_MS: u64 = 50;
 
 impl Question {
@@ -53,7 +54,7 @@
             .clamp(MIN_REMAINING_MS, max_ms)
     }
 
-    /// The user that another node may answer as well as this one.
+    /// The user's connection, if another node could answer as well as this one.
     fn user(&self) -> Option<u64> {
         match self.requester {
             Requester::User(conn) if !matches!(self.purpose, Purpose::Cancel) => Some(conn),
@@ -63,7 +64,7 @@
 }
 
 impl Node {
-    /// A question that was asked just now.
+    /// A question that is asked now.
     pub(crate) fn question(&self, requester: Requester, job: String, purpose: Purpose) -> Question {
         let wait_ms = if matches!(requester, Requester::User(_)) {
             USER_DEADLINE_MS
@@ -86,7 +87,7 @@
         self.query(question);
     }
 
-    /// Answers a question from what is known here, else from the leader, else by a read.
+    /// Answers a question from local knowledge, else from the leader, else from a read of the state service.
     pub(crate) fn query(&mut self, mut question: Question) {
         if !wire::ids::valid_job_id(&question.job) {
             return self.answer_error(question.requester, 404, "no such job");
@@ -116,22 +117,23 @@
         }
     }
 
-    /// What is known without asking anybody.
+    /// The state of a job as far as this node knows it without a request.
     fn local_state(&self, id: &str) -> Option<JobState> {
         self.final_states
             .get(id)
             .or_else(|| self.state_as_leader(id))
     }
 
-    /// Whether the leader has read the job.
+    /// Whether this node, as the leader, has read the job's record.
     fn has_loaded_job(&self, id: &str) -> bool {
         let shard = self.shard.as_ref();
         let job = shard.and_then(|shard| shard.job(shard.jobs.index_of(id)?));
         job.is_some_and(|job| job.spec.is_some())
     }
 
-    /// What the leader knows, while it is sure. Jobs that it has read back are live even before all else has been read:
-    /// nobody but itself can end them. One whose end is on its way may have ended: others may have read and told so.
+    /// The state of a job in the leader's memory, while its lease is valid. A job that has been loaded is live even
+    /// before recovery is complete, since only the leader can end it. A job whose end record is being written is left
+    /// out: others may have read and reported its end already.
     pub(crate) fn state_as_leader(&self, id: &str) -> Option<JobState> {
         let shard = self.shard.as_ref().filter(|_| self.has_valid_lease())?;
         let known = |j: &&Job| j.spec.is_some() && !j.may_have_ended();
@@ -141,7 +143,7 @@
             .map(Job::state)
     }
 
-    /// The leader's answer to a query. Whatever it does not tell is read.
+    /// Handles the leader's answer to a query. Without a state in it, the record is read.
     pub(crate) fn query_answered(
         &mut self,
         mut question: Question,
@@ -161,12 +163,12 @@
         }
     }
 
-    /// Looks the job up in the state service: first among the live, then among the ended, since jobs only
-    /// move that way; a job that is in neither was never accepted.
+    /// Looks the job up in the state service, first under its live key and then under its end key. Jobs only move in
+    /// that direction, so a job under neither key was never accepted.
     pub(crate) fn read_job(&mut self, mut question: Question) {
         let now = self.now.mono;
         question.mark = self.answer_history.mark();
-        // A node that is not served, or has asked for all that it may, leaves it to another.
+        // If the state service does not answer this node, or its request budget is used up, a peer is asked instead.
         if let Some(conn) = question.user()
             && (self.state_down() || self.requests.level(now) < 1.0)
         {
@@ -192,7 +194,7 @@
         );
     }
 
-    /// The job's live record was read, or is not there.
+    /// Handles the read of the job's live record.
     pub(crate) fn live_record_received(&mut self, question: Question, response: Option<Response>) {
         match response.map(|r| r.status) {
             Some(200)
@@ -203,7 +205,7 @@
             Some(200) if question.purpose == Purpose::Cancel => self.answer_error(
                 question.requester,
                 503,
-                "the owner does not know the job yet",
+                "the leader has not loaded the job yet",
             ),
             Some(200) => {
                 let known = self.local_state(&question.job);
@@ -219,7 +221,7 @@
         }
     }
 
-    /// The job's end record was read, or is not there.
+    /// Handles the read of the job's end record.
     pub(crate) fn end_record_received(&mut self, question: Question, response: Option<Response>) {
         let response = match response {
             Some(r) if r.status == 200 => r,
@@ -239,7 +241,8 @@
         self.tell(question.requester, state)
     }
 
-    /// A job was in neither place. What this node has learned since it began to look is newer.
+    /// The job is under neither key. Whatever this node has learned since the reads began is newer and takes
+    /// precedence.
     fn not_found(&mut self, question: Question) {
         if question.purpose == Purpose::Cancel && self.has_loaded_job(&question.job) {
             return self.cancel(&question.job, question.requester);
@@ -256,7 +259,8 @@
             Purpose::Malformed(fault) => {
                 self.answer_error(question.requester, 400, &fault.to_string())
             }
-            // Its record was in the way a moment ago; the user's retry will find out.
+            // Its record made the acceptance fail a moment ago and is not found now. A retry by the user will be
+            // decided anew.
             Purpose::Resubmission => self.answer_error(question.requester, 503, "undecided"),
             Purpose::Query | Purpose::Cancel => {
                 self.answer_error(question.requester, 404, "no such job")
@@ -264,7 +268,7 @@
         }
     }
 
-    /// Once more, if whoever asks still waits for that long.
+    /// Reads the job again if there is time before the deadline.
     fn reread_job(&mut self, question: Question) {
         if self.now.mono + MIN_REMAINING_MS < question.deadline {
             self.read_job(question)
@@ -273,7 +277,8 @@
         }
     }
 
-    /// The state service did not answer. Only this node may be refused, or not heard.
+    /// The state service gave no usable answer. If it was silent or refused with 503, that may concern only this node,
+    /// so a peer is asked on behalf of a user.
     fn read_failed(&mut self, question: Question, status: Option<u16>) {
         match question
             .user()
@@ -284,7 +289,7 @@
         }
     }
 
-    /// Leaves a question to a peer that may be served.
+    /// Forwards a question to a peer that the state service may be answering.
     fn forward_lookup(&mut self, conn: u64, question: Question) {
         let ask = PeerRequest::Lookup {
             job: question.job,
@@ -302,6 +307,7 @@
         });
     }
 
+    /// Refuses a question that could not be answered, and counts it.
     fn refuse_unanswered(&mut self, question: &Question, why: &str) {
         self.stats.unanswered += 1;
         self.answer_error(question.requester, 503, why);
--- a/crates/control/src/jobs/readiness.rs
+++ b/crates/control/src/jobs/readiness.rs
@@ -1,13 +1,14 @@
-//! Readiness, for the probes of whatever balances users' requests, and the role of this node, for its log.
+//! Readiness probes of load balancers, and the role of this node for its log.
 
 use crate::Node;
 use crate::leadership::role::Role;
 use wire::api::ErrorBody;
 
 impl Node {
-    /// A node that lives is healthy. It may know nothing yet, or not be served: it still tells what others know or can
-    /// take, and refuses the rest at once, where a removal sends its users away for up to a minute and can't tell one
-    /// node's trouble from all nodes'.
+    /// Answers a readiness probe. A running node always reports ready, even before it has loaded anything or while the
+    /// state service does not serve it: it can still forward requests to peers, and refuses the others at once. Removal
+    /// by the load balancer would cut its users off for up to a minute, and could not tell a failure of one node from a
+    /// failure of all.
     pub(super) fn answer_readiness_probe(&mut self, conn: u64) {
         self.respond(
             conn,
@@ -19,7 +20,7 @@
         )
     }
 
-    /// For the log: what this node is.
+    /// Role of this node, for the log.
     pub fn role_name(&self) -> &'static str {
         match self.role {
             Role::Leader { .. } if self.has_valid_lease() => "leader",
