--- a/crates/standins/src/world/late.rs
+++ b/crates/standins/src/world/delays.rs
@@ -1,13 +1,13 @@
 //! Messages that a test holds, loses or repeats by itself: commands to machines, answers to their reports, and the
 //! reports.
 
-use super::{Ev, Origin, World};
+use super::{Origin, SimEvent, World};
 use wire::api::Heartbeat;
 use wire::http::Request;
 
 /// What is late now.
 #[derive(Debug, Default)]
-pub(super) struct Late {
+pub(super) struct MessageDelays {
     /// Until when commands that are sent to machines come later, and by how much.
     commands: (u64, u64),
     /// The same of answers to reports.
@@ -16,8 +16,8 @@
     reports: Option<Vec<Heartbeat>>,
 }
 
-impl Late {
-    pub(super) fn command(&self, now: u64) -> u64 {
+impl MessageDelays {
+    pub(super) fn command_delay_ms(&self, now: u64) -> u64 {
         if now < self.commands.0 {
             self.commands.1
         } else {
@@ -25,7 +25,7 @@
         }
     }
 
-    pub(super) fn answer(&self, now: u64) -> u64 {
+    pub(super) fn answer_delay_ms(&self, now: u64) -> u64 {
         if now < self.answers.0 {
             self.answers.1
         } else {
@@ -33,7 +33,7 @@
         }
     }
 
-    pub(super) fn reported(&mut self, report: &Heartbeat) {
+    pub(super) fn record_report(&mut self, report: &Heartbeat) {
         if let Some(reports) = &mut self.reports {
             reports.push(report.clone());
         }
@@ -43,12 +43,12 @@
 impl World {
     /// Commands that are sent to machines in this time come so much later, whether or not their sender still waits.
     pub fn hold_commands(&mut self, for_ms: u64, ms: u64) {
-        self.late.commands = (self.now + for_ms, ms);
+        self.delays.commands = (self.now + for_ms, ms);
     }
 
     /// Answers to reports that are given in this time come so much later. A worker waits for four seconds.
     pub fn slow_answers(&mut self, for_ms: u64, ms: u64) {
-        self.late.answers = (self.now + for_ms, ms);
+        self.delays.answers = (self.now + for_ms, ms);
     }
 
     /// A machine stands still, and then goes on where it was.
@@ -61,11 +61,11 @@
 
     /// From now on, reports are kept so that copies of them can come again.
     pub fn keep_reports(&mut self) {
-        self.late.reports.get_or_insert_default();
+        self.delays.reports.get_or_insert_default();
     }
 
     pub fn reports(&self) -> &[Heartbeat] {
-        self.late.reports.as_deref().unwrap_or_default()
+        self.delays.reports.as_deref().unwrap_or_default()
     }
 
     /// A copy of a report comes to a node. Its worker waits for no answer to it.
@@ -82,7 +82,7 @@
             body,
             close: false,
         };
-        self.at(self.now, Ev::Request(node, origin, request, false));
+        self.schedule(self.now, SimEvent::Request(node, origin, request, false));
     }
 
     /// A task runs for so long instead of as long as its job's others.
@@ -91,7 +91,7 @@
             .map(|(job, _)| job)
             .unwrap_or_default();
         let whole = self.run_ms.get(job).copied().unwrap_or(0);
-        self.saved
+        self.saved_ms
             .insert(task.to_owned(), whole.saturating_sub(run_ms));
     }
 
