--- a/crates/standins/src/world/asks.rs
+++ b/crates/standins/src/world/asks.rs
@@ -1,34 +1,35 @@
-//! Users that ask a certain node, and what users were told against what is recorded at that moment.
+//! Users that send requests to a chosen node. Checks each response against the state service at that moment.
 
 use super::{Origin, RequestKind, Sabotage, SimEvent, World};
 use wire::api::{ErrorBody, JobState, Stage};
 use wire::http::{Request, Response};
 
-/// What a node told of a submission of a test's own.
+/// A node's response to an arbitrary submission that a test sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OddAnswer {
     pub at: u64,
     pub node: usize,
     pub job: String,
-    /// 0 without an answer.
+    /// 0 if there was no response.
     pub status: u16,
-    /// The job's stage, or why it is refused.
+    /// The job's stage, or the reason for the refusal.
     pub told: String,
     pub again_s: Option<u32>,
 }
 
 impl World {
-    /// A user asks this node about a job; without an answer, any node again later.
+    /// A user polls a job at this node; if it gets no response, it retries at random nodes.
     pub fn poll_at(&mut self, node: usize, job: &str) {
         self.send_request_to(node, RequestKind::Poll, job.to_owned());
     }
 
-    /// A user submits a job at this node, for the first time or once more.
+    /// A user submits a job at this node, for the first time or again.
     pub fn submit_at(&mut self, node: usize, job: &str) {
         self.send_request_to(node, RequestKind::Submit, job.to_owned());
     }
 
-    /// A user sends this node a body of any form as a submission, once. It is for this job, as far as it is for any.
+    /// A user sends this node an arbitrary body as a submission, once. `job` names the job that the body is about, if
+    /// any.
     pub fn send_at(&mut self, node: usize, job: &str, body: Vec<u8>) {
         let request = Request {
             method: "POST".into(),
@@ -78,12 +79,12 @@
         });
     }
 
-    /// A user asks this node to cancel a job, then any, until it is told.
+    /// A user asks this node to cancel a job, then random nodes until the cancellation is confirmed.
     pub fn cancel_at(&mut self, node: usize, job: &str) {
         self.send_request_to(node, RequestKind::Cancel, job.to_owned());
     }
 
-    /// Every node is asked about every job that was submitted, and sent it once more.
+    /// Polls every submitted job at every node, and submits it again at every node.
     pub fn ask_everywhere(&mut self) {
         let jobs = self
             .rules
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Accepted jobs that have not ended and about which nothing was answered for so long.
+    /// IDs of accepted jobs that have not ended and whose users have had no response for the given time.
     pub fn unanswered_for(&self, ms: u64) -> Vec<&str> {
         let open = self.unfinished().into_iter();
         open.filter(|job| {
@@ -110,7 +111,7 @@
         .collect()
     }
 
-    /// A user has been told how a job stands, which must stand in the state service by then.
+    /// Checks that a job's stage, once a user is told of it, is recorded in the state service.
     pub(super) fn check_recorded(&mut self, job: &str, stage: Option<Stage>) {
         let Some(stage) = stage else { return };
         self.answered_at.insert(job.to_owned(), self.now);
--- a/crates/standins/src/world/asserts.rs
+++ b/crates/standins/src/world/asserts.rs
@@ -1,8 +1,8 @@
-//! What every test of a played world asserts.
+//! Assertions that tests share about a simulated run.
 
 use super::World;
 
-/// Panics if a rule was broken in what has been played so far; `what` names the case.
+/// Panics if a rule has been broken in the run so far; `what` names the test case.
 #[track_caller]
 pub fn assert_rules_kept(world: &World, what: &str) {
     assert!(
@@ -12,7 +12,7 @@
     );
 }
 
-/// Panics if accepted work has not ended; `what` names the case.
+/// Panics if an accepted job has not ended; `what` names the test case.
 #[track_caller]
 pub fn assert_all_ended(world: &World, what: &str) {
     let unfinished = world.unfinished();
--- a/crates/standins/src/world/day.rs
+++ b/crates/standins/src/world/day.rs
@@ -1,4 +1,5 @@
-//! Days with a balancer, users that keep their connections as the protocol has it, and troubles at their times.
+//! Runs with a load balancer, users that reuse their connections as the protocol specifies, and faults at scheduled
+//! times.
 
 use super::{Origin, RequestKind, START_MS, SimEvent, World};
 use crate::balancer::{ACCEPT_MS, Balancer, PROBE_MS, TRIES};
@@ -10,19 +11,19 @@
 use wire::api::{JobState, Stage, TaskStage};
 use wire::http::{Request, Response};
 
-/// A user waits so long for an answer, and repeats a submission or a cancel for so long.
+/// How long a user waits for a response, and for how long it repeats a submission or a cancel.
 const REQUEST_TIMEOUT_MS: u64 = 5000;
 const POLL_TIMEOUT_MS: u64 = 2000;
 const REPEAT_MS: u64 = 60_000;
 
-/// An open connection of a user.
+/// A user's open connection to a node.
 #[derive(Clone, Copy)]
 struct Conn {
     node: usize,
     incarnation: u64,
 }
 
-/// A question that is out: on which connection, if one was found, and since when.
+/// A request without a response yet: its connection, if a node accepted one, and when it was sent.
 struct Outstanding {
     conn: Option<Conn>,
     asked: u64,
@@ -32,12 +33,12 @@
     plan: Day,
     balancer: Balancer,
     pub(super) checks: Checks,
-    /// Every job has a user of its own, who keeps one connection for the next question.
+    /// Each job has its own user, which keeps one idle connection for its next request.
     idle_conns: BTreeMap<String, Conn>,
     outstanding: BTreeMap<(String, RequestKind), Outstanding>,
-    /// When a submission or a cancel was first sent.
+    /// When each submission or cancel was first sent.
     first_sent: BTreeMap<(String, RequestKind), u64>,
-    /// A probe that is out, by node.
+    /// When each node's pending health check was sent.
     open_probes: Vec<Option<u64>>,
 }
 
@@ -53,7 +54,7 @@
         open
     }
 
-    /// For tests of the tests: its tasks never get their image.
+    /// Used to verify the checks: the images of these jobs' tasks are never fetched.
     pub(super) fn is_held(&self, task: &str) -> bool {
         let held = &self.plan.held;
         !held.is_empty() && wire::ids::parse_task(task).is_some_and(|(job, _)| held.contains(job))
@@ -85,14 +86,14 @@
         }));
     }
 
-    /// Plays the day, until half a minute after everything has ended.
+    /// Runs until half a minute after all work has ended, or until the planned end.
     pub fn run_day(&mut self) {
         let end = START_MS + self.plan.end;
         let mut settled_rounds = 0;
         while self.now < end && settled_rounds < 3 && self.rules.broken.is_empty() {
             let before = self.now;
             self.run_for(10_000.min(end - self.now));
-            // What is left of the day is less than the time to whatever happens next.
+            // The next event comes after the planned end, so nothing was simulated.
             if self.now == before {
                 return;
             }
@@ -108,7 +109,7 @@
         }
     }
 
-    /// The `i`th trouble of the day, and who led the fleet when that was last looked for.
+    /// Injects the `i`th scheduled fault. Faults aimed at the leader hit the node that was last seen to lead.
     pub(super) fn inject_scheduled_fault(&mut self, i: usize) {
         let Some((_, trouble)) = self.day.as_ref().map(|b| b.plan.troubles[i].clone()) else {
             return;
@@ -116,7 +117,7 @@
         self.inject_with_leader(&trouble, self.faults.last_leader);
     }
 
-    /// What operators judge the day by so far.
+    /// The results of the checks so far.
     pub fn verdict(&mut self) -> Verdict {
         let now = self.now;
         self.day
@@ -125,14 +126,14 @@
             .unwrap_or_default()
     }
 
-    /// When the troubles of the day are over.
+    /// When the last scheduled fault is over.
     pub(super) fn faults_over_at(&self) -> u64 {
         self.day
             .as_deref()
             .map_or(u64::MAX, |b| START_MS + b.plan.quiet)
     }
 
-    /// Nodes that the balancer takes to be healthy.
+    /// The number of nodes that the load balancer considers healthy.
     pub fn healthy(&self) -> usize {
         let healthy = |b: &DayRun| {
             (0..self.plan.nodes)
@@ -142,7 +143,7 @@
         self.day.as_deref().map_or(0, healthy)
     }
 
-    /// What comes to a node that stands still waits until it goes on.
+    /// When an event for a suspended process can be handled: not before the process resumes.
     pub(super) fn deferred_until(&self, event: &SimEvent) -> Option<u64> {
         let (SimEvent::Tick(n, _) | SimEvent::Reply(n, ..) | SimEvent::Request(n, ..)) = event
         else {
@@ -153,7 +154,7 @@
 
     // ---- Users ----
 
-    /// A user asks on the connection that it has kept, or on a new one.
+    /// Sends a user's request on its idle connection, or on a new one.
     pub(super) fn send_balanced(&mut self, job: String, kind: RequestKind, request: Request) {
         let now = self.now;
         let Some(day) = self.day.as_mut() else { return };
@@ -188,7 +189,7 @@
             SimEvent::Answer(origin.clone(), None),
         );
         match self.links.blocked(now, Place::Users, Place::Node(node)) {
-            // It comes through later, when its user has long given up.
+            // The request is delivered after the cut, when its user has stopped waiting.
             Some((until, How::Hold)) => {
                 self.schedule(until, SimEvent::Request(node, origin, request, false))
             }
@@ -200,7 +201,7 @@
         }
     }
 
-    /// A new connection, and how long it took.
+    /// Opens a connection through the load balancer; returns it, and how long that took.
     fn connect(&mut self) -> (Option<Conn>, u64) {
         let now = self.now;
         let Some(day) = self.day.as_mut() else {
@@ -248,7 +249,7 @@
             && job.ends_with('7');
         let Some(day) = self.day.as_mut() else { return };
         let key = (job.clone(), kind);
-        // Given up before.
+        // The user has stopped waiting for this response.
         if day.outstanding.get(&key).is_none_or(|o| o.asked != asked) {
             return;
         }
@@ -281,7 +282,7 @@
             (RequestKind::Submit, 400 | 422) | (RequestKind::Poll | RequestKind::Cancel, 404) => {
                 None
             }
-            // Submitted again much later.
+            // Some users submit the same job again much later.
             (RequestKind::Poll, _) if over => {
                 (self.rng.u32(0..3) == 0).then_some((RequestKind::Submit, 5000 + 20 * soon))
             }
@@ -309,7 +310,7 @@
         }
     }
 
-    /// All connections of users to a node break.
+    /// Resets all user connections to a node.
     pub(super) fn reset_users(&mut self, n: usize) {
         let Some(day) = self.day.as_mut() else { return };
         day.idle_conns.retain(|_, c| c.node != n);
@@ -332,12 +333,12 @@
             .for_each(|origin| self.schedule(self.now + 1, SimEvent::Answer(origin, None)));
     }
 
-    // ---- The balancer's probes ----
+    // ---- Health checks ----
 
     pub(super) fn probe(&mut self, n: usize) {
         let now = self.now;
         let Some(day) = self.day.as_mut() else { return };
-        // A second is also what a probe may take.
+        // A health check times out after a second, when the next one is due.
         if day.open_probes[n].take().is_some() {
             day.balancer.probed(now, n, false);
         }
@@ -378,9 +379,9 @@
             .probed(now, n, response.is_some_and(|r| r.status == 200));
     }
 
-    // ---- What the checkers see ----
+    // ---- Observations for the checks ----
 
-    /// Whether there is a leader, or some node that could be one.
+    /// Records whether there is a leader, and whether some node could become one.
     pub(super) fn check_leader(&mut self) {
         let now = self.now;
         let leader = self
@@ -413,7 +414,8 @@
         }
     }
 
-    /// A user asks some node aside to cancel a job, or is answered aside. That tells nothing about its usual questions.
+    /// Records a cancel request outside a user's regular sequence, or the response to one. These don't count as
+    /// polls.
     pub(super) fn note_cancel_request(&mut self, job: &str) {
         if let Some(day) = self.day.as_mut() {
             day.checks.asks(self.now, job, true);
--- a/crates/standins/src/world/delays.rs
+++ b/crates/standins/src/world/delays.rs
@@ -1,18 +1,18 @@
-//! Messages that a test holds, loses or repeats by itself: commands to machines, answers to their reports, and the
-//! reports.
+//! Messages that a test delays or duplicates itself: commands to machines, machines' reports, and the responses to
+//! them.
 
 use super::{Origin, SimEvent, World};
 use wire::api::Heartbeat;
 use wire::http::Request;
 
-/// What is late now.
+/// The delays in force.
 #[derive(Debug, Default)]
 pub(super) struct MessageDelays {
-    /// Until when commands that are sent to machines come later, and by how much.
+    /// Commands sent to machines before this time are delayed by so many milliseconds.
     commands: (u64, u64),
-    /// The same of answers to reports.
+    /// The same for responses to reports.
     answers: (u64, u64),
-    /// All reports that were sent, once a test wants them.
+    /// All reports sent since a test asked to keep them.
     reports: Option<Vec<Heartbeat>>,
 }
 
@@ -41,17 +41,19 @@
 }
 
 impl World {
-    /// Commands that are sent to machines in this time come so much later, whether or not their sender still waits.
+    /// Delays commands that are sent to machines within the given time by `ms`, whether or not their sender still
+    /// waits.
     pub fn hold_commands(&mut self, for_ms: u64, ms: u64) {
         self.delays.commands = (self.now + for_ms, ms);
     }
 
-    /// Answers to reports that are given in this time come so much later. A worker waits for four seconds.
+    /// Delays responses to reports that are sent within the given time by `ms`. A worker waits four seconds for a
+    /// response.
     pub fn slow_answers(&mut self, for_ms: u64, ms: u64) {
         self.delays.answers = (self.now + for_ms, ms);
     }
 
-    /// A machine stands still, and then goes on where it was.
+    /// Suspends a machine for the given time; it then continues where it was.
     pub fn hang(&mut self, machine: &str, ms: u64) {
         let until = self.now + ms;
         if let Some(w) = self.workers.get_mut(machine) {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// From now on, reports are kept so that copies of them can come again.
+    /// Keeps all reports from now on, so that a test can send copies of them.
     pub fn keep_reports(&mut self) {
         self.delays.reports.get_or_insert_default();
     }
@@ -68,7 +70,7 @@
         self.delays.reports.as_deref().unwrap_or_default()
     }
 
-    /// A copy of a report comes to a node. Its worker waits for no answer to it.
+    /// Sends a copy of a report to a node. The worker doesn't wait for a response to it.
     pub fn copy(&mut self, report: &Heartbeat, node: usize) {
         let origin = Origin::Worker {
             name: report.machine.clone(),
@@ -85,7 +87,7 @@
         self.schedule(self.now, SimEvent::Request(node, origin, request, false));
     }
 
-    /// A task runs for so long instead of as long as its job's others.
+    /// Gives a task a run time of its own, instead of its job's.
     pub fn shorten(&mut self, task: &str, run_ms: u64) {
         let job = wire::ids::parse_task(task)
             .map(|(job, _)| job)
@@ -95,7 +97,7 @@
             .insert(task.to_owned(), whole.saturating_sub(run_ms));
     }
 
-    /// Tasks that machines hold in any stage, with their attempts.
+    /// Tasks on a machine in any stage, with their attempts.
     pub fn held(&self, machine: &str) -> Vec<(String, u64, wire::api::TaskStage)> {
         let tasks = self
             .workers
@@ -108,7 +110,7 @@
             .collect()
     }
 
-    /// All machines that are up.
+    /// Names of all running machines.
     pub fn machines(&self) -> Vec<String> {
         self.workers.keys().cloned().collect()
     }
--- a/crates/standins/src/world/faults.rs
+++ b/crates/standins/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Troubles of the one list, brought about in a day at their times or by a test at any moment.
+//! Injection of the faults defined in [`crate::days::Trouble`], at scheduled times or whenever a test requests one.
 
 use super::{Call, Origin, SimEvent, World};
 use crate::days::{LATE_REPORT_MS, LATE_WRITE_MS, Machines, NextLeader, Trouble, Who};
@@ -6,38 +6,40 @@
 use std::collections::BTreeMap;
 use wire::http::Request;
 
-/// What troubles hit so far, so that a test sees that they did.
+/// How often injected faults took effect, so that a test can verify that they did.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Hits {
-    /// Late and unanswered transactions: carried out, and refused as they came (a guard, a lease that had ended, too many at once).
+    /// Delayed and unanswered transactions that were executed, and those that were rejected on execution (by a
+    /// condition, an expired lease or a rate limit).
     pub late_writes: u64,
     pub late_refused: u64,
-    /// Of them, those that came at once.
+    /// Transactions that were executed without delay but not answered.
     pub unanswered_writes: u64,
-    /// Copies of reports that came to a node that was there.
+    /// Duplicate reports that reached a running node.
     pub copies: u64,
-    /// Reports that waited for the next leader and were sent to it.
+    /// Reports that were held for the next leader and then sent to it.
     pub held_reports: u64,
-    /// Reports of mute machines.
+    /// Reports that were lost because their machine could not connect to any controller.
     pub unsaid: u64,
-    /// Messages between hosts that took long.
+    /// Messages between hosts that were delayed by slow links.
     pub slow: u64,
-    /// Answers and direct commands that deaf machines didn't hear.
+    /// Responses to reports, and direct commands, that were lost because the machine receives nothing.
     pub unheard_answers: u64,
     pub unheard_commands: u64,
 }
 
-/// Troubles that last, and what they draw from: nothing else in a world draws from it.
+/// State of the lasting faults. They have their own random number generator, so that they don't change what the rest
+/// of the simulation draws.
 pub(super) struct FaultState {
     pub(super) rng: fastrand::Rng,
-    /// Share, and until when.
+    /// The share of messages that is hit, and until when.
     late_writes: (f64, u64),
     unanswered_writes: (f64, u64),
     late_reports: (f64, u64),
-    /// Until when machines, and all machines of a zone, are deaf.
+    /// Until when a machine, or all machines of a zone, receive nothing.
     deaf: BTreeMap<String, u64>,
     deaf_zones: BTreeMap<&'static str, u64>,
-    /// What this life of a node sends until then comes up to so much later: life, until, milliseconds.
+    /// For each node: messages that this incarnation sends until this time are delayed by up to so many milliseconds.
     send_delays: Vec<(u64, u64, u64)>,
     pub(super) last_leader: usize,
 }
@@ -62,7 +64,7 @@
 }
 
 impl World {
-    /// Brings a trouble about now; its leader is whoever leads the fleet, or did last.
+    /// Injects a fault now. A fault aimed at the leader hits the current leader, or the last one if there is none.
     pub fn bring(&mut self, trouble: &Trouble) {
         let leader = self.leader_at().unwrap_or(self.faults.last_leader);
         self.inject_with_leader(trouble, leader);
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Machines that are there now, as a trouble chooses them.
+    /// Picks machines among those that are running now.
     pub(super) fn draw_machines(&mut self, machines: Machines) -> Vec<String> {
         let in_zone = |zone: &str| {
             let there = self.workers.values().filter(|w| w.zone == zone);
@@ -190,7 +192,7 @@
             return;
         }
         let now = self.now;
-        // Those that hear again are forgotten, so that the table stays as large as the fleet.
+        // Removes expired entries, so that the map doesn't outgrow the fleet.
         self.faults.deaf.retain(|_, end| *end > now);
         for name in self.draw_machines(machines) {
             let end = self.faults.deaf.entry(name).or_default();
@@ -205,7 +207,7 @@
         ends.into_iter().flatten().any(|end| self.now < *end)
     }
 
-    /// Whether a machine doesn't hear the answer to its report.
+    /// Whether a machine loses the response to its report.
     pub(super) fn misses_answer(&mut self, machine: &str) -> bool {
         let deaf = self.is_deaf(machine);
         self.hits.unheard_answers += u64::from(deaf);
@@ -218,7 +220,7 @@
         deaf
     }
 
-    /// A transaction has come to the state service: by how much later it is carried out, if it is a late one.
+    /// The delay until an arriving transaction is executed without a response; `None` if it is handled normally.
     pub(super) fn write_delay_ms(&mut self, c: &Call) -> Option<u64> {
         if c.path != "/txn" || c.unanswered {
             return None;
@@ -231,7 +233,7 @@
         late.then(|| self.faults.rng.u64(LATE_WRITE_MS))
     }
 
-    /// A report has been sent that comes at this time; a copy of it may come again.
+    /// Schedules a duplicate of a report that arrives at the given time, if this report is drawn for it.
     pub(super) fn maybe_duplicate_report(&mut self, node: usize, at: u64, report: &Request) {
         if self.faults.draw(self.faults.late_reports, self.now) {
             let later = at + self.faults.rng.u64(LATE_REPORT_MS);
@@ -242,7 +244,7 @@
         }
     }
 
-    /// How much later comes what a node sends.
+    /// The additional delay of a message that a node sends.
     pub(super) fn node_delay_ms(&mut self, n: usize) -> u64 {
         let (incarnation, until, ms) = self.faults.send_delays[n];
         let late = self.now < until && self.hosts[n].incarnation == incarnation;
--- a/crates/standins/src/world/gateway_clients.rs
+++ b/crates/standins/src/world/gateway_clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the gateway, each call on a connection of its own, and the runners on machines.
+//! Clients of the gateway, which open a connection for each call, and the runners of applications on the machines.
 
 use super::{GatewayConn, START_MS, SimEvent, World};
 use crate::links::Place;
@@ -9,7 +9,7 @@
 use wire::api::{Cause, TaskStage};
 
 impl World {
-    /// Calls that are due, each on a connection of its own to any node.
+    /// Starts the calls that are due, each on its own connection to a random node.
     pub(super) fn yarn_tick(&mut self) {
         if self.plan.scene.as_ref().is_none_or(|s| s.yarn.is_none()) {
             return;
@@ -20,14 +20,14 @@
         }
     }
 
-    /// A connection to any node, for one call.
+    /// Opens a connection to a random node for one call.
     fn open_call(&mut self, who: Who, ask: crate::yarn::Ask) {
         let (exchange, web, first) = Exchange::begin(ask);
         let conn = self.open_conn(who, exchange, web);
         self.schedule(self.now + 6000, SimEvent::ConnectionEnd(conn));
         let faulty = self.now < START_MS + self.plan.faults_until && !self.plan.calm;
         let mut delay = self.rng.u64(1..5);
-        // Now and then what is sent comes late, and its client has long given up.
+        // Occasionally the data arrives so late that its client has stopped waiting.
         if faulty && self.rng.u32(0..60) == 0 {
             delay += self.rng.u64(1000..60_000);
         }
@@ -53,25 +53,25 @@
         conn
     }
 
-    /// A call of a test's own, until its answer.
+    /// Makes a call on behalf of a test and waits for the response.
     pub fn call(&mut self, ask: crate::yarn::Ask) -> crate::yarn::Answer {
         self.yarn.answered = None;
         self.open_call(Who::Test, ask);
         let end = self.now + 10_000;
-        // Guards against a world that stands still since a rule is broken: it would be waited for without end.
+        // The simulation stops once a rule is broken. Without this check, the loop would never end.
         while self.yarn.answered.is_none() && self.now < end {
             let before = self.now;
             self.run_for(100);
             let broken = (&self.rules.broken, &self.yarn.checks.broken);
             assert!(
                 self.now > before || self.yarn.answered.is_some(),
-                "nothing goes on: {broken:?}"
+                "the simulation stopped before the call was answered; broken rules: {broken:?}"
             );
         }
         self.yarn.answered.take().flatten()
     }
 
-    /// Any bytes on a connection that nobody listens on, and that nobody ends.
+    /// Sends arbitrary bytes on a connection that the client neither reads from nor closes.
     pub fn pour(&mut self, web: bool, bytes: Vec<u8>) {
         let ask = crate::yarn::Ask::Web {
             method: "GET",
@@ -84,7 +84,8 @@
         self.run_for(2);
     }
 
-    /// Runners stand on the tasks that run: they begin and end with them.
+    /// Starts a runner for each running task of the gateway's jobs, and removes the runners of tasks that no longer
+    /// run.
     fn sync_runners(&mut self) {
         let now = self.now;
         let mut here = HashSet::new();
@@ -110,7 +111,7 @@
         }
         self.yarn.runners.extend(new);
         self.yarn.gone(&here);
-        // A runner that is through ends its task.
+        // A task exits when its runner has finished.
         for w in self.workers.values_mut().filter(|w| w.hung_until <= now) {
             for t in w.tasks.iter_mut().filter(|t| t.stage == TaskStage::Running) {
                 let runner = self.yarn.runners.get(&(t.name.clone(), t.attempt));
@@ -168,7 +169,7 @@
         }
     }
 
-    /// The connection breaks, or its client has waited long enough.
+    /// The connection breaks, or its client stops waiting.
     pub(super) fn conn_ended(&mut self, conn: u64) {
         if let Some(connection) = self.gateway_conns.remove(&conn) {
             self.yarn.answer(self.now, &connection.who, None);
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Jobs that the gateway has had accepted become known to the workers.
+    /// Registers jobs that the gateway had accepted, so that workers can run them.
     pub(super) fn note_yarn_jobs(&mut self, body: &[u8]) {
         let Ok(txn) = wire::decode::<Value>(body) else {
             return;
--- a/crates/standins/src/world/held_changes.rs
+++ b/crates/standins/src/world/held_changes.rs
@@ -1,4 +1,5 @@
-//! Certain changes of the state service held by a test: nobody answers them, and they land when the test says so.
+//! Changes to the state service that a test holds back: they get no response, and are executed when the test releases
+//! them.
 
 use super::{Call, World};
 use std::collections::HashSet;
@@ -12,7 +13,8 @@
     held: Vec<Call>,
 }
 
-/// What a request would change: `put KEY` and `remove KEY` of a transaction, or the request on a lease itself.
+/// What a request changes: `put KEY` and `remove KEY` for a transaction's writes, or the method and path of a lease
+/// request.
 fn changes(c: &Call) -> Vec<String> {
     if c.path.starts_with("/grants") {
         return vec![format!("{} {}", c.method, c.path)];
@@ -31,7 +33,8 @@
 }
 
 impl World {
-    /// From now on the first copy of each change that is picked is held. Those of a lease are first copies always.
+    /// From now on, holds the first copy of each transaction that `pick` selects; repeated copies pass. Selected
+    /// lease requests are always held.
     pub fn hold_first(&mut self, pick: impl FnMut(&[String]) -> bool + 'static) {
         self.held_changes.pick = Some(Box::new(pick));
     }
@@ -40,7 +43,8 @@
         self.held_changes.pick = None;
     }
 
-    /// All that is held lands, oldest first: what each would change, and whether it changed anything.
+    /// Executes all held requests, oldest first. Returns for each what it would change, and whether it changed
+    /// anything.
     pub fn land_held(&mut self) -> Vec<(Vec<String>, bool)> {
         let held = std::mem::take(&mut self.held_changes.held);
         let land = |c: Call| {
--- a/crates/standins/src/world/kept_reports.rs
+++ b/crates/standins/src/world/kept_reports.rs
@@ -1,14 +1,15 @@
-//! Reports kept for the next leader: copies of what went to the one before, which come just as the next one begins, or the
-//! reports themselves, which come to it and to nobody before.
+//! Reports kept for the next leader: either copies of reports sent to the previous leader, which arrive just as the
+//! next one takes over, or the reports themselves, which reach no other leader.
 
 use super::{Origin, SimEvent, World};
 use crate::days::{LATE_REPORT_MS, NextLeader};
 use std::collections::VecDeque;
 use wire::http::Request;
 
-/// So many are kept at most; the oldest go first.
+/// The maximum number of kept reports; the oldest are dropped first.
 const MAX_KEPT: usize = 512;
-/// Copies come so soon after a leader is seen, and what was held up once it has acted.
+/// Copies arrive within this time after a new leader is seen. Held reports are spread over a longer time, so that
+/// some arrive after it has acted.
 const COPY_SPREAD_MS: u64 = 300;
 const HELD_SPREAD_MS: u64 = 4000;
 
@@ -16,11 +17,11 @@
     next: NextLeader,
     origin: Origin,
     request: Request,
-    /// Lost if no other leader has begun by then.
+    /// The report is dropped if there is no new leader by then.
     until: u64,
 }
 
-/// Who leads, as it is seen: the node and its token.
+/// The observed leader: its node and its leadership token.
 type LeaderTerm = (usize, u64);
 
 #[derive(Default)]
@@ -37,7 +38,7 @@
         self.kept_reports.next = Some(next);
     }
 
-    /// A report is sent. One that is held is kept, and not given back.
+    /// Called for each report that a worker sends. Returns `None` if the report is held.
     pub(super) fn keep_report(&mut self, origin: Origin, request: &Request) -> Option<Origin> {
         let next = self
             .kept_reports
@@ -63,7 +64,7 @@
         first
     }
 
-    /// Somebody leads. If another one did before, or under another token, what was kept comes.
+    /// Called while a node leads. Sends the kept reports if the node or its token differs from the last ones seen.
     pub(super) fn note_leader(&mut self, node: usize) {
         let term = self.hosts[node].node.as_ref().and_then(|n| n.node().term());
         let Some(token) = term else { return };
--- a/crates/standins/src/world/leader_gaps.rs
+++ b/crates/standins/src/world/leader_gaps.rs
@@ -1,13 +1,14 @@
-//! How long the fleet went without a leader that its workers could find.
+//! Measures how long the fleet was without a leader that workers could find.
 
 use super::{START_MS, World};
 
-/// Spells without a leader that stands for as long as a worker takes to ask every node.
+/// Tracks the time without a stable leader. A leader is stable once it has led for as long as a worker needs to ask
+/// every node.
 #[derive(Debug)]
 pub(super) struct LeaderGaps {
-    /// Who leads, and since when.
+    /// The current leader, and since when it leads.
     leader: Option<(usize, u64)>,
-    /// Until when one has led that workers could find.
+    /// The last time at which there was a stable leader.
     led_until: u64,
     longest_ms: u64,
 }
@@ -34,12 +35,13 @@
 }
 
 impl World {
-    /// How long a worker may take to find who leads: a second for each node that it asks, and one more for its report.
+    /// How long a worker may need to find the leader: one second for each node that it asks, and one more for its
+    /// report.
     pub fn round_ms(&self) -> u64 {
         1000 * (self.plan.nodes as u64 + 1)
     }
 
-    /// The longest spell without a leader that stood for such a round.
+    /// The longest time without a stable leader.
     pub fn longest_unled_ms(&self) -> u64 {
         self.leader_gaps
             .longest_ms
--- a/crates/standins/src/world/machines.rs
+++ b/crates/standins/src/world/machines.rs
@@ -1,5 +1,5 @@
-//! Machines that reach no controller, machines that are up before anybody has heard of their rental, and what room
-//! machines have.
+//! Machines that can't reach any controller, machines that are up before the response to their rental, and free
+//! capacity.
 
 use super::World;
 use crate::checks::room::{Free, Up};
@@ -8,14 +8,15 @@
 use crate::worker::Worker;
 use wire::api::TaskStage;
 
-/// While boots are quick, a rental is answered up to so much later: after its machines are up.
+/// While machines boot quickly, the response to a rental is delayed by up to this time, so that it can arrive after
+/// its machines are up.
 const MAX_RENTAL_DELAY_MS: u64 = 4000;
 
 impl World {
-    /// These can't open connections to controllers. What is sent to them directly arrives and is answered.
+    /// These machines can't open connections to controllers. Direct requests still reach them and are answered.
     pub(super) fn mute(&mut self, machines: Machines, ms: u64) {
         let sides = match machines {
-            // Those too that come up meanwhile.
+            // Includes machines that start during the fault.
             Machines::Zone(zone) => vec![Frontend::MachinesIn(zone.to_owned())],
             some => self
                 .draw_machines(some)
@@ -37,7 +38,7 @@
         self.workers.get(machine).map(|w| w.zone.as_str())
     }
 
-    /// By how much later the cloud answers a rental.
+    /// The additional delay of the cloud's response to a rental.
     pub(super) fn rental_delay_ms(&mut self, path: &str) -> u64 {
         let quick = path == "/machines" && self.now < self.cloud.quick_until;
         if quick {
@@ -49,7 +50,8 @@
 }
 
 impl World {
-    /// Once a second after the troubles of a small day: whether jobs wait beside room.
+    /// Once a second after the faults of a run with a small fleet, checks whether jobs wait although there is
+    /// capacity for them.
     pub(super) fn check_room(&mut self) {
         let now = self.now;
         if self.plan.large || !now.is_multiple_of(1000) || now < self.faults_over_at() {
--- a/crates/standins/src/world/processor.rs
+++ b/crates/standins/src/world/processor.rs
@@ -1,21 +1,21 @@
-//! Controllers that are short of processor time: what they handle takes as long as its size and their plans ask for.
-//! What comes meanwhile waits, and is served in the order of [`control::overload::precedence`], as the service's event loop does;
-//! ticks come in between.
+//! Simulates controllers that are short of processor time: handling an event takes time in proportion to its size and
+//! to the planning steps that it causes. Events that arrive meanwhile are queued and served in the order of
+//! [`control::overload::precedence`], like in the service's event loop; ticks are handled in between.
 
 use super::{Origin, SimEvent, World};
 use control::Event;
 use control::overload::precedence::{Backlog, Next, Precedence};
 
-/// Whoever asks has given up after this time, and what he sent is not handed over any more.
+/// Clients stop waiting after this time; their queued requests are dropped.
 const CLIENT_TIMEOUT_MS: u64 = 4000;
 
-/// What a controller's work costs it.
+/// Processor time that a controller's work takes.
 #[derive(Debug, Clone, Copy)]
 pub struct Costs {
-    /// Microseconds for each request or answer, and for each KiB of its body.
+    /// Microseconds for each request or response, and for each KiB of its body.
     pub message_us: u64,
     pub kib_us: u64,
-    /// Nanoseconds for each step of a plan.
+    /// Nanoseconds for each planning step.
     pub step_ns: u64,
 }
 
@@ -23,7 +23,7 @@
     fn of_event(&self, event: &Event) -> u64 {
         let body = match event {
             Event::Client { request, .. } | Event::Peer { request, .. } => request.body.len(),
-            // It is not read.
+            // The request is refused without reading its body.
             Event::Late { .. } => return self.message_us / 2,
             Event::Reply { response, .. } => response.as_ref().map_or(0, |r| r.body.len()),
             _ => return 0,
@@ -36,14 +36,14 @@
     }
 }
 
-/// A controller's processor, and what waits for it.
+/// A controller's processor and its queue of events.
 #[derive(Default)]
 pub(super) struct Processor {
     busy_until_us: u64,
-    /// With the time at which each came.
+    /// Queued events with their arrival times.
     waiting: Backlog<(u64, SimEvent)>,
     tick: Option<SimEvent>,
-    /// It will look at what waits.
+    /// Whether an event is scheduled at which the processor looks at its queue.
     wakeup_scheduled: bool,
 }
 
@@ -62,17 +62,17 @@
 }
 
 impl World {
-    /// All controllers are as slow as this from now on.
+    /// Simulates processor costs on all controllers from now on.
     pub fn processors_cost(&mut self, costs: Costs) {
         self.costs = Some(costs);
     }
 
-    /// Microseconds that a controller needs to handle an event, but for its plans.
+    /// Microseconds that a controller needs to handle an event, without its planning steps.
     pub(super) fn event_cost(&self, event: &Event) -> u64 {
         self.costs.map_or(0, |costs| costs.of_event(event))
     }
 
-    /// A controller has handled something, with a plan of so many steps.
+    /// Accounts for the processor time of a handled event and its planning steps.
     pub(super) fn charge_processor(&mut self, n: usize, event_us: u64, steps: u64) {
         let Some(costs) = self.costs else { return };
         let processor = &mut self.hosts[n].processor;
@@ -80,7 +80,7 @@
         processor.busy_until_us = from + event_us + costs.of_steps(steps);
     }
 
-    /// Puts an event off if the controller that it concerns is busy; returns it if not.
+    /// Queues an event if the controller that it concerns is busy; otherwise returns it.
     pub(super) fn defer(&mut self, event: SimEvent) -> Option<SimEvent> {
         let n = match &event {
             SimEvent::Tick(n, _) | SimEvent::Reply(n, ..) | SimEvent::Request(n, ..)
@@ -116,7 +116,7 @@
         }
     }
 
-    /// A controller has time for the next event.
+    /// A controller's processor is free for the next event.
     pub(super) fn processor_free(&mut self, n: usize) {
         self.hosts[n].processor.wakeup_scheduled = false;
         while self.hosts[n].processor.busy_until_us / 1000 <= self.now {
@@ -149,7 +149,7 @@
         self.deliver(n, Event::Late { conn });
     }
 
-    /// A process ends with all that waits for it: whoever asked hears that the connection is gone.
+    /// A process ends together with its queue: the senders of queued requests see their connections close.
     pub(super) fn drop_waiting(&mut self, n: usize) {
         let mut processor = std::mem::take(&mut self.hosts[n].processor);
         let asked: Vec<Origin> = processor
--- a/crates/standins/src/world/slow_links.rs
+++ b/crates/standins/src/world/slow_links.rs
@@ -1,12 +1,14 @@
-//! Slow links: what hosts send each other takes long, and what one sends another comes in order. Users and their balancer
-//! are not slowed down: its probes wait for a second, and would take every node out.
+//! Slow links: messages between hosts are delayed, and messages from one host to another stay in order. Traffic of
+//! users and of the load balancer is not delayed: its health checks time out after a second, so it would consider
+//! every node unhealthy.
 
 use super::{Call, Origin, World};
 use crate::cloud::name_at;
 use control::Destination;
 use std::collections::BTreeMap;
 
-/// The slowest message of such a spell, drawn for each, takes this long one way; the quickest a quarter of it.
+/// The range from which the maximum one-way delay of each slow period is drawn. The minimum delay is a quarter of the
+/// maximum.
 const MAX_DELAY_MS: std::ops::Range<u64> = 200..1500;
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -21,7 +23,7 @@
 pub(super) struct SlowLinks {
     until: u64,
     max_ms: u64,
-    /// When the last message from one host to another comes; forgotten once nothing is under way.
+    /// When the last message from one host to another arrives. Entries are removed once no message is under way.
     last_arrivals: BTreeMap<(Endpoint, Endpoint), u64>,
 }
 
@@ -44,7 +46,7 @@
         })
     }
 
-    /// How much later comes what a node sends.
+    /// The additional delay of a request that a node sends.
     pub(super) fn send_delay_ms(&mut self, n: usize, to: Destination) -> u64 {
         let to = self
             .links_are_slow()
@@ -53,7 +55,7 @@
         to.map_or(0, |to| self.link_delay_ms(Endpoint::Node(n), to))
     }
 
-    /// The same of what it is answered by others than nodes.
+    /// The additional delay of a response to a node from the state service, the cloud or a worker.
     pub(super) fn reply_delay_ms(&mut self, c: &Call) -> u64 {
         let from = self
             .links_are_slow()
@@ -67,7 +69,7 @@
         rental + from.map_or(0, |from| self.link_delay_ms(from, Endpoint::Node(c.node)))
     }
 
-    /// The same of what a node answers.
+    /// The additional delay of a node's response.
     pub(super) fn answer_delay_ms(&mut self, n: usize, to: &Origin) -> u64 {
         let to = match to {
             Origin::Worker { name, .. } if self.links_are_slow() => Endpoint::Machine(name.clone()),
@@ -77,7 +79,7 @@
         self.link_delay_ms(Endpoint::Node(n), to)
     }
 
-    /// The same of a report.
+    /// The additional delay of a worker's report.
     pub(super) fn report_delay_ms(&mut self, machine: &str, node: usize) -> u64 {
         if !self.links_are_slow() {
             return 0;
--- a/crates/standins/src/world/users.rs
+++ b/crates/standins/src/world/users.rs
@@ -1,5 +1,5 @@
-//! What users do beside their usual questions, at nodes of their choice: they look at all nodes within milliseconds,
-//! cancel many jobs at once or a job as it ends, and ask for what is odd.
+//! User requests outside the regular sequence of submit, poll and cancel, sent to chosen nodes: users query all nodes
+//! within milliseconds, cancel many jobs at once or a job just as it ends, and send invalid requests.
 
 use super::{Origin, RequestKind, Sabotage, SimEvent, World};
 use crate::checks::answers::{Answers, Unfit};
@@ -13,31 +13,31 @@
 use wire::http::{Request, Response};
 use wire::peer;
 
-/// All nodes are asked so long after the moment.
+/// Delays after a job's milestone at which all nodes are queried.
 const QUERY_OFFSETS_MS: [u64; 5] = [1, 3, 10, 40, 150];
-/// Looks that are under way at a time, at most.
+/// The maximum number of jobs that are being queried in this way at the same time.
 const MAX_OPEN_QUERIES: usize = 64;
-/// Of jobs that are looked at as they are accepted, such a share is cancelled at once.
+/// The share of queried jobs that are cancelled right after they are accepted.
 const CANCEL_ON_ACCEPT_SHARE: f64 = 0.2;
-/// What runs for so long yet has long to go.
+/// A job qualifies for a mass cancellation if a task of it still runs for longer than this.
 const LONG_RUNNING_MS: u64 = 15_000;
-/// Many are cancelled within so long, and so many of their machines hang.
+/// A mass cancellation is spread over this time, and hangs at most this many machines.
 const CANCEL_SPREAD_MS: u64 = 200;
 const MAX_HUNG_MACHINES: usize = 8;
-/// Odd requests are so far apart.
+/// The interval between invalid requests.
 const INVALID_REQUEST_INTERVAL_MS: std::ops::Range<u64> = 50..400;
-/// The clock of the machines.
+/// The interval at which machines are simulated.
 const MACHINE_TICK_MS: u64 = 100;
-/// A user waits so long for an answer.
+/// How long a user waits for a response.
 const REQUEST_TIMEOUT_MS: u64 = 5000;
 const POLL_TIMEOUT_MS: u64 = 2000;
 
-/// What a user does aside.
+/// A user's action outside its regular sequence of requests.
 pub(super) enum ExtraAction {
     Request(usize, RequestKind, String),
-    /// Asks all nodes, for the so manieth time.
+    /// Query all nodes; the number counts the rounds.
     QueryAllNodes(String, usize),
-    /// Goes on asking for the cancel that it has not been told of.
+    /// Keep asking to cancel the job until the user learns how it ended.
     EnsureCancel(String),
     InvalidRequest,
 }
@@ -45,13 +45,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Milestone {
     Accepted,
-    /// The last task has ended.
+    /// The job's last task has ended.
     Ended,
     ToldDone,
     ToldCancelled,
 }
 
-/// What users did aside so far, so that a test sees that they did.
+/// How often users performed these actions, so that a test can verify that they did.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ExtraActionCounts {
     pub looks: u64,
@@ -62,15 +62,17 @@
     pub odd: u64,
 }
 
-/// Users' own troubles, and what they draw from: nothing else in a world draws from it.
+/// Faults caused by users. They have their own random number generator, so that they don't change what the rest of
+/// the simulation draws.
 pub(super) struct UserFaults {
     rng: fastrand::Rng,
     close_queries_until: u64,
     invalid_requests_until: u64,
-    /// Share, and until when.
+    /// The share of ending jobs that are cancelled, and until when.
     cancel_at_end_until: (f64, u64),
     open_queries: usize,
-    /// What has been looked at, and jobs whose end has been drawn for: as many as there are jobs at the most.
+    /// Milestones whose queries have begun, and jobs for which a cancel at their end has been drawn. Both are bounded
+    /// by the number of jobs.
     queried: BTreeSet<(String, Milestone)>,
     cancel_drawn: BTreeSet<String>,
     answers: Answers,
@@ -135,7 +137,7 @@
         }
     }
 
-    /// The moment that a machine's clock has come to: ends of jobs, and those that come with the next one.
+    /// Handles the machines' tick: jobs that have just ended, and jobs that will end with the next tick.
     pub(super) fn users_tick(&mut self) {
         let ended = std::mem::take(&mut self.rules.ended);
         ended
@@ -148,7 +150,7 @@
         }
     }
 
-    // ---- Asking ----
+    // ---- Requests ----
 
     fn any_node(&mut self) -> usize {
         self.users.rng.usize(0..self.plan.nodes)
@@ -166,7 +168,7 @@
             RequestKind::Poll => ("GET", format!("/work/{job}"), Vec::new()),
             RequestKind::Cancel => ("POST", format!("/work/{job}/cancel"), Vec::new()),
         };
-        // A cancel of what is done changes nothing.
+        // Cancelling a job that is done has no effect.
         if kind == RequestKind::Cancel && entry.told_done.is_none() {
             entry.cancel_asked = true;
             self.note_cancel_request(&job);
@@ -248,7 +250,7 @@
         }
     }
 
-    /// A user has been answered, after the rules have looked at it.
+    /// Records a user's response, after [`crate::rules::Rules::told`] has checked it.
     pub(super) fn note_user_answer(
         &mut self,
         job: &str,
@@ -272,7 +274,7 @@
         new.for_each(|(milestone, _)| self.begin_close_queries(job, milestone));
     }
 
-    // ---- Close looks ----
+    // ---- Queries of all nodes ----
 
     fn begin_close_queries(&mut self, job: &str, milestone: Milestone) {
         let now = self.now;
@@ -303,7 +305,7 @@
         );
     }
 
-    /// Every node is asked, and sent the submission once more.
+    /// Polls the job at every node, and submits it again there.
     fn query_all_nodes(&mut self, job: String, round: usize) {
         self.users.counts.looks += 1;
         for node in 0..self.plan.nodes {
@@ -322,9 +324,9 @@
         }
     }
 
-    // ---- Cancels of many at once, and at the end ----
+    // ---- Mass cancellations, and cancels as a job ends ----
 
-    /// Accepted, and nobody has asked to cancel it yet.
+    /// Whether the job is accepted and unfinished, and nobody has asked to cancel it.
     fn is_uncancelled(&self, job: &str) -> bool {
         let wanted = |j: &crate::rules::Job| {
             j.accepted.is_some() && !j.cancel_asked && j.told_done.or(j.told_cancelled).is_none()
@@ -332,7 +334,7 @@
         self.rules.jobs.get(job).is_some_and(wanted)
     }
 
-    /// Tasks that run, with the times at which they end if nothing comes in between.
+    /// Running tasks, with the times at which they end if nothing interrupts them.
     fn running(&self) -> impl Iterator<Item = (&str, u32, u64)> {
         let tasks = self
             .workers
@@ -380,7 +382,7 @@
         }
     }
 
-    /// Jobs whose last tasks end with the machines' next tick.
+    /// Jobs whose last tasks end at the machines' next tick.
     fn about_to_end(&self) -> Vec<String> {
         let mut ending: BTreeMap<&str, BTreeSet<u32>> = BTreeMap::new();
         for (id, n, _) in self
@@ -401,7 +403,7 @@
             .collect()
     }
 
-    /// Just before the end, at it, while it is recorded, or a while after.
+    /// Cancels the job shortly before its end, at its end, while the end is being recorded, or a while later.
     fn cancel_at_end(&mut self, job: String) {
         let (share, _) = self.users.cancel_at_end_until;
         let users = &mut self.users;
@@ -432,7 +434,7 @@
         );
     }
 
-    // ---- What is odd ----
+    // ---- Invalid requests ----
 
     fn send_invalid_request(&mut self) {
         if self.now >= self.users.invalid_requests_until {
@@ -467,7 +469,7 @@
         }
     }
 
-    /// A submission that can't be taken, and then a question about it at any node.
+    /// Sends a submission that can't be accepted, and then polls it at a random node.
     fn send_invalid_submission(&mut self, node: usize) {
         let number = 900_000 + self.users.counts.odd as u32;
         let spec = array(number, "red", 1, 5.0);
@@ -500,10 +502,10 @@
         self.send_extra(node, id, RequestKind::Poll, request);
     }
 
-    // ---- What nodes order ----
+    // ---- Commands sent by nodes ----
 
-    /// Counts starts that the leader orders of jobs whose users were told that they are cancelled. What another node hands on
-    /// was ordered before.
+    /// Counts start commands that the leader sends for jobs whose users were told that they are cancelled. Commands
+    /// that another node only relays were counted when the leader sent them.
     pub(super) fn check_orders_sent(&mut self, node: usize, effect: &Effect) {
         if self.day.is_none() {
             return;
@@ -515,7 +517,7 @@
             return;
         }
         let term = leader.term();
-        // An answer that was handed on for an earlier leader has that one's token.
+        // A response relayed for an earlier leader carries that leader's token.
         let own = |o: &Orders| term.is_none_or(|t| t == o.token);
         let given = self.order_bodies(effect);
         let given = given
@@ -537,7 +539,7 @@
         }
     }
 
-    /// What a node says to machines, itself or by way of a peer.
+    /// Bodies with commands that a node sends to machines, directly or through a peer.
     fn order_bodies(&self, effect: &Effect) -> Vec<Vec<u8>> {
         match effect {
             Effect::Respond { conn, response } if response.status == 200 => {
@@ -569,9 +571,9 @@
         }
     }
 
-    // ---- Tests of the tests ----
+    // ---- Sabotage to verify the checks ----
 
-    /// Sabotage: what a user is told by nobody who knows.
+    /// The false response that a user receives under sabotage, if any.
     pub(super) fn sabotaged_answer(&self, origin: &Origin) -> Option<Response> {
         let (Origin::User { job, kind, .. } | Origin::ExtraAction { job, kind, .. }) = origin
         else {
@@ -617,7 +619,7 @@
     }
 }
 
-/// Fields that no submission may lack.
+/// Fields that every submission must contain.
 const REQUIRED_FIELDS: [&str; 17] = [
     "nameId",
     "lot",
@@ -640,7 +642,7 @@
 
 type InvalidSubmission = (Unfit, String, Vec<u8>);
 
-/// What has no form: a field that is missing, of another type, or out of bounds, or nothing that has fields.
+/// A malformed submission: a field is missing, of a wrong type or out of range, or the body is no map.
 fn malformed(rng: &mut fastrand::Rng, spec: &JobSpec) -> InvalidSubmission {
     let wrong = [
         ("pieces", json!("two")),
@@ -687,7 +689,7 @@
     (Unfit::Malformed, why, wire::encode(&fields))
 }
 
-/// What fits no machine, or is more than its team may ever use.
+/// A well-formed submission that fits no machine, or exceeds what its team may ever use.
 fn impossible(
     rng: &mut fastrand::Rng,
     spec: JobSpec,
