--- a/crates/control/src/jobs/api.rs
+++ b/crates/control/src/jobs/api.rs
@@ -61,6 +61,7 @@
     /// Counts one more request shed for overload, and returns after how many seconds to retry.
     fn record_shed_request(&mut self) -> u32 {
         let served_per_s = self.accepts_per_s();
-        self.load_shedding.turn_away(self.now.mono, served_per_s)
+        self.load_shedding
+            .record_rejection(self.now.mono, served_per_s)
     }
 }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -213,7 +213,7 @@
     }
 
     fn tick(&mut self) {
-        self.plan_pacing.ticked(self.now.mono, self.wait_ms());
+        self.plan_pacing.record_tick(self.now.mono, self.wait_ms());
         self.election_tick();
         self.routing_tick();
         self.peer_status_tick();
--- a/crates/control/src/overload/plan_pacing.rs
+++ b/crates/control/src/overload/plan_pacing.rs
@@ -5,7 +5,7 @@
 //! else.
 
 /// Upper bound of the factor by which the interval between plans is lengthened.
-pub const MAX_FACTOR: f64 = 5.0;
+pub const MAX_INTERVAL_FACTOR: f64 = 5.0;
 /// Fraction of the time by which ticks may run late before plans are made less often.
 const TARGET_LATENESS: f64 = 0.5;
 /// The interval changes by at most this factor from one plan to the next.
@@ -37,7 +37,7 @@
 
 impl PlanPacing {
     /// Records a tick that was due `due_after` milliseconds after the previous one.
-    pub fn ticked(&mut self, now: u64, due_after: u64) {
+    pub fn record_tick(&mut self, now: u64, due_after: u64) {
         let Some(previous) = self.ticked_at.replace(now) else {
             return;
         };
@@ -50,10 +50,10 @@
     }
 
     /// Records that a plan was made, and adapts the interval until the next one to the lateness of ticks.
-    pub fn planned(&mut self) {
+    pub fn record_plan(&mut self) {
         let change =
             (self.lateness / TARGET_LATENESS).clamp(1.0 / MAX_STEP_FACTOR, MAX_STEP_FACTOR);
-        self.factor = (self.factor * change).clamp(1.0, MAX_FACTOR);
+        self.factor = (self.factor * change).clamp(1.0, MAX_INTERVAL_FACTOR);
     }
 
     /// The current interval between plans, given the interval `base_ms` of a node without overload.
--- a/crates/control/src/overload/precedence.rs
+++ b/crates/control/src/overload/precedence.rs
@@ -18,8 +18,8 @@
     Worker,
     /// Cancellations by users, which free capacity.
     Cancel,
-    /// Reads.
-    Question,
+    /// Reads by users.
+    Read,
     /// New work.
     Submission,
 }
@@ -30,7 +30,7 @@
         let path = request.path.split('?').next().unwrap_or("");
         match (request.method.as_str(), path) {
             (_, "/hello" | "/ready") => Precedence::Worker,
-            ("GET", _) => Precedence::Question,
+            ("GET", _) => Precedence::Read,
             (_, path) if path.ends_with("/cancel") => Precedence::Cancel,
             _ => Precedence::Submission,
         }
@@ -49,9 +49,9 @@
 }
 
 /// A submission that has waited longer than this, in milliseconds, is refused, so that the client can try another node.
-pub const SUBMISSION_WAITS_MS: u64 = 1000;
+pub const SUBMISSION_MAX_WAIT_MS: u64 = 1000;
 /// The same for reads, whose clients wait for 2 s.
-pub const QUESTION_WAITS_MS: u64 = 1000;
+pub const READ_MAX_WAIT_MS: u64 = 1000;
 
 /// What to do with an item taken from the backlog.
 #[derive(Debug, PartialEq, Eq)]
@@ -92,8 +92,8 @@
     /// Takes the next item: first those that have waited too long, then the first by precedence.
     pub fn pop(&mut self, now: u64) -> Option<Next<T>> {
         for (precedence, max_wait_ms) in [
-            (Precedence::Submission, SUBMISSION_WAITS_MS),
-            (Precedence::Question, QUESTION_WAITS_MS),
+            (Precedence::Submission, SUBMISSION_MAX_WAIT_MS),
+            (Precedence::Read, READ_MAX_WAIT_MS),
         ] {
             let queue = &mut self.queues[precedence as usize];
             let is_expired = |(enqueued_at, _): &mut (u64, T)| now > *enqueued_at + max_wait_ms;
--- a/crates/control/src/scheduling/planning.rs
+++ b/crates/control/src/scheduling/planning.rs
@@ -26,7 +26,7 @@
         let Some(catalog) = self.shared.catalog.clone() else {
             return;
         };
-        self.plan_pacing.planned();
+        self.plan_pacing.record_plan();
         let planned = self.make_plan(&catalog, scope);
         self.note_planned(&planned);
         self.apply_starts(&planned);
